--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -16,8 +16,7 @@
 	"cleatpick/internal/wire"
 )
 
-// Facts gathers why the tasks of a job do not run. ok is false when its team is not
-// loaded here; the job then has no table.
+// Facts collects why the tasks of a job do not run. ok is false if the job's team is not owned and loaded here.
 func (p *Placer) Facts(id string, types []wire.MachineType, contact bool) (f *explain.Facts, ok bool) {
 	j := p.registry.Get(id)
 	if j == nil || j.Spec == nil {
@@ -29,7 +28,7 @@
 	}
 	now := p.r.Now()
 	t := tm.jobs[id]
-	if t == nil { // it is over, or was learnt a moment ago
+	if t == nil { // it is over, or was received only just now
 		return &explain.Facts{Job: j, Gate: gate.Job{Spec: j.Spec, Hold: &j.Terms.Hold}, Need: gate.Need{ID: id, Spec: j.Spec, Tasks: j.Tasks}, Team: tm.cfg, Contact: contact, Sure: true,
 			Now: now, Wall: p.r.Wall()}, true
 	}
@@ -52,7 +51,7 @@
 	return f, true
 }
 
-// trialUncordoned is trial as it would be if no cordon were there.
+// trialUncordoned returns how many of n tasks would fit if there were no cordons.
 func (p *Placer) trialUncordoned(t *table, n int) int {
 	if !p.cordons.Any() {
 		return p.fleet.Trial(t.need(), n, p.fleet.All())
@@ -60,8 +59,7 @@
 	return p.fleet.Take(t.need(), n, p.fleet.Copies(true))
 }
 
-// barring tells whether cordons bar every place that the job allows, and names those
-// that bar any.
+// barring reports whether cordons block every place that the job allows, and names the cordons that block any.
 func (p *Placer) barring(s *job.Spec, types []wire.MachineType) (all bool, names []string) {
 	if len(p.cordons.All()) == 0 {
 		return false, nil
@@ -100,7 +98,7 @@
 	return s.CPUs <= t.CPUs && s.GPUs <= t.GPUs && s.MemoryGB <= t.MemoryGB
 }
 
-// flights groups the tasks that are neither waiting nor running, by machine and state.
+// flights groups the tasks that are neither waiting nor running by machine and state.
 func (p *Placer) flights(t *table, after loop.Micros) []explain.Flight {
 	type key struct {
 		kind    gate.Kind
@@ -126,7 +124,7 @@
 				g.For = t.stopped[x.machine]
 			case state == "absent":
 				left := loop.Duration(max(p.clock.LatestArrival(x.expiry)-wall, 0))
-				g.Settles = fmt.Sprintf("a new session of its worker, the machine's deletion, or a task list made later than %v from now that its host vouches for", left)
+				g.Settles = fmt.Sprintf("a new session of its worker, the machine's deletion, or a task list made more than %v from now that its host controller confirms", left)
 			case k == gate.Unproven:
 				g.Settles = "a report of the machine, or its deletion by the cloud"
 			}
@@ -149,7 +147,7 @@
 	return out
 }
 
-// flight tells what a task in use does other than run; kind 0 when it runs.
+// flight returns what a task in use is doing; kind 0 means that it runs.
 func (p *Placer) flight(t *table, i int, x *task, after, wall loop.Micros) (k gate.Kind, state string, since loop.Micros) {
 	if x.state == Recording {
 		return gate.Recording, "recording", x.chosen
@@ -179,8 +177,8 @@
 	return 0, "", 0
 }
 
-// causes are the kinds that hold for a job now, as far as the newest pass and the views
-// tell without looking at all machines again.
+// causes appends the causes that hold for a job now. It relies on the newest pass and the views and does not scan the
+// machines.
 func (p *Placer) causes(t *table, out []gate.Cause, after, wall loop.Micros) []gate.Cause {
 	f := p.facts(t)
 	out = f.Causes(out)
@@ -205,17 +203,16 @@
 	return out
 }
 
-// Causes are told again a few times, since a frame may be lost, and a peer drops what it
-// hears of a job whose record has not reached it yet; then rarely, for peers that began
-// anew.
+// Causes are sent again a few times, since a message may be lost and a peer drops those of a job whose record it has
+// not received yet; then rarely, for peers that restarted.
 const (
 	tellAgain  = 5 * loop.Second
 	tellOften  = 2
 	tellRarely = 30 * loop.Second
 )
 
-// newCauses brings a job's causes up to date, and tells whether they differ in kind, or
-// by half in number, from those last told, or are to be told again.
+// newCauses updates a job's causes. It reports whether to send them: they differ in kind or by half in number from
+// those last sent, or a repeat is due.
 func (p *Placer) newCauses(t *table, after, wall loop.Micros) bool {
 	var room [gate.Recheck]gate.Cause
 	now := p.causes(t, room[:0], after, wall)
@@ -240,7 +237,7 @@
 	return true
 }
 
-// setShort notes by which gate of the machines a job's tasks found no room in a pass.
+// setShort records which machine predicate left a job's tasks unplaced in a pass.
 func (p *Placer) setShort(t *table, missing bool) {
 	if !p.n.Tells {
 		return
@@ -252,7 +249,7 @@
 	case t.j.Spec.Gang:
 		t.short = gate.Gang
 	case p.cordons.Any():
-		// Going through the fleet once more for each job is dear: now and then will do.
+		// Another scan of the fleet for each job is expensive, so it is done at most once per second.
 		if t.short == 0 || now-t.shortAt > loop.Second {
 			t.short, t.shortAt = gate.Room, now
 			if p.trialUncordoned(t, 1) > 0 {
@@ -264,10 +261,10 @@
 	}
 }
 
-// Owns tells whether the team is owned and loaded here.
+// Owns reports whether the team is owned and loaded here.
 func (p *Placer) Owns(team string) bool { return p.teams[team] != nil && p.teams[team].loaded }
 
-// Places calls f for every machine heard; a machine not heard since after takes no starts.
+// Places calls f for every known machine. Machines whose last report is older than after receive no starts.
 func (p *Placer) Places(f func(pl *gate.Place, after loop.Micros)) {
 	p.fleet.Refresh()
 	after := p.r.Now() - p.staleAfter()
@@ -276,8 +273,8 @@
 	}
 }
 
-// Unseen counts the tasks of owned teams that were chosen or recorded for machines behind
-// the cordon and have not been seen running: they may still begin.
+// Unseen returns the number of tasks of owned teams that were chosen or recorded for machines under the named cordon
+// and have not been seen running. They may still begin.
 func (p *Placer) Unseen(name string) int {
 	n := 0
 	for machine, on := range p.on {
@@ -294,10 +291,10 @@
 	return n
 }
 
-// mostStopped bounds what is remembered of a job's stopped tasks.
+// mostStopped bounds the number of machines for which a job's preemptions are remembered.
 const mostStopped = 64
 
-// stoppedFor remembers for which job a task of this owner was stopped.
+// stoppedFor records for which job tasks of this owner were preempted.
 func (p *Placer) stoppedFor(c peer.Claim) {
 	for _, name := range c.Victims {
 		id, _, ok := agent.SplitTask(name)
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -8,14 +8,14 @@
 	"cleatpick/internal/loop"
 )
 
-// facts are what a job's own gates judge by.
+// facts collects the state of a job that its own predicates evaluate.
 func (p *Placer) facts(t *table) gate.Job {
 	tm := t.team
 	f := gate.Job{Spec: t.j.Spec, Hold: &t.j.Terms.Hold, After: p.deps(t.j), OnWithdrawn: t.j.Terms.OnWithdrawn, Damaged: t.damaged,
 		Waiting: t.waiting(), InUse: t.inUse,
 		Used: agent.Room{CPUs: tm.cpus, GPUs: tm.gpus}, Quota: tm.quota,
 		ClockTo: p.cfg.ClockDifference()}
-	// The clocks are read only for the few jobs that ask for it: a pass goes through all.
+	// The clocks are read only for the few jobs that need them, since a pass calls this for all jobs.
 	if t.trial.Moments != 0 || t.trial.RestTo != 0 {
 		f.Now = p.r.Now()
 		f.Failing = p.failing(t, f.Now)
@@ -26,7 +26,7 @@
 	return f
 }
 
-// deps tells how the jobs stand that must be done before this one.
+// deps lists the jobs that this job waits for, each with its phase.
 func (p *Placer) deps(j *job.Job) []gate.Dep {
 	if len(j.Terms.After) == 0 {
 		return nil
@@ -41,7 +41,7 @@
 	return out
 }
 
-// resting tells whether the job waits for its user or for other jobs, and uses nothing.
+// resting reports whether the job uses no capacity and is blocked by a hold or by a dependency.
 func (p *Placer) resting(t *table) bool {
 	if t.inUse > 0 || (t.j.Terms.Hold.State == job.HoldNone && len(t.j.Terms.After) == 0) {
 		return false
@@ -50,9 +50,9 @@
 	return f.Passes(gate.Hold) == 0 || f.Passes(gate.Dependency) == 0
 }
 
-// barred tells why no start of the job on this machine may be recorded or sent: a hold,
-// or a cordon, has come since it was chosen. What bars here is stored, and every record
-// of a start is conditioned on the version that was known when it was taken.
+// barred returns why no start of the job on this machine may be recorded or sent, or "" if it may: a hold or a cordon
+// was stored after the machine was chosen. Both are stored records, and every record of a start is conditional on the
+// revisions that were known when it was composed.
 func (p *Placer) barred(t *table, machine string) string {
 	if t.j.Terms.Hold.State != job.HoldNone && t.j.Terms.Hold.Shut(p.r.Wall()) {
 		return "held"
@@ -63,8 +63,8 @@
 	return ""
 }
 
-// settle calls the holds of a team's jobs set once nothing that was recorded before them
-// can begin any more, and withdraws jobs whose user wanted that when one before them was.
+// settle completes the pending holds of a team's jobs once no start recorded before the hold can still run. It also
+// cancels jobs whose user asked for that when a job that they depend on was cancelled.
 func (p *Placer) settle(tm *team) {
 	now := p.r.Now()
 	for _, t := range tm.inOrder() {
@@ -73,7 +73,7 @@
 		}
 		if f := p.facts(t); f.MustWithdraw() {
 			t.amendAt = now + 2*loop.Second
-			p.log.Info("withdraws a job with one that it waits for", "job", t.j.ID)
+			p.log.Info("cancelling a job because a job that it depends on was cancelled", "job", t.j.ID)
 			p.registry.Withdraw(t.j.ID, func(job.Answer) {})
 			continue
 		}
@@ -83,7 +83,7 @@
 		sure := true
 		t.each(func(i int, x *task) {
 			if !x.inUse() || x.since != 0 {
-				return // it has begun already, and goes on
+				return // it is already running and continues
 			}
 			sure = false
 			if x.state == Placed {
@@ -97,29 +97,28 @@
 	}
 }
 
-// open tells whether no gate shuts the whole job.
+// open reports whether no predicate blocks the whole job.
 func (p *Placer) open(t *table) bool {
 	f := p.facts(t)
 	return f.Open()
 }
 
-// need is what a task of the job asks of a machine.
+// need returns what a task of the job requires of a machine.
 func (t *table) need() gate.Need {
 	return gate.Need{ID: t.j.ID, Spec: t.j.Spec, Tasks: t.j.Tasks, Zones: t.zones, Shun: t.shun}
 }
 
-// staleAfter is how long after its last word a machine takes no starts.
+// staleAfter is how long after its last report a machine still receives starts.
 func (p *Placer) staleAfter() loop.Micros {
 	return 2*loop.Seconds(p.cfg.Cluster.Workers.ReportS) + 3*loop.Second
 }
 
-// unshown calls f for every task that was chosen for or started on the machine and that
-// its view does not show yet.
+// unshown calls f for every task that was chosen for or started on the machine and that its view does not list yet.
 func (p *Placer) unshown(v *agent.View, f func(*job.Spec)) {
 	p.eachUnsettled(v.Name, func(r ref) {
 		x := r.t.task(r.i)
 		if x.seen {
-			return // it is listed, or was and is not any more
+			return // it is listed, or was listed and is not any more
 		}
 		n := r.t.name(r.i)
 		if x.session < v.Session || v.Holds(n, x.attempt) || v.Find(n, x.attempt) != nil {
--- a/internal/placer/groupcommit.go
+++ b/internal/placer/groupcommit.go
@@ -7,7 +7,7 @@
 	"cleatpick/internal/store"
 )
 
-// recordStart puts a chosen task in line for its record.
+// recordStart queues the record of a task whose machine was chosen.
 func (p *Placer) recordStart(t *table, i int) {
 	p.placedFirst(t.team.part)
 	l := &t.team.part.log
@@ -15,8 +15,8 @@
 	p.commitSoon(gather)
 }
 
-// placedFirst tells how long a partition waited for its first placement under this owner, where its
-// records showed that there was work before.
+// placedFirst reports the time from the change of owner to the first placement, if the partition's records showed
+// earlier work.
 func (p *Placer) placedFirst(part *ownedPartition) {
 	if part.ownedAt == 0 {
 		return
@@ -24,12 +24,12 @@
 	now := p.r.Now()
 	if len(part.log.closed) > 0 {
 		p.n.Meter.Takeover(now - part.ownedAt)
-		p.log.Info("first placement under a new owner", "partition", part.id, "claim", part.claim.Mark, "since_owned_us", now-part.ownedAt, "since_loaded_us", now-part.loadedAt)
+		p.log.Info("first placement under a new partition owner", "partition", part.id, "claim", part.claim.Mark, "since_owned_us", now-part.ownedAt, "since_loaded_us", now-part.loadedAt)
 	}
 	part.ownedAt = 0
 }
 
-// recordOutcome puts an ended task in line. Its machine keeps the result, so this may wait.
+// recordOutcome queues the record of a completed task. It is not urgent, since the machine keeps the result.
 func (p *Placer) recordOutcome(t *table, i int) {
 	l := &t.team.part.log
 	if len(l.outcomes) == 0 {
@@ -62,19 +62,19 @@
 	})
 }
 
-// writableSoon is after how long the state service is looked at again that takes nothing now.
+// writableSoon is the interval at which the state service's write limit is checked while it allows no write.
 const writableSoon = 15 * loop.Millisecond
 
-// commit stores what is due of a partition's teams, as far as the state service takes it
-// now. It tells after how long to try again, 0 when there is nothing to do.
+// commit stores the due records of a partition's teams, as far as the write limit allows. It returns the delay until
+// the next attempt, or 0 if there is nothing to do.
 func (p *Placer) commit(part *ownedPartition) loop.Micros {
 	l := &part.log
 	if l.busy || !part.loaded {
-		return 0 // its end asks again
+		return 0 // the end of the write schedules the next commit
 	}
 	n := p.c.Writable(store.Placements)
 	if n < 1 && len(l.starts)+len(l.outcomes) > 0 {
-		return writableSoon // before the lines are gone through, which may be long by then
+		return writableSoon // before the queues are scanned, which may be long at this point
 	}
 	l.starts = p.due(l.starts, Recording)
 	l.starts = p.unbarred(l.starts)
@@ -83,9 +83,9 @@
 		if l.inherits() && 2*n > p.c.Burst() {
 			p.store(part, p.compose(part, n, 0))
 		}
-		return 0 // the sweep asks again for what is inherited
+		return 0 // the sweep schedules what remains of inherited segments
 	}
-	ripe := 0 // they stand in the order in which they were chosen
+	ripe := 0 // the queue is in the order in which machines were chosen
 	for ripe < len(l.starts) && p.r.Now()-l.starts[ripe].t.task(l.starts[ripe].i).chosen >= gather {
 		ripe++
 	}
@@ -102,7 +102,7 @@
 	return 0
 }
 
-// due drops what changed its state while it waited in line.
+// due drops the tasks whose state changed while they were queued.
 func (p *Placer) due(line []ref, s TaskState) []ref {
 	kept := line[:0]
 	for _, r := range line {
@@ -114,7 +114,7 @@
 	return kept
 }
 
-// unbarred drops the choices that a hold or a cordon has overtaken.
+// unbarred drops the starts that a hold or a cordon has forbidden since their machine was chosen.
 func (p *Placer) unbarred(line []ref) []ref {
 	kept := line[:0]
 	for _, r := range line {
@@ -128,13 +128,13 @@
 	return kept
 }
 
-// current tells whether the table is still this node's business.
+// current reports whether the table belongs to an owned team and its job is not final.
 func (p *Placer) current(t *table) bool {
 	tm := t.team
 	return p.teams[tm.cfg.Name] == tm && tm.jobs[t.j.ID] == t && !t.j.Final()
 }
 
-// compose puts what waits into the open segment and takes its record.
+// compose adds queued entries to the open segment and builds its record.
 func (p *Placer) compose(part *ownedPartition, writable, ripe int) *write {
 	l := &part.log
 	limit := p.valueLimit
@@ -158,7 +158,8 @@
 	}
 	l.starts = put(l.starts, true)
 	l.outcomes = put(l.outcomes, false)
-	// What is left of nearly empty segments, and of teams' own logs, moves on, so that they can go.
+	// Live entries of nearly empty segments, and of teams' own logs, move to this segment so that the old ones can be
+	// deleted.
 	for _, s := range loop.Sorted(l.closed) {
 		if len(w.dead) >= min(writable-1, p.c.MostChanges()-1) {
 			break
@@ -175,11 +176,11 @@
 	return w
 }
 
-// mostJobs is how many jobs' versions one transaction can compare, beside those of the
-// claim, the segment and the cordons.
+// mostJobs is the number of jobs whose revisions one transaction can check beside those of the claim, the segment and
+// the cordons.
 func (p *Placer) mostJobs() int { return p.c.MostConds() - 3 }
 
-// move makes the written segment the place of a task's newest record.
+// move makes the written segment hold a task's newest record.
 func (w *write) move(r ref) {
 	x, s := r.t.task(r.i), w.seg
 	if x.seg == s {
@@ -189,7 +190,7 @@
 	if x.seg != nil {
 		x.seg.live--
 	} else {
-		s.size += namesSize // perhaps the first mention of its job
+		s.size += namesSize // in case this is the first entry of its job
 	}
 	x.seg = s
 	s.live++
@@ -197,7 +198,7 @@
 	s.size += entrySize + namesSize
 }
 
-// moveFrom moves what is live in a segment, as far as there is room for it.
+// moveFrom moves the live entries of a segment, as far as they fit.
 func (w *write) moveFrom(s *segment, limit int) {
 	for _, r := range s.refs {
 		if w.seg.size+entrySize+namesSize >= limit {
@@ -209,7 +210,7 @@
 	}
 }
 
-// record takes the record of a write's segment. Its starts may be carried out for a while from now.
+// record builds the record of a write's segment. Its starts may be sent until they expire, a fixed time from now.
 func (p *Placer) record(w *write) {
 	p.nonce++
 	expiry := p.r.Wall() + loop.Seconds(p.cfg.Operator.StartLifeS)
@@ -221,9 +222,9 @@
 	for _, r := range w.seg.refs {
 		x := r.t.task(r.i)
 		if x.seg != w.seg {
-			// Recorded later elsewhere, or of a job that is over and off all machines.
-			// While a withdrawn job's task may still run, it stays in the log: a next
-			// owner that did not know of it went beyond the team's limit.
+			// The entry was recorded in a later segment, or its job is final and off all machines. While a task of a
+			// cancelled job may still run, its entry stays in the log: an owner that did not know of it would exceed
+			// the team's limit.
 			continue
 		}
 		kept = append(kept, r)
@@ -235,8 +236,8 @@
 		}
 		switch {
 		case x.state == Recording && !starts[r.t]:
-			// Its job's version cannot be compared in this write: it waits for the
-			// next. The attempt before this one is proven off.
+			// The transaction cannot check the revision of this job as well, so the start waits for the next write.
+			// The previous attempt is confirmed terminated.
 			e.Attempt--
 		case x.state == Recording || x.state == Placed:
 			if x.state == Recording {
@@ -266,8 +267,8 @@
 	}
 	clear(w.seg.refs[len(kept):])
 	w.seg.refs, w.seg.size, w.bytes = kept, size, size
-	// Taken now and not at each try: a hold or a cordon that is stored meanwhile must
-	// make the record fail, however late it is carried out.
+	// The conditions are fixed here and not at each retry: a hold or a cordon that is stored in the meantime must
+	// make the write fail, however late it is applied.
 	w.cond = nil
 	for _, t := range w.jobs {
 		w.cond = append(w.cond, job.Cond(t.j))
--- a/internal/placer/guarantee.go
+++ b/internal/placer/guarantee.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// shortAfter is for how long a team must run less than its guarantee, while its tasks find no room,
-	// before room is held for it: what turnover gives back by itself is not acted upon. For as long it must
-	// have had its guarantee before none is held any more.
+	// shortAfter is how long a team must run less than its guarantee, with tasks unplaced, before capacity is
+	// reserved for it. A shortfall that completing tasks remove sooner needs no action. The team must have its
+	// guarantee for as long again before reservations stop.
 	shortAfter = 5 * loop.Second
-	// shortPart is the part of its guarantee from which on a team counts as having it.
+	// shortPart is the fraction of its guarantee from which on a team counts as having it.
 	shortPart = 0.95
 )
 
-// shortfall follows whether a team lacks its guarantee while its tasks find no room.
+// shortfall tracks whether a team lacks its guarantee while tasks of it are unplaced.
 type shortfall struct {
 	lacks bool
-	since loop.Micros // since when it was otherwise; 0: it is as it was
+	since loop.Micros // since when the observation differs from lacks; 0: it does not
 }
 
-// follow takes in how it is now, and tells whether the judgement has changed.
+// follow applies an observation and reports whether lacks has changed.
 func (s *shortfall) follow(lacks bool, now loop.Micros) (changed bool) {
 	switch {
 	case lacks == s.lacks:
@@ -34,20 +34,20 @@
 	return false
 }
 
-// followGuarantee takes in whether tasks of a team find no room now.
+// followGuarantee updates whether a team lacks its guarantee; misses reports whether it has unplaced tasks now.
 func (p *Placer) followGuarantee(tm *team, misses bool, now loop.Micros) {
 	lacks := misses && tm.cpus < shortPart*tm.quota.CPUs
 	if !tm.short.follow(lacks, now) {
 		return
 	}
-	text := "team has its guarantee again, or no work for it"
+	text := "team has its guarantee again, or has no waiting work for it"
 	if lacks {
 		text = "team runs less than its guarantee while work waits"
 	}
 	p.log.Info(text, "team", tm.cfg.Name, "cpus", tm.cpus, "guarantee", tm.quota.CPUs, "borrowed_by_others", p.borrowed(tm))
 }
 
-// borrowed is how many CPUs other teams run beyond their guarantees.
+// borrowed returns how many CPUs other teams run beyond their guarantees.
 func (p *Placer) borrowed(tm *team) (cpus float64) {
 	for name, excess := range loop.Sorted(p.excesses()) {
 		if name != tm.cfg.Name {
@@ -57,10 +57,10 @@
 	return cpus
 }
 
-// holdGuaranteed holds room for a job that has waited for long while its team runs less than its
-// guarantee and others more than theirs. Nothing is stopped for it: what falls free there is taken by
-// no other team. Whatever the team waits with counts, also where jobs before it are larger than the
-// whole guarantee, so that none of the later ones fits into that beside them.
+// holdGuaranteed reserves capacity for a job that has waited long while its team runs less than its guarantee and
+// other teams run more than theirs. Nothing is preempted: capacity that becomes free on the machine is kept from
+// other teams. All waiting work of the team counts, including jobs that are not within the guarantee because earlier
+// jobs of the team alone exceed it.
 func (p *Placer) holdGuaranteed(e *entryOf, missed int, b *budget) {
 	t := e.t
 	now, cpus := p.r.Now(), t.j.Spec.CPUs
@@ -75,7 +75,7 @@
 	if !t.j.Spec.Gang {
 		n = min(n, mostHeld)
 	} else if n < t.waiting() {
-		n = 0 // a part of a gang is of no use
+		n = 0 // reserving for a part of a gang is useless
 	}
 	if n > 0 {
 		unmet -= float64(p.hold(t, n)) * cpus
@@ -83,8 +83,8 @@
 	b.unmet[t.team] = unmet
 }
 
-// unmetGuarantee is what a team's guarantee leaves beside what it runs and what is held for it, as far
-// as others have borrowed that.
+// unmetGuarantee returns how much of a team's guarantee is neither in use nor reserved for it, limited to what other
+// teams have borrowed.
 func (p *Placer) unmetGuarantee(tm *team) float64 {
 	held := 0.0
 	for id, n := range loop.Sorted(p.fleet.HeldJobs()) {
@@ -95,7 +95,7 @@
 	return min(tm.quota.CPUs-tm.cpus, p.borrowed(tm)) - held
 }
 
-// hold holds room for tasks of a job that finds none, and tells for how many.
+// hold reserves capacity for unplaced tasks of a job and returns for how many.
 func (p *Placer) hold(t *table, tasks int) int {
 	need := t.need()
 	claims := p.fleet.Hold(&need, tasks, holdLife)
--- a/internal/placer/inuse.go
+++ b/internal/placer/inuse.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// machineTasks is what the owned teams have in use on one machine. Most of it was seen there
-// and stands as the machine's views show it; what is open stands apart, so that a view, a
-// pass and a tick cost by what is open and not by what runs.
+// machineTasks holds the tasks of owned teams in use on one machine. Most were listed by the machine and remain as
+// its views show them. Unresolved tasks are kept separately, so that the cost of a view, a pass and a tick depends on
+// their number and not on the number of running tasks.
 type machineTasks struct {
 	all  map[ref]struct{}
-	open map[ref]struct{} // not seen there yet, or judged only by a view to come
+	open map[ref]struct{} // not listed by the machine yet, or to be decided by a later view
 }
 
-// addInUse enters a task in use on its machine.
+// addInUse adds a task in use to its machine's list.
 func (p *Placer) addInUse(r ref) {
 	x := r.t.task(r.i)
 	on := p.on[x.machine]
@@ -29,7 +29,7 @@
 	}
 }
 
-// sortedRefs lists tasks by name: what is done for each must not hang on a map's order.
+// sortedRefs lists tasks by name. Work done for each must not depend on map order.
 func sortedRefs[V any](m map[ref]V) []ref {
 	out := slices.Collect(maps.Keys(m))
 	if len(out) > 1 {
@@ -38,7 +38,7 @@
 	return out
 }
 
-// removeInUse takes a task that is in use no more off its machine's list.
+// removeInUse removes a task from its machine's list.
 func (p *Placer) removeInUse(r ref) {
 	machine := r.t.task(r.i).machine
 	on := p.on[machine]
@@ -52,13 +52,13 @@
 	}
 }
 
-// unsettled tells whether the task is to be judged by every view of its machine: not seen
-// there yet, or not listed any more, so that what lacks it may prove it off; or refused
-// beside another attempt, whose end it waits for. Judged only when its own entry
-// changed, such a task once waited for ever.
+// unsettled reports whether every view of the machine must be checked for the task. It was not listed there yet; or
+// it is not listed any more, so that its absence may confirm its termination; or it was refused beside another
+// attempt, whose end it waits for. If such a task were checked only when its own entry changes, it could wait for
+// ever.
 func (t *task) unsettled() bool { return !t.seen || t.pending }
 
-// setSighting is the one place where it changes what a machine has shown of a task in use.
+// setSighting is the only function that changes what a machine has shown of a task in use.
 func (p *Placer) setSighting(t *table, i int, seen, pending bool) {
 	x := t.task(i)
 	if x.seen == seen && x.pending == pending {
@@ -86,7 +86,7 @@
 	}
 }
 
-// eachUnsettled calls f for every task in use on a machine whose standing is open.
+// eachUnsettled calls f for every task in use on a machine that is not resolved yet.
 func (p *Placer) eachUnsettled(machine string, f func(r ref)) {
 	if on := p.on[machine]; on != nil {
 		for _, r := range sortedRefs(on.open) {
--- a/internal/placer/load.go
+++ b/internal/placer/load.go
@@ -12,20 +12,20 @@
 	"cleatpick/internal/wire"
 )
 
-// loadAgain is the pause before a log is read again that could not be read whole.
+// loadAgain is the pause before a log that could not be read completely is read again.
 const loadAgain = 300 * loop.Millisecond
 
-// storedSegment is a segment as it was read.
+// storedSegment is a segment as read from the state service.
 type storedSegment struct {
 	key     string
 	version uint64
-	rec     *segmentRecord // nil: it cannot be read
-	// team owns the log that it was read from; empty: that is the partition's.
+	rec     *segmentRecord // nil: it cannot be decoded
+	// team owns the log that the segment was read from; empty: the partition's own log.
 	team string
 }
 
-// loadLog reads what earlier owners recorded. The claim was stored before, and every
-// record is conditioned on its claim, so nothing can be added behind this read.
+// loadLog reads what earlier owners recorded. This owner's claim is already stored, and every record is conditional
+// on its writer's claim, so no earlier owner can add to the log after this read.
 func (p *Placer) loadLog(part *ownedPartition) {
 	if !p.owns(part) {
 		return
@@ -59,9 +59,9 @@
 	})
 }
 
-// loadTeamLogs reads what was recorded of teams before they were assigned to their numbered
-// partition, then restores them from that and from what was read already. They are
-// assigned, so nothing can be added to these logs behind this read.
+// loadTeamLogs reads what was recorded of teams before their assignment to the numbered partition, then restores them
+// from that and from the segments read before. The teams are assigned, so nothing can be added to their own logs
+// after this read.
 func (p *Placer) loadTeamLogs(part *ownedPartition, teams []*team, segments []storedSegment) {
 	if !p.owns(part) {
 		return
@@ -80,7 +80,7 @@
 	})
 }
 
-// loadNextTeamLog reads the logs of the teams that are left, one after the other.
+// loadNextTeamLog reads the own logs of the remaining teams, one after the other.
 func (p *Placer) loadNextTeamLog(part *ownedPartition, teams, left []*team, segments []storedSegment) {
 	if !p.owns(part) {
 		return
@@ -108,13 +108,13 @@
 	})
 }
 
-// decode reads the records of segments. What cannot be read is set aside with its key.
+// decode decodes segment records. One that cannot be decoded is logged with its key and kept with a nil record.
 func (p *Placer) decode(items []wire.Item, prefix, team string) []storedSegment {
 	segments := make([]storedSegment, 0, len(items))
 	for _, it := range items {
 		rec := new(segmentRecord)
 		if _, err := strconv.Atoi(strings.TrimPrefix(it.Key, prefix)); err != nil || wire.Unmarshal(it.Value, rec) != nil {
-			p.log.Error("corrupt record set aside", "key", it.Key)
+			p.log.Error("corrupt task log record ignored; jobs accepted by its teams are not started", "key", it.Key)
 			rec = nil
 		}
 		segments = append(segments, storedSegment{it.Key, it.Mark, rec, team})
@@ -122,8 +122,8 @@
 	return segments
 }
 
-// readable tells whether all jobs that the records name are known here. The records are
-// there, so the jobs are: only the copy here lags.
+// readable reports whether all jobs that the records name are known here. A job is stored before its tasks are, so an
+// unknown one only means that the local copy is behind.
 func (p *Placer) readable(segments []storedSegment) bool {
 	known := true
 	for _, s := range segments {
@@ -140,8 +140,8 @@
 	return known
 }
 
-// covers tells whether the teams take in all that a numbered partition's records name. A
-// team with records was assigned before, so where it is missing the copy here lags.
+// covers reports whether the teams include all that a numbered partition's records name. A team with records was
+// assigned before, so a missing one only means that the local copy is behind.
 func (p *Placer) covers(segments []storedSegment, id partition.ID, names []string) bool {
 	if _, byTeam := id.Team(); byTeam {
 		return true
@@ -167,7 +167,7 @@
 	return true
 }
 
-// restored takes teams into service whose records have been read.
+// restored puts teams whose records have been read into service.
 func (p *Placer) restored(part *ownedPartition, teams []*team, segments []storedSegment) {
 	p.restore(part, segments)
 	part.loaded, part.loadedAt = true, p.r.Now()
@@ -175,7 +175,7 @@
 	for _, tm := range teams {
 		tm.loaded, tm.loadedAt = true, p.r.Wall()
 		for _, t := range tm.inOrder() {
-			p.Job(t.j) // what is over is stopped, in an order that is always the same
+			p.Job(t.j) // stops what is over, in a deterministic order
 		}
 	}
 	p.registry.Each(p.Job)
@@ -193,13 +193,14 @@
 			p.maybeDone(t)
 		}
 	}
-	if len(segments) > 0 { // without records nothing of these teams is on any machine
+	if len(segments) > 0 { // without records no task of these teams is on any machine
 		p.agent.Views(func(v *agent.View) { p.View(v, &agent.Changes{All: true}) })
 	}
 	p.Kick()
 }
 
-// damage keeps back what a team has accepted: nobody can tell what of it is on which machine.
+// damage marks the unfinished jobs of a team as damaged. They are not started, since it is unknown which of their
+// tasks are on machines.
 func (p *Placer) damage(tm *team) {
 	p.registry.Each(func(j *job.Job) {
 		if j.Spec != nil && j.Spec.Team == tm.cfg.Name && !j.Final() {
@@ -208,14 +209,14 @@
 	})
 }
 
-// newestEntry is the entry that says most of a task, and where it was read.
+// newestEntry is the entry with the newest state of a task, and where it was read.
 type newestEntry struct {
 	taskEntry
 	seg     *segment
 	machine machineEntry
 }
 
-// outdoes tells whether an entry says more than this one.
+// outdoes reports whether b is at least as new as the entry e.
 func (b *newestEntry) outdoes(e *taskEntry) bool {
 	return e.Attempt < b.Attempt || (e.Attempt == b.Attempt && e.State <= b.State)
 }
@@ -241,8 +242,9 @@
 	for _, r := range sortedRefs(newest) {
 		p.restoreTask(r, newest[r])
 	}
-	// Tasks are not recorded in their order: what lies between recorded ones waits too.
-	// Counted with those above them, they once let a job start tasks that it does not have.
+	// Tasks are not recorded in the order of their indexes, so the gaps between recorded tasks are waiting tasks,
+	// too. They are counted here and not with the tasks above the highest index; otherwise a job would start tasks
+	// that it does not have.
 	tables := map[*table]bool{}
 	for r := range newest {
 		r.t.next = max(r.t.next, r.i+1)
@@ -257,8 +259,8 @@
 	}
 }
 
-// setAside takes in that a record cannot be read. Nobody can tell what of its teams is on
-// which machine: what was accepted before is not started on the account of such a log.
+// setAside handles a record that cannot be decoded. It is unknown which tasks of its teams are on which machine, so
+// jobs that were accepted before are not started.
 func (p *Placer) setAside(part *ownedPartition, s storedSegment) {
 	if s.team != "" {
 		p.damage(part.teams[s.team])
@@ -270,7 +272,7 @@
 	}
 }
 
-// restoreJob gathers the newest entries of a job from a record.
+// restoreJob collects the newest entries of a job from a record.
 func (p *Placer) restoreJob(part *ownedPartition, s storedSegment, seg *segment, je jobEntry, newest map[ref]newestEntry) {
 	j := p.registry.Get(je.ID)
 	if j.Phase == job.Done || j.Spec == nil {
@@ -279,7 +281,7 @@
 	tm := part.teams[j.Spec.Team]
 	if tm == nil {
 		if _, named := p.cfg.TeamNamed(j.Spec.Team); !named {
-			seg.live++ // of a team that only other settings name: its record must stay
+			seg.live++ // only other settings name its team: its record must be kept
 		}
 		return
 	}
@@ -305,25 +307,26 @@
 		newest[r] = b
 	}
 	if bad > 0 {
-		p.log.Error("corrupt entries set aside", "key", s.key, "job", je.ID, "entries", bad)
+		p.log.Error("corrupt task log entries ignored; the job is not started", "key", s.key, "job", je.ID, "entries", bad)
 		t.damaged = true
 	}
 }
 
-// restoreTask makes a task what its newest entry says.
+// restoreTask sets a task to the state of its newest entry.
 func (p *Placer) restoreTask(r ref, b newestEntry) {
 	x := r.t.task(r.i)
 	x.attempt, x.seg = b.Attempt, b.seg
 	b.seg.live++
-	// When it got something is not recorded, but that it did: what has got nothing yet comes before
-	// it. Begun anew by each owner, the oldest of a class got all that went before its turn.
+	// The records tell that the job was served but not when; jobs that were never served come before it. Without
+	// this, each new owner would treat the oldest job of a class as never served and give it everything that is
+	// served out of order.
 	r.t.pieceAt = p.r.Now()
 	switch b.State {
 	case storedPlaced:
 		p.zoneMemo[b.machine.Name] = b.machine.Zone
 		x.machine, x.session, x.expiry = b.machine.Name, b.Session, b.Expiry
-		// By its record: taken for chosen at the beginning of time, a failure that is seen
-		// now would have taken as long as that, and no task would ever outlive it.
+		// Derived from the record. Left at 0, a failure seen now would count as one after an extremely long run, and
+		// no task would count as having survived that long.
 		x.chosen = p.r.Now() - max(p.r.Wall()+loop.Seconds(p.cfg.Operator.StartLifeS)-x.expiry, 0)
 		p.setTask(r.t, r.i, Placed)
 	case storedDone:
--- a/internal/placer/logwrite.go
+++ b/internal/placer/logwrite.go
@@ -12,8 +12,8 @@
 	"cleatpick/internal/wire"
 )
 
-// store carries a write out on the conditions that this node still owns the partition, that
-// the jobs whose starts it records are as known here, and that nothing else was written.
+// store applies a write on condition that this controller still owns the partition, that the jobs whose starts it
+// records are at their known revisions, and that the segment was not written by another transaction.
 func (p *Placer) store(part *ownedPartition, w *write) {
 	if !p.owns(part) {
 		return
@@ -32,7 +32,7 @@
 			return
 		}
 		again := func(d loop.Micros) { p.r.After(d, func() { p.store(part, w) }) }
-		p.log.Debug("records", "partition", part.id, "segment", key, "entries", len(w.refs), "jobs", len(w.jobs), "outcome", int(r.Outcome), "took_us", p.r.Now()-sent,
+		p.log.Debug("task log write answered", "partition", part.id, "segment", key, "entries", len(w.refs), "jobs", len(w.jobs), "outcome", int(r.Outcome), "took_us", p.r.Now()-sent,
 			"starts_wait", len(part.log.starts), "outcomes_wait", len(part.log.outcomes), "segments", len(part.log.closed)+1)
 		switch r.Outcome {
 		case store.Applied:
@@ -45,8 +45,8 @@
 					return
 				}
 			}
-			// Versions only rise, so no earlier try of the same transaction can be
-			// carried out any more; and none was, since the segment is unchanged.
+			// Revisions only increase, so no earlier attempt of the same transaction can be applied any more; and
+			// none was, since the segment is unchanged.
 			known := false
 			for _, k := range r.Failed {
 				if id, ok := strings.CutPrefix(k, job.Keys); ok {
@@ -59,22 +59,22 @@
 				}
 			}
 			if !known {
-				again(250 * loop.Millisecond) // the claim: this node is about to learn that it lost the partition
+				again(250 * loop.Millisecond) // the claim failed: this controller is about to learn that it lost the partition
 				return
 			}
 			p.release(part, w, 60*loop.Millisecond)
 		case store.Invalid:
-			p.log.Error("record refused", "key", key, "entries", len(w.refs), "bytes", w.bytes)
+			p.log.Error("task log record refused by the state service as invalid; its entries are written again", "key", key, "entries", len(w.refs), "bytes", w.bytes)
 			p.shrink(part, w)
 		default:
-			// It may have been stored, or may be later: only this same record
-			// is tried until the answer is certain.
+			// The write may have been applied, or may be applied later. Only this same record is retried until the
+			// answer is certain.
 			again(150 * loop.Millisecond)
 		}
 	})
 }
 
-// release puts starts in line again whose record is certainly not stored.
+// release queues starts again whose record is certainly not stored.
 func (p *Placer) release(part *ownedPartition, w *write, after loop.Micros) {
 	for _, r := range w.refs {
 		switch x := r.t.task(r.i); {
@@ -95,7 +95,7 @@
 	})
 }
 
-// reread finds out whether an unanswered write of this record was carried out after all.
+// reread finds out whether an unanswered write of this record was applied.
 func (p *Placer) reread(part *ownedPartition, w *write) {
 	p.c.Get(store.Placements, w.seg.key, func(it wire.Item, found, ok bool) {
 		if !p.owns(part) {
@@ -109,13 +109,13 @@
 			w.seg.mark = it.Mark
 			p.stored(part, w)
 		default:
-			w.seg.mark = it.Mark // 0 when absent
+			w.seg.mark = it.Mark // 0 if absent
 			p.store(part, w)
 		}
 	})
 }
 
-// stored takes in that a write is in the store: now its starts may go out.
+// stored handles a stored write: its starts may be sent now.
 func (p *Placer) stored(part *ownedPartition, w *write) {
 	l := &part.log
 	l.busy = false
@@ -145,12 +145,12 @@
 	p.commitSoon(0)
 }
 
-// undo makes the tasks that the write moved stand where they stood before it.
+// undo returns the tasks that the write moved to the segments that held them before.
 func (w *write) undo() {
 	for _, m := range w.moves {
 		x := m.t.task(m.i)
 		if x.seg != w.seg {
-			continue // its job is over meanwhile
+			continue // its job ended in the meantime
 		}
 		w.seg.live--
 		if x.seg = m.from; m.from != nil {
@@ -161,18 +161,18 @@
 }
 
 const (
-	// valuePart is the part of the largest value that a segment may fill, as estimated.
+	// valuePart is the fraction of the maximum value size that a segment may fill, as estimated.
 	valuePart = 0.8
-	// leastValueLimit is the least that segments are made smaller to.
+	// leastValueLimit is the lower bound, in bytes, to which the size limit of segments is reduced.
 	leastValueLimit = 800
-	// refusedAgain is the pause before a record is tried again that is not to become smaller.
+	// refusedAgain is the pause before a refused record that cannot be made smaller is tried again.
 	refusedAgain = 5 * loop.Second
 	smallerAgain = 200 * loop.Millisecond
 )
 
-// shrink takes a record back that the state service calls malformed, as it does when its
-// limit for values has become lower: what it was to store goes into smaller segments. A try
-// of it that is carried out late, against all answers, stores starts that were never sent.
+// shrink handles a record that the state service refuses as invalid, as it does when its limit on value size was
+// lowered: the entries go into smaller segments. Should an attempt of the refused write be applied late nevertheless,
+// it stores starts that were never sent.
 func (p *Placer) shrink(part *ownedPartition, w *write) {
 	w.undo()
 	part.log.closeSegment()
@@ -180,7 +180,7 @@
 	if p.valueLimit > leastValueLimit {
 		p.valueLimit = max(min(p.valueLimit, w.bytes)/2, leastValueLimit)
 		pause = smallerAgain
-		p.log.Info("segments of the task log become smaller", "bytes", p.valueLimit)
+		p.log.Info("size limit of task log segments lowered", "bytes", p.valueLimit)
 	}
 	p.release(part, w, pause)
 }
--- a/internal/placer/partition.go
+++ b/internal/placer/partition.go
@@ -8,12 +8,12 @@
 	"cleatpick/internal/partition"
 )
 
-// ownedPartition is a partition whose claim this node holds, with its task log.
+// ownedPartition is a partition whose ownership claim this controller holds, together with its task log.
 //
-// In the numbered layout a team takes part once it was assigned for good: no record of its
-// tasks is in the partition's log before, and nobody adds to the team's own log afterwards.
+// In the numbered layout a team joins its partition when it is assigned, which is permanent. Before the assignment no
+// record of its tasks is in the partition's log; afterwards nothing is added to the team's own log.
 type ownedPartition struct {
-	// ownedAt is when it came to be owned here; 0 once a task of it was placed since.
+	// ownedAt is when this controller became the owner. It is reset to 0 by the first placement.
 	ownedAt  loop.Micros
 	loadedAt loop.Micros // when its log had been read
 	id       partition.ID
@@ -21,30 +21,30 @@
 	loaded   bool // its log has been read
 	teams    map[string]*team
 	log      taskLog
-	// unreadable is set when a record of the log cannot be read: what its teams had accepted
-	// by then is not started on the account of it.
+	// unreadable is set when a record of the log cannot be decoded. Jobs that its teams had accepted by then are not
+	// started, since their tasks may already be on machines.
 	unreadable bool
-	unassigned map[string]bool // teams that are to be assigned
+	unassigned map[string]bool // teams waiting to be assigned
 	assigning  bool
-	entering   []string // teams that were assigned and are to be loaded together
+	entering   []string // assigned teams that are to be loaded together
 }
 
 const (
-	// assignSoon gathers the teams that are assigned in one transaction.
+	// assignSoon is the delay that collects several teams into one assignment transaction.
 	assignSoon = 20 * loop.Millisecond
-	// assignAgain is the pause before teams that another node holds are tried again.
+	// assignAgain is the pause before the assignment of teams that another controller owns is retried.
 	assignAgain = loop.Second
 )
 
-// owns tells whether the partition is still this node's business.
+// owns reports whether this controller still owns the partition, under the same claim.
 func (p *Placer) owns(part *ownedPartition) bool { return p.partitions[part.id] == part }
 
-// knows tells whether the table belongs to what is owned now.
+// knows reports whether the table belongs to a team that is owned now and to a job that is still known.
 func (p *Placer) knows(t *table) bool {
 	return p.teams[t.team.cfg.Name] == t.team && t.team.jobs[t.j.ID] == t
 }
 
-// Owned is told when a partition is gained or lost.
+// Owned handles the gain or loss of a partition.
 func (p *Placer) Owned(id partition.ID, owned bool, claim member.Owner) {
 	if !owned {
 		p.disown(id)
@@ -72,7 +72,7 @@
 	}
 }
 
-// enterTeam makes a team part of a partition; its records are to be read before it is loaded.
+// enterTeam adds a team to a partition. The team counts as loaded only after its records have been read.
 func (p *Placer) enterTeam(part *ownedPartition, name string) *team {
 	cfg, ok := p.cfg.TeamNamed(name)
 	if !ok {
@@ -83,7 +83,7 @@
 	return tm
 }
 
-// members lists the teams of a partition that take part in it now.
+// members lists the teams that currently belong to a partition.
 func (p *Placer) members(id partition.ID) []string {
 	if team, ok := id.Team(); ok {
 		return []string{team}
@@ -93,7 +93,7 @@
 	})
 }
 
-// numberedOwner is the owned and loaded partition of the numbered layout that a team belongs to.
+// numberedOwner returns the numbered partition of a team if it is owned and loaded here, else nil.
 func (p *Placer) numberedOwner(name string) *ownedPartition {
 	if p.n.Membership == nil || !p.n.Membership.Layout().Numbered() {
 		return nil
@@ -105,11 +105,11 @@
 	return part
 }
 
-// Released takes in that no node holds a team that belongs to no partition yet: what was
-// recorded of it is to be taken over, also where none of its jobs waits.
+// Released handles the message that no controller owns a team which is not assigned to a partition yet. Its recorded
+// tasks are to be taken over even if none of its jobs waits.
 func (p *Placer) Released(name string) { p.assignLater(name) }
 
-// assignLater has a team assigned to its partition, if that is owned here.
+// assignLater schedules the assignment of a team to its partition, if that is owned here.
 func (p *Placer) assignLater(name string) {
 	part := p.numberedOwner(name)
 	if part == nil || part.unassigned[name] || p.teams[name] != nil {
@@ -135,7 +135,7 @@
 	})
 }
 
-// assign asks for the assignment of teams that wait for it, several at a time.
+// assign requests the assignment of waiting teams, several in one transaction.
 func (p *Placer) assign(part *ownedPartition) {
 	var names []string
 	for name := range loop.Sorted(part.unassigned) {
@@ -167,8 +167,8 @@
 	})
 }
 
-// Assigned takes in that a team belongs to its numbered partition for good. Teams that are
-// assigned together are loaded together.
+// Assigned handles the assignment of a team to its numbered partition. Teams that are assigned within a short time
+// are loaded together.
 func (p *Placer) Assigned(name string) {
 	part := p.numberedOwner(name)
 	if part == nil || p.teams[name] != nil || slices.Contains(part.entering, name) {
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -12,19 +12,20 @@
 	"cleatpick/internal/peer"
 )
 
+// hostStart is a start with the host controller of its machine.
 type hostStart struct {
 	host  string
 	start agent.Start
 }
 
-// entryOf is a job with waiting tasks in the order of service.
+// entryOf is a job with waiting tasks and its keys in the order of service.
 type entryOf struct {
 	t      *table
 	within bool // within its team's guarantee
 	turn   loop.Micros
 }
 
-// rank: what is urgent goes first, then what lies within a guarantee.
+// rank orders by priority; urgent jobs come first, then those within their team's guarantee.
 func (e *entryOf) rank() int {
 	p := int(e.t.j.Spec.Priority)
 	if p >= int(job.High) {
@@ -36,14 +37,14 @@
 	return p
 }
 
-// queue lists the jobs with waiting tasks in the order in which they are served.
+// queue lists the jobs with waiting tasks in the order of service.
 func (p *Placer) queue() []entryOf {
 	q := p.waiting()
 	slices.SortFunc(q, compare)
 	return q
 }
 
-// waiting lists the jobs with waiting tasks in no order.
+// waiting lists the jobs with waiting tasks, unordered.
 func (p *Placer) waiting() []entryOf {
 	var q []entryOf
 	for _, tm := range p.teams {
@@ -63,23 +64,23 @@
 	return q
 }
 
-// compare orders jobs as they are served.
+// compare defines the order of service.
 func compare(e, o entryOf) int {
 	return cmp.Or(cmp.Compare(o.rank(), e.rank()), cmp.Compare(e.turn, o.turn), cmp.Compare(e.t.j.ID, o.t.j.ID))
 }
 
-// before tells whether e is served before o.
+// before reports whether e is served before o.
 func (e *entryOf) before(o *entryOf) bool { return compare(*e, *o) < 0 }
 
-// turn orders jobs of one rank: first come, first served, but a small job may
-// overtake a large one by the time that the larger work takes its team.
+// turn returns the time by which jobs of one rank are ordered: the time of acceptance plus twice the time that the
+// job's remaining work occupies its team's share. A small job may therefore overtake an earlier large one.
 func (t *table) turn() loop.Micros {
 	s := t.j.Spec
 	work := float64(t.j.Tasks-t.completed) * float64(s.Estimate) * s.CPUs
 	return t.j.At + loop.Micros(2*work/t.team.quota.Weight)
 }
 
-// place gives waiting tasks to machines with free room; those that find none are misses.
+// place runs a pass: it assigns waiting tasks to machines with free capacity and collects those that remain unplaced.
 func (p *Placer) place() {
 	began := p.r.Now()
 	q := p.queue()
@@ -96,7 +97,7 @@
 	b := budget{left: mostStops, hope: p.turn.Rate * p.share(), vain: map[stopKey]bool{}, unmet: map[*team]float64{}}
 	var chosen []hostStart
 	p.serveLongestWaiting(q, open, &chosen)
-	full := map[fleet.Shape]bool{} // nothing has room for tasks of this shape
+	full := map[fleet.Shape]bool{} // no machine has capacity for tasks of this shape
 	for _, e := range q {
 		t := e.t
 		s := t.j.Spec
@@ -119,7 +120,7 @@
 		}
 		missed := p.missed(t)
 		if s.Priority >= job.High && !full[sh] {
-			missed = max(missed-p.fleet.Held(t.j.ID), 0) // there is room; it waits for a better one
+			missed = max(missed-p.fleet.Held(t.j.ID), 0) // capacity is free; the job waits for a better place
 		}
 		p.setShort(t, missed > 0 && probe > 0 || s.Gang && missed > 0)
 		if missed <= 0 || probe <= 0 {
@@ -132,13 +133,12 @@
 		}
 		if stops {
 			p.makeRoom(&e, missed, &b)
-			// Looking for what to stop goes through the whole fleet: the longer that
-			// takes, the less often it is done.
+			// The search for victims scans the whole fleet, so its interval grows with its duration.
 			done := p.r.Now()
 			p.pre.nextRun = done + max(100*loop.Millisecond, 12*(done-now))
 		}
 		p.holdGuaranteed(&e, missed, &b)
-		// What turnover frees at once need not be rented.
+		// Machines need not be rented for tasks for which completing tasks free capacity at once.
 		if soon := int(min(hope, float64(missed)*s.CPUs) / max(s.CPUs, 0.001)); soon > 0 {
 			hope -= float64(soon) * s.CPUs
 			missed -= soon
@@ -148,7 +148,7 @@
 		}
 	}
 	for _, c := range chosen {
-		p.n.Reserve(c.host, c.start) // last, since a local host answers with a new view
+		p.n.Reserve(c.host, c.start) // last, since a host controller in this process answers with a new view
 	}
 	if len(p.pre.news) > 0 {
 		p.n.Claims(p.pre.news)
@@ -156,10 +156,10 @@
 	}
 	p.took = p.r.Now() - began
 	p.n.Meter.Pass(p.took, len(chosen))
-	p.log.Debug("placed", "tasks", len(chosen), "jobs", len(q), "missed", len(p.lastWant), "took_us", p.took)
+	p.log.Debug("placement pass finished", "tasks", len(chosen), "jobs", len(q), "missed", len(p.lastWant), "took_us", p.took)
 }
 
-// share is the part of what falls free that this owner may hope for.
+// share returns the fraction of newly freed capacity that this owner may expect.
 func (p *Placer) share() float64 {
 	all := len(p.cfg.Cluster.Teams)
 	if p.n.Membership != nil && p.n.Membership.Layout().Numbered() {
@@ -168,18 +168,19 @@
 	return float64(len(p.partitions)) / float64(max(all, 1))
 }
 
-// budget is what a pass may still stop, and still hopes for without.
+// budget limits a pass: how many tasks it may still preempt, and how much capacity it expects without preemption.
 type budget struct {
 	left   int
-	hope   float64 // CPUs a second that fall free by themselves
-	spoken float64 // how many of them are spoken for by jobs before
+	hope   float64 // CPUs per second that are freed by tasks that complete
+	spoken float64 // CPUs of these already counted for earlier jobs
 	excess map[string]float64
 	shares map[*team]map[*table]float64
-	vain   map[stopKey]bool // nothing could be stopped for such jobs
-	// unmet is for how many CPUs of its guarantee room may still be held for each team.
+	vain   map[stopKey]bool // kinds of request for which no victim was found
+	// unmet holds by team for how many CPUs of its guarantee capacity may still be reserved.
 	unmet map[*team]float64
 }
 
+// stopKey describes a kind of request for preemption, as far as it decides whether victims exist.
 type stopKey struct {
 	shape  fleet.Shape
 	team   string
@@ -188,8 +189,8 @@
 	room   bool
 }
 
-// makeRoom stops other work for a job's misses where the rules allow it, but only as
-// far as turnover will not free the room in time.
+// makeRoom preempts tasks for a job's unplaced ones where the rules allow it, but only as far as completing tasks
+// will not free the capacity in time.
 func (p *Placer) makeRoom(e *entryOf, missed int, b *budget) {
 	t := e.t
 	s := t.j.Spec
@@ -206,7 +207,7 @@
 	} else if !within {
 		return
 	}
-	n -= p.fleet.Held(t.j.ID) // room for these is being made already
+	n -= p.fleet.Held(t.j.ID) // capacity for these is already reserved
 	if n > 0 && s.CPUs > 0 {
 		hope := max(b.hope*float64(patience-(now-t.missing))/1e6-b.spoken, 0)
 		by := min(int(hope/s.CPUs), n)
@@ -228,8 +229,8 @@
 	}
 }
 
-// goToImage lets urgent tasks that would find room, but not where their image is, go
-// there: a fetch takes longer than it takes to stop what has just begun.
+// goToImage preempts tasks on machines that hold the job's image, for urgent tasks that would otherwise start where
+// the image must be fetched. A fetch takes longer than stopping tasks that have just begun.
 func (p *Placer) goToImage(e *entryOf, n int, open []*fleet.Slot, b *budget) {
 	t := e.t
 	need := t.need()
@@ -242,13 +243,13 @@
 	b.left -= len(claims)
 }
 
-// fill places up to n waiting tasks of a job and tells how many found room.
+// fill places up to n waiting tasks of a job and returns how many it placed.
 func (p *Placer) fill(t *table, n int, free []*fleet.Slot, chosen *[]hostStart) int {
 	s, got, need := t.j.Spec, 0, t.need()
 	if s.CPUs <= 0 {
 		free = p.fleet.All()
 	}
-	// Urgent tasks for which room is being made wait for it, and take no other.
+	// Urgent tasks with a reservation wait for the reserved capacity and use no other.
 	elsewhere := n
 	if s.Priority >= job.High {
 		elsewhere = n - p.fleet.Held(t.j.ID)
@@ -294,18 +295,17 @@
 	return w
 }
 
-// gangFits tells whether all waiting tasks of a gang find room at once, while none
-// of its tasks is left over from an earlier start.
+// gangFits reports whether all waiting tasks of a gang fit at once and no task of an earlier start is in use.
 func (p *Placer) gangFits(t *table) bool {
 	n := t.waiting()
 	return t.inUse == 0 && p.missed(t) >= n && p.fleet.Trial(t.need(), n, p.fleet.All()) == n
 }
 
-// missed is how many of a job's tasks wait for room and not for their team's limit.
+// missed returns how many tasks of a job wait for capacity rather than for their team's limit.
 func (p *Placer) missed(t *table) int {
 	f := p.facts(t)
 	return f.Passes(gate.Limit)
 }
 
-// Faulty tells whether a machine should be replaced for failing tasks.
+// Faulty reports whether a machine should be replaced because tasks fail on it.
 func (p *Placer) Faulty(machine string) bool { return p.blame.Faulty(machine) }
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -20,43 +20,44 @@
 	"cleatpick/internal/wire"
 )
 
-// Node is what this slice needs of the node around it.
+// Node holds what the scheduler needs of the controller around it. Host parameters name a host controller, which may
+// be this one.
 type Node struct {
 	Label string
 	Type  func(string) (wire.MachineType, bool)
-	// Start, Stop reach the named host, which may be this node.
+	// Start and Stop send a command to the named host controller.
 	Start func(host string, s agent.Start)
 	Stop  func(host string, s agent.Stop)
-	// Check asks a machine's host for a task list that is certainly new.
+	// Check asks a machine's host controller for a task list that was certainly made after the request.
 	Check func(host, machine string)
-	// Reserve tells the host of a choice that is still being recorded.
+	// Reserve tells the host controller of a placement whose record is still being stored.
 	Reserve func(host string, s agent.Start)
-	// Tally hands the list of misses to the leader.
+	// Tally sends the list of unplaced requests to the leader.
 	Tally func(peer.Tally)
-	// Tell hands the counts of owned jobs to the peers.
+	// Tell sends the task counts of owned jobs to the peers.
 	Tell func([]peer.Progress)
-	// Usage hands the owned teams' use to the peers.
+	// Usage sends the resource use of the owned teams to the peers.
 	Usage func([]peer.Usage)
-	// Claims hands the peers the room that is kept for preempting jobs.
+	// Claims sends new reservations of capacity on machines to the peers.
 	Claims func([]peer.Claim)
-	// Tells tells whether causes of waits are followed and told; Meter counts what is
-	// done, and may be nil.
+	// Tells reports whether the causes of waiting are tracked and sent to the peers. Meter counts events and may be
+	// nil.
 	Tells bool
 	Meter *metric.Meter
-	// Membership tells to which partitions teams belong.
+	// Membership maps teams to partitions. It is nil where every team is a partition of its own.
 	Membership Membership
 }
 
-// Membership is what this slice asks of the membership.
+// Membership is the part of the cluster membership that the scheduler uses.
 type Membership interface {
 	Layout() partition.Layout
-	// Assigned tells whether a team belongs to its numbered partition for good; Assign
-	// makes it so where nobody holds the team.
+	// Assigned reports whether a team has been assigned to its numbered partition, which is permanent. Assign stores
+	// the assignment of those teams that no controller owns.
 	Assigned(team string) bool
 	Assign(id partition.ID, claim member.Owner, teams []string, done func(ok bool))
 }
 
-// Placer owns the tables of the owned teams.
+// Placer schedules the tasks of the owned teams. It runs on one event loop and is not safe for concurrent use.
 type Placer struct {
 	r        loop.Runner
 	c        *store.Client
@@ -66,19 +67,19 @@
 	registry *job.Registry
 	cordons  *cordon.Book
 	agent    *agent.Agent
-	// partitions are those that this node owns, and teams what was assigned to them.
+	// partitions holds the partitions that this controller owns; teams holds the teams assigned to them, by name.
 	partitions map[partition.ID]*ownedPartition
 	teams      map[string]*team
 	on         map[string]*machineTasks // tasks in use by machine
 	blame      *health.Blame
 	fleet      *fleet.Fleet
 	placing    bool
-	took       loop.Micros // how long the newest pass took
+	took       loop.Micros // duration of the newest pass
 
-	commitAt   loop.Micros // when the next commit is due; 0: none
+	commitAt   loop.Micros // when the next commit is due; 0: none is scheduled
 	zoneMemo   map[string]string
 	nonce      uint64
-	valueLimit int // the most bytes of a segment, as estimated
+	valueLimit int // limit on the estimated size of a segment, in bytes
 	lastWant   []peer.Want
 	usage      map[string]peer.Usage
 	pre        preemptor
@@ -87,12 +88,12 @@
 	paces      health.Paces
 	checked    map[string]loop.Micros
 	reruns     reruns
-	sweepAt    loop.Micros // when all tasks in use are gone through next
+	sweepAt    loop.Micros // when all tasks in use are checked next
 	clock      delivery.Clock
-	expiries   *delivery.Expiries // of the attempts recorded by this owner
+	expiries   *delivery.Expiries // expiry of each attempt that this owner recorded
 }
 
-// New makes the placer.
+// New returns a scheduler that owns no partition yet and schedules its periodic work on r.
 func New(r loop.Runner, c *store.Client, log *slog.Logger, cfg *config.Config, n Node, registry *job.Registry, a *agent.Agent, cordons *cordon.Book) *Placer {
 	p := &Placer{r: r, cordons: cordons, c: c, log: log, cfg: cfg, n: n, registry: registry, agent: a, partitions: map[partition.ID]*ownedPartition{}, teams: map[string]*team{},
 		valueLimit: int(cfg.Cluster.State.ValueKB * 1024 * valuePart),
@@ -106,7 +107,7 @@
 		Cordons: cordons, StaleAfter: p.staleAfter()})
 	loop.Every(r, 400*loop.Millisecond, p.tick)
 	loop.Every(r, 60*loop.Second, func() {
-		for m := range p.zoneMemo { // of machines that are gone, once nothing counts there
+		for m := range p.zoneMemo { // of deleted machines, once no task is counted there
 			if p.on[m] == nil && p.fleet.Slot(m) == nil {
 				delete(p.zoneMemo, m)
 			}
@@ -141,7 +142,7 @@
 	return t
 }
 
-// Job takes in that a job's record is new or has changed.
+// Job applies a new or changed job record.
 func (p *Placer) Job(j *job.Job) {
 	if j.Final() {
 		delete(p.paces, j.ID)
@@ -172,12 +173,12 @@
 	}
 }
 
-// final winds a job up that is over: what may still be on a machine is stopped,
-// and counts until it is proven off.
+// final cleans up after a job in a final phase. Tasks that may still be on a machine are stopped, and count as in use
+// until they are confirmed terminated.
 func (p *Placer) final(t *table) {
 	t.each(func(i int, x *task) {
 		if x.state == Recording || (x.state == Placed && x.ours && x.sentTo == "") {
-			p.setTask(t, i, Waiting) // no start was ever sent
+			p.setTask(t, i, Waiting) // no start was sent
 		} else if x.state == Placed {
 			p.stop(t, i, 0)
 		}
@@ -186,7 +187,7 @@
 	p.Kick()
 }
 
-// dropIfOver forgets the table of a job that is over once nothing of it can be on a machine.
+// dropIfOver forgets the table of a job in a final phase once none of its tasks can be on a machine.
 func (p *Placer) dropIfOver(t *table) {
 	if t.j.Final() && t.inUse == 0 {
 		p.forgetTable(t)
@@ -205,7 +206,7 @@
 	}
 }
 
-// Drop takes in that a host will never pass a start on.
+// Drop handles a host controller's message that it will never pass a start on to the worker.
 func (p *Placer) Drop(from string, d agent.Drop) {
 	id, i, ok := agent.SplitTask(d.Task)
 	if !ok {
@@ -225,9 +226,9 @@
 		return
 	}
 	if d.Reserve {
-		// Another owner took the room first. Where no record was taken yet, none is
-		// needed. Afterwards the refusal proves nothing: the start may be on its way,
-		// and taking one for the other let tasks run twice.
+		// Another owner reserved the capacity first. The refusal frees the task only while no record of the start was
+		// attempted. Afterwards it is no evidence: the start may be in flight, and freeing the task then would let it
+		// run twice.
 		if x.state == Recording && x.expiry == 0 {
 			p.n.Meter.Refusal()
 			p.shut(d.Machine)
@@ -239,7 +240,8 @@
 	if x.state != Placed {
 		return
 	}
-	// Proof only if no other host was ever given this start, and no other life of this one.
+	// The refusal is evidence only if the start was sent to no other host controller and to no other incarnation of
+	// this one.
 	if x.ours && !x.spread && x.sentTo == from && x.life == d.Life && !x.seen {
 		p.shut(d.Machine)
 		p.provenOff(t, i, "dropped: "+d.Why)
@@ -258,7 +260,7 @@
 		return
 	}
 	if why := p.barred(t, x.machine); why != "" {
-		// What was sent may still begin; what never was does not any more.
+		// A start that was already sent may still run. One that was never sent can be taken back.
 		if x.sentTo == "" && x.ours {
 			p.provenOff(t, i, why)
 		}
@@ -308,14 +310,14 @@
 	})
 }
 
-// shut keeps a machine out of the choice for a moment, until its newer view is here.
+// shut excludes a machine from placement for 300 ms, until a newer view of it has arrived.
 func (p *Placer) shut(machine string) {
 	if sl := p.fleet.Slot(machine); sl != nil {
-		sl.Rest(p.r.Now()+300*loop.Millisecond, "its host refused a start")
+		sl.Rest(p.r.Now()+300*loop.Millisecond, "its host controller refused a start")
 	}
 }
 
-// Counts are a job's counts when its team is owned here.
+// Counts returns the task counts of a job whose team is owned here. ok is false for other jobs.
 func (p *Placer) Counts(j *job.Job) (job.Counts, bool) {
 	if j.Spec == nil {
 		return job.Counts{}, false
@@ -328,7 +330,7 @@
 	return job.Counts{Done: int64(t.completed), Running: int64(t.running)}, true
 }
 
-// InUse is the number of an owned partition's tasks that may be on machines.
+// InUse returns the number of tasks of an owned partition that may be on machines.
 func (p *Placer) InUse(id partition.ID) int {
 	n := 0
 	if part := p.partitions[id]; part != nil {
@@ -339,19 +341,19 @@
 	return n
 }
 
-// Learn takes in what other owners' teams use.
+// Learn records the resource use of teams that other controllers own.
 func (p *Placer) Learn(u []peer.Usage) {
 	for _, x := range u {
 		p.usage[x.Team] = x
 	}
 }
 
-// passEvery is the least time between two passes. In a large fleet something falls free
-// all the time, and a pass for each of it would look through the same queue every time.
+// passEvery is the minimum time between two passes. In a large cluster capacity becomes free continuously, and a pass
+// for each such event would scan the same queue every time.
 const passEvery = 80 * loop.Millisecond
 
-// Kick asks for a placement pass soon; many causes share one, the more the longer a
-// pass takes, so that passes leave most of the node's time to everything else.
+// Kick schedules a placement pass. Calls that arrive before the pass starts share it. The delay grows with the
+// duration of the newest pass, so that passes leave most of the controller's time to other work.
 func (p *Placer) Kick() {
 	if p.placing {
 		return
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -10,21 +10,21 @@
 	"cleatpick/internal/peer"
 )
 
-// preemptor remembers what was stopped for whom.
+// preemptor holds the state of preemption between passes.
 type preemptor struct {
 	nextRun loop.Micros
 	news    []peer.Claim
 }
 
-// withinPatience is how long work within a guarantee waits for turnover before others
-// are stopped for it. What is urgent does not wait: it is little, and its limits are short.
+// withinPatience is how long work within a guarantee waits for completing tasks to free capacity before others are
+// preempted for it. Urgent work does not wait, since there is little of it and its latency limits are short.
 const withinPatience = 3 * loop.Second
 
-// rentPatience is how many seconds of turnover are set against misses before machines
-// are rented for them: with a large fleet some task has always missed a moment ago.
+// rentPatience is for how many seconds the rate of freed capacity is deducted from unplaced work before machines are
+// rented. In a large cluster some task is unplaced at any time.
 const rentPatience = 1.0
 
-// LearnClaims takes in what other owners stopped tasks for.
+// LearnClaims adds reservations that other owners made, and records which tasks of this owner they preempted.
 func (p *Placer) LearnClaims(cs []peer.Claim) {
 	for _, c := range cs {
 		p.fleet.AddClaim(c)
@@ -32,7 +32,7 @@
 	}
 }
 
-// ClaimsInForce are the claims of the jobs that are owned here, for a peer that does not know them.
+// ClaimsInForce returns the reservations of the jobs owned here, for a peer that does not know them.
 func (p *Placer) ClaimsInForce() []peer.Claim {
 	return p.fleet.ClaimsOf(func(id string) bool {
 		j := p.registry.Get(id)
@@ -44,7 +44,7 @@
 	})
 }
 
-// claimed keeps what room was made in mind, and has it told to the other owners.
+// claimed records new reservations and queues them to be sent to the other owners.
 func (p *Placer) claimed(cs []peer.Claim) {
 	for i := range cs {
 		p.n.Meter.Preempted(len(cs[i].Victims))
@@ -57,10 +57,10 @@
 	p.pre.news = append(p.pre.news, cs...)
 }
 
-// mostStops bounds the stops of one pass: each is followed by commands, reports and views.
+// mostStops bounds the preemptions of one pass, since each causes commands, reports and views.
 const mostStops = 64
 
-// excesses tells how much each other team runs beyond its guarantee.
+// excesses returns how many CPUs each team runs beyond its guarantee; negative if it runs less.
 func (p *Placer) excesses() map[string]float64 {
 	out := map[string]float64{}
 	for _, c := range p.cfg.Cluster.Teams {
@@ -73,7 +73,7 @@
 	return out
 }
 
-// right tells what may be stopped for a task of the job.
+// right returns what may be preempted for a task of the job.
 func (p *Placer) right(e *entryOf, b *budget) fleet.Right {
 	t := e.t
 	if b.excess == nil {
@@ -85,16 +85,16 @@
 		b.shares[t.team] = shares
 	}
 	cpus := t.j.Spec.CPUs
-	held := p.fleet.Held(t.j.ID) // room for these is being made already
+	held := p.fleet.Held(t.j.ID) // capacity for these is already reserved
 	share := tasksWithin(shares[t]-float64(t.inUse)*cpus, cpus) - held
-	// Two teams that both run beyond their guarantees must not stop each other's work in turn: only
-	// one that uses less than its guarantee may claim it.
+	// Two teams that both run beyond their guarantees must not preempt each other's work alternately: only a team
+	// that uses less than its guarantee may claim capacity by it.
 	room := t.team.quota.CPUs - t.team.cpus
 	return fleet.Right{Guarantee: e.within && room >= cpus, Share: share > 0, Room: room >= cpus,
 		ShareTasks: share, RoomTasks: tasksWithin(room, cpus) - held, Excess: b.excess}
 }
 
-// tasksWithin is how many tasks of so many CPUs each a part of a guarantee covers.
+// tasksWithin returns how many tasks of the given CPUs a part of a guarantee covers.
 func tasksWithin(part, each float64) int {
 	switch {
 	case part < each:
@@ -105,8 +105,8 @@
 	return int(part / each)
 }
 
-// shares divides the guarantee of an owned team among its unfinished jobs, by priority and then by
-// when they were accepted. Work that a limit or a failure keeps back has no share.
+// shares divides the guarantee of an owned team among its unfinished jobs, by priority and then by acceptance. Jobs
+// blocked by a hold or a dependency have no share.
 func (p *Placer) shares(tm *team) map[*table]float64 {
 	order := slices.Clone(tm.inOrder())
 	slices.SortStableFunc(order, func(a, b *table) int { return cmp.Compare(b.j.Spec.Priority, a.j.Spec.Priority) })
@@ -125,8 +125,8 @@
 	return shares
 }
 
-// guaranteed lists the jobs of an owned team that fit into its guarantee together
-// with the team's earlier unfinished jobs.
+// guaranteed returns the jobs of an owned team that fit into its guarantee together with the team's earlier
+// unfinished jobs. Blocked jobs do not count, except also.
 func (p *Placer) guaranteed(tm *team, also *table) map[*table]bool {
 	out := map[*table]bool{}
 	cpus, gpus := 0.0, 0.0
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -9,20 +9,20 @@
 	"cleatpick/internal/wire"
 )
 
-// View takes in a machine's newer view: what became of the tasks recorded on it. What is
-// as it was in the view before needs no second look.
+// View applies a machine's newer view to the tasks recorded on it. Tasks that are unchanged since the previous view
+// are not checked again.
 func (p *Placer) View(v *agent.View, c *agent.Changes) {
 	now := p.r.Now()
-	// What runs on a machine that was not heard lately may have begun long ago. A new
-	// owner that took its first sight for the beginning found every task slow.
+	// Tasks on a machine without recent reports may have begun long ago. If a new owner took its first view of a task
+	// for the start, every task would look slow.
 	old := p.fleet.Slot(v.Name)
 	unsure := old == nil || now-old.Heard > 2*loop.Seconds(p.cfg.Cluster.Workers.ReportS)
 	var before []agent.Task
-	var heard loop.Micros // the time before this one; 0: never
+	var heard loop.Micros // time of the previous report; 0: none
 	if old == nil {
 		c = &agent.Changes{All: true}
 		if typ, ok := p.n.Type(v.Type); ok && len(v.Tasks) == 0 {
-			p.turn.Free(typ.CPUs) // one that has just come up is room as well
+			p.turn.Free(typ.CPUs) // a machine that has just booted adds capacity
 		}
 	} else {
 		before, heard = old.V.Tasks, old.Heard
@@ -30,7 +30,7 @@
 	if old == nil || old.V.Zone != v.Zone {
 		p.zoneMemo[v.Name] = v.Zone
 	}
-	// Most views only say that a machine lives: nothing is free that was not.
+	// Most views only confirm that the machine is alive: no capacity became free.
 	quiet := old != nil && c.Still && len(v.Pending)+len(old.V.Pending) == 0 && v.Closed == old.V.Closed && v.NoticeAt == old.V.NoticeAt && !unsure
 	sl := p.fleet.View(v, now-v.Silence(p.r.Wall(), p.clockTo()), quiet)
 	p.blame.View(now, v, c)
@@ -41,7 +41,7 @@
 	told := sl.Runs.Follow(v, c, before, sl.Jobs, p.paces, now, unsure)
 	p.turn.Free(told.Freed)
 	if told.Slow && now >= sl.Shut {
-		p.log.Debug("slow machine rests", "machine", v.Name, "times", told.Factor)
+		p.log.Debug("tasks run slowly on a machine; it receives no starts for a while", "machine", v.Name, "times", told.Factor)
 		sl.Rest(now+health.SlowRest, "its tasks run slowly")
 		sl.Runs.Rest()
 	}
@@ -54,8 +54,8 @@
 	}
 }
 
-// judgeAll draws what a view proves about the tasks in use on its machine. One that was
-// seen there and stands as before proves nothing new.
+// judgeAll updates the tasks in use on a machine from its view. A task that was listed before and is unchanged needs
+// no update.
 func (p *Placer) judgeAll(v *agent.View, c *agent.Changes, before []agent.Task, jobs []*job.Job, heard loop.Micros) {
 	if p.on[v.Name] == nil {
 		return
@@ -73,9 +73,9 @@
 	p.eachUnsettled(v.Name, func(r ref) { p.judge(r.t, r.i, v, heard) })
 }
 
-// judgeVanished judges the tasks that the view before listed and this one does not. Mostly the
-// owner knows that they ended, since it asked for them to be forgotten. Not so where an earlier owner
-// did so before it recorded their end, and a report that was held back has shown them since.
+// judgeVanished checks the tasks that the previous view listed and this one does not. Usually their end is known,
+// since this owner asked for them to be forgotten. It is not if an earlier owner did that without recording their
+// end, and a delayed report listed them afterwards.
 func (p *Placer) judgeVanished(v *agent.View, c *agent.Changes, before []agent.Task, heard loop.Micros) {
 	for _, k := range c.Gone {
 		if x := &before[k]; v.Find(x.Task, x.Attempt) == nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// judgeNamed judges a task that has changed on the machine, if it is in use there.
+// judgeNamed updates a task that has changed on the machine, if it is in use there.
 func (p *Placer) judgeNamed(v *agent.View, name string, j *job.Job, heard loop.Micros) {
 	if j == nil || j.Spec == nil {
 		return
@@ -103,7 +103,7 @@
 	}
 }
 
-// judge draws what a view proves about a task. heard is when the machine was heard before.
+// judge derives a task's state from a view. heard is the time of the machine's previous report.
 func (p *Placer) judge(t *table, i int, v *agent.View, heard loop.Micros) {
 	x := t.task(i)
 	if x.state != Placed {
@@ -111,7 +111,7 @@
 	}
 	name := t.name(i)
 	if v.Session > x.session {
-		// The worker began a new session: all tasks of the one before were killed.
+		// The worker began a new session, so all tasks of the previous one were killed.
 		p.noteLost(t, i, heard)
 		p.provenOff(t, i, "new session")
 		return
@@ -125,10 +125,9 @@
 		if v.Holds(name, x.attempt) {
 			return
 		}
-		// Absent. That proves something only once the start can no longer
-		// arrive: it had expired by every clock, and the worker's patience for
-		// an answer that carries it was over, when the list was made; and the
-		// machine follows its host's token, so that no earlier command can land.
+		// The task is absent from the list. That confirms termination only if the list was made when the start could
+		// no longer arrive: the start had expired by every clock, the worker's timeout for an answer carrying it was
+		// over, and the machine follows its host controller's token, so that no earlier command can take effect.
 		safe := p.clock.LatestArrival(x.expiry)
 		if v.Settled && v.At > safe {
 			p.provenOff(t, i, "absent")
@@ -168,16 +167,15 @@
 		p.succeeded(t, x)
 		p.maybeDone(t)
 	case e.Why == wire.WhyError:
-		p.log.Debug("task failed", "task", name, "machine", v.Name)
+		p.log.Debug("task ended with an error", "task", name, "machine", v.Name)
 		p.errored(t, x)
 		p.provenOff(t, i, "error")
 	case e.Why == wire.WhyBusy:
-		// Another attempt of it is there. Until that one is gone, the task is on
-		// this machine.
+		// Another attempt of the task is active there. Until that one has ended, the task counts as on this machine.
 		for k := range v.Tasks {
 			if o := &v.Tasks[k]; o.Task == name && o.Active() {
 				p.n.Stop(v.Host, agent.Stop{Machine: v.Name, Task: name, Attempt: o.Attempt})
-				p.setSighting(t, i, true, true) // the stop may be lost, and what ends is the other attempt
+				p.setSighting(t, i, true, true) // the stop may be lost, and the attempt that ends is the other one
 				return
 			}
 		}
@@ -188,26 +186,25 @@
 	p.dropIfOver(t)
 }
 
-// clockTo is the most by which two times of day differ, and a little more.
+// clockTo returns the bound on the difference of two wall clocks, plus a margin.
 func (p *Placer) clockTo() loop.Micros { return p.clock.Difference }
 
-// startCanArrive judges whether a start of an attempt can still reach a machine, by what was
-// recorded of that very attempt. Those that this owner did not record were recorded by others
-// before it read their team's records.
+// startCanArrive reports whether a start of an attempt can still reach a worker, by the expiry recorded for that very
+// attempt. Attempts that this owner did not record were recorded by others before it read their team's records.
 func (p *Placer) startCanArrive(tm *team, attempt delivery.Attempt) bool {
 	wall := p.r.Wall()
 	return p.expiries.CanArrive(attempt, wall) || wall <= p.clock.LatestArrivalOfRecorded(tm.loadedAt)
 }
 
-// provenOff takes in that a task was proven off its machine.
+// provenOff returns a task to the queue after its termination was confirmed.
 func (p *Placer) provenOff(t *table, i int, why string) {
 	x := t.task(i)
-	p.log.Debug("task off", "task", t.name(i), "machine", x.machine, "attempt", x.attempt, "why", why)
+	p.log.Debug("task attempt confirmed terminated", "task", t.name(i), "machine", x.machine, "attempt", x.attempt, "why", why)
 	p.setTask(t, i, Waiting)
 	p.dropIfOver(t)
 }
 
-// forgets asks a machine to forget ended tasks whose outcome is kept or of no use.
+// forgets asks a machine to forget ended tasks whose outcome is recorded or not needed.
 func (p *Placer) forgets(v *agent.View, jobs []*job.Job) {
 	if !v.Settled {
 		return
@@ -216,7 +213,7 @@
 		e := &v.Tasks[k]
 		j := jobs[k]
 		if e.Active() || j == nil || j.Final() || j.Spec == nil {
-			continue // of a job that is over, the host forgets it by itself
+			continue // its host controller forgets tasks of a final job by itself
 		}
 		tm := p.teams[j.Spec.Team]
 		if tm == nil || !tm.loaded || tm.jobs[j.ID] == nil {
@@ -228,8 +225,8 @@
 		}
 		t := tm.jobs[j.ID]
 		x := t.task(i)
-		// A repeat of its start would start the task anew. The host judges that once more by what it
-		// knows; hosts before 0.9.1 rely on this judgement.
+		// A repeated start would run a forgotten task again. The host controller checks this once more by what it
+		// knows; controllers before 0.9.1 rely on this check.
 		old := e.Attempt < x.attempt || (e.Attempt == x.attempt && (x.state == Completed || x.state == Waiting))
 		if old && !p.startCanArrive(tm, delivery.Attempt{Task: e.Task, Number: e.Attempt}) {
 			p.n.Stop(v.Host, agent.Stop{Machine: v.Name, Task: e.Task, Attempt: e.Attempt, Forget: true})
@@ -237,7 +234,7 @@
 	}
 }
 
-// Gone takes in that a machine was deleted, and with it all that was on it.
+// Gone handles the deletion of a machine, which terminates all tasks on it.
 func (p *Placer) Gone(machine string) {
 	p.eachInUse(machine, func(r ref) {
 		if r.t.task(r.i).state == Placed {
--- a/internal/placer/rerun.go
+++ b/internal/placer/rerun.go
@@ -2,16 +2,16 @@
 
 import "cleatpick/internal/loop"
 
-// reruns follows the tasks of lost machines until they run again: what users feel of a
-// loss is the time from the machine's last word to that.
+// reruns tracks the tasks of failed machines until they run again. The time from a machine's last report to the rerun
+// is the outage that users observe.
 type reruns struct {
 	open    int // tasks that do not run again yet
-	n       int // of this fall
+	n       int // reruns since the first of the open tasks failed
 	longest loop.Micros
 	began   loop.Micros
 }
 
-// noteLost notes that a task was lost with its machine, which was last heard at a time.
+// noteLost records that a task failed with its machine; heard is the time of the machine's last report.
 func (p *Placer) noteLost(t *table, i int, heard loop.Micros) {
 	x := t.task(i)
 	if t.j.Final() || x.fellAt != 0 || heard == 0 {
@@ -25,7 +25,7 @@
 	o.open++
 }
 
-// noteRerun notes that a task runs, or is over and need not run again.
+// noteRerun records that a task runs again, or that it is over and need not run.
 func (p *Placer) noteRerun(x *task, runs bool) {
 	if x.fellAt == 0 {
 		return
@@ -38,6 +38,6 @@
 	}
 	x.fellAt = 0
 	if o.open--; o.open == 0 {
-		p.log.Info("tasks of lost machines run again", "tasks", o.n, "longest_us", o.longest, "since_us", p.r.Now()-o.began)
+		p.log.Info("all tasks of failed machines run again or are over", "tasks", o.n, "longest_us", o.longest, "since_us", p.r.Now()-o.began)
 	}
 }
--- a/internal/placer/rivals.go
+++ b/internal/placer/rivals.go
@@ -12,20 +12,20 @@
 	"cleatpick/internal/wire"
 )
 
-// mostBefore bounds the jobs that are tried on the fleet before one that is explained.
+// mostBefore bounds the number of earlier jobs whose placement is simulated to explain one job.
 const mostBefore = 12
 
-// rival is work that comes before a job and may take the room that it lacks.
+// rival is a job that is served before the explained one and may take the capacity that it lacks.
 type rival struct {
 	t     *table
-	most  int  // tasks that it would place if nothing came before it
-	n     int  // the same once work of its team before it has used its part of the limit
-	takes bool // its tasks fit where one task of the job does
-	may   bool // whether it takes any of the job's room cannot be told before
+	most  int  // tasks that it would place if no job came before it
+	n     int  // the same after earlier jobs of its team used their part of the limit
+	takes bool // a task of it fits where one task of the explained job does
+	may   bool // undecidable in advance whether it takes any capacity that the explained job needs
 }
 
-// lineWith lists the jobs that wait beside this one, in no order, as they stand once no
-// gate of this job itself is shut: in its team's guarantee it then comes before later jobs.
+// lineWith lists the jobs that wait beside t, unordered, as they would rank if no predicate blocked t itself: t then
+// comes before later jobs within its team's guarantee.
 func (p *Placer) lineWith(t *table) (q []entryOf, within bool) {
 	q = p.waiting()
 	mine := p.guaranteed(t.team, t)
@@ -37,8 +37,8 @@
 	return slices.DeleteFunc(q, func(e entryOf) bool { return e.t == t }), mine[t]
 }
 
-// rivals lists the jobs that come before this one in the order, or would if no gate of
-// its own were shut, and what each would place if there were room.
+// rivals lists the jobs that are served before self, or would be if no predicate blocked self, and how many tasks
+// each would place if there were capacity.
 func (p *Placer) rivals(q []entryOf, self *entryOf, limited, lifted bool, short int, types []wire.MachineType) (out []rival) {
 	t := self.t
 	spoken := map[*team]agent.Room{}
@@ -61,8 +61,8 @@
 			continue
 		}
 		if o.j.Spec.Gang {
-			// All of it or nothing: whether the room that comes, with what is there, is
-			// enough for a larger one cannot be told before.
+			// A gang places all its tasks or none. For a larger one it cannot be decided in advance whether future
+			// capacity, together with what is free, is enough.
 			if r.most < o.waiting() || o.inUse > 0 {
 				continue
 			}
@@ -74,7 +74,7 @@
 			}
 		}
 		if !r.takes && !limited && !lifted {
-			out = append(out, r) // it missed the room that is there, and takes none that comes
+			out = append(out, r) // the free capacity does not fit it, and it takes none of the future capacity
 			continue
 		}
 		spoken[o.team] = agent.Room{CPUs: spoken[o.team].CPUs + float64(r.n)*o.j.Spec.CPUs, GPUs: spoken[o.team].GPUs + float64(r.n)*o.j.Spec.GPUs}
@@ -83,17 +83,17 @@
 	return out
 }
 
-// ahead tells which work would take the room that this job lacks, or has now but for its
-// other gates; and how many of its tasks would wait for that alone.
+// ahead determines which jobs would take the capacity that this job lacks, or that it has and cannot use because of
+// other predicates, and how many of its tasks would wait for that reason alone.
 func (p *Placer) ahead(f *explain.Facts, t *table, types []wire.MachineType) {
 	n := f.Gate.Waiting
 	limited := f.Gate.Passes(gate.Limit) < n
-	short := n - f.FitsAll                                   // rooms for one task each that must come
-	lifted := f.FitsAll > f.Fits || (f.Barred && f.Fits < n) // a cordon is among its reasons
+	short := n - f.FitsAll                                   // single-task units of capacity that must become free
+	lifted := f.FitsAll > f.Fits || (f.Barred && f.Fits < n) // one of its reasons is a cordon
 	q, within := p.lineWith(t)
 	self := entryOf{t, within, t.turn()}
 	if f.Within = within; short == 0 && !limited && !lifted {
-		return // there is room that work before it has missed
+		return // there is capacity that the jobs before it cannot use
 	}
 	all := p.rivals(q, &self, limited, lifted, short, types)
 	coming := 0
@@ -103,12 +103,12 @@
 		}
 	}
 	f.Behind, f.Exact = min(short, coming), true
-	// What is shut for others too may be open for them when it is for this job: the
-	// team's limit, and cordons. They then go first to the room that is there.
+	// If the team's limit or a cordon stopped blocking this job, it might stop blocking others, too. Those would be
+	// served first from the capacity that is free now.
 	if limited || lifted {
 		f.Sure = len(all) <= mostBefore
 		a, b := p.behind(f, t, all[:min(len(all), mostBefore)], limited, lifted, short)
-		// Which machine takes what then matters: it cannot be told for certain.
+		// The result then depends on which machine takes which task, so it is not certain.
 		f.Behind, f.Exact = min(a, b), false
 		if f.Behind == 0 {
 			f.Behind = max(a, b)
@@ -138,20 +138,20 @@
 	}
 }
 
-// behind tries how many of the job's tasks lack room once its rivals have theirs: a if
-// they take the room there first, b if they take what comes first.
+// behind simulates how many of the job's tasks lack capacity once its rivals are placed: a if they use the free
+// capacity first, b if they use the future capacity first.
 func (p *Placer) behind(f *explain.Facts, t *table, all []rival, limited, lifted bool, short int) (a, b int) {
 	n := f.Gate.Waiting
 	there, later, fresh := p.fleet.Copies(lifted), p.fleet.Copies(lifted), p.fleet.All()
 	if lifted {
 		fresh = p.fleet.Copies(true)
 	}
-	left, first := 0, short // what comes, if the room there is taken first, or last
-	var by [2]agent.Room    // what this team's other jobs use of its limit then
+	left, first := 0, short // future capacity, if rivals use the free capacity first, or last
+	var by [2]agent.Room    // what this team's other jobs use of its limit in each case
 	for i := range all {
 		r := &all[i]
 		if !lifted && r.t.team != t.team {
-			// Nothing is open to it that was not: it missed what is there.
+			// No predicate changes for it, so it cannot use the free capacity.
 			if r.takes {
 				left, first = left+r.n, first-min(first, r.n)
 			}
@@ -165,7 +165,7 @@
 			first -= use[1]
 		}
 		use[1] += p.takeAll(*r, r.n-use[1], later)
-		// It may also take what work before it leaves.
+		// It may also use what earlier jobs leave.
 		r.may = r.may || got > 0 || use[1] > 0 || p.fleet.Trial(r.t.need(), r.most, fresh) > 0
 		if r.t.team == t.team && !limited {
 			for i, k := range use {
@@ -187,8 +187,8 @@
 	return max(a, 0), max(b, 0)
 }
 
-// promoted lists the jobs that stand behind and would come within their team's
-// guarantee, and so before this one, when the work ahead is gone.
+// promoted lists the later jobs that would move into their team's guarantee, and so before this job, once the earlier
+// work is done.
 func (p *Placer) promoted(q []entryOf, self *entryOf, ahead []rival, types []wire.MachineType) (out []rival) {
 	teams := map[*team]bool{}
 	for _, r := range ahead {
@@ -206,7 +206,7 @@
 	return out
 }
 
-// takeAll takes room for a rival's tasks on copies of the slots; a gang takes all or none.
+// takeAll places a rival's tasks on copies of the slots; a gang places all or none.
 func (p *Placer) takeAll(r rival, n int, slots []*fleet.Slot) int {
 	if n <= 0 || (r.t.j.Spec.Gang && p.fleet.Trial(r.t.need(), n, slots) < n) {
 		return 0
@@ -219,13 +219,13 @@
 	return f.Passes(gate.Probe)
 }
 
-// smaller tells whether a task of o fits where one task of s does.
+// smaller reports whether a task of o fits wherever a task of s does.
 func smaller(o, s *job.Spec) bool {
 	return o.CPUs <= s.CPUs && o.GPUs <= s.GPUs && o.MemoryGB <= s.MemoryGB
 }
 
-// meet tells whether some place is allowed to both, and open to starts unless cordons
-// are taken as lifted. What is known of no place may be shared.
+// meet reports whether both jobs allow some common place that is open to starts; lifted ignores cordons. It is true
+// while no machine types are known.
 func (p *Placer) meet(o, s *job.Spec, types []wire.MachineType, lifted bool) bool {
 	for i := range types {
 		typ := &types[i]
--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -9,21 +9,20 @@
 )
 
 const (
-	// holdLife is how long room is held for a task that goes before its turn and finds none:
-	// on a machine that is in use throughout, some task ends in that time. Then it is looked
-	// for anew.
+	// holdLife is how long capacity stays reserved for a task that is served out of order. Even on a machine that is
+	// always full some task ends within that time. Afterwards a new place is sought.
 	holdLife = 20 * loop.Second
-	// mostHeld bounds the tasks of one job for which room is held at once.
+	// mostHeld bounds the tasks of one job for which capacity is reserved at once.
 	mostHeld = 8
 )
 
-// serveLongestWaiting gives a part of what falls free to the work that has waited longest, whatever comes
-// before it in the order. Where it finds no room, room is held for it: small tasks would otherwise fill
-// whatever falls free before a large one fits. Nothing is stopped for it.
+// serveLongestWaiting gives a fraction of the freed capacity to the jobs that have waited longest, out of the order
+// of service. If such a task fits nowhere, capacity is reserved for it; otherwise small tasks would take whatever
+// becomes free before a large one fits. Nothing is preempted for it.
 func (p *Placer) serveLongestWaiting(q []entryOf, open []*fleet.Slot, chosen *[]hostStart) {
 	now := p.r.Now()
 	if p.reserve.Earn(now, p.turn.Rate*p.share()); !p.reserve.Owes() {
-		return // as most of the time, when so much waits that looking through it costs
+		return // the usual case, and cheap where scanning a long queue would not be
 	}
 	tables, waiters := p.longWaiting(q, now)
 	if len(waiters) == 0 {
@@ -34,7 +33,7 @@
 	}
 }
 
-// longWaiting lists the jobs that have waited for so long that they may go before their turn.
+// longWaiting lists the jobs that have waited long enough to be served out of order.
 func (p *Placer) longWaiting(q []entryOf, now loop.Micros) (tables []*table, waiters []starvation.Waiter) {
 	for _, e := range q {
 		t := e.t
@@ -51,9 +50,9 @@
 	return tables, waiters
 }
 
-// serveBeforeTurn places tasks of a job before its turn, or holds room for them.
+// serveBeforeTurn places tasks of a job out of order, or reserves capacity for them.
 func (p *Placer) serveBeforeTurn(t *table, w *starvation.Waiter, tasks int, open []*fleet.Slot, chosen *[]hostStart) {
-	// One before it may have used what was left of their team's limit.
+	// A job served before it may have used the rest of their team's limit.
 	f := p.facts(t)
 	n := min(tasks, f.Passes(gate.Limit))
 	if t.j.Spec.Gang {
@@ -68,12 +67,12 @@
 	}
 	used := held - p.fleet.Held(w.ID)
 	t.useHeld(used)
-	given := got - used // what was held is paid for
+	given := got - used // reserved capacity is already paid for
 	if got == 0 && held == 0 {
 		given = p.holdBeforeTurn(t, w, n)
 	}
 	if given > 0 {
-		p.log.Debug("before its turn", "job", w.ID, "class", t.j.Spec.Class, "team", t.j.Spec.Team, "begun", w.Class == t.j.Spec.Team, "tasks", given, "of_cpus", w.CPUs, "waits_us", p.r.Now()-w.At)
+		p.log.Debug("job served out of order because it waited long", "job", w.ID, "class", t.j.Spec.Class, "team", t.j.Spec.Team, "begun", w.Class == t.j.Spec.Team, "tasks", given, "of_cpus", w.CPUs, "waits_us", p.r.Now()-w.At)
 		p.reserve.Spend(w.Class, float64(given)*w.CPUs)
 	} else if got == 0 && held == 0 {
 		p.reserve.Defer(w.Class)
@@ -82,7 +81,7 @@
 	t.pieceAt = p.r.Now()
 }
 
-// holdBeforeTurn holds room for up to n tasks of a job that finds none, and tells for how many.
+// holdBeforeTurn reserves capacity for up to n unplaced tasks of a job and returns for how many.
 func (p *Placer) holdBeforeTurn(t *table, w *starvation.Waiter, n int) int {
 	need := t.need()
 	if !t.j.Spec.Gang {
@@ -92,16 +91,16 @@
 	p.claimed(claims)
 	p.n.Meter.Held(len(claims))
 	t.heldCPUs, t.heldFor = float64(len(claims))*w.CPUs, w.Class
-	p.log.Debug("room held", "job", w.ID, "tasks", len(claims), "waits_us", p.r.Now()-w.At)
+	p.log.Debug("capacity reserved for a job that waited long and fits nowhere", "job", w.ID, "tasks", len(claims), "waits_us", p.r.Now()-w.At)
 	return len(claims)
 }
 
-// begun tells whether tasks of the job run, may run or are done.
+// begun reports whether tasks of the job run, may run or are done.
 func (t *table) begun() bool { return t.inUse+t.completed > 0 }
 
-// turnClass names what has turns in the reserve: each class of a team for its jobs that have not
-// begun, and all jobs of the team together that have. A job that has begun once kept those waiting that
-// had not, as long as it had tasks left.
+// turnClass returns the class by which the reserve shares out what is served out of order: each class of a team for
+// its jobs that have not begun, and one for all jobs of the team that have. A job that has begun must not keep others
+// of its class from beginning for as long as it has tasks left.
 func (t *table) turnClass() string {
 	if t.begun() {
 		return t.j.Spec.Team
@@ -109,28 +108,28 @@
 	return unbegunClass(t.j.Spec)
 }
 
-// unbegunClass names the class of a job that has not begun.
+// unbegunClass returns the class of a job that has not begun.
 func unbegunClass(s *job.Spec) string { return s.Team + "\x00" + s.Class }
 
-// fillInTurn is fill in the ordinary order, which the reserve takes into account.
+// fillInTurn places tasks in the order of service and reports them to the reserve.
 func (p *Placer) fillInTurn(t *table, n int, free []*fleet.Slot, chosen *[]hostStart) int {
 	held, class := p.fleet.Held(t.j.ID), t.turnClass()
 	got := p.fill(t, n, free, chosen)
 	used := held - p.fleet.Held(t.j.ID)
 	t.useHeld(used)
-	if new := got - used; new > 0 { // what was held is counted already
+	if new := got - used; new > 0 { // reserved capacity is already counted
 		p.reserve.Serve(class, float64(new)*t.j.Spec.CPUs)
 	}
 	return got
 }
 
-// useHeld takes in that so many tasks took room that was held for them.
+// useHeld accounts for tasks that used capacity reserved for them.
 func (t *table) useHeld(tasks int) {
 	t.heldCPUs = max(t.heldCPUs-float64(tasks)*t.j.Spec.CPUs, 0)
 }
 
-// refundHeld gives a class its turn again where room was held before its turn and its time is over, but
-// did not come about: the work beside it ran for too long.
+// refundHeld returns a class its charge if capacity reserved out of order was not used before the reservation
+// expired, because the tasks beside it ran for too long.
 func (p *Placer) refundHeld(t *table) {
 	if t.heldCPUs > 0 && p.fleet.Held(t.j.ID) == 0 {
 		p.reserve.Refund(t.heldFor, t.heldCPUs)
@@ -138,16 +137,16 @@
 	}
 }
 
-// restoreTurns lets the turns of a team's classes go on where they were under owners before, so that a
-// class that has got nothing yet does not stand behind the others anew with each owner.
+// restoreTurns continues the accounting of earlier owners for a team's classes. Otherwise a class that got nothing
+// yet would fall behind the others again with each new owner.
 func (p *Placer) restoreTurns(tm *team) {
 	for class, cpus := range p.turnsOf(tm) {
 		p.reserve.Restore(class, cpus)
 	}
 }
 
-// turnsOf derives from the records of a team how many CPUs its classes got: the first tasks of each
-// unfinished job that has begun, and all tasks of those together.
+// turnsOf derives from a team's records how many CPUs its classes got: the first task of each unfinished job that has
+// begun, all of them for a gang, and for the class of begun jobs all their tasks together.
 func (p *Placer) turnsOf(tm *team) map[string]float64 {
 	got := map[string]float64{}
 	for _, t := range tm.inOrder() {
--- a/internal/placer/table.go
+++ b/internal/placer/table.go
@@ -1,6 +1,13 @@
-// Package placer keeps the tasks of the teams that this node owns: it places
-// them on machines, records every attempt before it starts, and learns from the
-// machines' views what became of it.
+// Package placer schedules the tasks of the teams that this controller owns. It decides the order in which jobs are
+// served, chooses machines, decides which tasks are preempted, and reserves capacity for tasks that do not fit
+// anywhere yet.
+//
+// Every attempt of a task is recorded in the state service before its start is sent, so that the next owner knows
+// what may be on which machine. The package owns these task logs and the state of all tasks, which it derives from
+// the logs and from the machines' views. An attempt counts as in use until its termination is confirmed.
+//
+// Sending commands to workers, storing job records, renting machines and electing owners are left to other packages;
+// package fleet holds free capacity and the choice of a machine.
 package placer
 
 import (
@@ -16,94 +23,97 @@
 	"cleatpick/internal/loop"
 )
 
-// TaskState names where a task stands.
+// TaskState is the state of a task in its owner's table.
 type TaskState uint8
 
 // The states of a task.
 const (
-	Waiting   TaskState = iota // free to be placed
+	Waiting   TaskState = iota // can be placed
 	Recording                  // a machine was chosen; the record is not stored yet
-	Placed                     // recorded; may be on its machine until proven off
+	Placed                     // recorded; may be on its machine until confirmed terminated
 	Ended                      // completed on its machine; not recorded yet
 	Completed                  // completed, and recorded
 )
 
-// blockSize is how many tasks of a job get their memory at once: of the largest arrays,
-// only a part is under way at any time.
+// blockSize is how many tasks of a job are allocated at once. Of the largest jobs only a part of the tasks is active
+// at any time.
 const blockSize = 128
 
+// task is the owner's state of one task: its newest attempt and what is known of it.
 type task struct {
 	state   TaskState
 	attempt uint64
 	machine string
 	session uint64
-	expiry  loop.Micros // time of day after which nobody carries the start out
-	ours    bool        // recorded in this ownership: we know where the start was sent
-	sentTo  string      // the only host that it was sent to
-	life    loop.Micros // and the only life of that host's process
-	spread  bool        // it was sent to more than one host, or to more than one life
+	expiry  loop.Micros // wall-clock time after which no controller passes the start on
+	ours    bool        // recorded by this owner, which therefore knows where the start was sent
+	sentTo  string      // host controller to which the start was sent last
+	life    loop.Micros // incarnation of that host controller
+	spread  bool        // sent to more than one host controller, or to more than one incarnation
 	sentAt  loop.Micros
 	chosen  loop.Micros // when its machine was chosen
-	failed  bool        // the attempt before ended in an error
-	seen    bool        // its machine has shown it
-	pending bool        // and more views are needed to judge it
+	failed  bool        // the previous attempt ended in an error
+	seen    bool        // its machine has listed it
+	pending bool        // further views are needed to decide whether it is terminated
 	running bool
 	since   loop.Micros // when it was first seen running
-	stopAt  loop.Micros // when a stop was last asked for
-	fellAt  loop.Micros // when its machine, which was lost, was last heard; 0: it runs again or never fell
-	seg     *segment    // where its newest record stands; nil: never recorded
+	stopAt  loop.Micros // when a stop was last sent
+	fellAt  loop.Micros // time of the last report from its failed machine; 0: runs again, or its machine never failed
+	seg     *segment    // segment with its newest record; nil: never recorded
 }
 
-// inUse tells whether the task counts against its team's limit.
+// inUse reports whether the task counts against its team's limit.
 func (t *task) inUse() bool { return t.state == Recording || t.state == Placed }
 
+// table holds a job's tasks and their counts, at the owner of its team.
 type table struct {
 	j         *job.Job
 	team      *team
 	blocks    []*[blockSize]task
-	next      int   // this task and all above it were never touched
+	next      int   // this task and all above it were never placed
 	back      []int // tasks to be placed again
 	inUse     int
-	completed int // ended or completed
-	recorded  int // completed
+	completed int // tasks in state Ended or Completed
+	recorded  int // tasks in state Completed
 	running   int
 	zones     map[string]int // tasks in use by zone
 	closing   bool           // the job's completion is being stored
-	late      []int          // tasks that failed, to be placed again after all others
+	late      []int          // failed tasks, to be placed again after all others
 	trial     health.Trial
-	shun      map[string]struct{} // machines on which it failed lately
-	damaged   bool                // a record of its tasks cannot be read
-	amendAt   loop.Micros         // its record is not amended again before
-	short     gate.Kind           // by which gate of the machines its tasks found no room in the newest pass; 0: none
+	shun      map[string]struct{} // machines on which it failed recently
+	damaged   bool                // a record of its tasks cannot be decoded
+	amendAt   loop.Micros         // its record is not amended again before this time
+	short     gate.Kind           // machine predicate that left its tasks unplaced in the newest pass; 0: none
 	shortAt   loop.Micros
-	stopped   map[string]string // by machine: the job for which tasks of it were stopped
-	causes    []gate.Cause      // as last told
-	toldAt    loop.Micros       // time of day at which they were told; 0: never by this owner
-	toldTimes int               // since they last changed
-	at        loop.Micros       // when it was accepted, by the steady clock
-	pieceAt   loop.Micros       // when it last got something before its turn; at, if it never did
-	heldCPUs  float64           // for which room is held before its turn that it has not taken
-	heldFor   string            // by the class in the reserve that paid for it
-	missing   loop.Micros       // since when tasks of it find no room; 0: none does
+	stopped   map[string]string // by machine: the job for which tasks of this job were preempted there
+	causes    []gate.Cause      // as last sent to the peers
+	toldAt    loop.Micros       // wall-clock time at which they were sent; 0: never by this owner
+	toldTimes int               // how often they were sent since they last changed
+	at        loop.Micros       // when it was accepted, by the monotonic clock
+	pieceAt   loop.Micros       // when it was last served out of order; at, if never
+	heldCPUs  float64           // CPUs reserved for it out of order and not used yet
+	heldFor   string            // class in the starvation reserve that was charged for them
+	missing   loop.Micros       // since when tasks of it are unplaced; 0: none is
 	toldDone  int64
 	toldRun   int64
 }
 
+// team holds the jobs of an owned team and the resources that their tasks use.
 type team struct {
 	cfg    config.Team
 	quota  config.Quota
 	part   *ownedPartition
 	loaded bool // its records have been read
-	// loadedAt is the time of day at which they had been: whatever others recorded was recorded before.
+	// loadedAt is the wall-clock time at which its records had been read. Every record of other owners is older.
 	loadedAt loop.Micros
 	jobs     map[string]*table
-	order    []*table // jobs in the order of their acceptance; nil: to be made anew
+	order    []*table // jobs in order of acceptance; nil: to be rebuilt
 	cpus     float64
 	gpus     float64
 	short    shortfall
 }
 
-// inUse is the number of its tasks that may be on machines.
+// inUse returns the number of the team's tasks that may be on machines.
 func (tm *team) inUse() int {
 	n := 0
 	for _, t := range tm.jobs {
@@ -112,8 +122,8 @@
 	return n
 }
 
-// inOrder lists the team's jobs in the order of their acceptance. Passes ask for it far
-// more often than jobs come and go.
+// inOrder lists the team's jobs in order of acceptance. The list is cached, because passes ask for it far more often
+// than jobs are added or removed.
 func (tm *team) inOrder() []*table {
 	if tm.order == nil {
 		tm.order = slices.SortedFunc(maps.Values(tm.jobs), accepted)
@@ -125,8 +135,8 @@
 	return cmp.Or(cmp.Compare(a.j.At, b.j.At), cmp.Compare(a.j.ID, b.j.ID))
 }
 
-// enter and drop keep the order: to sort all jobs anew whenever one came or went cost a
-// fiftieth of a large node's time. The list is copied, since it may be gone through.
+// enter adds a job and keeps the cached order; drop removes one. Sorting all jobs at each change took 2% of a large
+// controller's time. Both copy the list, since a caller may be iterating over it.
 func (tm *team) enter(t *table) {
 	tm.jobs[t.j.ID] = t
 	if tm.order != nil {
@@ -142,6 +152,7 @@
 	}
 }
 
+// ref identifies a task by its table and its index.
 type ref struct {
 	t *table
 	i int
@@ -156,7 +167,7 @@
 	return &b[i%blockSize]
 }
 
-// each calls f for the tasks that have memory.
+// each calls f for the tasks whose block is allocated.
 func (t *table) each(f func(i int, x *task)) {
 	for n, b := range t.blocks {
 		if b == nil {
@@ -172,10 +183,10 @@
 
 func (t *table) name(i int) string { return agent.TaskName(t.j.ID, i) }
 
-// waiting is the number of tasks free to be placed.
+// waiting returns the number of tasks that can be placed.
 func (t *table) waiting() int { return len(t.back) + len(t.late) + t.j.Tasks - t.next }
 
-// pop takes the next waiting task; those that ran before go first, and those that failed last.
+// pop removes and returns the next waiting task: first tasks that ran before, then new ones, then those that failed.
 func (t *table) pop() int {
 	if n := len(t.back); n > 0 {
 		i := t.back[n-1]
@@ -191,8 +202,8 @@
 	return i
 }
 
-// setTask is the one place where a task changes state. It keeps the team's use,
-// the counts of the job and the list of what each machine holds.
+// setTask is the only function that changes a task's state. It keeps the team's use, the job's counts and the list of
+// tasks on each machine up to date.
 func (p *Placer) setTask(t *table, i int, s TaskState) {
 	x := t.task(i)
 	was, wasIn := x.state, x.inUse()
@@ -239,6 +250,6 @@
 	}
 }
 
-// zoneOf is remembered beyond a machine's life, since counts by zone must not
+// zoneOf returns the zone of a machine. It is kept after the machine's deletion, because the counts by zone must not
 // change while a task is in use.
 func (p *Placer) zoneOf(machine string) string { return p.zoneMemo[machine] }
--- a/internal/placer/tasklog.go
+++ b/internal/placer/tasklog.go
@@ -8,55 +8,56 @@
 	"cleatpick/internal/wire"
 )
 
-// The state service takes far fewer changes a second than tasks start and end. So a
-// partition's records form a log: one write stores whatever happened to any task of any of
-// its teams since the write before. The log is a row of segments. The open one is written anew
-// with what is added to it until it is full; a segment whose tasks are all recorded
-// later, or belong to jobs that are over, is deleted along with a write.
+// The state service accepts far fewer changes per second than tasks start and end. A partition's records therefore
+// form a log: one write stores everything that happened to any task of any of its teams since the previous write. The
+// log is a sequence of segments. The open one is rewritten with its new entries until it is full. A segment is
+// deleted, along with a write, once all its tasks are recorded later or belong to jobs that are over.
 //
-// An entry with a higher attempt says more than one with a lower, and one that tells
-// the end more than one of the same attempt that does not: so the order in which
-// segments are read does not matter.
+// An entry with a higher attempt supersedes one with a lower attempt, and of entries with the same attempt one that
+// records the end supersedes the others. The order in which segments are read therefore does not matter.
 
 const (
+	// outcomeSoon is how long outcomes wait at least for a write of their own, while the write limit is mostly
+	// unused; after outcomeLate they are written in any case.
 	outcomeSoon = 500 * loop.Millisecond
 	outcomeLate = 3 * loop.Second
-	// gather is how long a start waits for its write at least; meanwhile its host can say
-	// that the room was taken by another owner.
+	// gather is the minimum time that a start waits for its write. In that time its host controller can report that
+	// another owner took the capacity.
 	gather = 35 * loop.Millisecond
 )
 
 func segmentKey(prefix string, no int) string { return fmt.Sprintf("%s%08d", prefix, no) }
 
-// segment is a part of a task log.
+// segment is one part of a task log.
 type segment struct {
 	key  string
 	mark uint64
-	refs []ref // what was put into it, some of which is recorded later elsewhere
+	refs []ref // entries written to it; some are superseded in later segments
 	live int   // tasks whose newest record is here
-	size int   // a bound on its bytes
+	size int   // upper bound on its encoded size in bytes
 }
 
-// taskLog is a partition's log as this owner keeps it.
+// taskLog is the log of an owned partition.
 type taskLog struct {
-	prefix   string // of the keys of its segments
-	next     int    // the number of the next segment
+	prefix   string // of the segments' keys
+	next     int    // number of the next segment
 	open     *segment
-	closed   map[string]*segment // by key; some may be of the logs of teams that were assigned to the partition
-	starts   []ref               // chosen, and waiting for their record
-	outcomes []ref               // ended, and to be recorded
+	closed   map[string]*segment // by key; includes segments of the own logs of teams assigned to the partition
+	starts   []ref               // machine chosen, waiting to be recorded
+	outcomes []ref               // ended, waiting to be recorded
 	since    loop.Micros
-	busy     bool // a write is under way or its outcome uncertain
+	busy     bool // a write is in flight or its outcome is uncertain
 }
 
-// machineEntry names a machine and its zone, for tasks whose machine is not heard any more.
+// machineEntry stores a machine's name and zone, which are needed when no reports of the machine arrive any more.
 type machineEntry struct {
 	_    struct{} `cbor:",toarray"`
 	Name string
 	Zone string
 }
 
-// taskEntry is a task in a stored segment. Machine counts from 1 in the record's list.
+// taskEntry is a task in a stored segment. Machine is a 1-based index into the record's list of machines; 0 means
+// none.
 type taskEntry struct {
 	_       struct{} `cbor:",toarray"`
 	Index   int
@@ -67,47 +68,51 @@
 	Expiry  int64
 }
 
+// The states of a task in a stored segment; storedOff is an attempt that is confirmed terminated.
 const (
 	storedOff    = 0
 	storedPlaced = 1
 	storedDone   = 2
 )
 
+// jobEntry lists the recorded tasks of one job.
 type jobEntry struct {
 	_     struct{} `cbor:",toarray"`
 	ID    string
 	Tasks []taskEntry
 }
 
+// segmentRecord is the value of a segment's key. Nonce identifies the write, so that an unanswered one can be
+// recognized.
 type segmentRecord struct {
 	Nonce    uint64         `cbor:"w"`
 	Machines []machineEntry `cbor:"m"`
 	Jobs     []jobEntry     `cbor:"j"`
 }
 
-// Bounds on what an entry, and the first mention of its job and machine, take.
+// Upper bounds on the encoded size, in bytes, of an entry and of the first mention of its job and machine.
 const entrySize, namesSize = 28, 24
 
-// write is one transaction on its way.
+// write is one transaction on a segment, from its composition until its outcome is certain.
 type write struct {
 	seg  *segment
 	rec  segmentRecord
-	jobs []*table    // whose starts it records
-	cond []wire.Cond // that these are as known when the record was taken
+	jobs []*table    // jobs whose starts it records
+	cond []wire.Cond // conditions on these, as known when the record was composed
 	dead []*segment
-	refs []refAttempt // what it records
-	// moves are the tasks whose newest record was elsewhere before.
+	refs []refAttempt // the attempts that it records
+	// moves lists the tasks whose newest record was elsewhere before.
 	moves []move
-	bytes int // a bound on the size of the record
+	bytes int // upper bound on the size of the record
 }
 
-// move tells where a task's newest record stood; from is nil where it had none.
+// move tells which segment held a task's newest record before a write; from is nil if none did.
 type move struct {
 	ref
 	from *segment
 }
 
-// refAttempt is a task at the attempt that was recorded.
+// refAttempt is a task with the recorded attempt and state.
 type refAttempt struct {
 	ref
 	attempt uint64
@@ -120,10 +125,10 @@
 	l.next++
 }
 
-// inherited tells whether a segment is of the own log of a team that was assigned.
+// inherited reports whether a segment belongs to the own log of a team that was assigned to the partition.
 func (l *taskLog) inherited(s *segment) bool { return !strings.HasPrefix(s.key, l.prefix) }
 
-// inherits tells whether such segments are left.
+// inherits reports whether such segments remain.
 func (l *taskLog) inherits() bool {
 	for _, s := range l.closed {
 		if l.inherited(s) {
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -9,7 +9,7 @@
 	"cleatpick/internal/peer"
 )
 
-// tick repeats what may have been lost and tells others what they need.
+// tick repeats messages that may have been lost, and publishes usage, progress and demand.
 func (p *Placer) tick() {
 	now, wall := p.r.Now(), p.r.Wall()
 	p.turn.Tick(now)
@@ -58,7 +58,7 @@
 	p.sendTally()
 }
 
-// resend sends starts again that no view shows after a while.
+// resend sends a start again if 800 ms later no view of its machine shows it.
 func (p *Placer) resend(now, wall loop.Micros) {
 	var open []string
 	for m, on := range p.on {
@@ -82,15 +82,15 @@
 	}
 }
 
-// sweepEvery is how often all tasks in use are gone through. What a view, a deletion or
-// the end of a job tells is acted upon at once; this repeats what was lost.
+// sweepEvery is the interval at which all tasks in use are checked. Views, deletions and the end of a job take effect
+// at once; the sweep repeats commands that were lost.
 const sweepEvery = 2 * loop.Second
 
-// sweep repeats stops of jobs that are over, and frees what was on deleted machines.
+// sweep repeats the stops of tasks whose job is final, and frees tasks on deleted machines.
 func (p *Placer) sweep() {
 	for m, on := range loop.Sorted(p.on) {
 		gone := p.agent.IsGone(m)
-		due := map[ref]struct{}{} // little of what runs is ever due
+		due := map[ref]struct{}{} // usually few of the tasks in use
 		for r := range on.all {
 			if gone || r.t.j.Final() {
 				due[r] = struct{}{}
@@ -109,8 +109,8 @@
 	}
 }
 
-// tidyLogs has the logs that teams brought into their partitions moved into those of the
-// partitions, also where nothing happens: while there are any, each load reads them.
+// tidyLogs schedules moving the logs that teams brought into a partition into the log of the partition, even if
+// nothing else is to be recorded. Until that is done every load of the partition reads them as well.
 func (p *Placer) tidyLogs() {
 	for _, part := range p.partitions {
 		if part.log.inherits() {
@@ -120,7 +120,8 @@
 	}
 }
 
-// evict lets tasks save before a spot machine is taken, or one that is not needed is given back.
+// evict stops tasks in time to save a checkpoint before a spot machine is reclaimed, or before a machine that is not
+// needed is returned.
 func (p *Placer) evict(now, wall loop.Micros) {
 	p.agent.Views(func(v *agent.View) {
 		if v.NoticeAt == 0 && !v.Closed {
@@ -130,8 +131,8 @@
 			s := r.t.j.Spec
 			x := r.t.task(r.i)
 			if v.NoticeAt == 0 {
-				// The machine is not needed: what can save itself moves, unless
-				// its start would then have been of no use, or it ends soon anyway.
+				// The machine is not needed: tasks that can save a checkpoint move to another one, except tasks that
+				// began recently, whose start would have been wasted, and tasks that end soon anyway.
 				ran := now - x.since
 				if s.Checkpoint > 0 && x.running && ran > 30*loop.Second && s.Estimate-ran > 20*loop.Second {
 					p.stop(r.t, r.i, s.Save+loop.Second)
--- a/internal/placer/trial.go
+++ b/internal/placer/trial.go
@@ -6,15 +6,15 @@
 	"cleatpick/internal/loop"
 )
 
-// watch begins a job's trial. What all nodes saw of its failures outlives its owner: a job
-// known to be broken is not let loose once more by each.
+// watch starts tracking a job's failures. The failures that all controllers observed survive a change of owner, so
+// that a job known to be broken does not get a fresh start from each new one.
 func (p *Placer) watch(t *table) {
 	t.trial.Changed = func(from, to health.TrialState) {
 		p.n.Meter.Trial(to.String())
 		if from == health.Untried && to == health.Sound {
-			return // as nearly all
+			return // the outcome for nearly all jobs
 		}
-		p.log.Info("job judged", "job", t.j.ID, "from", from.String(), "to", to.String(), "moments", t.trial.Moments, "machines", p.blame.Against(t.j.ID))
+		p.log.Info("failure state of a job changed", "job", t.j.ID, "from", from.String(), "to", to.String(), "moments", t.trial.Moments, "machines", p.blame.Against(t.j.ID))
 	}
 	if n := p.blame.Against(t.j.ID); n >= health.BrokenOn {
 		now := p.r.Now()
@@ -22,8 +22,7 @@
 	}
 }
 
-// errored takes in that a task of the job failed. One on a machine that is at fault says
-// nothing of the job.
+// errored records that a task of the job failed. A failure on a faulty machine does not count against the job.
 func (p *Placer) errored(t *table, x *task) {
 	t.shun = p.blame.Shuns(t.j.ID)
 	if p.blame.AtFault(x.machine) {
@@ -33,14 +32,14 @@
 	t.trial.Fail(p.r.Now(), x.chosen, p.blame.Against(t.j.ID))
 }
 
-// succeeded takes in that a task of the job completed.
+// succeeded records that a task of the job completed.
 func (p *Placer) succeeded(t *table, x *task) {
 	t.trial.Complete(x.failed)
 	x.failed = false
 	t.shun = nil
 }
 
-// failing is what the gates are told of a job's failures.
+// failing returns what the predicates need to know of a job's failures.
 func (p *Placer) failing(t *table, now loop.Micros) gate.Failing {
 	f := gate.Failing{State: t.trial.State, Moments: t.trial.Moments, Machines: p.blame.Against(t.j.ID), RestTo: t.trial.RestTo,
 		Late: len(t.late), LateNow: t.trial.Late(len(t.late))}
