--- a/internal/placer/flood_test.go
+++ b/internal/placer/flood_test.go
@@ -9,17 +9,17 @@
 	"cleatpick/internal/loop"
 )
 
-// What happens: where users submit more than a controller's share of changes, the starts of tasks
-// wait without a bound.
+// The test guards against starts that wait without bound while users submit more jobs than a controller's share of
+// the write rate allows.
 //
-// Why: starts are recorded as far as `store.Client.Writable` tells, and that told of none while any
-// request waited for changes: under a flood of submissions one always does.
+// Starts are recorded as far as `store.Client.Writable` allows. It used to allow nothing while any request waited to
+// be written, and under a flood of submissions one always waits.
 //
-// What showed it: guarantees in 5 s 0.039 on a day of 4,000 machines on which the leader was also the
-// one whom users found first, beside 0.61 where another led. Here, on the sources before, no job of 40
-// began on a free machine within the 30 s that each was waited for.
+// The fault was seen in a simulated day with 4,000 machines: where the leader was also the controller that users
+// reach first, 0.039 of the tasks within guarantees started within 5 s, against 0.61 under another leader. Before the
+// fix, none of 40 jobs began here on a free machine within the 30 s that the test waited for each.
 func TestStartsAreRecordedBesideSubmissions(t *testing.T) {
-	const writeRPS, jobs = 21, 10 // the one node of the rig has 0.9 of the changes
+	const writeRPS, jobs = 21, 10 // the only controller has 0.9 of the write rate
 	g := newRig(writeRPS, config.Team{Name: "red", CPUs: 800, CPUsMax: 800})
 	for i := range 40 {
 		g.show(fmt.Sprintf("n-%03d", i), "m8", "x", false)
@@ -49,6 +49,6 @@
 		}
 	}
 	if late > 0 {
-		t.Errorf("%d of %d jobs begin later than 1 s, the last after %d ms", late, jobs, longest/loop.Millisecond)
+		t.Errorf("%d of %d jobs begin later than 1 s, the slowest after %d ms", late, jobs, longest/loop.Millisecond)
 	}
 }
--- a/internal/placer/forget_test.go
+++ b/internal/placer/forget_test.go
@@ -14,11 +14,11 @@
 	"cleatpick/internal/wire"
 )
 
-// forgetRig has one machine that shows an ended attempt, and keeps when its owner asks for that
-// to be forgotten.
+// forgetRig has one machine that lists an ended attempt. It records when the attempt's owner asks the machine to
+// forget it.
 type forgetRig struct {
 	*rig
-	asked loop.Micros // when a forget of attempt 1 was first asked for; 0: never
+	asked loop.Micros // when attempt 1 was first asked to be forgotten; 0: never
 }
 
 func newForgetRig() *forgetRig {
@@ -36,7 +36,7 @@
 	return agent.Task{Task: "job-000001/0", Attempt: 1, State: state, Why: why}
 }
 
-// showFor shows the ended attempt again and again.
+// showFor reports the ended attempt repeatedly for the given time.
 func (g *forgetRig) showFor(d loop.Micros) {
 	for end := g.Now() + d; g.Now() < end; {
 		g.show("n-001", "m8", "x", false, attemptOne(wire.TaskExited, wire.WhyStopped))
@@ -48,22 +48,23 @@
 	t.Helper()
 	switch {
 	case g.asked == 0:
-		t.Fatal("nobody ever asks for the attempt to be forgotten")
+		t.Fatal("the machine is never asked to forget the attempt")
 	case g.asked <= expiry+delivery.AnswerLife:
-		t.Fatalf("a forget is asked for %d ms before a start of that attempt can no longer arrive", (expiry+delivery.AnswerLife-g.asked)/1000)
+		t.Fatalf("the machine is asked to forget the attempt %d ms before a start of it can no longer arrive", (expiry+delivery.AnswerLife-g.asked)/1000)
 	}
 }
 
-// An attempt is judged by when its own start expires, and never by what belongs to the next one:
-// that has no expiry while it is chosen, and loses it again when its record is withdrawn.
+// When an ended attempt may be forgotten depends on the expiry of its own start and never on the next attempt's
+// state: the next attempt has no expiry while its machine is chosen, and loses it again when its record is withdrawn.
+// Forgetting too early would let a delayed start run the task again.
 func TestForgetWaitsForItsOwnAttempt(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		next func(g *forgetRig) // what becomes of the next attempt
+		next func(g *forgetRig) // what happens to the next attempt
 	}{
 		{"the next attempt is being recorded", func(*forgetRig) {}},
-		{"the next attempt has no room", func(g *forgetRig) {
-			g.Run(90 * loop.Millisecond) // it is chosen, and not yet recorded
+		{"the next attempt's reservation is refused", func(g *forgetRig) {
+			g.Run(90 * loop.Millisecond) // its machine is chosen, and it is not recorded yet
 			g.p.Drop("b", agent.Drop{Machine: "n-001", Task: "job-000001/0", Attempt: 2, Why: "full", Reserve: true})
 		}},
 		{"the next attempt's record is withdrawn", func(g *forgetRig) {
@@ -74,9 +75,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := newForgetRig()
 			g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
-			g.Run(500 * loop.Millisecond) // what is not shown by then is sent again
+			g.Run(500 * loop.Millisecond) // starts that no view shows by then are sent again
 			if len(g.starts) != 1 {
-				t.Fatalf("%d starts, want one", len(g.starts))
+				t.Fatalf("got %d starts, want one", len(g.starts))
 			}
 			expiry := g.starts[0].Expiry
 			g.show("n-001", "m8", "x", false, attemptOne(wire.TaskRunning, ""))
@@ -90,8 +91,8 @@
 	t.Run("another owner started it", forgetAsTheNextOwner)
 }
 
-// forgetAsTheNextOwner: a new owner that reads of a waiting task does not know when the start of its last attempt
-// expires: it was recorded before the records were read, nobody knows how long ago.
+// forgetAsTheNextOwner checks that a new owner waits long enough, too. From the records it learns that an attempt
+// exists but not when its start expires, only that it was recorded before the records were read.
 func forgetAsTheNextOwner(t *testing.T) {
 	g := newForgetRig()
 	g.p.n.Reserve = func(host string, s agent.Start) {
--- a/internal/placer/guarantee_test.go
+++ b/internal/placer/guarantee_test.go
@@ -12,15 +12,15 @@
 	"cleatpick/internal/wire"
 )
 
-// What happens: a team runs a small part of its guarantee for minutes, while another runs far more than
-// its own.
+// The test guards against a team that runs a small part of its guarantee for minutes while another team runs far more
+// than its own.
 //
-// Why: work counts as within a guarantee only if it fits into that beside all earlier work of its team.
-// Behind one job of thousands of tasks nothing does, so nothing of the team had a right to room, and
-// what fell free went to whichever owner saw it first.
+// Work counts as within a guarantee only if it fits into it beside all earlier work of its team. Behind one job of
+// thousands of tasks nothing does, so no work of the team had a right to capacity, and what became free went to
+// whichever owner saw it first.
 //
-// What showed it: TestNothingStarvesWhereNodesEnd, seed 54, from 200 to 220 s: blue runs 1.7 of its 38.4
-// CPUs, red 111.6 of 76.8, and 300 jobs of blue wait; machines were 92% busy all the time.
+// The fault was seen in TestNothingStarvesWhereNodesEnd with seed 54, from 200 to 220 s: blue ran 1.7 of its 38.4
+// CPUs, red 111.6 of 76.8, and 300 jobs of blue waited, with machines 92% busy throughout.
 func TestGuaranteeIsHeldBehindALargeJob(t *testing.T) {
 	const machines = 4
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16}, config.Team{Name: "blue", CPUs: 16})
@@ -37,7 +37,7 @@
 		for i := range machines {
 			name := fmt.Sprintf("n-%03d", i)
 			running := on[name]
-			if len(running) > 0 { // the oldest task ends
+			if len(running) > 0 { // the oldest task completes
 				running[0].State, running[0].Why = wire.TaskExited, wire.WhyDone
 			}
 			g.show(name, "m8", "x", false, running...)
@@ -55,28 +55,28 @@
 		step()
 		used += g.p.teams["blue"].cpus
 	}
-	if used /= float64(steps); used < 16/2 { // half of what a team asks for is to be served
-		t.Errorf("blue runs %.1f of the 16 CPUs that it is guaranteed", used)
+	if used /= float64(steps); used < 16/2 { // the test asks for half of the guarantee
+		t.Errorf("blue runs %.1f of its guaranteed 16 CPUs", used)
 	} else {
-		t.Logf("blue runs %.1f of the 16 CPUs that it is guaranteed", used)
+		t.Logf("blue runs %.1f of its guaranteed 16 CPUs", used)
 	}
 }
 
-// Room is not held for a guarantee where nobody has borrowed it, before work has waited for long, or for
-// a team that has it.
+// No capacity is reserved for a guarantee if no other team has borrowed it, before the job has waited long, or for a
+// team that has its guarantee.
 func TestGuaranteeIsNotHeldWithoutNeed(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		used, by float64 // by the team, and by the other
+		used, by float64 // in use by the team, and by the other team
 		waits    loop.Micros
 		lacks    bool
 		want     bool
 	}{
-		{"lacks it, and another has borrowed", 2, 24, 80 * loop.Second, true, true},
-		{"nobody has borrowed", 2, 16, 80 * loop.Second, true, false},
-		{"has not waited for long", 2, 24, 70 * loop.Second, true, false},
-		{"lacks it since a moment ago", 2, 24, 80 * loop.Second, false, false},
-		{"has it", 16, 24, 80 * loop.Second, true, false},
+		{"lacks its guarantee, and another team has borrowed", 2, 24, 80 * loop.Second, true, true},
+		{"no team has borrowed", 2, 16, 80 * loop.Second, true, false},
+		{"job has not waited long", 2, 24, 70 * loop.Second, true, false},
+		{"has lacked its guarantee only briefly", 2, 24, 80 * loop.Second, false, false},
+		{"has its guarantee", 16, 24, 80 * loop.Second, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(1000, config.Team{Name: "red", CPUs: 16}, config.Team{Name: "blue", CPUs: 16})
@@ -95,13 +95,14 @@
 			x.at, tm.short.lacks = g.Now()-c.waits, c.lacks
 			g.p.holdGuaranteed(&entryOf{t: x}, 1000, &budget{unmet: map[*team]float64{}})
 			if got := g.p.fleet.Held(id); (got > 0) != c.want || float64(got) > 16-c.used || float64(got) > mostHeld {
-				t.Errorf("room is held for %d tasks, wanted: %v", got, c.want)
+				t.Errorf("capacity is reserved for %d tasks, want a reservation: %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A team lacks its guarantee once it has for a while without a break, and has it again likewise.
+// A team counts as lacking its guarantee, and as having it again, only after the observation has been the same for
+// shortAfter without interruption.
 func TestShortfall(t *testing.T) {
 	var s shortfall
 	now := 1000 * loop.Second
@@ -116,13 +117,13 @@
 		now += c.after
 		was := s.lacks
 		if changed := s.follow(c.now, now); s.lacks != c.judged || changed != (was != s.lacks) {
-			t.Fatalf("step %d: lacks its guarantee %v, changed %v, want %v", i, s.lacks, changed, c.judged)
+			t.Fatalf("step %d: lacks its guarantee: %v, changed: %v; want lacking: %v", i, s.lacks, changed, c.judged)
 		}
 	}
 }
 
-// What a class got under an owner before is derived from the records, and what is not begun has a
-// class of its own.
+// The accounting of a class under earlier owners is derived from the records. A job that has not begun is accounted
+// to a class of its own.
 func TestTurnsAreRestored(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
 	begun := g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
@@ -132,24 +133,24 @@
 	g.Run(2 * loop.Second)
 	tm := g.p.teams["red"]
 	if n := tm.jobs[begun].inUse; n != 4 {
-		t.Fatalf("%d tasks run, want 4", n)
+		t.Fatalf("%d tasks are in use, want 4", n)
 	}
 	if got := tm.jobs[begun].turnClass(); got != "red" {
-		t.Errorf("a job that has begun is of class %q", got)
+		t.Errorf("a job that has begun is in class %q", got)
 	}
 	if got := tm.jobs[waiting].turnClass(); got != "red\x00w" {
-		t.Errorf("a job that has not begun is of class %q", got)
+		t.Errorf("a job that has not begun is in class %q", got)
 	}
 	restored := map[string]float64{}
 	for class, cpus := range g.p.turnsOf(tm) {
 		restored[class] = cpus
 	}
 	if len(restored) != 2 || restored["red"] != 8 || restored["red\x00k"] != 2 {
-		t.Errorf("restored turns %v, want 8 CPUs for what has begun and 2 for class k", restored)
+		t.Errorf("restored accounting %v, want 8 CPUs for begun jobs and 2 for class k", restored)
 	}
 }
 
-// A claim that another owner took into account keeps its room there until the work has begun.
+// Only the reservations of jobs owned here are sent to a peer that does not know them.
 func TestClaimsInForceAreThoseOfOwnedJobs(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
 	mine := g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 100, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
@@ -160,6 +161,6 @@
 		g.p.fleet.AddClaim(peer.Claim{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
 	}
 	if got := g.p.ClaimsInForce(); len(got) != 1 || got[0].Job != mine || got[0].CPUs != 2 {
-		t.Errorf("claims %+v, want the one of %s", got, mine)
+		t.Errorf("got reservations %+v, want the one of %s", got, mine)
 	}
 }
--- a/internal/placer/image_test.go
+++ b/internal/placer/image_test.go
@@ -12,24 +12,24 @@
 	"cleatpick/internal/wire"
 )
 
-// Urgent work goes where its image is, though another machine has room: what has just
-// begun there is stopped for it, and nothing that would lose more than the fetch takes. It
-// waits for that room and takes no other, is no miss meanwhile, and goes to the other
-// machine should the room not come.
+// Urgent tasks go to the machine that holds their image even if another machine has free capacity. Tasks that have
+// just begun there are preempted for them, but none that would lose more than the fetch takes. The urgent tasks wait
+// for that capacity, use no other and do not count as unplaced meanwhile. If the capacity does not become free, they
+// go to the other machine.
 func TestUrgentWorkGoesToItsImage(t *testing.T) {
 	const s = loop.Second
 	for _, c := range []struct {
 		name   string
-		ran    loop.Micros // for how long work of low priority has run on the machine with the image
-		image  float64     // GB
-		comes  bool        // the stops are carried out
-		at     string      // machine on which the urgent tasks end up
+		ran    loop.Micros // how long tasks of low priority have run on the machine with the image
+		image  float64     // size in GB
+		comes  bool        // the preempted tasks stop
+		at     string      // machine on which the urgent tasks are placed in the end
 		claims int
 	}{
-		{"it has just begun", s, 2, true, "n-1", 4},
-		{"it has run for long", 30 * s, 2, true, "n-2", 0},
-		{"a large image is worth more", 30 * s, 20, true, "n-1", 4},
-		{"the stops are lost", s, 2, false, "n-2", 4},
+		{"the running tasks have just begun", s, 2, true, "n-1", 4},
+		{"the running tasks have run for long", 30 * s, 2, true, "n-2", 0},
+		{"a large image justifies stopping long-running tasks", 30 * s, 20, true, "n-1", 4},
+		{"the stop commands are lost", s, 2, false, "n-2", 4},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(100, config.Team{Name: "red", CPUs: 64, CPUsMax: 64}, config.Team{Name: "blue", CPUs: 64, CPUsMax: 64})
@@ -37,7 +37,7 @@
 			g.p.n.Claims = func(cs []peer.Claim) { claims = append(claims, cs...) }
 			low := g.job(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 8, CPUs: 2, MemoryGB: 2, Image: "i", AnyType: true, Estimate: 60 * s})
 			was := g.job(2, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 1, CPUs: 2, MemoryGB: 2, Image: "u", ImageGB: c.image, AnyType: true, Estimate: 60 * s})
-			g.show("n-1", "m16", "x", false, agent.Task{Task: agent.TaskName(was, 0), Attempt: 1, State: wire.TaskRunning}) // so the image is there
+			g.show("n-1", "m16", "x", false, agent.Task{Task: agent.TaskName(was, 0), Attempt: 1, State: wire.TaskRunning}) // the machine therefore has the image
 			busy := make([]agent.Task, 8)
 			for i := range busy {
 				busy[i] = agent.Task{Task: agent.TaskName(low, i), Attempt: 1, State: wire.TaskRunning}
@@ -49,7 +49,7 @@
 					g.Run(200 * loop.Millisecond)
 				}
 			}
-			for _, id := range []string{low, was} { // they are owned elsewhere: only the views tell of them
+			for _, id := range []string{low, was} { // owned by another controller; known here only from the views
 				g.p.forgetTable(g.p.teams[g.registry.Get(id).Spec.Team].jobs[id])
 			}
 			again(c.ran, busy)
@@ -57,14 +57,14 @@
 			id := g.job(3, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 4, CPUs: 2, MemoryGB: 2, Image: "u", ImageGB: c.image, AnyType: true, Estimate: 60 * s})
 			g.Run(500 * loop.Millisecond)
 			if len(claims) != c.claims {
-				t.Fatalf("%d claims, want %d", len(claims), c.claims)
+				t.Fatalf("%d reservations, want %d", len(claims), c.claims)
 			}
 			if c.claims > 0 && len(g.starts) > 0 {
-				t.Fatalf("%d tasks went elsewhere meanwhile", len(g.starts))
+				t.Fatalf("%d tasks were placed elsewhere before the preempted tasks stopped", len(g.starts))
 			}
 			for _, w := range g.tally.Wants {
 				if w.Priority == int(job.High) {
-					t.Errorf("%d urgent tasks are told as missing room", w.Count)
+					t.Errorf("%d urgent tasks are published as unplaced", w.Count)
 				}
 			}
 			if c.comes && c.claims > 0 {
--- a/internal/placer/partition_test.go
+++ b/internal/placer/partition_test.go
@@ -15,7 +15,7 @@
 	"cleatpick/internal/wire"
 )
 
-// onePartition is a membership in which all teams share one partition, as stored in the rig's state service.
+// onePartition is a membership in which all teams share one partition, stored in the rig's state service.
 type onePartition struct {
 	g     *rig
 	delay loop.Micros // until an assignment is known here
@@ -40,7 +40,7 @@
 	})
 }
 
-// partitionRig is an owner of a partition that so many teams share, with machines.
+// partitionRig returns an owner of one partition that the given number of teams share, with machines.
 func partitionRig(writeRPS float64, teams, machines int) *rig {
 	var all []config.Team
 	for i := range teams {
@@ -56,7 +56,7 @@
 	return g
 }
 
-// own makes this owner's claim of the partition a new one.
+// own makes this controller the owner of the partition under a new claim.
 func (g *rig) own() {
 	mark := g.state.Put(onlyID.ClaimKey(), map[string]any{"n": "a", "e": 1})
 	g.p.Owned(onlyID, false, member.Owner{})
@@ -77,8 +77,8 @@
 	return slices.Compact(out)
 }
 
-// The starts of many teams share writes: with ten changes a second, forty teams' are recorded in
-// little more than what one team's take.
+// The starts of many teams share writes: with ten changes per second, recording the starts of 40 teams takes little
+// more than for one team.
 func TestTeamsShareWrites(t *testing.T) {
 	g := partitionRig(10, 40, 60)
 	for i := range 40 {
@@ -87,22 +87,22 @@
 	before := g.writes
 	g.Run(3 * loop.Second)
 	if n := len(names(g.starts)); n != 200 {
-		t.Fatalf("%d of 200 tasks were started", n)
+		t.Fatalf("%d tasks were started, want 200", n)
 	}
-	if w := g.writes - before; w > 20 { // one for each team was needed when each had a log
-		t.Errorf("%d changes for the starts of 40 teams", w)
+	if w := g.writes - before; w > 20 { // with a log per team, each team needed a write of its own
+		t.Errorf("recording the starts of 40 teams took %d changes, want at most 20", w)
 	}
 }
 
-// An owner that lost its partition and does not know yet stores nothing and starts nothing.
+// A controller that lost its partition without knowing it yet records nothing and starts nothing.
 func TestFormerOwnerRecordsNothing(t *testing.T) {
 	g := partitionRig(100, 4, 10)
 	g.job(1, small("team-000", 2))
 	g.Run(loop.Second)
 	if len(names(g.starts)) != 2 {
-		t.Fatalf("started %v", names(g.starts))
+		t.Fatalf("started %v, want two tasks", names(g.starts))
 	}
-	g.state.Put(onlyID.ClaimKey(), map[string]any{"n": "b", "e": 2}) // another node's claim; nobody tells
+	g.state.Put(onlyID.ClaimKey(), map[string]any{"n": "b", "e": 2}) // another controller's claim, of which this one receives no message
 	keys := g.state.Keys(onlyID.LogPrefix())
 	g.job(2, small("team-001", 3))
 	g.job(3, small("team-000", 3))
@@ -115,7 +115,7 @@
 	}
 }
 
-// One job that is withdrawn within a write of many teams keeps the others' starts for a moment only.
+// A job that is cancelled while many teams' starts are written together delays the others' starts only briefly.
 func TestWithdrawnWithinACommitOfMany(t *testing.T) {
 	g := partitionRig(100, 30, 40)
 	for i := range 30 {
@@ -123,20 +123,20 @@
 	}
 	id := "job-000007"
 	rec := job.Record{Phase: job.Withdrawn, At: g.Now(), Tasks: 2}
-	mark := g.state.Put(job.Keys+id, rec) // stored, and not yet known here
+	mark := g.state.Put(job.Keys+id, rec) // stored, and not known here yet
 	g.After(loop.Second, func() { g.mirror.Apply(job.Keys+id, wire.Marshal(rec), mark, false) })
 	g.Run(4 * loop.Second)
 	started := names(g.starts)
 	if len(started) != 58 {
-		t.Errorf("%d of 58 tasks were started", len(started))
+		t.Errorf("%d tasks were started, want 58", len(started))
 	}
 	if slices.Contains(started, id+"/0") || slices.Contains(started, id+"/1") {
-		t.Errorf("a withdrawn job was started")
+		t.Errorf("a cancelled job was started")
 	}
 }
 
-// A next owner finds all teams' tasks in the partition's log, however many segments it has, and
-// begins none of them anew; also while it does not know yet that some of the teams are assigned.
+// The next owner finds all teams' tasks in the partition's log, over any number of segments, and starts none of them
+// again. That holds also while it does not know yet that some of the teams are assigned to the partition.
 func TestNextOwnerReadsAllTeams(t *testing.T) {
 	for _, lags := range []bool{false, true} {
 		g := partitionRig(100, 30, 80)
@@ -145,10 +145,10 @@
 		}
 		g.Run(5 * loop.Second)
 		if n := len(names(g.starts)); n != 360 {
-			t.Fatalf("%d of 360 tasks were started", n)
+			t.Fatalf("%d tasks were started, want 360", n)
 		}
 		if n := len(g.state.Keys(onlyID.LogPrefix())); n < 3 {
-			t.Fatalf("only %d segments: nothing is tried", n)
+			t.Fatalf("got %d segments, want at least 3 for the test to be meaningful", n)
 		}
 		m := g.p.n.Membership.(*onePartition)
 		if lags {
@@ -167,13 +167,13 @@
 		g.Run(6 * loop.Second)
 		used := g.p.InUse(onlyID)
 		if began := names(g.starts); used != 360 || len(began) > 0 {
-			t.Errorf("lagging %v: the next owner knows %d of 360 tasks, and began %d anew", lags, used, len(began))
+			t.Errorf("lagging %v: the next owner knows %d of 360 tasks and started %d again", lags, used, len(began))
 		}
 	}
 }
 
-// A team's own log is read before anything of it starts, and moves into the partition's. The
-// owner after that finds all of it there.
+// A team's own log is read before any of its tasks starts, and its entries move into the partition's log. The owner
+// after that finds all of them there.
 func TestOwnLogIsTakenOver(t *testing.T) {
 	const tasks = 200
 	g := newRig(100, config.Team{Name: "team-000", CPUs: 8, CPUsMax: 2 * tasks})
@@ -184,7 +184,7 @@
 	g.Run(3 * loop.Second)
 	own := partition.ForTeam("team-000")
 	if n, logs := len(names(g.starts)), len(g.state.Keys(own.LogPrefix())); n != tasks || logs < 2 {
-		t.Fatalf("%d of %d tasks were started, with %d segments", n, tasks, logs)
+		t.Fatalf("%d of %d tasks were started, with %d segments, want all and at least 2 segments", n, tasks, logs)
 	}
 	g.state.Put(own.ClaimKey(), map[string]any{"n": "", "e": 0, "p": string(onlyID)})
 	g.p.Owned(own, false, member.Owner{})
@@ -194,10 +194,10 @@
 		g.own()
 		g.Run(12 * loop.Second)
 		if began := names(g.starts); len(began) > 0 {
-			t.Fatalf("%s begins %d tasks anew", owner, len(began))
+			t.Fatalf("%s starts %d tasks again", owner, len(began))
 		}
 		if tm := g.p.teams["team-000"]; tm == nil || tm.inUse() != tasks {
-			t.Fatalf("%s does not know the tasks of its team", owner)
+			t.Fatalf("%s does not know all tasks of its team", owner)
 		}
 		if left := g.state.Keys(own.LogPrefix()); len(left) > 0 {
 			t.Errorf("%s leaves segments of the team's own log: %v", owner, left)
@@ -205,7 +205,7 @@
 	}
 }
 
-// Values that become too large in the middle of a log lose none of its tasks.
+// No task is lost if the state service lowers its limit on value size while a log is being written.
 func TestSegmentsBecomeSmaller(t *testing.T) {
 	g := partitionRig(100, 20, 80)
 	for i := range 20 {
@@ -217,10 +217,10 @@
 	}
 	g.Run(8 * loop.Second)
 	if n := len(names(g.starts)); n != 300 {
-		t.Fatalf("%d of 300 tasks were started", n)
+		t.Fatalf("%d tasks were started, want 300", n)
 	}
 	if g.state.Counts().Invalid == 0 {
-		t.Fatal("no record was too large: nothing is tried")
+		t.Fatal("no record was refused as too large, so the test is not meaningful")
 	}
 	g.starts = nil
 	g.own()
@@ -230,8 +230,8 @@
 	}
 }
 
-// What a refused write was to move out of another segment stands where it stood, which is so
-// kept until it is stored elsewhere, and what waited for its record waits again.
+// After a refused write, entries that it was to move remain in the segment in which they are stored, so that this
+// segment is kept, and starts that waited for the write wait again.
 func TestRefusedWriteMovesNothing(t *testing.T) {
 	g := partitionRig(100, 1, 4)
 	id := g.job(1, small("team-000", 4))
@@ -240,20 +240,20 @@
 	tb := g.p.teams["team-000"].jobs[id]
 	old := tb.task(0).seg
 	if old == nil || old.live != 4 {
-		t.Fatalf("the tasks' records stand in %+v", old)
+		t.Fatalf("the tasks' records are in segment %+v, want 4 live ones", old)
 	}
 	part.log.openSegment()
 	w := &write{seg: part.log.open, bytes: 3000}
 	w.move(ref{tb, 1})
 	w.move(ref{tb, 2})
 	if old.live != 2 || w.seg.live != 2 {
-		t.Fatalf("%d and %d live records before", old.live, w.seg.live)
+		t.Fatalf("before the refusal %d and %d records are live, want 2 and 2", old.live, w.seg.live)
 	}
 	g.p.shrink(part, w)
 	if old.live != 4 || w.seg.live != 0 || len(w.seg.refs) != 0 || tb.task(1).seg != old || tb.task(2).seg != old {
-		t.Errorf("%d records are live where they are stored, %d where they are not", old.live, w.seg.live)
+		t.Errorf("after the refusal %d records are live in the stored segment and %d in the refused one, want 4 and 0", old.live, w.seg.live)
 	}
 	if part.log.open != nil || g.p.valueLimit >= 3000 {
-		t.Errorf("the next write goes into %+v, of at most %d bytes", part.log.open, g.p.valueLimit)
+		t.Errorf("the next write goes into segment %+v with at most %d bytes, want a new segment below 3000 bytes", part.log.open, g.p.valueLimit)
 	}
 }
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -27,7 +27,7 @@
 	"pgregory.net/rapid"
 )
 
-// rig is one owner under hand-driven time with machines that only exist as views.
+// rig is one owner on hand-driven time, with machines that exist only as views.
 type rig struct {
 	*standin.Stepped
 	p        *Placer
@@ -54,7 +54,7 @@
 	return g.state.Do(method, path, body, d)
 }
 
-// The verdict must be the same every time, so the generator's seed is fixed.
+// The generator's seed is fixed, so that every run has the same result.
 func TestMain(m *testing.M) { fixed.Main(m) }
 
 var types = map[string]wire.MachineType{
@@ -66,7 +66,7 @@
 	g := &rig{Stepped: standin.NewStepped(1000 * loop.Second)}
 	cfg := &config.Config{Operator: config.Defaults()}
 	cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.CancelS = 3, 10, 30
-	cfg.Cluster.State.TxnOps, cfg.Cluster.State.ValueKB = 16, 4 // small, so that segments fill
+	cfg.Cluster.State.TxnOps, cfg.Cluster.State.ValueKB = 16, 4 // small, so that segments fill up
 	cfg.Cluster.Teams = teams
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	g.state = standin.NewState(func() loop.Micros { return g.Now() })
@@ -100,7 +100,7 @@
 	return g
 }
 
-// job stores an accepted job, as another node would have.
+// job stores an accepted job, as another controller would.
 func (g *rig) job(no int, s job.Spec) string {
 	id := fmt.Sprintf("job-%06d", no)
 	rec := job.Record{Phase: job.Accepted, At: g.Now(), Spec: &s}
@@ -109,14 +109,13 @@
 	return id
 }
 
-// show lets a machine be heard with these tasks on it.
+// show delivers a view of a machine with these tasks on it.
 func (g *rig) show(name, typ, zone string, spot bool, tasks ...agent.Task) {
 	g.seq++
 	g.a.Learn(&agent.View{Name: name, Type: typ, Zone: zone, Spot: spot, Host: "b", Session: 1, Seq: g.seq, Settled: true, At: g.Now(), Tasks: slices.Clone(tasks)})
 }
 
-// plainRoom is a machine's free room, worked out from nothing but its view and the
-// tables.
+// plainRoom computes a machine's free capacity from nothing but its view and the tables.
 func (g *rig) plainRoom(name string) agent.Room {
 	v := g.a.View(name)
 	typ := types[v.Type]
@@ -143,8 +142,7 @@
 	return room
 }
 
-// plainPlace is the pass as it reads in the design: every task by itself, every machine
-// looked at for each.
+// plainPlace is a plain model of a placement pass: it places each task separately and looks at every machine for it.
 func (g *rig) plainPlace() map[string]string {
 	out := map[string]string{}
 	rooms := map[string]agent.Room{}
@@ -213,8 +211,8 @@
 	return out
 }
 
-// plainAboard gathers anew what is in use on each machine, and what of it is open, and
-// tells what the placer's own lists hold otherwise.
+// plainAboard rebuilds the lists of tasks on each machine, and of those not resolved yet, and describes the first
+// difference from the scheduler's own lists; "" if there is none.
 func (g *rig) plainAboard() string {
 	all, open := map[string]int{}, map[string]int{}
 	for _, tm := range g.p.teams {
@@ -228,15 +226,15 @@
 				all[x.machine]++
 				on := g.p.on[x.machine]
 				if on == nil {
-					return tb.name(i) + " is in use, and its machine holds nothing"
+					return tb.name(i) + " is in use, and no task is listed for its machine"
 				}
 				_, here := on.all[r]
 				_, isOpen := on.open[r]
 				if !here || isOpen != (!x.seen || x.pending) {
-					return fmt.Sprintf("%s on %s: listed %v, open %v; seen %v, pending %v", tb.name(i), x.machine, here, isOpen, x.seen, x.pending)
+					return fmt.Sprintf("%s on %s: listed %v, unresolved %v; seen %v, pending %v", tb.name(i), x.machine, here, isOpen, x.seen, x.pending)
 				}
 				if v := g.a.View(x.machine); x.state == Placed && !x.seen && v != nil && v.Find(tb.name(i), x.attempt) != nil {
-					return tb.name(i) + " was shown by its machine, and is not seen"
+					return tb.name(i) + " was listed by its machine, and is not marked as seen"
 				}
 				if isOpen {
 					open[x.machine]++
@@ -246,18 +244,18 @@
 	}
 	for m, on := range g.p.on {
 		if len(on.all) != all[m] || len(on.open) != open[m] {
-			return fmt.Sprintf("%s lists %d tasks and %d open, and has %d and %d", m, len(on.all), len(on.open), all[m], open[m])
+			return fmt.Sprintf("%s: %d tasks and %d unresolved ones are listed, want %d and %d", m, len(on.all), len(on.open), all[m], open[m])
 		}
 	}
 	return ""
 }
 
-// The slots are kept up to date by what happens to each machine, and a pass ranks them
-// once for each job. Both must come to what looking at everything anew comes to.
+// Free capacity is updated incrementally, and a pass ranks the machines once per job. Both must give the same result
+// as recomputing everything for each task.
 func TestPassesMatchThePlainModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newRig(1000, config.Team{Name: "red", CPUs: 1000, CPUsMax: 60}, config.Team{Name: "blue", CPUs: 1000, CPUsMax: 1000})
-		g.p.pre.nextRun = 1 << 62 // the model stops nothing
+		g.p.pre.nextRun = 1 << 62 // the model preempts nothing
 		machines, jobs := 0, 0
 		on := map[string][]agent.Task{}
 		for range rapid.IntRange(3, 25).Draw(t, "steps") {
@@ -283,7 +281,7 @@
 					s.AnyType, s.Types = false, []string{"m16"}
 				}
 				g.job(jobs, s)
-			case 2: // what was started shows up, and some of it has ended
+			case 2: // started tasks are listed by their machines, and some have completed
 				for _, s := range g.starts {
 					on[s.Machine] = append(on[s.Machine], agent.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
 				}
@@ -331,15 +329,15 @@
 			for _, sl := range g.p.fleet.All() {
 				name := sl.V.Name
 				if room := g.plainRoom(name); sl.Known && room != sl.Room {
-					t.Fatalf("%s has %v free by its slot, %v by its view", name, sl.Room, room)
+					t.Fatalf("%s: free capacity %v in its slot, %v computed from its view", name, sl.Room, room)
 				}
 			}
 		}
 	})
 }
 
-// A start goes out only once its record is stored, and many starts share a write: with
-// ten changes a second, a thousand tasks that come one by one are still all started.
+// A start is sent only once its record is stored, and many starts share one write. With ten changes per second, 480
+// tasks of 40 jobs that arrive one by one are all started.
 func TestStartsShareWrites(t *testing.T) {
 	g := newRig(10, config.Team{Name: "red", CPUs: 5000, CPUsMax: 5000})
 	for i := range 60 {
@@ -370,20 +368,19 @@
 		n := fmt.Sprint(s.Task, "#", s.Attempt)
 		started[n] = true
 		if placed[n] != s.Machine {
-			t.Fatalf("%s was started on %s, and its record says %q", n, s.Machine, placed[n])
+			t.Fatalf("%s was started on %s, its record names machine %q", n, s.Machine, placed[n])
 		}
 	}
 	if len(started) != 480 {
-		t.Fatalf("%d of 480 tasks were started", len(started))
+		t.Fatalf("%d tasks were started, want 480", len(started))
 	}
 	if most := 10*6 + 10; g.writes > most {
-		t.Fatalf("%d changes in 6 s, with 10 a second allowed", g.writes)
+		t.Fatalf("%d changes in 6 s, at 10 per second allowed", g.writes)
 	}
 }
 
-// A refused reservation that comes after the record was taken proves nothing: the start
-// is on its way, and may find room. Taken for a dropped start, it let ten tasks of a
-// day run twice.
+// A refused reservation that arrives after the task was recorded is no evidence that the task does not run: the start
+// is in flight and may still succeed. Treating it as a dropped start let ten tasks run twice in one simulated day.
 func TestLateRefusalProvesNothing(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
 	g.show("n-001", "m8", "x", false)
@@ -397,20 +394,20 @@
 	}
 	refuse()
 	if x().state != Waiting {
-		t.Fatalf("a task whose room was refused before its record is in state %d", x().state)
+		t.Fatalf("the reservation was refused before the record: state %d, want waiting", x().state)
 	}
 	g.Run(loop.Second)
 	if len(g.starts) == 0 || x().state != Placed {
-		t.Fatalf("it was not placed again: state %d", x().state)
+		t.Fatalf("the task was not placed again: state %d", x().state)
 	}
 	refuse()
 	if x().state != Placed {
-		t.Fatalf("a late refusal made the task free, in state %d, while its start is on its way", x().state)
+		t.Fatalf("a late refusal freed the task, state %d, while its start is in flight", x().state)
 	}
 }
 
-// A withdrawn job's tasks count until they are proven off, for the next owner too: the
-// log must keep them when it is written anew.
+// The tasks of a cancelled job count as in use until they are confirmed terminated, also for the next owner, so the
+// log must keep them when a segment is rewritten.
 func TestLogKeepsWithdrawnTasks(t *testing.T) {
 	team := config.Team{Name: "red", CPUs: 4, CPUsMax: 4}
 	g := newRig(100, team)
@@ -441,8 +438,8 @@
 	}
 }
 
-// Tasks are recorded in any order, so the log of an unfinished job has gaps. The next
-// owner must start each of the others once, and none that the job does not have.
+// Tasks are recorded in any order, so the log of an unfinished job has gaps. The next owner must start each
+// unrecorded task once, and none that the job does not have.
 func TestRestoreFillsGaps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newRig(100, config.Team{Name: "red", CPUs: 1000, CPUsMax: 1000})
@@ -466,18 +463,18 @@
 		for _, s := range g.starts {
 			_, i, _ := agent.SplitTask(s.Task)
 			if i >= n || recorded[i] {
-				t.Fatalf("%s was started: the job has %d tasks, recorded %v", s.Task, n, recorded[i])
+				t.Fatalf("%s was started: the job has %d tasks, recorded: %v", s.Task, n, recorded[i])
 			}
 			started[s.Task] = true
 		}
 		if len(started) != n-len(recorded) {
-			t.Fatalf("%d of %d tasks were started", len(started), n-len(recorded))
+			t.Fatalf("%d tasks were started, want %d", len(started), n-len(recorded))
 		}
 	})
 }
 
-// A machine whose tasks take twice as long as those of the same job elsewhere rests; one
-// whose own jobs are long does not.
+// A machine whose tasks take twice as long as those of the same job elsewhere receives no starts for a while. A
+// machine that only runs longer jobs is not affected.
 func TestSlowMachinesRest(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 500, CPUsMax: 500})
 	short := g.job(1, job.Spec{Class: "k", Team: "blue", Tasks: 99, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true})
@@ -520,6 +517,6 @@
 		g.Run(50 * loop.Millisecond)
 	}
 	if len(rested) != 1 || !rested["n-003"] {
-		t.Fatalf("%v rested, want n-003 alone", rested)
+		t.Fatalf("machines %v received no starts for a while, want n-003 only", rested)
 	}
 }
--- a/internal/placer/preempt_test.go
+++ b/internal/placer/preempt_test.go
@@ -15,17 +15,17 @@
 	"pgregory.net/rapid"
 )
 
-// stopFleet is a fleet of machines on which nothing ends by itself: tasks begin when they are told
-// to and stop when they are told to. It judges every stop by itself.
+// stopFleet simulates machines on which no task completes: tasks start and stop only on command. It checks every
+// preemption against the rules.
 type stopFleet struct {
 	*rig
 	t        rapid.TB
 	teams    []config.Team
 	specs    map[string]*job.Spec
 	machines map[string][]agent.Task
-	taken    int                    // of the starts
+	taken    int                    // number of starts carried out
 	stopped  map[string]int         // by task: how often it was stopped
-	turns    map[[2]string][]string // by two jobs: which of them stopped the other, each time that it changed
+	turns    map[[2]string][]string // by pair of jobs: which of them preempted the other, at each change
 }
 
 func newStopFleet(t rapid.TB, teams []config.Team, machines int) *stopFleet {
@@ -44,7 +44,7 @@
 	return f
 }
 
-// run lets time pass: starts are carried out, and every machine is heard.
+// run advances time: starts are carried out, and every machine reports.
 func (f *stopFleet) run(d loop.Micros) {
 	for end := f.Now() + d; f.Now() < end; {
 		for ; f.taken < len(f.starts); f.taken++ {
@@ -71,7 +71,7 @@
 	}
 }
 
-// uses is what each team has in use, by the owner's tables.
+// uses returns what each team has in use by the owner's tables.
 func (f *stopFleet) uses() map[string]float64 {
 	uses := map[string]float64{}
 	for _, team := range f.teams {
@@ -80,7 +80,7 @@
 	return uses
 }
 
-// tookTurn notes that a job stopped another.
+// tookTurn records that a job preempted another.
 func (f *stopFleet) tookTurn(victim, claimant string) {
 	pair := [2]string{min(victim, claimant), max(victim, claimant)}
 	if turns := f.turns[pair]; len(turns) == 0 || turns[len(turns)-1] != claimant {
@@ -88,16 +88,16 @@
 	}
 }
 
-// checkTurns fails where two jobs stopped each other in turn.
+// checkTurns fails the test if two jobs preempted each other alternately more than the given number of times.
 func (f *stopFleet) checkTurns(most int) {
 	for pair, turns := range f.turns {
 		if len(turns) > most {
-			f.t.Fatalf("%s and %s stop each other in turn: %v", pair[0], pair[1], turns)
+			f.t.Fatalf("%s and %s preempt each other alternately: %v", pair[0], pair[1], turns)
 		}
 	}
 }
 
-// judge applies the rules of preemption to what was stopped for one task, all of it together.
+// judge applies the rules of preemption to all victims of one task together.
 func (f *stopFleet) judge(claim *peer.Claim) {
 	claimant := f.specs[claim.Job]
 	uses := f.uses()
@@ -111,19 +111,19 @@
 		switch {
 		case victim.Priority < claimant.Priority:
 		case victim.Team == claimant.Team:
-			f.t.Fatalf("%s of its own team is stopped for %s, of no higher priority", name, claim.Job)
+			f.t.Fatalf("%s is preempted for %s of the same team, which has no higher priority", name, claim.Job)
 		default:
 			byGuarantee[victim.Team] = true
 		}
 	}
 	for _, team := range f.teams {
 		if byGuarantee[team.Name] && uses[team.Name]-freed[team.Name] < team.CPUs-1e-6 {
-			f.t.Fatalf("%v are stopped for %s, and leave team %s %v of the %v CPUs that it is guaranteed", claim.Victims, claim.Job, team.Name, uses[team.Name]-freed[team.Name], team.CPUs)
+			f.t.Fatalf("%v are preempted for %s, which leaves team %s %v of its guaranteed %v CPUs", claim.Victims, claim.Job, team.Name, uses[team.Name]-freed[team.Name], team.CPUs)
 		}
 	}
 }
 
-// tasksBeside is the number of tasks of all other jobs.
+// tasksBeside returns the number of tasks of all other jobs.
 func (f *stopFleet) tasksBeside(id string) (n int) {
 	for other, spec := range f.specs {
 		if other != id {
@@ -133,9 +133,9 @@
 	return n
 }
 
-// No stop goes beyond the rules of preemption, and nothing goes on for ever: while no work arrives
-// and none ends, no two jobs stop each other in turn, the stops come to an end, and no task is
-// stopped more often than there are tasks that could be placed instead of it.
+// No preemption breaks the rules, and preemption ends: while no job arrives and none completes, no two jobs preempt
+// each other alternately, preemptions cease, and no task is preempted more often than there are tasks that could be
+// placed instead.
 func TestStopsComeToAnEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machines := rapid.IntRange(1, 4).Draw(t, "machines")
@@ -153,8 +153,8 @@
 			f.job(i, spec)
 			f.run(loop.Micros(rapid.IntRange(50, 3000).Draw(t, "pause")) * loop.Millisecond)
 		}
-		// Each job that arrives may change once what comes first between two others. While none does,
-		// what tasks of different sizes leave free may go to one of them and be taken back, once.
+		// Each arriving job may change the order of two others once. While none arrives, capacity that tasks of
+		// different sizes leave free may go to one of them and be taken back once.
 		f.checkTurns(jobs)
 		clear(f.turns)
 		f.run(20 * loop.Second)
@@ -170,27 +170,27 @@
 		}
 		fmt.Println()
 		if after != before {
-			t.Fatalf("%d tasks are stopped long after the last job arrived", after-before)
+			t.Fatalf("%d tasks are preempted long after the last job arrived", after-before)
 		}
 		for task, n := range f.stopped {
 			if of, _, _ := agent.SplitTask(task); n > f.tasksBeside(of) {
-				t.Fatalf("%s is stopped %d times, with %d tasks of other jobs", task, n, f.tasksBeside(of))
+				t.Fatalf("%s is preempted %d times, there are %d tasks of other jobs", task, n, f.tasksBeside(of))
 			}
 		}
 	})
 }
 
-// submit stores a job of which nothing ends by itself.
+// submit stores a job whose tasks do not complete by themselves.
 func (f *stopFleet) submit(number int, spec job.Spec) {
 	spec.Class, spec.MemoryGB, spec.Image, spec.AnyType, spec.Estimate = "k", 0.1, "i", true, 600*loop.Second
 	f.specs[fmt.Sprintf("job-%06d", number)] = &spec
 	f.job(number, spec)
 }
 
-// All that is stopped for one task together leaves its team its guarantee, and not each of it by
-// itself: a claim of five CPUs once took five tasks of a team that ran three beyond its guarantee.
-// The same holds for the tasks of one pass, and where work of lower priority is stopped as well. A
-// job that does not fit into its team's guarantee takes nothing back by it.
+// The victims of one task together, and not only each by itself, must leave their team its guarantee. A task of five
+// CPUs once preempted five tasks of a team that ran three CPUs beyond its guarantee. The same holds for all tasks of
+// one pass, and if tasks of lower priority are preempted as well. A job that does not fit into its team's guarantee
+// preempts nothing by that guarantee.
 func TestStopsLeaveAGuarantee(t *testing.T) {
 	type work struct {
 		team     string
@@ -200,15 +200,15 @@
 	}
 	for _, c := range []struct {
 		name      string
-		red, blue float64 // guaranteed, of 16 CPUs
+		red, blue float64 // guarantees, with 16 CPUs in total
 		running   []work
 		comes     work
 		stopped   int
 	}{
-		{"one task, more than is beyond", 8, 13, []work{{"blue", job.Normal, 16, 1}}, work{"red", job.Normal, 1, 5}, 0},
-		{"one task, as much as is beyond", 8, 13, []work{{"blue", job.Normal, 16, 1}}, work{"red", job.Normal, 1, 3}, 3},
-		{"several tasks, one as much as is beyond", 9, 13, []work{{"blue", job.High, 16, 1}}, work{"red", job.High, 3, 3}, 3},
-		{"with work of lower priority", 8, 10, []work{{"blue", job.Low, 6, 1}, {"blue", job.Normal, 10, 1}}, work{"red", job.Normal, 1, 8}, 0},
+		{"one task larger than the excess", 8, 13, []work{{"blue", job.Normal, 16, 1}}, work{"red", job.Normal, 1, 5}, 0},
+		{"one task as large as the excess", 8, 13, []work{{"blue", job.Normal, 16, 1}}, work{"red", job.Normal, 1, 3}, 3},
+		{"several tasks, each as large as the excess", 9, 13, []work{{"blue", job.High, 16, 1}}, work{"red", job.High, 3, 3}, 3},
+		{"with tasks of lower priority among the victims", 8, 10, []work{{"blue", job.Low, 6, 1}, {"blue", job.Normal, 10, 1}}, work{"red", job.Normal, 1, 8}, 0},
 		{"a job larger than the guarantee", 4, 8, []work{{"blue", job.Normal, 16, 1}}, work{"red", job.Normal, 8, 1}, 0},
 		{"a job as large as the guarantee", 4, 8, []work{{"blue", job.Normal, 16, 1}}, work{"red", job.Normal, 4, 1}, 4},
 	} {
@@ -221,13 +221,13 @@
 			}
 			f.run(10 * loop.Second)
 			if len(f.stopped) != c.stopped {
-				t.Errorf("%v are stopped, want %d tasks", f.stopped, c.stopped)
+				t.Errorf("%v are preempted, want %d tasks", f.stopped, c.stopped)
 			}
 		})
 	}
 }
 
-// A guarantee is shared out by priority, then by acceptance, and no further than it goes.
+// A guarantee is divided among a team's jobs by priority, then by acceptance, until it is used up.
 func TestShares(t *testing.T) {
 	f := newStopFleet(t, []config.Team{{Name: "red", CPUs: 10, CPUsMax: 100}}, 0)
 	for i, spec := range []job.Spec{{Priority: job.Low, Tasks: 4, CPUs: 2}, {Priority: job.High, Tasks: 3, CPUs: 2}, {Priority: job.Low, Tasks: 9, CPUs: 1}} {
--- a/internal/placer/proof_test.go
+++ b/internal/placer/proof_test.go
@@ -12,36 +12,37 @@
 	"cleatpick/internal/wire"
 )
 
-// tell lets a machine be heard from one life of its host; settled: it shows what it was told.
+// tell delivers a view from one incarnation of the host controller. If settled, the machine shows the effect of all
+// commands to it.
 func (g *rig) tell(life loop.Micros, session uint64, settled bool, tasks ...agent.Task) {
 	g.seq++
 	g.a.Learn(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Life: life, Session: session, Seq: g.seq, Settled: settled, At: g.Now(), Tasks: tasks})
 }
 
-// A refusal proves a start off only where the life of the host that refuses is the only one
-// that ever had it. A host that was ended and was back at once refused, for want of room or
-// contact, what its earlier life had passed on a moment before; and a refusal of that life,
-// held back on its way, came after the start was given to the new one.
+// A refusal confirms that a start will not run only if the incarnation that refuses is the only one that ever
+// received the start. A host controller that restarted at once used to refuse, for lack of capacity or contact, a
+// start that its earlier incarnation had passed on just before. A delayed refusal of the earlier incarnation used to
+// arrive after the start was sent to the new one.
 func TestRefusalOfAnotherLife(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		moved bool        // the host's new life is heard of, and the start sent there
-		says  loop.Micros // which life refuses
+		moved bool        // the host controller's new incarnation is known, and the start is sent to it
+		says  loop.Micros // incarnation that refuses
 		frees bool
-	}{{"the life that has it", false, 1, true}, {"a life that never had it", false, 2, false},
-		{"the earlier of two", true, 1, false}, {"the later of two", true, 2, false}} {
+	}{{"the only incarnation that has the start", false, 1, true}, {"an incarnation that never had the start", false, 2, false},
+		{"the earlier of two incarnations", true, 1, false}, {"the later of two incarnations", true, 2, false}} {
 		g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})
 		g.tell(1, 1, true)
 		g.job(1, job.Spec{Team: "red", Tasks: 1, CPUs: 2, AnyType: true, Estimate: loop.Second})
 		g.Run(500 * loop.Millisecond)
 		if len(g.starts) != 1 || g.starts[0].Life != 1 {
-			t.Fatalf("%s: started %+v, want one start for life 1", c.name, g.starts)
+			t.Fatalf("%s: started %+v, want one start for incarnation 1", c.name, g.starts)
 		}
 		if c.moved {
 			g.tell(2, 1, true)
 			g.Run(1500 * loop.Millisecond)
 			if n := len(g.starts); n < 2 || g.starts[n-1].Life != 2 {
-				t.Fatalf("%s: the start is not sent to the new life: %+v", c.name, g.starts)
+				t.Fatalf("%s: the start is not sent to the new incarnation: %+v", c.name, g.starts)
 			}
 		}
 		s := g.starts[0]
@@ -50,28 +51,28 @@
 		g.Run(2 * loop.Second)
 		freed := len(g.starts) > before && g.starts[len(g.starts)-1].Attempt > s.Attempt
 		if freed != c.frees {
-			t.Errorf("%s: placed again %v, want %v", c.name, freed, c.frees)
+			t.Errorf("%s: placed again: %v, want %v", c.name, freed, c.frees)
 		}
 	}
 }
 
-// A machine whose reports come and show nothing of what it was told is offered nothing, and
-// what ran on it runs again once its session is over, and not before.
+// A machine whose reports arrive but show no effect of commands receives no starts. Its tasks run again once its
+// session is over, and not before.
 func TestDeafMachineIsOfferedNothing(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})
-	for range 4 { // it reports in vain, at one node after another
+	for range 4 { // it reports without effect to one controller after another
 		g.tell(1, 1, false)
 		g.Run(loop.Second)
 	}
 	g.job(1, job.Spec{Team: "red", Tasks: 2, CPUs: 2, AnyType: true, Estimate: loop.Second})
 	g.Run(2 * loop.Second)
 	if len(g.starts) != 0 {
-		t.Fatalf("%d starts are sent to a machine that shows none of what it is told", len(g.starts))
+		t.Fatalf("%d starts are sent to a machine that is unresponsive to commands", len(g.starts))
 	}
 	g.tell(1, 1, true)
 	g.Run(loop.Second)
 	if len(g.starts) != 2 {
-		t.Fatalf("%d starts once it hears, want 2", len(g.starts))
+		t.Fatalf("%d starts once the machine responds to commands, want 2", len(g.starts))
 	}
 	g.starts = nil
 	on := []agent.Task{{Task: "job-000001/0", Attempt: 1, State: "running"}, {Task: "job-000001/1", Attempt: 1, State: "running"}}
@@ -84,18 +85,18 @@
 	g.show("n-002", "m8", "x", false)
 	g.Run(loop.Second)
 	if len(g.starts) != 0 {
-		t.Fatalf("started again while the session may last: %+v", g.starts)
+		t.Fatalf("tasks started again while the old session may last: %+v", g.starts)
 	}
 	g.seq = 1000
-	g.tell(1, 2, false) // its lease ran out
+	g.tell(1, 2, false) // the lease of the old session expired
 	g.Run(loop.Second)
 	if len(g.starts) != 2 || g.starts[0].Machine != "n-002" {
-		t.Fatalf("after its session %+v, want both tasks on n-002", g.starts)
+		t.Fatalf("after the end of the session %+v, want both tasks on n-002", g.starts)
 	}
 }
 
-// A task is listed by a report that was held back, from before an earlier owner had it forgotten,
-// and by no list after. Its owner, which never sees it end, once took it for running for ever.
+// A delayed report lists a task from before an earlier owner had it forgotten, and no later report lists it. The
+// present owner never sees the task end and must not count it as running for ever.
 func TestTaskThatVanishesUnseen(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})
 	id := g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
--- a/internal/placer/quota_test.go
+++ b/internal/placer/quota_test.go
@@ -15,7 +15,7 @@
 	"cleatpick/internal/wire"
 )
 
-// showRunning shows every machine with the tasks running that were started on it.
+// showRunning delivers views in which all tasks started on each machine are running.
 func (g *rig) showRunning(machines ...string) {
 	on := map[string][]agent.Task{}
 	for _, s := range g.starts {
@@ -26,18 +26,17 @@
 	}
 }
 
-// A team with and without a guarantee and a limit, from the submission to the explanation.
-// A limit of 0 was once read as a limit of nothing: a visiting team's work was refused for
-// good.
+// The test follows teams with and without a guarantee and a limit from submission to explanation. A limit of 0 means
+// no limit; it was once read as a limit of nothing, and all work of a team without a limit was refused for good.
 func TestGuaranteeAndLimit(t *testing.T) {
 	for _, c := range []struct {
 		have, most  float64
-		runnable    bool // a task of 16 CPUs
+		runnable    bool // whether a task of 16 CPUs can run
 		placed      int  // of 40 tasks on 48 CPUs
 		limited     int
-		room        string // the state of its wait for room, when another team holds it all
-		stops       bool   // then others are stopped for it
-		most1, says string // the limit in JSON, and for people
+		room        string // state of its wait for capacity, when another team uses all of it
+		stops       bool   // whether tasks of others are then preempted
+		most1, says string // the limit in JSON, and in text for people
 	}{
 		{0, 0, true, 40, 0, "behindGuarantees", false, `"cpusMax":null`, "no limit"},
 		{8, 0, true, 40, 0, "noRoom", true, `"cpusMax":null`, "no limit"},
@@ -52,14 +51,14 @@
 			large := spec
 			large.CPUs = 16
 			if got := job.Runnable(&large, settings, []wire.MachineType{types["m16"]}); got != c.runnable || !job.Runnable(&spec, settings, []wire.MachineType{types["m16"]}) {
-				t.Errorf("a task of 16 CPUs can run: %v", got)
+				t.Errorf("a task of 16 CPUs can run: %v, or one of 1 CPU cannot", got)
 			}
 
 			machines := []string{"n-1", "n-2", "n-3"}
 			g := newRig(100, red, blue)
 			g.showRunning(machines...)
 			id := g.job(1, spec)
-			g.Run(600 * loop.Millisecond) // what is not shown by then is sent again
+			g.Run(600 * loop.Millisecond) // starts that no view shows by then are sent again
 			if len(g.starts) != c.placed {
 				t.Errorf("%d tasks are started, want %d", len(g.starts), c.placed)
 			}
@@ -71,7 +70,7 @@
 				}
 			}
 			if limited != c.limited {
-				t.Errorf("the limit keeps %d tasks, want %d", limited, c.limited)
+				t.Errorf("the limit blocks %d tasks, want %d", limited, c.limited)
 			}
 
 			g = newRig(100, red, blue)
@@ -84,14 +83,14 @@
 			g.Run(600 * loop.Millisecond)
 			g.showRunning(machines...)
 			if len(g.starts) != 48 {
-				t.Fatalf("%d of 48 tasks fill the fleet", len(g.starts))
+				t.Fatalf("%d tasks are started to fill the cluster, want 48", len(g.starts))
 			}
 			own := spec
 			own.Tasks = 4
 			id = g.job(2, own)
-			g.Run(6 * loop.Second) // turnover is hoped for first
+			g.Run(6 * loop.Second) // capacity freed by completing tasks is awaited first
 			if (len(claims) > 0) != c.stops {
-				t.Errorf("%d tasks of others are stopped", len(claims))
+				t.Errorf("%d tasks of others are preempted", len(claims))
 			}
 			f, _ = g.p.Facts(id, []wire.MachineType{types["m16"]}, true)
 			for _, r := range explain.Judge(f) {
@@ -100,11 +99,11 @@
 				}
 				raw, err := json.Marshal(r.Detail.Team)
 				if r.State != c.room || err != nil || !strings.Contains(string(raw), c.most1) || r.Detail.Team.CPUsMax.String() != c.says {
-					t.Errorf("it waits for room as %s, %s, %v", r.State, raw, r.Detail.Team.CPUsMax)
+					t.Errorf("its wait for capacity is reported as %s, %s, %v", r.State, raw, r.Detail.Team.CPUsMax)
 				}
 				return
 			}
-			t.Error("nothing says that it waits for room")
+			t.Error("no reason says that it waits for capacity")
 		})
 	}
 }
--- a/internal/placer/share_test.go
+++ b/internal/placer/share_test.go
@@ -8,14 +8,14 @@
 	"cleatpick/internal/loop"
 )
 
-// What happens: an urgent job that is larger than its team's guarantee stops, in one pass, lower work
-// within another team's guarantee for more of its tasks than its team's guarantee covers.
+// The test guards against an urgent job that is larger than its team's guarantee and in one pass preempts, within
+// another team's guarantee, tasks for more of its own tasks than its team's guarantee covers.
 //
-// Why: the right to a share was judged for one task, before any of the pass; only where the whole job
-// fits into the guarantee was the number of tasks bounded (`Placer.makeRoom`).
+// The right to a share used to be judged for a single task, before the pass; the number of tasks was bounded only if
+// the whole job fits into the guarantee (see `Placer.makeRoom`).
 //
-// What showed it: found by reading (docs/incidents/2026-12-02-ran-twice.md, "Still open"). Here, on the
-// sources before: 20 tasks of blue are stopped for a guarantee of 4 tasks.
+// The fault was found by review (docs/incidents/2026-12-02-ran-twice.md, "Still open"). Before the fix, 20 tasks of
+// blue were preempted for a guarantee of 4 tasks.
 func TestOnePassStopsNoMoreThanTheShareCovers(t *testing.T) {
 	teams := []config.Team{{Name: "red", CPUs: 8, CPUsMax: 64}, {Name: "blue", CPUs: 64, CPUsMax: 64}}
 	f := newStopFleet(t, teams, 4)
@@ -28,7 +28,7 @@
 	add(1, job.Spec{Team: "blue", Priority: job.Low, Tasks: 32, CPUs: 2})
 	f.run(3 * loop.Second)
 	if used := f.uses()["blue"]; used != 64 {
-		t.Fatalf("blue runs %v of 64 CPUs", used)
+		t.Fatalf("blue runs %v CPUs, want 64", used)
 	}
 	urgent := add(2, job.Spec{Team: "red", Priority: job.High, Tasks: 20, CPUs: 2})
 	f.run(10 * loop.Second)
@@ -37,9 +37,9 @@
 		stops += n
 	}
 	if stops > 4 {
-		t.Errorf("%d tasks of blue are stopped, red's guarantee covers 4", stops)
+		t.Errorf("%d tasks of blue are preempted, red's guarantee covers 4", stops)
 	}
 	if running := f.p.teams["red"].jobs[urgent].inUse; running < 4 {
-		t.Errorf("%d tasks of red run, its guarantee covers 4", running)
+		t.Errorf("%d tasks of red are in use, its guarantee covers 4", running)
 	}
 }
--- a/internal/placer/terms_test.go
+++ b/internal/placer/terms_test.go
@@ -20,23 +20,24 @@
 	return rec
 }
 
-// A start that was recorded before a hold may begin long after it, since a direct command
-// can be held back for minutes. Called set at once, such holds broke one world in a hundred.
+// A start that was recorded before a hold may run long after it, since a direct command can be delayed for minutes.
+// The hold must therefore stay pending until every such start has run or is confirmed terminated. Completing holds at
+// once broke them in one of a hundred simulated clusters.
 func TestHoldSettlesOnlyOnProof(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
 	g.show("n-001", "m8", "x", false)
 	id := g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 3, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
 	g.Run(500 * loop.Millisecond)
 	if len(g.starts) < 2 {
-		t.Fatalf("%d starts went out, want 2", len(g.starts))
+		t.Fatalf("%d starts were sent, want 2", len(g.starts))
 	}
 	answers := 0
 	g.registry.Hold(id, job.Hold{Reason: "r"}, func(a job.Answer) { answers++ })
 	g.Run(20 * loop.Second)
 	if s := g.stored(id).Terms.Hold.State; s != job.HoldSettling || answers != 1 {
-		t.Fatalf("the hold is %q after %d answers, while two starts may be under way", s, answers)
+		t.Fatalf("the hold is %q after %d answers, while two starts may be in flight", s, answers)
 	}
-	// One is fetching, and must be off first; the other runs, and goes on.
+	// One task is fetching its image and must be confirmed terminated first. The other is running and continues.
 	run := agent.Task{Task: "job-000001/0", Attempt: 1, State: wire.TaskRunning}
 	g.show("n-001", "m8", "x", false, run, agent.Task{Task: "job-000001/1", Attempt: 1, State: wire.TaskFetching})
 	g.Run(3 * loop.Second)
@@ -46,22 +47,22 @@
 	g.show("n-001", "m8", "x", false, run, agent.Task{Task: "job-000001/1", Attempt: 1, State: wire.TaskExited, Why: wire.WhyStopped})
 	g.Run(3 * loop.Second)
 	if s := g.stored(id).Terms.Hold.State; s != job.HoldSet {
-		t.Fatalf("the hold is %q although nothing can begin any more", s)
+		t.Fatalf("the hold is %q although no task can begin any more", s)
 	}
 	g.starts = nil
 	g.Run(5 * loop.Second)
 	if len(g.starts) != 0 {
-		t.Fatalf("a held job starts %v", g.starts)
+		t.Fatalf("a held job started %v", g.starts)
 	}
 	g.registry.Release(id, func(job.Answer) {})
 	g.Run(2 * loop.Second)
 	if len(g.starts) == 0 || g.stored(id).Terms != nil {
-		t.Fatalf("after the release %d starts went out, terms %v", len(g.starts), g.stored(id).Terms)
+		t.Fatalf("after the release %d starts were sent, terms %v", len(g.starts), g.stored(id).Terms)
 	}
 }
 
-// A record that was taken before a hold or a cordon must fail, although the owner has
-// not heard of either: its mirror stands still here.
+// A record composed before a hold or a cordon must fail even if the owner has not received either: its mirror is not
+// updated in this test.
 func TestRecordsAreConditionedOnTerms(t *testing.T) {
 	for _, what := range []string{"hold", "cordon"} {
 		g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
@@ -79,13 +80,13 @@
 		}
 		g.Run(10 * loop.Second)
 		if x := g.p.teams["red"].jobs[id].task(0); len(g.starts) != 0 || x.state != Waiting {
-			t.Errorf("%s: %d starts went out; the task is in state %d, want waiting", what, len(g.starts), x.state)
+			t.Errorf("%s: %d starts were sent; the task is in state %d, want waiting", what, len(g.starts), x.state)
 		}
 	}
 }
 
-// A job may be released from one before it that was withdrawn, may be withdrawn with it,
-// or waits for an operator.
+// When a job that another depends on is cancelled, the dependent job is released, is cancelled as well, or waits for
+// an operator, by its policy.
 func TestWithdrawnDependencies(t *testing.T) {
 	for _, c := range []struct {
 		policy  job.Policy
@@ -96,17 +97,17 @@
 		g.show("n-001", "m8", "x", false)
 		spec := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
 		other := spec
-		other.Team = "blue" // owned elsewhere
+		other.Team = "blue" // owned by another controller
 		first := g.job(1, other)
 		g.registry.Propose("job-000002", &spec, &job.Terms{After: []string{first}, OnWithdrawn: c.policy}, func(job.Answer) {})
 		g.Run(2 * loop.Second)
 		if len(g.starts) != 0 {
-			t.Fatalf("%q: %v went out before %s was done", c.policy, g.starts, first)
+			t.Fatalf("%q: %v were started before %s was done", c.policy, g.starts, first)
 		}
 		g.registry.Withdraw(first, func(job.Answer) {})
 		g.Run(3 * loop.Second)
 		if got := g.stored("job-000002").Phase; (len(g.starts) > 0) != c.started || got != c.phase {
-			t.Errorf("%q: %d starts and phase %q, want started %v and %q", c.policy, len(g.starts), got, c.started, c.phase)
+			t.Errorf("%q: %d starts and phase %q, want started: %v and phase %q", c.policy, len(g.starts), got, c.started, c.phase)
 		}
 		if c.policy != job.PolicyHold {
 			continue
@@ -119,7 +120,7 @@
 	}
 }
 
-// A hold that ends at a time of day ends by itself, and not before every clock agrees.
+// A hold with an end time ends by itself, and not before every controller's wall clock has passed that time.
 func TestHoldUntil(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
 	g.p.cfg.Cluster.ClockOffMS = 500
@@ -132,7 +133,7 @@
 		g.show("n-001", "m8", "x", false)
 	}
 	if len(g.starts) != 0 {
-		t.Fatalf("%v went out before the hold had ended by every clock", g.starts)
+		t.Fatalf("%v were started before the hold had ended by every clock", g.starts)
 	}
 	g.Run(1500 * loop.Millisecond)
 	if len(g.starts) == 0 {
@@ -140,7 +141,7 @@
 	}
 }
 
-// Whose tasks are stopped learns for which job, whoever stopped them.
+// The owner of preempted tasks records for which job they were preempted, whichever controller preempted them.
 func TestStoppedForWhom(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 50}, config.Team{Name: "blue", CPUs: 8, CPUsMax: 50})
 	g.p.n.Tells = true
@@ -163,12 +164,12 @@
 	g.show("n-001", "m8", "x", false, on...)
 	f, ok := g.p.Facts(low, nil, true)
 	if !ok || len(f.Flights) != 1 || f.Flights[0].For != high || f.Stopped["n-001"] != high {
-		t.Fatalf("the facts of the job that was stopped are %+v, want that it saves for %s", f, high)
+		t.Fatalf("the facts of the preempted job are %+v, want a task that saves for %s", f, high)
 	}
 }
 
-// A start that is refused since another attempt of its task is on the machine is freed
-// once that one is gone, also when the stop was lost and the refusal stands as before.
+// A start that is refused because another attempt of its task is on the machine is freed once that attempt has ended,
+// even if the stop was lost and the refusal is unchanged in later views.
 func TestBusyTaskIsFreedLater(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 50})
 	g.show("n-001", "m8", "x", false)
@@ -179,7 +180,7 @@
 	g.show("n-001", "m8", "x", false, agent.Task{Task: name, Attempt: 7, State: wire.TaskRunning}, busy)
 	g.Run(500 * loop.Millisecond)
 	if x := g.p.teams["red"].jobs[id].task(0); x.state != Placed || x.attempt != 1 {
-		t.Fatalf("the task is freed while another attempt of it is there (state %d, attempt %d)", x.state, x.attempt)
+		t.Fatalf("the task is freed while another attempt of it is on the machine (state %d, attempt %d)", x.state, x.attempt)
 	}
 	g.show("n-001", "m8", "x", false, busy)
 	g.Run(500 * loop.Millisecond)
@@ -188,8 +189,8 @@
 	}
 }
 
-// Since when a lost task does not run is counted from its own machine's last word. Of a
-// machine that this owner never heard before, nothing is known: another's was once taken.
+// The outage of a task on a failed machine is measured from the last report of that machine. If this owner never
+// received a report of it, nothing is measured; the time of another machine's report was once used.
 func TestRerunCountsFromTheMachinesOwnWord(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 50})
@@ -204,7 +205,7 @@
 		g.seq++
 		g.a.Learn(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 2, Seq: g.seq, Settled: true, At: g.Now()})
 		if counted := g.p.reruns.open == 1; counted != known {
-			t.Errorf("known before: %v, counted: %v", known, counted)
+			t.Errorf("machine known before: %v, outage measured: %v", known, counted)
 		}
 	}
 }
--- a/internal/placer/turns_test.go
+++ b/internal/placer/turns_test.go
@@ -12,7 +12,7 @@
 	"cleatpick/internal/wire"
 )
 
-// firstClass tells which of two classes the reserve serves first, both with a job that has waited as long.
+// firstClass returns which of two classes the reserve serves first, if a job of each has waited equally long.
 func firstClass(g *rig, a, b string) string {
 	now := g.Now()
 	g.p.reserve.Earn(now, 1000)
@@ -22,7 +22,7 @@
 	return waiters[g.p.reserve.Pick(now, waiters)[0].At].Class
 }
 
-// busyMachine shows a machine whose 8 CPUs are in use by somebody else.
+// busyMachine delivers a view of a machine whose 8 CPUs are in use by tasks of another owner.
 func busyMachine(g *rig, name string) {
 	id := g.job(90, job.Spec{Class: "k", Team: "green", Tasks: 800, CPUs: 1, MemoryGB: 1, AnyType: true})
 	var on []agent.Task
@@ -32,37 +32,37 @@
 	g.show(name, "m8", "x", false, on...)
 }
 
-// A new owner lets the turns go on where they were: class a has got something, b nothing.
+// A new owner continues the accounting of the reserve: class a has been served, class b has not.
 func TestTurnsOutliveTheirOwner(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
 	g.job(1, job.Spec{Class: "a", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	g.show("n-001", "m8", "x", false)
 	g.Run(2 * loop.Second)
 	part := g.p.teams["red"].part
-	g.p.reserve = starvation.New() // as at a controller that begins
+	g.p.reserve = starvation.New() // as at a controller that has just started
 	g.p.Owned(part.id, false, part.claim)
 	g.p.Owned(part.id, true, part.claim)
 	g.Run(2 * loop.Second)
 	if got, want := firstClass(g, "red\x00a", "red\x00b"), "red\x00b"; got != want {
-		t.Errorf("%q goes first, want %q", got, want)
+		t.Errorf("%q is served first, want %q", got, want)
 	}
 }
 
-// What a class gets in the ordinary order counts among its turns.
+// What a class gets in the order of service counts in the reserve's accounting.
 func TestOrdinaryStartsCountAmongTurns(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
 	if got := firstClass(g, "red\x00a", "red\x00b"); got != "red\x00a" {
-		t.Fatalf("%q goes first at the beginning", got)
+		t.Fatalf("%q is served first at the beginning", got)
 	}
 	g.job(1, job.Spec{Class: "a", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	g.show("n-001", "m8", "x", false)
 	g.Run(loop.Second)
 	if got := firstClass(g, "red\x00a", "red\x00b"); got != "red\x00b" {
-		t.Errorf("%q goes first after a start of class a", got)
+		t.Errorf("%q is served first after a start of class a", got)
 	}
 }
 
-// A gang that is larger than all machines keeps nobody else from its turn.
+// A gang that needs more than all machines together does not keep other jobs from being served.
 func TestVainHolds(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red"}, config.Team{Name: "blue", CPUs: 8})
 	busyMachine(g, "n-001")
@@ -72,21 +72,21 @@
 	held := func() bool { return g.p.fleet.Held(whole) > 0 }
 	wait := func(d loop.Micros, until func() bool) bool {
 		for end := g.Now() + d; g.Now() < end && !until(); {
-			g.p.turn.Rate = 5 // as on a small fleet that is in use throughout: less is saved up than a task takes
+			g.p.turn.Rate = 5 // as in a small cluster that is always full: less is saved up than one task takes
 			busyMachine(g, "n-001")
 			g.Run(300 * loop.Millisecond)
 		}
 		return until()
 	}
 	if !wait(100*loop.Second, held) || g.p.fleet.Held(vain) > 0 {
-		t.Fatalf("room is held for the task as large as a machine: %v, for a part of the gang: %d", held(), g.p.fleet.Held(vain))
+		t.Fatalf("capacity is reserved for the task as large as a machine: %v, for tasks of the gang: %d", held(), g.p.fleet.Held(vain))
 	}
 	if got := g.p.teams["red"].jobs[whole].heldCPUs; got != 8 {
-		t.Errorf("%v CPUs are held before their turn, want 8", got)
+		t.Errorf("%v CPUs are reserved out of order, want 8", got)
 	}
 }
 
-// Room that was held and came to nothing gives its class the turn again; what was taken of it does not.
+// A class is refunded for reserved capacity that was not used, and not for the part that was.
 func TestRefund(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 8})
 	id := g.job(1, job.Spec{Class: "a", Team: "red", Tasks: 4, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
@@ -102,12 +102,12 @@
 		x.useHeld(c.used)
 		g.p.refundHeld(x)
 		if got := firstClass(g, "red\x00a", "red\x00b"); got != c.first || x.heldCPUs != 0 {
-			t.Errorf("%q goes first after %d of 4 tasks took what was held, want %q; %v CPUs are still held", got, c.used, c.first, x.heldCPUs)
+			t.Errorf("%q is served first after %d of 4 tasks used the reserved capacity, want %q; %v CPUs are still reserved", got, c.used, c.first, x.heldCPUs)
 		}
 	}
 }
 
-// What is held for a team counts as part of its guarantee, for whichever of its jobs.
+// Capacity reserved for any job of a team counts toward the team's guarantee.
 func TestHeldRoomCountsInTheGuarantee(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16}, config.Team{Name: "blue", CPUs: 16})
 	id := g.job(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
@@ -118,7 +118,7 @@
 	g.p.fleet.Refresh()
 	need := g.p.teams["blue"].jobs[other].need()
 	if n := len(g.p.fleet.Hold(&need, 4, holdLife)); n != 4 {
-		t.Fatalf("room is held for %d tasks, want 4", n)
+		t.Fatalf("capacity is reserved for %d tasks, want 4", n)
 	}
 	tm := g.p.teams["blue"]
 	tm.cpus, g.p.teams["red"].cpus, tm.short.lacks = 5, 40, true
@@ -126,11 +126,11 @@
 	x.at = g.Now() - 80*loop.Second
 	g.p.holdGuaranteed(&entryOf{t: x}, 1000, &budget{unmet: map[*team]float64{}})
 	if got := g.p.fleet.Held(id); got != 3 { // 16 less 5 and 8
-		t.Errorf("room is held for %d tasks, 3 CPUs are left of the guarantee", got)
+		t.Errorf("capacity is reserved for %d tasks, want 3, the CPUs left of the guarantee", got)
 	}
 }
 
-// Room that is being made counts as part of a share.
+// Capacity reserved by preemption counts toward a job's share of the guarantee.
 func TestRoomBeingMadeCountsInTheShare(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
 	id := g.job(1, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 100, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
@@ -141,7 +141,7 @@
 	for held := before; held <= 9; held++ {
 		right := g.p.right(&entryOf{t: x}, &budget{})
 		if want := 8 - held; right.ShareTasks != want || right.RoomTasks != want || right.Share != (want > 0) {
-			t.Errorf("with room for %d tasks being made: share %v of %d, room of %d, want %d", held, right.Share, right.ShareTasks, right.RoomTasks, want)
+			t.Errorf("with reservations for %d tasks: share %v of %d, room of %d, want %d", held, right.Share, right.ShareTasks, right.RoomTasks, want)
 		}
 		g.p.fleet.AddClaim(peer.Claim{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
 	}
--- a/internal/placer/why_bench_test.go
+++ b/internal/placer/why_bench_test.go
@@ -13,9 +13,9 @@
 	"cleatpick/internal/wire"
 )
 
-// BenchmarkWhy gathers and judges one explanation on an owner with 700 full machines and
-// 5,000 waiting tasks in 500 jobs: for the last in line, behind everything; the same with
-// a cordon, which lets the rivals be tried on the fleet; and for one beyond its limit.
+// BenchmarkWhy collects and evaluates one explanation at an owner with 700 full machines and 5,000 waiting tasks in
+// 500 jobs: for the last job in the order of service; for the same job with a cordon, which requires simulating the
+// earlier jobs on the fleet; and for a job beyond its team's limit.
 func BenchmarkWhy(b *testing.B) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 100, CPUsMax: 9000}, config.Team{Name: "blue", CPUs: 0, CPUsMax: 6})
 	for i := range 700 {
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -21,13 +21,13 @@
 	"cleatpick/internal/wire"
 )
 
-// A scene is one owner with machines and jobs in every kind of trouble that can be built
-// here, made from a seed: it can be built again, with some of the reasons taken away.
+// scene is one owner with machines and jobs that wait for many kinds of reasons. It is built from a seed, so that it
+// can be built again with some of the reasons removed.
 type scene struct {
 	*rig
 	rng   *rand.Rand
 	jobs  []string
-	shown map[string][]agent.Task // what runs on each machine for teams that are owned elsewhere
+	shown map[string][]agent.Task // tasks on each machine of teams that are owned elsewhere
 	kind  map[string][3]string    // type, zone and kind of each machine
 	fill  int
 	cord  []cordon.Cordon
@@ -35,7 +35,7 @@
 
 var zones = []string{"x", "y"}
 
-// late lets so many of a job's waiting tasks have failed before.
+// late marks so many of a job's waiting tasks as having failed before.
 func (g *scene) late(t *table, n int) {
 	for range n {
 		if len(t.back) == 0 && t.next == t.j.Tasks {
@@ -50,7 +50,7 @@
 func newScene(seed uint64) *scene {
 	g := &scene{rig: newRig(1000, config.Team{Name: "red", CPUs: 10, CPUsMax: 14}, config.Team{Name: "blue", CPUs: 4, CPUsMax: 60}),
 		rng: rand.New(rand.NewPCG(seed, 11)), shown: map[string][]agent.Task{}, kind: map[string][3]string{}}
-	g.p.pre.nextRun = 1 << 62 // stopping others is not among the reasons looked at here
+	g.p.pre.nextRun = 1 << 62 // preemption is not among the reasons checked here
 	for _, step := range g.rng.Perm(12) {
 		switch {
 		case step < 4:
@@ -63,7 +63,7 @@
 			g.cordon()
 		}
 	}
-	for _, id := range g.jobs { // the causes change mid-wait
+	for _, id := range g.jobs { // the causes change while the jobs wait
 		switch g.rng.IntN(9) {
 		case 0:
 			g.amend(id, func(r *job.Record) { r.Terms = &job.Terms{Hold: job.Hold{State: job.HoldSet, Reason: "r"}} })
@@ -71,7 +71,7 @@
 			g.table(id).trial = health.Trial{State: health.Doubted, Moments: 1, RestTo: g.Now() + 40*loop.Second}
 		case 2:
 			g.table(id).trial = health.Trial{State: health.Broken, Moments: 4}
-		case 3: // some of its tasks failed, and others completed
+		case 3: // some of its tasks failed, others completed
 			t := g.table(id)
 			t.trial = health.Trial{State: health.Sound, Moments: 1 + g.rng.IntN(3)}
 			if g.rng.IntN(2) == 0 {
@@ -88,7 +88,7 @@
 	return g
 }
 
-// settleDown lets what was started show up as running, and the passes come to rest.
+// settleDown lets started tasks be reported as running until passes change nothing more.
 func (g *scene) settleDown() {
 	for range 3 {
 		g.Run(300 * loop.Millisecond)
@@ -113,7 +113,7 @@
 	g.mirror.Apply(job.Keys+id, wire.Marshal(rec), g.state.Put(job.Keys+id, rec), false)
 }
 
-// machine brings one up, perhaps used in part by a team that is owned elsewhere.
+// machine adds a machine, perhaps partly used by a team that is owned elsewhere.
 func (g *scene) machine() {
 	name := fmt.Sprintf("n-%03d", len(g.kind)+1)
 	typ, zone, spot := []string{"m8", "m16"}[g.rng.IntN(2)], zones[g.rng.IntN(2)], g.rng.IntN(2) == 0
@@ -187,8 +187,8 @@
 	g.mirror.Apply(cordon.Key, wire.Marshal(v), g.state.Put(cordon.Key, v), false)
 }
 
-// plain is the model: the reasons as they follow from the scene's raw facts, worked out
-// without the gates. It knows what was built and the tasks' states.
+// plain is a plain model of the reasons. It derives them from what the scene contains and from the tasks' states,
+// without the predicates.
 type plain struct {
 	g *scene
 }
@@ -217,7 +217,7 @@
 	return cpus
 }
 
-// waiting counts the tasks that are neither on their way nor done.
+// waiting counts the tasks that are neither in use nor done.
 func (m plain) waiting(t *table) int {
 	n := 0
 	for i := range t.j.Tasks {
@@ -232,7 +232,7 @@
 	return (s.AnyType || slices.Contains(s.Types, typ)) && (s.Zone == "" || s.Zone == zone) && (s.Spot || kind == "ordinary")
 }
 
-// rooms is what every machine that takes starts has free.
+// rooms returns the free capacity of every machine that accepts starts.
 func (m plain) rooms(cordons bool) map[string]agent.Room {
 	out := map[string]agent.Room{}
 	for name, k := range m.g.kind {
@@ -244,7 +244,7 @@
 	return out
 }
 
-// put takes room for up to n tasks, one by one, and tells how many got some.
+// put places up to n tasks one by one, and returns how many it placed.
 func (m plain) put(s *job.Spec, n int, rooms map[string]agent.Room) int {
 	got := 0
 	for _, name := range slices.Sorted(maps.Keys(rooms)) {
@@ -260,8 +260,7 @@
 	return got
 }
 
-// reasons lists kinds with the tasks that each keeps; rank is left out, which is judged
-// by what happens.
+// reasons returns by kind how many tasks each reason blocks. It omits rank, which is checked by its effect.
 func (m plain) reasons(id string) map[string]int {
 	g, t := m.g, m.g.table(id)
 	s, n := t.j.Spec, m.waiting(t)
@@ -349,7 +348,7 @@
 	return out
 }
 
-// away takes a reason away, as its release says.
+// away removes a reason in the way that its release describes.
 func (g *scene) away(id, kind string, r *explain.Reason, ahead []string) {
 	t := g.table(id)
 	switch kind {
@@ -366,7 +365,7 @@
 	case "backOff":
 		t.trial.RestTo = 0
 	case "probe":
-		// A task completes; as long as the rest lasts, all others are taken to have failed.
+		// A task completes; while the back-off lasts, all others count as failed.
 		if t.trial.State != health.Sound && t.trial.RestTo > g.Now() {
 			g.late(t, t.waiting())
 		}
@@ -378,8 +377,8 @@
 	case "room", "gang":
 		s := t.j.Spec
 		m := plain{g}
-		// A machine with room for one task, for each that lacks it: at a place that is not
-		// cordoned, if there is any, and that work ahead may use as well.
+		// Add a machine with capacity for one task for each task that lacks it: at a place that is not cordoned, if
+		// there is one, and that earlier work may use as well.
 		typ, zone, kind, best := "", "", "", -1
 		for _, ty := range slices.Sorted(maps.Keys(types)) {
 			for _, z := range zones {
@@ -395,7 +394,7 @@
 						if x := g.table(o); x != nil && m.allows(x.j.Spec, ty, z, k) {
 							score |= 1
 							if i == 0 {
-								score |= 2 // the first in the order
+								score |= 2 // the first in the order of service
 							}
 						}
 					}
@@ -428,9 +427,9 @@
 	return explain.Judge(f), f.Sure
 }
 
-// Every reason stated keeps its tasks back by itself, and all together are all there is:
-// with every reason taken away but one the job's tasks still wait, as many as it says;
-// with all taken away they start within one pass. A plain model states the same reasons.
+// Each stated reason blocks its tasks by itself, and together the reasons are complete: with all reasons but one
+// removed, at least as many of the job's tasks still wait as that reason states; with all removed, all tasks start
+// within one pass. A plain model must state the same reasons.
 func TestReasonsAreExact(t *testing.T) {
 	worlds := uint64(1500)
 	if s := os.Getenv("CLEATPICK_WORLDS"); s != "" {
@@ -449,7 +448,7 @@
 			}
 		}
 		if why := g.plainAboard(); why != "" {
-			t.Fatalf("world %d: %s", seed, why)
+			t.Fatalf("seed %d: %s", seed, why)
 		}
 		for _, id := range waits {
 			reasons, sure := g.judge(id)
@@ -461,7 +460,7 @@
 				}
 			}
 			if !maps.Equal(got, want) {
-				t.Fatalf("world %d: %s (%+v): the reasons are %v, by the plain model %v", seed, id, g.table(id).j.Spec, got, want)
+				t.Fatalf("seed %d: %s (%+v): the reasons are %v, by the plain model %v", seed, id, g.table(id).j.Spec, got, want)
 			}
 			if !sure {
 				incomplete++
@@ -485,7 +484,7 @@
 		}
 		for i := -1; i < len(reasons); i++ {
 			if i >= 0 && gate.Named(reasons[i].Kind) > gate.Rank {
-				continue // on its way
+				continue // in flight
 			}
 			h := newScene(seed)
 			for k := range reasons {
@@ -501,7 +500,7 @@
 			}
 			if i < 0 {
 				if left > 0 && sure {
-					t.Fatalf("world %d: %s: all of %s are taken away, and %d tasks still wait", seed, id, list, left)
+					t.Fatalf("seed %d: %s: all of %s are removed, and %d tasks still wait", seed, id, list, left)
 				}
 				continue
 			}
@@ -513,16 +512,16 @@
 			if left == r.Tasks {
 				exact++
 			}
-			// Others of the team, which wait as well, may take what is left of its limit.
+			// Other waiting jobs of the team may use what is left of its limit.
 			if (left == 0 && r.State != "mayBeBehind") || (left < r.Tasks && r.Kind != "rank") {
-				t.Fatalf("world %d: %s: only %s of %s is left, which keeps %d tasks, and %d wait", seed, id, r.Kind, list, r.Tasks, left)
+				t.Fatalf("seed %d: %s: only %s of %s is left, which blocks %d tasks, and %d wait", seed, id, r.Kind, list, r.Tasks, left)
 			}
 		}
 	}
-	t.Logf("%d worlds, %d with several reasons; %d of %d answers not complete; reasons left alone: %v, %d with exactly their tasks, %d ranks uncertain", worlds, several, incomplete, answers, stated, exact, unsure)
+	t.Logf("%d seeds, %d with several reasons; %d of %d answers not complete; single remaining reasons: %v, %d with exactly their tasks, %d ranks uncertain", worlds, several, incomplete, answers, stated, exact, unsure)
 	for _, k := range []string{"hold", "dependency", "backOff", "probe", "teamLimit", "room", "rank", "cordon", "gang"} {
 		if stated[k] == 0 {
-			t.Errorf("no world tried %s", k)
+			t.Errorf("no seed covers reason %s", k)
 		}
 	}
 }
@@ -535,11 +534,11 @@
 	return strings.Join(out, "; ")
 }
 
-// teller is a scene with one team that tells causes, and those that it told last.
+// teller returns a scene with one team that publishes causes, and the causes published last.
 func teller() (*scene, *[]gate.Cause) {
 	g := &scene{rig: newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 90})}
 	g.p.n.Tells = true
-	g.p.pre.nextRun = 1 << 62 // stopping others is not looked at here
+	g.p.pre.nextRun = 1 << 62 // preemption is not checked here
 	var told []gate.Cause
 	g.p.n.Tell = func(all []peer.Progress) {
 		for _, p := range all {
@@ -551,8 +550,8 @@
 	return g, &told
 }
 
-// What a pass notes and tells of a job without room names the gate that is shut: a
-// cordon was once told as a want of room, and operators rented machines for it.
+// The causes published for a job that fits nowhere name the predicate that blocks it. A cordon was once published as
+// a lack of capacity, and operators rented machines for it.
 func TestToldCauses(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -583,13 +582,13 @@
 				}
 			}
 			if !slices.Equal(kinds, c.want) {
-				t.Fatalf("told %v, want %v", *told, c.want)
+				t.Fatalf("published %v, want %v", *told, c.want)
 			}
 		})
 	}
 }
 
-// Where a task on its way stands is told by what its machine's host shows, state by state.
+// The state of a task in flight follows from what its machine's host controller reports, state by state.
 func TestFlightByFlight(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -613,34 +612,34 @@
 			id := g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
 			g.Run(300 * loop.Millisecond)
 			if len(g.starts) != 1 {
-				t.Fatalf("%d starts", len(g.starts))
+				t.Fatalf("got %d starts, want 1", len(g.starts))
 			}
 			c.show(g, agent.Task{Task: agent.TaskName(id, 0), Attempt: 1})
 			g.Run(c.wait + 50*loop.Millisecond)
 			f, _ := g.p.Facts(id, nil, true)
 			switch {
 			case c.kind == 0 && len(f.Flights) != 0:
-				t.Fatalf("told %+v of a task that runs", f.Flights)
+				t.Fatalf("reported %+v for a running task", f.Flights)
 			case c.kind != 0 && (len(f.Flights) != 1 || f.Flights[0].Kind != c.kind || f.Flights[0].State != c.state):
-				t.Fatalf("told %+v, want %v %s", f.Flights, c.kind, c.state)
+				t.Fatalf("reported %+v, want %v %s", f.Flights, c.kind, c.state)
 			}
 		})
 	}
 }
 
-// A cause of another kind is told at once, also when it keeps as many tasks.
+// A cause of another kind is published at once, even if it blocks as many tasks as before.
 func TestCauseOfAnotherKindIsTold(t *testing.T) {
 	g, told := teller()
 	s := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
 	g.rig.job(1, s)
 	g.Run(1500 * loop.Millisecond)
 	if len(*told) != 1 || (*told)[0].Kind != gate.Room {
-		t.Fatalf("told %v of a job without a machine", *told)
+		t.Fatalf("published %v for a job without a machine", *told)
 	}
 	g.putCordons([]cordon.Cordon{{Name: "c", Reason: "r", Machine: "n-001"}})
 	g.show("n-001", "m8", "x", false)
 	g.Run(1500 * loop.Millisecond)
 	if len(*told) != 1 || (*told)[0].Kind != gate.Cordon {
-		t.Fatalf("told %v of a job that only a cordon keeps back", *told)
+		t.Fatalf("published %v for a job that only a cordon blocks", *told)
 	}
 }
