--- a/internal/fleet/claims.go
+++ b/internal/fleet/claims.go
@@ -11,11 +11,11 @@
 	"cleatpick/internal/wire"
 )
 
-// mostEarly bounds the claims that are kept for machines that were not heard yet.
+// mostEarly bounds the reservations that are kept for machines whose first report has not arrived.
 const mostEarly = 1000
 
-// AddClaim keeps room on a machine for a job. Where the machine was not heard yet, nothing is placed on
-// it, and the claim counts from when it is.
+// AddClaim records a reservation of capacity on a machine for a job. While no report of the machine has
+// arrived, nothing is placed on it; the reservation is kept aside and takes effect with the first report.
 func (f *Fleet) AddClaim(c peer.Claim) {
 	sl := f.slots[c.Machine]
 	if sl == nil {
@@ -30,7 +30,7 @@
 	f.held[c.Job]++
 }
 
-// claimEarly keeps the room on a machine for which claims came before it was heard.
+// claimEarly applies the reservations that arrived before the machine's first report and have not expired.
 func (f *Fleet) claimEarly(machine string) {
 	var here []peer.Claim
 	f.early = slices.DeleteFunc(f.early, func(c peer.Claim) bool {
@@ -46,7 +46,8 @@
 	}
 }
 
-// ClaimsOf lists the claims in force of the jobs for which own is true, for a peer that does not know them.
+// ClaimsOf lists the unexpired reservations of the jobs for which own returns true, so that a peer that does
+// not know them can be sent them.
 func (f *Fleet) ClaimsOf(own func(job string) bool) (claims []peer.Claim) {
 	for sl := range f.claimed {
 		for _, c := range sl.Claims {
@@ -72,14 +73,15 @@
 	}
 }
 
-// UseClaim takes a claim of the job on this machine away, since a task took the room.
+// UseClaim removes one reservation of the job on this machine, because a task of the job now uses its
+// capacity.
 func (f *Fleet) UseClaim(sl *Slot, id string) {
 	for i := range sl.Claims {
 		if sl.Claims[i].Job == id {
 			f.dropClaim(sl, i)
 			for k := range sl.Claims {
 				if sl.Claims[k].Job == id {
-					sl.Claims[k].Had++ // the machine will show that task, which used this claim and no other
+					sl.Claims[k].Had++ // the machine will report that task, which consumed this reservation only
 				}
 			}
 			return
@@ -87,8 +89,8 @@
 	}
 }
 
-// usedClaims drops the claims whose tasks the machine shows: another owner had them made, and
-// its task and its claim would take the room twice.
+// usedClaims drops the reservations whose tasks the machine reports. They were made by the job's owner on
+// another controller, whose task and reservation would otherwise count the same capacity twice.
 func (f *Fleet) usedClaims(sl *Slot) {
 	for i := 0; i < len(sl.Claims); i++ {
 		if id := sl.Claims[i].Job; sl.tasksOf(id) > sl.Claims[i].Had {
@@ -98,7 +100,8 @@
 	}
 }
 
-// Spare drops claims of a job beyond so many: its tasks found room elsewhere, or it is over.
+// Spare drops the reservations of a job beyond the given number: its tasks were placed elsewhere, or it is
+// over.
 func (f *Fleet) Spare(id string, most int) {
 	if f.held[id] <= most {
 		return
@@ -117,7 +120,7 @@
 	}
 }
 
-// tasksOf is how many tasks of a job the machine shows, on it or on their way there.
+// tasksOf counts the job's tasks that the machine reports, running there or on their way to it.
 func (sl *Slot) tasksOf(id string) (n int) {
 	for _, list := range [...][]agent.Task{sl.V.Tasks, sl.V.Pending} {
 		for i := range list {
@@ -129,7 +132,7 @@
 	return n
 }
 
-// ExpireClaims ends the claims whose time is up.
+// ExpireClaims drops the reservations whose time has passed.
 func (f *Fleet) ExpireClaims() {
 	wall := f.r.Wall()
 	f.early = slices.DeleteFunc(f.early, func(c peer.Claim) bool { return wall >= c.Until })
@@ -142,13 +145,13 @@
 	}
 }
 
-// Held is the number of claims of a job: room for so many tasks is being made.
+// Held returns the number of reservations of a job, each for one task.
 func (f *Fleet) Held(id string) int { return f.held[id] }
 
-// HeldJobs are the numbers of claims by job. The map is the fleet's own.
+// HeldJobs returns the number of reservations of every job that has any. The caller must not change the map.
 func (f *Fleet) HeldJobs() map[string]int { return f.held }
 
-// Claimed tells whether room is kept on the machine for the job.
+// Claimed reports whether capacity on the machine is reserved for the job.
 func (sl *Slot) Claimed(id string) bool {
 	return slices.ContainsFunc(sl.Claims, func(c gate.Claim) bool { return c.Job == id })
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,7 @@
-// Package fleet is the machines as placement sees them: what is free, what keeps work off
-// them, which is the best for a task, and what would have to be stopped to make room.
+// Package fleet keeps the machines as placement sees them. It computes each machine's free capacity, ranks
+// the machines for a task, keeps the capacity reservations, and chooses which running tasks to preempt for
+// others. It owns one record for each machine that has reported, and the reservations on it. Which job is
+// served next, how starts are recorded and how stops are delivered is left to its callers.
 package fleet
 
 import (
@@ -20,39 +22,39 @@
 	"cleatpick/internal/wire"
 )
 
-// Node is what this slice needs of the node around it.
+// Node holds what the fleet needs of the controller that runs it.
 type Node struct {
 	Label string
 	Type  func(string) (wire.MachineType, bool)
-	// Room is what a view leaves free, Jobs are the jobs of its tasks.
+	// Room returns the capacity that a machine's view leaves free, Jobs the jobs of the tasks in it, by
+	// index; both are false or nil for what is not known here yet.
 	Room func(*agent.View, wire.MachineType) (agent.Room, bool)
 	Jobs func(*agent.View) []*job.Job
-	// Unshown calls f for every task that was chosen for or started on the machine and
-	// that its view does not show yet.
+	// Unshown calls f for every task that was chosen for the machine or started on it and that its view does
+	// not include yet.
 	Unshown func(v *agent.View, f func(*job.Spec))
 	Stop    func(host string, s agent.Stop)
 	Cordons *cordon.Book
-	// StaleAfter is how long after its last word a machine takes no starts.
+	// StaleAfter is the age of a machine's newest report from which on no tasks are started on it.
 	StaleAfter loop.Micros
 }
 
-// Slot is a machine as placement sees it.
+// Slot is one machine with what placement derives from its newest view.
 type Slot struct {
 	gate.Place
 	Runs    *health.Runs
 	Jobs    []*job.Job // of the view's tasks
 	typ     wire.MachineType
 	used    float64
-	cost    float64 // price by CPU
-	dear    float64 // how far that is above the cheapest of all machines here, from 0 to 1
+	cost    float64 // price per CPU
+	dear    float64 // price above that of the cheapest machine known here: 0 for the cheapest, approaching 1
 	stopped []stopping
-	stale   bool         // waits for a refresh
-	lowest  job.Priority // of its tasks
+	stale   bool         // queued for Refresh
+	lowest  job.Priority // lowest priority of its tasks
 }
 
-// Fleet keeps a slot for every machine heard. Slots are brought up to date by Refresh,
-// and only those that something happened to: with many machines, a pass that looked at
-// all of them anew cost more than the node's whole share of a core.
+// Fleet keeps a Slot for every machine that has reported. Refresh updates only those that changed: with many
+// machines, a pass that recomputed all of them took more than the controller's whole share of a core.
 type Fleet struct {
 	r       loop.Runner
 	log     *slog.Logger
@@ -62,29 +64,29 @@
 	sorted  bool
 	stale   []*Slot
 	priced  loop.Micros
-	cordons uint64             // the version by which the slots were judged
-	claimed map[*Slot]struct{} // machines with claims
-	held    map[string]int     // claims by job
-	early   []peer.Claim       // on machines that were not heard yet
+	cordons uint64             // version of the cordons by which the slots were marked
+	claimed map[*Slot]struct{} // machines with reservations
+	held    map[string]int     // number of reservations by job
+	early   []peer.Claim       // reservations on machines that have not reported yet
 	scratch []victim
-	stops   teamCPUs // stopped for one task, by team
+	stops   teamCPUs // CPUs preempted for one task, by team
 	free    []*Slot
-	from    int // where the next look for what to stop begins
+	from    int // index in order at which the next search for preemptions starts
 }
 
-// New makes an empty fleet.
+// New returns an empty fleet.
 func New(r loop.Runner, log *slog.Logger, n Node) *Fleet {
 	return &Fleet{r: r, log: log, n: n, slots: map[string]*Slot{}, claimed: map[*Slot]struct{}{}, held: map[string]int{}}
 }
 
-// Slot is the slot of a machine, nil if it was never heard.
+// Slot returns the record of a machine, or nil if no report of it has arrived.
 func (f *Fleet) Slot(machine string) *Slot { return f.slots[machine] }
 
-// All lists the slots by name; after Refresh.
+// All lists the machines by name, as of the last Refresh.
 func (f *Fleet) All() []*Slot { return f.order }
 
-// Free lists the slots that take starts and have processors left, after Refresh. A pass
-// asks once: in a full fleet that is a small part, and every job is ranked on it alone.
+// Free lists the machines that accept starts and have CPUs left, as of the last Refresh. A pass calls it
+// once: in a full cluster these are a small part of all machines, and each job is ranked on them alone.
 func (f *Fleet) Free() []*Slot {
 	now := f.r.Now()
 	after := now - f.n.StaleAfter
@@ -97,7 +99,8 @@
 	return f.free
 }
 
-// View takes in a machine's newer view, and when it was heard; quiet: nothing on it has changed.
+// View records a machine's newer view and when its report was received. quiet means that nothing on the
+// machine has changed, so that it needs no refresh.
 func (f *Fleet) View(v *agent.View, heard loop.Micros, quiet bool) *Slot {
 	sl := f.slots[v.Name]
 	first := sl == nil
@@ -118,7 +121,7 @@
 	return sl
 }
 
-// Touch marks a slot to be brought up to date; it may be nil.
+// Touch queues a machine for the next Refresh. sl may be nil.
 func (f *Fleet) Touch(sl *Slot) {
 	if sl != nil && !sl.stale {
 		sl.stale = true
@@ -126,7 +129,7 @@
 	}
 }
 
-// Gone forgets a machine that was deleted, with the claims on it.
+// Gone removes a machine that was deleted, with the reservations on it.
 func (f *Fleet) Gone(machine string) {
 	sl := f.slots[machine]
 	if sl == nil {
@@ -140,28 +143,31 @@
 	sl.Known = false
 }
 
-// Rest keeps a machine out of the choice until a time.
+// Rest keeps the machine from being chosen until the given time. An earlier time than the one in force is
+// ignored.
 func (sl *Slot) Rest(until loop.Micros, why string) {
 	if until > sl.Shut {
 		sl.Shut, sl.ShutWhy = until, why
 	}
 }
 
-// Take takes the room of a task that is placed here now.
+// Take subtracts a task that is placed here now from the machine's free capacity.
 func (sl *Slot) Take(s *job.Spec) {
 	sl.Room.Take(s)
 	sl.used += s.CPUs
 }
 
-// Where names the machine for cordons.
+// Where describes a machine for matching it against cordons.
 func Where(v *agent.View) cordon.Place {
 	return cordon.Place{Machine: v.Name, Type: v.Type, Zone: v.Zone, Spot: v.Spot}
 }
 
-// priceEvery is how often prices are compared, which change with the catalog.
+// priceEvery is the time between two comparisons of the machines' prices, which change with the cloud's
+// catalog.
 const priceEvery = 5 * loop.Second
 
-// Refresh brings the slots up to date that were touched.
+// Refresh updates the machines that changed, and the cordon marks and relative prices of all when these may
+// have changed.
 func (f *Fleet) Refresh() {
 	now := f.r.Now()
 	if !f.sorted {
@@ -197,7 +203,7 @@
 	}
 	if !ok {
 		sl.Known = false
-		f.Touch(sl) // until its type and its tasks' jobs are known here
+		f.Touch(sl) // retried until its type and the jobs of its tasks are known here
 		return
 	}
 	f.n.Unshown(v, room.Take)
@@ -214,7 +220,7 @@
 	sl.Cordoned = f.n.Cordons.Barred(Where(v))
 }
 
-// price compares the machines' prices, which change from time to time.
+// price compares the machines' prices per CPU with the cheapest.
 func (f *Fleet) price() {
 	least := math.Inf(1)
 	for _, sl := range f.order {
@@ -233,11 +239,11 @@
 	}
 }
 
-// score says how well a task of the job would go there. What is urgent goes where its
-// image is, so that it starts at once. Anything else goes to the cheapest kind of
-// machine, and there to the fullest, so that dear machines fall empty and can be given
-// back; a fetch costs it little. Machines that report to this node are preferred a
-// little: owners on several nodes otherwise go for the same one.
+// score rates the machine for a task of the job; higher is better. Urgent work goes where its image is
+// cached, so that it starts at once. Other work goes to the cheapest machines and, among those, to the
+// fullest, so that expensive machines become empty and can be deleted; fetching an image costs it little.
+// Machines that report to this controller score slightly higher: otherwise owners on several controllers
+// choose the same machine.
 func (sl *Slot) score(s *job.Spec, here string) float64 {
 	score := 2*sl.used/sl.typ.CPUs - 3*sl.dear
 	if sl.V.Host == here {
@@ -253,7 +259,8 @@
 	return score
 }
 
-// Shape is what decides where a job's tasks fit, for jobs whose tasks may be anywhere.
+// Shape is the part of a job's spec that decides where one of its tasks fits, for jobs whose tasks do not
+// depend on each other's location.
 type Shape struct {
 	cpus, gpus, memory float64
 	types, zone        string
@@ -261,7 +268,7 @@
 	priority           job.Priority
 }
 
-// ShapeOf is a job's shape; free is false where the job's other tasks matter too.
+// ShapeOf returns a job's shape. free is false where the location of the job's other tasks matters too.
 func ShapeOf(s *job.Spec) (sh Shape, free bool) {
 	sh = Shape{s.CPUs, s.GPUs, s.MemoryGB, "*", s.Zone, s.Spot, s.Priority}
 	if !s.AnyType {
@@ -270,12 +277,12 @@
 	return sh, !s.OneZone && !s.Spread
 }
 
-// shunned is more than any two machines' scores differ by.
+// shunned is larger than the difference between any two machines' scores.
 const shunned = 100
 
-// Ranked lists those of the slots that may take a task of the job, the best first. A
-// machine that takes a task becomes fuller, and so stays the best until it is full: the
-// list need not be made anew for every task.
+// Ranked lists those of the given machines that may take a task of the job, the best first. A machine that
+// takes a task becomes fuller and so stays the best until it is full: the list need not be computed anew for
+// every task.
 func (f *Fleet) Ranked(need *gate.Need, slots []*Slot) []*Slot {
 	now := f.r.Now()
 	after := now - f.n.StaleAfter
@@ -301,12 +308,12 @@
 	return out
 }
 
-// Trial tells how many of n more tasks of the job find room now, placing none.
+// Trial counts how many of n more tasks of the job fit now, without placing any.
 func (f *Fleet) Trial(need gate.Need, n int, slots []*Slot) int {
 	return takeRanked(need, n, copied(f.Ranked(&need, slots)))
 }
 
-// Copies are the fleet's slots to be tried on; lifted: as if no cordon were there.
+// Copies returns copies of all machines for trial placement. With lifted, cordons are ignored.
 func (f *Fleet) Copies(lifted bool) []*Slot {
 	out := copied(f.order)
 	for _, sl := range out {
@@ -315,7 +322,7 @@
 	return out
 }
 
-// copied are slots to be tried on.
+// copied returns copies of the machines for trial placement.
 func copied(slots []*Slot) []*Slot {
 	room := make([]Slot, len(slots))
 	out := make([]*Slot, len(slots))
@@ -326,11 +333,12 @@
 	return out
 }
 
-// Take takes the room for up to n tasks of the job on copies of the slots.
+// Take places up to n tasks of the job on the given copies, and returns how many fit.
 func (f *Fleet) Take(need gate.Need, n int, slots []*Slot) int {
 	return takeRanked(need, n, f.Ranked(&need, slots))
 }
 
+// takeRanked places up to n tasks on the slots in their order, changing the slots, and returns how many fit.
 func takeRanked(need gate.Need, n int, slots []*Slot) int {
 	need.Zones = maps.Clone(need.Zones)
 	if need.Zones == nil {
--- a/internal/fleet/hold.go
+++ b/internal/fleet/hold.go
@@ -12,14 +12,15 @@
 	"cleatpick/internal/peer"
 )
 
-// small is the part of a machine up to which a task shares what is held.
+// small is the divisor that separates small tasks from large ones: a task of up to a quarter of a machine's
+// CPUs shares machines with other reservations.
 const small = 4
 
-// Hold keeps room for up to want tasks of a job on machines that have none now, and tells
-// where. It stops nothing: the room comes about as tasks there end, and meanwhile nobody
-// else's tasks take it. What is kept on a machine already is left of it, and small claims share one:
-// each on a machine of its own, they once left none for tasks as large as a machine, nor for gangs.
-// For a gang all is held or nothing, since a part of it is of no use.
+// Hold reserves capacity for up to want tasks of a job on machines that have none free now, and returns the
+// reservations. It preempts nothing: capacity is freed as tasks there end, and meanwhile no other job's tasks
+// take it. Capacity that is reserved already is subtracted first, and small reservations share a machine:
+// when each had a machine of its own, none was left for gangs or for tasks as large as a machine. For a gang
+// it reserves everything or nothing, since a part of a gang cannot run.
 func (f *Fleet) Hold(need *gate.Need, want int, life loop.Micros) (claims []peer.Claim) {
 	n := *need
 	if n.Zones = maps.Clone(need.Zones); n.Zones == nil {
@@ -29,8 +30,8 @@
 	after := now - f.n.StaleAfter
 	type place struct {
 		sl   *Slot
-		left agent.Room // of an empty machine, beside what is kept there
-		own  int        // tasks of the team there
+		left agent.Room // of the empty machine, less its reservations
+		own  int        // number of the team's tasks there
 	}
 	var fit []place
 	s := need.Spec
@@ -45,10 +46,10 @@
 			}
 		}
 	}
-	// What is large goes where nothing is kept, what is small where most is kept already, up to half of a
-	// machine and not beside what is large: each waits for what is kept beside it. Then where least of its
-	// own team runs, which would leave the room to the team anyway, and where most is free, since the rest
-	// comes soonest.
+	// A large task goes where nothing is reserved. A small one goes where most is reserved already, up to
+	// half of a machine and not beside a reservation for a large task: each must wait for the capacity
+	// reserved beside it, too. Next come machines with the fewest tasks of the job's own team, which could
+	// use the freed capacity anyway, and then those with the most free CPUs, where the rest is freed soonest.
 	rank := func(x *place) int {
 		claims := x.sl.Claims
 		switch {
@@ -83,7 +84,7 @@
 	return claims
 }
 
-// tasksOfTeam is how many tasks of a team the machine shows.
+// tasksOfTeam counts the active tasks of a team that the machine reports.
 func (sl *Slot) tasksOfTeam(team string) (n int) {
 	for i, j := range sl.Jobs {
 		if j != nil && j.Spec != nil && j.Spec.Team == team && i < len(sl.V.Tasks) && sl.V.Tasks[i].Active() {
--- a/internal/fleet/hold_test.go
+++ b/internal/fleet/hold_test.go
@@ -16,7 +16,8 @@
 	"cleatpick/internal/wire"
 )
 
-// full is a fleet of machines of 8 CPUs on which nothing is free; team is whose tasks each runs.
+// full returns a fleet of machines of 8 CPUs with nothing free; teams names the team whose task each machine
+// runs.
 func full(clock *standin.Stepped, teams ...string) *Fleet {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	client := store.NewClient(clock, nil, log, 100, 100, 1)
@@ -44,7 +45,8 @@
 	return f
 }
 
-// Small tasks share machines up to half of each, where others' work ends; a large one gets one to itself.
+// Small reservations share machines up to half of each, on machines that run other teams' work; a large task
+// gets a machine without reservations.
 func TestHold(t *testing.T) {
 	clock := standin.NewStepped(1000 * loop.Second)
 	f := full(clock, "own", "other", "other", "own")
@@ -62,25 +64,25 @@
 		want  string
 	}{
 		{"job-1", 2, 1, "[n-1]"},
-		{"job-2", 2, 1, "[n-1]"}, // beside the other
-		{"job-3", 2, 1, "[n-2]"}, // half of n-1 is kept
-		{"job-4", 8, 1, "[n-0]"}, // n-1 and n-2 have claims
+		{"job-2", 2, 1, "[n-1]"}, // shares the machine with job-1
+		{"job-3", 2, 1, "[n-2]"}, // half of n-1 is reserved
+		{"job-4", 8, 1, "[n-0]"}, // n-1 and n-2 have reservations
 		{"job-5", 2, 2, "[n-2 n-2]"},
 		{"job-6", 2, 1, "[n-3]"},
 	} {
 		if got := fmt.Sprint(hold(c.id, c.cpus, c.tasks)); got != c.want {
-			t.Errorf("room for %d tasks of %v CPUs of %s is held on %s, want %s", c.tasks, c.cpus, c.id, got, c.want)
+			t.Errorf("capacity for %d tasks of %v CPUs of %s is reserved on %s, want %s", c.tasks, c.cpus, c.id, got, c.want)
 		}
 	}
 }
 
-// A right that holds for some tasks of a job is used up by them.
+// A right that covers only some tasks of a job ends once that many of them have had tasks preempted for them.
 func TestRightIsUsedUp(t *testing.T) {
 	for tasks, want := range []Right{{Share: true, Room: true}, {Share: true, Room: true}, {Share: true}, {}, {}} {
 		r := Right{Share: true, Room: true, ShareTasks: 3, RoomTasks: 2}
 		r.used(tasks)
 		if r.Share != want.Share || r.Room != want.Room {
-			t.Errorf("after %d tasks: share %v, room %v, want %v, %v", tasks, r.Share, r.Room, want.Share, want.Room)
+			t.Errorf("after %d tasks: Share %v, Room %v, want %v, %v", tasks, r.Share, r.Room, want.Share, want.Room)
 		}
 	}
 }
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -12,14 +12,15 @@
 	"cleatpick/internal/peer"
 )
 
-// option is what making room for one task on a machine takes.
+// option is a set of preemptions on one machine that make capacity for one task, with their cost in CPU
+// seconds.
 type option struct {
 	sl   *Slot
 	set  []victim
 	cost float64
 }
 
-// optionOn finds the cheapest stops on a machine that make room for a task of the job.
+// optionOn finds the cheapest preemptions on a machine that make capacity for a task of the job.
 func (f *Fleet) optionOn(need *gate.Need, sl *Slot, now loop.Micros, by *Right) (option, bool) {
 	s := need.Spec
 	o := option{sl: sl}
@@ -40,8 +41,8 @@
 			break
 		}
 		v := &f.scratch[i]
-		// What is stopped for one task counts together: each by itself, they once took a team
-		// below its guarantee.
+		// The victims for one task count together against their team's excess: checked one by one, they took
+		// a team below its guarantee.
 		if !by.allows(s, v.spec, f.stops.of(v.spec.Team)) {
 			continue
 		}
@@ -56,7 +57,7 @@
 	return o, true
 }
 
-// options is a heap, the cheapest first.
+// options is a heap with the cheapest option first.
 type options []option
 
 func (o options) Len() int           { return len(o) }
@@ -70,29 +71,30 @@
 	return x
 }
 
-// choices is how many options are looked for, for each that is wanted.
+// choices is the number of options to collect for each one that is wanted.
 const choices = 8
 
-// claimPriority is the priority up to which others leave alone the room that is made: all do. Work
-// of higher priority once took the room of a guarantee at once, and was stopped for it again.
+// claimPriority is the priority of the reservations made by preemption; work of higher priority would ignore
+// them. It is the highest, so none does: when higher priorities took the capacity freed for a guarantee,
+// their tasks were at once preempted for that guarantee again.
 const claimPriority = job.Production
 
-// claimLife is how long room that is being made is kept; atImageLife is the same where
-// other room is there meanwhile.
+// claimLife is how long a reservation lasts after its victims' grace periods; atImageLife is the same where
+// the job's tasks fit elsewhere meanwhile.
 const (
 	claimLife   = 4 * loop.Second
 	atImageLife = 1500 * loop.Millisecond
 )
 
-// Preempt makes room for the waiting tasks of a job that found none, and tells where: a
-// claim for each.
+// Preempt stops tasks to make capacity for up to want tasks of a job that did not fit, and returns one
+// reservation for each task it made capacity for.
 func (f *Fleet) Preempt(need *gate.Need, want int, by Right) (claims []peer.Claim) {
 	return f.preempt(need, want, &by, math.Inf(1), claimLife, func(*Slot) bool { return true })
 }
 
-// PreemptAtImage makes room for an urgent job's tasks on machines that have its image,
-// though others have room: there the tasks would wait for the fetch. It stops only work
-// of which it loses less than the fetch would cost, so that nothing is wasted by it.
+// PreemptAtImage makes capacity for an urgent job's tasks on machines that have its image cached, although
+// others have free capacity: there the tasks would wait for the fetch. It stops only tasks that lose less
+// than the fetch costs, so that the preemption is no net loss.
 func (f *Fleet) PreemptAtImage(need *gate.Need, want int, by Right) []peer.Claim {
 	rate := math.Inf(1)
 	for _, sl := range f.order {
@@ -101,15 +103,15 @@
 		}
 	}
 	most := fetchWorth * need.Spec.ImageGB / rate * need.Spec.CPUs
-	by.LowerOnly = true // the tasks have room elsewhere
+	by.LowerOnly = true // the tasks fit elsewhere
 	return f.preempt(need, want, &by, most, atImageLife, func(sl *Slot) bool { return sl.Runs.HasImage(need.Spec.Image) })
 }
 
-// fetchWorth is how many times what a fetch takes may be lost to avoid it: an urgent task
-// holds its own room for the fetch, and its users wait for as long.
+// fetchWorth is how many times the cost of a fetch may be lost to avoid it: while the image is fetched, an
+// urgent task occupies its own capacity and its users wait.
 const fetchWorth = 3
 
-// AtImage is how many of n tasks of the job find room on machines that have its image.
+// AtImage counts how many of n tasks of the job fit on machines that have its image cached.
 func (f *Fleet) AtImage(need gate.Need, n int, slots []*Slot) int {
 	var there []*Slot
 	for _, sl := range slots {
@@ -123,22 +125,22 @@
 	return f.Trial(need, n, there)
 }
 
-// preempt goes through the machines that are of use once, until there is enough to choose
-// from; only the one that was chosen is looked at again. Each claim costs at most so many
-// CPU seconds.
+// preempt computes options on the machines for which of returns true, once for each, until it has enough to
+// choose from. After that it recomputes only the chosen machine. Each task may cost at most the given number
+// of CPU seconds.
 func (f *Fleet) preempt(need *gate.Need, want int, by *Right, most float64, life loop.Micros, of func(*Slot) bool) (claims []peer.Claim) {
 	s := need.Spec
 	now := f.r.Now()
 	after := now - f.n.StaleAfter
 	var all options
 	borrowed := by.Guarantee && !by.LowerOnly && by.anyExcess(s.Team)
-	// Any of many machines will do about as well as the best of all: the look begins where
-	// the last one ended, and is over once there is enough to choose from.
+	// With many machines, any few of them are about as good as the best of all: the search starts where the
+	// last one ended, and stops once there are enough options.
 	for k := 0; k < len(f.order) && len(all) < choices*(want+8); k++ {
 		f.from = (f.from + 1) % len(f.order)
 		sl := f.order[f.from]
 		if (sl.lowest >= s.Priority && !borrowed) || !of(sl) || !sl.Open(after, now) {
-			continue // nothing there gives way
+			continue // no task there may be preempted
 		}
 		if o, ok := f.optionOn(need, sl, now, by); ok && o.cost <= most {
 			all = append(all, o)
@@ -148,7 +150,7 @@
 	made := 0
 	for made < want && len(all) > 0 {
 		best := all[0]
-		// What was stopped since for this job may have used up another team's excess.
+		// Preemptions made for this job since may have used up another team's excess.
 		o, ok := f.optionOn(need, best.sl, now, by)
 		if !ok || o.cost > most {
 			heap.Pop(&all)
@@ -166,7 +168,7 @@
 			by.Excess[y.spec.Team] -= y.spec.CPUs
 			o.sl.Room.Give(y.spec)
 			o.sl.stopped = append(o.sl.stopped, stopping{delivery.Attempt{Task: y.task.Task, Number: y.task.Attempt}, now + y.grace + 5*loop.Second})
-			f.log.Debug("preempt", "task", y.task.Task, "machine", o.sl.V.Name, "for", need.ID, "grace_us", y.grace)
+			f.log.Debug("preempting task to make capacity for another job", "task", y.task.Task, "machine", o.sl.V.Name, "for", need.ID, "grace_us", y.grace)
 			f.n.Stop(o.sl.V.Host, agent.Stop{Machine: o.sl.V.Name, Task: y.task.Task, Attempt: y.task.Attempt, Grace: y.grace})
 		}
 		o.sl.Room.Take(s)
--- a/internal/fleet/right.go
+++ b/internal/fleet/right.go
@@ -2,33 +2,34 @@
 
 import "cleatpick/internal/job"
 
-// Right is what a job may stop others' tasks for. The protocol allows two things: lower priority
-// gives way to higher, and what a team runs beyond its guarantee gives way to another team's
-// guarantee. Where the two meet they undo each other without end: work beyond a guarantee stops
-// work of lower priority within another one, whose team takes the room back by right. So the
-// guarantee counts for more here, and what may stop what is an order: first by guarantee, then by
-// priority.
+// Right says which tasks may be preempted for a job. The protocol allows two kinds of preemption: lower
+// priority yields to higher, and what a team runs beyond its guarantee yields to another team's guarantee.
+// Combined freely they undo each other without end: work beyond a guarantee preempts lower-priority work
+// within another guarantee, whose team then reclaims the capacity. The guarantee therefore takes precedence
+// here, which orders all preemptions: first by guarantee, then by priority.
 type Right struct {
-	// Guarantee: the task's job fits into its team's guarantee, and the task does beside all that the
-	// team runs. It may stop what other teams run beyond theirs, of any priority.
+	// Guarantee: the task's job fits into its team's guarantee, and the task still fits beside everything the
+	// team runs. It may preempt what other teams run beyond their guarantee, at any priority.
 	Guarantee bool
-	// Share: the task is of what comes first in its team, by priority, up to the guarantee, also where its
-	// job does not fit into that as a whole. It may stop work of lower priority of its own team.
+	// Share: taking the team's work by priority up to its guarantee, the task is part of it, even where the
+	// job as a whole does not fit into the guarantee. It may preempt lower-priority work of its own team.
 	Share bool
-	// Room: the team runs less than its guarantee, by a task at least. With Share, the task may stop
-	// work of lower priority of any team.
+	// Room: the team's usage is below its guarantee by at least one task. With Share, the task may preempt
+	// lower-priority work of any team.
 	Room bool
-	// ShareTasks and RoomTasks are for how many tasks of the job Share and Room hold: each is true of the
-	// first of them, and what is stopped for one leaves less to the next.
+	// ShareTasks and RoomTasks are the numbers of tasks of the job for which Share and Room hold: preemption
+	// for one task leaves less of the guarantee to the next.
 	ShareTasks, RoomTasks int
-	// LowerOnly: nothing of the same priority or of a higher one is stopped.
+	// LowerOnly: only tasks of lower priority may be preempted.
 	LowerOnly bool
-	// Excess is what each team runs beyond its guarantee; negative: so much is left of it.
+	// Excess is each team's usage beyond its guarantee in CPUs; it is negative for a team below its
+	// guarantee.
 	Excess map[string]float64
 }
 
-// allows applies the rules to one victim, where so many CPUs of its team are stopped for the same
-// claimant already: each victim by itself would take a team below its guarantee.
+// allows reports whether the victim may be preempted for the claimant. stopped is the number of CPUs of the
+// victim's team that are preempted for the same claimant already: without it, several victims together would
+// take a team below its guarantee.
 func (r *Right) allows(claimant, victim *job.Spec, stopped float64) bool {
 	borrowed := r.Excess[victim.Team]-stopped >= victim.CPUs
 	sameTeam := victim.Team == claimant.Team
@@ -38,13 +39,13 @@
 	return r.Guarantee && borrowed && !sameTeam && !victim.Service && !r.LowerOnly
 }
 
-// used takes in for how many tasks of the job something was stopped since the right was judged.
+// used updates the right after preemptions for the given number of the job's tasks.
 func (r *Right) used(tasks int) {
 	r.Share = r.Share && tasks < r.ShareTasks
 	r.Room = r.Room && tasks < r.RoomTasks
 }
 
-// anyExcess tells whether another team runs more than its guarantee.
+// anyExcess reports whether any other team's usage exceeds its guarantee.
 func (r *Right) anyExcess(team string) bool {
 	for name, x := range r.Excess {
 		if name != team && x > 0 {
@@ -54,7 +55,7 @@
 	return false
 }
 
-// teamCPUs counts CPUs by team, for the few teams of one machine.
+// teamCPUs counts CPUs by team; a slice is enough for the few teams on one machine.
 type teamCPUs []struct {
 	team string
 	cpus float64
--- a/internal/fleet/victims.go
+++ b/internal/fleet/victims.go
@@ -12,13 +12,13 @@
 	"cleatpick/internal/wire"
 )
 
-// stopping is a task that was asked to stop, and until when that counts.
+// stopping is a task that was preempted, and until when the request counts as pending.
 type stopping struct {
 	attempt delivery.Attempt
 	until   loop.Micros
 }
 
-// isStopping tells whether the task was asked to stop lately.
+// isStopping reports whether a preemption of the task is pending. It drops entries whose time has passed.
 func (sl *Slot) isStopping(t *agent.Task, now loop.Micros) bool {
 	for i := 0; i < len(sl.stopped); i++ {
 		switch x := &sl.stopped[i]; {
@@ -32,7 +32,7 @@
 	return false
 }
 
-// victim is a task that may be stopped, and what that loses.
+// victim is a task that may be preempted, with the work that would be lost.
 type victim struct {
 	task  *agent.Task
 	spec  *job.Spec
@@ -40,8 +40,8 @@
 	grace loop.Micros
 }
 
-// victims lists what may be stopped on a machine, each by itself: what is of lower priority, and
-// then the rest, the least loss first.
+// victims appends the tasks on a machine that may be preempted, each considered by itself: those of lower
+// priority first, then the others, and within each group the least loss first.
 func (f *Fleet) victims(out []victim, need *gate.Need, sl *Slot, now loop.Micros, by *Right) []victim {
 	urgent := need.Spec.Priority >= job.High
 	for i := range sl.V.Tasks {
@@ -75,8 +75,8 @@
 		}
 		out = append(out, y)
 	}
-	// What a guarantee takes of the same priority or a higher one comes last: how much of it may go
-	// depends on all that is stopped before.
+	// Tasks of the same or a higher priority, which only a guarantee may preempt, come last: how many of them
+	// may be preempted depends on everything preempted before.
 	lower := func(v *victim) int {
 		if v.spec.Priority < need.Spec.Priority {
 			return 0
