--- a/internal/fleet/claims.go
+++ b/internal/fleet/claims.go
@@ -11,36 +11,36 @@
 	"cleatpick/internal/wire"
 )
 
-// mostEarly bounds the reservations that are kept for machines whose first report has not arrived.
-const mostEarly = 1000
+// maxPendingReservations bounds the reservations that are kept for machines whose first report has not arrived.
+const maxPendingReservations = 1000
 
 // AddClaim records a reservation of capacity on a machine for a job. While no report of the machine has
 // arrived, nothing is placed on it; the reservation is kept aside and takes effect with the first report.
 func (f *Fleet) AddClaim(c peer.Claim) {
-	sl := f.slots[c.Machine]
-	if sl == nil {
-		if len(f.early) < mostEarly {
-			f.early = append(f.early, c)
+	m := f.slots[c.Machine]
+	if m == nil {
+		if len(f.pendingReservations) < maxPendingReservations {
+			f.pendingReservations = append(f.pendingReservations, c)
 		}
 		return
 	}
-	sl.Claims = append(sl.Claims, gate.Claim{Job: c.Job, Priority: c.Priority, Until: c.Until, Had: sl.tasksOf(c.Job),
+	m.Claims = append(m.Claims, gate.Claim{Job: c.Job, Priority: c.Priority, Until: c.Until, Had: m.taskCount(c.Job),
 		Room: agent.Room{CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB}})
-	f.claimed[sl] = struct{}{}
-	f.held[c.Job]++
+	f.reserved[m] = struct{}{}
+	f.reservationCounts[c.Job]++
 }
 
-// claimEarly applies the reservations that arrived before the machine's first report and have not expired.
-func (f *Fleet) claimEarly(machine string) {
+// applyPendingReservations applies the reservations that arrived before the machine's first report and have not expired.
+func (f *Fleet) applyPendingReservations(machine string) {
 	var here []peer.Claim
-	f.early = slices.DeleteFunc(f.early, func(c peer.Claim) bool {
+	f.pendingReservations = slices.DeleteFunc(f.pendingReservations, func(c peer.Claim) bool {
 		if c.Machine == machine {
 			here = append(here, c)
 		}
 		return c.Machine == machine
 	})
 	for _, c := range here {
-		if f.r.Wall() < c.Until {
+		if f.runner.Wall() < c.Until {
 			f.AddClaim(c)
 		}
 	}
@@ -49,10 +49,10 @@
 // ClaimsOf lists the unexpired reservations of the jobs for which own returns true, so that a peer that does
 // not know them can be sent them.
 func (f *Fleet) ClaimsOf(own func(job string) bool) (claims []peer.Claim) {
-	for sl := range f.claimed {
-		for _, c := range sl.Claims {
+	for m := range f.reserved {
+		for _, c := range m.Claims {
 			if own(c.Job) {
-				claims = append(claims, peer.Claim{Machine: sl.V.Name, Job: c.Job, Priority: c.Priority, CPUs: c.Room.CPUs, GPUs: c.Room.GPUs, MemoryGB: c.Room.MemoryGB, Until: c.Until})
+				claims = append(claims, peer.Claim{Machine: m.V.Name, Job: c.Job, Priority: c.Priority, CPUs: c.Room.CPUs, GPUs: c.Room.GPUs, MemoryGB: c.Room.MemoryGB, Until: c.Until})
 			}
 		}
 	}
@@ -62,26 +62,26 @@
 	return claims
 }
 
-func (f *Fleet) dropClaim(sl *Slot, i int) {
-	id := sl.Claims[i].Job
-	if f.held[id]--; f.held[id] <= 0 {
-		delete(f.held, id)
+func (f *Fleet) dropReservation(m *Slot, i int) {
+	id := m.Claims[i].Job
+	if f.reservationCounts[id]--; f.reservationCounts[id] <= 0 {
+		delete(f.reservationCounts, id)
 	}
-	sl.Claims = append(sl.Claims[:i], sl.Claims[i+1:]...)
-	if len(sl.Claims) == 0 {
-		delete(f.claimed, sl)
+	m.Claims = append(m.Claims[:i], m.Claims[i+1:]...)
+	if len(m.Claims) == 0 {
+		delete(f.reserved, m)
 	}
 }
 
 // UseClaim removes one reservation of the job on this machine, because a task of the job now uses its
 // capacity.
-func (f *Fleet) UseClaim(sl *Slot, id string) {
-	for i := range sl.Claims {
-		if sl.Claims[i].Job == id {
-			f.dropClaim(sl, i)
-			for k := range sl.Claims {
-				if sl.Claims[k].Job == id {
-					sl.Claims[k].Had++ // the machine will report that task, which consumed this reservation only
+func (f *Fleet) UseClaim(m *Slot, id string) {
+	for i := range m.Claims {
+		if m.Claims[i].Job == id {
+			f.dropReservation(m, i)
+			for k := range m.Claims {
+				if m.Claims[k].Job == id {
+					m.Claims[k].Had++ // the machine will report that task, which consumed this reservation only
 				}
 			}
 			return
@@ -89,12 +89,12 @@
 	}
 }
 
-// usedClaims drops the reservations whose tasks the machine reports. They were made by the job's owner on
+// dropConsumedReservations drops the reservations whose tasks the machine reports. They were made by the job's owner on
 // another controller, whose task and reservation would otherwise count the same capacity twice.
-func (f *Fleet) usedClaims(sl *Slot) {
-	for i := 0; i < len(sl.Claims); i++ {
-		if id := sl.Claims[i].Job; sl.tasksOf(id) > sl.Claims[i].Had {
-			f.UseClaim(sl, id)
+func (f *Fleet) dropConsumedReservations(m *Slot) {
+	for i := 0; i < len(m.Claims); i++ {
+		if id := m.Claims[i].Job; m.taskCount(id) > m.Claims[i].Had {
+			f.UseClaim(m, id)
 			i = -1
 		}
 	}
@@ -103,26 +103,26 @@
 // Spare drops the reservations of a job beyond the given number: its tasks were placed elsewhere, or it is
 // over.
 func (f *Fleet) Spare(id string, most int) {
-	if f.held[id] <= most {
+	if f.reservationCounts[id] <= most {
 		return
 	}
 	var on []*Slot
-	for sl := range f.claimed {
-		on = append(on, sl)
+	for m := range f.reserved {
+		on = append(on, m)
 	}
 	slices.SortFunc(on, func(a, b *Slot) int { return strings.Compare(a.V.Name, b.V.Name) })
-	for _, sl := range on {
-		for i := len(sl.Claims) - 1; i >= 0 && f.held[id] > most; i-- {
-			if sl.Claims[i].Job == id {
-				f.dropClaim(sl, i)
+	for _, m := range on {
+		for i := len(m.Claims) - 1; i >= 0 && f.reservationCounts[id] > most; i-- {
+			if m.Claims[i].Job == id {
+				f.dropReservation(m, i)
 			}
 		}
 	}
 }
 
-// tasksOf counts the job's tasks that the machine reports, running there or on their way to it.
-func (sl *Slot) tasksOf(id string) (n int) {
-	for _, list := range [...][]agent.Task{sl.V.Tasks, sl.V.Pending} {
+// taskCount counts the job's tasks that the machine reports, running there or on their way to it.
+func (m *Slot) taskCount(id string) (n int) {
+	for _, list := range [...][]agent.Task{m.V.Tasks, m.V.Pending} {
 		for i := range list {
 			if of, _, _ := agent.SplitTask(list[i].Task); of == id && list[i].State != wire.TaskExited {
 				n++
@@ -134,24 +134,24 @@
 
 // ExpireClaims drops the reservations whose time has passed.
 func (f *Fleet) ExpireClaims() {
-	wall := f.r.Wall()
-	f.early = slices.DeleteFunc(f.early, func(c peer.Claim) bool { return wall >= c.Until })
-	for sl := range f.claimed {
-		for i := len(sl.Claims) - 1; i >= 0; i-- {
-			if wall >= sl.Claims[i].Until {
-				f.dropClaim(sl, i)
+	wall := f.runner.Wall()
+	f.pendingReservations = slices.DeleteFunc(f.pendingReservations, func(c peer.Claim) bool { return wall >= c.Until })
+	for m := range f.reserved {
+		for i := len(m.Claims) - 1; i >= 0; i-- {
+			if wall >= m.Claims[i].Until {
+				f.dropReservation(m, i)
 			}
 		}
 	}
 }
 
 // Held returns the number of reservations of a job, each for one task.
-func (f *Fleet) Held(id string) int { return f.held[id] }
+func (f *Fleet) Held(id string) int { return f.reservationCounts[id] }
 
 // HeldJobs returns the number of reservations of every job that has any. The caller must not change the map.
-func (f *Fleet) HeldJobs() map[string]int { return f.held }
+func (f *Fleet) HeldJobs() map[string]int { return f.reservationCounts }
 
 // Claimed reports whether capacity on the machine is reserved for the job.
-func (sl *Slot) Claimed(id string) bool {
-	return slices.ContainsFunc(sl.Claims, func(c gate.Claim) bool { return c.Job == id })
+func (m *Slot) Claimed(id string) bool {
+	return slices.ContainsFunc(m.Claims, func(c gate.Claim) bool { return c.Job == id })
 }
--- a/internal/fleet/claims_test.go
+++ b/internal/fleet/claims_test.go
@@ -21,11 +21,11 @@
 // n-000002 and n-000003 for job-003055 at 301.587 s; a controller that has just started owns the team red at
 // 303.169 s; n-000003 has 4 CPUs free at 304.447 s and none at 305.084 s, after four starts of that team
 // (job-000925, job-000928), and so on until the reservations expire at 321.6 s.
-func TestClaimsOutliveTheControllersThatWereTold(t *testing.T) {
+func TestReservationsReachNewControllers(t *testing.T) {
 	clock := standin.NewStepped(1000 * loop.Second)
-	begin := func() *Fleet { return New(clock, slog.New(slog.NewTextHandler(io.Discard, nil)), Node{Label: "a"}) }
+	newFleet := func() *Fleet { return New(clock, slog.New(slog.NewTextHandler(io.Discard, nil)), Node{Label: "a"}) }
 	machine := func(name string) *agent.View { return &agent.View{Name: name, Type: "m8"} }
-	owner := begin()
+	owner := newFleet()
 	owner.View(machine("n-1"), clock.Now(), false)
 	owner.View(machine("n-2"), clock.Now(), false)
 	until := clock.Wall() + 20*loop.Second
@@ -37,7 +37,7 @@
 	if len(owned) != 3 {
 		t.Fatalf("%d reservations of job-1 are listed for peers, want 3: %+v", len(owned), owned)
 	}
-	later := begin()
+	later := newFleet()
 	later.View(machine("n-1"), clock.Now(), false)
 	for _, c := range owned {
 		later.AddClaim(c)
@@ -49,14 +49,14 @@
 	if got, want := later.ClaimsOf(func(string) bool { return true }), owned; len(got) != len(want) || got[2].CPUs != 4 || got[2].Until != until {
 		t.Errorf("reservations %+v, want %+v", got, want)
 	}
-	last := begin()
+	last := newFleet()
 	for _, c := range owned {
 		last.AddClaim(c)
 	}
 	clock.Run(20 * loop.Second)
 	last.ExpireClaims()
 	last.View(machine("n-2"), clock.Now(), false)
-	if got := last.Held("job-1"); got != 0 || len(last.early) != 0 {
-		t.Errorf("%d reservations are in force after their expiry, %d are kept for unreported machines; want none", got, len(last.early))
+	if got := last.Held("job-1"); got != 0 || len(last.pendingReservations) != 0 {
+		t.Errorf("%d reservations are in force after their expiry, %d are kept for unreported machines; want none", got, len(last.pendingReservations))
 	}
 }
--- a/internal/fleet/hold.go
+++ b/internal/fleet/hold.go
@@ -12,9 +12,9 @@
 	"cleatpick/internal/peer"
 )
 
-// small is the divisor that separates small tasks from large ones: a task of up to a quarter of a machine's
+// smallTaskDivisor is the divisor that separates smallTaskDivisor tasks from large ones: a task of up to a quarter of a machine's
 // CPUs shares machines with other reservations.
-const small = 4
+const smallTaskDivisor = 4
 
 // Hold reserves capacity for up to want tasks of a job on machines that have none free now, and returns the
 // reservations. It preempts nothing: capacity is freed as tasks there end, and meanwhile no other job's tasks
@@ -26,23 +26,23 @@
 	if n.Zones = maps.Clone(need.Zones); n.Zones == nil {
 		n.Zones = map[string]int{}
 	}
-	now := f.r.Now()
-	after := now - f.n.StaleAfter
+	now := f.runner.Now()
+	after := now - f.node.StaleAfter
 	type place struct {
-		sl   *Slot
+		m    *Slot
 		left agent.Room // of the empty machine, less its reservations
 		own  int        // number of the team's tasks there
 	}
 	var fit []place
 	s := need.Spec
-	for _, sl := range f.order {
-		if sl.typ.CPUs > 0 && sl.Open(after, now) && sl.Allowed(&n) {
-			left := agent.Room{CPUs: sl.typ.CPUs, GPUs: sl.typ.GPUs, MemoryGB: sl.typ.MemoryGB}
-			for i := range sl.Claims {
-				left = left.Less(sl.Claims[i].Room)
+	for _, m := range f.order {
+		if m.typ.CPUs > 0 && m.Open(after, now) && m.Allowed(&n) {
+			left := agent.Room{CPUs: m.typ.CPUs, GPUs: m.typ.GPUs, MemoryGB: m.typ.MemoryGB}
+			for i := range m.Claims {
+				left = left.Less(m.Claims[i].Room)
 			}
 			if left.Fits(s) {
-				fit = append(fit, place{sl, left, sl.tasksOfTeam(s.Team)})
+				fit = append(fit, place{m, left, m.teamTaskCount(s.Team)})
 			}
 		}
 	}
@@ -51,24 +51,24 @@
 	// reserved beside it, too. Next come machines with the fewest tasks of the job's own team, which could
 	// use the freed capacity anyway, and then those with the most free CPUs, where the rest is freed soonest.
 	rank := func(x *place) int {
-		claims := x.sl.Claims
+		claims := x.m.Claims
 		switch {
-		case small*s.CPUs > x.sl.typ.CPUs:
+		case smallTaskDivisor*s.CPUs > x.m.typ.CPUs:
 			return len(claims)
-		case 2*x.left.CPUs <= x.sl.typ.CPUs, slices.ContainsFunc(claims, func(c gate.Claim) bool { return small*c.Room.CPUs > x.sl.typ.CPUs }):
+		case 2*x.left.CPUs <= x.m.typ.CPUs, slices.ContainsFunc(claims, func(c gate.Claim) bool { return smallTaskDivisor*c.Room.CPUs > x.m.typ.CPUs }):
 			return 1
 		}
 		return -len(claims)
 	}
 	slices.SortStableFunc(fit, func(a, b place) int {
-		return cmp.Or(cmp.Compare(rank(&a), rank(&b)), cmp.Compare(a.own, b.own), cmp.Compare(b.sl.Room.CPUs, a.sl.Room.CPUs))
+		return cmp.Or(cmp.Compare(rank(&a), rank(&b)), cmp.Compare(a.own, b.own), cmp.Compare(b.m.Room.CPUs, a.m.Room.CPUs))
 	})
 	for _, x := range fit {
-		sl, room := x.sl, x.left
-		for len(claims) < want && room.Fits(s) && sl.Allowed(&n) {
+		m, room := x.m, x.left
+		for len(claims) < want && room.Fits(s) && m.Allowed(&n) {
 			room.Take(s)
-			n.Zones[sl.V.Zone]++
-			c := peer.Claim{Machine: sl.V.Name, Job: need.ID, Priority: int(job.Production), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Until: f.r.Wall() + life}
+			n.Zones[m.V.Zone]++
+			c := peer.Claim{Machine: m.V.Name, Job: need.ID, Priority: int(job.Production), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Until: f.runner.Wall() + life}
 			claims = append(claims, c)
 		}
 		if len(claims) == want {
@@ -84,10 +84,10 @@
 	return claims
 }
 
-// tasksOfTeam counts the active tasks of a team that the machine reports.
-func (sl *Slot) tasksOfTeam(team string) (n int) {
-	for i, j := range sl.Jobs {
-		if j != nil && j.Spec != nil && j.Spec.Team == team && i < len(sl.V.Tasks) && sl.V.Tasks[i].Active() {
+// teamTaskCount counts the active tasks of a team that the machine reports.
+func (m *Slot) teamTaskCount(team string) (n int) {
+	for i, j := range m.Jobs {
+		if j != nil && j.Spec != nil && j.Spec.Team == team && i < len(m.V.Tasks) && m.V.Tasks[i].Active() {
 			n++
 		}
 	}
--- a/internal/fleet/hold_test.go
+++ b/internal/fleet/hold_test.go
@@ -16,9 +16,9 @@
 	"cleatpick/internal/wire"
 )
 
-// full returns a fleet of machines of 8 CPUs with nothing free; teams names the team whose task each machine
+// newFullFleet returns a fleet of machines of 8 CPUs with nothing free; teams names the team whose task each machine
 // runs.
-func full(clock *standin.Stepped, teams ...string) *Fleet {
+func newFullFleet(clock *standin.Stepped, teams ...string) *Fleet {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	client := store.NewClient(clock, nil, log, 100, 100, 1)
 	jobs := map[string]*job.Job{}
@@ -47,9 +47,9 @@
 
 // Small reservations share machines up to half of each, on machines that run other teams' work; a large task
 // gets a machine without reservations.
-func TestHold(t *testing.T) {
+func TestReserveSharesMachinesAmongSmallTasks(t *testing.T) {
 	clock := standin.NewStepped(1000 * loop.Second)
-	f := full(clock, "own", "other", "other", "own")
+	f := newFullFleet(clock, "own", "other", "other", "own")
 	hold := func(id string, cpus float64, tasks int) (on []string) {
 		spec := &job.Spec{Team: "own", CPUs: cpus, MemoryGB: 1, AnyType: true}
 		for _, c := range f.Hold(&gate.Need{ID: id, Spec: spec, Tasks: tasks}, tasks, 20*loop.Second) {
@@ -77,10 +77,10 @@
 }
 
 // A right that covers only some tasks of a job ends once that many of them have had tasks preempted for them.
-func TestRightIsUsedUp(t *testing.T) {
+func TestPreemptionRightsAreConsumed(t *testing.T) {
 	for tasks, want := range []Right{{Share: true, Room: true}, {Share: true, Room: true}, {Share: true}, {}, {}} {
 		r := Right{Share: true, Room: true, ShareTasks: 3, RoomTasks: 2}
-		r.used(tasks)
+		r.consume(tasks)
 		if r.Share != want.Share || r.Room != want.Room {
 			t.Errorf("after %d tasks: Share %v, Room %v, want %v, %v", tasks, r.Share, r.Room, want.Share, want.Room)
 		}
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -12,30 +12,30 @@
 	"cleatpick/internal/peer"
 )
 
-// option is a set of preemptions on one machine that make capacity for one task, with their cost in CPU
+// candidate is a set of preemptions on one machine that make capacity for one task, with their cost in CPU
 // seconds.
-type option struct {
-	sl   *Slot
-	set  []victim
-	cost float64
+type candidate struct {
+	m       *Slot
+	victims []victim
+	cost    float64
 }
 
-// optionOn finds the cheapest preemptions on a machine that make capacity for a task of the job.
-func (f *Fleet) optionOn(need *gate.Need, sl *Slot, now loop.Micros, by *Right) (option, bool) {
+// candidateOn finds the cheapest preemptions on a machine that make capacity for a task of the job.
+func (f *Fleet) candidateOn(need *gate.Need, m *Slot, now loop.Micros, by *Right) (candidate, bool) {
 	s := need.Spec
-	o := option{sl: sl}
-	if !sl.Allowed(need) {
+	o := candidate{m: m}
+	if !m.Allowed(need) {
 		return o, false
 	}
-	f.scratch = f.victims(f.scratch[:0], need, sl, now, by)
+	f.scratch = f.victims(f.scratch[:0], need, m, now, by)
 	if len(f.scratch) == 0 {
 		return o, false
 	}
-	room := sl.Beside(need)
-	if !sl.Runs.HasImage(s.Image) {
+	room := m.Beside(need)
+	if !m.Runs.HasImage(s.Image) {
 		o.cost = 20 * s.CPUs
 	}
-	f.stops.clear()
+	f.preemptedCPUs.clear()
 	for i := range f.scratch {
 		if room.Fits(s) {
 			break
@@ -43,53 +43,53 @@
 		v := &f.scratch[i]
 		// The victims for one task count together against their team's excess: checked one by one, they took
 		// a team below its guarantee.
-		if !by.allows(s, v.spec, f.stops.of(v.spec.Team)) {
+		if !by.allows(s, v.spec, f.preemptedCPUs.of(v.spec.Team)) {
 			continue
 		}
-		f.stops.add(v.spec)
+		f.preemptedCPUs.add(v.spec)
 		room.Give(v.spec)
 		o.cost += v.loss
-		o.set = append(o.set, *v)
+		o.victims = append(o.victims, *v)
 	}
-	if len(o.set) == 0 || !room.Fits(s) {
+	if len(o.victims) == 0 || !room.Fits(s) {
 		return o, false
 	}
 	return o, true
 }
 
-// options is a heap with the cheapest option first.
-type options []option
+// candidateHeap is a heap with the cheapest candidate first.
+type candidateHeap []candidate
 
-func (o options) Len() int           { return len(o) }
-func (o options) Less(i, j int) bool { return o[i].cost < o[j].cost }
-func (o options) Swap(i, j int)      { o[i], o[j] = o[j], o[i] }
-func (o *options) Push(x any)        { *o = append(*o, x.(option)) }
-func (o *options) Pop() any {
+func (o candidateHeap) Len() int           { return len(o) }
+func (o candidateHeap) Less(i, j int) bool { return o[i].cost < o[j].cost }
+func (o candidateHeap) Swap(i, j int)      { o[i], o[j] = o[j], o[i] }
+func (o *candidateHeap) Push(x any)        { *o = append(*o, x.(candidate)) }
+func (o *candidateHeap) Pop() any {
 	old := *o
 	x := old[len(old)-1]
 	*o = old[:len(old)-1]
 	return x
 }
 
-// choices is the number of options to collect for each one that is wanted.
-const choices = 8
+// candidatesPerTask is the number of candidates to collect for each one that is wanted.
+const candidatesPerTask = 8
 
-// claimPriority is the priority of the reservations made by preemption; work of higher priority would ignore
+// reservationPriority is the priority of the reservations made by preemption; work of higher priority would ignore
 // them. It is the highest, so none does: when higher priorities took the capacity freed for a guarantee,
 // their tasks were at once preempted for that guarantee again.
-const claimPriority = job.Production
+const reservationPriority = job.Production
 
-// claimLife is how long a reservation lasts after its victims' grace periods; atImageLife is the same where
+// reservationLife is how long a reservation lasts after its victims' grace periods; imageReservationLife is the same where
 // the job's tasks fit elsewhere meanwhile.
 const (
-	claimLife   = 4 * loop.Second
-	atImageLife = 1500 * loop.Millisecond
+	reservationLife      = 4 * loop.Second
+	imageReservationLife = 1500 * loop.Millisecond
 )
 
 // Preempt stops tasks to make capacity for up to want tasks of a job that did not fit, and returns one
 // reservation for each task it made capacity for.
 func (f *Fleet) Preempt(need *gate.Need, want int, by Right) (claims []peer.Claim) {
-	return f.preempt(need, want, &by, math.Inf(1), claimLife, func(*Slot) bool { return true })
+	return f.preempt(need, want, &by, math.Inf(1), reservationLife, func(*Slot) bool { return true })
 }
 
 // PreemptAtImage makes capacity for an urgent job's tasks on machines that have its image cached, although
@@ -97,26 +97,26 @@
 // than the fetch costs, so that the preemption is no net loss.
 func (f *Fleet) PreemptAtImage(need *gate.Need, want int, by Right) []peer.Claim {
 	rate := math.Inf(1)
-	for _, sl := range f.order {
-		if sl.typ.FetchGBs > 0 {
-			rate = min(rate, sl.typ.FetchGBs)
+	for _, m := range f.order {
+		if m.typ.FetchGBs > 0 {
+			rate = min(rate, m.typ.FetchGBs)
 		}
 	}
-	most := fetchWorth * need.Spec.ImageGB / rate * need.Spec.CPUs
+	most := fetchCostFactor * need.Spec.ImageGB / rate * need.Spec.CPUs
 	by.LowerOnly = true // the tasks fit elsewhere
-	return f.preempt(need, want, &by, most, atImageLife, func(sl *Slot) bool { return sl.Runs.HasImage(need.Spec.Image) })
+	return f.preempt(need, want, &by, most, imageReservationLife, func(m *Slot) bool { return m.Runs.HasImage(need.Spec.Image) })
 }
 
-// fetchWorth is how many times the cost of a fetch may be lost to avoid it: while the image is fetched, an
+// fetchCostFactor is how many times the cost of a fetch may be lost to avoid it: while the image is fetched, an
 // urgent task occupies its own capacity and its users wait.
-const fetchWorth = 3
+const fetchCostFactor = 3
 
 // AtImage counts how many of n tasks of the job fit on machines that have its image cached.
 func (f *Fleet) AtImage(need gate.Need, n int, slots []*Slot) int {
 	var there []*Slot
-	for _, sl := range slots {
-		if sl.Runs.HasImage(need.Spec.Image) {
-			there = append(there, sl)
+	for _, m := range slots {
+		if m.Runs.HasImage(need.Spec.Image) {
+			there = append(there, m)
 		}
 	}
 	if len(there) == 0 {
@@ -125,24 +125,24 @@
 	return f.Trial(need, n, there)
 }
 
-// preempt computes options on the machines for which of returns true, once for each, until it has enough to
+// preempt computes candidates on the machines for which of returns true, once for each, until it has enough to
 // choose from. After that it recomputes only the chosen machine. Each task may cost at most the given number
 // of CPU seconds.
-func (f *Fleet) preempt(need *gate.Need, want int, by *Right, most float64, life loop.Micros, of func(*Slot) bool) (claims []peer.Claim) {
+func (f *Fleet) preempt(need *gate.Need, want int, by *Right, maxCost float64, life loop.Micros, eligible func(*Slot) bool) (claims []peer.Claim) {
 	s := need.Spec
-	now := f.r.Now()
-	after := now - f.n.StaleAfter
-	var all options
-	borrowed := by.Guarantee && !by.LowerOnly && by.anyExcess(s.Team)
+	now := f.runner.Now()
+	after := now - f.node.StaleAfter
+	var all candidateHeap
+	borrowed := by.Guarantee && !by.LowerOnly && by.anyOtherExcess(s.Team)
 	// With many machines, any few of them are about as good as the best of all: the search starts where the
-	// last one ended, and stops once there are enough options.
-	for k := 0; k < len(f.order) && len(all) < choices*(want+8); k++ {
-		f.from = (f.from + 1) % len(f.order)
-		sl := f.order[f.from]
-		if (sl.lowest >= s.Priority && !borrowed) || !of(sl) || !sl.Open(after, now) {
+	// last one ended, and stops once there are enough candidates.
+	for k := 0; k < len(f.order) && len(all) < candidatesPerTask*(want+8); k++ {
+		f.nextScan = (f.nextScan + 1) % len(f.order)
+		m := f.order[f.nextScan]
+		if (m.lowestPriority >= s.Priority && !borrowed) || !eligible(m) || !m.Open(after, now) {
 			continue // no task there may be preempted
 		}
-		if o, ok := f.optionOn(need, sl, now, by); ok && o.cost <= most {
+		if o, ok := f.candidateOn(need, m, now, by); ok && o.cost <= maxCost {
 			all = append(all, o)
 		}
 	}
@@ -151,8 +151,8 @@
 	for made < want && len(all) > 0 {
 		best := all[0]
 		// Preemptions made for this job since may have used up another team's excess.
-		o, ok := f.optionOn(need, best.sl, now, by)
-		if !ok || o.cost > most {
+		o, ok := f.candidateOn(need, best.m, now, by)
+		if !ok || o.cost > maxCost {
 			heap.Pop(&all)
 			continue
 		}
@@ -163,25 +163,25 @@
 		}
 		made++
 		wait := loop.Micros(0)
-		for _, y := range o.set {
+		for _, y := range o.victims {
 			wait = max(wait, y.grace)
 			by.Excess[y.spec.Team] -= y.spec.CPUs
-			o.sl.Room.Give(y.spec)
-			o.sl.stopped = append(o.sl.stopped, stopping{delivery.Attempt{Task: y.task.Task, Number: y.task.Attempt}, now + y.grace + 5*loop.Second})
-			f.log.Debug("preempting task to make capacity for another job", "task", y.task.Task, "machine", o.sl.V.Name, "for", need.ID, "grace_us", y.grace)
-			f.n.Stop(o.sl.V.Host, agent.Stop{Machine: o.sl.V.Name, Task: y.task.Task, Attempt: y.task.Attempt, Grace: y.grace})
+			o.m.Room.Give(y.spec)
+			o.m.preempted = append(o.m.preempted, pendingPreemption{delivery.Attempt{Task: y.task.Task, Number: y.task.Attempt}, now + y.grace + 5*loop.Second})
+			f.log.Debug("preempting task to make capacity for another job", "task", y.task.Task, "machine", o.m.V.Name, "for", need.ID, "grace_us", y.grace)
+			f.node.Stop(o.m.V.Host, agent.Stop{Machine: o.m.V.Name, Task: y.task.Task, Attempt: y.task.Attempt, Grace: y.grace})
 		}
-		o.sl.Room.Take(s)
-		f.Touch(o.sl)
-		c := peer.Claim{Machine: o.sl.V.Name, Job: need.ID, Priority: int(claimPriority), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB,
-			Until: f.r.Wall() + wait + life}
-		for _, y := range o.set {
+		o.m.Room.Take(s)
+		f.Touch(o.m)
+		c := peer.Claim{Machine: o.m.V.Name, Job: need.ID, Priority: int(reservationPriority), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB,
+			Until: f.runner.Wall() + wait + life}
+		for _, y := range o.victims {
 			c.Victims = append(c.Victims, y.task.Task)
 		}
 		f.AddClaim(c)
 		claims = append(claims, c)
-		by.used(made)
-		if again, ok := f.optionOn(need, o.sl, now, by); ok {
+		by.consume(made)
+		if again, ok := f.candidateOn(need, o.m, now, by); ok {
 			all[0] = again
 			heap.Fix(&all, 0)
 		} else {
--- a/internal/fleet/right.go
+++ b/internal/fleet/right.go
@@ -39,14 +39,14 @@
 	return r.Guarantee && borrowed && !sameTeam && !victim.Service && !r.LowerOnly
 }
 
-// used updates the right after preemptions for the given number of the job's tasks.
-func (r *Right) used(tasks int) {
+// consume updates the right after preemptions for the given number of the job's tasks.
+func (r *Right) consume(tasks int) {
 	r.Share = r.Share && tasks < r.ShareTasks
 	r.Room = r.Room && tasks < r.RoomTasks
 }
 
-// anyExcess reports whether any other team's usage exceeds its guarantee.
-func (r *Right) anyExcess(team string) bool {
+// anyOtherExcess reports whether any other team's usage exceeds its guarantee.
+func (r *Right) anyOtherExcess(team string) bool {
 	for name, x := range r.Excess {
 		if name != team && x > 0 {
 			return true
--- a/internal/fleet/right_test.go
+++ b/internal/fleet/right_test.go
@@ -6,8 +6,8 @@
 	"cleatpick/internal/job"
 )
 
-// TestRight checks the preemption rules case by case, for a claimant of team red and a victim of two CPUs.
-func TestRight(t *testing.T) {
+// TestPreemptionRights checks the preemption rules case by case, for a claimant of team red and a victim of two CPUs.
+func TestPreemptionRights(t *testing.T) {
 	all := Right{Guarantee: true, Share: true, Room: true}
 	beyond := Right{}                       // the claimant is beyond its team's guarantee
 	large := Right{Share: true, Room: true} // the claimant's job does not fit into the guarantee, its first tasks do
--- a/internal/fleet/victims.go
+++ b/internal/fleet/victims.go
@@ -12,18 +12,18 @@
 	"cleatpick/internal/wire"
 )
 
-// stopping is a task that was preempted, and until when the request counts as pending.
-type stopping struct {
+// pendingPreemption is a task that was preempted, and until when the request counts as pending.
+type pendingPreemption struct {
 	attempt delivery.Attempt
 	until   loop.Micros
 }
 
 // isStopping reports whether a preemption of the task is pending. It drops entries whose time has passed.
-func (sl *Slot) isStopping(t *agent.Task, now loop.Micros) bool {
-	for i := 0; i < len(sl.stopped); i++ {
-		switch x := &sl.stopped[i]; {
+func (m *Slot) isStopping(t *agent.Task, now loop.Micros) bool {
+	for i := 0; i < len(m.preempted); i++ {
+		switch x := &m.preempted[i]; {
 		case now > x.until:
-			sl.stopped = append(sl.stopped[:i], sl.stopped[i+1:]...)
+			m.preempted = append(m.preempted[:i], m.preempted[i+1:]...)
 			i--
 		case x.attempt.Number == t.Attempt && x.attempt.Task == t.Task:
 			return true
@@ -42,23 +42,23 @@
 
 // victims appends the tasks on a machine that may be preempted, each considered by itself: those of lower
 // priority first, then the others, and within each group the least loss first.
-func (f *Fleet) victims(out []victim, need *gate.Need, sl *Slot, now loop.Micros, by *Right) []victim {
+func (f *Fleet) victims(out []victim, need *gate.Need, m *Slot, now loop.Micros, by *Right) []victim {
 	urgent := need.Spec.Priority >= job.High
-	for i := range sl.V.Tasks {
-		x := &sl.V.Tasks[i]
+	for i := range m.V.Tasks {
+		x := &m.V.Tasks[i]
 		if x.State != wire.TaskRunning && x.State != wire.TaskFetching {
 			continue
 		}
-		j := sl.Jobs[i]
+		j := m.Jobs[i]
 		if j == nil || j.Spec == nil || !by.allows(need.Spec, j.Spec, 0) {
 			continue
 		}
-		if sl.isStopping(x, now) {
+		if m.isStopping(x, now) {
 			continue
 		}
 		s := j.Spec
 		var ran loop.Micros
-		if since := sl.Runs.Since(i); since != 0 {
+		if since := m.Runs.Since(i); since != 0 {
 			ran = now - since
 		}
 		y := victim{task: x, spec: s}
