--- a/internal/fleet/claims.go
+++ b/internal/fleet/claims.go
@@ -62,7 +62,7 @@
 	return claims
 }
 
-func (f *Fleet) dropReservation(m *Slot, i int) {
+func (f *Fleet) dropReservation(m *Machine, i int) {
 	id := m.Claims[i].Job
 	if f.reservationCounts[id]--; f.reservationCounts[id] <= 0 {
 		delete(f.reservationCounts, id)
@@ -75,7 +75,7 @@
 
 // UseClaim removes one reservation of the job on this machine, because a task of the job now uses its
 // capacity.
-func (f *Fleet) UseClaim(m *Slot, id string) {
+func (f *Fleet) UseClaim(m *Machine, id string) {
 	for i := range m.Claims {
 		if m.Claims[i].Job == id {
 			f.dropReservation(m, i)
@@ -91,7 +91,7 @@
 
 // dropConsumedReservations drops the reservations whose tasks the machine reports. They were made by the job's owner on
 // another controller, whose task and reservation would otherwise count the same capacity twice.
-func (f *Fleet) dropConsumedReservations(m *Slot) {
+func (f *Fleet) dropConsumedReservations(m *Machine) {
 	for i := 0; i < len(m.Claims); i++ {
 		if id := m.Claims[i].Job; m.taskCount(id) > m.Claims[i].Had {
 			f.UseClaim(m, id)
@@ -106,11 +106,11 @@
 	if f.reservationCounts[id] <= most {
 		return
 	}
-	var on []*Slot
+	var on []*Machine
 	for m := range f.reserved {
 		on = append(on, m)
 	}
-	slices.SortFunc(on, func(a, b *Slot) int { return strings.Compare(a.V.Name, b.V.Name) })
+	slices.SortFunc(on, func(a, b *Machine) int { return strings.Compare(a.V.Name, b.V.Name) })
 	for _, m := range on {
 		for i := len(m.Claims) - 1; i >= 0 && f.reservationCounts[id] > most; i-- {
 			if m.Claims[i].Job == id {
@@ -121,7 +121,7 @@
 }
 
 // taskCount counts the job's tasks that the machine reports, running there or on their way to it.
-func (m *Slot) taskCount(id string) (n int) {
+func (m *Machine) taskCount(id string) (n int) {
 	for _, list := range [...][]agent.Task{m.V.Tasks, m.V.Pending} {
 		for i := range list {
 			if of, _, _ := agent.SplitTask(list[i].Task); of == id && list[i].State != wire.TaskExited {
@@ -152,6 +152,6 @@
 func (f *Fleet) HeldJobs() map[string]int { return f.reservationCounts }
 
 // Claimed reports whether capacity on the machine is reserved for the job.
-func (m *Slot) Claimed(id string) bool {
+func (m *Machine) Claimed(id string) bool {
 	return slices.ContainsFunc(m.Claims, func(c gate.Claim) bool { return c.Job == id })
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -39,8 +39,8 @@
 	StaleAfter loop.Micros
 }
 
-// Slot is one machine with what placement derives from its newest view.
-type Slot struct {
+// Machine is one machine with what placement derives from its newest view.
+type Machine struct {
 	gate.Place
 	Runs           *health.Runs
 	Jobs           []*job.Job // of the view's tasks
@@ -59,35 +59,35 @@
 	runner              loop.Runner
 	log                 *slog.Logger
 	node                Node
-	slots               map[string]*Slot
-	order               []*Slot // by name
+	slots               map[string]*Machine
+	order               []*Machine // by name
 	sorted              bool
-	stale               []*Slot
+	stale               []*Machine
 	pricedAt            loop.Micros
-	cordonVersion       uint64             // version of the cordons by which the slots were marked
-	reserved            map[*Slot]struct{} // machines with reservations
-	reservationCounts   map[string]int     // number of reservations by job
-	pendingReservations []peer.Claim       // reservations on machines that have not reported yet
+	cordonVersion       uint64                // version of the cordons by which the slots were marked
+	reserved            map[*Machine]struct{} // machines with reservations
+	reservationCounts   map[string]int        // number of reservations by job
+	pendingReservations []peer.Claim          // reservations on machines that have not reported yet
 	scratch             []victim
 	preemptedCPUs       teamCPUs // CPUs preempted for one task, by team
-	free                []*Slot
+	free                []*Machine
 	nextScan            int // index in order at which the next search for preemptions starts
 }
 
 // New returns an empty fleet.
 func New(r loop.Runner, log *slog.Logger, n Node) *Fleet {
-	return &Fleet{runner: r, log: log, node: n, slots: map[string]*Slot{}, reserved: map[*Slot]struct{}{}, reservationCounts: map[string]int{}}
+	return &Fleet{runner: r, log: log, node: n, slots: map[string]*Machine{}, reserved: map[*Machine]struct{}{}, reservationCounts: map[string]int{}}
 }
 
 // Slot returns the record of a machine, or nil if no report of it has arrived.
-func (f *Fleet) Slot(machine string) *Slot { return f.slots[machine] }
+func (f *Fleet) Slot(machine string) *Machine { return f.slots[machine] }
 
 // All lists the machines by name, as of the last Refresh.
-func (f *Fleet) All() []*Slot { return f.order }
+func (f *Fleet) All() []*Machine { return f.order }
 
 // Free lists the machines that accept starts and have CPUs left, as of the last Refresh. A pass calls it
 // once: in a full cluster these are a small part of all machines, and each job is ranked on them alone.
-func (f *Fleet) Free() []*Slot {
+func (f *Fleet) Free() []*Machine {
 	now := f.runner.Now()
 	after := now - f.node.StaleAfter
 	f.free = f.free[:0]
@@ -101,11 +101,11 @@
 
 // View records a machine's newer view and when its report was received. quiet means that nothing on the
 // machine has changed, so that it needs no refresh.
-func (f *Fleet) View(v *agent.View, heard loop.Micros, quiet bool) *Slot {
+func (f *Fleet) View(v *agent.View, heard loop.Micros, quiet bool) *Machine {
 	m := f.slots[v.Name]
 	first := m == nil
 	if first {
-		m = &Slot{Runs: health.NewRuns()}
+		m = &Machine{Runs: health.NewRuns()}
 		f.slots[v.Name] = m
 		f.order = append(f.order, m)
 		f.sorted = false
@@ -122,7 +122,7 @@
 }
 
 // Touch queues a machine for the next Refresh. m may be nil.
-func (f *Fleet) Touch(m *Slot) {
+func (f *Fleet) Touch(m *Machine) {
 	if m != nil && !m.stale {
 		m.stale = true
 		f.stale = append(f.stale, m)
@@ -139,20 +139,20 @@
 		f.dropReservation(m, 0)
 	}
 	delete(f.slots, machine)
-	f.order = slices.DeleteFunc(f.order, func(x *Slot) bool { return x == m })
+	f.order = slices.DeleteFunc(f.order, func(x *Machine) bool { return x == m })
 	m.Known = false
 }
 
 // Rest keeps the machine from being chosen until the given time. An earlier time than the one in force is
 // ignored.
-func (m *Slot) Rest(until loop.Micros, why string) {
+func (m *Machine) Rest(until loop.Micros, why string) {
 	if until > m.Shut {
 		m.Shut, m.ShutWhy = until, why
 	}
 }
 
 // Take subtracts a task that is placed here now from the machine's free capacity.
-func (m *Slot) Take(s *job.Spec) {
+func (m *Machine) Take(s *job.Spec) {
 	m.Room.Take(s)
 	m.usedCPUs += s.CPUs
 }
@@ -171,7 +171,7 @@
 func (f *Fleet) Refresh() {
 	now := f.runner.Now()
 	if !f.sorted {
-		slices.SortFunc(f.order, func(a, b *Slot) int { return strings.Compare(a.V.Name, b.V.Name) })
+		slices.SortFunc(f.order, func(a, b *Machine) int { return strings.Compare(a.V.Name, b.V.Name) })
 		f.sorted = true
 	}
 	if v := f.node.Cordons.Version(); v != f.cordonVersion {
@@ -194,7 +194,7 @@
 	}
 }
 
-func (f *Fleet) refresh(m *Slot) {
+func (f *Fleet) refresh(m *Machine) {
 	v := m.V
 	typ, ok := f.node.Type(v.Type)
 	var room agent.Room
@@ -244,7 +244,7 @@
 // fullest, so that expensive machines become empty and can be deleted; fetching an image costs it little.
 // Machines that report to this controller score slightly higher: otherwise owners on several controllers
 // choose the same machine.
-func (m *Slot) score(s *job.Spec, here string) float64 {
+func (m *Machine) score(s *job.Spec, here string) float64 {
 	score := 2*m.usedCPUs/m.typ.CPUs - 3*m.priceExcess
 	if m.V.Host == here {
 		score += 0.4
@@ -283,11 +283,11 @@
 // Ranked lists those of the given machines that may take a task of the job, the best first. A machine that
 // takes a task becomes fuller and so stays the best until it is full: the list need not be computed anew for
 // every task.
-func (f *Fleet) Ranked(need *gate.Need, slots []*Slot) []*Slot {
+func (f *Fleet) Ranked(need *gate.Need, slots []*Machine) []*Machine {
 	now := f.runner.Now()
 	after := now - f.node.StaleAfter
 	type scored struct {
-		m     *Slot
+		m     *Machine
 		score float64
 	}
 	var all []scored
@@ -301,7 +301,7 @@
 		}
 	}
 	slices.SortStableFunc(all, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
-	out := make([]*Slot, len(all))
+	out := make([]*Machine, len(all))
 	for i := range all {
 		out[i] = all[i].m
 	}
@@ -309,12 +309,12 @@
 }
 
 // Trial counts how many of n more tasks of the job fit now, without placing any.
-func (f *Fleet) Trial(need gate.Need, n int, slots []*Slot) int {
+func (f *Fleet) Trial(need gate.Need, n int, slots []*Machine) int {
 	return placeOnRanked(need, n, copySlots(f.Ranked(&need, slots)))
 }
 
 // Copies returns copies of all machines for trial placement. With lifted, cordons are ignored.
-func (f *Fleet) Copies(lifted bool) []*Slot {
+func (f *Fleet) Copies(lifted bool) []*Machine {
 	out := copySlots(f.order)
 	for _, m := range out {
 		m.Cordoned = m.Cordoned && !lifted
@@ -323,9 +323,9 @@
 }
 
 // copySlots returns copies of the machines for trial placement.
-func copySlots(slots []*Slot) []*Slot {
-	room := make([]Slot, len(slots))
-	out := make([]*Slot, len(slots))
+func copySlots(slots []*Machine) []*Machine {
+	room := make([]Machine, len(slots))
+	out := make([]*Machine, len(slots))
 	for i, m := range slots {
 		room[i] = *m
 		out[i] = &room[i]
@@ -334,12 +334,12 @@
 }
 
 // Take places up to n tasks of the job on the given copies, and returns how many fit.
-func (f *Fleet) Take(need gate.Need, n int, slots []*Slot) int {
+func (f *Fleet) Take(need gate.Need, n int, slots []*Machine) int {
 	return placeOnRanked(need, n, f.Ranked(&need, slots))
 }
 
 // placeOnRanked places up to n tasks on the slots in their order, changing the slots, and returns how many fit.
-func placeOnRanked(need gate.Need, n int, slots []*Slot) int {
+func placeOnRanked(need gate.Need, n int, slots []*Machine) int {
 	need.Zones = maps.Clone(need.Zones)
 	if need.Zones == nil {
 		need.Zones = map[string]int{}
--- a/internal/fleet/hold.go
+++ b/internal/fleet/hold.go
@@ -29,7 +29,7 @@
 	now := f.runner.Now()
 	after := now - f.node.StaleAfter
 	type place struct {
-		m    *Slot
+		m    *Machine
 		left agent.Room // of the empty machine, less its reservations
 		own  int        // number of the team's tasks there
 	}
@@ -85,7 +85,7 @@
 }
 
 // teamTaskCount counts the active tasks of a team that the machine reports.
-func (m *Slot) teamTaskCount(team string) (n int) {
+func (m *Machine) teamTaskCount(team string) (n int) {
 	for i, j := range m.Jobs {
 		if j != nil && j.Spec != nil && j.Spec.Team == team && i < len(m.V.Tasks) && m.V.Tasks[i].Active() {
 			n++
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -15,13 +15,13 @@
 // candidate is a set of preemptions on one machine that make capacity for one task, with their cost in CPU
 // seconds.
 type candidate struct {
-	m       *Slot
+	m       *Machine
 	victims []victim
 	cost    float64
 }
 
 // candidateOn finds the cheapest preemptions on a machine that make capacity for a task of the job.
-func (f *Fleet) candidateOn(need *gate.Need, m *Slot, now loop.Micros, by *Right) (candidate, bool) {
+func (f *Fleet) candidateOn(need *gate.Need, m *Machine, now loop.Micros, by *Right) (candidate, bool) {
 	s := need.Spec
 	o := candidate{m: m}
 	if !m.Allowed(need) {
@@ -89,7 +89,7 @@
 // Preempt stops tasks to make capacity for up to want tasks of a job that did not fit, and returns one
 // reservation for each task it made capacity for.
 func (f *Fleet) Preempt(need *gate.Need, want int, by Right) (claims []peer.Claim) {
-	return f.preempt(need, want, &by, math.Inf(1), reservationLife, func(*Slot) bool { return true })
+	return f.preempt(need, want, &by, math.Inf(1), reservationLife, func(*Machine) bool { return true })
 }
 
 // PreemptAtImage makes capacity for an urgent job's tasks on machines that have its image cached, although
@@ -104,7 +104,7 @@
 	}
 	most := fetchCostFactor * need.Spec.ImageGB / rate * need.Spec.CPUs
 	by.LowerOnly = true // the tasks fit elsewhere
-	return f.preempt(need, want, &by, most, imageReservationLife, func(m *Slot) bool { return m.Runs.HasImage(need.Spec.Image) })
+	return f.preempt(need, want, &by, most, imageReservationLife, func(m *Machine) bool { return m.Runs.HasImage(need.Spec.Image) })
 }
 
 // fetchCostFactor is how many times the cost of a fetch may be lost to avoid it: while the image is fetched, an
@@ -112,8 +112,8 @@
 const fetchCostFactor = 3
 
 // AtImage counts how many of n tasks of the job fit on machines that have its image cached.
-func (f *Fleet) AtImage(need gate.Need, n int, slots []*Slot) int {
-	var there []*Slot
+func (f *Fleet) AtImage(need gate.Need, n int, slots []*Machine) int {
+	var there []*Machine
 	for _, m := range slots {
 		if m.Runs.HasImage(need.Spec.Image) {
 			there = append(there, m)
@@ -128,7 +128,7 @@
 // preempt computes candidates on the machines for which of returns true, once for each, until it has enough to
 // choose from. After that it recomputes only the chosen machine. Each task may cost at most the given number
 // of CPU seconds.
-func (f *Fleet) preempt(need *gate.Need, want int, by *Right, maxCost float64, life loop.Micros, eligible func(*Slot) bool) (claims []peer.Claim) {
+func (f *Fleet) preempt(need *gate.Need, want int, by *Right, maxCost float64, life loop.Micros, eligible func(*Machine) bool) (claims []peer.Claim) {
 	s := need.Spec
 	now := f.runner.Now()
 	after := now - f.node.StaleAfter
--- a/internal/fleet/victims.go
+++ b/internal/fleet/victims.go
@@ -19,7 +19,7 @@
 }
 
 // isStopping reports whether a preemption of the task is pending. It drops entries whose time has passed.
-func (m *Slot) isStopping(t *agent.Task, now loop.Micros) bool {
+func (m *Machine) isStopping(t *agent.Task, now loop.Micros) bool {
 	for i := 0; i < len(m.preempted); i++ {
 		switch x := &m.preempted[i]; {
 		case now > x.until:
@@ -42,7 +42,7 @@
 
 // victims appends the tasks on a machine that may be preempted, each considered by itself: those of lower
 // priority first, then the others, and within each group the least loss first.
-func (f *Fleet) victims(out []victim, need *gate.Need, m *Slot, now loop.Micros, by *Right) []victim {
+func (f *Fleet) victims(out []victim, need *gate.Need, m *Machine, now loop.Micros, by *Right) []victim {
 	urgent := need.Spec.Priority >= job.High
 	for i := range m.V.Tasks {
 		x := &m.V.Tasks[i]
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -230,7 +230,7 @@
 
 // goToImage lets urgent tasks that would find room, but not where their image is, go
 // there: a fetch takes longer than it takes to stop what has just begun.
-func (p *Placer) goToImage(e *entryOf, n int, open []*fleet.Slot, b *budget) {
+func (p *Placer) goToImage(e *entryOf, n int, open []*fleet.Machine, b *budget) {
 	t := e.t
 	need := t.need()
 	short := min(n-p.fleet.AtImage(need, n, open)-p.fleet.Held(t.j.ID), b.left)
@@ -243,7 +243,7 @@
 }
 
 // fill places up to n waiting tasks of a job and tells how many found room.
-func (p *Placer) fill(t *table, n int, free []*fleet.Slot, chosen *[]hostStart) int {
+func (p *Placer) fill(t *table, n int, free []*fleet.Machine, chosen *[]hostStart) int {
 	s, got, need := t.j.Spec, 0, t.need()
 	if s.CPUs <= 0 {
 		free = p.fleet.All()
--- a/internal/placer/rivals.go
+++ b/internal/placer/rivals.go
@@ -207,7 +207,7 @@
 }
 
 // takeAll takes room for a rival's tasks on copies of the slots; a gang takes all or none.
-func (p *Placer) takeAll(r rival, n int, slots []*fleet.Slot) int {
+func (p *Placer) takeAll(r rival, n int, slots []*fleet.Machine) int {
 	if n <= 0 || (r.t.j.Spec.Gang && p.fleet.Trial(r.t.need(), n, slots) < n) {
 		return 0
 	}
--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -20,7 +20,7 @@
 // serveLongestWaiting gives a part of what falls free to the work that has waited longest, whatever comes
 // before it in the order. Where it finds no room, room is held for it: small tasks would otherwise fill
 // whatever falls free before a large one fits. Nothing is stopped for it.
-func (p *Placer) serveLongestWaiting(q []entryOf, open []*fleet.Slot, chosen *[]hostStart) {
+func (p *Placer) serveLongestWaiting(q []entryOf, open []*fleet.Machine, chosen *[]hostStart) {
 	now := p.r.Now()
 	if p.reserve.Earn(now, p.turn.Rate*p.share()); !p.reserve.Owes() {
 		return // as most of the time, when so much waits that looking through it costs
@@ -52,7 +52,7 @@
 }
 
 // serveBeforeTurn places tasks of a job before its turn, or holds room for them.
-func (p *Placer) serveBeforeTurn(t *table, w *starvation.Waiter, tasks int, open []*fleet.Slot, chosen *[]hostStart) {
+func (p *Placer) serveBeforeTurn(t *table, w *starvation.Waiter, tasks int, open []*fleet.Machine, chosen *[]hostStart) {
 	// One before it may have used what was left of their team's limit.
 	f := p.facts(t)
 	n := min(tasks, f.Passes(gate.Limit))
@@ -113,7 +113,7 @@
 func unbegunClass(s *job.Spec) string { return s.Team + "\x00" + s.Class }
 
 // fillInTurn is fill in the ordinary order, which the reserve takes into account.
-func (p *Placer) fillInTurn(t *table, n int, free []*fleet.Slot, chosen *[]hostStart) int {
+func (p *Placer) fillInTurn(t *table, n int, free []*fleet.Machine, chosen *[]hostStart) int {
 	held, class := p.fleet.Held(t.j.ID), t.turnClass()
 	got := p.fill(t, n, free, chosen)
 	used := held - p.fleet.Held(t.j.ID)
