--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -79,8 +79,8 @@
 	return &Fleet{runner: r, log: log, node: n, slots: map[string]*Machine{}, reserved: map[*Machine]struct{}{}, reservationCounts: map[string]int{}}
 }
 
-// Slot returns the record of a machine, or nil if no report of it has arrived.
-func (f *Fleet) Slot(machine string) *Machine { return f.slots[machine] }
+// Machine returns the record of a machine, or nil if no report of it has arrived.
+func (f *Fleet) Machine(machine string) *Machine { return f.slots[machine] }
 
 // All lists the machines by name, as of the last Refresh.
 func (f *Fleet) All() []*Machine { return f.order }
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -154,7 +154,7 @@
 	if x.state == Recording {
 		return gate.Recording, "recording", x.chosen
 	}
-	v, sl := p.agent.View(x.machine), p.fleet.Slot(x.machine)
+	v, sl := p.agent.View(x.machine), p.fleet.Machine(x.machine)
 	switch {
 	case v == nil || sl == nil:
 		return gate.Unproven, "neverHeard", 0
@@ -281,7 +281,7 @@
 func (p *Placer) Unseen(name string) int {
 	n := 0
 	for machine, on := range p.on {
-		sl := p.fleet.Slot(machine)
+		sl := p.fleet.Machine(machine)
 		if sl == nil || !slices.Contains(p.cordons.Barring(fleet.Where(sl.V)), name) {
 			continue
 		}
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -177,7 +177,7 @@
 			for _, name := range names {
 				v := g.a.View(name)
 				room := rooms[name]
-				if !room.Fits(s) || !s.AllowsPlace(v.Type, v.Zone, v.Spot) || v.NoticeAt != 0 || v.Closed || g.Now() < g.p.fleet.Slot(name).Shut {
+				if !room.Fits(s) || !s.AllowsPlace(v.Type, v.Zone, v.Spot) || v.NoticeAt != 0 || v.Closed || g.Now() < g.p.fleet.Machine(name).Shut {
 					continue
 				}
 				other := false
@@ -189,7 +189,7 @@
 				}
 				typ := types[v.Type]
 				score := 2*(typ.CPUs-room.CPUs)/typ.CPUs - 3*(1-least/cost[name])
-				if g.p.fleet.Slot(name).Runs.HasImage(s.Image) {
+				if g.p.fleet.Machine(name).Runs.HasImage(s.Image) {
 					score++
 					if s.Priority >= job.High {
 						score += 9
@@ -513,7 +513,7 @@
 			}
 			on[name] = kept
 			g.show(name, "m8", "x", false, slices.Clone(kept)...)
-			if g.p.fleet.Slot(name).Shut > g.Now() {
+			if g.p.fleet.Machine(name).Shut > g.Now() {
 				rested[name] = true
 			}
 		}
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -107,7 +107,7 @@
 	loop.Every(r, 400*loop.Millisecond, p.tick)
 	loop.Every(r, 60*loop.Second, func() {
 		for m := range p.zoneMemo { // of machines that are gone, once nothing counts there
-			if p.on[m] == nil && p.fleet.Slot(m) == nil {
+			if p.on[m] == nil && p.fleet.Machine(m) == nil {
 				delete(p.zoneMemo, m)
 			}
 		}
@@ -310,7 +310,7 @@
 
 // shut keeps a machine out of the choice for a moment, until its newer view is here.
 func (p *Placer) shut(machine string) {
-	if sl := p.fleet.Slot(machine); sl != nil {
+	if sl := p.fleet.Machine(machine); sl != nil {
 		sl.Rest(p.r.Now()+300*loop.Millisecond, "its host refused a start")
 	}
 }
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -15,7 +15,7 @@
 	now := p.r.Now()
 	// What runs on a machine that was not heard lately may have begun long ago. A new
 	// owner that took its first sight for the beginning found every task slow.
-	old := p.fleet.Slot(v.Name)
+	old := p.fleet.Machine(v.Name)
 	unsure := old == nil || now-old.Heard > 2*loop.Seconds(p.cfg.Cluster.Workers.ReportS)
 	var before []agent.Task
 	var heard loop.Micros // the time before this one; 0: never
@@ -241,7 +241,7 @@
 func (p *Placer) Gone(machine string) {
 	p.eachInUse(machine, func(r ref) {
 		if r.t.task(r.i).state == Placed {
-			if sl := p.fleet.Slot(machine); sl != nil {
+			if sl := p.fleet.Machine(machine); sl != nil {
 				p.noteLost(r.t, r.i, sl.Heard)
 			}
 			p.provenOff(r.t, r.i, "machine gone")
--- a/internal/placer/starvation_test.go
+++ b/internal/placer/starvation_test.go
@@ -50,7 +50,7 @@
 		t.Fatalf("before its time: begun %v, %d held", began(), g.p.fleet.Held(whole))
 	}
 	end(20*loop.Second, func() bool { return g.p.fleet.Held(whole) > 0 })
-	other := g.p.fleet.Slot("n-001")
+	other := g.p.fleet.Machine("n-001")
 	if g.p.fleet.Held(whole) != 1 || len(other.Claims) != 1 {
 		t.Fatalf("%d held, claims %+v", g.p.fleet.Held(whole), other.Claims)
 	}
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -120,7 +120,7 @@
 	used := float64(g.rng.IntN(int(types[typ].CPUs) + 1))
 	g.addMachine(name, typ, zone, spot, used, float64(g.rng.IntN(20)))
 	if g.rng.IntN(6) == 0 {
-		g.p.fleet.Slot(name).Rest(g.Now()+100*loop.Second, "its tasks run slowly")
+		g.p.fleet.Machine(name).Rest(g.Now()+100*loop.Second, "its tasks run slowly")
 	}
 }
 
@@ -236,7 +236,7 @@
 func (m plain) rooms(cordons bool) map[string]agent.Room {
 	out := map[string]agent.Room{}
 	for name, k := range m.g.kind {
-		if m.g.p.fleet.Slot(name).Shut > m.g.Now() || (cordons && m.barred(name, k[0], k[1], k[2])) {
+		if m.g.p.fleet.Machine(name).Shut > m.g.Now() || (cordons && m.barred(name, k[0], k[1], k[2])) {
 			continue
 		}
 		out[name] = m.g.plainRoom(name)
