--- a/internal/fleet/claims_test.go
+++ b/internal/fleet/claims_test.go
@@ -26,8 +26,8 @@
 	newFleet := func() *Fleet { return New(clock, slog.New(slog.NewTextHandler(io.Discard, nil)), Node{Label: "a"}) }
 	machine := func(name string) *agent.View { return &agent.View{Name: name, Type: "m8"} }
 	owner := newFleet()
-	owner.View(machine("n-1"), clock.Now(), false)
-	owner.View(machine("n-2"), clock.Now(), false)
+	owner.UpdateView(machine("n-1"), clock.Now(), false)
+	owner.UpdateView(machine("n-2"), clock.Now(), false)
 	until := clock.Wall() + 20*loop.Second
 	for _, name := range []string{"n-1", "n-2", "n-2"} {
 		owner.AddClaim(peer.Claim{Machine: name, Job: "job-1", Priority: 3, CPUs: 4, MemoryGB: 2, Until: until})
@@ -38,14 +38,14 @@
 		t.Fatalf("%d reservations of job-1 are listed for peers, want 3: %+v", len(owned), owned)
 	}
 	later := newFleet()
-	later.View(machine("n-1"), clock.Now(), false)
+	later.UpdateView(machine("n-1"), clock.Now(), false)
 	for _, c := range owned {
 		later.AddClaim(c)
 	}
 	if got := later.Held("job-1"); got != 1 {
 		t.Errorf("%d reservations are in force before the first report of n-2, want 1", got)
 	}
-	later.View(machine("n-2"), clock.Now(), false)
+	later.UpdateView(machine("n-2"), clock.Now(), false)
 	if got, want := later.ClaimsOf(func(string) bool { return true }), owned; len(got) != len(want) || got[2].CPUs != 4 || got[2].Until != until {
 		t.Errorf("reservations %+v, want %+v", got, want)
 	}
@@ -55,7 +55,7 @@
 	}
 	clock.Run(20 * loop.Second)
 	last.ExpireClaims()
-	last.View(machine("n-2"), clock.Now(), false)
+	last.UpdateView(machine("n-2"), clock.Now(), false)
 	if got := last.Held("job-1"); got != 0 || len(last.pendingReservations) != 0 {
 		t.Errorf("%d reservations are in force after their expiry, %d are kept for unreported machines; want none", got, len(last.pendingReservations))
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -99,9 +99,9 @@
 	return f.free
 }
 
-// View records a machine's newer view and when its report was received. quiet means that nothing on the
+// UpdateView records a machine's newer view and when its report was received. quiet means that nothing on the
 // machine has changed, so that it needs no refresh.
-func (f *Fleet) View(v *agent.View, heard loop.Micros, quiet bool) *Machine {
+func (f *Fleet) UpdateView(v *agent.View, heard loop.Micros, quiet bool) *Machine {
 	m := f.slots[v.Name]
 	first := m == nil
 	if first {
