--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -116,13 +116,13 @@
 		f.applyPendingReservations(v.Name)
 	}
 	if !quiet {
-		f.Touch(m)
+		f.MarkStale(m)
 	}
 	return m
 }
 
-// Touch queues a machine for the next Refresh. m may be nil.
-func (f *Fleet) Touch(m *Machine) {
+// MarkStale queues a machine for the next Refresh. m may be nil.
+func (f *Fleet) MarkStale(m *Machine) {
 	if m != nil && !m.stale {
 		m.stale = true
 		f.stale = append(f.stale, m)
@@ -203,7 +203,7 @@
 	}
 	if !ok {
 		m.Known = false
-		f.Touch(m) // retried until its type and the jobs of its tasks are known here
+		f.MarkStale(m) // retried until its type and the jobs of its tasks are known here
 		return
 	}
 	f.node.Unshown(v, room.Take)
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -172,7 +172,7 @@
 			f.node.Stop(o.m.V.Host, agent.Stop{Machine: o.m.V.Name, Task: y.task.Task, Attempt: y.task.Attempt, Grace: y.grace})
 		}
 		o.m.Room.Take(s)
-		f.Touch(o.m)
+		f.MarkStale(o.m)
 		c := peer.Claim{Machine: o.m.V.Name, Job: need.ID, Priority: int(reservationPriority), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB,
 			Until: f.runner.Wall() + wait + life}
 		for _, y := range o.victims {
--- a/internal/placer/table.go
+++ b/internal/placer/table.go
@@ -208,7 +208,7 @@
 		t.team.cpus += float64(sign) * spec.CPUs
 		t.team.gpus += float64(sign) * spec.GPUs
 		t.zones[zone] += sign
-		p.fleet.Touch(p.fleet.Machine(x.machine))
+		p.fleet.MarkStale(p.fleet.Machine(x.machine))
 		r := ref{t, i}
 		if in {
 			p.addInUse(r)
