--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// Gone removes a machine that was deleted, with the reservations on it.
-func (f *Fleet) Gone(machine string) {
+// Remove removes a machine that was deleted, with the reservations on it.
+func (f *Fleet) Remove(machine string) {
 	m := f.slots[machine]
 	if m == nil {
 		return
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -247,7 +247,7 @@
 			p.provenOff(r.t, r.i, "machine gone")
 		}
 	})
-	p.fleet.Gone(machine)
+	p.fleet.Remove(machine)
 	delete(p.checked, machine)
 	p.blame.Gone(machine)
 	p.Kick()
--- a/internal/placer/terms_test.go
+++ b/internal/placer/terms_test.go
@@ -197,7 +197,7 @@
 		g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
 		g.Run(500 * loop.Millisecond)
 		if !known {
-			g.p.fleet.Gone("n-001")
+			g.p.fleet.Remove("n-001")
 		}
 		g.show("n-002", "m8", "x", false)
 		g.show("n-002", "m8", "x", false)
