--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -143,9 +143,9 @@
 	m.Known = false
 }
 
-// Rest keeps the machine from being chosen until the given time. An earlier time than the one in force is
+// BackOff keeps the machine from being chosen until the given time. An earlier time than the one in force is
 // ignored.
-func (m *Machine) Rest(until loop.Micros, why string) {
+func (m *Machine) BackOff(until loop.Micros, why string) {
 	if until > m.Shut {
 		m.Shut, m.ShutWhy = until, why
 	}
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -311,7 +311,7 @@
 // shut keeps a machine out of the choice for a moment, until its newer view is here.
 func (p *Placer) shut(machine string) {
 	if sl := p.fleet.Machine(machine); sl != nil {
-		sl.Rest(p.r.Now()+300*loop.Millisecond, "its host refused a start")
+		sl.BackOff(p.r.Now()+300*loop.Millisecond, "its host refused a start")
 	}
 }
 
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -35,14 +35,14 @@
 	sl := p.fleet.UpdateView(v, now-v.Silence(p.r.Wall(), p.clockTo()), quiet)
 	p.blame.View(now, v, c)
 	if !c.Still {
-		sl.Rest(p.blame.Until(v.Name), "tasks fail on it")
+		sl.BackOff(p.blame.Until(v.Name), "tasks fail on it")
 	}
 	sl.Jobs = p.agent.Jobs(v)
 	told := sl.Runs.Follow(v, c, before, sl.Jobs, p.paces, now, unsure)
 	p.turn.Free(told.Freed)
 	if told.Slow && now >= sl.Shut {
 		p.log.Debug("slow machine rests", "machine", v.Name, "times", told.Factor)
-		sl.Rest(now+health.SlowRest, "its tasks run slowly")
+		sl.BackOff(now+health.SlowRest, "its tasks run slowly")
 		sl.Runs.Rest()
 	}
 	p.judgeAll(v, c, before, sl.Jobs, heard)
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -120,7 +120,7 @@
 	used := float64(g.rng.IntN(int(types[typ].CPUs) + 1))
 	g.addMachine(name, typ, zone, spot, used, float64(g.rng.IntN(20)))
 	if g.rng.IntN(6) == 0 {
-		g.p.fleet.Machine(name).Rest(g.Now()+100*loop.Second, "its tasks run slowly")
+		g.p.fleet.Machine(name).BackOff(g.Now()+100*loop.Second, "its tasks run slowly")
 	}
 }
 
