--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -151,8 +151,8 @@
 	}
 }
 
-// Take subtracts a task that is placed here now from the machine's free capacity.
-func (m *Machine) Take(s *job.Spec) {
+// Allocate subtracts a task that is placed here now from the machine's free capacity.
+func (m *Machine) Allocate(s *job.Spec) {
 	m.Room.Take(s)
 	m.usedCPUs += s.CPUs
 }
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -266,7 +266,7 @@
 			x.attempt++
 			x.machine, x.session, x.expiry, x.since = sl.V.Name, sl.V.Session, 0, 0
 			x.chosen = p.r.Now()
-			sl.Take(s)
+			sl.Allocate(s)
 			p.fleet.UseClaim(sl, t.j.ID)
 			p.setTask(t, i, Recording)
 			*chosen = append(*chosen, hostStart{sl.V.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.name(i), Attempt: x.attempt, From: p.n.Label}})
