--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -157,8 +157,8 @@
 	m.usedCPUs += s.CPUs
 }
 
-// Where describes a machine for matching it against cordons.
-func Where(v *agent.View) cordon.Place {
+// CordonPlace describes a machine for matching it against cordons.
+func CordonPlace(v *agent.View) cordon.Place {
 	return cordon.Place{Machine: v.Name, Type: v.Type, Zone: v.Zone, Spot: v.Spot}
 }
 
@@ -177,7 +177,7 @@
 	if v := f.node.Cordons.Version(); v != f.cordonVersion {
 		f.cordonVersion = v
 		for _, m := range f.order {
-			m.Cordoned = f.node.Cordons.Barred(Where(m.V))
+			m.Cordoned = f.node.Cordons.Barred(CordonPlace(m.V))
 		}
 	}
 	due := f.stale
@@ -217,7 +217,7 @@
 	}
 	f.dropConsumedReservations(m)
 	m.Known = true
-	m.Cordoned = f.node.Cordons.Barred(Where(v))
+	m.Cordoned = f.node.Cordons.Barred(CordonPlace(v))
 }
 
 // updatePrices compares the machines' prices per CPU with the cheapest.
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -86,7 +86,7 @@
 	}
 	for _, sl := range p.fleet.All() {
 		if sl.Cordoned && s.AllowsPlace(sl.V.Type, sl.V.Zone, sl.V.Spot) {
-			note(fleet.Where(sl.V))
+			note(fleet.CordonPlace(sl.V))
 		}
 	}
 	for n := range seen {
@@ -282,7 +282,7 @@
 	n := 0
 	for machine, on := range p.on {
 		sl := p.fleet.Machine(machine)
-		if sl == nil || !slices.Contains(p.cordons.Barring(fleet.Where(sl.V)), name) {
+		if sl == nil || !slices.Contains(p.cordons.Barring(fleet.CordonPlace(sl.V)), name) {
 			continue
 		}
 		for r := range on.all {
