--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -308,8 +308,8 @@
 	return out
 }
 
-// Trial counts how many of n more tasks of the job fit now, without placing any.
-func (f *Fleet) Trial(need gate.Need, n int, slots []*Machine) int {
+// CountFitting counts how many of n more tasks of the job fit now, without placing any.
+func (f *Fleet) CountFitting(need gate.Need, n int, slots []*Machine) int {
 	return placeOnRanked(need, n, copySlots(f.Ranked(&need, slots)))
 }
 
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -122,7 +122,7 @@
 	if len(there) == 0 {
 		return 0
 	}
-	return f.Trial(need, n, there)
+	return f.CountFitting(need, n, there)
 }
 
 // preempt computes candidates on the machines for which of returns true, once for each, until it has enough to
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -42,7 +42,7 @@
 		for i, sl := range p.fleet.All() {
 			f.Places[i] = &sl.Place
 		}
-		f.Fits = p.fleet.Trial(t.need(), n, p.fleet.All())
+		f.Fits = p.fleet.CountFitting(t.need(), n, p.fleet.All())
 		f.FitsAll = p.trialUncordoned(t, n)
 		f.Barred, f.Cordons = p.barring(j.Spec, types)
 		p.ahead(f, t, types)
@@ -55,7 +55,7 @@
 // trialUncordoned is trial as it would be if no cordon were there.
 func (p *Placer) trialUncordoned(t *table, n int) int {
 	if !p.cordons.Any() {
-		return p.fleet.Trial(t.need(), n, p.fleet.All())
+		return p.fleet.CountFitting(t.need(), n, p.fleet.All())
 	}
 	return p.fleet.Take(t.need(), n, p.fleet.Copies(true))
 }
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -298,7 +298,7 @@
 // of its tasks is left over from an earlier start.
 func (p *Placer) gangFits(t *table) bool {
 	n := t.waiting()
-	return t.inUse == 0 && p.missed(t) >= n && p.fleet.Trial(t.need(), n, p.fleet.All()) == n
+	return t.inUse == 0 && p.missed(t) >= n && p.fleet.CountFitting(t.need(), n, p.fleet.All()) == n
 }
 
 // missed is how many of a job's tasks wait for room and not for their team's limit.
--- a/internal/placer/rivals.go
+++ b/internal/placer/rivals.go
@@ -166,7 +166,7 @@
 		}
 		use[1] += p.takeAll(*r, r.n-use[1], later)
 		// It may also take what work before it leaves.
-		r.may = r.may || got > 0 || use[1] > 0 || p.fleet.Trial(r.t.need(), r.most, fresh) > 0
+		r.may = r.may || got > 0 || use[1] > 0 || p.fleet.CountFitting(r.t.need(), r.most, fresh) > 0
 		if r.t.team == t.team && !limited {
 			for i, k := range use {
 				by[i].CPUs += float64(k) * r.t.j.Spec.CPUs
@@ -182,8 +182,8 @@
 			most[i] = g.Passes(gate.Limit)
 		}
 	}
-	a = n - min(p.fleet.Trial(t.need(), n, there)+max(short-left, 0), most[0])
-	b = n - min(p.fleet.Trial(t.need(), n, later)+first, most[1])
+	a = n - min(p.fleet.CountFitting(t.need(), n, there)+max(short-left, 0), most[0])
+	b = n - min(p.fleet.CountFitting(t.need(), n, later)+first, most[1])
 	return max(a, 0), max(b, 0)
 }
 
@@ -208,7 +208,7 @@
 
 // takeAll takes room for a rival's tasks on copies of the slots; a gang takes all or none.
 func (p *Placer) takeAll(r rival, n int, slots []*fleet.Machine) int {
-	if n <= 0 || (r.t.j.Spec.Gang && p.fleet.Trial(r.t.need(), n, slots) < n) {
+	if n <= 0 || (r.t.j.Spec.Gang && p.fleet.CountFitting(r.t.need(), n, slots) < n) {
 		return 0
 	}
 	return p.fleet.Take(r.t.need(), n, slots)
