--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -333,8 +333,8 @@
 	return out
 }
 
-// Take places up to n tasks of the job on the given copies, and returns how many fit.
-func (f *Fleet) Take(need gate.Need, n int, slots []*Machine) int {
+// PlaceOnCopies places up to n tasks of the job on the given copies, and returns how many fit.
+func (f *Fleet) PlaceOnCopies(need gate.Need, n int, slots []*Machine) int {
 	return placeOnRanked(need, n, f.Ranked(&need, slots))
 }
 
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -57,7 +57,7 @@
 	if !p.cordons.Any() {
 		return p.fleet.CountFitting(t.need(), n, p.fleet.All())
 	}
-	return p.fleet.Take(t.need(), n, p.fleet.Copies(true))
+	return p.fleet.PlaceOnCopies(t.need(), n, p.fleet.Copies(true))
 }
 
 // barring tells whether cordons bar every place that the job allows, and names those
--- a/internal/placer/rivals.go
+++ b/internal/placer/rivals.go
@@ -211,7 +211,7 @@
 	if n <= 0 || (r.t.j.Spec.Gang && p.fleet.CountFitting(r.t.need(), n, slots) < n) {
 		return 0
 	}
-	return p.fleet.Take(r.t.need(), n, slots)
+	return p.fleet.PlaceOnCopies(r.t.need(), n, slots)
 }
 
 func (p *Placer) probes(t *table) int {
