--- a/internal/fleet/claims.go
+++ b/internal/fleet/claims.go
@@ -14,9 +14,9 @@
 // maxPendingReservations bounds the reservations that are kept for machines whose first report has not arrived.
 const maxPendingReservations = 1000
 
-// AddClaim records a reservation of capacity on a machine for a job. While no report of the machine has
+// AddReservation records a reservation of capacity on a machine for a job. While no report of the machine has
 // arrived, nothing is placed on it; the reservation is kept aside and takes effect with the first report.
-func (f *Fleet) AddClaim(c peer.Claim) {
+func (f *Fleet) AddReservation(c peer.Claim) {
 	m := f.slots[c.Machine]
 	if m == nil {
 		if len(f.pendingReservations) < maxPendingReservations {
@@ -41,7 +41,7 @@
 	})
 	for _, c := range here {
 		if f.runner.Wall() < c.Until {
-			f.AddClaim(c)
+			f.AddReservation(c)
 		}
 	}
 }
--- a/internal/fleet/claims_test.go
+++ b/internal/fleet/claims_test.go
@@ -30,9 +30,9 @@
 	owner.UpdateView(machine("n-2"), clock.Now(), false)
 	until := clock.Wall() + 20*loop.Second
 	for _, name := range []string{"n-1", "n-2", "n-2"} {
-		owner.AddClaim(peer.Claim{Machine: name, Job: "job-1", Priority: 3, CPUs: 4, MemoryGB: 2, Until: until})
+		owner.AddReservation(peer.Claim{Machine: name, Job: "job-1", Priority: 3, CPUs: 4, MemoryGB: 2, Until: until})
 	}
-	owner.AddClaim(peer.Claim{Machine: "n-1", Job: "job-2", Priority: 3, CPUs: 1, Until: until})
+	owner.AddReservation(peer.Claim{Machine: "n-1", Job: "job-2", Priority: 3, CPUs: 1, Until: until})
 	owned := owner.ClaimsOf(func(job string) bool { return job == "job-1" })
 	if len(owned) != 3 {
 		t.Fatalf("%d reservations of job-1 are listed for peers, want 3: %+v", len(owned), owned)
@@ -40,7 +40,7 @@
 	later := newFleet()
 	later.UpdateView(machine("n-1"), clock.Now(), false)
 	for _, c := range owned {
-		later.AddClaim(c)
+		later.AddReservation(c)
 	}
 	if got := later.Held("job-1"); got != 1 {
 		t.Errorf("%d reservations are in force before the first report of n-2, want 1", got)
@@ -51,7 +51,7 @@
 	}
 	last := newFleet()
 	for _, c := range owned {
-		last.AddClaim(c)
+		last.AddReservation(c)
 	}
 	clock.Run(20 * loop.Second)
 	last.ExpireClaims()
--- a/internal/fleet/hold.go
+++ b/internal/fleet/hold.go
@@ -79,7 +79,7 @@
 		return nil
 	}
 	for _, c := range claims {
-		f.AddClaim(c)
+		f.AddReservation(c)
 	}
 	return claims
 }
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -178,7 +178,7 @@
 		for _, y := range o.victims {
 			c.Victims = append(c.Victims, y.task.Task)
 		}
-		f.AddClaim(c)
+		f.AddReservation(c)
 		claims = append(claims, c)
 		by.consume(made)
 		if again, ok := f.candidateOn(need, o.m, now, by); ok {
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -27,7 +27,7 @@
 // LearnClaims takes in what other owners stopped tasks for.
 func (p *Placer) LearnClaims(cs []peer.Claim) {
 	for _, c := range cs {
-		p.fleet.AddClaim(c)
+		p.fleet.AddReservation(c)
 		p.stoppedFor(c)
 	}
 }
