--- a/internal/fleet/claims.go
+++ b/internal/fleet/claims.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// ClaimsOf lists the unexpired reservations of the jobs for which own returns true, so that a peer that does
+// ReservationsOf lists the unexpired reservations of the jobs for which own returns true, so that a peer that does
 // not know them can be sent them.
-func (f *Fleet) ClaimsOf(own func(job string) bool) (claims []peer.Claim) {
+func (f *Fleet) ReservationsOf(own func(job string) bool) (claims []peer.Claim) {
 	for m := range f.reserved {
 		for _, c := range m.Claims {
 			if own(c.Job) {
--- a/internal/fleet/claims_test.go
+++ b/internal/fleet/claims_test.go
@@ -33,7 +33,7 @@
 		owner.AddReservation(peer.Claim{Machine: name, Job: "job-1", Priority: 3, CPUs: 4, MemoryGB: 2, Until: until})
 	}
 	owner.AddReservation(peer.Claim{Machine: "n-1", Job: "job-2", Priority: 3, CPUs: 1, Until: until})
-	owned := owner.ClaimsOf(func(job string) bool { return job == "job-1" })
+	owned := owner.ReservationsOf(func(job string) bool { return job == "job-1" })
 	if len(owned) != 3 {
 		t.Fatalf("%d reservations of job-1 are listed for peers, want 3: %+v", len(owned), owned)
 	}
@@ -46,7 +46,7 @@
 		t.Errorf("%d reservations are in force before the first report of n-2, want 1", got)
 	}
 	later.UpdateView(machine("n-2"), clock.Now(), false)
-	if got, want := later.ClaimsOf(func(string) bool { return true }), owned; len(got) != len(want) || got[2].CPUs != 4 || got[2].Until != until {
+	if got, want := later.ReservationsOf(func(string) bool { return true }), owned; len(got) != len(want) || got[2].CPUs != 4 || got[2].Until != until {
 		t.Errorf("reservations %+v, want %+v", got, want)
 	}
 	last := newFleet()
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -34,7 +34,7 @@
 
 // ClaimsInForce are the claims of the jobs that are owned here, for a peer that does not know them.
 func (p *Placer) ClaimsInForce() []peer.Claim {
-	return p.fleet.ClaimsOf(func(id string) bool {
+	return p.fleet.ReservationsOf(func(id string) bool {
 		j := p.registry.Get(id)
 		if j == nil || j.Spec == nil {
 			return false
