--- a/internal/fleet/claims.go
+++ b/internal/fleet/claims.go
@@ -73,9 +73,9 @@
 	}
 }
 
-// UseClaim removes one reservation of the job on this machine, because a task of the job now uses its
+// ConsumeReservation removes one reservation of the job on this machine, because a task of the job now uses its
 // capacity.
-func (f *Fleet) UseClaim(m *Machine, id string) {
+func (f *Fleet) ConsumeReservation(m *Machine, id string) {
 	for i := range m.Claims {
 		if m.Claims[i].Job == id {
 			f.dropReservation(m, i)
@@ -94,7 +94,7 @@
 func (f *Fleet) dropConsumedReservations(m *Machine) {
 	for i := 0; i < len(m.Claims); i++ {
 		if id := m.Claims[i].Job; m.taskCount(id) > m.Claims[i].Had {
-			f.UseClaim(m, id)
+			f.ConsumeReservation(m, id)
 			i = -1
 		}
 	}
