--- a/internal/fleet/claims.go
+++ b/internal/fleet/claims.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// Spare drops the reservations of a job beyond the given number: its tasks were placed elsewhere, or it is
+// TrimReservations drops the reservations of a job beyond the given number: its tasks were placed elsewhere, or it is
 // over.
-func (f *Fleet) Spare(id string, most int) {
+func (f *Fleet) TrimReservations(id string, most int) {
 	if f.reservationCounts[id] <= most {
 		return
 	}
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -277,7 +277,7 @@
 			break
 		}
 	}
-	p.fleet.Spare(t.j.ID, t.waiting())
+	p.fleet.TrimReservations(t.j.ID, t.waiting())
 	return got
 }
 
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -145,7 +145,7 @@
 func (p *Placer) Job(j *job.Job) {
 	if j.Final() {
 		delete(p.paces, j.ID)
-		p.fleet.Spare(j.ID, 0)
+		p.fleet.TrimReservations(j.ID, 0)
 		p.blame.Over(j.ID)
 	}
 	if j.Spec == nil {
