--- a/internal/fleet/claims.go
+++ b/internal/fleet/claims.go
@@ -132,8 +132,8 @@
 	return n
 }
 
-// ExpireClaims drops the reservations whose time has passed.
-func (f *Fleet) ExpireClaims() {
+// ExpireReservations drops the reservations whose time has passed.
+func (f *Fleet) ExpireReservations() {
 	wall := f.runner.Wall()
 	f.pendingReservations = slices.DeleteFunc(f.pendingReservations, func(c peer.Claim) bool { return wall >= c.Until })
 	for m := range f.reserved {
--- a/internal/fleet/claims_test.go
+++ b/internal/fleet/claims_test.go
@@ -54,7 +54,7 @@
 		last.AddReservation(c)
 	}
 	clock.Run(20 * loop.Second)
-	last.ExpireClaims()
+	last.ExpireReservations()
 	last.UpdateView(machine("n-2"), clock.Now(), false)
 	if got := last.Held("job-1"); got != 0 || len(last.pendingReservations) != 0 {
 		t.Errorf("%d reservations are in force after their expiry, %d are kept for unreported machines; want none", got, len(last.pendingReservations))
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -87,7 +87,7 @@
 	if len(q) == 0 {
 		return
 	}
-	p.fleet.ExpireClaims()
+	p.fleet.ExpireReservations()
 	p.fleet.Refresh()
 	now := p.r.Now()
 	open := p.fleet.Free()
