--- a/internal/fleet/claims.go
+++ b/internal/fleet/claims.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// Held returns the number of reservations of a job, each for one task.
-func (f *Fleet) Held(id string) int { return f.reservationCounts[id] }
+// ReservationCount returns the number of reservations of a job, each for one task.
+func (f *Fleet) ReservationCount(id string) int { return f.reservationCounts[id] }
 
 // HeldJobs returns the number of reservations of every job that has any. The caller must not change the map.
 func (f *Fleet) HeldJobs() map[string]int { return f.reservationCounts }
--- a/internal/fleet/claims_test.go
+++ b/internal/fleet/claims_test.go
@@ -42,7 +42,7 @@
 	for _, c := range owned {
 		later.AddReservation(c)
 	}
-	if got := later.Held("job-1"); got != 1 {
+	if got := later.ReservationCount("job-1"); got != 1 {
 		t.Errorf("%d reservations are in force before the first report of n-2, want 1", got)
 	}
 	later.UpdateView(machine("n-2"), clock.Now(), false)
@@ -56,7 +56,7 @@
 	clock.Run(20 * loop.Second)
 	last.ExpireReservations()
 	last.UpdateView(machine("n-2"), clock.Now(), false)
-	if got := last.Held("job-1"); got != 0 || len(last.pendingReservations) != 0 {
+	if got := last.ReservationCount("job-1"); got != 0 || len(last.pendingReservations) != 0 {
 		t.Errorf("%d reservations are in force after their expiry, %d are kept for unreported machines; want none", got, len(last.pendingReservations))
 	}
 }
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -48,7 +48,7 @@
 		p.ahead(f, t, types)
 	}
 	f.Flights = p.flights(t, f.After)
-	f.Stopped, f.Held = t.stopped, p.fleet.Held(t.j.ID)
+	f.Stopped, f.Held = t.stopped, p.fleet.ReservationCount(t.j.ID)
 	return f, true
 }
 
--- a/internal/placer/guarantee.go
+++ b/internal/placer/guarantee.go
@@ -71,7 +71,7 @@
 	if !known {
 		unmet = p.unmetGuarantee(t.team)
 	}
-	n := min(missed-p.fleet.Held(t.j.ID), int(unmet/cpus))
+	n := min(missed-p.fleet.ReservationCount(t.j.ID), int(unmet/cpus))
 	if !t.j.Spec.Gang {
 		n = min(n, mostHeld)
 	} else if n < t.waiting() {
--- a/internal/placer/guarantee_test.go
+++ b/internal/placer/guarantee_test.go
@@ -94,7 +94,7 @@
 			x := tm.jobs[id]
 			x.at, tm.short.lacks = g.Now()-c.waits, c.lacks
 			g.p.holdGuaranteed(&entryOf{t: x}, 1000, &budget{unmet: map[*team]float64{}})
-			if got := g.p.fleet.Held(id); (got > 0) != c.want || float64(got) > 16-c.used || float64(got) > mostHeld {
+			if got := g.p.fleet.ReservationCount(id); (got > 0) != c.want || float64(got) > 16-c.used || float64(got) > mostHeld {
 				t.Errorf("room is held for %d tasks, wanted: %v", got, c.want)
 			}
 		})
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -107,19 +107,19 @@
 			p.lastWant = append(p.lastWant, p.want(t, t.waiting()))
 		}
 		sh, free := fleet.ShapeOf(s)
-		if n := min(probe, facts.Passes(gate.Limit)); n > 0 && (!full[sh] || p.fleet.Held(t.j.ID) > 0) {
+		if n := min(probe, facts.Passes(gate.Limit)); n > 0 && (!full[sh] || p.fleet.ReservationCount(t.j.ID) > 0) {
 			if stops && !full[sh] && s.Priority >= job.High && !s.Gang {
 				p.goToImage(&e, n, open, &b)
 			}
 			got := p.fillInTurn(t, n, open, &chosen)
 			probe -= got
-			if got < n && free && p.fleet.Held(t.j.ID) == 0 {
+			if got < n && free && p.fleet.ReservationCount(t.j.ID) == 0 {
 				full[sh] = true
 			}
 		}
 		missed := p.missed(t)
 		if s.Priority >= job.High && !full[sh] {
-			missed = max(missed-p.fleet.Held(t.j.ID), 0) // there is room; it waits for a better one
+			missed = max(missed-p.fleet.ReservationCount(t.j.ID), 0) // there is room; it waits for a better one
 		}
 		p.setShort(t, missed > 0 && probe > 0 || s.Gang && missed > 0)
 		if missed <= 0 || probe <= 0 {
@@ -206,7 +206,7 @@
 	} else if !within {
 		return
 	}
-	n -= p.fleet.Held(t.j.ID) // room for these is being made already
+	n -= p.fleet.ReservationCount(t.j.ID) // room for these is being made already
 	if n > 0 && s.CPUs > 0 {
 		hope := max(b.hope*float64(patience-(now-t.missing))/1e6-b.spoken, 0)
 		by := min(int(hope/s.CPUs), n)
@@ -233,7 +233,7 @@
 func (p *Placer) goToImage(e *entryOf, n int, open []*fleet.Machine, b *budget) {
 	t := e.t
 	need := t.need()
-	short := min(n-p.fleet.AtImage(need, n, open)-p.fleet.Held(t.j.ID), b.left)
+	short := min(n-p.fleet.AtImage(need, n, open)-p.fleet.ReservationCount(t.j.ID), b.left)
 	if short <= 0 {
 		return
 	}
@@ -251,7 +251,7 @@
 	// Urgent tasks for which room is being made wait for it, and take no other.
 	elsewhere := n
 	if s.Priority >= job.High {
-		elsewhere = n - p.fleet.Held(t.j.ID)
+		elsewhere = n - p.fleet.ReservationCount(t.j.ID)
 	}
 	for _, sl := range p.fleet.Ranked(&need, free) {
 		for got < n && sl.Takes(&need) {
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -85,7 +85,7 @@
 		b.shares[t.team] = shares
 	}
 	cpus := t.j.Spec.CPUs
-	held := p.fleet.Held(t.j.ID) // room for these is being made already
+	held := p.fleet.ReservationCount(t.j.ID) // room for these is being made already
 	share := tasksWithin(shares[t]-float64(t.inUse)*cpus, cpus) - held
 	// Two teams that both run beyond their guarantees must not stop each other's work in turn: only
 	// one that uses less than its guarantee may claim it.
--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -62,11 +62,11 @@
 	if n <= 0 {
 		return
 	}
-	got, held := 0, p.fleet.Held(w.ID)
+	got, held := 0, p.fleet.ReservationCount(w.ID)
 	if !t.j.Spec.Gang || p.gangFits(t) {
 		got = p.fill(t, n, open, chosen)
 	}
-	used := held - p.fleet.Held(w.ID)
+	used := held - p.fleet.ReservationCount(w.ID)
 	t.useHeld(used)
 	given := got - used // what was held is paid for
 	if got == 0 && held == 0 {
@@ -114,9 +114,9 @@
 
 // fillInTurn is fill in the ordinary order, which the reserve takes into account.
 func (p *Placer) fillInTurn(t *table, n int, free []*fleet.Machine, chosen *[]hostStart) int {
-	held, class := p.fleet.Held(t.j.ID), t.turnClass()
+	held, class := p.fleet.ReservationCount(t.j.ID), t.turnClass()
 	got := p.fill(t, n, free, chosen)
-	used := held - p.fleet.Held(t.j.ID)
+	used := held - p.fleet.ReservationCount(t.j.ID)
 	t.useHeld(used)
 	if new := got - used; new > 0 { // what was held is counted already
 		p.reserve.Serve(class, float64(new)*t.j.Spec.CPUs)
@@ -132,7 +132,7 @@
 // refundHeld gives a class its turn again where room was held before its turn and its time is over, but
 // did not come about: the work beside it ran for too long.
 func (p *Placer) refundHeld(t *table) {
-	if t.heldCPUs > 0 && p.fleet.Held(t.j.ID) == 0 {
+	if t.heldCPUs > 0 && p.fleet.ReservationCount(t.j.ID) == 0 {
 		p.reserve.Refund(t.heldFor, t.heldCPUs)
 		t.heldCPUs = 0
 	}
--- a/internal/placer/starvation_test.go
+++ b/internal/placer/starvation_test.go
@@ -46,13 +46,13 @@
 	}
 	accepted := g.Now()
 	end(70*loop.Second, began)
-	if began() || g.p.fleet.Held(whole) != 0 {
-		t.Fatalf("before its time: begun %v, %d held", began(), g.p.fleet.Held(whole))
+	if began() || g.p.fleet.ReservationCount(whole) != 0 {
+		t.Fatalf("before its time: begun %v, %d held", began(), g.p.fleet.ReservationCount(whole))
 	}
-	end(20*loop.Second, func() bool { return g.p.fleet.Held(whole) > 0 })
+	end(20*loop.Second, func() bool { return g.p.fleet.ReservationCount(whole) > 0 })
 	other := g.p.fleet.Machine("n-001")
-	if g.p.fleet.Held(whole) != 1 || len(other.Claims) != 1 {
-		t.Fatalf("%d held, claims %+v", g.p.fleet.Held(whole), other.Claims)
+	if g.p.fleet.ReservationCount(whole) != 1 || len(other.Claims) != 1 {
+		t.Fatalf("%d held, claims %+v", g.p.fleet.ReservationCount(whole), other.Claims)
 	}
 	if f, ok := g.p.Facts(whole, nil, true); !ok || f.Held != 1 {
 		t.Errorf("an explanation is told of %+v", f)
@@ -65,8 +65,8 @@
 		g.show("n-001", "m8", "x", false, on...)
 		g.Run(300 * loop.Millisecond)
 	}
-	if !began() || g.Now()-accepted > 120*loop.Second || g.p.fleet.Held(whole) != 0 {
-		t.Errorf("begun %v after %d us, %d still held", began(), g.Now()-accepted, g.p.fleet.Held(whole))
+	if !began() || g.Now()-accepted > 120*loop.Second || g.p.fleet.ReservationCount(whole) != 0 {
+		t.Errorf("begun %v after %d us, %d still held", began(), g.Now()-accepted, g.p.fleet.ReservationCount(whole))
 	}
 	// As at another owner: told of a claim, it sees the task come, or the job end.
 	claim := peer.Claim{Machine: "n-001", Job: small, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second}
@@ -75,12 +75,12 @@
 	g.p.LearnClaims([]peer.Claim{claim, claim})
 	g.show("n-001", "m8", "x", false, agent.Task{Task: small + "/8999", Attempt: 1, State: wire.TaskRunning})
 	g.p.fleet.Refresh()
-	if n := g.p.fleet.Held(small); n != 1 {
+	if n := g.p.fleet.ReservationCount(small); n != 1 {
 		t.Errorf("%d of two claims are left once one task is there", n)
 	}
 	rec := job.Record{Phase: job.Withdrawn, At: 1, Tasks: 9000}
 	g.mirror.Apply(job.Keys+small, wire.Marshal(rec), g.state.Put(job.Keys+small, rec), false)
-	if n := g.p.fleet.Held(small); n != 0 {
+	if n := g.p.fleet.ReservationCount(small); n != 0 {
 		t.Errorf("%d claims are left of a job that is over", n)
 	}
 }
--- a/internal/placer/turns_test.go
+++ b/internal/placer/turns_test.go
@@ -69,7 +69,7 @@
 	g.Run(loop.Second)
 	vain := g.job(1, job.Spec{Class: "a", Team: "red", Priority: job.Low, Tasks: 4, CPUs: 8, MemoryGB: 1, AnyType: true, Gang: true, Estimate: loop.Second})
 	whole := g.job(2, job.Spec{Class: "b", Team: "red", Priority: job.Low, Tasks: 1, CPUs: 8, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	held := func() bool { return g.p.fleet.Held(whole) > 0 }
+	held := func() bool { return g.p.fleet.ReservationCount(whole) > 0 }
 	wait := func(d loop.Micros, until func() bool) bool {
 		for end := g.Now() + d; g.Now() < end && !until(); {
 			g.p.turn.Rate = 5 // as on a small fleet that is in use throughout: less is saved up than a task takes
@@ -78,8 +78,8 @@
 		}
 		return until()
 	}
-	if !wait(100*loop.Second, held) || g.p.fleet.Held(vain) > 0 {
-		t.Fatalf("room is held for the task as large as a machine: %v, for a part of the gang: %d", held(), g.p.fleet.Held(vain))
+	if !wait(100*loop.Second, held) || g.p.fleet.ReservationCount(vain) > 0 {
+		t.Fatalf("room is held for the task as large as a machine: %v, for a part of the gang: %d", held(), g.p.fleet.ReservationCount(vain))
 	}
 	if got := g.p.teams["red"].jobs[whole].heldCPUs; got != 8 {
 		t.Errorf("%v CPUs are held before their turn, want 8", got)
@@ -125,7 +125,7 @@
 	x := tm.jobs[id]
 	x.at = g.Now() - 80*loop.Second
 	g.p.holdGuaranteed(&entryOf{t: x}, 1000, &budget{unmet: map[*team]float64{}})
-	if got := g.p.fleet.Held(id); got != 3 { // 16 less 5 and 8
+	if got := g.p.fleet.ReservationCount(id); got != 3 { // 16 less 5 and 8
 		t.Errorf("room is held for %d tasks, 3 CPUs are left of the guarantee", got)
 	}
 }
@@ -137,7 +137,7 @@
 	busyMachine(g, "n-001")
 	g.Run(loop.Second)
 	x := g.p.teams["red"].jobs[id]
-	before := g.p.fleet.Held(id)
+	before := g.p.fleet.ReservationCount(id)
 	for held := before; held <= 9; held++ {
 		right := g.p.right(&entryOf{t: x}, &budget{})
 		if want := 8 - held; right.ShareTasks != want || right.RoomTasks != want || right.Share != (want > 0) {
