--- a/internal/fleet/claims.go
+++ b/internal/fleet/claims.go
@@ -148,8 +148,8 @@
 // ReservationCount returns the number of reservations of a job, each for one task.
 func (f *Fleet) ReservationCount(id string) int { return f.reservationCounts[id] }
 
-// HeldJobs returns the number of reservations of every job that has any. The caller must not change the map.
-func (f *Fleet) HeldJobs() map[string]int { return f.reservationCounts }
+// ReservationCounts returns the number of reservations of every job that has any. The caller must not change the map.
+func (f *Fleet) ReservationCounts() map[string]int { return f.reservationCounts }
 
 // Claimed reports whether capacity on the machine is reserved for the job.
 func (m *Machine) Claimed(id string) bool {
--- a/internal/placer/guarantee.go
+++ b/internal/placer/guarantee.go
@@ -87,7 +87,7 @@
 // as others have borrowed that.
 func (p *Placer) unmetGuarantee(tm *team) float64 {
 	held := 0.0
-	for id, n := range loop.Sorted(p.fleet.HeldJobs()) {
+	for id, n := range loop.Sorted(p.fleet.ReservationCounts()) {
 		if t := tm.jobs[id]; t != nil {
 			held += float64(n) * t.j.Spec.CPUs
 		}
