--- a/internal/fleet/claims.go
+++ b/internal/fleet/claims.go
@@ -151,7 +151,7 @@
 // ReservationCounts returns the number of reservations of every job that has any. The caller must not change the map.
 func (f *Fleet) ReservationCounts() map[string]int { return f.reservationCounts }
 
-// Claimed reports whether capacity on the machine is reserved for the job.
-func (m *Machine) Claimed(id string) bool {
+// HasReservation reports whether capacity on the machine is reserved for the job.
+func (m *Machine) HasReservation(id string) bool {
 	return slices.ContainsFunc(m.Claims, func(c gate.Claim) bool { return c.Job == id })
 }
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -255,7 +255,7 @@
 	}
 	for _, sl := range p.fleet.Ranked(&need, free) {
 		for got < n && sl.Takes(&need) {
-			if !sl.Claimed(t.j.ID) {
+			if !sl.HasReservation(t.j.ID) {
 				if elsewhere <= 0 {
 					break
 				}
