--- a/internal/fleet/hold.go
+++ b/internal/fleet/hold.go
@@ -16,12 +16,12 @@
 // CPUs shares machines with other reservations.
 const smallTaskDivisor = 4
 
-// Hold reserves capacity for up to want tasks of a job on machines that have none free now, and returns the
+// Reserve reserves capacity for up to want tasks of a job on machines that have none free now, and returns the
 // reservations. It preempts nothing: capacity is freed as tasks there end, and meanwhile no other job's tasks
 // take it. Capacity that is reserved already is subtracted first, and small reservations share a machine:
 // when each had a machine of its own, none was left for gangs or for tasks as large as a machine. For a gang
 // it reserves everything or nothing, since a part of a gang cannot run.
-func (f *Fleet) Hold(need *gate.Need, want int, life loop.Micros) (claims []peer.Claim) {
+func (f *Fleet) Reserve(need *gate.Need, want int, life loop.Micros) (claims []peer.Claim) {
 	n := *need
 	if n.Zones = maps.Clone(need.Zones); n.Zones == nil {
 		n.Zones = map[string]int{}
--- a/internal/placer/guarantee.go
+++ b/internal/placer/guarantee.go
@@ -98,7 +98,7 @@
 // hold holds room for tasks of a job that finds none, and tells for how many.
 func (p *Placer) hold(t *table, tasks int) int {
 	need := t.need()
-	claims := p.fleet.Hold(&need, tasks, holdLife)
+	claims := p.fleet.Reserve(&need, tasks, holdLife)
 	p.claimed(claims)
 	p.n.Meter.Held(len(claims))
 	p.reserve.Serve(t.turnClass(), float64(len(claims))*t.j.Spec.CPUs)
--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -88,7 +88,7 @@
 	if !t.j.Spec.Gang {
 		n = min(n, mostHeld)
 	}
-	claims := p.fleet.Hold(&need, n, holdLife)
+	claims := p.fleet.Reserve(&need, n, holdLife)
 	p.claimed(claims)
 	p.n.Meter.Held(len(claims))
 	t.heldCPUs, t.heldFor = float64(len(claims))*w.CPUs, w.Class
--- a/internal/placer/turns_test.go
+++ b/internal/placer/turns_test.go
@@ -117,7 +117,7 @@
 	g.Run(loop.Second)
 	g.p.fleet.Refresh()
 	need := g.p.teams["blue"].jobs[other].need()
-	if n := len(g.p.fleet.Hold(&need, 4, holdLife)); n != 4 {
+	if n := len(g.p.fleet.Reserve(&need, 4, holdLife)); n != 4 {
 		t.Fatalf("room is held for %d tasks, want 4", n)
 	}
 	tm := g.p.teams["blue"]
