--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -92,10 +92,10 @@
 	return f.preempt(need, want, &by, math.Inf(1), reservationLife, func(*Machine) bool { return true })
 }
 
-// PreemptAtImage makes capacity for an urgent job's tasks on machines that have its image cached, although
+// PreemptForCachedImage makes capacity for an urgent job's tasks on machines that have its image cached, although
 // others have free capacity: there the tasks would wait for the fetch. It stops only tasks that lose less
 // than the fetch costs, so that the preemption is no net loss.
-func (f *Fleet) PreemptAtImage(need *gate.Need, want int, by Right) []peer.Claim {
+func (f *Fleet) PreemptForCachedImage(need *gate.Need, want int, by Right) []peer.Claim {
 	rate := math.Inf(1)
 	for _, m := range f.order {
 		if m.typ.FetchGBs > 0 {
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -237,7 +237,7 @@
 	if short <= 0 {
 		return
 	}
-	claims := p.fleet.PreemptAtImage(&need, short, p.right(e, b))
+	claims := p.fleet.PreemptForCachedImage(&need, short, p.right(e, b))
 	p.claimed(claims)
 	b.left -= len(claims)
 }
