--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -111,8 +111,8 @@
 // urgent task occupies its own capacity and its users wait.
 const fetchCostFactor = 3
 
-// AtImage counts how many of n tasks of the job fit on machines that have its image cached.
-func (f *Fleet) AtImage(need gate.Need, n int, slots []*Machine) int {
+// CountFittingWithImage counts how many of n tasks of the job fit on machines that have its image cached.
+func (f *Fleet) CountFittingWithImage(need gate.Need, n int, slots []*Machine) int {
 	var there []*Machine
 	for _, m := range slots {
 		if m.Runs.HasImage(need.Spec.Image) {
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -233,7 +233,7 @@
 func (p *Placer) goToImage(e *entryOf, n int, open []*fleet.Machine, b *budget) {
 	t := e.t
 	need := t.need()
-	short := min(n-p.fleet.AtImage(need, n, open)-p.fleet.ReservationCount(t.j.ID), b.left)
+	short := min(n-p.fleet.CountFittingWithImage(need, n, open)-p.fleet.ReservationCount(t.j.ID), b.left)
 	if short <= 0 {
 		return
 	}
