--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -21,7 +21,7 @@
 }
 
 // candidateOn finds the cheapest preemptions on a machine that make capacity for a task of the job.
-func (f *Fleet) candidateOn(need *gate.Need, m *Machine, now loop.Micros, by *Right) (candidate, bool) {
+func (f *Fleet) candidateOn(need *gate.Need, m *Machine, now loop.Micros, by *PreemptionRights) (candidate, bool) {
 	s := need.Spec
 	o := candidate{m: m}
 	if !m.Allowed(need) {
@@ -88,14 +88,14 @@
 
 // Preempt stops tasks to make capacity for up to want tasks of a job that did not fit, and returns one
 // reservation for each task it made capacity for.
-func (f *Fleet) Preempt(need *gate.Need, want int, by Right) (claims []peer.Claim) {
+func (f *Fleet) Preempt(need *gate.Need, want int, by PreemptionRights) (claims []peer.Claim) {
 	return f.preempt(need, want, &by, math.Inf(1), reservationLife, func(*Machine) bool { return true })
 }
 
 // PreemptForCachedImage makes capacity for an urgent job's tasks on machines that have its image cached, although
 // others have free capacity: there the tasks would wait for the fetch. It stops only tasks that lose less
 // than the fetch costs, so that the preemption is no net loss.
-func (f *Fleet) PreemptForCachedImage(need *gate.Need, want int, by Right) []peer.Claim {
+func (f *Fleet) PreemptForCachedImage(need *gate.Need, want int, by PreemptionRights) []peer.Claim {
 	rate := math.Inf(1)
 	for _, m := range f.order {
 		if m.typ.FetchGBs > 0 {
@@ -128,7 +128,7 @@
 // preempt computes candidates on the machines for which of returns true, once for each, until it has enough to
 // choose from. After that it recomputes only the chosen machine. Each task may cost at most the given number
 // of CPU seconds.
-func (f *Fleet) preempt(need *gate.Need, want int, by *Right, maxCost float64, life loop.Micros, eligible func(*Machine) bool) (claims []peer.Claim) {
+func (f *Fleet) preempt(need *gate.Need, want int, by *PreemptionRights, maxCost float64, life loop.Micros, eligible func(*Machine) bool) (claims []peer.Claim) {
 	s := need.Spec
 	now := f.runner.Now()
 	after := now - f.node.StaleAfter
--- a/internal/fleet/right.go
+++ b/internal/fleet/right.go
@@ -2,12 +2,12 @@
 
 import "cleatpick/internal/job"
 
-// Right says which tasks may be preempted for a job. The protocol allows two kinds of preemption: lower
+// PreemptionRights says which tasks may be preempted for a job. The protocol allows two kinds of preemption: lower
 // priority yields to higher, and what a team runs beyond its guarantee yields to another team's guarantee.
 // Combined freely they undo each other without end: work beyond a guarantee preempts lower-priority work
 // within another guarantee, whose team then reclaims the capacity. The guarantee therefore takes precedence
 // here, which orders all preemptions: first by guarantee, then by priority.
-type Right struct {
+type PreemptionRights struct {
 	// Guarantee: the task's job fits into its team's guarantee, and the task still fits beside everything the
 	// team runs. It may preempt what other teams run beyond their guarantee, at any priority.
 	Guarantee bool
@@ -30,7 +30,7 @@
 // allows reports whether the victim may be preempted for the claimant. stopped is the number of CPUs of the
 // victim's team that are preempted for the same claimant already: without it, several victims together would
 // take a team below its guarantee.
-func (r *Right) allows(claimant, victim *job.Spec, stopped float64) bool {
+func (r *PreemptionRights) allows(claimant, victim *job.Spec, stopped float64) bool {
 	borrowed := r.Excess[victim.Team]-stopped >= victim.CPUs
 	sameTeam := victim.Team == claimant.Team
 	if victim.Priority < claimant.Priority {
@@ -40,13 +40,13 @@
 }
 
 // consume updates the right after preemptions for the given number of the job's tasks.
-func (r *Right) consume(tasks int) {
+func (r *PreemptionRights) consume(tasks int) {
 	r.Share = r.Share && tasks < r.ShareTasks
 	r.Room = r.Room && tasks < r.RoomTasks
 }
 
 // anyOtherExcess reports whether any other team's usage exceeds its guarantee.
-func (r *Right) anyOtherExcess(team string) bool {
+func (r *PreemptionRights) anyOtherExcess(team string) bool {
 	for name, x := range r.Excess {
 		if name != team && x > 0 {
 			return true
--- a/internal/fleet/victims.go
+++ b/internal/fleet/victims.go
@@ -42,7 +42,7 @@
 
 // victims appends the tasks on a machine that may be preempted, each considered by itself: those of lower
 // priority first, then the others, and within each group the least loss first.
-func (f *Fleet) victims(out []victim, need *gate.Need, m *Machine, now loop.Micros, by *Right) []victim {
+func (f *Fleet) victims(out []victim, need *gate.Need, m *Machine, now loop.Micros, by *PreemptionRights) []victim {
 	urgent := need.Spec.Priority >= job.High
 	for i := range m.V.Tasks {
 		x := &m.V.Tasks[i]
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -74,7 +74,7 @@
 }
 
 // right tells what may be stopped for a task of the job.
-func (p *Placer) right(e *entryOf, b *budget) fleet.Right {
+func (p *Placer) right(e *entryOf, b *budget) fleet.PreemptionRights {
 	t := e.t
 	if b.excess == nil {
 		b.excess, b.shares = p.excesses(), map[*team]map[*table]float64{}
@@ -90,7 +90,7 @@
 	// Two teams that both run beyond their guarantees must not stop each other's work in turn: only
 	// one that uses less than its guarantee may claim it.
 	room := t.team.quota.CPUs - t.team.cpus
-	return fleet.Right{Guarantee: e.within && room >= cpus, Share: share > 0, Room: room >= cpus,
+	return fleet.PreemptionRights{Guarantee: e.within && room >= cpus, Share: share > 0, Room: room >= cpus,
 		ShareTasks: share, RoomTasks: tasksWithin(room, cpus) - held, Excess: b.excess}
 }
 
