--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -133,7 +133,7 @@
 	now := f.runner.Now()
 	after := now - f.node.StaleAfter
 	var all candidateHeap
-	borrowed := by.Guarantee && !by.LowerOnly && by.anyOtherExcess(s.Team)
+	borrowed := by.WithinGuarantee && !by.LowerOnly && by.anyOtherExcess(s.Team)
 	// With many machines, any few of them are about as good as the best of all: the search starts where the
 	// last one ended, and stops once there are enough candidates.
 	for k := 0; k < len(f.order) && len(all) < candidatesPerTask*(want+8); k++ {
--- a/internal/fleet/right.go
+++ b/internal/fleet/right.go
@@ -8,9 +8,9 @@
 // within another guarantee, whose team then reclaims the capacity. The guarantee therefore takes precedence
 // here, which orders all preemptions: first by guarantee, then by priority.
 type PreemptionRights struct {
-	// Guarantee: the task's job fits into its team's guarantee, and the task still fits beside everything the
+	// WithinGuarantee: the task's job fits into its team's guarantee, and the task still fits beside everything the
 	// team runs. It may preempt what other teams run beyond their guarantee, at any priority.
-	Guarantee bool
+	WithinGuarantee bool
 	// Share: taking the team's work by priority up to its guarantee, the task is part of it, even where the
 	// job as a whole does not fit into the guarantee. It may preempt lower-priority work of its own team.
 	Share bool
@@ -36,7 +36,7 @@
 	if victim.Priority < claimant.Priority {
 		return borrowed || r.Share && (r.Room || sameTeam)
 	}
-	return r.Guarantee && borrowed && !sameTeam && !victim.Service && !r.LowerOnly
+	return r.WithinGuarantee && borrowed && !sameTeam && !victim.Service && !r.LowerOnly
 }
 
 // consume updates the right after preemptions for the given number of the job's tasks.
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -196,7 +196,7 @@
 	now := p.r.Now()
 	n := missed
 	right := p.right(e, b)
-	within := right.Guarantee
+	within := right.WithinGuarantee
 	if room := t.team.quota.CPUs - t.team.cpus; within && s.CPUs > 0 {
 		n = min(n, int(room/s.CPUs))
 	}
