--- a/internal/fleet/hold_test.go
+++ b/internal/fleet/hold_test.go
@@ -78,11 +78,11 @@
 
 // A right that covers only some tasks of a job ends once that many of them have had tasks preempted for them.
 func TestPreemptionRightsAreConsumed(t *testing.T) {
-	for tasks, want := range []PreemptionRights{{Share: true, Room: true}, {Share: true, Room: true}, {Share: true}, {}, {}} {
-		r := PreemptionRights{Share: true, Room: true, ShareTasks: 3, RoomTasks: 2}
+	for tasks, want := range []PreemptionRights{{InTeamShare: true, Room: true}, {InTeamShare: true, Room: true}, {InTeamShare: true}, {}, {}} {
+		r := PreemptionRights{InTeamShare: true, Room: true, ShareTasks: 3, RoomTasks: 2}
 		r.consume(tasks)
-		if r.Share != want.Share || r.Room != want.Room {
-			t.Errorf("after %d tasks: Share %v, Room %v, want %v, %v", tasks, r.Share, r.Room, want.Share, want.Room)
+		if r.InTeamShare != want.InTeamShare || r.Room != want.Room {
+			t.Errorf("after %d tasks: Share %v, Room %v, want %v, %v", tasks, r.InTeamShare, r.Room, want.InTeamShare, want.Room)
 		}
 	}
 }
--- a/internal/fleet/right.go
+++ b/internal/fleet/right.go
@@ -11,9 +11,9 @@
 	// WithinGuarantee: the task's job fits into its team's guarantee, and the task still fits beside everything the
 	// team runs. It may preempt what other teams run beyond their guarantee, at any priority.
 	WithinGuarantee bool
-	// Share: taking the team's work by priority up to its guarantee, the task is part of it, even where the
+	// InTeamShare: taking the team's work by priority up to its guarantee, the task is part of it, even where the
 	// job as a whole does not fit into the guarantee. It may preempt lower-priority work of its own team.
-	Share bool
+	InTeamShare bool
 	// Room: the team's usage is below its guarantee by at least one task. With Share, the task may preempt
 	// lower-priority work of any team.
 	Room bool
@@ -34,14 +34,14 @@
 	borrowed := r.Excess[victim.Team]-stopped >= victim.CPUs
 	sameTeam := victim.Team == claimant.Team
 	if victim.Priority < claimant.Priority {
-		return borrowed || r.Share && (r.Room || sameTeam)
+		return borrowed || r.InTeamShare && (r.Room || sameTeam)
 	}
 	return r.WithinGuarantee && borrowed && !sameTeam && !victim.Service && !r.LowerOnly
 }
 
 // consume updates the right after preemptions for the given number of the job's tasks.
 func (r *PreemptionRights) consume(tasks int) {
-	r.Share = r.Share && tasks < r.ShareTasks
+	r.InTeamShare = r.InTeamShare && tasks < r.ShareTasks
 	r.Room = r.Room && tasks < r.RoomTasks
 }
 
