--- a/internal/fleet/right.go
+++ b/internal/fleet/right.go
@@ -14,9 +14,9 @@
 	// InTeamShare: taking the team's work by priority up to its guarantee, the task is part of it, even where the
 	// job as a whole does not fit into the guarantee. It may preempt lower-priority work of its own team.
 	InTeamShare bool
-	// Room: the team's usage is below its guarantee by at least one task. With Share, the task may preempt
+	// TeamBelowGuarantee: the team's usage is below its guarantee by at least one task. With Share, the task may preempt
 	// lower-priority work of any team.
-	Room bool
+	TeamBelowGuarantee bool
 	// ShareTasks and RoomTasks are the numbers of tasks of the job for which Share and Room hold: preemption
 	// for one task leaves less of the guarantee to the next.
 	ShareTasks, RoomTasks int
@@ -34,7 +34,7 @@
 	borrowed := r.Excess[victim.Team]-stopped >= victim.CPUs
 	sameTeam := victim.Team == claimant.Team
 	if victim.Priority < claimant.Priority {
-		return borrowed || r.InTeamShare && (r.Room || sameTeam)
+		return borrowed || r.InTeamShare && (r.TeamBelowGuarantee || sameTeam)
 	}
 	return r.WithinGuarantee && borrowed && !sameTeam && !victim.Service && !r.LowerOnly
 }
@@ -42,7 +42,7 @@
 // consume updates the right after preemptions for the given number of the job's tasks.
 func (r *PreemptionRights) consume(tasks int) {
 	r.InTeamShare = r.InTeamShare && tasks < r.ShareTasks
-	r.Room = r.Room && tasks < r.RoomTasks
+	r.TeamBelowGuarantee = r.TeamBelowGuarantee && tasks < r.RoomTasks
 }
 
 // anyOtherExcess reports whether any other team's usage exceeds its guarantee.
--- a/internal/fleet/right_test.go
+++ b/internal/fleet/right_test.go
@@ -8,11 +8,11 @@
 
 // TestPreemptionRights checks the preemption rules case by case, for a claimant of team red and a victim of two CPUs.
 func TestPreemptionRights(t *testing.T) {
-	all := PreemptionRights{WithinGuarantee: true, InTeamShare: true, Room: true}
-	beyond := PreemptionRights{}                             // the claimant is beyond its team's guarantee
-	large := PreemptionRights{InTeamShare: true, Room: true} // the claimant's job does not fit into the guarantee, its first tasks do
-	full := PreemptionRights{InTeamShare: true}              // the team's other work fills the guarantee
-	image := PreemptionRights{WithinGuarantee: true, InTeamShare: true, Room: true, LowerOnly: true}
+	all := PreemptionRights{WithinGuarantee: true, InTeamShare: true, TeamBelowGuarantee: true}
+	beyond := PreemptionRights{}                                           // the claimant is beyond its team's guarantee
+	large := PreemptionRights{InTeamShare: true, TeamBelowGuarantee: true} // the claimant's job does not fit into the guarantee, its first tasks do
+	full := PreemptionRights{InTeamShare: true}                            // the team's other work fills the guarantee
+	image := PreemptionRights{WithinGuarantee: true, InTeamShare: true, TeamBelowGuarantee: true, LowerOnly: true}
 	for _, c := range []struct {
 		name     string
 		right    PreemptionRights
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -214,7 +214,7 @@
 		n -= by
 	}
 	sh, free := fleet.ShapeOf(s)
-	key := stopKey{sh, s.Team, within, right.InTeamShare, right.Room}
+	key := stopKey{sh, s.Team, within, right.InTeamShare, right.TeamBelowGuarantee}
 	if n = min(n, b.left); n <= 0 || b.vain[key] {
 		return
 	}
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -90,7 +90,7 @@
 	// Two teams that both run beyond their guarantees must not stop each other's work in turn: only
 	// one that uses less than its guarantee may claim it.
 	room := t.team.quota.CPUs - t.team.cpus
-	return fleet.PreemptionRights{WithinGuarantee: e.within && room >= cpus, InTeamShare: share > 0, Room: room >= cpus,
+	return fleet.PreemptionRights{WithinGuarantee: e.within && room >= cpus, InTeamShare: share > 0, TeamBelowGuarantee: room >= cpus,
 		ShareTasks: share, RoomTasks: tasksWithin(room, cpus) - held, Excess: b.excess}
 }
 
