--- a/internal/fleet/hold_test.go
+++ b/internal/fleet/hold_test.go
@@ -79,7 +79,7 @@
 // A right that covers only some tasks of a job ends once that many of them have had tasks preempted for them.
 func TestPreemptionRightsAreConsumed(t *testing.T) {
 	for tasks, want := range []PreemptionRights{{InTeamShare: true, TeamBelowGuarantee: true}, {InTeamShare: true, TeamBelowGuarantee: true}, {InTeamShare: true}, {}, {}} {
-		r := PreemptionRights{InTeamShare: true, TeamBelowGuarantee: true, InTeamShareTasks: 3, RoomTasks: 2}
+		r := PreemptionRights{InTeamShare: true, TeamBelowGuarantee: true, InTeamShareTasks: 3, TeamBelowGuaranteeTasks: 2}
 		r.consume(tasks)
 		if r.InTeamShare != want.InTeamShare || r.TeamBelowGuarantee != want.TeamBelowGuarantee {
 			t.Errorf("after %d tasks: Share %v, Room %v, want %v, %v", tasks, r.InTeamShare, r.TeamBelowGuarantee, want.InTeamShare, want.TeamBelowGuarantee)
--- a/internal/fleet/right.go
+++ b/internal/fleet/right.go
@@ -17,9 +17,9 @@
 	// TeamBelowGuarantee: the team's usage is below its guarantee by at least one task. With Share, the task may preempt
 	// lower-priority work of any team.
 	TeamBelowGuarantee bool
-	// InTeamShareTasks and RoomTasks are the numbers of tasks of the job for which Share and Room hold: preemption
+	// InTeamShareTasks and TeamBelowGuaranteeTasks are the numbers of tasks of the job for which Share and Room hold: preemption
 	// for one task leaves less of the guarantee to the next.
-	InTeamShareTasks, RoomTasks int
+	InTeamShareTasks, TeamBelowGuaranteeTasks int
 	// LowerOnly: only tasks of lower priority may be preempted.
 	LowerOnly bool
 	// Excess is each team's usage beyond its guarantee in CPUs; it is negative for a team below its
@@ -42,7 +42,7 @@
 // consume updates the right after preemptions for the given number of the job's tasks.
 func (r *PreemptionRights) consume(tasks int) {
 	r.InTeamShare = r.InTeamShare && tasks < r.InTeamShareTasks
-	r.TeamBelowGuarantee = r.TeamBelowGuarantee && tasks < r.RoomTasks
+	r.TeamBelowGuarantee = r.TeamBelowGuarantee && tasks < r.TeamBelowGuaranteeTasks
 }
 
 // anyOtherExcess reports whether any other team's usage exceeds its guarantee.
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -91,7 +91,7 @@
 	// one that uses less than its guarantee may claim it.
 	room := t.team.quota.CPUs - t.team.cpus
 	return fleet.PreemptionRights{WithinGuarantee: e.within && room >= cpus, InTeamShare: share > 0, TeamBelowGuarantee: room >= cpus,
-		InTeamShareTasks: share, RoomTasks: tasksWithin(room, cpus) - held, Excess: b.excess}
+		InTeamShareTasks: share, TeamBelowGuaranteeTasks: tasksWithin(room, cpus) - held, Excess: b.excess}
 }
 
 // tasksWithin is how many tasks of so many CPUs each a part of a guarantee covers.
--- a/internal/placer/turns_test.go
+++ b/internal/placer/turns_test.go
@@ -140,8 +140,8 @@
 	before := g.p.fleet.ReservationCount(id)
 	for held := before; held <= 9; held++ {
 		right := g.p.right(&entryOf{t: x}, &budget{})
-		if want := 8 - held; right.InTeamShareTasks != want || right.RoomTasks != want || right.InTeamShare != (want > 0) {
-			t.Errorf("with room for %d tasks being made: share %v of %d, room of %d, want %d", held, right.InTeamShare, right.InTeamShareTasks, right.RoomTasks, want)
+		if want := 8 - held; right.InTeamShareTasks != want || right.TeamBelowGuaranteeTasks != want || right.InTeamShare != (want > 0) {
+			t.Errorf("with room for %d tasks being made: share %v of %d, room of %d, want %d", held, right.InTeamShare, right.InTeamShareTasks, right.TeamBelowGuaranteeTasks, want)
 		}
 		g.p.fleet.AddReservation(peer.Claim{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
 	}
