--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -103,7 +103,7 @@
 		}
 	}
 	most := fetchCostFactor * need.Spec.ImageGB / rate * need.Spec.CPUs
-	by.LowerOnly = true // the tasks fit elsewhere
+	by.LowerPriorityOnly = true // the tasks fit elsewhere
 	return f.preempt(need, want, &by, most, imageReservationLife, func(m *Machine) bool { return m.Runs.HasImage(need.Spec.Image) })
 }
 
@@ -133,7 +133,7 @@
 	now := f.runner.Now()
 	after := now - f.node.StaleAfter
 	var all candidateHeap
-	borrowed := by.WithinGuarantee && !by.LowerOnly && by.anyOtherExcess(s.Team)
+	borrowed := by.WithinGuarantee && !by.LowerPriorityOnly && by.anyOtherExcess(s.Team)
 	// With many machines, any few of them are about as good as the best of all: the search starts where the
 	// last one ended, and stops once there are enough candidates.
 	for k := 0; k < len(f.order) && len(all) < candidatesPerTask*(want+8); k++ {
--- a/internal/fleet/right.go
+++ b/internal/fleet/right.go
@@ -20,8 +20,8 @@
 	// InTeamShareTasks and TeamBelowGuaranteeTasks are the numbers of tasks of the job for which Share and Room hold: preemption
 	// for one task leaves less of the guarantee to the next.
 	InTeamShareTasks, TeamBelowGuaranteeTasks int
-	// LowerOnly: only tasks of lower priority may be preempted.
-	LowerOnly bool
+	// LowerPriorityOnly: only tasks of lower priority may be preempted.
+	LowerPriorityOnly bool
 	// Excess is each team's usage beyond its guarantee in CPUs; it is negative for a team below its
 	// guarantee.
 	Excess map[string]float64
@@ -36,7 +36,7 @@
 	if victim.Priority < claimant.Priority {
 		return borrowed || r.InTeamShare && (r.TeamBelowGuarantee || sameTeam)
 	}
-	return r.WithinGuarantee && borrowed && !sameTeam && !victim.Service && !r.LowerOnly
+	return r.WithinGuarantee && borrowed && !sameTeam && !victim.Service && !r.LowerPriorityOnly
 }
 
 // consume updates the right after preemptions for the given number of the job's tasks.
--- a/internal/fleet/right_test.go
+++ b/internal/fleet/right_test.go
@@ -12,7 +12,7 @@
 	beyond := PreemptionRights{}                                           // the claimant is beyond its team's guarantee
 	large := PreemptionRights{InTeamShare: true, TeamBelowGuarantee: true} // the claimant's job does not fit into the guarantee, its first tasks do
 	full := PreemptionRights{InTeamShare: true}                            // the team's other work fills the guarantee
-	image := PreemptionRights{WithinGuarantee: true, InTeamShare: true, TeamBelowGuarantee: true, LowerOnly: true}
+	image := PreemptionRights{WithinGuarantee: true, InTeamShare: true, TeamBelowGuarantee: true, LowerPriorityOnly: true}
 	for _, c := range []struct {
 		name     string
 		right    PreemptionRights
