--- a/internal/fleet/turnover.go
+++ b/internal/fleet/turnover.go
@@ -11,8 +11,8 @@
 	Rate float64
 }
 
-// Free counts CPUs that a completed task freed.
-func (o *Turnover) Free(cpus float64) { o.freed += cpus }
+// AddFreed counts CPUs that a completed task freed.
+func (o *Turnover) AddFreed(cpus float64) { o.freed += cpus }
 
 // Tick updates the rate; it is to be called a few times per second.
 func (o *Turnover) Tick(now loop.Micros) {
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -22,7 +22,7 @@
 	if old == nil {
 		c = &agent.Changes{All: true}
 		if typ, ok := p.n.Type(v.Type); ok && len(v.Tasks) == 0 {
-			p.turn.Free(typ.CPUs) // one that has just come up is room as well
+			p.turn.AddFreed(typ.CPUs) // one that has just come up is room as well
 		}
 	} else {
 		before, heard = old.V.Tasks, old.Heard
@@ -39,7 +39,7 @@
 	}
 	sl.Jobs = p.agent.Jobs(v)
 	told := sl.Runs.Follow(v, c, before, sl.Jobs, p.paces, now, unsure)
-	p.turn.Free(told.Freed)
+	p.turn.AddFreed(told.Freed)
 	if told.Slow && now >= sl.Shut {
 		p.log.Debug("slow machine rests", "machine", v.Name, "times", told.Factor)
 		sl.BackOff(now+health.SlowRest, "its tasks run slowly")
