--- a/internal/fleet/claims.go
+++ b/internal/fleet/claims.go
@@ -17,7 +17,7 @@
 // AddReservation records a reservation of capacity on a machine for a job. While no report of the machine has
 // arrived, nothing is placed on it; the reservation is kept aside and takes effect with the first report.
 func (f *Fleet) AddReservation(c peer.Claim) {
-	m := f.slots[c.Machine]
+	m := f.machines[c.Machine]
 	if m == nil {
 		if len(f.pendingReservations) < maxPendingReservations {
 			f.pendingReservations = append(f.pendingReservations, c)
@@ -30,7 +30,8 @@
 	f.reservationCounts[c.Job]++
 }
 
-// applyPendingReservations applies the reservations that arrived before the machine's first report and have not expired.
+// applyPendingReservations applies the reservations that arrived before the machine's first report and have
+// not expired.
 func (f *Fleet) applyPendingReservations(machine string) {
 	var here []peer.Claim
 	f.pendingReservations = slices.DeleteFunc(f.pendingReservations, func(c peer.Claim) bool {
@@ -46,8 +47,8 @@
 	}
 }
 
-// ReservationsOf lists the unexpired reservations of the jobs for which own returns true, so that a peer that does
-// not know them can be sent them.
+// ReservationsOf lists the unexpired reservations of the jobs for which own returns true, so that a peer that
+// does not know them can be sent them.
 func (f *Fleet) ReservationsOf(own func(job string) bool) (claims []peer.Claim) {
 	for m := range f.reserved {
 		for _, c := range m.Claims {
@@ -89,8 +90,9 @@
 	}
 }
 
-// dropConsumedReservations drops the reservations whose tasks the machine reports. They were made by the job's owner on
-// another controller, whose task and reservation would otherwise count the same capacity twice.
+// dropConsumedReservations drops the reservations whose tasks the machine reports. They were made by the
+// job's owner on another controller, whose task and reservation would otherwise count the same capacity
+// twice.
 func (f *Fleet) dropConsumedReservations(m *Machine) {
 	for i := 0; i < len(m.Claims); i++ {
 		if id := m.Claims[i].Job; m.taskCount(id) > m.Claims[i].Had {
@@ -100,8 +102,8 @@
 	}
 }
 
-// TrimReservations drops the reservations of a job beyond the given number: its tasks were placed elsewhere, or it is
-// over.
+// TrimReservations drops the reservations of a job beyond the given number: its tasks were placed elsewhere,
+// or it is over.
 func (f *Fleet) TrimReservations(id string, most int) {
 	if f.reservationCounts[id] <= most {
 		return
@@ -148,7 +150,8 @@
 // ReservationCount returns the number of reservations of a job, each for one task.
 func (f *Fleet) ReservationCount(id string) int { return f.reservationCounts[id] }
 
-// ReservationCounts returns the number of reservations of every job that has any. The caller must not change the map.
+// ReservationCounts returns the number of reservations of every job that has any. The caller must not change
+// the map.
 func (f *Fleet) ReservationCounts() map[string]int { return f.reservationCounts }
 
 // HasReservation reports whether capacity on the machine is reserved for the job.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -53,18 +53,18 @@
 	lowestPriority job.Priority // lowest priority of its tasks
 }
 
-// Fleet keeps a Slot for every machine that has reported. Refresh updates only those that changed: with many
+// Fleet keeps a Machine for every machine that has reported. Refresh updates only those that changed: with many
 // machines, a pass that recomputed all of them took more than the controller's whole share of a core.
 type Fleet struct {
 	runner              loop.Runner
 	log                 *slog.Logger
 	node                Node
-	slots               map[string]*Machine
+	machines            map[string]*Machine
 	order               []*Machine // by name
 	sorted              bool
 	stale               []*Machine
 	pricedAt            loop.Micros
-	cordonVersion       uint64                // version of the cordons by which the slots were marked
+	cordonVersion       uint64                // version of the cordons by which the machines were marked
 	reserved            map[*Machine]struct{} // machines with reservations
 	reservationCounts   map[string]int        // number of reservations by job
 	pendingReservations []peer.Claim          // reservations on machines that have not reported yet
@@ -76,11 +76,11 @@
 
 // New returns an empty fleet.
 func New(r loop.Runner, log *slog.Logger, n Node) *Fleet {
-	return &Fleet{runner: r, log: log, node: n, slots: map[string]*Machine{}, reserved: map[*Machine]struct{}{}, reservationCounts: map[string]int{}}
+	return &Fleet{runner: r, log: log, node: n, machines: map[string]*Machine{}, reserved: map[*Machine]struct{}{}, reservationCounts: map[string]int{}}
 }
 
 // Machine returns the record of a machine, or nil if no report of it has arrived.
-func (f *Fleet) Machine(machine string) *Machine { return f.slots[machine] }
+func (f *Fleet) Machine(machine string) *Machine { return f.machines[machine] }
 
 // All lists the machines by name, as of the last Refresh.
 func (f *Fleet) All() []*Machine { return f.order }
@@ -102,11 +102,11 @@
 // UpdateView records a machine's newer view and when its report was received. quiet means that nothing on the
 // machine has changed, so that it needs no refresh.
 func (f *Fleet) UpdateView(v *agent.View, heard loop.Micros, quiet bool) *Machine {
-	m := f.slots[v.Name]
+	m := f.machines[v.Name]
 	first := m == nil
 	if first {
 		m = &Machine{Runs: health.NewRuns()}
-		f.slots[v.Name] = m
+		f.machines[v.Name] = m
 		f.order = append(f.order, m)
 		f.sorted = false
 		f.pricedAt = 0
@@ -131,14 +131,14 @@
 
 // Remove removes a machine that was deleted, with the reservations on it.
 func (f *Fleet) Remove(machine string) {
-	m := f.slots[machine]
+	m := f.machines[machine]
 	if m == nil {
 		return
 	}
 	for len(m.Claims) > 0 {
 		f.dropReservation(m, 0)
 	}
-	delete(f.slots, machine)
+	delete(f.machines, machine)
 	f.order = slices.DeleteFunc(f.order, func(x *Machine) bool { return x == m })
 	m.Known = false
 }
@@ -184,7 +184,7 @@
 	f.stale = nil
 	for _, m := range due {
 		m.stale = false
-		if f.slots[m.V.Name] == m {
+		if f.machines[m.V.Name] == m {
 			f.refresh(m)
 		}
 	}
@@ -283,7 +283,7 @@
 // Ranked lists those of the given machines that may take a task of the job, the best first. A machine that
 // takes a task becomes fuller and so stays the best until it is full: the list need not be computed anew for
 // every task.
-func (f *Fleet) Ranked(need *gate.Need, slots []*Machine) []*Machine {
+func (f *Fleet) Ranked(need *gate.Need, machines []*Machine) []*Machine {
 	now := f.runner.Now()
 	after := now - f.node.StaleAfter
 	type scored struct {
@@ -291,7 +291,7 @@
 		score float64
 	}
 	var all []scored
-	for _, m := range slots {
+	for _, m := range machines {
 		if m.Open(after, now) && m.Takes(need) {
 			score := m.score(need.Spec, f.node.Label)
 			if _, failed := need.Shun[m.V.Name]; failed {
@@ -309,24 +309,24 @@
 }
 
 // CountFitting counts how many of n more tasks of the job fit now, without placing any.
-func (f *Fleet) CountFitting(need gate.Need, n int, slots []*Machine) int {
-	return placeOnRanked(need, n, copySlots(f.Ranked(&need, slots)))
+func (f *Fleet) CountFitting(need gate.Need, n int, machines []*Machine) int {
+	return placeOnRanked(need, n, copyMachines(f.Ranked(&need, machines)))
 }
 
 // Copies returns copies of all machines for trial placement. With lifted, cordons are ignored.
 func (f *Fleet) Copies(lifted bool) []*Machine {
-	out := copySlots(f.order)
+	out := copyMachines(f.order)
 	for _, m := range out {
 		m.Cordoned = m.Cordoned && !lifted
 	}
 	return out
 }
 
-// copySlots returns copies of the machines for trial placement.
-func copySlots(slots []*Machine) []*Machine {
-	room := make([]Machine, len(slots))
-	out := make([]*Machine, len(slots))
-	for i, m := range slots {
+// copyMachines returns copies of the machines for trial placement.
+func copyMachines(machines []*Machine) []*Machine {
+	room := make([]Machine, len(machines))
+	out := make([]*Machine, len(machines))
+	for i, m := range machines {
 		room[i] = *m
 		out[i] = &room[i]
 	}
@@ -334,18 +334,19 @@
 }
 
 // PlaceOnCopies places up to n tasks of the job on the given copies, and returns how many fit.
-func (f *Fleet) PlaceOnCopies(need gate.Need, n int, slots []*Machine) int {
-	return placeOnRanked(need, n, f.Ranked(&need, slots))
+func (f *Fleet) PlaceOnCopies(need gate.Need, n int, machines []*Machine) int {
+	return placeOnRanked(need, n, f.Ranked(&need, machines))
 }
 
-// placeOnRanked places up to n tasks on the slots in their order, changing the slots, and returns how many fit.
-func placeOnRanked(need gate.Need, n int, slots []*Machine) int {
+// placeOnRanked places up to n tasks on the machines in their order, changing the machines, and returns how
+// many fit.
+func placeOnRanked(need gate.Need, n int, machines []*Machine) int {
 	need.Zones = maps.Clone(need.Zones)
 	if need.Zones == nil {
 		need.Zones = map[string]int{}
 	}
 	got := 0
-	for _, m := range slots {
+	for _, m := range machines {
 		for got < n && m.Takes(&need) {
 			m.Room.Take(need.Spec)
 			need.Zones[m.V.Zone]++
--- a/internal/fleet/hold.go
+++ b/internal/fleet/hold.go
@@ -12,8 +12,8 @@
 	"cleatpick/internal/peer"
 )
 
-// smallTaskDivisor is the divisor that separates smallTaskDivisor tasks from large ones: a task of up to a quarter of a machine's
-// CPUs shares machines with other reservations.
+// smallTaskDivisor is the divisor that separates smallTaskDivisor tasks from large ones: a task of up to a
+// quarter of a machine's CPUs shares machines with other reservations.
 const smallTaskDivisor = 4
 
 // Reserve reserves capacity for up to want tasks of a job on machines that have none free now, and returns the
--- a/internal/fleet/hold_test.go
+++ b/internal/fleet/hold_test.go
@@ -16,8 +16,8 @@
 	"cleatpick/internal/wire"
 )
 
-// newFullFleet returns a fleet of machines of 8 CPUs with nothing free; teams names the team whose task each machine
-// runs.
+// newFullFleet returns a fleet of machines of 8 CPUs with nothing free; teams names the team whose task each
+// machine runs.
 func newFullFleet(clock *standin.Stepped, teams ...string) *Fleet {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	client := store.NewClient(clock, nil, log, 100, 100, 1)
@@ -76,13 +76,13 @@
 	}
 }
 
-// A right that covers only some tasks of a job ends once that many of them have had tasks preempted for them.
+// Rights that cover only some tasks of a job end once tasks were preempted for that many of them.
 func TestPreemptionRightsAreConsumed(t *testing.T) {
 	for tasks, want := range []PreemptionRights{{InTeamShare: true, TeamBelowGuarantee: true}, {InTeamShare: true, TeamBelowGuarantee: true}, {InTeamShare: true}, {}, {}} {
 		r := PreemptionRights{InTeamShare: true, TeamBelowGuarantee: true, InTeamShareTasks: 3, TeamBelowGuaranteeTasks: 2}
 		r.consume(tasks)
 		if r.InTeamShare != want.InTeamShare || r.TeamBelowGuarantee != want.TeamBelowGuarantee {
-			t.Errorf("after %d tasks: Share %v, Room %v, want %v, %v", tasks, r.InTeamShare, r.TeamBelowGuarantee, want.InTeamShare, want.TeamBelowGuarantee)
+			t.Errorf("after %d tasks: InTeamShare %v, TeamBelowGuarantee %v, want %v, %v", tasks, r.InTeamShare, r.TeamBelowGuarantee, want.InTeamShare, want.TeamBelowGuarantee)
 		}
 	}
 }
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -27,7 +27,7 @@
 	if !m.Allowed(need) {
 		return o, false
 	}
-	f.scratch = f.victims(f.scratch[:0], need, m, now, by)
+	f.scratch = f.appendVictims(f.scratch[:0], need, m, now, by)
 	if len(f.scratch) == 0 {
 		return o, false
 	}
@@ -74,13 +74,13 @@
 // candidatesPerTask is the number of candidates to collect for each one that is wanted.
 const candidatesPerTask = 8
 
-// reservationPriority is the priority of the reservations made by preemption; work of higher priority would ignore
-// them. It is the highest, so none does: when higher priorities took the capacity freed for a guarantee,
-// their tasks were at once preempted for that guarantee again.
+// reservationPriority is the priority of the reservations made by preemption; work of higher priority would
+// ignore them. It is the highest, so none does: when higher priorities took the capacity freed for a
+// guarantee, their tasks were at once preempted for that guarantee again.
 const reservationPriority = job.Production
 
-// reservationLife is how long a reservation lasts after its victims' grace periods; imageReservationLife is the same where
-// the job's tasks fit elsewhere meanwhile.
+// reservationLife is how long a reservation lasts after its victims' grace periods; imageReservationLife is
+// the same where the job's tasks fit elsewhere meanwhile.
 const (
 	reservationLife      = 4 * loop.Second
 	imageReservationLife = 1500 * loop.Millisecond
@@ -112,9 +112,9 @@
 const fetchCostFactor = 3
 
 // CountFittingWithImage counts how many of n tasks of the job fit on machines that have its image cached.
-func (f *Fleet) CountFittingWithImage(need gate.Need, n int, slots []*Machine) int {
+func (f *Fleet) CountFittingWithImage(need gate.Need, n int, machines []*Machine) int {
 	var there []*Machine
-	for _, m := range slots {
+	for _, m := range machines {
 		if m.Runs.HasImage(need.Spec.Image) {
 			there = append(there, m)
 		}
--- a/internal/fleet/right.go
+++ b/internal/fleet/right.go
@@ -2,23 +2,23 @@
 
 import "cleatpick/internal/job"
 
-// PreemptionRights says which tasks may be preempted for a job. The protocol allows two kinds of preemption: lower
-// priority yields to higher, and what a team runs beyond its guarantee yields to another team's guarantee.
-// Combined freely they undo each other without end: work beyond a guarantee preempts lower-priority work
-// within another guarantee, whose team then reclaims the capacity. The guarantee therefore takes precedence
-// here, which orders all preemptions: first by guarantee, then by priority.
+// PreemptionRights says which tasks may be preempted for a job. The protocol allows two kinds of preemption:
+// lower priority yields to higher, and what a team runs beyond its guarantee yields to another team's
+// guarantee. Combined freely they undo each other without end: work beyond a guarantee preempts
+// lower-priority work within another guarantee, whose team then reclaims the capacity. The guarantee
+// therefore takes precedence here, which orders all preemptions: first by guarantee, then by priority.
 type PreemptionRights struct {
-	// WithinGuarantee: the task's job fits into its team's guarantee, and the task still fits beside everything the
-	// team runs. It may preempt what other teams run beyond their guarantee, at any priority.
+	// WithinGuarantee: the task's job fits into its team's guarantee, and the task still fits beside
+	// everything the team runs. It may preempt what other teams run beyond their guarantee, at any priority.
 	WithinGuarantee bool
 	// InTeamShare: taking the team's work by priority up to its guarantee, the task is part of it, even where the
 	// job as a whole does not fit into the guarantee. It may preempt lower-priority work of its own team.
 	InTeamShare bool
-	// TeamBelowGuarantee: the team's usage is below its guarantee by at least one task. With Share, the task may preempt
-	// lower-priority work of any team.
+	// TeamBelowGuarantee: the team's usage is below its guarantee by at least one task. With InTeamShare, the
+	// task may preempt lower-priority work of any team.
 	TeamBelowGuarantee bool
-	// InTeamShareTasks and TeamBelowGuaranteeTasks are the numbers of tasks of the job for which Share and Room hold: preemption
-	// for one task leaves less of the guarantee to the next.
+	// InTeamShareTasks and TeamBelowGuaranteeTasks are the numbers of tasks of the job for which InTeamShare
+	// and TeamBelowGuarantee hold: preemption for one task leaves less of the guarantee to the next.
 	InTeamShareTasks, TeamBelowGuaranteeTasks int
 	// LowerPriorityOnly: only tasks of lower priority may be preempted.
 	LowerPriorityOnly bool
@@ -39,7 +39,7 @@
 	return r.WithinGuarantee && borrowed && !sameTeam && !victim.Service && !r.LowerPriorityOnly
 }
 
-// consume updates the right after preemptions for the given number of the job's tasks.
+// consume updates the rights after preemptions for the given number of the job's tasks.
 func (r *PreemptionRights) consume(tasks int) {
 	r.InTeamShare = r.InTeamShare && tasks < r.InTeamShareTasks
 	r.TeamBelowGuarantee = r.TeamBelowGuarantee && tasks < r.TeamBelowGuaranteeTasks
--- a/internal/fleet/right_test.go
+++ b/internal/fleet/right_test.go
@@ -6,7 +6,8 @@
 	"cleatpick/internal/job"
 )
 
-// TestPreemptionRights checks the preemption rules case by case, for a claimant of team red and a victim of two CPUs.
+// TestPreemptionRights checks the preemption rules case by case, for a claimant of team red and a victim of
+// two CPUs.
 func TestPreemptionRights(t *testing.T) {
 	all := PreemptionRights{WithinGuarantee: true, InTeamShare: true, TeamBelowGuarantee: true}
 	beyond := PreemptionRights{}                                           // the claimant is beyond its team's guarantee
--- a/internal/fleet/victims.go
+++ b/internal/fleet/victims.go
@@ -40,9 +40,9 @@
 	grace loop.Micros
 }
 
-// victims appends the tasks on a machine that may be preempted, each considered by itself: those of lower
+// appendVictims appends the tasks on a machine that may be preempted, each considered by itself: those of lower
 // priority first, then the others, and within each group the least loss first.
-func (f *Fleet) victims(out []victim, need *gate.Need, m *Machine, now loop.Micros, by *PreemptionRights) []victim {
+func (f *Fleet) appendVictims(out []victim, need *gate.Need, m *Machine, now loop.Micros, by *PreemptionRights) []victim {
 	urgent := need.Spec.Priority >= job.High
 	for i := range m.V.Tasks {
 		x := &m.V.Tasks[i]
