--- a/internal/rental/cloud.go
+++ b/internal/rental/cloud.go
@@ -12,8 +12,8 @@
 	"cleatpick/internal/wire"
 )
 
-// mayCall tells whether the pacing lets a cloud call go out now. The cloud allows
-// bursts worth two seconds; when all machines are to be rented at once, these count.
+// mayCall reports whether pacing allows a cloud call now. The cloud allows bursts of two seconds' worth of
+// calls, which matter when many machines are rented at once.
 func (t *Rental) mayCall(now loop.Micros) bool {
 	rate := 0.95 * t.cfg.Cluster.Cloud.RPS
 	if gap := t.cfg.Operator.CloudCallS; gap > 0 {
@@ -29,7 +29,7 @@
 	return !t.calling && now >= t.pauseTo && t.allow >= 1
 }
 
-// call makes one paced cloud call.
+// call makes one paced cloud call. One call is made at a time.
 func (t *Rental) call(method, path string, body any, timeout loop.Micros, cb func(store.Response)) {
 	t.calling = true
 	t.allow--
@@ -50,17 +50,19 @@
 	})
 }
 
+// fetchCatalog reads the machine types and prices, drops entries that cannot be used, and records the rest
+// for the other controllers.
 func (t *Rental) fetchCatalog() {
 	t.call("GET", "/catalog", nil, 4*loop.Second, func(resp store.Response) {
 		var c wire.Catalog
 		if resp.Err != nil || resp.Status != 200 || wire.Unmarshal(resp.Body, &c) != nil || len(c.Types) == 0 {
-			t.log.Info("no catalog", "status", resp.Status, "err", resp.Err)
+			t.log.Info("reading the cloud's catalog failed; keeping the known machine types and trying again", "status", resp.Status, "err", resp.Err)
 			return
 		}
 		good := c.Types[:0:0]
 		for _, x := range c.Types {
 			if x.Name == "" || !(x.CPUs > 0) || x.MemoryGB < 0 || !(x.Price > 0) || len(x.Zones) == 0 || math.IsInf(x.CPUs, 0) {
-				t.log.Error("catalog entry set aside", "type", x.Name)
+				t.log.Error("invalid machine type in the cloud's catalog ignored", "type", x.Name)
 				continue
 			}
 			good = append(good, x)
@@ -76,8 +78,8 @@
 	})
 }
 
-// list reads the cloud's list of machines, page by page. The list lags, so a
-// missing machine proves nothing; a listed one is there.
+// list reads the cloud's list of machines, page by page. The list lags behind, so that a machine missing from
+// it may exist; a machine on it does exist.
 func (t *Rental) list(since string, all []wire.Listed) {
 	path := "/machines?limit=500"
 	if since != "" {
--- a/internal/rental/coming.go
+++ b/internal/rental/coming.go
@@ -7,13 +7,13 @@
 	"cleatpick/internal/job"
 )
 
-// comingMachine is a machine on its way, with the room that no request has taken yet.
+// comingMachine is a machine that is expected soon, with the capacity that no request has been assigned yet.
 type comingMachine struct {
 	offer offer
 	room  agent.Room
 }
 
-// serve takes the room of up to n tasks of a request, and tells of how many.
+// serve assigns up to n tasks of a request to the machine, and returns how many fit.
 func (c *comingMachine) serve(need *gate.Need, n int) int {
 	took := c.take(need.Spec, need.Most(c.offer.zone, n))
 	if need.Zones != nil {
@@ -22,6 +22,8 @@
 	return took
 }
 
+// take subtracts up to n tasks from the machine's capacity, and returns how many fit. It does not check the
+// job's rules about zones.
 func (c *comingMachine) take(s *job.Spec, n int) int {
 	if !s.AllowsPlace(c.offer.typ, c.offer.zone, c.offer.spot) {
 		return 0
@@ -34,16 +36,16 @@
 	return took
 }
 
-// supply is the machines on their way, as a plan fills them.
+// supply is the expected machines and how far requests have filled them during one plan.
 type supply struct {
 	machines []*comingMachine
-	// used is how many machines, from the first on, have no room left for tasks of a shape: rooms only
-	// shrink and machines only join at the end, so later requests of the shape begin there. Without it
-	// each request of many went through all machines, in every plan.
+	// used counts, for each shape, the machines at the start of the list that have no capacity left for tasks
+	// of that shape. Capacities only shrink and machines are only appended, so later requests of the shape
+	// start there. Without it, each of many requests went through all machines in every plan.
 	used map[fleet.Shape]int
 }
 
-// serve takes the room of up to n tasks of a request, and tells how many are left.
+// serve assigns up to n tasks of a request to the machines, and returns how many are left over.
 func (s *supply) serve(need *gate.Need, n int) (left int) {
 	shape, anywhere := fleet.ShapeOf(need.Spec)
 	at := 0
@@ -52,7 +54,7 @@
 	}
 	for ; at < len(s.machines); at++ {
 		if n -= s.machines[at].serve(need, n); n == 0 {
-			break // the machine may have room for more
+			break // the machine may have capacity left
 		}
 	}
 	if anywhere {
--- a/internal/rental/coming_test.go
+++ b/internal/rental/coming_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// What requests take of the machines on their way, against the plain rule: each goes through all of
-// them, from the first on.
+// The capacity that requests take is compared with the plain rule, by which each request goes through all
+// expected machines from the first one on.
 func TestSupplyAgainstPlainRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var plain []*comingMachine
@@ -37,14 +37,14 @@
 				left -= c.serve(one, left)
 			}
 			if got := s.serve(two, count); got != left {
-				t.Fatalf("%d of %d tasks are left, by the plain rule %d", got, count, left)
+				t.Fatalf("%d of %d tasks are left over, by the plain rule %d", got, count, left)
 			}
 			if rapid.Bool().Draw(t, "one more joins") {
 				join()
 			}
 		}
 		if !slices.EqualFunc(plain, s.machines, func(a, b *comingMachine) bool { return *a == *b }) {
-			t.Fatal("other rooms are taken than by the plain rule")
+			t.Fatal("the capacity taken from the machines differs from that by the plain rule")
 		}
 	})
 }
--- a/internal/rental/deletion.go
+++ b/internal/rental/deletion.go
@@ -12,10 +12,10 @@
 	"cleatpick/internal/wire"
 )
 
-// mostDeleted is how many machines one call may delete.
+// mostDeleted is the number of machines that one call may delete.
 const mostDeleted = 100
 
-// deleteSome has the machines deleted that have waited longest; what is lost goes first.
+// deleteSome requests the deletion of the machines that have waited longest, failed ones first.
 func (t *Rental) deleteSome() {
 	first := func(m *machine) int {
 		if m.lost {
@@ -30,7 +30,7 @@
 	for _, m := range all[:min(len(all), mostDeleted)] {
 		names = append(names, m.name)
 	}
-	// Only who leads now may delete; the cloud cannot tell.
+	// Only the current leader may delete, which the cloud cannot check: the transaction confirms it first.
 	t.calling = true
 	t.c.Txn(store.Placements, wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}}, func(r store.Result) {
 		t.calling = false
@@ -40,17 +40,18 @@
 	})
 }
 
+// delete asks the cloud to delete machines, and records the confirmed deletion.
 func (t *Rental) delete(names []string) {
 	t.call("POST", "/machines/delete", wire.Names{Machines: names}, 4*loop.Second, func(resp store.Response) {
 		if resp.Err != nil || resp.Status != 200 {
-			return // asked again: deleting what is gone does no harm
+			return // retried later: deleting a deleted machine has no effect
 		}
-		// The answer is the proof that the machines and all that was on them are
-		// gone. It is recorded, so that every owner learns of it.
+		// The answer confirms that the machines and all tasks on them are terminated. It is recorded, so that
+		// every owner learns of it.
 		t.seq++
 		ch := wire.Change{Put: fmt.Sprintf("%s%d-%d", GoneKeys, t.claim.Epoch, t.seq), Value: GoneRecord{names, t.r.Wall()}}
 		for _, name := range names {
-			// What it took of the cloud is there again: a refusal from before says nothing of now.
+			// Its capacity is available in the cloud again, so an earlier refusal no longer holds.
 			if m := t.machines[name]; m != nil {
 				if b := t.offers[offer{m.typ, m.zone, m.spot}]; b != nil {
 					b.until = 0
@@ -62,6 +63,7 @@
 	})
 }
 
+// record stores the record of a deletion, retrying until the state service has applied it.
 func (t *Rental) record(ch wire.Change, tries int) {
 	t.c.Txn(store.Placements, wire.Txn{Then: []wire.Change{ch}}, func(r store.Result) {
 		if r.Outcome != store.Applied && r.Outcome != store.Invalid && tries < 200 {
@@ -70,11 +72,11 @@
 	})
 }
 
-// keepGone is how long deletions stay on record. An owner that meets a task on a machine
-// whose record is gone calls it suspect, and the leader proves it deleted again.
+// keepGone is how long records of deletions are kept. An owner that finds a task on a machine whose record
+// has been removed reports the machine as suspect, and the leader has its deletion confirmed again.
 const keepGone = 30 * 60 * loop.Second
 
-// sweep removes records of deletions that are long over.
+// sweep removes records of deletions that are older than keepGone.
 func (t *Rental) sweep() {
 	if !t.leads || !t.n.Entitled() {
 		return
@@ -99,6 +101,7 @@
 	})
 }
 
+// gone forgets a machine that is known to be deleted, and notifies the workers' registry and OnGone once.
 func (t *Rental) gone(name string) {
 	if m := t.machines[name]; m != nil {
 		t.setState(m, Gone, m.why)
--- a/internal/rental/duty.go
+++ b/internal/rental/duty.go
@@ -2,18 +2,18 @@
 
 import "cleatpick/internal/loop"
 
-// duty names what a cloud call is for. Calls are few, and with many machines several
-// duties wait for one at any time: what comes first is decided here alone.
+// duty is the purpose of a cloud call. Calls are scarce, and with many machines several purposes wait for one
+// at any time; agenda.first alone decides which comes first.
 type duty int
 
-// The duties.
+// The purposes.
 const (
-	readCatalog duty = iota // what can be rented, and for how much
-	readList                // what is there
-	deleteLost              // proves tasks off that wait for nothing else, and frees capacity
-	sendOrder               // rents for misses
-	giveBack                // saves money
-	plan                    // no call: misses become a recorded order
+	readCatalog duty = iota // machine types and prices
+	readList                // existing machines
+	deleteLost              // confirms that the tasks on failed machines are terminated, and frees cloud capacity
+	sendOrder               // rents machines for unplaced requests
+	giveBack                // deletes idle machines, to save cost
+	plan                    // no call: unplaced requests become a recorded order
 )
 
 func (d duty) String() string {
@@ -21,18 +21,19 @@
 }
 
 const (
+	// catalogEvery is the age from which the catalog is read again.
 	catalogEvery = 45 * loop.Second
-	// gathering is how long machines that are given back wait for others, as long as
-	// fewer than a call takes wait: each call for one of them is one less for orders.
+	// gathering is how long machines that are no longer needed wait for others to be deleted in the same
+	// call, while they are fewer than one call takes: each such call is one call less for orders.
 	gathering = 500 * loop.Millisecond
-	// mostStreak is how many orders may go out in a row while machines wait to be given back.
+	// mostStreak is the number of orders that may be sent in a row while idle machines wait for deletion.
 	mostStreak = 3
 )
 
-// agenda is what waits for a call.
+// agenda is the work that waits for a cloud call.
 type agenda struct {
 	now           loop.Micros
-	listed        bool // a list was read in this leadership
+	listed        bool // the list was read since this leadership began
 	listAt, catAt loop.Micros
 	listEvery     loop.Micros
 	lost          int
@@ -42,7 +43,7 @@
 	streak        int
 }
 
-// first is the duty that the next call serves.
+// first returns the purpose of the next call.
 func (a *agenda) first() duty {
 	overdue := a.now-a.listAt > 3*a.listEvery
 	idle := a.idle > 0 && (a.idle >= mostDeleted || a.now-a.idleSince >= gathering)
@@ -54,7 +55,7 @@
 	case a.lost > 0 && !overdue:
 		return deleteLost
 	case overdue:
-		return readList // a list that is put off for ever hides machines that nobody expects
+		return readList // a list that is never read hides machines that were rented unknowingly
 	case a.order && !(idle && a.streak >= mostStreak):
 		return sendOrder
 	case a.now-a.listAt > a.listEvery:
@@ -67,7 +68,7 @@
 	return plan
 }
 
-// next gathers what waits, and tells what comes first, with the order that is ready.
+// next collects the work that waits, and returns what comes first, with the order that is ready.
 func (t *Rental) next(now loop.Micros) (duty, *order) {
 	o := t.ready()
 	a := agenda{now: now, listed: t.listed, listAt: t.listAt, catAt: t.catAt, streak: t.streak, order: o != nil,
@@ -84,7 +85,7 @@
 	return a.first(), o
 }
 
-// perform does one duty; o is the order that is ready.
+// perform makes one call or plan; o is the order that is ready.
 func (t *Rental) perform(d duty, o *order) {
 	switch d {
 	case readCatalog:
--- a/internal/rental/machine.go
+++ b/internal/rental/machine.go
@@ -10,17 +10,17 @@
 	"strings"
 )
 
-// MachineState names where a rented machine stands.
+// MachineState is the state of a rented machine in its lifecycle.
 type MachineState int
 
 // The states of a machine.
 const (
-	Booting  MachineState = iota // rented, not heard yet
-	Up                           // heard
-	Draining                     // not needed: takes no starts, what can save itself moves
-	Closing                      // its host is asked to keep starts off it
-	Deleting                     // the cloud is asked to delete it
-	Gone                         // the cloud has deleted it
+	Booting  MachineState = iota // rented, no report yet
+	Up                           // has reported
+	Draining                     // not needed: takes no starts, and tasks that can save their state move away
+	Closing                      // its host controller is asked to start nothing on it
+	Deleting                     // waits for its deletion by the cloud
+	Gone                         // the cloud has confirmed its deletion
 )
 
 func (s MachineState) String() string {
@@ -34,19 +34,20 @@
 	spot     bool
 	state    MachineState
 	since    loop.Micros // when it was rented, as far as known
-	heard    loop.Micros // when it last showed that it hears; 0: it never told this leader anything
-	told     loop.Micros // when any report of it came
-	listed   string      // the cloud's word for it
-	emptyTo  loop.Micros // end of its standby; 0: not empty
+	heard    loop.Micros // newest report that proves that it receives messages; 0: it never reported to this leader
+	told     loop.Micros // newest report of any kind
+	listed   string      // its state in the cloud's list
+	emptyTo  loop.Micros // end of its standby time; 0: not empty
 	why      string
-	deleteAt loop.Micros // since when it waits for its deletion
-	lost     bool        // what ran on it is to be proven off by that
+	deleteAt loop.Micros // when its state became Deleting
+	lost     bool        // proven failed: its deletion confirms that the tasks on it are terminated
 	asked    loop.Micros
 	firstSaw loop.Micros
 	rented   bool        // by this leader, so that since is exact
-	spareTo  loop.Micros // end of the standby of a machine that is not needed; 0: needed
+	spareTo  loop.Micros // end of the standby time of a machine that is not needed; 0: it is needed
 }
 
+// adopt returns the record of a machine, creating it if needed; nil if the machine is known to be deleted.
 func (t *Rental) adopt(name, typ, zone string, spot bool) *machine {
 	if t.agent.IsGone(name) {
 		return nil
@@ -59,15 +60,15 @@
 		t.byOrder = nil
 	}
 	if m.typ == "" {
-		// An owner that misses it named it first, and knows nothing else of it. A new leader
-		// once took 408 machines behind a cut for machines of no zone, and had them deleted
-		// two seconds before the cut was over.
+		// An owner named the machine as suspect before anything else was known of it. While these fields
+		// stayed empty, a new leader treated 408 machines behind a network partition as machines of no zone,
+		// and had them deleted two seconds before the partition ended.
 		m.typ, m.zone, m.spot = typ, zone, spot
 	}
 	return m
 }
 
-// sorted lists the machines by name.
+// sorted lists the machines by name. The list is cached until a machine joins or leaves.
 func (t *Rental) sorted() []*machine {
 	if t.byOrder == nil {
 		t.byOrder = slices.SortedFunc(maps.Values(t.machines), func(a, b *machine) int { return strings.Compare(a.name, b.name) })
@@ -75,12 +76,12 @@
 	return t.byOrder
 }
 
-// setState is the one place where a machine changes state.
+// setState changes a machine's state and logs it; no other function changes the state.
 func (t *Rental) setState(m *machine, s MachineState, why string) {
 	if m.state == s {
 		return
 	}
-	t.log.Info("machine", "name", m.name, "type", m.typ, "zone", m.zone, "spot", m.spot, "from", m.state.String(), "to", s.String(), "why", why)
+	t.log.Info("machine changed state", "name", m.name, "type", m.typ, "zone", m.zone, "spot", m.spot, "from", m.state.String(), "to", s.String(), "why", why)
 	m.state, m.why = s, why
 	delete(t.deleting, m.name)
 	if s == Deleting {
@@ -89,14 +90,15 @@
 	}
 }
 
-// lose has a machine deleted that is lost.
+// lose queues a failed machine for deletion.
 func (t *Rental) lose(m *machine, why string) {
 	m.lost = true
 	t.setState(m, Deleting, why)
 }
 
-// View takes in that a machine was heard, as far as it reported: to a new leader the first sight
-// of one is as good as a report, since it was not there to get any.
+// View records a machine's view, with the time of its newest report. For a new leader the first view of a
+// machine counts like a report that proves that the machine receives messages, since this leader was sent none
+// before. No report counts as older than the leadership.
 func (t *Rental) View(v *agent.View) {
 	if !t.leads {
 		return
@@ -112,7 +114,8 @@
 	}
 	if m.state == Booting {
 		if typ, ok := t.byName[m.typ]; ok && typ.BootS > 0 && m.rented {
-			// In boot times, so that types can share what is known: one is a second.
+			// In units of the nominal boot time, so that types share one distribution: one boot time counts
+			// as a second.
 			t.boots.Add(loop.Micros(float64(t.r.Now()-m.since) / typ.BootS))
 		}
 		t.setState(m, Up, "heard")
@@ -129,6 +132,7 @@
 	}
 }
 
+// empty reports whether no task is active on the machine or on its way to it.
 func empty(v *agent.View) bool {
 	if len(v.Pending) > 0 {
 		return false
@@ -141,7 +145,7 @@
 	return true
 }
 
-// standby draws how long an empty machine is kept.
+// standby draws the time for which an empty machine is kept, at random around the operator's mean.
 func (t *Rental) standby(m *machine) loop.Micros {
 	mean := t.cfg.Operator.StandbyMeanS
 	if !m.spot {
@@ -150,8 +154,8 @@
 	return loop.Seconds(t.rand.ExpFloat64() * mean)
 }
 
-// judge looks over all machines: who has booted for too long, who is lost, who is empty
-// and past its standby.
+// judge checks all machines: for boots that take too long, failures, faulty machines, and empty machines
+// whose standby time is over.
 func (t *Rental) judge() {
 	now := t.r.Now()
 	suspects := t.suspects(now)
@@ -175,7 +179,7 @@
 	}
 }
 
-// suspects are machines that hold tasks and that the tasks' owners do not hear.
+// suspects lists the machines that hold tasks and whose reports do not reach the owners of those tasks.
 func (t *Rental) suspects(now loop.Micros) map[string]bool {
 	out := map[string]bool{}
 	for from, y := range t.tallies {
@@ -191,7 +195,8 @@
 	return out
 }
 
-// judgeSilent has all machines that were heard before judged at once.
+// judgeSilent runs failure detection over all machines that have reported before, and queues the failed ones
+// for deletion.
 func (t *Rental) judgeSilent(now loop.Micros, worth func(*machine) loop.Micros) {
 	scene := loss.Scene{Now: now, Blind: t.n.Isolated() || now-t.started < 2*loop.Second, Unheard: t.n.Unheard}
 	for _, x := range t.losses.Look(scene, func(yield func(*loss.Facts)) {
@@ -210,6 +215,8 @@
 	}
 }
 
+// judgeBoot checks a machine that has not reported to this leader: whether it failed, or takes too long to
+// boot.
 func (t *Rental) judgeBoot(m *machine, now loop.Micros, suspect bool, worth func(*machine) loop.Micros) {
 	report, lease := loop.Seconds(t.cfg.Cluster.Workers.ReportS), loop.Seconds(t.cfg.Cluster.Workers.LeaseS)
 	typ, known := t.byName[m.typ]
@@ -226,10 +233,10 @@
 			t.setState(m, Deleting, "never came up")
 		}
 	default:
-		// Listed as running, or holding tasks, yet never heard by this
-		// leader: its worker gets the time to find a new host. In a zone that is out of
-		// sight it gets what a machine gets that was heard before: a leader that began
-		// during a cut deleted half a fleet two seconds before the cut was over.
+		// The cloud lists it as running, or it holds tasks, but it has not reported to this leader: its
+		// worker gets the time that it needs to find a new host controller. In an unreachable zone it gets as
+		// long as a machine that reported before: a leader that started during a network partition deleted
+		// half of the machines two seconds before the partition ended.
 		limit := max(lease, 2*report+8*loop.Second) + 3*loop.Second
 		if t.n.Unheard(m.zone) {
 			limit += outOfSight + worth(m)
@@ -240,6 +247,8 @@
 	}
 }
 
+// judgeClosing asks the machine's host controller to start nothing on it, and has it deleted once a recent
+// report shows that it is closed and empty.
 func (t *Rental) judgeClosing(m *machine, now loop.Micros) {
 	v := t.agent.View(m.name)
 	if v == nil {
@@ -255,7 +264,7 @@
 	}
 }
 
-// probe asks a machine directly.
+// probe asks a machine's worker directly, and calls done on the event loop.
 func (t *Rental) probe(addr string, done func(loss.Word)) {
 	t.r.Go(func() {
 		w := t.n.Probe(addr)
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -19,7 +19,7 @@
 	"cleatpick/internal/wire"
 )
 
-// wants gathers the missed requests of all owners that were heard lately.
+// wants collects the unplaced requests of all owners whose demand arrived recently, highest priority first.
 func (t *Rental) wants() []peer.Want {
 	var all []peer.Want
 	now := t.r.Now()
@@ -32,13 +32,14 @@
 	return all
 }
 
+// specOf returns the part of a job's spec that a request carries.
 func specOf(w *peer.Want) *job.Spec {
 	return &job.Spec{CPUs: w.CPUs, GPUs: w.GPUs, MemoryGB: w.MemoryGB, Types: w.Types, AnyType: w.AnyType, Zone: w.Zone, Spot: w.Spot,
 		OneZone: w.OneZone, Spread: w.Spread}
 }
 
-// needOf is what placement will ask of machines for a want. Rented anywhere, machines for a job that
-// is bound to a zone came up in another, again and again.
+// needOf returns what placement will ask of machines for a request. It includes the zones of the job's other
+// tasks: without them, machines for a job that is bound to one zone were rented in another, again and again.
 func needOf(w *peer.Want) *gate.Need {
 	n := &gate.Need{Spec: specOf(w), Tasks: w.Tasks}
 	if w.OneZone || w.Spread {
@@ -50,12 +51,12 @@
 	return n
 }
 
-// roomOf is what an empty machine of the type has free.
+// roomOf returns the capacity of an empty machine of the type.
 func roomOf(x wire.MachineType) agent.Room {
 	return agent.Room{CPUs: x.CPUs, GPUs: x.GPUs, MemoryGB: x.MemoryGB}
 }
 
-// all lists every offer of the catalog.
+// all lists every offer of the catalog: each type in each of its zones, as spot and as standard.
 func (t *Rental) all() iter.Seq[offer] {
 	return func(yield func(offer) bool) {
 		for _, x := range t.types {
@@ -68,14 +69,14 @@
 	}
 }
 
-// takes tells whether a machine of the offer may and can take a task of the kind.
+// takes reports whether a machine of the offer is allowed and large enough for a task with this spec.
 func (t *Rental) takes(o offer, s *job.Spec) bool {
 	x, ok := t.byName[o.typ]
 	room := roomOf(x)
 	return ok && room.Fits(s) && s.AllowsPlace(o.typ, o.zone, o.spot)
 }
 
-// expected lists the machines on their way, which serve requests already.
+// expected lists the machines that will have capacity soon, which count for unplaced requests already.
 func (t *Rental) expected() []*comingMachine {
 	var out []*comingMachine
 	add := func(typ, zone string, spot bool) {
@@ -86,13 +87,13 @@
 	now := t.r.Now()
 	for _, m := range t.sorted() {
 		x := t.byName[m.typ]
-		// One that takes far longer than usual is not counted on any more.
+		// A machine whose boot takes far longer than usual is not counted on.
 		if m.state == Booting && now-m.since < 2*loop.Seconds(x.BootS)+5*loop.Second {
 			add(m.typ, m.zone, m.spot)
 		}
 	}
-	// What many silent machines have free comes back with them, or they are lost and what
-	// ran there misses: to rent for it before that is known is to rent a second fleet.
+	// The free capacity of many silent machines comes back with them, or they have failed and their tasks are
+	// unplaced: renting for it before that is known would rent the capacity twice.
 	t.losses.Doubtful(now, func(name string) {
 		m, v := t.machines[name], t.agent.View(name)
 		if m == nil || v == nil || m.state != Up {
@@ -112,16 +113,16 @@
 	return out
 }
 
-// cordoned tells whether what is rented there would take no starts.
+// cordoned reports whether a machine of the offer would accept no starts.
 func (t *Rental) cordoned(o offer) bool {
 	return t.n.Cordoned != nil && t.n.Cordoned(o.typ, o.zone, o.spot)
 }
 
-// planEvery is how long after misses that all machines on their way will serve they are
-// looked at again: owners tell theirs every 400 ms.
+// planEvery is the time until the next plan after one that found all requests served by expected machines.
+// Owners send their demand every 400 ms.
 const planEvery = 150 * loop.Millisecond
 
-// recordOrders turns misses that no machine on its way will serve into recorded orders.
+// recordOrders turns requests that no expected machine will serve into recorded orders.
 func (t *Rental) recordOrders() {
 	if !t.listed || len(t.types) == 0 {
 		return
@@ -129,8 +130,8 @@
 	now := t.r.Now()
 	for _, o := range t.orders {
 		if !o.o.Answered && !o.refused {
-			// One at a time: what is recorded early waits for its call while
-			// misses and refusals move on.
+			// One at a time: an order that is recorded early waits for its call while demand and refusals
+			// change.
 			return
 		}
 	}
@@ -151,7 +152,7 @@
 	}
 }
 
-// plan tells how many machines of each offer are missing beside those on their way.
+// plan returns how many machines of each offer are missing beside the expected ones.
 func (t *Rental) plan(now loop.Micros) map[offer]int {
 	coming := supply{machines: t.expected(), used: map[fleet.Shape]int{}}
 	need := map[offer]int{}
@@ -176,8 +177,8 @@
 	return need
 }
 
-// cheapest chooses what to rent for tasks of this shape: the lowest price for each
-// task served, at the current prices, leaving out what was refused lately, and where none may go.
+// cheapest chooses the offer to rent for tasks of this shape: the lowest current price for each task served,
+// leaving out offers that were refused recently, that are cordoned, or that the job's rules forbid.
 func (t *Rental) cheapest(n *gate.Need, left int, now loop.Micros, need map[offer]int) (offer, int, bool) {
 	s := n.Spec
 	var best offer
@@ -213,7 +214,7 @@
 				if spot {
 					price = x.SpotPrice
 				}
-				// What boots sooner serves sooner; spread over zones evenly.
+				// A faster boot is worth a higher price; the last term spreads equal offers over the zones.
 				cost := price/float64(min(per, most))*(1+x.BootS/600) + 1e-6*float64(need[o])
 				if cost < bestCost {
 					best, bestCost, bestPer = o, cost, per
@@ -224,8 +225,7 @@
 	return best, bestPer, bestPer > 0
 }
 
-// newOrder records an order under a name that is never used again; only then is
-// the cloud asked.
+// newOrder records an order under a name that is never reused. The cloud is asked only after that.
 func (t *Rental) newOrder(of offer, count int) {
 	t.seq++
 	name := fmt.Sprintf("r-%d-%d", t.claim.Epoch, t.seq)
@@ -239,10 +239,11 @@
 			}
 			return
 		}
-		delete(t.orders, name) // its name is not used again; should it be stored late, a new leader asks for it once
+		delete(t.orders, name) // its name is not reused; if the record is stored late after all, a new leader sends the order once
 	})
 }
 
+// storeOrder writes an order's record under the given conditions, and passes on whether it was applied.
 func (t *Rental) storeOrder(o *order, cond []wire.Cond, cb func(ok bool)) {
 	t.c.Txn(store.Placements, wire.Txn{If: cond, Then: []wire.Change{{Put: OrderKeys + o.name, Value: o.o}}}, func(r store.Result) {
 		if r.Outcome == store.Applied {
@@ -252,8 +253,8 @@
 	})
 }
 
-// ready is the recorded order that the cloud is to be asked for next; nil: none is. What
-// was answered long ago is dropped.
+// ready returns the recorded order to send next, or nil if there is none. It drops orders that were answered
+// more than a minute ago.
 func (t *Rental) ready() *order {
 	now := t.r.Now()
 	var first *order
@@ -269,6 +270,7 @@
 	return first
 }
 
+// send asks the cloud for an order's machines and handles the answer.
 func (t *Rental) send(o *order) {
 	o.busy = true
 	o.tries++
@@ -281,7 +283,7 @@
 		var got wire.Names
 		switch {
 		case resp.Err == nil && resp.Status == 200 && wire.Unmarshal(resp.Body, &got) == nil:
-			t.log.Info("rented", "order", o.name, "type", of.typ, "zone", of.zone, "spot", of.spot, "asked", o.o.Count, "got", len(got.Machines))
+			t.log.Info("machines rented", "order", o.name, "type", of.typ, "zone", of.zone, "spot", of.spot, "asked", o.o.Count, "got", len(got.Machines))
 			o.o.Answered, o.o.Machines, o.finished = true, got.Machines, t.r.Now()
 			for _, name := range got.Machines {
 				if m := t.adopt(name, of.typ, of.zone, of.spot); m != nil && m.state == Booting {
@@ -295,23 +297,23 @@
 			}
 			t.storeOrder(o, []wire.Cond{{Key: OrderKeys + o.name, Mark: o.mark}}, func(bool) {})
 		case resp.Err == nil && resp.Status == 503 && strings.Contains(string(resp.Body), "capacity"):
-			t.log.Info("no capacity", "order", o.name, "type", of.typ, "zone", of.zone, "spot", of.spot)
+			t.log.Info("cloud has no capacity for the order; the offer is left out for a while", "order", o.name, "type", of.typ, "zone", of.zone, "spot", of.spot)
 			t.refuse(of)
 			o.refused = true
 			t.dropOrder(o)
 		case resp.Err == nil && resp.Status == 400:
-			t.log.Error("order malformed", "order", o.name)
+			t.log.Error("cloud rejected the order as malformed; the order is dropped", "order", o.name)
 			t.refuse(of)
 			o.refused = true
 			t.dropOrder(o)
 		default:
-			// No answer: it may have rented, or may yet. The same name asks again.
+			// No answer: machines may have been rented, or may be later. Repeating the same name is safe.
 			o.nextTry = t.r.Now() + loop.Second
 		}
 	})
 }
 
-// refuse keeps an offer out of the choice for a while, longer each time.
+// refuse leaves an offer out of the choice for a while, longer with each refusal.
 func (t *Rental) refuse(of offer) {
 	b := t.offers[of]
 	if b == nil {
@@ -323,6 +325,7 @@
 	b.until = t.r.Now() + b.wait
 }
 
+// dropOrder forgets an order and deletes its record.
 func (t *Rental) dropOrder(o *order) {
 	delete(t.orders, o.name)
 	t.c.Txn(store.Background, wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}, Then: []wire.Change{{Delete: OrderKeys + o.name}}}, func(r store.Result) {
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -1,6 +1,9 @@
-// Package rental is the leader's: it turns the tally of missed requests into
-// orders, gives empty machines back after a random standby, and deletes machines
-// that fell silent, which is the only proof that their tasks are gone.
+// Package rental is the autoscaler, run by the leading controller. It decides which machines to rent from the
+// cloud for unplaced requests, which idle machines to delete after a random standby time, and when an
+// unreachable machine has failed and is deleted, which is the only proof that its tasks are terminated.
+//
+// It owns the records of orders, of deletions and of the catalog in the state service, and all cloud calls.
+// Placement of tasks is left to the scheduler, and the choice of the leader to membership.
 package rental
 
 import (
@@ -20,14 +23,14 @@
 	"cleatpick/internal/wire"
 )
 
-// The keys of this slice.
+// Keys and key prefixes in the state service that this package owns.
 const (
 	OrderKeys  = "c/o/"
 	GoneKeys   = "c/g/"
 	CatalogKey = "c/k"
 )
 
-// Order is a recorded rental request. Its name is never used again.
+// Order is the record of a rental request. Its name is never reused.
 type Order struct {
 	Type     string   `cbor:"t"`
 	Zone     string   `cbor:"z"`
@@ -38,11 +41,12 @@
 	Answered bool     `cbor:"a,omitempty"`
 }
 
+// order is an order with what this leader knows of its progress.
 type order struct {
 	name     string
 	o        Order
 	mark     uint64
-	placed   bool // recorded
+	placed   bool // its record is stored
 	busy     bool
 	refused  bool
 	tries    int
@@ -50,47 +54,50 @@
 	finished loop.Micros
 }
 
-// GoneRecord lists deleted machines.
+// GoneRecord is the record of deleted machines.
 type GoneRecord struct {
 	Machines []string `cbor:"m"`
 	At       int64    `cbor:"at"`
 }
 
+// catalogRecord is the stored catalog.
 type catalogRecord struct {
 	Types []wire.MachineType `cbor:"t"`
 }
 
+// offer is what one order can ask for: a machine type in a zone, spot or standard.
 type offer struct {
 	typ, zone string
 	spot      bool
 }
 
+// backoff is the state of an offer that the cloud refused.
 type backoff struct {
 	until loop.Micros
 	wait  loop.Micros
 }
 
-// Node is what this slice needs of the node around it.
+// Node holds what the autoscaler needs of the controller that runs it.
 type Node struct {
-	// Close asks a machine's host to keep starts off it.
+	// Close asks a machine's host controller to start nothing on it.
 	Close func(host string, c peer.Close)
-	// Unheard tells whether a peer in this zone was not heard lately: it may go on
-	// answering workers that nobody else can see.
+	// Unheard reports whether messages of a peer in this zone have stopped arriving: the peer may still be
+	// answering workers that no other controller can reach.
 	Unheard func(zone string) bool
-	// Entitled tells whether this node's lease certainly holds, and Isolated whether
-	// it hears no peer at all.
+	// Entitled reports whether this controller's lease certainly holds, and Isolated whether it receives
+	// messages from no peer at all.
 	Entitled func() bool
 	Isolated func() bool
-	// Cordoned tells whether no machine of this type, zone and kind takes starts; it may be nil.
+	// Cordoned reports whether all machines of this type, zone and kind are cordoned; it may be nil.
 	Cordoned func(typ, zone string, spot bool) bool
-	// Faulty tells whether a machine fails tasks of several jobs.
+	// Faulty reports whether a machine fails tasks of several jobs.
 	Faulty func(machine string) bool
-	// Probe asks a worker for its report; it blocks, and runs off the loop.
+	// Probe asks a worker for its report. It blocks, and must not be called on the event loop.
 	Probe func(addr string) loss.Word
 	Meter *metric.Meter // may be nil
 }
 
-// Rental is the leader's part.
+// Rental is the autoscaler. It acts only while its controller is the leader.
 type Rental struct {
 	r        loop.Runner
 	log      *slog.Logger
@@ -111,30 +118,31 @@
 	tallyAt  map[string]loop.Micros
 	offers   map[offer]*backoff
 	seq      int
-	allow    float64 // calls that may be made now
+	allow    float64 // cloud calls that pacing allows now
 	allowAt  loop.Micros
 	pauseTo  loop.Micros
 	calling  bool
 	listAt   loop.Micros
 	catAt    loop.Micros
-	listed   bool // a list was read in this leadership
+	listed   bool // the list was read since this leadership began
 	spareAt  loop.Micros
 	judged   loop.Micros
-	darkAt   map[string]loop.Micros // when a zone was last out of sight
-	sparing  bool                   // machines behind a cut are left alone for longer
-	planAt   loop.Micros            // misses are not looked at before
+	darkAt   map[string]loop.Micros // when a zone was last seen unreachable
+	sparing  bool                   // machines in unreachable zones are retained for longer
+	planAt   loop.Micros            // earliest time of the next plan
 	losses   *loss.Judge
-	byOrder  []*machine // by name; nil: to be made anew
+	byOrder  []*machine // by name; nil: to be rebuilt
 	rand     *rand.Rand
-	deleting map[string]*machine // those of machines that wait for their deletion
-	streak   int                 // calls for orders since idle machines were given back
-	boots    *explain.Dist       // how long machines took to boot, in their nominal times
-	deleted  map[string][]string // machines by the record of their deletion
+	deleting map[string]*machine // the machines in state Deleting
+	streak   int                 // orders sent since idle machines were last deleted
+	boots    *explain.Dist       // boot times, in units of the types' nominal boot times
+	deleted  map[string][]string // names of deleted machines, by key of their record
 	// OnGone is called once for every machine that is known to be deleted.
 	OnGone func(string)
 }
 
-// New makes the rental slice.
+// New returns the autoscaler, which keeps its copy of the catalog and the deletions up to date on every
+// controller.
 func New(r loop.Runner, log *slog.Logger, cfg *config.Config, c *store.Client, m *store.Mirror, cloud store.Doer, a *agent.Agent, n Node) *Rental {
 	t := &Rental{r: r, log: log, cfg: cfg, c: c, m: m, cloud: cloud, agent: a, n: n, byName: map[string]wire.MachineType{}, rand: loop.Rand(r),
 		tallies: map[string]peer.Tally{}, darkAt: map[string]loop.Micros{}, tallyAt: map[string]loop.Micros{}, deleted: map[string][]string{}, boots: explain.NewDist()}
@@ -147,7 +155,7 @@
 			return
 		}
 		if err := wire.Unmarshal(e.Value, &rec); err != nil {
-			log.Error("corrupt record set aside", "key", key, "err", err)
+			log.Error("corrupt catalog record ignored", "key", key, "err", err)
 			return
 		}
 		t.setCatalog(rec.Types)
@@ -160,7 +168,7 @@
 			return
 		}
 		if err := wire.Unmarshal(e.Value, &rec); err != nil {
-			log.Error("corrupt record set aside", "key", key, "err", err)
+			log.Error("corrupt deletion record ignored", "key", key, "err", err)
 			return
 		}
 		t.deleted[key] = rec.Machines
@@ -173,6 +181,7 @@
 	return t
 }
 
+// setCatalog replaces the known machine types.
 func (t *Rental) setCatalog(types []wire.MachineType) {
 	t.types = types
 	clear(t.byName)
@@ -181,23 +190,22 @@
 	}
 }
 
-// Types lists the machine types, none while the catalog is not known.
+// Types lists the machine types; empty while the catalog is not known.
 func (t *Rental) Types() []wire.MachineType { return t.types }
 
-// Type finds a machine type.
+// Type returns a machine type by name.
 func (t *Rental) Type(name string) (wire.MachineType, bool) {
 	x, ok := t.byName[name]
 	return x, ok
 }
 
-// Lead is told when this node gains or loses the leadership.
+// Lead records that this controller has become or ceased to be the leader.
 func (t *Rental) Lead(leads bool, claim member.Owner) {
 	t.leads, t.claim = leads, claim
 	if !leads {
 		return
 	}
-	// A new leader rebuilds its picture from recorded orders, reports and the
-	// cloud's list.
+	// A new leader rebuilds its state from the recorded orders, the machines' reports and the cloud's list.
 	t.started = t.r.Now()
 	t.byOrder = nil
 	t.machines, t.orders, t.offers, t.deleting = map[string]*machine{}, map[string]*order{}, map[offer]*backoff{}, map[string]*machine{}
@@ -208,7 +216,7 @@
 		e, _ := t.m.Get(key)
 		var o Order
 		if err := wire.Unmarshal(e.Value, &o); err != nil {
-			t.log.Error("corrupt record set aside", "key", key, "err", err)
+			t.log.Error("corrupt order record ignored", "key", key, "err", err)
 			continue
 		}
 		name := strings.TrimPrefix(key, OrderKeys)
@@ -221,34 +229,35 @@
 		}
 	}
 	t.agent.Views(t.View)
-	t.log.Info("leading", "orders", len(t.orders), "machines", len(t.machines))
+	t.log.Info("autoscaler started as leader; state rebuilt from records and reports", "orders", len(t.orders), "machines", len(t.machines))
 }
 
-// Tally takes in an owner's list of misses.
+// Tally records an owner's unplaced requests and suspect machines.
 func (t *Rental) Tally(from string, y peer.Tally) {
 	old := t.tallies[from]
 	off := t.cfg.ClockDifference() + 5*loop.Second
 	if y.Wall <= old.Wall || t.r.Wall()-y.Wall > off {
-		return // repeated, or held back on its way
+		return // a repeated or delayed message
 	}
 	t.tallies[from], t.tallyAt[from] = y, t.r.Now()
 }
 
-// Asked tells whether the machine types are known, so that submissions can be judged.
+// Asked reports whether the machine types are known, so that submissions can be validated.
 func (t *Rental) Asked() bool { return len(t.types) > 0 }
 
-// outOfSight is how much longer than its lease a machine is left alone that nothing tells
-// from one behind a cut.
+// outOfSight is how much longer than its lease an unreachable machine is retained while it may be alive
+// behind a network partition.
 const outOfSight = 8 * loop.Second
 
-// judgeEach spaces the looks over all machines out with their number.
+// judgeEach is the part of the interval between two checks of all machines that each machine adds, in
+// microseconds.
 const judgeEach = 200
 
+// tick checks the machines and makes the next cloud call when each is due.
 func (t *Rental) tick() {
 	if !t.leads || !t.n.Entitled() {
-		// A leader that cannot renew its lease has been replaced, or soon will be:
-		// to it the whole fleet looks silent, and a deletion held on its way would
-		// be carried out long after.
+		// A leader that cannot renew its lease has been replaced, or soon will be: to it all machines look
+		// silent, and a delayed deletion request would take effect long afterwards.
 		return
 	}
 	now := t.r.Now()
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -21,6 +21,8 @@
 	"cleatpick/internal/wire"
 )
 
+// rig is an autoscaler with a fake cloud, a fake state service and a hand-driven clock. It records the cloud
+// calls.
 type rig struct {
 	*standin.Stepped
 	t        *Rental
@@ -29,12 +31,12 @@
 	calls    []string
 	entitled bool
 	isolated bool
-	unheard  bool   // a peer in the machines' zone
-	dark     string // a zone that is cut off
+	unheard  bool   // a peer in the machines' zone is unreachable
+	dark     string // a zone behind a network partition
 	jobs     map[string]*job.Job
-	runs     []agent.Task // on every machine that is heard
+	runs     []agent.Task // tasks in the report of every machine
 	word     loss.Word
-	words    map[string]loss.Word // by address, where it differs
+	words    map[string]loss.Word // probe results by address, where they differ from word
 	ups      []wire.Listed
 	deleted  []string
 }
@@ -66,16 +68,18 @@
 	g.Run(loop.Second)
 	e, ok := m.Get("c/l")
 	if !ok {
-		t.Fatal("the claim is not mirrored")
+		t.Fatal("the leader's claim has not reached the mirror")
 	}
 	g.t.Lead(true, member.Owner{Node: "a", Epoch: 1, Mark: e.Mark})
 	return g
 }
 
+// hear delivers a report of the machine.
 func (g *rig) hear(name, zone string) {
 	g.a.Learn(&agent.View{Name: name, Addr: name, Type: "m8", Zone: zone, Host: "b", Session: 1, Seq: uint64(g.Now()), Settled: true, At: g.Now(), Tasks: g.runs})
 }
 
+// count returns the number of calls that contain part.
 func count(calls []string, part string) (n int) {
 	for _, c := range calls {
 		if strings.Contains(c, part) {
@@ -85,14 +89,14 @@
 	return n
 }
 
-// A cut leader once saw the whole fleet as silent and asked for all of it to be
-// deleted; held requests would have done so long after.
+// A leader that is cut off must not delete machines: it once saw all machines as silent and requested the
+// deletion of all of them. Requests that were delayed on their way would have taken effect long afterwards.
 func TestLeaderWithoutLeaseDoesNothing(t *testing.T) {
 	for _, c := range []struct {
 		name               string
 		entitled, isolated bool
 		want               int
-	}{{"lease lost", false, false, 0}, {"no peer heard", true, true, 0}, {"in contact", true, false, 1}} {
+	}{{"lease lost", false, false, 0}, {"no peer reachable", true, true, 0}, {"in contact", true, false, 1}} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(t, 4)
 			g.Run(3 * loop.Second)
@@ -102,31 +106,31 @@
 			before := len(g.calls)
 			g.Run(25 * loop.Second)
 			if n := count(g.calls[before:], "/machines/delete"); (n > 0) != (c.want > 0) {
-				t.Fatalf("%d deletions asked for, want %d", n, c.want)
+				t.Fatalf("%d deletions requested, want %d (1 stands for any number)", n, c.want)
 			}
 		})
 	}
 }
 
-// Copies of a machine's reports keep coming after it has died, to a leader that remembers
-// nothing newer. None shows what the machine was told: it is given up all the same.
+// Copies of a machine's reports keep arriving after it has failed, at a leader that knows no newer report. As
+// none of them confirms a message sent to the machine, it must be declared failed all the same.
 func TestCopiesOfADeadMachinesReports(t *testing.T) {
 	g := newRig(t, 4)
 	g.Run(3 * loop.Second)
 	g.hear("n-900000", "x")
 	for k := range 60 {
-		g.hear("n-900001", "x") // its neighbour lives
+		g.hear("n-900001", "x") // another machine of the zone is alive
 		if g.Run(500 * loop.Millisecond); k%3 == 0 {
 			g.a.Learn(&agent.View{Name: "n-900000", Addr: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), Tasks: g.runs})
 		}
-		if gone := g.a.IsGone("n-900000"); gone && k < 20 || !gone && k > 44 { // a lease of 10 s, and 9 s and a call
-			t.Fatalf("after %d ms the machine is gone %v", 500*k, gone)
+		if gone := g.a.IsGone("n-900000"); gone && k < 20 || !gone && k > 44 { // a lease of 10 s, 9 s more, and the call
+			t.Fatalf("after %d ms the machine is deleted: %v", 500*k, gone)
 		}
 	}
 }
 
-// A stockout must not be asked again and again by the same misses, and once there
-// is room again no more is rented than is missed.
+// An offer without capacity must not be ordered again and again for the same requests, and once there is
+// capacity again, no more is rented than the requests need.
 func TestStockoutBacksOffAndOrdersOnce(t *testing.T) {
 	g := newRig(t, 0)
 	tally := func() {
@@ -137,11 +141,11 @@
 		g.Run(500 * loop.Millisecond)
 	}
 	if n := count(g.calls, "POST /machines"); n < 4 || n > 24 {
-		t.Fatalf("%d requests in 30 s of stockout", n)
+		t.Fatalf("%d orders sent in 30 s without capacity, want 4 to 24", n)
 	}
 	g.cloud.Left["x"] = 10
 	for range 100 {
-		tally() // nobody is heard yet: what was rented is on its way
+		tally() // no machine has reported yet: what was rented is expected
 		g.Run(100 * loop.Millisecond)
 		if len(g.ups) > 0 {
 			break
@@ -152,11 +156,11 @@
 		g.Run(100 * loop.Millisecond)
 	}
 	if len(g.ups) != 2 {
-		t.Fatalf("%d machines of 8 CPUs rented for 8 tasks of 2", len(g.ups))
+		t.Fatalf("%d machines of 8 CPUs rented for 8 tasks of 2 CPUs, want 2", len(g.ups))
 	}
 }
 
-// An empty machine goes back after its standby, and only after its host closed it.
+// An empty machine is deleted after its standby time, and only after its host controller has closed it.
 func TestIdleMachineIsClosedThenDeleted(t *testing.T) {
 	g := newRig(t, 4)
 	var closed []peer.Close
@@ -174,34 +178,34 @@
 		}
 	}
 	if len(closed) == 0 || !g.a.IsGone("n-900000") {
-		t.Fatalf("closed %d times, gone %v", len(closed), g.a.IsGone("n-900000"))
+		t.Fatalf("machine closed %d times, deleted: %v", len(closed), g.a.IsGone("n-900000"))
 	}
 }
 
-// Records of deletions are swept after a while, and a machine that is met again is
-// proven deleted again, so that nothing recorded on it waits for ever.
+// Records of deletions are removed after a while. A machine that is reported as suspect after that must have
+// its deletion confirmed again; otherwise the attempts recorded on it would never be resolved.
 func TestDeletionsAreSweptAndProvenAgain(t *testing.T) {
 	g := newRig(t, 4)
 	g.Run(3 * loop.Second)
 	g.hear("n-900000", "x")
-	g.Run(25 * loop.Second) // silent from now on
+	g.Run(25 * loop.Second) // no reports from now on
 	if !g.a.IsGone("n-900000") || len(g.t.m.Under(GoneKeys)) != 1 {
-		t.Fatalf("gone %v, records %v", g.a.IsGone("n-900000"), g.t.m.Under(GoneKeys))
+		t.Fatalf("machine deleted: %v, deletion records %v", g.a.IsGone("n-900000"), g.t.m.Under(GoneKeys))
 	}
 	g.Run(keepGone + 120*loop.Second)
 	if n := len(g.t.m.Under(GoneKeys)); n != 0 || g.a.IsGone("n-900000") {
-		t.Fatalf("%d records are left, gone %v", n, g.a.IsGone("n-900000"))
+		t.Fatalf("%d deletion records are left, machine deleted: %v", n, g.a.IsGone("n-900000"))
 	}
 	for range 80 {
 		g.t.Tally("b", peer.Tally{Wall: g.Now(), Suspect: []string{"n-900000"}})
 		g.Run(500 * loop.Millisecond)
 	}
 	if !g.a.IsGone("n-900000") {
-		t.Fatal("a suspect machine was not proven deleted again")
+		t.Fatal("the deletion of a suspect machine was not confirmed again")
 	}
 }
 
-// Calls are few: what proves tasks off goes first, and nothing waits for ever.
+// Cloud calls are scarce: those that confirm tasks terminated go first, and no purpose waits for ever.
 func TestWhatTheNextCallIsFor(t *testing.T) {
 	const s = loop.Second
 	usual := agenda{now: 1000 * s, listed: true, listAt: 998 * s, catAt: 990 * s, listEvery: 5 * s}
@@ -210,16 +214,16 @@
 		set  func(a *agenda)
 		want duty
 	}{
-		{"no catalog", func(a *agenda) { a.catAt, a.lost = 0, 5 }, readCatalog},
+		{"no catalog yet", func(a *agenda) { a.catAt, a.lost = 0, 5 }, readCatalog},
 		{"no list yet", func(a *agenda) { a.listed, a.order = false, true }, readList},
-		{"the lost before an order", func(a *agenda) { a.lost, a.order = 1, true }, deleteLost},
+		{"failed machines before an order", func(a *agenda) { a.lost, a.order = 1, true }, deleteLost},
 		{"an order before a list that is due", func(a *agenda) { a.order, a.listAt = true, 994*s }, sendOrder},
-		{"a list that was put off before the lost", func(a *agenda) { a.lost, a.order, a.listAt = 100, true, 980*s }, readList},
+		{"an overdue list before failed machines", func(a *agenda) { a.lost, a.order, a.listAt = 100, true, 980*s }, readList},
 		{"an order before idle machines", func(a *agenda) { a.order, a.idle, a.idleSince = true, 9, 990*s }, sendOrder},
-		{"idle machines after several orders", func(a *agenda) { a.order, a.idle, a.idleSince, a.streak = true, 9, 990*s, mostStreak }, giveBack},
-		{"idle machines gather", func(a *agenda) { a.idle, a.idleSince = 9, 1000*s-gathering+1 }, plan},
-		{"and go together", func(a *agenda) { a.idle, a.idleSince = 9, 1000*s-gathering }, giveBack},
-		{"a full call of them does not wait", func(a *agenda) { a.idle, a.idleSince = mostDeleted, 1000*s }, giveBack},
+		{"idle machines after several orders in a row", func(a *agenda) { a.order, a.idle, a.idleSince, a.streak = true, 9, 990*s, mostStreak }, giveBack},
+		{"idle machines wait for more", func(a *agenda) { a.idle, a.idleSince = 9, 1000*s-gathering+1 }, plan},
+		{"idle machines that waited long enough", func(a *agenda) { a.idle, a.idleSince = 9, 1000*s-gathering }, giveBack},
+		{"idle machines enough for a full call", func(a *agenda) { a.idle, a.idleSince = mostDeleted, 1000*s }, giveBack},
 		{"an old catalog", func(a *agenda) { a.catAt = 900 * s }, readCatalog},
 		{"nothing waits", func(*agenda) {}, plan},
 	} {
@@ -231,8 +235,8 @@
 	}
 }
 
-// While many machines are in doubt, nothing is rented for what they have free: when they
-// come back, it would be a second fleet.
+// While many machines are suspected of having failed, nothing is rented for their free capacity: it would
+// exist twice once they come back.
 func TestNothingIsRentedForMachinesInDoubt(t *testing.T) {
 	for _, c := range []struct {
 		word loss.Word
@@ -261,13 +265,13 @@
 			g.Run(500 * loop.Millisecond)
 		}
 		if rented := len(g.ups) > 0; rented != c.want {
-			t.Errorf("asking them brings back %v: %d machines are rented for ten misses", c.word, len(g.ups))
+			t.Errorf("probes answer %v: %d machines are rented for ten unplaced tasks", c.word, len(g.ups))
 		}
 	}
 }
 
-// A leader that begins during a zone's cut gives the machines there, which it has never
-// heard, as long as one that heard them before would.
+// A leader that starts during a zone's network partition retains the machines there, which have never
+// reported to it, for as long as a leader that received their reports before would.
 func TestNewLeaderDuringACut(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		g := newRig(t, 4)
@@ -275,21 +279,21 @@
 		var got wire.Names
 		r := g.cloud.Do("POST", "/machines", wire.Marshal(wire.Rent{Request: "before", Type: "m8", Zone: "x", Count: 3}), 0)
 		if err := wire.Unmarshal(r.Body, &got); err != nil || len(got.Machines) != 3 {
-			t.Fatal("nothing to rent")
+			t.Fatal("the cloud rented nothing")
 		}
-		g.Run(17 * loop.Second) // lease 10 s, and 3 s
+		g.Run(17 * loop.Second) // the lease of 10 s, and 3 s
 		if n := len(g.deleted); (n == 0) != cut {
-			t.Errorf("cut %v: %d of 3 machines are deleted after 17 s", cut, n)
+			t.Errorf("partition %v: %d of 3 machines are deleted after 17 s", cut, n)
 		}
 		g.Run(12 * loop.Second)
 		if n := len(g.deleted); n != 3 {
-			t.Errorf("cut %v: %d of 3 machines are deleted after 29 s", cut, n)
+			t.Errorf("partition %v: %d of 3 machines are deleted after 29 s", cut, n)
 		}
 	}
 }
 
-// What a deletion gives back can be rented at once. With the refusals from before, a deployment
-// whose machines had all been given up rented nothing for 40 s.
+// Capacity that a deletion frees must be rented at once. While refusals from before the deletion stayed in
+// force, a deployment whose machines had all been deleted rented nothing for 40 s.
 func TestDeletionsEndRefusals(t *testing.T) {
 	g := newRig(t, 0)
 	delete(g.cloud.Left, "y")
@@ -298,13 +302,13 @@
 	var got wire.Names
 	g.cloud.Left["x"] = 1
 	if r := g.cloud.Do("POST", "/machines", wire.Marshal(wire.Rent{Request: "before", Type: "m8", Zone: "x", Count: 1}), 0); wire.Unmarshal(r.Body, &got) != nil || len(got.Machines) != 1 {
-		t.Fatal("nothing to rent")
+		t.Fatal("the cloud rented nothing")
 	}
 	name, gone := got.Machines[0], loop.Micros(0)
 	g.ups = nil
 	for k := range 1000 {
 		if k < 600 {
-			g.hear(name, "x") // for 60 s; until then there is nothing to rent beside it
+			g.hear(name, "x") // for 60 s; until then there is no capacity beside it
 		}
 		g.t.Tally("b", peer.Tally{Wall: g.Now(), Wants: []peer.Want{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 1}}})
 		g.Run(100 * loop.Millisecond)
@@ -313,10 +317,10 @@
 		}
 		if len(g.ups) > 0 {
 			if took := g.Now() - gone; gone == 0 || took > 2*loop.Second {
-				t.Fatalf("rented %d us after the deletion at %d", took, gone)
+				t.Fatalf("rented %d us after the deletion at %d us, want within 2 s", took, gone)
 			}
 			return
 		}
 	}
-	t.Fatalf("nothing is rented; deleted at %d", gone)
+	t.Fatalf("nothing is rented; the machine was deleted at %d us", gone)
 }
--- a/internal/rental/spare.go
+++ b/internal/rental/spare.go
@@ -8,24 +8,24 @@
 	"cleatpick/internal/peer"
 )
 
-// reserve is the part of what is in use that is kept free for what comes next,
-// before a machine counts as not needed.
+// reserve is the free capacity, as a fraction of the capacity in use, that is kept for upcoming work before a
+// machine counts as not needed.
 const reserve = 0.2
 
+// sized is a machine with its usage and price.
 type sized struct {
 	m    *machine
 	v    *agent.View
 	used float64
 	free float64
-	cost float64 // price by CPU
+	cost float64 // price per CPU
 }
 
-// spare finds machines whose work would fit into what is free elsewhere. Such a
-// machine would fall empty only when the last of its tasks ends, which takes long.
-// After a standby of its own it takes no more starts, and what can save itself
-// moves away. Misses take that back for as many machines as they need: with many jobs
-// there is always one that has missed a moment ago, and taking all back for it kept a
-// third of the fleet idle.
+// spare drains machines whose tasks would fit into free capacity elsewhere. Such a machine would become empty
+// only when the last of its tasks ends, which takes long. After a standby time of its own it takes no more
+// starts, and tasks that can save their state move away. Unplaced requests return as many draining machines
+// to use as they need, and no more: with many jobs there are always some new requests, and returning all
+// draining machines for them kept a third of the machines idle.
 func (t *Rental) spare(now loop.Micros) {
 	if now-t.spareAt < loop.Second {
 		return
@@ -55,11 +55,11 @@
 		if m.state == Up {
 			free += x.free
 		} else {
-			free -= x.used // what drains needs room elsewhere
+			free -= x.used // its tasks need capacity elsewhere
 		}
 		all = append(all, x)
 	}
-	// The dearest and, among them, the emptiest first.
+	// The most expensive and, among those, the emptiest first.
 	sort.Slice(all, func(i, j int) bool {
 		if all[i].cost != all[j].cost {
 			return all[i].cost > all[j].cost
@@ -70,7 +70,7 @@
 		return all[i].m.name < all[j].m.name
 	})
 	need := reserve*used + wanted
-	// The cheapest and fullest of those that drain serve misses first.
+	// The cheapest and fullest draining machines are returned to use first.
 	for i := len(all) - 1; i >= 0 && free < need; i-- {
 		if x := all[i]; x.m.state == Draining {
 			free += x.free + x.used
--- a/internal/rental/supply.go
+++ b/internal/rental/supply.go
@@ -9,10 +9,11 @@
 	"cleatpick/internal/loop"
 )
 
-// mostOffers bounds each list of a supply.
+// mostOffers bounds each list in a supply.
 const mostOffers = 20
 
-// Supply tells what this leader has asked the cloud for that could take a task like s.
+// Supply describes what this leader has rented or requested from the cloud that could take a task with spec
+// s.
 func (t *Rental) Supply(s *job.Spec) explain.Supply {
 	out := explain.Supply{State: "nothing"}
 	if !t.leads {
@@ -52,12 +53,12 @@
 	case out.Offers > 0 && out.Missed > 0:
 		out.State = "requested"
 	case out.Offers > 0:
-		out.State = "notAsked" // what falls free at once is not rented for
+		out.State = "notAsked" // machines are not rented for requests that fit into free capacity
 	}
 	return out
 }
 
-// supplyBoots counts the machines that boot, and estimates when the oldest is up.
+// supplyBoots counts the booting machines by offer, and estimates when the next of them is up.
 func (t *Rental) supplyBoots(out *explain.Supply, serves func(offer) bool) {
 	now := t.r.Now()
 	by := map[offer]*explain.Booting{}
--- a/internal/rental/worth.go
+++ b/internal/rental/worth.go
@@ -8,15 +8,15 @@
 	"cleatpick/internal/loop"
 )
 
-// hour is longer than anything that is waited for here.
+// hour exceeds any wait that the failure detection considers.
 const hour = 3600 * loop.Second
 
-// worth tells for how much longer a machine of a zone that is cut off is left alone. Its
-// deletion proves its tasks off and has another rented, which boots and fetches images
-// anew. Where what waits already would take all that could be had elsewhere, that helps
-// nobody before the cut ends, and costs a boot when it does. How long the cut lasts is not
-// known: to wait for as long as what the deletion would cost loses at most twice what
-// knowing it would have lost.
+// worth returns a function for how much longer than usual a machine of an unreachable zone is retained.
+// Deleting it confirms that its tasks are terminated, and has another machine rented, which must boot and
+// fetch images. While the work that waits already would use all capacity available elsewhere, the deletion
+// helps nobody before the network partition ends, and costs a boot afterwards. How long the partition lasts
+// is not known: waiting for as long as the deletion would cost loses at most twice what knowing it would
+// lose.
 func (t *Rental) worth() func(*machine) loop.Micros {
 	now := t.r.Now()
 	dark := map[string]bool{}
@@ -42,9 +42,9 @@
 	return func(m *machine) loop.Micros {
 		switch _, was := t.darkAt[m.zone]; {
 		case was && !dark[m.zone]:
-			// In sight again, it has two reports' time to show what lives there: what was
-			// spared must not be deleted in the moment in which its cut is over. A machine
-			// that this leader never heard has no such time: see judgeBoot.
+			// After its zone is reachable again, a machine has the time of two reports to show which tasks
+			// run on it: what was retained must not be deleted just when its partition ends. A machine that
+			// never reported to this leader does not get this time: see judgeBoot.
 			return hour
 		case was && full && !t.holdsUrgent(m):
 			return loop.Seconds(t.byName[m.typ].BootS)
@@ -53,18 +53,18 @@
 	}
 }
 
-// setSparing notes whether machines behind a cut are left alone for longer, and tells the
-// operators, who otherwise wonder why nothing is deleted.
+// setSparing records whether machines in unreachable zones are retained for longer, and logs each change: it
+// tells operators why nothing is deleted.
 func (t *Rental) setSparing(on bool) {
 	if t.sparing == on {
 		return
 	}
 	t.sparing = on
-	t.log.Info("machines behind a cut", "spared", on, "zones", slices.Sorted(maps.Keys(t.darkAt)))
+	t.log.Info("retention of machines in unreachable zones changed", "spared", on, "zones", slices.Sorted(maps.Keys(t.darkAt)))
 }
 
-// holdsUrgent tells whether urgent work ran on a machine when it was last heard. What is
-// urgent need not queue: once it is proven off, other work gives way to it.
+// holdsUrgent reports whether urgent tasks were active on a machine in its newest report. Urgent work need
+// not queue: once it is confirmed terminated, other work is preempted for it.
 func (t *Rental) holdsUrgent(m *machine) bool {
 	v := t.agent.View(m.name)
 	if v == nil {
@@ -79,8 +79,8 @@
 	return false
 }
 
-// elsewhere tells whether anything can be rented in a zone that is in sight, by the
-// cloud's last word: what it refused stays refused until it was granted once.
+// elsewhere reports whether anything can be rented in a reachable zone, by the cloud's newest answers: an
+// offer that was refused counts as refused until it is granted.
 func (t *Rental) elsewhere(dark map[string]bool) bool {
 	for o := range t.all() {
 		if !dark[o.zone] && t.offers[o] == nil && !t.cordoned(o) {
@@ -90,8 +90,8 @@
 	return false
 }
 
-// crowded tells whether requests that could be served in sight miss more than the largest
-// machine holds. What a deletion proves off would only wait beside them.
+// crowded reports whether the unplaced requests that could run in reachable zones exceed the largest machine.
+// Tasks that a deletion confirms terminated would only queue beside them.
 func (t *Rental) crowded(dark map[string]bool) bool {
 	most := 0.0
 	for _, x := range t.types {
@@ -106,7 +106,7 @@
 	return most > 0 && missed > most
 }
 
-// inSight tells whether a task may run on some kind of machine in a zone that is in sight.
+// inSight reports whether a task may run on some type of machine in a reachable zone.
 func (t *Rental) inSight(s *job.Spec, dark map[string]bool) bool {
 	for o := range t.all() {
 		if !dark[o.zone] && t.takes(o, s) {
--- a/internal/rental/worth_test.go
+++ b/internal/rental/worth_test.go
@@ -11,39 +11,40 @@
 	"cleatpick/internal/wire"
 )
 
-// crowd is more than a machine holds.
+// crowd is demand that exceeds one machine.
 var crowd = []peer.Want{{CPUs: 2, AnyType: true, Spot: true, Count: 8}}
 
-// A leader once deleted 408 machines of a zone two seconds before its cut was over, while
-// all the rest of the cloud was rented and thousands of tasks waited: what that proved off
-// only joined the queue, and the zone's machines booted anew. They are left alone for a
-// boot more, but only while nothing can be had elsewhere and more waits than fits.
+// Machines behind a network partition are retained for a boot time longer, but only while nothing can be
+// rented elsewhere and more work waits than one machine holds. A leader once deleted 408 machines of a zone
+// two seconds before its partition ended, while all other cloud capacity was rented and thousands of tasks
+// waited: the tasks that this confirmed terminated only joined the queue, and the zone's machines had to boot
+// anew.
 func TestCutZoneIsLeftAlone(t *testing.T) {
 	boot := 4 * loop.Second
 	for _, c := range []struct {
 		name  string
-		each  int // machines that each offer has
+		each  int // machines available of each offer
 		wants []peer.Want
-		cut   bool         // the zone is, by a peer that is not heard there
-		new   bool         // the leader began after the cut, and never heard these machines
-		runs  job.Priority // of what runs there
+		cut   bool         // the zone is partitioned: a peer there is unreachable
+		new   bool         // the leader started after the partition began, and never received reports of these machines
+		runs  job.Priority // priority of the tasks on the machines
 		more  loop.Micros
 	}{
 		{"full, work waits", 6, crowd, true, false, job.Normal, boot},
 		{"full, work waits, a new leader", 6, crowd, true, true, job.Normal, boot},
-		{"full, urgent work is stuck there", 6, crowd, true, false, job.High, 0},
+		{"full, urgent tasks run there", 6, crowd, true, false, job.High, 0},
 		{"full, little waits", 6, []peer.Want{{CPUs: 2, AnyType: true, Spot: true, Count: 4}}, true, false, job.Normal, 0},
-		{"full, what waits fits nothing in sight", 6, []peer.Want{{CPUs: 2, AnyType: true, Zone: "y", Count: 80}}, true, false, job.Normal, 0},
-		{"full, what waits fits no machine", 6, []peer.Want{{CPUs: 9, AnyType: true, Spot: true, Count: 80}}, true, false, job.Normal, 0},
-		{"room elsewhere", 4000, crowd, true, false, job.Normal, 0},
-		{"no cut", 6, crowd, false, false, job.Normal, 0},
+		{"full, waiting work fits nothing in reachable zones", 6, []peer.Want{{CPUs: 2, AnyType: true, Zone: "y", Count: 80}}, true, false, job.Normal, 0},
+		{"full, waiting work fits no machine", 6, []peer.Want{{CPUs: 9, AnyType: true, Spot: true, Count: 80}}, true, false, job.Normal, 0},
+		{"capacity elsewhere", 4000, crowd, true, false, job.Normal, 0},
+		{"no partition", 6, crowd, false, false, job.Normal, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(t, c.each)
-			g.t.cfg.Operator.StandbyMeanS, g.t.cfg.Operator.OrdinaryStandbyMeanS = 1e11, 1e11 // nothing is given back
+			g.t.cfg.Operator.StandbyMeanS, g.t.cfg.Operator.OrdinaryStandbyMeanS = 1e11, 1e11 // idle machines are kept
 			g.jobs = map[string]*job.Job{"j": {ID: "j", Phase: job.Accepted, Spec: &job.Spec{CPUs: 1, Priority: c.runs}}}
 			g.runs = []agent.Task{{Task: "j/0", Attempt: 1, State: wire.TaskRunning}}
-			names := g.cloud.Fill(6) // in x, then in y
+			names := g.cloud.Fill(6) // half of them in x, the rest in y
 			step := func(y bool, wants []peer.Want) {
 				for i, name := range names {
 					if zone := []string{"x", "y"}[i/6]; zone == "x" || y {
@@ -52,7 +53,7 @@
 				}
 				tally := peer.Tally{Wall: g.Now(), Wants: wants}
 				if c.new {
-					tally.Suspect = names[6:] // named by an owner before the cloud lists them
+					tally.Suspect = names[6:] // reported as suspect by an owner before the cloud lists them
 				}
 				g.t.Tally("b", tally)
 				g.Run(200 * loop.Millisecond)
@@ -79,26 +80,26 @@
 				return 0
 			}()
 			if full := c.more > 0 || c.runs == job.High; g.t.sparing != full {
-				t.Errorf("the operators are told of sparing: %v", g.t.sparing)
+				t.Errorf("retaining machines in unreachable zones: %v", g.t.sparing)
 			}
-			base := 19 * loop.Second // its lease, a second, and 8 s out of sight
+			base := 19 * loop.Second // the lease, a second, and 8 s for an unreachable zone
 			if c.new {
 				base = 21 * loop.Second
 			}
 			if first < base+c.more-loop.Second || first > base+c.more+2*loop.Second {
-				t.Fatalf("lost after %d us, want %d", first, base+c.more)
+				t.Fatalf("first deletion after %d us, want about %d", first, base+c.more)
 			}
 		})
 	}
 }
 
-// What was spared during a cut has two reports' time to show itself once the cut is over;
-// what does not is deleted as any other.
+// Machines that were retained during a network partition have the time of two reports to show themselves once
+// it is over; those that do not report by then are deleted as any others.
 func TestZoneIsBackInSight(t *testing.T) {
 	g := newRig(t, 6)
 	g.t.cfg.Operator.StandbyMeanS, g.t.cfg.Operator.OrdinaryStandbyMeanS = 1e11, 1e11
 	names := g.cloud.Fill(6)
-	step := func(n int) { // the first n are heard
+	step := func(n int) { // the first n report
 		for i, name := range names[:n] {
 			g.hear(name, []string{"x", "y"}[i/6])
 		}
@@ -109,7 +110,7 @@
 		step(12)
 	}
 	g.dark = "y"
-	for range 110 { // 22 s: beyond the lease and 8 s more
+	for range 110 { // 22 s: more than the lease and 8 s
 		step(6)
 	}
 	g.dark = ""
@@ -117,13 +118,13 @@
 		step(6)
 	}
 	if len(g.deleted) > 0 {
-		t.Fatalf("%v are deleted within 3 s of the end of their zone's cut", g.deleted)
+		t.Fatalf("%v are deleted within 3 s of the end of their zone's partition", g.deleted)
 	}
 	for range 60 {
 		step(9)
 	}
 	slices.Sort(g.deleted)
 	if !slices.Equal(g.deleted, names[9:]) {
-		t.Fatalf("%v are deleted, want what stayed silent: %v", g.deleted, names[9:])
+		t.Fatalf("%v are deleted, want the machines that stayed silent: %v", g.deleted, names[9:])
 	}
 }
