--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,7 @@
-// Package fleet is the machines as placement sees them: what is free, what keeps work off
-// them, which is the best for a task, and what would have to be stopped to make room.
+// Package fleet keeps the machines as placement sees them. It computes each machine's free capacity, ranks
+// the machines for a task, keeps the capacity reservations, and chooses which running tasks to preempt for
+// others. It owns one record for each machine that has reported, and the reservations on it. Which job is
+// served next, how starts are recorded and how stops are delivered is left to its callers.
 package fleet
 
 import (
@@ -20,230 +22,234 @@
 	"cleatpick/internal/wire"
 )
 
-// Node is what this slice needs of the node around it.
+// Node holds what the fleet needs of the controller that runs it.
 type Node struct {
 	Label string
 	Type  func(string) (wire.MachineType, bool)
-	// Room is what a view leaves free, Jobs are the jobs of its tasks.
+	// Room returns the capacity that a machine's view leaves free, Jobs the jobs of the tasks in it, by
+	// index; both are false or nil for what is not known here yet.
 	Room func(*agent.View, wire.MachineType) (agent.Room, bool)
 	Jobs func(*agent.View) []*job.Job
-	// Unshown calls f for every task that was chosen for or started on the machine and
-	// that its view does not show yet.
+	// Unshown calls f for every task that was chosen for the machine or started on it and that its view does
+	// not include yet.
 	Unshown func(v *agent.View, f func(*job.Spec))
 	Stop    func(host string, s agent.Stop)
 	Cordons *cordon.Book
-	// StaleAfter is how long after its last word a machine takes no starts.
+	// StaleAfter is the age of a machine's newest report from which on no tasks are started on it.
 	StaleAfter loop.Micros
 }
 
-// Slot is a machine as placement sees it.
-type Slot struct {
+// Machine is one machine with what placement derives from its newest view.
+type Machine struct {
 	gate.Place
-	Runs    *health.Runs
-	Jobs    []*job.Job // of the view's tasks
-	typ     wire.MachineType
-	used    float64
-	cost    float64 // price by CPU
-	dear    float64 // how far that is above the cheapest of all machines here, from 0 to 1
-	stopped []stopping
-	stale   bool         // waits for a refresh
-	lowest  job.Priority // of its tasks
+	Runs           *health.Runs
+	Jobs           []*job.Job // of the view's tasks
+	typ            wire.MachineType
+	usedCPUs       float64
+	cpuPrice       float64 // price per CPU
+	priceExcess    float64 // price above that of the cheapest machine known here: 0 for the cheapest, approaching 1
+	preempted      []pendingPreemption
+	stale          bool         // queued for Refresh
+	lowestPriority job.Priority // lowest priority of its tasks
 }
 
-// Fleet keeps a slot for every machine heard. Slots are brought up to date by Refresh,
-// and only those that something happened to: with many machines, a pass that looked at
-// all of them anew cost more than the node's whole share of a core.
+// Fleet keeps a Machine for every machine that has reported. Refresh updates only those that changed: with many
+// machines, a pass that recomputed all of them took more than the controller's whole share of a core.
 type Fleet struct {
-	r       loop.Runner
-	log     *slog.Logger
-	n       Node
-	slots   map[string]*Slot
-	order   []*Slot // by name
-	sorted  bool
-	stale   []*Slot
-	priced  loop.Micros
-	cordons uint64             // the version by which the slots were judged
-	claimed map[*Slot]struct{} // machines with claims
-	held    map[string]int     // claims by job
-	early   []peer.Claim       // on machines that were not heard yet
-	scratch []victim
-	stops   teamCPUs // stopped for one task, by team
-	free    []*Slot
-	from    int // where the next look for what to stop begins
+	runner              loop.Runner
+	log                 *slog.Logger
+	node                Node
+	machines            map[string]*Machine
+	order               []*Machine // by name
+	sorted              bool
+	stale               []*Machine
+	pricedAt            loop.Micros
+	cordonVersion       uint64                // version of the cordons by which the machines were marked
+	reserved            map[*Machine]struct{} // machines with reservations
+	reservationCounts   map[string]int        // number of reservations by job
+	pendingReservations []peer.Claim          // reservations on machines that have not reported yet
+	scratch             []victim
+	preemptedCPUs       teamCPUs // CPUs preempted for one task, by team
+	free                []*Machine
+	nextScan            int // index in order at which the next search for preemptions starts
 }
 
-// New makes an empty fleet.
+// New returns an empty fleet.
 func New(r loop.Runner, log *slog.Logger, n Node) *Fleet {
-	return &Fleet{r: r, log: log, n: n, slots: map[string]*Slot{}, claimed: map[*Slot]struct{}{}, held: map[string]int{}}
+	return &Fleet{runner: r, log: log, node: n, machines: map[string]*Machine{}, reserved: map[*Machine]struct{}{}, reservationCounts: map[string]int{}}
 }
 
-// Slot is the slot of a machine, nil if it was never heard.
-func (f *Fleet) Slot(machine string) *Slot { return f.slots[machine] }
+// Machine returns the record of a machine, or nil if no report of it has arrived.
+func (f *Fleet) Machine(machine string) *Machine { return f.machines[machine] }
 
-// All lists the slots by name; after Refresh.
-func (f *Fleet) All() []*Slot { return f.order }
+// All lists the machines by name, as of the last Refresh.
+func (f *Fleet) All() []*Machine { return f.order }
 
-// Free lists the slots that take starts and have processors left, after Refresh. A pass
-// asks once: in a full fleet that is a small part, and every job is ranked on it alone.
-func (f *Fleet) Free() []*Slot {
-	now := f.r.Now()
-	after := now - f.n.StaleAfter
+// Free lists the machines that accept starts and have CPUs left, as of the last Refresh. A pass calls it
+// once: in a full cluster these are a small part of all machines, and each job is ranked on them alone.
+func (f *Fleet) Free() []*Machine {
+	now := f.runner.Now()
+	after := now - f.node.StaleAfter
 	f.free = f.free[:0]
-	for _, sl := range f.order {
-		if sl.Room.CPUs > 0 && sl.Open(after, now) {
-			f.free = append(f.free, sl)
+	for _, m := range f.order {
+		if m.Room.CPUs > 0 && m.Open(after, now) {
+			f.free = append(f.free, m)
 		}
 	}
 	return f.free
 }
 
-// View takes in a machine's newer view, and when it was heard; quiet: nothing on it has changed.
-func (f *Fleet) View(v *agent.View, heard loop.Micros, quiet bool) *Slot {
-	sl := f.slots[v.Name]
-	first := sl == nil
+// UpdateView records a machine's newer view and when its report was received. quiet means that nothing on the
+// machine has changed, so that it needs no refresh.
+func (f *Fleet) UpdateView(v *agent.View, heard loop.Micros, quiet bool) *Machine {
+	m := f.machines[v.Name]
+	first := m == nil
 	if first {
-		sl = &Slot{Runs: health.NewRuns()}
-		f.slots[v.Name] = sl
-		f.order = append(f.order, sl)
+		m = &Machine{Runs: health.NewRuns()}
+		f.machines[v.Name] = m
+		f.order = append(f.order, m)
 		f.sorted = false
-		f.priced = 0
+		f.pricedAt = 0
 	}
-	sl.V, sl.Heard = v, max(sl.Heard, heard)
+	m.V, m.Heard = v, max(m.Heard, heard)
 	if first {
-		f.claimEarly(v.Name)
+		f.applyPendingReservations(v.Name)
 	}
 	if !quiet {
-		f.Touch(sl)
+		f.MarkStale(m)
 	}
-	return sl
+	return m
 }
 
-// Touch marks a slot to be brought up to date; it may be nil.
-func (f *Fleet) Touch(sl *Slot) {
-	if sl != nil && !sl.stale {
-		sl.stale = true
-		f.stale = append(f.stale, sl)
+// MarkStale queues a machine for the next Refresh. m may be nil.
+func (f *Fleet) MarkStale(m *Machine) {
+	if m != nil && !m.stale {
+		m.stale = true
+		f.stale = append(f.stale, m)
 	}
 }
 
-// Gone forgets a machine that was deleted, with the claims on it.
-func (f *Fleet) Gone(machine string) {
-	sl := f.slots[machine]
-	if sl == nil {
+// Remove removes a machine that was deleted, with the reservations on it.
+func (f *Fleet) Remove(machine string) {
+	m := f.machines[machine]
+	if m == nil {
 		return
 	}
-	for len(sl.Claims) > 0 {
-		f.dropClaim(sl, 0)
+	for len(m.Claims) > 0 {
+		f.dropReservation(m, 0)
 	}
-	delete(f.slots, machine)
-	f.order = slices.DeleteFunc(f.order, func(x *Slot) bool { return x == sl })
-	sl.Known = false
+	delete(f.machines, machine)
+	f.order = slices.DeleteFunc(f.order, func(x *Machine) bool { return x == m })
+	m.Known = false
 }
 
-// Rest keeps a machine out of the choice until a time.
-func (sl *Slot) Rest(until loop.Micros, why string) {
-	if until > sl.Shut {
-		sl.Shut, sl.ShutWhy = until, why
+// BackOff keeps the machine from being chosen until the given time. An earlier time than the one in force is
+// ignored.
+func (m *Machine) BackOff(until loop.Micros, why string) {
+	if until > m.Shut {
+		m.Shut, m.ShutWhy = until, why
 	}
 }
 
-// Take takes the room of a task that is placed here now.
-func (sl *Slot) Take(s *job.Spec) {
-	sl.Room.Take(s)
-	sl.used += s.CPUs
+// Allocate subtracts a task that is placed here now from the machine's free capacity.
+func (m *Machine) Allocate(s *job.Spec) {
+	m.Room.Take(s)
+	m.usedCPUs += s.CPUs
 }
 
-// Where names the machine for cordons.
-func Where(v *agent.View) cordon.Place {
+// CordonPlace describes a machine for matching it against cordons.
+func CordonPlace(v *agent.View) cordon.Place {
 	return cordon.Place{Machine: v.Name, Type: v.Type, Zone: v.Zone, Spot: v.Spot}
 }
 
-// priceEvery is how often prices are compared, which change with the catalog.
-const priceEvery = 5 * loop.Second
+// priceInterval is the time between two comparisons of the machines' prices, which change with the cloud's
+// catalog.
+const priceInterval = 5 * loop.Second
 
-// Refresh brings the slots up to date that were touched.
+// Refresh updates the machines that changed, and the cordon marks and relative prices of all when these may
+// have changed.
 func (f *Fleet) Refresh() {
-	now := f.r.Now()
+	now := f.runner.Now()
 	if !f.sorted {
-		slices.SortFunc(f.order, func(a, b *Slot) int { return strings.Compare(a.V.Name, b.V.Name) })
+		slices.SortFunc(f.order, func(a, b *Machine) int { return strings.Compare(a.V.Name, b.V.Name) })
 		f.sorted = true
 	}
-	if v := f.n.Cordons.Version(); v != f.cordons {
-		f.cordons = v
-		for _, sl := range f.order {
-			sl.Cordoned = f.n.Cordons.Barred(Where(sl.V))
+	if v := f.node.Cordons.Version(); v != f.cordonVersion {
+		f.cordonVersion = v
+		for _, m := range f.order {
+			m.Cordoned = f.node.Cordons.Barred(CordonPlace(m.V))
 		}
 	}
 	due := f.stale
 	f.stale = nil
-	for _, sl := range due {
-		sl.stale = false
-		if f.slots[sl.V.Name] == sl {
-			f.refresh(sl)
+	for _, m := range due {
+		m.stale = false
+		if f.machines[m.V.Name] == m {
+			f.refresh(m)
 		}
 	}
-	if f.priced == 0 || now-f.priced > priceEvery {
-		f.priced = now
-		f.price()
+	if f.pricedAt == 0 || now-f.pricedAt > priceInterval {
+		f.pricedAt = now
+		f.updatePrices()
 	}
 }
 
-func (f *Fleet) refresh(sl *Slot) {
-	v := sl.V
-	typ, ok := f.n.Type(v.Type)
+func (f *Fleet) refresh(m *Machine) {
+	v := m.V
+	typ, ok := f.node.Type(v.Type)
 	var room agent.Room
 	if ok {
-		room, ok = f.n.Room(v, typ)
+		room, ok = f.node.Room(v, typ)
 	}
 	if !ok {
-		sl.Known = false
-		f.Touch(sl) // until its type and its tasks' jobs are known here
+		m.Known = false
+		f.MarkStale(m) // retried until its type and the jobs of its tasks are known here
 		return
 	}
-	f.n.Unshown(v, room.Take)
-	sl.typ, sl.Room, sl.used = typ, room, typ.CPUs-room.CPUs
-	sl.Jobs = f.n.Jobs(v)
-	sl.lowest = job.Production
-	for i, j := range sl.Jobs {
+	f.node.Unshown(v, room.Take)
+	m.typ, m.Room, m.usedCPUs = typ, room, typ.CPUs-room.CPUs
+	m.Jobs = f.node.Jobs(v)
+	m.lowestPriority = job.Production
+	for i, j := range m.Jobs {
 		if j != nil && j.Spec != nil && v.Tasks[i].Active() {
-			sl.lowest = min(sl.lowest, j.Spec.Priority)
+			m.lowestPriority = min(m.lowestPriority, j.Spec.Priority)
 		}
 	}
-	f.usedClaims(sl)
-	sl.Known = true
-	sl.Cordoned = f.n.Cordons.Barred(Where(v))
+	f.dropConsumedReservations(m)
+	m.Known = true
+	m.Cordoned = f.node.Cordons.Barred(CordonPlace(v))
 }
 
-// price compares the machines' prices, which change from time to time.
-func (f *Fleet) price() {
+// updatePrices compares the machines' prices per CPU with the cheapest.
+func (f *Fleet) updatePrices() {
 	least := math.Inf(1)
-	for _, sl := range f.order {
-		if typ, ok := f.n.Type(sl.V.Type); ok {
-			sl.cost = typ.Price / typ.CPUs
-			if sl.V.Spot {
-				sl.cost = typ.SpotPrice / typ.CPUs
+	for _, m := range f.order {
+		if typ, ok := f.node.Type(m.V.Type); ok {
+			m.cpuPrice = typ.Price / typ.CPUs
+			if m.V.Spot {
+				m.cpuPrice = typ.SpotPrice / typ.CPUs
 			}
-			least = min(least, sl.cost)
+			least = min(least, m.cpuPrice)
 		}
 	}
-	for _, sl := range f.order {
-		if sl.dear = 0; sl.cost > 0 {
-			sl.dear = 1 - least/sl.cost
+	for _, m := range f.order {
+		if m.priceExcess = 0; m.cpuPrice > 0 {
+			m.priceExcess = 1 - least/m.cpuPrice
 		}
 	}
 }
 
-// score says how well a task of the job would go there. What is urgent goes where its
-// image is, so that it starts at once. Anything else goes to the cheapest kind of
-// machine, and there to the fullest, so that dear machines fall empty and can be given
-// back; a fetch costs it little. Machines that report to this node are preferred a
-// little: owners on several nodes otherwise go for the same one.
-func (sl *Slot) score(s *job.Spec, here string) float64 {
-	score := 2*sl.used/sl.typ.CPUs - 3*sl.dear
-	if sl.V.Host == here {
+// score rates the machine for a task of the job; higher is better. Urgent work goes where its image is
+// cached, so that it starts at once. Other work goes to the cheapest machines and, among those, to the
+// fullest, so that expensive machines become empty and can be deleted; fetching an image costs it little.
+// Machines that report to this controller score slightly higher: otherwise owners on several controllers
+// choose the same machine.
+func (m *Machine) score(s *job.Spec, here string) float64 {
+	score := 2*m.usedCPUs/m.typ.CPUs - 3*m.priceExcess
+	if m.V.Host == here {
 		score += 0.4
 	}
-	if sl.Runs.HasImage(s.Image) {
+	if m.Runs.HasImage(s.Image) {
 		if s.Priority >= job.High {
 			score += 10
 		} else {
@@ -253,7 +259,8 @@
 	return score
 }
 
-// Shape is what decides where a job's tasks fit, for jobs whose tasks may be anywhere.
+// Shape is the part of a job's spec that decides where one of its tasks fits, for jobs whose tasks do not
+// depend on each other's location.
 type Shape struct {
 	cpus, gpus, memory float64
 	types, zone        string
@@ -261,7 +268,7 @@
 	priority           job.Priority
 }
 
-// ShapeOf is a job's shape; free is false where the job's other tasks matter too.
+// ShapeOf returns a job's shape. free is false where the location of the job's other tasks matters too.
 func ShapeOf(s *job.Spec) (sh Shape, free bool) {
 	sh = Shape{s.CPUs, s.GPUs, s.MemoryGB, "*", s.Zone, s.Spot, s.Priority}
 	if !s.AnyType {
@@ -270,77 +277,79 @@
 	return sh, !s.OneZone && !s.Spread
 }
 
-// shunned is more than any two machines' scores differ by.
-const shunned = 100
+// avoidPenalty is larger than the difference between any two machines' scores.
+const avoidPenalty = 100
 
-// Ranked lists those of the slots that may take a task of the job, the best first. A
-// machine that takes a task becomes fuller, and so stays the best until it is full: the
-// list need not be made anew for every task.
-func (f *Fleet) Ranked(need *gate.Need, slots []*Slot) []*Slot {
-	now := f.r.Now()
-	after := now - f.n.StaleAfter
+// Ranked lists those of the given machines that may take a task of the job, the best first. A machine that
+// takes a task becomes fuller and so stays the best until it is full: the list need not be computed anew for
+// every task.
+func (f *Fleet) Ranked(need *gate.Need, machines []*Machine) []*Machine {
+	now := f.runner.Now()
+	after := now - f.node.StaleAfter
 	type scored struct {
-		sl    *Slot
+		m     *Machine
 		score float64
 	}
 	var all []scored
-	for _, sl := range slots {
-		if sl.Open(after, now) && sl.Takes(need) {
-			score := sl.score(need.Spec, f.n.Label)
-			if _, failed := need.Shun[sl.V.Name]; failed {
-				score -= shunned
+	for _, m := range machines {
+		if m.Open(after, now) && m.Takes(need) {
+			score := m.score(need.Spec, f.node.Label)
+			if _, failed := need.Shun[m.V.Name]; failed {
+				score -= avoidPenalty
 			}
-			all = append(all, scored{sl, score})
+			all = append(all, scored{m, score})
 		}
 	}
 	slices.SortStableFunc(all, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
-	out := make([]*Slot, len(all))
+	out := make([]*Machine, len(all))
 	for i := range all {
-		out[i] = all[i].sl
+		out[i] = all[i].m
 	}
 	return out
 }
 
-// Trial tells how many of n more tasks of the job find room now, placing none.
-func (f *Fleet) Trial(need gate.Need, n int, slots []*Slot) int {
-	return takeRanked(need, n, copied(f.Ranked(&need, slots)))
+// CountFitting counts how many of n more tasks of the job fit now, without placing any.
+func (f *Fleet) CountFitting(need gate.Need, n int, machines []*Machine) int {
+	return placeOnRanked(need, n, copyMachines(f.Ranked(&need, machines)))
 }
 
-// Copies are the fleet's slots to be tried on; lifted: as if no cordon were there.
-func (f *Fleet) Copies(lifted bool) []*Slot {
-	out := copied(f.order)
-	for _, sl := range out {
-		sl.Cordoned = sl.Cordoned && !lifted
+// Copies returns copies of all machines for trial placement. With lifted, cordons are ignored.
+func (f *Fleet) Copies(lifted bool) []*Machine {
+	out := copyMachines(f.order)
+	for _, m := range out {
+		m.Cordoned = m.Cordoned && !lifted
 	}
 	return out
 }
 
-// copied are slots to be tried on.
-func copied(slots []*Slot) []*Slot {
-	room := make([]Slot, len(slots))
-	out := make([]*Slot, len(slots))
-	for i, sl := range slots {
-		room[i] = *sl
+// copyMachines returns copies of the machines for trial placement.
+func copyMachines(machines []*Machine) []*Machine {
+	room := make([]Machine, len(machines))
+	out := make([]*Machine, len(machines))
+	for i, m := range machines {
+		room[i] = *m
 		out[i] = &room[i]
 	}
 	return out
 }
 
-// Take takes the room for up to n tasks of the job on copies of the slots.
-func (f *Fleet) Take(need gate.Need, n int, slots []*Slot) int {
-	return takeRanked(need, n, f.Ranked(&need, slots))
+// PlaceOnCopies places up to n tasks of the job on the given copies, and returns how many fit.
+func (f *Fleet) PlaceOnCopies(need gate.Need, n int, machines []*Machine) int {
+	return placeOnRanked(need, n, f.Ranked(&need, machines))
 }
 
-func takeRanked(need gate.Need, n int, slots []*Slot) int {
+// placeOnRanked places up to n tasks on the machines in their order, changing the machines, and returns how
+// many fit.
+func placeOnRanked(need gate.Need, n int, machines []*Machine) int {
 	need.Zones = maps.Clone(need.Zones)
 	if need.Zones == nil {
 		need.Zones = map[string]int{}
 	}
 	got := 0
-	for _, sl := range slots {
-		for got < n && sl.Takes(&need) {
-			sl.Room.Take(need.Spec)
-			need.Zones[sl.V.Zone]++
+	for _, m := range machines {
+		for got < n && m.Takes(&need) {
+			m.Room.Take(need.Spec)
+			need.Zones[m.V.Zone]++
 			got++
 		}
 	}
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -12,135 +12,137 @@
 	"cleatpick/internal/peer"
 )
 
-// option is what making room for one task on a machine takes.
-type option struct {
-	sl   *Slot
-	set  []victim
-	cost float64
+// candidate is a set of preemptions on one machine that make capacity for one task, with their cost in CPU
+// seconds.
+type candidate struct {
+	m       *Machine
+	victims []victim
+	cost    float64
 }
 
-// optionOn finds the cheapest stops on a machine that make room for a task of the job.
-func (f *Fleet) optionOn(need *gate.Need, sl *Slot, now loop.Micros, by *Right) (option, bool) {
+// candidateOn finds the cheapest preemptions on a machine that make capacity for a task of the job.
+func (f *Fleet) candidateOn(need *gate.Need, m *Machine, now loop.Micros, by *PreemptionRights) (candidate, bool) {
 	s := need.Spec
-	o := option{sl: sl}
-	if !sl.Allowed(need) {
+	o := candidate{m: m}
+	if !m.Allowed(need) {
 		return o, false
 	}
-	f.scratch = f.victims(f.scratch[:0], need, sl, now, by)
+	f.scratch = f.appendVictims(f.scratch[:0], need, m, now, by)
 	if len(f.scratch) == 0 {
 		return o, false
 	}
-	room := sl.Beside(need)
-	if !sl.Runs.HasImage(s.Image) {
+	room := m.Beside(need)
+	if !m.Runs.HasImage(s.Image) {
 		o.cost = 20 * s.CPUs
 	}
-	f.stops.clear()
+	f.preemptedCPUs.clear()
 	for i := range f.scratch {
 		if room.Fits(s) {
 			break
 		}
 		v := &f.scratch[i]
-		// What is stopped for one task counts together: each by itself, they once took a team
-		// below its guarantee.
-		if !by.allows(s, v.spec, f.stops.of(v.spec.Team)) {
+		// The victims for one task count together against their team's excess: checked one by one, they took
+		// a team below its guarantee.
+		if !by.allows(s, v.spec, f.preemptedCPUs.of(v.spec.Team)) {
 			continue
 		}
-		f.stops.add(v.spec)
+		f.preemptedCPUs.add(v.spec)
 		room.Give(v.spec)
 		o.cost += v.loss
-		o.set = append(o.set, *v)
+		o.victims = append(o.victims, *v)
 	}
-	if len(o.set) == 0 || !room.Fits(s) {
+	if len(o.victims) == 0 || !room.Fits(s) {
 		return o, false
 	}
 	return o, true
 }
 
-// options is a heap, the cheapest first.
-type options []option
+// candidateHeap is a heap with the cheapest candidate first.
+type candidateHeap []candidate
 
-func (o options) Len() int           { return len(o) }
-func (o options) Less(i, j int) bool { return o[i].cost < o[j].cost }
-func (o options) Swap(i, j int)      { o[i], o[j] = o[j], o[i] }
-func (o *options) Push(x any)        { *o = append(*o, x.(option)) }
-func (o *options) Pop() any {
+func (o candidateHeap) Len() int           { return len(o) }
+func (o candidateHeap) Less(i, j int) bool { return o[i].cost < o[j].cost }
+func (o candidateHeap) Swap(i, j int)      { o[i], o[j] = o[j], o[i] }
+func (o *candidateHeap) Push(x any)        { *o = append(*o, x.(candidate)) }
+func (o *candidateHeap) Pop() any {
 	old := *o
 	x := old[len(old)-1]
 	*o = old[:len(old)-1]
 	return x
 }
 
-// choices is how many options are looked for, for each that is wanted.
-const choices = 8
+// candidatesPerTask is the number of candidates to collect for each one that is wanted.
+const candidatesPerTask = 8
 
-// claimPriority is the priority up to which others leave alone the room that is made: all do. Work
-// of higher priority once took the room of a guarantee at once, and was stopped for it again.
-const claimPriority = job.Production
+// reservationPriority is the priority of the reservations made by preemption; work of higher priority would
+// ignore them. It is the highest, so none does: when higher priorities took the capacity freed for a
+// guarantee, their tasks were at once preempted for that guarantee again.
+const reservationPriority = job.Production
 
-// claimLife is how long room that is being made is kept; atImageLife is the same where
-// other room is there meanwhile.
+// reservationLife is how long a reservation lasts after its victims' grace periods; imageReservationLife is
+// the same where the job's tasks fit elsewhere meanwhile.
 const (
-	claimLife   = 4 * loop.Second
-	atImageLife = 1500 * loop.Millisecond
+	reservationLife      = 4 * loop.Second
+	imageReservationLife = 1500 * loop.Millisecond
 )
 
-// Preempt makes room for the waiting tasks of a job that found none, and tells where: a
-// claim for each.
-func (f *Fleet) Preempt(need *gate.Need, want int, by Right) (claims []peer.Claim) {
-	return f.preempt(need, want, &by, math.Inf(1), claimLife, func(*Slot) bool { return true })
+// Preempt stops tasks to make capacity for up to want tasks of a job that did not fit, and returns one
+// reservation for each task it made capacity for.
+func (f *Fleet) Preempt(need *gate.Need, want int, by PreemptionRights) (claims []peer.Claim) {
+	return f.preempt(need, want, &by, math.Inf(1), reservationLife, func(*Machine) bool { return true })
 }
 
-// PreemptAtImage makes room for an urgent job's tasks on machines that have its image,
-// though others have room: there the tasks would wait for the fetch. It stops only work
-// of which it loses less than the fetch would cost, so that nothing is wasted by it.
-func (f *Fleet) PreemptAtImage(need *gate.Need, want int, by Right) []peer.Claim {
+// PreemptForCachedImage makes capacity for an urgent job's tasks on machines that have its image cached, although
+// others have free capacity: there the tasks would wait for the fetch. It stops only tasks that lose less
+// than the fetch costs, so that the preemption is no net loss.
+func (f *Fleet) PreemptForCachedImage(need *gate.Need, want int, by PreemptionRights) []peer.Claim {
 	rate := math.Inf(1)
-	for _, sl := range f.order {
-		if sl.typ.FetchGBs > 0 {
-			rate = min(rate, sl.typ.FetchGBs)
+	for _, m := range f.order {
+		if m.typ.FetchGBs > 0 {
+			rate = min(rate, m.typ.FetchGBs)
 		}
 	}
-	most := fetchWorth * need.Spec.ImageGB / rate * need.Spec.CPUs
-	by.LowerOnly = true // the tasks have room elsewhere
-	return f.preempt(need, want, &by, most, atImageLife, func(sl *Slot) bool { return sl.Runs.HasImage(need.Spec.Image) })
+	most := fetchCostFactor * need.Spec.ImageGB / rate * need.Spec.CPUs
+	by.LowerPriorityOnly = true // the tasks fit elsewhere
+	return f.preempt(need, want, &by, most, imageReservationLife, func(m *Machine) bool { return m.Runs.HasImage(need.Spec.Image) })
 }
 
-// fetchWorth is how many times what a fetch takes may be lost to avoid it: an urgent task
-// holds its own room for the fetch, and its users wait for as long.
-const fetchWorth = 3
+// fetchCostFactor is how many times the cost of a fetch may be lost to avoid it: while the image is fetched, an
+// urgent task occupies its own capacity and its users wait.
+const fetchCostFactor = 3
 
-// AtImage is how many of n tasks of the job find room on machines that have its image.
-func (f *Fleet) AtImage(need gate.Need, n int, slots []*Slot) int {
-	var there []*Slot
-	for _, sl := range slots {
-		if sl.Runs.HasImage(need.Spec.Image) {
-			there = append(there, sl)
+// CountFittingWithImage counts how many of n tasks of the job fit on machines that have its image cached.
+func (f *Fleet) CountFittingWithImage(need gate.Need, n int, machines []*Machine) int {
+	var there []*Machine
+	for _, m := range machines {
+		if m.Runs.HasImage(need.Spec.Image) {
+			there = append(there, m)
 		}
 	}
 	if len(there) == 0 {
 		return 0
 	}
-	return f.Trial(need, n, there)
+	return f.CountFitting(need, n, there)
 }
 
-// preempt goes through the machines that are of use once, until there is enough to choose
-// from; only the one that was chosen is looked at again. Each claim costs at most so many
-// CPU seconds.
-func (f *Fleet) preempt(need *gate.Need, want int, by *Right, most float64, life loop.Micros, of func(*Slot) bool) (claims []peer.Claim) {
+// preempt computes candidates on the machines for which of returns true, once for each, until it has enough to
+// choose from. After that it recomputes only the chosen machine. Each task may cost at most the given number
+// of CPU seconds.
+func (f *Fleet) preempt(need *gate.Need, want int, by *PreemptionRights, maxCost float64, life loop.Micros, eligible func(*Machine) bool) (claims []peer.Claim) {
 	s := need.Spec
-	now := f.r.Now()
-	after := now - f.n.StaleAfter
-	var all options
-	borrowed := by.Guarantee && !by.LowerOnly && by.anyExcess(s.Team)
-	// Any of many machines will do about as well as the best of all: the look begins where
-	// the last one ended, and is over once there is enough to choose from.
-	for k := 0; k < len(f.order) && len(all) < choices*(want+8); k++ {
-		f.from = (f.from + 1) % len(f.order)
-		sl := f.order[f.from]
-		if (sl.lowest >= s.Priority && !borrowed) || !of(sl) || !sl.Open(after, now) {
-			continue // nothing there gives way
+	now := f.runner.Now()
+	after := now - f.node.StaleAfter
+	var all candidateHeap
+	borrowed := by.WithinGuarantee && !by.LowerPriorityOnly && by.anyOtherExcess(s.Team)
+	// With many machines, any few of them are about as good as the best of all: the search starts where the
+	// last one ended, and stops once there are enough candidates.
+	for k := 0; k < len(f.order) && len(all) < candidatesPerTask*(want+8); k++ {
+		f.nextScan = (f.nextScan + 1) % len(f.order)
+		m := f.order[f.nextScan]
+		if (m.lowestPriority >= s.Priority && !borrowed) || !eligible(m) || !m.Open(after, now) {
+			continue // no task there may be preempted
 		}
-		if o, ok := f.optionOn(need, sl, now, by); ok && o.cost <= most {
+		if o, ok := f.candidateOn(need, m, now, by); ok && o.cost <= maxCost {
 			all = append(all, o)
 		}
 	}
@@ -148,9 +150,9 @@
 	made := 0
 	for made < want && len(all) > 0 {
 		best := all[0]
-		// What was stopped since for this job may have used up another team's excess.
-		o, ok := f.optionOn(need, best.sl, now, by)
-		if !ok || o.cost > most {
+		// Preemptions made for this job since may have used up another team's excess.
+		o, ok := f.candidateOn(need, best.m, now, by)
+		if !ok || o.cost > maxCost {
 			heap.Pop(&all)
 			continue
 		}
@@ -161,25 +163,25 @@
 		}
 		made++
 		wait := loop.Micros(0)
-		for _, y := range o.set {
+		for _, y := range o.victims {
 			wait = max(wait, y.grace)
 			by.Excess[y.spec.Team] -= y.spec.CPUs
-			o.sl.Room.Give(y.spec)
-			o.sl.stopped = append(o.sl.stopped, stopping{delivery.Attempt{Task: y.task.Task, Number: y.task.Attempt}, now + y.grace + 5*loop.Second})
-			f.log.Debug("preempt", "task", y.task.Task, "machine", o.sl.V.Name, "for", need.ID, "grace_us", y.grace)
-			f.n.Stop(o.sl.V.Host, agent.Stop{Machine: o.sl.V.Name, Task: y.task.Task, Attempt: y.task.Attempt, Grace: y.grace})
+			o.m.Room.Give(y.spec)
+			o.m.preempted = append(o.m.preempted, pendingPreemption{delivery.Attempt{Task: y.task.Task, Number: y.task.Attempt}, now + y.grace + 5*loop.Second})
+			f.log.Debug("preempting task to make capacity for another job", "task", y.task.Task, "machine", o.m.V.Name, "for", need.ID, "grace_us", y.grace)
+			f.node.Stop(o.m.V.Host, agent.Stop{Machine: o.m.V.Name, Task: y.task.Task, Attempt: y.task.Attempt, Grace: y.grace})
 		}
-		o.sl.Room.Take(s)
-		f.Touch(o.sl)
-		c := peer.Claim{Machine: o.sl.V.Name, Job: need.ID, Priority: int(claimPriority), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB,
-			Until: f.r.Wall() + wait + life}
-		for _, y := range o.set {
+		o.m.Room.Take(s)
+		f.MarkStale(o.m)
+		c := peer.Claim{Machine: o.m.V.Name, Job: need.ID, Priority: int(reservationPriority), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB,
+			Until: f.runner.Wall() + wait + life}
+		for _, y := range o.victims {
 			c.Victims = append(c.Victims, y.task.Task)
 		}
-		f.AddClaim(c)
+		f.AddReservation(c)
 		claims = append(claims, c)
-		by.used(made)
-		if again, ok := f.optionOn(need, o.sl, now, by); ok {
+		by.consume(made)
+		if again, ok := f.candidateOn(need, o.m, now, by); ok {
 			all[0] = again
 			heap.Fix(&all, 0)
 		} else {
--- /dev/null
+++ b/internal/fleet/reserve.go
@@ -0,0 +1,95 @@
+package fleet
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"cleatpick/internal/agent"
+	"cleatpick/internal/gate"
+	"cleatpick/internal/job"
+	"cleatpick/internal/loop"
+	"cleatpick/internal/peer"
+)
+
+// smallTaskDivisor is the divisor that separates smallTaskDivisor tasks from large ones: a task of up to a
+// quarter of a machine's CPUs shares machines with other reservations.
+const smallTaskDivisor = 4
+
+// Reserve reserves capacity for up to want tasks of a job on machines that have none free now, and returns the
+// reservations. It preempts nothing: capacity is freed as tasks there end, and meanwhile no other job's tasks
+// take it. Capacity that is reserved already is subtracted first, and small reservations share a machine:
+// when each had a machine of its own, none was left for gangs or for tasks as large as a machine. For a gang
+// it reserves everything or nothing, since a part of a gang cannot run.
+func (f *Fleet) Reserve(need *gate.Need, want int, life loop.Micros) (claims []peer.Claim) {
+	n := *need
+	if n.Zones = maps.Clone(need.Zones); n.Zones == nil {
+		n.Zones = map[string]int{}
+	}
+	now := f.runner.Now()
+	after := now - f.node.StaleAfter
+	type place struct {
+		m    *Machine
+		left agent.Room // of the empty machine, less its reservations
+		own  int        // number of the team's tasks there
+	}
+	var fit []place
+	s := need.Spec
+	for _, m := range f.order {
+		if m.typ.CPUs > 0 && m.Open(after, now) && m.Allowed(&n) {
+			left := agent.Room{CPUs: m.typ.CPUs, GPUs: m.typ.GPUs, MemoryGB: m.typ.MemoryGB}
+			for i := range m.Claims {
+				left = left.Less(m.Claims[i].Room)
+			}
+			if left.Fits(s) {
+				fit = append(fit, place{m, left, m.teamTaskCount(s.Team)})
+			}
+		}
+	}
+	// A large task goes where nothing is reserved. A small one goes where most is reserved already, up to
+	// half of a machine and not beside a reservation for a large task: each must wait for the capacity
+	// reserved beside it, too. Next come machines with the fewest tasks of the job's own team, which could
+	// use the freed capacity anyway, and then those with the most free CPUs, where the rest is freed soonest.
+	rank := func(x *place) int {
+		claims := x.m.Claims
+		switch {
+		case smallTaskDivisor*s.CPUs > x.m.typ.CPUs:
+			return len(claims)
+		case 2*x.left.CPUs <= x.m.typ.CPUs, slices.ContainsFunc(claims, func(c gate.Claim) bool { return smallTaskDivisor*c.Room.CPUs > x.m.typ.CPUs }):
+			return 1
+		}
+		return -len(claims)
+	}
+	slices.SortStableFunc(fit, func(a, b place) int {
+		return cmp.Or(cmp.Compare(rank(&a), rank(&b)), cmp.Compare(a.own, b.own), cmp.Compare(b.m.Room.CPUs, a.m.Room.CPUs))
+	})
+	for _, x := range fit {
+		m, room := x.m, x.left
+		for len(claims) < want && room.Fits(s) && m.Allowed(&n) {
+			room.Take(s)
+			n.Zones[m.V.Zone]++
+			c := peer.Claim{Machine: m.V.Name, Job: need.ID, Priority: int(job.Production), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Until: f.runner.Wall() + life}
+			claims = append(claims, c)
+		}
+		if len(claims) == want {
+			break
+		}
+	}
+	if s.Gang && len(claims) < want {
+		return nil
+	}
+	for _, c := range claims {
+		f.AddReservation(c)
+	}
+	return claims
+}
+
+// teamTaskCount counts the active tasks of a team that the machine reports.
+func (m *Machine) teamTaskCount(team string) (n int) {
+	for i, j := range m.Jobs {
+		if j != nil && j.Spec != nil && j.Spec.Team == team && i < len(m.V.Tasks) && m.V.Tasks[i].Active() {
+			n++
+		}
+	}
+	return n
+}
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -41,22 +41,22 @@
 		for i, sl := range p.fleet.All() {
 			f.Places[i] = &sl.Place
 		}
-		f.Fits = p.fleet.Trial(t.need(), n, p.fleet.All())
+		f.Fits = p.fleet.CountFitting(t.need(), n, p.fleet.All())
 		f.FitsAll = p.trialUncordoned(t, n)
 		f.Barred, f.Cordons = p.barring(j.Spec, types)
 		p.ahead(f, t, types)
 	}
 	f.Flights = p.flights(t, f.After)
-	f.Stopped, f.Held = t.stopped, p.fleet.Held(t.j.ID)
+	f.Stopped, f.Held = t.stopped, p.fleet.ReservationCount(t.j.ID)
 	return f, true
 }
 
 // trialUncordoned returns how many of n tasks would fit if there were no cordons.
 func (p *Placer) trialUncordoned(t *table, n int) int {
 	if !p.cordons.Any() {
-		return p.fleet.Trial(t.need(), n, p.fleet.All())
+		return p.fleet.CountFitting(t.need(), n, p.fleet.All())
 	}
-	return p.fleet.Take(t.need(), n, p.fleet.Copies(true))
+	return p.fleet.PlaceOnCopies(t.need(), n, p.fleet.Copies(true))
 }
 
 // barring reports whether cordons block every place that the job allows, and names the cordons that block any.
@@ -84,7 +84,7 @@
 	}
 	for _, sl := range p.fleet.All() {
 		if sl.Cordoned && s.AllowsPlace(sl.V.Type, sl.V.Zone, sl.V.Spot) {
-			note(fleet.Where(sl.V))
+			note(fleet.CordonPlace(sl.V))
 		}
 	}
 	for n := range seen {
@@ -152,7 +152,7 @@
 	if x.state == Recording {
 		return gate.Recording, "recording", x.chosen
 	}
-	v, sl := p.agent.View(x.machine), p.fleet.Slot(x.machine)
+	v, sl := p.agent.View(x.machine), p.fleet.Machine(x.machine)
 	switch {
 	case v == nil || sl == nil:
 		return gate.Unproven, "neverHeard", 0
@@ -278,8 +278,8 @@
 func (p *Placer) Unseen(name string) int {
 	n := 0
 	for machine, on := range p.on {
-		sl := p.fleet.Slot(machine)
-		if sl == nil || !slices.Contains(p.cordons.Barring(fleet.Where(sl.V)), name) {
+		sl := p.fleet.Machine(machine)
+		if sl == nil || !slices.Contains(p.cordons.Barring(fleet.CordonPlace(sl.V)), name) {
 			continue
 		}
 		for r := range on.all {
--- a/internal/placer/guarantee.go
+++ b/internal/placer/guarantee.go
@@ -71,7 +71,7 @@
 	if !known {
 		unmet = p.unmetGuarantee(t.team)
 	}
-	n := min(missed-p.fleet.Held(t.j.ID), int(unmet/cpus))
+	n := min(missed-p.fleet.ReservationCount(t.j.ID), int(unmet/cpus))
 	if !t.j.Spec.Gang {
 		n = min(n, mostHeld)
 	} else if n < t.waiting() {
@@ -87,7 +87,7 @@
 // teams have borrowed.
 func (p *Placer) unmetGuarantee(tm *team) float64 {
 	held := 0.0
-	for id, n := range loop.Sorted(p.fleet.HeldJobs()) {
+	for id, n := range loop.Sorted(p.fleet.ReservationCounts()) {
 		if t := tm.jobs[id]; t != nil {
 			held += float64(n) * t.j.Spec.CPUs
 		}
@@ -98,7 +98,7 @@
 // hold reserves capacity for unplaced tasks of a job and returns for how many.
 func (p *Placer) hold(t *table, tasks int) int {
 	need := t.need()
-	claims := p.fleet.Hold(&need, tasks, holdLife)
+	claims := p.fleet.Reserve(&need, tasks, holdLife)
 	p.claimed(claims)
 	p.n.Meter.Held(len(claims))
 	p.reserve.Serve(t.turnClass(), float64(len(claims))*t.j.Spec.CPUs)
--- a/internal/placer/guarantee_test.go
+++ b/internal/placer/guarantee_test.go
@@ -94,7 +94,7 @@
 			x := tm.jobs[id]
 			x.at, tm.short.lacks = g.Now()-c.waits, c.lacks
 			g.p.holdGuaranteed(&entryOf{t: x}, 1000, &budget{unmet: map[*team]float64{}})
-			if got := g.p.fleet.Held(id); (got > 0) != c.want || float64(got) > 16-c.used || float64(got) > mostHeld {
+			if got := g.p.fleet.ReservationCount(id); (got > 0) != c.want || float64(got) > 16-c.used || float64(got) > mostHeld {
 				t.Errorf("capacity is reserved for %d tasks, want a reservation: %v", got, c.want)
 			}
 		})
@@ -158,7 +158,7 @@
 	g.show("n-001", "m8", "x", false)
 	g.Run(loop.Second)
 	for _, id := range []string{mine, theirs} {
-		g.p.fleet.AddClaim(peer.Claim{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
+		g.p.fleet.AddReservation(peer.Claim{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
 	}
 	if got := g.p.ClaimsInForce(); len(got) != 1 || got[0].Job != mine || got[0].CPUs != 2 {
 		t.Errorf("got reservations %+v, want the one of %s", got, mine)
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -88,7 +88,7 @@
 	if len(q) == 0 {
 		return
 	}
-	p.fleet.ExpireClaims()
+	p.fleet.ExpireReservations()
 	p.fleet.Refresh()
 	now := p.r.Now()
 	open := p.fleet.Free()
@@ -108,19 +108,19 @@
 			p.lastWant = append(p.lastWant, p.want(t, t.waiting()))
 		}
 		sh, free := fleet.ShapeOf(s)
-		if n := min(probe, facts.Passes(gate.Limit)); n > 0 && (!full[sh] || p.fleet.Held(t.j.ID) > 0) {
+		if n := min(probe, facts.Passes(gate.Limit)); n > 0 && (!full[sh] || p.fleet.ReservationCount(t.j.ID) > 0) {
 			if stops && !full[sh] && s.Priority >= job.High && !s.Gang {
 				p.goToImage(&e, n, open, &b)
 			}
 			got := p.fillInTurn(t, n, open, &chosen)
 			probe -= got
-			if got < n && free && p.fleet.Held(t.j.ID) == 0 {
+			if got < n && free && p.fleet.ReservationCount(t.j.ID) == 0 {
 				full[sh] = true
 			}
 		}
 		missed := p.missed(t)
 		if s.Priority >= job.High && !full[sh] {
-			missed = max(missed-p.fleet.Held(t.j.ID), 0) // capacity is free; the job waits for a better place
+			missed = max(missed-p.fleet.ReservationCount(t.j.ID), 0) // capacity is free; the job waits for a better place
 		}
 		p.setShort(t, missed > 0 && probe > 0 || s.Gang && missed > 0)
 		if missed <= 0 || probe <= 0 {
@@ -197,7 +197,7 @@
 	now := p.r.Now()
 	n := missed
 	right := p.right(e, b)
-	within := right.Guarantee
+	within := right.WithinGuarantee
 	if room := t.team.quota.CPUs - t.team.cpus; within && s.CPUs > 0 {
 		n = min(n, int(room/s.CPUs))
 	}
@@ -207,7 +207,7 @@
 	} else if !within {
 		return
 	}
-	n -= p.fleet.Held(t.j.ID) // capacity for these is already reserved
+	n -= p.fleet.ReservationCount(t.j.ID) // capacity for these is already reserved
 	if n > 0 && s.CPUs > 0 {
 		hope := max(b.hope*float64(patience-(now-t.missing))/1e6-b.spoken, 0)
 		by := min(int(hope/s.CPUs), n)
@@ -215,7 +215,7 @@
 		n -= by
 	}
 	sh, free := fleet.ShapeOf(s)
-	key := stopKey{sh, s.Team, within, right.Share, right.Room}
+	key := stopKey{sh, s.Team, within, right.InTeamShare, right.TeamBelowGuarantee}
 	if n = min(n, b.left); n <= 0 || b.vain[key] {
 		return
 	}
@@ -231,20 +231,20 @@
 
 // goToImage preempts tasks on machines that hold the job's image, for urgent tasks that would otherwise start where
 // the image must be fetched. A fetch takes longer than stopping tasks that have just begun.
-func (p *Placer) goToImage(e *entryOf, n int, open []*fleet.Slot, b *budget) {
+func (p *Placer) goToImage(e *entryOf, n int, open []*fleet.Machine, b *budget) {
 	t := e.t
 	need := t.need()
-	short := min(n-p.fleet.AtImage(need, n, open)-p.fleet.Held(t.j.ID), b.left)
+	short := min(n-p.fleet.CountFittingWithImage(need, n, open)-p.fleet.ReservationCount(t.j.ID), b.left)
 	if short <= 0 {
 		return
 	}
-	claims := p.fleet.PreemptAtImage(&need, short, p.right(e, b))
+	claims := p.fleet.PreemptForCachedImage(&need, short, p.right(e, b))
 	p.claimed(claims)
 	b.left -= len(claims)
 }
 
 // fill places up to n waiting tasks of a job and returns how many it placed.
-func (p *Placer) fill(t *table, n int, free []*fleet.Slot, chosen *[]hostStart) int {
+func (p *Placer) fill(t *table, n int, free []*fleet.Machine, chosen *[]hostStart) int {
 	s, got, need := t.j.Spec, 0, t.need()
 	if s.CPUs <= 0 {
 		free = p.fleet.All()
@@ -252,11 +252,11 @@
 	// Urgent tasks with a reservation wait for the reserved capacity and use no other.
 	elsewhere := n
 	if s.Priority >= job.High {
-		elsewhere = n - p.fleet.Held(t.j.ID)
+		elsewhere = n - p.fleet.ReservationCount(t.j.ID)
 	}
 	for _, sl := range p.fleet.Ranked(&need, free) {
 		for got < n && sl.Takes(&need) {
-			if !sl.Claimed(t.j.ID) {
+			if !sl.HasReservation(t.j.ID) {
 				if elsewhere <= 0 {
 					break
 				}
@@ -267,8 +267,8 @@
 			x.attempt++
 			x.machine, x.session, x.expiry, x.since = sl.V.Name, sl.V.Session, 0, 0
 			x.chosen = p.r.Now()
-			sl.Take(s)
-			p.fleet.UseClaim(sl, t.j.ID)
+			sl.Allocate(s)
+			p.fleet.ConsumeReservation(sl, t.j.ID)
 			p.setTask(t, i, Recording)
 			*chosen = append(*chosen, hostStart{sl.V.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.name(i), Attempt: x.attempt, From: p.n.Label}})
 			p.recordStart(t, i)
@@ -278,7 +278,7 @@
 			break
 		}
 	}
-	p.fleet.Spare(t.j.ID, t.waiting())
+	p.fleet.TrimReservations(t.j.ID, t.waiting())
 	return got
 }
 
@@ -298,7 +298,7 @@
 // gangFits reports whether all waiting tasks of a gang fit at once and no task of an earlier start is in use.
 func (p *Placer) gangFits(t *table) bool {
 	n := t.waiting()
-	return t.inUse == 0 && p.missed(t) >= n && p.fleet.Trial(t.need(), n, p.fleet.All()) == n
+	return t.inUse == 0 && p.missed(t) >= n && p.fleet.CountFitting(t.need(), n, p.fleet.All()) == n
 }
 
 // missed returns how many tasks of a job wait for capacity rather than for their team's limit.
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -108,7 +108,7 @@
 	loop.Every(r, 400*loop.Millisecond, p.tick)
 	loop.Every(r, 60*loop.Second, func() {
 		for m := range p.zoneMemo { // of deleted machines, once no task is counted there
-			if p.on[m] == nil && p.fleet.Slot(m) == nil {
+			if p.on[m] == nil && p.fleet.Machine(m) == nil {
 				delete(p.zoneMemo, m)
 			}
 		}
@@ -146,7 +146,7 @@
 func (p *Placer) Job(j *job.Job) {
 	if j.Final() {
 		delete(p.paces, j.ID)
-		p.fleet.Spare(j.ID, 0)
+		p.fleet.TrimReservations(j.ID, 0)
 		p.blame.Over(j.ID)
 	}
 	if j.Spec == nil {
@@ -312,8 +312,8 @@
 
 // shut excludes a machine from placement for 300 ms, until a newer view of it has arrived.
 func (p *Placer) shut(machine string) {
-	if sl := p.fleet.Slot(machine); sl != nil {
-		sl.Rest(p.r.Now()+300*loop.Millisecond, "its host controller refused a start")
+	if sl := p.fleet.Machine(machine); sl != nil {
+		sl.BackOff(p.r.Now()+300*loop.Millisecond, "its host controller refused a start")
 	}
 }
 
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -27,14 +27,14 @@
 // LearnClaims adds reservations that other owners made, and records which tasks of this owner they preempted.
 func (p *Placer) LearnClaims(cs []peer.Claim) {
 	for _, c := range cs {
-		p.fleet.AddClaim(c)
+		p.fleet.AddReservation(c)
 		p.stoppedFor(c)
 	}
 }
 
 // ClaimsInForce returns the reservations of the jobs owned here, for a peer that does not know them.
 func (p *Placer) ClaimsInForce() []peer.Claim {
-	return p.fleet.ClaimsOf(func(id string) bool {
+	return p.fleet.ReservationsOf(func(id string) bool {
 		j := p.registry.Get(id)
 		if j == nil || j.Spec == nil {
 			return false
@@ -74,7 +74,7 @@
 }
 
 // right returns what may be preempted for a task of the job.
-func (p *Placer) right(e *entryOf, b *budget) fleet.Right {
+func (p *Placer) right(e *entryOf, b *budget) fleet.PreemptionRights {
 	t := e.t
 	if b.excess == nil {
 		b.excess, b.shares = p.excesses(), map[*team]map[*table]float64{}
@@ -85,13 +85,13 @@
 		b.shares[t.team] = shares
 	}
 	cpus := t.j.Spec.CPUs
-	held := p.fleet.Held(t.j.ID) // capacity for these is already reserved
+	held := p.fleet.ReservationCount(t.j.ID) // capacity for these is already reserved
 	share := tasksWithin(shares[t]-float64(t.inUse)*cpus, cpus) - held
 	// Two teams that both run beyond their guarantees must not preempt each other's work alternately: only a team
 	// that uses less than its guarantee may claim capacity by it.
 	room := t.team.quota.CPUs - t.team.cpus
-	return fleet.Right{Guarantee: e.within && room >= cpus, Share: share > 0, Room: room >= cpus,
-		ShareTasks: share, RoomTasks: tasksWithin(room, cpus) - held, Excess: b.excess}
+	return fleet.PreemptionRights{WithinGuarantee: e.within && room >= cpus, InTeamShare: share > 0, TeamBelowGuarantee: room >= cpus,
+		InTeamShareTasks: share, TeamBelowGuaranteeTasks: tasksWithin(room, cpus) - held, Excess: b.excess}
 }
 
 // tasksWithin returns how many tasks of the given CPUs a part of a guarantee covers.
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -15,14 +15,14 @@
 	now := p.r.Now()
 	// Tasks on a machine without recent reports may have begun long ago. If a new owner took its first view of a task
 	// for the start, every task would look slow.
-	old := p.fleet.Slot(v.Name)
+	old := p.fleet.Machine(v.Name)
 	unsure := old == nil || now-old.Heard > 2*loop.Seconds(p.cfg.Cluster.Workers.ReportS)
 	var before []agent.Task
 	var heard loop.Micros // time of the previous report; 0: none
 	if old == nil {
 		c = &agent.Changes{All: true}
 		if typ, ok := p.n.Type(v.Type); ok && len(v.Tasks) == 0 {
-			p.turn.Free(typ.CPUs) // a machine that has just booted adds capacity
+			p.turn.AddFreed(typ.CPUs) // a machine that has just booted adds capacity
 		}
 	} else {
 		before, heard = old.V.Tasks, old.Heard
@@ -32,17 +32,17 @@
 	}
 	// Most views only confirm that the machine is alive: no capacity became free.
 	quiet := old != nil && c.Still && len(v.Pending)+len(old.V.Pending) == 0 && v.Closed == old.V.Closed && v.NoticeAt == old.V.NoticeAt && !unsure
-	sl := p.fleet.View(v, now-v.Silence(p.r.Wall(), p.clockTo()), quiet)
+	sl := p.fleet.UpdateView(v, now-v.Silence(p.r.Wall(), p.clockTo()), quiet)
 	p.blame.View(now, v, c)
 	if !c.Still {
-		sl.Rest(p.blame.Until(v.Name), "tasks fail on it")
+		sl.BackOff(p.blame.Until(v.Name), "tasks fail on it")
 	}
 	sl.Jobs = p.agent.Jobs(v)
 	told := sl.Runs.Follow(v, c, before, sl.Jobs, p.paces, now, unsure)
-	p.turn.Free(told.Freed)
+	p.turn.AddFreed(told.Freed)
 	if told.Slow && now >= sl.Shut {
 		p.log.Debug("tasks run slowly on a machine; it receives no starts for a while", "machine", v.Name, "times", told.Factor)
-		sl.Rest(now+health.SlowRest, "its tasks run slowly")
+		sl.BackOff(now+health.SlowRest, "its tasks run slowly")
 		sl.Runs.Rest()
 	}
 	p.judgeAll(v, c, before, sl.Jobs, heard)
@@ -238,13 +238,13 @@
 func (p *Placer) Gone(machine string) {
 	p.eachInUse(machine, func(r ref) {
 		if r.t.task(r.i).state == Placed {
-			if sl := p.fleet.Slot(machine); sl != nil {
+			if sl := p.fleet.Machine(machine); sl != nil {
 				p.noteLost(r.t, r.i, sl.Heard)
 			}
 			p.provenOff(r.t, r.i, "machine gone")
 		}
 	})
-	p.fleet.Gone(machine)
+	p.fleet.Remove(machine)
 	delete(p.checked, machine)
 	p.blame.Gone(machine)
 	p.Kick()
--- a/internal/placer/rivals.go
+++ b/internal/placer/rivals.go
@@ -166,7 +166,7 @@
 		}
 		use[1] += p.takeAll(*r, r.n-use[1], later)
 		// It may also use what earlier jobs leave.
-		r.may = r.may || got > 0 || use[1] > 0 || p.fleet.Trial(r.t.need(), r.most, fresh) > 0
+		r.may = r.may || got > 0 || use[1] > 0 || p.fleet.CountFitting(r.t.need(), r.most, fresh) > 0
 		if r.t.team == t.team && !limited {
 			for i, k := range use {
 				by[i].CPUs += float64(k) * r.t.j.Spec.CPUs
@@ -182,8 +182,8 @@
 			most[i] = g.Passes(gate.Limit)
 		}
 	}
-	a = n - min(p.fleet.Trial(t.need(), n, there)+max(short-left, 0), most[0])
-	b = n - min(p.fleet.Trial(t.need(), n, later)+first, most[1])
+	a = n - min(p.fleet.CountFitting(t.need(), n, there)+max(short-left, 0), most[0])
+	b = n - min(p.fleet.CountFitting(t.need(), n, later)+first, most[1])
 	return max(a, 0), max(b, 0)
 }
 
@@ -207,11 +207,11 @@
 }
 
 // takeAll places a rival's tasks on copies of the slots; a gang places all or none.
-func (p *Placer) takeAll(r rival, n int, slots []*fleet.Slot) int {
-	if n <= 0 || (r.t.j.Spec.Gang && p.fleet.Trial(r.t.need(), n, slots) < n) {
+func (p *Placer) takeAll(r rival, n int, slots []*fleet.Machine) int {
+	if n <= 0 || (r.t.j.Spec.Gang && p.fleet.CountFitting(r.t.need(), n, slots) < n) {
 		return 0
 	}
-	return p.fleet.Take(r.t.need(), n, slots)
+	return p.fleet.PlaceOnCopies(r.t.need(), n, slots)
 }
 
 func (p *Placer) probes(t *table) int {
--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -19,7 +19,7 @@
 // serveLongestWaiting gives a fraction of the freed capacity to the jobs that have waited longest, out of the order
 // of service. If such a task fits nowhere, capacity is reserved for it; otherwise small tasks would take whatever
 // becomes free before a large one fits. Nothing is preempted for it.
-func (p *Placer) serveLongestWaiting(q []entryOf, open []*fleet.Slot, chosen *[]hostStart) {
+func (p *Placer) serveLongestWaiting(q []entryOf, open []*fleet.Machine, chosen *[]hostStart) {
 	now := p.r.Now()
 	if p.reserve.Earn(now, p.turn.Rate*p.share()); !p.reserve.Owes() {
 		return // the usual case, and cheap where scanning a long queue would not be
@@ -51,7 +51,7 @@
 }
 
 // serveBeforeTurn places tasks of a job out of order, or reserves capacity for them.
-func (p *Placer) serveBeforeTurn(t *table, w *starvation.Waiter, tasks int, open []*fleet.Slot, chosen *[]hostStart) {
+func (p *Placer) serveBeforeTurn(t *table, w *starvation.Waiter, tasks int, open []*fleet.Machine, chosen *[]hostStart) {
 	// A job served before it may have used the rest of their team's limit.
 	f := p.facts(t)
 	n := min(tasks, f.Passes(gate.Limit))
@@ -61,11 +61,11 @@
 	if n <= 0 {
 		return
 	}
-	got, held := 0, p.fleet.Held(w.ID)
+	got, held := 0, p.fleet.ReservationCount(w.ID)
 	if !t.j.Spec.Gang || p.gangFits(t) {
 		got = p.fill(t, n, open, chosen)
 	}
-	used := held - p.fleet.Held(w.ID)
+	used := held - p.fleet.ReservationCount(w.ID)
 	t.useHeld(used)
 	given := got - used // reserved capacity is already paid for
 	if got == 0 && held == 0 {
@@ -87,7 +87,7 @@
 	if !t.j.Spec.Gang {
 		n = min(n, mostHeld)
 	}
-	claims := p.fleet.Hold(&need, n, holdLife)
+	claims := p.fleet.Reserve(&need, n, holdLife)
 	p.claimed(claims)
 	p.n.Meter.Held(len(claims))
 	t.heldCPUs, t.heldFor = float64(len(claims))*w.CPUs, w.Class
@@ -112,10 +112,10 @@
 func unbegunClass(s *job.Spec) string { return s.Team + "\x00" + s.Class }
 
 // fillInTurn places tasks in the order of service and reports them to the reserve.
-func (p *Placer) fillInTurn(t *table, n int, free []*fleet.Slot, chosen *[]hostStart) int {
-	held, class := p.fleet.Held(t.j.ID), t.turnClass()
+func (p *Placer) fillInTurn(t *table, n int, free []*fleet.Machine, chosen *[]hostStart) int {
+	held, class := p.fleet.ReservationCount(t.j.ID), t.turnClass()
 	got := p.fill(t, n, free, chosen)
-	used := held - p.fleet.Held(t.j.ID)
+	used := held - p.fleet.ReservationCount(t.j.ID)
 	t.useHeld(used)
 	if new := got - used; new > 0 { // reserved capacity is already counted
 		p.reserve.Serve(class, float64(new)*t.j.Spec.CPUs)
@@ -131,7 +131,7 @@
 // refundHeld returns a class its charge if capacity reserved out of order was not used before the reservation
 // expired, because the tasks beside it ran for too long.
 func (p *Placer) refundHeld(t *table) {
-	if t.heldCPUs > 0 && p.fleet.Held(t.j.ID) == 0 {
+	if t.heldCPUs > 0 && p.fleet.ReservationCount(t.j.ID) == 0 {
 		p.reserve.Refund(t.heldFor, t.heldCPUs)
 		t.heldCPUs = 0
 	}
