--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -6,15 +6,15 @@
 	"cleatpick/internal/wire"
 )
 
-// Edit works out the next record of a job that is not over; nil leaves it as it is.
+// Edit returns the new record of a job that is not final; nil leaves the record as it is.
 type Edit func(*Job) *Record
 
-// amendAgain is the time after which a change without an answer is tried again.
+// amendAgain is the delay before a change without an answer is repeated.
 const amendAgain = 120 * loop.Millisecond
 
-// Amend changes a job's record on the version that is known, and tries again from the
-// newer one when that has moved. cb gets the job as it then stands, 404 or 503; a job
-// that is over is never changed.
+// Amend changes a job's record on condition that it has the revision known here, and repeats that with the
+// newer revision if it has changed. cb receives the resulting state of the job, or 404 or 503. The record of a
+// final job is never changed.
 func (r *Registry) Amend(id string, edit Edit, cb func(Answer)) {
 	r.amend(r.ask(id, true, cb), edit)
 }
@@ -39,7 +39,7 @@
 	}
 }
 
-// unchanged confirms that a job needs no change: what is known here may be old.
+// unchanged confirms with the state service that a job needs no change, since the copy here may be out of date.
 func (r *Registry) unchanged(q *question, edit Edit) {
 	confirm := *q
 	confirm.reply = func(a Answer) {
@@ -60,7 +60,7 @@
 			r.mirror.Apply(Keys+q.id, wire.Marshal(*record), result.Tally, false)
 			r.deliver(q, r.current(q.id, 200, WayStored, request))
 		case store.Conflict:
-			r.amendFetched(q, edit, 503) // a record that was there is never removed
+			r.amendFetched(q, edit, 503) // a record that existed is never removed
 		case store.Refused:
 			r.deliver(q, refusal(q.id, 503, RefusedState))
 		default:
@@ -69,7 +69,8 @@
 	})
 }
 
-// amendFetched reads the record, and goes on with it; absent is what is told where there is none.
+// amendFetched reads the record and continues with it; absent is the status code of the answer if there is no
+// record.
 func (r *Registry) amendFetched(q *question, edit Edit, absent int) {
 	r.fetch(q.id, func(a Answer) {
 		switch a.Code {
@@ -84,11 +85,12 @@
 	})
 }
 
+// with returns the job's record with other terms.
 func (j *Job) with(t Terms) *Record {
 	return &Record{Phase: j.Phase, At: j.At, Spec: j.Spec, Terms: t.stored()}
 }
 
-// Withdraw stores a cancellation unless the job is done; cb gets the final state, 404 or 503.
+// Withdraw stores a cancellation unless the job is done. cb receives the final state, or 404 or 503.
 func (r *Registry) Withdraw(id string, cb func(Answer)) {
 	r.Amend(id, func(j *Job) *Record {
 		rec := j.with(j.Terms)
@@ -97,18 +99,20 @@
 	}, cb)
 }
 
-// Hold keeps a job's tasks from being started, until it is released or a time of day
-// comes. It begins as settling: the job's owner calls it set once nothing that was
-// recorded as started before can begin any more.
+// Hold prevents a job's tasks from being started until the job is released or the hold's end, a wall-clock
+// time, has passed. The hold is stored as settling; the job's owner calls Settle once no start that was
+// recorded before can still be carried out.
 func (r *Registry) Hold(id string, h Hold, cb func(Answer)) {
 	h.At = r.runner.Wall()
 	r.Amend(id, func(j *Job) *Record {
 		old := j.Terms.Hold
 		if old.State != HoldNone && old.Until == h.Until && old.Reason == h.Reason && old.By == h.By && h.Shut(h.At) {
-			return nil // repeated
+			return nil // the request was repeated
 		}
 		t := j.Terms
 		t.Hold = h
+		// The old hold has no end, so no task has begun since it was set, and none begins before this record is
+		// stored. A hold that ends by itself does not prove that: this record may be stored after its end.
 		t.Hold.State = HoldSettling
 		if old.State == HoldSet && old.Until == 0 {
 			// Nothing began since, and nothing does before this is stored. One that ends
@@ -119,7 +123,7 @@
 	}, cb)
 }
 
-// Settle calls a hold set, as long as the job's record is still of this version.
+// Settle marks a hold as set, provided that the job's record still has this revision.
 func (r *Registry) Settle(id string, mark uint64, cb func(Answer)) {
 	r.Amend(id, func(j *Job) *Record {
 		if j.Revision != mark || j.Terms.Hold.State != HoldSettling {
@@ -131,8 +135,7 @@
 	}, cb)
 }
 
-// Release ends a job's hold, and releases it from the jobs that it waited for and that
-// were withdrawn.
+// Release ends a job's hold, and releases the job from waiting for cancelled jobs that it depends on.
 func (r *Registry) Release(id string, cb func(Answer)) {
 	r.Amend(id, func(j *Job) *Record {
 		t := j.Terms
@@ -153,8 +156,8 @@
 	}, cb)
 }
 
-// Exists tells whether a job was ever accepted; cb gets 200, 404 or 503. Records are never removed,
-// so that one known here is enough.
+// Exists determines whether a job was ever accepted; cb receives 200, 404 or 503. Records are never removed, so
+// a job known here exists.
 func (r *Registry) Exists(id string, cb func(code int)) {
 	if r.jobs[id] != nil {
 		cb(200)
--- a/internal/job/answer.go
+++ b/internal/job/answer.go
@@ -8,70 +8,73 @@
 	"cleatpick/internal/store"
 )
 
-// Answer is what a user is told.
+// Answer is the result of a user's request about a job.
 type Answer struct {
-	Code    int // 200, 201, 404, or 429 and 503: ask again
-	After   int // seconds after which to ask again; 0: one
+	Code    int // HTTP status: 200, 201, 404, or 429 and 503 for a refusal that is to be retried
+	After   int // Retry-After in seconds; 0 stands for 1
 	Phase   Phase
 	ID      string
 	Tasks   int
 	Created bool
 
 	way Way
-	// request is the number of the request to the state service that the answer rests on; 0:
-	// it rests on none.
+	// request is the sequence number of the request to the state service on which the answer is based; 0 if it
+	// is based on none.
 	request store.Sequence
 }
 
-// Way names how an answer was come by, or why a question was refused.
+// Way names the source of an answer, or the reason of a refusal.
 type Way string
 
-// The ways.
+// The sources of answers and the reasons of refusals.
 const (
-	WayFinal   Way = "final"   // from memory: the job is over, which never changes
-	WayPeer    Way = "peer"    // from memory: a peer told that the job was cancelled
-	WayRead    Way = "read"    // from the copy of the records, brought up to date since the question
-	WayStored  Way = "stored"  // a record that was stored since the question
-	WayDamaged Way = "damaged" // as WayRead, of a record that cannot be read
-
-	RefusedFull    Way = "full"    // as many users wait as may
-	RefusedPutOff  Way = "put off" // the line of submissions is too long
+	WayFinal   Way = "final"   // memory: the job is final, which never changes
+	WayPeer    Way = "peer"    // memory: a peer reported that the job was cancelled
+	WayRead    Way = "read"    // the copy of the records, synchronized since the request came
+	WayStored  Way = "stored"  // a record that was stored since the request came
+	WayDamaged Way = "damaged" // as WayRead, but the newest record cannot be decoded
+
+	RefusedFull    Way = "full"    // the maximum number of users is waiting
+	RefusedPutOff  Way = "put off" // the queue of submissions is too long
 	RefusedExpired Way = "expired" // no answer could be given in time
-	RefusedState   Way = "state"   // the state service refuses, or did not answer
+	RefusedState   Way = "state"   // the state service refused the request or did not answer
 )
 
-// refuses tells whether the user is only told to come back.
+// refuses reports whether the user is told to retry.
 func (a Answer) refuses() bool { return a.Code == 429 || a.Code == 503 }
 
-// over tells whether the answer is that the job is over, which stays so.
+// over reports whether the answer says that the job is final, which can't become outdated.
 func (a Answer) over() bool {
 	return !a.refuses() && (a.Phase == Done || a.Phase == Withdrawn)
 }
 
+// refusal returns the answer that refuses a request.
 func refusal(id string, code int, why Way) Answer { return Answer{Code: code, ID: id, way: why} }
 
 // question is a user's request about one job that waits for its answer.
 type question struct {
 	id     string
-	change bool // a submission, a cancellation or another change; polls may be refused for their number
+	change bool // a submission, a cancellation or another change; only polls are refused when too many requests wait
 	reply  func(Answer)
-	// absent goes on when the job is certain not to be there; nil: the user is told 404.
+	// absent continues the request if the job certainly does not exist; if nil, the user is answered 404.
 	absent func()
 
-	rank     rank           // among those that wait
-	number   store.Sequence // its place in the order of questions and requests
+	rank     rank           // priority among the requests that wait
+	number   store.Sequence // its place in the order of users' requests and requests to the state service
 	asked    loop.Micros
-	deadline loop.Micros // after which the user is told to come back
-	// since is when questions about the job began to go unanswered here, this one included.
+	deadline loop.Micros // monotonic time after which the user is told to retry
+	// since is the time since which requests about the job have gone unanswered here, this one included.
 	since loop.Micros
 }
 
+// ask makes the question for a user's request that came now.
 func (r *Registry) ask(id string, change bool, reply func(Answer)) *question {
 	now := r.runner.Now()
 	return &question{id: id, change: change, reply: reply, number: r.client.Next(), asked: now, deadline: now + patience, since: r.overdue.since(id, now)}
 }
 
-// current is what the copy of the records says of a job, resting on a request.
+// current returns the answer that the copy of the records gives for a job; request is the request to the state
+// service on which the copy's content is based.
 func (r *Registry) current(id string, code int, way Way, request store.Sequence) Answer {
 	if r.damaged[id] {
 		way = WayDamaged
@@ -88,14 +91,13 @@
 	return Answer{Code: code, Phase: j.Phase, ID: j.ID, Tasks: j.Tasks, way: way, request: request}
 }
 
-// deliver is the only way in which a user is answered. It judges whether the answer may be given:
-// one that rests on a request to the state service that was made before the question came may be
-// older than what another controller has told since, unless it says that the job is over. Such a
-// question waits for a newer answer instead.
+// deliver is the only way in which a user is answered. An answer based on a request to the state service that
+// was made before the user's request came may be older than what another controller has told a user since,
+// unless it says that the job is final. It is not given; the user's request waits for a newer one instead.
 func (r *Registry) deliver(q *question, a Answer) {
 	if !a.refuses() && !a.over() && a.request < q.number {
 		r.client.Meter.OutdatedAnswer()
-		r.log.Debug("an answer is older than its question", "job", q.id, "way", a.way, "code", a.Code)
+		r.log.Debug("answer is older than the user's request and is not given; the state is read again", "job", q.id, "way", a.way, "code", a.Code)
 		r.read(q)
 		return
 	}
@@ -103,8 +105,8 @@
 	q.reply(a)
 }
 
-// note keeps since when a job's questions go unanswered, and tells the operators how this one was
-// answered.
+// note updates the time since which requests about the job have gone unanswered, and records the answer in
+// metrics and logs.
 func (r *Registry) note(q *question, a Answer) {
 	if a.refuses() {
 		if j := r.jobs[q.id]; j != nil && !j.Final() {
@@ -123,6 +125,6 @@
 		revision = j.Revision
 	}
 	now := r.runner.Now()
-	r.log.Debug("answer", "job", q.id, "change", q.change, "way", a.way, "code", a.Code, "phase", a.Phase, "revision", revision,
+	r.log.Debug("request about a job answered", "job", q.id, "change", q.change, "way", a.way, "code", a.Code, "phase", a.Phase, "revision", revision,
 		"waited_us", now-q.asked, "unanswered_us", now-q.since, "after_s", a.After)
 }
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -14,12 +14,15 @@
 	"cleatpick/internal/wire"
 )
 
+// good returns the fields of a valid submission.
 func good() map[string]any {
 	return map[string]any{"nameId": "job-000412", "lineup": "train", "squad": "red", "play": "batch", "urgency": "high", "snaps": 16,
 		"cpus": 8.0, "cards": 0.0, "ramGb": 64.0, "kit": "img-07", "sizeGb": 6.2, "builds": []string{"g8"}, "field": nil,
 		"oneZone": true, "scatter": false, "loaners": true, "expectS": 240.0, "timeoutS": 30.0, "huddleS": 4.0, "whistleS": 900.0, "later": 1}
 }
 
+// Valid submissions are decoded, and a submission with any field missing, of the wrong type or out of range is
+// rejected. Its id is returned in either case if it is valid.
 func TestParse(t *testing.T) {
 	id, s, ok := Parse(wire.Marshal(good()))
 	if !ok || id != "job-000412" || s.Tasks != 16 || s.Priority != High || s.AnyType || s.Zone != "" || s.Deadline != 900e6 || s.Checkpoint != 30e6 {
@@ -37,7 +40,7 @@
 	for _, key := range []string{"builds", "field", "whistleS"} { // may be null, and so may be absent
 		for _, v := range []any{nil, "absent"} {
 			if _, _, ok := Parse(change(key, v)); !ok {
-				t.Errorf("%s = %v is refused", key, v)
+				t.Errorf("a submission with %s = %v is rejected", key, v)
 			}
 		}
 	}
@@ -61,20 +64,22 @@
 	for key, vs := range bad {
 		for _, v := range vs {
 			if id, _, _ := Parse(change(key, v)); (id != "") != (key != "nameId") {
-				t.Errorf("%s = %v: the id is read as %q", key, v, id)
+				t.Errorf("%s = %v: the id is decoded as %q", key, v, id)
 			}
 			if _, _, ok := Parse(change(key, v)); ok {
-				t.Errorf("%s = %v is taken", key, v)
+				t.Errorf("a submission with %s = %v is accepted", key, v)
 			}
 		}
 	}
 	for _, raw := range [][]byte{nil, {0x01}, {0x80}, {0xa1}, []byte("{}"), {0xff}} {
 		if _, _, ok := Parse(raw); ok {
-			t.Errorf("%x is taken", raw)
+			t.Errorf("the body %x is accepted", raw)
 		}
 	}
 }
 
+// A job is rejected only if it could never run: unknown team, tasks that fit no allowed machine type, limits
+// exceeded, or zone constraints that cannot be met.
 func TestRunnable(t *testing.T) {
 	c := &config.Config{}
 	c.Cluster.Teams = []config.Team{{Name: "red", CPUs: 8, CPUsMax: 32}}
@@ -89,17 +94,17 @@
 		{func(s *Spec) { s.CPUs = 17 }, false},
 		{func(s *Spec) { s.MemoryGB = 65 }, false},
 		{func(s *Spec) { s.GPUs = 1 }, false},
-		{func(s *Spec) { s.Zone = "y" }, false}, // there are only small ones
+		{func(s *Spec) { s.Zone = "y" }, false}, // zone y has only small machines
 		{func(s *Spec) { s.Zone = "x" }, true},
 		{func(s *Spec) { s.AnyType, s.Types = false, []string{"h1"} }, false},
 		{func(s *Spec) { s.AnyType, s.Types = false, nil }, false},
 		{func(s *Spec) { s.Service, s.Tasks = true, 2 }, true},
 		{func(s *Spec) { s.Service, s.Tasks = true, 3 }, false},
-		// All at once, and never more than half in one zone, of which there is one that fits.
+		// All tasks run at once and at most half of them in one zone, but only one zone has machines that fit.
 		{func(s *Spec) { s.Service, s.Tasks, s.Spread = true, 2, true }, false},
 		{func(s *Spec) { s.Gang, s.Tasks, s.Spread = true, 2, true }, false},
 		{func(s *Spec) { s.Service, s.Tasks, s.Spread = true, 1, true }, true},
-		{func(s *Spec) { s.Spread = true }, true}, // an array takes turns
+		{func(s *Spec) { s.Spread = true }, true}, // an array can run its tasks one after another
 		{func(s *Spec) { s.Service, s.Tasks, s.Spread, s.CPUs, s.MemoryGB = true, 2, true, 4, 8 }, true},
 		{func(s *Spec) { s.Service, s.Tasks, s.Spread, s.CPUs, s.MemoryGB, s.Zone = true, 2, true, 4, 8, "y" }, false},
 		{func(s *Spec) { s.Service, s.Tasks, s.Spread, s.CPUs, s.MemoryGB, s.OneZone = true, 2, true, 4, 8, true }, false},
@@ -109,23 +114,24 @@
 		s := base
 		x.change(&s)
 		if got := Runnable(&s, c, types); got != x.want {
-			t.Errorf("case %d: %v, want %v", i, got, x.want)
+			t.Errorf("case %d: Runnable is %v, want %v", i, got, x.want)
 		}
 	}
 }
 
-// Whatever bytes come, reading them ends in a verdict.
+// Parse accepts or rejects any input, without panicking and without accepting values out of range.
 func FuzzParse(f *testing.F) {
 	f.Add(wire.Marshal(good()))
 	f.Add([]byte{0xa1, 0x61, 0x61, 0xf9, 0x7e, 0x00})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if id, s, ok := Parse(b); ok && (!ValidID(id) || s.Tasks < 1 || s.CPUs < 0 || math.IsNaN(s.CPUs)) {
-			t.Fatalf("%x is taken as %q %+v", b, id, s)
+			t.Fatalf("%x is accepted as %q %+v", b, id, s)
 		}
 	})
 }
 
-// frozen is a moment: nothing that waits for later ever runs.
+// frozen is an event loop whose time stands still: delayed functions never run. Every request to the state
+// service is refused.
 type frozen struct{}
 
 func (frozen) Now() loop.Micros          { return 1 }
@@ -137,7 +143,8 @@
 	return store.Response{Status: 503}
 }
 
-// What cannot be taken now is answered at once, never held back until it can.
+// A user whose request cannot be served because the state service refuses requests is told so at once, and does
+// not wait until it recovers.
 func TestRefusalIsAnsweredAtOnce(t *testing.T) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c := store.NewClient(frozen{}, frozen{}, log, 100, 100, 1)
@@ -148,6 +155,6 @@
 	registry.Poll("job-2", note)
 	registry.Withdraw("job-3", note)
 	if len(codes) != 3 || codes[0] != 503 || codes[1] != 503 || codes[2] != 503 {
-		t.Fatalf("answered so far: %v", codes)
+		t.Fatalf("status codes of the answers: %v, want 503 three times", codes)
 	}
 }
--- a/internal/job/overdue.go
+++ b/internal/job/overdue.go
@@ -2,15 +2,15 @@
 
 import "cleatpick/internal/loop"
 
-// overdue is since when questions about a known job that is not over have gone unanswered here.
-// Each question by itself may be refused for coming beside too many others; a job about which all
-// of them were would count as forgotten. So where there is no room for all, those that have waited
-// longest go first.
+// overdue holds, for each known job that is not final, the time since which requests about it have gone
+// unanswered here. A single request may be refused because too many wait; a job about which all requests are
+// refused would count as lost. So when not all requests can wait, the jobs that have gone unanswered longest
+// are served first.
 //
-// It holds one entry at most for each known job that is not over.
+// It has at most one entry for each known job that is not final.
 type overdue map[string]loop.Micros
 
-// since is when the first unanswered question about the job came, now at the latest.
+// since returns the time of the job's first unanswered request, or now if there is none.
 func (o overdue) since(id string, now loop.Micros) loop.Micros {
 	if at, known := o[id]; known {
 		return at
@@ -18,6 +18,8 @@
 	return now
 }
 
+// refused records that a request about the job was refused; since is the job's first unanswered request.
 func (o overdue) refused(id string, since loop.Micros) { o[id] = min(o.since(id, since), since) }
 
+// answered records that a request about the job was answered.
 func (o overdue) answered(id string) { delete(o, id) }
--- a/internal/job/peers.go
+++ b/internal/job/peers.go
@@ -1,12 +1,11 @@
 package job
 
-// mostFromPeers bounds the jobs that only a peer's word calls withdrawn.
+// mostFromPeers bounds the number of jobs that are known to be cancelled only from a peer's message.
 const mostFromPeers = 20000
 
-// LearnWithdrawn takes in that a job was withdrawn, from a peer that knows the record's version in
-// which it was, and whose word is taken for what the state service would say. The job is over
-// here from now on; its record follows once the state service is heard again. It tells whether
-// that is known here now.
+// LearnWithdrawn applies a peer's message that a job was cancelled at a revision of its record. The peer is
+// trusted like the state service itself. The job is final here from now on; its record follows once the state
+// service can be reached. LearnWithdrawn reports whether the job is now known here as cancelled.
 func (r *Registry) LearnWithdrawn(id string, revision uint64) bool {
 	if !ValidID(id) || revision == 0 {
 		return false
@@ -16,13 +15,13 @@
 	case j != nil && j.Final():
 		return j.Phase == Withdrawn
 	case j != nil && j.Revision >= revision:
-		r.log.Error("a peer calls a job withdrawn that is known here as later", "job", id, "revision", revision, "known", j.Revision)
+		r.log.Error("cancellation reported by a peer ignored: the job's record known here is newer and not cancelled", "job", id, "revision", revision, "known", j.Revision)
 		return false
 	case r.fromPeers >= mostFromPeers:
 		return false
 	}
 	if j == nil {
-		// Nothing else is known of it, and no place is ever given to it.
+		// Nothing else is known of the job, so none of its tasks can be placed.
 		j = &Job{ID: id}
 		r.jobs[id] = j
 	}
@@ -35,8 +34,8 @@
 	return true
 }
 
-// applyPeerRevision keeps what a peer told until the record is as new: older versions of it may still
-// be on their way here.
+// applyPeerRevision keeps a cancellation that a peer reported until the record of that revision has arrived:
+// older revisions of the record may arrive first.
 func (r *Registry) applyPeerRevision(j *Job) {
 	switch {
 	case j.PeerRevision == 0:
@@ -48,5 +47,5 @@
 	}
 }
 
-// WithdrawnRevision is the version in which a withdrawn job was withdrawn, as far as is known here.
+// WithdrawnRevision returns the highest revision at which a cancelled job is known here as cancelled.
 func (j *Job) WithdrawnRevision() uint64 { return max(j.Revision, j.PeerRevision) }
--- a/internal/job/peers_test.go
+++ b/internal/job/peers_test.go
@@ -9,8 +9,9 @@
 	"cleatpick/internal/wire"
 )
 
-// What a peer tells of a cancellation holds at once, stays when older versions of the record
-// arrive, and gives way to the record itself. A job that nobody else has told of is over too.
+// A cancellation reported by a peer takes effect at once, persists when older revisions of the job's record
+// arrive, and is replaced by the record of its own revision. A job that is not known here otherwise becomes
+// final, too.
 func TestWithdrawnByAPeersWord(t *testing.T) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c := store.NewClient(frozen{}, frozen{}, log, 100, 100, 1)
@@ -31,24 +32,24 @@
 		got := Answer{}
 		registry.Poll(id, func(a Answer) { got = a })
 		if got.Code != 200 || got.Phase != want {
-			t.Errorf("%s is told as %d %q, not %q", id, got.Code, got.Phase, want)
+			t.Errorf("a poll for %s is answered %d %q, want 200 %q", id, got.Code, got.Phase, want)
 		}
 	}
 	record("job-000001", Accepted, 5)
 	for _, id := range []string{"job-000001", "job-000002"} {
 		if !registry.LearnWithdrawn(id, 9) || heard[id] != 9 {
-			t.Errorf("%s is not taken: known by %d", id, heard[id])
+			t.Errorf("the cancellation of %s is not applied: OnJob was called with revision %d", id, heard[id])
 		}
 		told(id, Withdrawn)
-		record(id, Accepted, 7) // an amendment from before the cancellation, still on its way here
+		record(id, Accepted, 7) // an amendment from before the cancellation that arrives late
 		told(id, Withdrawn)
 		if j := registry.Get(id); j.Spec == nil || !j.Final() || j.WithdrawnRevision() != 9 || registry.fromPeers == 0 {
-			t.Errorf("%s after an older version: %+v", id, j)
+			t.Errorf("%s after an older revision arrived: %+v", id, j)
 		}
 		record(id, Withdrawn, 9)
 		told(id, Withdrawn)
 		if j := registry.Get(id); j.PeerRevision != 0 || j.Revision != 9 || !registry.LearnWithdrawn(id, 9) {
-			t.Errorf("%s after its record: %+v", id, j)
+			t.Errorf("%s after the record of its cancellation arrived: %+v", id, j)
 		}
 	}
 	record("job-000003", Done, 6)
@@ -58,11 +59,11 @@
 		mark uint64
 	}{{"job-000003", 9}, {"job-000004", 9}, {"nonsense", 9}, {"job-000005", 0}} {
 		if registry.LearnWithdrawn(x.id, x.mark) {
-			t.Errorf("%s is taken for withdrawn at %d", x.id, x.mark)
+			t.Errorf("a cancellation of %s at revision %d is applied", x.id, x.mark)
 		}
 	}
 	told("job-000003", Done)
 	if j := registry.Get("job-000004"); registry.fromPeers != 0 || j.Final() || registry.Get("job-000005") != nil {
-		t.Errorf("%d jobs are kept by a peer's word, %+v", registry.fromPeers, j)
+		t.Errorf("%d jobs are known as cancelled only from a peer, want none; job-000004 is %+v", registry.fromPeers, j)
 	}
 }
--- a/internal/job/read.go
+++ b/internal/job/read.go
@@ -8,44 +8,45 @@
 	"cleatpick/internal/store"
 )
 
-// Questions about jobs that are not over are linearizable reads. They wait until the copy of the
-// records holds whatever the state service held after they came: until any answer of the state
-// service has been taken in whose request was made later (a watch, a reading of all keys, or a
-// Sync, which is sent where questions wait). One request answers all that waited before it,
-// however many they are, so that no estimate of how many can be answered is needed: nothing here
-// could shut out the very questions that would correct it.
+// Requests about jobs that are not final are answered with linearizable reads. A request waits until the copy
+// of the records holds everything that the state service held when the request came, that is, until any answer
+// of the state service has been applied whose request was made later: a watch, a scan of all keys, or a Sync,
+// which is sent while requests wait. One Sync answers all requests that came before it, however many they are.
+// So the number that can be answered need not be estimated, and no wrong estimate can shut out the requests
+// that would correct it.
 //
-// What bounds the questions is the connections that they hold. With room for P of them and J jobs
-// that are asked about, each again within r, a known job is answered within ceil(J/P) intervals
-// of at most readInterval and an answer of the state service, and r, of its first question here:
-// where there is no room, whoever has waited longest takes the place of who has waited least.
+// The number of waiting requests is bounded by the connections that they hold. With P connections for them and
+// J jobs that are polled, each at an interval of r, a known job is answered within ceil(J/P) periods, each of
+// at most readInterval and an answer of the state service, plus r, after its first request here: when all
+// places are taken, the job that has gone unanswered longest takes the place of the one that has gone
+// unanswered shortest.
 
 const (
-	// mostWaiting bounds the users that wait to be told of a job, unless MostAsking says less.
+	// mostWaiting bounds the number of users that wait for a job's state, unless MostAsking sets less.
 	mostWaiting = 2000
-	// patience is how long a user waits here before being told to come back.
+	// patience is how long a user waits here before being told to retry.
 	patience = 1500 * loop.Millisecond
-	// readInterval is the time from the answer to a Sync until the next one.
+	// readInterval is the time from the answer to a Sync until the next Sync.
 	readInterval = 60 * loop.Millisecond
-	// spreadSeconds is over how many seconds those come back who are refused together.
+	// spreadSeconds is the number of seconds over which the retries of users refused together are spread.
 	spreadSeconds = 3
 )
 
-// reads are the questions that wait for the copy of the records to be brought up to date.
+// reads holds the requests that wait for the copy of the records to be synchronized.
 type reads struct {
-	waiting []*question // by order
-	most    int         // bounds waiting, but for changes
+	waiting []*question // sorted by order
+	most    int         // bound on len(waiting), except for changes
 	syncing bool
-	refused int // so far, to spread when users come back
+	refused int // number of refusals so far, by which Retry-After is spread
 }
 
-// order is who keeps its place where there is none for all: changes, then polls for known jobs
-// by who has waited longest, then polls for jobs that are not known here.
+// order compares two requests by which keeps its place when not all can wait: changes come first, then polls
+// for known jobs, those unanswered longest first, then polls for jobs that are not known here.
 func order(p, q *question) int {
 	return cmp.Or(cmp.Compare(p.rank, q.rank), cmp.Compare(p.since, q.since), cmp.Compare(p.number, q.number))
 }
 
-// rank is the first thing in the order of questions.
+// rank is the first criterion of order.
 type rank int
 
 const (
@@ -54,6 +55,7 @@
 	rankUnknown
 )
 
+// rankOf returns a request's rank.
 func (r *Registry) rankOf(q *question) rank {
 	switch {
 	case q.change:
@@ -64,14 +66,14 @@
 	return rankUnknown
 }
 
-// Asking is the number of users that wait to be told of a job's state.
+// Asking returns the number of users that wait for a job's state.
 func (r *Registry) Asking() int { return len(r.reads.waiting) }
 
-// MostAsking bounds the users that may wait to be told of a job's state: each holds a connection,
-// and some must be left to submissions.
+// MostAsking bounds the number of users that may wait for a job's state. Each holds a connection, and some
+// connections must be left for submissions.
 func (r *Registry) MostAsking(n int) { r.reads.most = min(max(n, 1), mostWaiting) }
 
-// read answers a question once the copy of the records is certain to be as new as it needs.
+// read answers a request once the copy of the records is certainly as new as the request.
 func (r *Registry) read(q *question) {
 	w := &r.reads
 	q.rank = r.rankOf(q)
@@ -89,14 +91,15 @@
 	r.sync()
 }
 
-// Sync calls cb once the copy of the records holds whatever the state service held when it was
-// called, for answers about many jobs; ok is false where that cannot be had in time.
+// Sync calls cb once the copy of the records holds everything that the state service held when Sync was called.
+// It serves answers about many jobs. ok is false if that was not possible in time.
 func (r *Registry) Sync(cb func(ok bool)) {
 	q := r.ask("", true, func(a Answer) { cb(!a.refuses()) })
 	r.read(q)
 }
 
-// refuseFull tells a user to come back; the room is free again after the next answer.
+// refuseFull tells a user to retry because too many requests wait; places become free with the next answer of
+// the state service.
 func (r *Registry) refuseFull(q *question) {
 	r.reads.refused++
 	a := refusal(q.id, 429, RefusedFull)
@@ -104,7 +107,7 @@
 	r.deliver(q, a)
 }
 
-// sync brings the copy up to date while questions wait, one request at a time.
+// sync synchronizes the copy of the records while requests wait, with one Sync at a time.
 func (r *Registry) sync() {
 	if r.reads.syncing || len(r.reads.waiting) == 0 {
 		return
@@ -113,7 +116,7 @@
 	before := r.client.Next()
 	r.mirror.Sync(store.Inquiries, func(outcome store.Outcome) {
 		if outcome == store.Refused {
-			// Nothing can be told now: users are told at once when to come back.
+			// The state service cannot be read now: users are told to retry at once.
 			r.settle(func(q *question) bool { return q.number < before }, func(q *question) {
 				r.deliver(q, refusal(q.id, 503, RefusedState))
 			})
@@ -125,7 +128,7 @@
 	})
 }
 
-// synced answers the questions that came before a request whose answer has been taken in.
+// synced answers the requests that came before a request to the state service whose answer has been applied.
 func (r *Registry) synced(s store.Synced) {
 	r.settle(func(q *question) bool { return q.number < s.Request }, func(q *question) {
 		a := r.current(q.id, 200, WayRead, s.Request)
@@ -137,7 +140,7 @@
 	})
 }
 
-// settle takes questions out of those that wait, and ends each.
+// settle removes the requests that match from those that wait, and calls end for each.
 func (r *Registry) settle(which func(*question) bool, end func(*question)) {
 	var settled, rest []*question
 	for _, q := range r.reads.waiting {
@@ -156,7 +159,7 @@
 	}
 }
 
-// expireReads gives up what has waited too long.
+// expireReads gives up requests that have waited too long.
 func (r *Registry) expireReads(now loop.Micros) {
 	r.settle(func(q *question) bool { return now >= q.deadline }, func(q *question) {
 		r.deliver(q, refusal(q.id, 503, RefusedExpired))
--- a/internal/job/read_bench_test.go
+++ b/internal/job/read_bench_test.go
@@ -8,8 +8,8 @@
 	"cleatpick/internal/wire"
 )
 
-// BenchmarkPolls plays ten seconds of polls for 2,000 jobs that are not over, with the part of the
-// state service's requests that one of three controllers has at 180 a second.
+// BenchmarkPolls runs ten seconds of polls for 2,000 jobs that are not final, with the share of the state
+// service's requests that one of three controllers has at 180 requests per second.
 func BenchmarkPolls(b *testing.B) {
 	const jobs, seconds = 2000, 10
 	for _, rate := range []int{10, 100, 1000, 10000} {
--- a/internal/job/read_test.go
+++ b/internal/job/read_test.go
@@ -14,7 +14,7 @@
 	"cleatpick/internal/wire"
 )
 
-// slowNet lets every request take its time on the way there and back.
+// slowNet delays every request to the state service and every answer by a random time.
 type slowNet struct {
 	*standin.Stepped
 	rng   *rand.Rand
@@ -22,8 +22,8 @@
 	sent  map[string]int // requests by path
 	back  bool
 	lose  float64
-	slow  int // milliseconds at most, each way
-	// extra is by how much longer an answer takes; nil: none does.
+	slow  int // upper bound of the delay in each direction, in milliseconds
+	// extra returns an additional delay of an answer; nil adds none.
 	extra func() loop.Micros
 }
 
@@ -69,7 +69,7 @@
 	return n, NewRegistry(n, c, store.NewMirror(c, n, "c/"), log)
 }
 
-// rankOf is how much an answer says: none, accepted, over.
+// rankOf orders phases by progress: no job, accepted, final.
 func rankOf(p Phase) int {
 	switch p {
 	case Accepted:
@@ -80,10 +80,10 @@
 	return 0
 }
 
-// However polls overlap, an answer never says less than the state service held when its
-// user asked, nor more than it holds when the user is told; each user is told once, in
-// time. Polls once joined a comparison that was under way: what another node had told
-// since was then taken back.
+// However polls overlap, an answer is never older than the state at the time of the user's request and never
+// ahead of the state service; every user is answered once and in time. This guards against letting a poll join
+// a read of the state service that is already in flight: what another controller told a user since that read
+// began would be taken back.
 func TestAnswersAreNeverOlderThanTheirQuestions(t *testing.T) {
 	for seed := range uint64(150) {
 		n, registry := newSlowRegistry(seed, 60)
@@ -92,7 +92,7 @@
 		held := map[string]int{}
 		answers, good := 0, 0
 		const polls = 300
-		for k := range 8 { // another node accepts jobs and ends them
+		for k := range 8 { // another controller accepts jobs and completes them
 			id := fmt.Sprintf("job-%d", k)
 			n.After(loop.Micros(n.rng.IntN(8000))*loop.Millisecond, func() {
 				n.state.Put(Keys+id, Record{Phase: Accepted, At: 1, Spec: spec})
@@ -110,7 +110,7 @@
 				registry.Poll(id, func(a Answer) {
 					answers++
 					if told || n.Now()-at > patience+300*loop.Millisecond {
-						t.Fatalf("seed %d: %s is told %v after %d us", seed, id, told, n.Now()-at)
+						t.Fatalf("seed %d: answer for %s; answered before: %v; time since the request: %d us", seed, id, told, n.Now()-at)
 					}
 					told = true
 					if a.Code == 503 || a.Code == 429 {
@@ -118,21 +118,21 @@
 					}
 					good++
 					if got := rankOf(a.Phase); got < asked || got > held[id] || (a.Code == 404) != (got == 0) {
-						t.Fatalf("seed %d: %s is called %q (%d), it was at %d when asked and is at %d", seed, id, a.Phase, a.Code, asked, held[id])
+						t.Fatalf("seed %d: %s is answered as %q (%d); its rank was %d when asked and is %d now", seed, id, a.Phase, a.Code, asked, held[id])
 					}
 				})
 			})
 		}
 		n.Run(15 * loop.Second)
 		if answers != polls || good < polls*8/10 || registry.Asking() != 0 || registry.reads.syncing {
-			t.Fatalf("seed %d: %d of %d polls are answered, %d well; %d wait", seed, answers, polls, good, registry.Asking())
+			t.Fatalf("seed %d: %d of %d polls are answered, %d with a state; %d still wait", seed, answers, polls, good, registry.Asking())
 		}
 	}
 }
 
-// Whatever else is asked, by however many, each job that is known gets an answer again and
-// again: by the bound stated for owed, with k compared a second, within J/k and the time
-// between two questions of its user, and here within a quarter of what counts as forgotten.
+// Under a flood of polls by other users, every known job is still answered again and again: within the bound
+// stated in read.go, J/P periods and the interval between two polls of its user. The test allows a quarter of
+// the time after which a job counts as lost.
 func TestNoJobIsForgottenInAStorm(t *testing.T) {
 	const jobs, rps, span, every = 400, 24, 40, 5
 	for _, c := range []struct {
@@ -184,27 +184,27 @@
 				}
 			}
 			if worst > 20*loop.Second || len(registry.overdue) > jobs {
-				t.Errorf("a job got no answer for %d us; %d are owed one", worst, len(registry.overdue))
+				t.Errorf("a job got no answer for %d us; %d jobs have unanswered requests", worst, len(registry.overdue))
 			}
-			t.Logf("longest without an answer: %d us", worst)
+			t.Logf("longest time without an answer: %d us", worst)
 		})
 	}
 }
 
-// A storm of polls, for one job by many, for many jobs, for jobs that nobody knows, or after
-// an outage, when much has changed: submissions and their retries are decided as fast as
-// without it, what is too much is told so at once, the requests that it costs are bounded,
-// and no kind of poll keeps the others from being answered.
+// Floods of polls: for one job by many users, for many jobs, for unknown jobs, and after an outage during which
+// many records changed. Submissions and their retries are decided as fast as without the flood, excess polls
+// are refused at once, the number of requests to the state service is bounded, and no kind of poll prevents the
+// others from being answered.
 func TestPollStorms(t *testing.T) {
 	const jobs, rps, rate, span = 250, 30, 3000, 4
 	for _, c := range []struct {
 		name    string
 		id      func(n int) string
-		changed int // jobs of which the news has not come here
-		good    int // in a hundred polls for jobs that are known and have not changed
+		changed int // jobs whose newest record has not arrived here
+		good    int // least percentage of answered polls for known jobs that have not changed
 	}{
-		{"none", nil, 0, 0},
-		{"one job by many", func(int) string { return "job-1" }, 0, 65},
+		{"no polls", nil, 0, 0},
+		{"one job by many users", func(int) string { return "job-1" }, 0, 65},
 		{"many jobs", func(n int) string { return fmt.Sprintf("job-%d", n%jobs) }, 0, 35},
 		{"unknown jobs", func(n int) string { return fmt.Sprintf("job-9%d", n) }, 0, 0},
 		{"unknown jobs beside known ones", func(n int) string {
@@ -213,7 +213,7 @@
 			}
 			return fmt.Sprintf("job-9%d", n)
 		}, 0, 50},
-		{"an outage is over", func(n int) string { return fmt.Sprintf("job-%d", n%jobs) }, 100, 15},
+		{"after an outage", func(n int) string { return fmt.Sprintf("job-%d", n%jobs) }, 100, 15},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n, registry := newSlowRegistry(1, rps)
@@ -243,7 +243,7 @@
 							good++
 						}
 						if a.Code == 429 && (n.Now()-at > patience+300*loop.Millisecond || a.After < 1 || a.After > 10) {
-							t.Fatalf("a refusal after %d us, with %d s", n.Now()-at, a.After)
+							t.Fatalf("refused after %d us with Retry-After %d s", n.Now()-at, a.After)
 						}
 					})
 					most = max(most, registry.Asking())
@@ -269,21 +269,21 @@
 			}
 			n.Run((span + 3) * loop.Second)
 			if stored != span*5 || retried != span*5 || longest > 700*loop.Millisecond {
-				t.Errorf("of %d submissions %d are stored and %d retries answered, after %d us at most", span*5, stored, retried, longest)
+				t.Errorf("of %d submissions, %d are stored and %d retries are answered, the slowest after %d us", span*5, stored, retried, longest)
 			}
-			if good*100 < known*c.good || most > 450*5/4+10 { // with those who retry
-				t.Errorf("%d of %d polls are answered well; up to %d waited", good, known, most)
+			if good*100 < known*c.good || most > 450*5/4+10 { // with the retried submissions
+				t.Errorf("%d of %d polls for unchanged jobs are answered with a state; up to %d waited", good, known, most)
 			}
 			if all, bound := n.sent["/store"]+n.sent["/multi"], (span+3)*rps/4+span*5+12; all > bound {
-				t.Errorf("the storm costs %v requests, %d are allowed", n.sent, bound)
+				t.Errorf("the flood of polls costs %v requests to the state service, %d are allowed", n.sent, bound)
 			}
 
 		})
 	}
 }
 
-// A record that cannot be read does not make its job forgotten: that it was accepted is still
-// told, to a poll and to a repeated submission, and how it ended where that was read before.
+// A record that cannot be decoded does not make its job unknown: polls and repeated submissions are still
+// answered that it was accepted, or how it ended if that was read before.
 func TestDamagedRecordIsNotForgotten(t *testing.T) {
 	n, registry := newSlowRegistry(7, 60)
 	spec := &Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true}
@@ -302,17 +302,17 @@
 		n.Run(2 * loop.Second)
 		for _, a := range got {
 			if a.Code != 200 || a.Phase != want {
-				t.Errorf("%s is told as %d %q, want %q", id, a.Code, a.Phase, want)
+				t.Errorf("%s is answered %d %q, want 200 %q", id, a.Code, a.Phase, want)
 			}
 		}
 		if len(got) != 2 {
-			t.Errorf("%s: %d answers", id, len(got))
+			t.Errorf("%s: %d answers, want 2", id, len(got))
 		}
 	}
 }
 
-// A question about a job that is accepted here while its comparison is under way is not answered
-// with less than this very node has told by then, although it was compared as unknown.
+// A poll for a job that is accepted here while the read for the poll is in flight is not answered 404, although
+// the job was unknown when the poll came: this controller has told a user by then that the job was accepted.
 func TestAcceptedWhileItIsAskedAbout(t *testing.T) {
 	for seed := range uint64(60) {
 		n, registry := newSlowRegistry(seed, 1000)
@@ -322,13 +322,13 @@
 		n.Run(3 * loop.Second)
 		registry.Poll("job-000001", func(a Answer) {
 			if told++; accepted && a.Code == 404 {
-				t.Errorf("seed %d: 404 after it was accepted here", seed)
+				t.Errorf("seed %d: the poll is answered 404 after the job was accepted here", seed)
 			}
 		})
 		registry.Submit("job-000001", &Spec{Team: "red", Tasks: 1}, func(a Answer) { accepted = accepted || a.Code == 201 })
 		n.Run(4 * loop.Second)
 		if told != 1 || !accepted {
-			t.Errorf("seed %d: told %d times, accepted %v", seed, told, accepted)
+			t.Errorf("seed %d: the poll is answered %d times, want once; job accepted: %v", seed, told, accepted)
 		}
 	}
 }
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -1,22 +1,22 @@
 package job
 
-// Keys is the prefix of the job records.
+// Keys is the prefix of the keys of job records.
 const Keys = "c/j/"
 
-// Phase is where a job stands.
+// Phase is the lifecycle state of a job. Its values are stored in job records.
 type Phase string
 
-// The phases of a job. The last two are final.
+// The phases of a job. Done and Withdrawn are final.
 const (
 	Accepted  Phase = "p"
 	Done      Phase = "d"
 	Withdrawn Phase = "w"
 )
 
-// Priority orders jobs; higher goes first.
+// Priority orders jobs; jobs of a higher priority are served first.
 type Priority int
 
-// The priorities.
+// The priorities, from the lowest to the highest.
 const (
 	Low Priority = iota
 	Normal
@@ -43,13 +43,13 @@
 	OneZone    bool     `cbor:"oz,omitempty"`
 	Spread     bool     `cbor:"sc,omitempty"`
 	Spot       bool     `cbor:"sp,omitempty"`
-	Estimate   int64    `cbor:"es"` // microseconds, like all that follow
-	Checkpoint int64    `cbor:"ck,omitempty"`
-	Save       int64    `cbor:"sa,omitempty"`
-	Deadline   int64    `cbor:"dl,omitempty"` // after the submission; 0: none
+	Estimate   int64    `cbor:"es"`           // expected run time of a task; in microseconds, like all fields that follow
+	Checkpoint int64    `cbor:"ck,omitempty"` // interval between a task's checkpoints
+	Save       int64    `cbor:"sa,omitempty"` // time that a task needs to save its state when it is stopped
+	Deadline   int64    `cbor:"dl,omitempty"` // relative to the submission; 0: none
 }
 
-// AllowsType tells whether the job may run on machines of this type.
+// AllowsType reports whether the job may run on machines of this type.
 func (s *Spec) AllowsType(t string) bool {
 	if s.AnyType {
 		return true
@@ -62,21 +62,23 @@
 	return false
 }
 
-// AllowsPlace tells whether the job may run on this type, zone and kind.
+// AllowsPlace reports whether the job may run on machines of this type in this zone, and on spot machines if
+// spot is set.
 func (s *Spec) AllowsPlace(typ, zone string, spot bool) bool {
 	return s.AllowsType(typ) && (s.Zone == "" || s.Zone == zone) && (s.Spot || !spot)
 }
 
-// Record is what the state service holds of a job. A job that is over keeps only its phase.
+// Record is the job record in the state service. The record of a job that is done keeps only its phase, the time
+// of its acceptance and its number of tasks.
 type Record struct {
 	Phase Phase  `cbor:"st"`
-	At    int64  `cbor:"at,omitempty"` // time of day of the acceptance
+	At    int64  `cbor:"at,omitempty"` // wall-clock time at which the job was accepted
 	Spec  *Spec  `cbor:"s,omitempty"`
 	Tasks int    `cbor:"n,omitempty"`
 	Terms *Terms `cbor:"x,omitempty"`
 }
 
-// Job is a job as known here.
+// Job is a job as known to this controller.
 type Job struct {
 	ID       string
 	Revision uint64 // of the newest record that is known here
@@ -85,13 +87,13 @@
 	Spec     *Spec
 	Tasks    int
 	Terms    Terms
-	// PeerRevision is that in which a peer knows the job as withdrawn, while it is only known
-	// here by that; 0: it is not.
+	// PeerRevision is the revision at which a peer knows the job as cancelled, while the record of that
+	// revision has not arrived here; 0 otherwise.
 	PeerRevision uint64
 }
 
-// Final tells whether the job is over.
+// Final reports whether the job is done or cancelled.
 func (j *Job) Final() bool { return j.Phase != Accepted }
 
-// Counts are a job's tasks for display.
+// Counts are the numbers of a job's tasks that are shown to users.
 type Counts struct{ Done, Running int64 }
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -1,5 +1,11 @@
-// Package job keeps the durable record of every job and answers for its life:
-// accepted, done or withdrawn, each stored before anybody is told.
+// Package job keeps the durable record of every job: its specification, its hold and its dependencies, and
+// whether it is accepted, done or cancelled. It validates and stores submissions, cancellations and other
+// changes, and answers users' requests about a job. A user is answered only once the state service holds what
+// the answer says.
+//
+// It decides in which order submissions are stored (by package admission) and which requests are refused under
+// load. Placing tasks and detecting that a job is done are left to the scheduler, HTTP and the protocol's
+// encoding to the packages that call it.
 package job
 
 import (
@@ -12,29 +18,29 @@
 	"cleatpick/internal/wire"
 )
 
-// Registry holds all jobs known to this node.
+// Registry holds all jobs that this controller knows. It is used on the event loop only.
 type Registry struct {
 	runner    loop.Runner
 	client    *store.Client
 	mirror    *store.Mirror
 	log       *slog.Logger
 	jobs      map[string]*Job
-	damaged   map[string]bool // records that cannot be read, set aside
+	damaged   map[string]bool // jobs whose newest record cannot be decoded
 	creates   map[string]*creation
-	line      *admission.Line // of the creates that wait for their record
+	line      *admission.Line // submissions that wait for their record to be stored
 	creating  bool
 	reads     reads
 	overdue   overdue
 	refusals  *admission.Refusals
-	fromPeers int // jobs that only a peer's word calls withdrawn
+	fromPeers int // jobs known to be cancelled only from a peer's message
 	// OnJob is called whenever a job's record is new or has changed.
 	OnJob func(*Job)
 }
 
-// expireEvery is how often it is looked for requests that waited too long.
+// expireEvery is the interval at which requests that have waited too long are given up.
 const expireEvery = 250 * loop.Millisecond
 
-// NewRegistry makes a registry that knows of no job yet.
+// NewRegistry makes an empty registry and subscribes it to the job records of the mirror.
 func NewRegistry(runner loop.Runner, client *store.Client, mirror *store.Mirror, log *slog.Logger) *Registry {
 	registry := &Registry{runner: runner, client: client, mirror: mirror, log: log, jobs: map[string]*Job{}, damaged: map[string]bool{},
 		creates: map[string]*creation{}, reads: reads{most: mostWaiting}, overdue: overdue{}, refusals: admission.NewRefusals(log)}
@@ -45,7 +51,7 @@
 	return registry
 }
 
-// learn takes in a record from the mirror.
+// learn applies a record that the mirror received.
 func (r *Registry) learn(key string, e store.Entry) {
 	id := strings.TrimPrefix(key, Keys)
 	if e.Mark == 0 {
@@ -53,9 +59,9 @@
 	}
 	var rec Record
 	if err := wire.Unmarshal(e.Value, &rec); err != nil || !rec.sound() {
-		// A record that makes no sense is set aside: nothing is started on its account. That
-		// the job was accepted is certain, and still told: see current.
-		r.log.Error("corrupt record set aside", "key", key, "err", err)
+		// A corrupt record is set aside and none of its tasks is started. The job was certainly accepted, and
+		// users are still told so; see current.
+		r.log.Error("job record is corrupt and set aside; none of its tasks will be started", "key", key, "err", err)
 		r.damaged[id] = true
 		return
 	}
@@ -84,6 +90,7 @@
 	}
 }
 
+// sound reports whether a decoded record is consistent.
 func (r *Record) sound() bool {
 	switch r.Phase {
 	case Accepted:
@@ -94,24 +101,25 @@
 	return false
 }
 
-// Admit sets by what weights teams share what is taken, and how many submissions a second
-// are expected to be. It is to be called before anything is submitted.
+// Admit sets the weights by which teams share the admission of submissions, and the expected number of
+// submissions per second. It must be called before anything is submitted.
 func (r *Registry) Admit(weight func(team string) float64, rate float64) {
 	r.line = admission.NewLine(weight, rate)
 	r.line.OnState(func(from, to admission.State) {
 		r.client.Meter.Admission(to.String())
-		r.log.Info("submissions", "from", from.String(), "to", to.String(), "waiting", r.line.Waiting())
+		r.log.Info("load state of the submission queue changed", "from", from.String(), "to", to.String(), "waiting", r.line.Waiting())
 	})
 }
 
-// Places are the places of those who were put off since the call before, for the peers;
-// LearnPlaces takes in theirs.
+// Places returns the queue positions of clients deferred since the previous call, to be sent to the peers.
 func (r *Registry) Places() []admission.Place { return r.line.News() }
+
+// LearnPlaces applies the queue positions that a peer sent.
 func (r *Registry) LearnPlaces(all []admission.Place) {
 	r.line.Learn(all, r.runner.Wall())
 }
 
-// Get finds a job known here.
+// Get returns a job known here, nil if there is none.
 func (r *Registry) Get(id string) *Job { return r.jobs[id] }
 
 // Each calls f for every job known here.
@@ -121,7 +129,7 @@
 	}
 }
 
-// fetch asks the store itself for a job.
+// fetch reads a job from the state service.
 func (r *Registry) fetch(id string, cb func(Answer)) {
 	request := r.client.Next()
 	r.client.Get(store.Answers, Keys+id, func(it wire.Item, found, ok bool) {
@@ -137,7 +145,8 @@
 	})
 }
 
-// Poll answers for a job's state; anything that is not final is read anew.
+// Poll answers a request for a job's state. A final state is answered from memory; any other is read from the
+// state service first.
 func (r *Registry) Poll(id string, cb func(Answer)) {
 	q := r.ask(id, false, cb)
 	if j := r.jobs[id]; j != nil && j.Final() {
@@ -147,8 +156,8 @@
 	r.read(q)
 }
 
-// Expire gives up requests that waited too long: their users are told to come back. It runs
-// regularly, and is to be called when the process has stood still, before anything else.
+// Expire gives up requests that have waited too long; their users are told to retry. It runs regularly, and
+// must be called first after a pause of the process, before anything else runs.
 func (r *Registry) Expire() {
 	now := r.runner.Now()
 	r.expireCreates(now)
@@ -156,8 +165,8 @@
 	r.refusals.Look(now)
 }
 
-// TurnAway takes in that a request about a job was told to come back before it got here, for a
-// reason of a fixed list.
+// TurnAway records that a request about a job was refused with Retry-After before it reached the registry. The
+// reason is one of a fixed list.
 func (r *Registry) TurnAway(id, reason string) {
 	now := r.runner.Now()
 	r.client.Meter.TurnedAway(reason)
@@ -166,21 +175,22 @@
 	if j := r.jobs[id]; j != nil && !j.Final() {
 		r.overdue.refused(id, since)
 	}
-	r.log.Debug("turned away", "job", id, "reason", reason, "unanswered_us", now-since)
+	r.log.Debug("request refused before it reached the job registry", "job", id, "reason", reason, "unanswered_us", now-since)
 }
 
-// DoneChange is the change that makes a job done; it goes with DoneCond.
+// DoneChange returns the change that marks a job done. Its transaction must be conditioned on Cond of the same
+// job.
 func DoneChange(j *Job) wire.Change {
 	return wire.Change{Put: Keys + j.ID, Value: Record{Phase: Done, At: j.At, Tasks: j.Tasks}}
 }
 
-// Cond is the condition that the job is as known here.
+// Cond returns the condition that the job's record still has the revision known here.
 func Cond(j *Job) wire.Cond { return wire.Cond{Key: Keys + j.ID, Mark: j.Revision} }
 
-// Learn takes in a record that a transaction of this node has stored.
+// Learn applies a record that a transaction of this controller has stored.
 func (r *Registry) Learn(ch wire.Change, tally uint64) {
 	r.mirror.Apply(ch.Put, wire.Marshal(ch.Value), tally, false)
 }
 
-// Refresh reads a job again after a transaction showed that the copy here is old.
+// Refresh reads a job again after a transaction showed that the copy here is out of date.
 func (r *Registry) Refresh(id string) { r.fetch(id, func(Answer) {}) }
--- a/internal/job/stale_answer_test.go
+++ b/internal/job/stale_answer_test.go
@@ -8,9 +8,9 @@
 	"cleatpick/internal/wire"
 )
 
-// A submission that is repeated while the record of the first one is being stored is never
-// answered with less than the state service held when it was repeated: what another controller
-// stored and told meanwhile is not taken back. Answers of the state service take their time.
+// A submission that is repeated while the record of the first one is being stored is never answered with a
+// state older than the one that the state service held when it was repeated: what another controller stored and
+// told users meanwhile is not taken back. Answers of the state service are delayed.
 func TestRepeatedSubmissionsAreNotAnsweredFromThePast(t *testing.T) {
 	for seed := range uint64(100) {
 		net, registry := newSlowRegistry(seed, 200)
@@ -34,7 +34,7 @@
 					return
 				}
 				if rankOf(a.Phase) < before {
-					t.Errorf("seed %d: a repeated submission of %s is told %q (%d), the state service held more when it came", seed, id, a.Phase, a.Code)
+					t.Errorf("seed %d: a repeated submission of %s is answered %q (%d), older than the record when it came", seed, id, a.Phase, a.Code)
 				}
 			})
 		}
@@ -45,7 +45,7 @@
 			for range 6 {
 				net.After(begin+loop.Micros(net.rng.IntN(900))*loop.Millisecond, func() { submit(id) })
 			}
-			// Another controller stores the cancellation as soon as there is something to cancel.
+			// Another controller stores the cancellation as soon as the job is stored.
 			var cancel func()
 			cancel = func() {
 				if held(id) == 0 {
@@ -63,8 +63,9 @@
 	}
 }
 
-// However long one comparison took, polls are answered again soon after the state service is
-// quick again: what is known of its pace must not keep out the very polls that could correct it.
+// However long one read of the state service took, polls are answered again soon after the service has
+// recovered. This guards against admitting polls by an estimate of the service's speed that only admitted polls
+// could correct.
 func TestPollsAreAnsweredAfterASlowComparison(t *testing.T) {
 	const jobs, pollsPerSecond, soon = 20, 10, 8 * loop.Second
 	for _, stall := range []loop.Micros{2 * loop.Second, 8 * loop.Second, 12 * loop.Second, 20 * loop.Second, 40 * loop.Second} {
@@ -80,7 +81,7 @@
 			}
 			slowAt := net.Now() + 5*loop.Second
 			quickAt := slowAt + stall
-			net.extra = func() loop.Micros { // an answer comes when the service is quick again
+			net.extra = func() loop.Micros { // an answer arrives once the service is fast again
 				if now := net.Now(); now >= slowAt && now < quickAt {
 					return quickAt - now
 				}
@@ -99,14 +100,14 @@
 			told := func(since loop.Micros, when string) {
 				for k := range jobs {
 					if id := fmt.Sprintf("job-%d", k); last[id] < since {
-						t.Errorf("nothing was told of %s %s", id, when)
+						t.Errorf("no poll for %s was answered %s", id, when)
 					}
 				}
 			}
 			net.Run(quickAt + soon - net.Now())
-			told(quickAt, "in the first seconds since the service is quick again")
+			told(quickAt, "in the first seconds after the service recovered")
 			net.Run(20 * loop.Second)
-			told(net.Now()-soon, "lately, long after that")
+			told(net.Now()-soon, "in the last seconds, long after the service recovered")
 		})
 	}
 }
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -13,14 +13,14 @@
 	// mostCreates and createBytes bound the records that one transaction stores.
 	mostCreates = 8
 	createBytes = 30000
-	// keyBytes is what a record takes in a transaction beyond its value.
+	// keyBytes is the size that a record adds to a transaction beyond its value.
 	keyBytes = 600
-	// createAgain is the time after which a creation without an answer is tried again.
+	// createAgain is the delay before a transaction without an answer is repeated.
 	createAgain = 100 * loop.Millisecond
 )
 
-// creation is a submitted job that waits for its record to be stored. Whoever submits the job
-// again meanwhile waits with it; deliver judges whether what comes of it is new enough for each.
+// creation is a submitted job whose record is not stored yet. Others who submit the same job meanwhile wait for
+// the same transaction; deliver decides for each whether the result is recent enough.
 type creation struct {
 	spec      *Spec
 	terms     *Terms
@@ -28,13 +28,14 @@
 	deadline  loop.Micros
 }
 
-// Submit stores a job unless it exists; cb gets 201 or 200, or 429 and 503.
+// Submit stores a job unless it exists. cb receives 201 if it was stored, 200 if it existed, or a refusal with
+// 429 or 503.
 func (r *Registry) Submit(id string, spec *Spec, cb func(Answer)) {
 	r.Propose(id, spec, &Terms{}, cb)
 }
 
-// Propose is Submit for a job with terms. The jobs that it waits for must have been
-// found in the store; since no record is ever removed, they are there for good.
+// Propose is Submit for a job with a hold or dependencies. The caller must have found the jobs that it depends
+// on in the state service; records are never removed, so they continue to exist.
 func (r *Registry) Propose(id string, spec *Spec, terms *Terms, cb func(Answer)) {
 	q := r.ask(id, true, cb)
 	q.absent = func() { r.create(q, spec, terms) }
@@ -48,7 +49,7 @@
 	}
 }
 
-// create lets a job in line for its record, with all who submit it.
+// create queues a job for its record to be stored, together with all who submit it.
 func (r *Registry) create(q *question, spec *Spec, terms *Terms) {
 	if c := r.creates[q.id]; c != nil {
 		c.questions = append(c.questions, q)
@@ -67,13 +68,13 @@
 	r.pumpCreates()
 }
 
-// putOff tells those who submitted a job to come back: its place goes to another.
+// putOff tells those who submitted a job to retry later, since another submission takes its place in the queue.
 func (r *Registry) putOff(id string, after int) {
 	r.client.Meter.Submission("putOff")
 	r.endCreate(id, Answer{Code: 429, ID: id, After: after, way: RefusedPutOff})
 }
 
-// endCreate tells all who submitted a job what came of it.
+// endCreate answers all who submitted a job. Only the first is told that it created the job.
 func (r *Registry) endCreate(id string, a Answer) {
 	c := r.creates[id]
 	if c == nil {
@@ -88,13 +89,14 @@
 	}
 }
 
-// createBatch is the creations of one transaction.
+// createBatch is the set of new jobs that one transaction stores.
 type createBatch struct {
 	turns   []admission.Turn
 	records map[string]Record
 	txn     wire.Txn
 }
 
+// nextBatch takes submissions from the queue until a transaction is full.
 func (r *Registry) nextBatch() createBatch {
 	batch := createBatch{records: map[string]Record{}}
 	size := 0
@@ -106,7 +108,7 @@
 		id := next[0].ID
 		c := r.creates[id]
 		if c == nil {
-			continue // given up
+			continue // its submitters were already answered
 		}
 		record := Record{Phase: Accepted, At: r.runner.Wall(), Spec: c.spec, Terms: c.terms}
 		size += keyBytes + len(wire.Marshal(record))
@@ -118,7 +120,7 @@
 	return batch
 }
 
-// pumpCreates stores waiting submissions, several in one transaction.
+// pumpCreates stores waiting submissions, several in one transaction and one transaction at a time.
 func (r *Registry) pumpCreates() {
 	if r.creating {
 		return
@@ -135,6 +137,7 @@
 	})
 }
 
+// createsEnded handles the outcome of a transaction that stores new jobs.
 func (r *Registry) createsEnded(batch *createBatch, result store.Result, request store.Sequence) {
 	switch result.Outcome {
 	case store.Applied:
@@ -147,13 +150,14 @@
 	case store.Conflict:
 		r.createsConflicted(batch, result.Failed)
 	case store.Refused:
-		// It cannot be taken now: its user is told at once when to come back.
+		// The state service did not store the jobs. Their users are told to retry at once, rather than held
+		// until it recovers.
 		for _, turn := range batch.turns {
 			r.endCreate(turn.ID, refusal(turn.ID, 503, RefusedState))
 		}
 	default:
-		// Unknown: the same creation may be tried again, since it is
-		// conditioned on the job's absence.
+		// The outcome is unknown. Repeating the transaction is safe, since it is conditioned on the absence of
+		// the records.
 		r.line.Back(batch.turns)
 		r.runner.After(createAgain, r.pumpCreates)
 		return
@@ -161,7 +165,7 @@
 	r.pumpCreates()
 }
 
-// createsConflicted reads the jobs that exist already, and lets the others wait again.
+// createsConflicted answers for the jobs that exist already, and puts the others back into the queue.
 func (r *Registry) createsConflicted(batch *createBatch, failed []string) {
 	exists := map[string]bool{}
 	for _, key := range failed {
@@ -170,7 +174,7 @@
 	for _, turn := range batch.turns {
 		c := r.creates[turn.ID]
 		switch {
-		case c == nil: // given up
+		case c == nil: // its submitters were already answered
 		case exists[turn.ID]:
 			delete(r.creates, turn.ID)
 			for _, q := range c.questions {
@@ -182,7 +186,7 @@
 	}
 }
 
-// expireCreates gives up the submissions that waited too long.
+// expireCreates gives up submissions that have waited too long.
 func (r *Registry) expireCreates(now loop.Micros) {
 	for id, c := range loop.Sorted(r.creates) {
 		if now >= c.deadline {
--- a/internal/job/terms.go
+++ b/internal/job/terms.go
@@ -6,32 +6,32 @@
 	"cleatpick/internal/loop"
 )
 
-// HoldState names where a job's hold stands.
+// HoldState is the state of a job's hold.
 type HoldState string
 
-// The states of a hold. What was recorded as started before the hold was stored may
-// still begin while it settles; once it is set, nothing of the job begins.
+// The states of a hold. While a hold is settling, tasks whose start was recorded before the hold was stored may
+// still begin; once it is set, no task of the job begins.
 const (
 	HoldNone     HoldState = ""
 	HoldSettling HoldState = "s"
 	HoldSet      HoldState = "h"
 )
 
-// Hold keeps a job's tasks from being started; what runs goes on.
+// Hold prevents a job's tasks from being started; tasks that run continue.
 type Hold struct {
 	State  HoldState `cbor:"s,omitempty"`
-	Until  int64     `cbor:"u,omitempty"` // time of day at which it ends by itself; 0: never
+	Until  int64     `cbor:"u,omitempty"` // wall-clock time at which the hold ends by itself; 0: never
 	Reason string    `cbor:"r,omitempty"`
-	By     string    `cbor:"b,omitempty"` // the name of the key that asked for it
-	At     int64     `cbor:"a,omitempty"` // time of day
+	By     string    `cbor:"b,omitempty"` // name of the API key that requested the hold
+	At     int64     `cbor:"a,omitempty"` // wall-clock time of the request
 }
 
-// Shut tells whether the hold keeps starts back at a time of day.
+// Shut reports whether the hold blocks starts at a wall-clock time.
 func (h *Hold) Shut(wall loop.Micros) bool {
 	return h.State != HoldNone && (h.Until == 0 || wall < h.Until)
 }
 
-// Policy says what becomes of a job when one that must be done first is withdrawn.
+// Policy says what becomes of a job when a job that it depends on is cancelled.
 type Policy string
 
 // The policies. With PolicyHold the job waits until an operator releases it.
@@ -41,24 +41,24 @@
 	PolicyWithdraw Policy = "w"
 )
 
-// MaxAfter bounds the jobs that one job can wait for.
+// MaxAfter is the largest number of jobs that one job can depend on.
 const MaxAfter = 64
 
-// Terms are what a job's user may say beyond the protocol. They stand in the job's
-// record, so that every start, which is conditioned on that record's version, is bound
-// by them.
+// Terms are the conditions on a job's starts that are not part of the wire protocol of submissions: its hold
+// and its dependencies. They are part of the job's record. Every start is conditioned on that record's
+// revision, and so obeys them.
 type Terms struct {
 	Hold        Hold     `cbor:"h,omitempty"`
 	After       []string `cbor:"a,omitempty"`
 	OnWithdrawn Policy   `cbor:"o,omitempty"`
-	Waived      []string `cbor:"w,omitempty"` // of After, withdrawn, and released from by an operator
+	Waived      []string `cbor:"w,omitempty"` // jobs of After that were cancelled and that an operator released this job from
 }
 
 func (t *Terms) empty() bool {
 	return t.Hold.State == HoldNone && len(t.After) == 0
 }
 
-// stored is the form of the terms in a record: nil where there are none.
+// stored returns the terms as they are written to a record: nil if there are none.
 func (t *Terms) stored() *Terms {
 	if t.empty() {
 		return nil
@@ -67,5 +67,5 @@
 	return &c
 }
 
-// WaivedFrom tells whether the job was released from waiting for this one.
+// WaivedFrom reports whether the job was released from waiting for the given job.
 func (t *Terms) WaivedFrom(id string) bool { return slices.Contains(t.Waived, id) }
--- a/internal/job/validate.go
+++ b/internal/job/validate.go
@@ -9,11 +9,12 @@
 	"cleatpick/internal/wire"
 )
 
+// maxTasks is the largest number of tasks of one job.
 const maxTasks = 100000
 
 var priorities = map[string]Priority{"critical": Production, "high": High, "standard": Normal, "low": Low}
 
-// ValidID tells whether an id has the form that all job ids have.
+// ValidID reports whether an id has the form of a job id: "job-" and digits.
 func ValidID(id string) bool {
 	digits, ok := strings.CutPrefix(id, "job-")
 	if !ok || digits == "" || len(id) > 64 {
@@ -27,15 +28,16 @@
 	return true
 }
 
-// Parse reads a submission; ok is false when it is malformed. The id is told all the same where
-// there is one: who repeats a job that was accepted is told of it, whatever else came.
+// Parse decodes a submission; ok is false if it is malformed. The id is returned even then, if it is valid: a
+// client that repeats the submission of an accepted job is answered with the job's state, whatever the rest of
+// the body is.
 func Parse(body []byte) (id string, s *Spec, ok bool) {
 	if !wire.IsMap(body) {
 		return "", nil, false
 	}
 	var w wire.Work
 	whole := wire.Unmarshal(body, &w) == nil
-	if !whole { // its id may be sound all the same
+	if !whole { // the id may be valid nevertheless
 		var named struct {
 			ID *string `cbor:"nameId"`
 		}
@@ -53,7 +55,7 @@
 	return *w.ID, s, ok
 }
 
-// specOf takes a submission's fields; ok is false where one is missing or out of range.
+// specOf converts a decoded submission; ok is false if a field is missing or out of range.
 func specOf(w *wire.Work) (s *Spec, ok bool) {
 	name := func(p *string) bool { return p != nil && *p != "" && len(*p) <= 100 }
 	num := func(p *float64) bool { return p != nil && *p >= 0 && *p <= 1e9 && !math.IsNaN(*p) }
@@ -93,11 +95,12 @@
 	return s, true
 }
 
-// Runnable tells whether the job could ever run: its team is known, a task fits
-// an allowed machine type in an allowed zone, the team's limit leaves room for it, and where all
-// tasks run at once, so do its rules about zones. An array may always run in turns: `scatter` counts
-// the tasks that are on machines at a moment. What cannot run now, for lack of machines, can later;
-// and an image larger than a type's cache may still be fetched, for all that the protocol says.
+// Runnable reports whether the job could ever run: its team is known, a task fits an allowed machine type in an
+// allowed zone, the team's limit allows it, and if all its tasks run at once, its zone constraints can be met.
+// An array job can run its tasks one after another, so its `scatter` rule, which counts only the tasks that are
+// on machines at the same time, can always be met. A lack of machines is no reason to reject a job, since it
+// may pass. Neither is an image larger than a machine type's cache: the protocol does not rule out that it can
+// be fetched.
 func Runnable(s *Spec, c *config.Config, types []wire.MachineType) bool {
 	team, ok := c.TeamNamed(s.Team)
 	if !ok {
@@ -116,7 +119,7 @@
 			continue
 		}
 		if s.Zone == "" && len(t.Zones) == 0 {
-			zones[""] = true // the catalog does not say where
+			zones[""] = true // the catalog does not name the type's zones
 		}
 		for _, z := range t.Zones {
 			if s.Zone == "" || z == s.Zone {
@@ -125,7 +128,7 @@
 		}
 	}
 	if (s.Service || s.Gang) && s.Spread && s.Tasks > 1 && !zones[""] {
-		return len(zones) > 1 && !s.OneZone // two tasks or more must not be in one zone alone
+		return len(zones) > 1 && !s.OneZone // two or more tasks must not all be in one zone
 	}
 	return len(zones) > 0
 }
