--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -9,100 +9,100 @@
 // Edit returns the new record of a job that is not final; nil leaves the record as it is.
 type Edit func(*Job) *Record
 
-// amendAgain is the delay before a change without an answer is repeated.
-const amendAgain = 120 * loop.Millisecond
+// amendRetryDelay is the delay before a change without an answer is repeated.
+const amendRetryDelay = 120 * loop.Millisecond
 
 // Amend changes a job's record on condition that it has the revision known here, and repeats that with the
 // newer revision if it has changed. cb receives the resulting state of the job, or 404 or 503. The record of a
 // final job is never changed.
-func (r *Registry) Amend(id string, edit Edit, cb func(Answer)) {
-	r.amend(r.ask(id, true, cb), edit)
+func (r *Registry) Amend(id string, edit Edit, callback func(Answer)) {
+	r.amend(r.newUserRequest(id, true, callback), edit)
 }
 
-func (r *Registry) amend(q *question, edit Edit) {
-	j := r.jobs[q.id]
+func (r *Registry) amend(req *userRequest, edit Edit) {
+	j := r.jobs[req.id]
 	switch {
-	case r.damaged[q.id]:
-		r.deliver(q, refusal(q.id, 503, RefusedState))
+	case r.damaged[req.id]:
+		r.deliver(req, newRefusal(req.id, 503, RefusedState))
 	case j == nil:
-		r.amendFetched(q, edit, 404)
+		r.fetchAndAmend(req, edit, 404)
 	case j.Final():
-		r.deliver(q, r.current(q.id, 200, WayFinal, 0))
-	case r.runner.Now() >= q.deadline:
-		r.deliver(q, refusal(q.id, 503, RefusedExpired))
+		r.deliver(req, r.current(req.id, 200, WayFinal, 0))
+	case r.runner.Now() >= req.deadline:
+		r.deliver(req, newRefusal(req.id, 503, RefusedExpired))
 	default:
 		if record := edit(j); record != nil {
-			r.storeAmended(q, edit, j, record)
+			r.storeAmendment(req, edit, j, record)
 			return
 		}
-		r.unchanged(q, edit)
+		r.confirmUnchanged(req, edit)
 	}
 }
 
-// unchanged confirms with the state service that a job needs no change, since the copy here may be out of date.
-func (r *Registry) unchanged(q *question, edit Edit) {
-	confirm := *q
+// confirmUnchanged confirms with the state service that a job needs no change, since the copy here may be out of date.
+func (r *Registry) confirmUnchanged(req *userRequest, edit Edit) {
+	confirm := *req
 	confirm.reply = func(a Answer) {
-		if j := r.jobs[q.id]; a.Code == 200 && j != nil && !j.Final() && edit(j) != nil {
-			r.amend(q, edit)
+		if j := r.jobs[req.id]; a.Code == 200 && j != nil && !j.Final() && edit(j) != nil {
+			r.amend(req, edit)
 			return
 		}
-		q.reply(a)
+		req.reply(a)
 	}
-	r.read(&confirm)
+	r.answerWhenCurrent(&confirm)
 }
 
-func (r *Registry) storeAmended(q *question, edit Edit, j *Job, record *Record) {
-	request := r.client.Next()
-	r.client.Txn(store.Answers, wire.Txn{If: []wire.Cond{Cond(j)}, Then: []wire.Change{{Put: Keys + q.id, Value: *record}}}, func(result store.Result) {
+func (r *Registry) storeAmendment(req *userRequest, edit Edit, j *Job, record *Record) {
+	sequence := r.client.Next()
+	r.client.Txn(store.Answers, wire.Txn{If: []wire.Cond{Cond(j)}, Then: []wire.Change{{Put: Keys + req.id, Value: *record}}}, func(result store.Result) {
 		switch result.Outcome {
 		case store.Applied:
-			r.mirror.Apply(Keys+q.id, wire.Marshal(*record), result.Tally, false)
-			r.deliver(q, r.current(q.id, 200, WayStored, request))
+			r.mirror.Apply(Keys+req.id, wire.Marshal(*record), result.Tally, false)
+			r.deliver(req, r.current(req.id, 200, WayStored, sequence))
 		case store.Conflict:
-			r.amendFetched(q, edit, 503) // a record that existed is never removed
+			r.fetchAndAmend(req, edit, 503) // a record that existed is never removed
 		case store.Refused:
-			r.deliver(q, refusal(q.id, 503, RefusedState))
+			r.deliver(req, newRefusal(req.id, 503, RefusedState))
 		default:
-			r.runner.After(amendAgain, func() { r.amend(q, edit) })
+			r.runner.After(amendRetryDelay, func() { r.amend(req, edit) })
 		}
 	})
 }
 
-// amendFetched reads the record and continues with it; absent is the status code of the answer if there is no
+// fetchAndAmend reads the record and continues with it; absent is the status code of the answer if there is no
 // record.
-func (r *Registry) amendFetched(q *question, edit Edit, absent int) {
-	r.fetch(q.id, func(a Answer) {
+func (r *Registry) fetchAndAmend(req *userRequest, edit Edit, absent int) {
+	r.fetch(req.id, func(a Answer) {
 		switch a.Code {
 		case 200:
-			r.amend(q, edit)
+			r.amend(req, edit)
 		case 404:
 			a.Code = absent
-			r.deliver(q, a)
+			r.deliver(req, a)
 		default:
-			r.deliver(q, a)
+			r.deliver(req, a)
 		}
 	})
 }
 
-// with returns the job's record with other terms.
-func (j *Job) with(t Terms) *Record {
+// recordWith returns the job's record with other terms.
+func (j *Job) recordWith(t Terms) *Record {
 	return &Record{Phase: j.Phase, At: j.At, Spec: j.Spec, Terms: t.stored()}
 }
 
 // Withdraw stores a cancellation unless the job is done. cb receives the final state, or 404 or 503.
-func (r *Registry) Withdraw(id string, cb func(Answer)) {
+func (r *Registry) Withdraw(id string, callback func(Answer)) {
 	r.Amend(id, func(j *Job) *Record {
-		rec := j.with(j.Terms)
+		rec := j.recordWith(j.Terms)
 		rec.Phase = Withdrawn
 		return rec
-	}, cb)
+	}, callback)
 }
 
 // Hold prevents a job's tasks from being started until the job is released or the hold's end, a wall-clock
 // time, has passed. The hold is stored as settling; the job's owner calls Settle once no start that was
 // recorded before can still be carried out.
-func (r *Registry) Hold(id string, h Hold, cb func(Answer)) {
+func (r *Registry) Hold(id string, h Hold, callback func(Answer)) {
 	h.At = r.runner.Wall()
 	r.Amend(id, func(j *Job) *Record {
 		old := j.Terms.Hold
@@ -119,24 +119,24 @@
 			// by itself proves less: this may be stored late, after its end.
 			t.Hold.State = HoldSet
 		}
-		return j.with(t)
-	}, cb)
+		return j.recordWith(t)
+	}, callback)
 }
 
 // Settle marks a hold as set, provided that the job's record still has this revision.
-func (r *Registry) Settle(id string, mark uint64, cb func(Answer)) {
+func (r *Registry) Settle(id string, mark uint64, callback func(Answer)) {
 	r.Amend(id, func(j *Job) *Record {
 		if j.Revision != mark || j.Terms.Hold.State != HoldSettling {
 			return nil
 		}
 		t := j.Terms
 		t.Hold.State = HoldSet
-		return j.with(t)
-	}, cb)
+		return j.recordWith(t)
+	}, callback)
 }
 
 // Release ends a job's hold, and releases the job from waiting for cancelled jobs that it depends on.
-func (r *Registry) Release(id string, cb func(Answer)) {
+func (r *Registry) Release(id string, callback func(Answer)) {
 	r.Amend(id, func(j *Job) *Record {
 		t := j.Terms
 		changed := t.Hold.State != HoldNone
@@ -152,16 +152,16 @@
 		if !changed {
 			return nil
 		}
-		return j.with(t)
-	}, cb)
+		return j.recordWith(t)
+	}, callback)
 }
 
 // Exists determines whether a job was ever accepted; cb receives 200, 404 or 503. Records are never removed, so
 // a job known here exists.
-func (r *Registry) Exists(id string, cb func(code int)) {
+func (r *Registry) Exists(id string, callback func(code int)) {
 	if r.jobs[id] != nil {
-		cb(200)
+		callback(200)
 		return
 	}
-	r.fetch(id, func(a Answer) { cb(a.Code) })
+	r.fetch(id, func(a Answer) { callback(a.Code) })
 }
--- a/internal/job/answer.go
+++ b/internal/job/answer.go
@@ -17,10 +17,10 @@
 	Tasks   int
 	Created bool
 
-	way Way
-	// request is the sequence number of the request to the state service on which the answer is based; 0 if it
+	source Way
+	// basedOn is the sequence number of the request to the state service on which the answer is based; 0 if it
 	// is based on none.
-	request store.Sequence
+	basedOn store.Sequence
 }
 
 // Way names the source of an answer, or the reason of a refusal.
@@ -40,91 +40,91 @@
 	RefusedState   Way = "state"   // the state service refused the request or did not answer
 )
 
-// refuses reports whether the user is told to retry.
-func (a Answer) refuses() bool { return a.Code == 429 || a.Code == 503 }
+// refused reports whether the user is told to retry.
+func (a Answer) refused() bool { return a.Code == 429 || a.Code == 503 }
 
-// over reports whether the answer says that the job is final, which can't become outdated.
-func (a Answer) over() bool {
-	return !a.refuses() && (a.Phase == Done || a.Phase == Withdrawn)
+// final reports whether the answer says that the job is final, which can't become outdated.
+func (a Answer) final() bool {
+	return !a.refused() && (a.Phase == Done || a.Phase == Withdrawn)
 }
 
-// refusal returns the answer that refuses a request.
-func refusal(id string, code int, why Way) Answer { return Answer{Code: code, ID: id, way: why} }
+// newRefusal returns the answer that refuses a request.
+func newRefusal(id string, code int, why Way) Answer { return Answer{Code: code, ID: id, source: why} }
 
-// question is a user's request about one job that waits for its answer.
-type question struct {
+// userRequest is a user's request about one job that waits for its answer.
+type userRequest struct {
 	id     string
 	change bool // a submission, a cancellation or another change; only polls are refused when too many requests wait
 	reply  func(Answer)
-	// absent continues the request if the job certainly does not exist; if nil, the user is answered 404.
-	absent func()
-
-	rank     rank           // priority among the requests that wait
-	number   store.Sequence // its place in the order of users' requests and requests to the state service
-	asked    loop.Micros
-	deadline loop.Micros // monotonic time after which the user is told to retry
-	// since is the time since which requests about the job have gone unanswered here, this one included.
-	since loop.Micros
+	// onAbsent continues the request if the job certainly does not exist; if nil, the user is answered 404.
+	onAbsent func()
+
+	rank       rank           // priority among the requests that wait
+	sequence   store.Sequence // its place in the order of users' requests and requests to the state service
+	receivedAt loop.Micros
+	deadline   loop.Micros // monotonic time after which the user is told to retry
+	// unansweredSince is the time since which requests about the job have gone unanswered here, this one included.
+	unansweredSince loop.Micros
 }
 
-// ask makes the question for a user's request that came now.
-func (r *Registry) ask(id string, change bool, reply func(Answer)) *question {
+// newUserRequest makes the entry of a user's request that came now.
+func (r *Registry) newUserRequest(id string, change bool, reply func(Answer)) *userRequest {
 	now := r.runner.Now()
-	return &question{id: id, change: change, reply: reply, number: r.client.Next(), asked: now, deadline: now + patience, since: r.overdue.since(id, now)}
+	return &userRequest{id: id, change: change, reply: reply, sequence: r.client.Next(), receivedAt: now, deadline: now + answerTimeout, unansweredSince: r.unanswered.since(id, now)}
 }
 
-// current returns the answer that the copy of the records gives for a job; request is the request to the state
-// service on which the copy's content is based.
-func (r *Registry) current(id string, code int, way Way, request store.Sequence) Answer {
+// current returns the answer that the copy of the records gives for a job; sequence is that of the request to the
+// state service on which the copy's content is based.
+func (r *Registry) current(id string, code int, source Way, sequence store.Sequence) Answer {
 	if r.damaged[id] {
-		way = WayDamaged
+		source = WayDamaged
 	}
 	j := r.jobs[id]
 	switch {
 	case j != nil && j.PeerRevision != 0:
-		way = WayPeer
+		source = WayPeer
 	case j == nil && r.damaged[id]:
-		return Answer{Code: 200, Phase: Accepted, ID: id, way: way, request: request}
+		return Answer{Code: 200, Phase: Accepted, ID: id, source: source, basedOn: sequence}
 	case j == nil:
-		return Answer{Code: 404, ID: id, way: way, request: request}
+		return Answer{Code: 404, ID: id, source: source, basedOn: sequence}
 	}
-	return Answer{Code: code, Phase: j.Phase, ID: j.ID, Tasks: j.Tasks, way: way, request: request}
+	return Answer{Code: code, Phase: j.Phase, ID: j.ID, Tasks: j.Tasks, source: source, basedOn: sequence}
 }
 
 // deliver is the only way in which a user is answered. An answer based on a request to the state service that
 // was made before the user's request came may be older than what another controller has told a user since,
 // unless it says that the job is final. It is not given; the user's request waits for a newer one instead.
-func (r *Registry) deliver(q *question, a Answer) {
-	if !a.refuses() && !a.over() && a.request < q.number {
+func (r *Registry) deliver(req *userRequest, a Answer) {
+	if !a.refused() && !a.final() && a.basedOn < req.sequence {
 		r.client.Meter.OutdatedAnswer()
-		r.log.Debug("answer is older than the user's request and is not given; the state is read again", "job", q.id, "way", a.way, "code", a.Code)
-		r.read(q)
+		r.log.Debug("answer is older than the user's request and is not given; the state is read again", "job", req.id, "way", a.source, "code", a.Code)
+		r.answerWhenCurrent(req)
 		return
 	}
-	r.note(q, a)
-	q.reply(a)
+	r.recordAnswer(req, a)
+	req.reply(a)
 }
 
-// note updates the time since which requests about the job have gone unanswered, and records the answer in
+// recordAnswer updates the time since which requests about the job have gone unanswered, and records the answer in
 // metrics and logs.
-func (r *Registry) note(q *question, a Answer) {
-	if a.refuses() {
-		if j := r.jobs[q.id]; j != nil && !j.Final() {
-			r.overdue.refused(q.id, q.since)
+func (r *Registry) recordAnswer(req *userRequest, a Answer) {
+	if a.refused() {
+		if j := r.jobs[req.id]; j != nil && !j.Final() {
+			r.unanswered.recordRefusal(req.id, req.unansweredSince)
 		}
-		r.refusals.Refuse(string(a.way), r.runner.Now())
+		r.refusals.Refuse(string(a.source), r.runner.Now())
 	} else {
-		r.overdue.answered(q.id)
+		r.unanswered.recordAnswer(req.id)
 	}
-	r.client.Meter.Answer(q.change, string(a.way))
+	r.client.Meter.Answer(req.change, string(a.source))
 	if !r.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
 	revision := uint64(0)
-	if j := r.jobs[q.id]; j != nil {
+	if j := r.jobs[req.id]; j != nil {
 		revision = j.Revision
 	}
 	now := r.runner.Now()
-	r.log.Debug("request about a job answered", "job", q.id, "change", q.change, "way", a.way, "code", a.Code, "phase", a.Phase, "revision", revision,
-		"waited_us", now-q.asked, "unanswered_us", now-q.since, "after_s", a.After)
+	r.log.Debug("request about a job answered", "job", req.id, "change", req.change, "way", a.source, "code", a.Code, "phase", a.Phase, "revision", revision,
+		"waited_us", now-req.receivedAt, "unanswered_us", now-req.unansweredSince, "after_s", a.After)
 }
--- a/internal/job/peers.go
+++ b/internal/job/peers.go
@@ -1,7 +1,7 @@
 package job
 
-// mostFromPeers bounds the number of jobs that are known to be cancelled only from a peer's message.
-const mostFromPeers = 20000
+// maxPeerOnly bounds the number of jobs that are known to be cancelled only from a peer's message.
+const maxPeerOnly = 20000
 
 // LearnWithdrawn applies a peer's message that a job was cancelled at a revision of its record. The peer is
 // trusted like the state service itself. The job is final here from now on; its record follows once the state
@@ -17,7 +17,7 @@
 	case j != nil && j.Revision >= revision:
 		r.log.Error("cancellation reported by a peer ignored: the job's record known here is newer and not cancelled", "job", id, "revision", revision, "known", j.Revision)
 		return false
-	case r.fromPeers >= mostFromPeers:
+	case r.peerOnly >= maxPeerOnly:
 		return false
 	}
 	if j == nil {
@@ -25,9 +25,9 @@
 		j = &Job{ID: id}
 		r.jobs[id] = j
 	}
-	r.fromPeers++
+	r.peerOnly++
 	j.PeerRevision, j.Phase = revision, Withdrawn
-	r.overdue.answered(id)
+	r.unanswered.recordAnswer(id)
 	if r.OnJob != nil {
 		r.OnJob(j)
 	}
@@ -41,7 +41,7 @@
 	case j.PeerRevision == 0:
 	case j.Revision >= j.PeerRevision:
 		j.PeerRevision = 0
-		r.fromPeers--
+		r.peerOnly--
 	default:
 		j.Phase = Withdrawn
 	}
--- a/internal/job/peers_test.go
+++ b/internal/job/peers_test.go
@@ -43,7 +43,7 @@
 		told(id, Withdrawn)
 		record(id, Accepted, 7) // an amendment from before the cancellation that arrives late
 		told(id, Withdrawn)
-		if j := registry.Get(id); j.Spec == nil || !j.Final() || j.WithdrawnRevision() != 9 || registry.fromPeers == 0 {
+		if j := registry.Get(id); j.Spec == nil || !j.Final() || j.WithdrawnRevision() != 9 || registry.peerOnly == 0 {
 			t.Errorf("%s after an older revision arrived: %+v", id, j)
 		}
 		record(id, Withdrawn, 9)
@@ -63,7 +63,7 @@
 		}
 	}
 	told("job-000003", Done)
-	if j := registry.Get("job-000004"); registry.fromPeers != 0 || j.Final() || registry.Get("job-000005") != nil {
-		t.Errorf("%d jobs are known as cancelled only from a peer, want none; job-000004 is %+v", registry.fromPeers, j)
+	if j := registry.Get("job-000004"); registry.peerOnly != 0 || j.Final() || registry.Get("job-000005") != nil {
+		t.Errorf("%d jobs are known as cancelled only from a peer, want none; job-000004 is %+v", registry.peerOnly, j)
 	}
 }
--- a/internal/job/read.go
+++ b/internal/job/read.go
@@ -22,31 +22,31 @@
 // unanswered shortest.
 
 const (
-	// mostWaiting bounds the number of users that wait for a job's state, unless MostAsking sets less.
-	mostWaiting = 2000
-	// patience is how long a user waits here before being told to retry.
-	patience = 1500 * loop.Millisecond
+	// maxWaitingReads bounds the number of users that wait for a job's state, unless MostAsking sets less.
+	maxWaitingReads = 2000
+	// answerTimeout is how long a user waits here before being told to retry.
+	answerTimeout = 1500 * loop.Millisecond
 	// readInterval is the time from the answer to a Sync until the next Sync.
 	readInterval = 60 * loop.Millisecond
-	// spreadSeconds is the number of seconds over which the retries of users refused together are spread.
-	spreadSeconds = 3
+	// retrySpreadSeconds is the number of seconds over which the retries of users refused together are spread.
+	retrySpreadSeconds = 3
 )
 
-// reads holds the requests that wait for the copy of the records to be synchronized.
-type reads struct {
-	waiting []*question // sorted by order
-	most    int         // bound on len(waiting), except for changes
-	syncing bool
-	refused int // number of refusals so far, by which Retry-After is spread
+// readQueue holds the requests that wait for the copy of the records to be synchronized.
+type readQueue struct {
+	waiting    []*userRequest // sorted by compareRequests
+	maxWaiting int            // bound on len(waiting), except for changes
+	syncing    bool
+	refusals   int // number of refusals so far, by which Retry-After is spread
 }
 
-// order compares two requests by which keeps its place when not all can wait: changes come first, then polls
+// compareRequests compares two requests by which keeps its place when not all can wait: changes come first, then polls
 // for known jobs, those unanswered longest first, then polls for jobs that are not known here.
-func order(p, q *question) int {
-	return cmp.Or(cmp.Compare(p.rank, q.rank), cmp.Compare(p.since, q.since), cmp.Compare(p.number, q.number))
+func compareRequests(a, b *userRequest) int {
+	return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.unansweredSince, b.unansweredSince), cmp.Compare(a.sequence, b.sequence))
 }
 
-// rank is the first criterion of order.
+// rank is the first criterion of compareRequests.
 type rank int
 
 const (
@@ -56,11 +56,11 @@
 )
 
 // rankOf returns a request's rank.
-func (r *Registry) rankOf(q *question) rank {
+func (r *Registry) rankOf(req *userRequest) rank {
 	switch {
-	case q.change:
+	case req.change:
 		return rankChange
-	case r.jobs[q.id] != nil || r.damaged[q.id]:
+	case r.jobs[req.id] != nil || r.damaged[req.id]:
 		return rankKnown
 	}
 	return rankUnknown
@@ -71,40 +71,40 @@
 
 // MostAsking bounds the number of users that may wait for a job's state. Each holds a connection, and some
 // connections must be left for submissions.
-func (r *Registry) MostAsking(n int) { r.reads.most = min(max(n, 1), mostWaiting) }
+func (r *Registry) MostAsking(n int) { r.reads.maxWaiting = min(max(n, 1), maxWaitingReads) }
 
-// read answers a request once the copy of the records is certainly as new as the request.
-func (r *Registry) read(q *question) {
+// answerWhenCurrent answers a request once the copy of the records is certainly as new as the request.
+func (r *Registry) answerWhenCurrent(req *userRequest) {
 	w := &r.reads
-	q.rank = r.rankOf(q)
-	if n := len(w.waiting); !q.change && n >= w.most {
+	req.rank = r.rankOf(req)
+	if n := len(w.waiting); !req.change && n >= w.maxWaiting {
 		last := w.waiting[n-1]
-		if last.change || order(last, q) < 0 {
-			r.refuseFull(q)
+		if last.change || compareRequests(last, req) < 0 {
+			r.refuseFull(req)
 			return
 		}
 		w.waiting = w.waiting[:n-1]
 		r.refuseFull(last)
 	}
-	i, _ := slices.BinarySearchFunc(w.waiting, q, order)
-	w.waiting = slices.Insert(w.waiting, i, q)
+	i, _ := slices.BinarySearchFunc(w.waiting, req, compareRequests)
+	w.waiting = slices.Insert(w.waiting, i, req)
 	r.sync()
 }
 
 // Sync calls cb once the copy of the records holds everything that the state service held when Sync was called.
 // It serves answers about many jobs. ok is false if that was not possible in time.
-func (r *Registry) Sync(cb func(ok bool)) {
-	q := r.ask("", true, func(a Answer) { cb(!a.refuses()) })
-	r.read(q)
+func (r *Registry) Sync(callback func(ok bool)) {
+	req := r.newUserRequest("", true, func(a Answer) { callback(!a.refused()) })
+	r.answerWhenCurrent(req)
 }
 
 // refuseFull tells a user to retry because too many requests wait; places become free with the next answer of
 // the state service.
-func (r *Registry) refuseFull(q *question) {
-	r.reads.refused++
-	a := refusal(q.id, 429, RefusedFull)
-	a.After = 1 + r.reads.refused%spreadSeconds
-	r.deliver(q, a)
+func (r *Registry) refuseFull(req *userRequest) {
+	r.reads.refusals++
+	a := newRefusal(req.id, 429, RefusedFull)
+	a.After = 1 + r.reads.refusals%retrySpreadSeconds
+	r.deliver(req, a)
 }
 
 // sync synchronizes the copy of the records while requests wait, with one Sync at a time.
@@ -117,8 +117,8 @@
 	r.mirror.Sync(store.Inquiries, func(outcome store.Outcome) {
 		if outcome == store.Refused {
 			// The state service cannot be read now: users are told to retry at once.
-			r.settle(func(q *question) bool { return q.number < before }, func(q *question) {
-				r.deliver(q, refusal(q.id, 503, RefusedState))
+			r.finishMatching(func(req *userRequest) bool { return req.sequence < before }, func(req *userRequest) {
+				r.deliver(req, newRefusal(req.id, 503, RefusedState))
 			})
 		}
 		r.runner.After(readInterval, func() {
@@ -130,38 +130,38 @@
 
 // synced answers the requests that came before a request to the state service whose answer has been applied.
 func (r *Registry) synced(s store.Synced) {
-	r.settle(func(q *question) bool { return q.number < s.Request }, func(q *question) {
-		a := r.current(q.id, 200, WayRead, s.Request)
-		if a.Code == 404 && q.absent != nil {
-			q.absent()
+	r.finishMatching(func(req *userRequest) bool { return req.sequence < s.Request }, func(req *userRequest) {
+		a := r.current(req.id, 200, WayRead, s.Request)
+		if a.Code == 404 && req.onAbsent != nil {
+			req.onAbsent()
 			return
 		}
-		r.deliver(q, a)
+		r.deliver(req, a)
 	})
 }
 
-// settle removes the requests that match from those that wait, and calls end for each.
-func (r *Registry) settle(which func(*question) bool, end func(*question)) {
-	var settled, rest []*question
-	for _, q := range r.reads.waiting {
-		if which(q) {
-			settled = append(settled, q)
+// finishMatching removes the requests that match from those that wait, and calls end for each.
+func (r *Registry) finishMatching(which func(*userRequest) bool, end func(*userRequest)) {
+	var settled, rest []*userRequest
+	for _, req := range r.reads.waiting {
+		if which(req) {
+			settled = append(settled, req)
 		} else {
-			rest = append(rest, q)
+			rest = append(rest, req)
 		}
 	}
 	if len(settled) == 0 {
 		return
 	}
 	r.reads.waiting = rest
-	for _, q := range settled {
-		end(q)
+	for _, req := range settled {
+		end(req)
 	}
 }
 
 // expireReads gives up requests that have waited too long.
 func (r *Registry) expireReads(now loop.Micros) {
-	r.settle(func(q *question) bool { return now >= q.deadline }, func(q *question) {
-		r.deliver(q, refusal(q.id, 503, RefusedExpired))
+	r.finishMatching(func(req *userRequest) bool { return now >= req.deadline }, func(req *userRequest) {
+		r.deliver(req, newRefusal(req.id, 503, RefusedExpired))
 	})
 }
--- a/internal/job/read_test.go
+++ b/internal/job/read_test.go
@@ -109,7 +109,7 @@
 				asked, at, told := held[id], n.Now(), false
 				registry.Poll(id, func(a Answer) {
 					answers++
-					if told || n.Now()-at > patience+300*loop.Millisecond {
+					if told || n.Now()-at > answerTimeout+300*loop.Millisecond {
 						t.Fatalf("seed %d: answer for %s; answered before: %v; time since the request: %d us", seed, id, told, n.Now()-at)
 					}
 					told = true
@@ -183,8 +183,8 @@
 					worst = max(worst, n.Now()-at)
 				}
 			}
-			if worst > 20*loop.Second || len(registry.overdue) > jobs {
-				t.Errorf("a job got no answer for %d us; %d jobs have unanswered requests", worst, len(registry.overdue))
+			if worst > 20*loop.Second || len(registry.unanswered) > jobs {
+				t.Errorf("a job got no answer for %d us; %d jobs have unanswered requests", worst, len(registry.unanswered))
 			}
 			t.Logf("longest time without an answer: %d us", worst)
 		})
@@ -242,7 +242,7 @@
 						if same && a.Code == 200 {
 							good++
 						}
-						if a.Code == 429 && (n.Now()-at > patience+300*loop.Millisecond || a.After < 1 || a.After > 10) {
+						if a.Code == 429 && (n.Now()-at > answerTimeout+300*loop.Millisecond || a.After < 1 || a.After > 10) {
 							t.Fatalf("refused after %d us with Retry-After %d s", n.Now()-at, a.After)
 						}
 					})
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -20,45 +20,45 @@
 
 // Registry holds all jobs that this controller knows. It is used on the event loop only.
 type Registry struct {
-	runner    loop.Runner
-	client    *store.Client
-	mirror    *store.Mirror
-	log       *slog.Logger
-	jobs      map[string]*Job
-	damaged   map[string]bool // jobs whose newest record cannot be decoded
-	creates   map[string]*creation
-	line      *admission.Line // submissions that wait for their record to be stored
-	creating  bool
-	reads     reads
-	overdue   overdue
-	refusals  *admission.Refusals
-	fromPeers int // jobs known to be cancelled only from a peer's message
+	runner     loop.Runner
+	client     *store.Client
+	mirror     *store.Mirror
+	log        *slog.Logger
+	jobs       map[string]*Job
+	damaged    map[string]bool // jobs whose newest record cannot be decoded
+	pending    map[string]*creation
+	queue      *admission.Line // submissions that wait for their record to be stored
+	storing    bool
+	reads      readQueue
+	unanswered unansweredJobs
+	refusals   *admission.Refusals
+	peerOnly   int // jobs known to be cancelled only from a peer's message
 	// OnJob is called whenever a job's record is new or has changed.
 	OnJob func(*Job)
 }
 
-// expireEvery is the interval at which requests that have waited too long are given up.
-const expireEvery = 250 * loop.Millisecond
+// expireInterval is the interval at which requests that have waited too long are given up.
+const expireInterval = 250 * loop.Millisecond
 
 // NewRegistry makes an empty registry and subscribes it to the job records of the mirror.
 func NewRegistry(runner loop.Runner, client *store.Client, mirror *store.Mirror, log *slog.Logger) *Registry {
 	registry := &Registry{runner: runner, client: client, mirror: mirror, log: log, jobs: map[string]*Job{}, damaged: map[string]bool{},
-		creates: map[string]*creation{}, reads: reads{most: mostWaiting}, overdue: overdue{}, refusals: admission.NewRefusals(log)}
-	mirror.On(Keys, registry.learn)
+		pending: map[string]*creation{}, reads: readQueue{maxWaiting: maxWaitingReads}, unanswered: unansweredJobs{}, refusals: admission.NewRefusals(log)}
+	mirror.On(Keys, registry.applyRecord)
 	mirror.OnSynced(registry.synced)
 	registry.Admit(func(string) float64 { return 1 }, 40)
-	loop.Every(runner, expireEvery, registry.Expire)
+	loop.Every(runner, expireInterval, registry.Expire)
 	return registry
 }
 
-// learn applies a record that the mirror received.
-func (r *Registry) learn(key string, e store.Entry) {
+// applyRecord applies a record that the mirror received.
+func (r *Registry) applyRecord(key string, e store.Entry) {
 	id := strings.TrimPrefix(key, Keys)
 	if e.Mark == 0 {
 		return // job records are never removed
 	}
 	var rec Record
-	if err := wire.Unmarshal(e.Value, &rec); err != nil || !rec.sound() {
+	if err := wire.Unmarshal(e.Value, &rec); err != nil || !rec.valid() {
 		// A corrupt record is set aside and none of its tasks is started. The job was certainly accepted, and
 		// users are still told so; see current.
 		r.log.Error("job record is corrupt and set aside; none of its tasks will be started", "key", key, "err", err)
@@ -79,7 +79,7 @@
 		j.Tasks = rec.Tasks
 	}
 	if j.Final() {
-		r.overdue.answered(id)
+		r.unanswered.recordAnswer(id)
 	}
 	j.Terms = Terms{}
 	if rec.Terms != nil {
@@ -90,8 +90,8 @@
 	}
 }
 
-// sound reports whether a decoded record is consistent.
-func (r *Record) sound() bool {
+// valid reports whether a decoded record is consistent.
+func (r *Record) valid() bool {
 	switch r.Phase {
 	case Accepted:
 		return r.Spec != nil && r.Spec.Tasks > 0 && r.Spec.CPUs >= 0 && r.Spec.Team != ""
@@ -104,19 +104,19 @@
 // Admit sets the weights by which teams share the admission of submissions, and the expected number of
 // submissions per second. It must be called before anything is submitted.
 func (r *Registry) Admit(weight func(team string) float64, rate float64) {
-	r.line = admission.NewLine(weight, rate)
-	r.line.OnState(func(from, to admission.State) {
+	r.queue = admission.NewLine(weight, rate)
+	r.queue.OnState(func(from, to admission.State) {
 		r.client.Meter.Admission(to.String())
-		r.log.Info("load state of the submission queue changed", "from", from.String(), "to", to.String(), "waiting", r.line.Waiting())
+		r.log.Info("load state of the submission queue changed", "from", from.String(), "to", to.String(), "waiting", r.queue.Waiting())
 	})
 }
 
 // Places returns the queue positions of clients deferred since the previous call, to be sent to the peers.
-func (r *Registry) Places() []admission.Place { return r.line.News() }
+func (r *Registry) Places() []admission.Place { return r.queue.News() }
 
 // LearnPlaces applies the queue positions that a peer sent.
 func (r *Registry) LearnPlaces(all []admission.Place) {
-	r.line.Learn(all, r.runner.Wall())
+	r.queue.Learn(all, r.runner.Wall())
 }
 
 // Get returns a job known here, nil if there is none.
@@ -130,30 +130,30 @@
 }
 
 // fetch reads a job from the state service.
-func (r *Registry) fetch(id string, cb func(Answer)) {
-	request := r.client.Next()
+func (r *Registry) fetch(id string, callback func(Answer)) {
+	sequence := r.client.Next()
 	r.client.Get(store.Answers, Keys+id, func(it wire.Item, found, ok bool) {
 		switch {
 		case !ok:
-			cb(refusal(id, 503, RefusedState))
+			callback(newRefusal(id, 503, RefusedState))
 		case !found:
-			cb(Answer{Code: 404, ID: id, way: WayRead, request: request})
+			callback(Answer{Code: 404, ID: id, source: WayRead, basedOn: sequence})
 		default:
 			r.mirror.Apply(it.Key, it.Value, it.Mark, false)
-			cb(r.current(id, 200, WayRead, request))
+			callback(r.current(id, 200, WayRead, sequence))
 		}
 	})
 }
 
 // Poll answers a request for a job's state. A final state is answered from memory; any other is read from the
 // state service first.
-func (r *Registry) Poll(id string, cb func(Answer)) {
-	q := r.ask(id, false, cb)
+func (r *Registry) Poll(id string, callback func(Answer)) {
+	req := r.newUserRequest(id, false, callback)
 	if j := r.jobs[id]; j != nil && j.Final() {
-		r.deliver(q, r.current(id, 200, WayFinal, 0))
+		r.deliver(req, r.current(id, 200, WayFinal, 0))
 		return
 	}
-	r.read(q)
+	r.answerWhenCurrent(req)
 }
 
 // Expire gives up requests that have waited too long; their users are told to retry. It runs regularly, and
@@ -171,9 +171,9 @@
 	now := r.runner.Now()
 	r.client.Meter.TurnedAway(reason)
 	r.refusals.Refuse(reason, now)
-	since := r.overdue.since(id, now)
+	since := r.unanswered.since(id, now)
 	if j := r.jobs[id]; j != nil && !j.Final() {
-		r.overdue.refused(id, since)
+		r.unanswered.recordRefusal(id, since)
 	}
 	r.log.Debug("request refused before it reached the job registry", "job", id, "reason", reason, "unanswered_us", now-since)
 }
--- a/internal/job/validate.go
+++ b/internal/job/validate.go
@@ -110,7 +110,7 @@
 	if s.Service || s.Gang {
 		n = float64(s.Tasks)
 	}
-	if q := c.Quota(team); !q.Allows(s.CPUs*n, s.GPUs*n) {
+	if req := c.Quota(team); !req.Allows(s.CPUs*n, s.GPUs*n) {
 		return false
 	}
 	zones := map[string]bool{}
