--- a/internal/job/peers.go
+++ b/internal/job/peers.go
@@ -3,10 +3,10 @@
 // maxPeerOnly bounds the number of jobs that are known to be cancelled only from a peer's message.
 const maxPeerOnly = 20000
 
-// LearnWithdrawn applies a peer's message that a job was cancelled at a revision of its record. The peer is
+// ApplyPeerCancellation applies a peer's message that a job was cancelled at a revision of its record. The peer is
 // trusted like the state service itself. The job is final here from now on; its record follows once the state
-// service can be reached. LearnWithdrawn reports whether the job is now known here as cancelled.
-func (r *Registry) LearnWithdrawn(id string, revision uint64) bool {
+// service can be reached. ApplyPeerCancellation reports whether the job is now known here as cancelled.
+func (r *Registry) ApplyPeerCancellation(id string, revision uint64) bool {
 	if !ValidID(id) || revision == 0 {
 		return false
 	}
--- a/internal/job/peers_test.go
+++ b/internal/job/peers_test.go
@@ -37,7 +37,7 @@
 	}
 	record("job-000001", Accepted, 5)
 	for _, id := range []string{"job-000001", "job-000002"} {
-		if !registry.LearnWithdrawn(id, 9) || heard[id] != 9 {
+		if !registry.ApplyPeerCancellation(id, 9) || heard[id] != 9 {
 			t.Errorf("the cancellation of %s is not applied: OnJob was called with revision %d", id, heard[id])
 		}
 		told(id, Withdrawn)
@@ -48,7 +48,7 @@
 		}
 		record(id, Withdrawn, 9)
 		told(id, Withdrawn)
-		if j := registry.Get(id); j.PeerRevision != 0 || j.Revision != 9 || !registry.LearnWithdrawn(id, 9) {
+		if j := registry.Get(id); j.PeerRevision != 0 || j.Revision != 9 || !registry.ApplyPeerCancellation(id, 9) {
 			t.Errorf("%s after the record of its cancellation arrived: %+v", id, j)
 		}
 	}
@@ -58,7 +58,7 @@
 		id   string
 		mark uint64
 	}{{"job-000003", 9}, {"job-000004", 9}, {"nonsense", 9}, {"job-000005", 0}} {
-		if registry.LearnWithdrawn(x.id, x.mark) {
+		if registry.ApplyPeerCancellation(x.id, x.mark) {
 			t.Errorf("a cancellation of %s at revision %d is applied", x.id, x.mark)
 		}
 	}
