--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -263,7 +263,7 @@
 	if c := g.beat(t, 3, token, run); len(c.Commands) != 0 {
 		t.Fatalf("%v, while the job is wanted", c.Commands)
 	}
-	g.a.job("job-1/0").Phase = job.Withdrawn
+	g.a.job("job-1/0").Phase = job.Cancelled
 	if c := g.beat(t, 3, token, run); len(c.Commands) != 1 || c.Commands[0].Op != wire.OpStop || *c.Commands[0].GraceS != 0 {
 		t.Fatalf("the overtaken report is answered with %v", c.Commands)
 	}
@@ -279,7 +279,7 @@
 	if !g.a.View("n-1").Holds("job-1/0", 1) && len(g.work) == 0 {
 		t.Fatal("the start was not taken on")
 	}
-	g.a.job("job-1/0").Phase = job.Withdrawn
+	g.a.job("job-1/0").Phase = job.Cancelled
 	g.resp = store.Response{Status: 200, Body: wire.Marshal(wire.Report{Machine: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 3, Token: token})}
 	g.a.Check("n-1")
 	g.runWork()
--- a/internal/agent/forget_test.go
+++ b/internal/agent/forget_test.go
@@ -160,7 +160,7 @@
 				token := g.beat(t, 1, 0).Token
 				g.beat(t, 2, token, ended(1))
 				if over {
-					g.a.job("job-1/0").Phase = job.Withdrawn
+					g.a.job("job-1/0").Phase = job.Cancelled
 				} else {
 					for number := range uint64(3) {
 						g.m().stops[delivery.Attempt{Task: "job-1/0", Number: number}] = request{Stop{Forget: true}, g.now + 100*loop.Second}
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -188,7 +188,7 @@
 	switch j.Phase {
 	case job.Done:
 		out.State, out.Done, out.Running = "done", j.Tasks, 0
-	case job.Withdrawn:
+	case job.Cancelled:
 		out.State, out.Running = "withdrawn", 0
 	default:
 		out.State = "pending"
--- a/internal/api/list.go
+++ b/internal/api/list.go
@@ -102,7 +102,7 @@
 			return false
 		}
 	case "withdrawn":
-		if j.Phase != job.Withdrawn {
+		if j.Phase != job.Cancelled {
 			return false
 		}
 	default:
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -104,7 +104,7 @@
 				continue
 			}
 			b := Before{Job: d.ID, State: PhaseName(d.Phase)}
-			if d.Phase == job.Withdrawn {
+			if d.Phase == job.Cancelled {
 				withdrawn = true
 				b.Policy = PolicyName(f.Gate.OnWithdrawn)
 			}
@@ -309,7 +309,7 @@
 	switch p {
 	case job.Done:
 		return "done"
-	case job.Withdrawn:
+	case job.Cancelled:
 		return "withdrawn"
 	case job.Accepted:
 		return "unfinished"
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -216,7 +216,7 @@
 	switch a.Phase {
 	case job.Done:
 		s.State, s.Done, s.Running = wire.JobDone, int64(a.Tasks), 0
-	case job.Withdrawn:
+	case job.Cancelled:
 		s.State, s.Running = wire.JobCancelled, 0
 	default:
 		s.State = wire.JobQueued
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -70,7 +70,7 @@
 	spec := &job.Spec{Class: "k", Team: "red", Tasks: 3, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true}
 	state.Put(job.Keys+"job-1", job.Record{Phase: job.Accepted, At: 1, Spec: spec})
 	state.Put(job.Keys+"job-2", job.Record{Phase: job.Done, At: 1, Tasks: 3})
-	state.Put(job.Keys+"job-3", job.Record{Phase: job.Withdrawn, At: 1, Tasks: 3})
+	state.Put(job.Keys+"job-3", job.Record{Phase: job.Cancelled, At: 1, Tasks: 3})
 	without := func(field string) map[string]any {
 		m := maps.Clone(whole)
 		delete(m, field)
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -215,7 +215,7 @@
 	switch d.Phase {
 	case job.Done:
 		return true
-	case job.Withdrawn:
+	case job.Cancelled:
 		return j.OnWithdrawn == job.PolicyRelease || d.Waived
 	}
 	return false
@@ -227,7 +227,7 @@
 		return false
 	}
 	for i := range j.After {
-		if j.After[i].Phase == job.Withdrawn {
+		if j.After[i].Phase == job.Cancelled {
 			return true
 		}
 	}
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -30,7 +30,7 @@
 		}
 	case Dependency:
 		for _, d := range j.After {
-			over := d.Phase == job.Done || (d.Phase == job.Withdrawn && (d.Waived || j.OnWithdrawn == job.PolicyRelease))
+			over := d.Phase == job.Done || (d.Phase == job.Cancelled && (d.Waived || j.OnWithdrawn == job.PolicyRelease))
 			if !over {
 				return 0
 			}
@@ -92,7 +92,7 @@
 			}
 		}
 		for range num("after", 0, 2) {
-			j.After = append(j.After, Dep{ID: "job-1", Phase: []job.Phase{"", job.Accepted, job.Done, job.Withdrawn}[num("phase", 0, 3)], Waived: yes("waived")})
+			j.After = append(j.After, Dep{ID: "job-1", Phase: []job.Phase{"", job.Accepted, job.Done, job.Cancelled}[num("phase", 0, 3)], Waived: yes("waived")})
 		}
 		open := true
 		var want []Cause
--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -94,7 +94,7 @@
 func (r *Registry) Withdraw(id string, callback func(Answer)) {
 	r.Amend(id, func(j *Job) *Record {
 		rec := j.recordWith(j.Terms)
-		rec.Phase = Withdrawn
+		rec.Phase = Cancelled
 		return rec
 	}, callback)
 }
@@ -143,7 +143,7 @@
 		t.Hold = Hold{}
 		if t.OnWithdrawn == PolicyHold {
 			for _, d := range t.After {
-				if o := r.jobs[d]; o != nil && o.Phase == Withdrawn && !t.WaivedFrom(d) {
+				if o := r.jobs[d]; o != nil && o.Phase == Cancelled && !t.WaivedFrom(d) {
 					t.Waived = append(t.Waived[:len(t.Waived):len(t.Waived)], d)
 					changed = true
 				}
--- a/internal/job/answer.go
+++ b/internal/job/answer.go
@@ -45,7 +45,7 @@
 
 // final reports whether the answer says that the job is final, which can't become outdated.
 func (a Answer) final() bool {
-	return !a.refused() && (a.Phase == Done || a.Phase == Withdrawn)
+	return !a.refused() && (a.Phase == Done || a.Phase == Cancelled)
 }
 
 // newRefusal returns the answer that refuses a request.
--- a/internal/job/peers.go
+++ b/internal/job/peers.go
@@ -13,7 +13,7 @@
 	j := r.jobs[id]
 	switch {
 	case j != nil && j.Final():
-		return j.Phase == Withdrawn
+		return j.Phase == Cancelled
 	case j != nil && j.Revision >= revision:
 		r.log.Error("cancellation reported by a peer ignored: the job's record known here is newer and not cancelled", "job", id, "revision", revision, "known", j.Revision)
 		return false
@@ -26,7 +26,7 @@
 		r.jobs[id] = j
 	}
 	r.peerOnly++
-	j.PeerRevision, j.Phase = revision, Withdrawn
+	j.PeerRevision, j.Phase = revision, Cancelled
 	r.unanswered.recordAnswer(id)
 	if r.OnJob != nil {
 		r.OnJob(j)
@@ -43,7 +43,7 @@
 		j.PeerRevision = 0
 		r.peerOnly--
 	default:
-		j.Phase = Withdrawn
+		j.Phase = Cancelled
 	}
 }
 
--- a/internal/job/peers_test.go
+++ b/internal/job/peers_test.go
@@ -19,7 +19,7 @@
 	registry := NewRegistry(frozen{}, c, m, log)
 	heard := map[string]uint64{}
 	registry.OnJob = func(j *Job) {
-		if j.Phase == Withdrawn {
+		if j.Phase == Cancelled {
 			heard[j.ID] = j.WithdrawnRevision()
 		}
 	}
@@ -40,14 +40,14 @@
 		if !registry.ApplyPeerCancellation(id, 9) || heard[id] != 9 {
 			t.Errorf("the cancellation of %s is not applied: OnJob was called with revision %d", id, heard[id])
 		}
-		told(id, Withdrawn)
+		told(id, Cancelled)
 		record(id, Accepted, 7) // an amendment from before the cancellation that arrives late
-		told(id, Withdrawn)
+		told(id, Cancelled)
 		if j := registry.Get(id); j.Spec == nil || !j.Final() || j.WithdrawnRevision() != 9 || registry.peerOnly == 0 {
 			t.Errorf("%s after an older revision arrived: %+v", id, j)
 		}
-		record(id, Withdrawn, 9)
-		told(id, Withdrawn)
+		record(id, Cancelled, 9)
+		told(id, Cancelled)
 		if j := registry.Get(id); j.PeerRevision != 0 || j.Revision != 9 || !registry.ApplyPeerCancellation(id, 9) {
 			t.Errorf("%s after the record of its cancellation arrived: %+v", id, j)
 		}
--- a/internal/job/read_test.go
+++ b/internal/job/read_test.go
@@ -74,7 +74,7 @@
 	switch p {
 	case Accepted:
 		return 1
-	case Done, Withdrawn:
+	case Done, Cancelled:
 		return 2
 	}
 	return 0
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -6,11 +6,11 @@
 // Phase is the lifecycle state of a job. Its values are stored in job records.
 type Phase string
 
-// The phases of a job. Done and Withdrawn are final.
+// The phases of a job. Done and Cancelled are final.
 const (
 	Accepted  Phase = "p"
 	Done      Phase = "d"
-	Withdrawn Phase = "w"
+	Cancelled Phase = "w"
 )
 
 // Priority orders jobs; jobs of a higher priority are served first.
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -95,7 +95,7 @@
 	switch r.Phase {
 	case Accepted:
 		return r.Spec != nil && r.Spec.Tasks > 0 && r.Spec.CPUs >= 0 && r.Spec.Team != ""
-	case Done, Withdrawn:
+	case Done, Cancelled:
 		return true
 	}
 	return false
--- a/internal/job/stale_answer_test.go
+++ b/internal/job/stale_answer_test.go
@@ -52,7 +52,7 @@
 					net.After(5*loop.Millisecond, cancel)
 					return
 				}
-				net.state.Put(Keys+id, Record{Phase: Withdrawn, At: 1})
+				net.state.Put(Keys+id, Record{Phase: Cancelled, At: 1})
 			}
 			net.After(begin, cancel)
 		}
--- a/internal/node/calibration_test.go
+++ b/internal/node/calibration_test.go
@@ -61,7 +61,7 @@
 		switch o, _ := a.w.record(d); {
 		case o.Phase == job.Accepted:
 			waits = true
-		case o.Phase == job.Withdrawn && rec.Terms.OnWithdrawn != job.PolicyRelease && !rec.Terms.WaivedFrom(d):
+		case o.Phase == job.Cancelled && rec.Terms.OnWithdrawn != job.PolicyRelease && !rec.Terms.WaivedFrom(d):
 			waits = true
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -217,7 +217,7 @@
 	})
 	n.rental.OnGone = n.placer.Gone
 	n.jobs.OnJob = func(j *job.Job) {
-		if j.Phase == job.Withdrawn {
+		if j.Phase == job.Cancelled {
 			n.horizon.Learn(horizon.Over{Job: j.ID, Mark: j.WithdrawnRevision()})
 		}
 		if j.Final() {
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -70,7 +70,7 @@
 		for _, d := range j.terms.After {
 			r.checked.deps++
 			phase := r.w.stored(d)
-			if phase == job.Done || (phase == job.Withdrawn && (j.terms.OnWithdrawn == job.PolicyRelease || r.released[id])) {
+			if phase == job.Done || (phase == job.Cancelled && (j.terms.OnWithdrawn == job.PolicyRelease || r.released[id])) {
 				continue
 			}
 			r.w.fail("began_early: %s begins while %s, which must be done first, is %q", task, d, phase)
--- a/internal/node/world_answers_test.go
+++ b/internal/node/world_answers_test.go
@@ -13,7 +13,7 @@
 	switch p {
 	case job.Accepted:
 		return 1
-	case job.Done, job.Withdrawn:
+	case job.Done, job.Cancelled:
 		return 2
 	}
 	return 0
--- a/internal/node/world_referee_test.go
+++ b/internal/node/world_referee_test.go
@@ -118,11 +118,11 @@
 			w.lookClosely(j)
 			w.slowest = max(w.slowest, w.now-j.ended)
 		}
-	case job.Withdrawn:
+	case job.Cancelled:
 		if j.terms != nil && j.terms.OnWithdrawn == job.PolicyWithdraw && !j.asked {
 			gone := false
 			for _, d := range j.terms.After {
-				gone = gone || w.stored(d) == job.Withdrawn
+				gone = gone || w.stored(d) == job.Cancelled
 			}
 			j.asked = gone // its user asked for that at the submission
 		}
--- a/internal/placer/partition_test.go
+++ b/internal/placer/partition_test.go
@@ -122,7 +122,7 @@
 		g.job(i, small(fmt.Sprintf("team-%03d", i), 2))
 	}
 	id := "job-000007"
-	rec := job.Record{Phase: job.Withdrawn, At: g.Now(), Tasks: 2}
+	rec := job.Record{Phase: job.Cancelled, At: g.Now(), Tasks: 2}
 	mark := g.state.Put(job.Keys+id, rec) // stored, and not yet known here
 	g.After(loop.Second, func() { g.mirror.Apply(job.Keys+id, wire.Marshal(rec), mark, false) })
 	g.Run(4 * loop.Second)
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -418,7 +418,7 @@
 	spec := job.Spec{Class: "k", Team: "red", Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
 	id := g.job(1, spec)
 	g.Run(loop.Second)
-	rec := job.Record{Phase: job.Withdrawn, At: g.Now(), Spec: &spec}
+	rec := job.Record{Phase: job.Cancelled, At: g.Now(), Spec: &spec}
 	g.mirror.Apply(job.Keys+id, wire.Marshal(rec), g.state.Put(job.Keys+id, rec), false)
 	g.job(2, spec)
 	g.Run(loop.Second)
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -155,7 +155,7 @@
 		dep := g.job(500+g.fill, job.Spec{Class: "f", Team: "green", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "f", AnyType: true})
 		terms.After = []string{dep}
 		if r.IntN(3) == 0 {
-			g.amend(dep, func(rec *job.Record) { rec.Phase = job.Withdrawn })
+			g.amend(dep, func(rec *job.Record) { rec.Phase = job.Cancelled })
 			terms.OnWithdrawn = []job.Policy{job.PolicyHold, job.PolicyRelease}[r.IntN(2)]
 		}
 	}
@@ -278,7 +278,7 @@
 			switch g.stored(d).Phase {
 			case job.Accepted:
 				out["dependency"] = n
-			case job.Withdrawn:
+			case job.Cancelled:
 				if terms.OnWithdrawn == job.PolicyHold {
 					out["dependency"] = n
 				}
@@ -411,7 +411,7 @@
 		}
 	case "rank":
 		for _, o := range r.BlockedBy {
-			g.amend(o, func(rec *job.Record) { rec.Phase = job.Withdrawn })
+			g.amend(o, func(rec *job.Record) { rec.Phase = job.Cancelled })
 		}
 	}
 }
