--- a/internal/job/peers.go
+++ b/internal/job/peers.go
@@ -47,5 +47,5 @@
 	}
 }
 
-// WithdrawnRevision returns the highest revision at which a cancelled job is known here as cancelled.
-func (j *Job) WithdrawnRevision() uint64 { return max(j.Revision, j.PeerRevision) }
+// CancelledRevision returns the highest revision at which a cancelled job is known here as cancelled.
+func (j *Job) CancelledRevision() uint64 { return max(j.Revision, j.PeerRevision) }
--- a/internal/job/peers_test.go
+++ b/internal/job/peers_test.go
@@ -20,7 +20,7 @@
 	heard := map[string]uint64{}
 	registry.OnJob = func(j *Job) {
 		if j.Phase == Cancelled {
-			heard[j.ID] = j.WithdrawnRevision()
+			heard[j.ID] = j.CancelledRevision()
 		}
 	}
 	spec := &Spec{Team: "red", Tasks: 3, CPUs: 1}
@@ -43,7 +43,7 @@
 		told(id, Cancelled)
 		record(id, Accepted, 7) // an amendment from before the cancellation that arrives late
 		told(id, Cancelled)
-		if j := registry.Get(id); j.Spec == nil || !j.Final() || j.WithdrawnRevision() != 9 || registry.peerOnly == 0 {
+		if j := registry.Get(id); j.Spec == nil || !j.Final() || j.CancelledRevision() != 9 || registry.peerOnly == 0 {
 			t.Errorf("%s after an older revision arrived: %+v", id, j)
 		}
 		record(id, Cancelled, 9)
