--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -40,7 +40,7 @@
 
 var kinds = map[string]string{"": wire.KindArray, "array": wire.KindArray, "service": wire.KindService, "gang": wire.KindGang}
 
-var policies = map[string]job.Policy{"": job.PolicyHold, "hold": job.PolicyHold, "release": job.PolicyRelease, "withdraw": job.PolicyWithdraw}
+var policies = map[string]job.Policy{"": job.PolicyHold, "hold": job.PolicyHold, "release": job.PolicyRelease, "withdraw": job.PolicyCancel}
 
 // spec is the proposal as the protocol would have brought it: the same checks apply.
 func (p *Proposal) spec() (*job.Spec, bool) {
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -113,7 +113,7 @@
 		}
 		if withdrawn {
 			r.State, r.Release = "withdrawn", "an operator releases the job from what was withdrawn, and the others named are done"
-			if f.Gate.OnWithdrawn == job.PolicyWithdraw {
+			if f.Gate.OnWithdrawn == job.PolicyCancel {
 				r.State, r.Release = "withdrawing", "nothing: the job is being withdrawn, as its user asked"
 			}
 		}
@@ -322,7 +322,7 @@
 	switch p {
 	case job.PolicyRelease:
 		return "release"
-	case job.PolicyWithdraw:
+	case job.PolicyCancel:
 		return "withdraw"
 	}
 	return "hold"
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -223,7 +223,7 @@
 
 // MustWithdraw tells whether the job is to be withdrawn since one before it was.
 func (j *Job) MustWithdraw() bool {
-	if j.OnWithdrawn != job.PolicyWithdraw {
+	if j.OnWithdrawn != job.PolicyCancel {
 		return false
 	}
 	for i := range j.After {
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -76,7 +76,7 @@
 			Now: 100, Wall: 200, ClockTo: loop.Micros(num("clock", 0, 3)),
 			Used:        agent.Room{CPUs: float64(num("used", 0, 20)), GPUs: float64(num("used gpus", 0, 3))},
 			Quota:       config.Quota{CPUsMax: config.LimitOf(float64(num("max", 0, 24))), GPUsMax: config.LimitOf(float64(num("max gpus", 0, 4)))},
-			OnWithdrawn: []job.Policy{job.PolicyHold, job.PolicyRelease, job.PolicyWithdraw}[num("policy", 0, 2)]}
+			OnWithdrawn: []job.Policy{job.PolicyHold, job.PolicyRelease, job.PolicyCancel}[num("policy", 0, 2)]}
 		if yes("rests") {
 			j.Failing.RestTo = 100 + loop.Micros(num("rest", -1, 1))
 		}
--- a/internal/job/terms.go
+++ b/internal/job/terms.go
@@ -36,9 +36,9 @@
 
 // The policies. With PolicyHold the job waits until an operator releases it.
 const (
-	PolicyHold     Policy = ""
-	PolicyRelease  Policy = "r"
-	PolicyWithdraw Policy = "w"
+	PolicyHold    Policy = ""
+	PolicyRelease Policy = "r"
+	PolicyCancel  Policy = "w"
 )
 
 // MaxAfter is the largest number of jobs that one job can depend on.
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -197,7 +197,7 @@
 				}
 				j := w.makeJob(i)
 				if len(known) > 0 && w.rng.IntN(2) == 0 {
-					j.terms = &job.Terms{OnWithdrawn: []job.Policy{job.PolicyHold, job.PolicyRelease, job.PolicyWithdraw}[w.rng.IntN(3)]}
+					j.terms = &job.Terms{OnWithdrawn: []job.Policy{job.PolicyHold, job.PolicyRelease, job.PolicyCancel}[w.rng.IntN(3)]}
 					for range 1 + w.rng.IntN(2) {
 						j.terms.After = append(j.terms.After, known[w.rng.IntN(len(known))])
 					}
--- a/internal/placer/terms_test.go
+++ b/internal/placer/terms_test.go
@@ -91,7 +91,7 @@
 		policy  job.Policy
 		started bool
 		phase   job.Phase
-	}{{job.PolicyHold, false, job.Accepted}, {job.PolicyRelease, true, job.Accepted}, {job.PolicyWithdraw, false, job.Cancelled}} {
+	}{{job.PolicyHold, false, job.Accepted}, {job.PolicyRelease, true, job.Accepted}, {job.PolicyCancel, false, job.Cancelled}} {
 		g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
 		g.show("n-001", "m8", "x", false)
 		spec := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
