--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -56,7 +56,7 @@
 }
 
 func (p *Proposal) terms(by string, wall loop.Micros) *job.Terms {
-	t := &job.Terms{After: p.After, OnWithdrawn: policies[p.OnWithdrawn]}
+	t := &job.Terms{After: p.After, OnCancelled: policies[p.OnWithdrawn]}
 	if p.Hold || p.HoldUntil != nil {
 		// Nothing of a job that is not stored yet can have begun.
 		t.Hold = job.Hold{State: job.HoldSet, Reason: p.HoldReason, By: by, At: wall}
@@ -231,7 +231,7 @@
 		out.After = append(out.After, explain.Before{Job: id, State: explain.PhaseName(phase)})
 	}
 	if len(out.After) > 0 {
-		out.OnWithdrawn = explain.PolicyName(j.Terms.OnWithdrawn)
+		out.OnWithdrawn = explain.PolicyName(j.Terms.OnCancelled)
 	}
 	return out
 }
--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -141,7 +141,7 @@
 		t := j.Terms
 		changed := t.Hold.State != HoldNone
 		t.Hold = Hold{}
-		if t.OnWithdrawn == PolicyHold {
+		if t.OnCancelled == PolicyHold {
 			for _, d := range t.After {
 				if o := r.jobs[d]; o != nil && o.Phase == Cancelled && !t.WaivedFrom(d) {
 					t.Waived = append(t.Waived[:len(t.Waived):len(t.Waived)], d)
--- a/internal/job/terms.go
+++ b/internal/job/terms.go
@@ -50,7 +50,7 @@
 type Terms struct {
 	Hold        Hold     `cbor:"h,omitempty"`
 	After       []string `cbor:"a,omitempty"`
-	OnWithdrawn Policy   `cbor:"o,omitempty"`
+	OnCancelled Policy   `cbor:"o,omitempty"`
 	Waived      []string `cbor:"w,omitempty"` // jobs of After that were cancelled and that an operator released this job from
 }
 
--- a/internal/node/calibration_test.go
+++ b/internal/node/calibration_test.go
@@ -61,7 +61,7 @@
 		switch o, _ := a.w.record(d); {
 		case o.Phase == job.Accepted:
 			waits = true
-		case o.Phase == job.Cancelled && rec.Terms.OnWithdrawn != job.PolicyRelease && !rec.Terms.WaivedFrom(d):
+		case o.Phase == job.Cancelled && rec.Terms.OnCancelled != job.PolicyRelease && !rec.Terms.WaivedFrom(d):
 			waits = true
 		}
 	}
@@ -180,7 +180,7 @@
 			j := w.makeJob(i)
 			if len(a.ids) > 0 && w.rng.IntN(5) == 0 {
 				if d := w.jobs[a.ids[w.rng.IntN(len(a.ids))]]; d.accepted && !d.broken {
-					j.terms = &job.Terms{After: []string{d.id}, OnWithdrawn: job.PolicyRelease}
+					j.terms = &job.Terms{After: []string{d.id}, OnCancelled: job.PolicyRelease}
 				}
 			}
 			w.enter(j)
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -70,7 +70,7 @@
 		for _, d := range j.terms.After {
 			r.checked.deps++
 			phase := r.w.stored(d)
-			if phase == job.Done || (phase == job.Cancelled && (j.terms.OnWithdrawn == job.PolicyRelease || r.released[id])) {
+			if phase == job.Done || (phase == job.Cancelled && (j.terms.OnCancelled == job.PolicyRelease || r.released[id])) {
 				continue
 			}
 			r.w.fail("began_early: %s begins while %s, which must be done first, is %q", task, d, phase)
@@ -197,7 +197,7 @@
 				}
 				j := w.makeJob(i)
 				if len(known) > 0 && w.rng.IntN(2) == 0 {
-					j.terms = &job.Terms{OnWithdrawn: []job.Policy{job.PolicyHold, job.PolicyRelease, job.PolicyCancel}[w.rng.IntN(3)]}
+					j.terms = &job.Terms{OnCancelled: []job.Policy{job.PolicyHold, job.PolicyRelease, job.PolicyCancel}[w.rng.IntN(3)]}
 					for range 1 + w.rng.IntN(2) {
 						j.terms.After = append(j.terms.After, known[w.rng.IntN(len(known))])
 					}
--- a/internal/node/world_referee_test.go
+++ b/internal/node/world_referee_test.go
@@ -119,7 +119,7 @@
 			w.slowest = max(w.slowest, w.now-j.ended)
 		}
 	case job.Cancelled:
-		if j.terms != nil && j.terms.OnWithdrawn == job.PolicyCancel && !j.asked {
+		if j.terms != nil && j.terms.OnCancelled == job.PolicyCancel && !j.asked {
 			gone := false
 			for _, d := range j.terms.After {
 				gone = gone || w.stored(d) == job.Cancelled
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -156,7 +156,7 @@
 		terms.After = []string{dep}
 		if r.IntN(3) == 0 {
 			g.amend(dep, func(rec *job.Record) { rec.Phase = job.Cancelled })
-			terms.OnWithdrawn = []job.Policy{job.PolicyHold, job.PolicyRelease}[r.IntN(2)]
+			terms.OnCancelled = []job.Policy{job.PolicyHold, job.PolicyRelease}[r.IntN(2)]
 		}
 	}
 	id := fmt.Sprintf("job-%06d", len(g.jobs)+1)
@@ -279,7 +279,7 @@
 			case job.Accepted:
 				out["dependency"] = n
 			case job.Cancelled:
-				if terms.OnWithdrawn == job.PolicyHold {
+				if terms.OnCancelled == job.PolicyHold {
 					out["dependency"] = n
 				}
 			}
