--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -181,7 +181,7 @@
 
 // turnAway tells the user of a job to come back, before anything is known of the request.
 func (f *Front) turnAway(done func(verdict), id, why string) {
-	f.n.Jobs.TurnAway(id, why)
+	f.n.Jobs.RecordRefusal(id, why)
 	done(verdict{status: 503, why: why})
 }
 
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -165,9 +165,9 @@
 	r.refusals.Look(now)
 }
 
-// TurnAway records that a request about a job was refused with Retry-After before it reached the registry. The
+// RecordRefusal records that a request about a job was refused with Retry-After before it reached the registry. The
 // reason is one of a fixed list.
-func (r *Registry) TurnAway(id, reason string) {
+func (r *Registry) RecordRefusal(id, reason string) {
 	now := r.runner.Now()
 	r.client.Meter.TurnedAway(reason)
 	r.refusals.Refuse(reason, now)
