--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -112,7 +112,7 @@
 				done(noAnswer.outcome())
 				return
 			}
-			a.n.Jobs.Propose(p.ID, spec, terms, func(x job.Answer) {
+			a.n.Jobs.SubmitWithTerms(p.ID, spec, terms, func(x job.Answer) {
 				j := a.n.Jobs.Get(p.ID)
 				if x.Code == 200 && j != nil && !j.Final() && len(p.After) > 0 && !slices.Equal(j.Terms.After, p.After) {
 					done(otherwise.at("/after").outcome())
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -31,12 +31,12 @@
 // Submit stores a job unless it exists. cb receives 201 if it was stored, 200 if it existed, or a refusal with
 // 429 or 503.
 func (r *Registry) Submit(id string, spec *Spec, callback func(Answer)) {
-	r.Propose(id, spec, &Terms{}, callback)
+	r.SubmitWithTerms(id, spec, &Terms{}, callback)
 }
 
-// Propose is Submit for a job with a hold or dependencies. The caller must have found the jobs that it depends
+// SubmitWithTerms is Submit for a job with a hold or dependencies. The caller must have found the jobs that it depends
 // on in the state service; records are never removed, so they continue to exist.
-func (r *Registry) Propose(id string, spec *Spec, terms *Terms, callback func(Answer)) {
+func (r *Registry) SubmitWithTerms(id string, spec *Spec, terms *Terms, callback func(Answer)) {
 	req := r.newUserRequest(id, true, callback)
 	req.onAbsent = func() { r.enqueue(req, spec, terms) }
 	switch j := r.jobs[id]; {
--- a/internal/node/world_test.go
+++ b/internal/node/world_test.go
@@ -511,7 +511,7 @@
 			if j.terms == nil {
 				s.n.jobs.Submit(j.id, j.spec, w.answer(j))
 			} else {
-				s.n.jobs.Propose(j.id, j.spec, j.terms, w.answer(j))
+				s.n.jobs.SubmitWithTerms(j.id, j.spec, j.terms, w.answer(j))
 			}
 		})
 	}
--- a/internal/placer/terms_test.go
+++ b/internal/placer/terms_test.go
@@ -98,7 +98,7 @@
 		other := spec
 		other.Team = "blue" // owned elsewhere
 		first := g.job(1, other)
-		g.registry.Propose("job-000002", &spec, &job.Terms{After: []string{first}, OnCancelled: c.policy}, func(job.Answer) {})
+		g.registry.SubmitWithTerms("job-000002", &spec, &job.Terms{After: []string{first}, OnCancelled: c.policy}, func(job.Answer) {})
 		g.Run(2 * loop.Second)
 		if len(g.starts) != 0 {
 			t.Fatalf("%q: %v went out before %s was done", c.policy, g.starts, first)
@@ -126,7 +126,7 @@
 	g.show("n-001", "m8", "x", false)
 	spec := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
 	until := g.Wall() + 4*loop.Second
-	g.registry.Propose("job-000001", &spec, &job.Terms{Hold: job.Hold{State: job.HoldSet, Until: until}}, func(job.Answer) {})
+	g.registry.SubmitWithTerms("job-000001", &spec, &job.Terms{Hold: job.Hold{State: job.HoldSet, Until: until}}, func(job.Answer) {})
 	for g.Wall() < until+900*loop.Millisecond {
 		g.Run(100 * loop.Millisecond)
 		g.show("n-001", "m8", "x", false)
