--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -187,8 +187,8 @@
 // Cond returns the condition that the job's record still has the revision known here.
 func Cond(j *Job) wire.Cond { return wire.Cond{Key: Keys + j.ID, Mark: j.Revision} }
 
-// Learn applies a record that a transaction of this controller has stored.
-func (r *Registry) Learn(ch wire.Change, tally uint64) {
+// ApplyStored applies a record that a transaction of this controller has stored.
+func (r *Registry) ApplyStored(ch wire.Change, tally uint64) {
 	r.mirror.Apply(ch.Put, wire.Marshal(ch.Value), tally, false)
 }
 
