--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -111,8 +111,8 @@
 	})
 }
 
-// Places returns the queue positions of clients deferred since the previous call, to be sent to the peers.
-func (r *Registry) Places() []admission.Place { return r.queue.News() }
+// TakeQueuePositions returns the queue positions of clients deferred since the previous call, to be sent to the peers.
+func (r *Registry) TakeQueuePositions() []admission.Place { return r.queue.News() }
 
 // LearnPlaces applies the queue positions that a peer sent.
 func (r *Registry) LearnPlaces(all []admission.Place) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -300,7 +300,7 @@
 			s.Hears = append(s.Hears, label)
 		}
 	}
-	places := n.jobs.Places()
+	places := n.jobs.TakeQueuePositions()
 	n.net.All(func(e *peer.Envelope) { e.Status, e.Places = s, places })
 	n.meter.Horizon(n.horizon.Look())
 	for _, label := range n.net.Peers() {
