--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -114,8 +114,8 @@
 // TakeQueuePositions returns the queue positions of clients deferred since the previous call, to be sent to the peers.
 func (r *Registry) TakeQueuePositions() []admission.Place { return r.queue.News() }
 
-// LearnPlaces applies the queue positions that a peer sent.
-func (r *Registry) LearnPlaces(all []admission.Place) {
+// ApplyQueuePositions applies the queue positions that a peer sent.
+func (r *Registry) ApplyQueuePositions(all []admission.Place) {
 	r.queue.Learn(all, r.runner.Wall())
 }
 
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -49,7 +49,7 @@
 	if n.more != nil {
 		n.more.asks.Take(e)
 	}
-	n.jobs.LearnPlaces(e.Places)
+	n.jobs.ApplyQueuePositions(e.Places)
 	n.placer.Learn(e.Usage)
 	n.placer.LearnClaims(e.Claims)
 }
