--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -46,7 +46,7 @@
 		pending: map[string]*creation{}, reads: readQueue{maxWaiting: maxWaitingReads}, unanswered: unansweredJobs{}, refusals: admission.NewRefusals(log)}
 	mirror.On(Keys, registry.applyRecord)
 	mirror.OnSynced(registry.synced)
-	registry.Admit(func(string) float64 { return 1 }, 40)
+	registry.ConfigureAdmission(func(string) float64 { return 1 }, 40)
 	loop.Every(runner, expireInterval, registry.Expire)
 	return registry
 }
@@ -101,9 +101,9 @@
 	return false
 }
 
-// Admit sets the weights by which teams share the admission of submissions, and the expected number of
+// ConfigureAdmission sets the weights by which teams share the admission of submissions, and the expected number of
 // submissions per second. It must be called before anything is submitted.
-func (r *Registry) Admit(weight func(team string) float64, rate float64) {
+func (r *Registry) ConfigureAdmission(weight func(team string) float64, rate float64) {
 	r.queue = admission.NewLine(weight, rate)
 	r.queue.OnState(func(from, to admission.State) {
 		r.client.Meter.Admission(to.String())
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -115,7 +115,7 @@
 	n.member = member.New(l, n.client, n.mirror, log, member.Settings{Label: cfg.Label, Teams: cfg.TeamNames(), Controllers: nodes,
 		LeaseTTL: loop.Seconds(cfg.Operator.NodeLeaseS), TeamsOnly: !cfg.Operator.NumberedPartitions})
 	n.jobs = job.NewRegistry(l, n.client, n.mirror, log)
-	n.jobs.Admit(func(team string) float64 {
+	n.jobs.ConfigureAdmission(func(team string) float64 {
 		t, _ := cfg.TeamNamed(team)
 		return cfg.Quota(t).Weight
 	}, cfg.Cluster.State.WriteRPS*0.45/float64(nodes))
