--- a/internal/job/read.go
+++ b/internal/job/read.go
@@ -66,8 +66,8 @@
 	return rankUnknown
 }
 
-// Asking returns the number of users that wait for a job's state.
-func (r *Registry) Asking() int { return len(r.reads.waiting) }
+// WaitingReads returns the number of users that wait for a job's state.
+func (r *Registry) WaitingReads() int { return len(r.reads.waiting) }
 
 // MostAsking bounds the number of users that may wait for a job's state. Each holds a connection, and some
 // connections must be left for submissions.
--- a/internal/job/read_test.go
+++ b/internal/job/read_test.go
@@ -124,8 +124,8 @@
 			})
 		}
 		n.Run(15 * loop.Second)
-		if answers != polls || good < polls*8/10 || registry.Asking() != 0 || registry.reads.syncing {
-			t.Fatalf("seed %d: %d of %d polls are answered, %d with a state; %d still wait", seed, answers, polls, good, registry.Asking())
+		if answers != polls || good < polls*8/10 || registry.WaitingReads() != 0 || registry.reads.syncing {
+			t.Fatalf("seed %d: %d of %d polls are answered, %d with a state; %d still wait", seed, answers, polls, good, registry.WaitingReads())
 		}
 	}
 }
@@ -246,7 +246,7 @@
 							t.Fatalf("refused after %d us with Retry-After %d s", n.Now()-at, a.After)
 						}
 					})
-					most = max(most, registry.Asking())
+					most = max(most, registry.WaitingReads())
 				})
 			}
 			stored, retried, longest := 0, 0, loop.Micros(0)
