--- a/internal/job/read.go
+++ b/internal/job/read.go
@@ -69,9 +69,9 @@
 // WaitingReads returns the number of users that wait for a job's state.
 func (r *Registry) WaitingReads() int { return len(r.reads.waiting) }
 
-// MostAsking bounds the number of users that may wait for a job's state. Each holds a connection, and some
+// SetMaxWaitingReads bounds the number of users that may wait for a job's state. Each holds a connection, and some
 // connections must be left for submissions.
-func (r *Registry) MostAsking(n int) { r.reads.maxWaiting = min(max(n, 1), maxWaitingReads) }
+func (r *Registry) SetMaxWaitingReads(n int) { r.reads.maxWaiting = min(max(n, 1), maxWaitingReads) }
 
 // answerWhenCurrent answers a request once the copy of the records is certainly as new as the request.
 func (r *Registry) answerWhenCurrent(req *userRequest) {
--- a/internal/job/read_bench_test.go
+++ b/internal/job/read_bench_test.go
@@ -18,7 +18,7 @@
 			for range b.N {
 				net, registry := newSlowRegistry(1, 54)
 				net.slow = 5
-				registry.MostAsking(645)
+				registry.SetMaxWaitingReads(645)
 				spec := &Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true}
 				for k := range jobs {
 					id := fmt.Sprintf("job-%d", k)
--- a/internal/job/read_test.go
+++ b/internal/job/read_test.go
@@ -151,7 +151,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			n, registry := newSlowRegistry(5, rps)
 			n.slow = 10
-			registry.MostAsking(100)
+			registry.SetMaxWaitingReads(100)
 			spec := &Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true}
 			last := map[string]loop.Micros{}
 			poll := func(id string) {
@@ -218,7 +218,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			n, registry := newSlowRegistry(1, rps)
 			n.slow = 6
-			registry.MostAsking(450)
+			registry.SetMaxWaitingReads(450)
 			spec := &Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true}
 			for k := range jobs {
 				id := fmt.Sprintf("job-%d", k)
