--- a/internal/job/answer.go
+++ b/internal/job/answer.go
@@ -17,27 +17,27 @@
 	Tasks   int
 	Created bool
 
-	source Way
+	source Source
 	// basedOn is the sequence number of the request to the state service on which the answer is based; 0 if it
 	// is based on none.
 	basedOn store.Sequence
 }
 
-// Way names the source of an answer, or the reason of a refusal.
-type Way string
+// Source names the source of an answer, or the reason of a refusal.
+type Source string
 
 // The sources of answers and the reasons of refusals.
 const (
-	WayFinal   Way = "final"   // memory: the job is final, which never changes
-	WayPeer    Way = "peer"    // memory: a peer reported that the job was cancelled
-	WayRead    Way = "read"    // the copy of the records, synchronized since the request came
-	WayStored  Way = "stored"  // a record that was stored since the request came
-	WayDamaged Way = "damaged" // as WayRead, but the newest record cannot be decoded
-
-	RefusedFull    Way = "full"    // the maximum number of users is waiting
-	RefusedPutOff  Way = "put off" // the queue of submissions is too long
-	RefusedExpired Way = "expired" // no answer could be given in time
-	RefusedState   Way = "state"   // the state service refused the request or did not answer
+	WayFinal   Source = "final"   // memory: the job is final, which never changes
+	WayPeer    Source = "peer"    // memory: a peer reported that the job was cancelled
+	WayRead    Source = "read"    // the copy of the records, synchronized since the request came
+	WayStored  Source = "stored"  // a record that was stored since the request came
+	WayDamaged Source = "damaged" // as WayRead, but the newest record cannot be decoded
+
+	RefusedFull    Source = "full"    // the maximum number of users is waiting
+	RefusedPutOff  Source = "put off" // the queue of submissions is too long
+	RefusedExpired Source = "expired" // no answer could be given in time
+	RefusedState   Source = "state"   // the state service refused the request or did not answer
 )
 
 // refused reports whether the user is told to retry.
@@ -49,7 +49,9 @@
 }
 
 // newRefusal returns the answer that refuses a request.
-func newRefusal(id string, code int, why Way) Answer { return Answer{Code: code, ID: id, source: why} }
+func newRefusal(id string, code int, why Source) Answer {
+	return Answer{Code: code, ID: id, source: why}
+}
 
 // userRequest is a user's request about one job that waits for its answer.
 type userRequest struct {
@@ -75,7 +77,7 @@
 
 // current returns the answer that the copy of the records gives for a job; sequence is that of the request to the
 // state service on which the copy's content is based.
-func (r *Registry) current(id string, code int, source Way, sequence store.Sequence) Answer {
+func (r *Registry) current(id string, code int, source Source, sequence store.Sequence) Answer {
 	if r.damaged[id] {
 		source = WayDamaged
 	}
