--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -27,7 +27,7 @@
 	case j == nil:
 		r.fetchAndAmend(req, edit, 404)
 	case j.Final():
-		r.deliver(req, r.current(req.id, 200, WayFinal, 0))
+		r.deliver(req, r.current(req.id, 200, SourceFinal, 0))
 	case r.runner.Now() >= req.deadline:
 		r.deliver(req, newRefusal(req.id, 503, RefusedExpired))
 	default:
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -150,7 +150,7 @@
 func (r *Registry) Poll(id string, callback func(Answer)) {
 	req := r.newUserRequest(id, false, callback)
 	if j := r.jobs[id]; j != nil && j.Final() {
-		r.deliver(req, r.current(id, 200, WayFinal, 0))
+		r.deliver(req, r.current(id, 200, SourceFinal, 0))
 		return
 	}
 	r.answerWhenCurrent(req)
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -41,7 +41,7 @@
 	req.onAbsent = func() { r.enqueue(req, spec, terms) }
 	switch j := r.jobs[id]; {
 	case j != nil && j.Final():
-		r.deliver(req, r.current(id, 200, WayFinal, 0))
+		r.deliver(req, r.current(id, 200, SourceFinal, 0))
 	case j != nil || r.damaged[id]:
 		r.answerWhenCurrent(req)
 	default:
