--- a/internal/job/answer.go
+++ b/internal/job/answer.go
@@ -29,7 +29,7 @@
 // The sources of answers and the reasons of refusals.
 const (
 	SourceFinal Source = "final"   // memory: the job is final, which never changes
-	WayPeer     Source = "peer"    // memory: a peer reported that the job was cancelled
+	SourcePeer  Source = "peer"    // memory: a peer reported that the job was cancelled
 	WayRead     Source = "read"    // the copy of the records, synchronized since the request came
 	WayStored   Source = "stored"  // a record that was stored since the request came
 	WayDamaged  Source = "damaged" // as WayRead, but the newest record cannot be decoded
@@ -84,7 +84,7 @@
 	j := r.jobs[id]
 	switch {
 	case j != nil && j.PeerRevision != 0:
-		source = WayPeer
+		source = SourcePeer
 	case j == nil && r.damaged[id]:
 		return Answer{Code: 200, Phase: Accepted, ID: id, source: source, basedOn: sequence}
 	case j == nil:
