--- a/internal/job/answer.go
+++ b/internal/job/answer.go
@@ -30,7 +30,7 @@
 const (
 	SourceFinal Source = "final"   // memory: the job is final, which never changes
 	SourcePeer  Source = "peer"    // memory: a peer reported that the job was cancelled
-	WayRead     Source = "read"    // the copy of the records, synchronized since the request came
+	SourceRead  Source = "read"    // the copy of the records, synchronized since the request came
 	WayStored   Source = "stored"  // a record that was stored since the request came
 	WayDamaged  Source = "damaged" // as WayRead, but the newest record cannot be decoded
 
--- a/internal/job/read.go
+++ b/internal/job/read.go
@@ -131,7 +131,7 @@
 // synced answers the requests that came before a request to the state service whose answer has been applied.
 func (r *Registry) synced(s store.Synced) {
 	r.finishMatching(func(req *userRequest) bool { return req.sequence < s.Request }, func(req *userRequest) {
-		a := r.current(req.id, 200, WayRead, s.Request)
+		a := r.current(req.id, 200, SourceRead, s.Request)
 		if a.Code == 404 && req.onAbsent != nil {
 			req.onAbsent()
 			return
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -137,10 +137,10 @@
 		case !ok:
 			callback(newRefusal(id, 503, RefusedState))
 		case !found:
-			callback(Answer{Code: 404, ID: id, source: WayRead, basedOn: sequence})
+			callback(Answer{Code: 404, ID: id, source: SourceRead, basedOn: sequence})
 		default:
 			r.mirror.Apply(it.Key, it.Value, it.Mark, false)
-			callback(r.current(id, 200, WayRead, sequence))
+			callback(r.current(id, 200, SourceRead, sequence))
 		}
 	})
 }
