--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -58,7 +58,7 @@
 		switch result.Outcome {
 		case store.Applied:
 			r.mirror.Apply(Keys+req.id, wire.Marshal(*record), result.Tally, false)
-			r.deliver(req, r.current(req.id, 200, WayStored, sequence))
+			r.deliver(req, r.current(req.id, 200, SourceStored, sequence))
 		case store.Conflict:
 			r.fetchAndAmend(req, edit, 503) // a record that existed is never removed
 		case store.Refused:
--- a/internal/job/answer.go
+++ b/internal/job/answer.go
@@ -28,11 +28,11 @@
 
 // The sources of answers and the reasons of refusals.
 const (
-	SourceFinal Source = "final"   // memory: the job is final, which never changes
-	SourcePeer  Source = "peer"    // memory: a peer reported that the job was cancelled
-	SourceRead  Source = "read"    // the copy of the records, synchronized since the request came
-	WayStored   Source = "stored"  // a record that was stored since the request came
-	WayDamaged  Source = "damaged" // as WayRead, but the newest record cannot be decoded
+	SourceFinal  Source = "final"   // memory: the job is final, which never changes
+	SourcePeer   Source = "peer"    // memory: a peer reported that the job was cancelled
+	SourceRead   Source = "read"    // the copy of the records, synchronized since the request came
+	SourceStored Source = "stored"  // a record that was stored since the request came
+	WayDamaged   Source = "damaged" // as WayRead, but the newest record cannot be decoded
 
 	RefusedFull    Source = "full"    // the maximum number of users is waiting
 	RefusedPutOff  Source = "put off" // the queue of submissions is too long
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -145,7 +145,7 @@
 		for _, turn := range batch.turns {
 			r.client.Meter.Submission("taken")
 			r.mirror.Apply(Keys+turn.ID, wire.Marshal(batch.records[turn.ID]), result.Tally, false)
-			r.answerSubmitters(turn.ID, r.current(turn.ID, 201, WayStored, sequence))
+			r.answerSubmitters(turn.ID, r.current(turn.ID, 201, SourceStored, sequence))
 		}
 	case store.Conflict:
 		r.handleConflict(batch, result.Failed)
