--- a/internal/job/answer.go
+++ b/internal/job/answer.go
@@ -28,11 +28,11 @@
 
 // The sources of answers and the reasons of refusals.
 const (
-	SourceFinal  Source = "final"   // memory: the job is final, which never changes
-	SourcePeer   Source = "peer"    // memory: a peer reported that the job was cancelled
-	SourceRead   Source = "read"    // the copy of the records, synchronized since the request came
-	SourceStored Source = "stored"  // a record that was stored since the request came
-	WayDamaged   Source = "damaged" // as WayRead, but the newest record cannot be decoded
+	SourceFinal   Source = "final"   // memory: the job is final, which never changes
+	SourcePeer    Source = "peer"    // memory: a peer reported that the job was cancelled
+	SourceRead    Source = "read"    // the copy of the records, synchronized since the request came
+	SourceStored  Source = "stored"  // a record that was stored since the request came
+	SourceDamaged Source = "damaged" // as WayRead, but the newest record cannot be decoded
 
 	RefusedFull    Source = "full"    // the maximum number of users is waiting
 	RefusedPutOff  Source = "put off" // the queue of submissions is too long
@@ -79,7 +79,7 @@
 // state service on which the copy's content is based.
 func (r *Registry) current(id string, code int, source Source, sequence store.Sequence) Answer {
 	if r.damaged[id] {
-		source = WayDamaged
+		source = SourceDamaged
 	}
 	j := r.jobs[id]
 	switch {
