--- a/internal/job/answer.go
+++ b/internal/job/answer.go
@@ -34,10 +34,10 @@
 	SourceStored  Source = "stored"  // a record that was stored since the request came
 	SourceDamaged Source = "damaged" // as WayRead, but the newest record cannot be decoded
 
-	RefusedFull    Source = "full"    // the maximum number of users is waiting
-	RefusedPutOff  Source = "put off" // the queue of submissions is too long
-	RefusedExpired Source = "expired" // no answer could be given in time
-	RefusedState   Source = "state"   // the state service refused the request or did not answer
+	RefusedFull     Source = "full"    // the maximum number of users is waiting
+	RefusedDeferred Source = "put off" // the queue of submissions is too long
+	RefusedExpired  Source = "expired" // no answer could be given in time
+	RefusedState    Source = "state"   // the state service refused the request or did not answer
 )
 
 // refused reports whether the user is told to retry.
