--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -123,8 +123,8 @@
 	}, callback)
 }
 
-// Settle marks a hold as set, provided that the job's record still has this revision.
-func (r *Registry) Settle(id string, mark uint64, callback func(Answer)) {
+// ConfirmHold marks a hold as set, provided that the job's record still has this revision.
+func (r *Registry) ConfirmHold(id string, mark uint64, callback func(Answer)) {
 	r.Amend(id, func(j *Job) *Record {
 		if j.Revision != mark || j.Terms.Hold.State != HoldSettling {
 			return nil
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -92,7 +92,7 @@
 		})
 		if sure {
 			t.amendAt = now + 2*loop.Second
-			p.registry.Settle(t.j.ID, t.j.Revision, func(job.Answer) {})
+			p.registry.ConfirmHold(t.j.ID, t.j.Revision, func(job.Answer) {})
 		}
 	}
 }
