--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -296,7 +296,7 @@
 // HoldName is the printed form of a hold's state.
 func HoldName(s job.HoldState) string {
 	switch s {
-	case job.HoldSettling:
+	case job.HoldPending:
 		return "settling"
 	case job.HoldSet:
 		return "held"
--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -113,7 +113,7 @@
 		t.Hold = h
 		// The old hold has no end, so no task has begun since it was set, and none begins before this record is
 		// stored. A hold that ends by itself does not prove that: this record may be stored after its end.
-		t.Hold.State = HoldSettling
+		t.Hold.State = HoldPending
 		if old.State == HoldSet && old.Until == 0 {
 			// Nothing began since, and nothing does before this is stored. One that ends
 			// by itself proves less: this may be stored late, after its end.
@@ -126,7 +126,7 @@
 // ConfirmHold marks a hold as set, provided that the job's record still has this revision.
 func (r *Registry) ConfirmHold(id string, mark uint64, callback func(Answer)) {
 	r.Amend(id, func(j *Job) *Record {
-		if j.Revision != mark || j.Terms.Hold.State != HoldSettling {
+		if j.Revision != mark || j.Terms.Hold.State != HoldPending {
 			return nil
 		}
 		t := j.Terms
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -77,7 +77,7 @@
 			p.registry.Cancel(t.j.ID, func(job.Answer) {})
 			continue
 		}
-		if t.j.Terms.Hold.State != job.HoldSettling {
+		if t.j.Terms.Hold.State != job.HoldPending {
 			continue
 		}
 		sure := true
--- a/internal/placer/terms_test.go
+++ b/internal/placer/terms_test.go
@@ -33,14 +33,14 @@
 	answers := 0
 	g.registry.Hold(id, job.Hold{Reason: "r"}, func(a job.Answer) { answers++ })
 	g.Run(20 * loop.Second)
-	if s := g.stored(id).Terms.Hold.State; s != job.HoldSettling || answers != 1 {
+	if s := g.stored(id).Terms.Hold.State; s != job.HoldPending || answers != 1 {
 		t.Fatalf("the hold is %q after %d answers, while two starts may be under way", s, answers)
 	}
 	// One is fetching, and must be off first; the other runs, and goes on.
 	run := agent.Task{Task: "job-000001/0", Attempt: 1, State: wire.TaskRunning}
 	g.show("n-001", "m8", "x", false, run, agent.Task{Task: "job-000001/1", Attempt: 1, State: wire.TaskFetching})
 	g.Run(3 * loop.Second)
-	if s := g.stored(id).Terms.Hold.State; s != job.HoldSettling {
+	if s := g.stored(id).Terms.Hold.State; s != job.HoldPending {
 		t.Fatalf("the hold is %q while a task of the job fetches its image", s)
 	}
 	g.show("n-001", "m8", "x", false, run, agent.Task{Task: "job-000001/1", Attempt: 1, State: wire.TaskExited, Why: wire.WhyStopped})
@@ -72,7 +72,7 @@
 		}
 		if what == "hold" {
 			rec := g.stored(id)
-			rec.Terms = &job.Terms{Hold: job.Hold{State: job.HoldSettling}}
+			rec.Terms = &job.Terms{Hold: job.Hold{State: job.HoldPending}}
 			g.state.Put(job.Keys+id, rec)
 		} else {
 			g.state.Put(cordon.Key, map[string]any{"f": 1, "c": []cordon.Cordon{{Name: "c", Zone: "x", Reason: "r"}}})
