--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -59,7 +59,7 @@
 	t := &job.Terms{After: p.After, OnCancelled: policies[p.OnWithdrawn]}
 	if p.Hold || p.HoldUntil != nil {
 		// Nothing of a job that is not stored yet can have begun.
-		t.Hold = job.Hold{State: job.HoldSet, Reason: p.HoldReason, By: by, At: wall}
+		t.Hold = job.Hold{State: job.HoldEffective, Reason: p.HoldReason, By: by, At: wall}
 		if p.HoldUntil != nil {
 			t.Hold.Until = int64(*p.HoldUntil)
 		}
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -298,7 +298,7 @@
 	switch s {
 	case job.HoldPending:
 		return "settling"
-	case job.HoldSet:
+	case job.HoldEffective:
 		return "held"
 	}
 	return "none"
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -86,7 +86,7 @@
 			j.Failing.LateNow = num("late now", 0, j.Failing.Late)
 		}
 		if yes("held") {
-			j.Hold.State = job.HoldSet
+			j.Hold.State = job.HoldEffective
 			if yes("until") {
 				j.Hold.Until = 200 + loop.Micros(num("hold", -3, 3))
 			}
--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -114,10 +114,10 @@
 		// The old hold has no end, so no task has begun since it was set, and none begins before this record is
 		// stored. A hold that ends by itself does not prove that: this record may be stored after its end.
 		t.Hold.State = HoldPending
-		if old.State == HoldSet && old.Until == 0 {
+		if old.State == HoldEffective && old.Until == 0 {
 			// Nothing began since, and nothing does before this is stored. One that ends
 			// by itself proves less: this may be stored late, after its end.
-			t.Hold.State = HoldSet
+			t.Hold.State = HoldEffective
 		}
 		return j.recordWith(t)
 	}, callback)
@@ -130,7 +130,7 @@
 			return nil
 		}
 		t := j.Terms
-		t.Hold.State = HoldSet
+		t.Hold.State = HoldEffective
 		return j.recordWith(t)
 	}, callback)
 }
--- a/internal/job/terms.go
+++ b/internal/job/terms.go
@@ -12,9 +12,9 @@
 // The states of a hold. While a hold is settling, tasks whose start was recorded before the hold was stored may
 // still begin; once it is set, no task of the job begins.
 const (
-	HoldNone    HoldState = ""
-	HoldPending HoldState = "s"
-	HoldSet     HoldState = "h"
+	HoldNone      HoldState = ""
+	HoldPending   HoldState = "s"
+	HoldEffective HoldState = "h"
 )
 
 // Hold prevents a job's tasks from being started; tasks that run continue.
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -107,7 +107,7 @@
 	}
 	if n := w.any(); n != nil {
 		n.jobs.Poll(id, func(a job.Answer) {
-			if j := n.jobs.Get(id); a.Code == 200 && a.Phase == job.Accepted && !r.released[id] && j.Terms.Hold.State == job.HoldSet {
+			if j := n.jobs.Get(id); a.Code == 200 && a.Phase == job.Accepted && !r.released[id] && j.Terms.Hold.State == job.HoldEffective {
 				r.held[id] = true
 				r.checked.settled++
 			}
--- a/internal/placer/terms_test.go
+++ b/internal/placer/terms_test.go
@@ -45,7 +45,7 @@
 	}
 	g.show("n-001", "m8", "x", false, run, agent.Task{Task: "job-000001/1", Attempt: 1, State: wire.TaskExited, Why: wire.WhyStopped})
 	g.Run(3 * loop.Second)
-	if s := g.stored(id).Terms.Hold.State; s != job.HoldSet {
+	if s := g.stored(id).Terms.Hold.State; s != job.HoldEffective {
 		t.Fatalf("the hold is %q although nothing can begin any more", s)
 	}
 	g.starts = nil
@@ -126,7 +126,7 @@
 	g.show("n-001", "m8", "x", false)
 	spec := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
 	until := g.Wall() + 4*loop.Second
-	g.registry.SubmitWithTerms("job-000001", &spec, &job.Terms{Hold: job.Hold{State: job.HoldSet, Until: until}}, func(job.Answer) {})
+	g.registry.SubmitWithTerms("job-000001", &spec, &job.Terms{Hold: job.Hold{State: job.HoldEffective, Until: until}}, func(job.Answer) {})
 	for g.Wall() < until+900*loop.Millisecond {
 		g.Run(100 * loop.Millisecond)
 		g.show("n-001", "m8", "x", false)
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -66,7 +66,7 @@
 	for _, id := range g.jobs { // the causes change mid-wait
 		switch g.rng.IntN(9) {
 		case 0:
-			g.amend(id, func(r *job.Record) { r.Terms = &job.Terms{Hold: job.Hold{State: job.HoldSet, Reason: "r"}} })
+			g.amend(id, func(r *job.Record) { r.Terms = &job.Terms{Hold: job.Hold{State: job.HoldEffective, Reason: "r"}} })
 		case 1:
 			g.table(id).trial = health.Trial{State: health.Doubted, Moments: 1, RestTo: g.Now() + 40*loop.Second}
 		case 2:
@@ -148,7 +148,7 @@
 	}
 	terms := &job.Terms{}
 	if r.IntN(4) == 0 {
-		terms.Hold = job.Hold{State: job.HoldSet, Reason: "r"}
+		terms.Hold = job.Hold{State: job.HoldEffective, Reason: "r"}
 	}
 	if r.IntN(4) == 0 {
 		g.fill++
