--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -215,7 +215,7 @@
 	if j.Final() {
 		return out
 	}
-	if h := j.Terms.Hold; h.Shut(a.r.Wall()) {
+	if h := j.Terms.Hold; h.Blocks(a.r.Wall()) {
 		d := explain.HoldDetail{Reason: h.Reason, By: h.By, At: explain.Time(h.At)}
 		if h.Until != 0 {
 			until := explain.Time(h.Until)
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -158,7 +158,7 @@
 		shut = j.Damaged
 	case Hold:
 		// Hosts go by their own clocks, so the owner waits until all of them agree.
-		shut = j.Hold.Shut(j.Wall - j.ClockTo)
+		shut = j.Hold.Blocks(j.Wall - j.ClockTo)
 	case Dependency:
 		shut = j.unmet()
 	case BackOff:
--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -106,7 +106,7 @@
 	h.At = r.runner.Wall()
 	r.Amend(id, func(j *Job) *Record {
 		old := j.Terms.Hold
-		if old.State != HoldNone && old.Until == h.Until && old.Reason == h.Reason && old.By == h.By && h.Shut(h.At) {
+		if old.State != HoldNone && old.Until == h.Until && old.Reason == h.Reason && old.By == h.By && h.Blocks(h.At) {
 			return nil // the request was repeated
 		}
 		t := j.Terms
--- a/internal/job/terms.go
+++ b/internal/job/terms.go
@@ -26,8 +26,8 @@
 	At     int64     `cbor:"a,omitempty"` // wall-clock time of the request
 }
 
-// Shut reports whether the hold blocks starts at a wall-clock time.
-func (h *Hold) Shut(wall loop.Micros) bool {
+// Blocks reports whether the hold blocks starts at a wall-clock time.
+func (h *Hold) Blocks(wall loop.Micros) bool {
 	return h.State != HoldNone && (h.Until == 0 || wall < h.Until)
 }
 
--- a/internal/node/fitness.go
+++ b/internal/node/fitness.go
@@ -30,7 +30,7 @@
 // barred tells why a start that was taken on must not reach its machine any more.
 func (n *Node) barred(j *job.Job, v *agent.View) string {
 	switch {
-	case j.Terms.Hold.State != job.HoldNone && j.Terms.Hold.Shut(n.loop.Wall()):
+	case j.Terms.Hold.State != job.HoldNone && j.Terms.Hold.Blocks(n.loop.Wall()):
 		return "held"
 	case n.cordons.Barred(fleet.Where(v)):
 		return "cordoned"
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -54,7 +54,7 @@
 // or a cordon, has come since it was chosen. What bars here is stored, and every record
 // of a start is conditioned on the version that was known when it was taken.
 func (p *Placer) barred(t *table, machine string) string {
-	if t.j.Terms.Hold.State != job.HoldNone && t.j.Terms.Hold.Shut(p.r.Wall()) {
+	if t.j.Terms.Hold.State != job.HoldNone && t.j.Terms.Hold.Blocks(p.r.Wall()) {
 		return "held"
 	}
 	if sl := p.fleet.Slot(machine); sl != nil && p.cordons.Barred(fleet.Where(sl.V)) {
