--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -54,10 +54,10 @@
 
 func (r *Registry) storeAmendment(req *userRequest, edit Edit, j *Job, record *Record) {
 	sequence := r.client.Next()
-	r.client.Txn(store.Answers, wire.Txn{If: []wire.Cond{Cond(j)}, Then: []wire.Change{{Put: Keys + req.id, Value: *record}}}, func(result store.Result) {
+	r.client.Txn(store.Answers, wire.Txn{If: []wire.Cond{Cond(j)}, Then: []wire.Change{{Put: KeyPrefix + req.id, Value: *record}}}, func(result store.Result) {
 		switch result.Outcome {
 		case store.Applied:
-			r.mirror.Apply(Keys+req.id, wire.Marshal(*record), result.Tally, false)
+			r.mirror.Apply(KeyPrefix+req.id, wire.Marshal(*record), result.Tally, false)
 			r.deliver(req, r.current(req.id, 200, SourceStored, sequence))
 		case store.Conflict:
 			r.fetchAndAmend(req, edit, 503) // a record that existed is never removed
--- a/internal/job/peers_test.go
+++ b/internal/job/peers_test.go
@@ -25,7 +25,7 @@
 	}
 	spec := &Spec{Team: "red", Tasks: 3, CPUs: 1}
 	record := func(id string, p Phase, mark uint64) {
-		m.Apply(Keys+id, wire.Marshal(Record{Phase: p, Spec: spec}), mark, false)
+		m.Apply(KeyPrefix+id, wire.Marshal(Record{Phase: p, Spec: spec}), mark, false)
 	}
 	told := func(id string, want Phase) {
 		t.Helper()
--- a/internal/job/read_bench_test.go
+++ b/internal/job/read_bench_test.go
@@ -23,7 +23,7 @@
 				for k := range jobs {
 					id := fmt.Sprintf("job-%d", k)
 					record := Record{Phase: Accepted, At: 1, Spec: spec}
-					registry.mirror.Apply(Keys+id, wire.Marshal(record), net.state.Put(Keys+id, record), false)
+					registry.mirror.Apply(KeyPrefix+id, wire.Marshal(record), net.state.Put(KeyPrefix+id, record), false)
 				}
 				net.Run(loop.Second)
 				before := net.sent["/store"]
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -1,7 +1,7 @@
 package job
 
-// Keys is the prefix of the keys of job records.
-const Keys = "c/j/"
+// KeyPrefix is the prefix of the keys of job records.
+const KeyPrefix = "c/j/"
 
 // Phase is the lifecycle state of a job. Its values are stored in job records.
 type Phase string
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -44,7 +44,7 @@
 func NewRegistry(runner loop.Runner, client *store.Client, mirror *store.Mirror, log *slog.Logger) *Registry {
 	registry := &Registry{runner: runner, client: client, mirror: mirror, log: log, jobs: map[string]*Job{}, damaged: map[string]bool{},
 		pending: map[string]*creation{}, reads: readQueue{maxWaiting: maxWaitingReads}, unanswered: unansweredJobs{}, refusals: admission.NewRefusals(log)}
-	mirror.On(Keys, registry.applyRecord)
+	mirror.On(KeyPrefix, registry.applyRecord)
 	mirror.OnSynced(registry.synced)
 	registry.ConfigureAdmission(func(string) float64 { return 1 }, 40)
 	loop.Every(runner, expireInterval, registry.Expire)
@@ -53,7 +53,7 @@
 
 // applyRecord applies a record that the mirror received.
 func (r *Registry) applyRecord(key string, e store.Entry) {
-	id := strings.TrimPrefix(key, Keys)
+	id := strings.TrimPrefix(key, KeyPrefix)
 	if e.Mark == 0 {
 		return // job records are never removed
 	}
@@ -132,7 +132,7 @@
 // fetch reads a job from the state service.
 func (r *Registry) fetch(id string, callback func(Answer)) {
 	sequence := r.client.Next()
-	r.client.Get(store.Answers, Keys+id, func(it wire.Item, found, ok bool) {
+	r.client.Get(store.Answers, KeyPrefix+id, func(it wire.Item, found, ok bool) {
 		switch {
 		case !ok:
 			callback(newRefusal(id, 503, RefusedState))
@@ -181,11 +181,11 @@
 // DoneChange returns the change that marks a job done. Its transaction must be conditioned on Cond of the same
 // job.
 func DoneChange(j *Job) wire.Change {
-	return wire.Change{Put: Keys + j.ID, Value: Record{Phase: Done, At: j.At, Tasks: j.Tasks}}
+	return wire.Change{Put: KeyPrefix + j.ID, Value: Record{Phase: Done, At: j.At, Tasks: j.Tasks}}
 }
 
 // Cond returns the condition that the job's record still has the revision known here.
-func Cond(j *Job) wire.Cond { return wire.Cond{Key: Keys + j.ID, Mark: j.Revision} }
+func Cond(j *Job) wire.Cond { return wire.Cond{Key: KeyPrefix + j.ID, Mark: j.Revision} }
 
 // ApplyStored applies a record that a transaction of this controller has stored.
 func (r *Registry) ApplyStored(ch wire.Change, tally uint64) {
--- a/internal/job/stale_answer_test.go
+++ b/internal/job/stale_answer_test.go
@@ -17,7 +17,7 @@
 		net.slow = 350
 		spec := &Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true}
 		held := func(id string) int {
-			raw, found := net.state.Value(Keys + id)
+			raw, found := net.state.Value(KeyPrefix + id)
 			var record Record
 			if !found || wire.Unmarshal(raw, &record) != nil {
 				return 0
@@ -52,7 +52,7 @@
 					net.After(5*loop.Millisecond, cancel)
 					return
 				}
-				net.state.Put(Keys+id, Record{Phase: Cancelled, At: 1})
+				net.state.Put(KeyPrefix+id, Record{Phase: Cancelled, At: 1})
 			}
 			net.After(begin, cancel)
 		}
@@ -77,7 +77,7 @@
 			for k := range jobs {
 				id := fmt.Sprintf("job-%d", k)
 				record := Record{Phase: Accepted, At: 1, Spec: spec}
-				registry.mirror.Apply(Keys+id, wire.Marshal(record), net.state.Put(Keys+id, record), false)
+				registry.mirror.Apply(KeyPrefix+id, wire.Marshal(record), net.state.Put(KeyPrefix+id, record), false)
 			}
 			slowAt := net.Now() + 5*loop.Second
 			quickAt := slowAt + stall
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -114,8 +114,8 @@
 		size += recordOverheadBytes + len(wire.Marshal(record))
 		batch.turns = append(batch.turns, next[0])
 		batch.records[id] = record
-		batch.txn.If = append(batch.txn.If, wire.Cond{Key: Keys + id, Mark: 0})
-		batch.txn.Then = append(batch.txn.Then, wire.Change{Put: Keys + id, Value: record})
+		batch.txn.If = append(batch.txn.If, wire.Cond{Key: KeyPrefix + id, Mark: 0})
+		batch.txn.Then = append(batch.txn.Then, wire.Change{Put: KeyPrefix + id, Value: record})
 	}
 	return batch
 }
@@ -144,7 +144,7 @@
 		r.queue.Served(len(batch.turns), r.runner.Now(), r.queue.Waiting() > 0)
 		for _, turn := range batch.turns {
 			r.client.Meter.Submission("taken")
-			r.mirror.Apply(Keys+turn.ID, wire.Marshal(batch.records[turn.ID]), result.Tally, false)
+			r.mirror.Apply(KeyPrefix+turn.ID, wire.Marshal(batch.records[turn.ID]), result.Tally, false)
 			r.answerSubmitters(turn.ID, r.current(turn.ID, 201, SourceStored, sequence))
 		}
 	case store.Conflict:
@@ -169,7 +169,7 @@
 func (r *Registry) handleConflict(batch *createBatch, failed []string) {
 	exists := map[string]bool{}
 	for _, key := range failed {
-		exists[strings.TrimPrefix(key, Keys)] = true
+		exists[strings.TrimPrefix(key, KeyPrefix)] = true
 	}
 	for _, turn := range batch.turns {
 		c := r.pending[turn.ID]
--- a/internal/node/calibration_test.go
+++ b/internal/node/calibration_test.go
@@ -34,7 +34,7 @@
 
 // record reads a job past the protocol.
 func (w *world) record(id string) (rec job.Record, ok bool) {
-	raw, ok := w.state.Value(job.Keys + id)
+	raw, ok := w.state.Value(job.KeyPrefix + id)
 	return rec, ok && wire.Unmarshal(raw, &rec) == nil
 }
 
@@ -171,7 +171,7 @@
 	a := &asker{w: w, changed: map[string]loop.Micros{}}
 	w.state.Stored = func(key string, value wire.Raw) {
 		r.stored(key, value)
-		if id, ok := strings.CutPrefix(key, job.Keys); ok {
+		if id, ok := strings.CutPrefix(key, job.KeyPrefix); ok {
 			a.changed[id] = w.now
 		}
 	}
--- a/internal/node/last_end_test.go
+++ b/internal/node/last_end_test.go
@@ -77,7 +77,7 @@
 							case "its end is recorded":
 								s.after("x/red", strike)
 							default:
-								s.after(job.Keys+j.id, strike)
+								s.after(job.KeyPrefix+j.id, strike)
 							}
 						}
 						w.run(3600*loop.Second + 35*loop.Second)
--- a/internal/node/world_referee_test.go
+++ b/internal/node/world_referee_test.go
@@ -71,7 +71,7 @@
 }
 
 func (w *world) stored(id string) job.Phase {
-	raw, ok := w.state.Value(job.Keys + id)
+	raw, ok := w.state.Value(job.KeyPrefix + id)
 	if !ok {
 		return ""
 	}
--- a/internal/placer/logwrite.go
+++ b/internal/placer/logwrite.go
@@ -49,7 +49,7 @@
 			// carried out any more; and none was, since the segment is unchanged.
 			known := false
 			for _, k := range r.Failed {
-				if id, ok := strings.CutPrefix(k, job.Keys); ok {
+				if id, ok := strings.CutPrefix(k, job.KeyPrefix); ok {
 					known = true
 					p.registry.Refresh(id)
 				}
--- a/internal/placer/partition_test.go
+++ b/internal/placer/partition_test.go
@@ -123,8 +123,8 @@
 	}
 	id := "job-000007"
 	rec := job.Record{Phase: job.Cancelled, At: g.Now(), Tasks: 2}
-	mark := g.state.Put(job.Keys+id, rec) // stored, and not yet known here
-	g.After(loop.Second, func() { g.mirror.Apply(job.Keys+id, wire.Marshal(rec), mark, false) })
+	mark := g.state.Put(job.KeyPrefix+id, rec) // stored, and not yet known here
+	g.After(loop.Second, func() { g.mirror.Apply(job.KeyPrefix+id, wire.Marshal(rec), mark, false) })
 	g.Run(4 * loop.Second)
 	started := names(g.starts)
 	if len(started) != 58 {
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -104,8 +104,8 @@
 func (g *rig) job(no int, s job.Spec) string {
 	id := fmt.Sprintf("job-%06d", no)
 	rec := job.Record{Phase: job.Accepted, At: g.Now(), Spec: &s}
-	mark := g.state.Put(job.Keys+id, rec)
-	g.mirror.Apply(job.Keys+id, wire.Marshal(rec), mark, false)
+	mark := g.state.Put(job.KeyPrefix+id, rec)
+	g.mirror.Apply(job.KeyPrefix+id, wire.Marshal(rec), mark, false)
 	return id
 }
 
@@ -419,7 +419,7 @@
 	id := g.job(1, spec)
 	g.Run(loop.Second)
 	rec := job.Record{Phase: job.Cancelled, At: g.Now(), Spec: &spec}
-	g.mirror.Apply(job.Keys+id, wire.Marshal(rec), g.state.Put(job.Keys+id, rec), false)
+	g.mirror.Apply(job.KeyPrefix+id, wire.Marshal(rec), g.state.Put(job.KeyPrefix+id, rec), false)
 	g.job(2, spec)
 	g.Run(loop.Second)
 	if use := g.p.teams["red"].cpus; use != 4 {
--- a/internal/placer/terms_test.go
+++ b/internal/placer/terms_test.go
@@ -12,7 +12,7 @@
 )
 
 func (g *rig) stored(id string) job.Record {
-	raw, _ := g.state.Value(job.Keys + id)
+	raw, _ := g.state.Value(job.KeyPrefix + id)
 	var rec job.Record
 	if wire.Unmarshal(raw, &rec) != nil {
 		panic("corrupt record")
@@ -73,7 +73,7 @@
 		if what == "hold" {
 			rec := g.stored(id)
 			rec.Terms = &job.Terms{Hold: job.Hold{State: job.HoldPending}}
-			g.state.Put(job.Keys+id, rec)
+			g.state.Put(job.KeyPrefix+id, rec)
 		} else {
 			g.state.Put(cordon.Key, map[string]any{"f": 1, "c": []cordon.Cordon{{Name: "c", Zone: "x", Reason: "r"}}})
 		}
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -110,7 +110,7 @@
 func (g *scene) amend(id string, f func(*job.Record)) {
 	rec := g.stored(id)
 	f(&rec)
-	g.mirror.Apply(job.Keys+id, wire.Marshal(rec), g.state.Put(job.Keys+id, rec), false)
+	g.mirror.Apply(job.KeyPrefix+id, wire.Marshal(rec), g.state.Put(job.KeyPrefix+id, rec), false)
 }
 
 // machine brings one up, perhaps used in part by a team that is owned elsewhere.
@@ -161,7 +161,7 @@
 	}
 	id := fmt.Sprintf("job-%06d", len(g.jobs)+1)
 	rec := job.Record{Phase: job.Accepted, At: g.Now(), Spec: &s, Terms: terms}
-	g.mirror.Apply(job.Keys+id, wire.Marshal(rec), g.state.Put(job.Keys+id, rec), false)
+	g.mirror.Apply(job.KeyPrefix+id, wire.Marshal(rec), g.state.Put(job.KeyPrefix+id, rec), false)
 	g.jobs = append(g.jobs, id)
 }
 
