--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -322,7 +322,7 @@
 		t.Errorf("a list that cannot be current is given with %d", code)
 	}
 	var told outcome
-	g.api.tell(job.Answer{Code: 429, ID: "job-000001", After: 17}, func(o outcome) { told = o })
+	g.api.tell(job.Answer{Code: 429, ID: "job-000001", RetryAfter: 17}, func(o outcome) { told = o })
 	if told.problem == nil || told.problem.Status != 429 || told.problem.retry != 17 {
 		t.Errorf("put off for 17 s is told as %+v", told.problem)
 	}
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -146,11 +146,11 @@
 	case x.Code == 404:
 		done(unknownJob.with("%s", x.ID).outcome())
 	case x.Code == 429:
-		done(tooMany.after(max(x.After, 1)).outcome())
+		done(tooMany.after(max(x.RetryAfter, 1)).outcome())
 	case (x.Code == 200 || x.Code == 201) && j != nil:
 		done(outcome{status: x.Code, body: a.show(j)})
 	default:
-		done(noAnswer.after(max(x.After, 1)).outcome())
+		done(noAnswer.after(max(x.RetryAfter, 1)).outcome())
 	}
 }
 
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -199,7 +199,7 @@
 	case v.status == 503 || v.status == 429:
 		later(ctx, v.status, 1, v.why)
 	case v.a.Code == 429:
-		later(ctx, 429, max(v.a.After, 1), "too many requests at once")
+		later(ctx, 429, max(v.a.RetryAfter, 1), "too many requests at once")
 	case v.status != 0:
 		write(ctx, v.status, wire.Error{Error: v.why})
 	case v.a.Code == 200 || v.a.Code == 201:
@@ -207,7 +207,7 @@
 	case v.a.Code == 404:
 		write(ctx, 404, wire.Error{Error: "no such job"})
 	default:
-		later(ctx, v.a.Code, max(v.a.After, 1), "state service does not answer")
+		later(ctx, v.a.Code, max(v.a.RetryAfter, 1), "state service does not answer")
 	}
 }
 
--- a/internal/job/answer.go
+++ b/internal/job/answer.go
@@ -10,12 +10,12 @@
 
 // Answer is the result of a user's request about a job.
 type Answer struct {
-	Code    int // HTTP status: 200, 201, 404, or 429 and 503 for a refusal that is to be retried
-	After   int // Retry-After in seconds; 0 stands for 1
-	Phase   Phase
-	ID      string
-	Tasks   int
-	Created bool
+	Code       int // HTTP status: 200, 201, 404, or 429 and 503 for a refusal that is to be retried
+	RetryAfter int // Retry-After in seconds; 0 stands for 1
+	Phase      Phase
+	ID         string
+	Tasks      int
+	Created    bool
 
 	source Source
 	// basedOn is the sequence number of the request to the state service on which the answer is based; 0 if it
@@ -128,5 +128,5 @@
 	}
 	now := r.runner.Now()
 	r.log.Debug("request about a job answered", "job", req.id, "change", req.change, "way", a.source, "code", a.Code, "phase", a.Phase, "revision", revision,
-		"waited_us", now-req.receivedAt, "unanswered_us", now-req.unansweredSince, "after_s", a.After)
+		"waited_us", now-req.receivedAt, "unanswered_us", now-req.unansweredSince, "after_s", a.RetryAfter)
 }
--- a/internal/job/read.go
+++ b/internal/job/read.go
@@ -103,7 +103,7 @@
 func (r *Registry) refuseFull(req *userRequest) {
 	r.reads.refusals++
 	a := newRefusal(req.id, 429, RefusedFull)
-	a.After = 1 + r.reads.refusals%retrySpreadSeconds
+	a.RetryAfter = 1 + r.reads.refusals%retrySpreadSeconds
 	r.deliver(req, a)
 }
 
--- a/internal/job/read_test.go
+++ b/internal/job/read_test.go
@@ -242,8 +242,8 @@
 						if same && a.Code == 200 {
 							good++
 						}
-						if a.Code == 429 && (n.Now()-at > answerTimeout+300*loop.Millisecond || a.After < 1 || a.After > 10) {
-							t.Fatalf("refused after %d us with Retry-After %d s", n.Now()-at, a.After)
+						if a.Code == 429 && (n.Now()-at > answerTimeout+300*loop.Millisecond || a.RetryAfter < 1 || a.RetryAfter > 10) {
+							t.Fatalf("refused after %d us with Retry-After %d s", n.Now()-at, a.RetryAfter)
 						}
 					})
 					most = max(most, registry.WaitingReads())
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -61,7 +61,7 @@
 	}
 	if !a.Taken {
 		r.client.Meter.Submission("putOff")
-		r.deliver(req, Answer{Code: 429, ID: req.id, After: a.After, source: RefusedDeferred})
+		r.deliver(req, Answer{Code: 429, ID: req.id, RetryAfter: a.After, source: RefusedDeferred})
 		return
 	}
 	r.pending[req.id] = &creation{spec: spec, terms: terms.stored(), requests: []*userRequest{req}, deadline: req.deadline}
@@ -71,7 +71,7 @@
 // deferSubmission tells those who submitted a job to retry later, since another submission takes its place in the queue.
 func (r *Registry) deferSubmission(id string, after int) {
 	r.client.Meter.Submission("putOff")
-	r.answerSubmitters(id, Answer{Code: 429, ID: id, After: after, source: RefusedDeferred})
+	r.answerSubmitters(id, Answer{Code: 429, ID: id, RetryAfter: after, source: RefusedDeferred})
 }
 
 // answerSubmitters answers all who submitted a job. Only the first is told that it created the job.
@@ -191,7 +191,7 @@
 	for id, c := range loop.Sorted(r.pending) {
 		if now >= c.deadline {
 			a := newRefusal(id, 503, RefusedExpired)
-			a.After = r.queue.Drop(id, r.runner.Wall())
+			a.RetryAfter = r.queue.Drop(id, r.runner.Wall())
 			r.answerSubmitters(id, a)
 		}
 	}
--- a/internal/node/world_answers_test.go
+++ b/internal/node/world_answers_test.go
@@ -70,7 +70,7 @@
 func (w *world) answered(key unanswered, a job.Answer) {
 	if a.Code == 200 || a.Code == 404 {
 		delete(w.owing, key)
-	} else if o := w.owing[key]; o != nil && a.After > 0 {
+	} else if o := w.owing[key]; o != nil && a.RetryAfter > 0 {
 		o.put++
 	}
 }
