--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -56,7 +56,7 @@
 }
 
 func (p *Proposal) terms(by string, wall loop.Micros) *job.Terms {
-	t := &job.Terms{After: p.After, OnCancelled: policies[p.OnWithdrawn]}
+	t := &job.Terms{Dependencies: p.After, OnCancelled: policies[p.OnWithdrawn]}
 	if p.Hold || p.HoldUntil != nil {
 		// Nothing of a job that is not stored yet can have begun.
 		t.Hold = job.Hold{State: job.HoldEffective, Reason: p.HoldReason, By: by, At: wall}
@@ -114,7 +114,7 @@
 			}
 			a.n.Jobs.SubmitWithTerms(p.ID, spec, terms, func(x job.Answer) {
 				j := a.n.Jobs.Get(p.ID)
-				if x.Code == 200 && j != nil && !j.Final() && len(p.After) > 0 && !slices.Equal(j.Terms.After, p.After) {
+				if x.Code == 200 && j != nil && !j.Final() && len(p.After) > 0 && !slices.Equal(j.Terms.Dependencies, p.After) {
 					done(otherwise.at("/after").outcome())
 					return
 				}
@@ -223,7 +223,7 @@
 		}
 		out.Hold = Hold{explain.HoldName(h.State), &d}
 	}
-	for _, id := range j.Terms.After {
+	for _, id := range j.Terms.Dependencies {
 		phase := job.Phase("")
 		if o := a.n.Jobs.Get(id); o != nil {
 			phase = o.Phase
--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -142,7 +142,7 @@
 		changed := t.Hold.State != HoldNone
 		t.Hold = Hold{}
 		if t.OnCancelled == PolicyHold {
-			for _, d := range t.After {
+			for _, d := range t.Dependencies {
 				if o := r.jobs[d]; o != nil && o.Phase == Cancelled && !t.WaivedFrom(d) {
 					t.Waived = append(t.Waived[:len(t.Waived):len(t.Waived)], d)
 					changed = true
--- a/internal/job/terms.go
+++ b/internal/job/terms.go
@@ -48,14 +48,14 @@
 // and its dependencies. They are part of the job's record. Every start is conditioned on that record's
 // revision, and so obeys them.
 type Terms struct {
-	Hold        Hold     `cbor:"h,omitempty"`
-	After       []string `cbor:"a,omitempty"`
-	OnCancelled Policy   `cbor:"o,omitempty"`
-	Waived      []string `cbor:"w,omitempty"` // jobs of After that were cancelled and that an operator released this job from
+	Hold         Hold     `cbor:"h,omitempty"`
+	Dependencies []string `cbor:"a,omitempty"`
+	OnCancelled  Policy   `cbor:"o,omitempty"`
+	Waived       []string `cbor:"w,omitempty"` // jobs of After that were cancelled and that an operator released this job from
 }
 
 func (t *Terms) empty() bool {
-	return t.Hold.State == HoldNone && len(t.After) == 0
+	return t.Hold.State == HoldNone && len(t.Dependencies) == 0
 }
 
 // stored returns the terms as they are written to a record: nil if there are none.
--- a/internal/node/calibration_test.go
+++ b/internal/node/calibration_test.go
@@ -44,7 +44,7 @@
 	rec, ok := a.w.record(id)
 	last := a.changed[id]
 	if ok && rec.Terms != nil {
-		for _, d := range rec.Terms.After {
+		for _, d := range rec.Terms.Dependencies {
 			last = max(last, a.changed[d])
 		}
 	}
@@ -57,7 +57,7 @@
 	if !ok || rec.Terms == nil {
 		return false, false
 	}
-	for _, d := range rec.Terms.After {
+	for _, d := range rec.Terms.Dependencies {
 		switch o, _ := a.w.record(d); {
 		case o.Phase == job.Accepted:
 			waits = true
@@ -180,7 +180,7 @@
 			j := w.makeJob(i)
 			if len(a.ids) > 0 && w.rng.IntN(5) == 0 {
 				if d := w.jobs[a.ids[w.rng.IntN(len(a.ids))]]; d.accepted && !d.broken {
-					j.terms = &job.Terms{After: []string{d.id}, OnCancelled: job.PolicyRelease}
+					j.terms = &job.Terms{Dependencies: []string{d.id}, OnCancelled: job.PolicyRelease}
 				}
 			}
 			w.enter(j)
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -67,7 +67,7 @@
 		r.w.fail("began_held: %s begins on %s, after its hold was called set", task, x.w.Name)
 	}
 	if j := r.w.jobs[id]; j.terms != nil {
-		for _, d := range j.terms.After {
+		for _, d := range j.terms.Dependencies {
 			r.checked.deps++
 			phase := r.w.stored(d)
 			if phase == job.Done || (phase == job.Cancelled && (j.terms.OnCancelled == job.PolicyRelease || r.released[id])) {
@@ -199,7 +199,7 @@
 				if len(known) > 0 && w.rng.IntN(2) == 0 {
 					j.terms = &job.Terms{OnCancelled: []job.Policy{job.PolicyHold, job.PolicyRelease, job.PolicyCancel}[w.rng.IntN(3)]}
 					for range 1 + w.rng.IntN(2) {
-						j.terms.After = append(j.terms.After, known[w.rng.IntN(len(known))])
+						j.terms.Dependencies = append(j.terms.Dependencies, known[w.rng.IntN(len(known))])
 					}
 				}
 				w.enter(j)
--- a/internal/node/world_referee_test.go
+++ b/internal/node/world_referee_test.go
@@ -121,7 +121,7 @@
 	case job.Cancelled:
 		if j.terms != nil && j.terms.OnCancelled == job.PolicyCancel && !j.asked {
 			gone := false
-			for _, d := range j.terms.After {
+			for _, d := range j.terms.Dependencies {
 				gone = gone || w.stored(d) == job.Cancelled
 			}
 			j.asked = gone // its user asked for that at the submission
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -28,11 +28,11 @@
 
 // deps tells how the jobs stand that must be done before this one.
 func (p *Placer) deps(j *job.Job) []gate.Dep {
-	if len(j.Terms.After) == 0 {
+	if len(j.Terms.Dependencies) == 0 {
 		return nil
 	}
-	out := make([]gate.Dep, len(j.Terms.After))
-	for i, id := range j.Terms.After {
+	out := make([]gate.Dep, len(j.Terms.Dependencies))
+	for i, id := range j.Terms.Dependencies {
 		out[i] = gate.Dep{ID: id, Waived: j.Terms.WaivedFrom(id)}
 		if o := p.registry.Get(id); o != nil {
 			out[i].Phase = o.Phase
@@ -43,7 +43,7 @@
 
 // resting tells whether the job waits for its user or for other jobs, and uses nothing.
 func (p *Placer) resting(t *table) bool {
-	if t.inUse > 0 || (t.j.Terms.Hold.State == job.HoldNone && len(t.j.Terms.After) == 0) {
+	if t.inUse > 0 || (t.j.Terms.Hold.State == job.HoldNone && len(t.j.Terms.Dependencies) == 0) {
 		return false
 	}
 	f := p.facts(t)
--- a/internal/placer/terms_test.go
+++ b/internal/placer/terms_test.go
@@ -98,7 +98,7 @@
 		other := spec
 		other.Team = "blue" // owned elsewhere
 		first := g.job(1, other)
-		g.registry.SubmitWithTerms("job-000002", &spec, &job.Terms{After: []string{first}, OnCancelled: c.policy}, func(job.Answer) {})
+		g.registry.SubmitWithTerms("job-000002", &spec, &job.Terms{Dependencies: []string{first}, OnCancelled: c.policy}, func(job.Answer) {})
 		g.Run(2 * loop.Second)
 		if len(g.starts) != 0 {
 			t.Fatalf("%q: %v went out before %s was done", c.policy, g.starts, first)
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -153,7 +153,7 @@
 	if r.IntN(4) == 0 {
 		g.fill++
 		dep := g.job(500+g.fill, job.Spec{Class: "f", Team: "green", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "f", AnyType: true})
-		terms.After = []string{dep}
+		terms.Dependencies = []string{dep}
 		if r.IntN(3) == 0 {
 			g.amend(dep, func(rec *job.Record) { rec.Phase = job.Cancelled })
 			terms.OnCancelled = []job.Policy{job.PolicyHold, job.PolicyRelease}[r.IntN(2)]
@@ -274,7 +274,7 @@
 		out["hold"] = n
 	}
 	if terms != nil {
-		for _, d := range terms.After {
+		for _, d := range terms.Dependencies {
 			switch g.stored(d).Phase {
 			case job.Accepted:
 				out["dependency"] = n
@@ -356,7 +356,7 @@
 	case "hold":
 		g.amend(id, func(rec *job.Record) { rec.Terms.Hold = job.Hold{} })
 	case "dependency":
-		for _, d := range t.j.Terms.After {
+		for _, d := range t.j.Terms.Dependencies {
 			if g.stored(d).Phase == job.Accepted {
 				g.amend(d, func(rec *job.Record) { rec.Phase = job.Done })
 			} else {
