--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -1,6 +1,9 @@
-// Package explain tells why a job's tasks do not run: every reason, what would release
-// each, and when that may be. It asks the same gates that the placer obeys; nothing here
-// decides anything.
+// Package explain reports why a job's tasks do not run: every reason, what would end each
+// of them, and an estimate of when. It evaluates the same predicates that the scheduler
+// obeys, so that an explanation cannot differ from what the scheduler does; it decides
+// nothing itself. It owns the timelines of the reasons and the distributions of past waits
+// from which it estimates. The facts about a job are gathered by the scheduler of the
+// controller that owns the job's team, those about rented machines by the leader.
 package explain
 
 import (
@@ -12,7 +15,7 @@
 	"cleatpick/internal/gate"
 )
 
-// Time is a time of day in microseconds, RFC 3339 in JSON.
+// Time is a wall clock time in microseconds, written as RFC 3339 in JSON.
 type Time int64
 
 // MarshalJSON writes the time as RFC 3339 with milliseconds, in UTC.
@@ -20,7 +23,7 @@
 	return json.Marshal(time.UnixMicro(int64(t)).UTC().Format("2006-01-02T15:04:05.000Z07:00"))
 }
 
-// UnmarshalJSON reads RFC 3339.
+// UnmarshalJSON reads a time in RFC 3339.
 func (t *Time) UnmarshalJSON(b []byte) error {
 	var x time.Time
 	if err := json.Unmarshal(b, &x); err != nil {
@@ -30,7 +33,7 @@
 	return nil
 }
 
-// Span is a duration in microseconds, seconds in JSON.
+// Span is a duration in microseconds, written as seconds in JSON.
 type Span int64
 
 // MarshalJSON writes the duration as a decimal number of seconds.
@@ -45,7 +48,7 @@
 	return err
 }
 
-// Answer is why a job's tasks do not run.
+// Answer explains why a job's tasks do not run.
 type Answer struct {
 	Job      string    `json:"job"`
 	Standing string    `json:"standing"`
@@ -57,16 +60,16 @@
 	Owner    string    `json:"owner,omitempty"` // the controller that owns its team
 	Reasons  []Reason  `json:"reasons"`
 	Timeline []Stretch `json:"timeline"`
-	// What was before TimelineFrom is not known to the owner; TimelineDropped counts
-	// stretches after it that were dropped as the oldest.
+	// The owner knows nothing of the time before TimelineFrom. TimelineDropped counts the
+	// oldest entries after it that were dropped to bound the timeline.
 	TimelineFrom    *Time    `json:"timelineFrom,omitempty"`
 	TimelineDropped int      `json:"timelineDropped,omitempty"`
 	Complete        bool     `json:"complete"`
-	Missing         []string `json:"missing,omitempty"` // what could not be asked
+	Missing         []string `json:"missing,omitempty"` // sources that did not answer, and facts that are uncertain
 }
 
-// Reason is one cause that keeps tasks from running. Each of a job's reasons by itself
-// keeps its number of tasks back.
+// Reason is one cause that keeps tasks from running. Each of a job's reasons blocks its
+// number of tasks on its own, whatever the other reasons are.
 type Reason struct {
 	Kind      string    `json:"kind"`
 	Tasks     int       `json:"tasks"`
@@ -79,16 +82,16 @@
 	Estimate  *Estimate `json:"estimate"`
 }
 
-// Estimate is when a reason may end, from now on: in half of the cases before Likely, in
-// about eight of ten between Low and High (measured, see docs/RESULTS.md).
+// Estimate is the time from now until a reason may end: in half of the cases it ends before
+// Likely, in about eight of ten between Low and High (see docs/RESULTS.md).
 type Estimate struct {
 	Low     Span `json:"lowS"`
 	Likely  Span `json:"likelyS"`
 	High    Span `json:"highS"`
-	Samples int  `json:"samples"` // waits that it rests on
+	Samples int  `json:"samples"` // number of past waits that it is computed from
 }
 
-// Detail holds the numbers of a reason; which are there depends on its kind.
+// Detail holds the particulars of a reason; which fields are set depends on its kind.
 type Detail struct {
 	Team     *TeamUse    `json:"team,omitempty"`
 	Hold     *HoldDetail `json:"hold,omitempty"`
@@ -100,13 +103,14 @@
 	Ahead    []Ahead     `json:"ahead,omitempty"`
 	On       []On        `json:"on,omitempty"`
 	Cordons  []string    `json:"cordons,omitempty"`
-	// StoppedFor names jobs that tasks of this one were stopped for lately.
+	// StoppedFor names the jobs for which tasks of this one were recently preempted.
 	StoppedFor []string `json:"stoppedFor,omitempty"`
-	// Held is for how many of its tasks room is being kept, on machines that have none yet.
+	// Held is the number of its tasks for which capacity is reserved on machines that do not
+	// have that capacity free yet.
 	Held int `json:"roomHeld,omitempty"`
 }
 
-// TeamUse is what a team uses, may use and is guaranteed.
+// TeamUse holds what a team uses, its limits and its guarantee.
 type TeamUse struct {
 	Team     string       `json:"team"`
 	CPUs     float64      `json:"cpusUsed"`
@@ -114,10 +118,10 @@
 	CPUsHave float64      `json:"cpusGuaranteed"`
 	GPUs     float64      `json:"gpusUsed"`
 	GPUsMax  config.Limit `json:"gpusMax"`
-	Within   bool         `json:"withinGuarantee"` // the job lies within its team's guarantee
+	Within   bool         `json:"withinGuarantee"` // the job is within its team's guarantee
 }
 
-// HoldDetail is who holds a job, and why.
+// HoldDetail is who put a job on hold, and why.
 type HoldDetail struct {
 	Reason string `json:"reason"`
 	By     string `json:"by,omitempty"`
@@ -125,23 +129,23 @@
 	Until  *Time  `json:"until,omitempty"`
 }
 
-// Before is a job that must be done first.
+// Before is a job that must be done before this one may start.
 type Before struct {
 	Job    string `json:"job"`
 	State  string `json:"state"`
 	Policy string `json:"onWithdrawn,omitempty"`
 }
 
-// Failing tells of a job whose tasks fail. Failures of one moment count once; machines
-// that fail other jobs' tasks as well do not count.
+// Failing describes a job whose tasks fail. Failures close together in time count as one,
+// and machines on which other jobs' tasks fail as well do not count.
 type Failing struct {
-	InARow   int    `json:"inARow"` // moments of failure
+	InARow   int    `json:"inARow"` // consecutive failures, those close together in time counted once
 	Machines int    `json:"machines"`
 	Judged   string `json:"judged"` // untried, sound, doubted or broken
-	Tasks    int    `json:"tasks"`  // waiting tasks that failed before
+	Tasks    int    `json:"tasks"`  // waiting tasks that have failed at least once
 }
 
-// Needs is what each task asks of its machine.
+// Needs holds what each task requires of its machine.
 type Needs struct {
 	CPUs     float64  `json:"cpus"`
 	GPUs     float64  `json:"gpus"`
@@ -151,24 +155,24 @@
 	Spot     bool     `json:"spot"`
 }
 
-// Machines counts what the machines lacked.
+// Machines counts what the machines lack for the job's tasks.
 type Machines struct {
 	Looked int     `json:"looked"`
 	Groups []Group `json:"groups"`
 	More   int     `json:"moreGroups,omitempty"`
 }
 
-// Group is the machines of one type, zone and kind. A machine may lack several things.
+// Group describes the machines of one type, zone and kind. A machine may lack several things.
 type Group struct {
 	Type     string         `json:"type"`
 	Zone     string         `json:"zone"`
 	Kind     string         `json:"kind"`
 	Machines int            `json:"machines"`
 	Lacks    map[string]int `json:"lacks"`
-	Resting  map[string]int `json:"resting,omitempty"` // why those rest that do
+	Resting  map[string]int `json:"resting,omitempty"` // machines that take no new tasks for a while, by cause
 }
 
-// Ahead is work that comes before in the order.
+// Ahead is a job that precedes this one in the order of service.
 type Ahead struct {
 	Job      string  `json:"job"`
 	Team     string  `json:"team"`
@@ -177,17 +181,18 @@
 	CPUs     float64 `json:"cpus"`
 }
 
-// On is a machine with tasks that are on their way, or not proven off.
+// On is a machine with tasks that are being started or saved, or not confirmed terminated.
 type On struct {
 	Machine string `json:"machine"`
 	State   string `json:"state"`
 	Tasks   int    `json:"tasks"`
 	Since   Time   `json:"since,omitempty"`
-	Settles string `json:"settles,omitempty"` // what would prove the task off
-	For     string `json:"for,omitempty"`     // the job that it was stopped for
+	Settles string `json:"settles,omitempty"` // what would confirm that the tasks are terminated
+	For     string `json:"for,omitempty"`     // the job for which the tasks were preempted
 }
 
-// Supply is what the leader has asked the cloud for that could take such a task.
+// Supply describes the machines that the leader has requested from the cloud and on which
+// the job's tasks could run.
 type Supply struct {
 	Leader   string    `json:"leader,omitempty"`
 	State    string    `json:"state"` // booting, ordered, requested, notAsked, refused, nothing, unknown or noLeader
@@ -196,26 +201,26 @@
 	Booting  []Booting `json:"booting,omitempty"`
 	Refused  []Offer   `json:"refused,omitempty"`
 	Offers   int       `json:"offers"`             // offers that the job allows and that are not cordoned
-	Estimate *Estimate `json:"estimate,omitempty"` // when the first of those that boot is up
+	Estimate *Estimate `json:"estimate,omitempty"` // when the first of the booting machines is up
 }
 
-// Offer is a type, zone and kind of machine that the cloud was asked for.
+// Offer is a type, zone and kind of machine that was requested from the cloud.
 type Offer struct {
 	Type  string `json:"type"`
 	Zone  string `json:"zone"`
 	Kind  string `json:"kind"`
 	Count int    `json:"count,omitempty"`
-	Until *Time  `json:"until,omitempty"` // refused until
+	Until *Time  `json:"until,omitempty"` // of a refused offer: not requested again before this time
 }
 
-// Booting counts machines that boot.
+// Booting counts the machines of one offer that are booting.
 type Booting struct {
 	Offer
-	Age     Span `json:"ageS"` // of the oldest
-	Nominal Span `json:"nominalS"`
+	Age     Span `json:"ageS"`     // since the oldest of them was ordered
+	Nominal Span `json:"nominalS"` // the expected boot time
 }
 
-// Kind names the kind of a machine.
+// Kind returns the name of a machine's kind: spot or ordinary.
 func Kind(spot bool) string {
 	if spot {
 		return "spot"
@@ -223,14 +228,14 @@
 	return "ordinary"
 }
 
-// Timeline is how the causes changed over a job's wait.
+// Timeline lists the causes that blocked a job and the time for which each of them held.
 type Timeline struct {
 	Spans   []Stretch `json:"spans"`
-	Dropped int       `json:"dropped,omitempty"` // of the oldest, beyond the bound
-	From    *Time     `json:"from,omitempty"`    // what was before is not known here
+	Dropped int       `json:"dropped,omitempty"` // number of oldest entries dropped to bound the timeline
+	From    *Time     `json:"from,omitempty"`    // nothing is known of the time before
 }
 
-// tells puts the timeline into an answer.
+// tells copies the timeline into the answer.
 func (a *Answer) tells(t Timeline) {
 	a.Timeline, a.TimelineFrom, a.TimelineDropped = t.Spans, t.From, t.Dropped
 	if a.Timeline == nil {
@@ -238,21 +243,21 @@
 	}
 }
 
-// Stretch is the time for which one cause held.
+// Stretch is an interval for which one cause held.
 type Stretch struct {
 	Kind  string `json:"kind"`
 	From  Time   `json:"from"`
 	To    *Time  `json:"to,omitempty"` // absent: it still holds
-	Tasks int    `json:"tasks"`        // the most that it kept at a time
+	Tasks int    `json:"tasks"`        // the largest number of tasks that it blocked at a time
 }
 
-// Sum is how many tasks a cause keeps back, for a list of jobs.
+// Sum is the number of tasks that a cause blocks, as printed in a list of jobs.
 type Sum struct {
 	Kind  string `json:"kind"`
 	Tasks int    `json:"tasks"`
 }
 
-// Sums turns causes into their printed form.
+// Sums converts causes to their printed form.
 func Sums(causes []gate.Cause) []Sum {
 	out := make([]Sum, 0, len(causes))
 	for _, c := range causes {
--- a/internal/explain/desk.go
+++ b/internal/explain/desk.go
@@ -8,33 +8,35 @@
 	"cleatpick/internal/wire"
 )
 
-// MostQuestions bounds the explanations that one node works on at a time.
+// MostQuestions bounds the explanations that one controller works on at a time.
 const MostQuestions = 100
 
-// How long another node is waited for.
+// Timeouts of requests to other controllers.
 const (
 	ownerPatience  = 1000 * loop.Millisecond
 	leaderPatience = 700 * loop.Millisecond
 )
 
-// The topics of questions between nodes.
+// Topics of requests between controllers.
 const (
 	topicWhy    = "why"
 	topicSupply = "supply"
 )
 
-// Node is what this slice needs of the node around it.
+// Node holds what this package needs from the controller in which it runs.
 type Node struct {
 	Label string
-	// Poll confirms a job's standing with the state service.
+	// Poll reads a job's status from the state service.
 	Poll func(id string, cb func(job.Answer))
 	Job  func(id string) *job.Job
-	// Owner and Leader tell who owns a team and who leads; empty: nobody is known to.
+	// Owner returns the controller that owns a team, Leader the one that leads; empty if
+	// none is known.
 	Owner  func(team string) string
 	Leader func() string
-	// Facts gathers why a job of a team owned here waits; false while that is not loaded.
+	// Facts gathers why a job of a team owned here waits; false while the team's records are
+	// not loaded.
 	Facts func(id string) (*Facts, bool)
-	// Supply is the leader's account; asked of the node that leads.
+	// Supply describes the machines requested from the cloud; only the leader's is used.
 	Supply func(*job.Spec) Supply
 	Counts func(*job.Job) job.Counts
 	Ask    func(to, topic string, body any, timeout loop.Micros, cb func(wire.Raw, bool))
@@ -42,7 +44,7 @@
 	Meter  *metric.Meter
 }
 
-// Desk answers why jobs wait.
+// Desk answers the question why a job's tasks do not run.
 type Desk struct {
 	r     loop.Runner
 	n     Node
@@ -65,7 +67,7 @@
 	Sure     bool     `cbor:"7,keyasint"`
 }
 
-// NewDesk makes the desk and answers what other nodes ask.
+// NewDesk returns the service and registers the handlers of other controllers' requests.
 func NewDesk(r loop.Runner, n Node) *Desk {
 	d := &Desk{r: r, n: n, Lines: NewTimelines(), waits: NewWaits()}
 	d.Lines.Ended = d.ended
@@ -90,8 +92,9 @@
 
 func urgent(j *job.Job) bool { return j != nil && j.Spec != nil && j.Spec.Priority >= job.High }
 
-// ended takes in a wait that is over. Every node learns from all owners' waits, so that
-// one that takes a team over can estimate at once; only the owner counts it.
+// ended records a wait that is over. Every controller records the waits of all owners, so
+// that one that takes a team over can estimate at once; only the owner counts the wait in
+// its metrics.
 func (d *Desk) ended(id string, k gate.Kind, took loop.Micros, own bool) {
 	if own {
 		d.n.Meter.Wait(k.String(), took)
@@ -99,7 +102,7 @@
 	d.waits.Add(k, urgent(d.n.Job(id)), took)
 }
 
-// own explains a job whose team this node owns.
+// own explains a job whose team this controller owns.
 func (d *Desk) own(id string) whyReply {
 	began := d.r.Now()
 	f, ok := d.n.Facts(id)
@@ -124,7 +127,8 @@
 	return out
 }
 
-// Why explains a job; cb gets 200 with the answer, 404, 429 or 503.
+// Why explains a job. The callback gets 200 with the answer; 404 for an unknown job; 429
+// when too many explanations are in progress; 503 when the job's status cannot be read.
 func (d *Desk) Why(id string, cb func(*Answer, int)) {
 	if d.open >= MostQuestions {
 		cb(nil, 429)
@@ -159,10 +163,10 @@
 	})
 }
 
-// askOwner fills in what the job's owner knows.
+// askOwner adds what the job's owner knows to the answer.
 func (d *Desk) askOwner(a *Answer, j *job.Job, done func()) {
 	a.Owner = d.n.Owner(j.Spec.Team)
-	// Without an owner's word only the counts that were last told are known.
+	// Without an answer from the owner, only the counts that it sent last are known.
 	told := func(k gate.Kind, state, release string) {
 		c := d.n.Counts(j)
 		a.Done, a.Running = int(c.Done), int(c.Running)
@@ -181,7 +185,7 @@
 	}
 	if a.Owner == "" {
 		told(gate.NoOwner, "unowned", "a controller takes the team over, usually within seconds")
-		a.Missing = append(a.Missing, "the team has no owner that could be asked")
+		a.Missing = append(a.Missing, "the team has no owner at present")
 		done()
 		return
 	}
@@ -194,8 +198,8 @@
 			return
 		}
 		if !w.Loaded {
-			told(gate.Loading, "reading", "the owner has read the team's records")
-			a.Missing = append(a.Missing, "the owner "+a.Owner+" has not read the team's records yet")
+			told(gate.Loading, "reading", "the owner finishes loading the team's records")
+			a.Missing = append(a.Missing, "the owner "+a.Owner+" has not loaded the team's records yet")
 			done()
 			return
 		}
@@ -204,7 +208,7 @@
 		a.Standing = standing(a)
 		if !w.Sure {
 			a.Complete = false
-			a.Missing = append(a.Missing, "which work takes the room before this job depends on what falls free where")
+			a.Missing = append(a.Missing, "which work takes the capacity before this job depends on which machines become free first")
 		}
 		if w.Reasons != nil {
 			a.Reasons = w.Reasons
@@ -213,7 +217,7 @@
 	})
 }
 
-// askLeader fills in what is rented, where room is missing.
+// askLeader adds what is being rented to the reasons that are a lack of free capacity.
 func (d *Desk) askLeader(a *Answer, j *job.Job, done func()) {
 	var short []*Reason
 	for i := range a.Reasons {
@@ -247,7 +251,7 @@
 		var s Supply
 		if !ok || wire.Unmarshal(body, &s) != nil {
 			a.Complete = false
-			a.Missing = append(a.Missing, "the leader "+leader+" did not answer what is rented")
+			a.Missing = append(a.Missing, "the leader "+leader+" did not answer which machines are being rented")
 			fill(Supply{State: "unknown"})
 			return
 		}
@@ -258,11 +262,11 @@
 var supplyEnds = map[string]string{
 	"booting":   "machines for it are booting",
 	"ordered":   "machines for it are ordered",
-	"requested": "the leader is about to rent for it",
-	"notAsked":  "work that ends is expected to free the room, so nothing is rented",
-	"refused":   "the cloud has refused every offer that the job allows, and is asked again",
+	"requested": "the leader is about to order machines for it",
+	"notAsked":  "running work is expected to end and free the capacity, so nothing is rented",
+	"refused":   "the cloud has refused every offer that the job allows; the request is repeated",
 	"nothing":   "the cloud offers no machine that the job allows",
-	"noLeader":  "nobody leads just now, so nothing is rented",
+	"noLeader":  "there is no leader at present, so nothing is rented",
 }
 
 func standing(a *Answer) string {
--- a/internal/explain/desk_test.go
+++ b/internal/explain/desk_test.go
@@ -13,14 +13,15 @@
 	"cleatpick/internal/wire"
 )
 
-// office is a desk whose owner and leader are other nodes, which answer as the test says.
+// office is a service under test whose owner and leader are other controllers; the test
+// sets their answers.
 type office struct {
 	*standin.Stepped
 	d             *Desk
 	owner, leader string
 	topics        map[string]func(wire.Raw, func(any))
-	deaf          map[string]bool // topics that nobody answers
-	held          []func()        // answers that wait for the test
+	deaf          map[string]bool // topics whose requests get no answer
+	held          []func()        // answers that the test delivers later
 	hold          bool
 	facts         *Facts
 	supply        Supply
@@ -75,7 +76,7 @@
 	got := 0
 	o.d.Why(id, func(x *Answer, c int) { a, got = x, c })
 	if got != code {
-		t.Fatalf("why %s gives %d, want %d", id, got, code)
+		t.Fatalf("Why(%s) returns code %d, want %d", id, got, code)
 	}
 	return a
 }
@@ -88,7 +89,8 @@
 	return fmt.Sprint(strings.Join(out, " "), " ", a.Complete, " ", len(a.Missing))
 }
 
-// Whatever cannot be asked is said in the answer, and what is known is told all the same.
+// An answer that lacks the owner's or the leader's part must say so in Complete and Missing,
+// and must still contain what is known. Each case takes one source away or changes one fact.
 func TestWhatCannotBeAskedIsSaid(t *testing.T) {
 	for _, c := range []struct {
 		what string
@@ -97,15 +99,15 @@
 	}{
 		{"all answer", func(o *office) {}, "room/nothingToBorrow:3 true 0"},
 		{"no owner", func(o *office) { o.owner = "" }, "noOwner/unowned:4 false 1"},
-		{"the owner is deaf", func(o *office) { o.deaf[topicWhy] = true }, " false 1"},
-		{"the owner reads", func(o *office) { o.facts = nil }, "loading/reading:4 false 1"},
+		{"the owner does not answer", func(o *office) { o.deaf[topicWhy] = true }, " false 1"},
+		{"the owner is still loading", func(o *office) { o.facts = nil }, "loading/reading:4 false 1"},
 		{"the owner has no state contact", func(o *office) { o.facts.Contact = false }, "stateContact/lost:3 room/nothingToBorrow:3 true 0"},
-		{"nobody leads", func(o *office) { o.leader = "" }, "room/nothingToBorrow:3 true 0"},
-		{"the leader is deaf", func(o *office) { o.deaf[topicSupply] = true }, "room/nothingToBorrow:3 false 1"},
+		{"no leader", func(o *office) { o.leader = "" }, "room/nothingToBorrow:3 true 0"},
+		{"the leader does not answer", func(o *office) { o.deaf[topicSupply] = true }, "room/nothingToBorrow:3 false 1"},
 		{"within the guarantee", func(o *office) { o.facts.Within = true }, "room/noRoom:3 true 0"},
 		{"a damaged record", func(o *office) { o.facts.Gate.Damaged = true }, "damagedRecord/setAside:3 room/nothingToBorrow:3 true 0"},
-		{"room for all", func(o *office) { o.facts.Fits, o.facts.FitsAll = 3, 3 }, "nextPass/due:3 true 0"},
-		{"on their way", func(o *office) {
+		{"free capacity for all", func(o *office) { o.facts.Fits, o.facts.FitsAll = 3, 3 }, "nextPass/due:3 true 0"},
+		{"in flight", func(o *office) {
 			o.facts.Gate.Waiting = 0
 			o.facts.Flights = []Flight{{Kind: gate.Recording, State: "recording", Machine: "n-1", Tasks: 1}, {Kind: gate.Saving, State: "saving", Machine: "n-2", Tasks: 2, For: "job-000009"},
 				{Kind: gate.Unproven, State: "absent", Machine: "n-3", Tasks: 1, Settles: "a list"}, {Kind: gate.Unproven, State: "silent", Machine: "n-4", Tasks: 1}}
@@ -122,7 +124,7 @@
 				t.Errorf("%s: the reason %s lacks its release or blockedBy", c.what, r.Kind)
 			}
 			if r.Kind == "room" && (r.Detail.Renting == nil || r.Detail.Renting.State == "") {
-				t.Errorf("%s: room does not tell what is rented", c.what)
+				t.Errorf("%s: the reason room lacks what is being rented", c.what)
 			}
 		}
 	}
@@ -130,8 +132,8 @@
 	o.why(t, "job-000002", 404)
 }
 
-// A hundred questions wait at the most; the next is answered at once with 429, and an
-// answer makes room for another.
+// At most MostQuestions explanations may be in progress: the next request must be refused at
+// once with 429, and be accepted again as soon as one of the others is answered.
 func TestQuestionsAreBounded(t *testing.T) {
 	o := newOffice()
 	o.hold = true
@@ -151,18 +153,19 @@
 		f()
 	}
 	if answers != MostQuestions {
-		t.Errorf("%d of %d questions were answered", answers, MostQuestions)
+		t.Errorf("%d of %d requests were answered", answers, MostQuestions)
 	}
 }
 
-// A timeline is bounded, goes on where a cause ends for a moment, keeps the newest, and
-// says what it dropped.
+// A timeline must stay bounded, keep its newest entries and count those that it drops. A
+// cause that is interrupted for less than flap must stay one entry. The timelines of finished
+// jobs are bounded, too.
 func TestTimelineIsBounded(t *testing.T) {
 	l := NewTimelines()
 	ended := map[gate.Kind]int{}
 	l.Ended = func(_ string, k gate.Kind, took loop.Micros, own bool) {
 		if !own || took <= 0 {
-			t.Errorf("%v ended after %d, own %v", k, took, own)
+			t.Errorf("%v ended after %d us with own %v, want a positive time and own", k, took, own)
 		}
 		ended[k]++
 	}
@@ -171,15 +174,15 @@
 	set(10, room)
 	set(20, room, limit)
 	set(30, limit)
-	set(31, limit, gate.Cause{Kind: gate.Room, Tasks: 5}) // a second later: it never ended
+	set(31, limit, gate.Cause{Kind: gate.Room, Tasks: 5}) // one second later: the interval continues
 	of := l.Of("j").Spans
 	if len(of) != 2 || of[1].Kind != "room" || of[1].From != Time(10*loop.Second) || of[1].Tasks != 5 || of[1].To != nil {
-		t.Fatalf("after a flap the timeline is %+v", of)
+		t.Fatalf("after a short interruption of a cause the timeline is %+v", of)
 	}
-	// A peer that was told late knows since when all the same.
+	// A controller that receives a cause late takes its start time from the message.
 	l.Set("late", []gate.Cause{{Kind: gate.Hold, Tasks: 1, Since: 40 * loop.Second}}, 50*loop.Second, false)
 	if since := l.Since("late", gate.Hold); since != 40*loop.Second {
-		t.Errorf("a cause told late holds since %d", since)
+		t.Errorf("a cause received late holds since %d, want 40 s", since)
 	}
 	for i := range loop.Micros(60) {
 		set(100+20*i, room)
@@ -187,13 +190,13 @@
 	}
 	all := l.Of("j")
 	if len(all.Spans) > mostSpans+2 || all.Dropped == 0 || *all.From != Time(10*loop.Second) {
-		t.Errorf("%d spans are kept, %d dropped, from %v", len(all.Spans), all.Dropped, all.From)
+		t.Errorf("timeline keeps %d entries, dropped %d, starts at %v", len(all.Spans), all.Dropped, all.From)
 	}
 	if last := all.Spans[len(all.Spans)-1]; last.Kind != "teamLimit" || last.To != nil {
-		t.Errorf("the newest span is %+v", last)
+		t.Errorf("the newest entry is %+v, want a teamLimit that still holds", last)
 	}
 	if ended[gate.Room] == 0 || ended[gate.Limit] == 0 {
-		t.Errorf("ended: %v", ended)
+		t.Errorf("ended intervals by kind are %v, want some of room and of teamLimit", ended)
 	}
 	for i := range mostOver + 10 {
 		id := fmt.Sprint("k", i)
@@ -201,30 +204,31 @@
 		l.Over(id, 2001*loop.Second, true)
 	}
 	if len(l.lines) > mostOver+2 || len(l.Of("k0").Spans) != 0 || len(l.Of(fmt.Sprint("k", mostOver)).Spans) != 1 {
-		t.Errorf("%d timelines are kept of jobs that are over", len(l.lines))
+		t.Errorf("%d timelines are kept, want at most mostOver of finished jobs and the newest of them", len(l.lines))
 	}
 }
 
-// What a wait that has lasted so long has left is told by those that lasted as long.
+// The remaining time of a wait must be estimated from those past waits that lasted at least
+// as long, not from all of them; with too few of these there must be no estimate.
 func TestEstimatesAreConditional(t *testing.T) {
 	w := NewWaits()
 	if w.Left(gate.Room, false, 0) != nil {
-		t.Fatal("nothing is known, and something is told")
+		t.Fatal("got an estimate without any recorded wait, want none")
 	}
 	for i := range loop.Micros(200) {
 		w.Add(gate.Room, false, (1+i%10)*loop.Second) // one to ten seconds
 	}
 	young, old := w.Left(gate.Room, false, 0), w.Left(gate.Room, false, 8500*loop.Millisecond)
 	if young == nil || old == nil {
-		t.Fatal("no estimate")
+		t.Fatal("got no estimate from 200 recorded waits")
 	}
 	if s := loop.Micros(young.Likely); s < 4*loop.Second || s > 6*loop.Second {
-		t.Errorf("a new wait is likely to last %d us, want about five seconds", s)
+		t.Errorf("the likely duration of a new wait is %d us, want about 5 s", s)
 	}
 	if s := loop.Micros(old.Likely); s > 2*loop.Second || old.Samples >= young.Samples {
-		t.Errorf("after 8.5 of at most 10 s, %d us are left by %d of %d samples", s, old.Samples, young.Samples)
+		t.Errorf("after 8.5 of at most 10 s the likely rest is %d us from %d of %d samples", s, old.Samples, young.Samples)
 	}
 	if w.Left(gate.Room, false, 11*loop.Second) != nil || w.Left(gate.Room, true, 0) != nil {
-		t.Error("no wait lasted as long, or was urgent, and something is told")
+		t.Error("got an estimate though no recorded wait lasted as long, or none was urgent")
 	}
 }
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -10,32 +10,32 @@
 	"cleatpick/internal/loop"
 )
 
-// Facts are what a job's owner knows of why its tasks do not run. The placer gathers
-// them; it is asked for no judgement that it does not make itself.
+// Facts holds what a job's owner knows about why its tasks do not run. The scheduler
+// gathers them; they contain no decision that it does not make itself.
 type Facts struct {
 	Job     *job.Job
 	Gate    gate.Job
 	Need    gate.Need
 	Team    config.Team
-	Within  bool // the job lies within its team's guarantee
+	Within  bool // the job is within its team's guarantee
 	Contact bool // the owner has contact with the state service
 	Places  []*gate.Place
-	After   loop.Micros // machines must have been heard since
-	Now     loop.Micros // steady time
+	After   loop.Micros // a machine's last report must be newer than this
+	Now     loop.Micros // monotonic clock
 	Wall    loop.Micros
-	Fits    int      // waiting tasks that find room now, every other gate left aside
-	FitsAll int      // the same if no cordon were there
+	Fits    int      // waiting tasks that fit on machines now, all other predicates ignored
+	FitsAll int      // the same with cordons ignored as well
 	Barred  bool     // every place that the job allows is cordoned, rented or not
-	Cordons []string // that bar a place that the job allows
-	Behind  int      // tasks that would wait for the work ahead alone
-	Exact   bool     // Behind is certain: it does not matter which machine takes what
-	Sure    bool     // all work ahead was looked at
+	Cordons []string // cordons on places that the job allows
+	Behind  int      // tasks that only wait for the work ahead
+	Exact   bool     // Behind does not depend on which machine takes which task
+	Sure    bool     // all work ahead was examined
 	Ahead   []Ahead
 	Flights []Flight
 	Running int
 	Done    int
-	Held    int               // tasks for which room is kept
-	Stopped map[string]string // by machine: the job for which tasks of this one were stopped lately
+	Held    int               // tasks for which capacity is reserved
+	Stopped map[string]string // by machine: the job for which tasks of this one were recently preempted
 }
 
 // Flight is a group of tasks on one machine that are neither waiting nor running.
@@ -44,19 +44,20 @@
 	State   string
 	Machine string
 	Tasks   int
-	Since   loop.Micros // time of day; 0: not known
+	Since   loop.Micros // wall clock; 0: not known
 	Settles string
 	For     string
 }
 
-// Bounds on lists in an answer.
+// Bounds on the lists in an answer.
 const (
 	mostGroups = 40
 	mostAhead  = 20
 	mostOn     = 20
 )
 
-// Judge lists every reason that the owner's facts give, the gates in their order.
+// Judge returns every reason that follows from the owner's facts, in the order of the
+// predicates.
 func Judge(f *Facts) []Reason {
 	var out []Reason
 	add := func(k gate.Kind, tasks int) *Reason {
@@ -66,7 +67,7 @@
 	n := f.Gate.Waiting
 	if n > 0 && !f.Contact {
 		r := add(gate.StateContact, n)
-		r.State, r.Release = "lost", "the owner reaches the state service again, or another controller takes the team over"
+		r.State, r.Release = "lost", "the owner regains contact with the state service, or another controller takes the team over"
 	}
 	for _, c := range f.Gate.Causes(nil) {
 		f.ownGate(c.Kind, add(c.Kind, c.Tasks))
@@ -78,7 +79,7 @@
 	return out
 }
 
-// ownGate tells the particulars of a job gate that is shut.
+// ownGate fills in the particulars of a predicate on the job itself that blocks it.
 func (f *Facts) ownGate(k gate.Kind, r *Reason) {
 	switch k {
 	case gate.Damaged:
@@ -112,9 +113,9 @@
 			r.BlockedBy = append(r.BlockedBy, d.ID)
 		}
 		if withdrawn {
-			r.State, r.Release = "withdrawn", "an operator releases the job from what was withdrawn, and the others named are done"
+			r.State, r.Release = "withdrawn", "an operator releases the job from its dependency on the withdrawn jobs, and the other jobs named are done"
 			if f.Gate.OnWithdrawn == job.PolicyWithdraw {
-				r.State, r.Release = "withdrawing", "nothing: the job is being withdrawn, as its user asked"
+				r.State, r.Release = "withdrawing", "nothing: the job is being withdrawn, as its onWithdrawn policy says"
 			}
 		}
 	case gate.BackOff:
@@ -123,12 +124,12 @@
 		r.State, r.Until = "resting", &until
 		r.Estimate = &Estimate{Low: left, Likely: left, High: left + Span(loop.Second)}
 		r.Detail.Failures = f.failing()
-		r.Release = "its rest is over; then a few of its tasks try again"
+		r.Release = "its back-off ends; then a few of its tasks are tried again"
 	case gate.Probe:
 		r.State, r.Release = "oneAtATime", "a task of the job completes; others follow once it has run for longer than those that failed"
 		switch x := &f.Gate.Failing; {
 		case x.State == health.Sound || x.State == health.Untried:
-			r.State, r.Release = "failedBefore", "tasks that failed before complete; the job's others go on"
+			r.State, r.Release = "failedBefore", "the tasks that failed before complete; the job's other tasks are not held back"
 		case x.Width > 1:
 			r.State = "growing"
 		}
@@ -149,7 +150,8 @@
 		GPUs: f.Gate.Used.GPUs, GPUsMax: f.Gate.Quota.GPUsMax, Within: f.Within}
 }
 
-// machines tells why the machines do not take what the job's own gates let on.
+// machines adds the reasons why the machines do not take the waiting tasks that the job's
+// own predicates allow.
 func (f *Facts) machines(add func(gate.Kind, int) *Reason) {
 	n, s := f.Gate.Waiting, f.Need.Spec
 	needs := &Needs{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, Zone: s.Zone, Spot: s.Spot}
@@ -180,17 +182,17 @@
 		r := add(kind, short)
 		r.State, r.Release = "noRoom", "tasks end, or a machine that allows the job comes up"
 		if !f.Within {
-			// Work within its guarantee may stop what others run beyond theirs.
+			// Only work within its team's guarantee may preempt what others run beyond theirs.
 			r.State = "nothingToBorrow"
 			if !f.Gate.Quota.Guaranteed() {
-				r.State = "behindGuarantees" // nothing is stopped for a team that is guaranteed nothing
+				r.State = "behindGuarantees" // nothing is preempted for a team without a guarantee
 				r.Release = "tasks end, or a machine that allows the job comes up, beyond what is guaranteed to others"
 			}
 		}
 		if kind == gate.Gang {
-			r.State, r.Release = "notAllAtOnce", "there is room for all of its tasks at once"
+			r.State, r.Release = "notAllAtOnce", "there is free capacity for all of its tasks at once"
 			if f.Gate.InUse > 0 {
-				r.State, r.Release = "leftOver", "the tasks of its earlier start are off their machines"
+				r.State, r.Release = "leftOver", "the tasks of its earlier start have terminated"
 			}
 		}
 		r.Detail.Needs, r.Detail.Team, r.Detail.Machines = needs, f.team(), f.lacks()
@@ -211,14 +213,14 @@
 		if !f.Exact {
 			r.State = "mayBeBehind"
 		}
-		r.Release = "the work named gets its room, or is withdrawn"
+		r.Release = "the jobs named are placed, or are withdrawn"
 		r.Detail.Ahead = f.Ahead[:min(len(f.Ahead), mostAhead)]
 		for _, a := range r.Detail.Ahead {
 			r.BlockedBy = append(r.BlockedBy, a.Job)
 		}
 	} else if cordoned <= 0 && short <= 0 && f.Contact && f.Gate.Open() && f.Gate.Least() > 0 {
 		r := add(gate.Recheck, min(n, f.Gate.Least()))
-		r.State, r.Release = "due", "nothing: the next pass places it"
+		r.State, r.Release = "due", "nothing: the next scheduling pass places it"
 		r.Estimate = &Estimate{Low: 0, Likely: Span(50 * loop.Millisecond), High: Span(loop.Second)}
 	}
 }
@@ -258,7 +260,7 @@
 	return m
 }
 
-// flights tells of the tasks that are on their way.
+// flights adds the reasons of tasks that are neither waiting nor running.
 func (f *Facts) flights(add func(gate.Kind, int) *Reason) {
 	for _, k := range []gate.Kind{gate.Recording, gate.Starting, gate.Fetching, gate.Saving, gate.Unproven} {
 		var r *Reason
@@ -286,14 +288,14 @@
 }
 
 var flightEnds = map[gate.Kind]string{
-	gate.Recording: "the attempt is stored",
-	gate.Starting:  "the machine shows the task",
-	gate.Fetching:  "the machine has the image",
-	gate.Saving:    "the task has saved; then it is placed again",
-	gate.Unproven:  "a proof that the task is off the machine named, or the machine is heard again",
+	gate.Recording: "the attempt is stored in the state service",
+	gate.Starting:  "the machine reports the task",
+	gate.Fetching:  "the machine has fetched the image",
+	gate.Saving:    "the task has saved its checkpoint; then it is placed again",
+	gate.Unproven:  "the task is confirmed terminated, or reports of the machine named arrive again",
 }
 
-// HoldName is the printed form of a hold's state.
+// HoldName returns the printed form of a hold's state.
 func HoldName(s job.HoldState) string {
 	switch s {
 	case job.HoldSettling:
@@ -304,7 +306,7 @@
 	return "none"
 }
 
-// PhaseName is the printed form of a job's phase.
+// PhaseName returns the printed form of a job's phase.
 func PhaseName(p job.Phase) string {
 	switch p {
 	case job.Done:
@@ -317,7 +319,7 @@
 	return "unknown"
 }
 
-// PolicyName is the printed form of a policy.
+// PolicyName returns the printed form of a policy.
 func PolicyName(p job.Policy) string {
 	switch p {
 	case job.PolicyRelease:
@@ -328,7 +330,7 @@
 	return "hold"
 }
 
-// PriorityName is the printed form of a priority.
+// PriorityName returns the printed form of a priority.
 func PriorityName(p job.Priority) string {
 	switch p {
 	case job.Production:
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -5,45 +5,46 @@
 	"cleatpick/internal/loop"
 )
 
-// Bounds on what is kept of jobs' waits.
+// Bounds on the timelines.
 const (
-	mostSpans = 24  // ended spans for each job
-	mostOver  = 256 // jobs that are over and still remembered
+	mostSpans = 24  // ended intervals of each job
+	mostOver  = 256 // finished jobs whose timelines are kept
 )
 
-// flap is how soon after its end a cause counts as not having ended at all.
+// flap is the longest interruption of a cause that does not end its interval.
 const flap = 1500 * loop.Millisecond
 
 type stretch struct {
 	kind     gate.Kind
-	from, to loop.Micros // time of day; to is 0 while it holds
-	tasks    int         // the most
+	from, to loop.Micros // wall clock; to is 0 while the cause holds
+	tasks    int         // the largest number of tasks that it blocked at a time
 }
 
-// line is a job's timeline as this node keeps it.
+// line is a job's timeline as this controller keeps it.
 type line struct {
-	spans   []stretch // those that hold come last
+	spans   []stretch // ended ones first, then those that still hold
 	dropped int
 	from    loop.Micros
 	causes  []gate.Cause
 	over    bool
 }
 
-// Timelines follow the causes of all unfinished jobs, by what their owners tell. Every
-// node keeps them, so that they outlive an owner; nothing of them is stored beyond the
-// nodes.
+// Timelines records the causes that block all unfinished jobs, from the messages of their
+// owners. Every controller keeps them in memory, so that they survive the failure of an
+// owner; they are not stored anywhere else.
 type Timelines struct {
 	lines map[string]*line
 	over  []string
-	// Ended is told of every span that ends; own: of a job that this node owns.
+	// Ended is called for every interval that ends; own reports whether this controller owns
+	// the job.
 	Ended func(job string, k gate.Kind, took loop.Micros, own bool)
 }
 
-// NewTimelines makes an empty memory.
+// NewTimelines returns an empty set of timelines.
 func NewTimelines() *Timelines { return &Timelines{lines: map[string]*line{}} }
 
-// Set takes in the causes that hold now; own tells whether this node owns the job. It
-// tells whether they differ in kind from those before.
+// Set records the causes that hold now; own says whether this controller owns the job. It
+// reports whether their kinds differ from those before.
 func (t *Timelines) Set(id string, causes []gate.Cause, wall loop.Micros, own bool) (changed bool) {
 	l := t.lines[id]
 	if l == nil {
@@ -95,7 +96,7 @@
 	return false
 }
 
-// open is the index of the first span that still holds.
+// open returns the index of the first interval that still holds.
 func (l *line) open() int {
 	i := len(l.spans)
 	for i > 0 && l.spans[i-1].to == 0 {
@@ -113,11 +114,11 @@
 	return nil
 }
 
-// begin opens a span, or goes on with one that ended a moment ago.
+// begin opens an interval, or continues one that ended less than flap ago.
 func (l *line) begin(c gate.Cause, wall loop.Micros, open *int) {
 	s := stretch{kind: c.Kind, from: wall, tasks: c.Tasks}
 	if c.Since != 0 && c.Since < wall {
-		s.from = c.Since // its owner knows it for longer
+		s.from = c.Since // the owner has known the cause for longer than this controller
 	}
 	for i := *open - 1; i >= 0 && wall-l.spans[i].to < flap; i-- {
 		if l.spans[i].kind == c.Kind {
@@ -130,7 +131,7 @@
 	l.spans = append(l.spans, s)
 }
 
-// end closes span i and moves it before those that still hold.
+// end closes interval i and moves it before those that still hold.
 func (l *line) end(i, open int, wall loop.Micros) {
 	s := l.spans[i]
 	s.to = wall
@@ -138,7 +139,7 @@
 	l.spans[open] = s
 }
 
-// Over closes a job's timeline; the newest of those that are over stay for a while.
+// Over closes a finished job's timeline. The newest closed timelines are kept, up to a bound.
 func (t *Timelines) Over(id string, wall loop.Micros, own bool) {
 	l := t.lines[id]
 	if l == nil || l.over {
@@ -153,7 +154,8 @@
 	}
 }
 
-// Since is since when a cause holds; 0: it does not, as far as is known here.
+// Since returns the time since which a cause holds, or 0 if it does not hold as far as this
+// controller knows.
 func (t *Timelines) Since(id string, k gate.Kind) loop.Micros {
 	if l := t.lines[id]; l != nil {
 		if s := l.find(k, l.open()); s != nil {
@@ -163,7 +165,7 @@
 	return 0
 }
 
-// Dated fills in since when causes hold, for those who did not hear of them at once.
+// Dated sets the start times of causes, for controllers that receive them later.
 func (t *Timelines) Dated(id string, causes []gate.Cause) []gate.Cause {
 	for i := range causes {
 		causes[i].Since = t.Since(id, causes[i].Kind)
@@ -171,7 +173,7 @@
 	return causes
 }
 
-// Causes are the causes last told of a job.
+// Causes returns the causes last recorded for a job.
 func (t *Timelines) Causes(id string) []gate.Cause {
 	if l := t.lines[id]; l != nil {
 		return l.causes
@@ -179,7 +181,7 @@
 	return nil
 }
 
-// Of is a job's timeline in its printed form.
+// Of returns a job's timeline in its printed form.
 func (t *Timelines) Of(id string) Timeline {
 	out := Timeline{Spans: []Stretch{}}
 	l := t.lines[id]
--- a/internal/explain/waits.go
+++ b/internal/explain/waits.go
@@ -9,29 +9,31 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The distributions reach from a hundredth of a second to half a day.
+// Range and precision of the distributions: from 10 ms to 12 h.
 const (
 	unit       = 10 * loop.Millisecond
 	longest    = 12 * 3600 * loop.Second / unit
 	digits     = 2
 	windows    = 2
-	fewSamples = 8 // below this many waits that lasted as long nothing is said
+	fewSamples = 8 // fewer waits that lasted as long give no estimate
 )
 
-// rotateAfter is how many waits one window takes in: old ones must not weigh for ever,
-// and a quiet night must not empty them.
+// rotateAfter is the number of waits in one window. Windows are bounded by count so that old
+// waits lose their weight, and not by time so that idle hours do not empty them.
 const rotateAfter = 400
 
-// The quantiles that an estimate tells. Waits change in nature while they last, so these
-// reach further than the nine in ten that they stand for; the worlds say how well.
+// Quantiles of an estimate. The distribution changes while a wait lasts, so these reach
+// further than the eight in ten of the cases that Low and High should enclose; the
+// simulations check how many they do.
 const (
 	lowQuantile, highQuantile = 0.06, 0.94
 )
 
-// spread is by how much an estimate that rests on a single wait would be stretched.
+// spread is the factor by which the upper bound grows if only one wait is known; it falls
+// with the square root of the number of waits.
 const spread = 2.0
 
-// Waits are distributions of how long causes held, kept by kind and by urgency.
+// Waits holds the distributions of how long causes held, by kind and by urgency.
 type Waits struct {
 	by map[waitKey]*Dist
 }
@@ -41,16 +43,16 @@
 	urgent bool
 }
 
-// Dist holds the newest waits of one sort.
+// Dist is the distribution of the newest waits of one kind.
 type Dist struct {
 	h *hdrhistogram.WindowedHistogram
-	n int // in the newest window
+	n int // waits in the newest window
 }
 
-// NewWaits makes empty distributions; each takes its memory with its first wait.
+// NewWaits returns empty distributions; each allocates its memory with its first wait.
 func NewWaits() *Waits { return &Waits{by: map[waitKey]*Dist{}} }
 
-// Add takes in a wait.
+// Add records a wait that has ended.
 func (d *Dist) Add(took loop.Micros) {
 	if d.n >= rotateAfter {
 		d.n = 0
@@ -58,14 +60,14 @@
 	}
 	d.n++
 	if err := d.h.Current.RecordValue(min(max(took/unit, 1), longest)); err != nil {
-		d.n-- // outside of the bounds, which min and max exclude
+		d.n-- // out of range, which min and max prevent
 	}
 }
 
-// NewDist makes an empty distribution.
+// NewDist returns an empty distribution.
 func NewDist() *Dist { return &Dist{h: hdrhistogram.NewWindowed(windows, 1, longest, digits)} }
 
-// Add takes in a wait that has ended.
+// Add records a wait of the given kind and urgency that has ended.
 func (w *Waits) Add(k gate.Kind, urgent bool, took loop.Micros) {
 	key := waitKey{k, urgent}
 	d := w.by[key]
@@ -76,8 +78,8 @@
 	d.Add(took)
 }
 
-// Left estimates how much longer a wait lasts that has lasted so long already: by those
-// waits of its sort that lasted as long. It is nil when too few did.
+// Left estimates the remaining time of a wait that has lasted for elapsed, from the waits of
+// the same kind and urgency that lasted at least as long. It is nil when they are too few.
 func (w *Waits) Left(k gate.Kind, urgent bool, elapsed loop.Micros) *Estimate {
 	d := w.by[waitKey{k, urgent}]
 	if d == nil {
@@ -86,7 +88,8 @@
 	return d.Left(elapsed)
 }
 
-// Left estimates how much longer a wait lasts that has lasted so long already.
+// Left estimates the remaining time of a wait that has lasted for elapsed, or returns nil
+// when too few recorded waits lasted as long.
 func (d *Dist) Left(elapsed loop.Micros) *Estimate {
 	h := d.h.Merge()
 	total := h.TotalCount()
@@ -105,8 +108,8 @@
 		v := h.ValueAtPercentile(100 * (float64(below) + q*float64(left)) / float64(total))
 		return Span(max(v*unit-elapsed, 0))
 	}
-	// Waits that have not ended yet are not among these, and are the long ones: the fewer
-	// are known, the further the truth may lie beyond them.
+	// Waits that have not ended yet are missing here and tend to be the long ones: the fewer
+	// waits are known, the further the true upper quantile may lie above them.
 	high := at(highQuantile)
 	high += Span(float64(high) * spread / math.Sqrt(float64(left)))
 	return &Estimate{Low: at(lowQuantile), Likely: at(0.5), High: high, Samples: int(left)}
