--- a/cmd/cleatpick/show.go
+++ b/cmd/cleatpick/show.go
@@ -31,7 +31,7 @@
 
 func clock(t explain.Time) string { return time.UnixMicro(int64(t)).UTC().Format("15:04:05") }
 
-func span(s explain.Span) string {
+func span(s explain.Duration) string {
 	return (time.Duration(s) * time.Microsecond).Round(100 * time.Millisecond).String()
 }
 
--- a/internal/api/cluster.go
+++ b/internal/api/cluster.go
@@ -180,10 +180,10 @@
 
 // Held sums up one cause.
 type Held struct {
-	Kind    string       `json:"kind"`
-	Jobs    int          `json:"jobs"`
-	Tasks   int          `json:"tasks"`
-	Longest explain.Span `json:"longestS"`
+	Kind    string           `json:"kind"`
+	Jobs    int              `json:"jobs"`
+	Tasks   int              `json:"tasks"`
+	Longest explain.Duration `json:"longestS"`
 }
 
 // Queue is why everything waits, as the owners last told.
@@ -230,7 +230,7 @@
 				h.Jobs++
 				h.Tasks += x.Tasks
 				if since := a.n.Desk.Lines.Since(j.ID, x.Kind); since != 0 {
-					h.Longest = max(h.Longest, explain.Span(wall-since))
+					h.Longest = max(h.Longest, explain.Duration(wall-since))
 				}
 			}
 		})
--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -33,18 +33,18 @@
 	return nil
 }
 
-// Span is a duration in microseconds, written as seconds in JSON.
-type Span int64
+// Duration is a duration in microseconds, written as seconds in JSON.
+type Duration int64
 
 // MarshalJSON writes the duration as a decimal number of seconds.
-func (s Span) MarshalJSON() ([]byte, error) {
+func (s Duration) MarshalJSON() ([]byte, error) {
 	return strconv.AppendFloat(nil, float64(s/1000)/1000, 'f', -1, 64), nil
 }
 
 // UnmarshalJSON reads a decimal number of seconds.
-func (s *Span) UnmarshalJSON(b []byte) error {
+func (s *Duration) UnmarshalJSON(b []byte) error {
 	f, err := strconv.ParseFloat(string(b), 64)
-	*s = Span(f * 1e6)
+	*s = Duration(f * 1e6)
 	return err
 }
 
@@ -85,10 +85,10 @@
 // Estimate is the time from now until a reason may end: in half of the cases it ends before
 // Likely, in about eight of ten between Low and High (see docs/RESULTS.md).
 type Estimate struct {
-	Low     Span `json:"lowS"`
-	Likely  Span `json:"likelyS"`
-	High    Span `json:"highS"`
-	Samples int  `json:"samples"` // number of past waits that it is computed from
+	Low     Duration `json:"lowS"`
+	Likely  Duration `json:"likelyS"`
+	High    Duration `json:"highS"`
+	Samples int      `json:"samples"` // number of past waits that it is computed from
 }
 
 // Detail holds the particulars of a reason; which fields are set depends on its kind.
@@ -216,8 +216,8 @@
 // Booting counts the machines of one offer that are booting.
 type Booting struct {
 	Offer
-	Age     Span `json:"ageS"`     // since the oldest of them was ordered
-	Nominal Span `json:"nominalS"` // the expected boot time
+	Age     Duration `json:"ageS"`     // since the oldest of them was ordered
+	Nominal Duration `json:"nominalS"` // the expected boot time
 }
 
 // Kind returns the name of a machine's kind: spot or ordinary.
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -92,8 +92,8 @@
 		if h.Until != 0 {
 			until := Time(h.Until)
 			d.Until, r.Until = &until, &until
-			left := Span(max(h.Until+f.Gate.ClockTo-f.Wall, 0))
-			r.Estimate = &Estimate{Low: left, Likely: left, High: left + Span(loop.Second)}
+			left := Duration(max(h.Until+f.Gate.ClockTo-f.Wall, 0))
+			r.Estimate = &Estimate{Low: left, Likely: left, High: left + Duration(loop.Second)}
 			r.Release = "the hold ends by itself, or an operator releases the job"
 		}
 	case gate.Dependency:
@@ -120,9 +120,9 @@
 		}
 	case gate.BackOff:
 		until := Time(f.Wall + f.Gate.Failing.RestTo - f.Now)
-		left := Span(f.Gate.Failing.RestTo - f.Now)
+		left := Duration(f.Gate.Failing.RestTo - f.Now)
 		r.State, r.Until = "resting", &until
-		r.Estimate = &Estimate{Low: left, Likely: left, High: left + Span(loop.Second)}
+		r.Estimate = &Estimate{Low: left, Likely: left, High: left + Duration(loop.Second)}
 		r.Detail.Failures = f.failing()
 		r.Release = "its back-off ends; then a few of its tasks are tried again"
 	case gate.Probe:
@@ -221,7 +221,7 @@
 	} else if cordoned <= 0 && short <= 0 && f.Contact && f.Gate.Open() && f.Gate.Least() > 0 {
 		r := add(gate.Recheck, min(n, f.Gate.Least()))
 		r.State, r.Release = "due", "nothing: the next scheduling pass places it"
-		r.Estimate = &Estimate{Low: 0, Likely: Span(50 * loop.Millisecond), High: Span(loop.Second)}
+		r.Estimate = &Estimate{Low: 0, Likely: Duration(50 * loop.Millisecond), High: Duration(loop.Second)}
 	}
 }
 
--- a/internal/explain/waits.go
+++ b/internal/explain/waits.go
@@ -104,13 +104,13 @@
 	if left < fewSamples {
 		return nil
 	}
-	at := func(q float64) Span {
+	at := func(q float64) Duration {
 		v := h.ValueAtPercentile(100 * (float64(below) + q*float64(left)) / float64(total))
-		return Span(max(v*unit-elapsed, 0))
+		return Duration(max(v*unit-elapsed, 0))
 	}
 	// Waits that have not ended yet are missing here and tend to be the long ones: the fewer
 	// waits are known, the further the true upper quantile may lie above them.
 	high := at(highQuantile)
-	high += Span(float64(high) * spread / math.Sqrt(float64(left)))
+	high += Duration(float64(high) * spread / math.Sqrt(float64(left)))
 	return &Estimate{Low: at(lowQuantile), Likely: at(0.5), High: high, Samples: int(left)}
 }
--- a/internal/node/calibration_test.go
+++ b/internal/node/calibration_test.go
@@ -156,7 +156,7 @@
 			continue // dropped from the timeline, or stretched by a flap
 		}
 		all[e.kind]++
-		if left := explain.Span(end - e.at); left >= e.e.Low-explain.Span(50*loop.Millisecond) && left <= e.e.High+explain.Span(50*loop.Millisecond) {
+		if left := explain.Duration(end - e.at); left >= e.e.Low-explain.Duration(50*loop.Millisecond) && left <= e.e.High+explain.Duration(50*loop.Millisecond) {
 			in[e.kind]++
 		} else if left > e.e.High {
 			in["above "+e.kind]++
--- a/internal/rental/supply.go
+++ b/internal/rental/supply.go
@@ -71,11 +71,11 @@
 			if len(by) >= mostOffers {
 				continue
 			}
-			b = &explain.Booting{Offer: explain.Offer{Type: m.typ, Zone: m.zone, Kind: explain.Kind(m.spot)}, Nominal: explain.Span(loop.Seconds(t.byName[m.typ].BootS))}
+			b = &explain.Booting{Offer: explain.Offer{Type: m.typ, Zone: m.zone, Kind: explain.Kind(m.spot)}, Nominal: explain.Duration(loop.Seconds(t.byName[m.typ].BootS))}
 			by[of] = b
 		}
 		b.Count++
-		b.Age = max(b.Age, explain.Span(now-m.since))
+		b.Age = max(b.Age, explain.Duration(now-m.since))
 	}
 	for _, b := range by {
 		out.Booting = append(out.Booting, *b)
@@ -92,4 +92,4 @@
 	})
 }
 
-func scale(s explain.Span, by float64) explain.Span { return explain.Span(float64(s) * by) }
+func scale(s explain.Duration, by float64) explain.Duration { return explain.Duration(float64(s) * by) }
