--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -50,16 +50,16 @@
 
 // Answer explains why a job's tasks do not run.
 type Answer struct {
-	Job      string    `json:"job"`
-	Standing string    `json:"standing"`
-	AsOf     Time      `json:"asOf"`
-	Tasks    int       `json:"tasks"`
-	Waiting  int       `json:"waiting"`
-	Running  int       `json:"running"`
-	Done     int       `json:"done"`
-	Owner    string    `json:"owner,omitempty"` // the controller that owns its team
-	Reasons  []Reason  `json:"reasons"`
-	Timeline []Stretch `json:"timeline"`
+	Job      string     `json:"job"`
+	Standing string     `json:"standing"`
+	AsOf     Time       `json:"asOf"`
+	Tasks    int        `json:"tasks"`
+	Waiting  int        `json:"waiting"`
+	Running  int        `json:"running"`
+	Done     int        `json:"done"`
+	Owner    string     `json:"owner,omitempty"` // the controller that owns its team
+	Reasons  []Reason   `json:"reasons"`
+	Timeline []Interval `json:"timeline"`
 	// The owner knows nothing of the time before TimelineFrom. TimelineDropped counts the
 	// oldest entries after it that were dropped to bound the timeline.
 	TimelineFrom    *Time    `json:"timelineFrom,omitempty"`
@@ -230,21 +230,21 @@
 
 // Timeline lists the causes that blocked a job and the time for which each of them held.
 type Timeline struct {
-	Spans   []Stretch `json:"spans"`
-	Dropped int       `json:"dropped,omitempty"` // number of oldest entries dropped to bound the timeline
-	From    *Time     `json:"from,omitempty"`    // nothing is known of the time before
+	Spans   []Interval `json:"spans"`
+	Dropped int        `json:"dropped,omitempty"` // number of oldest entries dropped to bound the timeline
+	From    *Time      `json:"from,omitempty"`    // nothing is known of the time before
 }
 
 // tells copies the timeline into the answer.
 func (a *Answer) tells(t Timeline) {
 	a.Timeline, a.TimelineFrom, a.TimelineDropped = t.Spans, t.From, t.Dropped
 	if a.Timeline == nil {
-		a.Timeline = []Stretch{}
+		a.Timeline = []Interval{}
 	}
 }
 
-// Stretch is an interval for which one cause held.
-type Stretch struct {
+// Interval is an interval for which one cause held.
+type Interval struct {
 	Kind  string `json:"kind"`
 	From  Time   `json:"from"`
 	To    *Time  `json:"to,omitempty"` // absent: it still holds
--- a/internal/explain/desk.go
+++ b/internal/explain/desk.go
@@ -149,7 +149,7 @@
 			done(nil, code)
 			return
 		}
-		a := &Answer{Job: id, AsOf: Time(d.r.Wall()), Tasks: j.Tasks, Reasons: []Reason{}, Complete: true, Timeline: []Stretch{}}
+		a := &Answer{Job: id, AsOf: Time(d.r.Wall()), Tasks: j.Tasks, Reasons: []Reason{}, Complete: true, Timeline: []Interval{}}
 		if j.Final() || j.Spec == nil {
 			a.Standing = PhaseName(j.Phase)
 			a.tells(d.Lines.Of(id))
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -183,7 +183,7 @@
 
 // Of returns a job's timeline in its printed form.
 func (t *Timelines) Of(id string) Timeline {
-	out := Timeline{Spans: []Stretch{}}
+	out := Timeline{Spans: []Interval{}}
 	l := t.lines[id]
 	if l == nil {
 		return out
@@ -191,7 +191,7 @@
 	from := Time(l.from)
 	out.From, out.Dropped = &from, l.dropped
 	for _, s := range l.spans {
-		x := Stretch{Kind: s.kind.String(), From: Time(s.from), Tasks: s.tasks}
+		x := Interval{Kind: s.kind.String(), From: Time(s.from), Tasks: s.tasks}
 		if s.to != 0 {
 			to := Time(s.to)
 			x.To = &to
--- a/internal/node/why_test.go
+++ b/internal/node/why_test.go
@@ -383,7 +383,7 @@
 			return code == 200 && a.Complete && a.Owner != owner && len(a.Timeline) > 0 && strings.Contains(reasonsOf(&a), "hold/held:1")
 		})
 		// The peers followed the timeline, so that the hold did not begin anew.
-		if i := slices.IndexFunc(a.Timeline, func(s explain.Stretch) bool { return s.Kind == "hold" }); i < 0 || a.Timeline[i].From != before[0].From {
+		if i := slices.IndexFunc(a.Timeline, func(s explain.Interval) bool { return s.Kind == "hold" }); i < 0 || a.Timeline[i].From != before[0].From {
 			t.Errorf("the timeline was %v, and is %v at the next owner", before, a.Timeline)
 		}
 	})
