--- a/cmd/cleatpick/jobs.go
+++ b/cmd/cleatpick/jobs.go
@@ -228,7 +228,7 @@
 			return fmt.Errorf("the answer cannot be read: %w", err)
 		}
 		var now strings.Builder
-		fmt.Fprint(&now, a.Standing, a.Running, a.Done)
+		fmt.Fprint(&now, a.Status, a.Running, a.Done)
 		for _, r := range a.Reasons {
 			fmt.Fprint(&now, " ", r.Kind, r.State, r.Tasks)
 		}
@@ -238,7 +238,7 @@
 				return err
 			}
 		}
-		if a.Standing == "done" || a.Standing == "withdrawn" {
+		if a.Status == "done" || a.Status == "withdrawn" {
 			return nil
 		}
 		time.Sleep(time.Second)
--- a/cmd/cleatpick/show.go
+++ b/cmd/cleatpick/show.go
@@ -154,7 +154,7 @@
 func showLifted(w io.Writer, v *map[string]string) { fmt.Fprintf(w, "%s: lifted\n", (*v)["name"]) }
 
 func showWhy(w io.Writer, a *explain.Answer) {
-	fmt.Fprintf(w, "%s  %s: %s, %d of %d tasks done, %d running, %d waiting\n", clock(a.AsOf), a.Job, a.Standing, a.Done, a.Tasks, a.Running, a.Waiting)
+	fmt.Fprintf(w, "%s  %s: %s, %d of %d tasks done, %d running, %d waiting\n", clock(a.AsOf), a.Job, a.Status, a.Done, a.Tasks, a.Running, a.Waiting)
 	for i := range a.Reasons {
 		showReason(w, &a.Reasons[i])
 	}
--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -51,7 +51,7 @@
 // Answer explains why a job's tasks do not run.
 type Answer struct {
 	Job      string     `json:"job"`
-	Standing string     `json:"standing"`
+	Status   string     `json:"standing"`
 	AsOf     Time       `json:"asOf"`
 	Tasks    int        `json:"tasks"`
 	Waiting  int        `json:"waiting"`
--- a/internal/explain/desk.go
+++ b/internal/explain/desk.go
@@ -151,7 +151,7 @@
 		}
 		a := &Answer{Job: id, AsOf: Time(d.r.Wall()), Tasks: j.Tasks, Reasons: []Reason{}, Complete: true, Timeline: []Interval{}}
 		if j.Final() || j.Spec == nil {
-			a.Standing = PhaseName(j.Phase)
+			a.Status = PhaseName(j.Phase)
 			a.tells(d.Lines.Of(id))
 			if j.Phase == job.Done {
 				a.Done = j.Tasks
@@ -171,7 +171,7 @@
 		c := d.n.Counts(j)
 		a.Done, a.Running = int(c.Done), int(c.Running)
 		a.Waiting = max(a.Tasks-a.Done-a.Running, 0)
-		a.Standing = standing(a)
+		a.Status = standing(a)
 		a.tells(d.Lines.Of(j.ID))
 		if k != 0 {
 			r := Reason{Kind: k.String(), Tasks: a.Waiting, State: state, Release: release, BlockedBy: []string{}}
@@ -205,7 +205,7 @@
 		}
 		a.Waiting, a.Running, a.Done = w.Waiting, w.Running, w.Done
 		a.tells(w.Timeline)
-		a.Standing = standing(a)
+		a.Status = standing(a)
 		if !w.Sure {
 			a.Complete = false
 			a.Missing = append(a.Missing, "which work takes the capacity before this job depends on which machines become free first")
--- a/internal/node/why_test.go
+++ b/internal/node/why_test.go
@@ -242,7 +242,7 @@
 	c.held.Store(false)
 	c.until("everything is full", func() bool { return c.why("job-000001").Running == 16 })
 	full := c.why("job-000001")
-	if len(full.Reasons) != 0 || full.Standing != "running" || !full.Complete {
+	if len(full.Reasons) != 0 || full.Status != "running" || !full.Complete {
 		t.Errorf("a job that runs is explained by %s", reasonsOf(full))
 	}
 	var kinds []string
