--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -104,7 +104,7 @@
 			if f.Gate.Met(d) {
 				continue
 			}
-			b := Before{Job: d.ID, State: PhaseName(d.Phase)}
+			b := Prerequisite{Job: d.ID, State: PhaseName(d.Phase)}
 			if d.Phase == job.Withdrawn {
 				withdrawn = true
 				b.Policy = PolicyName(f.Gate.OnWithdrawn)
