--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -93,16 +93,16 @@
 
 // Detail holds the particulars of a reason; which fields are set depends on its kind.
 type Detail struct {
-	Team     *TeamUse       `json:"team,omitempty"`
-	Hold     *HoldDetail    `json:"hold,omitempty"`
-	After    []Prerequisite `json:"after,omitempty"`
-	Failures *Failing       `json:"failures,omitempty"`
-	Needs    *Needs         `json:"needs,omitempty"`
-	Machines *Machines      `json:"machines,omitempty"`
-	Renting  *Supply        `json:"renting,omitempty"`
-	Ahead    []Ahead        `json:"ahead,omitempty"`
-	On       []On           `json:"on,omitempty"`
-	Cordons  []string       `json:"cordons,omitempty"`
+	Team     *TeamUse        `json:"team,omitempty"`
+	Hold     *HoldDetail     `json:"hold,omitempty"`
+	After    []Prerequisite  `json:"after,omitempty"`
+	Failures *FailureSummary `json:"failures,omitempty"`
+	Needs    *Needs          `json:"needs,omitempty"`
+	Machines *Machines       `json:"machines,omitempty"`
+	Renting  *Supply         `json:"renting,omitempty"`
+	Ahead    []Ahead         `json:"ahead,omitempty"`
+	On       []On            `json:"on,omitempty"`
+	Cordons  []string        `json:"cordons,omitempty"`
 	// StoppedFor names the jobs for which tasks of this one were recently preempted.
 	StoppedFor []string `json:"stoppedFor,omitempty"`
 	// Held is the number of its tasks for which capacity is reserved on machines that do not
@@ -136,9 +136,9 @@
 	Policy string `json:"onWithdrawn,omitempty"`
 }
 
-// Failing describes a job whose tasks fail. Failures close together in time count as one,
+// FailureSummary describes a job whose tasks fail. Failures close together in time count as one,
 // and machines on which other jobs' tasks fail as well do not count.
-type Failing struct {
+type FailureSummary struct {
 	InARow   int    `json:"inARow"` // consecutive failures, those close together in time counted once
 	Machines int    `json:"machines"`
 	Judged   string `json:"judged"` // untried, sound, doubted or broken
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -140,9 +140,9 @@
 	}
 }
 
-func (f *Facts) failing() *Failing {
+func (f *Facts) failing() *FailureSummary {
 	x := &f.Gate.Failing
-	return &Failing{InARow: x.Moments, Machines: x.Machines, Judged: x.State.String(), Tasks: x.Late}
+	return &FailureSummary{InARow: x.Moments, Machines: x.Machines, Judged: x.State.String(), Tasks: x.Late}
 }
 
 func (f *Facts) team() *TeamUse {
