--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -157,13 +157,13 @@
 
 // Machines counts what the machines lack for the job's tasks.
 type Machines struct {
-	Looked int     `json:"looked"`
-	Groups []Group `json:"groups"`
-	More   int     `json:"moreGroups,omitempty"`
+	Looked int            `json:"looked"`
+	Groups []MachineGroup `json:"groups"`
+	More   int            `json:"moreGroups,omitempty"`
 }
 
-// Group describes the machines of one type, zone and kind. A machine may lack several things.
-type Group struct {
+// MachineGroup describes the machines of one type, zone and kind. A machine may lack several things.
+type MachineGroup struct {
 	Type     string         `json:"type"`
 	Zone     string         `json:"zone"`
 	Kind     string         `json:"kind"`
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -232,7 +232,7 @@
 		spot      bool
 	}
 	at := map[key]int{}
-	m := &Machines{Groups: []Group{}}
+	m := &Machines{Groups: []MachineGroup{}}
 	for _, p := range f.Places {
 		m.Looked++
 		k := key{p.V.Type, p.V.Zone, p.V.Spot}
@@ -244,7 +244,7 @@
 			}
 			i = len(m.Groups)
 			at[k] = i
-			m.Groups = append(m.Groups, Group{Type: k.typ, Zone: k.zone, Kind: Kind(k.spot), Lacks: map[string]int{}})
+			m.Groups = append(m.Groups, MachineGroup{Type: k.typ, Zone: k.zone, Kind: Kind(k.spot), Lacks: map[string]int{}})
 		}
 		g := &m.Groups[i]
 		g.Machines++
