--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -100,7 +100,7 @@
 	Needs    *Needs          `json:"needs,omitempty"`
 	Machines *Machines       `json:"machines,omitempty"`
 	Renting  *Supply         `json:"renting,omitempty"`
-	Ahead    []Ahead         `json:"ahead,omitempty"`
+	Ahead    []JobAhead      `json:"ahead,omitempty"`
 	On       []On            `json:"on,omitempty"`
 	Cordons  []string        `json:"cordons,omitempty"`
 	// StoppedFor names the jobs for which tasks of this one were recently preempted.
@@ -172,8 +172,8 @@
 	Resting  map[string]int `json:"resting,omitempty"` // machines that take no new tasks for a while, by cause
 }
 
-// Ahead is a job that precedes this one in the order of service.
-type Ahead struct {
+// JobAhead is a job that precedes this one in the order of service.
+type JobAhead struct {
 	Job      string  `json:"job"`
 	Team     string  `json:"team"`
 	Priority string  `json:"priority"`
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -30,7 +30,7 @@
 	Behind  int      // tasks that only wait for the work ahead
 	Exact   bool     // Behind does not depend on which machine takes which task
 	Sure    bool     // all work ahead was examined
-	Ahead   []Ahead
+	Ahead   []JobAhead
 	Flights []Flight
 	Running int
 	Done    int
--- a/internal/placer/rivals.go
+++ b/internal/placer/rivals.go
@@ -132,7 +132,7 @@
 	}
 	for _, r := range append(all, p.promoted(q, &self, all, types)...) {
 		if r.takes || r.may || r.n < r.most {
-			f.Ahead = append(f.Ahead, explain.Ahead{Job: r.t.j.ID, Team: r.t.team.cfg.Name, Priority: explain.PriorityName(r.t.j.Spec.Priority),
+			f.Ahead = append(f.Ahead, explain.JobAhead{Job: r.t.j.ID, Team: r.t.team.cfg.Name, Priority: explain.PriorityName(r.t.j.Spec.Priority),
 				Tasks: r.most, CPUs: float64(r.most) * r.t.j.Spec.CPUs})
 		}
 	}
