--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -101,7 +101,7 @@
 	Machines *Machines       `json:"machines,omitempty"`
 	Renting  *Supply         `json:"renting,omitempty"`
 	Ahead    []JobAhead      `json:"ahead,omitempty"`
-	On       []On            `json:"on,omitempty"`
+	On       []MachineTasks  `json:"on,omitempty"`
 	Cordons  []string        `json:"cordons,omitempty"`
 	// StoppedFor names the jobs for which tasks of this one were recently preempted.
 	StoppedFor []string `json:"stoppedFor,omitempty"`
@@ -181,8 +181,8 @@
 	CPUs     float64 `json:"cpus"`
 }
 
-// On is a machine with tasks that are being started or saved, or not confirmed terminated.
-type On struct {
+// MachineTasks is a machine with tasks that are being started or saved, or not confirmed terminated.
+type MachineTasks struct {
 	Machine string `json:"machine"`
 	State   string `json:"state"`
 	Tasks   int    `json:"tasks"`
