--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -220,8 +220,8 @@
 	Nominal Duration `json:"nominalS"` // the expected boot time
 }
 
-// Kind returns the name of a machine's kind: spot or ordinary.
-func Kind(spot bool) string {
+// MachineKind returns the name of a machine's kind: spot or ordinary.
+func MachineKind(spot bool) string {
 	if spot {
 		return "spot"
 	}
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -244,7 +244,7 @@
 			}
 			i = len(m.Groups)
 			at[k] = i
-			m.Groups = append(m.Groups, MachineGroup{Type: k.typ, Zone: k.zone, Kind: Kind(k.spot), Lacks: map[string]int{}})
+			m.Groups = append(m.Groups, MachineGroup{Type: k.typ, Zone: k.zone, Kind: MachineKind(k.spot), Lacks: map[string]int{}})
 		}
 		g := &m.Groups[i]
 		g.Machines++
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -125,7 +125,7 @@
 }
 
 func (g *scene) addMachine(name, typ, zone string, spot bool, cpus, memory float64) {
-	g.kind[name] = [3]string{typ, zone, explain.Kind(spot)}
+	g.kind[name] = [3]string{typ, zone, explain.MachineKind(spot)}
 	if cpus > 0 || memory > 0 {
 		g.fill++
 		id := g.job(500+g.fill, job.Spec{Class: "f", Team: "green", Tasks: 1, CPUs: cpus, MemoryGB: memory, Image: "f", AnyType: true})
--- a/internal/rental/supply.go
+++ b/internal/rental/supply.go
@@ -33,12 +33,12 @@
 		out.Offers++
 		if b := t.offers[of]; b != nil && now < b.until && len(out.Refused) < mostOffers {
 			until := explain.Time(wall + b.until - now)
-			out.Refused = append(out.Refused, explain.Offer{Type: of.typ, Zone: of.zone, Kind: explain.Kind(of.spot), Until: &until})
+			out.Refused = append(out.Refused, explain.Offer{Type: of.typ, Zone: of.zone, Kind: explain.MachineKind(of.spot), Until: &until})
 		}
 	}
 	for _, o := range t.orders {
 		if !o.o.Answered && !o.refused && serves(offer{o.o.Type, o.o.Zone, o.o.Spot}) && len(out.Ordered) < mostOffers {
-			out.Ordered = append(out.Ordered, explain.Offer{Type: o.o.Type, Zone: o.o.Zone, Kind: explain.Kind(o.o.Spot), Count: o.o.Count})
+			out.Ordered = append(out.Ordered, explain.Offer{Type: o.o.Type, Zone: o.o.Zone, Kind: explain.MachineKind(o.o.Spot), Count: o.o.Count})
 		}
 	}
 	t.supplyBoots(&out, serves)
@@ -71,7 +71,7 @@
 			if len(by) >= mostOffers {
 				continue
 			}
-			b = &explain.Booting{Offer: explain.Offer{Type: m.typ, Zone: m.zone, Kind: explain.Kind(m.spot)}, Nominal: explain.Duration(loop.Seconds(t.byName[m.typ].BootS))}
+			b = &explain.Booting{Offer: explain.Offer{Type: m.typ, Zone: m.zone, Kind: explain.MachineKind(m.spot)}, Nominal: explain.Duration(loop.Seconds(t.byName[m.typ].BootS))}
 			by[of] = b
 		}
 		b.Count++
