--- a/cmd/cleatpick/show.go
+++ b/cmd/cleatpick/show.go
@@ -42,7 +42,7 @@
 	return s
 }
 
-func sums(all []explain.Sum) string {
+func sums(all []explain.CauseCount) string {
 	var out []string
 	for _, s := range all {
 		out = append(out, fmt.Sprintf("%s %d", s.Kind, s.Tasks))
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -172,7 +172,7 @@
 	Hold        Hold                   `json:"hold"`
 	After       []explain.Prerequisite `json:"after,omitempty"`
 	OnWithdrawn string                 `json:"onWithdrawn,omitempty"`
-	WaitingFor  []explain.Sum          `json:"waitingFor,omitempty"`
+	WaitingFor  []explain.CauseCount   `json:"waitingFor,omitempty"`
 }
 
 // Hold is a job's hold as it is shown. Once it is held, no task of the job begins.
--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -251,17 +251,17 @@
 	Tasks int    `json:"tasks"`        // the largest number of tasks that it blocked at a time
 }
 
-// Sum is the number of tasks that a cause blocks, as printed in a list of jobs.
-type Sum struct {
+// CauseCount is the number of tasks that a cause blocks, as printed in a list of jobs.
+type CauseCount struct {
 	Kind  string `json:"kind"`
 	Tasks int    `json:"tasks"`
 }
 
 // Sums converts causes to their printed form.
-func Sums(causes []gate.Cause) []Sum {
-	out := make([]Sum, 0, len(causes))
+func Sums(causes []gate.Cause) []CauseCount {
+	out := make([]CauseCount, 0, len(causes))
 	for _, c := range causes {
-		out = append(out, Sum{c.Kind.String(), c.Tasks})
+		out = append(out, CauseCount{c.Kind.String(), c.Tasks})
 	}
 	return out
 }
