--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -196,7 +196,7 @@
 			out.State = "running"
 		}
 		causes := a.n.Desk.Lines.Causes(j.ID)
-		out.WaitingFor = explain.Sums(causes)
+		out.WaitingFor = explain.CauseCounts(causes)
 	}
 	if j.At != 0 {
 		at := explain.Time(j.At)
--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -257,8 +257,8 @@
 	Tasks int    `json:"tasks"`
 }
 
-// Sums converts causes to their printed form.
-func Sums(causes []gate.Cause) []CauseCount {
+// CauseCounts converts causes to their printed form.
+func CauseCounts(causes []gate.Cause) []CauseCount {
 	out := make([]CauseCount, 0, len(causes))
 	for _, c := range causes {
 		out = append(out, CauseCount{c.Kind.String(), c.Tasks})
