--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -230,14 +230,14 @@
 
 // Timeline lists the causes that blocked a job and the time for which each of them held.
 type Timeline struct {
-	Spans   []Interval `json:"spans"`
-	Dropped int        `json:"dropped,omitempty"` // number of oldest entries dropped to bound the timeline
-	From    *Time      `json:"from,omitempty"`    // nothing is known of the time before
+	Intervals []Interval `json:"spans"`
+	Dropped   int        `json:"dropped,omitempty"` // number of oldest entries dropped to bound the timeline
+	From      *Time      `json:"from,omitempty"`    // nothing is known of the time before
 }
 
 // tells copies the timeline into the answer.
 func (a *Answer) tells(t Timeline) {
-	a.Timeline, a.TimelineFrom, a.TimelineDropped = t.Spans, t.From, t.Dropped
+	a.Timeline, a.TimelineFrom, a.TimelineDropped = t.Intervals, t.From, t.Dropped
 	if a.Timeline == nil {
 		a.Timeline = []Interval{}
 	}
--- a/internal/explain/desk_test.go
+++ b/internal/explain/desk_test.go
@@ -175,7 +175,7 @@
 	set(20, room, limit)
 	set(30, limit)
 	set(31, limit, gate.Cause{Kind: gate.Room, Tasks: 5}) // one second later: the interval continues
-	of := l.Of("j").Spans
+	of := l.Of("j").Intervals
 	if len(of) != 2 || of[1].Kind != "room" || of[1].From != Time(10*loop.Second) || of[1].Tasks != 5 || of[1].To != nil {
 		t.Fatalf("after a short interruption of a cause the timeline is %+v", of)
 	}
@@ -189,10 +189,10 @@
 		set(110+20*i, limit)
 	}
 	all := l.Of("j")
-	if len(all.Spans) > mostSpans+2 || all.Dropped == 0 || *all.From != Time(10*loop.Second) {
-		t.Errorf("timeline keeps %d entries, dropped %d, starts at %v", len(all.Spans), all.Dropped, all.From)
+	if len(all.Intervals) > mostSpans+2 || all.Dropped == 0 || *all.From != Time(10*loop.Second) {
+		t.Errorf("timeline keeps %d entries, dropped %d, starts at %v", len(all.Intervals), all.Dropped, all.From)
 	}
-	if last := all.Spans[len(all.Spans)-1]; last.Kind != "teamLimit" || last.To != nil {
+	if last := all.Intervals[len(all.Intervals)-1]; last.Kind != "teamLimit" || last.To != nil {
 		t.Errorf("the newest entry is %+v, want a teamLimit that still holds", last)
 	}
 	if ended[gate.Room] == 0 || ended[gate.Limit] == 0 {
@@ -203,7 +203,7 @@
 		l.Set(id, []gate.Cause{room}, 2000*loop.Second, true)
 		l.Over(id, 2001*loop.Second, true)
 	}
-	if len(l.lines) > mostOver+2 || len(l.Of("k0").Spans) != 0 || len(l.Of(fmt.Sprint("k", mostOver)).Spans) != 1 {
+	if len(l.lines) > mostOver+2 || len(l.Of("k0").Intervals) != 0 || len(l.Of(fmt.Sprint("k", mostOver)).Intervals) != 1 {
 		t.Errorf("%d timelines are kept, want at most mostOver of finished jobs and the newest of them", len(l.lines))
 	}
 }
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -183,7 +183,7 @@
 
 // Of returns a job's timeline in its printed form.
 func (t *Timelines) Of(id string) Timeline {
-	out := Timeline{Spans: []Interval{}}
+	out := Timeline{Intervals: []Interval{}}
 	l := t.lines[id]
 	if l == nil {
 		return out
@@ -196,7 +196,7 @@
 			to := Time(s.to)
 			x.To = &to
 		}
-		out.Spans = append(out.Spans, x)
+		out.Intervals = append(out.Intervals, x)
 	}
 	return out
 }
