--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -103,8 +103,8 @@
 	Ahead    []JobAhead      `json:"ahead,omitempty"`
 	On       []MachineTasks  `json:"on,omitempty"`
 	Cordons  []string        `json:"cordons,omitempty"`
-	// StoppedFor names the jobs for which tasks of this one were recently preempted.
-	StoppedFor []string `json:"stoppedFor,omitempty"`
+	// PreemptedFor names the jobs for which tasks of this one were recently preempted.
+	PreemptedFor []string `json:"stoppedFor,omitempty"`
 	// Held is the number of its tasks for which capacity is reserved on machines that do not
 	// have that capacity free yet.
 	Held int `json:"roomHeld,omitempty"`
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -198,11 +198,11 @@
 		r.Detail.Needs, r.Detail.Team, r.Detail.Machines = needs, f.team(), f.lacks()
 		r.Detail.Held = f.Held
 		for _, by := range f.Stopped {
-			if !slices.Contains(r.Detail.StoppedFor, by) {
-				r.Detail.StoppedFor = append(r.Detail.StoppedFor, by)
+			if !slices.Contains(r.Detail.PreemptedFor, by) {
+				r.Detail.PreemptedFor = append(r.Detail.PreemptedFor, by)
 			}
 		}
-		slices.Sort(r.Detail.StoppedFor)
+		slices.Sort(r.Detail.PreemptedFor)
 	}
 	if tasks := f.Behind; tasks > 0 {
 		if s.Gang {
