--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -105,9 +105,9 @@
 	Cordons  []string        `json:"cordons,omitempty"`
 	// PreemptedFor names the jobs for which tasks of this one were recently preempted.
 	PreemptedFor []string `json:"stoppedFor,omitempty"`
-	// Held is the number of its tasks for which capacity is reserved on machines that do not
+	// Reserved is the number of its tasks for which capacity is reserved on machines that do not
 	// have that capacity free yet.
-	Held int `json:"roomHeld,omitempty"`
+	Reserved int `json:"roomHeld,omitempty"`
 }
 
 // TeamUse holds what a team uses, its limits and its guarantee.
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -196,7 +196,7 @@
 			}
 		}
 		r.Detail.Needs, r.Detail.Team, r.Detail.Machines = needs, f.team(), f.lacks()
-		r.Detail.Held = f.Held
+		r.Detail.Reserved = f.Held
 		for _, by := range f.Stopped {
 			if !slices.Contains(r.Detail.PreemptedFor, by) {
 				r.Detail.PreemptedFor = append(r.Detail.PreemptedFor, by)
