--- a/cmd/cleatpick/show.go
+++ b/cmd/cleatpick/show.go
@@ -211,7 +211,7 @@
 		fmt.Fprintf(w, "    %s is %s\n", b.Job, b.State)
 	}
 	if d.Team != nil {
-		fmt.Fprintf(w, "    team %s uses %g CPUs, %s, %g guaranteed\n", d.Team.Team, d.Team.CPUs, d.Team.CPUsMax, d.Team.CPUsHave)
+		fmt.Fprintf(w, "    team %s uses %g CPUs, %s, %g guaranteed\n", d.Team.Team, d.Team.CPUs, d.Team.CPUsMax, d.Team.CPUsGuaranteed)
 	}
 	if d.Needs != nil {
 		fmt.Fprintf(w, "    each task needs %s\n", needs(d.Needs))
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -146,7 +146,7 @@
 }
 
 func (f *Facts) team() *TeamUse {
-	return &TeamUse{Team: f.Team.Name, CPUs: f.Gate.Used.CPUs, CPUsMax: f.Gate.Quota.CPUsMax, CPUsHave: f.Gate.Quota.CPUs,
+	return &TeamUse{Team: f.Team.Name, CPUs: f.Gate.Used.CPUs, CPUsMax: f.Gate.Quota.CPUsMax, CPUsGuaranteed: f.Gate.Quota.CPUs,
 		GPUs: f.Gate.Used.GPUs, GPUsMax: f.Gate.Quota.GPUsMax, Within: f.Within}
 }
 
