--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -112,13 +112,13 @@
 
 // TeamUse holds what a team uses, its limits and its guarantee.
 type TeamUse struct {
-	Team           string       `json:"team"`
-	CPUs           float64      `json:"cpusUsed"`
-	CPUsMax        config.Limit `json:"cpusMax"` // null: no limit
-	CPUsGuaranteed float64      `json:"cpusGuaranteed"`
-	GPUs           float64      `json:"gpusUsed"`
-	GPUsMax        config.Limit `json:"gpusMax"`
-	Within         bool         `json:"withinGuarantee"` // the job is within its team's guarantee
+	Team            string       `json:"team"`
+	CPUs            float64      `json:"cpusUsed"`
+	CPUsMax         config.Limit `json:"cpusMax"` // null: no limit
+	CPUsGuaranteed  float64      `json:"cpusGuaranteed"`
+	GPUs            float64      `json:"gpusUsed"`
+	GPUsMax         config.Limit `json:"gpusMax"`
+	WithinGuarantee bool         `json:"withinGuarantee"` // the job is within its team's guarantee
 }
 
 // HoldDetail is who put a job on hold, and why.
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -147,7 +147,7 @@
 
 func (f *Facts) team() *TeamUse {
 	return &TeamUse{Team: f.Team.Name, CPUs: f.Gate.Used.CPUs, CPUsMax: f.Gate.Quota.CPUsMax, CPUsGuaranteed: f.Gate.Quota.CPUs,
-		GPUs: f.Gate.Used.GPUs, GPUsMax: f.Gate.Quota.GPUsMax, Within: f.Within}
+		GPUs: f.Gate.Used.GPUs, GPUsMax: f.Gate.Quota.GPUsMax, WithinGuarantee: f.Within}
 }
 
 // machines adds the reasons why the machines do not take the waiting tasks that the job's
