--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -139,10 +139,10 @@
 // FailureSummary describes a job whose tasks fail. Failures close together in time count as one,
 // and machines on which other jobs' tasks fail as well do not count.
 type FailureSummary struct {
-	InARow   int    `json:"inARow"` // consecutive failures, those close together in time counted once
-	Machines int    `json:"machines"`
-	Judged   string `json:"judged"` // untried, sound, doubted or broken
-	Tasks    int    `json:"tasks"`  // waiting tasks that have failed at least once
+	Consecutive int    `json:"inARow"` // consecutive failures, those close together in time counted once
+	Machines    int    `json:"machines"`
+	Judged      string `json:"judged"` // untried, sound, doubted or broken
+	Tasks       int    `json:"tasks"`  // waiting tasks that have failed at least once
 }
 
 // Needs holds what each task requires of its machine.
--- a/internal/node/why_test.go
+++ b/internal/node/why_test.go
@@ -335,7 +335,7 @@
 					t.Errorf("by %d machines it is judged %s", x.Machines, x.Judged)
 				}
 				if r.Kind == "backOff" {
-					return x.InARow >= 2 && r.Until != nil && r.Estimate != nil
+					return x.Consecutive >= 2 && r.Until != nil && r.Estimate != nil
 				}
 			}
 		}
