--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -141,7 +141,7 @@
 type FailureSummary struct {
 	Consecutive int    `json:"inARow"` // consecutive failures, those close together in time counted once
 	Machines    int    `json:"machines"`
-	Judged      string `json:"judged"` // untried, sound, doubted or broken
+	Verdict     string `json:"judged"` // untried, sound, doubted or broken
 	Tasks       int    `json:"tasks"`  // waiting tasks that have failed at least once
 }
 
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -142,7 +142,7 @@
 
 func (f *Facts) failing() *FailureSummary {
 	x := &f.Gate.Failing
-	return &FailureSummary{Consecutive: x.Moments, Machines: x.Machines, Judged: x.State.String(), Tasks: x.Late}
+	return &FailureSummary{Consecutive: x.Moments, Machines: x.Machines, Verdict: x.State.String(), Tasks: x.Late}
 }
 
 func (f *Facts) team() *TeamUse {
--- a/internal/node/why_test.go
+++ b/internal/node/why_test.go
@@ -331,8 +331,8 @@
 			case "backOff", "probe":
 				// It is broken by three machines, of which fewer may be left here by now.
 				x := r.Detail.Failures
-				if (x.Judged == "broken") != (x.Machines >= 3) || x.Judged != "broken" && x.Judged != "doubted" {
-					t.Errorf("by %d machines it is judged %s", x.Machines, x.Judged)
+				if (x.Verdict == "broken") != (x.Machines >= 3) || x.Verdict != "broken" && x.Verdict != "doubted" {
+					t.Errorf("by %d machines it is judged %s", x.Machines, x.Verdict)
 				}
 				if r.Kind == "backOff" {
 					return x.Consecutive >= 2 && r.Until != nil && r.Estimate != nil
