--- a/cmd/cleatpick/show.go
+++ b/cmd/cleatpick/show.go
@@ -217,7 +217,7 @@
 		fmt.Fprintf(w, "    each task needs %s\n", needs(d.Needs))
 	}
 	if m := d.Machines; m != nil {
-		fmt.Fprintf(w, "    %d machines looked at\n", m.Looked)
+		fmt.Fprintf(w, "    %d machines looked at\n", m.Examined)
 		for _, g := range m.Groups {
 			var lacks []string
 			for _, k := range slices.Sorted(maps.Keys(g.Lacks)) {
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -234,7 +234,7 @@
 	at := map[key]int{}
 	m := &Machines{Groups: []MachineGroup{}}
 	for _, p := range f.Places {
-		m.Looked++
+		m.Examined++
 		k := key{p.V.Type, p.V.Zone, p.V.Spot}
 		i, ok := at[k]
 		if !ok {
--- a/internal/node/why_test.go
+++ b/internal/node/why_test.go
@@ -261,7 +261,7 @@
 			lacks += g.Lacks["cpus"]
 		}
 		s := r.Detail.Renting
-		return r.Tasks == 1 && r.Detail.Machines.Looked == 4 && lacks == 4 && s != nil && s.State == "refused" && len(s.Refused) == 4
+		return r.Tasks == 1 && r.Detail.Machines.Examined == 4 && lacks == 4 && s != nil && s.State == "refused" && len(s.Refused) == 4
 	})
 	// Beyond the team's limit, and behind the job before.
 	c.must(201, 1, "POST", "/v1/jobs", proposal(3, "red", 5), nil)
