--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -157,9 +157,9 @@
 
 // Machines counts what the machines lack for the job's tasks.
 type Machines struct {
-	Examined int            `json:"looked"`
-	Groups   []MachineGroup `json:"groups"`
-	More     int            `json:"moreGroups,omitempty"`
+	Examined   int            `json:"looked"`
+	Groups     []MachineGroup `json:"groups"`
+	MoreGroups int            `json:"moreGroups,omitempty"`
 }
 
 // MachineGroup describes the machines of one type, zone and kind. A machine may lack several things.
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -239,7 +239,7 @@
 		i, ok := at[k]
 		if !ok {
 			if len(m.Groups) >= mostGroups {
-				m.More++
+				m.MoreGroups++
 				continue
 			}
 			i = len(m.Groups)
