--- a/cmd/cleatpick/show.go
+++ b/cmd/cleatpick/show.go
@@ -240,8 +240,8 @@
 		if o.For != "" {
 			fmt.Fprintf(w, ", stopped for %s", o.For)
 		}
-		if o.Settles != "" {
-			fmt.Fprintf(w, "; settled by %s", o.Settles)
+		if o.ConfirmedBy != "" {
+			fmt.Fprintf(w, "; settled by %s", o.ConfirmedBy)
 		}
 		fmt.Fprintln(w)
 	}
--- a/internal/node/why_test.go
+++ b/internal/node/why_test.go
@@ -352,7 +352,7 @@
 		}
 	}
 	c.reason("job-000009", "unproven", func(_ *explain.Answer, r *explain.Reason) bool {
-		return r.State == "silent" && len(r.Detail.On) == 1 && r.Detail.On[0].Settles != ""
+		return r.State == "silent" && len(r.Detail.On) == 1 && r.Detail.On[0].ConfirmedBy != ""
 	})
 
 	t.Run("holds survive an owner", func(t *testing.T) {
