--- a/cmd/cleatpick/show.go
+++ b/cmd/cleatpick/show.go
@@ -237,8 +237,8 @@
 	}
 	for _, o := range d.On {
 		fmt.Fprintf(w, "    %d on %s: %s", o.Tasks, o.Machine, o.State)
-		if o.For != "" {
-			fmt.Fprintf(w, ", stopped for %s", o.For)
+		if o.PreemptedFor != "" {
+			fmt.Fprintf(w, ", stopped for %s", o.PreemptedFor)
 		}
 		if o.ConfirmedBy != "" {
 			fmt.Fprintf(w, "; settled by %s", o.ConfirmedBy)
--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -183,12 +183,12 @@
 
 // MachineTasks is a machine with tasks that are being started or saved, or not confirmed terminated.
 type MachineTasks struct {
-	Machine     string `json:"machine"`
-	State       string `json:"state"`
-	Tasks       int    `json:"tasks"`
-	Since       Time   `json:"since,omitempty"`
-	ConfirmedBy string `json:"settles,omitempty"` // what would confirm that the tasks are terminated
-	For         string `json:"for,omitempty"`     // the job for which the tasks were preempted
+	Machine      string `json:"machine"`
+	State        string `json:"state"`
+	Tasks        int    `json:"tasks"`
+	Since        Time   `json:"since,omitempty"`
+	ConfirmedBy  string `json:"settles,omitempty"` // what would confirm that the tasks are terminated
+	PreemptedFor string `json:"for,omitempty"`     // the job for which the tasks were preempted
 }
 
 // Supply describes the machines that the leader has requested from the cloud and on which
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -278,7 +278,7 @@
 			}
 			r.Tasks += x.Tasks
 			if len(r.Detail.On) < mostOn {
-				r.Detail.On = append(r.Detail.On, MachineTasks{Machine: x.Machine, State: x.State, Tasks: x.Tasks, Since: Time(x.Since), ConfirmedBy: x.Settles, For: x.For})
+				r.Detail.On = append(r.Detail.On, MachineTasks{Machine: x.Machine, State: x.State, Tasks: x.Tasks, Since: Time(x.Since), ConfirmedBy: x.Settles, PreemptedFor: x.For})
 			}
 			if x.For != "" {
 				r.BlockedBy = append(r.BlockedBy, x.For)
