--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -196,7 +196,7 @@
 type Supply struct {
 	Leader   string    `json:"leader,omitempty"`
 	State    string    `json:"state"` // booting, ordered, requested, notAsked, refused, nothing, unknown or noLeader
-	Missed   int       `json:"missed"`
+	Unplaced int       `json:"missed"`
 	Ordered  []Offer   `json:"ordered,omitempty"`
 	Booting  []Booting `json:"booting,omitempty"`
 	Refused  []Offer   `json:"refused,omitempty"`
--- a/internal/rental/supply.go
+++ b/internal/rental/supply.go
@@ -23,7 +23,7 @@
 	serves := func(o offer) bool { return t.takes(o, s) && !t.cordoned(o) }
 	for _, w := range t.wants() {
 		if w.CPUs == s.CPUs && w.GPUs == s.GPUs && w.MemoryGB == s.MemoryGB && w.Zone == s.Zone && w.Spot == s.Spot && slices.Equal(w.Types, s.Types) {
-			out.Missed += w.Count
+			out.Unplaced += w.Count
 		}
 	}
 	for of := range t.all() {
@@ -49,7 +49,7 @@
 		out.State = "ordered"
 	case out.Offers > 0 && len(out.Refused) == out.Offers:
 		out.State = "refused"
-	case out.Offers > 0 && out.Missed > 0:
+	case out.Offers > 0 && out.Unplaced > 0:
 		out.State = "requested"
 	case out.Offers > 0:
 		out.State = "notAsked" // what falls free at once is not rented for
