--- a/internal/explain/desk.go
+++ b/internal/explain/desk.go
@@ -8,8 +8,8 @@
 	"cleatpick/internal/wire"
 )
 
-// MostQuestions bounds the explanations that one controller works on at a time.
-const MostQuestions = 100
+// MaxOpenRequests bounds the explanations that one controller works on at a time.
+const MaxOpenRequests = 100
 
 // Timeouts of requests to other controllers.
 const (
@@ -130,7 +130,7 @@
 // Why explains a job. The callback gets 200 with the answer; 404 for an unknown job; 429
 // when too many explanations are in progress; 503 when the job's status cannot be read.
 func (d *Desk) Why(id string, cb func(*Answer, int)) {
-	if d.open >= MostQuestions {
+	if d.open >= MaxOpenRequests {
 		cb(nil, 429)
 		return
 	}
--- a/internal/explain/desk_test.go
+++ b/internal/explain/desk_test.go
@@ -138,7 +138,7 @@
 	o := newOffice()
 	o.hold = true
 	answers := 0
-	for range MostQuestions {
+	for range MaxOpenRequests {
 		o.d.Why("job-000001", func(_ *Answer, code int) {
 			if code == 200 {
 				answers++
@@ -152,8 +152,8 @@
 	for _, f := range o.held[1:] {
 		f()
 	}
-	if answers != MostQuestions {
-		t.Errorf("%d of %d requests were answered", answers, MostQuestions)
+	if answers != MaxOpenRequests {
+		t.Errorf("%d of %d requests were answered", answers, MaxOpenRequests)
 	}
 }
 
