--- a/internal/explain/desk.go
+++ b/internal/explain/desk.go
@@ -23,8 +23,8 @@
 	topicSupply = "supply"
 )
 
-// Node holds what this package needs from the controller in which it runs.
-type Node struct {
+// Dependencies holds what this package needs from the controller in which it runs.
+type Dependencies struct {
 	Label string
 	// Poll reads a job's status from the state service.
 	Poll func(id string, cb func(job.Answer))
@@ -47,7 +47,7 @@
 // Desk answers the question why a job's tasks do not run.
 type Desk struct {
 	r     loop.Runner
-	n     Node
+	n     Dependencies
 	open  int
 	Lines *Timelines
 	waits *Waits
@@ -68,7 +68,7 @@
 }
 
 // NewDesk returns the service and registers the handlers of other controllers' requests.
-func NewDesk(r loop.Runner, n Node) *Desk {
+func NewDesk(r loop.Runner, n Dependencies) *Desk {
 	d := &Desk{r: r, n: n, Lines: NewTimelines(), waits: NewWaits()}
 	d.Lines.Ended = d.ended
 	n.Handle(topicWhy, func(body wire.Raw, reply func(any)) {
