--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -33,7 +33,7 @@
 	// Unseen counts starts that were recorded earlier and may still begin where a cordon
 	// bars them; ok is false where an owner could not be asked.
 	Unseen func(name string, cb func(starts int, ok bool))
-	Desk   *explain.Desk
+	Desk   *explain.Service
 }
 
 // API answers requests under /v1/ and for /metrics.
--- a/internal/explain/desk.go
+++ b/internal/explain/desk.go
@@ -44,8 +44,8 @@
 	Meter  *metric.Meter
 }
 
-// Desk answers the question why a job's tasks do not run.
-type Desk struct {
+// Service answers the question why a job's tasks do not run.
+type Service struct {
 	r     loop.Runner
 	n     Dependencies
 	open  int
@@ -68,8 +68,8 @@
 }
 
 // NewDesk returns the service and registers the handlers of other controllers' requests.
-func NewDesk(r loop.Runner, n Dependencies) *Desk {
-	d := &Desk{r: r, n: n, Lines: NewTimelines(), waits: NewWaits()}
+func NewDesk(r loop.Runner, n Dependencies) *Service {
+	d := &Service{r: r, n: n, Lines: NewTimelines(), waits: NewWaits()}
 	d.Lines.Ended = d.ended
 	n.Handle(topicWhy, func(body wire.Raw, reply func(any)) {
 		var q whyQuestion
@@ -95,7 +95,7 @@
 // ended records a wait that is over. Every controller records the waits of all owners, so
 // that one that takes a team over can estimate at once; only the owner counts the wait in
 // its metrics.
-func (d *Desk) ended(id string, k gate.Kind, took loop.Micros, own bool) {
+func (d *Service) ended(id string, k gate.Kind, took loop.Micros, own bool) {
 	if own {
 		d.n.Meter.Wait(k.String(), took)
 	}
@@ -103,7 +103,7 @@
 }
 
 // own explains a job whose team this controller owns.
-func (d *Desk) own(id string) whyReply {
+func (d *Service) own(id string) whyReply {
 	began := d.r.Now()
 	f, ok := d.n.Facts(id)
 	if !ok {
@@ -129,7 +129,7 @@
 
 // Why explains a job. The callback gets 200 with the answer; 404 for an unknown job; 429
 // when too many explanations are in progress; 503 when the job's status cannot be read.
-func (d *Desk) Why(id string, cb func(*Answer, int)) {
+func (d *Service) Why(id string, cb func(*Answer, int)) {
 	if d.open >= MaxOpenRequests {
 		cb(nil, 429)
 		return
@@ -164,7 +164,7 @@
 }
 
 // askOwner adds what the job's owner knows to the answer.
-func (d *Desk) askOwner(a *Answer, j *job.Job, done func()) {
+func (d *Service) askOwner(a *Answer, j *job.Job, done func()) {
 	a.Owner = d.n.Owner(j.Spec.Team)
 	// Without an answer from the owner, only the counts that it sent last are known.
 	told := func(k gate.Kind, state, release string) {
@@ -218,7 +218,7 @@
 }
 
 // askLeader adds what is being rented to the reasons that are a lack of free capacity.
-func (d *Desk) askLeader(a *Answer, j *job.Job, done func()) {
+func (d *Service) askLeader(a *Answer, j *job.Job, done func()) {
 	var short []*Reason
 	for i := range a.Reasons {
 		if k := gate.Named(a.Reasons[i].Kind); k == gate.Room || k == gate.Gang {
--- a/internal/explain/desk_test.go
+++ b/internal/explain/desk_test.go
@@ -17,7 +17,7 @@
 // sets their answers.
 type office struct {
 	*standin.Stepped
-	d             *Desk
+	d             *Service
 	owner, leader string
 	topics        map[string]func(wire.Raw, func(any))
 	deaf          map[string]bool // topics whose requests get no answer
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -21,7 +21,7 @@
 // explaining is what a node has when its operators' file switches /v1/ on.
 type explaining struct {
 	asks *ask.Desk
-	desk *explain.Desk
+	desk *explain.Service
 	api  *api.API
 }
 
