--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -60,7 +60,7 @@
 	jobs := job.NewRegistry(g.Stepped, c, m, log)
 	cordons := cordon.NewBook(g.Stepped, c, m, log, 0)
 	meter := metric.New()
-	desk := explain.NewDesk(g.Stepped, explain.Dependencies{
+	desk := explain.NewService(g.Stepped, explain.Dependencies{
 		Label: "a", Poll: jobs.Poll, Job: jobs.Get,
 		Owner: func(string) string { return "" }, Leader: func() string { return "" },
 		Facts:  func(string) (*explain.Facts, bool) { return nil, false },
--- a/internal/explain/desk.go
+++ b/internal/explain/desk.go
@@ -67,8 +67,8 @@
 	Sure     bool     `cbor:"7,keyasint"`
 }
 
-// NewDesk returns the service and registers the handlers of other controllers' requests.
-func NewDesk(r loop.Runner, n Dependencies) *Service {
+// NewService returns the service and registers the handlers of other controllers' requests.
+func NewService(r loop.Runner, n Dependencies) *Service {
 	d := &Service{r: r, n: n, Lines: NewTimelines(), waits: NewWaits()}
 	d.Lines.Ended = d.ended
 	n.Handle(topicWhy, func(body wire.Raw, reply func(any)) {
--- a/internal/explain/desk_test.go
+++ b/internal/explain/desk_test.go
@@ -35,7 +35,7 @@
 		Gate: gate.Job{Spec: spec, Hold: &j.Terms.Hold, Waiting: 3, InUse: 3, Quota: config.Quota{CPUs: 4, CPUsMax: config.LimitOf(99)}},
 		Need: gate.Need{ID: j.ID, Spec: spec, Tasks: 6}, Fits: 0, FitsAll: 0, Running: 1, Done: 0}
 	o.supply = Supply{State: "booting", Booting: []Booting{{Offer: Offer{Type: "m", Count: 2}}}}
-	o.d = NewDesk(o, Dependencies{
+	o.d = NewService(o, Dependencies{
 		Label: "a",
 		Poll: func(id string, cb func(job.Answer)) {
 			if id != j.ID {
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -40,7 +40,7 @@
 		o, _ := n.member.TeamOwner(team)
 		return o.Node
 	}
-	x.desk = explain.NewDesk(l, explain.Dependencies{
+	x.desk = explain.NewService(l, explain.Dependencies{
 		Label: n.cfg.Label,
 		Poll:  n.jobs.Poll,
 		Job:   n.jobs.Get,
