--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -195,7 +195,7 @@
 		if out.Running > 0 {
 			out.State = "running"
 		}
-		causes := a.n.Desk.Lines.Causes(j.ID)
+		causes := a.n.Desk.Timelines.Causes(j.ID)
 		out.WaitingFor = explain.CauseCounts(causes)
 	}
 	if j.At != 0 {
--- a/internal/api/list.go
+++ b/internal/api/list.go
@@ -121,5 +121,5 @@
 }
 
 func (a *API) waitsFor(id string, k gate.Kind) bool {
-	return slices.ContainsFunc(a.n.Desk.Lines.Causes(id), func(c gate.Cause) bool { return c.Kind == k })
+	return slices.ContainsFunc(a.n.Desk.Timelines.Causes(id), func(c gate.Cause) bool { return c.Kind == k })
 }
--- a/internal/explain/desk.go
+++ b/internal/explain/desk.go
@@ -46,11 +46,11 @@
 
 // Service answers the question why a job's tasks do not run.
 type Service struct {
-	r     loop.Runner
-	n     Dependencies
-	open  int
-	Lines *Timelines
-	waits *Waits
+	r         loop.Runner
+	n         Dependencies
+	open      int
+	Timelines *Timelines
+	waits     *Waits
 }
 
 type whyQuestion struct {
@@ -69,8 +69,8 @@
 
 // NewService returns the service and registers the handlers of other controllers' requests.
 func NewService(r loop.Runner, n Dependencies) *Service {
-	d := &Service{r: r, n: n, Lines: NewTimelines(), waits: NewWaits()}
-	d.Lines.Ended = d.ended
+	d := &Service{r: r, n: n, Timelines: NewTimelines(), waits: NewWaits()}
+	d.Timelines.Ended = d.ended
 	n.Handle(topicWhy, func(body wire.Raw, reply func(any)) {
 		var q whyQuestion
 		if wire.Unmarshal(body, &q) != nil {
@@ -107,13 +107,13 @@
 	began := d.r.Now()
 	f, ok := d.n.Facts(id)
 	if !ok {
-		return whyReply{Timeline: d.Lines.Of(id)}
+		return whyReply{Timeline: d.Timelines.Of(id)}
 	}
 	out := whyReply{Loaded: true, Waiting: f.Gate.Waiting, Running: f.Running, Done: f.Done, Reasons: Judge(f), Sure: f.Sure}
 	for i := range out.Reasons {
 		r := &out.Reasons[i]
 		k := gate.Named(r.Kind)
-		since := d.Lines.Since(id, k)
+		since := d.Timelines.Since(id, k)
 		if since != 0 {
 			t := Time(since)
 			r.Since = &t
@@ -122,7 +122,7 @@
 			r.Estimate = d.waits.Left(k, urgent(f.Job), f.Wall-since)
 		}
 	}
-	out.Timeline = d.Lines.Of(id)
+	out.Timeline = d.Timelines.Of(id)
 	d.n.Meter.Why(d.r.Now() - began)
 	return out
 }
@@ -152,7 +152,7 @@
 		a := &Answer{Job: id, AsOf: Time(d.r.Wall()), Tasks: j.Tasks, Reasons: []Reason{}, Complete: true, Timeline: []Interval{}}
 		if j.Final() || j.Spec == nil {
 			a.Status = PhaseName(j.Phase)
-			a.tells(d.Lines.Of(id))
+			a.tells(d.Timelines.Of(id))
 			if j.Phase == job.Done {
 				a.Done = j.Tasks
 			}
@@ -172,10 +172,10 @@
 		a.Done, a.Running = int(c.Done), int(c.Running)
 		a.Waiting = max(a.Tasks-a.Done-a.Running, 0)
 		a.Status = standing(a)
-		a.tells(d.Lines.Of(j.ID))
+		a.tells(d.Timelines.Of(j.ID))
 		if k != 0 {
 			r := Reason{Kind: k.String(), Tasks: a.Waiting, State: state, Release: release, BlockedBy: []string{}}
-			if since := d.Lines.Since(j.ID, k); since != 0 {
+			if since := d.Timelines.Since(j.ID, k); since != 0 {
 				t := Time(since)
 				r.Since = &t
 			}
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -93,9 +93,9 @@
 	}
 	for _, p := range all {
 		if j := n.jobs.Get(p.Job); p.Waits && j != nil && !j.Final() {
-			n.more.desk.Lines.Set(p.Job, p.Causes, p.At, own)
+			n.more.desk.Timelines.Set(p.Job, p.Causes, p.At, own)
 			if own {
-				n.more.desk.Lines.Dated(p.Job, p.Causes) // for the peers, whom this goes to next
+				n.more.desk.Timelines.Dated(p.Job, p.Causes) // for the peers, whom this goes to next
 			}
 		}
 	}
@@ -117,10 +117,10 @@
 		if !j.Final() && j.Spec != nil && free[j.Spec.Team] {
 			c := n.progress[j.ID]
 			// What was told last holds as far as anybody knows: the next owner goes on with it.
-			last := n.more.desk.Lines.Causes(j.ID)
+			last := n.more.desk.Timelines.Causes(j.ID)
 			causes := slices.DeleteFunc(slices.Clone(last), func(c gate.Cause) bool { return c.Kind == gate.NoOwner })
 			causes = append(causes, gate.Cause{Kind: gate.NoOwner, Tasks: j.Tasks - int(c.Done+c.Running)})
-			n.more.desk.Lines.Set(j.ID, causes, wall, false)
+			n.more.desk.Timelines.Set(j.ID, causes, wall, false)
 		}
 	})
 }
