--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -56,9 +56,9 @@
 	mostOn     = 20
 )
 
-// Judge returns every reason that follows from the owner's facts, in the order of the
+// Reasons returns every reason that follows from the owner's facts, in the order of the
 // predicates.
-func Judge(f *Facts) []Reason {
+func Reasons(f *Facts) []Reason {
 	var out []Reason
 	add := func(k gate.Kind, tasks int) *Reason {
 		out = append(out, Reason{Kind: k.String(), Tasks: tasks, BlockedBy: []string{}})
--- a/internal/placer/quota_test.go
+++ b/internal/placer/quota_test.go
@@ -65,7 +65,7 @@
 			}
 			f, _ := g.p.Facts(id, []wire.MachineType{types["m16"]}, true)
 			limited := 0
-			for _, r := range explain.Judge(f) {
+			for _, r := range explain.Reasons(f) {
 				if r.Kind == "teamLimit" {
 					limited = r.Tasks
 				}
@@ -94,7 +94,7 @@
 				t.Errorf("%d tasks of others are stopped", len(claims))
 			}
 			f, _ = g.p.Facts(id, []wire.MachineType{types["m16"]}, true)
-			for _, r := range explain.Judge(f) {
+			for _, r := range explain.Reasons(f) {
 				if r.Kind != "room" {
 					continue
 				}
--- a/internal/placer/why_bench_test.go
+++ b/internal/placer/why_bench_test.go
@@ -41,7 +41,7 @@
 			if !ok {
 				b.Fatal("no facts")
 			}
-			if r := explain.Judge(f); len(r) == 0 || r[0].Kind != kind {
+			if r := explain.Reasons(f); len(r) == 0 || r[0].Kind != kind {
 				b.Fatalf("%s has no reason %s", id, kind)
 			}
 		}
