--- a/internal/explain/desk_test.go
+++ b/internal/explain/desk_test.go
@@ -104,7 +104,7 @@
 		{"the owner has no state contact", func(o *office) { o.facts.Contact = false }, "stateContact/lost:3 room/nothingToBorrow:3 true 0"},
 		{"no leader", func(o *office) { o.leader = "" }, "room/nothingToBorrow:3 true 0"},
 		{"the leader does not answer", func(o *office) { o.deaf[topicSupply] = true }, "room/nothingToBorrow:3 false 1"},
-		{"within the guarantee", func(o *office) { o.facts.Within = true }, "room/noRoom:3 true 0"},
+		{"within the guarantee", func(o *office) { o.facts.WithinGuarantee = true }, "room/noRoom:3 true 0"},
 		{"a damaged record", func(o *office) { o.facts.Gate.Damaged = true }, "damagedRecord/setAside:3 room/nothingToBorrow:3 true 0"},
 		{"free capacity for all", func(o *office) { o.facts.Fits, o.facts.FitsAll = 3, 3 }, "nextPass/due:3 true 0"},
 		{"in flight", func(o *office) {
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -13,29 +13,29 @@
 // Facts holds what a job's owner knows about why its tasks do not run. The scheduler
 // gathers them; they contain no decision that it does not make itself.
 type Facts struct {
-	Job     *job.Job
-	Gate    gate.Job
-	Need    gate.Need
-	Team    config.Team
-	Within  bool // the job is within its team's guarantee
-	Contact bool // the owner has contact with the state service
-	Places  []*gate.Place
-	After   loop.Micros // a machine's last report must be newer than this
-	Now     loop.Micros // monotonic clock
-	Wall    loop.Micros
-	Fits    int      // waiting tasks that fit on machines now, all other predicates ignored
-	FitsAll int      // the same with cordons ignored as well
-	Barred  bool     // every place that the job allows is cordoned, rented or not
-	Cordons []string // cordons on places that the job allows
-	Behind  int      // tasks that only wait for the work ahead
-	Exact   bool     // Behind does not depend on which machine takes which task
-	Sure    bool     // all work ahead was examined
-	Ahead   []JobAhead
-	Flights []Flight
-	Running int
-	Done    int
-	Held    int               // tasks for which capacity is reserved
-	Stopped map[string]string // by machine: the job for which tasks of this one were recently preempted
+	Job             *job.Job
+	Gate            gate.Job
+	Need            gate.Need
+	Team            config.Team
+	WithinGuarantee bool // the job is within its team's guarantee
+	Contact         bool // the owner has contact with the state service
+	Places          []*gate.Place
+	After           loop.Micros // a machine's last report must be newer than this
+	Now             loop.Micros // monotonic clock
+	Wall            loop.Micros
+	Fits            int      // waiting tasks that fit on machines now, all other predicates ignored
+	FitsAll         int      // the same with cordons ignored as well
+	Barred          bool     // every place that the job allows is cordoned, rented or not
+	Cordons         []string // cordons on places that the job allows
+	Behind          int      // tasks that only wait for the work ahead
+	Exact           bool     // Behind does not depend on which machine takes which task
+	Sure            bool     // all work ahead was examined
+	Ahead           []JobAhead
+	Flights         []Flight
+	Running         int
+	Done            int
+	Held            int               // tasks for which capacity is reserved
+	Stopped         map[string]string // by machine: the job for which tasks of this one were recently preempted
 }
 
 // Flight is a group of tasks on one machine that are neither waiting nor running.
@@ -147,7 +147,7 @@
 
 func (f *Facts) team() *TeamUse {
 	return &TeamUse{Team: f.Team.Name, CPUs: f.Gate.Used.CPUs, CPUsMax: f.Gate.Quota.CPUsMax, CPUsGuaranteed: f.Gate.Quota.CPUs,
-		GPUs: f.Gate.Used.GPUs, GPUsMax: f.Gate.Quota.GPUsMax, WithinGuarantee: f.Within}
+		GPUs: f.Gate.Used.GPUs, GPUsMax: f.Gate.Quota.GPUsMax, WithinGuarantee: f.WithinGuarantee}
 }
 
 // machines adds the reasons why the machines do not take the waiting tasks that the job's
@@ -181,7 +181,7 @@
 	if short > 0 {
 		r := add(kind, short)
 		r.State, r.Release = "noRoom", "tasks end, or a machine that allows the job comes up"
-		if !f.Within {
+		if !f.WithinGuarantee {
 			// Only work within its team's guarantee may preempt what others run beyond theirs.
 			r.State = "nothingToBorrow"
 			if !f.Gate.Quota.Guaranteed() {
--- a/internal/placer/rivals.go
+++ b/internal/placer/rivals.go
@@ -92,7 +92,7 @@
 	lifted := f.FitsAll > f.Fits || (f.Barred && f.Fits < n) // a cordon is among its reasons
 	q, within := p.lineWith(t)
 	self := entryOf{t, within, t.turn()}
-	if f.Within = within; short == 0 && !limited && !lifted {
+	if f.WithinGuarantee = within; short == 0 && !limited && !lifted {
 		return // there is room that work before it has missed
 	}
 	all := p.rivals(q, &self, limited, lifted, short, types)
