--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -18,7 +18,7 @@
 	Need            gate.Need
 	Team            config.Team
 	WithinGuarantee bool // the job is within its team's guarantee
-	Contact         bool // the owner has contact with the state service
+	StateContact    bool // the owner has contact with the state service
 	Places          []*gate.Place
 	After           loop.Micros // a machine's last report must be newer than this
 	Now             loop.Micros // monotonic clock
@@ -65,7 +65,7 @@
 		return &out[len(out)-1]
 	}
 	n := f.Gate.Waiting
-	if n > 0 && !f.Contact {
+	if n > 0 && !f.StateContact {
 		r := add(gate.StateContact, n)
 		r.State, r.Release = "lost", "the owner regains contact with the state service, or another controller takes the team over"
 	}
@@ -218,7 +218,7 @@
 		for _, a := range r.Detail.Ahead {
 			r.BlockedBy = append(r.BlockedBy, a.Job)
 		}
-	} else if cordoned <= 0 && short <= 0 && f.Contact && f.Gate.Open() && f.Gate.Least() > 0 {
+	} else if cordoned <= 0 && short <= 0 && f.StateContact && f.Gate.Open() && f.Gate.Least() > 0 {
 		r := add(gate.Recheck, min(n, f.Gate.Least()))
 		r.State, r.Release = "due", "nothing: the next scheduling pass places it"
 		r.Estimate = &Estimate{Low: 0, Likely: Duration(50 * loop.Millisecond), High: Duration(loop.Second)}
