--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -20,7 +20,7 @@
 	WithinGuarantee bool // the job is within its team's guarantee
 	StateContact    bool // the owner has contact with the state service
 	Places          []*gate.Place
-	After           loop.Micros // a machine's last report must be newer than this
+	ReportedAfter   loop.Micros // a machine's last report must be newer than this
 	Now             loop.Micros // monotonic clock
 	Wall            loop.Micros
 	Fits            int      // waiting tasks that fit on machines now, all other predicates ignored
@@ -248,7 +248,7 @@
 		}
 		g := &m.Groups[i]
 		g.Machines++
-		l := p.Lacks(&f.Need, f.After, f.Now)
+		l := p.Lacks(&f.Need, f.ReportedAfter, f.Now)
 		l.Each(func(name string) { g.Lacks[name]++ })
 		if l&gate.LackRested != 0 {
 			if g.Resting == nil {
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -35,7 +35,7 @@
 	}
 	p.fleet.Refresh()
 	f = &explain.Facts{Job: j, Gate: p.facts(t), Need: t.need(), Team: tm.cfg, StateContact: contact, Sure: true, Now: now, Wall: p.r.Wall(),
-		After: now - p.staleAfter(), Running: t.running, Done: t.completed}
+		ReportedAfter: now - p.staleAfter(), Running: t.running, Done: t.completed}
 	f.Gate.Now, f.Gate.Wall = f.Now, f.Wall
 	if n := f.Gate.Waiting; n > 0 && !j.Final() {
 		f.Places = make([]*gate.Place, len(p.fleet.All()))
@@ -47,7 +47,7 @@
 		f.Barred, f.Cordons = p.barring(j.Spec, types)
 		p.ahead(f, t, types)
 	}
-	f.Flights = p.flights(t, f.After)
+	f.Flights = p.flights(t, f.ReportedAfter)
 	f.Stopped, f.Held = t.stopped, p.fleet.Held(t.j.ID)
 	return f, true
 }
