--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -25,7 +25,7 @@
 	Wall            loop.Micros
 	Fits            int      // waiting tasks that fit on machines now, all other predicates ignored
 	FitsAll         int      // the same with cordons ignored as well
-	Barred          bool     // every place that the job allows is cordoned, rented or not
+	AllCordoned     bool     // every place that the job allows is cordoned, rented or not
 	Cordons         []string // cordons on places that the job allows
 	Behind          int      // tasks that only wait for the work ahead
 	Exact           bool     // Behind does not depend on which machine takes which task
@@ -156,12 +156,12 @@
 	n, s := f.Gate.Waiting, f.Need.Spec
 	needs := &Needs{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, Zone: s.Zone, Spot: s.Spot}
 	cordoned := f.FitsAll - f.Fits
-	if f.Barred {
+	if f.AllCordoned {
 		cordoned = n - f.Fits
 	}
 	if s.Gang {
 		cordoned = 0
-		if f.FitsAll > f.Fits || (f.Barred && f.Fits < n) {
+		if f.FitsAll > f.Fits || (f.AllCordoned && f.Fits < n) {
 			cordoned = n
 		}
 	}
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -44,7 +44,7 @@
 		}
 		f.Fits = p.fleet.Trial(t.need(), n, p.fleet.All())
 		f.FitsAll = p.trialUncordoned(t, n)
-		f.Barred, f.Cordons = p.barring(j.Spec, types)
+		f.AllCordoned, f.Cordons = p.barring(j.Spec, types)
 		p.ahead(f, t, types)
 	}
 	f.Flights = p.flights(t, f.ReportedAfter)
--- a/internal/placer/rivals.go
+++ b/internal/placer/rivals.go
@@ -88,8 +88,8 @@
 func (p *Placer) ahead(f *explain.Facts, t *table, types []wire.MachineType) {
 	n := f.Gate.Waiting
 	limited := f.Gate.Passes(gate.Limit) < n
-	short := n - f.FitsAll                                   // rooms for one task each that must come
-	lifted := f.FitsAll > f.Fits || (f.Barred && f.Fits < n) // a cordon is among its reasons
+	short := n - f.FitsAll                                        // rooms for one task each that must come
+	lifted := f.FitsAll > f.Fits || (f.AllCordoned && f.Fits < n) // a cordon is among its reasons
 	q, within := p.lineWith(t)
 	self := entryOf{t, within, t.turn()}
 	if f.WithinGuarantee = within; short == 0 && !limited && !lifted {
