--- a/internal/explain/desk.go
+++ b/internal/explain/desk.go
@@ -109,7 +109,7 @@
 	if !ok {
 		return whyReply{Timeline: d.Timelines.Of(id)}
 	}
-	out := whyReply{Loaded: true, Waiting: f.Gate.Waiting, Running: f.Running, Done: f.Done, Reasons: Reasons(f), Sure: f.Sure}
+	out := whyReply{Loaded: true, Waiting: f.Gate.Waiting, Running: f.Running, Done: f.Done, Reasons: Reasons(f), Sure: f.AheadComplete}
 	for i := range out.Reasons {
 		r := &out.Reasons[i]
 		k := gate.Named(r.Kind)
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -29,7 +29,7 @@
 	Cordons         []string // cordons on places that the job allows
 	Behind          int      // tasks that only wait for the work ahead
 	Exact           bool     // Behind does not depend on which machine takes which task
-	Sure            bool     // all work ahead was examined
+	AheadComplete   bool     // all work ahead was examined
 	Ahead           []JobAhead
 	Flights         []Flight
 	Running         int
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -30,11 +30,11 @@
 	now := p.r.Now()
 	t := tm.jobs[id]
 	if t == nil { // it is over, or was learnt a moment ago
-		return &explain.Facts{Job: j, Gate: gate.Job{Spec: j.Spec, Hold: &j.Terms.Hold}, Need: gate.Need{ID: id, Spec: j.Spec, Tasks: j.Tasks}, Team: tm.cfg, StateContact: contact, Sure: true,
+		return &explain.Facts{Job: j, Gate: gate.Job{Spec: j.Spec, Hold: &j.Terms.Hold}, Need: gate.Need{ID: id, Spec: j.Spec, Tasks: j.Tasks}, Team: tm.cfg, StateContact: contact, AheadComplete: true,
 			Now: now, Wall: p.r.Wall()}, true
 	}
 	p.fleet.Refresh()
-	f = &explain.Facts{Job: j, Gate: p.facts(t), Need: t.need(), Team: tm.cfg, StateContact: contact, Sure: true, Now: now, Wall: p.r.Wall(),
+	f = &explain.Facts{Job: j, Gate: p.facts(t), Need: t.need(), Team: tm.cfg, StateContact: contact, AheadComplete: true, Now: now, Wall: p.r.Wall(),
 		ReportedAfter: now - p.staleAfter(), Running: t.running, Done: t.completed}
 	f.Gate.Now, f.Gate.Wall = f.Now, f.Wall
 	if n := f.Gate.Waiting; n > 0 && !j.Final() {
--- a/internal/placer/rivals.go
+++ b/internal/placer/rivals.go
@@ -106,7 +106,7 @@
 	// What is shut for others too may be open for them when it is for this job: the
 	// team's limit, and cordons. They then go first to the room that is there.
 	if limited || lifted {
-		f.Sure = len(all) <= mostBefore
+		f.AheadComplete = len(all) <= mostBefore
 		a, b := p.behind(f, t, all[:min(len(all), mostBefore)], limited, lifted, short)
 		// Which machine takes what then matters: it cannot be told for certain.
 		f.Behind, f.Exact = min(a, b), false
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -425,7 +425,7 @@
 	if !ok {
 		return nil, false
 	}
-	return explain.Reasons(f), f.Sure
+	return explain.Reasons(f), f.AheadComplete
 }
 
 // Every reason stated keeps its tasks back by itself, and all together are all there is:
