--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -31,7 +31,7 @@
 	Exact           bool     // Behind does not depend on which machine takes which task
 	AheadComplete   bool     // all work ahead was examined
 	Ahead           []JobAhead
-	Flights         []Flight
+	InFlight        []Flight
 	Running         int
 	Done            int
 	Held            int               // tasks for which capacity is reserved
@@ -264,8 +264,8 @@
 func (f *Facts) flights(add func(gate.Kind, int) *Reason) {
 	for _, k := range []gate.Kind{gate.Recording, gate.Starting, gate.Fetching, gate.Saving, gate.Unproven} {
 		var r *Reason
-		for i := range f.Flights {
-			x := &f.Flights[i]
+		for i := range f.InFlight {
+			x := &f.InFlight[i]
 			if x.Kind != k {
 				continue
 			}
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -47,7 +47,7 @@
 		f.AllCordoned, f.Cordons = p.barring(j.Spec, types)
 		p.ahead(f, t, types)
 	}
-	f.Flights = p.flights(t, f.ReportedAfter)
+	f.InFlight = p.flights(t, f.ReportedAfter)
 	f.Stopped, f.Held = t.stopped, p.fleet.Held(t.j.ID)
 	return f, true
 }
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -619,10 +619,10 @@
 			g.Run(c.wait + 50*loop.Millisecond)
 			f, _ := g.p.Facts(id, nil, true)
 			switch {
-			case c.kind == 0 && len(f.Flights) != 0:
-				t.Fatalf("told %+v of a task that runs", f.Flights)
-			case c.kind != 0 && (len(f.Flights) != 1 || f.Flights[0].Kind != c.kind || f.Flights[0].State != c.state):
-				t.Fatalf("told %+v, want %v %s", f.Flights, c.kind, c.state)
+			case c.kind == 0 && len(f.InFlight) != 0:
+				t.Fatalf("told %+v of a task that runs", f.InFlight)
+			case c.kind != 0 && (len(f.InFlight) != 1 || f.InFlight[0].Kind != c.kind || f.InFlight[0].State != c.state):
+				t.Fatalf("told %+v, want %v %s", f.InFlight, c.kind, c.state)
 			}
 		})
 	}
