--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -34,7 +34,7 @@
 	InFlight        []Flight
 	Running         int
 	Done            int
-	Held            int               // tasks for which capacity is reserved
+	Reserved        int               // tasks for which capacity is reserved
 	Stopped         map[string]string // by machine: the job for which tasks of this one were recently preempted
 }
 
@@ -196,7 +196,7 @@
 			}
 		}
 		r.Detail.Needs, r.Detail.Team, r.Detail.Machines = needs, f.team(), f.lacks()
-		r.Detail.Reserved = f.Held
+		r.Detail.Reserved = f.Reserved
 		for _, by := range f.Stopped {
 			if !slices.Contains(r.Detail.PreemptedFor, by) {
 				r.Detail.PreemptedFor = append(r.Detail.PreemptedFor, by)
--- a/internal/placer/starvation_test.go
+++ b/internal/placer/starvation_test.go
@@ -54,7 +54,7 @@
 	if g.p.fleet.Held(whole) != 1 || len(other.Claims) != 1 {
 		t.Fatalf("%d held, claims %+v", g.p.fleet.Held(whole), other.Claims)
 	}
-	if f, ok := g.p.Facts(whole, nil, true); !ok || f.Held != 1 {
+	if f, ok := g.p.Facts(whole, nil, true); !ok || f.Reserved != 1 {
 		t.Errorf("an explanation is told of %+v", f)
 	}
 	for k := 0; !began() && k < 40; k++ { // the small ones end, and none takes their place
