--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -35,7 +35,7 @@
 	Running         int
 	Done            int
 	Reserved        int               // tasks for which capacity is reserved
-	Stopped         map[string]string // by machine: the job for which tasks of this one were recently preempted
+	PreemptedFor    map[string]string // by machine: the job for which tasks of this one were recently preempted
 }
 
 // Flight is a group of tasks on one machine that are neither waiting nor running.
@@ -197,7 +197,7 @@
 		}
 		r.Detail.Needs, r.Detail.Team, r.Detail.Machines = needs, f.team(), f.lacks()
 		r.Detail.Reserved = f.Reserved
-		for _, by := range f.Stopped {
+		for _, by := range f.PreemptedFor {
 			if !slices.Contains(r.Detail.PreemptedFor, by) {
 				r.Detail.PreemptedFor = append(r.Detail.PreemptedFor, by)
 			}
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -48,7 +48,7 @@
 		p.ahead(f, t, types)
 	}
 	f.InFlight = p.flights(t, f.ReportedAfter)
-	f.Stopped, f.Reserved = t.stopped, p.fleet.Held(t.j.ID)
+	f.PreemptedFor, f.Reserved = t.stopped, p.fleet.Held(t.j.ID)
 	return f, true
 }
 
