--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -31,15 +31,15 @@
 	Exact           bool     // Behind does not depend on which machine takes which task
 	AheadComplete   bool     // all work ahead was examined
 	Ahead           []JobAhead
-	InFlight        []Flight
+	InFlight        []InFlight
 	Running         int
 	Done            int
 	Reserved        int               // tasks for which capacity is reserved
 	PreemptedFor    map[string]string // by machine: the job for which tasks of this one were recently preempted
 }
 
-// Flight is a group of tasks on one machine that are neither waiting nor running.
-type Flight struct {
+// InFlight is a group of tasks on one machine that are neither waiting nor running.
+type InFlight struct {
 	Kind    gate.Kind
 	State   string
 	Machine string
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -101,13 +101,13 @@
 }
 
 // flights groups the tasks that are neither waiting nor running, by machine and state.
-func (p *Placer) flights(t *table, after loop.Micros) []explain.Flight {
+func (p *Placer) flights(t *table, after loop.Micros) []explain.InFlight {
 	type key struct {
 		kind    gate.Kind
 		state   string
 		machine string
 	}
-	groups := map[key]*explain.Flight{}
+	groups := map[key]*explain.InFlight{}
 	now, wall := p.r.Now(), p.r.Wall()
 	t.each(func(i int, x *task) {
 		if !x.inUse() {
@@ -120,7 +120,7 @@
 		at := key{k, state, x.machine}
 		g := groups[at]
 		if g == nil {
-			g = &explain.Flight{Kind: k, State: state, Machine: x.machine}
+			g = &explain.InFlight{Kind: k, State: state, Machine: x.machine}
 			switch {
 			case k == gate.Saving:
 				g.For = t.stopped[x.machine]
@@ -139,11 +139,11 @@
 			}
 		}
 	})
-	out := make([]explain.Flight, 0, len(groups))
+	out := make([]explain.InFlight, 0, len(groups))
 	for _, g := range groups {
 		out = append(out, *g)
 	}
-	slices.SortFunc(out, func(a, b explain.Flight) int {
+	slices.SortFunc(out, func(a, b explain.InFlight) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Machine, b.Machine), cmp.Compare(a.State, b.State))
 	})
 	return out
