--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -126,9 +126,9 @@
 				g.For = t.stopped[x.machine]
 			case state == "absent":
 				left := loop.Duration(max(p.clock.LatestArrival(x.expiry)-wall, 0))
-				g.Settles = fmt.Sprintf("a new session of its worker, the machine's deletion, or a task list made later than %v from now that its host vouches for", left)
+				g.ConfirmedBy = fmt.Sprintf("a new session of its worker, the machine's deletion, or a task list made later than %v from now that its host vouches for", left)
 			case k == gate.Unproven:
-				g.Settles = "a report of the machine, or its deletion by the cloud"
+				g.ConfirmedBy = "a report of the machine, or its deletion by the cloud"
 			}
 			groups[at] = g
 		}
