--- a/internal/explain/desk_test.go
+++ b/internal/explain/desk_test.go
@@ -109,7 +109,7 @@
 		{"free capacity for all", func(o *office) { o.facts.Fits, o.facts.FitsAll = 3, 3 }, "nextPass/due:3 true 0"},
 		{"in flight", func(o *office) {
 			o.facts.Gate.Waiting = 0
-			o.facts.InFlight = []InFlight{{Kind: gate.Recording, State: "recording", Machine: "n-1", Tasks: 1}, {Kind: gate.Saving, State: "saving", Machine: "n-2", Tasks: 2, For: "job-000009"},
+			o.facts.InFlight = []InFlight{{Kind: gate.Recording, State: "recording", Machine: "n-1", Tasks: 1}, {Kind: gate.Saving, State: "saving", Machine: "n-2", Tasks: 2, PreemptedFor: "job-000009"},
 				{Kind: gate.Unproven, State: "absent", Machine: "n-3", Tasks: 1, ConfirmedBy: "a list"}, {Kind: gate.Unproven, State: "silent", Machine: "n-4", Tasks: 1}}
 		}, "recording/recording:1 saving/saving:2 unproven/several:2 true 0"},
 	} {
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -40,13 +40,13 @@
 
 // InFlight is a group of tasks on one machine that are neither waiting nor running.
 type InFlight struct {
-	Kind        gate.Kind
-	State       string
-	Machine     string
-	Tasks       int
-	Since       loop.Micros // wall clock; 0: not known
-	ConfirmedBy string
-	For         string
+	Kind         gate.Kind
+	State        string
+	Machine      string
+	Tasks        int
+	Since        loop.Micros // wall clock; 0: not known
+	ConfirmedBy  string
+	PreemptedFor string
 }
 
 // Bounds on the lists in an answer.
@@ -278,10 +278,10 @@
 			}
 			r.Tasks += x.Tasks
 			if len(r.Detail.On) < mostOn {
-				r.Detail.On = append(r.Detail.On, MachineTasks{Machine: x.Machine, State: x.State, Tasks: x.Tasks, Since: Time(x.Since), ConfirmedBy: x.ConfirmedBy, PreemptedFor: x.For})
+				r.Detail.On = append(r.Detail.On, MachineTasks{Machine: x.Machine, State: x.State, Tasks: x.Tasks, Since: Time(x.Since), ConfirmedBy: x.ConfirmedBy, PreemptedFor: x.PreemptedFor})
 			}
-			if x.For != "" {
-				r.BlockedBy = append(r.BlockedBy, x.For)
+			if x.PreemptedFor != "" {
+				r.BlockedBy = append(r.BlockedBy, x.PreemptedFor)
 			}
 		}
 	}
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -123,7 +123,7 @@
 			g = &explain.InFlight{Kind: k, State: state, Machine: x.machine}
 			switch {
 			case k == gate.Saving:
-				g.For = t.stopped[x.machine]
+				g.PreemptedFor = t.stopped[x.machine]
 			case state == "absent":
 				left := loop.Duration(max(p.clock.LatestArrival(x.expiry)-wall, 0))
 				g.ConfirmedBy = fmt.Sprintf("a new session of its worker, the machine's deletion, or a task list made later than %v from now that its host vouches for", left)
--- a/internal/placer/terms_test.go
+++ b/internal/placer/terms_test.go
@@ -162,7 +162,7 @@
 	}
 	g.show("n-001", "m8", "x", false, on...)
 	f, ok := g.p.Facts(low, nil, true)
-	if !ok || len(f.InFlight) != 1 || f.InFlight[0].For != high || f.PreemptedFor["n-001"] != high {
+	if !ok || len(f.InFlight) != 1 || f.InFlight[0].PreemptedFor != high || f.PreemptedFor["n-001"] != high {
 		t.Fatalf("the facts of the job that was stopped are %+v, want that it saves for %s", f, high)
 	}
 }
