--- a/internal/explain/desk.go
+++ b/internal/explain/desk.go
@@ -70,7 +70,7 @@
 // NewService returns the service and registers the handlers of other controllers' requests.
 func NewService(r loop.Runner, n Dependencies) *Service {
 	d := &Service{r: r, n: n, Timelines: NewTimelines(), waits: NewWaits()}
-	d.Timelines.Ended = d.ended
+	d.Timelines.OnIntervalEnd = d.ended
 	n.Handle(topicWhy, func(body wire.Raw, reply func(any)) {
 		var q whyQuestion
 		if wire.Unmarshal(body, &q) != nil {
--- a/internal/explain/desk_test.go
+++ b/internal/explain/desk_test.go
@@ -163,7 +163,7 @@
 func TestTimelineIsBounded(t *testing.T) {
 	l := NewTimelines()
 	ended := map[gate.Kind]int{}
-	l.Ended = func(_ string, k gate.Kind, took loop.Micros, own bool) {
+	l.OnIntervalEnd = func(_ string, k gate.Kind, took loop.Micros, own bool) {
 		if !own || took <= 0 {
 			t.Errorf("%v ended after %d us with own %v, want a positive time and own", k, took, own)
 		}
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -35,9 +35,9 @@
 type Timelines struct {
 	lines map[string]*line
 	over  []string
-	// Ended is called for every interval that ends; own reports whether this controller owns
+	// OnIntervalEnd is called for every interval that ends; own reports whether this controller owns
 	// the job.
-	Ended func(job string, k gate.Kind, took loop.Micros, own bool)
+	OnIntervalEnd func(job string, k gate.Kind, took loop.Micros, own bool)
 }
 
 // NewTimelines returns an empty set of timelines.
@@ -72,8 +72,8 @@
 	for i := len(l.spans) - 1; i >= open; i-- {
 		if s := l.spans[i]; !holds(causes, s.kind) {
 			changed = true
-			if t.Ended != nil {
-				t.Ended(id, s.kind, wall-s.from, own)
+			if t.OnIntervalEnd != nil {
+				t.OnIntervalEnd(id, s.kind, wall-s.from, own)
 			}
 			l.end(i, open, wall)
 			open++
