--- a/internal/explain/desk_test.go
+++ b/internal/explain/desk_test.go
@@ -201,7 +201,7 @@
 	for i := range mostOver + 10 {
 		id := fmt.Sprint("k", i)
 		l.Set(id, []gate.Cause{room}, 2000*loop.Second, true)
-		l.Over(id, 2001*loop.Second, true)
+		l.Finish(id, 2001*loop.Second, true)
 	}
 	if len(l.lines) > mostOver+2 || len(l.Of("k0").Intervals) != 0 || len(l.Of(fmt.Sprint("k", mostOver)).Intervals) != 1 {
 		t.Errorf("%d timelines are kept, want at most mostOver of finished jobs and the newest of them", len(l.lines))
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -139,8 +139,8 @@
 	l.spans[open] = s
 }
 
-// Over closes a finished job's timeline. The newest closed timelines are kept, up to a bound.
-func (t *Timelines) Over(id string, wall loop.Micros, own bool) {
+// Finish closes a finished job's timeline. The newest closed timelines are kept, up to a bound.
+func (t *Timelines) Finish(id string, wall loop.Micros, own bool) {
 	l := t.lines[id]
 	if l == nil || l.over {
 		return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -224,7 +224,7 @@
 			delete(n.progress, j.ID)
 			if n.more != nil {
 				own := j.Spec != nil && n.placer.Owns(j.Spec.Team)
-				n.more.desk.Timelines.Over(j.ID, l.Wall(), own)
+				n.more.desk.Timelines.Finish(j.ID, l.Wall(), own)
 			}
 		}
 		n.placer.Job(j)
