--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -165,8 +165,8 @@
 	return 0
 }
 
-// Dated sets the start times of causes, for controllers that receive them later.
-func (t *Timelines) Dated(id string, causes []gate.Cause) []gate.Cause {
+// SetSince sets the start times of causes, for controllers that receive them later.
+func (t *Timelines) SetSince(id string, causes []gate.Cause) []gate.Cause {
 	for i := range causes {
 		causes[i].Since = t.Since(id, causes[i].Kind)
 	}
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -95,7 +95,7 @@
 		if j := n.jobs.Get(p.Job); p.Waits && j != nil && !j.Final() {
 			n.more.desk.Timelines.Set(p.Job, p.Causes, p.At, own)
 			if own {
-				n.more.desk.Timelines.Dated(p.Job, p.Causes) // for the peers, whom this goes to next
+				n.more.desk.Timelines.SetSince(p.Job, p.Causes) // for the peers, whom this goes to next
 			}
 		}
 	}
