--- a/internal/explain/desk.go
+++ b/internal/explain/desk.go
@@ -107,7 +107,7 @@
 	began := d.r.Now()
 	f, ok := d.n.Facts(id)
 	if !ok {
-		return whyReply{Timeline: d.Timelines.Of(id)}
+		return whyReply{Timeline: d.Timelines.Get(id)}
 	}
 	out := whyReply{Loaded: true, Waiting: f.Gate.Waiting, Running: f.Running, Done: f.Done, Reasons: Reasons(f), Sure: f.AheadComplete}
 	for i := range out.Reasons {
@@ -122,7 +122,7 @@
 			r.Estimate = d.waits.Left(k, urgent(f.Job), f.Wall-since)
 		}
 	}
-	out.Timeline = d.Timelines.Of(id)
+	out.Timeline = d.Timelines.Get(id)
 	d.n.Meter.Why(d.r.Now() - began)
 	return out
 }
@@ -152,7 +152,7 @@
 		a := &Answer{Job: id, AsOf: Time(d.r.Wall()), Tasks: j.Tasks, Reasons: []Reason{}, Complete: true, Timeline: []Interval{}}
 		if j.Final() || j.Spec == nil {
 			a.Status = PhaseName(j.Phase)
-			a.tells(d.Timelines.Of(id))
+			a.tells(d.Timelines.Get(id))
 			if j.Phase == job.Done {
 				a.Done = j.Tasks
 			}
@@ -172,7 +172,7 @@
 		a.Done, a.Running = int(c.Done), int(c.Running)
 		a.Waiting = max(a.Tasks-a.Done-a.Running, 0)
 		a.Status = standing(a)
-		a.tells(d.Timelines.Of(j.ID))
+		a.tells(d.Timelines.Get(j.ID))
 		if k != 0 {
 			r := Reason{Kind: k.String(), Tasks: a.Waiting, State: state, Release: release, BlockedBy: []string{}}
 			if since := d.Timelines.Since(j.ID, k); since != 0 {
--- a/internal/explain/desk_test.go
+++ b/internal/explain/desk_test.go
@@ -175,7 +175,7 @@
 	set(20, room, limit)
 	set(30, limit)
 	set(31, limit, gate.Cause{Kind: gate.Room, Tasks: 5}) // one second later: the interval continues
-	of := l.Of("j").Intervals
+	of := l.Get("j").Intervals
 	if len(of) != 2 || of[1].Kind != "room" || of[1].From != Time(10*loop.Second) || of[1].Tasks != 5 || of[1].To != nil {
 		t.Fatalf("after a short interruption of a cause the timeline is %+v", of)
 	}
@@ -188,7 +188,7 @@
 		set(100+20*i, room)
 		set(110+20*i, limit)
 	}
-	all := l.Of("j")
+	all := l.Get("j")
 	if len(all.Intervals) > mostSpans+2 || all.Dropped == 0 || *all.From != Time(10*loop.Second) {
 		t.Errorf("timeline keeps %d entries, dropped %d, starts at %v", len(all.Intervals), all.Dropped, all.From)
 	}
@@ -203,7 +203,7 @@
 		l.Set(id, []gate.Cause{room}, 2000*loop.Second, true)
 		l.Finish(id, 2001*loop.Second, true)
 	}
-	if len(l.lines) > mostOver+2 || len(l.Of("k0").Intervals) != 0 || len(l.Of(fmt.Sprint("k", mostOver)).Intervals) != 1 {
+	if len(l.lines) > mostOver+2 || len(l.Get("k0").Intervals) != 0 || len(l.Get(fmt.Sprint("k", mostOver)).Intervals) != 1 {
 		t.Errorf("%d timelines are kept, want at most mostOver of finished jobs and the newest of them", len(l.lines))
 	}
 }
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -181,8 +181,8 @@
 	return nil
 }
 
-// Of returns a job's timeline in its printed form.
-func (t *Timelines) Of(id string) Timeline {
+// Get returns a job's timeline in its printed form.
+func (t *Timelines) Get(id string) Timeline {
 	out := Timeline{Intervals: []Interval{}}
 	l := t.lines[id]
 	if l == nil {
--- a/internal/node/calibration_test.go
+++ b/internal/node/calibration_test.go
@@ -143,7 +143,7 @@
 	ends := map[string]loop.Micros{}
 	for _, label := range a.w.labels {
 		for _, id := range a.ids {
-			for _, s := range a.w.nodes[label].n.more.desk.Timelines.Of(id).Intervals {
+			for _, s := range a.w.nodes[label].n.more.desk.Timelines.Get(id).Intervals {
 				if s.To != nil {
 					ends[fmt.Sprint(id, s.Kind, s.From)] = loop.Micros(*s.To)
 				}
