--- a/internal/explain/desk.go
+++ b/internal/explain/desk.go
@@ -119,7 +119,7 @@
 			r.Since = &t
 		}
 		if r.Estimate == nil && since != 0 {
-			r.Estimate = d.waits.Left(k, urgent(f.Job), f.Wall-since)
+			r.Estimate = d.waits.Remaining(k, urgent(f.Job), f.Wall-since)
 		}
 	}
 	out.Timeline = d.Timelines.Get(id)
--- a/internal/explain/desk_test.go
+++ b/internal/explain/desk_test.go
@@ -212,13 +212,13 @@
 // as long, not from all of them; with too few of these there must be no estimate.
 func TestEstimatesAreConditional(t *testing.T) {
 	w := NewWaits()
-	if w.Left(gate.Room, false, 0) != nil {
+	if w.Remaining(gate.Room, false, 0) != nil {
 		t.Fatal("got an estimate without any recorded wait, want none")
 	}
 	for i := range loop.Micros(200) {
 		w.Add(gate.Room, false, (1+i%10)*loop.Second) // one to ten seconds
 	}
-	young, old := w.Left(gate.Room, false, 0), w.Left(gate.Room, false, 8500*loop.Millisecond)
+	young, old := w.Remaining(gate.Room, false, 0), w.Remaining(gate.Room, false, 8500*loop.Millisecond)
 	if young == nil || old == nil {
 		t.Fatal("got no estimate from 200 recorded waits")
 	}
@@ -228,7 +228,7 @@
 	if s := loop.Micros(old.Likely); s > 2*loop.Second || old.Samples >= young.Samples {
 		t.Errorf("after 8.5 of at most 10 s the likely rest is %d us from %d of %d samples", s, old.Samples, young.Samples)
 	}
-	if w.Left(gate.Room, false, 11*loop.Second) != nil || w.Left(gate.Room, true, 0) != nil {
+	if w.Remaining(gate.Room, false, 11*loop.Second) != nil || w.Remaining(gate.Room, true, 0) != nil {
 		t.Error("got an estimate though no recorded wait lasted as long, or none was urgent")
 	}
 }
--- a/internal/explain/waits.go
+++ b/internal/explain/waits.go
@@ -78,9 +78,9 @@
 	d.Add(took)
 }
 
-// Left estimates the remaining time of a wait that has lasted for elapsed, from the waits of
+// Remaining estimates the remaining time of a wait that has lasted for elapsed, from the waits of
 // the same kind and urgency that lasted at least as long. It is nil when they are too few.
-func (w *Waits) Left(k gate.Kind, urgent bool, elapsed loop.Micros) *Estimate {
+func (w *Waits) Remaining(k gate.Kind, urgent bool, elapsed loop.Micros) *Estimate {
 	d := w.by[waitKey{k, urgent}]
 	if d == nil {
 		return nil
