--- a/internal/explain/waits.go
+++ b/internal/explain/waits.go
@@ -85,12 +85,12 @@
 	if d == nil {
 		return nil
 	}
-	return d.Left(elapsed)
+	return d.Remaining(elapsed)
 }
 
-// Left estimates the remaining time of a wait that has lasted for elapsed, or returns nil
+// Remaining estimates the remaining time of a wait that has lasted for elapsed, or returns nil
 // when too few recorded waits lasted as long.
-func (d *Dist) Left(elapsed loop.Micros) *Estimate {
+func (d *Dist) Remaining(elapsed loop.Micros) *Estimate {
 	h := d.h.Merge()
 	total := h.TotalCount()
 	e := max(elapsed, 0) / unit
--- a/internal/rental/supply.go
+++ b/internal/rental/supply.go
@@ -80,7 +80,7 @@
 	for _, b := range by {
 		out.Booting = append(out.Booting, *b)
 		nominal := t.byName[b.Type].BootS
-		if e := t.boots.Left(loop.Micros(float64(b.Age) / max(nominal, 0.001))); e != nil {
+		if e := t.boots.Remaining(loop.Micros(float64(b.Age) / max(nominal, 0.001))); e != nil {
 			e.Low, e.Likely, e.High = scale(e.Low, nominal), scale(e.Likely, nominal), scale(e.High, nominal)
 			if out.Estimate == nil || e.Likely < out.Estimate.Likely {
 				out.Estimate = e
