--- a/internal/explain/waits.go
+++ b/internal/explain/waits.go
@@ -35,7 +35,7 @@
 
 // Waits holds the distributions of how long causes held, by kind and by urgency.
 type Waits struct {
-	by map[waitKey]*Dist
+	by map[waitKey]*Distribution
 }
 
 type waitKey struct {
@@ -43,17 +43,17 @@
 	urgent bool
 }
 
-// Dist is the distribution of the newest waits of one kind.
-type Dist struct {
+// Distribution is the distribution of the newest waits of one kind.
+type Distribution struct {
 	h *hdrhistogram.WindowedHistogram
 	n int // waits in the newest window
 }
 
 // NewWaits returns empty distributions; each allocates its memory with its first wait.
-func NewWaits() *Waits { return &Waits{by: map[waitKey]*Dist{}} }
+func NewWaits() *Waits { return &Waits{by: map[waitKey]*Distribution{}} }
 
 // Add records a wait that has ended.
-func (d *Dist) Add(took loop.Micros) {
+func (d *Distribution) Add(took loop.Micros) {
 	if d.n >= rotateAfter {
 		d.n = 0
 		d.h.Rotate()
@@ -65,7 +65,9 @@
 }
 
 // NewDist returns an empty distribution.
-func NewDist() *Dist { return &Dist{h: hdrhistogram.NewWindowed(windows, 1, longest, digits)} }
+func NewDist() *Distribution {
+	return &Distribution{h: hdrhistogram.NewWindowed(windows, 1, longest, digits)}
+}
 
 // Add records a wait of the given kind and urgency that has ended.
 func (w *Waits) Add(k gate.Kind, urgent bool, took loop.Micros) {
@@ -90,7 +92,7 @@
 
 // Remaining estimates the remaining time of a wait that has lasted for elapsed, or returns nil
 // when too few recorded waits lasted as long.
-func (d *Dist) Remaining(elapsed loop.Micros) *Estimate {
+func (d *Distribution) Remaining(elapsed loop.Micros) *Estimate {
 	h := d.h.Merge()
 	total := h.TotalCount()
 	e := max(elapsed, 0) / unit
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -126,10 +126,10 @@
 	losses   *loss.Judge
 	byOrder  []*machine // by name; nil: to be made anew
 	rand     *rand.Rand
-	deleting map[string]*machine // those of machines that wait for their deletion
-	streak   int                 // calls for orders since idle machines were given back
-	boots    *explain.Dist       // how long machines took to boot, in their nominal times
-	deleted  map[string][]string // machines by the record of their deletion
+	deleting map[string]*machine   // those of machines that wait for their deletion
+	streak   int                   // calls for orders since idle machines were given back
+	boots    *explain.Distribution // how long machines took to boot, in their nominal times
+	deleted  map[string][]string   // machines by the record of their deletion
 	// OnGone is called once for every machine that is known to be deleted.
 	OnGone func(string)
 }
