--- a/internal/explain/waits.go
+++ b/internal/explain/waits.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// NewDist returns an empty distribution.
-func NewDist() *Distribution {
+// NewDistribution returns an empty distribution.
+func NewDistribution() *Distribution {
 	return &Distribution{h: hdrhistogram.NewWindowed(windows, 1, longest, digits)}
 }
 
@@ -74,7 +74,7 @@
 	key := waitKey{k, urgent}
 	d := w.by[key]
 	if d == nil {
-		d = NewDist()
+		d = NewDistribution()
 		w.by[key] = d
 	}
 	d.Add(took)
