--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -235,8 +235,8 @@
 	From      *Time      `json:"from,omitempty"`    // nothing is known of the time before
 }
 
-// tells copies the timeline into the answer.
-func (a *Answer) tells(t Timeline) {
+// setTimeline copies the timeline into the answer.
+func (a *Answer) setTimeline(t Timeline) {
 	a.Timeline, a.TimelineFrom, a.TimelineDropped = t.Intervals, t.From, t.Dropped
 	if a.Timeline == nil {
 		a.Timeline = []Interval{}
--- a/internal/explain/desk.go
+++ b/internal/explain/desk.go
@@ -13,8 +13,8 @@
 
 // Timeouts of requests to other controllers.
 const (
-	ownerPatience  = 1000 * loop.Millisecond
-	leaderPatience = 700 * loop.Millisecond
+	ownerTimeout  = 1000 * loop.Millisecond
+	leaderTimeout = 700 * loop.Millisecond
 )
 
 // Topics of requests between controllers.
@@ -53,7 +53,7 @@
 	waits     *Waits
 }
 
-type whyQuestion struct {
+type whyRequest struct {
 	Job string `cbor:"1,keyasint"`
 }
 
@@ -72,7 +72,7 @@
 	d := &Service{r: r, n: n, Timelines: NewTimelines(), waits: NewWaits()}
 	d.Timelines.OnIntervalEnd = d.ended
 	n.Handle(topicWhy, func(body wire.Raw, reply func(any)) {
-		var q whyQuestion
+		var q whyRequest
 		if wire.Unmarshal(body, &q) != nil {
 			reply(whyReply{})
 			return
@@ -152,7 +152,7 @@
 		a := &Answer{Job: id, AsOf: Time(d.r.Wall()), Tasks: j.Tasks, Reasons: []Reason{}, Complete: true, Timeline: []Interval{}}
 		if j.Final() || j.Spec == nil {
 			a.Status = PhaseName(j.Phase)
-			a.tells(d.Timelines.Get(id))
+			a.setTimeline(d.Timelines.Get(id))
 			if j.Phase == job.Done {
 				a.Done = j.Tasks
 			}
@@ -172,7 +172,7 @@
 		a.Done, a.Running = int(c.Done), int(c.Running)
 		a.Waiting = max(a.Tasks-a.Done-a.Running, 0)
 		a.Status = standing(a)
-		a.tells(d.Timelines.Get(j.ID))
+		a.setTimeline(d.Timelines.Get(j.ID))
 		if k != 0 {
 			r := Reason{Kind: k.String(), Tasks: a.Waiting, State: state, Release: release, BlockedBy: []string{}}
 			if since := d.Timelines.Since(j.ID, k); since != 0 {
@@ -189,7 +189,7 @@
 		done()
 		return
 	}
-	d.n.Ask(a.Owner, topicWhy, whyQuestion{j.ID}, ownerPatience, func(body wire.Raw, ok bool) {
+	d.n.Ask(a.Owner, topicWhy, whyRequest{j.ID}, ownerTimeout, func(body wire.Raw, ok bool) {
 		var w whyReply
 		if !ok || wire.Unmarshal(body, &w) != nil {
 			told(0, "", "")
@@ -204,7 +204,7 @@
 			return
 		}
 		a.Waiting, a.Running, a.Done = w.Waiting, w.Running, w.Done
-		a.tells(w.Timeline)
+		a.setTimeline(w.Timeline)
 		a.Status = standing(a)
 		if !w.Sure {
 			a.Complete = false
@@ -247,7 +247,7 @@
 		fill(Supply{State: "noLeader"})
 		return
 	}
-	d.n.Ask(leader, topicSupply, j.Spec, leaderPatience, func(body wire.Raw, ok bool) {
+	d.n.Ask(leader, topicSupply, j.Spec, leaderTimeout, func(body wire.Raw, ok bool) {
 		var s Supply
 		if !ok || wire.Unmarshal(body, &s) != nil {
 			a.Complete = false
