--- a/internal/explain/desk.go
+++ b/internal/explain/desk.go
@@ -58,13 +58,13 @@
 }
 
 type whyReply struct {
-	Loaded   bool     `cbor:"1,keyasint"`
-	Waiting  int      `cbor:"2,keyasint"`
-	Running  int      `cbor:"3,keyasint"`
-	Done     int      `cbor:"4,keyasint"`
-	Reasons  []Reason `cbor:"5,keyasint"`
-	Timeline Timeline `cbor:"6,keyasint"`
-	Sure     bool     `cbor:"7,keyasint"`
+	Loaded        bool     `cbor:"1,keyasint"`
+	Waiting       int      `cbor:"2,keyasint"`
+	Running       int      `cbor:"3,keyasint"`
+	Done          int      `cbor:"4,keyasint"`
+	Reasons       []Reason `cbor:"5,keyasint"`
+	Timeline      Timeline `cbor:"6,keyasint"`
+	AheadComplete bool     `cbor:"7,keyasint"`
 }
 
 // NewService returns the service and registers the handlers of other controllers' requests.
@@ -109,7 +109,7 @@
 	if !ok {
 		return whyReply{Timeline: d.Timelines.Get(id)}
 	}
-	out := whyReply{Loaded: true, Waiting: f.Gate.Waiting, Running: f.Running, Done: f.Done, Reasons: Reasons(f), Sure: f.AheadComplete}
+	out := whyReply{Loaded: true, Waiting: f.Gate.Waiting, Running: f.Running, Done: f.Done, Reasons: Reasons(f), AheadComplete: f.AheadComplete}
 	for i := range out.Reasons {
 		r := &out.Reasons[i]
 		k := gate.Named(r.Kind)
@@ -206,7 +206,7 @@
 		a.Waiting, a.Running, a.Done = w.Waiting, w.Running, w.Done
 		a.setTimeline(w.Timeline)
 		a.Status = standing(a)
-		if !w.Sure {
+		if !w.AheadComplete {
 			a.Complete = false
 			a.Missing = append(a.Missing, "which work takes the capacity before this job depends on which machines become free first")
 		}
