--- a/internal/explain/desk.go
+++ b/internal/explain/desk.go
@@ -46,11 +46,11 @@
 
 // Service answers the question why a job's tasks do not run.
 type Service struct {
-	r         loop.Runner
-	n         Dependencies
-	open      int
-	Timelines *Timelines
-	waits     *Waits
+	runner       loop.Runner
+	deps         Dependencies
+	openRequests int
+	Timelines    *Timelines
+	waits        *Waits
 }
 
 type whyRequest struct {
@@ -69,15 +69,15 @@
 
 // NewService returns the service and registers the handlers of other controllers' requests.
 func NewService(r loop.Runner, n Dependencies) *Service {
-	d := &Service{r: r, n: n, Timelines: NewTimelines(), waits: NewWaits()}
-	d.Timelines.OnIntervalEnd = d.ended
+	d := &Service{runner: r, deps: n, Timelines: NewTimelines(), waits: NewWaits()}
+	d.Timelines.OnIntervalEnd = d.recordWait
 	n.Handle(topicWhy, func(body wire.Raw, reply func(any)) {
 		var q whyRequest
 		if wire.Unmarshal(body, &q) != nil {
 			reply(whyReply{})
 			return
 		}
-		reply(d.own(q.Job))
+		reply(d.explainOwned(q.Job))
 	})
 	n.Handle(topicSupply, func(body wire.Raw, reply func(any)) {
 		var s job.Spec
@@ -92,20 +92,20 @@
 
 func urgent(j *job.Job) bool { return j != nil && j.Spec != nil && j.Spec.Priority >= job.High }
 
-// ended records a wait that is over. Every controller records the waits of all owners, so
+// recordWait records a wait that is over. Every controller records the waits of all owners, so
 // that one that takes a team over can estimate at once; only the owner counts the wait in
 // its metrics.
-func (d *Service) ended(id string, k gate.Kind, took loop.Micros, own bool) {
+func (d *Service) recordWait(id string, k gate.Kind, took loop.Micros, own bool) {
 	if own {
-		d.n.Meter.Wait(k.String(), took)
+		d.deps.Meter.Wait(k.String(), took)
 	}
-	d.waits.Add(k, urgent(d.n.Job(id)), took)
+	d.waits.Add(k, urgent(d.deps.Job(id)), took)
 }
 
-// own explains a job whose team this controller owns.
-func (d *Service) own(id string) whyReply {
-	began := d.r.Now()
-	f, ok := d.n.Facts(id)
+// explainOwned explains a job whose team this controller owns.
+func (d *Service) explainOwned(id string) whyReply {
+	began := d.runner.Now()
+	f, ok := d.deps.Facts(id)
 	if !ok {
 		return whyReply{Timeline: d.Timelines.Get(id)}
 	}
@@ -123,24 +123,24 @@
 		}
 	}
 	out.Timeline = d.Timelines.Get(id)
-	d.n.Meter.Why(d.r.Now() - began)
+	d.deps.Meter.Why(d.runner.Now() - began)
 	return out
 }
 
 // Why explains a job. The callback gets 200 with the answer; 404 for an unknown job; 429
 // when too many explanations are in progress; 503 when the job's status cannot be read.
-func (d *Service) Why(id string, cb func(*Answer, int)) {
-	if d.open >= MaxOpenRequests {
-		cb(nil, 429)
+func (d *Service) Why(id string, callback func(*Answer, int)) {
+	if d.openRequests >= MaxOpenRequests {
+		callback(nil, 429)
 		return
 	}
-	d.open++
+	d.openRequests++
 	done := func(a *Answer, code int) {
-		d.open--
-		cb(a, code)
+		d.openRequests--
+		callback(a, code)
 	}
-	d.n.Poll(id, func(p job.Answer) {
-		j := d.n.Job(id)
+	d.deps.Poll(id, func(p job.Answer) {
+		j := d.deps.Job(id)
 		if p.Code != 200 || j == nil {
 			code := p.Code
 			if code == 200 {
@@ -149,7 +149,7 @@
 			done(nil, code)
 			return
 		}
-		a := &Answer{Job: id, AsOf: Time(d.r.Wall()), Tasks: j.Tasks, Reasons: []Reason{}, Complete: true, Timeline: []Interval{}}
+		a := &Answer{Job: id, AsOf: Time(d.runner.Wall()), Tasks: j.Tasks, Reasons: []Reason{}, Complete: true, Timeline: []Interval{}}
 		if j.Final() || j.Spec == nil {
 			a.Status = PhaseName(j.Phase)
 			a.setTimeline(d.Timelines.Get(id))
@@ -165,13 +165,13 @@
 
 // askOwner adds what the job's owner knows to the answer.
 func (d *Service) askOwner(a *Answer, j *job.Job, done func()) {
-	a.Owner = d.n.Owner(j.Spec.Team)
+	a.Owner = d.deps.Owner(j.Spec.Team)
 	// Without an answer from the owner, only the counts that it sent last are known.
-	told := func(k gate.Kind, state, release string) {
-		c := d.n.Counts(j)
+	fillFromCounts := func(k gate.Kind, state, release string) {
+		c := d.deps.Counts(j)
 		a.Done, a.Running = int(c.Done), int(c.Running)
 		a.Waiting = max(a.Tasks-a.Done-a.Running, 0)
-		a.Status = standing(a)
+		a.Status = jobStatus(a)
 		a.setTimeline(d.Timelines.Get(j.ID))
 		if k != 0 {
 			r := Reason{Kind: k.String(), Tasks: a.Waiting, State: state, Release: release, BlockedBy: []string{}}
@@ -184,28 +184,28 @@
 		a.Complete = false
 	}
 	if a.Owner == "" {
-		told(gate.NoOwner, "unowned", "a controller takes the team over, usually within seconds")
+		fillFromCounts(gate.NoOwner, "unowned", "a controller takes the team over, usually within seconds")
 		a.Missing = append(a.Missing, "the team has no owner at present")
 		done()
 		return
 	}
-	d.n.Ask(a.Owner, topicWhy, whyRequest{j.ID}, ownerTimeout, func(body wire.Raw, ok bool) {
+	d.deps.Ask(a.Owner, topicWhy, whyRequest{j.ID}, ownerTimeout, func(body wire.Raw, ok bool) {
 		var w whyReply
 		if !ok || wire.Unmarshal(body, &w) != nil {
-			told(0, "", "")
+			fillFromCounts(0, "", "")
 			a.Missing = append(a.Missing, "the owner "+a.Owner+" did not answer")
 			done()
 			return
 		}
 		if !w.Loaded {
-			told(gate.Loading, "reading", "the owner finishes loading the team's records")
+			fillFromCounts(gate.Loading, "reading", "the owner finishes loading the team's records")
 			a.Missing = append(a.Missing, "the owner "+a.Owner+" has not loaded the team's records yet")
 			done()
 			return
 		}
 		a.Waiting, a.Running, a.Done = w.Waiting, w.Running, w.Done
 		a.setTimeline(w.Timeline)
-		a.Status = standing(a)
+		a.Status = jobStatus(a)
 		if !w.AheadComplete {
 			a.Complete = false
 			a.Missing = append(a.Missing, "which work takes the capacity before this job depends on which machines become free first")
@@ -229,7 +229,7 @@
 		done()
 		return
 	}
-	leader := d.n.Leader()
+	leader := d.deps.Leader()
 	fill := func(s Supply) {
 		s.Leader = leader
 		for _, r := range short {
@@ -237,7 +237,7 @@
 			if r.Estimate == nil && s.Estimate != nil {
 				r.Estimate = s.Estimate
 			}
-			if more := supplyEnds[s.State]; more != "" {
+			if more := supplyRelease[s.State]; more != "" {
 				r.Release += "; " + more
 			}
 		}
@@ -247,7 +247,7 @@
 		fill(Supply{State: "noLeader"})
 		return
 	}
-	d.n.Ask(leader, topicSupply, j.Spec, leaderTimeout, func(body wire.Raw, ok bool) {
+	d.deps.Ask(leader, topicSupply, j.Spec, leaderTimeout, func(body wire.Raw, ok bool) {
 		var s Supply
 		if !ok || wire.Unmarshal(body, &s) != nil {
 			a.Complete = false
@@ -259,7 +259,7 @@
 	})
 }
 
-var supplyEnds = map[string]string{
+var supplyRelease = map[string]string{
 	"booting":   "machines for it are booting",
 	"ordered":   "machines for it are ordered",
 	"requested": "the leader is about to order machines for it",
@@ -269,7 +269,7 @@
 	"noLeader":  "there is no leader at present, so nothing is rented",
 }
 
-func standing(a *Answer) string {
+func jobStatus(a *Answer) string {
 	if a.Running > 0 {
 		return wire.JobRunning
 	}
--- a/internal/explain/desk_test.go
+++ b/internal/explain/desk_test.go
@@ -13,29 +13,29 @@
 	"cleatpick/internal/wire"
 )
 
-// office is a service under test whose owner and leader are other controllers; the test
+// simulation is a service under test whose owner and leader are other controllers; the test
 // sets their answers.
-type office struct {
+type simulation struct {
 	*standin.Stepped
-	d             *Service
+	service       *Service
 	owner, leader string
 	topics        map[string]func(wire.Raw, func(any))
-	deaf          map[string]bool // topics whose requests get no answer
-	held          []func()        // answers that the test delivers later
-	hold          bool
+	unanswered    map[string]bool // topics whose requests get no answer
+	delayed       []func()        // answers that the test delivers later
+	delayAnswers  bool
 	facts         *Facts
 	supply        Supply
 }
 
-func newOffice() *office {
-	o := &office{Stepped: standin.NewStepped(1000 * loop.Second), owner: "b", leader: "c", topics: map[string]func(wire.Raw, func(any)){}, deaf: map[string]bool{}}
+func newSimulation() *simulation {
+	o := &simulation{Stepped: standin.NewStepped(1000 * loop.Second), owner: "b", leader: "c", topics: map[string]func(wire.Raw, func(any)){}, unanswered: map[string]bool{}}
 	spec := &job.Spec{Class: "k", Team: "red", Tasks: 6, CPUs: 2, MemoryGB: 1, AnyType: true}
 	j := &job.Job{ID: "job-000001", Phase: job.Accepted, Spec: spec, Tasks: 6}
 	o.facts = &Facts{Job: j, Team: config.Team{Name: "red"}, StateContact: true, AheadComplete: true, Exact: true, Now: o.Now(), Wall: o.Wall(),
 		Gate: gate.Job{Spec: spec, Hold: &j.Terms.Hold, Waiting: 3, InUse: 3, Quota: config.Quota{CPUs: 4, CPUsMax: config.LimitOf(99)}},
 		Need: gate.Need{ID: j.ID, Spec: spec, Tasks: 6}, Fits: 0, FitsAll: 0, Running: 1, Done: 0}
 	o.supply = Supply{State: "booting", Booting: []Booting{{Offer: Offer{Type: "m", Count: 2}}}}
-	o.d = NewService(o, Dependencies{
+	o.service = NewService(o, Dependencies{
 		Label: "a",
 		Poll: func(id string, cb func(job.Answer)) {
 			if id != j.ID {
@@ -43,8 +43,8 @@
 				return
 			}
 			answer := func() { cb(job.Answer{Code: 200, Phase: j.Phase, ID: id, Tasks: 6}) }
-			if o.hold {
-				o.held = append(o.held, answer)
+			if o.delayAnswers {
+				o.delayed = append(o.delayed, answer)
 				return
 			}
 			answer()
@@ -60,7 +60,7 @@
 		Counts: func(*job.Job) job.Counts { return job.Counts{Running: 2} },
 		Handle: func(topic string, f func(wire.Raw, func(any))) { o.topics[topic] = f },
 		Ask: func(_, topic string, body any, _ loop.Micros, cb func(wire.Raw, bool)) {
-			if o.deaf[topic] {
+			if o.unanswered[topic] {
 				cb(nil, false)
 				return
 			}
@@ -70,18 +70,18 @@
 	return o
 }
 
-func (o *office) why(t *testing.T, id string, code int) *Answer {
+func (o *simulation) why(t *testing.T, id string, code int) *Answer {
 	t.Helper()
 	var a *Answer
 	got := 0
-	o.d.Why(id, func(x *Answer, c int) { a, got = x, c })
+	o.service.Why(id, func(x *Answer, c int) { a, got = x, c })
 	if got != code {
 		t.Fatalf("Why(%s) returns code %d, want %d", id, got, code)
 	}
 	return a
 }
 
-func words(a *Answer) string {
+func summary(a *Answer) string {
 	var out []string
 	for _, r := range a.Reasons {
 		out = append(out, fmt.Sprintf("%s/%s:%d", r.Kind, r.State, r.Tasks))
@@ -94,29 +94,29 @@
 func TestWhatCannotBeAskedIsSaid(t *testing.T) {
 	for _, c := range []struct {
 		what string
-		set  func(*office)
+		set  func(*simulation)
 		want string
 	}{
-		{"all answer", func(o *office) {}, "room/nothingToBorrow:3 true 0"},
-		{"no owner", func(o *office) { o.owner = "" }, "noOwner/unowned:4 false 1"},
-		{"the owner does not answer", func(o *office) { o.deaf[topicWhy] = true }, " false 1"},
-		{"the owner is still loading", func(o *office) { o.facts = nil }, "loading/reading:4 false 1"},
-		{"the owner has no state contact", func(o *office) { o.facts.StateContact = false }, "stateContact/lost:3 room/nothingToBorrow:3 true 0"},
-		{"no leader", func(o *office) { o.leader = "" }, "room/nothingToBorrow:3 true 0"},
-		{"the leader does not answer", func(o *office) { o.deaf[topicSupply] = true }, "room/nothingToBorrow:3 false 1"},
-		{"within the guarantee", func(o *office) { o.facts.WithinGuarantee = true }, "room/noRoom:3 true 0"},
-		{"a damaged record", func(o *office) { o.facts.Gate.Damaged = true }, "damagedRecord/setAside:3 room/nothingToBorrow:3 true 0"},
-		{"free capacity for all", func(o *office) { o.facts.Fits, o.facts.FitsAll = 3, 3 }, "nextPass/due:3 true 0"},
-		{"in flight", func(o *office) {
+		{"all answer", func(o *simulation) {}, "room/nothingToBorrow:3 true 0"},
+		{"no owner", func(o *simulation) { o.owner = "" }, "noOwner/unowned:4 false 1"},
+		{"the owner does not answer", func(o *simulation) { o.unanswered[topicWhy] = true }, " false 1"},
+		{"the owner is still loading", func(o *simulation) { o.facts = nil }, "loading/reading:4 false 1"},
+		{"the owner has no state contact", func(o *simulation) { o.facts.StateContact = false }, "stateContact/lost:3 room/nothingToBorrow:3 true 0"},
+		{"no leader", func(o *simulation) { o.leader = "" }, "room/nothingToBorrow:3 true 0"},
+		{"the leader does not answer", func(o *simulation) { o.unanswered[topicSupply] = true }, "room/nothingToBorrow:3 false 1"},
+		{"within the guarantee", func(o *simulation) { o.facts.WithinGuarantee = true }, "room/noRoom:3 true 0"},
+		{"a damaged record", func(o *simulation) { o.facts.Gate.Damaged = true }, "damagedRecord/setAside:3 room/nothingToBorrow:3 true 0"},
+		{"free capacity for all", func(o *simulation) { o.facts.Fits, o.facts.FitsAll = 3, 3 }, "nextPass/due:3 true 0"},
+		{"in flight", func(o *simulation) {
 			o.facts.Gate.Waiting = 0
 			o.facts.InFlight = []InFlight{{Kind: gate.Recording, State: "recording", Machine: "n-1", Tasks: 1}, {Kind: gate.Saving, State: "saving", Machine: "n-2", Tasks: 2, PreemptedFor: "job-000009"},
 				{Kind: gate.Unproven, State: "absent", Machine: "n-3", Tasks: 1, ConfirmedBy: "a list"}, {Kind: gate.Unproven, State: "silent", Machine: "n-4", Tasks: 1}}
 		}, "recording/recording:1 saving/saving:2 unproven/several:2 true 0"},
 	} {
-		o := newOffice()
+		o := newSimulation()
 		c.set(o)
 		a := o.why(t, "job-000001", 200)
-		if got := words(a); got != c.want {
+		if got := summary(a); got != c.want {
 			t.Errorf("%s: the answer is %q, want %q", c.what, got, c.want)
 		}
 		for _, r := range a.Reasons {
@@ -128,28 +128,28 @@
 			}
 		}
 	}
-	o := newOffice()
+	o := newSimulation()
 	o.why(t, "job-000002", 404)
 }
 
 // At most MostQuestions explanations may be in progress: the next request must be refused at
 // once with 429, and be accepted again as soon as one of the others is answered.
 func TestQuestionsAreBounded(t *testing.T) {
-	o := newOffice()
-	o.hold = true
+	o := newSimulation()
+	o.delayAnswers = true
 	answers := 0
 	for range MaxOpenRequests {
-		o.d.Why("job-000001", func(_ *Answer, code int) {
+		o.service.Why("job-000001", func(_ *Answer, code int) {
 			if code == 200 {
 				answers++
 			}
 		})
 	}
 	o.why(t, "job-000001", 429)
-	o.held[0]()
-	o.hold = false
+	o.delayed[0]()
+	o.delayAnswers = false
 	o.why(t, "job-000001", 200)
-	for _, f := range o.held[1:] {
+	for _, f := range o.delayed[1:] {
 		f()
 	}
 	if answers != MaxOpenRequests {
@@ -189,7 +189,7 @@
 		set(110+20*i, limit)
 	}
 	all := l.Get("j")
-	if len(all.Intervals) > mostSpans+2 || all.Dropped == 0 || *all.From != Time(10*loop.Second) {
+	if len(all.Intervals) > maxIntervals+2 || all.Dropped == 0 || *all.From != Time(10*loop.Second) {
 		t.Errorf("timeline keeps %d entries, dropped %d, starts at %v", len(all.Intervals), all.Dropped, all.From)
 	}
 	if last := all.Intervals[len(all.Intervals)-1]; last.Kind != "teamLimit" || last.To != nil {
@@ -198,13 +198,13 @@
 	if ended[gate.Room] == 0 || ended[gate.Limit] == 0 {
 		t.Errorf("ended intervals by kind are %v, want some of room and of teamLimit", ended)
 	}
-	for i := range mostOver + 10 {
+	for i := range maxFinished + 10 {
 		id := fmt.Sprint("k", i)
 		l.Set(id, []gate.Cause{room}, 2000*loop.Second, true)
 		l.Finish(id, 2001*loop.Second, true)
 	}
-	if len(l.lines) > mostOver+2 || len(l.Get("k0").Intervals) != 0 || len(l.Get(fmt.Sprint("k", mostOver)).Intervals) != 1 {
-		t.Errorf("%d timelines are kept, want at most mostOver of finished jobs and the newest of them", len(l.lines))
+	if len(l.jobs) > maxFinished+2 || len(l.Get("k0").Intervals) != 0 || len(l.Get(fmt.Sprint("k", maxFinished)).Intervals) != 1 {
+		t.Errorf("%d timelines are kept, want at most mostOver of finished jobs and the newest of them", len(l.jobs))
 	}
 }
 
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -51,9 +51,9 @@
 
 // Bounds on the lists in an answer.
 const (
-	mostGroups = 40
-	mostAhead  = 20
-	mostOn     = 20
+	maxGroups   = 40
+	maxAhead    = 20
+	maxMachines = 20
 )
 
 // Reasons returns every reason that follows from the owner's facts, in the order of the
@@ -70,17 +70,17 @@
 		r.State, r.Release = "lost", "the owner regains contact with the state service, or another controller takes the team over"
 	}
 	for _, c := range f.Gate.Causes(nil) {
-		f.ownGate(c.Kind, add(c.Kind, c.Tasks))
+		f.addPredicateDetail(c.Kind, add(c.Kind, c.Tasks))
 	}
 	if n > 0 {
-		f.machines(add)
+		f.addMachineReasons(add)
 	}
-	f.flights(add)
+	f.addInFlight(add)
 	return out
 }
 
-// ownGate fills in the particulars of a predicate on the job itself that blocks it.
-func (f *Facts) ownGate(k gate.Kind, r *Reason) {
+// addPredicateDetail fills in the particulars of a predicate on the job itself that blocks it.
+func (f *Facts) addPredicateDetail(k gate.Kind, r *Reason) {
 	switch k {
 	case gate.Damaged:
 		r.State, r.Release = "setAside", "the damaged record of the job's tasks is repaired; the owner's log names its key"
@@ -123,7 +123,7 @@
 		left := Duration(f.Gate.Failing.RestTo - f.Now)
 		r.State, r.Until = "resting", &until
 		r.Estimate = &Estimate{Low: left, Likely: left, High: left + Duration(loop.Second)}
-		r.Detail.Failures = f.failing()
+		r.Detail.Failures = f.failures()
 		r.Release = "its back-off ends; then a few of its tasks are tried again"
 	case gate.Probe:
 		r.State, r.Release = "oneAtATime", "a task of the job completes; others follow once it has run for longer than those that failed"
@@ -133,26 +133,26 @@
 		case x.Width > 1:
 			r.State = "growing"
 		}
-		r.Detail.Failures = f.failing()
+		r.Detail.Failures = f.failures()
 	case gate.Limit:
 		r.State, r.Release = "full", "tasks of the team "+f.Team.Name+" end, or its limit is raised"
-		r.Detail.Team = f.team()
+		r.Detail.Team = f.teamUse()
 	}
 }
 
-func (f *Facts) failing() *FailureSummary {
+func (f *Facts) failures() *FailureSummary {
 	x := &f.Gate.Failing
 	return &FailureSummary{Consecutive: x.Moments, Machines: x.Machines, Verdict: x.State.String(), Tasks: x.Late}
 }
 
-func (f *Facts) team() *TeamUse {
+func (f *Facts) teamUse() *TeamUse {
 	return &TeamUse{Team: f.Team.Name, CPUs: f.Gate.Used.CPUs, CPUsMax: f.Gate.Quota.CPUsMax, CPUsGuaranteed: f.Gate.Quota.CPUs,
 		GPUs: f.Gate.Used.GPUs, GPUsMax: f.Gate.Quota.GPUsMax, WithinGuarantee: f.WithinGuarantee}
 }
 
-// machines adds the reasons why the machines do not take the waiting tasks that the job's
+// addMachineReasons adds the reasons why the addMachineReasons do not take the waiting tasks that the job's
 // own predicates allow.
-func (f *Facts) machines(add func(gate.Kind, int) *Reason) {
+func (f *Facts) addMachineReasons(add func(gate.Kind, int) *Reason) {
 	n, s := f.Gate.Waiting, f.Need.Spec
 	needs := &Needs{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, Zone: s.Zone, Spot: s.Spot}
 	cordoned := f.FitsAll - f.Fits
@@ -195,7 +195,7 @@
 				r.State, r.Release = "leftOver", "the tasks of its earlier start have terminated"
 			}
 		}
-		r.Detail.Needs, r.Detail.Team, r.Detail.Machines = needs, f.team(), f.lacks()
+		r.Detail.Needs, r.Detail.Team, r.Detail.Machines = needs, f.teamUse(), f.countLacks()
 		r.Detail.Reserved = f.Reserved
 		for _, by := range f.PreemptedFor {
 			if !slices.Contains(r.Detail.PreemptedFor, by) {
@@ -214,7 +214,7 @@
 			r.State = "mayBeBehind"
 		}
 		r.Release = "the jobs named are placed, or are withdrawn"
-		r.Detail.Ahead = f.Ahead[:min(len(f.Ahead), mostAhead)]
+		r.Detail.Ahead = f.Ahead[:min(len(f.Ahead), maxAhead)]
 		for _, a := range r.Detail.Ahead {
 			r.BlockedBy = append(r.BlockedBy, a.Job)
 		}
@@ -225,8 +225,8 @@
 	}
 }
 
-// lacks counts what the machines lack, by type, zone and kind.
-func (f *Facts) lacks() *Machines {
+// countLacks counts what the machines lack, by type, zone and kind.
+func (f *Facts) countLacks() *Machines {
 	type key struct {
 		typ, zone string
 		spot      bool
@@ -238,7 +238,7 @@
 		k := key{p.V.Type, p.V.Zone, p.V.Spot}
 		i, ok := at[k]
 		if !ok {
-			if len(m.Groups) >= mostGroups {
+			if len(m.Groups) >= maxGroups {
 				m.MoreGroups++
 				continue
 			}
@@ -260,8 +260,8 @@
 	return m
 }
 
-// flights adds the reasons of tasks that are neither waiting nor running.
-func (f *Facts) flights(add func(gate.Kind, int) *Reason) {
+// addInFlight adds the reasons of tasks that are neither waiting nor running.
+func (f *Facts) addInFlight(add func(gate.Kind, int) *Reason) {
 	for _, k := range []gate.Kind{gate.Recording, gate.Starting, gate.Fetching, gate.Saving, gate.Unproven} {
 		var r *Reason
 		for i := range f.InFlight {
@@ -271,13 +271,13 @@
 			}
 			if r == nil {
 				r = add(k, 0)
-				r.State, r.Release = x.State, flightEnds[k]
+				r.State, r.Release = x.State, inFlightRelease[k]
 			}
 			if x.State != r.State {
 				r.State = "several"
 			}
 			r.Tasks += x.Tasks
-			if len(r.Detail.On) < mostOn {
+			if len(r.Detail.On) < maxMachines {
 				r.Detail.On = append(r.Detail.On, MachineTasks{Machine: x.Machine, State: x.State, Tasks: x.Tasks, Since: Time(x.Since), ConfirmedBy: x.ConfirmedBy, PreemptedFor: x.PreemptedFor})
 			}
 			if x.PreemptedFor != "" {
@@ -287,7 +287,7 @@
 	}
 }
 
-var flightEnds = map[gate.Kind]string{
+var inFlightRelease = map[gate.Kind]string{
 	gate.Recording: "the attempt is stored in the state service",
 	gate.Starting:  "the machine reports the task",
 	gate.Fetching:  "the machine has fetched the image",
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -7,54 +7,54 @@
 
 // Bounds on the timelines.
 const (
-	mostSpans = 24  // ended intervals of each job
-	mostOver  = 256 // finished jobs whose timelines are kept
+	maxIntervals = 24  // ended intervals of each job
+	maxFinished  = 256 // finished jobs whose timelines are kept
 )
 
-// flap is the longest interruption of a cause that does not end its interval.
-const flap = 1500 * loop.Millisecond
+// maxInterruption is the longest interruption of a cause that does not end its interval.
+const maxInterruption = 1500 * loop.Millisecond
 
-type stretch struct {
+type interval struct {
 	kind     gate.Kind
 	from, to loop.Micros // wall clock; to is 0 while the cause holds
 	tasks    int         // the largest number of tasks that it blocked at a time
 }
 
-// line is a job's timeline as this controller keeps it.
-type line struct {
-	spans   []stretch // ended ones first, then those that still hold
-	dropped int
-	from    loop.Micros
-	causes  []gate.Cause
-	over    bool
+// jobTimeline is a job's timeline as this controller keeps it.
+type jobTimeline struct {
+	intervals []interval // ended ones first, then those that still hold
+	dropped   int
+	from      loop.Micros
+	causes    []gate.Cause
+	finished  bool
 }
 
 // Timelines records the causes that block all unfinished jobs, from the messages of their
 // owners. Every controller keeps them in memory, so that they survive the failure of an
 // owner; they are not stored anywhere else.
 type Timelines struct {
-	lines map[string]*line
-	over  []string
+	jobs     map[string]*jobTimeline
+	finished []string
 	// OnIntervalEnd is called for every interval that ends; own reports whether this controller owns
 	// the job.
 	OnIntervalEnd func(job string, k gate.Kind, took loop.Micros, own bool)
 }
 
 // NewTimelines returns an empty set of timelines.
-func NewTimelines() *Timelines { return &Timelines{lines: map[string]*line{}} }
+func NewTimelines() *Timelines { return &Timelines{jobs: map[string]*jobTimeline{}} }
 
 // Set records the causes that hold now; own says whether this controller owns the job. It
 // reports whether their kinds differ from those before.
 func (t *Timelines) Set(id string, causes []gate.Cause, wall loop.Micros, own bool) (changed bool) {
-	l := t.lines[id]
+	l := t.jobs[id]
 	if l == nil {
 		if len(causes) == 0 {
 			return false
 		}
-		l = &line{from: wall}
-		t.lines[id] = l
+		l = &jobTimeline{from: wall}
+		t.jobs[id] = l
 	}
-	if l.over {
+	if l.finished {
 		return false
 	}
 	open := l.open()
@@ -69,8 +69,8 @@
 		changed = true
 		l.begin(c, wall, &open)
 	}
-	for i := len(l.spans) - 1; i >= open; i-- {
-		if s := l.spans[i]; !holds(causes, s.kind) {
+	for i := len(l.intervals) - 1; i >= open; i-- {
+		if s := l.intervals[i]; !holds(causes, s.kind) {
 			changed = true
 			if t.OnIntervalEnd != nil {
 				t.OnIntervalEnd(id, s.kind, wall-s.from, own)
@@ -79,8 +79,8 @@
 			open++
 		}
 	}
-	if drop := open - mostSpans; drop > 0 {
-		l.spans = append(l.spans[:0], l.spans[drop:]...)
+	if drop := open - maxIntervals; drop > 0 {
+		l.intervals = append(l.intervals[:0], l.intervals[drop:]...)
 		l.dropped += drop
 	}
 	l.causes = append(l.causes[:0], causes...)
@@ -97,67 +97,67 @@
 }
 
 // open returns the index of the first interval that still holds.
-func (l *line) open() int {
-	i := len(l.spans)
-	for i > 0 && l.spans[i-1].to == 0 {
+func (l *jobTimeline) open() int {
+	i := len(l.intervals)
+	for i > 0 && l.intervals[i-1].to == 0 {
 		i--
 	}
 	return i
 }
 
-func (l *line) find(k gate.Kind, open int) *stretch {
-	for i := open; i < len(l.spans); i++ {
-		if l.spans[i].kind == k {
-			return &l.spans[i]
+func (l *jobTimeline) find(k gate.Kind, open int) *interval {
+	for i := open; i < len(l.intervals); i++ {
+		if l.intervals[i].kind == k {
+			return &l.intervals[i]
 		}
 	}
 	return nil
 }
 
 // begin opens an interval, or continues one that ended less than flap ago.
-func (l *line) begin(c gate.Cause, wall loop.Micros, open *int) {
-	s := stretch{kind: c.Kind, from: wall, tasks: c.Tasks}
+func (l *jobTimeline) begin(c gate.Cause, wall loop.Micros, open *int) {
+	s := interval{kind: c.Kind, from: wall, tasks: c.Tasks}
 	if c.Since != 0 && c.Since < wall {
 		s.from = c.Since // the owner has known the cause for longer than this controller
 	}
-	for i := *open - 1; i >= 0 && wall-l.spans[i].to < flap; i-- {
-		if l.spans[i].kind == c.Kind {
-			s.from, s.tasks = min(s.from, l.spans[i].from), max(l.spans[i].tasks, c.Tasks)
-			l.spans = append(l.spans[:i], l.spans[i+1:]...)
+	for i := *open - 1; i >= 0 && wall-l.intervals[i].to < maxInterruption; i-- {
+		if l.intervals[i].kind == c.Kind {
+			s.from, s.tasks = min(s.from, l.intervals[i].from), max(l.intervals[i].tasks, c.Tasks)
+			l.intervals = append(l.intervals[:i], l.intervals[i+1:]...)
 			*open--
 			break
 		}
 	}
-	l.spans = append(l.spans, s)
+	l.intervals = append(l.intervals, s)
 }
 
 // end closes interval i and moves it before those that still hold.
-func (l *line) end(i, open int, wall loop.Micros) {
-	s := l.spans[i]
+func (l *jobTimeline) end(i, open int, wall loop.Micros) {
+	s := l.intervals[i]
 	s.to = wall
-	copy(l.spans[open+1:i+1], l.spans[open:i])
-	l.spans[open] = s
+	copy(l.intervals[open+1:i+1], l.intervals[open:i])
+	l.intervals[open] = s
 }
 
 // Finish closes a finished job's timeline. The newest closed timelines are kept, up to a bound.
 func (t *Timelines) Finish(id string, wall loop.Micros, own bool) {
-	l := t.lines[id]
-	if l == nil || l.over {
+	l := t.jobs[id]
+	if l == nil || l.finished {
 		return
 	}
 	t.Set(id, nil, wall, own)
-	l.over, l.causes = true, nil
-	t.over = append(t.over, id)
-	if len(t.over) > mostOver {
-		delete(t.lines, t.over[0])
-		t.over = append(t.over[:0], t.over[1:]...)
+	l.finished, l.causes = true, nil
+	t.finished = append(t.finished, id)
+	if len(t.finished) > maxFinished {
+		delete(t.jobs, t.finished[0])
+		t.finished = append(t.finished[:0], t.finished[1:]...)
 	}
 }
 
 // Since returns the time since which a cause holds, or 0 if it does not hold as far as this
 // controller knows.
 func (t *Timelines) Since(id string, k gate.Kind) loop.Micros {
-	if l := t.lines[id]; l != nil {
+	if l := t.jobs[id]; l != nil {
 		if s := l.find(k, l.open()); s != nil {
 			return s.from
 		}
@@ -175,7 +175,7 @@
 
 // Causes returns the causes last recorded for a job.
 func (t *Timelines) Causes(id string) []gate.Cause {
-	if l := t.lines[id]; l != nil {
+	if l := t.jobs[id]; l != nil {
 		return l.causes
 	}
 	return nil
@@ -184,13 +184,13 @@
 // Get returns a job's timeline in its printed form.
 func (t *Timelines) Get(id string) Timeline {
 	out := Timeline{Intervals: []Interval{}}
-	l := t.lines[id]
+	l := t.jobs[id]
 	if l == nil {
 		return out
 	}
 	from := Time(l.from)
 	out.From, out.Dropped = &from, l.dropped
-	for _, s := range l.spans {
+	for _, s := range l.intervals {
 		x := Interval{Kind: s.kind.String(), From: Time(s.from), Tasks: s.tasks}
 		if s.to != 0 {
 			to := Time(s.to)
--- a/internal/explain/waits.go
+++ b/internal/explain/waits.go
@@ -11,11 +11,11 @@
 
 // Range and precision of the distributions: from 10 ms to 12 h.
 const (
-	unit       = 10 * loop.Millisecond
-	longest    = 12 * 3600 * loop.Second / unit
-	digits     = 2
-	windows    = 2
-	fewSamples = 8 // fewer waits that lasted as long give no estimate
+	resolution      = 10 * loop.Millisecond
+	maxWait         = 12 * 3600 * loop.Second / resolution
+	precisionDigits = 2
+	windows         = 2
+	minSamples      = 8 // fewer waits that lasted as long give no estimate
 )
 
 // rotateAfter is the number of waits in one window. Windows are bounded by count so that old
@@ -29,9 +29,9 @@
 	lowQuantile, highQuantile = 0.06, 0.94
 )
 
-// spread is the factor by which the upper bound grows if only one wait is known; it falls
+// singleWaitStretch is the factor by which the upper bound grows if only one wait is known; it falls
 // with the square root of the number of waits.
-const spread = 2.0
+const singleWaitStretch = 2.0
 
 // Waits holds the distributions of how long causes held, by kind and by urgency.
 type Waits struct {
@@ -45,8 +45,8 @@
 
 // Distribution is the distribution of the newest waits of one kind.
 type Distribution struct {
-	h *hdrhistogram.WindowedHistogram
-	n int // waits in the newest window
+	histogram *hdrhistogram.WindowedHistogram
+	inWindow  int // waits in the newest window
 }
 
 // NewWaits returns empty distributions; each allocates its memory with its first wait.
@@ -54,19 +54,19 @@
 
 // Add records a wait that has ended.
 func (d *Distribution) Add(took loop.Micros) {
-	if d.n >= rotateAfter {
-		d.n = 0
-		d.h.Rotate()
+	if d.inWindow >= rotateAfter {
+		d.inWindow = 0
+		d.histogram.Rotate()
 	}
-	d.n++
-	if err := d.h.Current.RecordValue(min(max(took/unit, 1), longest)); err != nil {
-		d.n-- // out of range, which min and max prevent
+	d.inWindow++
+	if err := d.histogram.Current.RecordValue(min(max(took/resolution, 1), maxWait)); err != nil {
+		d.inWindow-- // out of range, which min and max prevent
 	}
 }
 
 // NewDistribution returns an empty distribution.
 func NewDistribution() *Distribution {
-	return &Distribution{h: hdrhistogram.NewWindowed(windows, 1, longest, digits)}
+	return &Distribution{histogram: hdrhistogram.NewWindowed(windows, 1, maxWait, precisionDigits)}
 }
 
 // Add records a wait of the given kind and urgency that has ended.
@@ -93,9 +93,9 @@
 // Remaining estimates the remaining time of a wait that has lasted for elapsed, or returns nil
 // when too few recorded waits lasted as long.
 func (d *Distribution) Remaining(elapsed loop.Micros) *Estimate {
-	h := d.h.Merge()
+	h := d.histogram.Merge()
 	total := h.TotalCount()
-	e := max(elapsed, 0) / unit
+	e := max(elapsed, 0) / resolution
 	var below int64
 	for _, b := range h.Distribution() {
 		if b.To <= e {
@@ -103,16 +103,16 @@
 		}
 	}
 	left := total - below
-	if left < fewSamples {
+	if left < minSamples {
 		return nil
 	}
 	at := func(q float64) Duration {
 		v := h.ValueAtPercentile(100 * (float64(below) + q*float64(left)) / float64(total))
-		return Duration(max(v*unit-elapsed, 0))
+		return Duration(max(v*resolution-elapsed, 0))
 	}
 	// Waits that have not ended yet are missing here and tend to be the long ones: the fewer
 	// waits are known, the further the true upper quantile may lie above them.
 	high := at(highQuantile)
-	high += Duration(float64(high) * spread / math.Sqrt(float64(left)))
+	high += Duration(float64(high) * singleWaitStretch / math.Sqrt(float64(left)))
 	return &Estimate{Low: at(lowQuantile), Likely: at(0.5), High: high, Samples: int(left)}
 }
