--- a/internal/explain/desk_test.go
+++ b/internal/explain/desk_test.go
@@ -91,7 +91,7 @@
 
 // An answer that lacks the owner's or the leader's part must say so in Complete and Missing,
 // and must still contain what is known. Each case takes one source away or changes one fact.
-func TestWhatCannotBeAskedIsSaid(t *testing.T) {
+func TestAnswerNamesMissingSources(t *testing.T) {
 	for _, c := range []struct {
 		what string
 		set  func(*simulation)
