--- a/internal/explain/desk_test.go
+++ b/internal/explain/desk_test.go
@@ -134,7 +134,7 @@
 
 // At most MostQuestions explanations may be in progress: the next request must be refused at
 // once with 429, and be accepted again as soon as one of the others is answered.
-func TestQuestionsAreBounded(t *testing.T) {
+func TestOpenRequestsAreBounded(t *testing.T) {
 	o := newSimulation()
 	o.delayAnswers = true
 	answers := 0
