--- a/internal/member/claims.go
+++ b/internal/member/claims.go
@@ -15,7 +15,7 @@
 		return
 	}
 	delete(b.mine, key)
-	b.log.Info("gave up", "key", key)
+	b.log.Info("ownership claim lost or released; this controller stops acting as the owner", "key", key)
 	b.notify(key, false, was)
 }
 
@@ -29,30 +29,30 @@
 	}
 }
 
-// claimRecord reads a claim from the mirror, with its version. A record that cannot be
-// read names nobody.
+// claimRecord reads a claim and its revision from the mirror. A corrupt record is returned
+// as one that names no owner.
 func (b *Member) claimRecord(key string) (rec ownerRecord, version uint64, ok bool) {
 	e, ok := b.m.Get(key)
 	if !ok {
 		return ownerRecord{}, 0, false
 	}
 	if err := wire.Unmarshal(e.Value, &rec); err != nil {
-		b.log.Error("corrupt record", "key", key, "err", err)
+		b.log.Error("corrupt ownership claim; treated as held by no known controller", "key", key, "err", err)
 		return ownerRecord{}, 0, true
 	}
 	return rec, e.Mark, true
 }
 
-// owner reads from the mirror who holds a claim.
+// owner reads the holder of a claim from the mirror.
 func (b *Member) owner(key string) (Owner, bool) {
 	rec, version, ok := b.claimRecord(key)
 	return Owner{rec.Node, rec.Epoch, version}, ok
 }
 
-// mostOthers bounds the teams of others that are remembered.
+// mostOthers bounds the set of teams that only other controllers know.
 const mostOthers = 1000
 
-// LearnTeams takes in the names of teams that others know.
+// LearnTeams records the names of teams that other controllers know.
 func (b *Member) LearnTeams(teams []string) {
 	for _, team := range teams {
 		if !slices.Contains(b.Teams, team) && len(b.others) < mostOthers {
@@ -61,11 +61,11 @@
 	}
 }
 
-// Foreign tells whether others know or own a team that these settings do not name,
-// as while the settings are changed node by node.
+// Foreign reports whether other controllers know or own a team that these settings do not
+// name, as happens while the settings are changed on one controller after another.
 func (b *Member) Foreign(team string) bool { return b.others[team] }
 
-// review compares a claim in the mirror with what this node believes to own.
+// review updates what this controller owns from a claim in the mirror.
 func (b *Member) review(key string) {
 	o, ok := b.owner(key)
 	mine := ok && b.state == Active && o.Node == b.Label && o.Epoch == b.inst
@@ -76,7 +76,7 @@
 	}
 	if mine && !had {
 		b.mine[key] = o
-		b.log.Info("owns", "key", key, "claim", o.Mark, "epoch", o.Epoch)
+		b.log.Info("ownership claim acquired", "key", key, "claim", o.Mark, "epoch", o.Epoch)
 		b.notify(key, true, o)
 	}
 	if ok {
@@ -84,8 +84,8 @@
 	}
 }
 
-// tick claims what is free. A node that owns much waits a little, so that work
-// spreads over the nodes; nobody waits for long.
+// tick claims free keys and hands over what others serve better. A controller that owns
+// much waits a little before it claims more, so that work spreads over the controllers.
 func (b *Member) tick() {
 	if b.state != Active || !b.Entitled() {
 		return
@@ -98,42 +98,44 @@
 	gather := isolated && b.AllAlone()
 	_, leads := b.mine[leaderKey]
 	if gather && !leads && len(b.mine) > 0 {
-		// The nodes cannot speak to each other at all. What is owned in several
-		// places then sees a part of the machines each: the leader takes it all.
+		// No controller reaches another. Several owners would each see a part of the
+		// machines only, so the leader takes all partitions over.
 		if _, ok := b.Leader(); ok && now-b.handed > 2*loop.Second {
 			b.handed = now
-			b.handOver("no peer is heard")
+			b.handOver("no peer is reachable")
 		}
 	}
 	if isolated && !gather && len(b.mine) > 0 && (b.handed == 0 || now-b.handed > 30*loop.Second) {
-		// The lease holds, but nothing decided here reaches a machine that
-		// reports elsewhere: those who hear each other should own what it owns.
-		// Should nobody take it, it is claimed again below, and kept for a while.
+		// The lease is valid, but nothing decided here reaches a machine that reports to
+		// another controller: controllers that reach each other should own it instead.
+		// What nobody else claims is claimed again below and kept for a while.
 		b.handed = now
-		b.handOver("no peer is heard")
+		b.handOver("no peer is reachable")
 	}
 	broken := !isolated && b.Broken != nil && b.Broken()
 	if broken && len(b.mine) > 0 && (b.handed == 0 || now-b.handed > 30*loop.Second) && b.anyFit() {
-		// What reports to the node that is not reached is neither seen nor reached by this
-		// owner; one that reaches all of them should own what it owns.
+		// This owner neither gets the reports of machines at the unreachable controller nor
+		// sends them commands. A controller that reaches all the others should own instead.
 		b.handed = now
-		b.handOver("a node that others hear is not reached")
+		b.handOver("a controller that others reach is unreachable from here")
 	}
 	b.decideLayout(now)
 	b.convertTeams()
 	b.share(now)
-	var delay loop.Micros // of all claims of this node
+	var delay loop.Micros // of all claims of this controller
 	if isolated && !gather || broken {
 		delay += aloneDelay
 	}
 	b.claimFree(now, gather, leads, delay)
 }
 
-// aloneDelay is how much later a node claims that cannot reach all of those that others hear.
+// aloneDelay is the additional delay of the claims of a controller that is isolated, or that
+// cannot reach a controller that others reach.
 const aloneDelay = 4 * loop.Second
 
-// claimFree claims what is free and due, in as few transactions as it fits into. Where no
-// node hears another, the leader gathers everything, and the others claim only its place.
+// claimFree claims the free keys whose delay has passed, in as few transactions as possible.
+// Where no controller reaches another, the leader claims everything and the others claim
+// only the leadership.
 func (b *Member) claimFree(now loop.Micros, gather, leads bool, delay loop.Micros) {
 	free := b.free(now)
 	if len(free) == 0 {
@@ -159,7 +161,7 @@
 			due = append(due, key)
 		}
 	}
-	together := 1 // the few claims of teams stand alone, so that one that is lost loses no other
+	together := 1 // single teams are few: with one claim each, a conflict on one affects no other
 	if b.layout.Numbered() {
 		together = b.c.MostChanges()
 	}
@@ -170,7 +172,7 @@
 	}
 }
 
-// free lists the keys that nobody holds and this node does not ask for, in order.
+// free lists, in order, the keys that nobody holds and that this controller is not claiming.
 func (b *Member) free(now loop.Micros) []string {
 	var free []string
 	for _, key := range b.keys() {
@@ -185,9 +187,9 @@
 	return free
 }
 
-// preferred assigns each free key to the registered node that would then hold the fewest.
-// Nodes that see the same registrations and claims come to the same result, so that they
-// seldom ask for the same key; where they do, one of their transactions fails.
+// preferred assigns each free key to the registered controller that then holds the fewest.
+// Controllers that see the same registrations and claims come to the same result, so that
+// they seldom claim the same key; where they do, one of their transactions fails.
 func (b *Member) preferred(free []string) map[string]string {
 	held := map[string]int{}
 	for _, key := range b.keys() {
@@ -214,20 +216,20 @@
 }
 
 const (
-	// claimStep is how much longer a node waits with a claim for each that it holds, so that
-	// nodes that start a little later get their part, and claimMost the most for it.
+	// claimStep is the delay of a claim for each key that the controller already holds, so
+	// that controllers that start a little later get their share; claimMost bounds it.
 	claimStep = 250 * loop.Millisecond
 	claimMost = 1200 * loop.Millisecond
-	// claimYield is how long a key is left to the node that it is assigned to.
+	// claimYield is how long a key is left to its preferred controller.
 	claimYield = 400 * loop.Millisecond
 )
 
-// claimWait is for how long a key must have been free until this node, which holds so many,
-// claims it.
+// claimWait returns for how long a key must have been free before this controller, which
+// holds owned keys, claims it; preferred is the controller that should get the key.
 func (b *Member) claimWait(owned int, preferred string) loop.Micros {
 	mine := !b.layout.Numbered() || preferred == b.Label
 	if b.layout.Numbered() && mine && len(b.nodes) >= b.Controllers {
-		return 0 // all are here: nobody else is to have it
+		return 0 // all controllers are registered, so nobody else should get the key
 	}
 	fair := (len(b.keys()) - 1 + len(b.nodes)) / max(len(b.nodes), 1)
 	wait := loop.Micros(owned) * claimStep
@@ -240,7 +242,7 @@
 	return wait
 }
 
-// keys are all that nodes own by lease.
+// keys returns the keys of all claims: those of the layout's partitions and the leadership.
 func (b *Member) keys() []string {
 	var keys []string
 	if b.layoutState != layoutUndecided {
@@ -251,7 +253,7 @@
 	return append(keys, leaderKey)
 }
 
-// AllAlone tells whether no node hears another, by what each has told.
+// AllAlone reports whether no controller reaches another, by what each has registered.
 func (b *Member) AllAlone() bool {
 	for _, rec := range b.nodes {
 		if !rec.Alone {
@@ -261,12 +263,12 @@
 	return len(b.nodes) > 1
 }
 
-// evictAgain is how long a node that was evicted is left alone.
+// evictAgain is the least time between two evictions of the same controller.
 const evictAgain = 60 * loop.Second
 
-// Evict ends the lease of a node that refuses connections and is not heard. That is
-// no proof that it is dead, and need not be: all it records is conditioned on its
-// claims, so one that lives merely joins again.
+// Evict ends the lease of a controller that refuses connections and sends no messages. This
+// does not prove that it failed, and need not: all it records is conditioned on its claims,
+// so one that still runs merely joins again.
 func (b *Member) Evict(label string) {
 	rec, ok := b.nodes[label]
 	now := b.r.Now()
@@ -274,19 +276,19 @@
 		return
 	}
 	if at, was := b.evicted[label]; was && now-at < evictAgain {
-		// It came back and is still refused: a packet filter lies between, and
-		// to end its lease over and over would keep its teams from being served.
+		// It joined again and still refuses connections from here: a packet filter lies
+		// between. To end its lease again and again would leave its teams without an owner.
 		return
 	}
 	b.evicted[label] = now
-	b.log.Info("ends the lease of a node that refuses connections", "node", label, "lease", rec.Lease)
+	b.log.Info("controller refuses connections; ending its lease so that others take over its partitions", "node", label, "lease", rec.Lease)
 	b.c.End(rec.Lease)
 }
 
-// claimAgain is for how long a key is left alone after another node was found to hold it.
+// claimAgain is the delay before a key is claimed again after another controller held it.
 const claimAgain = loop.Second
 
-// claim asks for keys, all of them or none.
+// claim claims keys in one transaction: all of them or none.
 func (b *Member) claim(keys []string) {
 	lease := b.lease
 	rec := ownerRecord{Node: b.Label, Epoch: b.inst}
@@ -315,7 +317,7 @@
 	})
 }
 
-// TeamOwner tells who owns a team, as far as is known here.
+// TeamOwner returns the owner of a team as far as this controller knows.
 func (b *Member) TeamOwner(team string) (Owner, bool) {
 	key := teamKeys + team
 	if b.layout.Numbered() {
@@ -326,19 +328,19 @@
 	return b.owner(key)
 }
 
-// Leader tells who leads, as far as is known here.
+// Leader returns the leader as far as this controller knows.
 func (b *Member) Leader() (Owner, bool) { return b.owner(leaderKey) }
 
-// Leads tells whether this node leads, and by which claim.
+// Leads reports whether this controller leads, and its claim.
 func (b *Member) Leads() (Owner, bool) {
 	o, ok := b.mine[leaderKey]
 	return o, ok
 }
 
-// ClaimCond is the condition that the partition is still owned by this claim.
+// ClaimCond returns the condition that the partition is still owned under this claim.
 func ClaimCond(id partition.ID, claim Owner) wire.Cond {
 	return wire.Cond{Key: id.ClaimKey(), Mark: claim.Mark}
 }
 
-// LeaderCond is the condition that this claim still leads.
+// LeaderCond returns the condition that this claim still holds the leadership.
 func LeaderCond(claim Owner) wire.Cond { return wire.Cond{Key: leaderKey, Mark: claim.Mark} }
--- a/internal/member/layout.go
+++ b/internal/member/layout.go
@@ -9,13 +9,13 @@
 	"cleatpick/internal/wire"
 )
 
-// layoutGeneration is what this version tells of the layouts that it can work with.
+// layoutGeneration is the newest generation of layouts that this version supports.
 const layoutGeneration = 1
 
-// layoutState names what is known of the layout.
+// layoutState is what this controller knows of the layout in force.
 type layoutState int
 
-// The states of the layout. It becomes numbered at most once, and stays so.
+// The states of the layout. It becomes numbered at most once and never changes after that.
 const (
 	layoutUndecided layoutState = iota // only the leadership is claimed
 	layoutByTeam                       // each team has a claim of its own
@@ -25,26 +25,26 @@
 func (s layoutState) String() string { return [...]string{"undecided", "by team", "numbered"}[s] }
 
 const (
-	// layoutWait is for how long a node that starts waits for the others to register, so that
-	// one of an older version is seen before the layout is stored.
+	// layoutWait is how long a controller that starts waits for the others to register, so
+	// that one of an older version is seen before the layout is stored.
 	layoutWait = 2500 * loop.Millisecond
-	// upgradeWait is the same where teams are claimed one by one, or an older version was seen:
-	// a node that is being replaced is away for a while.
+	// upgradeWait replaces it where single teams are claimed or an older version was seen: a
+	// controller that is being replaced during an upgrade is absent for a while.
 	upgradeWait = 60 * loop.Second
 )
 
-// Layout is the layout in force, as far as is known here.
+// Layout returns the layout in force as far as this controller knows.
 func (b *Member) Layout() partition.Layout { return b.layout }
 
 func (b *Member) setLayout(s layoutState, l partition.Layout) {
 	if s == b.layoutState && l == b.layout {
 		return
 	}
-	b.log.Info("layout of partitions", "from", b.layoutState.String(), "to", s.String(), "partitions", l.Count)
+	b.log.Info("partition layout changed", "from", b.layoutState.String(), "to", s.String(), "partitions", l.Count)
 	b.layoutState, b.layout = s, l
 }
 
-// generation is what this node tells of the layouts that it works with.
+// generation is the generation of layouts that this controller registers.
 func (b *Member) generation() int {
 	if b.TeamsOnly {
 		return 0
@@ -52,21 +52,21 @@
 	return layoutGeneration
 }
 
-// learnLayout takes in the stored layout. One that cannot be read changes nothing.
+// learnLayout applies the stored layout. A corrupt record changes nothing.
 func (b *Member) learnLayout(key string, e store.Entry) {
 	if e.Mark == 0 || key != partition.LayoutKey || b.TeamsOnly {
 		return
 	}
 	var l partition.Layout
 	if err := wire.Unmarshal(e.Value, &l); err != nil || !l.Numbered() {
-		b.log.Error("corrupt record", "key", key, "err", err)
+		b.log.Error("corrupt partition layout record ignored; the layout known so far stays in force", "key", key, "err", err)
 		return
 	}
 	b.setLayout(layoutNumbered, l)
 }
 
-// decideLayout stores the numbered layout once it is of use and every node can work with it.
-// Until then teams are claimed one by one, as older versions do.
+// decideLayout stores the numbered layout once there are enough teams for it and every
+// controller supports it. Until then single teams are claimed, as older versions do.
 func (b *Member) decideLayout(now loop.Micros) {
 	if b.layoutState == layoutNumbered || b.storingLayout {
 		return
@@ -98,7 +98,7 @@
 	return false
 }
 
-// teamClaimed tells whether a node holds the claim of a team.
+// teamClaimed reports whether any controller holds the claim of a single team.
 func (b *Member) teamClaimed() bool {
 	return slices.ContainsFunc(b.Teams, func(team string) bool {
 		rec, _, ok := b.claimRecord(teamKeys + team)
@@ -106,7 +106,7 @@
 	})
 }
 
-// storeLayout stores the layout unless one is stored. The first to do so decides for good.
+// storeLayout stores the layout unless one is stored already. The first one stored is final.
 func (b *Member) storeLayout() {
 	b.storingLayout = true
 	l := partition.Layout{Count: partition.CountFor(b.Controllers)}
@@ -118,12 +118,12 @@
 			again()
 			return
 		}
-		b.r.After(claimAgain, again) // the mirror brings what another node has stored
+		b.r.After(claimAgain, again) // a layout stored by another controller arrives through the mirror
 	})
 }
 
-// Assigned tells whether a team belongs to its numbered partition for good. Until then a
-// node of an older version may claim it.
+// Assigned reports whether a team permanently belongs to its numbered partition. Until then
+// a controller of an older version may claim it.
 func (b *Member) Assigned(team string) bool {
 	rec, _, ok := b.claimRecord(teamKeys + team)
 	return ok && rec.Partition != ""
@@ -133,8 +133,8 @@
 	return wire.Change{Put: teamKeys + team, Value: ownerRecord{Partition: l.Of(team)}}
 }
 
-// Assign makes teams that nobody holds belong to a partition that this node owns. done
-// tells whether they do now.
+// Assign assigns teams that nobody holds to a partition that this controller owns. done gets
+// whether that was stored.
 func (b *Member) Assign(id partition.ID, claim Owner, teams []string, done func(ok bool)) {
 	txn := wire.Txn{If: []wire.Cond{ClaimCond(id, claim)}}
 	for _, team := range teams {
@@ -149,8 +149,8 @@
 	})
 }
 
-// convertTeams turns this node's claims of teams into assignments, once the layout is
-// numbered. Whatever was to be recorded under such a claim fails from then on.
+// convertTeams replaces this controller's claims of single teams by assignments once the
+// layout is numbered. Transactions conditioned on such a claim fail from then on.
 func (b *Member) convertTeams() {
 	if !b.layout.Numbered() || b.converting {
 		return
@@ -183,8 +183,8 @@
 	}
 }
 
-// reviewAssignment tells of a team that has come to belong to its partition, or that nobody
-// holds any more.
+// reviewAssignment calls OnAssigned for a team that has been assigned to its partition, and
+// OnReleased for one that nobody holds any more.
 func (b *Member) reviewAssignment(key string) {
 	if !b.layout.Numbered() {
 		return
--- a/internal/member/layout_test.go
+++ b/internal/member/layout_test.go
@@ -21,7 +21,8 @@
 	return teams
 }
 
-// sharing is a node among so many with so many teams.
+// sharing returns a controller of a cluster with the given numbers of controllers and teams;
+// older makes it behave like a version that only knows claims of single teams.
 func sharing(s *standin.Stepped, state *standin.State, label string, controllers, teams int, older bool) *Member {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	x := &tap{state: state}
@@ -33,7 +34,8 @@
 	return b
 }
 
-// Nodes that start together own the same number of partitions each, and ask for few in vain.
+// Controllers that start together must end up with about the same number of partitions each,
+// with few changes in the state service on the way.
 func TestPartitionsAreClaimedEvenly(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
@@ -44,19 +46,20 @@
 	s.Run(6 * loop.Second)
 	for _, b := range all {
 		if n := len(b.mine); n < 1 || n > 4 {
-			t.Errorf("%s owns %d of 16 partitions and the leadership", b.Label, n)
+			t.Errorf("%s holds %d of 17 claims (16 partitions and the leadership), want 1 to 4", b.Label, n)
 		}
 	}
 	if n := len(state.Keys(partition.ClaimPrefix)); n != 16 {
-		t.Errorf("%d of 16 partitions are claimed", n)
+		t.Errorf("%d of 16 partitions are claimed, want all", n)
 	}
 	if w := state.Counts().Writes; w > 150 {
-		t.Errorf("%d changes until everything is owned", w)
+		t.Errorf("it took %d changes until everything was owned, want at most 150", w)
 	}
 }
 
-// While a node of an older version is registered all own teams one by one. The layout changes
-// once it is replaced, for good, and every team then belongs to its partition or to nobody.
+// While a controller of an older version is registered, all must claim single teams, because
+// that version knows nothing else. Once it is replaced the layout must become numbered on
+// all controllers, and no team may remain claimed as a single team.
 func TestLayoutWaitsForOlderVersions(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
@@ -64,22 +67,22 @@
 	old := sharing(s, state, "b", 2, 12, true)
 	s.Run(90 * loop.Second)
 	if a.Layout().Numbered() || len(state.Keys(partition.ClaimPrefix)) > 0 {
-		t.Fatal("the layout changed beside an older version")
+		t.Fatal("the layout became numbered while an older version is registered")
 	}
 	if n := len(state.Keys(partition.TeamClaimPrefix)); n != 12 {
-		t.Fatalf("%d of 12 teams are owned", n)
+		t.Fatalf("%d of 12 teams are owned, want all", n)
 	}
-	old.state = Starting // its process ends
+	old.state = Starting // its process stops
 	state.Do("DELETE", fmt.Sprint("/holds/", old.lease), nil, 0)
 	old.lease = 0
 	b := sharing(s, state, "b", 2, 12, false)
 	s.Run(20 * loop.Second)
 	if !a.Layout().Numbered() || a.Layout() != b.Layout() {
-		t.Fatalf("the layouts are %+v and %+v", a.Layout(), b.Layout())
+		t.Fatalf("the layouts of a and b are %+v and %+v, want the same numbered one", a.Layout(), b.Layout())
 	}
 	for _, team := range a.Teams {
 		if rec, _, held := a.claimRecord(teamKeys + team); held && rec.Partition == "" {
-			t.Errorf("%s is still held by %s", team, rec.Node)
+			t.Errorf("%s is still claimed as a single team by %s", team, rec.Node)
 		}
 		if o, ok := a.TeamOwner(team); !ok || o.Node == "" {
 			t.Errorf("%s has no owner", team)
@@ -87,7 +90,8 @@
 	}
 }
 
-// A team that a node of an older version holds is not assigned, nor one that is no longer ours to give.
+// A team that a controller of an older version holds must not be assigned to a partition, nor
+// one whose partition is not owned under the given claim any more.
 func TestHeldTeamsAreNotAssigned(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
@@ -97,7 +101,7 @@
 	id := a.Layout().Of(team)
 	claim, mine := a.mine[id.ClaimKey()]
 	if !mine {
-		t.Fatal("nothing is owned")
+		t.Fatal("a does not own the partition of the team")
 	}
 	held := ownerRecord{Node: "older", Epoch: 9}
 	state.Put(teamKeys+team, held)
@@ -107,27 +111,28 @@
 		return ok
 	}
 	if assign(claim) {
-		t.Error("a team that another holds was assigned")
+		t.Error("a team that another controller holds was assigned")
 	}
 	raw, _ := state.Value(teamKeys + team)
 	var rec ownerRecord
 	if wire.Unmarshal(raw, &rec) != nil || rec != held {
-		t.Errorf("the claim of the team is now %+v", rec)
+		t.Errorf("the claim of the team has changed to %+v", rec)
 	}
 	other := a.Teams[5]
 	claim.Mark--
 	a.Assign(a.Layout().Of(other), claim, []string{other}, func(ok bool) {
 		if ok {
-			t.Error("a team was assigned under a claim that is not held")
+			t.Error("a team was assigned under a claim that is not held any more")
 		}
 	})
 	s.Run(loop.Second)
 	if a.Assigned(other) {
-		t.Error("the team is taken for assigned")
+		t.Error("Assigned is true for a team whose assignment failed")
 	}
 }
 
-// A layout that cannot be read lets nobody own anything by a guess.
+// While the stored layout is corrupt, no controller may claim a partition or a team: it would
+// have to guess the layout in force.
 func TestLayoutThatCannotBeRead(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
@@ -135,6 +140,6 @@
 	a := sharing(s, state, "a", 1, 12, false)
 	s.Run(20 * loop.Second)
 	if n := len(state.Keys(partition.ClaimPrefix)) + len(state.Keys(partition.TeamClaimPrefix)); n > 0 || a.Layout().Numbered() {
-		t.Errorf("%d partitions or teams are claimed", n)
+		t.Errorf("%d partitions or teams are claimed, want none and no numbered layout", n)
 	}
 }
--- a/internal/member/lease.go
+++ b/internal/member/lease.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// retryEpoch is the least time until a node that did not get an epoch tries again.
+	// retryEpoch is the least delay before a controller that got no epoch tries again.
 	retryEpoch = 300 * loop.Millisecond
-	// spreadEvery is the number of controllers for each retryEpoch over which their retries
-	// are spread: of all that try at a time, one gets the next epoch.
+	// spreadEvery is the number of controllers for which the retries are spread over one more
+	// retryEpoch: of all that try at the same time, only one gets the next epoch.
 	spreadEvery = 4
 )
 
-// epochRetry is the time until this node tries again to get an epoch.
+// epochRetry returns the delay before this controller tries again to get an epoch.
 func (b *Member) epochRetry() loop.Micros {
 	spread := retryEpoch * loop.Micros(b.Controllers/spreadEvery)
 	if spread == 0 {
@@ -40,7 +40,7 @@
 	})
 }
 
-// number takes the next epoch and registers the node under it.
+// number takes the next epoch and registers the controller under it.
 func (b *Member) number(lease uint64) {
 	again := func() { b.r.After(b.epochRetry(), func() { b.number(lease) }) }
 	if b.lease != lease {
@@ -59,10 +59,10 @@
 	})
 }
 
-// register stores that this node is there, and whether it hears any other. It is asked for
-// again when the record is not its own any more: what an earlier life had sent, carried out
-// late, once took its place and went with that life's lease, so that a node that served was
-// counted by nobody.
+// register stores this controller's registration and whether it is isolated. It is called
+// again when the stored record is not this incarnation's: a registration sent by an earlier
+// incarnation may be applied late, replace this one and vanish with the earlier lease, which
+// would leave a running controller unregistered.
 func (b *Member) register(lease uint64, alone bool) {
 	if b.lease != lease || b.telling {
 		return
@@ -88,7 +88,8 @@
 	})
 }
 
-// takeEpoch raises the shared counter by one; 0 means that it did not come about.
+// takeEpoch increments the shared epoch counter. The callback gets the new epoch, or 0 if
+// none was obtained.
 func (b *Member) takeEpoch(cb func(uint64)) {
 	b.c.Get(store.Leases, epochKey, func(it wire.Item, found, ok bool) {
 		if !ok {
@@ -97,7 +98,7 @@
 		}
 		var rec epochRecord
 		if found && wire.Unmarshal(it.Value, &rec) != nil {
-			b.log.Error("corrupt record", "key", epochKey)
+			b.log.Error("corrupt epoch record; this controller cannot get an epoch", "key", epochKey)
 			cb(0)
 			return
 		}
@@ -105,8 +106,8 @@
 		b.c.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: epochKey, Mark: it.Mark}},
 			Then: []wire.Change{{Put: epochKey, Value: epochRecord{next}}}}, func(r store.Result) {
 			if r.Outcome != store.Applied {
-				// After no answer the number may be taken or not: it is
-				// never used, and the next try takes a later one.
+				// Without an answer the epoch may have been taken or not. It is never
+				// used, and the next attempt takes a later one.
 				cb(0)
 				return
 			}
@@ -116,8 +117,8 @@
 	})
 }
 
-// RaiseEpoch takes a newer epoch, so that a machine that has seen a higher
-// token follows this node again. done runs in either case.
+// RaiseEpoch takes a newer epoch, so that a machine that has seen a higher token accepts
+// this controller's commands again. done runs whether or not it succeeds.
 func (b *Member) RaiseEpoch(done func()) {
 	b.raise = append(b.raise, done)
 	if len(b.raise) > 1 {
@@ -152,9 +153,9 @@
 	})
 }
 
-// lost gives up everything: the lease has ended, and with it all that hung on it.
+// lost drops all claims, because the lease has ended and the claims with it, and joins again.
 func (b *Member) lost() {
-	b.log.Info("node lease ended", "lease", b.lease)
+	b.log.Info("controller lease ended; all claims are lost and the controller joins again", "lease", b.lease)
 	if b.r.Now()-b.joined >= goodFor {
 		b.losses = 0
 	}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,7 +1,9 @@
-// Package member keeps this node's lease, its epoch, and what it owns by lease:
-// partitions of the teams, and the leadership. Everything owned hangs on the node's
-// lease, so it falls free when the node does. It decides with the other nodes which
-// layout of partitions is in force; it never places work.
+// Package member maintains this controller's membership in the cluster: its lease in the
+// state service, its epoch, and its claims on partitions of teams and on the leadership.
+// Every claim is bound to the controller's lease, so that it is released when the
+// controller fails. The package decides, together with the other controllers, which layout
+// of partitions is in force and which of them owns which partition. It places no work;
+// who is reachable and fit for work it learns from callbacks.
 package member
 
 import (
@@ -16,7 +18,7 @@
 	"cleatpick/internal/wire"
 )
 
-// The keys of this slice, all under the mirrored prefix.
+// Keys of this package in the state service, all under the mirrored prefix.
 const (
 	Prefix    = "c/"
 	nodeKeys  = Prefix + "n/"
@@ -25,15 +27,15 @@
 	epochKey  = Prefix + "e"
 )
 
-// State names where the node stands.
+// State is the membership state of a controller.
 type State int
 
-// The states of a node.
+// The membership states.
 const (
-	Starting State = iota // the mirror is not read yet
-	Joining               // asking for a lease
-	Numbered              // has a lease, asking for an epoch
-	Active                // may own teams and the leadership
+	Starting State = iota // the mirror of the state service is not loaded yet
+	Joining               // requesting a lease
+	Numbered              // holds a lease, requesting an epoch
+	Active                // may own partitions and the leadership
 )
 
 func (s State) String() string {
@@ -43,17 +45,17 @@
 type nodeRecord struct {
 	Epoch uint64 `cbor:"e"`
 	Lease uint64 `cbor:"l"`
-	Alone bool   `cbor:"a,omitempty"` // it hears no peer
-	// Layouts is the newest generation of layouts that the node's version can work with: 0
-	// before 0.9.0, which knows claims of teams alone.
+	Alone bool   `cbor:"a,omitempty"` // it is isolated: no peer is reachable
+	// Layouts is the newest generation of layouts that the controller's version supports. It
+	// is 0 before version 0.9.0, which only knows claims of single teams.
 	Layouts int `cbor:"f,omitempty"`
 }
 
 type ownerRecord struct {
 	Node  string `cbor:"n"`
 	Epoch uint64 `cbor:"e"`
-	// Partition is set where a team belongs to a numbered partition for good. Such a record
-	// names no node and hangs on no lease, so that no version ever claims the team by itself.
+	// Partition is set where a team permanently belongs to a numbered partition. Such a record
+	// names no controller and is bound to no lease, so that no version claims the single team.
 	Partition partition.ID `cbor:"p,omitempty"`
 }
 
@@ -61,23 +63,23 @@
 	Epoch uint64 `cbor:"e"`
 }
 
-// Owner tells who owns a partition or leads, and by which claim.
+// Owner identifies the controller that owns a partition or leads, and its claim.
 type Owner struct {
 	Node  string
 	Epoch uint64
-	Mark  uint64 // the version of the claim; conditions of transactions name it
+	Mark  uint64 // revision of the claim, for conditions of transactions
 }
 
-// Settings are what a node knows of the cluster at its start.
+// Settings holds what a controller knows of the cluster when it starts.
 type Settings struct {
 	Label       string
 	Teams       []string
-	Controllers int         // that the cluster is to have
-	LeaseTTL    loop.Micros // of the node's lease
-	TeamsOnly   bool        // owns teams one by one, as older versions do, and tells so
+	Controllers int         // number of controllers that the cluster should have
+	LeaseTTL    loop.Micros // of the controller's lease
+	TeamsOnly   bool        // claim single teams only, and register so, as older versions do
 }
 
-// Member is this node's membership.
+// Member is this controller's membership.
 type Member struct {
 	r   loop.Runner
 	c   *store.Client
@@ -86,55 +88,55 @@
 	Settings
 	state  State
 	lease  uint64
-	until  loop.Micros // the lease certainly holds until then
-	inst   uint64      // the epoch that names this life of the process
+	until  loop.Micros // the lease is certainly valid until then
+	inst   uint64      // the epoch that identifies this incarnation of the process
 	epoch  uint64      // the newest epoch, for tokens
 	freeAt map[string]loop.Micros
 	asking map[string]bool
 	raise  []func()
-	// OnOwned is called when this node gains or loses a partition.
+	// OnOwned is called when this controller gains or loses a partition.
 	OnOwned func(id partition.ID, owned bool, claim Owner)
-	// OnAssigned is called when a team has come to belong to a numbered partition.
+	// OnAssigned is called when a team has been assigned to a numbered partition.
 	OnAssigned func(team string)
-	// OnReleased is called when a node gave up a team that belongs to no partition yet.
+	// OnReleased is called when a controller has released a team that is not assigned yet.
 	OnReleased func(team string)
-	// OnLeader is called when this node gains or loses the leadership.
+	// OnLeader is called when this controller gains or loses the leadership.
 	OnLeader func(leads bool, claim Owner)
-	// Isolated tells whether no peer can be heard, although the state service can.
+	// Isolated reports whether no peer is reachable although the state service is.
 	Isolated func() bool
 	mine     map[string]Owner
 	nodes    map[string]nodeRecord
 	handed   loop.Micros // when owned keys were last handed over
-	alone    bool        // what the others were told of this node's isolation: the state service is the only way left for that
-	telling  bool
+	alone    bool        // the isolation that is registered; the state service is the only way to publish it
+	telling  bool        // a registration is under way
 	evicted  map[string]loop.Micros
-	// Fit tells whether another node may be given work, Broken whether the way between
-	// this one and a node that others hear is broken, and Weight how much work a partition
-	// brings; all may be nil.
+	// Fit reports whether another controller may be given work, Broken whether the connection
+	// between this one and a controller that others reach is broken, and Weight returns how
+	// much work a partition brings. All may be nil.
 	Fit    func(node string) bool
 	Broken func() bool
 	Weight func(id partition.ID) int
-	others map[string]bool // teams that others have owned and that are not named here
-	joined loop.Micros     // when the lease that it holds began
-	losses int             // leases that ended before they had held for long, in a row
-	uneven loop.Micros     // since when this node owns more than its part; 0: it does not
-	rand   *rand.Rand      // spreads the retries of nodes that start together
+	others map[string]bool // teams known to other controllers that these settings do not name
+	joined loop.Micros     // when the current lease was granted
+	losses int             // consecutive leases that ended before goodFor
+	uneven loop.Micros     // since when this controller owns more than its share; 0: it does not
+	rand   *rand.Rand      // spreads the retries of controllers that start together
 
 	layout        partition.Layout
 	layoutState   layoutState
 	storingLayout bool
 	converting    bool
-	olderSeen     loop.Micros // when a node of an older version was last registered; 0: never
+	olderSeen     loop.Micros // when a controller of an older version was last registered; 0: never
 }
 
-// New makes the membership; Start begins it.
+// New returns a membership that does nothing until Start is called.
 func New(r loop.Runner, c *store.Client, m *store.Mirror, log *slog.Logger, settings Settings) *Member {
 	return &Member{r: r, c: c, m: m, log: log, Settings: settings, rand: loop.Rand(r),
 		freeAt: map[string]loop.Micros{}, asking: map[string]bool{}, mine: map[string]Owner{}, nodes: map[string]nodeRecord{}, evicted: map[string]loop.Micros{},
 		others: map[string]bool{}}
 }
 
-// Start begins when the mirror has been read.
+// Start registers for changes of the mirror and joins the cluster once the mirror is loaded.
 func (b *Member) Start() {
 	b.m.On(nodeKeys, func(key string, e store.Entry) {
 		var rec nodeRecord
@@ -155,8 +157,8 @@
 	b.m.On(leaderKey, func(key string, _ store.Entry) { b.review(key) })
 	b.m.OnReady(func() {
 		if old, ok := b.nodes[b.Label]; ok {
-			// An earlier life of this node ended without a word: its lease
-			// only keeps others from taking over.
+			// An earlier incarnation of this controller crashed. Its lease only delays
+			// others that would take over what it owned.
 			b.c.End(old.Lease)
 		}
 		b.setState(Joining)
@@ -167,18 +169,18 @@
 
 func (b *Member) setState(s State) {
 	if s != b.state {
-		b.log.Info("node", "from", b.state.String(), "to", s.String(), "epoch", b.epoch)
+		b.log.Info("membership state changed", "from", b.state.String(), "to", s.String(), "epoch", b.epoch)
 	}
 	b.state = s
 }
 
-// Entitled tells whether this node's lease certainly holds.
+// Entitled reports whether this controller's lease is certainly valid.
 func (b *Member) Entitled() bool { return b.state == Active && b.r.Now() < b.until }
 
-// Lease is the lease that this node holds, as far as it knows; 0: none.
+// Lease returns the lease that this controller holds as far as it knows, or 0.
 func (b *Member) Lease() uint64 { return b.lease }
 
-// Epoch is the newest epoch, for tokens; 0 while there is none.
+// Epoch returns the newest epoch, for tokens, or 0 while there is none.
 func (b *Member) Epoch() uint64 {
 	if b.inst == 0 {
 		return 0
@@ -186,13 +188,13 @@
 	return b.epoch
 }
 
-// Active tells whether the node has joined.
+// Active reports whether the controller has joined.
 func (b *Member) Active() bool { return b.state == Active }
 
-// Registered tells whether a node holds its lease, as far as is known here.
+// Registered reports whether a controller holds its lease as far as this one knows.
 func (b *Member) Registered(node string) bool { _, ok := b.nodes[node]; return ok }
 
-// Nodes is the number of nodes that are registered now.
+// Nodes returns the number of registered controllers.
 func (b *Member) Nodes() int { return len(b.nodes) }
 
 func (b *Member) String() string { return fmt.Sprintf("%s/%s/%d", b.Label, b.state, b.inst) }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -13,7 +13,8 @@
 	"cleatpick/internal/wire"
 )
 
-// tap lets a node lose the state service.
+// tap is a connection to the state service that a test can turn off; it counts the leases
+// that are ended explicitly.
 type tap struct {
 	state *standin.State
 	ends  int
@@ -46,8 +47,9 @@
 	return r.Node, u.Node
 }
 
-// A node that is refused by the state service alone loses what it owns, and never
-// believes to own what another has claimed.
+// A controller that alone cannot reach the state service must lose what it owns: when its
+// lease cannot be renewed it must not consider itself an owner, and after it has rejoined it
+// must not consider itself the owner of what another has claimed.
 func TestRefusedNodeLosesItsTeams(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
@@ -55,27 +57,28 @@
 	a := nodeOn(s, xa, "a")
 	s.Run(3 * loop.Second)
 	if r, u := owners(a); r != "a" || u != "a" {
-		t.Fatalf("alone, a does not own both teams: %q %q", r, u)
+		t.Fatalf("the only controller a does not own both teams: red is owned by %q, blue by %q", r, u)
 	}
 	b := nodeOn(s, xb, "b")
 	s.Run(2 * loop.Second)
 	xa.off = true
 	s.Run(10 * loop.Second)
 	if r, u := owners(b); r != "b" || u != "b" {
-		t.Fatalf("b did not take the teams over: %q %q", r, u)
+		t.Fatalf("b did not take the teams over: red is owned by %q, blue by %q", r, u)
 	}
 	if a.Entitled() {
-		t.Fatal("a believes in a lease that it could not renew")
+		t.Fatal("a considers its lease valid although it could not renew it")
 	}
 	xa.off = false
 	s.Run(10 * loop.Second)
 	if _, mine := a.mine[teamKeys+"red"]; mine || !a.Active() {
-		t.Fatalf("a is active %v and believes to own red %v", a.Active(), mine)
+		t.Fatalf("a is active: %v, want true; a considers itself the owner of red: %v, want false", a.Active(), mine)
 	}
 }
 
-// A packet filter refuses connections like a dead node does. Its lease was once
-// ended with every refusal, and its teams were served by nobody.
+// A packet filter refuses connections just as a stopped controller does. If every refusal
+// ended the lease of the controller behind it, its teams would never have an owner; its
+// lease must be ended only once within evictAgain.
 func TestEvictionIsNotRepeated(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
@@ -88,14 +91,14 @@
 		s.Run(500 * loop.Millisecond)
 	}
 	if xa.ends != 1 {
-		t.Fatalf("the lease was ended %d times in 20 s", xa.ends)
+		t.Fatalf("the lease was ended %d times in 20 s, want once", xa.ends)
 	}
 	if !b.Active() {
-		t.Fatal("the evicted node did not join again")
+		t.Fatal("the evicted controller did not join again")
 	}
 }
 
-// A node that hears no peer hands over once, and keeps what nobody else takes.
+// A controller that reaches no peer must hand its partitions over to one that others reach.
 func TestHandOver(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
@@ -106,11 +109,12 @@
 	a.Isolated = func() bool { return true }
 	s.Run(3 * loop.Second)
 	if r, u := owners(b); r != "b" || u != "b" {
-		t.Fatalf("the teams did not move: %q %q", r, u)
+		t.Fatalf("the teams did not move to b: red is owned by %q, blue by %q", r, u)
 	}
 }
 
-// Where no node can speak to another, the leader gathers all teams.
+// Where no controller reaches another, several owners would each see a part of the machines
+// only: the leader must become the owner of all teams.
 func TestLeaderGathersWhenAllAreAlone(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
@@ -126,19 +130,19 @@
 	o, ok := all[0].Leader()
 	red, blue := owners(all[0])
 	if !ok || red != o.Node || blue != o.Node {
-		t.Fatalf("leader %q, red %q, blue %q", o.Node, red, blue)
+		t.Fatalf("the leader is %q, red is owned by %q, blue by %q; want all the same", o.Node, red, blue)
 	}
 	for _, b := range all {
 		b.Isolated = func() bool { return false }
 	}
 	s.Run(3 * loop.Second)
 	if all[0].AllAlone() {
-		t.Fatal("still said to be alone")
+		t.Fatal("AllAlone is still true after the controllers reach each other again")
 	}
 }
 
-// A node that returns gets a part of the work back, the lighter team, and only once the
-// rest has settled; nothing then moves to and fro.
+// A controller that joins while another owns everything must get a share, the team with less
+// work, but only once it is fit for work; after that, no team may move any more.
 func TestReturnedNodeGetsATeam(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
@@ -151,21 +155,22 @@
 	b.Fit = func(string) bool { return true }
 	s.Run(20 * loop.Second)
 	if r, u := owners(b); r != "a" || u != "a" {
-		t.Fatalf("teams went to a node that is not heard: %q %q", r, u)
+		t.Fatalf("teams moved to a controller that is not fit: red is owned by %q, blue by %q", r, u)
 	}
 	fit = true
 	s.Run(12 * loop.Second)
 	if r, u := owners(a); r != "a" || u != "b" {
-		t.Fatalf("owners are %q and %q, want a and b", r, u)
+		t.Fatalf("red is owned by %q and blue by %q, want a and b", r, u)
 	}
 	before, _ := a.TeamOwner("blue")
 	s.Run(60 * loop.Second)
 	if now, _ := b.TeamOwner("blue"); now != before {
-		t.Fatalf("the team moved again: %+v, before %+v", now, before)
+		t.Fatalf("blue moved again: its owner is %+v, before %+v", now, before)
 	}
 }
 
-// A team that only another node's settings name is known here once that node owns it.
+// A team that only another controller's settings name, as while settings are being changed
+// on one after another, must become known as foreign once that controller owns it.
 func TestTeamOfOthers(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
@@ -177,8 +182,9 @@
 	}
 }
 
-// A registration that an earlier life had sent may be carried out after the new life has
-// registered, and goes when the earlier lease ends. The node was counted by nobody then.
+// A registration sent by an earlier incarnation may be applied after the new incarnation has
+// registered, and vanishes with the earlier lease. The controller must register again, or
+// the others would not count it though it runs.
 func TestRegistrationOfAnEarlierLife(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
@@ -186,7 +192,7 @@
 	a := nodeOn(s, &tap{state: state}, "a")
 	s.Run(3 * loop.Second)
 	if b.Nodes() != 2 {
-		t.Fatalf("%d nodes are registered, want 2", b.Nodes())
+		t.Fatalf("%d controllers are registered, want 2", b.Nodes())
 	}
 	old := state.Do("POST", "/holds", wire.Marshal(wire.Lease{TTLms: 4000}), 0)
 	var l wire.Lease
@@ -195,10 +201,10 @@
 	}
 	late := wire.Txn{If: []wire.Cond{}, Then: []wire.Change{{Put: nodeKeys + "a", Value: nodeRecord{Epoch: 1, Lease: l.ID}, Lease: l.ID}}}
 	if r := state.Do("POST", "/multi", wire.Marshal(late), 0); r.Status != 200 {
-		t.Fatalf("the late registration is answered %d", r.Status)
+		t.Fatalf("the late registration is answered with status %d, want 200", r.Status)
 	}
 	s.Run(8 * loop.Second)
 	if b.Nodes() != 2 || b.nodes["a"].Lease != a.Lease() || !a.Entitled() {
-		t.Fatalf("%d nodes are registered, a by lease %d and not %d", b.Nodes(), b.nodes["a"].Lease, a.Lease())
+		t.Fatalf("%d controllers are registered, want 2; a is registered with lease %d and holds lease %d", b.Nodes(), b.nodes["a"].Lease, a.Lease())
 	}
 }
