--- a/internal/member/lease.go
+++ b/internal/member/lease.go
@@ -34,7 +34,7 @@
 			return
 		}
 		b.lease, b.until, b.joined = id, sent+b.LeaseTTL, b.r.Now()
-		b.setState(Numbered)
+		b.setState(AwaitingEpoch)
 		b.number(id)
 		b.r.After(b.LeaseTTL/4, func() { b.renew(id) })
 	})
@@ -78,11 +78,11 @@
 		case r.Outcome == store.Applied:
 			b.alone = alone
 			b.m.Apply(nodeKeys+b.Label, wire.Marshal(rec), r.Tally, false)
-			if b.state == Numbered {
+			if b.state == AwaitingEpoch {
 				b.setState(Active)
 				b.tick()
 			}
-		case b.state == Numbered:
+		case b.state == AwaitingEpoch:
 			b.r.After(300*loop.Millisecond, func() { b.register(lease, alone) })
 		}
 	})
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -32,10 +32,10 @@
 
 // The membership states.
 const (
-	Starting State = iota // the mirror of the state service is not loaded yet
-	Joining               // requesting a lease
-	Numbered              // holds a lease, requesting an epoch
-	Active                // may own partitions and the leadership
+	Starting      State = iota // the mirror of the state service is not loaded yet
+	Joining                    // requesting a lease
+	AwaitingEpoch              // holds a lease, requesting an epoch
+	Active                     // may own partitions and the leadership
 )
 
 func (s State) String() string {
