--- a/internal/member/claims.go
+++ b/internal/member/claims.go
@@ -256,7 +256,7 @@
 // AllAlone reports whether no controller reaches another, by what each has registered.
 func (b *Member) AllAlone() bool {
 	for _, rec := range b.nodes {
-		if !rec.Alone {
+		if !rec.Isolated {
 			return false
 		}
 	}
--- a/internal/member/lease.go
+++ b/internal/member/lease.go
@@ -68,7 +68,7 @@
 		return
 	}
 	b.telling = true
-	rec := nodeRecord{Epoch: b.inst, Lease: lease, Alone: alone, Layouts: b.generation()}
+	rec := nodeRecord{Epoch: b.inst, Lease: lease, Isolated: alone, Layouts: b.generation()}
 	b.c.Txn(store.Leases, wire.Txn{Then: []wire.Change{{Put: nodeKeys + b.Label, Value: rec, Lease: lease}}}, func(r store.Result) {
 		b.telling = false
 		switch {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -43,9 +43,9 @@
 }
 
 type nodeRecord struct {
-	Epoch uint64 `cbor:"e"`
-	Lease uint64 `cbor:"l"`
-	Alone bool   `cbor:"a,omitempty"` // it is isolated: no peer is reachable
+	Epoch    uint64 `cbor:"e"`
+	Lease    uint64 `cbor:"l"`
+	Isolated bool   `cbor:"a,omitempty"` // it is isolated: no peer is reachable
 	// Layouts is the newest generation of layouts that the controller's version supports. It
 	// is 0 before version 0.9.0, which only knows claims of single teams.
 	Layouts int `cbor:"f,omitempty"`
