--- a/internal/member/claims.go
+++ b/internal/member/claims.go
@@ -70,13 +70,13 @@
 	o, ok := b.owner(key)
 	mine := ok && b.state == Active && o.Node == b.Label && o.Epoch == b.inst
 	have, had := b.mine[key]
-	if had && (!mine || have.Mark != o.Mark) {
+	if had && (!mine || have.Revision != o.Revision) {
 		b.drop(key)
 		had = false
 	}
 	if mine && !had {
 		b.mine[key] = o
-		b.log.Info("ownership claim acquired", "key", key, "claim", o.Mark, "epoch", o.Epoch)
+		b.log.Info("ownership claim acquired", "key", key, "claim", o.Revision, "epoch", o.Epoch)
 		b.notify(key, true, o)
 	}
 	if ok {
@@ -339,8 +339,8 @@
 
 // ClaimCond returns the condition that the partition is still owned under this claim.
 func ClaimCond(id partition.ID, claim Owner) wire.Cond {
-	return wire.Cond{Key: id.ClaimKey(), Mark: claim.Mark}
+	return wire.Cond{Key: id.ClaimKey(), Mark: claim.Revision}
 }
 
 // LeaderCond returns the condition that this claim still holds the leadership.
-func LeaderCond(claim Owner) wire.Cond { return wire.Cond{Key: leaderKey, Mark: claim.Mark} }
+func LeaderCond(claim Owner) wire.Cond { return wire.Cond{Key: leaderKey, Mark: claim.Revision} }
--- a/internal/member/layout.go
+++ b/internal/member/layout.go
@@ -161,7 +161,7 @@
 		if !ok || len(txn.Then) >= b.c.MostChanges() {
 			continue
 		}
-		txn.If = append(txn.If, wire.Cond{Key: teamKeys + team, Mark: o.Mark})
+		txn.If = append(txn.If, wire.Cond{Key: teamKeys + team, Mark: o.Revision})
 		txn.Then = append(txn.Then, assignment(b.layout, team))
 	}
 	if len(txn.Then) == 0 {
--- a/internal/member/layout_test.go
+++ b/internal/member/layout_test.go
@@ -119,7 +119,7 @@
 		t.Errorf("the claim of the team has changed to %+v", rec)
 	}
 	other := a.Teams[5]
-	claim.Mark--
+	claim.Revision--
 	a.Assign(a.Layout().Of(other), claim, []string{other}, func(ok bool) {
 		if ok {
 			t.Error("a team was assigned under a claim that is not held any more")
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -65,9 +65,9 @@
 
 // Owner identifies the controller that owns a partition or leads, and its claim.
 type Owner struct {
-	Node  string
-	Epoch uint64
-	Mark  uint64 // revision of the claim, for conditions of transactions
+	Node     string
+	Epoch    uint64
+	Revision uint64 // revision of the claim, for conditions of transactions
 }
 
 // Settings holds what a controller knows of the cluster when it starts.
--- a/internal/placer/forget_test.go
+++ b/internal/placer/forget_test.go
@@ -101,7 +101,7 @@
 	g.p.Owned(partition.ForTeam("red"), false, member.Owner{})
 	g.state.Put(segmentKey("x/red/", 0), segmentRecord{Machines: []machineEntry{}, Jobs: []jobEntry{{ID: id, Tasks: []taskEntry{{Index: 0, State: storedOff, Attempt: 1}}}}})
 	mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
-	g.p.Owned(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Mark: mark})
+	g.p.Owned(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Revision: mark})
 	latest := g.Now() + loop.Seconds(g.p.cfg.Operator.StartLifeS)
 	g.showFor(20 * loop.Second)
 	g.checkAsked(t, latest)
--- a/internal/placer/groupcommit.go
+++ b/internal/placer/groupcommit.go
@@ -24,7 +24,7 @@
 	now := p.r.Now()
 	if len(part.log.closed) > 0 {
 		p.n.Meter.Takeover(now - part.ownedAt)
-		p.log.Info("first placement under a new owner", "partition", part.id, "claim", part.claim.Mark, "since_owned_us", now-part.ownedAt, "since_loaded_us", now-part.loadedAt)
+		p.log.Info("first placement under a new owner", "partition", part.id, "claim", part.claim.Revision, "since_owned_us", now-part.ownedAt, "since_loaded_us", now-part.loadedAt)
 	}
 	part.ownedAt = 0
 }
--- a/internal/placer/load.go
+++ b/internal/placer/load.go
@@ -187,7 +187,7 @@
 		jobs += len(tm.jobs)
 		tasks += tm.inUse()
 	}
-	p.log.Info("partition loaded", "partition", part.id, "claim", part.claim.Mark, "epoch", part.claim.Epoch, "teams", len(teams), "jobs", jobs, "tasks", tasks, "segments", len(segments))
+	p.log.Info("partition loaded", "partition", part.id, "claim", part.claim.Revision, "epoch", part.claim.Epoch, "teams", len(teams), "jobs", jobs, "tasks", tasks, "segments", len(segments))
 	for _, tm := range teams {
 		for _, t := range tm.inOrder() {
 			p.maybeDone(t)
--- a/internal/placer/partition_test.go
+++ b/internal/placer/partition_test.go
@@ -60,7 +60,7 @@
 func (g *rig) own() {
 	mark := g.state.Put(onlyID.ClaimKey(), map[string]any{"n": "a", "e": 1})
 	g.p.Owned(onlyID, false, member.Owner{})
-	g.p.Owned(onlyID, true, member.Owner{Node: "a", Epoch: 1, Mark: mark})
+	g.p.Owned(onlyID, true, member.Owner{Node: "a", Epoch: 1, Revision: mark})
 	g.Run(loop.Second)
 }
 
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -93,7 +93,7 @@
 	g.registry.OnJob = g.p.Job
 	for _, t := range teams {
 		mark := g.state.Put("c/t/"+t.Name, map[string]any{"n": "a", "e": 1})
-		g.p.Owned(partition.ForTeam(t.Name), true, member.Owner{Node: "a", Epoch: 1, Mark: mark})
+		g.p.Owned(partition.ForTeam(t.Name), true, member.Owner{Node: "a", Epoch: 1, Revision: mark})
 	}
 	g.mirror.Start()
 	g.Run(loop.Second)
@@ -427,7 +427,7 @@
 	}
 	g.p.Owned(partition.ForTeam("red"), false, member.Owner{})
 	mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
-	g.p.Owned(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Mark: mark})
+	g.p.Owned(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Revision: mark})
 	g.job(3, spec)
 	g.starts = nil
 	g.Run(loop.Second)
@@ -457,7 +457,7 @@
 		g.state.Put(segmentKey("x/red/", 0), rec)
 		g.p.Owned(partition.ForTeam("red"), false, member.Owner{})
 		mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
-		g.p.Owned(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Mark: mark})
+		g.p.Owned(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Revision: mark})
 		for i := range 40 {
 			g.show(fmt.Sprintf("n-1%02d", i), "m8", "x", false)
 		}
--- a/internal/placer/proof_test.go
+++ b/internal/placer/proof_test.go
@@ -104,7 +104,7 @@
 	g.state.Put(segmentKey("x/red/", 0), segmentRecord{Machines: []machineEntry{{Name: "n-001", Zone: "x"}},
 		Jobs: []jobEntry{{ID: id, Tasks: []taskEntry{{Index: 0, State: storedPlaced, Attempt: 2, Machine: 1, Session: 1, Expiry: g.Now() - 60*loop.Second}}}}})
 	mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
-	g.p.Owned(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Mark: mark})
+	g.p.Owned(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Revision: mark})
 	g.Run(loop.Second)
 	heldBack := agent.Task{Task: agent.TaskName(id, 0), Attempt: 2, State: wire.TaskRunning}
 	g.tell(1, 1, false, heldBack, other)
