--- a/internal/member/claims.go
+++ b/internal/member/claims.go
@@ -87,7 +87,7 @@
 // tick claims free keys and hands over what others serve better. A controller that owns
 // much waits a little before it claims more, so that work spreads over the controllers.
 func (b *Member) tick() {
-	if b.state != Active || !b.Entitled() {
+	if b.state != Active || !b.LeaseValid() {
 		return
 	}
 	now := b.r.Now()
@@ -272,7 +272,7 @@
 func (b *Member) Evict(label string) {
 	rec, ok := b.nodes[label]
 	now := b.r.Now()
-	if !ok || label == b.Label || !b.Entitled() {
+	if !ok || label == b.Label || !b.LeaseValid() {
 		return
 	}
 	if at, was := b.evicted[label]; was && now-at < evictAgain {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -174,8 +174,8 @@
 	b.state = s
 }
 
-// Entitled reports whether this controller's lease is certainly valid.
-func (b *Member) Entitled() bool { return b.state == Active && b.r.Now() < b.until }
+// LeaseValid reports whether this controller's lease is certainly valid.
+func (b *Member) LeaseValid() bool { return b.state == Active && b.r.Now() < b.until }
 
 // Lease returns the lease that this controller holds as far as it knows, or 0.
 func (b *Member) Lease() uint64 { return b.lease }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -66,7 +66,7 @@
 	if r, u := owners(b); r != "b" || u != "b" {
 		t.Fatalf("b did not take the teams over: red is owned by %q, blue by %q", r, u)
 	}
-	if a.Entitled() {
+	if a.LeaseValid() {
 		t.Fatal("a considers its lease valid although it could not renew it")
 	}
 	xa.off = false
@@ -204,7 +204,7 @@
 		t.Fatalf("the late registration is answered with status %d, want 200", r.Status)
 	}
 	s.Run(8 * loop.Second)
-	if b.Nodes() != 2 || b.nodes["a"].Lease != a.Lease() || !a.Entitled() {
+	if b.Nodes() != 2 || b.nodes["a"].Lease != a.Lease() || !a.LeaseValid() {
 		t.Fatalf("%d controllers are registered, want 2; a is registered with lease %d and holds lease %d", b.Nodes(), b.nodes["a"].Lease, a.Lease())
 	}
 }
--- a/internal/node/addition_hand_test.go
+++ b/internal/node/addition_hand_test.go
@@ -158,7 +158,7 @@
 	leads, teams := false, map[string]bool{}
 	for _, l := range w.labels {
 		s := w.nodes[l]
-		if !s.alive || !s.n.member.Entitled() {
+		if !s.alive || !s.n.member.LeaseValid() {
 			continue
 		}
 		if _, is := s.n.member.Leads(); is {
--- a/internal/node/fitness.go
+++ b/internal/node/fitness.go
@@ -25,7 +25,7 @@
 
 // mayStart: without state contact no new start is made, since a cancellation
 // may have been told meanwhile.
-func (n *Node) mayStart() bool { return n.member.Entitled() && n.contact() }
+func (n *Node) mayStart() bool { return n.member.LeaseValid() && n.contact() }
 
 // barred tells why a start that was taken on must not reach its machine any more.
 func (n *Node) barred(j *job.Job, v *agent.View) string {
--- a/internal/node/meetings_hand_test.go
+++ b/internal/node/meetings_hand_test.go
@@ -100,8 +100,8 @@
 				t.Errorf("%d jobs are cancelled, %d tasks are left, tasks end by %v", w.cancelled(), len(w.active), w.whys)
 			}
 			w.run(w.now + 10*loop.Second)
-			if s := w.nodes[a]; !w.owned() || !s.n.member.Entitled() {
-				t.Errorf("%s is back: entitled %v, all owned %v", a, s.n.member.Entitled(), w.owned())
+			if s := w.nodes[a]; !w.owned() || !s.n.member.LeaseValid() {
+				t.Errorf("%s is back: entitled %v, all owned %v", a, s.n.member.LeaseValid(), w.owned())
 			}
 		})
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -206,7 +206,7 @@
 			}
 			return false
 		},
-		Entitled: n.member.Entitled,
+		Entitled: n.member.LeaseValid,
 		Isolated: func() bool { return n.reach.Isolated() && !n.member.AllAlone() },
 		Faulty:   n.placer.Faulty,
 		Meter:    n.meter,
@@ -292,9 +292,9 @@
 	n.reach.Look()
 	n.isolate()
 	if n.mirror.Ready() {
-		n.client.Use(admission.Part(n.member.Nodes(), n.cfg.Cluster.Nodes, n.member.Entitled()))
+		n.client.Use(admission.Part(n.member.Nodes(), n.cfg.Cluster.Nodes, n.member.LeaseValid()))
 	}
-	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.contact() && n.member.Entitled(), Hosted: n.agent.Hosted(), Hears: []string{}}
+	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.contact() && n.member.LeaseValid(), Hosted: n.agent.Hosted(), Hears: []string{}}
 	for _, label := range n.net.Peers() {
 		if n.reach.Heard(label, reach.Fresh) {
 			s.Hears = append(s.Hears, label)
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -163,7 +163,7 @@
 						t.Errorf("%s still reports to %s, by what %s knows", name, silent, other)
 					}
 				}
-				if !c.out && w.nodes[silent].n.member.Entitled() {
+				if !c.out && w.nodes[silent].n.member.LeaseValid() {
 					t.Error("the silent node believes in its lease")
 				}
 			})
--- a/internal/node/world_referee_test.go
+++ b/internal/node/world_referee_test.go
@@ -184,7 +184,7 @@
 // run out. One that peers have ended is another matter: all that hangs on it is fenced.
 func (w *world) checkBeliefs() {
 	for _, l := range w.labels {
-		if s := w.nodes[l]; s.alive && !s.frozen && s.n.member.Entitled() && w.state.Lapsed(s.n.member.Lease()) {
+		if s := w.nodes[l]; s.alive && !s.frozen && s.n.member.LeaseValid() && w.state.Lapsed(s.n.member.Lease()) {
 			w.fail("%s believes in its lease %d, which has run out", l, s.n.member.Lease())
 		}
 	}
