--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -194,7 +194,7 @@
 // Registered reports whether a controller holds its lease as far as this one knows.
 func (b *Member) Registered(node string) bool { _, ok := b.nodes[node]; return ok }
 
-// Nodes returns the number of registered controllers.
-func (b *Member) Nodes() int { return len(b.nodes) }
+// RegisteredCount returns the number of registered controllers.
+func (b *Member) RegisteredCount() int { return len(b.nodes) }
 
 func (b *Member) String() string { return fmt.Sprintf("%s/%s/%d", b.Label, b.state, b.inst) }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -191,8 +191,8 @@
 	b := nodeOn(s, &tap{state: state}, "b")
 	a := nodeOn(s, &tap{state: state}, "a")
 	s.Run(3 * loop.Second)
-	if b.Nodes() != 2 {
-		t.Fatalf("%d controllers are registered, want 2", b.Nodes())
+	if b.RegisteredCount() != 2 {
+		t.Fatalf("%d controllers are registered, want 2", b.RegisteredCount())
 	}
 	old := state.Do("POST", "/holds", wire.Marshal(wire.Lease{TTLms: 4000}), 0)
 	var l wire.Lease
@@ -204,7 +204,7 @@
 		t.Fatalf("the late registration is answered with status %d, want 200", r.Status)
 	}
 	s.Run(8 * loop.Second)
-	if b.Nodes() != 2 || b.nodes["a"].Lease != a.Lease() || !a.LeaseValid() {
-		t.Fatalf("%d controllers are registered, want 2; a is registered with lease %d and holds lease %d", b.Nodes(), b.nodes["a"].Lease, a.Lease())
+	if b.RegisteredCount() != 2 || b.nodes["a"].Lease != a.Lease() || !a.LeaseValid() {
+		t.Fatalf("%d controllers are registered, want 2; a is registered with lease %d and holds lease %d", b.RegisteredCount(), b.nodes["a"].Lease, a.Lease())
 	}
 }
