--- a/internal/member/claims.go
+++ b/internal/member/claims.go
@@ -112,7 +112,7 @@
 		b.handed = now
 		b.handOver("no peer is reachable")
 	}
-	broken := !isolated && b.Broken != nil && b.Broken()
+	broken := !isolated && b.PartlyDisconnected != nil && b.PartlyDisconnected()
 	if broken && len(b.mine) > 0 && (b.handed == 0 || now-b.handed > 30*loop.Second) && b.anyFit() {
 		// This owner neither gets the reports of machines at the unreachable controller nor
 		// sends them commands. A controller that reaches all the others should own instead.
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -113,14 +113,14 @@
 	// Fit reports whether another controller may be given work, Broken whether the connection
 	// between this one and a controller that others reach is broken, and Weight returns how
 	// much work a partition brings. All may be nil.
-	Fit    func(node string) bool
-	Broken func() bool
-	Weight func(id partition.ID) int
-	others map[string]bool // teams known to other controllers that these settings do not name
-	joined loop.Micros     // when the current lease was granted
-	losses int             // consecutive leases that ended before goodFor
-	uneven loop.Micros     // since when this controller owns more than its share; 0: it does not
-	rand   *rand.Rand      // spreads the retries of controllers that start together
+	Fit                func(node string) bool
+	PartlyDisconnected func() bool
+	Weight             func(id partition.ID) int
+	others             map[string]bool // teams known to other controllers that these settings do not name
+	joined             loop.Micros     // when the current lease was granted
+	losses             int             // consecutive leases that ended before goodFor
+	uneven             loop.Micros     // since when this controller owns more than its share; 0: it does not
+	rand               *rand.Rand      // spreads the retries of controllers that start together
 
 	layout        partition.Layout
 	layoutState   layoutState
