--- a/internal/member/claims.go
+++ b/internal/member/claims.go
@@ -95,7 +95,7 @@
 	if isolated != b.alone || b.nodes[b.Label].Lease != b.lease {
 		b.register(b.lease, isolated)
 	}
-	gather := isolated && b.AllAlone()
+	gather := isolated && b.AllIsolated()
 	_, leads := b.mine[leaderKey]
 	if gather && !leads && len(b.mine) > 0 {
 		// No controller reaches another. Several owners would each see a part of the
@@ -253,8 +253,8 @@
 	return append(keys, leaderKey)
 }
 
-// AllAlone reports whether no controller reaches another, by what each has registered.
-func (b *Member) AllAlone() bool {
+// AllIsolated reports whether no controller reaches another, by what each has registered.
+func (b *Member) AllIsolated() bool {
 	for _, rec := range b.nodes {
 		if !rec.Isolated {
 			return false
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -136,7 +136,7 @@
 		b.Isolated = func() bool { return false }
 	}
 	s.Run(3 * loop.Second)
-	if all[0].AllAlone() {
+	if all[0].AllIsolated() {
 		t.Fatal("AllAlone is still true after the controllers reach each other again")
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -207,7 +207,7 @@
 			return false
 		},
 		Entitled: n.member.LeaseValid,
-		Isolated: func() bool { return n.reach.Isolated() && !n.member.AllAlone() },
+		Isolated: func() bool { return n.reach.Isolated() && !n.member.AllIsolated() },
 		Faulty:   n.placer.Faulty,
 		Meter:    n.meter,
 		Cordoned: func(typ, zone string, spot bool) bool {
--- a/internal/node/sendon.go
+++ b/internal/node/sendon.go
@@ -56,7 +56,7 @@
 	if len(others) == 0 {
 		return false, "", again
 	}
-	if n.member.AllAlone() {
+	if n.member.AllIsolated() {
 		if _, leads := n.member.Leads(); leads {
 			return false, "", again
 		}
