--- a/cmd/cleatpick/show.go
+++ b/cmd/cleatpick/show.go
@@ -31,7 +31,7 @@
 
 func clock(t explain.Time) string { return time.UnixMicro(int64(t)).UTC().Format("15:04:05") }
 
-func span(s explain.Span) string {
+func span(s explain.Duration) string {
 	return (time.Duration(s) * time.Microsecond).Round(100 * time.Millisecond).String()
 }
 
@@ -42,7 +42,7 @@
 	return s
 }
 
-func sums(all []explain.Sum) string {
+func sums(all []explain.CauseCount) string {
 	var out []string
 	for _, s := range all {
 		out = append(out, fmt.Sprintf("%s %d", s.Kind, s.Tasks))
@@ -154,7 +154,7 @@
 func showLifted(w io.Writer, v *map[string]string) { fmt.Fprintf(w, "%s: lifted\n", (*v)["name"]) }
 
 func showWhy(w io.Writer, a *explain.Answer) {
-	fmt.Fprintf(w, "%s  %s: %s, %d of %d tasks done, %d running, %d waiting\n", clock(a.AsOf), a.Job, a.Standing, a.Done, a.Tasks, a.Running, a.Waiting)
+	fmt.Fprintf(w, "%s  %s: %s, %d of %d tasks done, %d running, %d waiting\n", clock(a.AsOf), a.Job, a.Status, a.Done, a.Tasks, a.Running, a.Waiting)
 	for i := range a.Reasons {
 		showReason(w, &a.Reasons[i])
 	}
@@ -211,13 +211,13 @@
 		fmt.Fprintf(w, "    %s is %s\n", b.Job, b.State)
 	}
 	if d.Team != nil {
-		fmt.Fprintf(w, "    team %s uses %g CPUs, %s, %g guaranteed\n", d.Team.Team, d.Team.CPUs, d.Team.CPUsMax, d.Team.CPUsHave)
+		fmt.Fprintf(w, "    team %s uses %g CPUs, %s, %g guaranteed\n", d.Team.Team, d.Team.CPUs, d.Team.CPUsMax, d.Team.CPUsGuaranteed)
 	}
 	if d.Needs != nil {
 		fmt.Fprintf(w, "    each task needs %s\n", needs(d.Needs))
 	}
 	if m := d.Machines; m != nil {
-		fmt.Fprintf(w, "    %d machines looked at\n", m.Looked)
+		fmt.Fprintf(w, "    %d machines looked at\n", m.Examined)
 		for _, g := range m.Groups {
 			var lacks []string
 			for _, k := range slices.Sorted(maps.Keys(g.Lacks)) {
@@ -237,11 +237,11 @@
 	}
 	for _, o := range d.On {
 		fmt.Fprintf(w, "    %d on %s: %s", o.Tasks, o.Machine, o.State)
-		if o.For != "" {
-			fmt.Fprintf(w, ", stopped for %s", o.For)
+		if o.PreemptedFor != "" {
+			fmt.Fprintf(w, ", stopped for %s", o.PreemptedFor)
 		}
-		if o.Settles != "" {
-			fmt.Fprintf(w, "; settled by %s", o.Settles)
+		if o.ConfirmedBy != "" {
+			fmt.Fprintf(w, "; settled by %s", o.ConfirmedBy)
 		}
 		fmt.Fprintln(w)
 	}
--- a/internal/explain/desk.go
+++ b/internal/explain/desk.go
@@ -8,33 +8,35 @@
 	"cleatpick/internal/wire"
 )
 
-// MostQuestions bounds the explanations that one node works on at a time.
-const MostQuestions = 100
+// MaxOpenRequests bounds the explanations that one controller works on at a time.
+const MaxOpenRequests = 100
 
-// How long another node is waited for.
+// Timeouts of requests to other controllers.
 const (
-	ownerPatience  = 1000 * loop.Millisecond
-	leaderPatience = 700 * loop.Millisecond
+	ownerTimeout  = 1000 * loop.Millisecond
+	leaderTimeout = 700 * loop.Millisecond
 )
 
-// The topics of questions between nodes.
+// Topics of requests between controllers.
 const (
 	topicWhy    = "why"
 	topicSupply = "supply"
 )
 
-// Node is what this slice needs of the node around it.
-type Node struct {
+// Dependencies holds what this package needs from the controller in which it runs.
+type Dependencies struct {
 	Label string
-	// Poll confirms a job's standing with the state service.
+	// Poll reads a job's status from the state service.
 	Poll func(id string, cb func(job.Answer))
 	Job  func(id string) *job.Job
-	// Owner and Leader tell who owns a team and who leads; empty: nobody is known to.
+	// Owner returns the controller that owns a team, Leader the one that leads; empty if
+	// none is known.
 	Owner  func(team string) string
 	Leader func() string
-	// Facts gathers why a job of a team owned here waits; false while that is not loaded.
+	// Facts gathers why a job of a team owned here waits; false while the team's records are
+	// not loaded.
 	Facts func(id string) (*Facts, bool)
-	// Supply is the leader's account; asked of the node that leads.
+	// Supply describes the machines requested from the cloud; only the leader's is used.
 	Supply func(*job.Spec) Supply
 	Counts func(*job.Job) job.Counts
 	Ask    func(to, topic string, body any, timeout loop.Micros, cb func(wire.Raw, bool))
@@ -42,40 +44,40 @@
 	Meter  *metric.Meter
 }
 
-// Desk answers why jobs wait.
-type Desk struct {
-	r     loop.Runner
-	n     Node
-	open  int
-	Lines *Timelines
-	waits *Waits
+// Service answers the question why a job's tasks do not run.
+type Service struct {
+	runner       loop.Runner
+	deps         Dependencies
+	openRequests int
+	Timelines    *Timelines
+	waits        *Waits
 }
 
-type whyQuestion struct {
+type whyRequest struct {
 	Job string `cbor:"1,keyasint"`
 }
 
 type whyReply struct {
-	Loaded   bool     `cbor:"1,keyasint"`
-	Waiting  int      `cbor:"2,keyasint"`
-	Running  int      `cbor:"3,keyasint"`
-	Done     int      `cbor:"4,keyasint"`
-	Reasons  []Reason `cbor:"5,keyasint"`
-	Timeline Timeline `cbor:"6,keyasint"`
-	Sure     bool     `cbor:"7,keyasint"`
+	Loaded        bool     `cbor:"1,keyasint"`
+	Waiting       int      `cbor:"2,keyasint"`
+	Running       int      `cbor:"3,keyasint"`
+	Done          int      `cbor:"4,keyasint"`
+	Reasons       []Reason `cbor:"5,keyasint"`
+	Timeline      Timeline `cbor:"6,keyasint"`
+	AheadComplete bool     `cbor:"7,keyasint"`
 }
 
-// NewDesk makes the desk and answers what other nodes ask.
-func NewDesk(r loop.Runner, n Node) *Desk {
-	d := &Desk{r: r, n: n, Lines: NewTimelines(), waits: NewWaits()}
-	d.Lines.Ended = d.ended
+// NewService returns the service and registers the handlers of other controllers' requests.
+func NewService(r loop.Runner, n Dependencies) *Service {
+	d := &Service{runner: r, deps: n, Timelines: NewTimelines(), waits: NewWaits()}
+	d.Timelines.OnIntervalEnd = d.recordWait
 	n.Handle(topicWhy, func(body wire.Raw, reply func(any)) {
-		var q whyQuestion
+		var q whyRequest
 		if wire.Unmarshal(body, &q) != nil {
 			reply(whyReply{})
 			return
 		}
-		reply(d.own(q.Job))
+		reply(d.explainOwned(q.Job))
 	})
 	n.Handle(topicSupply, func(body wire.Raw, reply func(any)) {
 		var s job.Spec
@@ -90,53 +92,55 @@
 
 func urgent(j *job.Job) bool { return j != nil && j.Spec != nil && j.Spec.Priority >= job.High }
 
-// ended takes in a wait that is over. Every node learns from all owners' waits, so that
-// one that takes a team over can estimate at once; only the owner counts it.
-func (d *Desk) ended(id string, k gate.Kind, took loop.Micros, own bool) {
+// recordWait records a wait that is over. Every controller records the waits of all owners, so
+// that one that takes a team over can estimate at once; only the owner counts the wait in
+// its metrics.
+func (d *Service) recordWait(id string, k gate.Kind, took loop.Micros, own bool) {
 	if own {
-		d.n.Meter.Wait(k.String(), took)
+		d.deps.Meter.Wait(k.String(), took)
 	}
-	d.waits.Add(k, urgent(d.n.Job(id)), took)
+	d.waits.Add(k, urgent(d.deps.Job(id)), took)
 }
 
-// own explains a job whose team this node owns.
-func (d *Desk) own(id string) whyReply {
-	began := d.r.Now()
-	f, ok := d.n.Facts(id)
+// explainOwned explains a job whose team this controller owns.
+func (d *Service) explainOwned(id string) whyReply {
+	began := d.runner.Now()
+	f, ok := d.deps.Facts(id)
 	if !ok {
-		return whyReply{Timeline: d.Lines.Of(id)}
+		return whyReply{Timeline: d.Timelines.Get(id)}
 	}
-	out := whyReply{Loaded: true, Waiting: f.Gate.Waiting, Running: f.Running, Done: f.Done, Reasons: Judge(f), Sure: f.Sure}
+	out := whyReply{Loaded: true, Waiting: f.Gate.Waiting, Running: f.Running, Done: f.Done, Reasons: Reasons(f), AheadComplete: f.AheadComplete}
 	for i := range out.Reasons {
 		r := &out.Reasons[i]
 		k := gate.Named(r.Kind)
-		since := d.Lines.Since(id, k)
+		since := d.Timelines.Since(id, k)
 		if since != 0 {
 			t := Time(since)
 			r.Since = &t
 		}
 		if r.Estimate == nil && since != 0 {
-			r.Estimate = d.waits.Left(k, urgent(f.Job), f.Wall-since)
+			r.Estimate = d.waits.Remaining(k, urgent(f.Job), f.Wall-since)
 		}
 	}
-	out.Timeline = d.Lines.Of(id)
-	d.n.Meter.Why(d.r.Now() - began)
+	out.Timeline = d.Timelines.Get(id)
+	d.deps.Meter.Why(d.runner.Now() - began)
 	return out
 }
 
-// Why explains a job; cb gets 200 with the answer, 404, 429 or 503.
-func (d *Desk) Why(id string, cb func(*Answer, int)) {
-	if d.open >= MostQuestions {
-		cb(nil, 429)
+// Why explains a job. The callback gets 200 with the answer; 404 for an unknown job; 429
+// when too many explanations are in progress; 503 when the job's status cannot be read.
+func (d *Service) Why(id string, callback func(*Answer, int)) {
+	if d.openRequests >= MaxOpenRequests {
+		callback(nil, 429)
 		return
 	}
-	d.open++
+	d.openRequests++
 	done := func(a *Answer, code int) {
-		d.open--
-		cb(a, code)
+		d.openRequests--
+		callback(a, code)
 	}
-	d.n.Poll(id, func(p job.Answer) {
-		j := d.n.Job(id)
+	d.deps.Poll(id, func(p job.Answer) {
+		j := d.deps.Job(id)
 		if p.Code != 200 || j == nil {
 			code := p.Code
 			if code == 200 {
@@ -145,10 +149,10 @@
 			done(nil, code)
 			return
 		}
-		a := &Answer{Job: id, AsOf: Time(d.r.Wall()), Tasks: j.Tasks, Reasons: []Reason{}, Complete: true, Timeline: []Stretch{}}
+		a := &Answer{Job: id, AsOf: Time(d.runner.Wall()), Tasks: j.Tasks, Reasons: []Reason{}, Complete: true, Timeline: []Interval{}}
 		if j.Final() || j.Spec == nil {
-			a.Standing = PhaseName(j.Phase)
-			a.tells(d.Lines.Of(id))
+			a.Status = PhaseName(j.Phase)
+			a.setTimeline(d.Timelines.Get(id))
 			if j.Phase == job.Done {
 				a.Done = j.Tasks
 			}
@@ -159,19 +163,19 @@
 	})
 }
 
-// askOwner fills in what the job's owner knows.
-func (d *Desk) askOwner(a *Answer, j *job.Job, done func()) {
-	a.Owner = d.n.Owner(j.Spec.Team)
-	// Without an owner's word only the counts that were last told are known.
-	told := func(k gate.Kind, state, release string) {
-		c := d.n.Counts(j)
+// askOwner adds what the job's owner knows to the answer.
+func (d *Service) askOwner(a *Answer, j *job.Job, done func()) {
+	a.Owner = d.deps.Owner(j.Spec.Team)
+	// Without an answer from the owner, only the counts that it sent last are known.
+	fillFromCounts := func(k gate.Kind, state, release string) {
+		c := d.deps.Counts(j)
 		a.Done, a.Running = int(c.Done), int(c.Running)
 		a.Waiting = max(a.Tasks-a.Done-a.Running, 0)
-		a.Standing = standing(a)
-		a.tells(d.Lines.Of(j.ID))
+		a.Status = jobStatus(a)
+		a.setTimeline(d.Timelines.Get(j.ID))
 		if k != 0 {
 			r := Reason{Kind: k.String(), Tasks: a.Waiting, State: state, Release: release, BlockedBy: []string{}}
-			if since := d.Lines.Since(j.ID, k); since != 0 {
+			if since := d.Timelines.Since(j.ID, k); since != 0 {
 				t := Time(since)
 				r.Since = &t
 			}
@@ -180,31 +184,31 @@
 		a.Complete = false
 	}
 	if a.Owner == "" {
-		told(gate.NoOwner, "unowned", "a controller takes the team over, usually within seconds")
-		a.Missing = append(a.Missing, "the team has no owner that could be asked")
+		fillFromCounts(gate.NoOwner, "unowned", "a controller takes the team over, usually within seconds")
+		a.Missing = append(a.Missing, "the team has no owner at present")
 		done()
 		return
 	}
-	d.n.Ask(a.Owner, topicWhy, whyQuestion{j.ID}, ownerPatience, func(body wire.Raw, ok bool) {
+	d.deps.Ask(a.Owner, topicWhy, whyRequest{j.ID}, ownerTimeout, func(body wire.Raw, ok bool) {
 		var w whyReply
 		if !ok || wire.Unmarshal(body, &w) != nil {
-			told(0, "", "")
+			fillFromCounts(0, "", "")
 			a.Missing = append(a.Missing, "the owner "+a.Owner+" did not answer")
 			done()
 			return
 		}
 		if !w.Loaded {
-			told(gate.Loading, "reading", "the owner has read the team's records")
-			a.Missing = append(a.Missing, "the owner "+a.Owner+" has not read the team's records yet")
+			fillFromCounts(gate.Loading, "reading", "the owner finishes loading the team's records")
+			a.Missing = append(a.Missing, "the owner "+a.Owner+" has not loaded the team's records yet")
 			done()
 			return
 		}
 		a.Waiting, a.Running, a.Done = w.Waiting, w.Running, w.Done
-		a.tells(w.Timeline)
-		a.Standing = standing(a)
-		if !w.Sure {
+		a.setTimeline(w.Timeline)
+		a.Status = jobStatus(a)
+		if !w.AheadComplete {
 			a.Complete = false
-			a.Missing = append(a.Missing, "which work takes the room before this job depends on what falls free where")
+			a.Missing = append(a.Missing, "which work takes the capacity before this job depends on which machines become free first")
 		}
 		if w.Reasons != nil {
 			a.Reasons = w.Reasons
@@ -213,8 +217,8 @@
 	})
 }
 
-// askLeader fills in what is rented, where room is missing.
-func (d *Desk) askLeader(a *Answer, j *job.Job, done func()) {
+// askLeader adds what is being rented to the reasons that are a lack of free capacity.
+func (d *Service) askLeader(a *Answer, j *job.Job, done func()) {
 	var short []*Reason
 	for i := range a.Reasons {
 		if k := gate.Named(a.Reasons[i].Kind); k == gate.Room || k == gate.Gang {
@@ -225,7 +229,7 @@
 		done()
 		return
 	}
-	leader := d.n.Leader()
+	leader := d.deps.Leader()
 	fill := func(s Supply) {
 		s.Leader = leader
 		for _, r := range short {
@@ -233,7 +237,7 @@
 			if r.Estimate == nil && s.Estimate != nil {
 				r.Estimate = s.Estimate
 			}
-			if more := supplyEnds[s.State]; more != "" {
+			if more := supplyRelease[s.State]; more != "" {
 				r.Release += "; " + more
 			}
 		}
@@ -243,11 +247,11 @@
 		fill(Supply{State: "noLeader"})
 		return
 	}
-	d.n.Ask(leader, topicSupply, j.Spec, leaderPatience, func(body wire.Raw, ok bool) {
+	d.deps.Ask(leader, topicSupply, j.Spec, leaderTimeout, func(body wire.Raw, ok bool) {
 		var s Supply
 		if !ok || wire.Unmarshal(body, &s) != nil {
 			a.Complete = false
-			a.Missing = append(a.Missing, "the leader "+leader+" did not answer what is rented")
+			a.Missing = append(a.Missing, "the leader "+leader+" did not answer which machines are being rented")
 			fill(Supply{State: "unknown"})
 			return
 		}
@@ -255,17 +259,17 @@
 	})
 }
 
-var supplyEnds = map[string]string{
+var supplyRelease = map[string]string{
 	"booting":   "machines for it are booting",
 	"ordered":   "machines for it are ordered",
-	"requested": "the leader is about to rent for it",
-	"notAsked":  "work that ends is expected to free the room, so nothing is rented",
-	"refused":   "the cloud has refused every offer that the job allows, and is asked again",
+	"requested": "the leader is about to order machines for it",
+	"notAsked":  "running work is expected to end and free the capacity, so nothing is rented",
+	"refused":   "the cloud has refused every offer that the job allows; the request is repeated",
 	"nothing":   "the cloud offers no machine that the job allows",
-	"noLeader":  "nobody leads just now, so nothing is rented",
+	"noLeader":  "there is no leader at present, so nothing is rented",
 }
 
-func standing(a *Answer) string {
+func jobStatus(a *Answer) string {
 	if a.Running > 0 {
 		return wire.JobRunning
 	}
--- a/internal/explain/desk_test.go
+++ b/internal/explain/desk_test.go
@@ -13,28 +13,29 @@
 	"cleatpick/internal/wire"
 )
 
-// office is a desk whose owner and leader are other nodes, which answer as the test says.
-type office struct {
+// simulation is a service under test whose owner and leader are other controllers; the test
+// sets their answers.
+type simulation struct {
 	*standin.Stepped
-	d             *Desk
+	service       *Service
 	owner, leader string
 	topics        map[string]func(wire.Raw, func(any))
-	deaf          map[string]bool // topics that nobody answers
-	held          []func()        // answers that wait for the test
-	hold          bool
+	unanswered    map[string]bool // topics whose requests get no answer
+	delayed       []func()        // answers that the test delivers later
+	delayAnswers  bool
 	facts         *Facts
 	supply        Supply
 }
 
-func newOffice() *office {
-	o := &office{Stepped: standin.NewStepped(1000 * loop.Second), owner: "b", leader: "c", topics: map[string]func(wire.Raw, func(any)){}, deaf: map[string]bool{}}
+func newSimulation() *simulation {
+	o := &simulation{Stepped: standin.NewStepped(1000 * loop.Second), owner: "b", leader: "c", topics: map[string]func(wire.Raw, func(any)){}, unanswered: map[string]bool{}}
 	spec := &job.Spec{Class: "k", Team: "red", Tasks: 6, CPUs: 2, MemoryGB: 1, AnyType: true}
 	j := &job.Job{ID: "job-000001", Phase: job.Accepted, Spec: spec, Tasks: 6}
-	o.facts = &Facts{Job: j, Team: config.Team{Name: "red"}, Contact: true, Sure: true, Exact: true, Now: o.Now(), Wall: o.Wall(),
+	o.facts = &Facts{Job: j, Team: config.Team{Name: "red"}, StateContact: true, AheadComplete: true, Exact: true, Now: o.Now(), Wall: o.Wall(),
 		Gate: gate.Job{Spec: spec, Hold: &j.Terms.Hold, Waiting: 3, InUse: 3, Quota: config.Quota{CPUs: 4, CPUsMax: config.LimitOf(99)}},
 		Need: gate.Need{ID: j.ID, Spec: spec, Tasks: 6}, Fits: 0, FitsAll: 0, Running: 1, Done: 0}
 	o.supply = Supply{State: "booting", Booting: []Booting{{Offer: Offer{Type: "m", Count: 2}}}}
-	o.d = NewDesk(o, Node{
+	o.service = NewService(o, Dependencies{
 		Label: "a",
 		Poll: func(id string, cb func(job.Answer)) {
 			if id != j.ID {
@@ -42,8 +43,8 @@
 				return
 			}
 			answer := func() { cb(job.Answer{Code: 200, Phase: j.Phase, ID: id, Tasks: 6}) }
-			if o.hold {
-				o.held = append(o.held, answer)
+			if o.delayAnswers {
+				o.delayed = append(o.delayed, answer)
 				return
 			}
 			answer()
@@ -59,7 +60,7 @@
 		Counts: func(*job.Job) job.Counts { return job.Counts{Running: 2} },
 		Handle: func(topic string, f func(wire.Raw, func(any))) { o.topics[topic] = f },
 		Ask: func(_, topic string, body any, _ loop.Micros, cb func(wire.Raw, bool)) {
-			if o.deaf[topic] {
+			if o.unanswered[topic] {
 				cb(nil, false)
 				return
 			}
@@ -69,18 +70,18 @@
 	return o
 }
 
-func (o *office) why(t *testing.T, id string, code int) *Answer {
+func (o *simulation) why(t *testing.T, id string, code int) *Answer {
 	t.Helper()
 	var a *Answer
 	got := 0
-	o.d.Why(id, func(x *Answer, c int) { a, got = x, c })
+	o.service.Why(id, func(x *Answer, c int) { a, got = x, c })
 	if got != code {
-		t.Fatalf("why %s gives %d, want %d", id, got, code)
+		t.Fatalf("Why(%s) returns code %d, want %d", id, got, code)
 	}
 	return a
 }
 
-func words(a *Answer) string {
+func summary(a *Answer) string {
 	var out []string
 	for _, r := range a.Reasons {
 		out = append(out, fmt.Sprintf("%s/%s:%d", r.Kind, r.State, r.Tasks))
@@ -88,33 +89,34 @@
 	return fmt.Sprint(strings.Join(out, " "), " ", a.Complete, " ", len(a.Missing))
 }
 
-// Whatever cannot be asked is said in the answer, and what is known is told all the same.
-func TestWhatCannotBeAskedIsSaid(t *testing.T) {
+// An answer that lacks the owner's or the leader's part must say so in Complete and Missing,
+// and must still contain what is known. Each case takes one source away or changes one fact.
+func TestAnswerNamesMissingSources(t *testing.T) {
 	for _, c := range []struct {
 		what string
-		set  func(*office)
+		set  func(*simulation)
 		want string
 	}{
-		{"all answer", func(o *office) {}, "room/nothingToBorrow:3 true 0"},
-		{"no owner", func(o *office) { o.owner = "" }, "noOwner/unowned:4 false 1"},
-		{"the owner is deaf", func(o *office) { o.deaf[topicWhy] = true }, " false 1"},
-		{"the owner reads", func(o *office) { o.facts = nil }, "loading/reading:4 false 1"},
-		{"the owner has no state contact", func(o *office) { o.facts.Contact = false }, "stateContact/lost:3 room/nothingToBorrow:3 true 0"},
-		{"nobody leads", func(o *office) { o.leader = "" }, "room/nothingToBorrow:3 true 0"},
-		{"the leader is deaf", func(o *office) { o.deaf[topicSupply] = true }, "room/nothingToBorrow:3 false 1"},
-		{"within the guarantee", func(o *office) { o.facts.Within = true }, "room/noRoom:3 true 0"},
-		{"a damaged record", func(o *office) { o.facts.Gate.Damaged = true }, "damagedRecord/setAside:3 room/nothingToBorrow:3 true 0"},
-		{"room for all", func(o *office) { o.facts.Fits, o.facts.FitsAll = 3, 3 }, "nextPass/due:3 true 0"},
-		{"on their way", func(o *office) {
+		{"all answer", func(o *simulation) {}, "room/nothingToBorrow:3 true 0"},
+		{"no owner", func(o *simulation) { o.owner = "" }, "noOwner/unowned:4 false 1"},
+		{"the owner does not answer", func(o *simulation) { o.unanswered[topicWhy] = true }, " false 1"},
+		{"the owner is still loading", func(o *simulation) { o.facts = nil }, "loading/reading:4 false 1"},
+		{"the owner has no state contact", func(o *simulation) { o.facts.StateContact = false }, "stateContact/lost:3 room/nothingToBorrow:3 true 0"},
+		{"no leader", func(o *simulation) { o.leader = "" }, "room/nothingToBorrow:3 true 0"},
+		{"the leader does not answer", func(o *simulation) { o.unanswered[topicSupply] = true }, "room/nothingToBorrow:3 false 1"},
+		{"within the guarantee", func(o *simulation) { o.facts.WithinGuarantee = true }, "room/noRoom:3 true 0"},
+		{"a damaged record", func(o *simulation) { o.facts.Gate.Damaged = true }, "damagedRecord/setAside:3 room/nothingToBorrow:3 true 0"},
+		{"free capacity for all", func(o *simulation) { o.facts.Fits, o.facts.FitsAll = 3, 3 }, "nextPass/due:3 true 0"},
+		{"in flight", func(o *simulation) {
 			o.facts.Gate.Waiting = 0
-			o.facts.Flights = []Flight{{Kind: gate.Recording, State: "recording", Machine: "n-1", Tasks: 1}, {Kind: gate.Saving, State: "saving", Machine: "n-2", Tasks: 2, For: "job-000009"},
-				{Kind: gate.Unproven, State: "absent", Machine: "n-3", Tasks: 1, Settles: "a list"}, {Kind: gate.Unproven, State: "silent", Machine: "n-4", Tasks: 1}}
+			o.facts.InFlight = []InFlight{{Kind: gate.Recording, State: "recording", Machine: "n-1", Tasks: 1}, {Kind: gate.Saving, State: "saving", Machine: "n-2", Tasks: 2, PreemptedFor: "job-000009"},
+				{Kind: gate.Unproven, State: "absent", Machine: "n-3", Tasks: 1, ConfirmedBy: "a list"}, {Kind: gate.Unproven, State: "silent", Machine: "n-4", Tasks: 1}}
 		}, "recording/recording:1 saving/saving:2 unproven/several:2 true 0"},
 	} {
-		o := newOffice()
+		o := newSimulation()
 		c.set(o)
 		a := o.why(t, "job-000001", 200)
-		if got := words(a); got != c.want {
+		if got := summary(a); got != c.want {
 			t.Errorf("%s: the answer is %q, want %q", c.what, got, c.want)
 		}
 		for _, r := range a.Reasons {
@@ -122,47 +124,48 @@
 				t.Errorf("%s: the reason %s lacks its release or blockedBy", c.what, r.Kind)
 			}
 			if r.Kind == "room" && (r.Detail.Renting == nil || r.Detail.Renting.State == "") {
-				t.Errorf("%s: room does not tell what is rented", c.what)
+				t.Errorf("%s: the reason room lacks what is being rented", c.what)
 			}
 		}
 	}
-	o := newOffice()
+	o := newSimulation()
 	o.why(t, "job-000002", 404)
 }
 
-// A hundred questions wait at the most; the next is answered at once with 429, and an
-// answer makes room for another.
-func TestQuestionsAreBounded(t *testing.T) {
-	o := newOffice()
-	o.hold = true
+// At most MostQuestions explanations may be in progress: the next request must be refused at
+// once with 429, and be accepted again as soon as one of the others is answered.
+func TestOpenRequestsAreBounded(t *testing.T) {
+	o := newSimulation()
+	o.delayAnswers = true
 	answers := 0
-	for range MostQuestions {
-		o.d.Why("job-000001", func(_ *Answer, code int) {
+	for range MaxOpenRequests {
+		o.service.Why("job-000001", func(_ *Answer, code int) {
 			if code == 200 {
 				answers++
 			}
 		})
 	}
 	o.why(t, "job-000001", 429)
-	o.held[0]()
-	o.hold = false
+	o.delayed[0]()
+	o.delayAnswers = false
 	o.why(t, "job-000001", 200)
-	for _, f := range o.held[1:] {
+	for _, f := range o.delayed[1:] {
 		f()
 	}
-	if answers != MostQuestions {
-		t.Errorf("%d of %d questions were answered", answers, MostQuestions)
+	if answers != MaxOpenRequests {
+		t.Errorf("%d of %d requests were answered", answers, MaxOpenRequests)
 	}
 }
 
-// A timeline is bounded, goes on where a cause ends for a moment, keeps the newest, and
-// says what it dropped.
+// A timeline must stay bounded, keep its newest entries and count those that it drops. A
+// cause that is interrupted for less than flap must stay one entry. The timelines of finished
+// jobs are bounded, too.
 func TestTimelineIsBounded(t *testing.T) {
 	l := NewTimelines()
 	ended := map[gate.Kind]int{}
-	l.Ended = func(_ string, k gate.Kind, took loop.Micros, own bool) {
+	l.OnIntervalEnd = func(_ string, k gate.Kind, took loop.Micros, own bool) {
 		if !own || took <= 0 {
-			t.Errorf("%v ended after %d, own %v", k, took, own)
+			t.Errorf("%v ended after %d us with own %v, want a positive time and own", k, took, own)
 		}
 		ended[k]++
 	}
@@ -171,60 +174,61 @@
 	set(10, room)
 	set(20, room, limit)
 	set(30, limit)
-	set(31, limit, gate.Cause{Kind: gate.Room, Tasks: 5}) // a second later: it never ended
-	of := l.Of("j").Spans
+	set(31, limit, gate.Cause{Kind: gate.Room, Tasks: 5}) // one second later: the interval continues
+	of := l.Get("j").Intervals
 	if len(of) != 2 || of[1].Kind != "room" || of[1].From != Time(10*loop.Second) || of[1].Tasks != 5 || of[1].To != nil {
-		t.Fatalf("after a flap the timeline is %+v", of)
+		t.Fatalf("after a short interruption of a cause the timeline is %+v", of)
 	}
-	// A peer that was told late knows since when all the same.
+	// A controller that receives a cause late takes its start time from the message.
 	l.Set("late", []gate.Cause{{Kind: gate.Hold, Tasks: 1, Since: 40 * loop.Second}}, 50*loop.Second, false)
 	if since := l.Since("late", gate.Hold); since != 40*loop.Second {
-		t.Errorf("a cause told late holds since %d", since)
+		t.Errorf("a cause received late holds since %d, want 40 s", since)
 	}
 	for i := range loop.Micros(60) {
 		set(100+20*i, room)
 		set(110+20*i, limit)
 	}
-	all := l.Of("j")
-	if len(all.Spans) > mostSpans+2 || all.Dropped == 0 || *all.From != Time(10*loop.Second) {
-		t.Errorf("%d spans are kept, %d dropped, from %v", len(all.Spans), all.Dropped, all.From)
+	all := l.Get("j")
+	if len(all.Intervals) > maxIntervals+2 || all.Dropped == 0 || *all.From != Time(10*loop.Second) {
+		t.Errorf("timeline keeps %d entries, dropped %d, starts at %v", len(all.Intervals), all.Dropped, all.From)
 	}
-	if last := all.Spans[len(all.Spans)-1]; last.Kind != "teamLimit" || last.To != nil {
-		t.Errorf("the newest span is %+v", last)
+	if last := all.Intervals[len(all.Intervals)-1]; last.Kind != "teamLimit" || last.To != nil {
+		t.Errorf("the newest entry is %+v, want a teamLimit that still holds", last)
 	}
 	if ended[gate.Room] == 0 || ended[gate.Limit] == 0 {
-		t.Errorf("ended: %v", ended)
+		t.Errorf("ended intervals by kind are %v, want some of room and of teamLimit", ended)
 	}
-	for i := range mostOver + 10 {
+	for i := range maxFinished + 10 {
 		id := fmt.Sprint("k", i)
 		l.Set(id, []gate.Cause{room}, 2000*loop.Second, true)
-		l.Over(id, 2001*loop.Second, true)
+		l.Finish(id, 2001*loop.Second, true)
 	}
-	if len(l.lines) > mostOver+2 || len(l.Of("k0").Spans) != 0 || len(l.Of(fmt.Sprint("k", mostOver)).Spans) != 1 {
-		t.Errorf("%d timelines are kept of jobs that are over", len(l.lines))
+	if len(l.jobs) > maxFinished+2 || len(l.Get("k0").Intervals) != 0 || len(l.Get(fmt.Sprint("k", maxFinished)).Intervals) != 1 {
+		t.Errorf("%d timelines are kept, want at most mostOver of finished jobs and the newest of them", len(l.jobs))
 	}
 }
 
-// What a wait that has lasted so long has left is told by those that lasted as long.
+// The remaining time of a wait must be estimated from those past waits that lasted at least
+// as long, not from all of them; with too few of these there must be no estimate.
 func TestEstimatesAreConditional(t *testing.T) {
 	w := NewWaits()
-	if w.Left(gate.Room, false, 0) != nil {
-		t.Fatal("nothing is known, and something is told")
+	if w.Remaining(gate.Room, false, 0) != nil {
+		t.Fatal("got an estimate without any recorded wait, want none")
 	}
 	for i := range loop.Micros(200) {
 		w.Add(gate.Room, false, (1+i%10)*loop.Second) // one to ten seconds
 	}
-	young, old := w.Left(gate.Room, false, 0), w.Left(gate.Room, false, 8500*loop.Millisecond)
+	young, old := w.Remaining(gate.Room, false, 0), w.Remaining(gate.Room, false, 8500*loop.Millisecond)
 	if young == nil || old == nil {
-		t.Fatal("no estimate")
+		t.Fatal("got no estimate from 200 recorded waits")
 	}
 	if s := loop.Micros(young.Likely); s < 4*loop.Second || s > 6*loop.Second {
-		t.Errorf("a new wait is likely to last %d us, want about five seconds", s)
+		t.Errorf("the likely duration of a new wait is %d us, want about 5 s", s)
 	}
 	if s := loop.Micros(old.Likely); s > 2*loop.Second || old.Samples >= young.Samples {
-		t.Errorf("after 8.5 of at most 10 s, %d us are left by %d of %d samples", s, old.Samples, young.Samples)
+		t.Errorf("after 8.5 of at most 10 s the likely rest is %d us from %d of %d samples", s, old.Samples, young.Samples)
 	}
-	if w.Left(gate.Room, false, 11*loop.Second) != nil || w.Left(gate.Room, true, 0) != nil {
-		t.Error("no wait lasted as long, or was urgent, and something is told")
+	if w.Remaining(gate.Room, false, 11*loop.Second) != nil || w.Remaining(gate.Room, true, 0) != nil {
+		t.Error("got an estimate though no recorded wait lasted as long, or none was urgent")
 	}
 }
--- a/internal/explain/waits.go
+++ b/internal/explain/waits.go
@@ -9,31 +9,33 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The distributions reach from a hundredth of a second to half a day.
+// Range and precision of the distributions: from 10 ms to 12 h.
 const (
-	unit       = 10 * loop.Millisecond
-	longest    = 12 * 3600 * loop.Second / unit
-	digits     = 2
-	windows    = 2
-	fewSamples = 8 // below this many waits that lasted as long nothing is said
+	resolution      = 10 * loop.Millisecond
+	maxWait         = 12 * 3600 * loop.Second / resolution
+	precisionDigits = 2
+	windows         = 2
+	minSamples      = 8 // fewer waits that lasted as long give no estimate
 )
 
-// rotateAfter is how many waits one window takes in: old ones must not weigh for ever,
-// and a quiet night must not empty them.
+// rotateAfter is the number of waits in one window. Windows are bounded by count so that old
+// waits lose their weight, and not by time so that idle hours do not empty them.
 const rotateAfter = 400
 
-// The quantiles that an estimate tells. Waits change in nature while they last, so these
-// reach further than the nine in ten that they stand for; the worlds say how well.
+// Quantiles of an estimate. The distribution changes while a wait lasts, so these reach
+// further than the eight in ten of the cases that Low and High should enclose; the
+// simulations check how many they do.
 const (
 	lowQuantile, highQuantile = 0.06, 0.94
 )
 
-// spread is by how much an estimate that rests on a single wait would be stretched.
-const spread = 2.0
+// singleWaitStretch is the factor by which the upper bound grows if only one wait is known; it falls
+// with the square root of the number of waits.
+const singleWaitStretch = 2.0
 
-// Waits are distributions of how long causes held, kept by kind and by urgency.
+// Waits holds the distributions of how long causes held, by kind and by urgency.
 type Waits struct {
-	by map[waitKey]*Dist
+	by map[waitKey]*Distribution
 }
 
 type waitKey struct {
@@ -41,56 +43,59 @@
 	urgent bool
 }
 
-// Dist holds the newest waits of one sort.
-type Dist struct {
-	h *hdrhistogram.WindowedHistogram
-	n int // in the newest window
+// Distribution is the distribution of the newest waits of one kind.
+type Distribution struct {
+	histogram *hdrhistogram.WindowedHistogram
+	inWindow  int // waits in the newest window
 }
 
-// NewWaits makes empty distributions; each takes its memory with its first wait.
-func NewWaits() *Waits { return &Waits{by: map[waitKey]*Dist{}} }
+// NewWaits returns empty distributions; each allocates its memory with its first wait.
+func NewWaits() *Waits { return &Waits{by: map[waitKey]*Distribution{}} }
 
-// Add takes in a wait.
-func (d *Dist) Add(took loop.Micros) {
-	if d.n >= rotateAfter {
-		d.n = 0
-		d.h.Rotate()
+// Add records a wait that has ended.
+func (d *Distribution) Add(took loop.Micros) {
+	if d.inWindow >= rotateAfter {
+		d.inWindow = 0
+		d.histogram.Rotate()
 	}
-	d.n++
-	if err := d.h.Current.RecordValue(min(max(took/unit, 1), longest)); err != nil {
-		d.n-- // outside of the bounds, which min and max exclude
+	d.inWindow++
+	if err := d.histogram.Current.RecordValue(min(max(took/resolution, 1), maxWait)); err != nil {
+		d.inWindow-- // out of range, which min and max prevent
 	}
 }
 
-// NewDist makes an empty distribution.
-func NewDist() *Dist { return &Dist{h: hdrhistogram.NewWindowed(windows, 1, longest, digits)} }
+// NewDistribution returns an empty distribution.
+func NewDistribution() *Distribution {
+	return &Distribution{histogram: hdrhistogram.NewWindowed(windows, 1, maxWait, precisionDigits)}
+}
 
-// Add takes in a wait that has ended.
+// Add records a wait of the given kind and urgency that has ended.
 func (w *Waits) Add(k gate.Kind, urgent bool, took loop.Micros) {
 	key := waitKey{k, urgent}
 	d := w.by[key]
 	if d == nil {
-		d = NewDist()
+		d = NewDistribution()
 		w.by[key] = d
 	}
 	d.Add(took)
 }
 
-// Left estimates how much longer a wait lasts that has lasted so long already: by those
-// waits of its sort that lasted as long. It is nil when too few did.
-func (w *Waits) Left(k gate.Kind, urgent bool, elapsed loop.Micros) *Estimate {
+// Remaining estimates the remaining time of a wait that has lasted for elapsed, from the waits of
+// the same kind and urgency that lasted at least as long. It is nil when they are too few.
+func (w *Waits) Remaining(k gate.Kind, urgent bool, elapsed loop.Micros) *Estimate {
 	d := w.by[waitKey{k, urgent}]
 	if d == nil {
 		return nil
 	}
-	return d.Left(elapsed)
+	return d.Remaining(elapsed)
 }
 
-// Left estimates how much longer a wait lasts that has lasted so long already.
-func (d *Dist) Left(elapsed loop.Micros) *Estimate {
-	h := d.h.Merge()
+// Remaining estimates the remaining time of a wait that has lasted for elapsed, or returns nil
+// when too few recorded waits lasted as long.
+func (d *Distribution) Remaining(elapsed loop.Micros) *Estimate {
+	h := d.histogram.Merge()
 	total := h.TotalCount()
-	e := max(elapsed, 0) / unit
+	e := max(elapsed, 0) / resolution
 	var below int64
 	for _, b := range h.Distribution() {
 		if b.To <= e {
@@ -98,16 +103,16 @@
 		}
 	}
 	left := total - below
-	if left < fewSamples {
+	if left < minSamples {
 		return nil
 	}
-	at := func(q float64) Span {
+	at := func(q float64) Duration {
 		v := h.ValueAtPercentile(100 * (float64(below) + q*float64(left)) / float64(total))
-		return Span(max(v*unit-elapsed, 0))
+		return Duration(max(v*resolution-elapsed, 0))
 	}
-	// Waits that have not ended yet are not among these, and are the long ones: the fewer
-	// are known, the further the truth may lie beyond them.
+	// Waits that have not ended yet are missing here and tend to be the long ones: the fewer
+	// waits are known, the further the true upper quantile may lie above them.
 	high := at(highQuantile)
-	high += Span(float64(high) * spread / math.Sqrt(float64(left)))
+	high += Duration(float64(high) * singleWaitStretch / math.Sqrt(float64(left)))
 	return &Estimate{Low: at(lowQuantile), Likely: at(0.5), High: high, Samples: int(left)}
 }
--- a/internal/node/calibration_test.go
+++ b/internal/node/calibration_test.go
@@ -143,7 +143,7 @@
 	ends := map[string]loop.Micros{}
 	for _, label := range a.w.labels {
 		for _, id := range a.ids {
-			for _, s := range a.w.nodes[label].n.more.desk.Lines.Of(id).Spans {
+			for _, s := range a.w.nodes[label].n.more.desk.Timelines.Get(id).Intervals {
 				if s.To != nil {
 					ends[fmt.Sprint(id, s.Kind, s.From)] = loop.Micros(*s.To)
 				}
@@ -156,7 +156,7 @@
 			continue // dropped from the timeline, or stretched by a flap
 		}
 		all[e.kind]++
-		if left := explain.Span(end - e.at); left >= e.e.Low-explain.Span(50*loop.Millisecond) && left <= e.e.High+explain.Span(50*loop.Millisecond) {
+		if left := explain.Duration(end - e.at); left >= e.e.Low-explain.Duration(50*loop.Millisecond) && left <= e.e.High+explain.Duration(50*loop.Millisecond) {
 			in[e.kind]++
 		} else if left > e.e.High {
 			in["above "+e.kind]++
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -21,7 +21,7 @@
 // explaining is what a node has when its operators' file switches /v1/ on.
 type explaining struct {
 	asks *ask.Desk
-	desk *explain.Desk
+	desk *explain.Service
 	api  *api.API
 }
 
@@ -40,7 +40,7 @@
 		o, _ := n.member.TeamOwner(team)
 		return o.Node
 	}
-	x.desk = explain.NewDesk(l, explain.Node{
+	x.desk = explain.NewService(l, explain.Dependencies{
 		Label: n.cfg.Label,
 		Poll:  n.jobs.Poll,
 		Job:   n.jobs.Get,
@@ -93,9 +93,9 @@
 	}
 	for _, p := range all {
 		if j := n.jobs.Get(p.Job); p.Waits && j != nil && !j.Final() {
-			n.more.desk.Lines.Set(p.Job, p.Causes, p.At, own)
+			n.more.desk.Timelines.Set(p.Job, p.Causes, p.At, own)
 			if own {
-				n.more.desk.Lines.Dated(p.Job, p.Causes) // for the peers, whom this goes to next
+				n.more.desk.Timelines.SetSince(p.Job, p.Causes) // for the peers, whom this goes to next
 			}
 		}
 	}
@@ -117,10 +117,10 @@
 		if !j.Final() && j.Spec != nil && free[j.Spec.Team] {
 			c := n.progress[j.ID]
 			// What was told last holds as far as anybody knows: the next owner goes on with it.
-			last := n.more.desk.Lines.Causes(j.ID)
+			last := n.more.desk.Timelines.Causes(j.ID)
 			causes := slices.DeleteFunc(slices.Clone(last), func(c gate.Cause) bool { return c.Kind == gate.NoOwner })
 			causes = append(causes, gate.Cause{Kind: gate.NoOwner, Tasks: j.Tasks - int(c.Done+c.Running)})
-			n.more.desk.Lines.Set(j.ID, causes, wall, false)
+			n.more.desk.Timelines.Set(j.ID, causes, wall, false)
 		}
 	})
 }
@@ -164,7 +164,7 @@
 	now, wall := n.loop.Now(), n.loop.Wall()
 	n.placer.Places(func(p *gate.Place, after loop.Micros) {
 		v := p.V
-		m := api.Machine{Name: v.Name, Type: v.Type, Zone: v.Zone, Kind: explain.Kind(v.Spot), ReportsTo: v.Host, Shut: []string{}}
+		m := api.Machine{Name: v.Name, Type: v.Type, Zone: v.Zone, Kind: explain.MachineKind(v.Spot), ReportsTo: v.Host, Shut: []string{}}
 		for i := range v.Tasks {
 			if v.Tasks[i].Active() {
 				m.Tasks++
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -206,8 +206,8 @@
 			}
 			return false
 		},
-		Entitled: n.member.Entitled,
-		Isolated: func() bool { return n.reach.Isolated() && !n.member.AllAlone() },
+		Entitled: n.member.LeaseValid,
+		Isolated: func() bool { return n.reach.Isolated() && !n.member.AllIsolated() },
 		Faulty:   n.placer.Faulty,
 		Meter:    n.meter,
 		Cordoned: func(typ, zone string, spot bool) bool {
@@ -224,13 +224,13 @@
 			delete(n.progress, j.ID)
 			if n.more != nil {
 				own := j.Spec != nil && n.placer.Owns(j.Spec.Team)
-				n.more.desk.Lines.Over(j.ID, l.Wall(), own)
+				n.more.desk.Timelines.Finish(j.ID, l.Wall(), own)
 			}
 		}
 		n.placer.Job(j)
 	}
 	n.member.Isolated = n.reach.Isolated
-	n.member.Fit, n.member.Broken = n.reach.Fit, n.reach.Broken
+	n.member.Fit, n.member.PartlyDisconnected = n.reach.Fit, n.reach.Broken
 	n.member.Weight = n.placer.InUse
 	n.member.OnOwned = n.placer.Owned
 	n.member.OnAssigned = n.placer.Assigned
@@ -292,9 +292,9 @@
 	n.reach.Look()
 	n.isolate()
 	if n.mirror.Ready() {
-		n.client.Use(admission.Part(n.member.Nodes(), n.cfg.Cluster.Nodes, n.member.Entitled()))
+		n.client.Use(admission.Part(n.member.RegisteredCount(), n.cfg.Cluster.Nodes, n.member.LeaseValid()))
 	}
-	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.contact() && n.member.Entitled(), Hosted: n.agent.Hosted(), Hears: []string{}}
+	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.contact() && n.member.LeaseValid(), Hosted: n.agent.Hosted(), Hears: []string{}}
 	for _, label := range n.net.Peers() {
 		if n.reach.Heard(label, reach.Fresh) {
 			s.Hears = append(s.Hears, label)
--- a/internal/node/why_test.go
+++ b/internal/node/why_test.go
@@ -242,7 +242,7 @@
 	c.held.Store(false)
 	c.until("everything is full", func() bool { return c.why("job-000001").Running == 16 })
 	full := c.why("job-000001")
-	if len(full.Reasons) != 0 || full.Standing != "running" || !full.Complete {
+	if len(full.Reasons) != 0 || full.Status != "running" || !full.Complete {
 		t.Errorf("a job that runs is explained by %s", reasonsOf(full))
 	}
 	var kinds []string
@@ -261,7 +261,7 @@
 			lacks += g.Lacks["cpus"]
 		}
 		s := r.Detail.Renting
-		return r.Tasks == 1 && r.Detail.Machines.Looked == 4 && lacks == 4 && s != nil && s.State == "refused" && len(s.Refused) == 4
+		return r.Tasks == 1 && r.Detail.Machines.Examined == 4 && lacks == 4 && s != nil && s.State == "refused" && len(s.Refused) == 4
 	})
 	// Beyond the team's limit, and behind the job before.
 	c.must(201, 1, "POST", "/v1/jobs", proposal(3, "red", 5), nil)
@@ -331,11 +331,11 @@
 			case "backOff", "probe":
 				// It is broken by three machines, of which fewer may be left here by now.
 				x := r.Detail.Failures
-				if (x.Judged == "broken") != (x.Machines >= 3) || x.Judged != "broken" && x.Judged != "doubted" {
-					t.Errorf("by %d machines it is judged %s", x.Machines, x.Judged)
+				if (x.Verdict == "broken") != (x.Machines >= 3) || x.Verdict != "broken" && x.Verdict != "doubted" {
+					t.Errorf("by %d machines it is judged %s", x.Machines, x.Verdict)
 				}
 				if r.Kind == "backOff" {
-					return x.InARow >= 2 && r.Until != nil && r.Estimate != nil
+					return x.Consecutive >= 2 && r.Until != nil && r.Estimate != nil
 				}
 			}
 		}
@@ -352,7 +352,7 @@
 		}
 	}
 	c.reason("job-000009", "unproven", func(_ *explain.Answer, r *explain.Reason) bool {
-		return r.State == "silent" && len(r.Detail.On) == 1 && r.Detail.On[0].Settles != ""
+		return r.State == "silent" && len(r.Detail.On) == 1 && r.Detail.On[0].ConfirmedBy != ""
 	})
 
 	t.Run("holds survive an owner", func(t *testing.T) {
@@ -383,7 +383,7 @@
 			return code == 200 && a.Complete && a.Owner != owner && len(a.Timeline) > 0 && strings.Contains(reasonsOf(&a), "hold/held:1")
 		})
 		// The peers followed the timeline, so that the hold did not begin anew.
-		if i := slices.IndexFunc(a.Timeline, func(s explain.Stretch) bool { return s.Kind == "hold" }); i < 0 || a.Timeline[i].From != before[0].From {
+		if i := slices.IndexFunc(a.Timeline, func(s explain.Interval) bool { return s.Kind == "hold" }); i < 0 || a.Timeline[i].From != before[0].From {
 			t.Errorf("the timeline was %v, and is %v at the next owner", before, a.Timeline)
 		}
 	})
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -29,12 +29,12 @@
 	now := p.r.Now()
 	t := tm.jobs[id]
 	if t == nil { // it is over, or was received only just now
-		return &explain.Facts{Job: j, Gate: gate.Job{Spec: j.Spec, Hold: &j.Terms.Hold}, Need: gate.Need{ID: id, Spec: j.Spec, Tasks: j.Tasks}, Team: tm.cfg, Contact: contact, Sure: true,
+		return &explain.Facts{Job: j, Gate: gate.Job{Spec: j.Spec, Hold: &j.Terms.Hold}, Need: gate.Need{ID: id, Spec: j.Spec, Tasks: j.Tasks}, Team: tm.cfg, StateContact: contact, AheadComplete: true,
 			Now: now, Wall: p.r.Wall()}, true
 	}
 	p.fleet.Refresh()
-	f = &explain.Facts{Job: j, Gate: p.facts(t), Need: t.need(), Team: tm.cfg, Contact: contact, Sure: true, Now: now, Wall: p.r.Wall(),
-		After: now - p.staleAfter(), Running: t.running, Done: t.completed}
+	f = &explain.Facts{Job: j, Gate: p.facts(t), Need: t.need(), Team: tm.cfg, StateContact: contact, AheadComplete: true, Now: now, Wall: p.r.Wall(),
+		ReportedAfter: now - p.staleAfter(), Running: t.running, Done: t.completed}
 	f.Gate.Now, f.Gate.Wall = f.Now, f.Wall
 	if n := f.Gate.Waiting; n > 0 && !j.Final() {
 		f.Places = make([]*gate.Place, len(p.fleet.All()))
@@ -43,11 +43,11 @@
 		}
 		f.Fits = p.fleet.CountFitting(t.need(), n, p.fleet.All())
 		f.FitsAll = p.trialUncordoned(t, n)
-		f.Barred, f.Cordons = p.barring(j.Spec, types)
+		f.AllCordoned, f.Cordons = p.barring(j.Spec, types)
 		p.ahead(f, t, types)
 	}
-	f.Flights = p.flights(t, f.After)
-	f.Stopped, f.Held = t.stopped, p.fleet.ReservationCount(t.j.ID)
+	f.InFlight = p.flights(t, f.ReportedAfter)
+	f.PreemptedFor, f.Reserved = t.stopped, p.fleet.ReservationCount(t.j.ID)
 	return f, true
 }
 
@@ -99,13 +99,13 @@
 }
 
 // flights groups the tasks that are neither waiting nor running by machine and state.
-func (p *Placer) flights(t *table, after loop.Micros) []explain.Flight {
+func (p *Placer) flights(t *table, after loop.Micros) []explain.InFlight {
 	type key struct {
 		kind    gate.Kind
 		state   string
 		machine string
 	}
-	groups := map[key]*explain.Flight{}
+	groups := map[key]*explain.InFlight{}
 	now, wall := p.r.Now(), p.r.Wall()
 	t.each(func(i int, x *task) {
 		if !x.inUse() {
@@ -118,15 +118,15 @@
 		at := key{k, state, x.machine}
 		g := groups[at]
 		if g == nil {
-			g = &explain.Flight{Kind: k, State: state, Machine: x.machine}
+			g = &explain.InFlight{Kind: k, State: state, Machine: x.machine}
 			switch {
 			case k == gate.Saving:
-				g.For = t.stopped[x.machine]
+				g.PreemptedFor = t.stopped[x.machine]
 			case state == "absent":
 				left := loop.Duration(max(p.clock.LatestArrival(x.expiry)-wall, 0))
-				g.Settles = fmt.Sprintf("a new session of its worker, the machine's deletion, or a task list made more than %v from now that its host controller confirms", left)
+				g.ConfirmedBy = fmt.Sprintf("a new session of its worker, the machine's deletion, or a task list made more than %v from now that its host controller confirms", left)
 			case k == gate.Unproven:
-				g.Settles = "a report of the machine, or its deletion by the cloud"
+				g.ConfirmedBy = "a report of the machine, or its deletion by the cloud"
 			}
 			groups[at] = g
 		}
@@ -137,11 +137,11 @@
 			}
 		}
 	})
-	out := make([]explain.Flight, 0, len(groups))
+	out := make([]explain.InFlight, 0, len(groups))
 	for _, g := range groups {
 		out = append(out, *g)
 	}
-	slices.SortFunc(out, func(a, b explain.Flight) int {
+	slices.SortFunc(out, func(a, b explain.InFlight) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Machine, b.Machine), cmp.Compare(a.State, b.State))
 	})
 	return out
--- a/internal/placer/quota_test.go
+++ b/internal/placer/quota_test.go
@@ -64,7 +64,7 @@
 			}
 			f, _ := g.p.Facts(id, []wire.MachineType{types["m16"]}, true)
 			limited := 0
-			for _, r := range explain.Judge(f) {
+			for _, r := range explain.Reasons(f) {
 				if r.Kind == "teamLimit" {
 					limited = r.Tasks
 				}
@@ -93,7 +93,7 @@
 				t.Errorf("%d tasks of others are preempted", len(claims))
 			}
 			f, _ = g.p.Facts(id, []wire.MachineType{types["m16"]}, true)
-			for _, r := range explain.Judge(f) {
+			for _, r := range explain.Reasons(f) {
 				if r.Kind != "room" {
 					continue
 				}
--- a/internal/placer/rivals.go
+++ b/internal/placer/rivals.go
@@ -88,11 +88,11 @@
 func (p *Placer) ahead(f *explain.Facts, t *table, types []wire.MachineType) {
 	n := f.Gate.Waiting
 	limited := f.Gate.Passes(gate.Limit) < n
-	short := n - f.FitsAll                                   // single-task units of capacity that must become free
-	lifted := f.FitsAll > f.Fits || (f.Barred && f.Fits < n) // one of its reasons is a cordon
+	short := n - f.FitsAll                                        // single-task units of capacity that must become free
+	lifted := f.FitsAll > f.Fits || (f.AllCordoned && f.Fits < n) // one of its reasons is a cordon
 	q, within := p.lineWith(t)
 	self := entryOf{t, within, t.turn()}
-	if f.Within = within; short == 0 && !limited && !lifted {
+	if f.WithinGuarantee = within; short == 0 && !limited && !lifted {
 		return // there is capacity that the jobs before it cannot use
 	}
 	all := p.rivals(q, &self, limited, lifted, short, types)
@@ -106,7 +106,7 @@
 	// If the team's limit or a cordon stopped blocking this job, it might stop blocking others, too. Those would be
 	// served first from the capacity that is free now.
 	if limited || lifted {
-		f.Sure = len(all) <= mostBefore
+		f.AheadComplete = len(all) <= mostBefore
 		a, b := p.behind(f, t, all[:min(len(all), mostBefore)], limited, lifted, short)
 		// The result then depends on which machine takes which task, so it is not certain.
 		f.Behind, f.Exact = min(a, b), false
@@ -132,7 +132,7 @@
 	}
 	for _, r := range append(all, p.promoted(q, &self, all, types)...) {
 		if r.takes || r.may || r.n < r.most {
-			f.Ahead = append(f.Ahead, explain.Ahead{Job: r.t.j.ID, Team: r.t.team.cfg.Name, Priority: explain.PriorityName(r.t.j.Spec.Priority),
+			f.Ahead = append(f.Ahead, explain.JobAhead{Job: r.t.j.ID, Team: r.t.team.cfg.Name, Priority: explain.PriorityName(r.t.j.Spec.Priority),
 				Tasks: r.most, CPUs: float64(r.most) * r.t.j.Spec.CPUs})
 		}
 	}
--- a/internal/placer/starvation_test.go
+++ b/internal/placer/starvation_test.go
@@ -54,7 +54,7 @@
 	if g.p.fleet.ReservationCount(whole) != 1 || len(other.Claims) != 1 {
 		t.Fatalf("capacity reserved for %d tasks, reservations %+v, want one", g.p.fleet.ReservationCount(whole), other.Claims)
 	}
-	if f, ok := g.p.Facts(whole, nil, true); !ok || f.Held != 1 {
+	if f, ok := g.p.Facts(whole, nil, true); !ok || f.Reserved != 1 {
 		t.Errorf("the facts for an explanation are %+v, want one reservation", f)
 	}
 	for k := 0; !began() && k < 40; k++ { // the small tasks complete, and none takes their place
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -125,7 +125,7 @@
 }
 
 func (g *scene) addMachine(name, typ, zone string, spot bool, cpus, memory float64) {
-	g.kind[name] = [3]string{typ, zone, explain.Kind(spot)}
+	g.kind[name] = [3]string{typ, zone, explain.MachineKind(spot)}
 	if cpus > 0 || memory > 0 {
 		g.fill++
 		id := g.job(500+g.fill, job.Spec{Class: "f", Team: "green", Tasks: 1, CPUs: cpus, MemoryGB: memory, Image: "f", AnyType: true})
@@ -424,7 +424,7 @@
 	if !ok {
 		return nil, false
 	}
-	return explain.Judge(f), f.Sure
+	return explain.Reasons(f), f.AheadComplete
 }
 
 // Each stated reason blocks its tasks by itself, and together the reasons are complete: with all reasons but one
@@ -618,10 +618,10 @@
 			g.Run(c.wait + 50*loop.Millisecond)
 			f, _ := g.p.Facts(id, nil, true)
 			switch {
-			case c.kind == 0 && len(f.Flights) != 0:
-				t.Fatalf("reported %+v for a running task", f.Flights)
-			case c.kind != 0 && (len(f.Flights) != 1 || f.Flights[0].Kind != c.kind || f.Flights[0].State != c.state):
-				t.Fatalf("reported %+v, want %v %s", f.Flights, c.kind, c.state)
+			case c.kind == 0 && len(f.InFlight) != 0:
+				t.Fatalf("reported %+v for a running task", f.InFlight)
+			case c.kind != 0 && (len(f.InFlight) != 1 || f.InFlight[0].Kind != c.kind || f.InFlight[0].State != c.state):
+				t.Fatalf("reported %+v, want %v %s", f.InFlight, c.kind, c.state)
 			}
 		})
 	}
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -133,10 +133,10 @@
 	losses   *loss.Judge
 	byOrder  []*machine // by name; nil: to be rebuilt
 	rand     *rand.Rand
-	deleting map[string]*machine // the machines in state Deleting
-	streak   int                 // orders sent since idle machines were last deleted
-	boots    *explain.Dist       // boot times, in units of the types' nominal boot times
-	deleted  map[string][]string // names of deleted machines, by key of their record
+	deleting map[string]*machine   // the machines in state Deleting
+	streak   int                   // orders sent since idle machines were last deleted
+	boots    *explain.Distribution // boot times, in units of the types' nominal boot times
+	deleted  map[string][]string   // names of deleted machines, by key of their record
 	// OnGone is called once for every machine that is known to be deleted.
 	OnGone func(string)
 }
@@ -145,7 +145,7 @@
 // controller.
 func New(r loop.Runner, log *slog.Logger, cfg *config.Config, c *store.Client, m *store.Mirror, cloud store.Doer, a *agent.Agent, n Node) *Rental {
 	t := &Rental{r: r, log: log, cfg: cfg, c: c, m: m, cloud: cloud, agent: a, n: n, byName: map[string]wire.MachineType{}, rand: loop.Rand(r),
-		tallies: map[string]peer.Tally{}, darkAt: map[string]loop.Micros{}, tallyAt: map[string]loop.Micros{}, deleted: map[string][]string{}, boots: explain.NewDist()}
+		tallies: map[string]peer.Tally{}, darkAt: map[string]loop.Micros{}, tallyAt: map[string]loop.Micros{}, deleted: map[string][]string{}, boots: explain.NewDistribution()}
 	w := cfg.Cluster.Workers
 	t.losses = loss.New(loss.Rules{Report: loop.Seconds(w.ReportS), Lease: loop.Seconds(w.LeaseS), Out: outOfSight,
 		Most: loop.Seconds(cfg.Operator.SilentDeleteS), Probes: max(min(64, cfg.Cluster.Limits.MaxSockets/20), 4)}, log, n.Meter, t.probe)
--- a/internal/rental/supply.go
+++ b/internal/rental/supply.go
@@ -24,7 +24,7 @@
 	serves := func(o offer) bool { return t.takes(o, s) && !t.cordoned(o) }
 	for _, w := range t.wants() {
 		if w.CPUs == s.CPUs && w.GPUs == s.GPUs && w.MemoryGB == s.MemoryGB && w.Zone == s.Zone && w.Spot == s.Spot && slices.Equal(w.Types, s.Types) {
-			out.Missed += w.Count
+			out.Unplaced += w.Count
 		}
 	}
 	for of := range t.all() {
@@ -34,12 +34,12 @@
 		out.Offers++
 		if b := t.offers[of]; b != nil && now < b.until && len(out.Refused) < mostOffers {
 			until := explain.Time(wall + b.until - now)
-			out.Refused = append(out.Refused, explain.Offer{Type: of.typ, Zone: of.zone, Kind: explain.Kind(of.spot), Until: &until})
+			out.Refused = append(out.Refused, explain.Offer{Type: of.typ, Zone: of.zone, Kind: explain.MachineKind(of.spot), Until: &until})
 		}
 	}
 	for _, o := range t.orders {
 		if !o.o.Answered && !o.refused && serves(offer{o.o.Type, o.o.Zone, o.o.Spot}) && len(out.Ordered) < mostOffers {
-			out.Ordered = append(out.Ordered, explain.Offer{Type: o.o.Type, Zone: o.o.Zone, Kind: explain.Kind(o.o.Spot), Count: o.o.Count})
+			out.Ordered = append(out.Ordered, explain.Offer{Type: o.o.Type, Zone: o.o.Zone, Kind: explain.MachineKind(o.o.Spot), Count: o.o.Count})
 		}
 	}
 	t.supplyBoots(&out, serves)
@@ -50,7 +50,7 @@
 		out.State = "ordered"
 	case out.Offers > 0 && len(out.Refused) == out.Offers:
 		out.State = "refused"
-	case out.Offers > 0 && out.Missed > 0:
+	case out.Offers > 0 && out.Unplaced > 0:
 		out.State = "requested"
 	case out.Offers > 0:
 		out.State = "notAsked" // machines are not rented for requests that fit into free capacity
@@ -72,16 +72,16 @@
 			if len(by) >= mostOffers {
 				continue
 			}
-			b = &explain.Booting{Offer: explain.Offer{Type: m.typ, Zone: m.zone, Kind: explain.Kind(m.spot)}, Nominal: explain.Span(loop.Seconds(t.byName[m.typ].BootS))}
+			b = &explain.Booting{Offer: explain.Offer{Type: m.typ, Zone: m.zone, Kind: explain.MachineKind(m.spot)}, Nominal: explain.Duration(loop.Seconds(t.byName[m.typ].BootS))}
 			by[of] = b
 		}
 		b.Count++
-		b.Age = max(b.Age, explain.Span(now-m.since))
+		b.Age = max(b.Age, explain.Duration(now-m.since))
 	}
 	for _, b := range by {
 		out.Booting = append(out.Booting, *b)
 		nominal := t.byName[b.Type].BootS
-		if e := t.boots.Left(loop.Micros(float64(b.Age) / max(nominal, 0.001))); e != nil {
+		if e := t.boots.Remaining(loop.Micros(float64(b.Age) / max(nominal, 0.001))); e != nil {
 			e.Low, e.Likely, e.High = scale(e.Low, nominal), scale(e.Likely, nominal), scale(e.High, nominal)
 			if out.Estimate == nil || e.Likely < out.Estimate.Likely {
 				out.Estimate = e
@@ -93,4 +93,4 @@
 	})
 }
 
-func scale(s explain.Span, by float64) explain.Span { return explain.Span(float64(s) * by) }
+func scale(s explain.Duration, by float64) explain.Duration { return explain.Duration(float64(s) * by) }
