--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -18,19 +18,20 @@
 	"cleatpick/internal/wire"
 )
 
-// explaining is what a node has when its operators' file switches /v1/ on.
+// explaining holds what a controller needs for /v1/; it exists only if the operators' settings enable /v1/.
 type explaining struct {
 	asks *ask.Desk
 	desk *explain.Desk
 	api  *api.API
 }
 
-// topicUnseen asks an owner how many starts may still begin behind a cordon.
+// topicUnseen is the topic of a question to an owner: how many starts may still take effect on machines that a
+// cordon blocks.
 const topicUnseen = "unseen"
 
 const unseenPatience = 700 * loop.Millisecond
 
-// explain wires what tells why jobs wait, and /v1/ on top of it.
+// explain sets up the explanations of why jobs wait, and /v1/, which serves them.
 func (n *Node) explain() {
 	l := n.loop
 	x := &explaining{}
@@ -78,7 +79,8 @@
 	loop.Every(l, loop.Second, n.noteUnowned)
 }
 
-// counts are a job's counts, of its owner's word where it is owned elsewhere.
+// counts returns a job's task counts: its own for a job that this controller owns, and otherwise those that the
+// owner sent last.
 func (n *Node) counts(j *job.Job) job.Counts {
 	if c, ok := n.placer.Counts(j); ok {
 		return c
@@ -86,7 +88,7 @@
 	return n.progress[j.ID]
 }
 
-// told follows the causes that an owner tells of.
+// told records the causes of waiting that an owner reported.
 func (n *Node) told(all []peer.Progress, own bool) {
 	if n.more == nil {
 		return
@@ -95,13 +97,13 @@
 		if j := n.jobs.Get(p.Job); p.Waits && j != nil && !j.Final() {
 			n.more.desk.Lines.Set(p.Job, p.Causes, p.At, own)
 			if own {
-				n.more.desk.Lines.Dated(p.Job, p.Causes) // for the peers, whom this goes to next
+				n.more.desk.Lines.Dated(p.Job, p.Causes) // the same values are sent to the peers next
 			}
 		}
 	}
 }
 
-// noteUnowned follows the waits of jobs whose team nobody owns.
+// noteUnowned adds the cause "no owner" to the unfinished jobs of teams that no controller owns.
 func (n *Node) noteUnowned() {
 	free := map[string]bool{}
 	for _, t := range n.cfg.Cluster.Teams {
@@ -116,7 +118,7 @@
 	n.jobs.Each(func(j *job.Job) {
 		if !j.Final() && j.Spec != nil && free[j.Spec.Team] {
 			c := n.progress[j.ID]
-			// What was told last holds as far as anybody knows: the next owner goes on with it.
+			// The causes that were reported last are kept: the next owner continues from them.
 			last := n.more.desk.Lines.Causes(j.ID)
 			causes := slices.DeleteFunc(slices.Clone(last), func(c gate.Cause) bool { return c.Kind == gate.NoOwner })
 			causes = append(causes, gate.Cause{Kind: gate.NoOwner, Tasks: j.Tasks - int(c.Done+c.Running)})
@@ -125,7 +127,7 @@
 	})
 }
 
-// unheard names the owners whose word may be old.
+// unheard describes the owners whose reported data may be outdated, and the teams without an owner.
 func (n *Node) unheard() (out []string) {
 	for _, t := range n.cfg.Cluster.Teams {
 		o, ok := n.member.TeamOwner(t.Name)
@@ -134,21 +136,21 @@
 		} else if o.Node != n.cfg.Label {
 			switch n.reach.State(o.Node) {
 			case reach.Silent:
-				out = append(out, "the owner "+o.Node+" of the team "+t.Name+" is silent; others take the team over once its lease is over")
+				out = append(out, "the owner "+o.Node+" of the team "+t.Name+" is unreachable; other controllers take the team over when its lease expires")
 			case reach.OneWay:
-				out = append(out, "the owner "+o.Node+" of the team "+t.Name+" does not hear this node")
+				out = append(out, "the owner "+o.Node+" of the team "+t.Name+" receives no messages from this controller")
 			}
 		}
 	}
 	return out
 }
 
-// damped names the nodes that are there and get no work yet, since they came and went.
+// damped describes the peers that are reachable and get no work yet, because their connection flapped.
 func (n *Node) damped() string {
 	var out []string
 	for _, label := range n.net.Peers() {
 		if d := n.reach.Damped(label); d > 0 {
-			out = append(out, fmt.Sprintf("%s gets no work for another %d s, since it came and went", label, (d+loop.Second-1)/loop.Second))
+			out = append(out, fmt.Sprintf("%s gets no work for another %d s, because its connection flapped", label, (d+loop.Second-1)/loop.Second))
 		}
 	}
 	if len(out) == 0 {
@@ -158,7 +160,7 @@
 	return " (" + strings.Join(out, "; ") + ")"
 }
 
-// machines lists all machines heard, by name.
+// machines lists all machines whose reports arrive, sorted by name.
 func (n *Node) machines() []api.Machine {
 	var out []api.Machine
 	now, wall := n.loop.Now(), n.loop.Wall()
@@ -191,7 +193,8 @@
 	return out
 }
 
-// unseen asks every owner how many starts may still begin behind a cordon.
+// unseen asks every owner how many starts may still take effect on machines that the named cordon blocks. It calls
+// cb with the sum; ok is false if a team has no owner or an owner did not answer.
 func (n *Node) unseen(name string, cb func(starts int, ok bool)) {
 	owners := map[string]bool{}
 	sure := true
--- a/internal/node/fitness.go
+++ b/internal/node/fitness.go
@@ -8,13 +8,14 @@
 	"cleatpick/internal/peer"
 )
 
+// contactAge is how old the last answer of the state service may be for this controller to count as connected to it.
 const contactAge = 2500 * loop.Millisecond
 
-// contact tells whether the state service answers this node.
+// contact reports whether the state service answers this controller.
 func (n *Node) contact() bool { return n.client.Healthy(contactAge) }
 
-// freshPeer tells what a peer said of itself within the last moments; held-back
-// words are told by their time of day.
+// freshPeer returns the newest status of a peer, and whether it is recent. A message that was delayed on its way is
+// detected by the wall clock time it carries.
 func (n *Node) freshPeer(label string) (peer.Status, bool) {
 	k := n.net.Known(label)
 	age := n.loop.Now() - k.Heard
@@ -23,11 +24,11 @@
 	return k.Status, k.Heard != 0 && age < 2500*loop.Millisecond && late < 3*loop.Second+off
 }
 
-// mayStart: without state contact no new start is made, since a cancellation
-// may have been told meanwhile.
+// mayStart reports whether new tasks may be started. Without contact to the state service none are, since another
+// controller may have confirmed a cancellation in the meantime.
 func (n *Node) mayStart() bool { return n.member.Entitled() && n.contact() }
 
-// barred tells why a start that was taken on must not reach its machine any more.
+// barred returns why a start that was already accepted must no longer be sent to its machine; empty: it may be sent.
 func (n *Node) barred(j *job.Job, v *agent.View) string {
 	switch {
 	case j.Terms.Hold.State != job.HoldNone && j.Terms.Hold.Shut(n.loop.Wall()):
@@ -38,8 +39,8 @@
 	return ""
 }
 
-// mayAnswer tells whether reports may be answered, else where to send the worker. Each answer
-// holds a lease, so how far the knowledge of cancellations reaches decides, and nothing else.
+// mayAnswer reports whether workers' reports may be answered, and otherwise which peer the worker should report to.
+// Each answer renews a worker's lease, so the only criterion is how recent the cancellation watermark is.
 func (n *Node) mayAnswer() (bool, string) {
 	if n.member.Epoch() == 0 {
 		return false, n.coach()
@@ -55,8 +56,9 @@
 	return true, ""
 }
 
-// coach names a peer that has state contact: one that is trusted, if there is any. The
-// others too would do, but all workers would follow one that comes and goes.
+// coach returns a peer that has contact to the state service, preferring one that reachability counts as stable, and
+// then the one with the fewest workers; empty: there is none. An unstable peer is only the last choice, because all
+// workers would move to it and back each time its connection flaps.
 func (n *Node) coach() string {
 	best, least, trusted := "", 0, false
 	for _, label := range n.net.Peers() {
@@ -71,13 +73,13 @@
 	return best
 }
 
-// ready tells whether users' requests can be decided here.
+// ready reports whether users' requests can be decided here.
 func (n *Node) ready() bool {
 	return n.mirror.Ready() && (n.contact() || !n.client.Failing())
 }
 
-// healthy: a node that alone has lost the state service sends its users to the
-// others; when nobody has it, they stay and are told to come back.
+// healthy reports whether users should be routed to this controller. One that alone has lost the state service is
+// unhealthy, so that its users go to the others. If no controller has contact, users stay and are deferred.
 func (n *Node) healthy() bool {
 	if !n.mirror.Ready() || !n.rental.Asked() {
 		return false
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,8 @@
-// Package node wires the slices of one controller together.
+// Package node assembles one controller from its parts: state service client, membership, jobs, scheduler,
+// workers' registry, autoscaler, messages to peers and the HTTP interfaces. It decides what needs several of
+// them: whether reports may be answered, where a worker that may not be answered should report instead, and
+// whether users' requests can be decided here. Everything else is left to the packages that it connects.
+// All of a controller's state is handled on one event loop.
 package node
 
 import (
@@ -53,21 +57,22 @@
 	meter    *metric.Meter // nil while /v1/ is off
 	more     *explaining   // nil while /v1/ is off
 	began    loop.Micros
-	isolated loop.Micros // since when no peer is heard; 0: one is
+	isolated loop.Micros // since when no peer is reachable; 0: at least one is
 }
 
-// Outside is what a node reaches beyond itself; tests put stand-ins here.
+// Outside holds the services that a controller depends on; tests supply fakes.
 type Outside struct {
 	Loop    loop.Runner
 	State   store.Doer
 	Watch   store.Doer
 	Cloud   store.Doer
+	// Workers sends a request to a worker's address; it blocks until the answer or the timeout.
 	Workers func(addr, method, path string, body []byte, timeout time.Duration) store.Response
-	// Probe asks a silent worker whether it is there; it blocks.
+	// Probe asks a worker whose reports stopped whether it is alive; it blocks.
 	Probe func(addr string) loss.Word
 }
 
-// New wires a node to the real outside; Run works it.
+// New returns a controller connected to the real services; Run runs it.
 func New(cfg *config.Config, log *slog.Logger) *Node {
 	socks := &sockets{most: cfg.Cluster.Limits.MaxSockets}
 	workers := &fasthttp.Client{
@@ -99,7 +104,7 @@
 	return n
 }
 
-// Wire wires a node to a given outside.
+// Wire returns a controller connected to the given services.
 func Wire(cfg *config.Config, log *slog.Logger, out Outside) *Node {
 	n := &Node{cfg: cfg, log: log, loop: out.Loop, out: out, progress: map[string]job.Counts{}}
 	l := n.loop
@@ -267,7 +272,7 @@
 	return n
 }
 
-// v1 is the handler of /v1/, nil while that is off.
+// v1 returns the handler of /v1/; nil if /v1/ is disabled.
 func (n *Node) v1() fasthttp.RequestHandler {
 	if n.more == nil {
 		return nil
@@ -275,7 +280,7 @@
 	return n.more.api.Handle
 }
 
-// at does something here, if the named node is this one, or tells that node of it.
+// at calls here if label names this controller, and otherwise adds to the next message to that peer.
 func (n *Node) at(label string, here func(), there func(*peer.Envelope)) {
 	if label == n.cfg.Label {
 		here()
@@ -308,14 +313,14 @@
 	}
 }
 
-// Begin starts the slices, on the loop.
+// Begin starts the controller's parts; it is called on the event loop.
 func (n *Node) Begin() {
 	n.member.Start()
 	n.mirror.Start()
 	loop.Every(n.loop, 700*loop.Millisecond, n.status)
 }
 
-// Run listens and works until the context ends.
+// Run serves users, workers and peers until the context ends.
 func (n *Node) Run(ctx context.Context) error {
 	users, err := net.Listen("tcp4", n.cfg.ClientListen)
 	if err != nil {
--- a/internal/node/overlook.go
+++ b/internal/node/overlook.go
@@ -6,8 +6,9 @@
 	"cleatpick/internal/store"
 )
 
-// overlook wires the judge of how far this node's knowledge of cancellations reaches to what
-// moves it: the mirror, the peers, and every way in which a cancellation is learnt here.
+// overlook sets up the cancellation watermark, the latest time up to which this controller knows all cancellations,
+// and connects it to everything that advances it: the mirror of the state service, messages of peers, and every way
+// in which this controller learns of a cancellation.
 func (n *Node) overlook() {
 	w := &n.cfg.Cluster.Workers
 	grace := horizon.Grace(loop.Seconds(w.LeaseS), loop.Seconds(w.CancelS))
@@ -17,7 +18,7 @@
 	n.horizon.Take = func(o horizon.Over) bool { return n.jobs.LearnWithdrawn(o.Job, o.Mark) }
 	n.horizon.Dropped = func(string, string) { n.meter.HorizonWord() }
 	if grace < 2*contactAge {
-		n.log.Warn("cluster.workers.cancel_s is so close to cluster.workers.lease_s that work outlives hardly any outage of the state service",
+		n.log.Warn("cluster.workers.cancel_s barely exceeds cluster.workers.lease_s; running tasks survive only very short outages of the state service",
 			"cancel_s", w.CancelS, "lease_s", w.LeaseS, "left_us", grace)
 	}
 }
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -12,14 +12,14 @@
 	"github.com/valyala/fasthttp"
 )
 
-// How long a probe waits for a connection, and then for an answer.
+// Timeouts of a probe: first for the connection, then for the answer.
 const (
 	probeConnect = time.Second
 	probeAnswer  = time.Second
 )
 
-// probe asks a machine whether it is there, over a connection of its own: one that is
-// left from before cannot tell a machine without power from one that hangs.
+// probe asks a machine whether it is alive, over a new connection: an existing one cannot tell a machine without
+// power from one that hangs.
 func probe(addr string) loss.Word {
 	conn, err := fasthttp.DialTimeout(addr, probeConnect)
 	switch {
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -6,7 +6,7 @@
 	"cleatpick/internal/reach"
 )
 
-// receive takes in a frame of a peer.
+// receive applies a message of a peer.
 func (n *Node) receive(e *peer.Envelope) {
 	if s := e.Status; s != nil {
 		n.reach.Hear(e.From, reach.Word{Wall: s.Wall, Contact: s.Contact, Hears: s.Hears})
@@ -54,8 +54,8 @@
 	n.placer.LearnClaims(e.Claims)
 }
 
-// deltas takes in how machines have changed at a peer, and asks for what cannot be told
-// by that here.
+// deltas applies the incremental changes of machines that a peer sent, and requests the full view of each machine for
+// which this controller lacks the base. It also sends the full views that the peer requests.
 func (n *Node) deltas(e *peer.Envelope) {
 	var lost []string
 	for _, d := range e.Deltas {
--- a/internal/node/sendon.go
+++ b/internal/node/sendon.go
@@ -8,17 +8,17 @@
 	"cleatpick/internal/reach"
 )
 
-// A worker that was sent on, and came back, is sent on once more after a while. By a node that
-// has nothing but its workers it is twice within the first ten seconds, and not any more after
-// that: each time it may wait in vain for an answer, and where no node has contact that was lost
-// from the last moments in which its lease could be kept.
+// How soon a worker that was redirected to another controller and came back is redirected again. A controller that
+// reaches only its workers redirects twice within the first ten seconds and then rarely: each redirection may cost the
+// worker a wait for an answer that does not come, and where no controller has contact to the state service that time
+// is taken from the last seconds in which its lease could be kept.
 const (
 	sendOnAgain = 10 * loop.Second
 	sendOnEarly = 5 * loop.Second
 	sendOnCut   = 60 * loop.Second
 )
 
-// isolate notes since when no peer is heard.
+// isolate records since when no peer is reachable.
 func (n *Node) isolate() {
 	if !n.reach.Isolated() {
 		n.isolated = 0
@@ -27,11 +27,12 @@
 	}
 }
 
-// sendOn tells whether workers should report elsewhere, and after how long once more. A node
-// that hears no peer sends them on: to the leader, where no node hears another, or else to each
-// of the others in turn. Which of these live it knows from the state service, once those that do
-// not have lost their leases. It names one, since a worker that is to find one by itself waits 4 s
-// for each that is silent: that cost the leases of all that ran, where the others had died.
+// sendOn reports whether a worker should report to another controller, to which one, and after how long it is
+// redirected again. Only a controller that reaches no peer redirects its workers: to the leader if no two controllers
+// reach each other, and otherwise to each of the others in turn. If the state service answers, only peers that are
+// registered there are used, and only after enough time that crashed ones have lost their leases. The answer names a
+// peer, because a worker that searches by itself waits 4 s for each one that does not answer; where the others had
+// crashed, that took so long that all running tasks lost their leases.
 func (n *Node) sendOn(machine string, before int) (on bool, to string, again loop.Micros) {
 	again = sendOnAgain
 	contact := n.contact()
@@ -65,6 +66,6 @@
 		}
 	}
 	h := fnv.New32a()
-	h.Write([]byte(machine)) // all of a node's workers are spread, and each goes elsewhere the next time
+	h.Write([]byte(machine)) // spreads the workers over the peers; "before" selects another peer each time
 	return true, others[(int(h.Sum32()>>1)+before)%len(others)], again
 }
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -212,7 +212,7 @@
 			team = x.Name
 			w.cutFor(40*second, dropping, w.ways(o.Node)...)
 			w.run(w.now + 3*second)
-			if told, want := w.nodes["a"].n.unheard(), "the owner "+o.Node+" of the team "+team+" is silent; others take the team over once its lease is over"; !slices.Contains(told, want) {
+			if told, want := w.nodes["a"].n.unheard(), "the owner "+o.Node+" of the team "+team+" is unreachable; other controllers take the team over when its lease expires"; !slices.Contains(told, want) {
 				t.Errorf("3 s later it is told: %q, want %q", told, want)
 			}
 			w.run(w.now + 50*second)
--- a/internal/node/sockets.go
+++ b/internal/node/sockets.go
@@ -10,23 +10,22 @@
 	"github.com/valyala/fasthttp"
 )
 
-// sockets keeps a node's connections within what it may have. With several nodes down, one
-// may have every machine's connection twice: the worker's for its reports and ours for
-// direct commands, both idle for most of the time. Past the limit, users are refused, so
-// what is idle goes first.
+// sockets keeps a controller's connections within its socket limit. If several controllers are down, the remaining
+// one may have two connections to every machine: the worker's for its reports and its own for direct commands, both
+// mostly idle. Beyond the limit users are refused, so idle connections are closed before it is reached.
 type sockets struct {
 	most   int
-	out    atomic.Int64 // ours to workers
-	served func() int   // connections that others opened
+	out    atomic.Int64 // connections that this controller opened to workers
+	served func() int   // number of connections that others opened
 }
 
-// Parts of the limit above which idle connections are given up.
+// Shares of the limit above which idle connections are closed.
 const (
-	closeOut  = 0.55 // ours to workers
-	closeBeat = 0.65 // workers', once a report is answered
+	closeOut  = 0.55 // those that this controller opened to workers
+	closeBeat = 0.65 // those of workers, after their report is answered
 )
 
-// counted is a connection that is counted while it is open.
+// counted is a connection that counts itself while it is open.
 type counted struct {
 	net.Conn
 	n    *atomic.Int64
@@ -49,7 +48,7 @@
 	return &counted{Conn: c, n: &s.out}, nil
 }
 
-// above tells whether more than a part of the limit is open.
+// above reports whether more than a share of the limit is open.
 func (s *sockets) above(part float64) bool {
 	if s.most <= 0 || s.served == nil {
 		return false
@@ -57,7 +56,7 @@
 	return float64(s.served())+float64(s.out.Load()) > part*float64(s.most)
 }
 
-// watch closes what is idle of ours while too much is open.
+// watch closes idle connections to workers while more than closeOut of the limit is open.
 func (s *sockets) watch(r loop.Runner, closeIdle func()) {
 	loop.Every(r, 500*loop.Millisecond, func() {
 		if s.above(closeOut) {
--- a/internal/node/stall.go
+++ b/internal/node/stall.go
@@ -2,12 +2,11 @@
 
 import "cleatpick/internal/loop"
 
-// watchStalls sees to what cannot wait when the process stood still while its clocks ran on. What
-// came meanwhile is handled after it: users whose time is over are told so before anybody who
-// asked later is answered.
+// watchStalls handles process pauses, in which the process does not run although its clocks go on. Users whose
+// requests timed out during the pause are answered first; only then are requests handled that arrived during it.
 func (n *Node) watchStalls() {
 	loop.Stalls(n.loop).OnStall(func(s loop.Stall) {
-		n.log.Warn("the process stood still", "from_us", s.From, "took_us", s.To-s.From)
+		n.log.Warn("process was paused; requests that timed out meanwhile are refused", "from_us", s.From, "took_us", s.To-s.From)
 		n.meter.Stall(s.To - s.From)
 		n.jobs.Expire()
 	})
