--- a/internal/node/calibration_test.go
+++ b/internal/node/calibration_test.go
@@ -81,7 +81,7 @@
 	}
 	held, waits := a.blocked(id)
 	a.asked++
-	n.more.desk.Why(id, func(x *explain.Answer, code int) {
+	n.apiParts.explanations.Why(id, func(x *explain.Answer, code int) {
 		if code != 200 {
 			return
 		}
@@ -143,7 +143,7 @@
 	ends := map[string]loop.Micros{}
 	for _, label := range a.w.labels {
 		for _, id := range a.ids {
-			for _, s := range a.w.nodes[label].n.more.desk.Lines.Of(id).Spans {
+			for _, s := range a.w.nodes[label].n.apiParts.explanations.Lines.Of(id).Spans {
 				if s.To != nil {
 					ends[fmt.Sprint(id, s.Kind, s.From)] = loop.Micros(*s.To)
 				}
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -18,30 +18,30 @@
 	"cleatpick/internal/wire"
 )
 
-// explaining holds what a controller needs for /v1/; it exists only if the operators' settings enable /v1/.
-type explaining struct {
-	asks *ask.Desk
-	desk *explain.Desk
-	api  *api.API
+// apiParts holds what a controller needs for /v1/; it exists only if the operators' settings enable /v1/.
+type apiParts struct {
+	questions    *ask.Desk
+	explanations *explain.Desk
+	api          *api.API
 }
 
-// topicUnseen is the topic of a question to an owner: how many starts may still take effect on machines that a
+// topicPendingStarts is the topic of a question to an owner: how many starts may still take effect on machines that a
 // cordon blocks.
-const topicUnseen = "unseen"
+const topicPendingStarts = "unseen"
 
-const unseenPatience = 700 * loop.Millisecond
+const pendingStartsTimeout = 700 * loop.Millisecond
 
-// explain sets up the explanations of why jobs wait, and /v1/, which serves them.
-func (n *Node) explain() {
+// setUpAPI sets up the explanations of why jobs wait, and /v1/, which serves them.
+func (n *Node) setUpAPI() {
 	l := n.loop
-	x := &explaining{}
-	n.more = x
-	x.asks = ask.New(l, n.cfg.Label, rand.Uint64()>>1, n.net.To, func(label string) bool { return slices.Contains(n.net.Peers(), label) })
+	x := &apiParts{}
+	n.apiParts = x
+	x.questions = ask.New(l, n.cfg.Label, rand.Uint64()>>1, n.net.To, func(label string) bool { return slices.Contains(n.net.Peers(), label) })
 	owner := func(team string) string {
 		o, _ := n.member.TeamOwner(team)
 		return o.Node
 	}
-	x.desk = explain.NewDesk(l, explain.Node{
+	x.explanations = explain.NewDesk(l, explain.Node{
 		Label: n.cfg.Label,
 		Poll:  n.jobs.Poll,
 		Job:   n.jobs.Get,
@@ -53,11 +53,11 @@
 		Facts:  func(id string) (*explain.Facts, bool) { return n.placer.Facts(id, n.rental.Types(), n.mayStart()) },
 		Supply: n.rental.Supply,
 		Counts: n.counts,
-		Ask:    x.asks.Ask,
-		Handle: x.asks.Handle,
+		Ask:    x.questions.Ask,
+		Handle: x.questions.Handle,
 		Meter:  n.meter,
 	})
-	x.asks.Handle(topicUnseen, func(body wire.Raw, reply func(any)) {
+	x.questions.Handle(topicPendingStarts, func(body wire.Raw, reply func(any)) {
 		var name string
 		if wire.Unmarshal(body, &name) != nil {
 			name = ""
@@ -69,14 +69,14 @@
 		Types:    n.rental.Types,
 		Counts:   n.counts,
 		Machines: n.machines,
-		Unheard:  n.unheard,
+		Unheard:  n.staleOwners,
 		Jobs:     n.jobs,
 		Cordons:  n.cordons,
-		Unseen:   n.unseen,
-		Desk:     x.desk,
+		Unseen:   n.pendingStarts,
+		Desk:     x.explanations,
 	}, n.meter)
 	n.meter.Watch(l)
-	loop.Every(l, loop.Second, n.noteUnowned)
+	loop.Every(l, loop.Second, n.recordUnowned)
 }
 
 // counts returns a job's task counts: its own for a job that this controller owns, and otherwise those that the
@@ -88,51 +88,51 @@
 	return n.progress[j.ID]
 }
 
-// told records the causes of waiting that an owner reported.
-func (n *Node) told(all []peer.Progress, own bool) {
-	if n.more == nil {
+// applyCauses records the causes of waiting that an owner reported.
+func (n *Node) applyCauses(all []peer.Progress, own bool) {
+	if n.apiParts == nil {
 		return
 	}
 	for _, p := range all {
 		if j := n.jobs.Get(p.Job); p.Waits && j != nil && !j.Final() {
-			n.more.desk.Lines.Set(p.Job, p.Causes, p.At, own)
+			n.apiParts.explanations.Lines.Set(p.Job, p.Causes, p.At, own)
 			if own {
-				n.more.desk.Lines.Dated(p.Job, p.Causes) // the same values are sent to the peers next
+				n.apiParts.explanations.Lines.Dated(p.Job, p.Causes) // the same values are sent to the peers next
 			}
 		}
 	}
 }
 
-// noteUnowned adds the cause "no owner" to the unfinished jobs of teams that no controller owns.
-func (n *Node) noteUnowned() {
-	free := map[string]bool{}
+// recordUnowned adds the cause "no owner" to the unfinished jobs of teams that no controller owns.
+func (n *Node) recordUnowned() {
+	unowned := map[string]bool{}
 	for _, t := range n.cfg.Cluster.Teams {
 		if _, ok := n.member.TeamOwner(t.Name); !ok {
-			free[t.Name] = true
+			unowned[t.Name] = true
 		}
 	}
-	if len(free) == 0 || !n.mirror.Ready() {
+	if len(unowned) == 0 || !n.mirror.Ready() {
 		return
 	}
 	wall := n.loop.Wall()
 	n.jobs.Each(func(j *job.Job) {
-		if !j.Final() && j.Spec != nil && free[j.Spec.Team] {
+		if !j.Final() && j.Spec != nil && unowned[j.Spec.Team] {
 			c := n.progress[j.ID]
 			// The causes that were reported last are kept: the next owner continues from them.
-			last := n.more.desk.Lines.Causes(j.ID)
+			last := n.apiParts.explanations.Lines.Causes(j.ID)
 			causes := slices.DeleteFunc(slices.Clone(last), func(c gate.Cause) bool { return c.Kind == gate.NoOwner })
 			causes = append(causes, gate.Cause{Kind: gate.NoOwner, Tasks: j.Tasks - int(c.Done+c.Running)})
-			n.more.desk.Lines.Set(j.ID, causes, wall, false)
+			n.apiParts.explanations.Lines.Set(j.ID, causes, wall, false)
 		}
 	})
 }
 
-// unheard describes the owners whose reported data may be outdated, and the teams without an owner.
-func (n *Node) unheard() (out []string) {
+// staleOwners describes the owners whose reported data may be outdated, and the teams without an owner.
+func (n *Node) staleOwners() (out []string) {
 	for _, t := range n.cfg.Cluster.Teams {
 		o, ok := n.member.TeamOwner(t.Name)
 		if !ok {
-			out = append(out, "the team "+t.Name+" has no owner"+n.damped())
+			out = append(out, "the team "+t.Name+" has no owner"+n.dampedPeers())
 		} else if o.Node != n.cfg.Label {
 			switch n.reach.State(o.Node) {
 			case reach.Silent:
@@ -145,8 +145,8 @@
 	return out
 }
 
-// damped describes the peers that are reachable and get no work yet, because their connection flapped.
-func (n *Node) damped() string {
+// dampedPeers describes the peers that are reachable and get no work yet, because their connection flapped.
+func (n *Node) dampedPeers() string {
 	var out []string
 	for _, label := range n.net.Peers() {
 		if d := n.reach.Damped(label); d > 0 {
@@ -193,9 +193,9 @@
 	return out
 }
 
-// unseen asks every owner how many starts may still take effect on machines that the named cordon blocks. It calls
-// cb with the sum; ok is false if a team has no owner or an owner did not answer.
-func (n *Node) unseen(name string, cb func(starts int, ok bool)) {
+// pendingStarts asks every owner how many starts may still take effect on machines that the named cordon blocks. It calls
+// callback with the sum; ok is false if a team has no owner or an owner did not answer.
+func (n *Node) pendingStarts(name string, callback func(starts int, ok bool)) {
 	owners := map[string]bool{}
 	sure := true
 	for _, t := range n.cfg.Cluster.Teams {
@@ -206,11 +206,11 @@
 	}
 	left, sum := len(owners), 0
 	if left == 0 {
-		cb(0, false)
+		callback(0, false)
 		return
 	}
 	for label := range owners {
-		n.more.asks.Ask(label, topicUnseen, name, unseenPatience, func(body wire.Raw, ok bool) {
+		n.apiParts.questions.Ask(label, topicPendingStarts, name, pendingStartsTimeout, func(body wire.Raw, ok bool) {
 			var starts int
 			if !ok || wire.Unmarshal(body, &starts) != nil || starts < 0 {
 				sure = false
@@ -218,7 +218,7 @@
 				sum += starts
 			}
 			if left--; left == 0 {
-				cb(sum, sure)
+				callback(sum, sure)
 			}
 		})
 	}
--- a/internal/node/fitness.go
+++ b/internal/node/fitness.go
@@ -8,15 +8,15 @@
 	"cleatpick/internal/peer"
 )
 
-// contactAge is how old the last answer of the state service may be for this controller to count as connected to it.
-const contactAge = 2500 * loop.Millisecond
+// maxContactAge is how old the last answer of the state service may be for this controller to count as connected to it.
+const maxContactAge = 2500 * loop.Millisecond
 
-// contact reports whether the state service answers this controller.
-func (n *Node) contact() bool { return n.client.Healthy(contactAge) }
+// hasStateContact reports whether the state service answers this controller.
+func (n *Node) hasStateContact() bool { return n.client.Healthy(maxContactAge) }
 
-// freshPeer returns the newest status of a peer, and whether it is recent. A message that was delayed on its way is
+// freshStatus returns the newest status of a peer, and whether it is recent. A message that was delayed on its way is
 // detected by the wall clock time it carries.
-func (n *Node) freshPeer(label string) (peer.Status, bool) {
+func (n *Node) freshStatus(label string) (peer.Status, bool) {
 	k := n.net.Known(label)
 	age := n.loop.Now() - k.Heard
 	late := n.loop.Wall() - k.Status.Wall
@@ -26,10 +26,10 @@
 
 // mayStart reports whether new tasks may be started. Without contact to the state service none are, since another
 // controller may have confirmed a cancellation in the meantime.
-func (n *Node) mayStart() bool { return n.member.Entitled() && n.contact() }
+func (n *Node) mayStart() bool { return n.member.Entitled() && n.hasStateContact() }
 
-// barred returns why a start that was already accepted must no longer be sent to its machine; empty: it may be sent.
-func (n *Node) barred(j *job.Job, v *agent.View) string {
+// startBlocked returns why a start that was already accepted must no longer be sent to its machine; empty: it may be sent.
+func (n *Node) startBlocked(j *job.Job, v *agent.View) string {
 	switch {
 	case j.Terms.Hold.State != job.HoldNone && j.Terms.Hold.Shut(n.loop.Wall()):
 		return "held"
@@ -43,26 +43,26 @@
 // Each answer renews a worker's lease, so the only criterion is how recent the cancellation watermark is.
 func (n *Node) mayAnswer() (bool, string) {
 	if n.member.Epoch() == 0 {
-		return false, n.coach()
+		return false, n.redirectTarget()
 	}
-	if !n.contact() {
-		if to := n.coach(); to != "" {
+	if !n.hasStateContact() {
+		if to := n.redirectTarget(); to != "" {
 			return false, to
 		}
 	}
-	if !n.horizon.Holds() {
-		return false, n.coach()
+	if !n.watermark.Holds() {
+		return false, n.redirectTarget()
 	}
 	return true, ""
 }
 
-// coach returns a peer that has contact to the state service, preferring one that reachability counts as stable, and
+// redirectTarget returns a peer that has contact to the state service, preferring one that reachability counts as stable, and
 // then the one with the fewest workers; empty: there is none. An unstable peer is only the last choice, because all
 // workers would move to it and back each time its connection flaps.
-func (n *Node) coach() string {
+func (n *Node) redirectTarget() string {
 	best, least, trusted := "", 0, false
 	for _, label := range n.net.Peers() {
-		s, fresh := n.freshPeer(label)
+		s, fresh := n.freshStatus(label)
 		if !fresh || !s.Contact {
 			continue
 		}
@@ -75,7 +75,7 @@
 
 // ready reports whether users' requests can be decided here.
 func (n *Node) ready() bool {
-	return n.mirror.Ready() && (n.contact() || !n.client.Failing())
+	return n.mirror.Ready() && (n.hasStateContact() || !n.client.Failing())
 }
 
 // healthy reports whether users should be routed to this controller. One that alone has lost the state service is
@@ -84,5 +84,5 @@
 	if !n.mirror.Ready() || !n.rental.Asked() {
 		return false
 	}
-	return n.contact() || n.coach() == ""
+	return n.hasStateContact() || n.redirectTarget() == ""
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -37,35 +37,35 @@
 
 // Node is one controller.
 type Node struct {
-	cfg      *config.Config
-	log      *slog.Logger
-	loop     loop.Runner
-	client   *store.Client
-	mirror   *store.Mirror
-	member   *member.Member
-	jobs     *job.Registry
-	cordons  *cordon.Book
-	agent    *agent.Agent
-	placer   *placer.Placer
-	rental   *rental.Rental
-	net      *peer.Net
-	reach    *reach.Judge
-	horizon  *horizon.Judge
-	front    *front.Front
-	out      Outside
-	progress map[string]job.Counts
-	meter    *metric.Meter // nil while /v1/ is off
-	more     *explaining   // nil while /v1/ is off
-	began    loop.Micros
-	isolated loop.Micros // since when no peer is reachable; 0: at least one is
+	cfg           *config.Config
+	log           *slog.Logger
+	loop          loop.Runner
+	client        *store.Client
+	mirror        *store.Mirror
+	member        *member.Member
+	jobs          *job.Registry
+	cordons       *cordon.Book
+	agent         *agent.Agent
+	placer        *placer.Placer
+	rental        *rental.Rental
+	net           *peer.Net
+	reach         *reach.Judge
+	watermark     *horizon.Judge
+	front         *front.Front
+	out           Outside
+	progress      map[string]job.Counts
+	meter         *metric.Meter // nil while /v1/ is off
+	apiParts      *apiParts     // nil while /v1/ is off
+	startedAt     loop.Micros
+	isolatedSince loop.Micros // since when no peer is reachable; 0: at least one is
 }
 
 // Outside holds the services that a controller depends on; tests supply fakes.
 type Outside struct {
-	Loop    loop.Runner
-	State   store.Doer
-	Watch   store.Doer
-	Cloud   store.Doer
+	Loop  loop.Runner
+	State store.Doer
+	Watch store.Doer
+	Cloud store.Doer
 	// Workers sends a request to a worker's address; it blocks until the answer or the timeout.
 	Workers func(addr, method, path string, body []byte, timeout time.Duration) store.Response
 	// Probe asks a worker whose reports stopped whether it is alive; it blocks.
@@ -74,7 +74,7 @@
 
 // New returns a controller connected to the real services; Run runs it.
 func New(cfg *config.Config, log *slog.Logger) *Node {
-	socks := &sockets{most: cfg.Cluster.Limits.MaxSockets}
+	socks := &sockets{limit: cfg.Cluster.Limits.MaxSockets}
 	workers := &fasthttp.Client{
 		MaxConnsPerHost:               2,
 		MaxIdleConnDuration:           20 * time.Second,
@@ -98,8 +98,8 @@
 		},
 		Probe: probe,
 	})
-	socks.served = n.front.Open
-	n.front.Crowded = func() bool { return socks.above(closeBeat) }
+	socks.incoming = n.front.Open
+	n.front.Crowded = func() bool { return socks.above(closeReportsAbove) }
 	socks.watch(n.loop, workers.CloseIdleConnections)
 	return n
 }
@@ -108,7 +108,7 @@
 func Wire(cfg *config.Config, log *slog.Logger, out Outside) *Node {
 	n := &Node{cfg: cfg, log: log, loop: out.Loop, out: out, progress: map[string]job.Counts{}}
 	l := n.loop
-	n.began = l.Now()
+	n.startedAt = l.Now()
 	if cfg.Operator.API.Enabled {
 		n.meter = metric.New()
 	}
@@ -128,18 +128,18 @@
 	n.cordons = cordon.NewBook(l, n.client, n.mirror, log, cfg.ClockDifference())
 	n.net = peer.New(l, log, cfg.Label, cfg.Known)
 	n.reach = reach.New(l, log, cfg.Label, n.net.Peers(), cfg.ClockDifference())
-	n.reach.Contact = n.contact
+	n.reach.Contact = n.hasStateContact
 	n.reach.Changed = func(_ string, to reach.State, damped bool) { n.meter.Peer(to.String(), damped) }
 	n.net.Life, n.net.ClockTo = l.Wall(), cfg.ClockDifference()
 	n.net.Earlier = func(string) { n.meter.EarlierFrame() }
-	n.overlook()
-	n.watchStalls()
+	n.setUpWatermark()
+	n.watchPauses()
 	n.agent = agent.New(l, log, agent.Host{
 		Label:     cfg.Label,
 		Life:      n.net.Life,
 		MayAnswer: n.mayAnswer,
 		MayStart:  n.mayStart,
-		SendOn:    n.sendOn,
+		SendOn:    n.redirect,
 		Epoch:     n.member.Epoch,
 		Raise:     n.member.RaiseEpoch,
 		Type:      func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
@@ -155,40 +155,40 @@
 			n.rental.View(v)
 		},
 		Drop: func(to string, d agent.Drop) {
-			n.at(to, func() { l.Post(func() { n.placer.Drop(cfg.Label, d) }) }, func(e *peer.Envelope) { e.Drops = append(e.Drops, d) })
+			n.dispatch(to, func() { l.Post(func() { n.placer.Drop(cfg.Label, d) }) }, func(e *peer.Envelope) { e.Drops = append(e.Drops, d) })
 		},
-		Barred:  n.barred,
+		Barred:  n.startBlocked,
 		ClockTo: cfg.ClockDifference(),
 		Clock:   delivery.NewClock(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifeS)),
 		Meter:   n.meter,
-	}, n.commands)
+	}, n.sendCommands)
 	n.placer = placer.New(l, n.client, log, cfg, placer.Node{
 		Label: cfg.Label,
 		Type:  func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
 		Start: func(host string, s agent.Start) {
-			n.at(host, func() { n.agent.Start(s) }, func(e *peer.Envelope) { e.Starts = append(e.Starts, s) })
+			n.dispatch(host, func() { n.agent.Start(s) }, func(e *peer.Envelope) { e.Starts = append(e.Starts, s) })
 		},
 		Check: func(host, machine string) {
-			n.at(host, func() { n.agent.Check(machine) }, func(e *peer.Envelope) { e.Checks = append(e.Checks, machine) })
+			n.dispatch(host, func() { n.agent.Check(machine) }, func(e *peer.Envelope) { e.Checks = append(e.Checks, machine) })
 		},
 		Reserve: func(host string, s agent.Start) {
-			n.at(host, func() { n.agent.Reserve(s) }, func(e *peer.Envelope) { e.Reserves = append(e.Reserves, s) })
+			n.dispatch(host, func() { n.agent.Reserve(s) }, func(e *peer.Envelope) { e.Reserves = append(e.Reserves, s) })
 		},
 		Stop: func(host string, s agent.Stop) {
-			n.at(host, func() { n.agent.Stop(s) }, func(e *peer.Envelope) { e.Stops = append(e.Stops, s) })
+			n.dispatch(host, func() { n.agent.Stop(s) }, func(e *peer.Envelope) { e.Stops = append(e.Stops, s) })
 		},
 		Tally: func(t peer.Tally) {
 			o, ok := n.member.Leader()
 			if !ok {
 				return
 			}
-			n.at(o.Node, func() { n.rental.Tally(cfg.Label, t) }, func(e *peer.Envelope) { e.Tally = &t })
+			n.dispatch(o.Node, func() { n.rental.Tally(cfg.Label, t) }, func(e *peer.Envelope) { e.Tally = &t })
 		},
 		Tells:      cfg.Operator.API.Enabled,
 		Meter:      n.meter,
 		Membership: n.member,
 		Tell: func(p []peer.Progress) {
-			n.told(p, true)
+			n.applyCauses(p, true)
 			n.net.All(func(e *peer.Envelope) { e.Progress = append(e.Progress, p...) })
 		},
 		Usage: func(u []peer.Usage) {
@@ -201,7 +201,7 @@
 	}, n.jobs, n.agent, n.cordons)
 	n.rental = rental.New(l, log, cfg, n.client, n.mirror, out.Cloud, n.agent, rental.Node{
 		Close: func(host string, c peer.Close) {
-			n.at(host, func() { n.agent.Close(c.Machine, c.Until) }, func(e *peer.Envelope) { e.Closes = append(e.Closes, c) })
+			n.dispatch(host, func() { n.agent.Close(c.Machine, c.Until) }, func(e *peer.Envelope) { e.Closes = append(e.Closes, c) })
 		},
 		Unheard: func(zone string) bool {
 			for _, p := range cfg.Known {
@@ -223,13 +223,13 @@
 	n.rental.OnGone = n.placer.Gone
 	n.jobs.OnJob = func(j *job.Job) {
 		if j.Phase == job.Withdrawn {
-			n.horizon.Learn(horizon.Over{Job: j.ID, Mark: j.WithdrawnRevision()})
+			n.watermark.Learn(horizon.Over{Job: j.ID, Mark: j.WithdrawnRevision()})
 		}
 		if j.Final() {
 			delete(n.progress, j.ID)
-			if n.more != nil {
+			if n.apiParts != nil {
 				own := j.Spec != nil && n.placer.Owns(j.Spec.Team)
-				n.more.desk.Lines.Over(j.ID, l.Wall(), own)
+				n.apiParts.explanations.Lines.Over(j.ID, l.Wall(), own)
 			}
 		}
 		n.placer.Job(j)
@@ -252,15 +252,15 @@
 		n.net.To(label, func(e *peer.Envelope) { e.Teams = cfg.TeamNames() })
 	}
 	n.net.Refused = func(label string) {
-		if l.Now()-n.net.Known(label).Heard > 1200*loop.Millisecond && l.Now()-n.began > 5*loop.Second {
+		if l.Now()-n.net.Known(label).Heard > 1200*loop.Millisecond && l.Now()-n.startedAt > 5*loop.Second {
 			n.member.Evict(label)
 		}
 	}
 	if cfg.Operator.API.Enabled {
-		n.explain()
+		n.setUpAPI()
 	}
 	n.front = front.New(l, log, cfg, front.Node{
-		API:     n.v1(),
+		API:     n.apiHandler(),
 		Healthy: n.healthy,
 		Ready:   n.ready,
 		Types:   n.rental.Types,
@@ -272,34 +272,34 @@
 	return n
 }
 
-// v1 returns the handler of /v1/; nil if /v1/ is disabled.
-func (n *Node) v1() fasthttp.RequestHandler {
-	if n.more == nil {
+// apiHandler returns the handler of /apiHandler/; nil if /apiHandler/ is disabled.
+func (n *Node) apiHandler() fasthttp.RequestHandler {
+	if n.apiParts == nil {
 		return nil
 	}
-	return n.more.api.Handle
+	return n.apiParts.api.Handle
 }
 
-// at calls here if label names this controller, and otherwise adds to the next message to that peer.
-func (n *Node) at(label string, here func(), there func(*peer.Envelope)) {
+// dispatch calls here if label names this controller, and otherwise adds to the next message to that peer.
+func (n *Node) dispatch(label string, local func(), remote func(*peer.Envelope)) {
 	if label == n.cfg.Label {
-		here()
+		local()
 		return
 	}
-	n.net.To(label, there)
+	n.net.To(label, remote)
 }
 
-func (n *Node) commands(addr string, c wire.Commands, timeout time.Duration) store.Response {
+func (n *Node) sendCommands(addr string, c wire.Commands, timeout time.Duration) store.Response {
 	return n.out.Workers(addr, "POST", "/commands", wire.Marshal(c), timeout)
 }
 
-func (n *Node) status() {
+func (n *Node) sendStatus() {
 	n.reach.Look()
-	n.isolate()
+	n.trackIsolation()
 	if n.mirror.Ready() {
 		n.client.Use(admission.Part(n.member.Nodes(), n.cfg.Cluster.Nodes, n.member.Entitled()))
 	}
-	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.contact() && n.member.Entitled(), Hosted: n.agent.Hosted(), Hears: []string{}}
+	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.hasStateContact() && n.member.Entitled(), Hosted: n.agent.Hosted(), Hears: []string{}}
 	for _, label := range n.net.Peers() {
 		if n.reach.Heard(label, reach.Fresh) {
 			s.Hears = append(s.Hears, label)
@@ -307,9 +307,9 @@
 	}
 	places := n.jobs.Places()
 	n.net.All(func(e *peer.Envelope) { e.Status, e.Places = s, places })
-	n.meter.Horizon(n.horizon.Look())
+	n.meter.Horizon(n.watermark.Look())
 	for _, label := range n.net.Peers() {
-		n.net.To(label, func(e *peer.Envelope) { e.Horizon = n.horizon.Word(label) })
+		n.net.To(label, func(e *peer.Envelope) { e.Horizon = n.watermark.Word(label) })
 	}
 }
 
@@ -317,7 +317,7 @@
 func (n *Node) Begin() {
 	n.member.Start()
 	n.mirror.Start()
-	loop.Every(n.loop, 700*loop.Millisecond, n.status)
+	loop.Every(n.loop, 700*loop.Millisecond, n.sendStatus)
 }
 
 // Run serves users, workers and peers until the context ends.
--- a/internal/node/overlook.go
+++ b/internal/node/overlook.go
@@ -6,18 +6,18 @@
 	"cleatpick/internal/store"
 )
 
-// overlook sets up the cancellation watermark, the latest time up to which this controller knows all cancellations,
+// setUpWatermark sets up the cancellation watermark, the latest time up to which this controller knows all cancellations,
 // and connects it to everything that advances it: the mirror of the state service, messages of peers, and every way
 // in which this controller learns of a cancellation.
-func (n *Node) overlook() {
+func (n *Node) setUpWatermark() {
 	w := &n.cfg.Cluster.Workers
 	grace := horizon.Grace(loop.Seconds(w.LeaseS), loop.Seconds(w.CancelS))
 	n.mirror.Wait = horizon.Wait(grace, n.cfg.Cluster.State.RPS*0.9/float64(max(n.cfg.Cluster.Nodes, 1)))
-	n.horizon = horizon.New(n.loop, n.log, n.net.Life, grace, n.net.Peers())
-	n.mirror.OnSynced(func(s store.Synced) { n.horizon.Mirror(s.Sent, s.Reach) })
-	n.horizon.Take = func(o horizon.Over) bool { return n.jobs.LearnWithdrawn(o.Job, o.Mark) }
-	n.horizon.Dropped = func(string, string) { n.meter.HorizonWord() }
-	if grace < 2*contactAge {
+	n.watermark = horizon.New(n.loop, n.log, n.net.Life, grace, n.net.Peers())
+	n.mirror.OnSynced(func(s store.Synced) { n.watermark.Mirror(s.Sent, s.Reach) })
+	n.watermark.Take = func(o horizon.Over) bool { return n.jobs.LearnWithdrawn(o.Job, o.Mark) }
+	n.watermark.Dropped = func(string, string) { n.meter.HorizonWord() }
+	if grace < 2*maxContactAge {
 		n.log.Warn("cluster.workers.cancel_s barely exceeds cluster.workers.lease_s; running tasks survive only very short outages of the state service",
 			"cancel_s", w.CancelS, "lease_s", w.LeaseS, "left_us", grace)
 	}
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -11,14 +11,14 @@
 	if s := e.Status; s != nil {
 		n.reach.Hear(e.From, reach.Word{Wall: s.Wall, Contact: s.Contact, Hears: s.Hears})
 	}
-	n.horizon.Hear(e.From, e.Life, e.Horizon)
+	n.watermark.Hear(e.From, e.Life, e.Horizon)
 	n.member.LearnTeams(e.Teams)
 	for _, v := range e.Views {
 		if v != nil && v.Name != "" {
 			n.agent.Learn(v)
 		}
 	}
-	n.deltas(e)
+	n.applyDeltas(e)
 	for _, c := range e.Closes {
 		n.agent.Close(c.Machine, c.Until)
 	}
@@ -45,18 +45,18 @@
 			n.progress[p.Job] = job.Counts{Done: p.Done, Running: p.Running}
 		}
 	}
-	n.told(e.Progress, false)
-	if n.more != nil {
-		n.more.asks.Take(e)
+	n.applyCauses(e.Progress, false)
+	if n.apiParts != nil {
+		n.apiParts.questions.Take(e)
 	}
 	n.jobs.LearnPlaces(e.Places)
 	n.placer.Learn(e.Usage)
 	n.placer.LearnClaims(e.Claims)
 }
 
-// deltas applies the incremental changes of machines that a peer sent, and requests the full view of each machine for
+// applyDeltas applies the incremental changes of machines that a peer sent, and requests the full view of each machine for
 // which this controller lacks the base. It also sends the full views that the peer requests.
-func (n *Node) deltas(e *peer.Envelope) {
+func (n *Node) applyDeltas(e *peer.Envelope) {
 	var lost []string
 	for _, d := range e.Deltas {
 		if d != nil && d.Name != "" && n.agent.LearnDelta(e.From, d) {
--- a/internal/node/sendon.go
+++ b/internal/node/sendon.go
@@ -13,35 +13,35 @@
 // worker a wait for an answer that does not come, and where no controller has contact to the state service that time
 // is taken from the last seconds in which its lease could be kept.
 const (
-	sendOnAgain = 10 * loop.Second
-	sendOnEarly = 5 * loop.Second
-	sendOnCut   = 60 * loop.Second
+	redirectInterval         = 10 * loop.Second
+	earlyRedirectInterval    = 5 * loop.Second
+	isolatedRedirectInterval = 60 * loop.Second
 )
 
-// isolate records since when no peer is reachable.
-func (n *Node) isolate() {
+// trackIsolation records since when no peer is reachable.
+func (n *Node) trackIsolation() {
 	if !n.reach.Isolated() {
-		n.isolated = 0
-	} else if n.isolated == 0 {
-		n.isolated = n.loop.Now()
+		n.isolatedSince = 0
+	} else if n.isolatedSince == 0 {
+		n.isolatedSince = n.loop.Now()
 	}
 }
 
-// sendOn reports whether a worker should report to another controller, to which one, and after how long it is
+// redirect reports whether a worker should report to another controller, to which one, and after how long it is
 // redirected again. Only a controller that reaches no peer redirects its workers: to the leader if no two controllers
 // reach each other, and otherwise to each of the others in turn. If the state service answers, only peers that are
 // registered there are used, and only after enough time that crashed ones have lost their leases. The answer names a
 // peer, because a worker that searches by itself waits 4 s for each one that does not answer; where the others had
 // crashed, that took so long that all running tasks lost their leases.
-func (n *Node) sendOn(machine string, before int) (on bool, to string, again loop.Micros) {
-	again = sendOnAgain
-	contact := n.contact()
+func (n *Node) redirect(machine string, before int) (on bool, to string, again loop.Micros) {
+	again = redirectInterval
+	contact := n.hasStateContact()
 	switch lost := n.loop.Now() - n.client.Contact(); {
 	case contact:
-	case lost > sendOnAgain:
-		again = sendOnCut
+	case lost > redirectInterval:
+		again = isolatedRedirectInterval
 	default:
-		again = sendOnEarly
+		again = earlyRedirectInterval
 	}
 	if !n.reach.Isolated() {
 		return false, "", again
@@ -49,7 +49,7 @@
 	others := n.net.Peers()
 	if contact {
 		proof := loop.Seconds(n.cfg.Operator.NodeLeaseS) + loop.Second - reach.Fresh
-		if n.isolated == 0 || n.loop.Now()-n.isolated < proof {
+		if n.isolatedSince == 0 || n.loop.Now()-n.isolatedSince < proof {
 			return false, "", again
 		}
 		others = slices.DeleteFunc(others, func(l string) bool { return !n.member.Registered(l) })
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -203,7 +203,7 @@
 	const second = loop.Second
 	w := metWorld(t, 17, size{nodes: 3, zones: 2, each: 4}, 0)
 	w.run(3620 * second)
-	if told := w.nodes["a"].n.unheard(); len(told) > 0 {
+	if told := w.nodes["a"].n.staleOwners(); len(told) > 0 {
 		t.Errorf("while all is well: %q", told)
 	}
 	var team string
@@ -212,13 +212,13 @@
 			team = x.Name
 			w.cutFor(40*second, dropping, w.ways(o.Node)...)
 			w.run(w.now + 3*second)
-			if told, want := w.nodes["a"].n.unheard(), "the owner "+o.Node+" of the team "+team+" is unreachable; other controllers take the team over when its lease expires"; !slices.Contains(told, want) {
+			if told, want := w.nodes["a"].n.staleOwners(), "the owner "+o.Node+" of the team "+team+" is unreachable; other controllers take the team over when its lease expires"; !slices.Contains(told, want) {
 				t.Errorf("3 s later it is told: %q, want %q", told, want)
 			}
 			w.run(w.now + 50*second)
 			w.cutFor(6*second, dropping, w.ways(o.Node)...)
 			w.run(w.now + 9*second)
-			if got, want := w.nodes["a"].n.damped(), " ("+o.Node+" gets no work for another "; !strings.HasPrefix(got, want) {
+			if got, want := w.nodes["a"].n.dampedPeers(), " ("+o.Node+" gets no work for another "; !strings.HasPrefix(got, want) {
 				t.Errorf("of a node that came and went it is told: %q", got)
 			}
 			break
--- a/internal/node/sockets.go
+++ b/internal/node/sockets.go
@@ -14,27 +14,27 @@
 // one may have two connections to every machine: the worker's for its reports and its own for direct commands, both
 // mostly idle. Beyond the limit users are refused, so idle connections are closed before it is reached.
 type sockets struct {
-	most   int
-	out    atomic.Int64 // connections that this controller opened to workers
-	served func() int   // number of connections that others opened
+	limit    int
+	outgoing atomic.Int64 // connections that this controller opened to workers
+	incoming func() int   // number of connections that others opened
 }
 
 // Shares of the limit above which idle connections are closed.
 const (
-	closeOut  = 0.55 // those that this controller opened to workers
-	closeBeat = 0.65 // those of workers, after their report is answered
+	closeOutgoingAbove = 0.55 // those that this controller opened to workers
+	closeReportsAbove  = 0.65 // those of workers, after their report is answered
 )
 
-// counted is a connection that counts itself while it is open.
-type counted struct {
+// countedConn is a connection that counts itself while it is open.
+type countedConn struct {
 	net.Conn
-	n    *atomic.Int64
-	once atomic.Bool
+	count *atomic.Int64
+	once  atomic.Bool
 }
 
-func (c *counted) Close() error {
+func (c *countedConn) Close() error {
 	if c.once.CompareAndSwap(false, true) {
-		c.n.Add(-1)
+		c.count.Add(-1)
 	}
 	return c.Conn.Close()
 }
@@ -44,22 +44,22 @@
 	if err != nil {
 		return nil, err
 	}
-	s.out.Add(1)
-	return &counted{Conn: c, n: &s.out}, nil
+	s.outgoing.Add(1)
+	return &countedConn{Conn: c, count: &s.outgoing}, nil
 }
 
 // above reports whether more than a share of the limit is open.
 func (s *sockets) above(part float64) bool {
-	if s.most <= 0 || s.served == nil {
+	if s.limit <= 0 || s.incoming == nil {
 		return false
 	}
-	return float64(s.served())+float64(s.out.Load()) > part*float64(s.most)
+	return float64(s.incoming())+float64(s.outgoing.Load()) > part*float64(s.limit)
 }
 
-// watch closes idle connections to workers while more than closeOut of the limit is open.
+// watch closes idle connections to workers while more than closeOutgoingAbove of the limit is open.
 func (s *sockets) watch(r loop.Runner, closeIdle func()) {
 	loop.Every(r, 500*loop.Millisecond, func() {
-		if s.above(closeOut) {
+		if s.above(closeOutgoingAbove) {
 			r.Go(closeIdle)
 		}
 	})
--- a/internal/node/sockets_test.go
+++ b/internal/node/sockets_test.go
@@ -18,7 +18,7 @@
 	}
 	defer ln.Close()
 	served := 40
-	s := &sockets{most: 100, served: func() int { return served }}
+	s := &sockets{limit: 100, incoming: func() int { return served }}
 	var open []net.Conn
 	for range 14 {
 		c, err := s.dial(ln.Addr().String())
@@ -27,11 +27,11 @@
 		}
 		open = append(open, c)
 	}
-	if s.above(closeOut) {
+	if s.above(closeOutgoingAbove) {
 		t.Fatal("54 of 100 sockets count as too many")
 	}
 	served = 42
-	if !s.above(closeOut) || s.above(closeBeat) {
+	if !s.above(closeOutgoingAbove) || s.above(closeReportsAbove) {
 		t.Fatal("56 of 100 sockets: ours must go, workers' must not yet")
 	}
 	clock := standin.NewStepped(0)
@@ -44,14 +44,14 @@
 		}
 	})
 	clock.Run(3 * loop.Second)
-	if closed.Load() != 1 || s.out.Load() != 0 {
-		t.Fatalf("closed %d times, %d are counted as open", closed.Load(), s.out.Load())
+	if closed.Load() != 1 || s.outgoing.Load() != 0 {
+		t.Fatalf("closed %d times, %d are counted as open", closed.Load(), s.outgoing.Load())
 	}
 	served = 66
-	if !s.above(closeBeat) {
+	if !s.above(closeReportsAbove) {
 		t.Fatal("66 of 100 sockets of others: workers' must go")
 	}
-	if (&sockets{served: s.served}).above(closeOut) {
+	if (&sockets{incoming: s.incoming}).above(closeOutgoingAbove) {
 		t.Fatal("without a limit nothing is too much")
 	}
 }
