--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -52,7 +52,7 @@
 	reach         *reach.Judge
 	watermark     *horizon.Judge
 	front         *front.Front
-	out           Outside
+	out           Dependencies
 	progress      map[string]job.Counts
 	meter         *metric.Meter // nil while /v1/ is off
 	apiParts      *apiParts     // nil while /v1/ is off
@@ -60,8 +60,8 @@
 	isolatedSince loop.Micros // since when no peer is reachable; 0: at least one is
 }
 
-// Outside holds the services that a controller depends on; tests supply fakes.
-type Outside struct {
+// Dependencies holds the services that a controller depends on; tests supply fakes.
+type Dependencies struct {
 	Loop  loop.Runner
 	State store.Doer
 	Watch store.Doer
@@ -88,7 +88,7 @@
 		Dial:                          socks.dial,
 		DisableHeaderNamesNormalizing: true,
 	}
-	n := Wire(cfg, log, Outside{
+	n := Wire(cfg, log, Dependencies{
 		Loop:  loop.New(),
 		State: store.NewDoer(cfg.Outside.State, 32),
 		Watch: store.NewDoer(cfg.Outside.State, 4),
@@ -105,7 +105,7 @@
 }
 
 // Wire returns a controller connected to the given services.
-func Wire(cfg *config.Config, log *slog.Logger, out Outside) *Node {
+func Wire(cfg *config.Config, log *slog.Logger, out Dependencies) *Node {
 	n := &Node{cfg: cfg, log: log, loop: out.Loop, out: out, progress: map[string]job.Counts{}}
 	l := n.loop
 	n.startedAt = l.Now()
