--- a/internal/node/gap_test.go
+++ b/internal/node/gap_test.go
@@ -316,7 +316,7 @@
 		var out bytes.Buffer
 		cfg := w.cfg
 		cfg.Label = "z"
-		Wire(&cfg, slog.New(slog.NewTextHandler(&out, nil)), Dependencies{Loop: runner{w, &simNode{cost: &w.cost}, 1, "z"}})
+		NewWith(&cfg, slog.New(slog.NewTextHandler(&out, nil)), Dependencies{Loop: runner{w, &simNode{cost: &w.cost}, 1, "z"}})
 		if n := strings.Count(out.String(), "level=WARN"); n != c.warns || n > 0 && !strings.Contains(out.String(), "cancel_s=13 lease_s=10 left_us=2250000") {
 			t.Errorf("cancel_s %v: %s", c.cancel, out.String())
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -88,7 +88,7 @@
 		Dial:                          socks.dial,
 		DisableHeaderNamesNormalizing: true,
 	}
-	n := Wire(cfg, log, Dependencies{
+	n := NewWith(cfg, log, Dependencies{
 		Loop:  loop.New(),
 		State: store.NewDoer(cfg.Outside.State, 32),
 		Watch: store.NewDoer(cfg.Outside.State, 4),
@@ -104,8 +104,8 @@
 	return n
 }
 
-// Wire returns a controller connected to the given services.
-func Wire(cfg *config.Config, log *slog.Logger, out Dependencies) *Node {
+// NewWith returns a controller connected to the given services.
+func NewWith(cfg *config.Config, log *slog.Logger, out Dependencies) *Node {
 	n := &Node{cfg: cfg, log: log, loop: out.Loop, out: out, progress: map[string]job.Counts{}}
 	l := n.loop
 	n.startedAt = l.Now()
--- a/internal/node/world_test.go
+++ b/internal/node/world_test.go
@@ -431,7 +431,7 @@
 		s.carried(p, b)
 		return resp
 	}}, s}
-	s.n = Wire(&cfg, slog.New(w.logs(label)), Dependencies{Loop: r, State: state, Watch: watch{state, label + ">watch"},
+	s.n = NewWith(&cfg, slog.New(w.logs(label)), Dependencies{Loop: r, State: state, Watch: watch{state, label + ">watch"},
 		Cloud: link{w, label + ">cloud", func(m, p string, b []byte) store.Response {
 			w.note(label+" asks the cloud "+m+p, b)
 			resp := w.cloud.Do(m, p, b, 0)
