--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -313,8 +313,8 @@
 	}
 }
 
-// Begin starts the controller's parts; it is called on the event loop.
-func (n *Node) Begin() {
+// Start starts the controller's parts; it is called on the event loop.
+func (n *Node) Start() {
 	n.member.Start()
 	n.mirror.Start()
 	loop.Every(n.loop, 700*loop.Millisecond, n.sendStatus)
@@ -331,7 +331,7 @@
 		return fmt.Errorf("peer_listen: %w", err)
 	}
 	g, ctx := errgroup.WithContext(ctx)
-	n.loop.Post(n.Begin)
+	n.loop.Post(n.Start)
 	if l, ok := n.loop.(*loop.Loop); ok {
 		g.Go(func() error { return l.Run(ctx) })
 	}
--- a/internal/node/world_test.go
+++ b/internal/node/world_test.go
@@ -455,7 +455,7 @@
 		}
 		w.at(d, func() { w.frame(to, f) })
 	}
-	r.Post(s.n.Begin)
+	r.Post(s.n.Start)
 }
 
 func (w *world) frame(to string, f []byte) {
