--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -52,7 +52,7 @@
 	reach         *reach.Judge
 	watermark     *horizon.Judge
 	front         *front.Front
-	out           Dependencies
+	deps          Dependencies
 	progress      map[string]job.Counts
 	meter         *metric.Meter // nil while /v1/ is off
 	apiParts      *apiParts     // nil while /v1/ is off
@@ -106,7 +106,7 @@
 
 // NewWith returns a controller connected to the given services.
 func NewWith(cfg *config.Config, log *slog.Logger, out Dependencies) *Node {
-	n := &Node{cfg: cfg, log: log, loop: out.Loop, out: out, progress: map[string]job.Counts{}}
+	n := &Node{cfg: cfg, log: log, loop: out.Loop, deps: out, progress: map[string]job.Counts{}}
 	l := n.loop
 	n.startedAt = l.Now()
 	if cfg.Operator.API.Enabled {
@@ -290,7 +290,7 @@
 }
 
 func (n *Node) sendCommands(addr string, c wire.Commands, timeout time.Duration) store.Response {
-	return n.out.Workers(addr, "POST", "/commands", wire.Marshal(c), timeout)
+	return n.deps.Workers(addr, "POST", "/commands", wire.Marshal(c), timeout)
 }
 
 func (n *Node) sendStatus() {
