--- a/internal/node/world_delivery_test.go
+++ b/internal/node/world_delivery_test.go
@@ -10,23 +10,23 @@
 // answerPatience is how long a worker waits for the answer to its report.
 const answerPatience = 4 * loop.Second
 
-// flight is a message with starts that left a host and has not reached its worker yet.
+// flight is a message with starts that a host controller has sent and that has not reached its worker yet.
 type flight struct {
-	way     string // how it travels, for the referee's messages
+	way     string // how it is sent, for failure messages
 	token   uint64
 	session uint64
-	until   loop.Micros // the worker drops it afterwards; 0: never
+	until   loop.Micros // the worker drops it after this time; 0: never
 	starts  []wire.Command
 }
 
-// canArrive tells whether the worker would still carry the message out.
+// canArrive reports whether the worker would still execute the message.
 func (d *flight) canArrive(now loop.Micros, x *simWorker) bool {
 	return d.token >= x.w.Token() && d.session == x.w.Session() && (d.until == 0 || now <= d.until)
 }
 
-// leaves takes in that commands leave a host for a worker. It judges the precondition of a second
-// run and not the run itself, which is thousands of times rarer: no forget may leave while a start
-// of the same attempt can still reach the worker. It returns nil where no starts leave.
+// leaves records that a host controller sends commands to a worker, and checks them. It checks the precondition of a task
+// that runs twice and not the second run itself, which is thousands of times rarer: no forget may be sent while a start
+// of the same attempt can still reach the worker. It returns nil if there are no starts among the commands.
 func (w *world) leaves(x *simWorker, way string, c wire.Commands, session uint64, until loop.Micros) *flight {
 	for old := range x.flights {
 		if !old.canArrive(w.now, x) {
@@ -49,29 +49,29 @@
 	return sent
 }
 
-// checkForget fails where a start of the attempt can still reach the worker.
+// checkForget fails if a start of the attempt can still reach the worker.
 func (w *world) checkForget(x *simWorker, way string, forget wire.Command) {
 	w.forgets++
 	for d := range x.flights {
 		for _, start := range d.starts {
 			if start.Task == forget.Task && start.Attempt == forget.Attempt {
-				w.fail("forget of %s attempt %d leaves for %s in %s, while a start of it is under way in %s",
+				w.fail("forget of %s attempt %d is sent to %s in %s, while a start of it is in flight in %s",
 					forget.Task, forget.Attempt, x.w.Name, way, d.way)
 			}
 		}
 	}
 }
 
-// arrives takes in that a message has reached the worker, or never will.
+// arrives records that a message has reached the worker, or never will.
 func (x *simWorker) arrives(d *flight) { delete(x.flights, d) }
 
-// revived fails for a start that came after the forget of its attempt.
+// revived fails for a start that arrived after the forget of its attempt.
 func (w *world) revived(x *simWorker, task string, attempt uint64) {
-	w.fail("%s starts attempt %d of %s anew after it was told to forget it", x.w.Name, attempt, task)
+	w.fail("%s starts attempt %d of %s again after it was told to forget it", x.w.Name, attempt, task)
 }
 
-// answerDelay draws how long the answer to a report takes: a lost packet is sent again after some
-// 200 ms, and then after ever longer times.
+// answerDelay draws how long the answer to a report takes. A slow answer stands for lost packets, which are sent again
+// after some 200 ms and then after increasing times.
 func (w *world) answerDelay() loop.Micros {
 	if w.slowAnswers > 0 && w.rng.Float64() < w.slowAnswers {
 		return w.between(200*loop.Millisecond, 3500*loop.Millisecond)
--- a/internal/node/world_late_test.go
+++ b/internal/node/world_late_test.go
@@ -9,17 +9,17 @@
 	"cleatpick/internal/wire"
 )
 
-// lateness is how late the state service is.
+// lateness is the injected delays of the state service.
 type lateness struct {
-	writes  float64        // the part of all transactions that get no answer and are carried out late
-	answers float64        // the part of all requests that are carried out at once and get no answer
-	slow    [2]loop.Micros // how long answers take, from and to; 0: as usual
-	// kinds counts the late transactions by the first kind of key that they change, and taken
-	// those of them that took effect.
+	writes  float64        // the share of transactions that get no answer and are executed late
+	answers float64        // the share of requests that are executed at once and get no answer
+	slow    [2]loop.Micros // the range of how long answers take; 0: no delay
+	// kinds counts the late transactions by the kind of the first key that they change, and taken those of them that
+	// took effect.
 	kinds, taken map[string]int
 }
 
-// stateLink is a node's way to the state service, which may be slow, or late with transactions.
+// stateLink is a controller's connection to the state service, with the injected delays.
 type stateLink struct {
 	link
 	s *simNode
@@ -38,14 +38,14 @@
 	if w.late.slow[1] > 0 {
 		d := w.between(w.late.slow[0], w.late.slow[1])
 		if most := loop.Micros(limit / time.Microsecond); d > most {
-			d, resp = most, store.Response{Err: errLost} // it was carried out, and nobody waits any more
+			d, resp = most, store.Response{Err: errLost} // it was executed, but the caller no longer waits
 		}
 		l.s.lag = d
 	}
 	return resp
 }
 
-// kindOf tells what a key is of, by its prefix.
+// kindOf returns the kind of a key, which is its prefix.
 func kindOf(key string) string {
 	p := strings.SplitN(key, "/", 3)
 	if len(p) == 3 || p[0] == "x" {
@@ -54,6 +54,7 @@
 	return key
 }
 
+// cameLate counts a transaction that was executed late.
 func (w *world) cameLate(body []byte, resp store.Response) {
 	var t struct {
 		Then []struct {
--- a/internal/node/world_machine_test.go
+++ b/internal/node/world_machine_test.go
@@ -12,7 +12,7 @@
 	"cleatpick/internal/wire"
 )
 
-// probe tells what a node finds that asks a worker. A machine that hangs takes connections.
+// probe returns what a controller finds that probes a worker. A machine that hangs accepts connections.
 func (w *world) probe(from, addr string) loss.Word {
 	x := w.workers[addr[len("worker:"):]]
 	switch {
@@ -25,7 +25,7 @@
 	return loss.Answered
 }
 
-// direct carries a command straight to a worker.
+// direct sends a command directly to a worker.
 func (w *world) direct(from, addr, path string, body []byte) store.Response {
 	x := w.workers[addr[len("worker:"):]]
 	if x == nil || x.gone {
@@ -36,10 +36,10 @@
 		return store.Response{Err: errLost}
 	}
 	if x.hanging || w.heldUp > 0 && w.rng.Float64() < w.heldUp {
-		// It is carried out all the same: once the machine goes on, or seconds later.
+		// It is executed all the same: when the machine resumes, or seconds later.
 		w.at(w.between(loop.Second, 10*loop.Second), func() {
 			w.awake(x, func() {
-				x.w.Tick(w.now) // its lease may be over
+				x.w.Tick(w.now) // its lease may have expired
 				w.carryOut(from, x, path, body)
 				x.arrives(sent)
 			})
@@ -53,22 +53,22 @@
 	})
 }
 
-// directLeaves takes in that a direct command leaves its host; nil for anything without starts.
+// directLeaves records that a direct command is sent by its host controller; nil if it contains no starts.
 func (w *world) directLeaves(from string, x *simWorker, path string, body []byte) *flight {
 	if path != "/commands" {
 		return nil
 	}
 	var c wire.Commands
 	if err := wire.Unmarshal(body, &c); err != nil {
-		w.fail("a command cannot be read: %v", err)
+		w.fail("a direct command cannot be decoded: %v", err)
 	}
 	return w.leaves(x, directWay(from), c, c.Session, 0)
 }
 
-// asleep tells whether a machine stands still and its lease is over.
+// asleep reports whether a machine hangs and its lease has expired.
 func (x *simWorker) asleep(now loop.Micros) bool { return x.hanging && x.w.LeaseOver(now) }
 
-// awake calls f once a machine does not hang, unless it is gone before.
+// awake calls f as soon as a machine does not hang, unless it is deleted before.
 func (w *world) awake(x *simWorker, f func()) {
 	switch {
 	case x.gone:
@@ -79,7 +79,7 @@
 	}
 }
 
-// carryOut lets a machine execute a command that has reached it.
+// carryOut executes a command that has reached a machine.
 func (w *world) carryOut(from string, x *simWorker, path string, body []byte) store.Response {
 	if x.gone || x.hanging {
 		return store.Response{Err: errLost}
@@ -90,12 +90,13 @@
 	}
 	var c wire.Commands
 	if err := wire.Unmarshal(body, &c); err != nil {
-		w.fail("a command cannot be read: %v", err)
+		w.fail("a direct command cannot be decoded: %v", err)
 	}
 	status, r := x.w.Command(w.now, c)
 	return store.Response{Status: status, Body: wire.Marshal(r)}
 }
 
+// boot starts the worker of a machine that the cloud created.
 func (w *world) boot(m wire.Listed) {
 	x := &simWorker{w: standin.NewWorker(w.now, loop.Seconds(w.cfg.Cluster.Workers.LeaseS)), at: w.rng.IntN(len(w.labels)), flights: map[*flight]struct{}{}}
 	x.w.Name, x.w.Addr, x.w.Type, x.w.Zone, x.w.Spot = m.Name, m.Addr, m.Type, m.Zone, m.Spot
@@ -123,6 +124,7 @@
 	w.beat(x)
 }
 
+// destroy ends a machine that the cloud deleted.
 func (w *world) destroy(name string) {
 	x := w.workers[name]
 	if x == nil {
@@ -133,7 +135,7 @@
 	x.w.Destroy()
 }
 
-// beat is a worker's reporting, one report in flight at a time.
+// beat sends a worker's reports, one in flight at a time.
 func (w *world) beat(x *simWorker) {
 	if x.gone {
 		return
@@ -172,9 +174,9 @@
 					if a.Status == 200 {
 						c, ok := a.Body.(wire.Commands)
 						if !ok {
-							w.fail("a report is answered with %T", a.Body)
+							w.fail("a report is answered with a body of type %T, want wire.Commands", a.Body)
 						}
-						w.awake(x, func() { // what came while it stood still is read when it goes on
+						w.awake(x, func() { // what arrived while it hung is read when it resumes
 							x.w.Tick(w.now)
 							x.w.Answered(w.now, sent, r.Session, c)
 							x.arrives(starts)
@@ -212,8 +214,8 @@
 	})
 }
 
-// copyLate delivers copies of a report once more, to whichever node and however much later,
-// and now and then a copy of the copy.
+// copyLate delivers copies of some reports again, to any controller and up to four leases later, and sometimes a copy
+// of the copy.
 func (w *world) copyLate(r wire.Report) {
 	if w.copies == 0 || w.rng.Float64() >= w.copies {
 		return
@@ -226,8 +228,8 @@
 	})
 }
 
-// rebirth ends machines with all that is on them, and has them back at once under their names.
-// Their sessions go on from where they were: the larger of two is the newer, by the protocol.
+// rebirth restarts machines at once under the same names, which ends all tasks on them. Their session numbers go on
+// from where they were: by the protocol, the larger of two is the newer.
 func (w *world) rebirth(names []string) {
 	for _, name := range names {
 		if x := w.workers[name]; !x.gone {
@@ -236,7 +238,7 @@
 	}
 }
 
-// live lets the workers' own time pass between their reports.
+// live advances the workers' own time between their reports.
 func (w *world) live() {
 	names := make([]string, 0, len(w.workers))
 	for name := range w.workers {
--- a/internal/node/world_referee_test.go
+++ b/internal/node/world_referee_test.go
@@ -7,20 +7,21 @@
 	"cleatpick/internal/wire"
 )
 
-// began and left are the referee's view of what is on the machines.
+// began checks the invariants of a task that starts, and records it. Together with left it keeps the checkers' own
+// view of what runs on the machines.
 func (w *world) began(x *simWorker, task string) {
 	w.starts++
 	id, i, _ := agent.SplitTask(task)
 	j := w.jobs[id]
 	j.starts++
 	if on, ok := w.active[task]; ok {
-		w.fail("ran_twice: %s starts on %s while it is on %s", task, x.w.Name, on)
+		w.fail("ran_twice: %s starts on %s while it runs on %s", task, x.w.Name, on)
 	}
 	if i >= j.spec.Tasks || !j.accepted && !j.asked && w.stored(id) == "" {
-		w.fail("%s starts, but was never submitted", task)
+		w.fail("%s starts, but its job was never submitted", task)
 	}
 	if !j.spec.AllowsPlace(x.w.Type, x.w.Zone, x.w.Spot) {
-		w.fail("wrong_place: %s on %s", task, x.w.Name)
+		w.fail("wrong_place: %s starts on %s, which its job does not allow", task, x.w.Name)
 	}
 	zones := map[string]int{x.w.Zone: 1}
 	if j.spec.OneZone || j.spec.Spread {
@@ -31,10 +32,10 @@
 		}
 	}
 	if j.spec.OneZone && len(zones) > 1 || j.spec.Spread && zones[x.w.Zone] > (j.spec.Tasks+1)/2 {
-		w.fail("wrong_place: %s starts in %s beside %v", task, x.w.Zone, zones)
+		w.fail("wrong_place: %s starts in zone %s; tasks of its job by zone: %v", task, x.w.Zone, zones)
 	}
 	if j.withdrawn != 0 && w.now > j.withdrawn+loop.Seconds(w.cfg.Cluster.Workers.CancelS) {
-		w.fail("ran_cancelled: %s starts", task)
+		w.fail("ran_cancelled: %s starts more than cancel_s after its user was told of the cancellation", task)
 	}
 	if j.withdrawn != 0 {
 		w.vain = append(w.vain, w.now-j.withdrawn)
@@ -52,10 +53,11 @@
 	w.teams[j.spec.Team] += j.spec.CPUs
 	limit, _ := w.cfg.TeamNamed(j.spec.Team)
 	if limit.CPUsMax != 0 && w.teams[j.spec.Team] > limit.CPUsMax+1e-9 {
-		w.fail("quota: team %s uses %v of %v", j.spec.Team, w.teams[j.spec.Team], limit.CPUsMax)
+		w.fail("quota: team %s uses %v CPUs, its limit is %v", j.spec.Team, w.teams[j.spec.Team], limit.CPUsMax)
 	}
 }
 
+// left records that a task has ended.
 func (w *world) left(task, why string) {
 	id, _, _ := agent.SplitTask(task)
 	delete(w.active, task)
@@ -70,6 +72,7 @@
 	}
 }
 
+// stored returns the phase in which the state service holds a job; empty: it holds none.
 func (w *world) stored(id string) job.Phase {
 	raw, ok := w.state.Value(job.Keys + id)
 	if !ok {
@@ -82,15 +85,15 @@
 	return rec.Phase
 }
 
-// told checks an answer that a user got against all that was said before it was asked for: of
-// two requests under way at once, either may be answered first. Judged by when it came, as it
-// was, an answer would have to know what was told while it was on its way.
+// told checks a user's answer against everything that the user had been told before asking. Of two requests in flight
+// at the same time, either may be answered first, so the answer is held against the time of its question: held against
+// the time of its arrival, it would have to know what was told while it was on its way.
 func (w *world) told(j *simJob, asked loop.Micros, a job.Answer) {
 	before := func(at loop.Micros) bool { return at != 0 && at < asked }
 	switch a.Code {
 	case 404:
 		if before(j.told) {
-			w.fail("forgotten: %s", j.id)
+			w.fail("forgotten: %s is unknown (404) although its user had been told that it is accepted", j.id)
 		}
 		return
 	case 200, 201:
@@ -105,11 +108,11 @@
 	switch a.Phase {
 	case job.Done:
 		if j.withdrawn != 0 {
-			w.fail("went_back: %s was withdrawn, and is done", j.id)
+			w.fail("went_back: %s is called done after it was called cancelled", j.id)
 		}
 		for i := range j.spec.Tasks {
 			if !w.doneT[agent.TaskName(j.id, i)] {
-				w.fail("not_done: %s is called done before task %d", j.id, i)
+				w.fail("not_done: %s is called done before its task %d completed", j.id, i)
 			}
 		}
 		j.done = true
@@ -124,10 +127,10 @@
 			for _, d := range j.terms.After {
 				gone = gone || w.stored(d) == job.Withdrawn
 			}
-			j.asked = gone // its user asked for that at the submission
+			j.asked = gone // its user requested that with the submission
 		}
 		if !j.asked || j.done {
-			w.fail("went_back: %s is called withdrawn (asked %v, done %v)", j.id, j.asked, j.done)
+			w.fail("went_back: %s is called cancelled (cancellation requested %v, called done before %v)", j.id, j.asked, j.done)
 		}
 		if j.withdrawn == 0 {
 			j.withdrawn = w.now
@@ -135,41 +138,41 @@
 		}
 	default:
 		if before(j.over) || before(j.withdrawn) {
-			w.fail("went_back: %s is called %q again", j.id, a.Phase)
+			w.fail("went_back: %s is called %q after it was called done or cancelled", j.id, a.Phase)
 		}
 	}
 }
 
-// checkCancelled looks for tasks of jobs that were withdrawn too long ago. What a machine holds
-// that stands still beyond its lease does not go on: its worker ends it before anything else.
+// checkCancelled fails if a task still runs more than cancel_s after its user was told that its job is cancelled. Tasks
+// on a machine that hangs beyond its lease do not count: its worker ends them before anything else when it resumes.
 func (w *world) checkCancelled() {
 	for t, m := range w.active {
 		id, _, _ := agent.SplitTask(t)
 		if j := w.jobs[id]; j.withdrawn != 0 && w.now > j.withdrawn+loop.Seconds(w.cfg.Cluster.Workers.CancelS) && !w.workers[m].asleep(w.now) {
-			w.fail("ran_cancelled: %s is still on %s", t, m)
+			w.fail("ran_cancelled: %s still runs on %s more than cancel_s after its user was told of the cancellation", t, m)
 		}
 	}
 	w.at(loop.Second, w.checkCancelled)
 }
 
-// knownWithin is for how long, once all troubles are over, no question about a job may be
-// answered; then it counts as forgotten, however others fare.
+// knownWithin is for how long, after the last fault, all questions about a job may go unanswered. After that the job
+// counts as forgotten, whatever is answered about other jobs.
 const knownWithin = 75 * loop.Second
 
-// checkKnown looks for jobs that are forgotten.
+// checkKnown fails if a job is forgotten.
 func (w *world) checkKnown() {
 	if w.calm != 0 && w.now > w.calm {
 		for _, j := range w.jobs {
 			if j.accepted && w.now-max(j.heard, w.calm) > knownWithin {
-				w.fail("forgotten: nothing is told of %s since %.3f s", j.id, float64(j.heard)/1e6-3600)
+				w.fail("forgotten: no question about %s has been answered since %.3f s", j.id, float64(j.heard)/1e6-3600)
 			}
 		}
 	}
 	w.at(loop.Second, w.checkKnown)
 }
 
-// judged lets the world live, and the referee look at it from now on; calm is how long after its
-// beginning all troubles are over.
+// judged starts the workers' time and all periodic invariant checks; calm is how long after the start of the simulation
+// the last fault ends.
 func (w *world) judged(calm loop.Micros) {
 	w.at(0, w.live)
 	w.at(0, w.checkCancelled)
@@ -180,12 +183,12 @@
 	w.calm = 3600*loop.Second + calm
 }
 
-// checkBeliefs looks for nodes that hold themselves for entitled although their lease has
-// run out. One that peers have ended is another matter: all that hangs on it is fenced.
+// checkBeliefs fails if a controller acts as if its lease were valid although it has expired. A lease that peers revoked
+// does not count: everything that depends on it is fenced.
 func (w *world) checkBeliefs() {
 	for _, l := range w.labels {
 		if s := w.nodes[l]; s.alive && !s.frozen && s.n.member.Entitled() && w.state.Lapsed(s.n.member.Lease()) {
-			w.fail("%s believes in its lease %d, which has run out", l, s.n.member.Lease())
+			w.fail("%s still acts under its lease %d, which has expired", l, s.n.member.Lease())
 		}
 	}
 	w.at(50*loop.Millisecond, w.checkBeliefs)
--- a/internal/node/world_test.go
+++ b/internal/node/world_test.go
@@ -24,9 +24,12 @@
 	"cleatpick/internal/wire"
 )
 
-// A world is the whole deployment under hand-driven time: real nodes wired to
-// stand-ins, with a referee that knows the rules and nothing of the code.
+// A simulation is a whole cluster under hand-driven time: real controllers connected to fakes of the state service,
+// the cloud and the workers, with injected faults. Invariant checkers that are independent of the product code
+// watch what happens. One event queue orders everything, and every random number comes from the seed, so that a
+// simulation runs the same each time.
 
+// event is a callback that is due at a time; events of the same time run in the order of seq.
 type event struct {
 	at  loop.Micros
 	seq int
@@ -51,6 +54,7 @@
 	return x
 }
 
+// world is a simulated cluster.
 type world struct {
 	t       testing.TB
 	rng     *rand.Rand
@@ -63,49 +67,49 @@
 	nodes   map[string]*simNode
 	workers map[string]*simWorker
 	jobs    map[string]*simJob
-	cut     map[string]cutMode // "a>b", "a>state", "a>workers"
-	active  map[string]string  // task: machine
-	doneT   map[string]bool
-	teams   map[string]float64 // use by team
+	cut     map[string]cutMode // by connection: "a>b", "a>state", "a>workers"
+	active  map[string]string  // the machine of each running task
+	doneT   map[string]bool    // tasks that have completed
+	teams   map[string]float64 // CPUs in use by team
 	cfg     config.Config
 	starts  int
 	onBegan func(x *simWorker, task string)
 	onLeft  func(task, why string)
-	onLease func(x *simWorker, task string) // is called for each task that ends by its machine's lease
-	zones   []string                        // of the machines; nodes stand in them in turn
-	zoneCut map[string]cutMode              // zones that are cut off from all others
+	onLease func(x *simWorker, task string) // called for each task that ends because its machine's lease expired
+	zones   []string                        // of the machines; controllers are spread over them in turn
+	zoneCut map[string]cutMode              // zones that are disconnected from all others
 	cost    cost
-	// settings changes the settings of one node, as while they are brought in; may be nil.
+	// settings changes the settings of one controller, as during a gradual change of settings; may be nil.
 	settings func(label string, c *config.Config)
-	whys     map[string]int // of tasks that left their machines
-	copies   float64        // the part of all reports of which a copy comes late
+	whys     map[string]int // number of tasks that ended, by reason
+	copies   float64        // the share of reports of which a copy arrives late
 	seed     uint64
-	messages hash.Hash // of every message with its time; nil: none is kept
-	late     lateness
-	heldUp   float64       // the part of all direct commands that are carried out seconds later
-	redone   int           // tasks that began once more after they had completed
-	vain     []loop.Micros // for each task that began after its user had been told that its job is cancelled, how long after
-	slowest  loop.Micros   // the longest time from a job's last end until its user was told
-	sure     bool          // what crosses no cut is neither lost nor late
-	shunned  string        // a node that no user reaches
-	calm     loop.Micros   // when all troubles are over; 0: that is not judged
-	// slowAnswers is the part of the answers to reports that come 0.2 to 3.5 s late.
+	messages hash.Hash     // covers every message with its time; nil: disabled
+	late     lateness      // delays of the state service
+	heldUp   float64       // the share of direct commands that are executed seconds later
+	redone   int           // tasks that started again after they had completed
+	vain     []loop.Micros // for each task that started after its user had been told that the job is cancelled: how long after
+	slowest  loop.Micros   // the longest time from the end of a job's last task until its user was told
+	sure     bool          // a connection without a fault loses and delays nothing
+	shunned  string        // a controller that no user reaches
+	calm     loop.Micros   // from when on there are no faults; 0: checks that need this are off
+	// slowAnswers is the share of the answers to reports that arrive 0.2 to 3.5 s late.
 	slowAnswers float64
-	forgets     int // that left a host for a worker that would carry them out
-	// closely: users look closely until then, see closeLooks.
+	forgets     int // number sent to workers that would execute them
+	// closely is until when users poll intensely, see closeLooks.
 	closely loop.Micros
-	owing   map[unanswered]*owed // questions that a node has not answered
-	able    map[string]loop.Micros
+	owing   map[unanswered]*owed   // questions that a controller has not answered
+	able    map[string]loop.Micros // since when each controller could answer; 0: it cannot
 }
 
-// cost is what the nodes' own code takes, told from the world around it.
+// cost is what the controllers' own code costs, without the simulation around it.
 type cost struct {
-	own    time.Duration // in the nodes, less what they ask of the world
+	own    time.Duration // spent in the controllers, without the simulated services
 	frames int
 	bytes  int
 }
 
-// outside runs what the world does for a node, and leaves it out of the node's cost.
+// outside runs a simulated service on behalf of a controller and excludes it from the controllers' cost.
 func outside[T any](w *world, f func() T) T {
 	began := time.Now()
 	v := f()
@@ -113,36 +117,38 @@
 	return v
 }
 
+// cutMode is how a connection behaves.
 type cutMode int
 
 const (
 	open cutMode = iota
 	dropping
-	holding  // delivered when the cut ends
+	holding  // delivered late; the sender gets no answer
 	refusing // answered 503 at once; only the state service does that
 )
 
+// simNode is a simulated host of a controller process.
 type simNode struct {
 	w      *world
 	label  string
-	stalls *loop.StallDetector // of this life
+	stalls *loop.StallDetector // of this incarnation
 	n      *Node
 	alive  bool
-	gen    int
-	off    loop.Micros
+	gen    int         // the incarnation of the process
+	off    loop.Micros // of its wall clock
 	zone   string
-	// frozen: the process stands still while its clocks run on; held is what came meanwhile.
+	// frozen: the process is paused while its clocks go on; held is what arrived meanwhile.
 	frozen bool
 	held   []func()
-	cost   *cost // of all nodes
-	// then is called once when a request of its that holds words has been carried out.
+	cost   *cost // of all controllers
+	// then is called once, after a request of this controller that contains words has been executed.
 	words string
 	then  func()
-	lag   loop.Micros // by which the answer to the request being made is late
+	lag   loop.Micros // delay of the answer to the request being made
 }
 
-// after calls f when the node's next request with these words has been carried out, and
-// before it gets the answer: the worst moment to stand still.
+// after calls f when the controller's next request that contains words has been executed and before the controller
+// gets the answer: the worst time for a fault.
 func (s *simNode) after(words string, f func()) { s.words, s.then = words, f }
 
 func (s *simNode) carried(path string, body []byte) {
@@ -152,41 +158,43 @@
 	}
 }
 
+// simWorker is a simulated machine with its worker.
 type simWorker struct {
 	w       *standin.Worker
-	at      int // index of the node it reports to
+	at      int // index of the controller it reports to
 	hanging bool
 	gone    bool
 	deaf    bool // its reports arrive; answers and commands do not reach it
-	mute    bool // it can open no connection to any node; commands reach it, and are answered
-	// flights are the messages with starts that are under way to it.
+	mute    bool // it cannot connect to any controller; commands reach it and are answered
+	// flights are the messages with starts that are in flight to it.
 	flights map[*flight]struct{}
 }
 
+// simJob is a job and what its user did and was told.
 type simJob struct {
 	id        string
 	spec      *job.Spec
 	run       loop.Micros
 	broken    bool
-	every     int // of a broken job, only each so manieth task fails
+	every     int // of a broken job, only every n-th task fails; 0: all fail
 	failsIn   loop.Micros
-	later     loop.Micros // by which each task runs longer than the one before
+	later     loop.Micros // added to the run time of each task, compared with the task before
 	accepted  bool
 	done      bool
-	withdrawn loop.Micros
-	asked     bool        // its user asked to cancel it
+	withdrawn loop.Micros // when its user was first told that it is cancelled
+	asked     bool        // its user requested its cancellation
 	first     loop.Micros // when it was first submitted
 	told      loop.Micros // when its user was first told that it is accepted
 	ended     loop.Micros // when the newest of its tasks completed
 	over      loop.Micros // when its user was first told that it is done
-	heard     loop.Micros // when its user was last told of it
-	began     loop.Micros // when its first task did
+	heard     loop.Micros // when its user last got an answer about it
+	began     loop.Micros // when its first task started
 	terms     *job.Terms
-	starts    int     // of its tasks
-	beside    *beside // the room that it waits beside; nil: none
+	starts    int     // number of starts of its tasks
+	beside    *beside // the free capacity that it could use; nil: none
 }
 
-// note puts a message into the world's record.
+// note adds a message to the simulation's trace.
 func (w *world) note(what string, body []byte) {
 	if w.messages != nil {
 		fmt.Fprintf(w.messages, "%d %s %d ", w.now, what, len(body))
@@ -194,6 +202,7 @@
 	}
 }
 
+// at calls f after a delay.
 func (w *world) at(d loop.Micros, f func()) {
 	w.seq++
 	heap.Push(&w.queue, event{w.now + max(d, 0) + 1, w.seq, f})
@@ -204,7 +213,7 @@
 	w.t.Fatalf("at %.3f s: %s", float64(w.now)/1e6-3600, fmt.Sprintf(format, args...))
 }
 
-// runner is one life of a node's process.
+// runner is the event loop of one incarnation of a controller's process.
 type runner struct {
 	w     *world
 	s     *simNode
@@ -212,12 +221,12 @@
 	label string
 }
 
-// Rand is drawn from the world's seed alone, so that each life plays the same again.
+// Rand depends only on the simulation's seed, so that each incarnation behaves the same when it is repeated.
 func (r runner) Rand() *rand.Rand {
 	return rand.New(rand.NewPCG(uint64(r.gen), uint64(r.w.seed)<<16|uint64(slices.Index(r.w.labels, r.label))))
 }
 
-// Stalls are the standstills of that life.
+// Stalls returns the detector of this incarnation's process pauses.
 func (r runner) Stalls() *loop.StallDetector {
 	if r.s.stalls == nil {
 		r.s.stalls = &loop.StallDetector{}
@@ -232,8 +241,8 @@
 	r.w.at(d, func() { r.s.enter(r.gen, f) })
 }
 
-// Go lets a request take its time. One that is on its way when the process freezes is
-// carried out, and only its answer waits; one that is not waits too.
+// Go runs a request after a random delay. If the process is paused by then, the request either has been sent already
+// and is executed, with only its answer waiting, or it waits as well; either is drawn at random.
 func (r runner) Go(do func()) {
 	f := func() {
 		r.s.lag = 0
@@ -249,7 +258,8 @@
 	})
 }
 
-// enter runs f in that life of the process, or keeps it until the process wakes.
+// enter runs f in that incarnation of the process, or keeps it until the process resumes. It drops f if the
+// incarnation has ended.
 func (s *simNode) enter(gen int, f func()) {
 	switch {
 	case !s.alive || s.gen != gen:
@@ -265,11 +275,12 @@
 	}
 }
 
+// between draws a time from a range.
 func (w *world) between(a, b loop.Micros) loop.Micros { return a + w.rng.Int64N(b-a+1) }
 
 var errLost = errors.New("no answer")
 
-// link is a connection that loses, or carries out late, what crosses a cut.
+// link is a connection to a service. It loses or delays requests according to its mode.
 type link struct {
 	w    *world
 	name string
@@ -282,7 +293,7 @@
 	})
 }
 
-// watch is a link to the state service that may be lost by itself, as a watch that is silent.
+// watch is the link for the watch of the state service. It may fail by itself, as a watch that delivers nothing.
 type watch struct {
 	stateLink
 	by string
@@ -297,11 +308,12 @@
 	return l.stateLink.Do(method, path, body, d)
 }
 
+// cross executes a request over the named connection.
 func (w *world) cross(name string, f func() store.Response) store.Response {
 	return w.crossBy(w.cut[name], f)
 }
 
-// toWorker is how a node and a machine reach each other.
+// toWorker returns the mode of the connection between a controller and a machine.
 func (w *world) toWorker(label string, x *simWorker) cutMode {
 	if m := w.cut[label+">workers"]; m != open {
 		return m
@@ -312,6 +324,8 @@
 	return open
 }
 
+// crossBy executes a request over a connection of the given mode. One without a fault still loses or delays one
+// request in eighty, unless that is off.
 func (w *world) crossBy(mode cutMode, f func() store.Response) store.Response {
 	switch mode {
 	case dropping:
@@ -319,7 +333,7 @@
 	case refusing:
 		return store.Response{Status: 503}
 	case holding:
-		w.at(w.between(loop.Second, 40*loop.Second), func() { f() }) // late, with nobody listening
+		w.at(w.between(loop.Second, 40*loop.Second), func() { f() }) // executed late, when nobody waits for the answer
 		return store.Response{Err: errLost}
 	}
 	if w.sure {
@@ -331,27 +345,30 @@
 	case p < 0.008: // the answer is lost
 		f()
 		return store.Response{Err: errLost}
-	case p < 0.012: // it is carried out late
+	case p < 0.012: // it is executed late
 		w.at(w.between(loop.Second, 20*loop.Second), func() { f() })
 		return store.Response{Err: errLost}
 	}
 	return f()
 }
 
-// nothing leaves the settings as they are.
+// nothing leaves the default settings unchanged.
 func nothing(*config.Config) {}
 
+// newWorld returns a simulation with three controllers and twelve machines in two zones.
 func newWorld(t testing.TB, seed uint64) *world {
 	return newWorldWith(t, seed, func(*config.Config) {})
 }
 
+// newWorldWith is newWorld with changed settings.
 func newWorldWith(t testing.TB, seed uint64, settings func(*config.Config)) *world {
 	return newWorldOf(t, seed, size{nodes: 3, zones: 2, each: 6}, settings)
 }
 
-// size is how large a world is: each is the number of machines in each zone.
+// size is the size of a simulated cluster: each is the number of machines in each zone.
 type size struct{ nodes, zones, each int }
 
+// newWorldOf returns a simulation of a given size with changed settings. All its controllers have started.
 func newWorldOf(t testing.TB, seed uint64, z size, settings func(*config.Config)) *world {
 	w := &world{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), now: 3600 * loop.Second, zoneCut: map[string]cutMode{},
 		nodes: map[string]*simNode{}, workers: map[string]*simWorker{}, jobs: map[string]*simJob{}, cut: map[string]cutMode{},
@@ -388,6 +405,7 @@
 	return w
 }
 
+// timed prefixes log lines with the simulated time and the controller.
 type timed struct {
 	w     *world
 	label string
@@ -398,6 +416,7 @@
 	return len(b), nil
 }
 
+// logs returns the log handler of a controller; it prints everything if CLEATPICK_TRACE is set.
 func (w *world) logs(label string) slog.Handler {
 	if os.Getenv("CLEATPICK_TRACE") == "" {
 		return slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError})
@@ -405,6 +424,7 @@
 	return slog.NewTextHandler(timed{w, label}, &slog.HandlerOptions{Level: slog.LevelDebug})
 }
 
+// startNode starts a new incarnation of a controller, unless it runs.
 func (w *world) startNode(label string) {
 	s := w.nodes[label]
 	if s.alive {
@@ -458,20 +478,22 @@
 	r.Post(s.n.Start)
 }
 
+// frame delivers a message between controllers.
 func (w *world) frame(to string, f []byte) {
 	s := w.nodes[to]
 	s.enter(s.gen, func() {
 		e := new(peer.Envelope)
 		if err := wire.Unmarshal(f, e); err != nil {
-			w.fail("a frame cannot be read: %v", err)
+			w.fail("a frame between controllers cannot be decoded: %v", err)
 		}
 		s.n.net.Take(e)
 	})
 }
 
+// kill crashes a controller, which is back after 2 to 8 s.
 func (w *world) kill(label string) { w.killFor(label, w.between(2*loop.Second, 8*loop.Second)) }
 
-// killFor ends a node's process, which is back after a while.
+// killFor crashes a controller, which is back after a delay.
 func (w *world) killFor(label string, d loop.Micros) {
 	s := w.nodes[label]
 	s.alive = false
@@ -483,7 +505,7 @@
 	})
 }
 
-// any picks a node that takes requests.
+// any picks a controller that accepts requests; nil: the one that was drawn does not.
 func (w *world) any() *Node {
 	if s := w.door(); s != nil {
 		return s.n
@@ -491,8 +513,8 @@
 	return nil
 }
 
-// door picks where a request goes in. A node that stands still takes it too, and handles
-// it when it wakes.
+// door picks the controller that a user's request is sent to; nil: the one that was drawn does not accept it. A paused
+// controller accepts it, too, and handles it when it resumes.
 func (w *world) door() *simNode {
 	l := w.labels[w.rng.IntN(len(w.labels))]
 	s := w.nodes[l]
@@ -502,6 +524,7 @@
 	return s
 }
 
+// submit submits a job, again and again until it is accepted.
 func (w *world) submit(j *simJob) {
 	if j.first == 0 {
 		j.first = w.now
@@ -522,7 +545,7 @@
 	})
 }
 
-// answer takes in the answer to a question that is asked now.
+// answer returns a callback that checks the answer to a question that is asked now.
 func (w *world) answer(j *simJob) func(job.Answer) {
 	asked, held := w.now, said(w.stored(j.id))
 	return func(a job.Answer) {
@@ -531,7 +554,7 @@
 	}
 }
 
-// pollAt asks a node of a job.
+// pollAt asks a controller about a job.
 func (w *world) pollAt(s *simNode, j *simJob) {
 	reply := w.answer(j)
 	key := unanswered{s.label, j.id}
@@ -544,6 +567,7 @@
 	})
 }
 
+// poll asks about a job every 2 to 5 s.
 func (w *world) poll(j *simJob) {
 	if s := w.door(); s != nil {
 		w.pollAt(s, j)
@@ -551,6 +575,7 @@
 	w.at(w.between(2*loop.Second, 5*loop.Second), func() { w.poll(j) })
 }
 
+// withdraw cancels a job, again and again until its user is told that it is cancelled or done.
 func (w *world) withdraw(j *simJob) {
 	j.asked = true
 	if j.withdrawn != 0 || j.done {
@@ -564,6 +589,7 @@
 
 func (w *world) addJob(i int) { w.enter(w.makeJob(i)) }
 
+// makeJob draws a job.
 func (w *world) makeJob(i int) *simJob {
 	r := w.rng
 	s := &job.Spec{Class: "k", Team: []string{"red", "blue"}[r.IntN(2)], Priority: job.Priority(r.IntN(3)), Tasks: 1 + r.IntN(8),
@@ -579,7 +605,7 @@
 	return &simJob{id: fmt.Sprintf("job-%06d", i), spec: s, run: w.between(loop.Second, 20*loop.Second), broken: r.IntN(25) == 0}
 }
 
-// enter lets a job's user submit it, poll it and perhaps cancel it.
+// enter simulates a job's user, who submits it, polls it and perhaps cancels it.
 func (w *world) enter(j *simJob) {
 	w.jobs[j.id] = j
 	w.submit(j)
@@ -589,6 +615,7 @@
 	}
 }
 
+// run handles all events up to a time.
 func (w *world) run(until loop.Micros) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		e := heap.Pop(&w.queue).(event)
