--- a/internal/node/gap_test.go
+++ b/internal/node/gap_test.go
@@ -13,15 +13,15 @@
 	"cleatpick/internal/loop"
 )
 
-// The gap: the state service refuses one controller alone, another confirms cancellations to
-// users, and then it is down for all for longer than cancel_s, while workers go on reporting to
-// the one that was refused. What was cancelled must be gone in time all the same.
+// The gap: first the state service refuses one controller alone, while another one confirms cancellations to users; then
+// it is down for all for longer than cancel_s, while workers go on reporting to the controller that was refused. Cancelled
+// tasks must end in time all the same.
 
-// fullWorld is a deployment full of long tasks. Its workers report so seldom that some have not
-// moved on when the state service is lost to all.
+// fullWorld returns a simulation full of long tasks. Its workers report so rarely that some have not been redirected
+// when the state service goes down for all.
 func fullWorld(t *testing.T, nodes int) *world { return handWorldOf(t, nodes, 5, 26, 46) }
 
-// owner is who owns a team.
+// owner returns the controller that owns a team, or the first one if none does.
 func (w *world) owner(team string) string {
 	for _, l := range w.labels {
 		if s := w.nodes[l]; s.alive && !s.frozen && s.n.placer.Owns(team) {
@@ -31,13 +31,13 @@
 	return w.labels[0]
 }
 
-// outage lets the state service be down for a while.
+// outage takes the state service down for a while.
 func (w *world) outage(after, d loop.Micros) {
 	w.at(after, func() { w.state.SetDown(true) })
 	w.at(after+d, func() { w.state.SetDown(false) })
 }
 
-// cancelAmong lets users cancel the jobs of a team one after another within a time.
+// cancelAmong lets users cancel the jobs of a team one after the other within a time.
 func (w *world) cancelAmong(team string, d loop.Micros) {
 	n := loop.Micros(0)
 	for _, j := range loop.Sorted(w.jobs) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// cancelBesides is cancelAmong by users who reach every node but one.
+// cancelBesides is cancelAmong for users who reach every controller but one.
 func (w *world) cancelBesides(label, team string, d loop.Micros) {
 	others := slices.DeleteFunc(slices.Clone(w.labels), func(l string) bool { return l == label })
 	n := 0
@@ -66,7 +66,7 @@
 	}
 }
 
-// told is the number of jobs of which a user was told that they are cancelled.
+// cancelled returns the number of jobs whose user was told that they are cancelled.
 func (w *world) cancelled() (n int) {
 	for _, j := range w.jobs {
 		if j.withdrawn != 0 {
@@ -76,7 +76,7 @@
 	return n
 }
 
-// onMachines is the number of tasks that are on machines although their job was cancelled.
+// onMachines returns the number of tasks that run although their user was told that the job is cancelled.
 func (w *world) onMachines() (n int) {
 	for task := range w.active {
 		if w.jobs[task[:len("job-000000")]].withdrawn != 0 {
@@ -86,6 +86,8 @@
 	return n
 }
 
+// The gap at several lengths and numbers of controllers. All controllers reach each other, so the one that was refused
+// learns of the cancellations from its peers: cancelled tasks end soon, and no other task is lost.
 func TestTheGap(t *testing.T) {
 	const second, down = loop.Second, 60 * loop.Second // cancel_s is 46
 	for _, nodes := range []int{2, 3, 5, 15} {
@@ -98,21 +100,21 @@
 					t.Parallel()
 					w := fullWorld(t, nodes)
 					began := w.now
-					for range 2 { // twice in a row, as in the users' day: the second may find another owner
+					for range 2 { // twice in a row: the second time the team may have another owner
 						w.cutFor(refused, refusing, w.owner("red")+">state")
 						w.outage(gap, down)
 						w.cancelAmong([]string{"red", "blue"}[min((w.now-began)/second, 1)], gap)
 						w.run(w.now + gap + 12*second)
 						if n := w.onMachines(); n != 0 {
-							t.Errorf("%d tasks of cancelled jobs run on, although all nodes hear each other", n)
+							t.Errorf("%d tasks of cancelled jobs still run, although all controllers reach each other", n)
 						}
 						w.run(w.now + down + 25*second)
 					}
 					if gap >= second && w.cancelled() < 4 {
-						t.Errorf("only %d jobs were cancelled", w.cancelled())
+						t.Errorf("only %d jobs were cancelled, want 4 or more", w.cancelled())
 					}
 					if w.whys["lease"] != 0 || w.whys["gone"] != 0 {
-						t.Errorf("all nodes hear each other, and tasks end by %v", w.whys)
+						t.Errorf("all controllers reach each other, but tasks were lost; ended tasks by reason: %v", w.whys)
 					}
 				})
 			}
@@ -120,9 +122,10 @@
 	}
 }
 
-// What is not known cannot be told: where the one that confirmed has ended, is not heard, or
-// cannot read what its earlier life confirmed, workers are let go in time. The referee looks at
-// every second whether anything that was cancelled is on a machine for too long.
+// The gap where no peer can tell the refused controller of the cancellations, because the one that confirmed them has
+// crashed, is unreachable, or cannot read what its earlier incarnation confirmed. The refused controller stops answering
+// its workers early enough that their leases expire in time. The invariant checkers check every second that no cancelled
+// task runs for too long.
 func TestTheGapWhereNobodyTells(t *testing.T) {
 	const second, down = loop.Second, 60 * loop.Second
 	back := func(w *world, l string, d loop.Micros) {
@@ -136,22 +139,22 @@
 		name  string
 		nodes int
 		do    func(w *world, a string)
-		lost  string // whether work is let go
+		lost  string // whether tasks end because leases expire
 	}{
-		{"the others end with the outage", 3, func(w *world, a string) { w.at(2*second, func() { back(w, a, 200*second) }) }, "yes"},
-		{"the others are back within a fraction of a second", 3, func(w *world, a string) { w.at(2*second, func() { back(w, a, 150*loop.Millisecond) }) }, "yes"},
-		{"the other is back at once", 2, func(w *world, a string) { w.at(2*second, func() { back(w, a, 40*loop.Millisecond) }) }, "yes"},
-		{"it hears nobody", 3, func(w *world, a string) {
+		{"the others crash with the outage", 3, func(w *world, a string) { w.at(2*second, func() { back(w, a, 200*second) }) }, "yes"},
+		{"the others restart within a fraction of a second", 3, func(w *world, a string) { w.at(2*second, func() { back(w, a, 150*loop.Millisecond) }) }, "yes"},
+		{"the other restarts at once", 2, func(w *world, a string) { w.at(2*second, func() { back(w, a, 40*loop.Millisecond) }) }, "yes"},
+		{"it receives no messages", 3, func(w *world, a string) {
 			w.cutFor(100*second, dropping, w.labels[0]+">"+a, w.labels[1]+">"+a, w.labels[2]+">"+a)
 		}, "yes"},
-		{"its answers are held up", 3, func(w *world, a string) {
+		{"messages to it are delayed", 3, func(w *world, a string) {
 			w.cutFor(100*second, holding, w.labels[0]+">"+a, w.labels[1]+">"+a, w.labels[2]+">"+a)
 		}, "perhaps"},
-		{"one of the others is not heard, and a third tells", 3, func(w *world, a string) {
+		{"one of the others is unreachable, and a third one tells it", 3, func(w *world, a string) {
 			o := w.labels[(slices.Index(w.labels, a)+1)%3]
 			w.cutFor(100*second, dropping, o+">"+a)
 		}, "no"},
-		{"its machines go elsewhere", 3, func(w *world, a string) {
+		{"its machines report elsewhere", 3, func(w *world, a string) {
 			w.at(5*second, func() { w.cutFor(30*second, dropping, a+">workers") })
 		}, "no"},
 	} {
@@ -167,27 +170,28 @@
 			told := w.cancelled()
 			w.run(w.now + down)
 			if told < 7 || c.lost != "perhaps" && (w.whys["lease"] != 0) != (c.lost == "yes") {
-				t.Errorf("%d jobs are cancelled, tasks end by %v", told, w.whys)
+				t.Errorf("%d jobs are cancelled; ended tasks by reason: %v", told, w.whys)
 			}
 		})
 	}
 }
 
-// A watch that is silent while transactions are answered tells of no cancellation, and contact
-// proves nothing. Peers tell; where none is heard, workers are sent on or let go.
+// A watch that delivers nothing while transactions are answered hides cancellations although the controller has contact
+// to the state service. Peers tell it of them; if it receives no messages from peers, it redirects its workers or lets
+// their leases expire.
 func TestSilentWatch(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(w *world, a string)
 		lost bool
 	}{
-		{"all hear each other", func(*world, string) {}, false},
-		{"it hears nobody", func(w *world, a string) {
+		{"all reach each other", func(*world, string) {}, false},
+		{"it receives no messages", func(w *world, a string) {
 			for _, l := range w.labels {
 				w.cutFor(90*loop.Second, dropping, l+">"+a)
 			}
 		}, false},
-		{"the others end", func(w *world, a string) {
+		{"the others crash", func(w *world, a string) {
 			for _, l := range w.labels {
 				if l != a {
 					w.at(1100*loop.Millisecond, func() { w.killFor(l, 100*loop.Second) })
@@ -199,7 +203,7 @@
 			t.Parallel()
 			w := fullWorld(t, 3)
 			a := w.owner("red")
-			w.shunned = a // each question would read the record that the watch keeps silent of
+			w.shunned = a // a question by a user would read the record that the watch hides
 			w.cutFor(90*loop.Second, dropping, a+">watch")
 			c.do(w, a)
 			for _, j := range loop.Sorted(w.jobs) {
@@ -212,19 +216,19 @@
 			}
 			w.run(w.now + 60*loop.Second)
 			if w.cancelled() < 6 || w.onMachines() != 0 || (w.whys["lease"] != 0) != c.lost {
-				t.Errorf("%d jobs are cancelled, %d of their tasks are left, tasks end by %v", w.cancelled(), w.onMachines(), w.whys)
+				t.Errorf("%d jobs are cancelled, %d of their tasks still run; ended tasks by reason: %v", w.cancelled(), w.onMachines(), w.whys)
 			}
 		})
 	}
 }
 
-// The counterpart: an outage for all at once, however long, kills nothing while all nodes hear
-// each other, whatever their number. One that has ended holds the others where they were: then
-// all leases end, and none before what is left after the horizon.
+// An outage of the state service for all controllers at once, however long, ends no task while all controllers reach each
+// other, whatever their number. If one of them has crashed, the cancellation watermark of the others stops: then all
+// workers' leases expire, but none before the time that the watermark leaves.
 func TestOutageForAll(t *testing.T) {
 	for _, nodes := range []int{1, 2, 3, 5, 15} {
 		for _, dead := range []bool{false, true} {
-			t.Run(fmt.Sprint(nodes, " nodes, one dead ", dead), func(t *testing.T) {
+			t.Run(fmt.Sprint(nodes, " controllers, one crashed ", dead), func(t *testing.T) {
 				t.Parallel()
 				w := fullWorld(t, nodes)
 				if dead {
@@ -235,10 +239,10 @@
 					w.at(3*loop.Second, func() { w.killFor(l, 100*loop.Second) })
 				}
 				w.outage(2*loop.Second, 65*loop.Second)
-				// cancel_s - lease_s is 20 s, less a margin of 2 and what the horizon lags.
+				// cancel_s - lease_s is 20 s, less a margin of 2 s and the lag of the watermark.
 				w.run(w.now + 15*loop.Second)
 				if w.whys["lease"] != 0 {
-					t.Errorf("tasks end by %v before their time", w.whys)
+					t.Errorf("tasks were lost too early; ended tasks by reason: %v", w.whys)
 				}
 				w.run(w.now + 50*loop.Second)
 				if (w.whys["lease"] != 0) != dead {
@@ -249,7 +253,7 @@
 	}
 }
 
-// Whatever is drawn around the gap, no rule breaks, and all gets done.
+// Around gaps with random times and random other faults, no invariant is violated and all jobs complete.
 func TestRulesInTheGap(t *testing.T) {
 	from, to := seeds(t, 1, 12)
 	for seed := from; seed <= to; seed++ {
@@ -262,7 +266,7 @@
 	}
 }
 
-// gapWorld is a deployment in which the gap opens again and again, with a trouble beside it.
+// gapWorld returns a simulation in which the gap occurs again and again, together with another fault.
 func gapWorld(t testing.TB, seed uint64) *world {
 	r := rand.New(rand.NewPCG(seed, 31))
 	w := newWorldOf(t, seed, size{nodes: []int{1, 2, 3, 3, 5, 15}[r.IntN(6)], zones: 2, each: 4 + r.IntN(6)}, func(*config.Config) {})
@@ -305,8 +309,8 @@
 	return w
 }
 
-// Settings that leave no time for an outage still start and serve, and one warning names both
-// and what is left.
+// A controller whose settings leave hardly any time for an outage still starts and serves, and logs one warning with both
+// settings and the time that is left.
 func TestHardlyAnyTimeIsLeft(t *testing.T) {
 	for _, c := range []struct {
 		cancel float64
@@ -318,11 +322,11 @@
 		cfg.Label = "z"
 		NewWith(&cfg, slog.New(slog.NewTextHandler(&out, nil)), Dependencies{Loop: runner{w, &simNode{cost: &w.cost}, 1, "z"}})
 		if n := strings.Count(out.String(), "level=WARN"); n != c.warns || n > 0 && !strings.Contains(out.String(), "cancel_s=13 lease_s=10 left_us=2250000") {
-			t.Errorf("cancel_s %v: %s", c.cancel, out.String())
+			t.Errorf("cancel_s %v logs: %s", c.cancel, out.String())
 		}
 		w.run(w.now + 60*loop.Second)
 		if w.whys["lease"] != 0 {
-			t.Errorf("cancel_s %v: tasks end by %v", c.cancel, w.whys)
+			t.Errorf("cancel_s %v: tasks were lost; ended tasks by reason: %v", c.cancel, w.whys)
 		}
 	}
 }
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -12,11 +12,11 @@
 	"cleatpick/internal/loop"
 )
 
-// What operators met: controllers that are silent for a minute and more or come and go,
-// cuts that take only a part of a node's ways, polls many times as often, visitors without
+// This file injects faults and loads that operators have met: controllers that are unreachable for a minute and more or
+// flap, partitions that affect only some of a controller's connections, far more polls than usual, a guest team without
 // a guarantee, and jobs that were submitted with a mistake.
 
-// ways are all connections of a node: to peers and back, to workers, state and cloud.
+// ways lists all connections of a controller: to peers and back, to workers, state service and cloud.
 func (w *world) ways(label string) (out []string) {
 	for _, p := range w.labels {
 		if p != label {
@@ -26,6 +26,7 @@
 	return append(out, label+">workers", label+">state", label+">cloud")
 }
 
+// cutFor puts connections into a fault mode for a while.
 func (w *world) cutFor(d loop.Micros, mode cutMode, ways ...string) {
 	for _, x := range ways {
 		w.cut[x] = mode
@@ -39,9 +40,10 @@
 
 func (w *world) anyLabel() string { return w.labels[w.rng.IntN(len(w.labels))] }
 
+// lostMode draws whether a disconnected connection drops or delays messages.
 func (w *world) lostMode() cutMode { return []cutMode{dropping, holding}[w.rng.IntN(2)] }
 
-// flap lets a node come and go.
+// flap disconnects a controller for some seconds again and again.
 func (w *world) flap(label string, until loop.Micros) {
 	if w.now >= until {
 		return
@@ -50,7 +52,7 @@
 	w.at(w.between(12*loop.Second, 16*loop.Second), func() { w.flap(label, until) })
 }
 
-// storm lets many users ask, each once, about jobs that are known, one job or unknown ones.
+// storm lets many users ask, each once, about known jobs or a single one, and about unknown jobs.
 func (w *world) storm(rate int, d loop.Micros) {
 	ids := make([]string, 0, len(w.jobs))
 	for id := range w.jobs {
@@ -71,7 +73,7 @@
 				s.enter(s.gen, func() {
 					s.n.jobs.Poll(id, func(a job.Answer) {
 						if a.Code == 200 || a.Code == 201 {
-							w.fail("invented: %s is called %q", id, a.Phase)
+							w.fail("invented: %s was never submitted and is called %q", id, a.Phase)
 						}
 					})
 				})
@@ -79,14 +81,14 @@
 			}
 			j := w.jobs[ids[w.rng.IntN(len(ids))]]
 			if !j.accepted {
-				return // its user has not been told yet, and would not ask
+				return // its user does not know that it is accepted, and would not ask
 			}
 			w.pollAt(s, j)
 		})
 	}
 }
 
-// guest lets the visiting team submit jobs of its own; the numbers begin at from.
+// guest lets the guest team submit jobs, with numbers from "from" on.
 func (w *world) guest(from, jobs, tasks int, every loop.Micros) {
 	for i := range jobs {
 		w.at(loop.Micros(i)*every, func() {
@@ -96,7 +98,7 @@
 	}
 }
 
-// mistaken lets jobs come that fail wherever they run: at once or late, in all tasks or some.
+// mistaken submits jobs that fail wherever they run: at once or late, in all tasks or some.
 func (w *world) mistaken(from, n int) {
 	for i := range n {
 		j := w.makeJob(from + i)
@@ -112,6 +114,7 @@
 	}
 }
 
+// met is the faults that operators have met.
 var met = []namedTrouble{
 	{"silence", func(w *world) {
 		n := 1 + w.rng.IntN(max(len(w.labels)-1, 1))
@@ -151,7 +154,7 @@
 	{"mistaken jobs", func(w *world) { w.mistaken(700000+w.seq%90000, 1+w.rng.IntN(4)) }},
 }
 
-// checkHealth looks for machines that rest for failing tasks although they are well.
+// checkHealth fails if a healthy machine takes no starts because of tasks that failed on it.
 func (w *world) checkHealth() {
 	for _, l := range w.labels {
 		s := w.nodes[l]
@@ -160,15 +163,15 @@
 		}
 		s.n.placer.Places(func(p *gate.Place, _ loop.Micros) {
 			if x := w.workers[p.V.Name]; p.Shut > w.now && p.ShutWhy == "tasks fail on it" && x != nil && !x.w.Faulty {
-				w.fail("%s rests for failing tasks, and is well", p.V.Name)
+				w.fail("%s takes no starts because tasks failed on it, but it is healthy", p.V.Name)
 			}
 		})
 	}
 	w.at(loop.Second, w.checkHealth)
 }
 
-// halfServed checks that no class and no team has fewer than half of its jobs done, of
-// those that could be and that their users did not cancel.
+// halfServed checks that every class and every team has at least half of its jobs done, not counting jobs that cannot
+// complete and jobs that their users cancelled.
 func (w *world) halfServed() {
 	w.t.Helper()
 	all, done := map[string]int{}, map[string]int{}
@@ -190,13 +193,13 @@
 	}
 }
 
-// metWorld is a deployment with a visiting team.
+// metWorld returns a simulation with a guest team, and idle teams whose guarantees exceed the fleet.
 func metWorld(t testing.TB, seed uint64, z size, teams int) *world {
 	w := newWorldOf(t, seed, z, func(c *config.Config) {
 		n := float64(z.zones * z.each * 8)
 		c.Cluster.Teams = []config.Team{{Name: "red", CPUs: n / 5, CPUsMax: max(n/3, 8)}, {Name: "blue", CPUs: n / 8, CPUsMax: max(n/2, 8)}, {Name: "guest"}}
 		for i := range teams {
-			c.Cluster.Teams = append(c.Cluster.Teams, config.Team{Name: fmt.Sprint("idle", i), CPUs: 3 * n, CPUsMax: 3 * n}) // beyond the whole fleet
+			c.Cluster.Teams = append(c.Cluster.Teams, config.Team{Name: fmt.Sprint("idle", i), CPUs: 3 * n, CPUsMax: 3 * n}) // more than the whole fleet
 		}
 	})
 	w.at(0, w.live)
@@ -206,9 +209,9 @@
 	return w
 }
 
-// What operators met, alone and in pairs, and beside what makes many fall together: no rule
-// breaks, everything that could run is done at the end, no class and no team is under half,
-// and no machine that is well rests for the mistakes of jobs.
+// Faults that operators have met, alone, in pairs, and together with correlated failures: no invariant is violated, all
+// jobs that can complete are done at the end, no class and no team has fewer than half of its jobs done, and no healthy
+// machine is kept from starts because of broken jobs.
 func TestRulesThatOperatorsMet(t *testing.T) {
 	from, to := seeds(t, 1, 10)
 	for seed := from; seed <= to; seed++ {
@@ -217,7 +220,7 @@
 			r := rand.New(rand.NewPCG(seed, 17))
 			z := drawSize(r)
 			w := metWorld(t, seed, z, r.IntN(6))
-			if r.IntN(4) == 0 { // the visiting team is brought in node by node
+			if r.IntN(4) == 0 { // the guest team is added to the settings of one controller after the other
 				w.settings = func(label string, c *config.Config) {
 					if w.now < 3640*loop.Second && label != w.labels[0] {
 						c.Cluster.Teams = slices.DeleteFunc(slices.Clone(c.Cluster.Teams), func(x config.Team) bool { return x.Name == "guest" })
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -9,7 +9,7 @@
 	"cleatpick/internal/loop"
 )
 
-// Each hard case by itself, at a fixed size.
+// Each known hard case that operators have met, by itself and at a fixed size.
 func TestOperatorsHardCases(t *testing.T) {
 	const second = loop.Second
 	usual := size{nodes: 3, zones: 2, each: 8}
@@ -18,12 +18,12 @@
 		teams int
 		do    func(w *world)
 	}{
-		{"two of three are silent for 70 s, and one is back while the other is cut from state", 0, func(w *world) {
+		{"two of three are unreachable for 70 s, and one of them returns without the state service", 0, func(w *world) {
 			w.cutFor(70*second, dropping, w.ways("a")...)
 			w.cutFor(70*second, dropping, w.ways("b")...)
 			w.at(70*second+1, func() { w.cutFor(40*second, dropping, "b>state") })
 		}},
-		{"a silence ends as its teams' claims are taken", 0, func(w *world) {
+		{"a controller is reachable again as its teams are claimed by others", 0, func(w *world) {
 			for _, l := range w.labels {
 				w.nodes[l].after("c/t/", func() {
 					for _, o := range w.labels {
@@ -37,11 +37,11 @@
 			}
 			w.cutFor(70*second, holding, w.ways(w.leader())...)
 		}},
-		{"polls storm as an outage ends", 0, func(w *world) {
+		{"many polls arrive as an outage ends", 0, func(w *world) {
 			w.state.SetDown(true)
 			w.at(12*second, func() { w.state.SetDown(false); w.storm(250, 20*second) })
 		}},
-		{"a visitor's 3,000 tasks at an owner that dies while it records them", 0, func(w *world) {
+		{"a guest's 3,000 tasks, and the owner crashes while it records them", 0, func(w *world) {
 			w.guest(800000, 1, 3000, 0)
 			w.at(2*second, func() {
 				for _, l := range w.labels {
@@ -49,14 +49,14 @@
 				}
 			})
 		}},
-		{"more teams than nodes, and guarantees beyond the fleet", 7, func(w *world) { w.flap("b", w.now+60*second) }},
-		{"broken jobs beside machines that fail every task", 0, func(w *world) {
+		{"more teams than controllers, and guarantees beyond the fleet", 7, func(w *world) { w.flap("b", w.now+60*second) }},
+		{"broken jobs, and machines that fail every task", 0, func(w *world) {
 			for _, name := range w.some(0.2) {
 				w.workers[name].w.Faulty = true
 			}
 			w.mistaken(600000, 5)
 		}},
-		{"a broken job takes a minute to fail, and is withdrawn while it is tried", 0, func(w *world) {
+		{"a broken job takes a minute to fail, and is cancelled while it is retried", 0, func(w *world) {
 			j := w.makeJob(600000)
 			j.broken, j.failsIn, j.spec.Tasks = true, 60*second, 12
 			w.jobs[j.id] = j
@@ -76,14 +76,14 @@
 			w.settled(50)
 			w.halfServed()
 			if !done {
-				t.Error("nothing was brought about")
+				t.Error("the fault was never injected")
 			}
 		})
 	}
 }
 
-// A visitor's 25,000 tasks, with the owner killed again and again while it records them:
-// each runs, none twice, and the others' jobs are done beside it.
+// A guest's job of 25,000 tasks, whose owner crashes again and again while it records them: each task runs, none twice
+// at the same time, and the jobs of the other teams complete meanwhile.
 func TestLargestVisitorAtOwnersThatDie(t *testing.T) {
 	const second = loop.Second
 	w := metWorld(t, 19, size{nodes: 3, zones: 2, each: 50}, 0)
@@ -101,29 +101,29 @@
 	w.run(3600*second + 400*second)
 	w.settled(25000)
 	if w.starts > 25000*13/10 {
-		t.Errorf("%d starts: more is done again than four deaths explain", w.starts)
+		t.Errorf("%d starts: more tasks were repeated than four crashes explain", w.starts)
 	}
 }
 
-// A silent node's teams are with others, and its workers too, within the stated time: its
-// lease and what ending it late may take, the longest wait of a claim, and a look; a worker
-// waits for 4 s and another second for each node that is silent.
+// The teams and the workers of an unreachable controller move to others within the stated time. For teams that is its
+// lease, the delay of its expiry, the longest wait before a claim, and one check interval; a worker waits 4 s for an
+// answer and one second more for each controller that is unreachable.
 func TestSilenceByArithmetic(t *testing.T) {
 	const second = loop.Second
 	for _, c := range []struct {
 		name         string
-		out          bool        // only its words to peers are lost: it hears them, and workers and state
-		teams, hosts loop.Micros // within which they are with others, beside the lease
+		out          bool        // only its messages to peers are lost; everything else arrives
+		teams, hosts loop.Micros // within which teams and workers move to others, beyond the lease
 	}{
 		{"off the network", false, 100*loop.Millisecond + 1200*loop.Millisecond + 600*loop.Millisecond, 5 * second},
-		// 2.5 s until its words are old, 0.7 s until it is told, 3 s until it believes that,
-		// a look, and a claim; then a report's time for its workers.
-		{"its words reach no peer", true, 4500 * loop.Millisecond, 3 * second},
+		// 2.5 s until its messages count as old, 0.7 s until it is told so, 3 s until it acts on that, one check interval,
+		// and a claim; then one report interval for its workers.
+		{"its messages reach no peer", true, 4500 * loop.Millisecond, 3 * second},
 	} {
 		for seed := uint64(11); seed < 15; seed++ {
 			t.Run(fmt.Sprint(c.name, ", ", seed), func(t *testing.T) {
 				w := metWorld(t, seed, size{nodes: 3, zones: 2, each: 20}, 0)
-				w.sure = true // a request that is lost by chance has its own times
+				w.sure = true // a request that is lost at random would take longer
 				for i := range 60 {
 					w.at(w.between(second, 30*second), func() { w.addJob(i) })
 				}
@@ -149,7 +149,7 @@
 					}
 					for _, team := range mine {
 						if o, ok := w.nodes[l].n.member.TeamOwner(team); !ok || o.Node == silent {
-							t.Errorf("to %s, %s is still owned by %q", l, team, o.Node)
+							t.Errorf("according to %s, %s is still owned by %q", l, team, o.Node)
 						}
 					}
 				}
@@ -158,21 +158,21 @@
 				if other == silent {
 					other = w.labels[1]
 				}
-				for _, name := range had { // one that boots now has not found its host yet
+				for _, name := range had { // a machine that boots now has not found a host controller yet
 					if v := w.nodes[other].n.agent.View(name); !w.workers[name].gone && (v == nil || v.Host == silent) {
-						t.Errorf("%s still reports to %s, by what %s knows", name, silent, other)
+						t.Errorf("%s still reports to %s, according to %s", name, silent, other)
 					}
 				}
 				if !c.out && w.nodes[silent].n.member.Entitled() {
-					t.Error("the silent node believes in its lease")
+					t.Error("the unreachable controller still acts under its lease, which has expired")
 				}
 			})
 		}
 	}
 }
 
-// A node that comes and goes does not take its teams back each time, and does once it has
-// been good for a while.
+// A controller whose connections flap does not take its teams back each time, and does so after it has been reachable
+// for a while.
 func TestFlappingNodeDoesNotTakeItsTeamsEachTime(t *testing.T) {
 	const second = loop.Second
 	w := metWorld(t, 13, size{nodes: 3, zones: 2, each: 6}, 3)
@@ -187,24 +187,24 @@
 	w.run(3630 * second)
 	for round := range 8 {
 		w.cutFor(6*second, dropping, w.ways("c")...)
-		w.run(w.now + 20*second) // silent for 6 s, back for 14
+		w.run(w.now + 20*second) // unreachable for 6 s, reachable for 14 s
 		if n := owns(); round > 0 && n > 0 {
-			t.Errorf("round %d: c comes and goes, and owns %d teams", round, n)
+			t.Errorf("round %d: c flaps, and owns %d teams", round, n)
 		}
 	}
 	w.run(w.now + 60*second)
 	if owns() == 0 {
-		t.Error("after a minute of good behaviour c owns nothing")
+		t.Error("c owns no team a minute after its last fault")
 	}
 }
 
-// Operators are told which owner is silent and which node gets no work yet, and why.
+// Operators are told which owner is unreachable and which controller gets no work yet, and why.
 func TestSilenceIsTold(t *testing.T) {
 	const second = loop.Second
 	w := metWorld(t, 17, size{nodes: 3, zones: 2, each: 4}, 0)
 	w.run(3620 * second)
 	if told := w.nodes["a"].n.staleOwners(); len(told) > 0 {
-		t.Errorf("while all is well: %q", told)
+		t.Errorf("without a fault, owners are described as outdated: %q", told)
 	}
 	var team string
 	for _, x := range w.cfg.Cluster.Teams {
@@ -213,13 +213,13 @@
 			w.cutFor(40*second, dropping, w.ways(o.Node)...)
 			w.run(w.now + 3*second)
 			if told, want := w.nodes["a"].n.staleOwners(), "the owner "+o.Node+" of the team "+team+" is unreachable; other controllers take the team over when its lease expires"; !slices.Contains(told, want) {
-				t.Errorf("3 s later it is told: %q, want %q", told, want)
+				t.Errorf("3 s later the descriptions are %q, want %q", told, want)
 			}
 			w.run(w.now + 50*second)
 			w.cutFor(6*second, dropping, w.ways(o.Node)...)
 			w.run(w.now + 9*second)
 			if got, want := w.nodes["a"].n.dampedPeers(), " ("+o.Node+" gets no work for another "; !strings.HasPrefix(got, want) {
-				t.Errorf("of a node that came and went it is told: %q", got)
+				t.Errorf("a controller that flapped is described as %q", got)
 			}
 			break
 		}
@@ -229,8 +229,8 @@
 	}
 }
 
-// What silent nodes do not use of the state service the others do, and give back once these
-// are there again. While all know who is registered, nobody's parts add up to more than all.
+// The others use the shares of the state service's request rate that unreachable controllers do not use, and give them
+// back when these return. While all know who is registered, the shares never exceed the whole.
 func TestPartsOfTheStateServiceFollowRegistration(t *testing.T) {
 	const second = loop.Second
 	w := metWorld(t, 23, size{nodes: 3, zones: 2, each: 4}, 0)
@@ -245,16 +245,16 @@
 	}
 	w.run(3620 * second)
 	if got := parts(); !near(got, 0.3, 0.3, 0.3) {
-		t.Errorf("all are there: %v", got)
+		t.Errorf("all are registered: shares %v", got)
 	}
 	w.cutFor(40*second, dropping, w.ways("b")...)
 	w.cutFor(40*second, dropping, w.ways("c")...)
 	w.run(w.now + loop.Seconds(w.cfg.Operator.NodeLeaseS) + 2*second)
 	if got := parts(); !near(got, 0.6, 0.075, 0.075) {
-		t.Errorf("b and c are silent: %v", got)
+		t.Errorf("b and c are unreachable: shares %v", got)
 	}
 	w.run(w.now + 45*second)
 	if got := parts(); !near(got, 0.3, 0.3, 0.3) {
-		t.Errorf("they are back: %v", got)
+		t.Errorf("b and c are back: shares %v", got)
 	}
 }
