--- a/internal/node/further_hand_test.go
+++ b/internal/node/further_hand_test.go
@@ -7,15 +7,14 @@
 	"cleatpick/internal/loop"
 )
 
-// Jobs are cancelled at the very moment at which the state service refuses the leader alone, and
-// a moment later it is out for all, for longer than cancel_s: all three in either order, a half
-// second apart at the most in most cases. Whatever was confirmed is gone in time, by all nodes
-// that hear each other at once, and none of them loses work for it.
+// Jobs are cancelled just as the state service begins to refuse the leader alone, and shortly after that it is down for
+// all for longer than cancel_s: the three events in different orders, in most cases half a second apart at most. All
+// controllers reach each other, so tasks whose cancellation was confirmed end soon, and no other task is lost.
 func TestCancelledAsTheLeaderIsRefused(t *testing.T) {
 	const ms, down = loop.Millisecond, 60 * loop.Second // cancel_s is 46
 	for _, cancel := range []loop.Micros{-300 * ms, -5 * ms, 0, 5 * ms, 300 * ms} {
 		for _, out := range []loop.Micros{-100 * ms, 0, 5 * ms, 1000 * ms, 2000 * ms} {
-			t.Run(fmt.Sprintf("cancelled %d ms, out %d ms after the refusal", cancel/ms, out/ms), func(t *testing.T) {
+			t.Run(fmt.Sprintf("cancelled %d ms, down %d ms after the refusal", cancel/ms, out/ms), func(t *testing.T) {
 				t.Parallel()
 				w := fullWorld(t, 3)
 				refusal := 400 * ms
@@ -27,14 +26,14 @@
 				w.run(w.now + 12*loop.Second)
 				early, sure := w.cancelled(), out-cancel >= 300*ms
 				if n := w.onMachines(); n != 0 {
-					t.Errorf("%d tasks of cancelled jobs run on, although all nodes hear each other", n)
+					t.Errorf("%d tasks of cancelled jobs still run, although all controllers reach each other", n)
 				}
 				if sure && early < 4 {
-					t.Errorf("%d jobs are cancelled before the outage", early)
+					t.Errorf("%d jobs are cancelled before the outage, want 4 or more", early)
 				}
 				w.run(w.now + down + 25*loop.Second)
 				if w.whys["lease"] != 0 || w.whys["gone"] != 0 {
-					t.Errorf("all nodes hear each other, and tasks end by %v", w.whys)
+					t.Errorf("all controllers reach each other, but tasks were lost; ended tasks by reason: %v", w.whys)
 				}
 				if n := w.cancelled(); n != len(w.jobs) || len(w.active) != 0 {
 					t.Errorf("at the end %d jobs are cancelled, %d tasks run", n, len(w.active))
@@ -44,10 +43,10 @@
 	}
 }
 
-// A machine hangs with tasks that are cancelled before, as or after it does so; it goes on within
-// its lease, after it, or after cancel_s, with the answer to its last report and commands queued.
-// Hung for less than its lease it learns at its next report that the task is over, hung for more
-// it has ended it: lease_s after the last report that was answered, which is before cancel_s.
+// Machines hang, and tasks on them are cancelled before, while or after they begin to hang. They resume within their lease,
+// after it, or after cancel_s, with the answer to their last report and commands queued. A machine that hung for less than
+// its lease learns of the cancellation with its next report. One that hung for longer ends the task by its lease, lease_s
+// after the last answered report, which is before cancel_s.
 func TestCancelledWhileItsMachineHangs(t *testing.T) {
 	const second = loop.Second
 	for _, times := range [][3]float64{{5, 26, 46}, {3, 17.5, 47.5}, {1, 10, 13}} {
--- a/internal/node/last_end_test.go
+++ b/internal/node/last_end_test.go
@@ -11,11 +11,10 @@
 	"cleatpick/internal/wire"
 )
 
-// A cancellation, a question or a repeated submission meets the end of a job's last task. What
-// the users do comes at each moment that there is: as the task ends, once its end, or the job's,
-// has been carried out and before the answer to that, and a little after each; at the owner, at
-// another node and at both. One of the two wins, all are told alike from then on, and who is
-// told that it is done is so within the protocol's time.
+// A cancellation, a question or a repeated submission races with the end of a job's last task. The user's request arrives
+// as the task ends, after the end of the task or of the job has been recorded but before the answer to that, and a little
+// after each of these; at the owner, at another controller and at both. Either the completion or the cancellation wins,
+// all users are told the same from then on, and "done" is told within the protocol's time.
 func TestWhatMeetsTheLastEnd(t *testing.T) {
 	const ms = loop.Millisecond
 	type ask struct {
@@ -34,14 +33,14 @@
 	wins, mu := map[string]int{}, sync.Mutex{}
 	t.Cleanup(func() {
 		if !t.Failed() && (wins["d"] < 50 || wins["w"] < 50) {
-			t.Errorf("the ends %v: the moments do not lie on both sides", wins)
+			t.Errorf("final phases %v: want 50 or more jobs done and 50 or more cancelled", wins)
 		}
 	})
 	for _, moment := range []string{"the task ends", "its end is recorded", "the job's end is stored"} {
 		for _, after := range []loop.Micros{0, ms, 4 * ms, 9 * ms, 30 * ms, 300 * ms, 700 * ms, 1500 * ms} {
 			t.Run(fmt.Sprint(moment, ", ", after/ms, " ms later"), func(t *testing.T) {
 				t.Parallel()
-				for at := range 3 { // which node: the owner, another, both
+				for at := range 3 { // which controller: the owner, another, both
 					for k, asks := range [][]ask{{cancel}, {poll}, {repeat}, {cancel, poll}, {poll, cancel}, {repeat, cancel}, {cancel, cancel, repeat}} {
 						w := newWorldOf(t, uint64(7+k+int(after/ms)), size{nodes: 3, zones: 2, each: 4}, nothing)
 						j := &simJob{id: "job-000001", run: 6 * loop.Second, spec: &job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 2, CPUs: 1,
@@ -81,7 +80,7 @@
 							}
 						}
 						w.run(3600*loop.Second + 35*loop.Second)
-						for range 3 { // all are asked, and told the same
+						for range 3 { // all controllers are asked, and answer the same
 							for _, l := range w.labels {
 								poll.do(w, l, j)
 							}
@@ -93,7 +92,7 @@
 						}
 						stored := w.stored(j.id)
 						if last != 2 || j.done == (j.withdrawn != 0) || j.done != (stored == job.Done) || len(w.active) != 0 || len(w.vain) != 0 {
-							t.Errorf("%s: %d tasks ended; told done %v, cancelled %v, stored %q, %d run, begun in vain %v", name, last, j.done, j.withdrawn != 0, stored, len(w.active), w.vain)
+							t.Errorf("%s: %d tasks completed; user told done %v, told cancelled %v, stored phase %q, %d tasks run, started after the cancellation %v", name, last, j.done, j.withdrawn != 0, stored, len(w.active), w.vain)
 						}
 						mu.Lock()
 						wins[string(stored)]++
--- a/internal/node/leaders_test.go
+++ b/internal/node/leaders_test.go
@@ -14,9 +14,9 @@
 	"cleatpick/internal/wire"
 )
 
-// Leaders change ten times in two minutes: they end, are refused by the state service, stand still
-// or hear nobody; also with an outage in between. Work that is urgent goes on to be served, no
-// lease is lost for it, nothing grows with the changes, and 10 s after the last all is as before.
+// The leader changes ten times in two minutes, because leaders crash, are refused by the state service or are paused, also
+// with an outage in between. Urgent jobs still start in time, no lease is lost, the numbers of machines and of recorded
+// orders do not grow with the changes, and 10 s after the last change all teams have owners.
 func TestLeadersChangeTenTimes(t *testing.T) {
 	const second = loop.Second
 	for _, c := range []struct {
@@ -24,15 +24,15 @@
 		do   func(w *world, l string)
 		out  bool
 	}{
-		{"they end", func(w *world, l string) { w.killFor(l, 5*second) }, false},
-		{"they are back at once", func(w *world, l string) { w.killFor(l, 200*loop.Millisecond) }, false},
+		{"they crash", func(w *world, l string) { w.killFor(l, 5*second) }, false},
+		{"they restart at once", func(w *world, l string) { w.killFor(l, 200*loop.Millisecond) }, false},
 		{"they are refused", func(w *world, l string) { w.cutFor(7*second, refusing, l+">state") }, false},
-		{"they stand still", func(w *world, l string) { w.freeze(l, 7*second) }, false},
-		{"each in its turn", func(w *world, l string) {
+		{"they are paused", func(w *world, l string) { w.freeze(l, 7*second) }, false},
+		{"a random one of these", func(w *world, l string) {
 			[]func(){func() { w.killFor(l, 5*second) }, func() { w.cutFor(7*second, refusing, l+">state") }, func() { w.freeze(l, 7*second) }}[w.rng.IntN(3)]()
 		}, false},
-		{"they end, also in an outage", func(w *world, l string) { w.killFor(l, 5*second) }, true},
-		{"they are back at once, also in an outage", func(w *world, l string) { w.killFor(l, 200*loop.Millisecond) }, true},
+		{"they crash, also in an outage", func(w *world, l string) { w.killFor(l, 5*second) }, true},
+		{"they restart at once, also in an outage", func(w *world, l string) { w.killFor(l, 200*loop.Millisecond) }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -64,21 +64,21 @@
 				w.run(w.now + second/2)
 			}
 			if took := w.now - began - 120*second; took > 10*second {
-				t.Errorf("all is owned %d us after the last change", took)
+				t.Errorf("all teams have owners %d us after the last change", took)
 			}
 			w.run(w.now + 20*second)
-			// A start that is lost with its host is over 6 s later, and another 4.4 s; its machine finds a new host in
-			// 5 s and shows that one's token with its second report, 12 s later.
+			// A start that is lost with its host controller expires after 6 s, and is given up after another 4.4 s. Its
+			// machine finds a new host controller in 5 s and shows that one's token with its second report, 12 s later.
 			for k := range 24 {
 				if j := w.jobs[fmt.Sprintf("job-%06d", 100+k)]; !j.asked && (j.began == 0 || j.began > j.told+map[bool]loop.Micros{false: 30, true: 45}[c.out]*second) {
-					t.Errorf("%s began %d us after it was accepted", j.id, j.began-j.told)
+					t.Errorf("%s started %d us after it was accepted", j.id, j.began-j.told)
 				}
 			}
 			if w.whys["lease"] != 0 || w.whys["gone"] != 0 || claims < 5 {
-				t.Errorf("tasks end by %v; the leadership was claimed %d times", w.whys, claims)
+				t.Errorf("ended tasks by reason: %v; the leadership was claimed %d times", w.whys, claims)
 			}
 			if n := len(w.workers) - had; n > 8 || tally > 12 {
-				t.Errorf("%d machines were rented, and %d orders recorded at once", n, tally)
+				t.Errorf("%d machines were created, and %d orders recorded at the same time", n, tally)
 			}
 			w.run(w.now + 400*second)
 			w.settled(100)
@@ -86,9 +86,9 @@
 	}
 }
 
-// A team is at its limit, with tasks of fractions of a CPU, when its owner changes, some of its
-// machines can't be asked, and jobs of it are cancelled. What may be on a machine counts until it
-// is proven off, by the referee's count at each start; and once it is, the limit is used again.
+// A team is at its limit, with tasks of fractions of a CPU, when its owner changes, some of its machines are out of
+// contact, and jobs of it are cancelled. A task that may still run counts against the limit until it is confirmed
+// terminated, which the invariant checker verifies at each start; after that, the limit is used up again.
 func TestLimitAcrossAnOwnerChange(t *testing.T) {
 	const second, limit = loop.Second, 22.7
 	for _, c := range []struct {
@@ -96,10 +96,10 @@
 		away func(w *world, names []string)
 	}{
 		{"they hang", func(w *world, names []string) { w.hang(names, 20*second) }},
-		{"they are deaf", func(w *world, names []string) { w.deafen(names, 20*second) }},
+		{"they are unresponsive to commands", func(w *world, names []string) { w.deafen(names, 20*second) }},
 		{"they cannot report", func(w *world, names []string) { w.mute(names, 20*second) }},
 		{"they hang for long", func(w *world, names []string) { w.hang(names, 60*second) }},
-		{"they die", (*world).die},
+		{"they fail", (*world).die},
 	} {
 		for _, change := range []string{"it ends", "it is back at once", "it is refused", "it stands still", "all end"} {
 			t.Run(c.name+", "+change, func(t *testing.T) {
@@ -120,7 +120,7 @@
 					x.w.Faulty = false
 				}
 				if w.teams["red"] < limit-1.1 {
-					t.Fatalf("the team uses %v before", w.teams["red"])
+					t.Fatalf("the team uses only %v CPUs before the change of owner", w.teams["red"])
 				}
 				owner := w.owner("red")
 				c.away(w, w.some(0.5))
@@ -141,13 +141,14 @@
 					}
 				})
 				w.cancelSome(0.9, 8*second)
-				// Gone or back and proven: a hang of 60 s by a deletion, a lease and some seconds after it began.
+				// By then each machine is deleted or has recovered; one that hangs for 60 s is deleted a lease and some seconds
+				// after it began to hang.
 				most := 0.0
 				for w.run(3640*second + 50*second); w.now < 3640*second+65*second; w.run(w.now + second) {
 					most = max(most, w.teams["red"])
 				}
 				if most < limit-1.1 {
-					t.Errorf("50 s later the team uses %v of %v at the most", most, limit)
+					t.Errorf("50 to 65 s after the change of owner the team uses %v of %v CPUs at most", most, limit)
 				}
 				w.run(3600*second + 900*second)
 				w.settled(200)
@@ -156,9 +157,9 @@
 	}
 }
 
-// A report is held back until a new leader has acted, and then arrives there: of the same session
-// or the one before, with tasks that have ended since, that run elsewhere by now, or that it does
-// not have yet; at nodes that know newer ones, and at nodes that know nothing at all.
+// Reports are delayed until a new leader has acted, and then arrive at any controller: reports of the same session or the
+// one before, with tasks that have ended since, that run elsewhere by now, or without tasks that started since; at
+// controllers that know newer reports, and at controllers that have just started.
 func TestReportHeldBackForANewLeader(t *testing.T) {
 	const second = loop.Second
 	for _, c := range []struct {
@@ -167,12 +168,12 @@
 	}{
 		{"nothing else", func(*world, []string) {}},
 		{"a next session", func(w *world, names []string) { w.rebirth(names) }},
-		{"hung beyond the lease", func(w *world, names []string) { w.hang(names, 14*second) }},
-		{"deaf beyond the lease", func(w *world, names []string) { w.deafen(names, 14*second) }},
-		{"dead", (*world).die},
+		{"hung for longer than the lease", func(w *world, names []string) { w.hang(names, 14*second) }},
+		{"unresponsive to commands for longer than the lease", func(w *world, names []string) { w.deafen(names, 14*second) }},
+		{"failed", (*world).die},
 	} {
 		for _, all := range []bool{false, true} {
-			t.Run(fmt.Sprint(c.name, ", all nodes end ", all), func(t *testing.T) {
+			t.Run(fmt.Sprint(c.name, ", all controllers restart ", all), func(t *testing.T) {
 				t.Parallel()
 				w := handWorld(t, 3)
 				names := w.present()
@@ -192,7 +193,7 @@
 					}
 				}
 				hold()
-				for k := range 8 { // as tasks end, begin and move
+				for k := range 8 { // so that tasks start and end meanwhile
 					w.at(loop.Micros(k)*700*loop.Millisecond, func() {
 						w.enter(shortJob(k, "red", 6, 2*second))
 					})
@@ -216,12 +217,12 @@
 					for _, n := range w.present() {
 						v := w.nodes[l].n.agent.View(n)
 						if x := w.workers[n]; v != nil && v.Session < x.w.Report().Session {
-							t.Errorf("%s sees %s in session %d", l, n, v.Session)
+							t.Errorf("%s has an outdated view of %s, of session %d", l, n, v.Session)
 						}
 					}
 				}
 				if c.name == "nothing else" && w.whys["lease"]+w.whys["gone"]+w.redone != 0 {
-					t.Errorf("tasks end by %v, %d ran once more", w.whys, w.redone)
+					t.Errorf("ended tasks by reason: %v; %d ran again after they had completed", w.whys, w.redone)
 				}
 				w.run(w.now + 500*second)
 				w.settled(100)
@@ -230,9 +231,9 @@
 	}
 }
 
-// All controllers are away for longer than a worker's lease: they are back together, one by one,
-// or into an outage. Nothing is started before what ran is proven off; then it runs again without
-// waiting for anything else, and without a storm: each task is started once for each time it was lost.
+// All controllers are down for longer than a worker's lease, and return together, one by one, or during an outage. No task
+// is started again before it is confirmed terminated. Then the tasks run again without any other delay, and each is started
+// only once for each time it was lost.
 func TestAllAwayForLongerThanALease(t *testing.T) {
 	const second = loop.Second
 	for _, c := range []struct {
@@ -240,10 +241,10 @@
 		away [3]loop.Micros
 		out  bool
 	}{
-		{"back together", [3]loop.Micros{40 * second, 40 * second, 40 * second}, false},
-		{"one by one", [3]loop.Micros{35 * second, 45 * second, 60 * second}, false},
-		{"as the leases end", [3]loop.Micros{24 * second, 26 * second, 28 * second}, false},
-		{"into an outage", [3]loop.Micros{35 * second, 36 * second, 37 * second}, true},
+		{"they return together", [3]loop.Micros{40 * second, 40 * second, 40 * second}, false},
+		{"they return one by one", [3]loop.Micros{35 * second, 45 * second, 60 * second}, false},
+		{"they return as the leases expire", [3]loop.Micros{24 * second, 26 * second, 28 * second}, false},
+		{"they return during an outage", [3]loop.Micros{35 * second, 36 * second, 37 * second}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -258,29 +259,30 @@
 				w.outage(20*second, 50*second)
 				first = 70 * second
 			}
-			// Blue runs 24 CPUs beyond its guarantee, which red may claim once.
+			// Blue uses 24 CPUs beyond its guarantee, which may be preempted once for red.
 			had := len(w.active)
 			stopped := w.whys["stopped"]
 			w.judged(140 * second)
-			// A node's lease, then two reports until each machine has found a node and shown its token.
+			// A controller's lease, and then two reports until each machine has found a controller and shown its token.
 			for w.run(began + first); len(w.active) < had*9/10 && w.now < began+first+60*second; {
 				w.run(w.now + second)
 			}
 			if took := w.now - began - first; took > 30*second {
-				t.Errorf("%d of %d tasks run %d us after the first was back", len(w.active), had, took)
+				t.Errorf("%d of %d tasks run %d us after the first controller was back", len(w.active), had, took)
 			}
 			w.run(w.now + 20*second)
 			if again := w.starts - starts; again > w.whys["lease"]+w.whys["gone"]+w.whys["error"]+w.whys["stopped"]-stopped || w.whys["stopped"]-stopped > 24 {
-				t.Errorf("%d starts; tasks end by %v", again, w.whys)
+				t.Errorf("%d starts; ended tasks by reason: %v", again, w.whys)
 			}
-			t.Logf("%d starts, %d us; tasks end by %v", w.starts-starts, w.now-20*second-began-first, w.whys)
+			t.Logf("%d starts, %d us; ended tasks by reason: %v", w.starts-starts, w.now-20*second-began-first, w.whys)
 			w.run(w.now + 500*second)
 			w.settled(100)
 		})
 	}
 }
 
-// strandedBy are the machines of a zone that follow a token above those of all nodes in it.
+// strandedBy returns, for each machine of a zone, whether it has accepted a token of a newer epoch than that of all
+// controllers in the zone.
 func (w *world) strandedBy(zone string) map[string]bool {
 	newest := uint64(0)
 	for _, l := range w.labels {
@@ -295,14 +297,15 @@
 	return stranded
 }
 
-// A zone with workers and a controller, the leader, the owner or neither, is cut off for longer than
-// a lease, while users cancel, and jobs end inside. Nothing runs twice, what was cancelled is gone,
-// and what ended inside is not run again when the report of it comes before its machine is gone.
+// A zone with workers and a controller, which is the leader, an owner or neither, is disconnected for up to longer than a
+// lease, while users cancel jobs and tasks end inside. No task runs twice, cancelled tasks end, and a task that completed
+// inside does not run again if its report arrives before its machine is deleted.
 //
-// A lease counts from when the last answered report was sent. So a cut ends none for certain where
-// it is shorter than the lease less the longest time between two reports, an answer's and a pause:
-// 26 - 6.25 - 4 - 1 s. Beyond that it ends only those of machines that follow a token above those of
-// the nodes that are left to them, which cannot get a newer epoch without the state service.
+// A lease counts from when the last answered report was sent. So a partition certainly ends no lease if it is shorter than
+// the lease less the longest report interval, the timeout of an answer and the wait before the next controller is tried:
+// 26 - 6.25 - 4 - 1 s. A longer one that is still shorter than the lease ends only the leases of machines that have accepted
+// a token of a newer epoch than that of the controllers they still reach, which cannot get a newer epoch without the state
+// service.
 func TestZoneAwayForLongerThanALease(t *testing.T) {
 	const second = loop.Second
 	for _, who := range []string{"the leader", "an owner", "neither"} {
@@ -322,14 +325,14 @@
 					if zone == "" {
 						zone = w.zones[0]
 					}
-					for k := range 10 { // what ends inside
+					for k := range 10 { // jobs that end inside the zone
 						w.enter(shortJob(k, "blue", 3, 15*second))
 					}
 					w.run(w.now + 8*second)
 					stranded := w.strandedBy(zone)
 					w.onLease = func(x *simWorker, task string) {
 						if d == 14*second || d == 20*second && !stranded[x.w.Name] {
-							t.Errorf("%s ends by the lease of %s, after a cut of %d s", task, x.w.Name, d/second)
+							t.Errorf("%s ends because the lease of %s expired, after a partition of %d s", task, x.w.Name, d/second)
 						}
 					}
 					w.cutZone(zone, mode, d)
@@ -337,10 +340,10 @@
 					w.judged(w.now - 3600*second + d + 40*second)
 					w.run(w.now + d + 60*second)
 					if !w.owned() {
-						t.Error("not all is owned a minute after the cut")
+						t.Error("not all teams have owners a minute after the partition")
 					}
 					if d <= 20*second && w.whys["gone"]+w.redone != 0 {
-						t.Errorf("a cut shorter than the lease: tasks end by %v, %d ran once more", w.whys, w.redone)
+						t.Errorf("a partition shorter than the lease; ended tasks by reason: %v; %d ran again after they had completed", w.whys, w.redone)
 					}
 					w.onLease = nil
 					w.run(w.now + 600*second)
@@ -351,9 +354,9 @@
 	}
 }
 
-// Jobs that are bound to one zone, by name or by their other tasks, and those that may have only
-// half of theirs in one, lose machines. What may be left of them still binds them; once it is
-// proven off they go wherever there is room. Machines are rented where their tasks may run.
+// Jobs that are bound to one zone, by name or by their other tasks, and jobs that may have only half of their tasks in one
+// zone, lose machines. Tasks that may still run bind the others as before; after they are confirmed terminated, the job goes
+// wherever there is capacity. Machines are created where its tasks may run.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
 	const second = loop.Second
 	for _, c := range []struct {
@@ -367,7 +370,7 @@
 		{"field", job.Spec{Zone: "y", Tasks: 20}},
 	} {
 		for _, fall := range []string{"die", "hang", "are cut off"} {
-			for _, full := range []bool{false, true} { // nothing is to be had in the zone that lost them
+			for _, full := range []bool{false, true} { // no new machines are available in the zone that lost them
 				t.Run(fmt.Sprint(c.name, ", they ", fall, ", full ", full), func(t *testing.T) {
 					t.Parallel()
 					w := newWorldOf(t, 23, size{nodes: 3, zones: 3, each: 8}, func(cfg *config.Config) {
@@ -413,7 +416,7 @@
 					w.run(3600*second + 450*second)
 					for _, id := range ids {
 						if j := w.jobs[id]; !j.done {
-							t.Errorf("%s is not done; %d starts, the fleet %d, tasks end by %v", id, j.starts, len(w.present()), w.whys)
+							t.Errorf("%s is not done; %d starts, %d machines; ended tasks by reason: %v", id, j.starts, len(w.present()), w.whys)
 						}
 					}
 				})
--- a/internal/node/meetings_hand_test.go
+++ b/internal/node/meetings_hand_test.go
@@ -11,28 +11,28 @@
 	"cleatpick/internal/loop"
 )
 
-// Jobs of two or three tasks that end 20 s apart, across whatever happens to who owns them in
-// between: one end is recorded, one is only reported, one to an owner that has ended. None is done
-// too early or twice, no task that has completed runs again, and users are told in time.
+// Jobs of two or three tasks that end 20 s apart, with faults of their owner in between: one end is recorded, one is only
+// reported, one is reported to an owner that has crashed. No job is called done too early, no task that has completed runs
+// again, and users are told in time.
 func TestEndsFarApart(t *testing.T) {
 	const second = loop.Second
 	for _, c := range []struct {
 		name string
 		do   func(w *world)
-		most loop.Micros // from the last end until the user is told; polls come every 2 to 5 s
+		most loop.Micros // from the end of the last task until the user is told; users poll every 2 to 5 s
 	}{
 		{"nothing", func(*world) {}, 8 * second},
-		{"the leader ends", func(w *world) { w.killFor(w.leader(), 8*second) }, 16 * second},
-		{"all are back at once", func(w *world) { w.backAtOnce(w.labels, 2) }, 16 * second},
-		{"the owner is back at once, again and again", func(w *world) { w.backAtOnce([]string{w.owner("red")}, 3) }, 16 * second},
-		{"the owner stands still", func(w *world) { w.freeze(w.owner("red"), 9*second) }, 16 * second},
-		{"the owner is refused while tasks end", func(w *world) { w.cutFor(8*second, refusing, w.owner("red")+">state") }, 20 * second},
-		{"the owner has its workers only", func(w *world) { w.cutFor(20*second, dropping, w.workersOnly(w.owner("red"))...) }, 20 * second},
+		{"the leader crashes", func(w *world) { w.killFor(w.leader(), 8*second) }, 16 * second},
+		{"all restart at once", func(w *world) { w.backAtOnce(w.labels, 2) }, 16 * second},
+		{"the owner restarts at once, again and again", func(w *world) { w.backAtOnce([]string{w.owner("red")}, 3) }, 16 * second},
+		{"the owner is paused", func(w *world) { w.freeze(w.owner("red"), 9*second) }, 16 * second},
+		{"the state service refuses the owner while tasks end", func(w *world) { w.cutFor(8*second, refusing, w.owner("red")+">state") }, 20 * second},
+		{"the owner reaches only its workers", func(w *world) { w.cutFor(20*second, dropping, w.workersOnly(w.owner("red"))...) }, 20 * second},
 		{"the state service is slow", func(w *world) {
 			w.late.slow = [2]loop.Micros{300 * loop.Millisecond, 1200 * loop.Millisecond}
 			w.at(15*second, func() { w.late.slow = [2]loop.Micros{} })
 		}, 20 * second},
-		{"writes come late", func(w *world) {
+		{"writes are executed late", func(w *world) {
 			w.late.writes = 0.4
 			w.at(15*second, func() { w.late.writes = 0 })
 		}, 24 * second},
@@ -62,15 +62,15 @@
 			w.run(3900 * second)
 			w.settled(60)
 			if w.redone != 0 || w.slowest > c.most {
-				t.Errorf("%d tasks ran once more after they had completed; a user was told %d us after the last end", w.redone, w.slowest)
+				t.Errorf("%d tasks ran again after they had completed; a user was told %d us after the last task ended", w.redone, w.slowest)
 			}
 		})
 	}
 }
 
-// A leader that is cut from the state service and its peers goes on answering workers and users.
-// Jobs are cancelled through others; whoever asks the old leader is never told less than was
-// told before, and it comes back as any other.
+// A leader that is disconnected from the state service and its peers still reaches its workers and users. Jobs are
+// cancelled through the other controllers; users who ask the old leader never get an older answer than before, and after
+// the partition it serves like any other controller.
 func TestLeaderWithItsWorkersAndUsers(t *testing.T) {
 	for _, mode := range []cutMode{dropping, refusing, holding} {
 		t.Run(fmt.Sprint(mode), func(t *testing.T) {
@@ -97,25 +97,25 @@
 			w.at(20*loop.Second, func() { w.cancelAmong("blue", 20*loop.Second) })
 			w.run(w.now + 60*loop.Second)
 			if w.cancelled() != 16 || len(w.active) != 0 || w.whys["lease"] != 0 {
-				t.Errorf("%d jobs are cancelled, %d tasks are left, tasks end by %v", w.cancelled(), len(w.active), w.whys)
+				t.Errorf("%d jobs are cancelled, %d tasks still run; ended tasks by reason: %v", w.cancelled(), len(w.active), w.whys)
 			}
 			w.run(w.now + 10*loop.Second)
 			if s := w.nodes[a]; !w.owned() || !s.n.member.Entitled() {
-				t.Errorf("%s is back: entitled %v, all owned %v", a, s.n.member.Entitled(), w.owned())
+				t.Errorf("after the partition of %s: its lease is valid %v, all teams have owners %v", a, s.n.member.Entitled(), w.owned())
 			}
 		})
 	}
 }
 
-// shortJob is an urgent job of short tasks; its number begins at 100.
+// shortJob returns an urgent job of short tasks, with numbers from 100 on.
 func shortJob(k int, team string, tasks int, run loop.Micros) *simJob {
 	return &simJob{id: fmt.Sprintf("job-%06d", 100+k), run: run, spec: &job.Spec{Class: "short", Team: team,
 		Priority: job.High, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: run}}
 }
 
-// A leader ends while machines full of long tasks do not hear anybody, or stand still. Those that
-// are back within their lease lose nothing; the others' tasks run again, each once it is proven
-// off, and what waits for room begins.
+// The leader crashes while machines full of long tasks are unresponsive to commands or hang. Machines that recover within
+// their lease lose nothing. The tasks of the others run again, each after it is confirmed terminated, and waiting jobs
+// start.
 func TestLeaderEndsWhileMachinesAreAway(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -135,7 +135,7 @@
 			w.killFor(w.leader(), 40*loop.Second)
 			began := w.now
 			w.at(2*loop.Second, func() {
-				for i := range 4 { // what waits beside them
+				for i := range 4 { // jobs that wait meanwhile
 					w.enter(shortJob(i, []string{"red", "blue"}[i%2], 3, 5*loop.Second))
 				}
 			})
@@ -145,7 +145,7 @@
 			}
 			for i := range 4 {
 				if j := w.jobs[fmt.Sprintf("job-%06d", 100+i)]; j.asked == false && (j.began == 0 || j.began > began+60*loop.Second) {
-					t.Errorf("%s began at %d", j.id, j.began)
+					t.Errorf("%s started its first task at %d us", j.id, j.began)
 				}
 			}
 			w.run(w.now + 600*loop.Second)
@@ -154,9 +154,9 @@
 	}
 }
 
-// The state service answers slower than its requests wait, then refuses the leader, then all for
-// longer than cancel_s, while users cancel and ask: each job is told of within the 75 s that
-// follow, and what was cancelled is gone in time.
+// The state service answers more slowly than its clients wait, then refuses the leader, and then is down for all for longer
+// than cancel_s, while users cancel and ask. Questions about each job are answered within the 75 s after that, and cancelled
+// tasks end in time.
 func TestSlowThenAway(t *testing.T) {
 	for _, slow := range [][2]loop.Micros{{500, 1000}, {900, 1400}, {1400, 2500}} {
 		t.Run(fmt.Sprint(slow), func(t *testing.T) {
@@ -176,8 +176,8 @@
 	}
 }
 
-// Commands and their answers are held up for seconds and carried out all the same, also once a
-// machine that stood still goes on: starts, stops and forgets overtake each other.
+// Commands are executed seconds late, also when a machine that hung resumes, so that starts, stops and forgets overtake
+// each other.
 func TestCommandsHeldUp(t *testing.T) {
 	w := newWorldOf(t, 4, size{nodes: 3, zones: 2, each: 6}, func(*config.Config) {})
 	for i := range 60 {
@@ -194,9 +194,9 @@
 	w.settled(60)
 }
 
-// Every kind of transaction gets no answer and is carried out 2 to 12 s later, after newer ones
-// of the same node; teams and the leadership change hands meanwhile. The kinds are told by what
-// they change first, so that one that is never played late is seen.
+// Every kind of transaction gets no answer and is executed 2 to 12 s later, after newer ones of the same controller, while
+// owners and leaders change. A transaction's kind is that of the first key that it changes; the test fails if a kind never
+// was late.
 func TestEveryKindOfWriteComesLate(t *testing.T) {
 	late, taken := map[string]int{}, map[string]int{}
 	for seed := range uint64(6) {
@@ -216,7 +216,7 @@
 			})
 		}
 		w.at(130*loop.Second, func() { w.late.writes = 0 })
-		w.at(140*loop.Second, func() { // whatever is still held or cordoned
+		w.at(140*loop.Second, func() { // whatever is still held
 			for _, j := range loop.Sorted(w.jobs) {
 				w.nodes["a"].n.jobs.Release(j.id, func(job.Answer) {})
 			}
@@ -231,10 +231,10 @@
 			taken[kind] += w.late.taken[kind]
 		}
 	}
-	t.Logf("came late: %v, and took effect: %v", late, taken)
+	t.Logf("late transactions by kind: %v, of which took effect: %v", late, taken)
 	for _, kind := range []string{"c/j", "x/red", "x/blue", "c/t", "c/l", "c/n", "c/e", "c/o", "c/g", "c/k", "c/cordons", "delete c/t", "delete c/l", "delete c/o"} {
 		if late[kind] == 0 {
-			t.Errorf("no transaction of the kind %s came late", kind)
+			t.Errorf("no transaction of the kind %s was late", kind)
 		}
 	}
 }
--- a/internal/node/meetings_test.go
+++ b/internal/node/meetings_test.go
@@ -12,8 +12,8 @@
 	"cleatpick/internal/wire"
 )
 
-// Most rules that users have seen broken broke when two troubles met. Each of these is one, or
-// is a meeting by itself; docs/notes/meetings.md has what was read and tested for each.
+// meetings is faults, and combinations of two faults, that are drawn in pairs. Most violations that users have seen
+// happened when two faults coincided; docs/notes/meetings.md describes the analysis and the tests of each.
 var meetings = []namedTrouble{
 	{"refused alone, then down for all", func(w *world) {
 		gap := w.between(0, 5*loop.Second)
@@ -67,7 +67,8 @@
 		}
 	}},
 	{"hand over and back", func(w *world) {
-		// What hears no peer hands over, and is heard again before anybody has taken it, or after.
+		// A controller that reaches no peer gives up what it owns, and is reachable again before or after another one
+		// has claimed that.
 		l := w.leader()
 		for k := range 1 + w.rng.IntN(3) {
 			w.at(loop.Micros(k)*w.between(5*loop.Second, 9*loop.Second), func() {
@@ -82,7 +83,6 @@
 		}
 		w.cancelSome(0.2, 8*loop.Second)
 	}},
-	// What the users' page names since.
 	{"machines that cannot report", func(w *world) {
 		names := w.some(0.1 + 0.5*w.rng.Float64())
 		if w.rng.IntN(3) == 0 {
@@ -124,7 +124,7 @@
 	{"a zone loses its machines", func(w *world) { w.die(w.inZone(w.zones[w.rng.IntN(len(w.zones))])) }},
 }
 
-// cancelSome lets users cancel a part of all jobs within a time.
+// cancelSome lets users cancel a third of the given share of all jobs within a time.
 func (w *world) cancelSome(part float64, d loop.Micros) {
 	for _, j := range loop.Sorted(w.jobs) {
 		if w.rng.Float64() < part/3 {
@@ -133,8 +133,8 @@
 	}
 }
 
-// meetWorld is a deployment in which troubles meet two and two, among them all that were met
-// before, with jobs of two or three tasks that end far apart beside others.
+// meetWorld returns a simulation in which faults of all lists occur in pairs. A third of its jobs have two or three tasks
+// that end far apart.
 func meetWorld(t testing.TB, seed uint64) *world {
 	r := rand.New(rand.NewPCG(seed, 41))
 	w, jobs := drawnWorld(t, seed, r, func(c *config.Config) {
@@ -161,7 +161,8 @@
 	return w
 }
 
-// No rule breaks, no job is forgotten, everything gets done, and nothing is under half.
+// Under pairs of coinciding faults no invariant is violated, no job is forgotten, all jobs complete, and no class and no
+// team has fewer than half of its jobs done.
 func TestRulesWhereTwoMeet(t *testing.T) {
 	from, to := seeds(t, 1, 16)
 	for seed := from; seed <= to; seed++ {
--- a/internal/node/mute_test.go
+++ b/internal/node/mute_test.go
@@ -9,7 +9,7 @@
 	"cleatpick/internal/loop"
 )
 
-// mute lets machines open no connection to any node for a while; commands go on reaching them.
+// mute makes machines unable to report for a while: they cannot connect to any controller, but commands reach them.
 func (w *world) mute(names []string, d loop.Micros) {
 	for _, name := range names {
 		x := w.workers[name]
@@ -18,7 +18,7 @@
 	}
 }
 
-// emptier is the half of all machines that has the most room, where work is given.
+// emptier returns the half of all machines that runs the fewest tasks, where new tasks are placed.
 func (w *world) emptier() []string {
 	names, on := w.present(), map[string]int{}
 	for _, m := range w.active {
@@ -28,11 +28,11 @@
 	return names[:len(names)/2]
 }
 
-// A machine that cannot report answers commands and probes, and its lease runs out all the same.
-// Taken for one that serves, it was given work until its lease ended, lost it, and was given more
-// in its next session, again and again. It takes starts for no longer than any silent machine,
-// what is cancelled there is stopped at once, what its lease ends runs again elsewhere, and what
-// comes back in time has lost nothing. No second fleet is rented for it.
+// A machine that cannot report answers commands and probes, and its lease expires all the same. The fault: it counted as
+// serving, was given tasks until its lease expired, lost them, and was given more in its next session, again and again.
+// It must get starts for no longer than any machine whose reports stopped; cancelled tasks on it are stopped at once; tasks
+// that its lease ends run again elsewhere; a machine that reports again in time has lost nothing; and the autoscaler does
+// not replace the whole fleet.
 func TestMachinesThatCannotReport(t *testing.T) {
 	const second = loop.Second
 	for _, c := range []struct {
@@ -56,9 +56,9 @@
 			w := handWorldOf(t, 3, 1, 26, 46)
 			names := c.who(w)
 			began, late, had := w.now, 0, len(w.workers)
-			w.sure = true // a command that was sent before may otherwise be carried out 20 s later
-			// A machine that has missed two reports takes no starts; what was recorded before that
-			// may be on its way for 6 s more. Its lease of 26 s ends later.
+			w.sure = true // otherwise a command that was sent before may be executed 20 s later
+			// A machine that has missed two reports gets no starts; one that was recorded before that may be in flight for
+			// 6 s more. The machine's lease of 26 s ends later.
 			deadline := began + 13*second
 			w.onBegan = func(x *simWorker, _ string) {
 				if x.mute && w.now > deadline && slices.Contains(names, x.w.Name) {
@@ -69,7 +69,7 @@
 			if c.more != nil {
 				w.at(3*second, func() { c.more(w) })
 			}
-			short := int(c.d / (150 * loop.Millisecond)) // so many that each machine is given something every few seconds
+			short := int(c.d / (150 * loop.Millisecond)) // so many that each machine is given a task every few seconds
 			for k := range short {
 				w.at(loop.Micros(k)*150*loop.Millisecond, func() {
 					w.enter(&simJob{id: fmt.Sprintf("job-%06d", 100+k), run: 3 * second, spec: &job.Spec{Class: "short", Team: []string{"red", "blue"}[k%2],
@@ -81,27 +81,27 @@
 			w.run(began + 6*second)
 			for task, m := range w.active {
 				if task[:len(gone.id)] == gone.id && c.more == nil {
-					t.Errorf("%s is still on %s, which commands reach", task, m)
+					t.Errorf("%s of a cancelled job still runs on %s, which commands reach", task, m)
 				}
 			}
 			w.run(began + c.d + 95*second)
 			if late > 0 {
-				t.Errorf("%d tasks began on machines that had not reported for so long that their leases are as good as over", late)
+				t.Errorf("%d tasks started on machines that had not reported for more than 13 s", late)
 			}
 			if c.kept != (w.whys["lease"] == 0) {
 				t.Errorf("tasks end by %v", w.whys)
 			}
 			if n := len(w.workers) - had; n > len(names)+8 {
-				t.Errorf("%d machines were rented for %d that cannot report", n, len(names))
+				t.Errorf("%d machines were created while %d could not report", n, len(names))
 			}
 			for k := range short {
 				if j := w.jobs[fmt.Sprintf("job-%06d", 100+k)]; !j.asked && (j.began == 0 || j.began > j.first+60*second) {
-					t.Errorf("%s began %d us after it was submitted", j.id, j.began-j.first)
+					t.Errorf("%s started %d us after it was submitted", j.id, j.began-j.first)
 				}
 			}
 			w.run(w.now + 400*second)
 			w.settled(100)
-			t.Logf("%d late starts, tasks end by %v, %d machines more", late, w.whys, len(w.workers)-had)
+			t.Logf("%d late starts; ended tasks by reason: %v; %d machines created", late, w.whys, len(w.workers)-had)
 		})
 	}
 }
