--- a/internal/node/addition_hand_test.go
+++ b/internal/node/addition_hand_test.go
@@ -224,7 +224,7 @@
 				t.Logf("all teams have owners %d us after the last restart", w.now-last)
 				w.run(w.now + 40*loop.Second)
 				if w.whys["lease"] != 0 || w.whys["gone"] != 0 {
-					t.Errorf("tasks end by %v", w.whys)
+					t.Errorf("ended tasks by reason: %v", w.whys)
 				}
 				w.run(w.now + 400*loop.Second)
 				w.settled(100)
--- a/internal/node/backlog_bench_test.go
+++ b/internal/node/backlog_bench_test.go
@@ -9,18 +9,16 @@
 	"cleatpick/internal/loop"
 )
 
-// What happens: on a day of 4,000 machines with one controller that owns all teams and 2,300 waiting
-// jobs, the controllers use three seconds of processor time a second, and the day is not over after the
-// 400 s that the bench allows (two of four plays; 387 and 388 s in two plays more).
+// BenchmarkBacklog measures the processing time per second of one controller that owns all teams of a full fleet, while
+// many jobs wait. It must hardly grow with the number of waiting jobs.
 //
-// Why, by a profile of that day from 240 s on (share of the controllers' time): 42% is
-// `Placer.commit`, which went through all choices that wait for their record every 8 to 15 ms, also
-// where the state service takes none; 26% is `Rental.recordOrders`, where each of 2,100 requests goes
-// through all machines on their way; 18% is placement. In this benchmark `health.Blame.against` has 14%:
-// all words against a machine are added up for each job that failed on it, in each pass.
-//
-// BenchmarkBacklog tells what one controller that owns all teams of a full fleet uses a second while
-// so many jobs wait: it must hardly grow with them.
+// It guards against this fault: in a load run with 4,000 machines, one controller that owned all teams and 2,300 waiting
+// jobs, the controllers used three seconds of processor time per second, and two of four runs did not finish within the
+// 400 s that the load run allows (387 and 388 s in two more runs). In a profile of that run from 240 s on, 42% of the
+// controllers' time was the scheduler's commit, which went through all placements that wait for their record every 8 to
+// 15 ms, also while the state service accepts none; 26% was the autoscaler's recording of orders, where each of 2,100
+// requests went through all machines that were being created; 18% was placement. In this benchmark, 14% is failure
+// attribution: all failure reports against a machine are added up for each job that failed on it, in each pass.
 //
 //	go test -run - -bench Backlog -benchtime 1x ./internal/node
 func BenchmarkBacklog(b *testing.B) {
--- a/internal/node/bound_test.go
+++ b/internal/node/bound_test.go
@@ -9,9 +9,9 @@
 	"cleatpick/internal/loop"
 )
 
-// Jobs that are bound to zones by their own tasks miss room there while there is more to rent in
-// each zone than they ask for. Machines are rented where these tasks may run: rented wherever it
-// was cheapest they came up in the wrong zone, again and again, and the job waited.
+// Jobs whose own running tasks bind them to zones find no free capacity there, while the cloud has more machines in each
+// zone than they need. Machines must be created where these tasks may run. The fault: they were created wherever it was
+// cheapest, in the wrong zone, again and again, and the job waited.
 func TestRentedWhereBoundTasksMayRun(t *testing.T) {
 	const second = loop.Second
 	for _, c := range []struct {
@@ -40,16 +40,16 @@
 					return j
 				}
 				var j *simJob
-				// One machine there, with room for two tasks of the job or three: they bind the rest.
+				// One machine in that zone, with free capacity for two or three tasks of the job, which bind the others.
 				w.at(second, func() { enter(1, job.Spec{Tasks: 1, CPUs: 2, Zone: bound}, 200*second) })
 				w.at(20*second, func() { s := c.spec; s.CPUs = 2; j = enter(2, s, 150*second) })
 				w.judged(30 * second)
 				w.run(3600*second + 80*second)
 				if j.starts < 20 {
-					t.Errorf("%d of 20 tasks have begun a minute after the submission, on %d machines", j.starts, len(w.present()))
+					t.Errorf("%d of 20 tasks have started a minute after the submission, on %d machines", j.starts, len(w.present()))
 				}
 				if n := len(w.workers); n > 12 {
-					t.Errorf("%d machines were rented for 42 CPUs", n)
+					t.Errorf("%d machines were created for 42 CPUs, want 12 or fewer", n)
 				}
 				w.run(3600*second + 500*second)
 				w.settled(20)
--- a/internal/node/calibration_test.go
+++ b/internal/node/calibration_test.go
@@ -14,8 +14,8 @@
 	"cleatpick/internal/wire"
 )
 
-// asker asks random nodes why random jobs wait, and checks every answer by the state
-// service's records and by what became of the waits.
+// asker asks random controllers why random jobs wait, and checks every answer against the state service's records and
+// against how long the waits lasted.
 type asker struct {
 	w         *world
 	ids       []string
@@ -26,20 +26,20 @@
 	estimates []estimate
 }
 
+// estimate is an estimate of when a wait ends, as told at a time.
 type estimate struct {
 	id, kind  string
 	since, at loop.Micros
 	e         explain.Estimate
 }
 
-// record reads a job past the protocol.
+// record reads a job's record directly from the fake state service.
 func (w *world) record(id string) (rec job.Record, ok bool) {
 	raw, ok := w.state.Value(job.Keys + id)
 	return rec, ok && wire.Unmarshal(raw, &rec) == nil
 }
 
-// settled tells whether the records that a job's waits rest on are old enough for every
-// owner to have heard of them.
+// settled reports whether the records that a job's waits depend on are old enough for every owner to have received them.
 func (a *asker) settled(id string) bool {
 	rec, ok := a.w.record(id)
 	last := a.changed[id]
@@ -51,7 +51,7 @@
 	return ok && a.w.now-last > 4*loop.Second
 }
 
-// blocked tells by the records alone whether a job is held, and waits for others.
+// blocked reports, from the records alone, whether a job is held and whether it waits for other jobs.
 func (a *asker) blocked(id string) (held, waits bool) {
 	rec, ok := a.w.record(id)
 	if !ok || rec.Terms == nil {
@@ -68,6 +68,7 @@
 	return rec.Terms.Hold.State != job.HoldNone, waits
 }
 
+// ask asks one question and schedules the next one.
 func (a *asker) ask() {
 	w := a.w
 	w.at(w.between(200*loop.Millisecond, 700*loop.Millisecond), a.ask)
@@ -90,12 +91,13 @@
 	})
 }
 
+// check checks an explanation; held and waits are what the records said when it was asked for.
 func (a *asker) check(id string, x *explain.Answer, held, waits bool) {
 	w := a.w
 	if !x.Complete {
 		a.partial++
 		if len(x.Missing) == 0 {
-			w.fail("why %s is not complete and does not say what is missing", id)
+			w.fail("the explanation of %s is incomplete and does not say what is missing", id)
 		}
 		return
 	}
@@ -103,15 +105,15 @@
 		return
 	}
 	if x.Waiting+x.Running+x.Done > x.Tasks {
-		w.fail("why %s counts %d waiting, %d running and %d done of %d", id, x.Waiting, x.Running, x.Done, x.Tasks)
+		w.fail("the explanation of %s counts %d waiting, %d running and %d done of %d tasks", id, x.Waiting, x.Running, x.Done, x.Tasks)
 	}
 	if x.Waiting > 0 && len(x.Reasons) == 0 {
-		w.fail("why %s tells of %d waiting tasks and no reason", id, x.Waiting)
+		w.fail("the explanation of %s has %d waiting tasks and no reason", id, x.Waiting)
 	}
 	kinds := kindsOf(x)
 	for _, r := range x.Reasons {
 		if r.Tasks <= 0 || r.Release == "" || r.State == "" {
-			w.fail("why %s has an empty reason %+v", id, r)
+			w.fail("the explanation of %s has an incomplete reason %+v", id, r)
 		}
 		if r.Since != nil && r.Estimate != nil && r.Estimate.Samples > 0 && gate.Named(r.Kind) != gate.Rank {
 			a.estimates = append(a.estimates, estimate{id, r.Kind, loop.Micros(*r.Since), loop.Micros(x.AsOf), *r.Estimate})
@@ -120,16 +122,17 @@
 	if !a.settled(id) || x.Waiting == 0 {
 		return
 	}
-	// What held or did not hold before and after the question must be told so.
+	// What was the same before and after the question must be explained accordingly.
 	heldNow, waitsNow := a.blocked(id)
 	if held == heldNow && kinds["hold"] != held {
-		w.fail("why %s tells of a hold: %v, its record: %v", id, kinds["hold"], held)
+		w.fail("the explanation of %s has a hold: %v, its record: %v", id, kinds["hold"], held)
 	}
 	if waits == waitsNow && kinds["dependency"] != waits {
-		w.fail("why %s tells of a dependency: %v, the records: %v", id, kinds["dependency"], waits)
+		w.fail("the explanation of %s has a dependency: %v, the records: %v", id, kinds["dependency"], waits)
 	}
 }
 
+// kindsOf returns the kinds of an explanation's reasons.
 func kindsOf(x *explain.Answer) map[string]bool {
 	out := map[string]bool{}
 	for _, r := range x.Reasons {
@@ -138,7 +141,7 @@
 	return out
 }
 
-// calibration counts the waits that ended within what was estimated, by kind.
+// calibration counts the waits that ended within their estimates, by kind.
 func (a *asker) calibration(in, all map[string]int) {
 	ends := map[string]loop.Micros{}
 	for _, label := range a.w.labels {
@@ -153,7 +156,7 @@
 	for _, e := range a.estimates {
 		end, ok := ends[fmt.Sprint(e.id, e.kind, e.since)]
 		if !ok {
-			continue // dropped from the timeline, or stretched by a flap
+			continue // dropped from the timeline, or extended because the cause came back soon
 		}
 		all[e.kind]++
 		if left := explain.Span(end - e.at); left >= e.e.Low-explain.Span(50*loop.Millisecond) && left <= e.e.High+explain.Span(50*loop.Millisecond) {
@@ -164,7 +167,7 @@
 	}
 }
 
-// playWhy plays one world in which random nodes are asked why random jobs wait.
+// playWhy runs one simulation in which random controllers are asked why random jobs wait.
 func playWhy(t *testing.T, seed uint64) *asker {
 	w := newWorldWith(t, seed, func(c *config.Config) { c.Operator.API.Enabled = true })
 	r := newTerms(w)
@@ -200,8 +203,8 @@
 	return a
 }
 
-// Explanations under crashes, cuts, outages and late messages: each is right by the
-// records, or says what it could not ask; and waits end within what was estimated.
+// Explanations under crashes, network partitions, outages and delayed messages: each agrees with the records or says
+// which information is missing, and most waits end within their estimates.
 func TestWhyUnderTroubles(t *testing.T) {
 	from, to := seeds(t, 1, 24)
 	in, all := map[string]int{}, map[string]int{}
@@ -225,9 +228,9 @@
 		t.Logf("%-12s %4d of %4d waits ended within their estimate, %d after", k, in[k], n, in["above "+k])
 	}
 	share := float64(sumIn) / float64(max(sumAll, 1))
-	t.Logf("%d asked, %d answered, %d not complete; %d of %d (%.0f%%) ended between lowS and highS", asked, answered, partial, sumIn, sumAll, 100*share)
+	t.Logf("%d asked, %d answered, %d incomplete; %d of %d (%.0f%%) waits ended between lowS and highS", asked, answered, partial, sumIn, sumAll, 100*share)
 	if answered < asked*8/10 || sumAll < 100 {
-		t.Errorf("too little was tried: %d asked, %d answered, %d estimates", asked, answered, sumAll)
+		t.Errorf("too few samples: %d asked, %d answered, %d estimates", asked, answered, sumAll)
 	}
 	if share < 0.70 || share > 0.95 {
 		t.Errorf("%.0f%% of the waits ended within their estimates, want 70%% to 95%%", 100*share)
--- a/internal/node/close_looks_test.go
+++ b/internal/node/close_looks_test.go
@@ -9,21 +9,21 @@
 	"cleatpick/internal/loop"
 )
 
-// answerTroubles are what makes answers late or keeps them away.
+// answerTroubles is the faults that delay answers or lose them.
 var answerTroubles = []namedTrouble{
-	{"a node stands still as it has stored a job", func(w *world) {
-		// Its user goes elsewhere after 2 to 4 s, and is told there.
+	{"a controller is paused after it has stored a job", func(w *world) {
+		// The user asks elsewhere after 2 to 4 s, and is answered there.
 		label, d := w.anyLabel(), w.between(3*loop.Second, 12*loop.Second)
 		w.nodes[label].after(closeImage, func() { w.freeze(label, d) })
 	}},
-	{"a node stands still", func(w *world) { w.freeze(w.anyLabel(), w.between(6*loop.Second, 20*loop.Second)) }},
-	{"all stand still", func(w *world) {
+	{"a controller is paused", func(w *world) { w.freeze(w.anyLabel(), w.between(6*loop.Second, 20*loop.Second)) }},
+	{"all controllers are paused", func(w *world) {
 		d := w.between(8*loop.Second, 25*loop.Second)
 		for _, label := range w.labels {
 			w.freeze(label, d)
 		}
 	}},
-	{"answers are held up", func(w *world) {
+	{"answers are delayed", func(w *world) {
 		w.late.slow = [...][2]loop.Micros{{50, 350}, {200, 900}, {500, 3000}}[w.rng.IntN(3)]
 		for k := range w.late.slow {
 			w.late.slow[k] *= loop.Millisecond
@@ -38,17 +38,17 @@
 		w.late.writes = 0.05 + 0.3*w.rng.Float64()
 		w.at(w.between(5*loop.Second, 30*loop.Second), func() { w.late.writes = 0 })
 	}},
-	{"a storm of polls", func(w *world) { w.storm(1500, 40*loop.Second) }},
+	{"very many polls", func(w *world) { w.storm(1500, 40*loop.Second) }},
 	{"an outage", func(w *world) { w.outage(0, w.between(5*loop.Second, 20*loop.Second)) }},
-	{"a node is refused", func(w *world) {
+	{"the state service refuses a controller", func(w *world) {
 		w.cutFor(w.between(3*loop.Second, 15*loop.Second), refusing, w.anyLabel()+">state")
 	}},
 }
 
-// closeImage is in the records of jobs that are not over, and in nothing else that is stored.
+// closeImage occurs in the records of unfinished jobs and in nothing else that is stored.
 const closeImage = "closely-looked-at"
 
-// closeWorld is a deployment whose users look closely, with troubles two and two.
+// closeWorld returns a simulation whose users poll intensely, with pairs of faults.
 func closeWorld(t testing.TB, seed uint64) *world {
 	r := rand.New(rand.NewPCG(seed, 46))
 	w, jobs := drawnWorld(t, seed, r, func(c *config.Config) {})
@@ -69,9 +69,8 @@
 	return w
 }
 
-// However closely users look, while answers of the state service are held up or lost and
-// controllers stand still: no answer is older than its question, every job gets one from every
-// node that could give it, and no rule breaks.
+// Users poll intensely while answers of the state service are delayed or lost and controllers are paused. No answer is older
+// than its question, every controller that could answer does so, and no invariant is violated.
 func TestRulesUnderCloseLooks(t *testing.T) {
 	from, to := seeds(t, 1, 24)
 	for seed := from; seed <= to; seed++ {
--- a/internal/node/cost_test.go
+++ b/internal/node/cost_test.go
@@ -13,9 +13,8 @@
 	"cleatpick/internal/wire"
 )
 
-// crowd is a deployment of any number of machines and nodes with a load that keeps four
-// fifths of the machines busy, the same for each machine: tasks of two CPUs on machines
-// of sixteen that run for a minute or two.
+// crowd returns a simulation of a given size with a load that keeps four fifths of the machines busy: tasks of two CPUs
+// that run for one to two minutes, on machines of sixteen CPUs.
 func crowd(t testing.TB, nodes, machines int) *world {
 	w := newWorldOf(t, 1, size{nodes: nodes, zones: 2, each: machines / 2}, func(c *config.Config) {
 		c.Cluster.Teams = nil
@@ -24,7 +23,7 @@
 			c.Cluster.Teams = append(c.Cluster.Teams, config.Team{Name: fmt.Sprint("t", i), CPUs: cpus / 4, CPUsMax: cpus / 2})
 		}
 		c.Cluster.Workers.ReportS, c.Cluster.Workers.LeaseS, c.Cluster.Workers.CancelS = 5, 26, 46
-		// What the state service takes grows with the fleet: what is measured is the nodes.
+		// The limits of the state service grow with the fleet, because the controllers are measured and not it.
 		c.Cluster.State.RPS, c.Cluster.State.WriteRPS, c.Cluster.State.ValueKB = 180+float64(machines)/4, 70+float64(machines)/10, 32
 		c.Cluster.Cloud.RPS = 10 + float64(machines)/50
 		c.Operator.StandbyMeanS, c.Operator.OrdinaryStandbyMeanS = 600, 600
@@ -47,7 +46,7 @@
 		w.submit(j)
 		w.at(5*loop.Second, func() { w.poll(j) })
 	}
-	// Some 44 tasks a job and 80 s a task; eight of them fill a machine.
+	// A job has some 44 tasks, a task runs for 80 s, and eight tasks fill a machine.
 	jobs := float64(machines) * 8 * 0.8 / 44
 	for i := range int(jobs) {
 		w.at(2*loop.Second+loop.Micros(i)*20*loop.Second/loop.Micros(jobs+1), arrive)
@@ -59,8 +58,8 @@
 	return w
 }
 
-// BenchmarkCrowd tells what a machine costs the nodes each second, all of them together,
-// at several sizes: it must not grow with the fleet.
+// BenchmarkCrowd measures what a machine costs all controllers together per second, at several sizes. It must not grow
+// with the fleet.
 //
 //	go test -run - -bench Crowd -benchtime 1x ./internal/node
 func BenchmarkCrowd(b *testing.B) {
@@ -89,8 +88,8 @@
 	}
 }
 
-// BenchmarkFirstPlacement kills all nodes of a fleet under load, starts them at once, and
-// tells how long it takes until a task starts again, and what that costs.
+// BenchmarkFirstPlacement crashes all controllers of a fleet under load, restarts them at the same time, and measures how
+// long it takes until a task starts again, and what that costs.
 //
 //	go test -run - -bench FirstPlacement -benchtime 1x ./internal/node
 func BenchmarkFirstPlacement(b *testing.B) {
@@ -103,7 +102,7 @@
 				for _, l := range w.labels {
 					w.nodes[l].alive = false
 				}
-				now += 32 * loop.Second // every lease is over: what begins now was sent by the new nodes
+				now += 32 * loop.Second // every lease has expired: tasks that start now were sent by the new processes
 				w.run(now)
 				for _, l := range w.labels {
 					w.startNode(l)
--- a/internal/node/flood_test.go
+++ b/internal/node/flood_test.go
@@ -15,9 +15,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// When far more comes than the state service takes, every submission is answered in
-// good time, with 201 or with when to come back; reports go on being answered; and once
-// the flood is over the service is as before.
+// When far more submissions arrive than the state service accepts, each is answered in time, with 201 or with Retry-After;
+// reports are still answered; and after the flood submissions are accepted as before.
 func TestFloodIsAnsweredAndPasses(t *testing.T) {
 	clock := loop.RealClock()
 	state := standin.NewState(clock.Now)
@@ -88,9 +87,9 @@
 	}
 	wg.Wait()
 	if codes[201] == 0 || codes[201] == 1200 {
-		t.Errorf("%v of 1200 submissions: the flood was none, or nothing was taken", codes)
+		t.Errorf("answers by status %v of 1200 submissions: none was accepted, or none was refused", codes)
 	}
 	if took := accepted(5000, 10*time.Second); took > 3*time.Second {
-		t.Errorf("after the flood a submission takes %v", took)
+		t.Errorf("after the flood a submission takes %v, want 3 s or less", took)
 	}
 }
--- a/internal/node/gap_test.go
+++ b/internal/node/gap_test.go
@@ -246,7 +246,7 @@
 				}
 				w.run(w.now + 50*loop.Second)
 				if (w.whys["lease"] != 0) != dead {
-					t.Errorf("tasks end by %v", w.whys)
+					t.Errorf("ended tasks by reason: %v", w.whys)
 				}
 			})
 		}
--- a/internal/node/many_teams_test.go
+++ b/internal/node/many_teams_test.go
@@ -8,8 +8,8 @@
 	"cleatpick/internal/standin"
 )
 
-// crowded is a deployment of eight controllers and 300 teams beside a state service that
-// takes what a small deployment needs, and no request more.
+// crowded returns a simulation of eight controllers and 300 teams, whose state service accepts only the request rates that
+// a small cluster needs.
 func crowded(t testing.TB) *world {
 	const rps, writeRPS, valueKB, txnOps = 180, 70, 32, 16
 	w := newWorldOf(t, 3, size{nodes: 8, zones: 2, each: 40}, func(c *config.Config) {
@@ -26,10 +26,10 @@
 	return w
 }
 
-// Claims, assignments and watches of many teams and controllers take no more than a bounded
-// part of the state service, so that work starts soon and all who ask are answered. While
-// each team had a claim and a log of its own, the claims alone went over the limits again
-// and again, nothing started for minutes, and questions about accepted jobs found no answer.
+// Claims, assignments and watches of many teams and controllers use only a bounded share of the state service's request
+// rate, so that tasks start soon and all users are answered. The fault: while each team had a claim and a log of its own,
+// the claims alone exceeded the limits again and again, no task started for minutes, and questions about accepted jobs were
+// not answered.
 func TestManyTeamsAndControllers(t *testing.T) {
 	const (
 		mostBeforeStart = 900 // requests until the first task starts
@@ -58,7 +58,8 @@
 	w.settled(200)
 }
 
-// The number of requests at rest grows with controllers and not with teams.
+// Without any jobs, the number of requests to the state service depends on the number of controllers and not on that of
+// teams.
 func TestRequestsAtRest(t *testing.T) {
 	rest := func(nodes, teams int) int {
 		w := newWorldOf(t, 5, size{nodes: nodes, zones: 1, each: 1}, func(c *config.Config) {
@@ -71,14 +72,14 @@
 		return w.state.Counts().Requests - before
 	}
 	few, many := rest(4, 20), rest(4, 300)
-	t.Logf("a minute at rest: 4 controllers with 20 teams %d requests, with 300 teams %d", few, many)
+	t.Logf("a minute without jobs: 4 controllers with 20 teams make %d requests, with 300 teams %d", few, many)
 	if float64(many) > 1.02*float64(few) {
-		t.Errorf("%d requests a minute with 300 teams, %d with 20", many, few)
+		t.Errorf("%d requests a minute with 300 teams, %d with 20 teams", many, few)
 	}
 }
 
-// A partition whose log is refused for its size goes on in smaller segments, and loses none
-// of its tasks; and so does a next owner that still believes in the larger values.
+// A partition whose log is refused because a value is too large goes on in smaller segments and loses none of its tasks. So
+// does the next owner, which still assumes the larger limit.
 func TestValuesBecomeSmaller(t *testing.T) {
 	w := newWorldOf(t, 7, size{nodes: 3, zones: 2, each: 12}, func(c *config.Config) { c.Cluster.Teams = teamsOf(12, 96) })
 	for i := range 30 {
@@ -93,9 +94,9 @@
 	w.at(70*loop.Second, func() { w.kill(w.anyLabel()) })
 	w.judged(100 * loop.Second)
 	w.run(3600*loop.Second + 500*loop.Second)
-	t.Logf("%d transactions were called malformed, %d tasks started", w.state.Counts().Invalid, w.starts)
+	t.Logf("%d transactions were refused as invalid, %d tasks started", w.state.Counts().Invalid, w.starts)
 	if w.state.Counts().Invalid == 0 {
-		t.Error("no record was too large: nothing was tried")
+		t.Error("no record was too large, so the test covered nothing")
 	}
 	w.settled(20)
 }
--- a/internal/node/meetings_hand_test.go
+++ b/internal/node/meetings_hand_test.go
@@ -141,7 +141,7 @@
 			})
 			w.run(w.now + 70*loop.Second)
 			if lost := w.whys["lease"] + w.whys["gone"]; (lost == 0) != c.back {
-				t.Errorf("tasks end by %v", w.whys)
+				t.Errorf("ended tasks by reason: %v", w.whys)
 			}
 			for i := range 4 {
 				if j := w.jobs[fmt.Sprintf("job-%06d", 100+i)]; j.asked == false && (j.began == 0 || j.began > began+60*loop.Second) {
--- a/internal/node/mute_test.go
+++ b/internal/node/mute_test.go
@@ -89,7 +89,7 @@
 				t.Errorf("%d tasks started on machines that had not reported for more than 13 s", late)
 			}
 			if c.kept != (w.whys["lease"] == 0) {
-				t.Errorf("tasks end by %v", w.whys)
+				t.Errorf("ended tasks by reason: %v", w.whys)
 			}
 			if n := len(w.workers) - had; n > len(names)+8 {
 				t.Errorf("%d machines were created while %d could not report", n, len(names))
--- a/internal/node/partitions_test.go
+++ b/internal/node/partitions_test.go
@@ -11,7 +11,7 @@
 	"cleatpick/internal/standin"
 )
 
-// teamsOf names so many teams, each with a limit that bounds nothing but their sum's part.
+// teamsOf returns n teams with equal guarantees that add up to cpus, and a limit of 24 CPUs each.
 func teamsOf(n int, cpus float64) []config.Team {
 	var teams []config.Team
 	for i := range n {
@@ -20,7 +20,7 @@
 	return teams
 }
 
-// shared is a deployment whose teams share numbered partitions, with jobs of all of them.
+// shared returns a simulation whose teams share numbered partitions, with jobs of all teams.
 func shared(t testing.TB, seed uint64, r *rand.Rand, z size, teams int) *world {
 	w := newWorldOf(t, seed, z, func(c *config.Config) {
 		c.Cluster.Teams = teamsOf(teams, float64(z.zones*z.each*4))
@@ -32,30 +32,31 @@
 	return w
 }
 
+// sharedJob submits a job of a random team.
 func (w *world) sharedJob(i int) {
 	j := w.makeJob(i)
 	j.spec.Team = w.cfg.Cluster.Teams[w.rng.IntN(len(w.cfg.Cluster.Teams))].Name
 	w.enter(j)
 }
 
-// sharing is what may go wrong with a partition that many teams share.
+// sharing is the faults that affect a partition that many teams share.
 var sharing = []namedTrouble{
-	{"an owner ends while it records", func(w *world) {
+	{"an owner crashes while it records", func(w *world) {
 		l := w.anyLabel()
 		w.nodes[l].after("p/", func() { w.kill(l) })
 	}},
-	{"the answer to a record is lost, and its partition changes hands", func(w *world) {
+	{"the answer to a record is lost, and the owner of its partition changes", func(w *world) {
 		l := w.anyLabel()
 		w.nodes[l].after("p/", func() {
 			w.cut[l+">state"] = w.lostMode()
 			w.at(w.between(loop.Second, 9*loop.Second), func() { delete(w.cut, l+">state") })
 		})
 	}},
-	{"an owner stands still while it records", func(w *world) {
+	{"an owner is paused while it records", func(w *world) {
 		l := w.anyLabel()
 		w.nodes[l].after("p/", func() { w.freeze(l, w.between(3*loop.Second, 12*loop.Second)) })
 	}},
-	{"a job is withdrawn while its start is recorded", func(w *world) {
+	{"a job is cancelled while its start is recorded", func(w *world) {
 		l := w.anyLabel()
 		w.nodes[l].after("p/", func() {
 			for _, j := range loop.Sorted(w.jobs) {
@@ -65,16 +66,16 @@
 			}
 		})
 	}},
-	{"an owner ends while teams are assigned", func(w *world) {
+	{"a controller crashes while teams are assigned", func(w *world) {
 		l := w.anyLabel()
 		w.nodes[l].after("c/t/", func() { w.kill(l) })
 	}},
-	{"the values that the state service takes become smaller", func(w *world) {
+	{"the state service's limit on the size of values becomes smaller", func(w *world) {
 		w.state.SetLimits(&standin.Limits{ValueBytes: 1800 + w.rng.IntN(2000), TxnOps: w.cfg.Cluster.State.TxnOps})
 	}},
 }
 
-// sharedWorld is such a deployment with troubles to come.
+// sharedWorld returns the simulation of shared with faults to come.
 func sharedWorld(t testing.TB, seed uint64) *world {
 	r := rand.New(rand.NewPCG(seed, 41))
 	z := drawSize(r)
@@ -85,7 +86,7 @@
 	return w
 }
 
-// No rule breaks where teams share partitions, no job is forgotten, and everything gets done.
+// Where teams share partitions, no invariant is violated, no job is forgotten, and all jobs complete.
 func TestRulesWhereTeamsShare(t *testing.T) {
 	from, to := seeds(t, 1, 5)
 	for seed := from; seed <= to; seed++ {
@@ -100,25 +101,25 @@
 	}
 }
 
-// onlyNumbered checks that all that was recorded stands where the layout says.
+// onlyNumbered checks that all controllers use numbered partitions and that no log of a single team is left.
 func (w *world) onlyNumbered() {
 	w.t.Helper()
 	for _, l := range w.labels {
 		if s := w.nodes[l]; s.alive && !s.n.member.Layout().Numbered() {
-			w.t.Errorf("%s does not know the layout", l)
+			w.t.Errorf("%s does not use the layout with numbered partitions", l)
 		}
 	}
 	if keys := w.state.Keys("x/"); len(keys) > 0 {
-		w.t.Errorf("%d segments of teams' own logs are left: %s", len(keys), strings.Join(keys[:min(len(keys), 3)], " "))
+		w.t.Errorf("%d segments of logs of single teams are left: %s", len(keys), strings.Join(keys[:min(len(keys), 3)], " "))
 	}
 }
 
-// older makes a node one that owns teams one by one and knows no other layout, as versions
-// before 0.9.0 do.
+// older changes a controller's settings so that it owns teams one by one and knows no other layout, like versions before
+// 0.9.0.
 func older(c *config.Config) { c.Operator.NumberedPartitions = false }
 
-// upgradeWorld begins with nodes of an older version, which are replaced one after the other
-// while troubles come; some go back for a while, also once the layout has changed.
+// upgradeWorld returns a simulation that begins with controllers of an older version. They are upgraded one after the
+// other while faults occur; some are downgraded for a while, also after the layout has changed.
 func upgradeWorld(t testing.TB, seed uint64) *world {
 	r := rand.New(rand.NewPCG(seed, 43))
 	z := drawSize(r)
@@ -135,7 +136,7 @@
 	w.settings = settings
 	for _, l := range w.labels {
 		old[l] = true
-		w.nodes[l].alive = false // begun anew, with the older version
+		w.nodes[l].alive = false // restarted, with the older version
 		w.startNode(l)
 	}
 	for i := range 50 + z.zones*z.each/4 {
@@ -152,7 +153,7 @@
 		replace(at, l, false)
 		at += w.between(3*loop.Second, 15*loop.Second)
 	}
-	for range r.IntN(4) { // one goes back, and is replaced again
+	for range r.IntN(4) { // one is downgraded, and upgraded again
 		l := w.anyLabel()
 		back := w.between(30*loop.Second, 190*loop.Second)
 		replace(back, l, true)
@@ -172,8 +173,8 @@
 	return w
 }
 
-// Both versions serve side by side and on each other's records, and the layout changes once,
-// with no rule broken.
+// Both versions serve side by side and use each other's records, and the layout changes once, without any violation of an
+// invariant.
 func TestRulesInAnUpgrade(t *testing.T) {
 	from, to := seeds(t, 1, 5)
 	for seed := from; seed <= to; seed++ {
--- a/internal/node/slow_answers_test.go
+++ b/internal/node/slow_answers_test.go
@@ -9,9 +9,9 @@
 	"cleatpick/internal/loop"
 )
 
-// slowAnswersWorld has more work than room, urgent and not, while packets are lost: many answers
-// to reports come a good while after the direct commands that were sent at the same moment. Tasks
-// are stopped and placed again within that time.
+// slowAnswersWorld returns a simulation with more urgent and normal work than capacity, while packets are lost: many answers
+// to reports arrive long after the direct commands that were sent at the same time. Tasks are preempted and placed again
+// within that time.
 func slowAnswersWorld(t testing.TB, seed uint64) *world {
 	w := newWorldOf(t, seed, size{nodes: 3, zones: 2, each: 3}, func(c *config.Config) {
 		c.Cluster.Teams = []config.Team{{Name: "red", CPUs: 60, CPUsMax: 160}, {Name: "blue", CPUs: 40, CPUsMax: 160}}
@@ -39,7 +39,7 @@
 	return w
 }
 
-// urgentOrNot draws a job of which half are urgent and short.
+// urgentOrNot draws a job; half of the jobs are urgent and short.
 func (w *world) urgentOrNot(number int) *simJob {
 	j := w.makeJob(number)
 	if w.rng.IntN(2) == 0 {
@@ -49,8 +49,9 @@
 	return j
 }
 
-// No forget may leave a host while a start of that attempt can still reach the worker, and no
-// worker may get a start after the forget of its attempt. The referee judges that on every play.
+// No host controller may send a forget while a start of that attempt can still reach the worker, and no worker may get a
+// start after the forget of its attempt. The invariant checkers check that in every simulation; here many answers are slow,
+// so that it matters.
 func TestForgetsWhereAnswersAreSlow(t *testing.T) {
 	from, to := seeds(t, 1, 12)
 	for seed := from; seed <= to; seed++ {
@@ -61,7 +62,7 @@
 			w.run(3600*loop.Second + 400*loop.Second)
 			w.settled(50)
 			if w.forgets == 0 {
-				t.Error("nothing was ever forgotten")
+				t.Error("no forget was sent")
 			}
 		})
 	}
--- a/internal/node/soak_test.go
+++ b/internal/node/soak_test.go
@@ -13,15 +13,14 @@
 )
 
 var (
-	soakFor  = flag.Duration("soak", 0, "for how long TestSoak begins further worlds; 0: it plays none")
+	soakFor  = flag.Duration("soak", 0, "for how long TestSoak starts further simulations; 0: it runs none")
 	soakFrom = flag.Uint64("soak-seed", 1, "the first seed of TestSoak")
 )
 
-// soakBatch is how many worlds are played side by side.
+// soakBatch is how many simulations run in parallel.
 const soakBatch = 8
 
-// soakWorld is a deployment in which all troubles that are known come together, two and three at a
-// time, while users look closely.
+// soakWorld returns a simulation in which all known faults occur, two or three at a time, while users poll intensely.
 func soakWorld(t testing.TB, seed uint64) *world {
 	r := rand.New(rand.NewPCG(seed, 4600))
 	w, jobs := drawnWorld(t, seed, r, func(c *config.Config) {
@@ -53,8 +52,8 @@
 	return w
 }
 
-// TestSoak plays worlds from a fixed seed on until its time is over. Each is the same whenever it
-// is played; how many are depends on the machine, and is told.
+// TestSoak runs simulations from a given seed on until its time is over. A simulation is the same whenever it runs; how many
+// run depends on the machine, and is logged.
 func TestSoak(t *testing.T) {
 	if *soakFor == 0 {
 		t.Skip("started by -soak DURATION")
@@ -73,5 +72,5 @@
 		})
 		next += soakBatch
 	}
-	t.Logf("worlds of the seeds %d to %d were played", *soakFrom, next-1)
+	t.Logf("simulations of the seeds %d to %d ran", *soakFrom, next-1)
 }
--- a/internal/node/sockets_test.go
+++ b/internal/node/sockets_test.go
@@ -9,8 +9,8 @@
 	"cleatpick/internal/standin"
 )
 
-// With 3,024 machines and one node left, 3,129 sockets were full of idle connections and
-// users were refused: what is idle is given up before that.
+// With 3,024 machines and one controller left, idle connections used up all 3,129 sockets, and users were refused. Idle
+// connections must be closed before that.
 func TestIdleConnectionsAreGivenUp(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -28,11 +28,11 @@
 		open = append(open, c)
 	}
 	if s.above(closeOutgoingAbove) {
-		t.Fatal("54 of 100 sockets count as too many")
+		t.Fatal("54 of 100 sockets count as above the share for outgoing connections")
 	}
 	served = 42
 	if !s.above(closeOutgoingAbove) || s.above(closeReportsAbove) {
-		t.Fatal("56 of 100 sockets: ours must go, workers' must not yet")
+		t.Fatal("56 of 100 sockets: outgoing connections must be closed, those of workers not yet")
 	}
 	clock := standin.NewStepped(0)
 	var closed atomic.Int32
@@ -40,18 +40,18 @@
 		closed.Add(1)
 		for _, c := range open {
 			c.Close()
-			c.Close() // twice, as a pool may
+			c.Close() // twice, as a connection pool may
 		}
 	})
 	clock.Run(3 * loop.Second)
 	if closed.Load() != 1 || s.outgoing.Load() != 0 {
-		t.Fatalf("closed %d times, %d are counted as open", closed.Load(), s.outgoing.Load())
+		t.Fatalf("idle connections were closed %d times, %d count as open, want 1 and 0", closed.Load(), s.outgoing.Load())
 	}
 	served = 66
 	if !s.above(closeReportsAbove) {
-		t.Fatal("66 of 100 sockets of others: workers' must go")
+		t.Fatal("66 of 100 sockets opened by others: those of workers must be closed")
 	}
 	if (&sockets{incoming: s.incoming}).above(closeOutgoingAbove) {
-		t.Fatal("without a limit nothing is too much")
+		t.Fatal("without a limit no share may count as exceeded")
 	}
 }
--- a/internal/node/stall_test.go
+++ b/internal/node/stall_test.go
@@ -7,8 +7,8 @@
 	"cleatpick/internal/loop"
 )
 
-// Whoever waited for an answer as its node began to stand still is told to come back before
-// anything that came meanwhile is handled, in whatever order that comes.
+// A user who was waiting for an answer when the controller's process was paused is deferred before any request that arrived
+// during the pause is handled, in whatever order those come.
 func TestStandstillIsNoticedFirst(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newWorld(t, seed)
@@ -33,7 +33,7 @@
 		}
 		w.run(w.now + 8*loop.Second)
 		if len(told) != 21 || told[0] != "before" || refused != 503 {
-			t.Fatalf("seed %d: told %v, the first as %d", seed, told, refused)
+			t.Fatalf("seed %d: answered in the order %v, the earliest request with %d", seed, told, refused)
 		}
 	}
 }
--- a/internal/node/starve_test.go
+++ b/internal/node/starve_test.go
@@ -11,12 +11,12 @@
 	"cleatpick/internal/loop"
 )
 
-// beginWithin is how soon the largest jobs of a class must begin, whatever comes beside them.
+// beginWithin is how soon the largest jobs of a class must start, whatever the other load.
 const beginWithin = 240 * loop.Second
 
-// largestBegan checks that the largest tenth of each class, at least one job, has begun in
-// time, of those that have been there for so long and that their users did not cancel; and that
-// half of each class and each team have, but for what is asked for twice over by itself.
+// largestBegan checks that the largest tenth of the jobs of each class, at least one job, has started in time, of those
+// that were submitted that long ago and that their users did not cancel. It also checks that half of the jobs of each
+// class and each team have, except for the groups in beyond, whose demand alone exceeds the fleet.
 func (w *world) largestBegan(beyond ...string) {
 	w.t.Helper()
 	groups := map[string][]*simJob{}
@@ -35,33 +35,32 @@
 			}
 		}
 		if 2*n > len(all) && !slices.Contains(beyond, of) {
-			w.t.Errorf("%s: %d of %d jobs did not begin within %d s", of, n, len(all), beginWithin/loop.Second)
+			w.t.Errorf("%s: %d of %d jobs did not start within %d s", of, n, len(all), beginWithin/loop.Second)
 		}
 		slices.SortStableFunc(all, func(a, b *simJob) int {
 			return cmp.Compare(float64(b.spec.Tasks)*b.spec.CPUs, float64(a.spec.Tasks)*a.spec.CPUs)
 		})
 		for _, j := range all[:(len(all)+9)/10] {
 			if of[0] == 'c' && late(j) {
-				w.t.Errorf("%s: %s of %d tasks of %v CPUs, one of the largest, began after %d s", of, j.id, j.spec.Tasks, j.spec.CPUs, max(j.began-j.first, 0)/loop.Second)
+				w.t.Errorf("%s: %s of %d tasks of %v CPUs, one of the largest jobs, started after %d s (0: it did not start)", of, j.id, j.spec.Tasks, j.spec.CPUs, max(j.began-j.first, 0)/loop.Second)
 			}
 		}
 	}
 }
 
-// Small work within a guarantee that never stops coming, urgent work beside it, and behind them
-// all that could be kept waiting for ever: arrays of thousands, tasks as large as a machine,
-// jobs of one zone and spread ones, a team without a guarantee. Nothing else goes wrong, or
-// nodes come and go; what can be served is.
+// A steady stream of small jobs within a guarantee, urgent jobs, and jobs that these could starve: arrays of thousands of
+// tasks, tasks as large as a machine, jobs of a single zone and jobs that are spread, gangs, and a team without a guarantee.
+// Without faults, or while controllers crash and restart, all jobs that can be served start in time.
 func TestNothingStarves(t *testing.T) {
 	type load struct {
 		name     string
-		load     float64 // what is asked for, by what there is, of the small work alone
+		load     float64 // demand of the small jobs alone, relative to the capacity
 		troubles bool
 		seed     uint64
 	}
-	cases := []load{{"as much as there is", 1, false, 41}, {"five times what there is", 5, false, 41}}
+	cases := []load{{"demand equals capacity", 1, false, 41}, {"demand is five times the capacity", 5, false, 41}}
 	for seed := uint64(41); seed <= 48; seed++ {
-		cases = append(cases, load{fmt.Sprint("twice, and nodes end ", seed), 2, true, seed})
+		cases = append(cases, load{fmt.Sprint("twice, and controllers crash ", seed), 2, true, seed})
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -80,7 +79,7 @@
 				id := fmt.Sprintf("job-%06d", no)
 				w.at(at, func() { w.enter(&simJob{id: id, spec: s, run: run}) })
 			}
-			every := loop.Micros(4 * 8 * 1e6 / (c.load * cpus)) // four tasks of a CPU for 8 s
+			every := loop.Micros(4 * 8 * 1e6 / (c.load * cpus)) // each job is four tasks of one CPU for 8 s
 			for at := 5 * loop.Second; at < span*loop.Second; at += every {
 				add(at, "small", []string{"red", "red", "blue"}[no%3], job.Normal, 4, 1, 8*loop.Second, nil)
 			}
--- a/internal/node/starve_wider_test.go
+++ b/internal/node/starve_wider_test.go
@@ -9,9 +9,9 @@
 	"cleatpick/internal/loop"
 )
 
-// crowdedWorld plays twice the small work that there is room for, with jobs behind it that could be
-// kept waiting for ever, while a controller ends every 45 s. It is the world of the last cases of
-// TestNothingStarves, message by message.
+// crowdedWorld returns a simulation in which the demand of small jobs is twice the capacity, with other jobs that these could
+// starve, while a controller crashes every 45 s. It is the same simulation as in the last cases of TestNothingStarves, down
+// to each message.
 func crowdedWorld(t *testing.T, seed uint64) *world {
 	const cpus, span = 8 * 2 * 8, 380
 	w := newWorldOf(t, seed, size{nodes: 3, zones: 2, each: 8}, func(cfg *config.Config) {
@@ -27,7 +27,7 @@
 		id := fmt.Sprintf("job-%06d", number)
 		w.at(at, func() { w.enter(&simJob{id: id, spec: s, run: run}) })
 	}
-	every := loop.Micros(4 * 8 * 1e6 / (2 * cpus)) // four tasks of a CPU for 8 s
+	every := loop.Micros(4 * 8 * 1e6 / (2 * cpus)) // each job is four tasks of one CPU for 8 s
 	for at := 5 * loop.Second; at < span*loop.Second; at += every {
 		add(at, "small", []string{"red", "red", "blue"}[number%3], job.Normal, 4, 1, 8*loop.Second, nil)
 	}
@@ -50,8 +50,8 @@
 	return w
 }
 
-// The worlds of TestNothingStarves with ends of controllers, for seeds that it does not play.
-// CLEATPICK_SEEDS="FROM TO" plays others.
+// The simulations of TestNothingStarves with crashes of controllers, for seeds that it does not run.
+// CLEATPICK_SEEDS="FROM TO" selects others.
 func TestNothingStarvesWhereNodesEnd(t *testing.T) {
 	from, to := seeds(t, 49, 64)
 	for seed := from; seed <= to; seed++ {
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -11,13 +11,13 @@
 	"cleatpick/internal/wire"
 )
 
-// terms is the referee of holds, dependencies and cordons. It goes by what users were
-// told, what the state service stored and what workers began, and by nothing else.
+// terms is the invariant checker of holds, dependencies and cordons. It uses only what users were told, what the state
+// service stored and which tasks workers started.
 type terms struct {
 	w        *world
-	held     map[string]bool        // users were told that the hold is set, and asked for no release yet
-	released map[string]bool        // a release was asked for
-	recorded map[string]loop.Micros // when the newest attempt of a task was stored as placed
+	held     map[string]bool        // users were told that the hold is set, and have not requested a release
+	released map[string]bool        // a release was requested
+	recorded map[string]loop.Micros // when the newest attempt of a task was recorded as placed
 	attempts map[string]uint64
 	cordons  map[string]cordon.Cordon
 	since    map[string]loop.Micros // when its user was told that the cordon is stored
@@ -32,7 +32,7 @@
 	return r
 }
 
-// stored follows the teams' logs as the state service takes them.
+// stored follows the teams' logs as the state service stores them.
 func (r *terms) stored(key string, value wire.Raw) {
 	var seg struct {
 		Jobs []struct {
@@ -61,10 +61,11 @@
 	}
 }
 
+// began checks a task that starts.
 func (r *terms) began(x *simWorker, task string) {
 	id, _, _ := agent.SplitTask(task)
 	if r.held[id] {
-		r.w.fail("began_held: %s begins on %s, after its hold was called set", task, x.w.Name)
+		r.w.fail("began_held: %s starts on %s after users were told that its hold is set", task, x.w.Name)
 	}
 	if j := r.w.jobs[id]; j.terms != nil {
 		for _, d := range j.terms.After {
@@ -73,20 +74,19 @@
 			if phase == job.Done || (phase == job.Withdrawn && (j.terms.OnWithdrawn == job.PolicyRelease || r.released[id])) {
 				continue
 			}
-			r.w.fail("began_early: %s begins while %s, which must be done first, is %q", task, d, phase)
+			r.w.fail("began_early: %s starts while %s, which must be done first, is %q", task, d, phase)
 		}
 	}
 	for name, c := range r.cordons {
 		if c.Bars(cordon.Place{Machine: x.w.Name, Type: x.w.Type, Zone: x.w.Zone, Spot: x.w.Spot}) {
 			if r.checked.cordons++; r.recorded[task] > r.since[name] {
-				r.w.fail("began_cordoned: %s begins on %s and was recorded after cordon %s was stored", task, x.w.Name, name)
+				r.w.fail("began_cordoned: %s starts on %s and was recorded after cordon %s was stored", task, x.w.Name, name)
 			}
 		}
 	}
 }
 
-// hold asks for a hold until its user is told of it, then asks until it is set, and
-// releases the job a while later.
+// hold requests a hold, asks until its user is told that it is set, and releases the job a while later.
 func (r *terms) hold(id string) {
 	w := r.w
 	if n := w.any(); n != nil {
@@ -100,6 +100,7 @@
 	}
 }
 
+// untilSet asks about a job every second until its hold is set.
 func (r *terms) untilSet(id string) {
 	w := r.w
 	if r.released[id] {
@@ -118,6 +119,7 @@
 	}
 }
 
+// release requests a release until it is confirmed.
 func (r *terms) release(id string) {
 	w := r.w
 	r.released[id] = true
@@ -137,12 +139,12 @@
 	})
 	w.at(5*loop.Second, func() {
 		if !answered {
-			r.release(id) // the node ended meanwhile
+			r.release(id) // the controller crashed meanwhile
 		}
 	})
 }
 
-// cordon keeps starts off something for a while.
+// cordon puts a random cordon and removes it a while later.
 func (r *terms) cordon(no int) {
 	w := r.w
 	c := cordon.Cordon{Name: fmt.Sprint("c", no), Reason: "r"}
@@ -164,6 +166,7 @@
 	w.at(w.between(5*loop.Second, 25*loop.Second), func() { r.uncordon(c.Name) })
 }
 
+// uncordon removes a cordon until that is confirmed.
 func (r *terms) uncordon(name string) {
 	w := r.w
 	delete(r.cordons, name)
@@ -178,9 +181,9 @@
 	})
 }
 
-// Holds, dependencies and cordons against crashes, cuts, outages and late transactions:
-// nothing begins after its hold was called set, before what it waits for is done, or on
-// a record that came after a cordon. Afterwards everything gets done.
+// Holds, dependencies and cordons under crashes, network partitions, outages and late transactions: no task starts after
+// users were told that its hold is set, before the jobs that it waits for are done, or on a cordoned machine if its start
+// was recorded after the cordon. After the last fault all jobs complete.
 func TestTermsUnderTroubles(t *testing.T) {
 	from, to := seeds(t, 1, 8)
 	var holds, settled, deps, cordons int
@@ -214,7 +217,7 @@
 		w.at(12*loop.Second, w.trouble)
 		w.at(0, w.live)
 		w.at(0, w.checkCancelled)
-		// Whatever still waits for a job that was withdrawn is released in the end.
+		// Jobs that still wait for a cancelled job are released at the end.
 		for k := range 6 {
 			w.at(loop.Micros(240+40*k)*loop.Second, func() {
 				for i := range 45 {
@@ -228,13 +231,13 @@
 		for i := range 45 {
 			j := w.jobs[fmt.Sprintf("job-%06d", i)]
 			if !j.done && j.withdrawn == 0 && !j.broken {
-				t.Errorf("seed %d: %s is not done at the end (terms %v)", seed, j.id, j.terms)
+				t.Errorf("seed %d: %s is not done at the end of the simulation (terms %v)", seed, j.id, j.terms)
 			}
 		}
 		holds, settled, deps, cordons = holds+r.checked.holds, settled+r.checked.settled, deps+r.checked.deps, cordons+r.checked.cordons
 	}
-	t.Logf("%d holds stored, %d called set; %d starts beside a dependency, %d beside a cordon", holds, settled, deps, cordons)
+	t.Logf("%d holds stored, %d told as set; %d starts of jobs with a dependency, %d on machines that a cordon covers", holds, settled, deps, cordons)
 	if holds == 0 || settled < holds/2 || deps == 0 {
-		t.Errorf("too little was tried: %d holds stored, %d called set, %d starts beside a dependency", holds, settled, deps)
+		t.Errorf("too few samples: %d holds stored, %d told as set, %d starts of jobs with a dependency", holds, settled, deps)
 	}
 }
--- a/internal/node/waiting_test.go
+++ b/internal/node/waiting_test.go
@@ -8,19 +8,19 @@
 	"cleatpick/internal/loop"
 )
 
-// waitsBeside is for how long, once all troubles are over, no job is left waiting while one and the
-// same machine has room for a task of it all the time, and its team is under its limit.
+// waitsBeside is for how long, after the last fault, a job may wait while the same machine has free capacity for one of its
+// tasks all the time and its team is under its limit.
 const waitsBeside = 90 * loop.Second
 
-// beside is what a job could have begun on since a time.
+// beside is the machines on which a job could have started a task all the time since a given one.
 type beside struct {
 	since    loop.Micros
 	starts   int // of the job, at that time
 	machines map[string]bool
 }
 
-// checkWaiting looks for jobs that wait beside free room. It judges by what is on the machines, not
-// by what any node believes.
+// checkWaiting fails if a job waits although there is free capacity for it. It uses what actually runs on the machines, not
+// what any controller knows.
 func (w *world) checkWaiting() {
 	w.at(loop.Second, w.checkWaiting)
 	if w.calm == 0 || w.now <= w.calm {
@@ -78,12 +78,12 @@
 		if j.beside = b; len(b.machines) == 0 {
 			j.beside = nil
 		} else if w.now-b.since > waitsBeside {
-			w.fail("waiting: %s, with %d of %d tasks begun or done, waits beside the room on %v since %.3f s", j.id, on[j.id], j.spec.Tasks, slices.Sorted(maps.Keys(b.machines)), float64(b.since)/1e6-3600)
+			w.fail("waiting: %s, with %d of %d tasks running or done, waits although %v have had free capacity since %.3f s", j.id, on[j.id], j.spec.Tasks, slices.Sorted(maps.Keys(b.machines)), float64(b.since)/1e6-3600)
 		}
 	}
 }
 
-// underLimit tells whether the job's team may run one task of it more.
+// underLimit reports whether the job's team may run one more task of it.
 func (w *world) underLimit(j *simJob) bool {
 	limit, _ := w.cfg.TeamNamed(j.spec.Team)
 	return limit.CPUsMax == 0 || w.teams[j.spec.Team]+j.spec.CPUs <= limit.CPUsMax+1e-9
--- a/internal/node/why_test.go
+++ b/internal/node/why_test.go
@@ -22,24 +22,25 @@
 	"github.com/valyala/fasthttp"
 )
 
-// cluster is three controllers with /v1/ on loopback, beside stand-ins.
+// cluster is three controllers with /v1/ on loopback, connected to fakes.
 type cluster struct {
 	t     *testing.T
 	nodes []string // addresses
 	ends  []context.CancelFunc
 	keys  map[string]string // by role
 	mute  sync.Map          // machines that do not report
-	held  atomic.Bool       // machines that are rented do not come up
+	held  atomic.Bool       // machines that are created do not boot yet
 	stop  func()
 }
 
-// runs is what the workers know of jobs: run time and whether they are broken.
+// runs is how jobs behave on workers: run time, and whether they fail.
 var runs = map[string]standin.Job{
-	"job-000001": {CPUs: 2, MemoryGB: 1, Run: 1 << 50, Tasks: 16}, // fills everything
+	"job-000001": {CPUs: 2, MemoryGB: 1, Run: 1 << 50, Tasks: 16}, // uses all capacity
 	"job-000008": {CPUs: 2, MemoryGB: 1, Run: loop.Second, Tasks: 4, Broken: true},
 	"job-000009": {CPUs: 2, MemoryGB: 1, Run: 1 << 50, Tasks: 1},
 }
 
+// newCluster starts three controllers and their fakes.
 func newCluster(t *testing.T) *cluster {
 	c := &cluster{t: t, keys: map[string]string{}}
 	clock := loop.RealClock()
@@ -95,7 +96,7 @@
 	return c
 }
 
-// report lets a machine work and report until it is gone.
+// report runs a machine's worker, which reports until the machine is deleted.
 func report(ctx context.Context, clock loop.Clock, l wire.Listed, nodes []string, muted, gone func() bool) {
 	w := standin.NewWorker(clock.Now(), 10*loop.Second)
 	w.Name, w.Addr, w.Type, w.Zone, w.Spot, w.CPUs, w.MemoryGB = l.Name, "127.0.0.1:1", l.Type, l.Zone, l.Spot, 8, 32
@@ -150,7 +151,7 @@
 	return resp.StatusCode(), string(resp.Body())
 }
 
-// must makes a request that is repeated until it is answered as wanted.
+// must repeats a request while it gets no answer or 503, and fails if the answer is not the wanted one.
 func (c *cluster) must(code int, node int, method, path string, body, out any) {
 	c.t.Helper()
 	var got int
@@ -164,6 +165,7 @@
 	}
 }
 
+// until waits for a condition.
 func (c *cluster) until(what string, f func() bool) {
 	c.t.Helper()
 	deadline := time.After(60 * time.Second)
@@ -176,11 +178,12 @@
 	}
 }
 
+// proposal returns a job whose tasks use 2 CPUs.
 func proposal(no int, team string, tasks int64) api.Proposal {
 	return api.Proposal{ID: fmt.Sprintf("job-%06d", no), Class: "k", Team: team, Tasks: tasks, CPUs: 2, MemoryGB: 1, Image: "i", ImageGB: 1, Spot: true, EstimateS: 1}
 }
 
-// why asks a node that does not own the job.
+// why returns the explanation of a job by a controller that does not own it.
 func (c *cluster) why(id string) *explain.Answer {
 	a := new(explain.Answer)
 	node := 0
@@ -200,6 +203,7 @@
 	return a
 }
 
+// reasonsOf formats the reasons of an explanation.
 func reasonsOf(a *explain.Answer) string {
 	var out []string
 	for _, r := range a.Reasons {
@@ -208,6 +212,7 @@
 	return strings.Join(out, " ")
 }
 
+// reason waits until a job's explanation has a reason of a kind for which more, if it is given, returns true.
 func (c *cluster) reason(id, kind string, more func(a *explain.Answer, r *explain.Reason) bool) *explain.Answer {
 	c.t.Helper()
 	var last *explain.Answer
@@ -221,19 +226,19 @@
 		}
 		select {
 		case <-deadline:
-			c.t.Fatalf("%s: no reason %s as wanted, but %s (complete %v, %v)", id, kind, reasonsOf(last), last.Complete, last.Missing)
+			c.t.Fatalf("%s: no matching reason %s, got %s (complete %v, missing %v)", id, kind, reasonsOf(last), last.Complete, last.Missing)
 		case <-time.After(40 * time.Millisecond):
 		}
 	}
 }
 
-// Every blocking condition that can be built from outside, on three real controllers,
-// asked of one that does not own the job.
+// Every cause of waiting that can be produced through the interfaces, on three real controllers over real connections, as
+// explained by a controller that does not own the job.
 func TestWhyOnLoopback(t *testing.T) {
 	c := newCluster(t)
 	defer c.stop()
 
-	// Nothing is up yet: the machines are rented and boot.
+	// No machine runs yet: they were created and boot.
 	c.must(201, 0, "POST", "/v1/jobs", proposal(1, "blue", 16), nil)
 	c.reason("job-000001", "room", func(a *explain.Answer, r *explain.Reason) bool {
 		s := r.Detail.Renting
@@ -243,17 +248,17 @@
 	c.until("everything is full", func() bool { return c.why("job-000001").Running == 16 })
 	full := c.why("job-000001")
 	if len(full.Reasons) != 0 || full.Standing != "running" || !full.Complete {
-		t.Errorf("a job that runs is explained by %s", reasonsOf(full))
+		t.Errorf("a job whose tasks all run has the reasons %s", reasonsOf(full))
 	}
 	var kinds []string
 	for _, s := range full.Timeline {
 		kinds = append(kinds, s.Kind)
 	}
 	if !slices.Contains(kinds, "room") || !slices.Contains(kinds, "fetching") {
-		t.Errorf("the timeline of a job that waited for room and fetched is %v", kinds)
+		t.Errorf("the timeline of a job that waited for capacity and for its image is %v", kinds)
 	}
 
-	// No room; the cloud refuses more.
+	// No free capacity, and the cloud refuses more machines.
 	c.must(201, 1, "POST", "/v1/jobs", proposal(2, "red", 1), nil)
 	c.reason("job-000002", "room", func(_ *explain.Answer, r *explain.Reason) bool {
 		lacks := 0
@@ -263,7 +268,7 @@
 		s := r.Detail.Renting
 		return r.Tasks == 1 && r.Detail.Machines.Looked == 4 && lacks == 4 && s != nil && s.State == "refused" && len(s.Refused) == 4
 	})
-	// Beyond the team's limit, and behind the job before.
+	// Beyond the team's limit, and ranked behind the job before.
 	c.must(201, 1, "POST", "/v1/jobs", proposal(3, "red", 5), nil)
 	c.reason("job-000003", "teamLimit", func(_ *explain.Answer, r *explain.Reason) bool {
 		return r.Tasks == 2 && r.Detail.Team.CPUsMax == config.LimitOf(6)
@@ -271,7 +276,7 @@
 	c.reason("job-000003", "rank", func(_ *explain.Answer, r *explain.Reason) bool {
 		return r.Tasks == 1 && slices.Equal(r.BlockedBy, []string{"job-000002"})
 	})
-	// Blocked by five things at once; then they are taken away one after another.
+	// Blocked by five causes at the same time, which are then removed one after the other.
 	p := proposal(4, "red", 5)
 	p.After, p.Hold, p.HoldReason = []string{"job-000002"}, true, "an auditor looks at it"
 	c.must(201, 2, "POST", "/v1/jobs", p, nil)
@@ -288,12 +293,12 @@
 	})
 	c.must(200, 1, "POST", "/v1/jobs/job-000004/release", nil, nil)
 	c.until("the dependency is released", func() bool { return !strings.Contains(reasonsOf(c.why("job-000004")), "dependency") })
-	// A gang, and a place that no machine has room in.
+	// A gang whose tasks do not all fit at the same time.
 	p = proposal(5, "blue", 3)
 	p.Kind = "gang"
 	c.must(201, 2, "POST", "/v1/jobs", p, nil)
 	c.reason("job-000005", "gang", func(_ *explain.Answer, r *explain.Reason) bool { return r.Tasks == 3 })
-	// A cordon on every place.
+	// A cordon on the whole zone that the job asks for.
 	c.must(200, 2, "PUT", "/v1/cordons/all-x", api.Cordon{Zone: "x", Reason: "new racks"}, nil)
 	p = proposal(6, "blue", 2)
 	zone := "x"
@@ -305,9 +310,9 @@
 	var machines api.Machines
 	c.must(200, 1, "GET", "/v1/machines?shut=cordon", nil, &machines)
 	if len(machines.Machines) != 2 || machines.Machines[0].Cordons[0] != "all-x" {
-		t.Errorf("the machines shut by the cordon are %v", machines.Machines)
+		t.Errorf("the machines that the cordon blocks are %v", machines.Machines)
 	}
-	// The room is freed: what is cordoned waits for nothing else, and is released with it.
+	// The capacity is freed: the job waits only for the cordon, and completes after its removal.
 	for _, id := range []string{"job-000001", "job-000003", "job-000004", "job-000005"} {
 		c.must(200, 0, "POST", "/v1/jobs/"+id+"/withdraw", nil, nil)
 	}
@@ -324,15 +329,15 @@
 	// A job that fails wherever it runs.
 	p = proposal(8, "blue", 4)
 	c.must(201, 2, "POST", "/v1/jobs", p, nil)
-	// It rests after each moment of failure, on however few machines; none rests for it.
+	// The job backs off after each group of failures, on however few machines; no machine is blocked because of it.
 	c.until("its failures are told", func() bool {
 		for _, r := range c.why("job-000008").Reasons {
 			switch r.Kind {
 			case "backOff", "probe":
-				// It is broken by three machines, of which fewer may be left here by now.
+				// It is judged broken after it failed on three machines; fewer of them may be left by now.
 				x := r.Detail.Failures
 				if (x.Judged == "broken") != (x.Machines >= 3) || x.Judged != "broken" && x.Judged != "doubted" {
-					t.Errorf("by %d machines it is judged %s", x.Machines, x.Judged)
+					t.Errorf("after failures on %d machines the job is judged %s", x.Machines, x.Judged)
 				}
 				if r.Kind == "backOff" {
 					return x.InARow >= 2 && r.Until != nil && r.Estimate != nil
@@ -342,7 +347,7 @@
 		return false
 	})
 	c.must(200, 0, "POST", "/v1/jobs/job-000008/withdraw", nil, nil)
-	// A machine falls silent with a task on it.
+	// The reports of a machine with a running task stop.
 	c.must(201, 2, "POST", "/v1/jobs", proposal(9, "blue", 1), nil)
 	c.until("it runs", func() bool { return c.why("job-000009").Running == 1 })
 	c.must(200, 1, "GET", "/v1/machines?limit=500", nil, &machines)
@@ -378,11 +383,11 @@
 		c.until("another owner explains it", func() bool {
 			code, _ := c.do(ask, "read", "GET", "/v1/jobs/job-000010/why", nil, &a)
 			if code == 200 && !a.Complete && len(a.Missing) == 0 {
-				t.Error("an answer that is not complete does not say what is missing")
+				t.Error("an incomplete explanation does not say what is missing")
 			}
 			return code == 200 && a.Complete && a.Owner != owner && len(a.Timeline) > 0 && strings.Contains(reasonsOf(&a), "hold/held:1")
 		})
-		// The peers followed the timeline, so that the hold did not begin anew.
+		// The peers knew the timeline, so that the hold did not begin again with the next owner.
 		if i := slices.IndexFunc(a.Timeline, func(s explain.Stretch) bool { return s.Kind == "hold" }); i < 0 || a.Timeline[i].From != before[0].From {
 			t.Errorf("the timeline was %v, and is %v at the next owner", before, a.Timeline)
 		}
