--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -9,16 +9,16 @@
 	"cleatpick/internal/wire"
 )
 
-// Status is what a node tells the others about itself.
+// Status is what a controller periodically reports about itself to its peers.
 type Status struct {
 	Wall    loop.Micros `cbor:"1,keyasint"`
-	Contact bool        `cbor:"2,keyasint"` // the state service answers it
-	// 3 was, before 0.7.0, for how long it had not been answered.
+	Contact bool        `cbor:"2,keyasint"` // the state service answers this controller
+	// Key 3 was used before 0.7.0, for how long the state service had not answered.
 	Hosted int      `cbor:"4,keyasint"`
-	Hears  []string `cbor:"5,keyasint"` // peers that it hears; nil from versions that do not tell
+	Hears  []string `cbor:"5,keyasint"` // peers whose messages arrive; nil from versions that do not send it
 }
 
-// Want is a group of alike tasks that found no room, as part of an owner's tally.
+// Want is a group of alike tasks for which there is no free capacity, as part of an owner's demand.
 type Want struct {
 	CPUs     float64  `cbor:"1,keyasint"`
 	GPUs     float64  `cbor:"2,keyasint,omitempty"`
@@ -28,72 +28,72 @@
 	Zone     string   `cbor:"6,keyasint,omitempty"`
 	Spot     bool     `cbor:"7,keyasint,omitempty"`
 	Priority int      `cbor:"8,keyasint"`
-	Count    int      `cbor:"9,keyasint"`
-	Run      int64    `cbor:"10,keyasint"` // run time expected of one task
-	// What binds the tasks to zones, as in the job's spec; and only where one of these counts, how many
-	// tasks the job has and how many may be on machines of each zone already.
+	Count    int      `cbor:"9,keyasint"`  // number of tasks
+	Run      int64    `cbor:"10,keyasint"` // expected run time of one task
+	// OneZone and Spread bind the tasks to zones, as in the job's spec. Only if one of them is set, Tasks is the number of
+	// tasks of the job, and In how many of them may already be on machines of each zone.
 	OneZone bool     `cbor:"11,keyasint,omitempty"`
 	Spread  bool     `cbor:"12,keyasint,omitempty"`
 	Tasks   int      `cbor:"13,keyasint,omitempty"`
 	In      []InZone `cbor:"14,keyasint,omitempty"`
 }
 
-// InZone is how many tasks of a job may be on machines of a zone; by name, so that a frame is
-// always written alike.
+// InZone is the number of tasks of a job that may be on machines of a zone. A list of these, sorted by zone, is used
+// instead of a map so that the same message is always encoded to the same bytes.
 type InZone struct {
 	_     struct{} `cbor:",toarray"`
 	Zone  string
 	Tasks int
 }
 
-// Tally is an owner's whole list of missed requests; the newest replaces the last.
+// Tally is an owner's complete demand: all tasks for which there is no free capacity. Each one replaces the one before.
 type Tally struct {
 	Wall    loop.Micros `cbor:"1,keyasint"`
 	Wants   []Want      `cbor:"2,keyasint,omitempty"`
-	Suspect []string    `cbor:"3,keyasint,omitempty"` // machines that hold tasks and are not heard
+	Suspect []string    `cbor:"3,keyasint,omitempty"` // machines that have tasks and whose reports do not arrive
 }
 
-// Progress is what an owner tells of a job for display.
+// Progress is what an owner reports about a job, for display only.
 type Progress struct {
 	Job     string `cbor:"1,keyasint"`
 	Done    int64  `cbor:"2,keyasint"`
 	Running int64  `cbor:"3,keyasint"`
-	// Causes is why its other tasks do not run; told only where that is asked for.
+	// Causes is why the other tasks do not run; sent only if /v1/ is enabled.
 	Causes []gate.Cause `cbor:"4,keyasint,omitempty"`
-	// Waits tells that Causes is told, since none is an answer too.
+	// Waits is whether Causes was sent, since an empty list is a valid value.
 	Waits bool `cbor:"5,keyasint,omitempty"`
-	// At is the time of day at which the causes were seen.
+	// At is the wall clock time at which the causes were determined.
 	At loop.Micros `cbor:"6,keyasint,omitempty"`
 }
 
-// Question is what a node wants to know of another.
+// Question is a request to a peer, which answers it with a Reply of the same ID.
 type Question struct {
 	ID    uint64   `cbor:"1,keyasint"`
 	Topic string   `cbor:"2,keyasint"`
 	Body  wire.Raw `cbor:"3,keyasint"`
 }
 
-// Reply answers a question; it has no body when the node could not tell.
+// Reply answers a question. It has no body if the controller could not answer.
 type Reply struct {
 	ID   uint64   `cbor:"1,keyasint"`
 	OK   bool     `cbor:"2,keyasint"`
 	Body wire.Raw `cbor:"3,keyasint,omitempty"`
 }
 
-// Usage is what a team uses, for the others' decisions.
+// Usage is what a team uses, sent by its owner to all others for their decisions.
 type Usage struct {
 	Team string  `cbor:"1,keyasint"`
 	CPUs float64 `cbor:"2,keyasint"`
 	GPUs float64 `cbor:"3,keyasint"`
 }
 
-// Close asks a host to keep starts off a machine until a time of day.
+// Close asks a machine's host controller to start nothing on the machine until a wall clock time.
 type Close struct {
 	Machine string      `cbor:"1,keyasint"`
 	Until   loop.Micros `cbor:"2,keyasint"`
 }
 
-// Claim keeps room on a machine for a job that tasks were stopped for.
+// Claim is a reservation: it keeps capacity on a machine for a job for which tasks were preempted.
 type Claim struct {
 	Machine  string      `cbor:"1,keyasint"`
 	Job      string      `cbor:"2,keyasint"`
@@ -101,12 +101,12 @@
 	CPUs     float64     `cbor:"4,keyasint"`
 	GPUs     float64     `cbor:"5,keyasint,omitempty"`
 	MemoryGB float64     `cbor:"6,keyasint"`
-	Until    loop.Micros `cbor:"7,keyasint"` // time of day
-	// Victims are the tasks that were stopped; told only where explanations are asked for.
+	Until    loop.Micros `cbor:"7,keyasint"` // wall clock
+	// Victims lists the tasks that were preempted; sent only if /v1/ is enabled.
 	Victims []string `cbor:"8,keyasint,omitempty"`
 }
 
-// Envelope is one frame.
+// Envelope is one message between controllers, sent as one frame. It combines everything that is due for a peer.
 type Envelope struct {
 	From      string        `cbor:"1,keyasint"`
 	Status    *Status       `cbor:"2,keyasint,omitempty"`
@@ -123,16 +123,17 @@
 	Checks    []string      `cbor:"13,keyasint,omitempty"`
 	Questions []Question    `cbor:"14,keyasint,omitempty"`
 	Replies   []Reply       `cbor:"15,keyasint,omitempty"`
-	// Deltas are views told by how they differ from ones told before, and Lost names
-	// machines of the receiver's whose full views the sender lacks for that.
+	// Deltas are views of machines as differences from views that were sent before. Lost names machines of the receiver
+	// whose full views the sender needs because it cannot apply a delta.
 	Deltas []*agent.Delta `cbor:"16,keyasint,omitempty"`
 	Lost   []string       `cbor:"17,keyasint,omitempty"`
-	// Places are those of users who were put off, so that their next try keeps them.
+	// Places are the queue positions of users who were deferred, so that they keep them when they retry with any
+	// controller.
 	Places []admission.Place `cbor:"18,keyasint,omitempty"`
-	// Life is the time of day at which the sender's process began.
+	// Life identifies the incarnation of the sender: the wall clock time at which its process started.
 	Life loop.Micros `cbor:"19,keyasint,omitempty"`
-	// Horizon is what the sender asks and answers about cancellations.
+	// Horizon is what the sender asks and answers about cancellations, for the cancellation watermark.
 	Horizon *horizon.Word `cbor:"20,keyasint,omitempty"`
-	// Teams are those that the sender's settings name, told to each peer that is reached anew.
+	// Teams are the teams in the sender's settings, sent to a peer after each new connection.
 	Teams []string `cbor:"21,keyasint,omitempty"`
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,8 @@
-// Package peer carries the messages between controllers: CBOR frames over plain
-// TCP, one connection for each direction. Every message may be lost, repeated or
-// late; what it says is repeated by its sender for as long as it matters.
+// Package peer carries the messages between controllers: CBOR frames over plain TCP, one connection for each direction.
+// It owns the connections, combines messages that are due at nearly the same time into one frame, and drops frames of
+// earlier incarnations of a peer. Every message may be lost, repeated or late; there are no acknowledgements here, and
+// senders repeat what they have to say for as long as it matters. What a message means is left to the package that it
+// is for; whether a peer counts as reachable is decided elsewhere.
 package peer
 
 import (
@@ -26,14 +28,14 @@
 const (
 	maxFrame = 1 << 20
 	maxQueue = 64
-	// gatherEach, for each peer, is for how long additions to a frame are gathered: each
-	// frame wakes a process, and with fifteen nodes there are 210 ways for one. A node sends
-	// at most 200 frames a second, however many peers it has, until gatherMost is reached.
+	// gatherEach times the number of peers, but at most gatherMost, is for how long additions to a frame are collected.
+	// Each frame wakes up a process, and fifteen controllers have 210 connections. Up to the number of peers at which
+	// gatherMost applies, a controller sends at most 200 frames per second, however many peers it has.
 	gatherEach = 5 * loop.Millisecond
 	gatherMost = 40 * loop.Millisecond
 )
 
-// link is the outgoing side towards one peer.
+// link is the outgoing side of the connection to one peer.
 type link struct {
 	peer    config.Peer
 	next    Envelope
@@ -41,40 +43,40 @@
 	out     chan []byte
 }
 
-// Known is what was last heard of a peer.
+// Known is what was last received from a peer.
 type Known struct {
 	Status Status
-	Heard  loop.Micros // steady time
-	life   loop.Micros // the newest life of its process that was heard
+	Heard  loop.Micros // when the newest status arrived, by the monotonic clock
+	life   loop.Micros // the newest incarnation of its process that sent a frame
 }
 
-// Net holds the links to all peers.
+// Net holds the connections to all peers.
 type Net struct {
 	r     loop.Runner
 	log   *slog.Logger
 	self  string
 	links map[string]*link
 	known map[string]*Known
-	// Life is when this process began, by the time of day, and ClockTo twice the bound on
-	// that: two lives of a peer that lie closer together are not told apart by their order.
+	// Life is the wall clock time at which this process started, which identifies its incarnation. ClockTo is twice the
+	// bound on the error of a wall clock: incarnations of a peer that are closer together than that are not ordered.
 	Life, ClockTo loop.Micros
-	// Earlier is called for a frame that an earlier life of a peer has sent; it may be nil.
+	// Earlier is called for each dropped frame of an earlier incarnation of a peer; it may be nil.
 	Earlier func(label string)
-	// Receive is called on the loop for every frame of a known peer.
+	// Receive is called on the event loop for every frame of a known peer.
 	Receive func(*Envelope)
-	// NewLife is called on the loop after the first frame of a life of a peer's process: whatever this
-	// node told that peer before, the new life does not know. It may be nil.
+	// NewLife is called on the event loop after the first frame of a new incarnation of a peer, which knows nothing of what
+	// was sent to that peer before. It may be nil.
 	NewLife func(label string)
-	// Refused is called on the loop when a peer's machine refuses the connection,
-	// which it does while no process listens there.
+	// Refused is called on the event loop when a peer's machine refuses the connection, which it does while no process
+	// listens there.
 	Refused func(label string)
-	// Deliver takes a frame on its way to a peer; tests put their own network here.
+	// Deliver sends an encoded frame to a peer; tests replace it with a simulated network.
 	Deliver func(label string, frame []byte)
-	// Up is called on the loop when a connection to a peer was made.
+	// Up is called on the event loop when a connection to a peer has been established.
 	Up func(label string)
 }
 
-// New makes the links; Run works them.
+// New returns a Net with a link to each peer; Run connects them.
 func New(r loop.Runner, log *slog.Logger, self string, peers []config.Peer) *Net {
 	n := &Net{r: r, log: log, self: self, links: map[string]*link{}, known: map[string]*Known{}}
 	n.Deliver = n.enqueue
@@ -128,15 +130,15 @@
 	in := bufio.NewReaderSize(c, 16<<10)
 	var head [4]byte
 	for ctx.Err() == nil {
-		// A silent peer says something every second; a connection without
-		// any word is left over from a cut.
+		// Every peer sends something at least every second. A connection without any frame is left over from a network
+		// partition.
 		c.SetReadDeadline(time.Now().Add(15 * time.Second))
 		if _, err := io.ReadFull(in, head[:]); err != nil {
 			return
 		}
 		size := binary.BigEndian.Uint32(head[:])
 		if size > maxFrame {
-			n.log.Error("oversized frame from a peer", "size", size)
+			n.log.Error("frame from a peer exceeds the size limit; connection closed", "size", size)
 			return
 		}
 		body := make([]byte, size)
@@ -145,21 +147,21 @@
 		}
 		e := new(Envelope)
 		if err := wire.Unmarshal(body, e); err != nil {
-			n.log.Error("malformed frame from a peer", "err", err)
+			n.log.Error("frame from a peer cannot be decoded; connection closed", "err", err)
 			return
 		}
 		n.r.Post(func() { n.Take(e) })
 	}
 }
 
-// Take takes in a peer's frame, on the loop.
+// Take handles a peer's frame, on the event loop.
 func (n *Net) Take(e *Envelope) {
 	k := n.known[e.From]
 	if k == nil {
 		return
 	}
 	if e.Life+n.ClockTo < k.life {
-		// Held back on its way: what that life knew and wanted ended with it.
+		// The frame was delayed on its way. What that incarnation knew and requested ended with it.
 		if n.Earlier != nil {
 			n.Earlier(e.From)
 		}
@@ -176,8 +178,8 @@
 	}
 }
 
-// send keeps a connection to a peer and writes what is queued. What cannot be
-// written in time is thrown away with the connection.
+// send keeps a connection to a peer and writes queued frames. Frames that cannot be written in time are dropped together
+// with the connection.
 func (n *Net) send(ctx context.Context, l *link) {
 	for ctx.Err() == nil {
 		d := net.Dialer{Timeout: time.Second}
@@ -194,7 +196,7 @@
 			continue
 		}
 		n.drain(l)
-		n.log.Debug("connected to peer", "peer", l.peer.Label)
+		n.log.Debug("connected to a peer", "peer", l.peer.Label)
 		n.r.Post(func() { n.Up(l.peer.Label) })
 		n.pour(ctx, l, c)
 		c.Close()
@@ -219,14 +221,14 @@
 		case f := <-l.out:
 			c.SetWriteDeadline(time.Now().Add(2 * time.Second))
 			if _, err := c.Write(f); err != nil {
-				n.log.Debug("peer connection failed", "peer", l.peer.Label, "err", err)
+				n.log.Debug("connection to a peer failed; reconnecting", "peer", l.peer.Label, "err", err)
 				return
 			}
 		}
 	}
 }
 
-// To lets f add to what goes to a peer next; several additions share a frame.
+// To lets f add to the next frame to a peer; several additions share a frame.
 func (n *Net) To(label string, f func(*Envelope)) {
 	l := n.links[label]
 	if l == nil {
@@ -243,7 +245,7 @@
 func (n *Net) flush(l *link) {
 	l.waiting = false
 	l.next.From, l.next.Life = n.self, n.Life
-	// Of several views of a machine only the newest says anything.
+	// Of several views of a machine only the newest is needed.
 	if len(l.next.Views) > 1 {
 		last := map[string]int{}
 		for i, v := range l.next.Views {
@@ -262,7 +264,7 @@
 	n.Deliver(l.peer.Label, body)
 }
 
-// enqueue hands a frame to the connection, which may be stuck.
+// enqueue queues a frame for the connection; it drops the frame if the queue is full.
 func (n *Net) enqueue(label string, body []byte) {
 	l := n.links[label]
 	f := make([]byte, 4+len(body))
@@ -270,11 +272,11 @@
 	copy(f[4:], body)
 	select {
 	case l.out <- f:
-	default: // stuck: the repeats will say it again
+	default: // the connection does not accept data; the sender repeats what still matters
 	}
 }
 
-// All lets f add to what goes to every peer next.
+// All lets f add to the next frame to every peer.
 func (n *Net) All(f func(*Envelope)) {
 	for label := range loop.Sorted(n.links) {
 		n.To(label, f)
@@ -286,7 +288,7 @@
 	return slices.Sorted(maps.Keys(n.links))
 }
 
-// Known tells what was last heard of a peer.
+// Known returns what was last received from a peer.
 func (n *Net) Known(label string) Known {
 	if k := n.known[label]; k != nil {
 		return *k
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -11,9 +11,8 @@
 	"cleatpick/internal/standin"
 )
 
-// Frames that were held back on their way come after the process that sent them has ended
-// and is back. They are dropped and counted; one of a later life never is, also where the
-// clock was behind when that began.
+// Frames that were delayed on their way arrive after the process that sent them has restarted. They are dropped and counted.
+// A frame of the newest incarnation is never dropped, also if the clock was behind when that started.
 func TestFramesOfEarlierLives(t *testing.T) {
 	const s = loop.Second
 	n := New(standin.NewStepped(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
@@ -26,15 +25,15 @@
 		n.Take(&Envelope{From: "b", Life: life})
 	}
 	if len(got) != 6 || earlier != 2 {
-		t.Errorf("taken in %v, and %d frames of earlier lives, want 6 and 2", got, earlier)
+		t.Errorf("received frames of the incarnations %v and dropped %d, want 6 received and 2 dropped", got, earlier)
 	}
 	n.Take(&Envelope{From: "c", Life: 40 * s})
 	if len(got) != 6 {
-		t.Error("a frame of nobody known is taken in")
+		t.Error("a frame of an unknown sender was received")
 	}
 }
 
-// Each life of a peer that is heard for the first time is told once, after its frame was taken in.
+// Each new incarnation of a peer is announced once, after its first frame has been received.
 func TestNewLivesAreTold(t *testing.T) {
 	const s = loop.Second
 	n := New(standin.NewStepped(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
@@ -46,6 +45,6 @@
 		n.Take(&Envelope{From: "b", Life: life})
 	}
 	if !slices.Equal(told, []int{1, 3, 5}) {
-		t.Errorf("told after the frames %v, want the first, the third and the fifth that was taken in", told)
+		t.Errorf("new incarnations were announced after the received frames %v, want the first, the third and the fifth", told)
 	}
 }
