--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -28,35 +28,35 @@
 const (
 	maxFrame = 1 << 20
 	maxQueue = 64
-	// gatherEach times the number of peers, but at most gatherMost, is for how long additions to a frame are collected.
+	// flushDelayPerPeer times the number of peers, but at most gatherMost, is for how long additions to a frame are collected.
 	// Each frame wakes up a process, and fifteen controllers have 210 connections. Up to the number of peers at which
 	// gatherMost applies, a controller sends at most 200 frames per second, however many peers it has.
-	gatherEach = 5 * loop.Millisecond
-	gatherMost = 40 * loop.Millisecond
+	flushDelayPerPeer = 5 * loop.Millisecond
+	maxFlushDelay     = 40 * loop.Millisecond
 )
 
 // link is the outgoing side of the connection to one peer.
 type link struct {
-	peer    config.Peer
-	next    Envelope
-	waiting bool
-	out     chan []byte
+	peer           config.Peer
+	next           Envelope
+	flushScheduled bool
+	frames         chan []byte
 }
 
 // Known is what was last received from a peer.
 type Known struct {
-	Status Status
-	Heard  loop.Micros // when the newest status arrived, by the monotonic clock
-	life   loop.Micros // the newest incarnation of its process that sent a frame
+	Status      Status
+	Heard       loop.Micros // when the newest status arrived, by the monotonic clock
+	incarnation loop.Micros // the newest incarnation of its process that sent a frame
 }
 
 // Net holds the connections to all peers.
 type Net struct {
-	r     loop.Runner
-	log   *slog.Logger
-	self  string
-	links map[string]*link
-	known map[string]*Known
+	runner loop.Runner
+	log    *slog.Logger
+	self   string
+	links  map[string]*link
+	known  map[string]*Known
 	// Life is the wall clock time at which this process started, which identifies its incarnation. ClockTo is twice the
 	// bound on the error of a wall clock: incarnations of a peer that are closer together than that are not ordered.
 	Life, ClockTo loop.Micros
@@ -78,10 +78,10 @@
 
 // New returns a Net with a link to each peer; Run connects them.
 func New(r loop.Runner, log *slog.Logger, self string, peers []config.Peer) *Net {
-	n := &Net{r: r, log: log, self: self, links: map[string]*link{}, known: map[string]*Known{}}
+	n := &Net{runner: r, log: log, self: self, links: map[string]*link{}, known: map[string]*Known{}}
 	n.Deliver = n.enqueue
 	for _, p := range peers {
-		n.links[p.Label] = &link{peer: p, out: make(chan []byte, maxQueue)}
+		n.links[p.Label] = &link{peer: p, frames: make(chan []byte, maxQueue)}
 		n.known[p.Label] = &Known{}
 	}
 	return n
@@ -118,7 +118,7 @@
 	})
 	for _, l := range n.links {
 		g.Go(func() error {
-			n.send(ctx, l)
+			n.connect(ctx, l)
 			return nil
 		})
 	}
@@ -150,7 +150,7 @@
 			n.log.Error("frame from a peer cannot be decoded; connection closed", "err", err)
 			return
 		}
-		n.r.Post(func() { n.Take(e) })
+		n.runner.Post(func() { n.Take(e) })
 	}
 }
 
@@ -160,33 +160,33 @@
 	if k == nil {
 		return
 	}
-	if e.Life+n.ClockTo < k.life {
+	if e.Life+n.ClockTo < k.incarnation {
 		// The frame was delayed on its way. What that incarnation knew and requested ended with it.
 		if n.Earlier != nil {
 			n.Earlier(e.From)
 		}
 		return
 	}
-	begun := e.Life > k.life
-	k.life = max(k.life, e.Life)
+	isNew := e.Life > k.incarnation
+	k.incarnation = max(k.incarnation, e.Life)
 	if e.Status != nil && e.Status.Wall > k.Status.Wall {
-		k.Status, k.Heard = *e.Status, n.r.Now()
+		k.Status, k.Heard = *e.Status, n.runner.Now()
 	}
 	n.Receive(e)
-	if begun && n.NewLife != nil {
+	if isNew && n.NewLife != nil {
 		n.NewLife(e.From)
 	}
 }
 
-// send keeps a connection to a peer and writes queued frames. Frames that cannot be written in time are dropped together
+// connect keeps a connection to a peer and writes queued frames. Frames that cannot be written in time are dropped together
 // with the connection.
-func (n *Net) send(ctx context.Context, l *link) {
+func (n *Net) connect(ctx context.Context, l *link) {
 	for ctx.Err() == nil {
 		d := net.Dialer{Timeout: time.Second}
 		c, err := d.DialContext(ctx, "tcp", l.peer.Endpoint)
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				n.r.Post(func() { n.Refused(l.peer.Label) })
+				n.runner.Post(func() { n.Refused(l.peer.Label) })
 			}
 			n.drain(l)
 			select {
@@ -197,8 +197,8 @@
 		}
 		n.drain(l)
 		n.log.Debug("connected to a peer", "peer", l.peer.Label)
-		n.r.Post(func() { n.Up(l.peer.Label) })
-		n.pour(ctx, l, c)
+		n.runner.Post(func() { n.Up(l.peer.Label) })
+		n.writeFrames(ctx, l, c)
 		c.Close()
 	}
 }
@@ -206,19 +206,19 @@
 func (n *Net) drain(l *link) {
 	for {
 		select {
-		case <-l.out:
+		case <-l.frames:
 		default:
 			return
 		}
 	}
 }
 
-func (n *Net) pour(ctx context.Context, l *link, c net.Conn) {
+func (n *Net) writeFrames(ctx context.Context, l *link, c net.Conn) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-l.out:
+		case f := <-l.frames:
 			c.SetWriteDeadline(time.Now().Add(2 * time.Second))
 			if _, err := c.Write(f); err != nil {
 				n.log.Debug("connection to a peer failed; reconnecting", "peer", l.peer.Label, "err", err)
@@ -228,22 +228,22 @@
 	}
 }
 
-// To lets f add to the next frame to a peer; several additions share a frame.
-func (n *Net) To(label string, f func(*Envelope)) {
+// To lets add change the next frame to a peer; several additions share a frame.
+func (n *Net) To(label string, add func(*Envelope)) {
 	l := n.links[label]
 	if l == nil {
 		return
 	}
-	f(&l.next)
-	if l.waiting {
+	add(&l.next)
+	if l.flushScheduled {
 		return
 	}
-	l.waiting = true
-	n.r.After(min(loop.Micros(len(n.links))*gatherEach, gatherMost), func() { n.flush(l) })
+	l.flushScheduled = true
+	n.runner.After(min(loop.Micros(len(n.links))*flushDelayPerPeer, maxFlushDelay), func() { n.flush(l) })
 }
 
 func (n *Net) flush(l *link) {
-	l.waiting = false
+	l.flushScheduled = false
 	l.next.From, l.next.Life = n.self, n.Life
 	// Of several views of a machine only the newest is needed.
 	if len(l.next.Views) > 1 {
@@ -271,15 +271,15 @@
 	binary.BigEndian.PutUint32(f, uint32(len(body)))
 	copy(f[4:], body)
 	select {
-	case l.out <- f:
+	case l.frames <- f:
 	default: // the connection does not accept data; the sender repeats what still matters
 	}
 }
 
-// All lets f add to the next frame to every peer.
-func (n *Net) All(f func(*Envelope)) {
+// All lets add change the next frame to every peer.
+func (n *Net) All(add func(*Envelope)) {
 	for label := range loop.Sorted(n.links) {
-		n.To(label, f)
+		n.To(label, add)
 	}
 }
 
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -13,19 +13,19 @@
 
 // Frames that were delayed on their way arrive after the process that sent them has restarted. They are dropped and counted.
 // A frame of the newest incarnation is never dropped, also if the clock was behind when that started.
-func TestFramesOfEarlierLives(t *testing.T) {
+func TestFramesOfEarlierIncarnationsAreDropped(t *testing.T) {
 	const s = loop.Second
 	n := New(standin.NewStepped(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
 	n.ClockTo = 200 * loop.Millisecond
 	var got []loop.Micros
-	earlier := 0
+	dropped := 0
 	n.Receive = func(e *Envelope) { got = append(got, e.Life) }
-	n.Earlier = func(string) { earlier++ }
+	n.Earlier = func(string) { dropped++ }
 	for _, life := range []loop.Micros{10 * s, 10 * s, 20 * s, 10 * s, 20*s - 150*loop.Millisecond, 9 * s, 20 * s, 30 * s} {
 		n.Take(&Envelope{From: "b", Life: life})
 	}
-	if len(got) != 6 || earlier != 2 {
-		t.Errorf("received frames of the incarnations %v and dropped %d, want 6 received and 2 dropped", got, earlier)
+	if len(got) != 6 || dropped != 2 {
+		t.Errorf("received frames of the incarnations %v and dropped %d, want 6 received and 2 dropped", got, dropped)
 	}
 	n.Take(&Envelope{From: "c", Life: 40 * s})
 	if len(got) != 6 {
@@ -34,17 +34,17 @@
 }
 
 // Each new incarnation of a peer is announced once, after its first frame has been received.
-func TestNewLivesAreTold(t *testing.T) {
+func TestNewIncarnationsAreAnnounced(t *testing.T) {
 	const s = loop.Second
 	n := New(standin.NewStepped(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
 	n.ClockTo = 200 * loop.Millisecond
-	frames, told := 0, []int{}
+	frames, announced := 0, []int{}
 	n.Receive = func(*Envelope) { frames++ }
-	n.NewLife = func(string) { told = append(told, frames) }
+	n.NewLife = func(string) { announced = append(announced, frames) }
 	for _, life := range []loop.Micros{10 * s, 10 * s, 20 * s, 10 * s, 20 * s, 30 * s, 30 * s} {
 		n.Take(&Envelope{From: "b", Life: life})
 	}
-	if !slices.Equal(told, []int{1, 3, 5}) {
-		t.Errorf("new incarnations were announced after the received frames %v, want the first, the third and the fifth", told)
+	if !slices.Equal(announced, []int{1, 3, 5}) {
+		t.Errorf("new incarnations were announced after the received frames %v, want the first, the third and the fifth", announced)
 	}
 }
