--- a/internal/node/fitness.go
+++ b/internal/node/fitness.go
@@ -8,14 +8,15 @@
 	"cleatpick/internal/peer"
 )
 
-const contactAge = 2500 * loop.Millisecond
+// maxContactAge is how old the last answer of the state service may be for this controller to count as connected to it.
+const maxContactAge = 2500 * loop.Millisecond
 
-// contact tells whether the state service answers this node.
-func (n *Node) contact() bool { return n.client.Healthy(contactAge) }
+// hasStateContact reports whether the state service answers this controller.
+func (n *Node) hasStateContact() bool { return n.client.Healthy(maxContactAge) }
 
-// freshPeer tells what a peer said of itself within the last moments; held-back
-// words are told by their time of day.
-func (n *Node) freshPeer(label string) (peer.Status, bool) {
+// freshStatus returns the newest status of a peer, and whether it is recent. A message that was delayed on its way is
+// detected by the wall clock time it carries.
+func (n *Node) freshStatus(label string) (peer.Status, bool) {
 	k := n.net.Known(label)
 	age := n.loop.Now() - k.Heard
 	late := n.loop.Wall() - k.Status.Wall
@@ -23,12 +24,12 @@
 	return k.Status, k.Heard != 0 && age < 2500*loop.Millisecond && late < 3*loop.Second+off
 }
 
-// mayStart: without state contact no new start is made, since a cancellation
-// may have been told meanwhile.
-func (n *Node) mayStart() bool { return n.member.LeaseValid() && n.contact() }
+// mayStart reports whether new tasks may be started. Without contact to the state service none are, since another
+// controller may have confirmed a cancellation in the meantime.
+func (n *Node) mayStart() bool { return n.member.LeaseValid() && n.hasStateContact() }
 
-// barred tells why a start that was taken on must not reach its machine any more.
-func (n *Node) barred(j *job.Job, v *agent.View) string {
+// startBlocked returns why a start that was already accepted must no longer be sent to its machine; empty: it may be sent.
+func (n *Node) startBlocked(j *job.Job, v *agent.View) string {
 	switch {
 	case j.Terms.Hold.State != job.HoldNone && j.Terms.Hold.Blocks(n.loop.Wall()):
 		return "held"
@@ -38,29 +39,30 @@
 	return ""
 }
 
-// mayAnswer tells whether reports may be answered, else where to send the worker. Each answer
-// holds a lease, so how far the knowledge of cancellations reaches decides, and nothing else.
+// mayAnswer reports whether workers' reports may be answered, and otherwise which peer the worker should report to.
+// Each answer renews a worker's lease, so the only criterion is how recent the cancellation watermark is.
 func (n *Node) mayAnswer() (bool, string) {
 	if n.member.Epoch() == 0 {
-		return false, n.coach()
+		return false, n.redirectTarget()
 	}
-	if !n.contact() {
-		if to := n.coach(); to != "" {
+	if !n.hasStateContact() {
+		if to := n.redirectTarget(); to != "" {
 			return false, to
 		}
 	}
-	if !n.horizon.Holds() {
-		return false, n.coach()
+	if !n.watermark.Holds() {
+		return false, n.redirectTarget()
 	}
 	return true, ""
 }
 
-// coach names a peer that has state contact: one that is trusted, if there is any. The
-// others too would do, but all workers would follow one that comes and goes.
-func (n *Node) coach() string {
+// redirectTarget returns a peer that has contact to the state service, preferring one that reachability counts as stable, and
+// then the one with the fewest workers; empty: there is none. An unstable peer is only the last choice, because all
+// workers would move to it and back each time its connection flaps.
+func (n *Node) redirectTarget() string {
 	best, least, trusted := "", 0, false
 	for _, label := range n.net.Peers() {
-		s, fresh := n.freshPeer(label)
+		s, fresh := n.freshStatus(label)
 		if !fresh || !s.Contact {
 			continue
 		}
@@ -71,16 +73,16 @@
 	return best
 }
 
-// ready tells whether users' requests can be decided here.
+// ready reports whether users' requests can be decided here.
 func (n *Node) ready() bool {
-	return n.mirror.Ready() && (n.contact() || !n.client.Failing())
+	return n.mirror.Ready() && (n.hasStateContact() || !n.client.Failing())
 }
 
-// healthy: a node that alone has lost the state service sends its users to the
-// others; when nobody has it, they stay and are told to come back.
+// healthy reports whether users should be routed to this controller. One that alone has lost the state service is
+// unhealthy, so that its users go to the others. If no controller has contact, users stay and are deferred.
 func (n *Node) healthy() bool {
 	if !n.mirror.Ready() || !n.rental.Asked() {
 		return false
 	}
-	return n.contact() || n.coach() == ""
+	return n.hasStateContact() || n.redirectTarget() == ""
 }
