--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -26,14 +26,14 @@
 	if tm == nil || !tm.loaded {
 		return nil, false
 	}
-	now := p.r.Now()
+	now := p.runner.Now()
 	t := tm.jobs[id]
 	if t == nil { // it is over, or was received only just now
 		return &explain.Facts{Job: j, Gate: gate.Job{Spec: j.Spec, Hold: &j.Terms.Hold}, Need: gate.Need{ID: id, Spec: j.Spec, Tasks: j.Tasks}, Team: tm.cfg, Contact: contact, Sure: true,
-			Now: now, Wall: p.r.Wall()}, true
+			Now: now, Wall: p.runner.Wall()}, true
 	}
 	p.fleet.Refresh()
-	f = &explain.Facts{Job: j, Gate: p.facts(t), Need: t.need(), Team: tm.cfg, Contact: contact, Sure: true, Now: now, Wall: p.r.Wall(),
+	f = &explain.Facts{Job: j, Gate: p.facts(t), Need: t.need(), Team: tm.cfg, Contact: contact, Sure: true, Now: now, Wall: p.runner.Wall(),
 		After: now - p.staleAfter(), Running: t.running, Done: t.completed}
 	f.Gate.Now, f.Gate.Wall = f.Now, f.Wall
 	if n := f.Gate.Waiting; n > 0 && !j.Final() {
@@ -42,25 +42,25 @@
 			f.Places[i] = &sl.Place
 		}
 		f.Fits = p.fleet.Trial(t.need(), n, p.fleet.All())
-		f.FitsAll = p.trialUncordoned(t, n)
-		f.Barred, f.Cordons = p.barring(j.Spec, types)
-		p.ahead(f, t, types)
+		f.FitsAll = p.fitsUncordoned(t, n)
+		f.Barred, f.Cordons = p.blockingCordons(j.Spec, types)
+		p.jobsAhead(f, t, types)
 	}
-	f.Flights = p.flights(t, f.After)
-	f.Stopped, f.Held = t.stopped, p.fleet.Held(t.j.ID)
+	f.Flights = p.tasksInFlight(t, f.After)
+	f.Stopped, f.Held = t.preemptedFor, p.fleet.Held(t.job.ID)
 	return f, true
 }
 
-// trialUncordoned returns how many of n tasks would fit if there were no cordons.
-func (p *Placer) trialUncordoned(t *table, n int) int {
+// fitsUncordoned returns how many of n tasks would fit if there were no cordons.
+func (p *Placer) fitsUncordoned(t *jobTable, n int) int {
 	if !p.cordons.Any() {
 		return p.fleet.Trial(t.need(), n, p.fleet.All())
 	}
 	return p.fleet.Take(t.need(), n, p.fleet.Copies(true))
 }
 
-// barring reports whether cordons block every place that the job allows, and names the cordons that block any.
-func (p *Placer) barring(s *job.Spec, types []wire.MachineType) (all bool, names []string) {
+// blockingCordons reports whether cordons block every place that the job allows, and names the cordons that block any.
+func (p *Placer) blockingCordons(s *job.Spec, types []wire.MachineType) (all bool, names []string) {
 	if len(p.cordons.All()) == 0 {
 		return false, nil
 	}
@@ -98,20 +98,20 @@
 	return s.CPUs <= t.CPUs && s.GPUs <= t.GPUs && s.MemoryGB <= t.MemoryGB
 }
 
-// flights groups the tasks that are neither waiting nor running by machine and state.
-func (p *Placer) flights(t *table, after loop.Micros) []explain.Flight {
+// tasksInFlight groups the tasks that are neither waiting nor running by machine and state.
+func (p *Placer) tasksInFlight(t *jobTable, after loop.Micros) []explain.Flight {
 	type key struct {
 		kind    gate.Kind
 		state   string
 		machine string
 	}
 	groups := map[key]*explain.Flight{}
-	now, wall := p.r.Now(), p.r.Wall()
+	now, wall := p.runner.Now(), p.runner.Wall()
 	t.each(func(i int, x *task) {
 		if !x.inUse() {
 			return
 		}
-		k, state, since := p.flight(t, i, x, after, wall)
+		k, state, since := p.taskInFlight(t, i, x, after, wall)
 		if k == 0 {
 			return
 		}
@@ -121,7 +121,7 @@
 			g = &explain.Flight{Kind: k, State: state, Machine: x.machine}
 			switch {
 			case k == gate.Saving:
-				g.For = t.stopped[x.machine]
+				g.For = t.preemptedFor[x.machine]
 			case state == "absent":
 				left := loop.Duration(max(p.clock.LatestArrival(x.expiry)-wall, 0))
 				g.Settles = fmt.Sprintf("a new session of its worker, the machine's deletion, or a task list made more than %v from now that its host controller confirms", left)
@@ -147,10 +147,10 @@
 	return out
 }
 
-// flight returns what a task in use is doing; kind 0 means that it runs.
-func (p *Placer) flight(t *table, i int, x *task, after, wall loop.Micros) (k gate.Kind, state string, since loop.Micros) {
+// taskInFlight returns what a task in use is doing; kind 0 means that it runs.
+func (p *Placer) taskInFlight(t *jobTable, i int, x *task, after, wall loop.Micros) (k gate.Kind, state string, since loop.Micros) {
 	if x.state == Recording {
-		return gate.Recording, "recording", x.chosen
+		return gate.Recording, "recording", x.chosenAt
 	}
 	v, sl := p.agent.View(x.machine), p.fleet.Slot(x.machine)
 	switch {
@@ -161,29 +161,29 @@
 	case x.running:
 		return 0, "", 0
 	}
-	e := v.Find(t.name(i), x.attempt)
+	e := v.Find(t.taskName(i), x.attempt)
 	switch {
-	case e == nil && v.Holds(t.name(i), x.attempt):
+	case e == nil && v.Holds(t.taskName(i), x.attempt):
 		return gate.Starting, "atItsHost", x.sentAt
-	case e == nil && !x.seen && wall < p.clock.LatestArrival(x.expiry):
+	case e == nil && !x.listed && wall < p.clock.LatestArrival(x.expiry):
 		return gate.Starting, "sent", x.sentAt
 	case e == nil:
 		return gate.Unproven, "absent", x.sentAt
 	case e.State == wire.TaskFetching:
 		return gate.Fetching, "fetching", x.sentAt
 	case e.State == wire.TaskSaving:
-		return gate.Saving, "saving", x.stopAt
+		return gate.Saving, "saving", x.stopSentAt
 	}
 	return 0, "", 0
 }
 
 // causes appends the causes that hold for a job now. It relies on the newest pass and the views and does not scan the
 // machines.
-func (p *Placer) causes(t *table, out []gate.Cause, after, wall loop.Micros) []gate.Cause {
+func (p *Placer) causes(t *jobTable, out []gate.Cause, after, wall loop.Micros) []gate.Cause {
 	f := p.facts(t)
 	out = f.Causes(out)
-	if f.Waiting > 0 && t.short != 0 && f.Open() {
-		out = append(out, gate.Cause{Kind: t.short, Tasks: f.Waiting})
+	if f.Waiting > 0 && t.unplacedCause != 0 && f.Open() {
+		out = append(out, gate.Cause{Kind: t.unplacedCause, Tasks: f.Waiting})
 	}
 	if t.inUse <= t.running {
 		return out
@@ -191,7 +191,7 @@
 	var n [gate.Recheck]int
 	t.each(func(i int, x *task) {
 		if x.inUse() && !x.running {
-			k, _, _ := p.flight(t, i, x, after, wall)
+			k, _, _ := p.taskInFlight(t, i, x, after, wall)
 			n[k]++
 		}
 	})
@@ -206,14 +206,14 @@
 // Causes are sent again a few times, since a message may be lost and a peer drops those of a job whose record it has
 // not received yet; then rarely, for peers that restarted.
 const (
-	tellAgain  = 5 * loop.Second
-	tellOften  = 2
-	tellRarely = 30 * loop.Second
+	causesInterval     = 5 * loop.Second
+	causesRepeats      = 2
+	causesLongInterval = 30 * loop.Second
 )
 
-// newCauses updates a job's causes. It reports whether to send them: they differ in kind or by half in number from
+// updateCauses updates a job's causes. It reports whether to send them: they differ in kind or by half in number from
 // those last sent, or a repeat is due.
-func (p *Placer) newCauses(t *table, after, wall loop.Micros) bool {
+func (p *Placer) updateCauses(t *jobTable, after, wall loop.Micros) bool {
 	var room [gate.Recheck]gate.Cause
 	now := p.causes(t, room[:0], after, wall)
 	same := len(now) == len(t.causes)
@@ -222,42 +222,42 @@
 		same = a.Kind == b.Kind && 2*a.Tasks <= 3*b.Tasks && 2*b.Tasks <= 3*a.Tasks
 	}
 	if !same {
-		t.toldTimes = 0
+		t.causesSentTimes = 0
 	}
-	wait := tellAgain
-	if t.toldTimes > tellOften {
-		wait = tellRarely
+	wait := causesInterval
+	if t.causesSentTimes > causesRepeats {
+		wait = causesLongInterval
 	}
-	if same && (wall-t.toldAt < wait || (t.toldTimes > tellOften && len(now) == 0)) {
+	if same && (wall-t.causesSentAt < wait || (t.causesSentTimes > causesRepeats && len(now) == 0)) {
 		return false
 	}
-	t.toldAt = wall
-	t.toldTimes++
+	t.causesSentAt = wall
+	t.causesSentTimes++
 	t.causes = slices.Clone(now)
 	return true
 }
 
-// setShort records which machine predicate left a job's tasks unplaced in a pass.
-func (p *Placer) setShort(t *table, missing bool) {
-	if !p.n.Tells {
+// setUnplacedCause records which machine predicate left a job's tasks unplaced in a pass.
+func (p *Placer) setUnplacedCause(t *jobTable, missing bool) {
+	if !p.node.Tells {
 		return
 	}
-	now := p.r.Now()
+	now := p.runner.Now()
 	switch {
 	case !missing:
-		t.short = 0
-	case t.j.Spec.Gang:
-		t.short = gate.Gang
+		t.unplacedCause = 0
+	case t.job.Spec.Gang:
+		t.unplacedCause = gate.Gang
 	case p.cordons.Any():
 		// Another scan of the fleet for each job is expensive, so it is done at most once per second.
-		if t.short == 0 || now-t.shortAt > loop.Second {
-			t.short, t.shortAt = gate.Room, now
-			if p.trialUncordoned(t, 1) > 0 {
-				t.short = gate.Cordon
+		if t.unplacedCause == 0 || now-t.unplacedCauseAt > loop.Second {
+			t.unplacedCause, t.unplacedCauseAt = gate.Room, now
+			if p.fitsUncordoned(t, 1) > 0 {
+				t.unplacedCause = gate.Cordon
 			}
 		}
 	default:
-		t.short = gate.Room
+		t.unplacedCause = gate.Room
 	}
 }
 
@@ -267,7 +267,7 @@
 // Places calls f for every known machine. Machines whose last report is older than after receive no starts.
 func (p *Placer) Places(f func(pl *gate.Place, after loop.Micros)) {
 	p.fleet.Refresh()
-	after := p.r.Now() - p.staleAfter()
+	after := p.runner.Now() - p.staleAfter()
 	for _, sl := range p.fleet.All() {
 		f(&sl.Place, after)
 	}
@@ -277,13 +277,13 @@
 // and have not been seen running. They may still begin.
 func (p *Placer) Unseen(name string) int {
 	n := 0
-	for machine, on := range p.on {
+	for machine, on := range p.tasksByMachine {
 		sl := p.fleet.Slot(machine)
 		if sl == nil || !slices.Contains(p.cordons.Barring(fleet.Where(sl.V)), name) {
 			continue
 		}
 		for r := range on.all {
-			if r.t.task(r.i).since == 0 {
+			if r.table.task(r.index).runningSince == 0 {
 				n++
 			}
 		}
@@ -291,11 +291,11 @@
 	return n
 }
 
-// mostStopped bounds the number of machines for which a job's preemptions are remembered.
-const mostStopped = 64
+// maxPreemptedFor bounds the number of machines for which a job's preemptions are remembered.
+const maxPreemptedFor = 64
 
-// stoppedFor records for which job tasks of this owner were preempted.
-func (p *Placer) stoppedFor(c peer.Claim) {
+// recordPreempted records for which job tasks of this owner were preempted.
+func (p *Placer) recordPreempted(c peer.Claim) {
 	for _, name := range c.Victims {
 		id, _, ok := agent.SplitTask(name)
 		j := p.registry.Get(id)
@@ -304,10 +304,10 @@
 		}
 		if tm := p.teams[j.Spec.Team]; tm != nil && tm.jobs[id] != nil {
 			t := tm.jobs[id]
-			if t.stopped == nil || len(t.stopped) >= mostStopped {
-				t.stopped = map[string]string{}
+			if t.preemptedFor == nil || len(t.preemptedFor) >= maxPreemptedFor {
+				t.preemptedFor = map[string]string{}
 			}
-			t.stopped[c.Machine] = c.Job
+			t.preemptedFor[c.Machine] = c.Job
 		}
 	}
 }
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -9,25 +9,25 @@
 )
 
 // facts collects the state of a job that its own predicates evaluate.
-func (p *Placer) facts(t *table) gate.Job {
+func (p *Placer) facts(t *jobTable) gate.Job {
 	tm := t.team
-	f := gate.Job{Spec: t.j.Spec, Hold: &t.j.Terms.Hold, After: p.deps(t.j), OnWithdrawn: t.j.Terms.OnWithdrawn, Damaged: t.damaged,
+	f := gate.Job{Spec: t.job.Spec, Hold: &t.job.Terms.Hold, After: p.dependencies(t.job), OnWithdrawn: t.job.Terms.OnWithdrawn, Damaged: t.damaged,
 		Waiting: t.waiting(), InUse: t.inUse,
 		Used: agent.Room{CPUs: tm.cpus, GPUs: tm.gpus}, Quota: tm.quota,
 		ClockTo: p.cfg.ClockDifference()}
 	// The clocks are read only for the few jobs that need them, since a pass calls this for all jobs.
-	if t.trial.Moments != 0 || t.trial.RestTo != 0 {
-		f.Now = p.r.Now()
-		f.Failing = p.failing(t, f.Now)
+	if t.probation.Moments != 0 || t.probation.RestTo != 0 {
+		f.Now = p.runner.Now()
+		f.Failing = p.failureFacts(t, f.Now)
 	}
 	if f.Hold.State != job.HoldNone {
-		f.Wall = p.r.Wall()
+		f.Wall = p.runner.Wall()
 	}
 	return f
 }
 
-// deps lists the jobs that this job waits for, each with its phase.
-func (p *Placer) deps(j *job.Job) []gate.Dep {
+// dependencies lists the jobs that this job waits for, each with its phase.
+func (p *Placer) dependencies(j *job.Job) []gate.Dep {
 	if len(j.Terms.After) == 0 {
 		return nil
 	}
@@ -41,20 +41,20 @@
 	return out
 }
 
-// resting reports whether the job uses no capacity and is blocked by a hold or by a dependency.
-func (p *Placer) resting(t *table) bool {
-	if t.inUse > 0 || (t.j.Terms.Hold.State == job.HoldNone && len(t.j.Terms.After) == 0) {
+// blocked reports whether the job uses no capacity and is blocked by a hold or by a dependency.
+func (p *Placer) blocked(t *jobTable) bool {
+	if t.inUse > 0 || (t.job.Terms.Hold.State == job.HoldNone && len(t.job.Terms.After) == 0) {
 		return false
 	}
 	f := p.facts(t)
 	return f.Passes(gate.Hold) == 0 || f.Passes(gate.Dependency) == 0
 }
 
-// barred returns why no start of the job on this machine may be recorded or sent, or "" if it may: a hold or a cordon
-// was stored after the machine was chosen. Both are stored records, and every record of a start is conditional on the
-// revisions that were known when it was composed.
-func (p *Placer) barred(t *table, machine string) string {
-	if t.j.Terms.Hold.State != job.HoldNone && t.j.Terms.Hold.Shut(p.r.Wall()) {
+// startBlockedBy returns why no start of the job on this machine may be recorded or sent, or "" if it may: a hold or
+// a cordon was stored after the machine was chosen. Both are stored records, and every record of a start is
+// conditional on the revisions that were known when it was composed.
+func (p *Placer) startBlockedBy(t *jobTable, machine string) string {
+	if t.job.Terms.Hold.State != job.HoldNone && t.job.Terms.Hold.Shut(p.runner.Wall()) {
 		return "held"
 	}
 	if sl := p.fleet.Slot(machine); sl != nil && p.cordons.Barred(fleet.Where(sl.V)) {
@@ -63,26 +63,26 @@
 	return ""
 }
 
-// settle completes the pending holds of a team's jobs once no start recorded before the hold can still run. It also
+// applyTerms completes the pending holds of a team's jobs once no start recorded before the hold can still run. It also
 // cancels jobs whose user asked for that when a job that they depend on was cancelled.
-func (p *Placer) settle(tm *team) {
-	now := p.r.Now()
+func (p *Placer) applyTerms(tm *team) {
+	now := p.runner.Now()
 	for _, t := range tm.inOrder() {
-		if t.j.Final() || now < t.amendAt {
+		if t.job.Final() || now < t.nextAmendAt {
 			continue
 		}
 		if f := p.facts(t); f.MustWithdraw() {
-			t.amendAt = now + 2*loop.Second
-			p.log.Info("cancelling a job because a job that it depends on was cancelled", "job", t.j.ID)
-			p.registry.Withdraw(t.j.ID, func(job.Answer) {})
+			t.nextAmendAt = now + 2*loop.Second
+			p.log.Info("cancelling a job because a job that it depends on was cancelled", "job", t.job.ID)
+			p.registry.Withdraw(t.job.ID, func(job.Answer) {})
 			continue
 		}
-		if t.j.Terms.Hold.State != job.HoldSettling {
+		if t.job.Terms.Hold.State != job.HoldSettling {
 			continue
 		}
 		sure := true
 		t.each(func(i int, x *task) {
-			if !x.inUse() || x.since != 0 {
+			if !x.inUse() || x.runningSince != 0 {
 				return // it is already running and continues
 			}
 			sure = false
@@ -91,21 +91,21 @@
 			}
 		})
 		if sure {
-			t.amendAt = now + 2*loop.Second
-			p.registry.Settle(t.j.ID, t.j.Revision, func(job.Answer) {})
+			t.nextAmendAt = now + 2*loop.Second
+			p.registry.Settle(t.job.ID, t.job.Revision, func(job.Answer) {})
 		}
 	}
 }
 
-// open reports whether no predicate blocks the whole job.
-func (p *Placer) open(t *table) bool {
+// eligible reports whether no predicate blocks the whole job.
+func (p *Placer) eligible(t *jobTable) bool {
 	f := p.facts(t)
 	return f.Open()
 }
 
 // need returns what a task of the job requires of a machine.
-func (t *table) need() gate.Need {
-	return gate.Need{ID: t.j.ID, Spec: t.j.Spec, Tasks: t.j.Tasks, Zones: t.zones, Shun: t.shun}
+func (t *jobTable) need() gate.Need {
+	return gate.Need{ID: t.job.ID, Spec: t.job.Spec, Tasks: t.job.Tasks, Zones: t.zones, Shun: t.avoid}
 }
 
 // staleAfter is how long after its last report a machine still receives starts.
@@ -113,17 +113,18 @@
 	return 2*loop.Seconds(p.cfg.Cluster.Workers.ReportS) + 3*loop.Second
 }
 
-// unshown calls f for every task that was chosen for or started on the machine and that its view does not list yet.
-func (p *Placer) unshown(v *agent.View, f func(*job.Spec)) {
-	p.eachUnsettled(v.Name, func(r ref) {
-		x := r.t.task(r.i)
-		if x.seen {
+// eachUnlisted calls f for every task that was chosen for or started on the machine and that its view does not list
+// yet.
+func (p *Placer) eachUnlisted(v *agent.View, f func(*job.Spec)) {
+	p.eachUnresolved(v.Name, func(r taskRef) {
+		x := r.table.task(r.index)
+		if x.listed {
 			return // it is listed, or was listed and is not any more
 		}
-		n := r.t.name(r.i)
+		n := r.table.taskName(r.index)
 		if x.session < v.Session || v.Holds(n, x.attempt) || v.Find(n, x.attempt) != nil {
 			return
 		}
-		f(r.t.j.Spec)
+		f(r.table.job.Spec)
 	})
 }
--- a/internal/placer/forget_test.go
+++ b/internal/placer/forget_test.go
@@ -95,12 +95,12 @@
 // exists but not when its start expires, only that it was recorded before the records were read.
 func forgetAsTheNextOwner(t *testing.T) {
 	g := newForgetRig()
-	g.p.n.Reserve = func(host string, s agent.Start) {
+	g.p.node.Reserve = func(host string, s agent.Start) {
 		g.p.Drop(host, agent.Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Reserve: true})
 	}
 	id := g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
 	g.p.Owned(partition.ForTeam("red"), false, member.Owner{})
-	g.state.Put(segmentKey("x/red/", 0), segmentRecord{Machines: []machineEntry{}, Jobs: []jobEntry{{ID: id, Tasks: []taskEntry{{Index: 0, State: storedOff, Attempt: 1}}}}})
+	g.state.Put(segmentKey("x/red/", 0), segmentRecord{Machines: []machineEntry{}, Jobs: []jobEntry{{ID: id, Tasks: []taskEntry{{Index: 0, State: storedTerminated, Attempt: 1}}}}})
 	mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
 	g.p.Owned(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Mark: mark})
 	latest := g.Now() + loop.Seconds(g.p.cfg.Operator.StartLifeS)
--- a/internal/placer/groupcommit.go
+++ b/internal/placer/groupcommit.go
@@ -7,45 +7,45 @@
 	"cleatpick/internal/store"
 )
 
-// recordStart queues the record of a task whose machine was chosen.
-func (p *Placer) recordStart(t *table, i int) {
-	p.placedFirst(t.team.part)
-	l := &t.team.part.log
-	l.starts = append(l.starts, ref{t, i})
-	p.commitSoon(gather)
+// queueStart queues the record of a task whose machine was chosen.
+func (p *Placer) queueStart(t *jobTable, i int) {
+	p.reportTakeover(t.team.partition)
+	l := &t.team.partition.log
+	l.starts = append(l.starts, taskRef{t, i})
+	p.scheduleCommit(gatherTime)
 }
 
-// placedFirst reports the time from the change of owner to the first placement, if the partition's records showed
+// reportTakeover reports the time from the change of owner to the first placement, if the partition's records showed
 // earlier work.
-func (p *Placer) placedFirst(part *ownedPartition) {
+func (p *Placer) reportTakeover(part *ownedPartition) {
 	if part.ownedAt == 0 {
 		return
 	}
-	now := p.r.Now()
+	now := p.runner.Now()
 	if len(part.log.closed) > 0 {
-		p.n.Meter.Takeover(now - part.ownedAt)
+		p.node.Meter.Takeover(now - part.ownedAt)
 		p.log.Info("first placement under a new partition owner", "partition", part.id, "claim", part.claim.Mark, "since_owned_us", now-part.ownedAt, "since_loaded_us", now-part.loadedAt)
 	}
 	part.ownedAt = 0
 }
 
-// recordOutcome queues the record of a completed task. It is not urgent, since the machine keeps the result.
-func (p *Placer) recordOutcome(t *table, i int) {
-	l := &t.team.part.log
+// queueOutcome queues the record of a completed task. It is not urgent, since the machine keeps the result.
+func (p *Placer) queueOutcome(t *jobTable, i int) {
+	l := &t.team.partition.log
 	if len(l.outcomes) == 0 {
-		l.since = p.r.Now()
+		l.outcomesSince = p.runner.Now()
 	}
-	l.outcomes = append(l.outcomes, ref{t, i})
-	p.commitSoon(outcomeSoon)
+	l.outcomes = append(l.outcomes, taskRef{t, i})
+	p.scheduleCommit(outcomeMinDelay)
 }
 
-func (p *Placer) commitSoon(d loop.Micros) {
-	due := p.r.Now() + d
+func (p *Placer) scheduleCommit(d loop.Micros) {
+	due := p.runner.Now() + d
 	if p.commitAt != 0 && p.commitAt <= due {
 		return
 	}
 	p.commitAt = due
-	p.r.After(d, func() {
+	p.runner.After(d, func() {
 		if p.commitAt != due {
 			return
 		}
@@ -57,56 +57,56 @@
 			}
 		}
 		if again > 0 {
-			p.commitSoon(again)
+			p.scheduleCommit(again)
 		}
 	})
 }
 
-// writableSoon is the interval at which the state service's write limit is checked while it allows no write.
-const writableSoon = 15 * loop.Millisecond
+// writableCheckInterval is the interval at which the state service's write limit is checked while it allows no write.
+const writableCheckInterval = 15 * loop.Millisecond
 
 // commit stores the due records of a partition's teams, as far as the write limit allows. It returns the delay until
 // the next attempt, or 0 if there is nothing to do.
 func (p *Placer) commit(part *ownedPartition) loop.Micros {
 	l := &part.log
-	if l.busy || !part.loaded {
+	if l.writing || !part.loaded {
 		return 0 // the end of the write schedules the next commit
 	}
-	n := p.c.Writable(store.Placements)
+	n := p.client.Writable(store.Placements)
 	if n < 1 && len(l.starts)+len(l.outcomes) > 0 {
-		return writableSoon // before the queues are scanned, which may be long at this point
+		return writableCheckInterval // before the queues are scanned, which may be long at this point
 	}
-	l.starts = p.due(l.starts, Recording)
-	l.starts = p.unbarred(l.starts)
-	l.outcomes = p.due(l.outcomes, Ended)
+	l.starts = p.stillInState(l.starts, Recording)
+	l.starts = p.dropBlockedStarts(l.starts)
+	l.outcomes = p.stillInState(l.outcomes, Ended)
 	if len(l.starts)+len(l.outcomes) == 0 {
-		if l.inherits() && 2*n > p.c.Burst() {
-			p.store(part, p.compose(part, n, 0))
+		if l.hasInherited() && 2*n > p.client.Burst() {
+			p.storeWrite(part, p.compose(part, n, 0))
 		}
 		return 0 // the sweep schedules what remains of inherited segments
 	}
 	ripe := 0 // the queue is in the order in which machines were chosen
-	for ripe < len(l.starts) && p.r.Now()-l.starts[ripe].t.task(l.starts[ripe].i).chosen >= gather {
+	for ripe < len(l.starts) && p.runner.Now()-l.starts[ripe].table.task(l.starts[ripe].index).chosenAt >= gatherTime {
 		ripe++
 	}
 	if ripe == 0 {
-		age := p.r.Now() - l.since
-		if len(l.outcomes) == 0 || (!(2*n > p.c.Burst() && age >= outcomeSoon) && age < outcomeLate) {
+		age := p.runner.Now() - l.outcomesSince
+		if len(l.outcomes) == 0 || (!(2*n > p.client.Burst() && age >= outcomeMinDelay) && age < outcomeMaxDelay) {
 			if len(l.starts) > 0 {
 				return 8 * loop.Millisecond
 			}
 			return 200 * loop.Millisecond
 		}
 	}
-	p.store(part, p.compose(part, n, ripe))
+	p.storeWrite(part, p.compose(part, n, ripe))
 	return 0
 }
 
-// due drops the tasks whose state changed while they were queued.
-func (p *Placer) due(line []ref, s TaskState) []ref {
+// stillInState drops the tasks whose state changed while they were queued.
+func (p *Placer) stillInState(line []taskRef, s TaskState) []taskRef {
 	kept := line[:0]
 	for _, r := range line {
-		if p.current(r.t) && !r.t.closing && r.t.task(r.i).state == s {
+		if p.ownsUnfinished(r.table) && !r.table.completing && r.table.task(r.index).state == s {
 			kept = append(kept, r)
 		}
 	}
@@ -114,24 +114,24 @@
 	return kept
 }
 
-// unbarred drops the starts that a hold or a cordon has forbidden since their machine was chosen.
-func (p *Placer) unbarred(line []ref) []ref {
+// dropBlockedStarts drops the starts that a hold or a cordon has forbidden since their machine was chosen.
+func (p *Placer) dropBlockedStarts(line []taskRef) []taskRef {
 	kept := line[:0]
 	for _, r := range line {
-		if p.barred(r.t, r.t.task(r.i).machine) == "" {
+		if p.startBlockedBy(r.table, r.table.task(r.index).machine) == "" {
 			kept = append(kept, r)
 			continue
 		}
-		p.setTask(r.t, r.i, Waiting)
+		p.setTask(r.table, r.index, Waiting)
 	}
 	clear(line[len(kept):])
 	return kept
 }
 
-// current reports whether the table belongs to an owned team and its job is not final.
-func (p *Placer) current(t *table) bool {
+// ownsUnfinished reports whether the table belongs to an owned team and its job is not final.
+func (p *Placer) ownsUnfinished(t *jobTable) bool {
 	tm := t.team
-	return p.teams[tm.cfg.Name] == tm && tm.jobs[t.j.ID] == t && !t.j.Final()
+	return p.teams[tm.cfg.Name] == tm && tm.jobs[t.job.ID] == t && !t.job.Final()
 }
 
 // compose adds queued entries to the open segment and builds its record.
@@ -141,16 +141,16 @@
 	if l.open == nil || l.open.size+4*(entrySize+namesSize) > limit {
 		l.openSegment()
 	}
-	w := &write{seg: l.open}
-	jobs := map[*table]bool{}
-	most := p.mostJobs() / 2
-	put := func(line []ref, starts bool) []ref {
+	w := &write{segment: l.open}
+	jobs := map[*jobTable]bool{}
+	most := p.maxJobs() / 2
+	put := func(line []taskRef, starts bool) []taskRef {
 		for k, r := range line {
-			if (starts && k >= ripe) || w.seg.size+entrySize+2*namesSize > limit || (starts && !jobs[r.t] && len(jobs) >= most) {
+			if (starts && k >= ripe) || w.segment.size+entrySize+2*namesSize > limit || (starts && !jobs[r.table] && len(jobs) >= most) {
 				return append(line[:0], line[k:]...)
 			}
 			if starts {
-				jobs[r.t] = true
+				jobs[r.table] = true
 			}
 			w.move(r)
 		}
@@ -161,67 +161,68 @@
 	// Live entries of nearly empty segments, and of teams' own logs, move to this segment so that the old ones can be
 	// deleted.
 	for _, s := range loop.Sorted(l.closed) {
-		if len(w.dead) >= min(writable-1, p.c.MostChanges()-1) {
+		if len(w.emptied) >= min(writable-1, p.client.MostChanges()-1) {
 			break
 		}
-		fits := w.seg.size+s.live*(entrySize+namesSize) < limit
+		fits := w.segment.size+s.live*(entrySize+namesSize) < limit
 		if s.live > 0 && (4*s.live < len(s.refs) && fits || l.inherited(s)) {
-			w.moveFrom(s, limit)
+			w.moveLive(s, limit)
 		}
 		if s.live == 0 {
-			w.dead = append(w.dead, s)
+			w.emptied = append(w.emptied, s)
 		}
 	}
-	p.record(w)
+	p.buildRecord(w)
 	return w
 }
 
-// mostJobs is the number of jobs whose revisions one transaction can check beside those of the claim, the segment and
+// maxJobs is the number of jobs whose revisions one transaction can check beside those of the claim, the segment and
 // the cordons.
-func (p *Placer) mostJobs() int { return p.c.MostConds() - 3 }
+func (p *Placer) maxJobs() int { return p.client.MostConds() - 3 }
 
 // move makes the written segment hold a task's newest record.
-func (w *write) move(r ref) {
-	x, s := r.t.task(r.i), w.seg
-	if x.seg == s {
+func (w *write) move(r taskRef) {
+	x, s := r.table.task(r.index), w.segment
+	if x.segment == s {
 		return
 	}
-	w.moves = append(w.moves, move{r, x.seg})
-	if x.seg != nil {
-		x.seg.live--
+	w.moves = append(w.moves, move{r, x.segment})
+	if x.segment != nil {
+		x.segment.live--
 	} else {
 		s.size += namesSize // in case this is the first entry of its job
 	}
-	x.seg = s
+	x.segment = s
 	s.live++
 	s.refs = append(s.refs, r)
 	s.size += entrySize + namesSize
 }
 
-// moveFrom moves the live entries of a segment, as far as they fit.
-func (w *write) moveFrom(s *segment, limit int) {
+// moveLive moves the live entries of a segment, as far as they fit.
+func (w *write) moveLive(s *segment, limit int) {
 	for _, r := range s.refs {
-		if w.seg.size+entrySize+namesSize >= limit {
+		if w.segment.size+entrySize+namesSize >= limit {
 			return
 		}
-		if r.t.task(r.i).seg == s {
+		if r.table.task(r.index).segment == s {
 			w.move(r)
 		}
 	}
 }
 
-// record builds the record of a write's segment. Its starts may be sent until they expire, a fixed time from now.
-func (p *Placer) record(w *write) {
+// buildRecord builds the buildRecord of a write's segment. Its starts may be sent until they expire, a fixed time
+// from now.
+func (p *Placer) buildRecord(w *write) {
 	p.nonce++
-	expiry := p.r.Wall() + loop.Seconds(p.cfg.Operator.StartLifeS)
+	expiry := p.runner.Wall() + loop.Seconds(p.cfg.Operator.StartLifeS)
 	w.rec = segmentRecord{Nonce: p.nonce, Machines: []machineEntry{}, Jobs: []jobEntry{}}
-	machines, jobs := map[string]int{}, map[*table]int{}
-	kept := w.seg.refs[:0]
+	machines, jobs := map[string]int{}, map[*jobTable]int{}
+	kept := w.segment.refs[:0]
 	size := 0
-	starts := map[*table]bool{}
-	for _, r := range w.seg.refs {
-		x := r.t.task(r.i)
-		if x.seg != w.seg {
+	starts := map[*jobTable]bool{}
+	for _, r := range w.segment.refs {
+		x := r.table.task(r.index)
+		if x.segment != w.segment {
 			// The entry was recorded in a later segment, or its job is final and off all machines. While a task of a
 			// cancelled job may still run, its entry stays in the log: an owner that did not know of it would exceed
 			// the team's limit.
@@ -229,20 +230,20 @@
 		}
 		kept = append(kept, r)
 		size += entrySize
-		e := taskEntry{Index: r.i, Attempt: x.attempt}
-		if x.state == Recording && !starts[r.t] && len(w.jobs) < p.mostJobs() {
-			starts[r.t] = true
-			w.jobs = append(w.jobs, r.t)
+		e := taskEntry{Index: r.index, Attempt: x.attempt}
+		if x.state == Recording && !starts[r.table] && len(w.jobs) < p.maxJobs() {
+			starts[r.table] = true
+			w.jobs = append(w.jobs, r.table)
 		}
 		switch {
-		case x.state == Recording && !starts[r.t]:
+		case x.state == Recording && !starts[r.table]:
 			// The transaction cannot check the revision of this job as well, so the start waits for the next write.
 			// The previous attempt is confirmed terminated.
 			e.Attempt--
 		case x.state == Recording || x.state == Placed:
 			if x.state == Recording {
 				x.expiry = expiry
-				p.expiries.Record(delivery.Attempt{Task: r.t.name(r.i), Number: x.attempt}, expiry)
+				p.expiries.Record(delivery.Attempt{Task: r.table.taskName(r.index), Number: x.attempt}, expiry)
 			}
 			no, ok := machines[x.machine]
 			if !ok {
@@ -255,25 +256,25 @@
 		case x.state == Ended || x.state == Completed:
 			e.State = storedDone
 		}
-		k, ok := jobs[r.t]
+		k, ok := jobs[r.table]
 		if !ok {
 			k = len(w.rec.Jobs)
-			jobs[r.t] = k
-			w.rec.Jobs = append(w.rec.Jobs, jobEntry{ID: r.t.j.ID})
-			size += len(r.t.j.ID) + 8
+			jobs[r.table] = k
+			w.rec.Jobs = append(w.rec.Jobs, jobEntry{ID: r.table.job.ID})
+			size += len(r.table.job.ID) + 8
 		}
 		w.rec.Jobs[k].Tasks = append(w.rec.Jobs[k].Tasks, e)
 		w.refs = append(w.refs, refAttempt{r, e.Attempt, e.State})
 	}
-	clear(w.seg.refs[len(kept):])
-	w.seg.refs, w.seg.size, w.bytes = kept, size, size
+	clear(w.segment.refs[len(kept):])
+	w.segment.refs, w.segment.size, w.bytes = kept, size, size
 	// The conditions are fixed here and not at each retry: a hold or a cordon that is stored in the meantime must
 	// make the write fail, however late it is applied.
-	w.cond = nil
+	w.conditions = nil
 	for _, t := range w.jobs {
-		w.cond = append(w.cond, job.Cond(t.j))
+		w.conditions = append(w.conditions, job.Cond(t.job))
 	}
 	if len(w.jobs) > 0 {
-		w.cond = append(w.cond, p.cordons.Cond())
+		w.conditions = append(w.conditions, p.cordons.Cond())
 	}
 }
--- a/internal/placer/guarantee.go
+++ b/internal/placer/guarantee.go
@@ -6,38 +6,38 @@
 )
 
 const (
-	// shortAfter is how long a team must run less than its guarantee, with tasks unplaced, before capacity is
+	// shortfallDelay is how long a team must run less than its guarantee, with tasks unplaced, before capacity is
 	// reserved for it. A shortfall that completing tasks remove sooner needs no action. The team must have its
 	// guarantee for as long again before reservations stop.
-	shortAfter = 5 * loop.Second
-	// shortPart is the fraction of its guarantee from which on a team counts as having it.
-	shortPart = 0.95
+	shortfallDelay = 5 * loop.Second
+	// shortfallFraction is the fraction of its guarantee from which on a team counts as having it.
+	shortfallFraction = 0.95
 )
 
 // shortfall tracks whether a team lacks its guarantee while tasks of it are unplaced.
 type shortfall struct {
-	lacks bool
-	since loop.Micros // since when the observation differs from lacks; 0: it does not
+	lacks        bool
+	changedSince loop.Micros // since when the observation differs from lacks; 0: it does not
 }
 
-// follow applies an observation and reports whether lacks has changed.
-func (s *shortfall) follow(lacks bool, now loop.Micros) (changed bool) {
+// observe applies an observation and reports whether lacks has changed.
+func (s *shortfall) observe(lacks bool, now loop.Micros) (changed bool) {
 	switch {
 	case lacks == s.lacks:
-		s.since = 0
-	case s.since == 0:
-		s.since = now
-	case now-s.since >= shortAfter:
-		s.lacks, s.since = lacks, 0
+		s.changedSince = 0
+	case s.changedSince == 0:
+		s.changedSince = now
+	case now-s.changedSince >= shortfallDelay:
+		s.lacks, s.changedSince = lacks, 0
 		return true
 	}
 	return false
 }
 
-// followGuarantee updates whether a team lacks its guarantee; misses reports whether it has unplaced tasks now.
-func (p *Placer) followGuarantee(tm *team, misses bool, now loop.Micros) {
-	lacks := misses && tm.cpus < shortPart*tm.quota.CPUs
-	if !tm.short.follow(lacks, now) {
+// trackGuarantee updates whether a team lacks its guarantee; misses reports whether it has unplaced tasks now.
+func (p *Placer) trackGuarantee(tm *team, misses bool, now loop.Micros) {
+	lacks := misses && tm.cpus < shortfallFraction*tm.quota.CPUs
+	if !tm.shortfall.observe(lacks, now) {
 		return
 	}
 	text := "team has its guarantee again, or has no waiting work for it"
@@ -49,7 +49,7 @@
 
 // borrowed returns how many CPUs other teams run beyond their guarantees.
 func (p *Placer) borrowed(tm *team) (cpus float64) {
-	for name, excess := range loop.Sorted(p.excesses()) {
+	for name, excess := range loop.Sorted(p.teamExcess()) {
 		if name != tm.cfg.Name {
 			cpus += max(excess, 0)
 		}
@@ -57,30 +57,30 @@
 	return cpus
 }
 
-// holdGuaranteed reserves capacity for a job that has waited long while its team runs less than its guarantee and
+// reserveGuarantee reserves capacity for a job that has waited long while its team runs less than its guarantee and
 // other teams run more than theirs. Nothing is preempted: capacity that becomes free on the machine is kept from
 // other teams. All waiting work of the team counts, including jobs that are not within the guarantee because earlier
 // jobs of the team alone exceed it.
-func (p *Placer) holdGuaranteed(e *entryOf, missed int, b *budget) {
-	t := e.t
-	now, cpus := p.r.Now(), t.j.Spec.CPUs
-	if e.within || cpus <= 0 || now-t.at < starvation.After || !t.team.short.lacks {
+func (p *Placer) reserveGuarantee(e *queueEntry, missed int, b *budget) {
+	t := e.table
+	now, cpus := p.runner.Now(), t.job.Spec.CPUs
+	if e.withinGuarantee || cpus <= 0 || now-t.acceptedAt < starvation.After || !t.team.shortfall.lacks {
 		return
 	}
-	unmet, known := b.unmet[t.team]
+	unmet, known := b.unmetByTeam[t.team]
 	if !known {
 		unmet = p.unmetGuarantee(t.team)
 	}
-	n := min(missed-p.fleet.Held(t.j.ID), int(unmet/cpus))
-	if !t.j.Spec.Gang {
-		n = min(n, mostHeld)
+	n := min(missed-p.fleet.Held(t.job.ID), int(unmet/cpus))
+	if !t.job.Spec.Gang {
+		n = min(n, maxReserved)
 	} else if n < t.waiting() {
 		n = 0 // reserving for a part of a gang is useless
 	}
 	if n > 0 {
-		unmet -= float64(p.hold(t, n)) * cpus
+		unmet -= float64(p.reserveCapacity(t, n)) * cpus
 	}
-	b.unmet[t.team] = unmet
+	b.unmetByTeam[t.team] = unmet
 }
 
 // unmetGuarantee returns how much of a team's guarantee is neither in use nor reserved for it, limited to what other
@@ -89,18 +89,18 @@
 	held := 0.0
 	for id, n := range loop.Sorted(p.fleet.HeldJobs()) {
 		if t := tm.jobs[id]; t != nil {
-			held += float64(n) * t.j.Spec.CPUs
+			held += float64(n) * t.job.Spec.CPUs
 		}
 	}
 	return min(tm.quota.CPUs-tm.cpus, p.borrowed(tm)) - held
 }
 
-// hold reserves capacity for unplaced tasks of a job and returns for how many.
-func (p *Placer) hold(t *table, tasks int) int {
+// reserveCapacity reserves capacity for unplaced tasks of a job and returns for how many.
+func (p *Placer) reserveCapacity(t *jobTable, tasks int) int {
 	need := t.need()
-	claims := p.fleet.Hold(&need, tasks, holdLife)
-	p.claimed(claims)
-	p.n.Meter.Held(len(claims))
-	p.reserve.Serve(t.turnClass(), float64(len(claims))*t.j.Spec.CPUs)
+	claims := p.fleet.Hold(&need, tasks, reservationLife)
+	p.recordReservations(claims)
+	p.node.Meter.Held(len(claims))
+	p.starvation.Serve(t.reserveClass(), float64(len(claims))*t.job.Spec.CPUs)
 	return len(claims)
 }
--- a/internal/placer/guarantee_test.go
+++ b/internal/placer/guarantee_test.go
@@ -92,9 +92,9 @@
 			tm := g.p.teams["blue"]
 			tm.cpus, g.p.teams["red"].cpus = c.used, c.by
 			x := tm.jobs[id]
-			x.at, tm.short.lacks = g.Now()-c.waits, c.lacks
-			g.p.holdGuaranteed(&entryOf{t: x}, 1000, &budget{unmet: map[*team]float64{}})
-			if got := g.p.fleet.Held(id); (got > 0) != c.want || float64(got) > 16-c.used || float64(got) > mostHeld {
+			x.acceptedAt, tm.shortfall.lacks = g.Now()-c.waits, c.lacks
+			g.p.reserveGuarantee(&queueEntry{table: x}, 1000, &budget{unmetByTeam: map[*team]float64{}})
+			if got := g.p.fleet.Held(id); (got > 0) != c.want || float64(got) > 16-c.used || float64(got) > maxReserved {
 				t.Errorf("capacity is reserved for %d tasks, want a reservation: %v", got, c.want)
 			}
 		})
@@ -102,7 +102,7 @@
 }
 
 // A team counts as lacking its guarantee, and as having it again, only after the observation has been the same for
-// shortAfter without interruption.
+// shortfallDelay without interruption.
 func TestShortfall(t *testing.T) {
 	var s shortfall
 	now := 1000 * loop.Second
@@ -116,7 +116,7 @@
 	} {
 		now += c.after
 		was := s.lacks
-		if changed := s.follow(c.now, now); s.lacks != c.judged || changed != (was != s.lacks) {
+		if changed := s.observe(c.now, now); s.lacks != c.judged || changed != (was != s.lacks) {
 			t.Fatalf("step %d: lacks its guarantee: %v, changed: %v; want lacking: %v", i, s.lacks, changed, c.judged)
 		}
 	}
@@ -135,14 +135,14 @@
 	if n := tm.jobs[begun].inUse; n != 4 {
 		t.Fatalf("%d tasks are in use, want 4", n)
 	}
-	if got := tm.jobs[begun].turnClass(); got != "red" {
+	if got := tm.jobs[begun].reserveClass(); got != "red" {
 		t.Errorf("a job that has begun is in class %q", got)
 	}
-	if got := tm.jobs[waiting].turnClass(); got != "red\x00w" {
+	if got := tm.jobs[waiting].reserveClass(); got != "red\x00w" {
 		t.Errorf("a job that has not begun is in class %q", got)
 	}
 	restored := map[string]float64{}
-	for class, cpus := range g.p.turnsOf(tm) {
+	for class, cpus := range g.p.accountingOf(tm) {
 		restored[class] = cpus
 	}
 	if len(restored) != 2 || restored["red"] != 8 || restored["red\x00k"] != 2 {
--- a/internal/placer/load.go
+++ b/internal/placer/load.go
@@ -12,14 +12,14 @@
 	"cleatpick/internal/wire"
 )
 
-// loadAgain is the pause before a log that could not be read completely is read again.
-const loadAgain = 300 * loop.Millisecond
+// loadRetryDelay is the pause before a log that could not be read completely is read again.
+const loadRetryDelay = 300 * loop.Millisecond
 
 // storedSegment is a segment as read from the state service.
 type storedSegment struct {
-	key     string
-	version uint64
-	rec     *segmentRecord // nil: it cannot be decoded
+	key      string
+	revision uint64
+	rec      *segmentRecord // nil: it cannot be decoded
 	// team owns the log that the segment was read from; empty: the partition's own log.
 	team string
 }
@@ -27,32 +27,32 @@
 // loadLog reads what earlier owners recorded. This owner's claim is already stored, and every record is conditional
 // on its writer's claim, so no earlier owner can add to the log after this read.
 func (p *Placer) loadLog(part *ownedPartition) {
-	if !p.owns(part) {
+	if !p.ownsPartition(part) {
 		return
 	}
-	p.c.Scan(store.Placements, part.log.prefix, func(items []wire.Item, _ uint64, ok bool) {
-		if !p.owns(part) {
+	p.client.Scan(store.Placements, part.log.prefix, func(items []wire.Item, _ uint64, ok bool) {
+		if !p.ownsPartition(part) {
 			return
 		}
-		again := func() { p.r.After(loadAgain, func() { p.loadLog(part) }) }
+		again := func() { p.runner.After(loadRetryDelay, func() { p.loadLog(part) }) }
 		if !ok {
 			again()
 			return
 		}
 		segments := p.decode(items, part.log.prefix, "")
-		names := p.members(part.id)
-		if !p.readable(segments) || !p.covers(segments, part.id, names) {
+		names := p.partitionTeams(part.id)
+		if !p.jobsKnown(segments) || !p.coversTeams(segments, part.id, names) {
 			again()
 			return
 		}
 		var teams []*team
 		for _, name := range names {
-			if tm := p.enterTeam(part, name); tm != nil {
+			if tm := p.addTeam(part, name); tm != nil {
 				teams = append(teams, tm)
 			}
 		}
 		if _, byTeam := part.id.Team(); byTeam {
-			p.restored(part, teams, segments)
+			p.finishLoad(part, teams, segments)
 			return
 		}
 		p.loadTeamLogs(part, teams, segments)
@@ -63,17 +63,17 @@
 // from that and from the segments read before. The teams are assigned, so nothing can be added to their own logs
 // after this read.
 func (p *Placer) loadTeamLogs(part *ownedPartition, teams []*team, segments []storedSegment) {
-	if !p.owns(part) {
+	if !p.ownsPartition(part) {
 		return
 	}
-	again := func() { p.r.After(loadAgain, func() { p.loadTeamLogs(part, teams, segments) }) }
-	p.c.Exists(store.Placements, partition.TeamLogs, func(exists, ok bool) {
+	again := func() { p.runner.After(loadRetryDelay, func() { p.loadTeamLogs(part, teams, segments) }) }
+	p.client.Exists(store.Placements, partition.TeamLogs, func(exists, ok bool) {
 		switch {
-		case !p.owns(part):
+		case !p.ownsPartition(part):
 		case !ok:
 			again()
 		case !exists:
-			p.restored(part, teams, segments)
+			p.finishLoad(part, teams, segments)
 		default:
 			p.loadNextTeamLog(part, teams, teams, segments)
 		}
@@ -82,25 +82,25 @@
 
 // loadNextTeamLog reads the own logs of the remaining teams, one after the other.
 func (p *Placer) loadNextTeamLog(part *ownedPartition, teams, left []*team, segments []storedSegment) {
-	if !p.owns(part) {
+	if !p.ownsPartition(part) {
 		return
 	}
 	if len(left) == 0 {
-		p.restored(part, teams, segments)
-		for _, name := range p.n.Membership.Layout().Teams(part.id, p.cfg.TeamNames()) {
-			p.assignLater(name) // some have logs of their own
+		p.finishLoad(part, teams, segments)
+		for _, name := range p.node.Membership.Layout().Teams(part.id, p.cfg.TeamNames()) {
+			p.scheduleAssignment(name) // some have logs of their own
 		}
 		return
 	}
-	again := func() { p.r.After(loadAgain, func() { p.loadNextTeamLog(part, teams, left, segments) }) }
+	again := func() { p.runner.After(loadRetryDelay, func() { p.loadNextTeamLog(part, teams, left, segments) }) }
 	name := left[0].cfg.Name
 	prefix := partition.ForTeam(name).LogPrefix()
-	p.c.Scan(store.Placements, prefix, func(items []wire.Item, _ uint64, ok bool) {
-		if !p.owns(part) {
+	p.client.Scan(store.Placements, prefix, func(items []wire.Item, _ uint64, ok bool) {
+		if !p.ownsPartition(part) {
 			return
 		}
 		read := p.decode(items, prefix, name)
-		if !ok || !p.readable(read) {
+		if !ok || !p.jobsKnown(read) {
 			again()
 			return
 		}
@@ -122,9 +122,9 @@
 	return segments
 }
 
-// readable reports whether all jobs that the records name are known here. A job is stored before its tasks are, so an
+// jobsKnown reports whether all jobs that the records name are known here. A job is stored before its tasks are, so an
 // unknown one only means that the local copy is behind.
-func (p *Placer) readable(segments []storedSegment) bool {
+func (p *Placer) jobsKnown(segments []storedSegment) bool {
 	known := true
 	for _, s := range segments {
 		if s.rec == nil {
@@ -140,9 +140,9 @@
 	return known
 }
 
-// covers reports whether the teams include all that a numbered partition's records name. A team with records was
+// coversTeams reports whether the teams include all that a numbered partition's records name. A team with records was
 // assigned before, so a missing one only means that the local copy is behind.
-func (p *Placer) covers(segments []storedSegment, id partition.ID, names []string) bool {
+func (p *Placer) coversTeams(segments []storedSegment, id partition.ID, names []string) bool {
 	if _, byTeam := id.Team(); byTeam {
 		return true
 	}
@@ -167,30 +167,30 @@
 	return true
 }
 
-// restored puts teams whose records have been read into service.
-func (p *Placer) restored(part *ownedPartition, teams []*team, segments []storedSegment) {
+// finishLoad puts teams whose records have been read into service.
+func (p *Placer) finishLoad(part *ownedPartition, teams []*team, segments []storedSegment) {
 	p.restore(part, segments)
-	part.loaded, part.loadedAt = true, p.r.Now()
+	part.loaded, part.loadedAt = true, p.runner.Now()
 	jobs, tasks := 0, 0
 	for _, tm := range teams {
-		tm.loaded, tm.loadedAt = true, p.r.Wall()
+		tm.loaded, tm.loadedAt = true, p.runner.Wall()
 		for _, t := range tm.inOrder() {
-			p.Job(t.j) // stops what is over, in a deterministic order
+			p.Job(t.job) // stops what is over, in a deterministic order
 		}
 	}
 	p.registry.Each(p.Job)
 	for _, tm := range teams {
 		if part.unreadable {
-			p.damage(tm)
+			p.markDamaged(tm)
 		}
-		p.restoreTurns(tm)
+		p.restoreAccounting(tm)
 		jobs += len(tm.jobs)
 		tasks += tm.inUse()
 	}
 	p.log.Info("partition loaded", "partition", part.id, "claim", part.claim.Mark, "epoch", part.claim.Epoch, "teams", len(teams), "jobs", jobs, "tasks", tasks, "segments", len(segments))
 	for _, tm := range teams {
 		for _, t := range tm.inOrder() {
-			p.maybeDone(t)
+			p.completeIfDone(t)
 		}
 	}
 	if len(segments) > 0 { // without records no task of these teams is on any machine
@@ -199,9 +199,9 @@
 	p.Kick()
 }
 
-// damage marks the unfinished jobs of a team as damaged. They are not started, since it is unknown which of their
+// markDamaged marks the unfinished jobs of a team as damaged. They are not started, since it is unknown which of their
 // tasks are on machines.
-func (p *Placer) damage(tm *team) {
+func (p *Placer) markDamaged(tm *team) {
 	p.registry.Each(func(j *job.Job) {
 		if j.Spec != nil && j.Spec.Team == tm.cfg.Name && !j.Final() {
 			p.tableOf(tm, j).damaged = true
@@ -212,28 +212,28 @@
 // newestEntry is the entry with the newest state of a task, and where it was read.
 type newestEntry struct {
 	taskEntry
-	seg     *segment
+	segment *segment
 	machine machineEntry
 }
 
-// outdoes reports whether b is at least as new as the entry e.
-func (b *newestEntry) outdoes(e *taskEntry) bool {
+// supersedes reports whether b is at least as new as the entry e.
+func (b *newestEntry) supersedes(e *taskEntry) bool {
 	return e.Attempt < b.Attempt || (e.Attempt == b.Attempt && e.State <= b.State)
 }
 
 // restore builds the tables of a partition's teams from their records.
 func (p *Placer) restore(part *ownedPartition, segments []storedSegment) {
-	newest := map[ref]newestEntry{}
+	newest := map[taskRef]newestEntry{}
 	l := &part.log
 	for _, s := range segments {
 		if no, err := strconv.Atoi(strings.TrimPrefix(s.key, l.prefix)); err == nil {
 			l.next = max(l.next, no+1)
 		}
 		if s.rec == nil {
-			p.setAside(part, s)
+			p.handleUnreadable(part, s)
 			continue
 		}
-		seg := &segment{key: s.key, mark: s.version}
+		seg := &segment{key: s.key, revision: s.revision}
 		l.closed[seg.key] = seg
 		for _, je := range s.rec.Jobs {
 			p.restoreJob(part, s, seg, je, newest)
@@ -245,35 +245,35 @@
 	// Tasks are not recorded in the order of their indexes, so the gaps between recorded tasks are waiting tasks,
 	// too. They are counted here and not with the tasks above the highest index; otherwise a job would start tasks
 	// that it does not have.
-	tables := map[*table]bool{}
+	tables := map[*jobTable]bool{}
 	for r := range newest {
-		r.t.next = max(r.t.next, r.i+1)
-		tables[r.t] = true
+		r.table.firstUnplaced = max(r.table.firstUnplaced, r.index+1)
+		tables[r.table] = true
 	}
 	for t := range tables {
-		for i := range t.next {
-			if _, ok := newest[ref{t, i}]; !ok {
-				t.back = append(t.back, i)
+		for i := range t.firstUnplaced {
+			if _, ok := newest[taskRef{t, i}]; !ok {
+				t.requeued = append(t.requeued, i)
 			}
 		}
 	}
 }
 
-// setAside handles a record that cannot be decoded. It is unknown which tasks of its teams are on which machine, so
-// jobs that were accepted before are not started.
-func (p *Placer) setAside(part *ownedPartition, s storedSegment) {
+// handleUnreadable handles a record that cannot be decoded. It is unknown which tasks of its teams are on which
+// machine, so jobs that were accepted before are not started.
+func (p *Placer) handleUnreadable(part *ownedPartition, s storedSegment) {
 	if s.team != "" {
-		p.damage(part.teams[s.team])
+		p.markDamaged(part.teams[s.team])
 		return
 	}
 	part.unreadable = true
 	for _, tm := range loop.Sorted(part.teams) {
-		p.damage(tm)
+		p.markDamaged(tm)
 	}
 }
 
 // restoreJob collects the newest entries of a job from a record.
-func (p *Placer) restoreJob(part *ownedPartition, s storedSegment, seg *segment, je jobEntry, newest map[ref]newestEntry) {
+func (p *Placer) restoreJob(part *ownedPartition, s storedSegment, seg *segment, je jobEntry, newest map[taskRef]newestEntry) {
 	j := p.registry.Get(je.ID)
 	if j.Phase == job.Done || j.Spec == nil {
 		return
@@ -295,12 +295,12 @@
 		if e.Attempt == 0 {
 			continue // never started: it waited for a later write
 		}
-		r := ref{t, e.Index}
+		r := taskRef{t, e.Index}
 		seg.refs = append(seg.refs, r)
-		if b, ok := newest[r]; ok && b.outdoes(&e) {
+		if b, ok := newest[r]; ok && b.supersedes(&e) {
 			continue
 		}
-		b := newestEntry{taskEntry: e, seg: seg}
+		b := newestEntry{taskEntry: e, segment: seg}
 		if e.Machine > 0 {
 			b.machine = s.rec.Machines[e.Machine-1]
 		}
@@ -313,25 +313,25 @@
 }
 
 // restoreTask sets a task to the state of its newest entry.
-func (p *Placer) restoreTask(r ref, b newestEntry) {
-	x := r.t.task(r.i)
-	x.attempt, x.seg = b.Attempt, b.seg
-	b.seg.live++
+func (p *Placer) restoreTask(r taskRef, b newestEntry) {
+	x := r.table.task(r.index)
+	x.attempt, x.segment = b.Attempt, b.segment
+	b.segment.live++
 	// The records tell that the job was served but not when; jobs that were never served come before it. Without
 	// this, each new owner would treat the oldest job of a class as never served and give it everything that is
 	// served out of order.
-	r.t.pieceAt = p.r.Now()
+	r.table.servedEarlyAt = p.runner.Now()
 	switch b.State {
 	case storedPlaced:
-		p.zoneMemo[b.machine.Name] = b.machine.Zone
+		p.zoneByMachine[b.machine.Name] = b.machine.Zone
 		x.machine, x.session, x.expiry = b.machine.Name, b.Session, b.Expiry
 		// Derived from the record. Left at 0, a failure seen now would count as one after an extremely long run, and
 		// no task would count as having survived that long.
-		x.chosen = p.r.Now() - max(p.r.Wall()+loop.Seconds(p.cfg.Operator.StartLifeS)-x.expiry, 0)
-		p.setTask(r.t, r.i, Placed)
+		x.chosenAt = p.runner.Now() - max(p.runner.Wall()+loop.Seconds(p.cfg.Operator.StartLifeS)-x.expiry, 0)
+		p.setTask(r.table, r.index, Placed)
 	case storedDone:
-		p.setTask(r.t, r.i, Completed)
+		p.setTask(r.table, r.index, Completed)
 	default:
-		r.t.back = append(r.t.back, r.i)
+		r.table.requeued = append(r.table.requeued, r.index)
 	}
 }
--- a/internal/placer/logwrite.go
+++ b/internal/placer/logwrite.go
@@ -12,36 +12,36 @@
 	"cleatpick/internal/wire"
 )
 
-// store applies a write on condition that this controller still owns the partition, that the jobs whose starts it
+// storeWrite applies a write on condition that this controller still owns the partition, that the jobs whose starts it
 // records are at their known revisions, and that the segment was not written by another transaction.
-func (p *Placer) store(part *ownedPartition, w *write) {
-	if !p.owns(part) {
+func (p *Placer) storeWrite(part *ownedPartition, w *write) {
+	if !p.ownsPartition(part) {
 		return
 	}
-	part.log.busy = true
-	key := w.seg.key
-	txn := wire.Txn{If: []wire.Cond{member.ClaimCond(part.id, part.claim), {Key: key, Mark: w.seg.mark}},
+	part.log.writing = true
+	key := w.segment.key
+	txn := wire.Txn{If: []wire.Cond{member.ClaimCond(part.id, part.claim), {Key: key, Mark: w.segment.revision}},
 		Then: []wire.Change{{Put: key, Value: w.rec}}}
-	txn.If = append(txn.If, w.cond...)
-	for _, s := range w.dead {
+	txn.If = append(txn.If, w.conditions...)
+	for _, s := range w.emptied {
 		txn.Then = append(txn.Then, wire.Change{Delete: s.key})
 	}
-	sent := p.r.Now()
-	p.c.Txn(store.Placements, txn, func(r store.Result) {
-		if !p.owns(part) {
+	sent := p.runner.Now()
+	p.client.Txn(store.Placements, txn, func(r store.Result) {
+		if !p.ownsPartition(part) {
 			return
 		}
-		again := func(d loop.Micros) { p.r.After(d, func() { p.store(part, w) }) }
-		p.log.Debug("task log write answered", "partition", part.id, "segment", key, "entries", len(w.refs), "jobs", len(w.jobs), "outcome", int(r.Outcome), "took_us", p.r.Now()-sent,
+		again := func(d loop.Micros) { p.runner.After(d, func() { p.storeWrite(part, w) }) }
+		p.log.Debug("task log write answered", "partition", part.id, "segment", key, "entries", len(w.refs), "jobs", len(w.jobs), "outcome", int(r.Outcome), "took_us", p.runner.Now()-sent,
 			"starts_wait", len(part.log.starts), "outcomes_wait", len(part.log.outcomes), "segments", len(part.log.closed)+1)
 		switch r.Outcome {
 		case store.Applied:
-			w.seg.mark = r.Tally
-			p.stored(part, w)
+			w.segment.revision = r.Tally
+			p.writeStored(part, w)
 		case store.Conflict:
 			for _, k := range r.Failed {
 				if k == key {
-					p.reread(part, w)
+					p.checkStored(part, w)
 					return
 				}
 			}
@@ -62,10 +62,10 @@
 				again(250 * loop.Millisecond) // the claim failed: this controller is about to learn that it lost the partition
 				return
 			}
-			p.release(part, w, 60*loop.Millisecond)
+			p.requeueWrite(part, w, 60*loop.Millisecond)
 		case store.Invalid:
 			p.log.Error("task log record refused by the state service as invalid; its entries are written again", "key", key, "entries", len(w.refs), "bytes", w.bytes)
-			p.shrink(part, w)
+			p.shrinkSegments(part, w)
 		default:
 			// The write may have been applied, or may be applied later. Only this same record is retried until the
 			// answer is certain.
@@ -74,113 +74,113 @@
 	})
 }
 
-// release queues starts again whose record is certainly not stored.
-func (p *Placer) release(part *ownedPartition, w *write, after loop.Micros) {
+// requeueWrite queues starts again whose record is certainly not stored.
+func (p *Placer) requeueWrite(part *ownedPartition, w *write, after loop.Micros) {
 	for _, r := range w.refs {
-		switch x := r.t.task(r.i); {
-		case x.attempt != r.attempt || !p.current(r.t):
-		case x.state == Recording && p.barred(r.t, x.machine) != "":
+		switch x := r.table.task(r.index); {
+		case x.attempt != r.attempt || !p.ownsUnfinished(r.table):
+		case x.state == Recording && p.startBlockedBy(r.table, x.machine) != "":
 			x.expiry = 0
-			p.setTask(r.t, r.i, Waiting)
+			p.setTask(r.table, r.index, Waiting)
 		case x.state == Recording:
 			x.expiry = 0
-			part.log.starts = append(part.log.starts, r.ref)
+			part.log.starts = append(part.log.starts, r.taskRef)
 		case x.state == Ended:
-			part.log.outcomes = append(part.log.outcomes, r.ref)
+			part.log.outcomes = append(part.log.outcomes, r.taskRef)
 		}
 	}
-	p.r.After(after, func() {
-		part.log.busy = false
-		p.commitSoon(0)
+	p.runner.After(after, func() {
+		part.log.writing = false
+		p.scheduleCommit(0)
 	})
 }
 
-// reread finds out whether an unanswered write of this record was applied.
-func (p *Placer) reread(part *ownedPartition, w *write) {
-	p.c.Get(store.Placements, w.seg.key, func(it wire.Item, found, ok bool) {
-		if !p.owns(part) {
+// checkStored finds out whether an unanswered write of this record was applied.
+func (p *Placer) checkStored(part *ownedPartition, w *write) {
+	p.client.Get(store.Placements, w.segment.key, func(it wire.Item, found, ok bool) {
+		if !p.ownsPartition(part) {
 			return
 		}
 		var have segmentRecord
 		switch {
 		case !ok || (found && wire.Unmarshal(it.Value, &have) != nil):
-			p.r.After(200*loop.Millisecond, func() { p.reread(part, w) })
+			p.runner.After(200*loop.Millisecond, func() { p.checkStored(part, w) })
 		case found && have.Nonce == w.rec.Nonce:
-			w.seg.mark = it.Mark
-			p.stored(part, w)
+			w.segment.revision = it.Mark
+			p.writeStored(part, w)
 		default:
-			w.seg.mark = it.Mark // 0 if absent
-			p.store(part, w)
+			w.segment.revision = it.Mark // 0 if absent
+			p.storeWrite(part, w)
 		}
 	})
 }
 
-// stored handles a stored write: its starts may be sent now.
-func (p *Placer) stored(part *ownedPartition, w *write) {
+// writeStored handles a writeStored write: its starts may be sent now.
+func (p *Placer) writeStored(part *ownedPartition, w *write) {
 	l := &part.log
-	l.busy = false
-	l.since = p.r.Now()
-	for _, s := range w.dead {
+	l.writing = false
+	l.outcomesSince = p.runner.Now()
+	for _, s := range w.emptied {
 		delete(l.closed, s.key)
 	}
 	for _, r := range w.refs {
-		if !p.knows(r.t) {
+		if !p.ownsJob(r.table) {
 			continue
 		}
-		x := r.t.task(r.i)
+		x := r.table.task(r.index)
 		switch {
 		case r.state == storedPlaced && x.state == Recording && x.attempt == r.attempt:
-			x.ours = true
-			p.setTask(r.t, r.i, Placed)
-			if r.t.j.Final() {
-				p.setTask(r.t, r.i, Waiting)
+			x.recordedHere = true
+			p.setTask(r.table, r.index, Placed)
+			if r.table.job.Final() {
+				p.setTask(r.table, r.index, Waiting)
 			} else {
-				p.sendStart(r.t, r.i)
+				p.sendStart(r.table, r.index)
 			}
 		case r.state == storedDone && x.state == Ended:
-			p.setTask(r.t, r.i, Completed)
-			p.maybeDone(r.t)
+			p.setTask(r.table, r.index, Completed)
+			p.completeIfDone(r.table)
 		}
 	}
-	p.commitSoon(0)
+	p.scheduleCommit(0)
 }
 
 // undo returns the tasks that the write moved to the segments that held them before.
 func (w *write) undo() {
 	for _, m := range w.moves {
-		x := m.t.task(m.i)
-		if x.seg != w.seg {
+		x := m.table.task(m.index)
+		if x.segment != w.segment {
 			continue // its job ended in the meantime
 		}
-		w.seg.live--
-		if x.seg = m.from; m.from != nil {
+		w.segment.live--
+		if x.segment = m.from; m.from != nil {
 			m.from.live++
 		}
 	}
-	w.seg.refs = slices.DeleteFunc(w.seg.refs, func(r ref) bool { return r.t.task(r.i).seg != w.seg })
+	w.segment.refs = slices.DeleteFunc(w.segment.refs, func(r taskRef) bool { return r.table.task(r.index).segment != w.segment })
 }
 
 const (
-	// valuePart is the fraction of the maximum value size that a segment may fill, as estimated.
-	valuePart = 0.8
-	// leastValueLimit is the lower bound, in bytes, to which the size limit of segments is reduced.
-	leastValueLimit = 800
-	// refusedAgain is the pause before a refused record that cannot be made smaller is tried again.
-	refusedAgain = 5 * loop.Second
-	smallerAgain = 200 * loop.Millisecond
+	// valueFraction is the fraction of the maximum value size that a segment may fill, as estimated.
+	valueFraction = 0.8
+	// minValueLimit is the lower bound, in bytes, to which the size limit of segments is reduced.
+	minValueLimit = 800
+	// refusedRetryDelay is the pause before a refused record that cannot be made smaller is tried again.
+	refusedRetryDelay = 5 * loop.Second
+	smallerRetryDelay = 200 * loop.Millisecond
 )
 
-// shrink handles a record that the state service refuses as invalid, as it does when its limit on value size was
-// lowered: the entries go into smaller segments. Should an attempt of the refused write be applied late nevertheless,
-// it stores starts that were never sent.
-func (p *Placer) shrink(part *ownedPartition, w *write) {
+// shrinkSegments handles a record that the state service refuses as invalid, as it does when its limit on value size
+// was lowered: the entries go into smaller segments. Should an attempt of the refused write be applied late
+// nevertheless, it stores starts that were never sent.
+func (p *Placer) shrinkSegments(part *ownedPartition, w *write) {
 	w.undo()
 	part.log.closeSegment()
-	pause := refusedAgain
-	if p.valueLimit > leastValueLimit {
-		p.valueLimit = max(min(p.valueLimit, w.bytes)/2, leastValueLimit)
-		pause = smallerAgain
+	pause := refusedRetryDelay
+	if p.valueLimit > minValueLimit {
+		p.valueLimit = max(min(p.valueLimit, w.bytes)/2, minValueLimit)
+		pause = smallerRetryDelay
 		p.log.Info("size limit of task log segments lowered", "bytes", p.valueLimit)
 	}
-	p.release(part, w, pause)
+	p.requeueWrite(part, w, pause)
 }
--- a/internal/placer/partition.go
+++ b/internal/placer/partition.go
@@ -26,37 +26,37 @@
 	unreadable bool
 	unassigned map[string]bool // teams waiting to be assigned
 	assigning  bool
-	entering   []string // assigned teams that are to be loaded together
+	toLoad     []string // assigned teams that are to be loaded together
 }
 
 const (
-	// assignSoon is the delay that collects several teams into one assignment transaction.
-	assignSoon = 20 * loop.Millisecond
-	// assignAgain is the pause before the assignment of teams that another controller owns is retried.
-	assignAgain = loop.Second
+	// assignDelay is the delay that collects several teams into one assignment transaction.
+	assignDelay = 20 * loop.Millisecond
+	// assignRetryDelay is the pause before the assignment of teams that another controller owns is retried.
+	assignRetryDelay = loop.Second
 )
 
-// owns reports whether this controller still owns the partition, under the same claim.
-func (p *Placer) owns(part *ownedPartition) bool { return p.partitions[part.id] == part }
+// ownsPartition reports whether this controller still ownsPartition the partition, under the same claim.
+func (p *Placer) ownsPartition(part *ownedPartition) bool { return p.partitions[part.id] == part }
 
-// knows reports whether the table belongs to a team that is owned now and to a job that is still known.
-func (p *Placer) knows(t *table) bool {
-	return p.teams[t.team.cfg.Name] == t.team && t.team.jobs[t.j.ID] == t
+// ownsJob reports whether the table belongs to a team that is owned now and to a job that is still known.
+func (p *Placer) ownsJob(t *jobTable) bool {
+	return p.teams[t.team.cfg.Name] == t.team && t.team.jobs[t.job.ID] == t
 }
 
 // Owned handles the gain or loss of a partition.
 func (p *Placer) Owned(id partition.ID, owned bool, claim member.Owner) {
 	if !owned {
-		p.disown(id)
+		p.removePartition(id)
 		return
 	}
-	part := &ownedPartition{id: id, claim: claim, ownedAt: p.r.Now(), teams: map[string]*team{}, unassigned: map[string]bool{},
+	part := &ownedPartition{id: id, claim: claim, ownedAt: p.runner.Now(), teams: map[string]*team{}, unassigned: map[string]bool{},
 		log: taskLog{prefix: id.LogPrefix(), closed: map[string]*segment{}}}
 	p.partitions[id] = part
 	p.loadLog(part)
 }
 
-func (p *Placer) disown(id partition.ID) {
+func (p *Placer) removePartition(id partition.ID) {
 	part := p.partitions[id]
 	if part == nil {
 		return
@@ -64,7 +64,7 @@
 	delete(p.partitions, id)
 	for name, tm := range loop.Sorted(part.teams) {
 		for _, t := range tm.inOrder() {
-			p.forgetTable(t)
+			p.forgetJob(t)
 		}
 		if p.teams[name] == tm {
 			delete(p.teams, name)
@@ -72,33 +72,33 @@
 	}
 }
 
-// enterTeam adds a team to a partition. The team counts as loaded only after its records have been read.
-func (p *Placer) enterTeam(part *ownedPartition, name string) *team {
+// addTeam adds a team to a partition. The team counts as loaded only after its records have been read.
+func (p *Placer) addTeam(part *ownedPartition, name string) *team {
 	cfg, ok := p.cfg.TeamNamed(name)
 	if !ok {
 		return nil
 	}
-	tm := &team{cfg: cfg, quota: p.cfg.Quota(cfg), part: part, jobs: map[string]*table{}}
+	tm := &team{cfg: cfg, quota: p.cfg.Quota(cfg), partition: part, jobs: map[string]*jobTable{}}
 	part.teams[name], p.teams[name] = tm, tm
 	return tm
 }
 
-// members lists the teams that currently belong to a partition.
-func (p *Placer) members(id partition.ID) []string {
+// partitionTeams lists the teams that currently belong to a partition.
+func (p *Placer) partitionTeams(id partition.ID) []string {
 	if team, ok := id.Team(); ok {
 		return []string{team}
 	}
-	return slices.DeleteFunc(p.n.Membership.Layout().Teams(id, p.cfg.TeamNames()), func(team string) bool {
-		return !p.n.Membership.Assigned(team)
+	return slices.DeleteFunc(p.node.Membership.Layout().Teams(id, p.cfg.TeamNames()), func(team string) bool {
+		return !p.node.Membership.Assigned(team)
 	})
 }
 
-// numberedOwner returns the numbered partition of a team if it is owned and loaded here, else nil.
-func (p *Placer) numberedOwner(name string) *ownedPartition {
-	if p.n.Membership == nil || !p.n.Membership.Layout().Numbered() {
+// numberedPartition returns the numbered partition of a team if it is owned and loaded here, else nil.
+func (p *Placer) numberedPartition(name string) *ownedPartition {
+	if p.node.Membership == nil || !p.node.Membership.Layout().Numbered() {
 		return nil
 	}
-	part := p.partitions[p.n.Membership.Layout().Of(name)]
+	part := p.partitions[p.node.Membership.Layout().Of(name)]
 	if part == nil || !part.loaded {
 		return nil
 	}
@@ -107,11 +107,11 @@
 
 // Released handles the message that no controller owns a team which is not assigned to a partition yet. Its recorded
 // tasks are to be taken over even if none of its jobs waits.
-func (p *Placer) Released(name string) { p.assignLater(name) }
+func (p *Placer) Released(name string) { p.scheduleAssignment(name) }
 
-// assignLater schedules the assignment of a team to its partition, if that is owned here.
-func (p *Placer) assignLater(name string) {
-	part := p.numberedOwner(name)
+// scheduleAssignment schedules the assignment of a team to its partition, if that is owned here.
+func (p *Placer) scheduleAssignment(name string) {
+	part := p.numberedPartition(name)
 	if part == nil || part.unassigned[name] || p.teams[name] != nil {
 		return
 	}
@@ -119,7 +119,7 @@
 		return
 	}
 	part.unassigned[name] = true
-	p.assignAfter(part, assignSoon)
+	p.assignAfter(part, assignDelay)
 }
 
 func (p *Placer) assignAfter(part *ownedPartition, d loop.Micros) {
@@ -127,9 +127,9 @@
 		return
 	}
 	part.assigning = true
-	p.r.After(d, func() {
+	p.runner.After(d, func() {
 		part.assigning = false
-		if p.owns(part) {
+		if p.ownsPartition(part) {
 			p.assign(part)
 		}
 	})
@@ -142,9 +142,9 @@
 		switch {
 		case p.teams[name] != nil:
 			delete(part.unassigned, name)
-		case p.n.Membership.Assigned(name):
+		case p.node.Membership.Assigned(name):
 			p.Assigned(name)
-		case len(names) < p.c.MostChanges():
+		case len(names) < p.client.MostChanges():
 			names = append(names, name)
 		}
 	}
@@ -152,14 +152,14 @@
 		return
 	}
 	part.assigning = true
-	p.n.Membership.Assign(part.id, part.claim, names, func(ok bool) {
+	p.node.Membership.Assign(part.id, part.claim, names, func(ok bool) {
 		part.assigning = false
-		if !p.owns(part) {
+		if !p.ownsPartition(part) {
 			return
 		}
-		pause := assignSoon
+		pause := assignDelay
 		if !ok {
-			pause = assignAgain
+			pause = assignRetryDelay
 		}
 		if len(part.unassigned) > 0 {
 			p.assignAfter(part, pause)
@@ -170,33 +170,33 @@
 // Assigned handles the assignment of a team to its numbered partition. Teams that are assigned within a short time
 // are loaded together.
 func (p *Placer) Assigned(name string) {
-	part := p.numberedOwner(name)
-	if part == nil || p.teams[name] != nil || slices.Contains(part.entering, name) {
+	part := p.numberedPartition(name)
+	if part == nil || p.teams[name] != nil || slices.Contains(part.toLoad, name) {
 		return
 	}
 	delete(part.unassigned, name)
-	part.entering = append(part.entering, name)
-	if len(part.entering) > 1 {
+	part.toLoad = append(part.toLoad, name)
+	if len(part.toLoad) > 1 {
 		return
 	}
-	p.r.After(assignSoon, func() {
-		if p.owns(part) {
-			p.loadEntering(part)
+	p.runner.After(assignDelay, func() {
+		if p.ownsPartition(part) {
+			p.loadAssignedTeams(part)
 		}
 	})
 }
 
-func (p *Placer) loadEntering(part *ownedPartition) {
+func (p *Placer) loadAssignedTeams(part *ownedPartition) {
 	var teams []*team
-	for _, name := range part.entering {
+	for _, name := range part.toLoad {
 		if p.teams[name] != nil {
 			continue
 		}
-		if tm := p.enterTeam(part, name); tm != nil {
+		if tm := p.addTeam(part, name); tm != nil {
 			teams = append(teams, tm)
 		}
 	}
-	part.entering = nil
+	part.toLoad = nil
 	if len(teams) > 0 {
 		p.loadTeamLogs(part, teams, nil)
 	}
--- a/internal/placer/partition_test.go
+++ b/internal/placer/partition_test.go
@@ -48,7 +48,7 @@
 	}
 	g := newRig(writeRPS)
 	g.p.cfg.Cluster.Teams = all
-	g.p.n.Membership = &onePartition{g: g, known: map[string]bool{}}
+	g.p.node.Membership = &onePartition{g: g, known: map[string]bool{}}
 	g.own()
 	for i := range machines {
 		g.show(fmt.Sprintf("n-%03d", i), "m8", "x", false)
@@ -150,7 +150,7 @@
 		if n := len(g.state.Keys(onlyID.LogPrefix())); n < 3 {
 			t.Fatalf("got %d segments, want at least 3 for the test to be meaningful", n)
 		}
-		m := g.p.n.Membership.(*onePartition)
+		m := g.p.node.Membership.(*onePartition)
 		if lags {
 			for _, team := range []string{"team-003", "team-020"} {
 				m.known[team] = false
@@ -188,7 +188,7 @@
 	}
 	g.state.Put(own.ClaimKey(), map[string]any{"n": "", "e": 0, "p": string(onlyID)})
 	g.p.Owned(own, false, member.Owner{})
-	g.p.n.Membership = &onePartition{g: g, known: map[string]bool{"team-000": true}}
+	g.p.node.Membership = &onePartition{g: g, known: map[string]bool{"team-000": true}}
 	g.starts = nil
 	for _, owner := range []string{"the first owner", "the next one"} {
 		g.own()
@@ -238,20 +238,20 @@
 	g.Run(2 * loop.Second)
 	part := g.p.partitions[onlyID]
 	tb := g.p.teams["team-000"].jobs[id]
-	old := tb.task(0).seg
+	old := tb.task(0).segment
 	if old == nil || old.live != 4 {
 		t.Fatalf("the tasks' records are in segment %+v, want 4 live ones", old)
 	}
 	part.log.openSegment()
-	w := &write{seg: part.log.open, bytes: 3000}
-	w.move(ref{tb, 1})
-	w.move(ref{tb, 2})
-	if old.live != 2 || w.seg.live != 2 {
-		t.Fatalf("before the refusal %d and %d records are live, want 2 and 2", old.live, w.seg.live)
+	w := &write{segment: part.log.open, bytes: 3000}
+	w.move(taskRef{tb, 1})
+	w.move(taskRef{tb, 2})
+	if old.live != 2 || w.segment.live != 2 {
+		t.Fatalf("before the refusal %d and %d records are live, want 2 and 2", old.live, w.segment.live)
 	}
-	g.p.shrink(part, w)
-	if old.live != 4 || w.seg.live != 0 || len(w.seg.refs) != 0 || tb.task(1).seg != old || tb.task(2).seg != old {
-		t.Errorf("after the refusal %d records are live in the stored segment and %d in the refused one, want 4 and 0", old.live, w.seg.live)
+	g.p.shrinkSegments(part, w)
+	if old.live != 4 || w.segment.live != 0 || len(w.segment.refs) != 0 || tb.task(1).segment != old || tb.task(2).segment != old {
+		t.Errorf("after the refusal %d records are live in the stored segment and %d in the refused one, want 4 and 0", old.live, w.segment.live)
 	}
 	if part.log.open != nil || g.p.valueLimit >= 3000 {
 		t.Errorf("the next write goes into segment %+v with at most %d bytes, want a new segment below 3000 bytes", part.log.open, g.p.valueLimit)
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -130,11 +130,11 @@
 	}
 	for _, tm := range g.p.teams {
 		for _, t := range tm.jobs {
-			for i := range t.j.Tasks {
+			for i := range t.job.Tasks {
 				x := t.task(i)
 				if (x.state == Recording || x.state == Placed) && x.machine == name && x.session >= v.Session &&
-					!shown[fmt.Sprint(t.name(i), x.attempt)] {
-					room.Take(t.j.Spec)
+					!shown[fmt.Sprint(t.taskName(i), x.attempt)] {
+					room.Take(t.job.Spec)
 				}
 			}
 		}
@@ -164,8 +164,8 @@
 	}
 	slices.Sort(names)
 	for _, e := range g.p.queue() {
-		t := e.t
-		s := t.j.Spec
+		t := e.table
+		s := t.job.Spec
 		zones := maps.Clone(t.zones)
 		for range t.waiting() {
 			if most := t.team.cfg.CPUsMax; most != 0 && t.team.cpus+cpus[s.Team]+s.CPUs > most+1e-9 {
@@ -182,7 +182,7 @@
 				for z, n := range zones {
 					other = other || (n > 0 && z != v.Zone)
 				}
-				if (s.OneZone && other) || (s.Spread && zones[v.Zone] >= (t.j.Tasks+1)/2) {
+				if (s.OneZone && other) || (s.Spread && zones[v.Zone] >= (t.job.Tasks+1)/2) {
 					continue
 				}
 				typ := types[v.Type]
@@ -205,7 +205,7 @@
 			rooms[best] = room
 			zones[g.a.View(best).Zone]++
 			cpus[s.Team] += s.CPUs
-			out[fmt.Sprintf("%s on %s", t.j.ID, best)] += "+"
+			out[fmt.Sprintf("%s on %s", t.job.ID, best)] += "+"
 		}
 	}
 	return out
@@ -217,24 +217,24 @@
 	all, open := map[string]int{}, map[string]int{}
 	for _, tm := range g.p.teams {
 		for _, tb := range tm.jobs {
-			for i := range tb.j.Tasks {
+			for i := range tb.job.Tasks {
 				x := tb.task(i)
-				r := ref{tb, i}
+				r := taskRef{tb, i}
 				if !x.inUse() {
 					continue
 				}
 				all[x.machine]++
-				on := g.p.on[x.machine]
+				on := g.p.tasksByMachine[x.machine]
 				if on == nil {
-					return tb.name(i) + " is in use, and no task is listed for its machine"
+					return tb.taskName(i) + " is in use, and no task is listed for its machine"
 				}
 				_, here := on.all[r]
-				_, isOpen := on.open[r]
-				if !here || isOpen != (!x.seen || x.pending) {
-					return fmt.Sprintf("%s on %s: listed %v, unresolved %v; seen %v, pending %v", tb.name(i), x.machine, here, isOpen, x.seen, x.pending)
+				_, isOpen := on.unresolved[r]
+				if !here || isOpen != (!x.listed || x.recheck) {
+					return fmt.Sprintf("%s on %s: listed %v, unresolved %v; seen %v, pending %v", tb.taskName(i), x.machine, here, isOpen, x.listed, x.recheck)
 				}
-				if v := g.a.View(x.machine); x.state == Placed && !x.seen && v != nil && v.Find(tb.name(i), x.attempt) != nil {
-					return tb.name(i) + " was listed by its machine, and is not marked as seen"
+				if v := g.a.View(x.machine); x.state == Placed && !x.listed && v != nil && v.Find(tb.taskName(i), x.attempt) != nil {
+					return tb.taskName(i) + " was listed by its machine, and is not marked as seen"
 				}
 				if isOpen {
 					open[x.machine]++
@@ -242,9 +242,9 @@
 			}
 		}
 	}
-	for m, on := range g.p.on {
-		if len(on.all) != all[m] || len(on.open) != open[m] {
-			return fmt.Sprintf("%s: %d tasks and %d unresolved ones are listed, want %d and %d", m, len(on.all), len(on.open), all[m], open[m])
+	for m, on := range g.p.tasksByMachine {
+		if len(on.all) != all[m] || len(on.unresolved) != open[m] {
+			return fmt.Sprintf("%s: %d tasks and %d unresolved ones are listed, want %d and %d", m, len(on.all), len(on.unresolved), all[m], open[m])
 		}
 	}
 	return ""
@@ -255,7 +255,7 @@
 func TestPassesMatchThePlainModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newRig(1000, config.Team{Name: "red", CPUs: 1000, CPUsMax: 60}, config.Team{Name: "blue", CPUs: 1000, CPUsMax: 1000})
-		g.p.pre.nextRun = 1 << 62 // the model preempts nothing
+		g.p.preemption.nextRun = 1 << 62 // the model preempts nothing
 		machines, jobs := 0, 0
 		on := map[string][]agent.Task{}
 		for range rapid.IntRange(3, 25).Draw(t, "steps") {
@@ -301,22 +301,22 @@
 			}
 			want := g.plainPlace()
 			before := map[string]bool{}
-			each := func(f func(string, *task, *table)) {
+			each := func(f func(string, *task, *jobTable)) {
 				for _, tm := range g.p.teams {
 					for _, tb := range tm.jobs {
-						for i := range tb.j.Tasks {
+						for i := range tb.job.Tasks {
 							x := tb.task(i)
-							f(fmt.Sprint(tb.name(i), "#", x.attempt), x, tb)
+							f(fmt.Sprint(tb.taskName(i), "#", x.attempt), x, tb)
 						}
 					}
 				}
 			}
-			each(func(n string, x *task, _ *table) { before[n] = x.inUse() })
+			each(func(n string, x *task, _ *jobTable) { before[n] = x.inUse() })
 			g.p.place()
 			got := map[string]string{}
-			each(func(n string, x *task, tb *table) {
+			each(func(n string, x *task, tb *jobTable) {
 				if x.state == Recording && !before[n] {
-					got[fmt.Sprintf("%s on %s", tb.j.ID, x.machine)] += "+"
+					got[fmt.Sprintf("%s on %s", tb.job.ID, x.machine)] += "+"
 				}
 			})
 			if !maps.Equal(got, want) {
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -59,85 +59,85 @@
 
 // Placer schedules the tasks of the owned teams. It runs on one event loop and is not safe for concurrent use.
 type Placer struct {
-	r        loop.Runner
-	c        *store.Client
+	runner   loop.Runner
+	client   *store.Client
 	log      *slog.Logger
 	cfg      *config.Config
-	n        Node
+	node     Node
 	registry *job.Registry
 	cordons  *cordon.Book
 	agent    *agent.Agent
 	// partitions holds the partitions that this controller owns; teams holds the teams assigned to them, by name.
-	partitions map[partition.ID]*ownedPartition
-	teams      map[string]*team
-	on         map[string]*machineTasks // tasks in use by machine
-	blame      *health.Blame
-	fleet      *fleet.Fleet
-	placing    bool
-	took       loop.Micros // duration of the newest pass
+	partitions     map[partition.ID]*ownedPartition
+	teams          map[string]*team
+	tasksByMachine map[string]*machineTasks // tasks in use by machine
+	attribution    *health.Blame
+	fleet          *fleet.Fleet
+	passScheduled  bool
+	lastPassTook   loop.Micros // duration of the newest pass
 
-	commitAt   loop.Micros // when the next commit is due; 0: none is scheduled
-	zoneMemo   map[string]string
-	nonce      uint64
-	valueLimit int // limit on the estimated size of a segment, in bytes
-	lastWant   []peer.Want
-	usage      map[string]peer.Usage
-	pre        preemptor
-	turn       fleet.Turnover
-	reserve    *starvation.Reserve
-	paces      health.Paces
-	checked    map[string]loop.Micros
-	reruns     reruns
-	sweepAt    loop.Micros // when all tasks in use are checked next
-	clock      delivery.Clock
-	expiries   *delivery.Expiries // expiry of each attempt that this owner recorded
+	commitAt         loop.Micros // when the next commit is due; 0: none is scheduled
+	zoneByMachine    map[string]string
+	nonce            uint64
+	valueLimit       int // limit on the estimated size of a segment, in bytes
+	unplaced         []peer.Want
+	usage            map[string]peer.Usage
+	preemption       preemptionState
+	turnover         fleet.Turnover
+	starvation       *starvation.Reserve
+	paces            health.Paces
+	checkRequestedAt map[string]loop.Micros
+	reruns           reruns
+	nextSweepAt      loop.Micros // when all tasks in use are checked next
+	clock            delivery.Clock
+	expiries         *delivery.Expiries // expiry of each attempt that this owner recorded
 }
 
 // New returns a scheduler that owns no partition yet and schedules its periodic work on r.
 func New(r loop.Runner, c *store.Client, log *slog.Logger, cfg *config.Config, n Node, registry *job.Registry, a *agent.Agent, cordons *cordon.Book) *Placer {
-	p := &Placer{r: r, cordons: cordons, c: c, log: log, cfg: cfg, n: n, registry: registry, agent: a, partitions: map[partition.ID]*ownedPartition{}, teams: map[string]*team{},
-		valueLimit: int(cfg.Cluster.State.ValueKB * 1024 * valuePart),
-		on:         map[string]*machineTasks{},
-		blame:      health.NewBlame(func(id string) bool { j := registry.Get(id); return j != nil && !j.Final() }), zoneMemo: map[string]string{}, nonce: loop.Rand(r).Uint64() >> 1, usage: map[string]peer.Usage{},
+	p := &Placer{runner: r, cordons: cordons, client: c, log: log, cfg: cfg, node: n, registry: registry, agent: a, partitions: map[partition.ID]*ownedPartition{}, teams: map[string]*team{},
+		valueLimit:     int(cfg.Cluster.State.ValueKB * 1024 * valueFraction),
+		tasksByMachine: map[string]*machineTasks{},
+		attribution:    health.NewBlame(func(id string) bool { j := registry.Get(id); return j != nil && !j.Final() }), zoneByMachine: map[string]string{}, nonce: loop.Rand(r).Uint64() >> 1, usage: map[string]peer.Usage{},
 
-		checked: map[string]loop.Micros{}, paces: health.Paces{}, reserve: starvation.New()}
+		checkRequestedAt: map[string]loop.Micros{}, paces: health.Paces{}, starvation: starvation.New()}
 	p.clock = delivery.NewClock(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifeS))
 	p.expiries = delivery.NewExpiries(p.clock)
-	p.fleet = fleet.New(r, log, fleet.Node{Label: n.Label, Type: n.Type, Room: a.Room, Jobs: a.Jobs, Unshown: p.unshown, Stop: n.Stop,
+	p.fleet = fleet.New(r, log, fleet.Node{Label: n.Label, Type: n.Type, Room: a.Room, Jobs: a.Jobs, Unshown: p.eachUnlisted, Stop: n.Stop,
 		Cordons: cordons, StaleAfter: p.staleAfter()})
 	loop.Every(r, 400*loop.Millisecond, p.tick)
 	loop.Every(r, 60*loop.Second, func() {
-		for m := range p.zoneMemo { // of deleted machines, once no task is counted there
-			if p.on[m] == nil && p.fleet.Slot(m) == nil {
-				delete(p.zoneMemo, m)
+		for m := range p.zoneByMachine { // of deleted machines, once no task is counted there
+			if p.tasksByMachine[m] == nil && p.fleet.Slot(m) == nil {
+				delete(p.zoneByMachine, m)
 			}
 		}
 	})
 	return p
 }
 
-func (p *Placer) forgetTable(t *table) {
+func (p *Placer) forgetJob(t *jobTable) {
 	t.each(func(i int, x *task) {
-		p.noteRerun(x, false)
+		p.recordRerun(x, false)
 		if x.inUse() {
-			p.removeInUse(ref{t, i})
+			p.removeInUse(taskRef{t, i})
 		}
-		if x.seg != nil {
-			x.seg.live--
-			x.seg = nil
+		if x.segment != nil {
+			x.segment.live--
+			x.segment = nil
 		}
 	})
-	t.team.drop(t)
+	t.team.removeJob(t)
 }
 
-func (p *Placer) tableOf(tm *team, j *job.Job) *table {
+func (p *Placer) tableOf(tm *team, j *job.Job) *jobTable {
 	t := tm.jobs[j.ID]
 	if t == nil {
-		t = &table{j: j, team: tm, blocks: make([]*[blockSize]task, (j.Tasks+blockSize-1)/blockSize), zones: map[string]int{}}
-		t.at = p.r.Now() - max(p.r.Wall()-j.At, 0)
-		t.pieceAt = t.at
-		p.watch(t)
-		tm.enter(t)
+		t = &jobTable{job: j, team: tm, blocks: make([]*[blockSize]task, (j.Tasks+blockSize-1)/blockSize), zones: map[string]int{}}
+		t.acceptedAt = p.runner.Now() - max(p.runner.Wall()-j.At, 0)
+		t.servedEarlyAt = t.acceptedAt
+		p.trackFailures(t)
+		tm.addJob(t)
 	}
 	return t
 }
@@ -147,14 +147,14 @@
 	if j.Final() {
 		delete(p.paces, j.ID)
 		p.fleet.Spare(j.ID, 0)
-		p.blame.Over(j.ID)
+		p.attribution.Over(j.ID)
 	}
 	if j.Spec == nil {
 		return
 	}
 	tm := p.teams[j.Spec.Team]
 	if tm == nil && !j.Final() {
-		p.assignLater(j.Spec.Team)
+		p.scheduleAssignment(j.Spec.Team)
 	}
 	if tm == nil || !tm.loaded {
 		return
@@ -169,40 +169,40 @@
 		return
 	}
 	if j.Final() {
-		p.final(t)
+		p.cleanUpFinal(t)
 	}
 }
 
-// final cleans up after a job in a final phase. Tasks that may still be on a machine are stopped, and count as in use
-// until they are confirmed terminated.
-func (p *Placer) final(t *table) {
+// cleanUpFinal cleans up after a job in a cleanUpFinal phase. Tasks that may still be on a machine are stopped, and
+// count as in use until they are confirmed terminated.
+func (p *Placer) cleanUpFinal(t *jobTable) {
 	t.each(func(i int, x *task) {
-		if x.state == Recording || (x.state == Placed && x.ours && x.sentTo == "") {
+		if x.state == Recording || (x.state == Placed && x.recordedHere && x.sentTo == "") {
 			p.setTask(t, i, Waiting) // no start was sent
 		} else if x.state == Placed {
 			p.stop(t, i, 0)
 		}
 	})
-	p.dropIfOver(t)
+	p.forgetIfTerminated(t)
 	p.Kick()
 }
 
-// dropIfOver forgets the table of a job in a final phase once none of its tasks can be on a machine.
-func (p *Placer) dropIfOver(t *table) {
-	if t.j.Final() && t.inUse == 0 {
-		p.forgetTable(t)
+// forgetIfTerminated forgets the table of a job in a final phase once none of its tasks can be on a machine.
+func (p *Placer) forgetIfTerminated(t *jobTable) {
+	if t.job.Final() && t.inUse == 0 {
+		p.forgetJob(t)
 	}
 }
 
-func (p *Placer) stop(t *table, i int, grace loop.Micros) {
+func (p *Placer) stop(t *jobTable, i int, grace loop.Micros) {
 	x := t.task(i)
-	now := p.r.Now()
-	if x.stopAt != 0 && now-x.stopAt < loop.Second {
+	now := p.runner.Now()
+	if x.stopSentAt != 0 && now-x.stopSentAt < loop.Second {
 		return
 	}
 	if v := p.agent.View(x.machine); v != nil {
-		x.stopAt = now
-		p.n.Stop(v.Host, agent.Stop{Machine: x.machine, Task: t.name(i), Attempt: x.attempt, Grace: grace})
+		x.stopSentAt = now
+		p.node.Stop(v.Host, agent.Stop{Machine: x.machine, Task: t.taskName(i), Attempt: x.attempt, Grace: grace})
 	}
 }
 
@@ -230,9 +230,9 @@
 		// attempted. Afterwards it is no evidence: the start may be in flight, and freeing the task then would let it
 		// run twice.
 		if x.state == Recording && x.expiry == 0 {
-			p.n.Meter.Refusal()
-			p.shut(d.Machine)
-			p.provenOff(t, i, "reservation refused: "+d.Why)
+			p.node.Meter.Refusal()
+			p.excludeBriefly(d.Machine)
+			p.confirmTerminated(t, i, "reservation refused: "+d.Why)
 			p.Kick()
 		}
 		return
@@ -242,78 +242,78 @@
 	}
 	// The refusal is evidence only if the start was sent to no other host controller and to no other incarnation of
 	// this one.
-	if x.ours && !x.spread && x.sentTo == from && x.life == d.Life && !x.seen {
-		p.shut(d.Machine)
-		p.provenOff(t, i, "dropped: "+d.Why)
+	if x.recordedHere && !x.sentToSeveral && x.sentTo == from && x.sentToIncarnation == d.Life && !x.listed {
+		p.excludeBriefly(d.Machine)
+		p.confirmTerminated(t, i, "dropped: "+d.Why)
 		p.Kick()
 	}
 }
 
-func (p *Placer) sendStart(t *table, i int) {
+func (p *Placer) sendStart(t *jobTable, i int) {
 	x := t.task(i)
 	v := p.agent.View(x.machine)
-	if v == nil || p.r.Wall() >= x.expiry {
-		if x.sentTo == "" && x.ours {
-			p.provenOff(t, i, "not sent in time")
+	if v == nil || p.runner.Wall() >= x.expiry {
+		if x.sentTo == "" && x.recordedHere {
+			p.confirmTerminated(t, i, "not sent in time")
 			p.Kick()
 		}
 		return
 	}
-	if why := p.barred(t, x.machine); why != "" {
+	if why := p.startBlockedBy(t, x.machine); why != "" {
 		// A start that was already sent may still run. One that was never sent can be taken back.
-		if x.sentTo == "" && x.ours {
-			p.provenOff(t, i, why)
+		if x.sentTo == "" && x.recordedHere {
+			p.confirmTerminated(t, i, why)
 		}
 		return
 	}
-	if x.sentTo != "" && (x.sentTo != v.Host || x.life != v.Life) {
-		x.spread = true
+	if x.sentTo != "" && (x.sentTo != v.Host || x.sentToIncarnation != v.Life) {
+		x.sentToSeveral = true
 	}
 	if x.sentTo == "" {
-		p.n.Meter.Start()
+		p.node.Meter.Start()
 	}
-	x.sentTo, x.life, x.sentAt = v.Host, v.Life, p.r.Now()
-	p.n.Start(v.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.name(i), Attempt: x.attempt, Expiry: x.expiry, From: p.n.Label, Life: v.Life})
+	x.sentTo, x.sentToIncarnation, x.sentAt = v.Host, v.Life, p.runner.Now()
+	p.node.Start(v.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.taskName(i), Attempt: x.attempt, Expiry: x.expiry, From: p.node.Label, Life: v.Life})
 }
 
-// maybeDone stores a job's completion once all its tasks have completed.
-func (p *Placer) maybeDone(t *table) {
-	if t.closing || t.j.Final() || t.j.Spec.Service || t.completed < t.j.Tasks || !t.team.loaded {
+// completeIfDone stores a job's completion once all its tasks have completed.
+func (p *Placer) completeIfDone(t *jobTable) {
+	if t.completing || t.job.Final() || t.job.Spec.Service || t.completed < t.job.Tasks || !t.team.loaded {
 		return
 	}
-	t.closing = true
-	p.finish(t)
+	t.completing = true
+	p.storeCompletion(t)
 }
 
-func (p *Placer) finish(t *table) {
-	if p.teams[t.team.cfg.Name] != t.team || t.j.Final() {
+func (p *Placer) storeCompletion(t *jobTable) {
+	if p.teams[t.team.cfg.Name] != t.team || t.job.Final() {
 		return
 	}
-	ch := job.DoneChange(t.j)
-	part := t.team.part
-	txn := wire.Txn{If: []wire.Cond{member.ClaimCond(part.id, part.claim), job.Cond(t.j)}, Then: []wire.Change{ch}}
-	p.c.Txn(store.Answers, txn, func(r store.Result) {
+	ch := job.DoneChange(t.job)
+	part := t.team.partition
+	txn := wire.Txn{If: []wire.Cond{member.ClaimCond(part.id, part.claim), job.Cond(t.job)}, Then: []wire.Change{ch}}
+	p.client.Txn(store.Answers, txn, func(r store.Result) {
 		if p.teams[t.team.cfg.Name] != t.team {
 			return
 		}
 		switch r.Outcome {
 		case store.Applied:
-			p.log.Debug("job done", "job", t.j.ID, "class", t.j.Spec.Class, "tasks", t.j.Tasks, "took_us", p.r.Wall()-t.j.At, "estimate_us", t.j.Spec.Estimate)
+			p.log.Debug("job done", "job", t.job.ID, "class", t.job.Spec.Class, "tasks", t.job.Tasks, "took_us", p.runner.Wall()-t.job.At, "estimate_us", t.job.Spec.Estimate)
 			p.registry.Learn(ch, r.Tally)
-			p.forgetTable(t)
+			p.forgetJob(t)
 		case store.Conflict:
-			p.registry.Refresh(t.j.ID)
-			p.r.After(250*loop.Millisecond, func() { p.finish(t) })
+			p.registry.Refresh(t.job.ID)
+			p.runner.After(250*loop.Millisecond, func() { p.storeCompletion(t) })
 		default:
-			p.r.After(150*loop.Millisecond, func() { p.finish(t) })
+			p.runner.After(150*loop.Millisecond, func() { p.storeCompletion(t) })
 		}
 	})
 }
 
-// shut excludes a machine from placement for 300 ms, until a newer view of it has arrived.
-func (p *Placer) shut(machine string) {
+// excludeBriefly excludes a machine from placement for 300 ms, until a newer view of it has arrived.
+func (p *Placer) excludeBriefly(machine string) {
 	if sl := p.fleet.Slot(machine); sl != nil {
-		sl.Rest(p.r.Now()+300*loop.Millisecond, "its host controller refused a start")
+		sl.Rest(p.runner.Now()+300*loop.Millisecond, "its host controller refused a start")
 	}
 }
 
@@ -348,19 +348,19 @@
 	}
 }
 
-// passEvery is the minimum time between two passes. In a large cluster capacity becomes free continuously, and a pass
-// for each such event would scan the same queue every time.
-const passEvery = 80 * loop.Millisecond
+// minPassInterval is the minimum time between two passes. In a large cluster capacity becomes free continuously, and
+// a pass for each such event would scan the same queue every time.
+const minPassInterval = 80 * loop.Millisecond
 
 // Kick schedules a placement pass. Calls that arrive before the pass starts share it. The delay grows with the
 // duration of the newest pass, so that passes leave most of the controller's time to other work.
 func (p *Placer) Kick() {
-	if p.placing {
+	if p.passScheduled {
 		return
 	}
-	p.placing = true
-	p.r.After(min(passEvery+10*p.took, 400*loop.Millisecond), func() {
-		p.placing = false
+	p.passScheduled = true
+	p.runner.After(min(minPassInterval+10*p.lastPassTook, 400*loop.Millisecond), func() {
+		p.passScheduled = false
 		p.place()
 	})
 }
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -10,25 +10,25 @@
 	"cleatpick/internal/peer"
 )
 
-// preemptor holds the state of preemption between passes.
-type preemptor struct {
-	nextRun loop.Micros
-	news    []peer.Claim
+// preemptionState holds the state of preemption between passes.
+type preemptionState struct {
+	nextRun         loop.Micros
+	newReservations []peer.Claim
 }
 
-// withinPatience is how long work within a guarantee waits for completing tasks to free capacity before others are
+// guaranteeWait is how long work within a guarantee waits for completing tasks to free capacity before others are
 // preempted for it. Urgent work does not wait, since there is little of it and its latency limits are short.
-const withinPatience = 3 * loop.Second
+const guaranteeWait = 3 * loop.Second
 
-// rentPatience is for how many seconds the rate of freed capacity is deducted from unplaced work before machines are
+// turnoverSeconds is for how many seconds the rate of freed capacity is deducted from unplaced work before machines are
 // rented. In a large cluster some task is unplaced at any time.
-const rentPatience = 1.0
+const turnoverSeconds = 1.0
 
 // LearnClaims adds reservations that other owners made, and records which tasks of this owner they preempted.
 func (p *Placer) LearnClaims(cs []peer.Claim) {
 	for _, c := range cs {
 		p.fleet.AddClaim(c)
-		p.stoppedFor(c)
+		p.recordPreempted(c)
 	}
 }
 
@@ -44,24 +44,24 @@
 	})
 }
 
-// claimed records new reservations and queues them to be sent to the other owners.
-func (p *Placer) claimed(cs []peer.Claim) {
+// recordReservations records new reservations and queues them to be sent to the other owners.
+func (p *Placer) recordReservations(cs []peer.Claim) {
 	for i := range cs {
-		p.n.Meter.Preempted(len(cs[i].Victims))
-		if p.n.Tells {
-			p.stoppedFor(cs[i])
+		p.node.Meter.Preempted(len(cs[i].Victims))
+		if p.node.Tells {
+			p.recordPreempted(cs[i])
 		} else {
 			cs[i].Victims = nil
 		}
 	}
-	p.pre.news = append(p.pre.news, cs...)
+	p.preemption.newReservations = append(p.preemption.newReservations, cs...)
 }
 
-// mostStops bounds the preemptions of one pass, since each causes commands, reports and views.
-const mostStops = 64
+// maxPreemptions bounds the preemptions of one pass, since each causes commands, reports and views.
+const maxPreemptions = 64
 
-// excesses returns how many CPUs each team runs beyond its guarantee; negative if it runs less.
-func (p *Placer) excesses() map[string]float64 {
+// teamExcess returns how many CPUs each team runs beyond its guarantee; negative if it runs less.
+func (p *Placer) teamExcess() map[string]float64 {
 	out := map[string]float64{}
 	for _, c := range p.cfg.Cluster.Teams {
 		u := p.usage[c.Name].CPUs
@@ -73,24 +73,24 @@
 	return out
 }
 
-// right returns what may be preempted for a task of the job.
-func (p *Placer) right(e *entryOf, b *budget) fleet.Right {
-	t := e.t
+// preemptionRight returns what may be preempted for a task of the job.
+func (p *Placer) preemptionRight(e *queueEntry, b *budget) fleet.Right {
+	t := e.table
 	if b.excess == nil {
-		b.excess, b.shares = p.excesses(), map[*team]map[*table]float64{}
+		b.excess, b.shares = p.teamExcess(), map[*team]map[*jobTable]float64{}
 	}
 	shares := b.shares[t.team]
 	if shares == nil {
-		shares = p.shares(t.team)
+		shares = p.guaranteeShares(t.team)
 		b.shares[t.team] = shares
 	}
-	cpus := t.j.Spec.CPUs
-	held := p.fleet.Held(t.j.ID) // capacity for these is already reserved
+	cpus := t.job.Spec.CPUs
+	held := p.fleet.Held(t.job.ID) // capacity for these is already reserved
 	share := tasksWithin(shares[t]-float64(t.inUse)*cpus, cpus) - held
 	// Two teams that both run beyond their guarantees must not preempt each other's work alternately: only a team
 	// that uses less than its guarantee may claim capacity by it.
 	room := t.team.quota.CPUs - t.team.cpus
-	return fleet.Right{Guarantee: e.within && room >= cpus, Share: share > 0, Room: room >= cpus,
+	return fleet.Right{Guarantee: e.withinGuarantee && room >= cpus, Share: share > 0, Room: room >= cpus,
 		ShareTasks: share, RoomTasks: tasksWithin(room, cpus) - held, Excess: b.excess}
 }
 
@@ -105,38 +105,38 @@
 	return int(part / each)
 }
 
-// shares divides the guarantee of an owned team among its unfinished jobs, by priority and then by acceptance. Jobs
-// blocked by a hold or a dependency have no share.
-func (p *Placer) shares(tm *team) map[*table]float64 {
+// guaranteeShares divides the guarantee of an owned team among its unfinished jobs, by priority and then by
+// acceptance. Jobs blocked by a hold or a dependency have no share.
+func (p *Placer) guaranteeShares(tm *team) map[*jobTable]float64 {
 	order := slices.Clone(tm.inOrder())
-	slices.SortStableFunc(order, func(a, b *table) int { return cmp.Compare(b.j.Spec.Priority, a.j.Spec.Priority) })
-	shares := map[*table]float64{}
+	slices.SortStableFunc(order, func(a, b *jobTable) int { return cmp.Compare(b.job.Spec.Priority, a.job.Spec.Priority) })
+	shares := map[*jobTable]float64{}
 	left := tm.quota.CPUs
 	for _, t := range order {
 		if left <= 0 {
 			break
 		}
-		if t.j.Final() || p.resting(t) {
+		if t.job.Final() || p.blocked(t) {
 			continue
 		}
-		shares[t] = min(float64(t.j.Tasks-t.completed)*t.j.Spec.CPUs, left)
+		shares[t] = min(float64(t.job.Tasks-t.completed)*t.job.Spec.CPUs, left)
 		left -= shares[t]
 	}
 	return shares
 }
 
-// guaranteed returns the jobs of an owned team that fit into its guarantee together with the team's earlier
+// jobsWithinGuarantee returns the jobs of an owned team that fit into its guarantee together with the team's earlier
 // unfinished jobs. Blocked jobs do not count, except also.
-func (p *Placer) guaranteed(tm *team, also *table) map[*table]bool {
-	out := map[*table]bool{}
+func (p *Placer) jobsWithinGuarantee(tm *team, also *jobTable) map[*jobTable]bool {
+	out := map[*jobTable]bool{}
 	cpus, gpus := 0.0, 0.0
 	for _, t := range tm.inOrder() {
-		if t.j.Final() || (t != also && p.resting(t)) {
+		if t.job.Final() || (t != also && p.blocked(t)) {
 			continue
 		}
-		n := float64(t.j.Tasks - t.completed)
-		cpus += n * t.j.Spec.CPUs
-		gpus += n * t.j.Spec.GPUs
+		n := float64(t.job.Tasks - t.completed)
+		cpus += n * t.job.Spec.CPUs
+		gpus += n * t.job.Spec.GPUs
 		if !tm.quota.Covers(cpus, gpus) {
 			break
 		}
--- a/internal/placer/preempt_test.go
+++ b/internal/placer/preempt_test.go
@@ -31,8 +31,8 @@
 func newStopFleet(t rapid.TB, teams []config.Team, machines int) *stopFleet {
 	f := &stopFleet{rig: newRig(1000, teams...), t: t, teams: teams, specs: map[string]*job.Spec{}, machines: map[string][]agent.Task{},
 		stopped: map[string]int{}, turns: map[[2]string][]string{}}
-	f.p.n.Tells = true
-	f.p.n.Claims = func(claims []peer.Claim) {
+	f.p.node.Tells = true
+	f.p.node.Claims = func(claims []peer.Claim) {
 		for i := range claims {
 			f.judge(&claims[i])
 		}
@@ -236,7 +236,7 @@
 	}
 	f.run(100 * loop.Millisecond)
 	red := f.p.teams["red"]
-	shares := f.p.shares(red)
+	shares := f.p.guaranteeShares(red)
 	for id, want := range map[string]float64{"job-000000": 4, "job-000001": 6, "job-000002": 0} {
 		if got := shares[red.jobs[id]]; got != want {
 			t.Errorf("%s has a share of %v CPUs, want %v", id, got, want)
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -12,7 +12,7 @@
 // View applies a machine's newer view to the tasks recorded on it. Tasks that are unchanged since the previous view
 // are not checked again.
 func (p *Placer) View(v *agent.View, c *agent.Changes) {
-	now := p.r.Now()
+	now := p.runner.Now()
 	// Tasks on a machine without recent reports may have begun long ago. If a new owner took its first view of a task
 	// for the start, every task would look slow.
 	old := p.fleet.Slot(v.Name)
@@ -21,72 +21,72 @@
 	var heard loop.Micros // time of the previous report; 0: none
 	if old == nil {
 		c = &agent.Changes{All: true}
-		if typ, ok := p.n.Type(v.Type); ok && len(v.Tasks) == 0 {
-			p.turn.Free(typ.CPUs) // a machine that has just booted adds capacity
+		if typ, ok := p.node.Type(v.Type); ok && len(v.Tasks) == 0 {
+			p.turnover.Free(typ.CPUs) // a machine that has just booted adds capacity
 		}
 	} else {
 		before, heard = old.V.Tasks, old.Heard
 	}
 	if old == nil || old.V.Zone != v.Zone {
-		p.zoneMemo[v.Name] = v.Zone
+		p.zoneByMachine[v.Name] = v.Zone
 	}
 	// Most views only confirm that the machine is alive: no capacity became free.
 	quiet := old != nil && c.Still && len(v.Pending)+len(old.V.Pending) == 0 && v.Closed == old.V.Closed && v.NoticeAt == old.V.NoticeAt && !unsure
-	sl := p.fleet.View(v, now-v.Silence(p.r.Wall(), p.clockTo()), quiet)
-	p.blame.View(now, v, c)
+	sl := p.fleet.View(v, now-v.Silence(p.runner.Wall(), p.clockBound()), quiet)
+	p.attribution.View(now, v, c)
 	if !c.Still {
-		sl.Rest(p.blame.Until(v.Name), "tasks fail on it")
+		sl.Rest(p.attribution.Until(v.Name), "tasks fail on it")
 	}
 	sl.Jobs = p.agent.Jobs(v)
 	told := sl.Runs.Follow(v, c, before, sl.Jobs, p.paces, now, unsure)
-	p.turn.Free(told.Freed)
+	p.turnover.Free(told.Freed)
 	if told.Slow && now >= sl.Shut {
 		p.log.Debug("tasks run slowly on a machine; it receives no starts for a while", "machine", v.Name, "times", told.Factor)
 		sl.Rest(now+health.SlowRest, "its tasks run slowly")
 		sl.Runs.Rest()
 	}
-	p.judgeAll(v, c, before, sl.Jobs, heard)
+	p.updateTasks(v, c, before, sl.Jobs, heard)
 	if v.Host != "" {
-		p.forgets(v, sl.Jobs)
+		p.forgetEnded(v, sl.Jobs)
 	}
 	if !quiet {
 		p.Kick()
 	}
 }
 
-// judgeAll updates the tasks in use on a machine from its view. A task that was listed before and is unchanged needs
+// updateTasks updates the tasks in use on a machine from its view. A task that was listed before and is unchanged needs
 // no update.
-func (p *Placer) judgeAll(v *agent.View, c *agent.Changes, before []agent.Task, jobs []*job.Job, heard loop.Micros) {
-	if p.on[v.Name] == nil {
+func (p *Placer) updateTasks(v *agent.View, c *agent.Changes, before []agent.Task, jobs []*job.Job, heard loop.Micros) {
+	if p.tasksByMachine[v.Name] == nil {
 		return
 	}
 	if c.All {
-		p.eachInUse(v.Name, func(r ref) { p.judge(r.t, r.i, v, heard) })
+		p.eachInUse(v.Name, func(r taskRef) { p.updateTask(r.table, r.index, v, heard) })
 		return
 	}
 	for k := range v.Tasks {
 		if !c.Kept(k) {
-			p.judgeNamed(v, v.Tasks[k].Task, jobs[k], heard)
+			p.updateNamedTask(v, v.Tasks[k].Task, jobs[k], heard)
 		}
 	}
-	p.judgeVanished(v, c, before, heard)
-	p.eachUnsettled(v.Name, func(r ref) { p.judge(r.t, r.i, v, heard) })
+	p.updateVanishedTasks(v, c, before, heard)
+	p.eachUnresolved(v.Name, func(r taskRef) { p.updateTask(r.table, r.index, v, heard) })
 }
 
-// judgeVanished checks the tasks that the previous view listed and this one does not. Usually their end is known,
+// updateVanishedTasks checks the tasks that the previous view listed and this one does not. Usually their end is known,
 // since this owner asked for them to be forgotten. It is not if an earlier owner did that without recording their
 // end, and a delayed report listed them afterwards.
-func (p *Placer) judgeVanished(v *agent.View, c *agent.Changes, before []agent.Task, heard loop.Micros) {
+func (p *Placer) updateVanishedTasks(v *agent.View, c *agent.Changes, before []agent.Task, heard loop.Micros) {
 	for _, k := range c.Gone {
 		if x := &before[k]; v.Find(x.Task, x.Attempt) == nil {
 			id, _, _ := agent.SplitTask(x.Task)
-			p.judgeNamed(v, x.Task, p.registry.Get(id), heard)
+			p.updateNamedTask(v, x.Task, p.registry.Get(id), heard)
 		}
 	}
 }
 
-// judgeNamed updates a task that has changed on the machine, if it is in use there.
-func (p *Placer) judgeNamed(v *agent.View, name string, j *job.Job, heard loop.Micros) {
+// updateNamedTask updates a task that has changed on the machine, if it is in use there.
+func (p *Placer) updateNamedTask(v *agent.View, name string, j *job.Job, heard loop.Micros) {
 	if j == nil || j.Spec == nil {
 		return
 	}
@@ -97,30 +97,30 @@
 	if t := tm.jobs[j.ID]; t != nil {
 		if _, i, ok := agent.SplitTask(name); ok && i < j.Tasks {
 			if x := t.task(i); x.inUse() && x.machine == v.Name {
-				p.judge(t, i, v, heard)
+				p.updateTask(t, i, v, heard)
 			}
 		}
 	}
 }
 
-// judge derives a task's state from a view. heard is the time of the machine's previous report.
-func (p *Placer) judge(t *table, i int, v *agent.View, heard loop.Micros) {
+// updateTask derives a task's state from a view. heard is the time of the machine's previous report.
+func (p *Placer) updateTask(t *jobTable, i int, v *agent.View, heard loop.Micros) {
 	x := t.task(i)
 	if x.state != Placed {
 		return
 	}
-	name := t.name(i)
+	name := t.taskName(i)
 	if v.Session > x.session {
 		// The worker began a new session, so all tasks of the previous one were killed.
-		p.noteLost(t, i, heard)
-		p.provenOff(t, i, "new session")
+		p.recordLost(t, i, heard)
+		p.confirmTerminated(t, i, "new session")
 		return
 	}
 	if v.Session < x.session {
 		return
 	}
 	e := v.Find(name, x.attempt)
-	p.setSighting(t, i, x.seen, x.seen && e == nil)
+	p.setListed(t, i, x.listed, x.listed && e == nil)
 	if e == nil {
 		if v.Holds(name, x.attempt) {
 			return
@@ -130,82 +130,82 @@
 		// over, and the machine follows its host controller's token, so that no earlier command can take effect.
 		safe := p.clock.LatestArrival(x.expiry)
 		if v.Settled && v.At > safe {
-			p.provenOff(t, i, "absent")
+			p.confirmTerminated(t, i, "absent")
 			return
 		}
-		if now := p.r.Now(); p.r.Wall() > safe && now-p.checked[v.Name] > loop.Second {
-			p.checked[v.Name] = now
-			p.n.Check(v.Host, v.Name)
+		if now := p.runner.Now(); p.runner.Wall() > safe && now-p.checkRequestedAt[v.Name] > loop.Second {
+			p.checkRequestedAt[v.Name] = now
+			p.node.Check(v.Host, v.Name)
 		}
 		return
 	}
-	p.setSighting(t, i, true, x.pending)
+	p.setListed(t, i, true, x.recheck)
 	if e.Active() {
 		run := e.State == wire.TaskRunning
 		if run != x.running {
 			x.running = run
 			if run {
-				p.noteRerun(x, true)
+				p.recordRerun(x, true)
 				t.running++
-				if x.since == 0 {
-					x.since = p.r.Now()
+				if x.runningSince == 0 {
+					x.runningSince = p.runner.Now()
 				}
 			} else {
 				t.running--
 			}
 		}
-		if t.j.Final() {
+		if t.job.Final() {
 			p.stop(t, i, 0)
 		}
 		return
 	}
 	switch {
-	case e.Why == wire.WhyDone && !t.j.Spec.Service:
-		p.noteRerun(x, true)
+	case e.Why == wire.WhyDone && !t.job.Spec.Service:
+		p.recordRerun(x, true)
 		p.setTask(t, i, Ended)
-		p.recordOutcome(t, i)
-		p.succeeded(t, x)
-		p.maybeDone(t)
+		p.queueOutcome(t, i)
+		p.taskSucceeded(t, x)
+		p.completeIfDone(t)
 	case e.Why == wire.WhyError:
 		p.log.Debug("task ended with an error", "task", name, "machine", v.Name)
-		p.errored(t, x)
-		p.provenOff(t, i, "error")
+		p.taskFailed(t, x)
+		p.confirmTerminated(t, i, "error")
 	case e.Why == wire.WhyBusy:
 		// Another attempt of the task is active there. Until that one has ended, the task counts as on this machine.
 		for k := range v.Tasks {
 			if o := &v.Tasks[k]; o.Task == name && o.Active() {
-				p.n.Stop(v.Host, agent.Stop{Machine: v.Name, Task: name, Attempt: o.Attempt})
-				p.setSighting(t, i, true, true) // the stop may be lost, and the attempt that ends is the other one
+				p.node.Stop(v.Host, agent.Stop{Machine: v.Name, Task: name, Attempt: o.Attempt})
+				p.setListed(t, i, true, true) // the stop may be lost, and the attempt that ends is the other one
 				return
 			}
 		}
-		p.provenOff(t, i, "busy")
+		p.confirmTerminated(t, i, "busy")
 	default:
-		p.provenOff(t, i, e.Why)
+		p.confirmTerminated(t, i, e.Why)
 	}
-	p.dropIfOver(t)
+	p.forgetIfTerminated(t)
 }
 
-// clockTo returns the bound on the difference of two wall clocks, plus a margin.
-func (p *Placer) clockTo() loop.Micros { return p.clock.Difference }
+// clockBound returns the bound on the difference of two wall clocks, plus a margin.
+func (p *Placer) clockBound() loop.Micros { return p.clock.Difference }
 
 // startCanArrive reports whether a start of an attempt can still reach a worker, by the expiry recorded for that very
 // attempt. Attempts that this owner did not record were recorded by others before it read their team's records.
 func (p *Placer) startCanArrive(tm *team, attempt delivery.Attempt) bool {
-	wall := p.r.Wall()
+	wall := p.runner.Wall()
 	return p.expiries.CanArrive(attempt, wall) || wall <= p.clock.LatestArrivalOfRecorded(tm.loadedAt)
 }
 
-// provenOff returns a task to the queue after its termination was confirmed.
-func (p *Placer) provenOff(t *table, i int, why string) {
+// confirmTerminated returns a task to the queue after its termination was confirmed.
+func (p *Placer) confirmTerminated(t *jobTable, i int, why string) {
 	x := t.task(i)
-	p.log.Debug("task attempt confirmed terminated", "task", t.name(i), "machine", x.machine, "attempt", x.attempt, "why", why)
+	p.log.Debug("task attempt confirmed terminated", "task", t.taskName(i), "machine", x.machine, "attempt", x.attempt, "why", why)
 	p.setTask(t, i, Waiting)
-	p.dropIfOver(t)
+	p.forgetIfTerminated(t)
 }
 
-// forgets asks a machine to forget ended tasks whose outcome is recorded or not needed.
-func (p *Placer) forgets(v *agent.View, jobs []*job.Job) {
+// forgetEnded asks a machine to forget ended tasks whose outcome is recorded or not needed.
+func (p *Placer) forgetEnded(v *agent.View, jobs []*job.Job) {
 	if !v.Settled {
 		return
 	}
@@ -229,23 +229,23 @@
 		// knows; controllers before 0.9.1 rely on this check.
 		old := e.Attempt < x.attempt || (e.Attempt == x.attempt && (x.state == Completed || x.state == Waiting))
 		if old && !p.startCanArrive(tm, delivery.Attempt{Task: e.Task, Number: e.Attempt}) {
-			p.n.Stop(v.Host, agent.Stop{Machine: v.Name, Task: e.Task, Attempt: e.Attempt, Forget: true})
+			p.node.Stop(v.Host, agent.Stop{Machine: v.Name, Task: e.Task, Attempt: e.Attempt, Forget: true})
 		}
 	}
 }
 
 // Gone handles the deletion of a machine, which terminates all tasks on it.
 func (p *Placer) Gone(machine string) {
-	p.eachInUse(machine, func(r ref) {
-		if r.t.task(r.i).state == Placed {
+	p.eachInUse(machine, func(r taskRef) {
+		if r.table.task(r.index).state == Placed {
 			if sl := p.fleet.Slot(machine); sl != nil {
-				p.noteLost(r.t, r.i, sl.Heard)
+				p.recordLost(r.table, r.index, sl.Heard)
 			}
-			p.provenOff(r.t, r.i, "machine gone")
+			p.confirmTerminated(r.table, r.index, "machine gone")
 		}
 	})
 	p.fleet.Gone(machine)
-	delete(p.checked, machine)
-	p.blame.Gone(machine)
+	delete(p.checkRequestedAt, machine)
+	p.attribution.Gone(machine)
 	p.Kick()
 }
--- a/internal/placer/rerun.go
+++ b/internal/placer/rerun.go
@@ -5,39 +5,39 @@
 // reruns tracks the tasks of failed machines until they run again. The time from a machine's last report to the rerun
 // is the outage that users observe.
 type reruns struct {
-	open    int // tasks that do not run again yet
-	n       int // reruns since the first of the open tasks failed
+	pending int // tasks that do not run again yet
+	count   int // reruns since the first of the open tasks failed
 	longest loop.Micros
-	began   loop.Micros
+	since   loop.Micros
 }
 
-// noteLost records that a task failed with its machine; heard is the time of the machine's last report.
-func (p *Placer) noteLost(t *table, i int, heard loop.Micros) {
+// recordLost records that a task failed with its machine; heard is the time of the machine's last report.
+func (p *Placer) recordLost(t *jobTable, i int, heard loop.Micros) {
 	x := t.task(i)
-	if t.j.Final() || x.fellAt != 0 || heard == 0 {
+	if t.job.Final() || x.lostSince != 0 || heard == 0 {
 		return
 	}
-	x.fellAt = heard
+	x.lostSince = heard
 	o := &p.reruns
-	if o.open == 0 {
-		*o = reruns{began: heard}
+	if o.pending == 0 {
+		*o = reruns{since: heard}
 	}
-	o.open++
+	o.pending++
 }
 
-// noteRerun records that a task runs again, or that it is over and need not run.
-func (p *Placer) noteRerun(x *task, runs bool) {
-	if x.fellAt == 0 {
+// recordRerun records that a task runs again, or that it is over and need not run.
+func (p *Placer) recordRerun(x *task, runs bool) {
+	if x.lostSince == 0 {
 		return
 	}
 	o := &p.reruns
-	if took := p.r.Now() - x.fellAt; runs {
-		p.n.Meter.Rerun(took)
-		o.n++
+	if took := p.runner.Now() - x.lostSince; runs {
+		p.node.Meter.Rerun(took)
+		o.count++
 		o.longest = max(o.longest, took)
 	}
-	x.fellAt = 0
-	if o.open--; o.open == 0 {
-		p.log.Info("all tasks of failed machines run again or are over", "tasks", o.n, "longest_us", o.longest, "since_us", p.r.Now()-o.began)
+	x.lostSince = 0
+	if o.pending--; o.pending == 0 {
+		p.log.Info("all tasks of failed machines run again or are over", "tasks", o.count, "longest_us", o.longest, "since_us", p.runner.Now()-o.since)
 	}
 }
--- a/internal/placer/rivals.go
+++ b/internal/placer/rivals.go
@@ -12,102 +12,104 @@
 	"cleatpick/internal/wire"
 )
 
-// mostBefore bounds the number of earlier jobs whose placement is simulated to explain one job.
-const mostBefore = 12
+// maxSimulated bounds the number of earlier jobs whose placement is simulated to explain one job.
+const maxSimulated = 12
 
 // rival is a job that is served before the explained one and may take the capacity that it lacks.
 type rival struct {
-	t     *table
-	most  int  // tasks that it would place if no job came before it
-	n     int  // the same after earlier jobs of its team used their part of the limit
-	takes bool // a task of it fits where one task of the explained job does
-	may   bool // undecidable in advance whether it takes any capacity that the explained job needs
+	table       *jobTable
+	maxTasks    int  // tasks that it would place if no job came before it
+	tasks       int  // the same after earlier jobs of its team used their part of the limit
+	takesFuture bool // a task of it fits where one task of the explained job does
+	uncertain   bool // undecidable in advance whether it takes any capacity that the explained job needs
 }
 
-// lineWith lists the jobs that wait beside t, unordered, as they would rank if no predicate blocked t itself: t then
+// competitors lists the jobs that wait beside t, unordered, as they would rank if no predicate blocked t itself: t then
 // comes before later jobs within its team's guarantee.
-func (p *Placer) lineWith(t *table) (q []entryOf, within bool) {
-	q = p.waiting()
-	mine := p.guaranteed(t.team, t)
+func (p *Placer) competitors(t *jobTable) (q []queueEntry, within bool) {
+	q = p.waitingJobs()
+	mine := p.jobsWithinGuarantee(t.team, t)
 	for i := range q {
-		if q[i].t.team == t.team {
-			q[i].within = mine[q[i].t]
+		if q[i].table.team == t.team {
+			q[i].withinGuarantee = mine[q[i].table]
 		}
 	}
-	return slices.DeleteFunc(q, func(e entryOf) bool { return e.t == t }), mine[t]
+	return slices.DeleteFunc(q, func(e queueEntry) bool { return e.table == t }), mine[t]
 }
 
 // rivals lists the jobs that are served before self, or would be if no predicate blocked self, and how many tasks
 // each would place if there were capacity.
-func (p *Placer) rivals(q []entryOf, self *entryOf, limited, lifted bool, short int, types []wire.MachineType) (out []rival) {
-	t := self.t
+func (p *Placer) rivals(q []queueEntry, self *queueEntry, limited, lifted bool, short int, types []wire.MachineType) (out []rival) {
+	t := self.table
 	spoken := map[*team]agent.Room{}
-	q = slices.DeleteFunc(slices.Clone(q), func(e entryOf) bool { return !e.before(self) || !p.meet(e.t.j.Spec, t.j.Spec, types, lifted) })
-	slices.SortFunc(q, compare)
+	q = slices.DeleteFunc(slices.Clone(q), func(e queueEntry) bool {
+		return !e.precedes(self) || !p.sharePlace(e.table.job.Spec, t.job.Spec, types, lifted)
+	})
+	slices.SortFunc(q, compareEntries)
 	for i := range q {
-		o := q[i].t
-		n := p.missed(o)
+		o := q[i].table
+		n := p.waitingForCapacity(o)
 		if limited && o.team == t.team {
 			n = o.waiting() // it waits for the same limit
 		}
-		r := rival{t: o, most: min(n, p.probes(o)), takes: smaller(o.j.Spec, t.j.Spec)}
-		if r.n = r.most; !limited || o.team != t.team {
+		r := rival{table: o, maxTasks: min(n, p.probeLimit(o)), takesFuture: fitsWherever(o.job.Spec, t.job.Spec)}
+		if r.tasks = r.maxTasks; !limited || o.team != t.team {
 			g := p.facts(o)
 			g.Used.CPUs += spoken[o.team].CPUs
 			g.Used.GPUs += spoken[o.team].GPUs
-			r.n = min(r.n, g.Passes(gate.Limit))
+			r.tasks = min(r.tasks, g.Passes(gate.Limit))
 		}
-		if r.most <= 0 {
+		if r.maxTasks <= 0 {
 			continue
 		}
-		if o.j.Spec.Gang {
+		if o.job.Spec.Gang {
 			// A gang places all its tasks or none. For a larger one it cannot be decided in advance whether future
 			// capacity, together with what is free, is enough.
-			if r.most < o.waiting() || o.inUse > 0 {
+			if r.maxTasks < o.waiting() || o.inUse > 0 {
 				continue
 			}
-			if r.n < r.most {
-				r.n = 0
+			if r.tasks < r.maxTasks {
+				r.tasks = 0
 			}
-			if r.most > short {
-				r.may, r.takes = r.may || short > 0, false
+			if r.maxTasks > short {
+				r.uncertain, r.takesFuture = r.uncertain || short > 0, false
 			}
 		}
-		if !r.takes && !limited && !lifted {
+		if !r.takesFuture && !limited && !lifted {
 			out = append(out, r) // the free capacity does not fit it, and it takes none of the future capacity
 			continue
 		}
-		spoken[o.team] = agent.Room{CPUs: spoken[o.team].CPUs + float64(r.n)*o.j.Spec.CPUs, GPUs: spoken[o.team].GPUs + float64(r.n)*o.j.Spec.GPUs}
+		spoken[o.team] = agent.Room{CPUs: spoken[o.team].CPUs + float64(r.tasks)*o.job.Spec.CPUs, GPUs: spoken[o.team].GPUs + float64(r.tasks)*o.job.Spec.GPUs}
 		out = append(out, r)
 	}
 	return out
 }
 
-// ahead determines which jobs would take the capacity that this job lacks, or that it has and cannot use because of
+// jobsAhead determines which jobs would take the capacity that this job lacks, or that it has and cannot use because of
 // other predicates, and how many of its tasks would wait for that reason alone.
-func (p *Placer) ahead(f *explain.Facts, t *table, types []wire.MachineType) {
+func (p *Placer) jobsAhead(f *explain.Facts, t *jobTable, types []wire.MachineType) {
 	n := f.Gate.Waiting
 	limited := f.Gate.Passes(gate.Limit) < n
 	short := n - f.FitsAll                                   // single-task units of capacity that must become free
 	lifted := f.FitsAll > f.Fits || (f.Barred && f.Fits < n) // one of its reasons is a cordon
-	q, within := p.lineWith(t)
-	self := entryOf{t, within, t.turn()}
+	q, within := p.competitors(t)
+	self := queueEntry{t, within, t.queuedAt()}
 	if f.Within = within; short == 0 && !limited && !lifted {
 		return // there is capacity that the jobs before it cannot use
 	}
 	all := p.rivals(q, &self, limited, lifted, short, types)
 	coming := 0
 	for _, r := range all {
-		if r.takes {
-			coming += r.n
+		if r.takesFuture {
+			coming += r.tasks
 		}
 	}
 	f.Behind, f.Exact = min(short, coming), true
 	// If the team's limit or a cordon stopped blocking this job, it might stop blocking others, too. Those would be
 	// served first from the capacity that is free now.
 	if limited || lifted {
-		f.Sure = len(all) <= mostBefore
-		a, b := p.behind(f, t, all[:min(len(all), mostBefore)], limited, lifted, short)
+		f.Sure = len(all) <= maxSimulated
+		a, b := p.simulateBehind(f, t, all[:min(len(all), maxSimulated)], limited, lifted, short)
 		// The result then depends on which machine takes which task, so it is not certain.
 		f.Behind, f.Exact = min(a, b), false
 		if f.Behind == 0 {
@@ -116,9 +118,9 @@
 	}
 	maybe := 0
 	for _, r := range all {
-		if r.n < r.most || r.may {
+		if r.tasks < r.maxTasks || r.uncertain {
 			f.Exact = false
-			maybe += r.most
+			maybe += r.maxTasks
 		}
 	}
 	if f.Behind == 0 {
@@ -131,16 +133,16 @@
 		return
 	}
 	for _, r := range append(all, p.promoted(q, &self, all, types)...) {
-		if r.takes || r.may || r.n < r.most {
-			f.Ahead = append(f.Ahead, explain.Ahead{Job: r.t.j.ID, Team: r.t.team.cfg.Name, Priority: explain.PriorityName(r.t.j.Spec.Priority),
-				Tasks: r.most, CPUs: float64(r.most) * r.t.j.Spec.CPUs})
+		if r.takesFuture || r.uncertain || r.tasks < r.maxTasks {
+			f.Ahead = append(f.Ahead, explain.Ahead{Job: r.table.job.ID, Team: r.table.team.cfg.Name, Priority: explain.PriorityName(r.table.job.Spec.Priority),
+				Tasks: r.maxTasks, CPUs: float64(r.maxTasks) * r.table.job.Spec.CPUs})
 		}
 	}
 }
 
-// behind simulates how many of the job's tasks lack capacity once its rivals are placed: a if they use the free
+// simulateBehind simulates how many of the job's tasks lack capacity once its rivals are placed: a if they use the free
 // capacity first, b if they use the future capacity first.
-func (p *Placer) behind(f *explain.Facts, t *table, all []rival, limited, lifted bool, short int) (a, b int) {
+func (p *Placer) simulateBehind(f *explain.Facts, t *jobTable, all []rival, limited, lifted bool, short int) (a, b int) {
 	n := f.Gate.Waiting
 	there, later, fresh := p.fleet.Copies(lifted), p.fleet.Copies(lifted), p.fleet.All()
 	if lifted {
@@ -150,27 +152,27 @@
 	var by [2]agent.Room    // what this team's other jobs use of its limit in each case
 	for i := range all {
 		r := &all[i]
-		if !lifted && r.t.team != t.team {
+		if !lifted && r.table.team != t.team {
 			// No predicate changes for it, so it cannot use the free capacity.
-			if r.takes {
-				left, first = left+r.n, first-min(first, r.n)
+			if r.takesFuture {
+				left, first = left+r.tasks, first-min(first, r.tasks)
 			}
 			continue
 		}
-		got := p.takeAll(*r, r.n, there)
+		got := p.takeAll(*r, r.tasks, there)
 		use := [2]int{got, 0}
-		if r.takes {
-			left += r.n - got
-			use[1] = min(first, r.n)
+		if r.takesFuture {
+			left += r.tasks - got
+			use[1] = min(first, r.tasks)
 			first -= use[1]
 		}
-		use[1] += p.takeAll(*r, r.n-use[1], later)
+		use[1] += p.takeAll(*r, r.tasks-use[1], later)
 		// It may also use what earlier jobs leave.
-		r.may = r.may || got > 0 || use[1] > 0 || p.fleet.Trial(r.t.need(), r.most, fresh) > 0
-		if r.t.team == t.team && !limited {
+		r.uncertain = r.uncertain || got > 0 || use[1] > 0 || p.fleet.Trial(r.table.need(), r.maxTasks, fresh) > 0
+		if r.table.team == t.team && !limited {
 			for i, k := range use {
-				by[i].CPUs += float64(k) * r.t.j.Spec.CPUs
-				by[i].GPUs += float64(k) * r.t.j.Spec.GPUs
+				by[i].CPUs += float64(k) * r.table.job.Spec.CPUs
+				by[i].GPUs += float64(k) * r.table.job.Spec.GPUs
 			}
 		}
 	}
@@ -189,18 +191,18 @@
 
 // promoted lists the later jobs that would move into their team's guarantee, and so before this job, once the earlier
 // work is done.
-func (p *Placer) promoted(q []entryOf, self *entryOf, ahead []rival, types []wire.MachineType) (out []rival) {
+func (p *Placer) promoted(q []queueEntry, self *queueEntry, ahead []rival, types []wire.MachineType) (out []rival) {
 	teams := map[*team]bool{}
 	for _, r := range ahead {
-		teams[r.t.team] = true
+		teams[r.table.team] = true
 	}
 	for _, o := range q {
-		if o.within || !teams[o.t.team] || o.before(self) {
+		if o.withinGuarantee || !teams[o.table.team] || o.precedes(self) {
 			continue
 		}
-		o.within = true
-		if o.before(self) && p.meet(o.t.j.Spec, self.t.j.Spec, types, true) {
-			out = append(out, rival{t: o.t, most: o.t.waiting(), may: true})
+		o.withinGuarantee = true
+		if o.precedes(self) && p.sharePlace(o.table.job.Spec, self.table.job.Spec, types, true) {
+			out = append(out, rival{table: o.table, maxTasks: o.table.waiting(), uncertain: true})
 		}
 	}
 	return out
@@ -208,25 +210,25 @@
 
 // takeAll places a rival's tasks on copies of the slots; a gang places all or none.
 func (p *Placer) takeAll(r rival, n int, slots []*fleet.Slot) int {
-	if n <= 0 || (r.t.j.Spec.Gang && p.fleet.Trial(r.t.need(), n, slots) < n) {
+	if n <= 0 || (r.table.job.Spec.Gang && p.fleet.Trial(r.table.need(), n, slots) < n) {
 		return 0
 	}
-	return p.fleet.Take(r.t.need(), n, slots)
+	return p.fleet.Take(r.table.need(), n, slots)
 }
 
-func (p *Placer) probes(t *table) int {
+func (p *Placer) probeLimit(t *jobTable) int {
 	f := p.facts(t)
 	return f.Passes(gate.Probe)
 }
 
-// smaller reports whether a task of o fits wherever a task of s does.
-func smaller(o, s *job.Spec) bool {
+// fitsWherever reports whether a task of o fits wherever a task of s does.
+func fitsWherever(o, s *job.Spec) bool {
 	return o.CPUs <= s.CPUs && o.GPUs <= s.GPUs && o.MemoryGB <= s.MemoryGB
 }
 
-// meet reports whether both jobs allow some common place that is open to starts; lifted ignores cordons. It is true
-// while no machine types are known.
-func (p *Placer) meet(o, s *job.Spec, types []wire.MachineType, lifted bool) bool {
+// sharePlace reports whether both jobs allow some common place that is open to starts; lifted ignores cordons. It is
+// true while no machine types are known.
+func (p *Placer) sharePlace(o, s *job.Spec, types []wire.MachineType, lifted bool) bool {
 	for i := range types {
 		typ := &types[i]
 		for _, zone := range typ.Zones {
--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -9,156 +9,156 @@
 )
 
 const (
-	// holdLife is how long capacity stays reserved for a task that is served out of order. Even on a machine that is
-	// always full some task ends within that time. Afterwards a new place is sought.
-	holdLife = 20 * loop.Second
-	// mostHeld bounds the tasks of one job for which capacity is reserved at once.
-	mostHeld = 8
+	// reservationLife is how long capacity stays reserved for a task that is served out of order. Even on a machine
+	// that is always full some task ends within that time. Afterwards a new place is sought.
+	reservationLife = 20 * loop.Second
+	// maxReserved bounds the tasks of one job for which capacity is reserved at once.
+	maxReserved = 8
 )
 
 // serveLongestWaiting gives a fraction of the freed capacity to the jobs that have waited longest, out of the order
 // of service. If such a task fits nowhere, capacity is reserved for it; otherwise small tasks would take whatever
 // becomes free before a large one fits. Nothing is preempted for it.
-func (p *Placer) serveLongestWaiting(q []entryOf, open []*fleet.Slot, chosen *[]hostStart) {
-	now := p.r.Now()
-	if p.reserve.Earn(now, p.turn.Rate*p.share()); !p.reserve.Owes() {
+func (p *Placer) serveLongestWaiting(q []queueEntry, open []*fleet.Slot, chosen *[]hostStart) {
+	now := p.runner.Now()
+	if p.starvation.Earn(now, p.turnover.Rate*p.expectedShare()); !p.starvation.Owes() {
 		return // the usual case, and cheap where scanning a long queue would not be
 	}
 	tables, waiters := p.longWaiting(q, now)
 	if len(waiters) == 0 {
 		return
 	}
-	for _, pick := range p.reserve.Pick(now, waiters) {
-		p.serveBeforeTurn(tables[pick.At], &waiters[pick.At], pick.Tasks, open, chosen)
+	for _, pick := range p.starvation.Pick(now, waiters) {
+		p.serveOutOfOrder(tables[pick.At], &waiters[pick.At], pick.Tasks, open, chosen)
 	}
 }
 
 // longWaiting lists the jobs that have waited long enough to be served out of order.
-func (p *Placer) longWaiting(q []entryOf, now loop.Micros) (tables []*table, waiters []starvation.Waiter) {
+func (p *Placer) longWaiting(q []queueEntry, now loop.Micros) (tables []*jobTable, waiters []starvation.Waiter) {
 	for _, e := range q {
-		t := e.t
-		if now-t.at < starvation.After {
+		t := e.table
+		if now-t.acceptedAt < starvation.After {
 			continue
 		}
-		p.refundHeld(t)
+		p.refundReserved(t)
 		f := p.facts(t)
 		if n := min(f.Passes(gate.Probe), f.Passes(gate.Limit), t.waiting()); n > 0 {
 			tables = append(tables, t)
-			waiters = append(waiters, starvation.Waiter{ID: t.j.ID, Class: t.turnClass(), At: t.at, Since: t.pieceAt, Tasks: n, CPUs: t.j.Spec.CPUs})
+			waiters = append(waiters, starvation.Waiter{ID: t.job.ID, Class: t.reserveClass(), At: t.acceptedAt, Since: t.servedEarlyAt, Tasks: n, CPUs: t.job.Spec.CPUs})
 		}
 	}
 	return tables, waiters
 }
 
-// serveBeforeTurn places tasks of a job out of order, or reserves capacity for them.
-func (p *Placer) serveBeforeTurn(t *table, w *starvation.Waiter, tasks int, open []*fleet.Slot, chosen *[]hostStart) {
+// serveOutOfOrder places tasks of a job out of order, or reserves capacity for them.
+func (p *Placer) serveOutOfOrder(t *jobTable, w *starvation.Waiter, tasks int, open []*fleet.Slot, chosen *[]hostStart) {
 	// A job served before it may have used the rest of their team's limit.
 	f := p.facts(t)
 	n := min(tasks, f.Passes(gate.Limit))
-	if t.j.Spec.Gang {
+	if t.job.Spec.Gang {
 		n = min(t.waiting(), f.Passes(gate.Limit))
 	}
 	if n <= 0 {
 		return
 	}
 	got, held := 0, p.fleet.Held(w.ID)
-	if !t.j.Spec.Gang || p.gangFits(t) {
-		got = p.fill(t, n, open, chosen)
+	if !t.job.Spec.Gang || p.gangFits(t) {
+		got = p.placeTasks(t, n, open, chosen)
 	}
 	used := held - p.fleet.Held(w.ID)
-	t.useHeld(used)
+	t.useReserved(used)
 	given := got - used // reserved capacity is already paid for
 	if got == 0 && held == 0 {
-		given = p.holdBeforeTurn(t, w, n)
+		given = p.reserveOutOfOrder(t, w, n)
 	}
 	if given > 0 {
-		p.log.Debug("job served out of order because it waited long", "job", w.ID, "class", t.j.Spec.Class, "team", t.j.Spec.Team, "begun", w.Class == t.j.Spec.Team, "tasks", given, "of_cpus", w.CPUs, "waits_us", p.r.Now()-w.At)
-		p.reserve.Spend(w.Class, float64(given)*w.CPUs)
+		p.log.Debug("job served out of order because it waited long", "job", w.ID, "class", t.job.Spec.Class, "team", t.job.Spec.Team, "begun", w.Class == t.job.Spec.Team, "tasks", given, "of_cpus", w.CPUs, "waits_us", p.runner.Now()-w.At)
+		p.starvation.Spend(w.Class, float64(given)*w.CPUs)
 	} else if got == 0 && held == 0 {
-		p.reserve.Defer(w.Class)
+		p.starvation.Defer(w.Class)
 		return
 	}
-	t.pieceAt = p.r.Now()
+	t.servedEarlyAt = p.runner.Now()
 }
 
-// holdBeforeTurn reserves capacity for up to n unplaced tasks of a job and returns for how many.
-func (p *Placer) holdBeforeTurn(t *table, w *starvation.Waiter, n int) int {
+// reserveOutOfOrder reserves capacity for up to n unplaced tasks of a job and returns for how many.
+func (p *Placer) reserveOutOfOrder(t *jobTable, w *starvation.Waiter, n int) int {
 	need := t.need()
-	if !t.j.Spec.Gang {
-		n = min(n, mostHeld)
+	if !t.job.Spec.Gang {
+		n = min(n, maxReserved)
 	}
-	claims := p.fleet.Hold(&need, n, holdLife)
-	p.claimed(claims)
-	p.n.Meter.Held(len(claims))
-	t.heldCPUs, t.heldFor = float64(len(claims))*w.CPUs, w.Class
-	p.log.Debug("capacity reserved for a job that waited long and fits nowhere", "job", w.ID, "tasks", len(claims), "waits_us", p.r.Now()-w.At)
+	claims := p.fleet.Hold(&need, n, reservationLife)
+	p.recordReservations(claims)
+	p.node.Meter.Held(len(claims))
+	t.reservedCPUs, t.reservedClass = float64(len(claims))*w.CPUs, w.Class
+	p.log.Debug("capacity reserved for a job that waited long and fits nowhere", "job", w.ID, "tasks", len(claims), "waits_us", p.runner.Now()-w.At)
 	return len(claims)
 }
 
 // begun reports whether tasks of the job run, may run or are done.
-func (t *table) begun() bool { return t.inUse+t.completed > 0 }
+func (t *jobTable) begun() bool { return t.inUse+t.completed > 0 }
 
-// turnClass returns the class by which the reserve shares out what is served out of order: each class of a team for
+// reserveClass returns the class by which the reserve shares out what is served out of order: each class of a team for
 // its jobs that have not begun, and one for all jobs of the team that have. A job that has begun must not keep others
 // of its class from beginning for as long as it has tasks left.
-func (t *table) turnClass() string {
+func (t *jobTable) reserveClass() string {
 	if t.begun() {
-		return t.j.Spec.Team
+		return t.job.Spec.Team
 	}
-	return unbegunClass(t.j.Spec)
+	return unbegunClass(t.job.Spec)
 }
 
 // unbegunClass returns the class of a job that has not begun.
 func unbegunClass(s *job.Spec) string { return s.Team + "\x00" + s.Class }
 
-// fillInTurn places tasks in the order of service and reports them to the reserve.
-func (p *Placer) fillInTurn(t *table, n int, free []*fleet.Slot, chosen *[]hostStart) int {
-	held, class := p.fleet.Held(t.j.ID), t.turnClass()
-	got := p.fill(t, n, free, chosen)
-	used := held - p.fleet.Held(t.j.ID)
-	t.useHeld(used)
+// placeInOrder places tasks in the order of service and reports them to the reserve.
+func (p *Placer) placeInOrder(t *jobTable, n int, free []*fleet.Slot, chosen *[]hostStart) int {
+	held, class := p.fleet.Held(t.job.ID), t.reserveClass()
+	got := p.placeTasks(t, n, free, chosen)
+	used := held - p.fleet.Held(t.job.ID)
+	t.useReserved(used)
 	if new := got - used; new > 0 { // reserved capacity is already counted
-		p.reserve.Serve(class, float64(new)*t.j.Spec.CPUs)
+		p.starvation.Serve(class, float64(new)*t.job.Spec.CPUs)
 	}
 	return got
 }
 
-// useHeld accounts for tasks that used capacity reserved for them.
-func (t *table) useHeld(tasks int) {
-	t.heldCPUs = max(t.heldCPUs-float64(tasks)*t.j.Spec.CPUs, 0)
+// useReserved accounts for tasks that used capacity reserved for them.
+func (t *jobTable) useReserved(tasks int) {
+	t.reservedCPUs = max(t.reservedCPUs-float64(tasks)*t.job.Spec.CPUs, 0)
 }
 
-// refundHeld returns a class its charge if capacity reserved out of order was not used before the reservation
+// refundReserved returns a class its charge if capacity reserved out of order was not used before the reservation
 // expired, because the tasks beside it ran for too long.
-func (p *Placer) refundHeld(t *table) {
-	if t.heldCPUs > 0 && p.fleet.Held(t.j.ID) == 0 {
-		p.reserve.Refund(t.heldFor, t.heldCPUs)
-		t.heldCPUs = 0
+func (p *Placer) refundReserved(t *jobTable) {
+	if t.reservedCPUs > 0 && p.fleet.Held(t.job.ID) == 0 {
+		p.starvation.Refund(t.reservedClass, t.reservedCPUs)
+		t.reservedCPUs = 0
 	}
 }
 
-// restoreTurns continues the accounting of earlier owners for a team's classes. Otherwise a class that got nothing
+// restoreAccounting continues the accounting of earlier owners for a team's classes. Otherwise a class that got nothing
 // yet would fall behind the others again with each new owner.
-func (p *Placer) restoreTurns(tm *team) {
-	for class, cpus := range p.turnsOf(tm) {
-		p.reserve.Restore(class, cpus)
+func (p *Placer) restoreAccounting(tm *team) {
+	for class, cpus := range p.accountingOf(tm) {
+		p.starvation.Restore(class, cpus)
 	}
 }
 
-// turnsOf derives from a team's records how many CPUs its classes got: the first task of each unfinished job that has
-// begun, all of them for a gang, and for the class of begun jobs all their tasks together.
-func (p *Placer) turnsOf(tm *team) map[string]float64 {
+// accountingOf derives from a team's records how many CPUs its classes got: the first task of each unfinished job
+// that has begun, all of them for a gang, and for the class of begun jobs all their tasks together.
+func (p *Placer) accountingOf(tm *team) map[string]float64 {
 	got := map[string]float64{}
 	for _, t := range tm.inOrder() {
-		if t.j.Final() || !t.begun() {
+		if t.job.Final() || !t.begun() {
 			continue
 		}
 		first := 1
-		if t.j.Spec.Gang {
-			first = t.j.Tasks
+		if t.job.Spec.Gang {
+			first = t.job.Tasks
 		}
-		got[unbegunClass(t.j.Spec)] += float64(first) * t.j.Spec.CPUs
-		got[t.turnClass()] += float64(t.inUse+t.completed) * t.j.Spec.CPUs
+		got[unbegunClass(t.job.Spec)] += float64(first) * t.job.Spec.CPUs
+		got[t.reserveClass()] += float64(t.inUse+t.completed) * t.job.Spec.CPUs
 	}
 	return got
 }
--- a/internal/placer/table.go
+++ b/internal/placer/table.go
@@ -41,76 +41,76 @@
 
 // task is the owner's state of one task: its newest attempt and what is known of it.
 type task struct {
-	state   TaskState
-	attempt uint64
-	machine string
-	session uint64
-	expiry  loop.Micros // wall-clock time after which no controller passes the start on
-	ours    bool        // recorded by this owner, which therefore knows where the start was sent
-	sentTo  string      // host controller to which the start was sent last
-	life    loop.Micros // incarnation of that host controller
-	spread  bool        // sent to more than one host controller, or to more than one incarnation
-	sentAt  loop.Micros
-	chosen  loop.Micros // when its machine was chosen
-	failed  bool        // the previous attempt ended in an error
-	seen    bool        // its machine has listed it
-	pending bool        // further views are needed to decide whether it is terminated
-	running bool
-	since   loop.Micros // when it was first seen running
-	stopAt  loop.Micros // when a stop was last sent
-	fellAt  loop.Micros // time of the last report from its failed machine; 0: runs again, or its machine never failed
-	seg     *segment    // segment with its newest record; nil: never recorded
+	state             TaskState
+	attempt           uint64
+	machine           string
+	session           uint64
+	expiry            loop.Micros // wall-clock time after which no controller passes the start on
+	recordedHere      bool        // recorded by this owner, which therefore knows where the start was sent
+	sentTo            string      // host controller to which the start was sent last
+	sentToIncarnation loop.Micros // incarnation of that host controller
+	sentToSeveral     bool        // sent to more than one host controller, or to more than one incarnation
+	sentAt            loop.Micros
+	chosenAt          loop.Micros // when its machine was chosen
+	failed            bool        // the previous attempt ended in an error
+	listed            bool        // its machine has listed it
+	recheck           bool        // further views are needed to decide whether it is terminated
+	running           bool
+	runningSince      loop.Micros // when it was first seen running
+	stopSentAt        loop.Micros // when a stop was last sent
+	lostSince         loop.Micros // time of the last report from its failed machine; 0: runs again, or its machine never failed
+	segment           *segment    // segment with its newest record; nil: never recorded
 }
 
 // inUse reports whether the task counts against its team's limit.
 func (t *task) inUse() bool { return t.state == Recording || t.state == Placed }
 
-// table holds a job's tasks and their counts, at the owner of its team.
-type table struct {
-	j         *job.Job
-	team      *team
-	blocks    []*[blockSize]task
-	next      int   // this task and all above it were never placed
-	back      []int // tasks to be placed again
-	inUse     int
-	completed int // tasks in state Ended or Completed
-	recorded  int // tasks in state Completed
-	running   int
-	zones     map[string]int // tasks in use by zone
-	closing   bool           // the job's completion is being stored
-	late      []int          // failed tasks, to be placed again after all others
-	trial     health.Trial
-	shun      map[string]struct{} // machines on which it failed recently
-	damaged   bool                // a record of its tasks cannot be decoded
-	amendAt   loop.Micros         // its record is not amended again before this time
-	short     gate.Kind           // machine predicate that left its tasks unplaced in the newest pass; 0: none
-	shortAt   loop.Micros
-	stopped   map[string]string // by machine: the job for which tasks of this job were preempted there
-	causes    []gate.Cause      // as last sent to the peers
-	toldAt    loop.Micros       // wall-clock time at which they were sent; 0: never by this owner
-	toldTimes int               // how often they were sent since they last changed
-	at        loop.Micros       // when it was accepted, by the monotonic clock
-	pieceAt   loop.Micros       // when it was last served out of order; at, if never
-	heldCPUs  float64           // CPUs reserved for it out of order and not used yet
-	heldFor   string            // class in the starvation reserve that was charged for them
-	missing   loop.Micros       // since when tasks of it are unplaced; 0: none is
-	toldDone  int64
-	toldRun   int64
+// jobTable holds a job's tasks and their counts, at the owner of its team.
+type jobTable struct {
+	job             *job.Job
+	team            *team
+	blocks          []*[blockSize]task
+	firstUnplaced   int   // this task and all above it were never placed
+	requeued        []int // tasks to be placed again
+	inUse           int
+	completed       int // tasks in state Ended or Completed
+	recorded        int // tasks in state Completed
+	running         int
+	zones           map[string]int // tasks in use by zone
+	completing      bool           // the job's completion is being stored
+	failedTasks     []int          // failed tasks, to be placed again after all others
+	probation       health.Trial
+	avoid           map[string]struct{} // machines on which it failed recently
+	damaged         bool                // a record of its tasks cannot be decoded
+	nextAmendAt     loop.Micros         // its record is not amended again before this time
+	unplacedCause   gate.Kind           // machine predicate that left its tasks unplaced in the newest pass; 0: none
+	unplacedCauseAt loop.Micros
+	preemptedFor    map[string]string // by machine: the job for which tasks of this job were preempted there
+	causes          []gate.Cause      // as last sent to the peers
+	causesSentAt    loop.Micros       // wall-clock time at which they were sent; 0: never by this owner
+	causesSentTimes int               // how often they were sent since they last changed
+	acceptedAt      loop.Micros       // when it was accepted, by the monotonic clock
+	servedEarlyAt   loop.Micros       // when it was last served out of order; acceptedAt if never
+	reservedCPUs    float64           // CPUs reserved for it out of order and not used yet
+	reservedClass   string            // class in the starvation reserve that was charged for them
+	unplacedSince   loop.Micros       // since when tasks of it are unplaced; 0: none is
+	sentDone        int64
+	sentRunning     int64
 }
 
 // team holds the jobs of an owned team and the resources that their tasks use.
 type team struct {
-	cfg    config.Team
-	quota  config.Quota
-	part   *ownedPartition
-	loaded bool // its records have been read
+	cfg       config.Team
+	quota     config.Quota
+	partition *ownedPartition
+	loaded    bool // its records have been read
 	// loadedAt is the wall-clock time at which its records had been read. Every record of other owners is older.
-	loadedAt loop.Micros
-	jobs     map[string]*table
-	order    []*table // jobs in order of acceptance; nil: to be rebuilt
-	cpus     float64
-	gpus     float64
-	short    shortfall
+	loadedAt  loop.Micros
+	jobs      map[string]*jobTable
+	order     []*jobTable // jobs in order of acceptance; nil: to be rebuilt
+	cpus      float64
+	gpus      float64
+	shortfall shortfall
 }
 
 // inUse returns the number of the team's tasks that may be on machines.
@@ -124,41 +124,41 @@
 
 // inOrder lists the team's jobs in order of acceptance. The list is cached, because passes ask for it far more often
 // than jobs are added or removed.
-func (tm *team) inOrder() []*table {
+func (tm *team) inOrder() []*jobTable {
 	if tm.order == nil {
-		tm.order = slices.SortedFunc(maps.Values(tm.jobs), accepted)
+		tm.order = slices.SortedFunc(maps.Values(tm.jobs), byAcceptance)
 	}
 	return tm.order
 }
 
-func accepted(a, b *table) int {
-	return cmp.Or(cmp.Compare(a.j.At, b.j.At), cmp.Compare(a.j.ID, b.j.ID))
+func byAcceptance(a, b *jobTable) int {
+	return cmp.Or(cmp.Compare(a.job.At, b.job.At), cmp.Compare(a.job.ID, b.job.ID))
 }
 
-// enter adds a job and keeps the cached order; drop removes one. Sorting all jobs at each change took 2% of a large
+// addJob adds a job and keeps the cached order; drop removes one. Sorting all jobs at each change took 2% of a large
 // controller's time. Both copy the list, since a caller may be iterating over it.
-func (tm *team) enter(t *table) {
-	tm.jobs[t.j.ID] = t
+func (tm *team) addJob(t *jobTable) {
+	tm.jobs[t.job.ID] = t
 	if tm.order != nil {
-		i, _ := slices.BinarySearchFunc(tm.order, t, accepted)
-		tm.order = slices.Concat(tm.order[:i], []*table{t}, tm.order[i:])
+		i, _ := slices.BinarySearchFunc(tm.order, t, byAcceptance)
+		tm.order = slices.Concat(tm.order[:i], []*jobTable{t}, tm.order[i:])
 	}
 }
 
-func (tm *team) drop(t *table) {
-	delete(tm.jobs, t.j.ID)
-	if i, ok := slices.BinarySearchFunc(tm.order, t, accepted); ok {
+func (tm *team) removeJob(t *jobTable) {
+	delete(tm.jobs, t.job.ID)
+	if i, ok := slices.BinarySearchFunc(tm.order, t, byAcceptance); ok {
 		tm.order = slices.Concat(tm.order[:i], tm.order[i+1:])
 	}
 }
 
-// ref identifies a task by its table and its index.
-type ref struct {
-	t *table
-	i int
+// taskRef identifies a task by its table and its index.
+type taskRef struct {
+	table *jobTable
+	index int
 }
 
-func (t *table) task(i int) *task {
+func (t *jobTable) task(i int) *task {
 	b := t.blocks[i/blockSize]
 	if b == nil {
 		b = new([blockSize]task)
@@ -168,47 +168,50 @@
 }
 
 // each calls f for the tasks whose block is allocated.
-func (t *table) each(f func(i int, x *task)) {
+func (t *jobTable) each(f func(i int, x *task)) {
 	for n, b := range t.blocks {
 		if b == nil {
 			continue
 		}
 		for k := range b {
-			if i := n*blockSize + k; i < t.j.Tasks {
+			if i := n*blockSize + k; i < t.job.Tasks {
 				f(i, &b[k])
 			}
 		}
 	}
 }
 
-func (t *table) name(i int) string { return agent.TaskName(t.j.ID, i) }
+func (t *jobTable) taskName(i int) string { return agent.TaskName(t.job.ID, i) }
 
 // waiting returns the number of tasks that can be placed.
-func (t *table) waiting() int { return len(t.back) + len(t.late) + t.j.Tasks - t.next }
+func (t *jobTable) waiting() int {
+	return len(t.requeued) + len(t.failedTasks) + t.job.Tasks - t.firstUnplaced
+}
 
-// pop removes and returns the next waiting task: first tasks that ran before, then new ones, then those that failed.
-func (t *table) pop() int {
-	if n := len(t.back); n > 0 {
-		i := t.back[n-1]
-		t.back = t.back[:n-1]
+// popWaiting removes and returns the next waiting task: first tasks that ran before, then new ones, then those that
+// failed.
+func (t *jobTable) popWaiting() int {
+	if n := len(t.requeued); n > 0 {
+		i := t.requeued[n-1]
+		t.requeued = t.requeued[:n-1]
 		return i
 	}
-	if t.next < t.j.Tasks {
-		t.next++
-		return t.next - 1
+	if t.firstUnplaced < t.job.Tasks {
+		t.firstUnplaced++
+		return t.firstUnplaced - 1
 	}
-	i := t.late[0]
-	t.late = t.late[1:]
+	i := t.failedTasks[0]
+	t.failedTasks = t.failedTasks[1:]
 	return i
 }
 
 // setTask is the only function that changes a task's state. It keeps the team's use, the job's counts and the list of
 // tasks on each machine up to date.
-func (p *Placer) setTask(t *table, i int, s TaskState) {
+func (p *Placer) setTask(t *jobTable, i int, s TaskState) {
 	x := t.task(i)
 	was, wasIn := x.state, x.inUse()
 	x.state = s
-	spec := t.j.Spec
+	spec := t.job.Spec
 	zone := p.zoneOf(x.machine)
 	if in := x.inUse(); in != wasIn {
 		sign := 1
@@ -220,7 +223,7 @@
 		t.team.gpus += float64(sign) * spec.GPUs
 		t.zones[zone] += sign
 		p.fleet.Touch(p.fleet.Slot(x.machine))
-		r := ref{t, i}
+		r := taskRef{t, i}
 		if in {
 			p.addInUse(r)
 		} else {
@@ -241,15 +244,15 @@
 		}
 	}
 	if s == Waiting && was != Waiting {
-		x.seen, x.pending, x.ours, x.sentTo, x.life, x.spread, x.sentAt, x.stopAt = false, false, false, "", 0, false, 0, 0
+		x.listed, x.recheck, x.recordedHere, x.sentTo, x.sentToIncarnation, x.sentToSeveral, x.sentAt, x.stopSentAt = false, false, false, "", 0, false, 0, 0
 		if x.failed {
-			t.late = append(t.late, i)
+			t.failedTasks = append(t.failedTasks, i)
 		} else {
-			t.back = append(t.back, i)
+			t.requeued = append(t.requeued, i)
 		}
 	}
 }
 
 // zoneOf returns the zone of a machine. It is kept after the machine's deletion, because the counts by zone must not
 // change while a task is in use.
-func (p *Placer) zoneOf(machine string) string { return p.zoneMemo[machine] }
+func (p *Placer) zoneOf(machine string) string { return p.zoneByMachine[machine] }
--- a/internal/placer/tasklog.go
+++ b/internal/placer/tasklog.go
@@ -17,36 +17,36 @@
 // records the end supersedes the others. The order in which segments are read therefore does not matter.
 
 const (
-	// outcomeSoon is how long outcomes wait at least for a write of their own, while the write limit is mostly
-	// unused; after outcomeLate they are written in any case.
-	outcomeSoon = 500 * loop.Millisecond
-	outcomeLate = 3 * loop.Second
-	// gather is the minimum time that a start waits for its write. In that time its host controller can report that
+	// outcomeMinDelay is how long outcomes wait at least for a write of their own, while the write limit is mostly
+	// unused; after outcomeMaxDelay they are written in any case.
+	outcomeMinDelay = 500 * loop.Millisecond
+	outcomeMaxDelay = 3 * loop.Second
+	// gatherTime is the minimum time that a start waits for its write. In that time its host controller can report that
 	// another owner took the capacity.
-	gather = 35 * loop.Millisecond
+	gatherTime = 35 * loop.Millisecond
 )
 
 func segmentKey(prefix string, no int) string { return fmt.Sprintf("%s%08d", prefix, no) }
 
 // segment is one part of a task log.
 type segment struct {
-	key  string
-	mark uint64
-	refs []ref // entries written to it; some are superseded in later segments
-	live int   // tasks whose newest record is here
-	size int   // upper bound on its encoded size in bytes
+	key      string
+	revision uint64
+	refs     []taskRef // entries written to it; some are superseded in later segments
+	live     int       // tasks whose newest record is here
+	size     int       // upper bound on its encoded size in bytes
 }
 
 // taskLog is the log of an owned partition.
 type taskLog struct {
-	prefix   string // of the segments' keys
-	next     int    // number of the next segment
-	open     *segment
-	closed   map[string]*segment // by key; includes segments of the own logs of teams assigned to the partition
-	starts   []ref               // machine chosen, waiting to be recorded
-	outcomes []ref               // ended, waiting to be recorded
-	since    loop.Micros
-	busy     bool // a write is in flight or its outcome is uncertain
+	prefix        string // of the segments' keys
+	next          int    // number of the next segment
+	open          *segment
+	closed        map[string]*segment // by key; includes segments of the own logs of teams assigned to the partition
+	starts        []taskRef           // machine chosen, waiting to be recorded
+	outcomes      []taskRef           // ended, waiting to be recorded
+	outcomesSince loop.Micros
+	writing       bool // a write is in flight or its outcome is uncertain
 }
 
 // machineEntry stores a machine's name and zone, which are needed when no reports of the machine arrive any more.
@@ -68,11 +68,11 @@
 	Expiry  int64
 }
 
-// The states of a task in a stored segment; storedOff is an attempt that is confirmed terminated.
+// The states of a task in a stored segment; storedTerminated is an attempt that is confirmed terminated.
 const (
-	storedOff    = 0
-	storedPlaced = 1
-	storedDone   = 2
+	storedTerminated = 0
+	storedPlaced     = 1
+	storedDone       = 2
 )
 
 // jobEntry lists the recorded tasks of one job.
@@ -95,12 +95,12 @@
 
 // write is one transaction on a segment, from its composition until its outcome is certain.
 type write struct {
-	seg  *segment
-	rec  segmentRecord
-	jobs []*table    // jobs whose starts it records
-	cond []wire.Cond // conditions on these, as known when the record was composed
-	dead []*segment
-	refs []refAttempt // the attempts that it records
+	segment    *segment
+	rec        segmentRecord
+	jobs       []*jobTable // jobs whose starts it records
+	conditions []wire.Cond // conditions on these, as known when the record was composed
+	emptied    []*segment
+	refs       []refAttempt // the attempts that it records
 	// moves lists the tasks whose newest record was elsewhere before.
 	moves []move
 	bytes int // upper bound on the size of the record
@@ -108,13 +108,13 @@
 
 // move tells which segment held a task's newest record before a write; from is nil if none did.
 type move struct {
-	ref
+	taskRef
 	from *segment
 }
 
 // refAttempt is a task with the recorded attempt and state.
 type refAttempt struct {
-	ref
+	taskRef
 	attempt uint64
 	state   int
 }
@@ -128,8 +128,8 @@
 // inherited reports whether a segment belongs to the own log of a team that was assigned to the partition.
 func (l *taskLog) inherited(s *segment) bool { return !strings.HasPrefix(s.key, l.prefix) }
 
-// inherits reports whether such segments remain.
-func (l *taskLog) inherits() bool {
+// hasInherited reports whether such segments remain.
+func (l *taskLog) hasInherited() bool {
 	for _, s := range l.closed {
 		if l.inherited(s) {
 			return true
--- a/internal/placer/terms_test.go
+++ b/internal/placer/terms_test.go
@@ -144,7 +144,7 @@
 // The owner of preempted tasks records for which job they were preempted, whichever controller preempted them.
 func TestStoppedForWhom(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 50}, config.Team{Name: "blue", CPUs: 8, CPUsMax: 50})
-	g.p.n.Tells = true
+	g.p.node.Tells = true
 	g.show("n-001", "m8", "x", false)
 	spec := job.Spec{Class: "k", Team: "red", Priority: job.Low, Tasks: 2, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second, Checkpoint: loop.Second, Save: 5 * loop.Second}
 	low := g.job(1, spec)
@@ -204,7 +204,7 @@
 		g.show("n-002", "m8", "x", false)
 		g.seq++
 		g.a.Learn(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 2, Seq: g.seq, Settled: true, At: g.Now()})
-		if counted := g.p.reruns.open == 1; counted != known {
+		if counted := g.p.reruns.pending == 1; counted != known {
 			t.Errorf("machine known before: %v, outage measured: %v", known, counted)
 		}
 	}
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -11,13 +11,13 @@
 
 // tick repeats messages that may have been lost, and publishes usage, progress and demand.
 func (p *Placer) tick() {
-	now, wall := p.r.Now(), p.r.Wall()
-	p.turn.Tick(now)
-	p.resend(now, wall)
-	if now >= p.sweepAt {
-		p.sweepAt = now + sweepEvery
+	now, wall := p.runner.Now(), p.runner.Wall()
+	p.turnover.Tick(now)
+	p.resendStarts(now, wall)
+	if now >= p.nextSweepAt {
+		p.nextSweepAt = now + sweepInterval
 		p.sweep()
-		p.tidyLogs()
+		p.moveInheritedLogs()
 		p.expiries.Prune(wall)
 	}
 	p.evict(now, wall)
@@ -27,42 +27,42 @@
 		if !tm.loaded {
 			continue
 		}
-		p.settle(tm)
+		p.applyTerms(tm)
 		use = append(use, peer.Usage{Team: tm.cfg.Name, CPUs: tm.cpus, GPUs: tm.gpus})
 		misses := false
 		for _, t := range tm.inOrder() {
-			misses = misses || t.missing != 0
+			misses = misses || t.unplacedSince != 0
 			d, run := int64(t.completed), int64(t.running)
-			news := d != t.toldDone || run != t.toldRun
-			if p.n.Tells && !t.j.Final() && p.newCauses(t, now-p.staleAfter(), wall) {
+			news := d != t.sentDone || run != t.sentRunning
+			if p.node.Tells && !t.job.Final() && p.updateCauses(t, now-p.staleAfter(), wall) {
 				news = true
 			}
 			if news {
-				t.toldDone, t.toldRun = d, run
-				news := peer.Progress{Job: t.j.ID, Done: d, Running: run}
-				if p.n.Tells {
+				t.sentDone, t.sentRunning = d, run
+				news := peer.Progress{Job: t.job.ID, Done: d, Running: run}
+				if p.node.Tells {
 					news.Causes, news.Waits, news.At = t.causes, true, wall
 				}
 				tell = append(tell, news)
 			}
 		}
-		p.followGuarantee(tm, misses, now)
+		p.trackGuarantee(tm, misses, now)
 	}
 	if len(tell) > 0 {
-		p.n.Tell(tell)
+		p.node.Tell(tell)
 	}
 	if len(use) > 0 {
-		p.n.Usage(use)
+		p.node.Usage(use)
 	}
 	p.Kick()
-	p.sendTally()
+	p.sendDemand()
 }
 
-// resend sends a start again if 800 ms later no view of its machine shows it.
-func (p *Placer) resend(now, wall loop.Micros) {
+// resendStarts sends a start again if 800 ms later no view of its machine shows it.
+func (p *Placer) resendStarts(now, wall loop.Micros) {
 	var open []string
-	for m, on := range p.on {
-		if len(on.open) > 0 {
+	for m, on := range p.tasksByMachine {
+		if len(on.unresolved) > 0 {
 			open = append(open, m)
 		}
 	}
@@ -72,49 +72,49 @@
 		if v == nil {
 			continue
 		}
-		for _, r := range sortedRefs(p.on[m].open) {
-			x := r.t.task(r.i)
-			if x.state == Placed && x.ours && !x.seen && !r.t.j.Final() && wall < x.expiry && now-x.sentAt > 800*loop.Millisecond &&
-				!v.Holds(r.t.name(r.i), x.attempt) && v.Find(r.t.name(r.i), x.attempt) == nil {
-				p.sendStart(r.t, r.i)
+		for _, r := range sortedRefs(p.tasksByMachine[m].unresolved) {
+			x := r.table.task(r.index)
+			if x.state == Placed && x.recordedHere && !x.listed && !r.table.job.Final() && wall < x.expiry && now-x.sentAt > 800*loop.Millisecond &&
+				!v.Holds(r.table.taskName(r.index), x.attempt) && v.Find(r.table.taskName(r.index), x.attempt) == nil {
+				p.sendStart(r.table, r.index)
 			}
 		}
 	}
 }
 
-// sweepEvery is the interval at which all tasks in use are checked. Views, deletions and the end of a job take effect
-// at once; the sweep repeats commands that were lost.
-const sweepEvery = 2 * loop.Second
+// sweepInterval is the interval at which all tasks in use are checked. Views, deletions and the end of a job take
+// effect at once; the sweep repeats commands that were lost.
+const sweepInterval = 2 * loop.Second
 
 // sweep repeats the stops of tasks whose job is final, and frees tasks on deleted machines.
 func (p *Placer) sweep() {
-	for m, on := range loop.Sorted(p.on) {
+	for m, on := range loop.Sorted(p.tasksByMachine) {
 		gone := p.agent.IsGone(m)
-		due := map[ref]struct{}{} // usually few of the tasks in use
+		due := map[taskRef]struct{}{} // usually few of the tasks in use
 		for r := range on.all {
-			if gone || r.t.j.Final() {
+			if gone || r.table.job.Final() {
 				due[r] = struct{}{}
 			}
 		}
 		for _, r := range sortedRefs(due) {
-			if r.t.task(r.i).state != Placed {
+			if r.table.task(r.index).state != Placed {
 				continue
 			}
 			if gone {
-				p.provenOff(r.t, r.i, "machine gone")
+				p.confirmTerminated(r.table, r.index, "machine gone")
 			} else {
-				p.stop(r.t, r.i, 0)
+				p.stop(r.table, r.index, 0)
 			}
 		}
 	}
 }
 
-// tidyLogs schedules moving the logs that teams brought into a partition into the log of the partition, even if
-// nothing else is to be recorded. Until that is done every load of the partition reads them as well.
-func (p *Placer) tidyLogs() {
+// moveInheritedLogs schedules moving the logs that teams brought into a partition into the log of the partition, even
+// if nothing else is to be recorded. Until that is done every load of the partition reads them as well.
+func (p *Placer) moveInheritedLogs() {
 	for _, part := range p.partitions {
-		if part.log.inherits() {
-			p.commitSoon(0)
+		if part.log.hasInherited() {
+			p.scheduleCommit(0)
 			return
 		}
 	}
@@ -127,33 +127,33 @@
 		if v.NoticeAt == 0 && !v.Closed {
 			return
 		}
-		p.eachInUse(v.Name, func(r ref) {
-			s := r.t.j.Spec
-			x := r.t.task(r.i)
+		p.eachInUse(v.Name, func(r taskRef) {
+			s := r.table.job.Spec
+			x := r.table.task(r.index)
 			if v.NoticeAt == 0 {
 				// The machine is not needed: tasks that can save a checkpoint move to another one, except tasks that
 				// began recently, whose start would have been wasted, and tasks that end soon anyway.
-				ran := now - x.since
+				ran := now - x.runningSince
 				if s.Checkpoint > 0 && x.running && ran > 30*loop.Second && s.Estimate-ran > 20*loop.Second {
-					p.stop(r.t, r.i, s.Save+loop.Second)
+					p.stop(r.table, r.index, s.Save+loop.Second)
 				}
 				return
 			}
-			if s.Checkpoint > 0 && x.seen && v.NoticeAt-wall < s.Save+3*loop.Second {
-				p.stop(r.t, r.i, s.Save+loop.Second)
+			if s.Checkpoint > 0 && x.listed && v.NoticeAt-wall < s.Save+3*loop.Second {
+				p.stop(r.table, r.index, s.Save+loop.Second)
 			}
 		})
 	})
 }
 
-func (p *Placer) sendTally() {
-	t := peer.Tally{Wall: p.r.Wall(), Wants: p.lastWant}
-	now := p.r.Now()
-	for m := range p.on {
+func (p *Placer) sendDemand() {
+	t := peer.Tally{Wall: p.runner.Wall(), Wants: p.unplaced}
+	now := p.runner.Now()
+	for m := range p.tasksByMachine {
 		if sl := p.fleet.Slot(m); sl == nil || now-sl.Heard > p.staleAfter() {
 			t.Suspect = append(t.Suspect, m)
 		}
 	}
 	sort.Strings(t.Suspect)
-	p.n.Tally(t)
+	p.node.Tally(t)
 }
--- a/internal/placer/turns_test.go
+++ b/internal/placer/turns_test.go
@@ -15,11 +15,11 @@
 // firstClass returns which of two classes the reserve serves first, if a job of each has waited equally long.
 func firstClass(g *rig, a, b string) string {
 	now := g.Now()
-	g.p.reserve.Earn(now, 1000)
-	g.p.reserve.Earn(now+loop.Second, 1000)
+	g.p.starvation.Earn(now, 1000)
+	g.p.starvation.Earn(now+loop.Second, 1000)
 	old := now - 2*starvation.After
 	waiters := []starvation.Waiter{{ID: "job-1", Class: a, At: old, Since: old, Tasks: 1, CPUs: 1}, {ID: "job-2", Class: b, At: old, Since: old, Tasks: 1, CPUs: 1}}
-	return waiters[g.p.reserve.Pick(now, waiters)[0].At].Class
+	return waiters[g.p.starvation.Pick(now, waiters)[0].At].Class
 }
 
 // busyMachine delivers a view of a machine whose 8 CPUs are in use by tasks of another owner.
@@ -38,8 +38,8 @@
 	g.job(1, job.Spec{Class: "a", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	g.show("n-001", "m8", "x", false)
 	g.Run(2 * loop.Second)
-	part := g.p.teams["red"].part
-	g.p.reserve = starvation.New() // as at a controller that has just started
+	part := g.p.teams["red"].partition
+	g.p.starvation = starvation.New() // as at a controller that has just started
 	g.p.Owned(part.id, false, part.claim)
 	g.p.Owned(part.id, true, part.claim)
 	g.Run(2 * loop.Second)
@@ -72,7 +72,7 @@
 	held := func() bool { return g.p.fleet.Held(whole) > 0 }
 	wait := func(d loop.Micros, until func() bool) bool {
 		for end := g.Now() + d; g.Now() < end && !until(); {
-			g.p.turn.Rate = 5 // as in a small cluster that is always full: less is saved up than one task takes
+			g.p.turnover.Rate = 5 // as in a small cluster that is always full: less is saved up than one task takes
 			busyMachine(g, "n-001")
 			g.Run(300 * loop.Millisecond)
 		}
@@ -81,7 +81,7 @@
 	if !wait(100*loop.Second, held) || g.p.fleet.Held(vain) > 0 {
 		t.Fatalf("capacity is reserved for the task as large as a machine: %v, for tasks of the gang: %d", held(), g.p.fleet.Held(vain))
 	}
-	if got := g.p.teams["red"].jobs[whole].heldCPUs; got != 8 {
+	if got := g.p.teams["red"].jobs[whole].reservedCPUs; got != 8 {
 		t.Errorf("%v CPUs are reserved out of order, want 8", got)
 	}
 }
@@ -95,14 +95,14 @@
 		used  int
 		first string
 	}{{0, "red\x00a"}, {4, "red\x00b"}} {
-		g.p.reserve = starvation.New()
+		g.p.starvation = starvation.New()
 		firstClass(g, "red\x00a", "red\x00b")
-		g.p.reserve.Spend("red\x00a", 8)
-		x.heldCPUs, x.heldFor = 8, "red\x00a"
-		x.useHeld(c.used)
-		g.p.refundHeld(x)
-		if got := firstClass(g, "red\x00a", "red\x00b"); got != c.first || x.heldCPUs != 0 {
-			t.Errorf("%q is served first after %d of 4 tasks used the reserved capacity, want %q; %v CPUs are still reserved", got, c.used, c.first, x.heldCPUs)
+		g.p.starvation.Spend("red\x00a", 8)
+		x.reservedCPUs, x.reservedClass = 8, "red\x00a"
+		x.useReserved(c.used)
+		g.p.refundReserved(x)
+		if got := firstClass(g, "red\x00a", "red\x00b"); got != c.first || x.reservedCPUs != 0 {
+			t.Errorf("%q is served first after %d of 4 tasks used the reserved capacity, want %q; %v CPUs are still reserved", got, c.used, c.first, x.reservedCPUs)
 		}
 	}
 }
@@ -117,14 +117,14 @@
 	g.Run(loop.Second)
 	g.p.fleet.Refresh()
 	need := g.p.teams["blue"].jobs[other].need()
-	if n := len(g.p.fleet.Hold(&need, 4, holdLife)); n != 4 {
+	if n := len(g.p.fleet.Hold(&need, 4, reservationLife)); n != 4 {
 		t.Fatalf("capacity is reserved for %d tasks, want 4", n)
 	}
 	tm := g.p.teams["blue"]
-	tm.cpus, g.p.teams["red"].cpus, tm.short.lacks = 5, 40, true
+	tm.cpus, g.p.teams["red"].cpus, tm.shortfall.lacks = 5, 40, true
 	x := tm.jobs[id]
-	x.at = g.Now() - 80*loop.Second
-	g.p.holdGuaranteed(&entryOf{t: x}, 1000, &budget{unmet: map[*team]float64{}})
+	x.acceptedAt = g.Now() - 80*loop.Second
+	g.p.reserveGuarantee(&queueEntry{table: x}, 1000, &budget{unmetByTeam: map[*team]float64{}})
 	if got := g.p.fleet.Held(id); got != 3 { // 16 less 5 and 8
 		t.Errorf("capacity is reserved for %d tasks, want 3, the CPUs left of the guarantee", got)
 	}
@@ -139,7 +139,7 @@
 	x := g.p.teams["red"].jobs[id]
 	before := g.p.fleet.Held(id)
 	for held := before; held <= 9; held++ {
-		right := g.p.right(&entryOf{t: x}, &budget{})
+		right := g.p.preemptionRight(&queueEntry{table: x}, &budget{})
 		if want := 8 - held; right.ShareTasks != want || right.RoomTasks != want || right.Share != (want > 0) {
 			t.Errorf("with reservations for %d tasks: share %v of %d, room of %d, want %d", held, right.Share, right.ShareTasks, right.RoomTasks, want)
 		}
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -36,21 +36,21 @@
 var zones = []string{"x", "y"}
 
 // late marks so many of a job's waiting tasks as having failed before.
-func (g *scene) late(t *table, n int) {
+func (g *scene) late(t *jobTable, n int) {
 	for range n {
-		if len(t.back) == 0 && t.next == t.j.Tasks {
+		if len(t.requeued) == 0 && t.firstUnplaced == t.job.Tasks {
 			return
 		}
-		i := t.pop()
+		i := t.popWaiting()
 		t.task(i).failed = true
-		t.late = append(t.late, i)
+		t.failedTasks = append(t.failedTasks, i)
 	}
 }
 
 func newScene(seed uint64) *scene {
 	g := &scene{rig: newRig(1000, config.Team{Name: "red", CPUs: 10, CPUsMax: 14}, config.Team{Name: "blue", CPUs: 4, CPUsMax: 60}),
 		rng: rand.New(rand.NewPCG(seed, 11)), shown: map[string][]agent.Task{}, kind: map[string][3]string{}}
-	g.p.pre.nextRun = 1 << 62 // preemption is not among the reasons checked here
+	g.p.preemption.nextRun = 1 << 62 // preemption is not among the reasons checked here
 	for _, step := range g.rng.Perm(12) {
 		switch {
 		case step < 4:
@@ -68,14 +68,14 @@
 		case 0:
 			g.amend(id, func(r *job.Record) { r.Terms = &job.Terms{Hold: job.Hold{State: job.HoldSet, Reason: "r"}} })
 		case 1:
-			g.table(id).trial = health.Trial{State: health.Doubted, Moments: 1, RestTo: g.Now() + 40*loop.Second}
+			g.table(id).probation = health.Trial{State: health.Doubted, Moments: 1, RestTo: g.Now() + 40*loop.Second}
 		case 2:
-			g.table(id).trial = health.Trial{State: health.Broken, Moments: 4}
+			g.table(id).probation = health.Trial{State: health.Broken, Moments: 4}
 		case 3: // some of its tasks failed, others completed
 			t := g.table(id)
-			t.trial = health.Trial{State: health.Sound, Moments: 1 + g.rng.IntN(3)}
+			t.probation = health.Trial{State: health.Sound, Moments: 1 + g.rng.IntN(3)}
 			if g.rng.IntN(2) == 0 {
-				t.trial.RestTo = g.Now() + 40*loop.Second
+				t.probation.RestTo = g.Now() + 40*loop.Second
 			}
 			g.late(t, g.rng.IntN(t.waiting()+1))
 		}
@@ -98,7 +98,7 @@
 	g.p.place()
 }
 
-func (g *scene) table(id string) *table {
+func (g *scene) table(id string) *jobTable {
 	for _, tm := range g.p.teams {
 		if t := tm.jobs[id]; t != nil {
 			return t
@@ -205,12 +205,12 @@
 func (m plain) use(team string) (cpus float64) {
 	for _, id := range m.g.jobs {
 		t := m.g.table(id)
-		if t == nil || t.j.Spec.Team != team {
+		if t == nil || t.job.Spec.Team != team {
 			continue
 		}
-		for i := range t.j.Tasks {
+		for i := range t.job.Tasks {
 			if s := t.task(i).state; s == Recording || s == Placed {
-				cpus += t.j.Spec.CPUs
+				cpus += t.job.Spec.CPUs
 			}
 		}
 	}
@@ -218,9 +218,9 @@
 }
 
 // waiting counts the tasks that are neither in use nor done.
-func (m plain) waiting(t *table) int {
+func (m plain) waiting(t *jobTable) int {
 	n := 0
-	for i := range t.j.Tasks {
+	for i := range t.job.Tasks {
 		if t.task(i).state == Waiting {
 			n++
 		}
@@ -263,7 +263,7 @@
 // reasons returns by kind how many tasks each reason blocks. It omits rank, which is checked by its effect.
 func (m plain) reasons(id string) map[string]int {
 	g, t := m.g, m.g.table(id)
-	s, n := t.j.Spec, m.waiting(t)
+	s, n := t.job.Spec, m.waiting(t)
 	out := map[string]int{}
 	if n == 0 {
 		return out
@@ -284,12 +284,12 @@
 			}
 		}
 	}
-	x := &t.trial
-	trusted, late := x.State == health.Untried || x.State == health.Sound, len(t.late)
+	x := &t.probation
+	trusted, late := x.State == health.Untried || x.State == health.Sound, len(t.failedTasks)
 	if x.RestTo > g.Now() && (!trusted || s.Gang || late >= n) {
 		out["backOff"] = n
 	}
-	inUse := t.j.Tasks - n - t.completed
+	inUse := t.job.Tasks - n - t.completed
 	if x.Moments > 0 && !s.Gang {
 		var k int
 		if trusted {
@@ -299,8 +299,8 @@
 			}
 		} else {
 			live := 0
-			for i := range t.j.Tasks {
-				if y := t.task(i); y.state == Placed && y.running && g.Now()-y.chosen > 2*loop.Second {
+			for i := range t.job.Tasks {
+				if y := t.task(i); y.state == Placed && y.running && g.Now()-y.chosenAt > 2*loop.Second {
 					live++
 				}
 			}
@@ -355,7 +355,7 @@
 	case "hold":
 		g.amend(id, func(rec *job.Record) { rec.Terms.Hold = job.Hold{} })
 	case "dependency":
-		for _, d := range t.j.Terms.After {
+		for _, d := range t.job.Terms.After {
 			if g.stored(d).Phase == job.Accepted {
 				g.amend(d, func(rec *job.Record) { rec.Phase = job.Done })
 			} else {
@@ -363,19 +363,19 @@
 			}
 		}
 	case "backOff":
-		t.trial.RestTo = 0
+		t.probation.RestTo = 0
 	case "probe":
 		// A task completes; while the back-off lasts, all others count as failed.
-		if t.trial.State != health.Sound && t.trial.RestTo > g.Now() {
+		if t.probation.State != health.Sound && t.probation.RestTo > g.Now() {
 			g.late(t, t.waiting())
 		}
-		t.trial.State, t.trial.Moments = health.Sound, 0
+		t.probation.State, t.probation.Moments = health.Sound, 0
 	case "teamLimit":
 		t.team.cfg.CPUsMax, t.team.quota.CPUsMax = 0, config.LimitOf(0)
 	case "cordon":
 		g.putCordons([]cordon.Cordon{})
 	case "room", "gang":
-		s := t.j.Spec
+		s := t.job.Spec
 		m := plain{g}
 		// Add a machine with capacity for one task for each task that lacks it: at a place that is not cordoned, if
 		// there is one, and that earlier work may use as well.
@@ -391,7 +391,7 @@
 						score += 4
 					}
 					for i, o := range ahead {
-						if x := g.table(o); x != nil && m.allows(x.j.Spec, ty, z, k) {
+						if x := g.table(o); x != nil && m.allows(x.job.Spec, ty, z, k) {
 							score |= 1
 							if i == 0 {
 								score |= 2 // the first in the order of service
@@ -460,7 +460,7 @@
 				}
 			}
 			if !maps.Equal(got, want) {
-				t.Fatalf("seed %d: %s (%+v): the reasons are %v, by the plain model %v", seed, id, g.table(id).j.Spec, got, want)
+				t.Fatalf("seed %d: %s (%+v): the reasons are %v, by the plain model %v", seed, id, g.table(id).job.Spec, got, want)
 			}
 			if !sure {
 				incomplete++
@@ -537,10 +537,10 @@
 // teller returns a scene with one team that publishes causes, and the causes published last.
 func teller() (*scene, *[]gate.Cause) {
 	g := &scene{rig: newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 90})}
-	g.p.n.Tells = true
-	g.p.pre.nextRun = 1 << 62 // preemption is not checked here
+	g.p.node.Tells = true
+	g.p.preemption.nextRun = 1 << 62 // preemption is not checked here
 	var told []gate.Cause
-	g.p.n.Tell = func(all []peer.Progress) {
+	g.p.node.Tell = func(all []peer.Progress) {
 		for _, p := range all {
 			if p.Waits {
 				told = p.Causes
