--- a/internal/placer/flood_test.go
+++ b/internal/placer/flood_test.go
@@ -39,7 +39,7 @@
 	late, longest := 0, loop.Micros(0)
 	for i := range jobs {
 		before, at := len(g.starts), g.Now()
-		g.job(i, job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+		g.acceptJob(i, job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 		for len(g.starts) == before && g.Now()-at < 10*loop.Second {
 			g.Run(10 * loop.Millisecond)
 		}
--- a/internal/placer/forget_test.go
+++ b/internal/placer/forget_test.go
@@ -74,7 +74,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newForgetRig()
-			g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
+			g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
 			g.Run(500 * loop.Millisecond) // starts that no view shows by then are sent again
 			if len(g.starts) != 1 {
 				t.Fatalf("got %d starts, want one", len(g.starts))
@@ -98,7 +98,7 @@
 	g.p.node.Reserve = func(host string, s agent.Start) {
 		g.p.Drop(host, agent.Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Reserve: true})
 	}
-	id := g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
+	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
 	g.p.Owned(partition.ForTeam("red"), false, member.Owner{})
 	g.state.Put(segmentKey("x/red/", 0), segmentRecord{Machines: []machineEntry{}, Jobs: []jobEntry{{ID: id, Tasks: []taskEntry{{Index: 0, State: storedTerminated, Attempt: 1}}}}})
 	mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
--- a/internal/placer/guarantee_test.go
+++ b/internal/placer/guarantee_test.go
@@ -24,9 +24,9 @@
 func TestGuaranteeIsHeldBehindALargeJob(t *testing.T) {
 	const machines = 4
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16}, config.Team{Name: "blue", CPUs: 16})
-	g.job(1, job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 9000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	g.job(2, job.Spec{Class: "large", Team: "blue", Priority: job.Low, Tasks: 4000, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	g.job(3, job.Spec{Class: "small", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	g.acceptJob(1, job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 9000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	g.acceptJob(2, job.Spec{Class: "large", Team: "blue", Priority: job.Low, Tasks: 4000, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	g.acceptJob(3, job.Spec{Class: "small", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	on := map[string][]agent.Task{}
 	taken := 0
 	step := func() {
@@ -80,12 +80,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(1000, config.Team{Name: "red", CPUs: 16}, config.Team{Name: "blue", CPUs: 16})
-			id := g.job(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+			id := g.acceptJob(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 			var full []agent.Task
 			for i := range 8 {
 				full = append(full, agent.Task{Task: agent.TaskName("job-000009", i), Attempt: 1, State: wire.TaskRunning})
 			}
-			g.job(9, job.Spec{Class: "k", Team: "green", Tasks: 8, CPUs: 1, MemoryGB: 1, AnyType: true})
+			g.acceptJob(9, job.Spec{Class: "k", Team: "green", Tasks: 8, CPUs: 1, MemoryGB: 1, AnyType: true})
 			g.show("n-001", "m8", "x", false, full...)
 			g.Run(loop.Second)
 			g.p.fleet.Refresh()
@@ -126,10 +126,10 @@
 // to a class of its own.
 func TestTurnsAreRestored(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
-	begun := g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	begun := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	g.show("n-001", "m8", "x", false)
 	g.Run(2 * loop.Second)
-	waiting := g.job(2, job.Spec{Class: "w", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	waiting := g.acceptJob(2, job.Spec{Class: "w", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	g.Run(2 * loop.Second)
 	tm := g.p.teams["red"]
 	if n := tm.jobs[begun].inUse; n != 4 {
@@ -153,8 +153,8 @@
 // Only the reservations of jobs owned here are sent to a peer that does not know them.
 func TestClaimsInForceAreThoseOfOwnedJobs(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
-	mine := g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 100, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	theirs := g.job(2, job.Spec{Class: "k", Team: "blue", Tasks: 1, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	mine := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 100, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	theirs := g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Tasks: 1, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	g.show("n-001", "m8", "x", false)
 	g.Run(loop.Second)
 	for _, id := range []string{mine, theirs} {
--- a/internal/placer/image_test.go
+++ b/internal/placer/image_test.go
@@ -35,8 +35,8 @@
 			g := newRig(100, config.Team{Name: "red", CPUs: 64, CPUsMax: 64}, config.Team{Name: "blue", CPUs: 64, CPUsMax: 64})
 			var claims []peer.Claim
 			g.p.node.Claims = func(cs []peer.Claim) { claims = append(claims, cs...) }
-			low := g.job(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 8, CPUs: 2, MemoryGB: 2, Image: "i", AnyType: true, Estimate: 60 * s})
-			was := g.job(2, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 1, CPUs: 2, MemoryGB: 2, Image: "u", ImageGB: c.image, AnyType: true, Estimate: 60 * s})
+			low := g.acceptJob(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 8, CPUs: 2, MemoryGB: 2, Image: "i", AnyType: true, Estimate: 60 * s})
+			was := g.acceptJob(2, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 1, CPUs: 2, MemoryGB: 2, Image: "u", ImageGB: c.image, AnyType: true, Estimate: 60 * s})
 			g.show("n-1", "m16", "x", false, agent.Task{Task: agent.TaskName(was, 0), Attempt: 1, State: wire.TaskRunning}) // the machine therefore has the image
 			busy := make([]agent.Task, 8)
 			for i := range busy {
@@ -54,7 +54,7 @@
 			}
 			again(c.ran, busy)
 			g.starts = nil
-			id := g.job(3, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 4, CPUs: 2, MemoryGB: 2, Image: "u", ImageGB: c.image, AnyType: true, Estimate: 60 * s})
+			id := g.acceptJob(3, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 4, CPUs: 2, MemoryGB: 2, Image: "u", ImageGB: c.image, AnyType: true, Estimate: 60 * s})
 			g.Run(500 * loop.Millisecond)
 			if len(claims) != c.claims {
 				t.Fatalf("%d reservations, want %d", len(claims), c.claims)
--- a/internal/placer/inuse.go
+++ b/internal/placer/inuse.go
@@ -24,7 +24,7 @@
 		p.tasksByMachine[x.machine] = on
 	}
 	on.all[r] = struct{}{}
-	if x.unresolved() {
+	if x.isUnresolved() {
 		on.unresolved[r] = struct{}{}
 	}
 }
@@ -54,11 +54,11 @@
 	}
 }
 
-// unresolved reports whether every view of the machine must be checked for the task. It was not listed there yet; or
+// isUnresolved reports whether every view of the machine must be checked for the task. It was not listed there yet; or
 // it is not listed any more, so that its absence may confirm its termination; or it was refused beside another
 // attempt, whose end it waits for. If such a task were checked only when its own entry changes, it could wait for
 // ever.
-func (t *task) unresolved() bool { return !t.listed || t.recheck }
+func (t *task) isUnresolved() bool { return !t.listed || t.recheck }
 
 // setListed is the only function that changes what a machine has shown of a task in use.
 func (p *Placer) setListed(t *jobTable, i int, seen, pending bool) {
@@ -72,7 +72,7 @@
 		return
 	}
 	r := taskRef{t, i}
-	if _, in := on.all[r]; in && x.unresolved() {
+	if _, in := on.all[r]; in && x.isUnresolved() {
 		on.unresolved[r] = struct{}{}
 	} else {
 		delete(on.unresolved, r)
--- a/internal/placer/partition_test.go
+++ b/internal/placer/partition_test.go
@@ -82,7 +82,7 @@
 func TestTeamsShareWrites(t *testing.T) {
 	g := partitionRig(10, 40, 60)
 	for i := range 40 {
-		g.job(i, small(fmt.Sprintf("team-%03d", i), 5))
+		g.acceptJob(i, small(fmt.Sprintf("team-%03d", i), 5))
 	}
 	before := g.writes
 	g.Run(3 * loop.Second)
@@ -97,15 +97,15 @@
 // A controller that lost its partition without knowing it yet records nothing and starts nothing.
 func TestFormerOwnerRecordsNothing(t *testing.T) {
 	g := partitionRig(100, 4, 10)
-	g.job(1, small("team-000", 2))
+	g.acceptJob(1, small("team-000", 2))
 	g.Run(loop.Second)
 	if len(names(g.starts)) != 2 {
 		t.Fatalf("started %v, want two tasks", names(g.starts))
 	}
 	g.state.Put(onlyID.ClaimKey(), map[string]any{"n": "b", "e": 2}) // another controller's claim, of which this one receives no message
 	keys := g.state.Keys(onlyID.LogPrefix())
-	g.job(2, small("team-001", 3))
-	g.job(3, small("team-000", 3))
+	g.acceptJob(2, small("team-001", 3))
+	g.acceptJob(3, small("team-000", 3))
 	g.Run(3 * loop.Second)
 	if n := len(names(g.starts)); n != 2 {
 		t.Errorf("a former owner started %v", names(g.starts))
@@ -119,7 +119,7 @@
 func TestWithdrawnWithinACommitOfMany(t *testing.T) {
 	g := partitionRig(100, 30, 40)
 	for i := range 30 {
-		g.job(i, small(fmt.Sprintf("team-%03d", i), 2))
+		g.acceptJob(i, small(fmt.Sprintf("team-%03d", i), 2))
 	}
 	id := "job-000007"
 	rec := job.Record{Phase: job.Withdrawn, At: g.Now(), Tasks: 2}
@@ -141,7 +141,7 @@
 	for _, lags := range []bool{false, true} {
 		g := partitionRig(100, 30, 80)
 		for i := range 30 {
-			g.job(i, small(fmt.Sprintf("team-%03d", i), 12))
+			g.acceptJob(i, small(fmt.Sprintf("team-%03d", i), 12))
 		}
 		g.Run(5 * loop.Second)
 		if n := len(names(g.starts)); n != 360 {
@@ -180,7 +180,7 @@
 	for i := range tasks / 8 {
 		g.show(fmt.Sprintf("n-%03d", i), "m8", "x", false)
 	}
-	g.job(1, small("team-000", tasks))
+	g.acceptJob(1, small("team-000", tasks))
 	g.Run(3 * loop.Second)
 	own := partition.ForTeam("team-000")
 	if n, logs := len(names(g.starts)), len(g.state.Keys(own.LogPrefix())); n != tasks || logs < 2 {
@@ -209,7 +209,7 @@
 func TestSegmentsBecomeSmaller(t *testing.T) {
 	g := partitionRig(100, 20, 80)
 	for i := range 20 {
-		g.job(i, small(fmt.Sprintf("team-%03d", i), 15))
+		g.acceptJob(i, small(fmt.Sprintf("team-%03d", i), 15))
 		if i == 10 {
 			g.Run(2 * loop.Second)
 			g.state.SetLimits(&standin.Limits{ValueBytes: 1024, TxnOps: 5})
@@ -234,7 +234,7 @@
 // segment is kept, and starts that waited for the write wait again.
 func TestRefusedWriteMovesNothing(t *testing.T) {
 	g := partitionRig(100, 1, 4)
-	id := g.job(1, small("team-000", 4))
+	id := g.acceptJob(1, small("team-000", 4))
 	g.Run(2 * loop.Second)
 	part := g.p.partitions[onlyID]
 	tb := g.p.teams["team-000"].jobs[id]
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -100,8 +100,8 @@
 	return g
 }
 
-// job stores an accepted job, as another controller would.
-func (g *rig) job(no int, s job.Spec) string {
+// acceptJob stores an accepted acceptJob, as another controller would.
+func (g *rig) acceptJob(no int, s job.Spec) string {
 	id := fmt.Sprintf("job-%06d", no)
 	rec := job.Record{Phase: job.Accepted, At: g.Now(), Spec: &s}
 	mark := g.state.Put(job.Keys+id, rec)
@@ -280,7 +280,7 @@
 				case 3:
 					s.AnyType, s.Types = false, []string{"m16"}
 				}
-				g.job(jobs, s)
+				g.acceptJob(jobs, s)
 			case 2: // started tasks are listed by their machines, and some have completed
 				for _, s := range g.starts {
 					on[s.Machine] = append(on[s.Machine], agent.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
@@ -344,7 +344,7 @@
 		g.show(fmt.Sprintf("n-%03d", i), "m8", "x", false)
 	}
 	for i := range 40 {
-		g.job(i, job.Spec{Class: "k", Team: "red", Tasks: 12, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
+		g.acceptJob(i, job.Spec{Class: "k", Team: "red", Tasks: 12, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
 		g.Run(50 * loop.Millisecond)
 	}
 	g.Run(4 * loop.Second)
@@ -384,7 +384,7 @@
 func TestLateRefusalProvesNothing(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
 	g.show("n-001", "m8", "x", false)
-	g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
+	g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
 	x := func() *task { return g.p.teams["red"].jobs["job-000001"].task(0) }
 	for x().state != Recording {
 		g.Run(loop.Millisecond)
@@ -413,11 +413,11 @@
 	g := newRig(100, team)
 	g.show("n-001", "m8", "x", false)
 	spec := job.Spec{Class: "k", Team: "red", Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
-	id := g.job(1, spec)
+	id := g.acceptJob(1, spec)
 	g.Run(loop.Second)
 	rec := job.Record{Phase: job.Withdrawn, At: g.Now(), Spec: &spec}
 	g.mirror.Apply(job.Keys+id, wire.Marshal(rec), g.state.Put(job.Keys+id, rec), false)
-	g.job(2, spec)
+	g.acceptJob(2, spec)
 	g.Run(loop.Second)
 	if use := g.p.teams["red"].cpus; use != 4 {
 		t.Fatalf("%v CPUs are in use, want 4", use)
@@ -425,7 +425,7 @@
 	g.p.Owned(partition.ForTeam("red"), false, member.Owner{})
 	mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
 	g.p.Owned(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Mark: mark})
-	g.job(3, spec)
+	g.acceptJob(3, spec)
 	g.starts = nil
 	g.Run(loop.Second)
 	if use := g.p.teams["red"].cpus; use != 4 {
@@ -444,7 +444,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g := newRig(100, config.Team{Name: "red", CPUs: 1000, CPUsMax: 1000})
 		n := rapid.IntRange(1, 300).Draw(t, "tasks")
-		id := g.job(1, job.Spec{Class: "k", Team: "red", Tasks: n, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
+		id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: n, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
 		recorded := map[int]bool{}
 		rec := segmentRecord{Machines: []machineEntry{{Name: "n-000", Zone: "x"}}, Jobs: []jobEntry{{ID: id}}}
 		for _, i := range rapid.SliceOfDistinct(rapid.IntRange(0, n-1), rapid.ID).Draw(t, "recorded") {
@@ -477,8 +477,8 @@
 // machine that only runs longer jobs is not affected.
 func TestSlowMachinesRest(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 500, CPUsMax: 500})
-	short := g.job(1, job.Spec{Class: "k", Team: "blue", Tasks: 99, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true})
-	long := g.job(2, job.Spec{Class: "k", Team: "blue", Tasks: 99, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true})
+	short := g.acceptJob(1, job.Spec{Class: "k", Team: "blue", Tasks: 99, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true})
+	long := g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Tasks: 99, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true})
 	rng := rand.New(rand.NewPCG(3, 3))
 	machines := map[string]float64{"n-001": 1, "n-002": 1, "n-003": 2.2, "n-004": 1}
 	next := 0
--- a/internal/placer/preempt_test.go
+++ b/internal/placer/preempt_test.go
@@ -150,7 +150,7 @@
 			spec := job.Spec{Class: "k", Team: teams[rapid.IntRange(0, len(teams)-1).Draw(t, "team")].Name, Priority: job.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
 				Tasks: rapid.IntRange(1, 16*machines).Draw(t, "tasks"), CPUs: float64(rapid.IntRange(1, 6).Draw(t, "cpus")), MemoryGB: 0.1, Image: "i", AnyType: true, Estimate: 600 * loop.Second}
 			f.specs[fmt.Sprintf("job-%06d", i)] = &spec
-			f.job(i, spec)
+			f.acceptJob(i, spec)
 			f.run(loop.Micros(rapid.IntRange(50, 3000).Draw(t, "pause")) * loop.Millisecond)
 		}
 		// Each arriving job may change the order of two others once. While none arrives, capacity that tasks of
@@ -184,7 +184,7 @@
 func (f *stopFleet) submit(number int, spec job.Spec) {
 	spec.Class, spec.MemoryGB, spec.Image, spec.AnyType, spec.Estimate = "k", 0.1, "i", true, 600*loop.Second
 	f.specs[fmt.Sprintf("job-%06d", number)] = &spec
-	f.job(number, spec)
+	f.acceptJob(number, spec)
 }
 
 // The victims of one task together, and not only each by itself, must leave their team its guarantee. A task of five
--- a/internal/placer/proof_test.go
+++ b/internal/placer/proof_test.go
@@ -33,7 +33,7 @@
 		{"the earlier of two incarnations", true, 1, false}, {"the later of two incarnations", true, 2, false}} {
 		g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})
 		g.tell(1, 1, true)
-		g.job(1, job.Spec{Team: "red", Tasks: 1, CPUs: 2, AnyType: true, Estimate: loop.Second})
+		g.acceptJob(1, job.Spec{Team: "red", Tasks: 1, CPUs: 2, AnyType: true, Estimate: loop.Second})
 		g.Run(500 * loop.Millisecond)
 		if len(g.starts) != 1 || g.starts[0].Life != 1 {
 			t.Fatalf("%s: started %+v, want one start for incarnation 1", c.name, g.starts)
@@ -64,7 +64,7 @@
 		g.tell(1, 1, false)
 		g.Run(loop.Second)
 	}
-	g.job(1, job.Spec{Team: "red", Tasks: 2, CPUs: 2, AnyType: true, Estimate: loop.Second})
+	g.acceptJob(1, job.Spec{Team: "red", Tasks: 2, CPUs: 2, AnyType: true, Estimate: loop.Second})
 	g.Run(2 * loop.Second)
 	if len(g.starts) != 0 {
 		t.Fatalf("%d starts are sent to a machine that is unresponsive to commands", len(g.starts))
@@ -99,8 +99,8 @@
 // present owner never sees the task end and must not count it as running for ever.
 func TestTaskThatVanishesUnseen(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})
-	id := g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
-	other := agent.Task{Task: agent.TaskName(g.job(2, job.Spec{Class: "k", Team: "blue", Tasks: 1, CPUs: 1, AnyType: true}), 0), Attempt: 1, State: wire.TaskRunning}
+	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
+	other := agent.Task{Task: agent.TaskName(g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Tasks: 1, CPUs: 1, AnyType: true}), 0), Attempt: 1, State: wire.TaskRunning}
 	g.p.Owned(partition.ForTeam("red"), false, member.Owner{})
 	g.state.Put(segmentKey("x/red/", 0), segmentRecord{Machines: []machineEntry{{Name: "n-001", Zone: "x"}},
 		Jobs: []jobEntry{{ID: id, Tasks: []taskEntry{{Index: 0, State: storedPlaced, Attempt: 2, Machine: 1, Session: 1, Expiry: g.Now() - 60*loop.Second}}}}})
--- a/internal/placer/quota_test.go
+++ b/internal/placer/quota_test.go
@@ -57,7 +57,7 @@
 			machines := []string{"n-1", "n-2", "n-3"}
 			g := newRig(100, red, blue)
 			g.showRunning(machines...)
-			id := g.job(1, spec)
+			id := g.acceptJob(1, spec)
 			g.Run(600 * loop.Millisecond) // starts that no view shows by then are sent again
 			if len(g.starts) != c.placed {
 				t.Errorf("%d tasks are started, want %d", len(g.starts), c.placed)
@@ -79,7 +79,7 @@
 			g.showRunning(machines...)
 			other := spec
 			other.Team, other.Tasks = "blue", 48
-			g.job(1, other)
+			g.acceptJob(1, other)
 			g.Run(600 * loop.Millisecond)
 			g.showRunning(machines...)
 			if len(g.starts) != 48 {
@@ -87,7 +87,7 @@
 			}
 			own := spec
 			own.Tasks = 4
-			id = g.job(2, own)
+			id = g.acceptJob(2, own)
 			g.Run(6 * loop.Second) // capacity freed by completing tasks is awaited first
 			if (len(claims) > 0) != c.stops {
 				t.Errorf("%d tasks of others are preempted", len(claims))
--- a/internal/placer/share_test.go
+++ b/internal/placer/share_test.go
@@ -21,7 +21,7 @@
 	f := newStopFleet(t, teams, 4)
 	add := func(no int, spec job.Spec) string {
 		spec.Class, spec.MemoryGB, spec.AnyType, spec.Spot, spec.Estimate = "k", 1, true, true, 60*loop.Second
-		id := f.job(no, spec)
+		id := f.acceptJob(no, spec)
 		f.specs[id] = &spec
 		return id
 	}
--- a/internal/placer/starvation_test.go
+++ b/internal/placer/starvation_test.go
@@ -17,8 +17,8 @@
 // task.
 func TestRoomIsHeldForWhatFitsNowhere(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8}, config.Team{Name: "blue"})
-	small := g.job(1, job.Spec{Team: "red", Priority: job.Normal, Tasks: 9000, CPUs: 2, AnyType: true, Estimate: loop.Second})
-	whole := g.job(2, job.Spec{Team: "blue", Priority: job.Low, Tasks: 1, CPUs: 8, AnyType: true, Estimate: loop.Second})
+	small := g.acceptJob(1, job.Spec{Team: "red", Priority: job.Normal, Tasks: 9000, CPUs: 2, AnyType: true, Estimate: loop.Second})
+	whole := g.acceptJob(2, job.Spec{Team: "blue", Priority: job.Low, Tasks: 1, CPUs: 8, AnyType: true, Estimate: loop.Second})
 	g.seq = 1
 	end := func(d loop.Micros, until func() bool) { // tasks on the machine complete one at a time, a second after they began
 		for stop := g.Now() + d; g.Now() < stop && !until(); {
--- a/internal/placer/terms_test.go
+++ b/internal/placer/terms_test.go
@@ -26,7 +26,7 @@
 func TestHoldSettlesOnlyOnProof(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
 	g.show("n-001", "m8", "x", false)
-	id := g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 3, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
+	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 3, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
 	g.Run(500 * loop.Millisecond)
 	if len(g.starts) < 2 {
 		t.Fatalf("%d starts were sent, want 2", len(g.starts))
@@ -67,7 +67,7 @@
 	for _, what := range []string{"hold", "cordon"} {
 		g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
 		g.show("n-001", "m8", "x", false)
-		id := g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
+		id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
 		for g.p.teams["red"].jobs[id].task(0).state != Recording {
 			g.Run(loop.Millisecond)
 		}
@@ -98,7 +98,7 @@
 		spec := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
 		other := spec
 		other.Team = "blue" // owned by another controller
-		first := g.job(1, other)
+		first := g.acceptJob(1, other)
 		g.registry.Propose("job-000002", &spec, &job.Terms{After: []string{first}, OnWithdrawn: c.policy}, func(job.Answer) {})
 		g.Run(2 * loop.Second)
 		if len(g.starts) != 0 {
@@ -147,7 +147,7 @@
 	g.p.node.Tells = true
 	g.show("n-001", "m8", "x", false)
 	spec := job.Spec{Class: "k", Team: "red", Priority: job.Low, Tasks: 2, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second, Checkpoint: loop.Second, Save: 5 * loop.Second}
-	low := g.job(1, spec)
+	low := g.acceptJob(1, spec)
 	g.Run(500 * loop.Millisecond)
 	var on []agent.Task
 	for i := range 2 {
@@ -156,7 +156,7 @@
 	g.show("n-001", "m8", "x", false, on...)
 	g.Run(2 * loop.Second)
 	spec.Team, spec.Priority, spec.Tasks = "blue", job.High, 1
-	high := g.job(2, spec)
+	high := g.acceptJob(2, spec)
 	g.Run(500 * loop.Millisecond)
 	for i := range on {
 		on[i].State = wire.TaskSaving
@@ -173,7 +173,7 @@
 func TestBusyTaskIsFreedLater(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 50})
 	g.show("n-001", "m8", "x", false)
-	id := g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
+	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
 	g.Run(500 * loop.Millisecond)
 	name := agent.TaskName(id, 0)
 	busy := agent.Task{Task: name, Attempt: 1, State: wire.TaskExited, Why: wire.WhyBusy}
@@ -195,7 +195,7 @@
 	for _, known := range []bool{true, false} {
 		g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 50})
 		g.show("n-001", "m8", "x", false)
-		g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
+		g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
 		g.Run(500 * loop.Millisecond)
 		if !known {
 			g.p.fleet.Gone("n-001")
--- a/internal/placer/turns_test.go
+++ b/internal/placer/turns_test.go
@@ -24,7 +24,7 @@
 
 // busyMachine delivers a view of a machine whose 8 CPUs are in use by tasks of another owner.
 func busyMachine(g *rig, name string) {
-	id := g.job(90, job.Spec{Class: "k", Team: "green", Tasks: 800, CPUs: 1, MemoryGB: 1, AnyType: true})
+	id := g.acceptJob(90, job.Spec{Class: "k", Team: "green", Tasks: 800, CPUs: 1, MemoryGB: 1, AnyType: true})
 	var on []agent.Task
 	for i := range 8 {
 		on = append(on, agent.Task{Task: agent.TaskName(id, i), Attempt: 1, State: wire.TaskRunning})
@@ -35,7 +35,7 @@
 // A new owner continues the accounting of the reserve: class a has been served, class b has not.
 func TestTurnsOutliveTheirOwner(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
-	g.job(1, job.Spec{Class: "a", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	g.acceptJob(1, job.Spec{Class: "a", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	g.show("n-001", "m8", "x", false)
 	g.Run(2 * loop.Second)
 	part := g.p.teams["red"].partition
@@ -54,7 +54,7 @@
 	if got := firstClass(g, "red\x00a", "red\x00b"); got != "red\x00a" {
 		t.Fatalf("%q is served first at the beginning", got)
 	}
-	g.job(1, job.Spec{Class: "a", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	g.acceptJob(1, job.Spec{Class: "a", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	g.show("n-001", "m8", "x", false)
 	g.Run(loop.Second)
 	if got := firstClass(g, "red\x00a", "red\x00b"); got != "red\x00b" {
@@ -67,8 +67,8 @@
 	g := newRig(1000, config.Team{Name: "red"}, config.Team{Name: "blue", CPUs: 8})
 	busyMachine(g, "n-001")
 	g.Run(loop.Second)
-	vain := g.job(1, job.Spec{Class: "a", Team: "red", Priority: job.Low, Tasks: 4, CPUs: 8, MemoryGB: 1, AnyType: true, Gang: true, Estimate: loop.Second})
-	whole := g.job(2, job.Spec{Class: "b", Team: "red", Priority: job.Low, Tasks: 1, CPUs: 8, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	vain := g.acceptJob(1, job.Spec{Class: "a", Team: "red", Priority: job.Low, Tasks: 4, CPUs: 8, MemoryGB: 1, AnyType: true, Gang: true, Estimate: loop.Second})
+	whole := g.acceptJob(2, job.Spec{Class: "b", Team: "red", Priority: job.Low, Tasks: 1, CPUs: 8, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	held := func() bool { return g.p.fleet.Held(whole) > 0 }
 	wait := func(d loop.Micros, until func() bool) bool {
 		for end := g.Now() + d; g.Now() < end && !until(); {
@@ -89,7 +89,7 @@
 // A class is refunded for reserved capacity that was not used, and not for the part that was.
 func TestRefund(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 8})
-	id := g.job(1, job.Spec{Class: "a", Team: "red", Tasks: 4, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	id := g.acceptJob(1, job.Spec{Class: "a", Team: "red", Tasks: 4, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	x := g.p.teams["red"].jobs[id]
 	for _, c := range []struct {
 		used  int
@@ -110,8 +110,8 @@
 // Capacity reserved for any job of a team counts toward the team's guarantee.
 func TestHeldRoomCountsInTheGuarantee(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16}, config.Team{Name: "blue", CPUs: 16})
-	id := g.job(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	other := g.job(2, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	id := g.acceptJob(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	other := g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	busyMachine(g, "n-001")
 	busyMachine(g, "n-002")
 	g.Run(loop.Second)
@@ -133,7 +133,7 @@
 // Capacity reserved by preemption counts toward a job's share of the guarantee.
 func TestRoomBeingMadeCountsInTheShare(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
-	id := g.job(1, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 100, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 100, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	busyMachine(g, "n-001")
 	g.Run(loop.Second)
 	x := g.p.teams["red"].jobs[id]
--- a/internal/placer/why_bench_test.go
+++ b/internal/placer/why_bench_test.go
@@ -19,7 +19,7 @@
 func BenchmarkWhy(b *testing.B) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 100, CPUsMax: 9000}, config.Team{Name: "blue", CPUs: 0, CPUsMax: 6})
 	for i := range 700 {
-		id := g.job(10000+i, job.Spec{Class: "f", Team: "green", Tasks: 8, CPUs: 2, MemoryGB: 4, Image: "f", AnyType: true})
+		id := g.acceptJob(10000+i, job.Spec{Class: "f", Team: "green", Tasks: 8, CPUs: 2, MemoryGB: 4, Image: "f", AnyType: true})
 		var on []agent.Task
 		for k := range 8 {
 			on = append(on, agent.Task{Task: agent.TaskName(id, k), Attempt: 1, State: wire.TaskRunning})
@@ -31,7 +31,7 @@
 		if i%100 == 99 {
 			team = "blue"
 		}
-		g.job(i, job.Spec{Class: "k", Team: team, Priority: job.Priority(i % 3), Tasks: 10, CPUs: 2, MemoryGB: 3, Image: "i", AnyType: true, Spot: true, Estimate: loop.Second})
+		g.acceptJob(i, job.Spec{Class: "k", Team: team, Priority: job.Priority(i % 3), Tasks: 10, CPUs: 2, MemoryGB: 3, Image: "i", AnyType: true, Spot: true, Estimate: loop.Second})
 	}
 	g.p.place()
 	all := []wire.MachineType{types["m8"], types["m16"]}
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -128,7 +128,7 @@
 	g.kind[name] = [3]string{typ, zone, explain.Kind(spot)}
 	if cpus > 0 || memory > 0 {
 		g.fill++
-		id := g.job(500+g.fill, job.Spec{Class: "f", Team: "green", Tasks: 1, CPUs: cpus, MemoryGB: memory, Image: "f", AnyType: true})
+		id := g.acceptJob(500+g.fill, job.Spec{Class: "f", Team: "green", Tasks: 1, CPUs: cpus, MemoryGB: memory, Image: "f", AnyType: true})
 		g.shown[name] = []agent.Task{{Task: id + "/0", Attempt: 1, State: wire.TaskRunning}}
 	}
 	g.show(name, typ, zone, spot, g.shown[name]...)
@@ -152,7 +152,7 @@
 	}
 	if r.IntN(4) == 0 {
 		g.fill++
-		dep := g.job(500+g.fill, job.Spec{Class: "f", Team: "green", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "f", AnyType: true})
+		dep := g.acceptJob(500+g.fill, job.Spec{Class: "f", Team: "green", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "f", AnyType: true})
 		terms.After = []string{dep}
 		if r.IntN(3) == 0 {
 			g.amend(dep, func(rec *job.Record) { rec.Phase = job.Withdrawn })
@@ -573,7 +573,7 @@
 			}
 			s := c.spec
 			s.Class, s.Team, s.MemoryGB, s.Image, s.AnyType, s.Estimate = "k", "red", 1, "i", true, loop.Second
-			g.rig.job(1, s)
+			g.rig.acceptJob(1, s)
 			g.Run(2 * loop.Second)
 			var kinds []gate.Kind
 			for _, x := range *told {
@@ -609,7 +609,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
 			g.show("n-001", "m8", "x", false)
-			id := g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
+			id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
 			g.Run(300 * loop.Millisecond)
 			if len(g.starts) != 1 {
 				t.Fatalf("got %d starts, want 1", len(g.starts))
@@ -631,7 +631,7 @@
 func TestCauseOfAnotherKindIsTold(t *testing.T) {
 	g, told := teller()
 	s := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
-	g.rig.job(1, s)
+	g.rig.acceptJob(1, s)
 	g.Run(1500 * loop.Millisecond)
 	if len(*told) != 1 || (*told)[0].Kind != gate.Room {
 		t.Fatalf("published %v for a job without a machine", *told)
