--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -227,7 +227,7 @@
 				n.more.desk.Lines.Over(j.ID, l.Wall(), own)
 			}
 		}
-		n.placer.Job(j)
+		n.placer.JobChanged(j)
 	}
 	n.member.Isolated = n.reach.Isolated
 	n.member.Fit, n.member.Broken = n.reach.Fit, n.reach.Broken
--- a/internal/placer/load.go
+++ b/internal/placer/load.go
@@ -175,10 +175,10 @@
 	for _, tm := range teams {
 		tm.loaded, tm.loadedAt = true, p.runner.Wall()
 		for _, t := range tm.inOrder() {
-			p.Job(t.job) // stops what is over, in a deterministic order
+			p.JobChanged(t.job) // stops what is over, in a deterministic order
 		}
 	}
-	p.registry.Each(p.Job)
+	p.registry.Each(p.JobChanged)
 	for _, tm := range teams {
 		if part.unreadable {
 			p.markDamaged(tm)
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -90,7 +90,7 @@
 		Usage:   func([]peer.Usage) {},
 		Claims:  func([]peer.Claim) {},
 	}, g.registry, g.a, cordon.NewBook(g, c, g.mirror, log, 0))
-	g.registry.OnJob = g.p.Job
+	g.registry.OnJob = g.p.JobChanged
 	for _, t := range teams {
 		mark := g.state.Put("c/t/"+t.Name, map[string]any{"n": "a", "e": 1})
 		g.p.Owned(partition.ForTeam(t.Name), true, member.Owner{Node: "a", Epoch: 1, Mark: mark})
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -142,8 +142,8 @@
 	return t
 }
 
-// Job applies a new or changed job record.
-func (p *Placer) Job(j *job.Job) {
+// JobChanged applies a new or changed job record.
+func (p *Placer) JobChanged(j *job.Job) {
 	if j.Final() {
 		delete(p.paces, j.ID)
 		p.fleet.Spare(j.ID, 0)
