--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -35,7 +35,7 @@
 		n.agent.Start(s)
 	}
 	for _, d := range e.Drops {
-		n.placer.Drop(e.From, d)
+		n.placer.StartDropped(e.From, d)
 	}
 	if e.Tally != nil {
 		n.rental.Tally(e.From, *e.Tally)
--- a/internal/placer/forget_test.go
+++ b/internal/placer/forget_test.go
@@ -65,7 +65,7 @@
 		{"the next attempt is being recorded", func(*forgetRig) {}},
 		{"the next attempt's reservation is refused", func(g *forgetRig) {
 			g.Run(90 * loop.Millisecond) // its machine is chosen, and it is not recorded yet
-			g.p.Drop("b", agent.Drop{Machine: "n-001", Task: "job-000001/0", Attempt: 2, Why: "full", Reserve: true})
+			g.p.StartDropped("b", agent.Drop{Machine: "n-001", Task: "job-000001/0", Attempt: 2, Why: "full", Reserve: true})
 		}},
 		{"the next attempt's record is withdrawn", func(g *forgetRig) {
 			g.Run(90 * loop.Millisecond)
@@ -96,7 +96,7 @@
 func forgetAsTheNextOwner(t *testing.T) {
 	g := newForgetRig()
 	g.p.node.Reserve = func(host string, s agent.Start) {
-		g.p.Drop(host, agent.Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Reserve: true})
+		g.p.StartDropped(host, agent.Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Reserve: true})
 	}
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
 	g.p.Owned(partition.ForTeam("red"), false, member.Owner{})
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -206,8 +206,8 @@
 	}
 }
 
-// Drop handles a host controller's message that it will never pass a start on to the worker.
-func (p *Placer) Drop(from string, d agent.Drop) {
+// StartDropped handles a host controller's message that it will never pass a start on to the worker.
+func (p *Placer) StartDropped(from string, d agent.Drop) {
 	id, i, ok := agent.SplitTask(d.Task)
 	if !ok {
 		return
