--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -146,7 +146,7 @@
 			})
 		},
 		Changed: func(v *agent.View, c *agent.Changes) {
-			n.placer.View(v, c)
+			n.placer.ViewChanged(v, c)
 			n.rental.View(v)
 		},
 		Drop: func(to string, d agent.Drop) {
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -9,9 +9,9 @@
 	"cleatpick/internal/wire"
 )
 
-// View applies a machine's newer view to the tasks recorded on it. Tasks that are unchanged since the previous view
+// ViewChanged applies a machine's newer view to the tasks recorded on it. Tasks that are unchanged since the previous view
 // are not checked again.
-func (p *Placer) View(v *agent.View, c *agent.Changes) {
+func (p *Placer) ViewChanged(v *agent.View, c *agent.Changes) {
 	now := p.runner.Now()
 	// Tasks on a machine without recent reports may have begun long ago. If a new owner took its first view of a task
 	// for the start, every task would look slow.
