--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -234,8 +234,8 @@
 	}
 }
 
-// Gone handles the deletion of a machine, which terminates all tasks on it.
-func (p *Placer) Gone(machine string) {
+// MachineDeleted handles the deletion of a machine, which terminates all tasks on it.
+func (p *Placer) MachineDeleted(machine string) {
 	p.eachInUse(machine, func(r taskRef) {
 		if r.table.task(r.index).state == Placed {
 			if sl := p.fleet.Slot(machine); sl != nil {
