--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -187,7 +187,7 @@
 			n.net.All(func(e *peer.Envelope) { e.Progress = append(e.Progress, p...) })
 		},
 		Usage: func(u []peer.Usage) {
-			n.placer.Learn(u)
+			n.placer.UsageReceived(u)
 			n.net.All(func(e *peer.Envelope) { e.Usage = u })
 		},
 		Claims: func(c []peer.Claim) {
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -50,7 +50,7 @@
 		n.more.asks.Take(e)
 	}
 	n.jobs.LearnPlaces(e.Places)
-	n.placer.Learn(e.Usage)
+	n.placer.UsageReceived(e.Usage)
 	n.placer.LearnClaims(e.Claims)
 }
 
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -341,8 +341,8 @@
 	return n
 }
 
-// Learn records the resource use of teams that other controllers own.
-func (p *Placer) Learn(u []peer.Usage) {
+// UsageReceived records the resource use of teams that other controllers own.
+func (p *Placer) UsageReceived(u []peer.Usage) {
 	for _, x := range u {
 		p.usage[x.Team] = x
 	}
