--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -51,7 +51,7 @@
 	}
 	n.jobs.LearnPlaces(e.Places)
 	n.placer.UsageReceived(e.Usage)
-	n.placer.LearnClaims(e.Claims)
+	n.placer.ReservationsReceived(e.Claims)
 }
 
 // deltas takes in how machines have changed at a peer, and asks for what cannot be told
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -24,8 +24,8 @@
 // rented. In a large cluster some task is unplaced at any time.
 const turnoverSeconds = 1.0
 
-// LearnClaims adds reservations that other owners made, and records which tasks of this owner they preempted.
-func (p *Placer) LearnClaims(cs []peer.Claim) {
+// ReservationsReceived adds reservations that other owners made, and records which tasks of this owner they preempted.
+func (p *Placer) ReservationsReceived(cs []peer.Claim) {
 	for _, c := range cs {
 		p.fleet.AddClaim(c)
 		p.recordPreempted(c)
--- a/internal/placer/starvation_test.go
+++ b/internal/placer/starvation_test.go
@@ -72,7 +72,7 @@
 	claim := peer.Claim{Machine: "n-001", Job: small, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second}
 	g.show("n-001", "m8", "x", false)
 	g.Run(loop.Second)
-	g.p.LearnClaims([]peer.Claim{claim, claim})
+	g.p.ReservationsReceived([]peer.Claim{claim, claim})
 	g.show("n-001", "m8", "x", false, agent.Task{Task: small + "/8999", Attempt: 1, State: wire.TaskRunning})
 	g.p.fleet.Refresh()
 	if n := g.p.fleet.Held(small); n != 1 {
