--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -238,7 +238,7 @@
 	n.member.OnLeader = n.rental.Lead
 	n.net.Receive = n.receive
 	n.net.NewLife = func(label string) {
-		if claims := n.placer.ClaimsInForce(); len(claims) > 0 {
+		if claims := n.placer.OwnReservations(); len(claims) > 0 {
 			n.net.To(label, func(e *peer.Envelope) { e.Claims = append(e.Claims, claims...) })
 		}
 	}
--- a/internal/placer/guarantee_test.go
+++ b/internal/placer/guarantee_test.go
@@ -160,7 +160,7 @@
 	for _, id := range []string{mine, theirs} {
 		g.p.fleet.AddClaim(peer.Claim{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
 	}
-	if got := g.p.ClaimsInForce(); len(got) != 1 || got[0].Job != mine || got[0].CPUs != 2 {
+	if got := g.p.OwnReservations(); len(got) != 1 || got[0].Job != mine || got[0].CPUs != 2 {
 		t.Errorf("got reservations %+v, want the one of %s", got, mine)
 	}
 }
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// ClaimsInForce returns the reservations of the jobs owned here, for a peer that does not know them.
-func (p *Placer) ClaimsInForce() []peer.Claim {
+// OwnReservations returns the reservations of the jobs owned here, for a peer that does not know them.
+func (p *Placer) OwnReservations() []peer.Claim {
 	return p.fleet.ClaimsOf(func(id string) bool {
 		j := p.registry.Get(id)
 		if j == nil || j.Spec == nil {
