--- a/internal/placer/load.go
+++ b/internal/placer/load.go
@@ -196,7 +196,7 @@
 	if len(segments) > 0 { // without records no task of these teams is on any machine
 		p.agent.Views(func(v *agent.View) { p.ViewChanged(v, &agent.Changes{All: true}) })
 	}
-	p.Kick()
+	p.RequestPass()
 }
 
 // markDamaged marks the unfinished jobs of a team as damaged. They are not started, since it is unknown which of their
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -165,7 +165,7 @@
 			return
 		}
 		p.tableOf(tm, j)
-		p.Kick()
+		p.RequestPass()
 		return
 	}
 	if j.Final() {
@@ -184,7 +184,7 @@
 		}
 	})
 	p.forgetIfTerminated(t)
-	p.Kick()
+	p.RequestPass()
 }
 
 // forgetIfTerminated forgets the table of a job in a final phase once none of its tasks can be on a machine.
@@ -233,7 +233,7 @@
 			p.node.Meter.Refusal()
 			p.excludeBriefly(d.Machine)
 			p.confirmTerminated(t, i, "reservation refused: "+d.Why)
-			p.Kick()
+			p.RequestPass()
 		}
 		return
 	}
@@ -245,7 +245,7 @@
 	if x.recordedHere && !x.sentToSeveral && x.sentTo == from && x.sentToIncarnation == d.Life && !x.listed {
 		p.excludeBriefly(d.Machine)
 		p.confirmTerminated(t, i, "dropped: "+d.Why)
-		p.Kick()
+		p.RequestPass()
 	}
 }
 
@@ -255,7 +255,7 @@
 	if v == nil || p.runner.Wall() >= x.expiry {
 		if x.sentTo == "" && x.recordedHere {
 			p.confirmTerminated(t, i, "not sent in time")
-			p.Kick()
+			p.RequestPass()
 		}
 		return
 	}
@@ -352,9 +352,9 @@
 // a pass for each such event would scan the same queue every time.
 const minPassInterval = 80 * loop.Millisecond
 
-// Kick schedules a placement pass. Calls that arrive before the pass starts share it. The delay grows with the
+// RequestPass schedules a placement pass. Calls that arrive before the pass starts share it. The delay grows with the
 // duration of the newest pass, so that passes leave most of the controller's time to other work.
-func (p *Placer) Kick() {
+func (p *Placer) RequestPass() {
 	if p.passScheduled {
 		return
 	}
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -50,7 +50,7 @@
 		p.forgetEnded(v, sl.Jobs)
 	}
 	if !quiet {
-		p.Kick()
+		p.RequestPass()
 	}
 }
 
@@ -247,5 +247,5 @@
 	p.fleet.Gone(machine)
 	delete(p.checkRequestedAt, machine)
 	p.attribution.Gone(machine)
-	p.Kick()
+	p.RequestPass()
 }
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -54,7 +54,7 @@
 	if len(use) > 0 {
 		p.node.Usage(use)
 	}
-	p.Kick()
+	p.RequestPass()
 	p.sendDemand()
 }
 
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -492,7 +492,7 @@
 					h.away(id, reasons[k].Kind, &reasons[k], ahead)
 				}
 			}
-			h.p.Kick()
+			h.p.RequestPass()
 			h.p.place()
 			left := 0
 			if x := h.table(id); x != nil {
