--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -232,7 +232,7 @@
 	n.member.Isolated = n.reach.Isolated
 	n.member.Fit, n.member.Broken = n.reach.Fit, n.reach.Broken
 	n.member.Weight = n.placer.InUse
-	n.member.OnOwned = n.placer.Owned
+	n.member.OnOwned = n.placer.OwnershipChanged
 	n.member.OnAssigned = n.placer.Assigned
 	n.member.OnReleased = n.placer.Released
 	n.member.OnLeader = n.rental.Lead
--- a/internal/placer/forget_test.go
+++ b/internal/placer/forget_test.go
@@ -99,10 +99,10 @@
 		g.p.StartDropped(host, agent.Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Reserve: true})
 	}
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
-	g.p.Owned(partition.ForTeam("red"), false, member.Owner{})
+	g.p.OwnershipChanged(partition.ForTeam("red"), false, member.Owner{})
 	g.state.Put(segmentKey("x/red/", 0), segmentRecord{Machines: []machineEntry{}, Jobs: []jobEntry{{ID: id, Tasks: []taskEntry{{Index: 0, State: storedTerminated, Attempt: 1}}}}})
 	mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
-	g.p.Owned(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Mark: mark})
+	g.p.OwnershipChanged(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Mark: mark})
 	latest := g.Now() + loop.Seconds(g.p.cfg.Operator.StartLifeS)
 	g.showFor(20 * loop.Second)
 	g.checkAsked(t, latest)
--- a/internal/placer/partition.go
+++ b/internal/placer/partition.go
@@ -44,8 +44,8 @@
 	return p.teams[t.team.cfg.Name] == t.team && t.team.jobs[t.job.ID] == t
 }
 
-// Owned handles the gain or loss of a partition.
-func (p *Placer) Owned(id partition.ID, owned bool, claim member.Owner) {
+// OwnershipChanged handles the gain or loss of a partition.
+func (p *Placer) OwnershipChanged(id partition.ID, owned bool, claim member.Owner) {
 	if !owned {
 		p.removePartition(id)
 		return
--- a/internal/placer/partition_test.go
+++ b/internal/placer/partition_test.go
@@ -59,8 +59,8 @@
 // own makes this controller the owner of the partition under a new claim.
 func (g *rig) own() {
 	mark := g.state.Put(onlyID.ClaimKey(), map[string]any{"n": "a", "e": 1})
-	g.p.Owned(onlyID, false, member.Owner{})
-	g.p.Owned(onlyID, true, member.Owner{Node: "a", Epoch: 1, Mark: mark})
+	g.p.OwnershipChanged(onlyID, false, member.Owner{})
+	g.p.OwnershipChanged(onlyID, true, member.Owner{Node: "a", Epoch: 1, Mark: mark})
 	g.Run(loop.Second)
 }
 
@@ -187,7 +187,7 @@
 		t.Fatalf("%d of %d tasks were started, with %d segments, want all and at least 2 segments", n, tasks, logs)
 	}
 	g.state.Put(own.ClaimKey(), map[string]any{"n": "", "e": 0, "p": string(onlyID)})
-	g.p.Owned(own, false, member.Owner{})
+	g.p.OwnershipChanged(own, false, member.Owner{})
 	g.p.node.Membership = &onePartition{g: g, known: map[string]bool{"team-000": true}}
 	g.starts = nil
 	for _, owner := range []string{"the first owner", "the next one"} {
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -93,7 +93,7 @@
 	g.registry.OnJob = g.p.JobChanged
 	for _, t := range teams {
 		mark := g.state.Put("c/t/"+t.Name, map[string]any{"n": "a", "e": 1})
-		g.p.Owned(partition.ForTeam(t.Name), true, member.Owner{Node: "a", Epoch: 1, Mark: mark})
+		g.p.OwnershipChanged(partition.ForTeam(t.Name), true, member.Owner{Node: "a", Epoch: 1, Mark: mark})
 	}
 	g.mirror.Start()
 	g.Run(loop.Second)
@@ -422,9 +422,9 @@
 	if use := g.p.teams["red"].cpus; use != 4 {
 		t.Fatalf("%v CPUs are in use, want 4", use)
 	}
-	g.p.Owned(partition.ForTeam("red"), false, member.Owner{})
+	g.p.OwnershipChanged(partition.ForTeam("red"), false, member.Owner{})
 	mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
-	g.p.Owned(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Mark: mark})
+	g.p.OwnershipChanged(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Mark: mark})
 	g.acceptJob(3, spec)
 	g.starts = nil
 	g.Run(loop.Second)
@@ -452,9 +452,9 @@
 			rec.Jobs[0].Tasks = append(rec.Jobs[0].Tasks, taskEntry{Index: i, State: storedPlaced, Attempt: 1, Machine: 1, Session: 1, Expiry: g.Now()})
 		}
 		g.state.Put(segmentKey("x/red/", 0), rec)
-		g.p.Owned(partition.ForTeam("red"), false, member.Owner{})
+		g.p.OwnershipChanged(partition.ForTeam("red"), false, member.Owner{})
 		mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
-		g.p.Owned(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Mark: mark})
+		g.p.OwnershipChanged(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Mark: mark})
 		for i := range 40 {
 			g.show(fmt.Sprintf("n-1%02d", i), "m8", "x", false)
 		}
--- a/internal/placer/turns_test.go
+++ b/internal/placer/turns_test.go
@@ -40,8 +40,8 @@
 	g.Run(2 * loop.Second)
 	part := g.p.teams["red"].partition
 	g.p.starvation = starvation.New() // as at a controller that has just started
-	g.p.Owned(part.id, false, part.claim)
-	g.p.Owned(part.id, true, part.claim)
+	g.p.OwnershipChanged(part.id, false, part.claim)
+	g.p.OwnershipChanged(part.id, true, part.claim)
 	g.Run(2 * loop.Second)
 	if got, want := firstClass(g, "red\x00a", "red\x00b"), "red\x00b"; got != want {
 		t.Errorf("%q is served first, want %q", got, want)
