--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -234,7 +234,7 @@
 	n.member.Weight = n.placer.InUse
 	n.member.OnOwned = n.placer.OwnershipChanged
 	n.member.OnAssigned = n.placer.Assigned
-	n.member.OnReleased = n.placer.Released
+	n.member.OnReleased = n.placer.TeamReleased
 	n.member.OnLeader = n.rental.Lead
 	n.net.Receive = n.receive
 	n.net.NewLife = func(label string) {
--- a/internal/placer/partition.go
+++ b/internal/placer/partition.go
@@ -105,9 +105,9 @@
 	return part
 }
 
-// Released handles the message that no controller owns a team which is not assigned to a partition yet. Its recorded
+// TeamReleased handles the message that no controller owns a team which is not assigned to a partition yet. Its recorded
 // tasks are to be taken over even if none of its jobs waits.
-func (p *Placer) Released(name string) { p.scheduleAssignment(name) }
+func (p *Placer) TeamReleased(name string) { p.scheduleAssignment(name) }
 
 // scheduleAssignment schedules the assignment of a team to its partition, if that is owned here.
 func (p *Placer) scheduleAssignment(name string) {
