--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -233,7 +233,7 @@
 	n.member.Fit, n.member.Broken = n.reach.Fit, n.reach.Broken
 	n.member.Weight = n.placer.InUse
 	n.member.OnOwned = n.placer.OwnershipChanged
-	n.member.OnAssigned = n.placer.Assigned
+	n.member.OnAssigned = n.placer.TeamAssigned
 	n.member.OnReleased = n.placer.TeamReleased
 	n.member.OnLeader = n.rental.Lead
 	n.net.Receive = n.receive
--- a/internal/placer/partition.go
+++ b/internal/placer/partition.go
@@ -143,7 +143,7 @@
 		case p.teams[name] != nil:
 			delete(part.unassigned, name)
 		case p.node.Membership.Assigned(name):
-			p.Assigned(name)
+			p.TeamAssigned(name)
 		case len(names) < p.client.MostChanges():
 			names = append(names, name)
 		}
@@ -167,9 +167,9 @@
 	})
 }
 
-// Assigned handles the assignment of a team to its numbered partition. Teams that are assigned within a short time
+// TeamAssigned handles the assignment of a team to its numbered partition. Teams that are assigned within a short time
 // are loaded together.
-func (p *Placer) Assigned(name string) {
+func (p *Placer) TeamAssigned(name string) {
 	part := p.numberedPartition(name)
 	if part == nil || p.teams[name] != nil || slices.Contains(part.toLoad, name) {
 		return
--- a/internal/placer/partition_test.go
+++ b/internal/placer/partition_test.go
@@ -34,7 +34,7 @@
 	m.g.After(m.delay, func() {
 		for _, team := range teams {
 			m.known[team] = true
-			m.g.p.Assigned(team)
+			m.g.p.TeamAssigned(team)
 		}
 		done(true)
 	})
@@ -158,7 +158,7 @@
 			g.After(2*loop.Second, func() {
 				for _, team := range []string{"team-003", "team-020"} {
 					m.known[team] = true
-					g.p.Assigned(team)
+					g.p.TeamAssigned(team)
 				}
 			})
 		}
