--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -61,7 +61,7 @@
 		if wire.Unmarshal(body, &name) != nil {
 			name = ""
 		}
-		reply(n.placer.Unseen(name))
+		reply(n.placer.UnseenStarts(name))
 	})
 	x.api = api.New(l, n.log, n.cfg, api.Node{
 		Ready:    n.ready,
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -273,9 +273,9 @@
 	}
 }
 
-// Unseen returns the number of tasks of owned teams that were chosen or recorded for machines under the named cordon
+// UnseenStarts returns the number of tasks of owned teams that were chosen or recorded for machines under the named cordon
 // and have not been seen running. They may still begin.
-func (p *Placer) Unseen(name string) int {
+func (p *Placer) UnseenStarts(name string) int {
 	n := 0
 	for machine, on := range p.tasksByMachine {
 		sl := p.fleet.Slot(machine)
