--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -264,8 +264,8 @@
 // Owns reports whether the team is owned and loaded here.
 func (p *Placer) Owns(team string) bool { return p.teams[team] != nil && p.teams[team].loaded }
 
-// Places calls f for every known machine. Machines whose last report is older than after receive no starts.
-func (p *Placer) Places(f func(pl *gate.Place, after loop.Micros)) {
+// EachPlace calls f for every known machine. Machines whose last report is older than after receive no starts.
+func (p *Placer) EachPlace(f func(pl *gate.Place, after loop.Micros)) {
 	p.fleet.Refresh()
 	after := p.runner.Now() - p.staleAfter()
 	for _, sl := range p.fleet.All() {
