--- a/internal/node/addition_hand_test.go
+++ b/internal/node/addition_hand_test.go
@@ -165,7 +165,7 @@
 			leads = true
 		}
 		for _, t := range w.cfg.Cluster.Teams {
-			teams[t.Name] = teams[t.Name] || s.n.placer.Owns(t.Name)
+			teams[t.Name] = teams[t.Name] || s.n.placer.OwnsTeam(t.Name)
 		}
 	}
 	return leads && len(teams) == len(w.cfg.Cluster.Teams) && !slices.Contains([]bool{teams["red"], teams["blue"]}, false)
--- a/internal/node/gap_test.go
+++ b/internal/node/gap_test.go
@@ -24,7 +24,7 @@
 // owner is who owns a team.
 func (w *world) owner(team string) string {
 	for _, l := range w.labels {
-		if s := w.nodes[l]; s.alive && !s.frozen && s.n.placer.Owns(team) {
+		if s := w.nodes[l]; s.alive && !s.frozen && s.n.placer.OwnsTeam(team) {
 			return l
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -223,7 +223,7 @@
 		if j.Final() {
 			delete(n.progress, j.ID)
 			if n.more != nil {
-				own := j.Spec != nil && n.placer.Owns(j.Spec.Team)
+				own := j.Spec != nil && n.placer.OwnsTeam(j.Spec.Team)
 				n.more.desk.Lines.Over(j.ID, l.Wall(), own)
 			}
 		}
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -261,8 +261,8 @@
 	}
 }
 
-// Owns reports whether the team is owned and loaded here.
-func (p *Placer) Owns(team string) bool { return p.teams[team] != nil && p.teams[team].loaded }
+// OwnsTeam reports whether the team is owned and loaded here.
+func (p *Placer) OwnsTeam(team string) bool { return p.teams[team] != nil && p.teams[team].loaded }
 
 // EachPlace calls f for every known machine. Machines whose last report is older than after receive no starts.
 func (p *Placer) EachPlace(f func(pl *gate.Place, after loop.Micros)) {
