--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -231,7 +231,7 @@
 	}
 	n.member.Isolated = n.reach.Isolated
 	n.member.Fit, n.member.Broken = n.reach.Fit, n.reach.Broken
-	n.member.Weight = n.placer.InUse
+	n.member.Weight = n.placer.TasksInUse
 	n.member.OnOwned = n.placer.OwnershipChanged
 	n.member.OnAssigned = n.placer.TeamAssigned
 	n.member.OnReleased = n.placer.TeamReleased
--- a/internal/placer/partition_test.go
+++ b/internal/placer/partition_test.go
@@ -165,7 +165,7 @@
 		g.starts = nil
 		g.own()
 		g.Run(6 * loop.Second)
-		used := g.p.InUse(onlyID)
+		used := g.p.TasksInUse(onlyID)
 		if began := names(g.starts); used != 360 || len(began) > 0 {
 			t.Errorf("lagging %v: the next owner knows %d of 360 tasks and started %d again", lags, used, len(began))
 		}
@@ -225,7 +225,7 @@
 	g.starts = nil
 	g.own()
 	g.Run(4 * loop.Second)
-	if used := g.p.InUse(onlyID); used != 300 {
+	if used := g.p.TasksInUse(onlyID); used != 300 {
 		t.Errorf("the next owner knows %d of 300 tasks", used)
 	}
 }
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -330,8 +330,8 @@
 	return job.Counts{Done: int64(t.completed), Running: int64(t.running)}, true
 }
 
-// InUse returns the number of tasks of an owned partition that may be on machines.
-func (p *Placer) InUse(id partition.ID) int {
+// TasksInUse returns the number of tasks of an owned partition that may be on machines.
+func (p *Placer) TasksInUse(id partition.ID) int {
 	n := 0
 	if part := p.partitions[id]; part != nil {
 		for _, tm := range part.teams {
