--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -80,7 +80,7 @@
 
 // counts are a job's counts, of its owner's word where it is owned elsewhere.
 func (n *Node) counts(j *job.Job) job.Counts {
-	if c, ok := n.placer.Counts(j); ok {
+	if c, ok := n.placer.JobCounts(j); ok {
 		return c
 	}
 	return n.progress[j.ID]
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -317,8 +317,8 @@
 	}
 }
 
-// Counts returns the task counts of a job whose team is owned here. ok is false for other jobs.
-func (p *Placer) Counts(j *job.Job) (job.Counts, bool) {
+// JobCounts returns the task counts of a job whose team is owned here. ok is false for other jobs.
+func (p *Placer) JobCounts(j *job.Job) (job.Counts, bool) {
 	if j.Spec == nil {
 		return job.Counts{}, false
 	}
