--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -83,12 +83,12 @@
 				g.onStop(s)
 			}
 		},
-		Check:   func(string, string) {},
-		Reserve: func(string, agent.Start) {},
-		Tally:   func(t peer.Tally) { g.tally = t },
-		Tell:    func([]peer.Progress) {},
-		Usage:   func([]peer.Usage) {},
-		Claims:  func([]peer.Claim) {},
+		RequestTaskList: func(string, string) {},
+		Reserve:         func(string, agent.Start) {},
+		Tally:           func(t peer.Tally) { g.tally = t },
+		Tell:            func([]peer.Progress) {},
+		Usage:           func([]peer.Usage) {},
+		Claims:          func([]peer.Claim) {},
 	}, g.registry, g.a, cordon.NewBook(g, c, g.mirror, log, 0))
 	g.registry.OnJob = g.p.JobChanged
 	for _, t := range teams {
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -28,8 +28,8 @@
 	// Start and Stop send a command to the named host controller.
 	Start func(host string, s agent.Start)
 	Stop  func(host string, s agent.Stop)
-	// Check asks a machine's host controller for a task list that was certainly made after the request.
-	Check func(host, machine string)
+	// RequestTaskList asks a machine's host controller for a task list that was certainly made after the request.
+	RequestTaskList func(host, machine string)
 	// Reserve tells the host controller of a placement whose record is still being stored.
 	Reserve func(host string, s agent.Start)
 	// Tally sends the list of unplaced requests to the leader.
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -135,7 +135,7 @@
 		}
 		if now := p.runner.Now(); p.runner.Wall() > safe && now-p.checkRequestedAt[v.Name] > loop.Second {
 			p.checkRequestedAt[v.Name] = now
-			p.node.Check(v.Host, v.Name)
+			p.node.RequestTaskList(v.Host, v.Name)
 		}
 		return
 	}
