--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -172,7 +172,7 @@
 		Stop: func(host string, s agent.Stop) {
 			n.at(host, func() { n.agent.Stop(s) }, func(e *peer.Envelope) { e.Stops = append(e.Stops, s) })
 		},
-		Tally: func(t peer.Tally) {
+		SendDemand: func(t peer.Tally) {
 			o, ok := n.member.Leader()
 			if !ok {
 				return
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -85,7 +85,7 @@
 		},
 		RequestTaskList: func(string, string) {},
 		Reserve:         func(string, agent.Start) {},
-		Tally:           func(t peer.Tally) { g.tally = t },
+		SendDemand:      func(t peer.Tally) { g.tally = t },
 		Tell:            func([]peer.Progress) {},
 		Usage:           func([]peer.Usage) {},
 		Claims:          func([]peer.Claim) {},
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -32,8 +32,8 @@
 	RequestTaskList func(host, machine string)
 	// Reserve tells the host controller of a placement whose record is still being stored.
 	Reserve func(host string, s agent.Start)
-	// Tally sends the list of unplaced requests to the leader.
-	Tally func(peer.Tally)
+	// SendDemand sends the list of unplaced requests to the leader.
+	SendDemand func(peer.Tally)
 	// Tell sends the task counts of owned jobs to the peers.
 	Tell func([]peer.Progress)
 	// Usage sends the resource use of the owned teams to the peers.
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -155,5 +155,5 @@
 		}
 	}
 	sort.Strings(t.Suspect)
-	p.node.Tally(t)
+	p.node.SendDemand(t)
 }
