--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -182,7 +182,7 @@
 		Tells:      cfg.Operator.API.Enabled,
 		Meter:      n.meter,
 		Membership: n.member,
-		Tell: func(p []peer.Progress) {
+		SendProgress: func(p []peer.Progress) {
 			n.told(p, true)
 			n.net.All(func(e *peer.Envelope) { e.Progress = append(e.Progress, p...) })
 		},
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -86,7 +86,7 @@
 		RequestTaskList: func(string, string) {},
 		Reserve:         func(string, agent.Start) {},
 		SendDemand:      func(t peer.Tally) { g.tally = t },
-		Tell:            func([]peer.Progress) {},
+		SendProgress:    func([]peer.Progress) {},
 		Usage:           func([]peer.Usage) {},
 		Claims:          func([]peer.Claim) {},
 	}, g.registry, g.a, cordon.NewBook(g, c, g.mirror, log, 0))
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -34,8 +34,8 @@
 	Reserve func(host string, s agent.Start)
 	// SendDemand sends the list of unplaced requests to the leader.
 	SendDemand func(peer.Tally)
-	// Tell sends the task counts of owned jobs to the peers.
-	Tell func([]peer.Progress)
+	// SendProgress sends the task counts of owned jobs to the peers.
+	SendProgress func([]peer.Progress)
 	// Usage sends the resource use of the owned teams to the peers.
 	Usage func([]peer.Usage)
 	// Claims sends new reservations of capacity on machines to the peers.
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -49,7 +49,7 @@
 		p.trackGuarantee(tm, misses, now)
 	}
 	if len(tell) > 0 {
-		p.node.Tell(tell)
+		p.node.SendProgress(tell)
 	}
 	if len(use) > 0 {
 		p.node.Usage(use)
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -540,7 +540,7 @@
 	g.p.node.Tells = true
 	g.p.preemption.nextRun = 1 << 62 // preemption is not checked here
 	var told []gate.Cause
-	g.p.node.Tell = func(all []peer.Progress) {
+	g.p.node.SendProgress = func(all []peer.Progress) {
 		for _, p := range all {
 			if p.Waits {
 				told = p.Causes
