--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -179,9 +179,9 @@
 			}
 			n.at(o.Node, func() { n.rental.Tally(cfg.Label, t) }, func(e *peer.Envelope) { e.Tally = &t })
 		},
-		Tells:      cfg.Operator.API.Enabled,
-		Meter:      n.meter,
-		Membership: n.member,
+		ReportCauses: cfg.Operator.API.Enabled,
+		Meter:        n.meter,
+		Membership:   n.member,
 		SendProgress: func(p []peer.Progress) {
 			n.told(p, true)
 			n.net.All(func(e *peer.Envelope) { e.Progress = append(e.Progress, p...) })
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -239,7 +239,7 @@
 
 // setUnplacedCause records which machine predicate left a job's tasks unplaced in a pass.
 func (p *Placer) setUnplacedCause(t *jobTable, missing bool) {
-	if !p.node.Tells {
+	if !p.node.ReportCauses {
 		return
 	}
 	now := p.runner.Now()
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -40,10 +40,10 @@
 	Usage func([]peer.Usage)
 	// Claims sends new reservations of capacity on machines to the peers.
 	Claims func([]peer.Claim)
-	// Tells reports whether the causes of waiting are tracked and sent to the peers. Meter counts events and may be
+	// ReportCauses reports whether the causes of waiting are tracked and sent to the peers. Meter counts events and may be
 	// nil.
-	Tells bool
-	Meter *metric.Meter
+	ReportCauses bool
+	Meter        *metric.Meter
 	// Membership maps teams to partitions. It is nil where every team is a partition of its own.
 	Membership Membership
 }
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -48,7 +48,7 @@
 func (p *Placer) recordReservations(cs []peer.Claim) {
 	for i := range cs {
 		p.node.Meter.Preempted(len(cs[i].Victims))
-		if p.node.Tells {
+		if p.node.ReportCauses {
 			p.recordPreempted(cs[i])
 		} else {
 			cs[i].Victims = nil
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -34,13 +34,13 @@
 			misses = misses || t.unplacedSince != 0
 			d, run := int64(t.completed), int64(t.running)
 			news := d != t.sentDone || run != t.sentRunning
-			if p.node.Tells && !t.job.Final() && p.updateCauses(t, now-p.staleAfter(), wall) {
+			if p.node.ReportCauses && !t.job.Final() && p.updateCauses(t, now-p.staleAfter(), wall) {
 				news = true
 			}
 			if news {
 				t.sentDone, t.sentRunning = d, run
 				news := peer.Progress{Job: t.job.ID, Done: d, Running: run}
-				if p.node.Tells {
+				if p.node.ReportCauses {
 					news.Causes, news.Waits, news.At = t.causes, true, wall
 				}
 				tell = append(tell, news)
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -537,7 +537,7 @@
 // teller returns a scene with one team that publishes causes, and the causes published last.
 func teller() (*scene, *[]gate.Cause) {
 	g := &scene{rig: newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 90})}
-	g.p.node.Tells = true
+	g.p.node.ReportCauses = true
 	g.p.preemption.nextRun = 1 << 62 // preemption is not checked here
 	var told []gate.Cause
 	g.p.node.SendProgress = func(all []peer.Progress) {
