--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -186,7 +186,7 @@
 			n.told(p, true)
 			n.net.All(func(e *peer.Envelope) { e.Progress = append(e.Progress, p...) })
 		},
-		Usage: func(u []peer.Usage) {
+		SendUsage: func(u []peer.Usage) {
 			n.placer.UsageReceived(u)
 			n.net.All(func(e *peer.Envelope) { e.Usage = u })
 		},
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -87,7 +87,7 @@
 		Reserve:         func(string, agent.Start) {},
 		SendDemand:      func(t peer.Tally) { g.tally = t },
 		SendProgress:    func([]peer.Progress) {},
-		Usage:           func([]peer.Usage) {},
+		SendUsage:       func([]peer.Usage) {},
 		Claims:          func([]peer.Claim) {},
 	}, g.registry, g.a, cordon.NewBook(g, c, g.mirror, log, 0))
 	g.registry.OnJob = g.p.JobChanged
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -36,8 +36,8 @@
 	SendDemand func(peer.Tally)
 	// SendProgress sends the task counts of owned jobs to the peers.
 	SendProgress func([]peer.Progress)
-	// Usage sends the resource use of the owned teams to the peers.
-	Usage func([]peer.Usage)
+	// SendUsage sends the resource use of the owned teams to the peers.
+	SendUsage func([]peer.Usage)
 	// Claims sends new reservations of capacity on machines to the peers.
 	Claims func([]peer.Claim)
 	// ReportCauses reports whether the causes of waiting are tracked and sent to the peers. Meter counts events and may be
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -52,7 +52,7 @@
 		p.node.SendProgress(tell)
 	}
 	if len(use) > 0 {
-		p.node.Usage(use)
+		p.node.SendUsage(use)
 	}
 	p.RequestPass()
 	p.sendDemand()
