--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -190,7 +190,7 @@
 			n.placer.UsageReceived(u)
 			n.net.All(func(e *peer.Envelope) { e.Usage = u })
 		},
-		Claims: func(c []peer.Claim) {
+		SendReservations: func(c []peer.Claim) {
 			n.net.All(func(e *peer.Envelope) { e.Claims = append(e.Claims, c...) })
 		},
 	}, n.jobs, n.agent, n.cordons)
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -151,7 +151,7 @@
 		p.node.Reserve(c.host, c.start) // last, since a host controller in this process answers with a new view
 	}
 	if len(p.preemption.newReservations) > 0 {
-		p.node.Claims(p.preemption.newReservations)
+		p.node.SendReservations(p.preemption.newReservations)
 		p.preemption.newReservations = nil
 	}
 	p.lastPassTook = p.runner.Now() - began
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -83,12 +83,12 @@
 				g.onStop(s)
 			}
 		},
-		RequestTaskList: func(string, string) {},
-		Reserve:         func(string, agent.Start) {},
-		SendDemand:      func(t peer.Tally) { g.tally = t },
-		SendProgress:    func([]peer.Progress) {},
-		SendUsage:       func([]peer.Usage) {},
-		Claims:          func([]peer.Claim) {},
+		RequestTaskList:  func(string, string) {},
+		Reserve:          func(string, agent.Start) {},
+		SendDemand:       func(t peer.Tally) { g.tally = t },
+		SendProgress:     func([]peer.Progress) {},
+		SendUsage:        func([]peer.Usage) {},
+		SendReservations: func([]peer.Claim) {},
 	}, g.registry, g.a, cordon.NewBook(g, c, g.mirror, log, 0))
 	g.registry.OnJob = g.p.JobChanged
 	for _, t := range teams {
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -38,8 +38,8 @@
 	SendProgress func([]peer.Progress)
 	// SendUsage sends the resource use of the owned teams to the peers.
 	SendUsage func([]peer.Usage)
-	// Claims sends new reservations of capacity on machines to the peers.
-	Claims func([]peer.Claim)
+	// SendReservations sends new reservations of capacity on machines to the peers.
+	SendReservations func([]peer.Claim)
 	// ReportCauses reports whether the causes of waiting are tracked and sent to the peers. Meter counts events and may be
 	// nil.
 	ReportCauses bool
--- a/internal/placer/preempt_test.go
+++ b/internal/placer/preempt_test.go
@@ -32,7 +32,7 @@
 	f := &stopFleet{rig: newRig(1000, teams...), t: t, teams: teams, specs: map[string]*job.Spec{}, machines: map[string][]agent.Task{},
 		stopped: map[string]int{}, turns: map[[2]string][]string{}}
 	f.p.node.ReportCauses = true
-	f.p.node.Claims = func(claims []peer.Claim) {
+	f.p.node.SendReservations = func(claims []peer.Claim) {
 		for i := range claims {
 			f.judge(&claims[i])
 		}
--- a/internal/placer/quota_test.go
+++ b/internal/placer/quota_test.go
@@ -75,7 +75,7 @@
 
 			g = newRig(100, red, blue)
 			var claims []peer.Claim
-			g.p.node.Claims = func(cs []peer.Claim) { claims = append(claims, cs...) }
+			g.p.node.SendReservations = func(cs []peer.Claim) { claims = append(claims, cs...) }
 			g.showRunning(machines...)
 			other := spec
 			other.Team, other.Tasks = "blue", 48
