--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -42,7 +42,7 @@
 	jobs     *job.Registry
 	cordons  *cordon.Book
 	agent    *agent.Agent
-	placer   *placer.Placer
+	placer   *placer.Scheduler
 	rental   *rental.Rental
 	net      *peer.Net
 	reach    *reach.Judge
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -17,7 +17,7 @@
 )
 
 // Facts collects why the tasks of a job do not run. ok is false if the job's team is not owned and loaded here.
-func (p *Placer) Facts(id string, types []wire.MachineType, contact bool) (f *explain.Facts, ok bool) {
+func (p *Scheduler) Facts(id string, types []wire.MachineType, contact bool) (f *explain.Facts, ok bool) {
 	j := p.registry.Get(id)
 	if j == nil || j.Spec == nil {
 		return nil, false
@@ -52,7 +52,7 @@
 }
 
 // fitsUncordoned returns how many of n tasks would fit if there were no cordons.
-func (p *Placer) fitsUncordoned(t *jobTable, n int) int {
+func (p *Scheduler) fitsUncordoned(t *jobTable, n int) int {
 	if !p.cordons.Any() {
 		return p.fleet.Trial(t.need(), n, p.fleet.All())
 	}
@@ -60,7 +60,7 @@
 }
 
 // blockingCordons reports whether cordons block every place that the job allows, and names the cordons that block any.
-func (p *Placer) blockingCordons(s *job.Spec, types []wire.MachineType) (all bool, names []string) {
+func (p *Scheduler) blockingCordons(s *job.Spec, types []wire.MachineType) (all bool, names []string) {
 	if len(p.cordons.All()) == 0 {
 		return false, nil
 	}
@@ -99,7 +99,7 @@
 }
 
 // tasksInFlight groups the tasks that are neither waiting nor running by machine and state.
-func (p *Placer) tasksInFlight(t *jobTable, after loop.Micros) []explain.Flight {
+func (p *Scheduler) tasksInFlight(t *jobTable, after loop.Micros) []explain.Flight {
 	type key struct {
 		kind    gate.Kind
 		state   string
@@ -148,7 +148,7 @@
 }
 
 // taskInFlight returns what a task in use is doing; kind 0 means that it runs.
-func (p *Placer) taskInFlight(t *jobTable, i int, x *task, after, wall loop.Micros) (k gate.Kind, state string, since loop.Micros) {
+func (p *Scheduler) taskInFlight(t *jobTable, i int, x *task, after, wall loop.Micros) (k gate.Kind, state string, since loop.Micros) {
 	if x.state == Recording {
 		return gate.Recording, "recording", x.chosenAt
 	}
@@ -179,7 +179,7 @@
 
 // causes appends the causes that hold for a job now. It relies on the newest pass and the views and does not scan the
 // machines.
-func (p *Placer) causes(t *jobTable, out []gate.Cause, after, wall loop.Micros) []gate.Cause {
+func (p *Scheduler) causes(t *jobTable, out []gate.Cause, after, wall loop.Micros) []gate.Cause {
 	f := p.facts(t)
 	out = f.Causes(out)
 	if f.Waiting > 0 && t.unplacedCause != 0 && f.Open() {
@@ -213,7 +213,7 @@
 
 // updateCauses updates a job's causes. It reports whether to send them: they differ in kind or by half in number from
 // those last sent, or a repeat is due.
-func (p *Placer) updateCauses(t *jobTable, after, wall loop.Micros) bool {
+func (p *Scheduler) updateCauses(t *jobTable, after, wall loop.Micros) bool {
 	var room [gate.Recheck]gate.Cause
 	now := p.causes(t, room[:0], after, wall)
 	same := len(now) == len(t.causes)
@@ -238,7 +238,7 @@
 }
 
 // setUnplacedCause records which machine predicate left a job's tasks unplaced in a pass.
-func (p *Placer) setUnplacedCause(t *jobTable, missing bool) {
+func (p *Scheduler) setUnplacedCause(t *jobTable, missing bool) {
 	if !p.node.ReportCauses {
 		return
 	}
@@ -262,10 +262,10 @@
 }
 
 // OwnsTeam reports whether the team is owned and loaded here.
-func (p *Placer) OwnsTeam(team string) bool { return p.teams[team] != nil && p.teams[team].loaded }
+func (p *Scheduler) OwnsTeam(team string) bool { return p.teams[team] != nil && p.teams[team].loaded }
 
 // EachPlace calls f for every known machine. Machines whose last report is older than after receive no starts.
-func (p *Placer) EachPlace(f func(pl *gate.Place, after loop.Micros)) {
+func (p *Scheduler) EachPlace(f func(pl *gate.Place, after loop.Micros)) {
 	p.fleet.Refresh()
 	after := p.runner.Now() - p.staleAfter()
 	for _, sl := range p.fleet.All() {
@@ -275,7 +275,7 @@
 
 // UnseenStarts returns the number of tasks of owned teams that were chosen or recorded for machines under the named cordon
 // and have not been seen running. They may still begin.
-func (p *Placer) UnseenStarts(name string) int {
+func (p *Scheduler) UnseenStarts(name string) int {
 	n := 0
 	for machine, on := range p.tasksByMachine {
 		sl := p.fleet.Slot(machine)
@@ -295,7 +295,7 @@
 const maxPreemptedFor = 64
 
 // recordPreempted records for which job tasks of this owner were preempted.
-func (p *Placer) recordPreempted(c peer.Claim) {
+func (p *Scheduler) recordPreempted(c peer.Claim) {
 	for _, name := range c.Victims {
 		id, _, ok := agent.SplitTask(name)
 		j := p.registry.Get(id)
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -9,7 +9,7 @@
 )
 
 // facts collects the state of a job that its own predicates evaluate.
-func (p *Placer) facts(t *jobTable) gate.Job {
+func (p *Scheduler) facts(t *jobTable) gate.Job {
 	tm := t.team
 	f := gate.Job{Spec: t.job.Spec, Hold: &t.job.Terms.Hold, After: p.dependencies(t.job), OnWithdrawn: t.job.Terms.OnWithdrawn, Damaged: t.damaged,
 		Waiting: t.waiting(), InUse: t.inUse,
@@ -27,7 +27,7 @@
 }
 
 // dependencies lists the jobs that this job waits for, each with its phase.
-func (p *Placer) dependencies(j *job.Job) []gate.Dep {
+func (p *Scheduler) dependencies(j *job.Job) []gate.Dep {
 	if len(j.Terms.After) == 0 {
 		return nil
 	}
@@ -42,7 +42,7 @@
 }
 
 // blocked reports whether the job uses no capacity and is blocked by a hold or by a dependency.
-func (p *Placer) blocked(t *jobTable) bool {
+func (p *Scheduler) blocked(t *jobTable) bool {
 	if t.inUse > 0 || (t.job.Terms.Hold.State == job.HoldNone && len(t.job.Terms.After) == 0) {
 		return false
 	}
@@ -53,7 +53,7 @@
 // startBlockedBy returns why no start of the job on this machine may be recorded or sent, or "" if it may: a hold or
 // a cordon was stored after the machine was chosen. Both are stored records, and every record of a start is
 // conditional on the revisions that were known when it was composed.
-func (p *Placer) startBlockedBy(t *jobTable, machine string) string {
+func (p *Scheduler) startBlockedBy(t *jobTable, machine string) string {
 	if t.job.Terms.Hold.State != job.HoldNone && t.job.Terms.Hold.Shut(p.runner.Wall()) {
 		return "held"
 	}
@@ -65,7 +65,7 @@
 
 // applyTerms completes the pending holds of a team's jobs once no start recorded before the hold can still run. It also
 // cancels jobs whose user asked for that when a job that they depend on was cancelled.
-func (p *Placer) applyTerms(tm *team) {
+func (p *Scheduler) applyTerms(tm *team) {
 	now := p.runner.Now()
 	for _, t := range tm.inOrder() {
 		if t.job.Final() || now < t.nextAmendAt {
@@ -98,7 +98,7 @@
 }
 
 // eligible reports whether no predicate blocks the whole job.
-func (p *Placer) eligible(t *jobTable) bool {
+func (p *Scheduler) eligible(t *jobTable) bool {
 	f := p.facts(t)
 	return f.Open()
 }
@@ -109,13 +109,13 @@
 }
 
 // staleAfter is how long after its last report a machine still receives starts.
-func (p *Placer) staleAfter() loop.Micros {
+func (p *Scheduler) staleAfter() loop.Micros {
 	return 2*loop.Seconds(p.cfg.Cluster.Workers.ReportS) + 3*loop.Second
 }
 
 // eachUnlisted calls f for every task that was chosen for or started on the machine and that its view does not list
 // yet.
-func (p *Placer) eachUnlisted(v *agent.View, f func(*job.Spec)) {
+func (p *Scheduler) eachUnlisted(v *agent.View, f func(*job.Spec)) {
 	p.eachUnresolved(v.Name, func(r taskRef) {
 		x := r.table.task(r.index)
 		if x.listed {
--- a/internal/placer/groupcommit.go
+++ b/internal/placer/groupcommit.go
@@ -8,7 +8,7 @@
 )
 
 // queueStart queues the record of a task whose machine was chosen.
-func (p *Placer) queueStart(t *jobTable, i int) {
+func (p *Scheduler) queueStart(t *jobTable, i int) {
 	p.reportTakeover(t.team.partition)
 	l := &t.team.partition.log
 	l.starts = append(l.starts, taskRef{t, i})
@@ -17,7 +17,7 @@
 
 // reportTakeover reports the time from the change of owner to the first placement, if the partition's records showed
 // earlier work.
-func (p *Placer) reportTakeover(part *ownedPartition) {
+func (p *Scheduler) reportTakeover(part *ownedPartition) {
 	if part.ownedAt == 0 {
 		return
 	}
@@ -30,7 +30,7 @@
 }
 
 // queueOutcome queues the record of a completed task. It is not urgent, since the machine keeps the result.
-func (p *Placer) queueOutcome(t *jobTable, i int) {
+func (p *Scheduler) queueOutcome(t *jobTable, i int) {
 	l := &t.team.partition.log
 	if len(l.outcomes) == 0 {
 		l.outcomesSince = p.runner.Now()
@@ -39,7 +39,7 @@
 	p.scheduleCommit(outcomeMinDelay)
 }
 
-func (p *Placer) scheduleCommit(d loop.Micros) {
+func (p *Scheduler) scheduleCommit(d loop.Micros) {
 	due := p.runner.Now() + d
 	if p.commitAt != 0 && p.commitAt <= due {
 		return
@@ -67,7 +67,7 @@
 
 // commit stores the due records of a partition's teams, as far as the write limit allows. It returns the delay until
 // the next attempt, or 0 if there is nothing to do.
-func (p *Placer) commit(part *ownedPartition) loop.Micros {
+func (p *Scheduler) commit(part *ownedPartition) loop.Micros {
 	l := &part.log
 	if l.writing || !part.loaded {
 		return 0 // the end of the write schedules the next commit
@@ -103,7 +103,7 @@
 }
 
 // stillInState drops the tasks whose state changed while they were queued.
-func (p *Placer) stillInState(line []taskRef, s TaskState) []taskRef {
+func (p *Scheduler) stillInState(line []taskRef, s TaskState) []taskRef {
 	kept := line[:0]
 	for _, r := range line {
 		if p.ownsUnfinished(r.table) && !r.table.completing && r.table.task(r.index).state == s {
@@ -115,7 +115,7 @@
 }
 
 // dropBlockedStarts drops the starts that a hold or a cordon has forbidden since their machine was chosen.
-func (p *Placer) dropBlockedStarts(line []taskRef) []taskRef {
+func (p *Scheduler) dropBlockedStarts(line []taskRef) []taskRef {
 	kept := line[:0]
 	for _, r := range line {
 		if p.startBlockedBy(r.table, r.table.task(r.index).machine) == "" {
@@ -129,13 +129,13 @@
 }
 
 // ownsUnfinished reports whether the table belongs to an owned team and its job is not final.
-func (p *Placer) ownsUnfinished(t *jobTable) bool {
+func (p *Scheduler) ownsUnfinished(t *jobTable) bool {
 	tm := t.team
 	return p.teams[tm.cfg.Name] == tm && tm.jobs[t.job.ID] == t && !t.job.Final()
 }
 
 // compose adds queued entries to the open segment and builds its record.
-func (p *Placer) compose(part *ownedPartition, writable, ripe int) *write {
+func (p *Scheduler) compose(part *ownedPartition, writable, ripe int) *write {
 	l := &part.log
 	limit := p.valueLimit
 	if l.open == nil || l.open.size+4*(entrySize+namesSize) > limit {
@@ -178,7 +178,7 @@
 
 // maxJobs is the number of jobs whose revisions one transaction can check beside those of the claim, the segment and
 // the cordons.
-func (p *Placer) maxJobs() int { return p.client.MostConds() - 3 }
+func (p *Scheduler) maxJobs() int { return p.client.MostConds() - 3 }
 
 // move makes the written segment hold a task's newest record.
 func (w *write) move(r taskRef) {
@@ -212,7 +212,7 @@
 
 // buildRecord builds the buildRecord of a write's segment. Its starts may be sent until they expire, a fixed time
 // from now.
-func (p *Placer) buildRecord(w *write) {
+func (p *Scheduler) buildRecord(w *write) {
 	p.nonce++
 	expiry := p.runner.Wall() + loop.Seconds(p.cfg.Operator.StartLifeS)
 	w.rec = segmentRecord{Nonce: p.nonce, Machines: []machineEntry{}, Jobs: []jobEntry{}}
--- a/internal/placer/guarantee.go
+++ b/internal/placer/guarantee.go
@@ -35,7 +35,7 @@
 }
 
 // trackGuarantee updates whether a team lacks its guarantee; misses reports whether it has unplaced tasks now.
-func (p *Placer) trackGuarantee(tm *team, misses bool, now loop.Micros) {
+func (p *Scheduler) trackGuarantee(tm *team, misses bool, now loop.Micros) {
 	lacks := misses && tm.cpus < shortfallFraction*tm.quota.CPUs
 	if !tm.shortfall.observe(lacks, now) {
 		return
@@ -48,7 +48,7 @@
 }
 
 // borrowed returns how many CPUs other teams run beyond their guarantees.
-func (p *Placer) borrowed(tm *team) (cpus float64) {
+func (p *Scheduler) borrowed(tm *team) (cpus float64) {
 	for name, excess := range loop.Sorted(p.teamExcess()) {
 		if name != tm.cfg.Name {
 			cpus += max(excess, 0)
@@ -61,7 +61,7 @@
 // other teams run more than theirs. Nothing is preempted: capacity that becomes free on the machine is kept from
 // other teams. All waiting work of the team counts, including jobs that are not within the guarantee because earlier
 // jobs of the team alone exceed it.
-func (p *Placer) reserveGuarantee(e *queueEntry, missed int, b *budget) {
+func (p *Scheduler) reserveGuarantee(e *queueEntry, missed int, b *budget) {
 	t := e.table
 	now, cpus := p.runner.Now(), t.job.Spec.CPUs
 	if e.withinGuarantee || cpus <= 0 || now-t.acceptedAt < starvation.After || !t.team.shortfall.lacks {
@@ -85,7 +85,7 @@
 
 // unmetGuarantee returns how much of a team's guarantee is neither in use nor reserved for it, limited to what other
 // teams have borrowed.
-func (p *Placer) unmetGuarantee(tm *team) float64 {
+func (p *Scheduler) unmetGuarantee(tm *team) float64 {
 	held := 0.0
 	for id, n := range loop.Sorted(p.fleet.HeldJobs()) {
 		if t := tm.jobs[id]; t != nil {
@@ -96,7 +96,7 @@
 }
 
 // reserveCapacity reserves capacity for unplaced tasks of a job and returns for how many.
-func (p *Placer) reserveCapacity(t *jobTable, tasks int) int {
+func (p *Scheduler) reserveCapacity(t *jobTable, tasks int) int {
 	need := t.need()
 	claims := p.fleet.Hold(&need, tasks, reservationLife)
 	p.recordReservations(claims)
--- a/internal/placer/inuse.go
+++ b/internal/placer/inuse.go
@@ -16,7 +16,7 @@
 }
 
 // addInUse adds a task in use to its machine's list.
-func (p *Placer) addInUse(r taskRef) {
+func (p *Scheduler) addInUse(r taskRef) {
 	x := r.table.task(r.index)
 	on := p.tasksByMachine[x.machine]
 	if on == nil {
@@ -41,7 +41,7 @@
 }
 
 // removeInUse removes a task from its machine's list.
-func (p *Placer) removeInUse(r taskRef) {
+func (p *Scheduler) removeInUse(r taskRef) {
 	machine := r.table.task(r.index).machine
 	on := p.tasksByMachine[machine]
 	if on == nil {
@@ -61,7 +61,7 @@
 func (t *task) isUnresolved() bool { return !t.listed || t.recheck }
 
 // setListed is the only function that changes what a machine has shown of a task in use.
-func (p *Placer) setListed(t *jobTable, i int, seen, pending bool) {
+func (p *Scheduler) setListed(t *jobTable, i int, seen, pending bool) {
 	x := t.task(i)
 	if x.listed == seen && x.recheck == pending {
 		return
@@ -80,7 +80,7 @@
 }
 
 // eachInUse calls f for every task in use on a machine.
-func (p *Placer) eachInUse(machine string, f func(r taskRef)) {
+func (p *Scheduler) eachInUse(machine string, f func(r taskRef)) {
 	if on := p.tasksByMachine[machine]; on != nil {
 		for _, r := range sortedRefs(on.all) {
 			f(r)
@@ -89,7 +89,7 @@
 }
 
 // eachUnresolved calls f for every task in use on a machine that is not resolved yet.
-func (p *Placer) eachUnresolved(machine string, f func(r taskRef)) {
+func (p *Scheduler) eachUnresolved(machine string, f func(r taskRef)) {
 	if on := p.tasksByMachine[machine]; on != nil {
 		for _, r := range sortedRefs(on.unresolved) {
 			f(r)
--- a/internal/placer/load.go
+++ b/internal/placer/load.go
@@ -26,7 +26,7 @@
 
 // loadLog reads what earlier owners recorded. This owner's claim is already stored, and every record is conditional
 // on its writer's claim, so no earlier owner can add to the log after this read.
-func (p *Placer) loadLog(part *ownedPartition) {
+func (p *Scheduler) loadLog(part *ownedPartition) {
 	if !p.ownsPartition(part) {
 		return
 	}
@@ -62,7 +62,7 @@
 // loadTeamLogs reads what was recorded of teams before their assignment to the numbered partition, then restores them
 // from that and from the segments read before. The teams are assigned, so nothing can be added to their own logs
 // after this read.
-func (p *Placer) loadTeamLogs(part *ownedPartition, teams []*team, segments []storedSegment) {
+func (p *Scheduler) loadTeamLogs(part *ownedPartition, teams []*team, segments []storedSegment) {
 	if !p.ownsPartition(part) {
 		return
 	}
@@ -81,7 +81,7 @@
 }
 
 // loadNextTeamLog reads the own logs of the remaining teams, one after the other.
-func (p *Placer) loadNextTeamLog(part *ownedPartition, teams, left []*team, segments []storedSegment) {
+func (p *Scheduler) loadNextTeamLog(part *ownedPartition, teams, left []*team, segments []storedSegment) {
 	if !p.ownsPartition(part) {
 		return
 	}
@@ -109,7 +109,7 @@
 }
 
 // decode decodes segment records. One that cannot be decoded is logged with its key and kept with a nil record.
-func (p *Placer) decode(items []wire.Item, prefix, team string) []storedSegment {
+func (p *Scheduler) decode(items []wire.Item, prefix, team string) []storedSegment {
 	segments := make([]storedSegment, 0, len(items))
 	for _, it := range items {
 		rec := new(segmentRecord)
@@ -124,7 +124,7 @@
 
 // jobsKnown reports whether all jobs that the records name are known here. A job is stored before its tasks are, so an
 // unknown one only means that the local copy is behind.
-func (p *Placer) jobsKnown(segments []storedSegment) bool {
+func (p *Scheduler) jobsKnown(segments []storedSegment) bool {
 	known := true
 	for _, s := range segments {
 		if s.rec == nil {
@@ -142,7 +142,7 @@
 
 // coversTeams reports whether the teams include all that a numbered partition's records name. A team with records was
 // assigned before, so a missing one only means that the local copy is behind.
-func (p *Placer) coversTeams(segments []storedSegment, id partition.ID, names []string) bool {
+func (p *Scheduler) coversTeams(segments []storedSegment, id partition.ID, names []string) bool {
 	if _, byTeam := id.Team(); byTeam {
 		return true
 	}
@@ -168,7 +168,7 @@
 }
 
 // finishLoad puts teams whose records have been read into service.
-func (p *Placer) finishLoad(part *ownedPartition, teams []*team, segments []storedSegment) {
+func (p *Scheduler) finishLoad(part *ownedPartition, teams []*team, segments []storedSegment) {
 	p.restore(part, segments)
 	part.loaded, part.loadedAt = true, p.runner.Now()
 	jobs, tasks := 0, 0
@@ -201,7 +201,7 @@
 
 // markDamaged marks the unfinished jobs of a team as damaged. They are not started, since it is unknown which of their
 // tasks are on machines.
-func (p *Placer) markDamaged(tm *team) {
+func (p *Scheduler) markDamaged(tm *team) {
 	p.registry.Each(func(j *job.Job) {
 		if j.Spec != nil && j.Spec.Team == tm.cfg.Name && !j.Final() {
 			p.tableOf(tm, j).damaged = true
@@ -222,7 +222,7 @@
 }
 
 // restore builds the tables of a partition's teams from their records.
-func (p *Placer) restore(part *ownedPartition, segments []storedSegment) {
+func (p *Scheduler) restore(part *ownedPartition, segments []storedSegment) {
 	newest := map[taskRef]newestEntry{}
 	l := &part.log
 	for _, s := range segments {
@@ -261,7 +261,7 @@
 
 // handleUnreadable handles a record that cannot be decoded. It is unknown which tasks of its teams are on which
 // machine, so jobs that were accepted before are not started.
-func (p *Placer) handleUnreadable(part *ownedPartition, s storedSegment) {
+func (p *Scheduler) handleUnreadable(part *ownedPartition, s storedSegment) {
 	if s.team != "" {
 		p.markDamaged(part.teams[s.team])
 		return
@@ -273,7 +273,7 @@
 }
 
 // restoreJob collects the newest entries of a job from a record.
-func (p *Placer) restoreJob(part *ownedPartition, s storedSegment, seg *segment, je jobEntry, newest map[taskRef]newestEntry) {
+func (p *Scheduler) restoreJob(part *ownedPartition, s storedSegment, seg *segment, je jobEntry, newest map[taskRef]newestEntry) {
 	j := p.registry.Get(je.ID)
 	if j.Phase == job.Done || j.Spec == nil {
 		return
@@ -313,7 +313,7 @@
 }
 
 // restoreTask sets a task to the state of its newest entry.
-func (p *Placer) restoreTask(r taskRef, b newestEntry) {
+func (p *Scheduler) restoreTask(r taskRef, b newestEntry) {
 	x := r.table.task(r.index)
 	x.attempt, x.segment = b.Attempt, b.segment
 	b.segment.live++
--- a/internal/placer/logwrite.go
+++ b/internal/placer/logwrite.go
@@ -14,7 +14,7 @@
 
 // storeWrite applies a write on condition that this controller still owns the partition, that the jobs whose starts it
 // records are at their known revisions, and that the segment was not written by another transaction.
-func (p *Placer) storeWrite(part *ownedPartition, w *write) {
+func (p *Scheduler) storeWrite(part *ownedPartition, w *write) {
 	if !p.ownsPartition(part) {
 		return
 	}
@@ -75,7 +75,7 @@
 }
 
 // requeueWrite queues starts again whose record is certainly not stored.
-func (p *Placer) requeueWrite(part *ownedPartition, w *write, after loop.Micros) {
+func (p *Scheduler) requeueWrite(part *ownedPartition, w *write, after loop.Micros) {
 	for _, r := range w.refs {
 		switch x := r.table.task(r.index); {
 		case x.attempt != r.attempt || !p.ownsUnfinished(r.table):
@@ -96,7 +96,7 @@
 }
 
 // checkStored finds out whether an unanswered write of this record was applied.
-func (p *Placer) checkStored(part *ownedPartition, w *write) {
+func (p *Scheduler) checkStored(part *ownedPartition, w *write) {
 	p.client.Get(store.Placements, w.segment.key, func(it wire.Item, found, ok bool) {
 		if !p.ownsPartition(part) {
 			return
@@ -116,7 +116,7 @@
 }
 
 // writeStored handles a writeStored write: its starts may be sent now.
-func (p *Placer) writeStored(part *ownedPartition, w *write) {
+func (p *Scheduler) writeStored(part *ownedPartition, w *write) {
 	l := &part.log
 	l.writing = false
 	l.outcomesSince = p.runner.Now()
@@ -173,7 +173,7 @@
 // shrinkSegments handles a record that the state service refuses as invalid, as it does when its limit on value size
 // was lowered: the entries go into smaller segments. Should an attempt of the refused write be applied late
 // nevertheless, it stores starts that were never sent.
-func (p *Placer) shrinkSegments(part *ownedPartition, w *write) {
+func (p *Scheduler) shrinkSegments(part *ownedPartition, w *write) {
 	w.undo()
 	part.log.closeSegment()
 	pause := refusedRetryDelay
--- a/internal/placer/partition.go
+++ b/internal/placer/partition.go
@@ -37,15 +37,15 @@
 )
 
 // ownsPartition reports whether this controller still ownsPartition the partition, under the same claim.
-func (p *Placer) ownsPartition(part *ownedPartition) bool { return p.partitions[part.id] == part }
+func (p *Scheduler) ownsPartition(part *ownedPartition) bool { return p.partitions[part.id] == part }
 
 // ownsJob reports whether the table belongs to a team that is owned now and to a job that is still known.
-func (p *Placer) ownsJob(t *jobTable) bool {
+func (p *Scheduler) ownsJob(t *jobTable) bool {
 	return p.teams[t.team.cfg.Name] == t.team && t.team.jobs[t.job.ID] == t
 }
 
 // OwnershipChanged handles the gain or loss of a partition.
-func (p *Placer) OwnershipChanged(id partition.ID, owned bool, claim member.Owner) {
+func (p *Scheduler) OwnershipChanged(id partition.ID, owned bool, claim member.Owner) {
 	if !owned {
 		p.removePartition(id)
 		return
@@ -56,7 +56,7 @@
 	p.loadLog(part)
 }
 
-func (p *Placer) removePartition(id partition.ID) {
+func (p *Scheduler) removePartition(id partition.ID) {
 	part := p.partitions[id]
 	if part == nil {
 		return
@@ -73,7 +73,7 @@
 }
 
 // addTeam adds a team to a partition. The team counts as loaded only after its records have been read.
-func (p *Placer) addTeam(part *ownedPartition, name string) *team {
+func (p *Scheduler) addTeam(part *ownedPartition, name string) *team {
 	cfg, ok := p.cfg.TeamNamed(name)
 	if !ok {
 		return nil
@@ -84,7 +84,7 @@
 }
 
 // partitionTeams lists the teams that currently belong to a partition.
-func (p *Placer) partitionTeams(id partition.ID) []string {
+func (p *Scheduler) partitionTeams(id partition.ID) []string {
 	if team, ok := id.Team(); ok {
 		return []string{team}
 	}
@@ -94,7 +94,7 @@
 }
 
 // numberedPartition returns the numbered partition of a team if it is owned and loaded here, else nil.
-func (p *Placer) numberedPartition(name string) *ownedPartition {
+func (p *Scheduler) numberedPartition(name string) *ownedPartition {
 	if p.node.Membership == nil || !p.node.Membership.Layout().Numbered() {
 		return nil
 	}
@@ -107,10 +107,10 @@
 
 // TeamReleased handles the message that no controller owns a team which is not assigned to a partition yet. Its recorded
 // tasks are to be taken over even if none of its jobs waits.
-func (p *Placer) TeamReleased(name string) { p.scheduleAssignment(name) }
+func (p *Scheduler) TeamReleased(name string) { p.scheduleAssignment(name) }
 
 // scheduleAssignment schedules the assignment of a team to its partition, if that is owned here.
-func (p *Placer) scheduleAssignment(name string) {
+func (p *Scheduler) scheduleAssignment(name string) {
 	part := p.numberedPartition(name)
 	if part == nil || part.unassigned[name] || p.teams[name] != nil {
 		return
@@ -122,7 +122,7 @@
 	p.assignAfter(part, assignDelay)
 }
 
-func (p *Placer) assignAfter(part *ownedPartition, d loop.Micros) {
+func (p *Scheduler) assignAfter(part *ownedPartition, d loop.Micros) {
 	if part.assigning {
 		return
 	}
@@ -136,7 +136,7 @@
 }
 
 // assign requests the assignment of waiting teams, several in one transaction.
-func (p *Placer) assign(part *ownedPartition) {
+func (p *Scheduler) assign(part *ownedPartition) {
 	var names []string
 	for name := range loop.Sorted(part.unassigned) {
 		switch {
@@ -169,7 +169,7 @@
 
 // TeamAssigned handles the assignment of a team to its numbered partition. Teams that are assigned within a short time
 // are loaded together.
-func (p *Placer) TeamAssigned(name string) {
+func (p *Scheduler) TeamAssigned(name string) {
 	part := p.numberedPartition(name)
 	if part == nil || p.teams[name] != nil || slices.Contains(part.toLoad, name) {
 		return
@@ -186,7 +186,7 @@
 	})
 }
 
-func (p *Placer) loadAssignedTeams(part *ownedPartition) {
+func (p *Scheduler) loadAssignedTeams(part *ownedPartition) {
 	var teams []*team
 	for _, name := range part.toLoad {
 		if p.teams[name] != nil {
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -38,14 +38,14 @@
 }
 
 // queue lists the jobs with waiting tasks in the order of service.
-func (p *Placer) queue() []queueEntry {
+func (p *Scheduler) queue() []queueEntry {
 	q := p.waitingJobs()
 	slices.SortFunc(q, compareEntries)
 	return q
 }
 
 // waitingJobs lists the jobs with waitingJobs tasks, unordered.
-func (p *Placer) waitingJobs() []queueEntry {
+func (p *Scheduler) waitingJobs() []queueEntry {
 	var q []queueEntry
 	for _, tm := range p.teams {
 		if !tm.loaded {
@@ -81,7 +81,7 @@
 }
 
 // place runs a pass: it assigns waiting tasks to machines with free capacity and collects those that remain unplaced.
-func (p *Placer) place() {
+func (p *Scheduler) place() {
 	began := p.runner.Now()
 	q := p.queue()
 	p.unplaced = nil
@@ -160,7 +160,7 @@
 }
 
 // expectedShare returns the fraction of newly freed capacity that this owner may expect.
-func (p *Placer) expectedShare() float64 {
+func (p *Scheduler) expectedShare() float64 {
 	all := len(p.cfg.Cluster.Teams)
 	if p.node.Membership != nil && p.node.Membership.Layout().Numbered() {
 		all = p.node.Membership.Layout().Count
@@ -191,7 +191,7 @@
 
 // preemptFor preempts tasks for a job's unplaced ones where the rules allow it, but only as far as completing tasks
 // will not free the capacity in time.
-func (p *Placer) preemptFor(e *queueEntry, missed int, b *budget) {
+func (p *Scheduler) preemptFor(e *queueEntry, missed int, b *budget) {
 	t := e.table
 	s := t.job.Spec
 	now := p.runner.Now()
@@ -231,7 +231,7 @@
 
 // preemptAtImage preempts tasks on machines that hold the job's image, for urgent tasks that would otherwise start
 // where the image must be fetched. A fetch takes longer than stopping tasks that have just begun.
-func (p *Placer) preemptAtImage(e *queueEntry, n int, open []*fleet.Slot, b *budget) {
+func (p *Scheduler) preemptAtImage(e *queueEntry, n int, open []*fleet.Slot, b *budget) {
 	t := e.table
 	need := t.need()
 	short := min(n-p.fleet.AtImage(need, n, open)-p.fleet.Held(t.job.ID), b.stopsLeft)
@@ -244,7 +244,7 @@
 }
 
 // placeTasks places up to n waiting tasks of a job and returns how many it placed.
-func (p *Placer) placeTasks(t *jobTable, n int, free []*fleet.Slot, chosen *[]hostStart) int {
+func (p *Scheduler) placeTasks(t *jobTable, n int, free []*fleet.Slot, chosen *[]hostStart) int {
 	s, got, need := t.job.Spec, 0, t.need()
 	if s.CPUs <= 0 {
 		free = p.fleet.All()
@@ -282,7 +282,7 @@
 	return got
 }
 
-func (p *Placer) request(t *jobTable, n int) peer.Want {
+func (p *Scheduler) request(t *jobTable, n int) peer.Want {
 	s := t.job.Spec
 	w := peer.Want{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, AnyType: s.AnyType,
 		Zone: s.Zone, Spot: s.Spot, Priority: int(s.Priority), Count: n, Run: s.Estimate, OneZone: s.OneZone, Spread: s.Spread}
@@ -296,16 +296,16 @@
 }
 
 // gangFits reports whether all waiting tasks of a gang fit at once and no task of an earlier start is in use.
-func (p *Placer) gangFits(t *jobTable) bool {
+func (p *Scheduler) gangFits(t *jobTable) bool {
 	n := t.waiting()
 	return t.inUse == 0 && p.waitingForCapacity(t) >= n && p.fleet.Trial(t.need(), n, p.fleet.All()) == n
 }
 
 // waitingForCapacity returns how many tasks of a job wait for capacity rather than for their team's limit.
-func (p *Placer) waitingForCapacity(t *jobTable) int {
+func (p *Scheduler) waitingForCapacity(t *jobTable) int {
 	f := p.facts(t)
 	return f.Passes(gate.Limit)
 }
 
 // Faulty reports whether a machine should be replaced because tasks fail on it.
-func (p *Placer) Faulty(machine string) bool { return p.attribution.Faulty(machine) }
+func (p *Scheduler) Faulty(machine string) bool { return p.attribution.Faulty(machine) }
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -30,7 +30,7 @@
 // rig is one owner on hand-driven time, with machines that exist only as views.
 type rig struct {
 	*standin.Stepped
-	p        *Placer
+	p        *Scheduler
 	a        *agent.Agent
 	registry *job.Registry
 	mirror   *store.Mirror
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -57,8 +57,8 @@
 	Assign(id partition.ID, claim member.Owner, teams []string, done func(ok bool))
 }
 
-// Placer schedules the tasks of the owned teams. It runs on one event loop and is not safe for concurrent use.
-type Placer struct {
+// Scheduler schedules the tasks of the owned teams. It runs on one event loop and is not safe for concurrent use.
+type Scheduler struct {
 	runner   loop.Runner
 	client   *store.Client
 	log      *slog.Logger
@@ -94,8 +94,8 @@
 }
 
 // New returns a scheduler that owns no partition yet and schedules its periodic work on r.
-func New(r loop.Runner, c *store.Client, log *slog.Logger, cfg *config.Config, n Node, registry *job.Registry, a *agent.Agent, cordons *cordon.Book) *Placer {
-	p := &Placer{runner: r, cordons: cordons, client: c, log: log, cfg: cfg, node: n, registry: registry, agent: a, partitions: map[partition.ID]*ownedPartition{}, teams: map[string]*team{},
+func New(r loop.Runner, c *store.Client, log *slog.Logger, cfg *config.Config, n Node, registry *job.Registry, a *agent.Agent, cordons *cordon.Book) *Scheduler {
+	p := &Scheduler{runner: r, cordons: cordons, client: c, log: log, cfg: cfg, node: n, registry: registry, agent: a, partitions: map[partition.ID]*ownedPartition{}, teams: map[string]*team{},
 		valueLimit:     int(cfg.Cluster.State.ValueKB * 1024 * valueFraction),
 		tasksByMachine: map[string]*machineTasks{},
 		attribution:    health.NewBlame(func(id string) bool { j := registry.Get(id); return j != nil && !j.Final() }), zoneByMachine: map[string]string{}, nonce: loop.Rand(r).Uint64() >> 1, usage: map[string]peer.Usage{},
@@ -116,7 +116,7 @@
 	return p
 }
 
-func (p *Placer) forgetJob(t *jobTable) {
+func (p *Scheduler) forgetJob(t *jobTable) {
 	t.each(func(i int, x *task) {
 		p.recordRerun(x, false)
 		if x.inUse() {
@@ -130,7 +130,7 @@
 	t.team.removeJob(t)
 }
 
-func (p *Placer) tableOf(tm *team, j *job.Job) *jobTable {
+func (p *Scheduler) tableOf(tm *team, j *job.Job) *jobTable {
 	t := tm.jobs[j.ID]
 	if t == nil {
 		t = &jobTable{job: j, team: tm, blocks: make([]*[blockSize]task, (j.Tasks+blockSize-1)/blockSize), zones: map[string]int{}}
@@ -143,7 +143,7 @@
 }
 
 // JobChanged applies a new or changed job record.
-func (p *Placer) JobChanged(j *job.Job) {
+func (p *Scheduler) JobChanged(j *job.Job) {
 	if j.Final() {
 		delete(p.paces, j.ID)
 		p.fleet.Spare(j.ID, 0)
@@ -175,7 +175,7 @@
 
 // cleanUpFinal cleans up after a job in a cleanUpFinal phase. Tasks that may still be on a machine are stopped, and
 // count as in use until they are confirmed terminated.
-func (p *Placer) cleanUpFinal(t *jobTable) {
+func (p *Scheduler) cleanUpFinal(t *jobTable) {
 	t.each(func(i int, x *task) {
 		if x.state == Recording || (x.state == Placed && x.recordedHere && x.sentTo == "") {
 			p.setTask(t, i, Waiting) // no start was sent
@@ -188,13 +188,13 @@
 }
 
 // forgetIfTerminated forgets the table of a job in a final phase once none of its tasks can be on a machine.
-func (p *Placer) forgetIfTerminated(t *jobTable) {
+func (p *Scheduler) forgetIfTerminated(t *jobTable) {
 	if t.job.Final() && t.inUse == 0 {
 		p.forgetJob(t)
 	}
 }
 
-func (p *Placer) stop(t *jobTable, i int, grace loop.Micros) {
+func (p *Scheduler) stop(t *jobTable, i int, grace loop.Micros) {
 	x := t.task(i)
 	now := p.runner.Now()
 	if x.stopSentAt != 0 && now-x.stopSentAt < loop.Second {
@@ -207,7 +207,7 @@
 }
 
 // StartDropped handles a host controller's message that it will never pass a start on to the worker.
-func (p *Placer) StartDropped(from string, d agent.Drop) {
+func (p *Scheduler) StartDropped(from string, d agent.Drop) {
 	id, i, ok := agent.SplitTask(d.Task)
 	if !ok {
 		return
@@ -249,7 +249,7 @@
 	}
 }
 
-func (p *Placer) sendStart(t *jobTable, i int) {
+func (p *Scheduler) sendStart(t *jobTable, i int) {
 	x := t.task(i)
 	v := p.agent.View(x.machine)
 	if v == nil || p.runner.Wall() >= x.expiry {
@@ -277,7 +277,7 @@
 }
 
 // completeIfDone stores a job's completion once all its tasks have completed.
-func (p *Placer) completeIfDone(t *jobTable) {
+func (p *Scheduler) completeIfDone(t *jobTable) {
 	if t.completing || t.job.Final() || t.job.Spec.Service || t.completed < t.job.Tasks || !t.team.loaded {
 		return
 	}
@@ -285,7 +285,7 @@
 	p.storeCompletion(t)
 }
 
-func (p *Placer) storeCompletion(t *jobTable) {
+func (p *Scheduler) storeCompletion(t *jobTable) {
 	if p.teams[t.team.cfg.Name] != t.team || t.job.Final() {
 		return
 	}
@@ -311,14 +311,14 @@
 }
 
 // excludeBriefly excludes a machine from placement for 300 ms, until a newer view of it has arrived.
-func (p *Placer) excludeBriefly(machine string) {
+func (p *Scheduler) excludeBriefly(machine string) {
 	if sl := p.fleet.Slot(machine); sl != nil {
 		sl.Rest(p.runner.Now()+300*loop.Millisecond, "its host controller refused a start")
 	}
 }
 
 // JobCounts returns the task counts of a job whose team is owned here. ok is false for other jobs.
-func (p *Placer) JobCounts(j *job.Job) (job.Counts, bool) {
+func (p *Scheduler) JobCounts(j *job.Job) (job.Counts, bool) {
 	if j.Spec == nil {
 		return job.Counts{}, false
 	}
@@ -331,7 +331,7 @@
 }
 
 // TasksInUse returns the number of tasks of an owned partition that may be on machines.
-func (p *Placer) TasksInUse(id partition.ID) int {
+func (p *Scheduler) TasksInUse(id partition.ID) int {
 	n := 0
 	if part := p.partitions[id]; part != nil {
 		for _, tm := range part.teams {
@@ -342,7 +342,7 @@
 }
 
 // UsageReceived records the resource use of teams that other controllers own.
-func (p *Placer) UsageReceived(u []peer.Usage) {
+func (p *Scheduler) UsageReceived(u []peer.Usage) {
 	for _, x := range u {
 		p.usage[x.Team] = x
 	}
@@ -354,7 +354,7 @@
 
 // RequestPass schedules a placement pass. Calls that arrive before the pass starts share it. The delay grows with the
 // duration of the newest pass, so that passes leave most of the controller's time to other work.
-func (p *Placer) RequestPass() {
+func (p *Scheduler) RequestPass() {
 	if p.passScheduled {
 		return
 	}
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -25,7 +25,7 @@
 const turnoverSeconds = 1.0
 
 // ReservationsReceived adds reservations that other owners made, and records which tasks of this owner they preempted.
-func (p *Placer) ReservationsReceived(cs []peer.Claim) {
+func (p *Scheduler) ReservationsReceived(cs []peer.Claim) {
 	for _, c := range cs {
 		p.fleet.AddClaim(c)
 		p.recordPreempted(c)
@@ -33,7 +33,7 @@
 }
 
 // OwnReservations returns the reservations of the jobs owned here, for a peer that does not know them.
-func (p *Placer) OwnReservations() []peer.Claim {
+func (p *Scheduler) OwnReservations() []peer.Claim {
 	return p.fleet.ClaimsOf(func(id string) bool {
 		j := p.registry.Get(id)
 		if j == nil || j.Spec == nil {
@@ -45,7 +45,7 @@
 }
 
 // recordReservations records new reservations and queues them to be sent to the other owners.
-func (p *Placer) recordReservations(cs []peer.Claim) {
+func (p *Scheduler) recordReservations(cs []peer.Claim) {
 	for i := range cs {
 		p.node.Meter.Preempted(len(cs[i].Victims))
 		if p.node.ReportCauses {
@@ -61,7 +61,7 @@
 const maxPreemptions = 64
 
 // teamExcess returns how many CPUs each team runs beyond its guarantee; negative if it runs less.
-func (p *Placer) teamExcess() map[string]float64 {
+func (p *Scheduler) teamExcess() map[string]float64 {
 	out := map[string]float64{}
 	for _, c := range p.cfg.Cluster.Teams {
 		u := p.usage[c.Name].CPUs
@@ -74,7 +74,7 @@
 }
 
 // preemptionRight returns what may be preempted for a task of the job.
-func (p *Placer) preemptionRight(e *queueEntry, b *budget) fleet.Right {
+func (p *Scheduler) preemptionRight(e *queueEntry, b *budget) fleet.Right {
 	t := e.table
 	if b.excess == nil {
 		b.excess, b.shares = p.teamExcess(), map[*team]map[*jobTable]float64{}
@@ -107,7 +107,7 @@
 
 // guaranteeShares divides the guarantee of an owned team among its unfinished jobs, by priority and then by
 // acceptance. Jobs blocked by a hold or a dependency have no share.
-func (p *Placer) guaranteeShares(tm *team) map[*jobTable]float64 {
+func (p *Scheduler) guaranteeShares(tm *team) map[*jobTable]float64 {
 	order := slices.Clone(tm.inOrder())
 	slices.SortStableFunc(order, func(a, b *jobTable) int { return cmp.Compare(b.job.Spec.Priority, a.job.Spec.Priority) })
 	shares := map[*jobTable]float64{}
@@ -127,7 +127,7 @@
 
 // jobsWithinGuarantee returns the jobs of an owned team that fit into its guarantee together with the team's earlier
 // unfinished jobs. Blocked jobs do not count, except also.
-func (p *Placer) jobsWithinGuarantee(tm *team, also *jobTable) map[*jobTable]bool {
+func (p *Scheduler) jobsWithinGuarantee(tm *team, also *jobTable) map[*jobTable]bool {
 	out := map[*jobTable]bool{}
 	cpus, gpus := 0.0, 0.0
 	for _, t := range tm.inOrder() {
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -11,7 +11,7 @@
 
 // ViewChanged applies a machine's newer view to the tasks recorded on it. Tasks that are unchanged since the previous view
 // are not checked again.
-func (p *Placer) ViewChanged(v *agent.View, c *agent.Changes) {
+func (p *Scheduler) ViewChanged(v *agent.View, c *agent.Changes) {
 	now := p.runner.Now()
 	// Tasks on a machine without recent reports may have begun long ago. If a new owner took its first view of a task
 	// for the start, every task would look slow.
@@ -56,7 +56,7 @@
 
 // updateTasks updates the tasks in use on a machine from its view. A task that was listed before and is unchanged needs
 // no update.
-func (p *Placer) updateTasks(v *agent.View, c *agent.Changes, before []agent.Task, jobs []*job.Job, heard loop.Micros) {
+func (p *Scheduler) updateTasks(v *agent.View, c *agent.Changes, before []agent.Task, jobs []*job.Job, heard loop.Micros) {
 	if p.tasksByMachine[v.Name] == nil {
 		return
 	}
@@ -76,7 +76,7 @@
 // updateVanishedTasks checks the tasks that the previous view listed and this one does not. Usually their end is known,
 // since this owner asked for them to be forgotten. It is not if an earlier owner did that without recording their
 // end, and a delayed report listed them afterwards.
-func (p *Placer) updateVanishedTasks(v *agent.View, c *agent.Changes, before []agent.Task, heard loop.Micros) {
+func (p *Scheduler) updateVanishedTasks(v *agent.View, c *agent.Changes, before []agent.Task, heard loop.Micros) {
 	for _, k := range c.Gone {
 		if x := &before[k]; v.Find(x.Task, x.Attempt) == nil {
 			id, _, _ := agent.SplitTask(x.Task)
@@ -86,7 +86,7 @@
 }
 
 // updateNamedTask updates a task that has changed on the machine, if it is in use there.
-func (p *Placer) updateNamedTask(v *agent.View, name string, j *job.Job, heard loop.Micros) {
+func (p *Scheduler) updateNamedTask(v *agent.View, name string, j *job.Job, heard loop.Micros) {
 	if j == nil || j.Spec == nil {
 		return
 	}
@@ -104,7 +104,7 @@
 }
 
 // updateTask derives a task's state from a view. heard is the time of the machine's previous report.
-func (p *Placer) updateTask(t *jobTable, i int, v *agent.View, heard loop.Micros) {
+func (p *Scheduler) updateTask(t *jobTable, i int, v *agent.View, heard loop.Micros) {
 	x := t.task(i)
 	if x.state != Placed {
 		return
@@ -187,17 +187,17 @@
 }
 
 // clockBound returns the bound on the difference of two wall clocks, plus a margin.
-func (p *Placer) clockBound() loop.Micros { return p.clock.Difference }
+func (p *Scheduler) clockBound() loop.Micros { return p.clock.Difference }
 
 // startCanArrive reports whether a start of an attempt can still reach a worker, by the expiry recorded for that very
 // attempt. Attempts that this owner did not record were recorded by others before it read their team's records.
-func (p *Placer) startCanArrive(tm *team, attempt delivery.Attempt) bool {
+func (p *Scheduler) startCanArrive(tm *team, attempt delivery.Attempt) bool {
 	wall := p.runner.Wall()
 	return p.expiries.CanArrive(attempt, wall) || wall <= p.clock.LatestArrivalOfRecorded(tm.loadedAt)
 }
 
 // confirmTerminated returns a task to the queue after its termination was confirmed.
-func (p *Placer) confirmTerminated(t *jobTable, i int, why string) {
+func (p *Scheduler) confirmTerminated(t *jobTable, i int, why string) {
 	x := t.task(i)
 	p.log.Debug("task attempt confirmed terminated", "task", t.taskName(i), "machine", x.machine, "attempt", x.attempt, "why", why)
 	p.setTask(t, i, Waiting)
@@ -205,7 +205,7 @@
 }
 
 // forgetEnded asks a machine to forget ended tasks whose outcome is recorded or not needed.
-func (p *Placer) forgetEnded(v *agent.View, jobs []*job.Job) {
+func (p *Scheduler) forgetEnded(v *agent.View, jobs []*job.Job) {
 	if !v.Settled {
 		return
 	}
@@ -235,7 +235,7 @@
 }
 
 // MachineDeleted handles the deletion of a machine, which terminates all tasks on it.
-func (p *Placer) MachineDeleted(machine string) {
+func (p *Scheduler) MachineDeleted(machine string) {
 	p.eachInUse(machine, func(r taskRef) {
 		if r.table.task(r.index).state == Placed {
 			if sl := p.fleet.Slot(machine); sl != nil {
--- a/internal/placer/rerun.go
+++ b/internal/placer/rerun.go
@@ -12,7 +12,7 @@
 }
 
 // recordLost records that a task failed with its machine; heard is the time of the machine's last report.
-func (p *Placer) recordLost(t *jobTable, i int, heard loop.Micros) {
+func (p *Scheduler) recordLost(t *jobTable, i int, heard loop.Micros) {
 	x := t.task(i)
 	if t.job.Final() || x.lostSince != 0 || heard == 0 {
 		return
@@ -26,7 +26,7 @@
 }
 
 // recordRerun records that a task runs again, or that it is over and need not run.
-func (p *Placer) recordRerun(x *task, runs bool) {
+func (p *Scheduler) recordRerun(x *task, runs bool) {
 	if x.lostSince == 0 {
 		return
 	}
--- a/internal/placer/rivals.go
+++ b/internal/placer/rivals.go
@@ -26,7 +26,7 @@
 
 // competitors lists the jobs that wait beside t, unordered, as they would rank if no predicate blocked t itself: t then
 // comes before later jobs within its team's guarantee.
-func (p *Placer) competitors(t *jobTable) (q []queueEntry, within bool) {
+func (p *Scheduler) competitors(t *jobTable) (q []queueEntry, within bool) {
 	q = p.waitingJobs()
 	mine := p.jobsWithinGuarantee(t.team, t)
 	for i := range q {
@@ -39,7 +39,7 @@
 
 // rivals lists the jobs that are served before self, or would be if no predicate blocked self, and how many tasks
 // each would place if there were capacity.
-func (p *Placer) rivals(q []queueEntry, self *queueEntry, limited, lifted bool, short int, types []wire.MachineType) (out []rival) {
+func (p *Scheduler) rivals(q []queueEntry, self *queueEntry, limited, lifted bool, short int, types []wire.MachineType) (out []rival) {
 	t := self.table
 	spoken := map[*team]agent.Room{}
 	q = slices.DeleteFunc(slices.Clone(q), func(e queueEntry) bool {
@@ -87,7 +87,7 @@
 
 // jobsAhead determines which jobs would take the capacity that this job lacks, or that it has and cannot use because of
 // other predicates, and how many of its tasks would wait for that reason alone.
-func (p *Placer) jobsAhead(f *explain.Facts, t *jobTable, types []wire.MachineType) {
+func (p *Scheduler) jobsAhead(f *explain.Facts, t *jobTable, types []wire.MachineType) {
 	n := f.Gate.Waiting
 	limited := f.Gate.Passes(gate.Limit) < n
 	short := n - f.FitsAll                                   // single-task units of capacity that must become free
@@ -142,7 +142,7 @@
 
 // simulateBehind simulates how many of the job's tasks lack capacity once its rivals are placed: a if they use the free
 // capacity first, b if they use the future capacity first.
-func (p *Placer) simulateBehind(f *explain.Facts, t *jobTable, all []rival, limited, lifted bool, short int) (a, b int) {
+func (p *Scheduler) simulateBehind(f *explain.Facts, t *jobTable, all []rival, limited, lifted bool, short int) (a, b int) {
 	n := f.Gate.Waiting
 	there, later, fresh := p.fleet.Copies(lifted), p.fleet.Copies(lifted), p.fleet.All()
 	if lifted {
@@ -191,7 +191,7 @@
 
 // promoted lists the later jobs that would move into their team's guarantee, and so before this job, once the earlier
 // work is done.
-func (p *Placer) promoted(q []queueEntry, self *queueEntry, ahead []rival, types []wire.MachineType) (out []rival) {
+func (p *Scheduler) promoted(q []queueEntry, self *queueEntry, ahead []rival, types []wire.MachineType) (out []rival) {
 	teams := map[*team]bool{}
 	for _, r := range ahead {
 		teams[r.table.team] = true
@@ -209,14 +209,14 @@
 }
 
 // takeAll places a rival's tasks on copies of the slots; a gang places all or none.
-func (p *Placer) takeAll(r rival, n int, slots []*fleet.Slot) int {
+func (p *Scheduler) takeAll(r rival, n int, slots []*fleet.Slot) int {
 	if n <= 0 || (r.table.job.Spec.Gang && p.fleet.Trial(r.table.need(), n, slots) < n) {
 		return 0
 	}
 	return p.fleet.Take(r.table.need(), n, slots)
 }
 
-func (p *Placer) probeLimit(t *jobTable) int {
+func (p *Scheduler) probeLimit(t *jobTable) int {
 	f := p.facts(t)
 	return f.Passes(gate.Probe)
 }
@@ -228,7 +228,7 @@
 
 // sharePlace reports whether both jobs allow some common place that is open to starts; lifted ignores cordons. It is
 // true while no machine types are known.
-func (p *Placer) sharePlace(o, s *job.Spec, types []wire.MachineType, lifted bool) bool {
+func (p *Scheduler) sharePlace(o, s *job.Spec, types []wire.MachineType, lifted bool) bool {
 	for i := range types {
 		typ := &types[i]
 		for _, zone := range typ.Zones {
--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -19,7 +19,7 @@
 // serveLongestWaiting gives a fraction of the freed capacity to the jobs that have waited longest, out of the order
 // of service. If such a task fits nowhere, capacity is reserved for it; otherwise small tasks would take whatever
 // becomes free before a large one fits. Nothing is preempted for it.
-func (p *Placer) serveLongestWaiting(q []queueEntry, open []*fleet.Slot, chosen *[]hostStart) {
+func (p *Scheduler) serveLongestWaiting(q []queueEntry, open []*fleet.Slot, chosen *[]hostStart) {
 	now := p.runner.Now()
 	if p.starvation.Earn(now, p.turnover.Rate*p.expectedShare()); !p.starvation.Owes() {
 		return // the usual case, and cheap where scanning a long queue would not be
@@ -34,7 +34,7 @@
 }
 
 // longWaiting lists the jobs that have waited long enough to be served out of order.
-func (p *Placer) longWaiting(q []queueEntry, now loop.Micros) (tables []*jobTable, waiters []starvation.Waiter) {
+func (p *Scheduler) longWaiting(q []queueEntry, now loop.Micros) (tables []*jobTable, waiters []starvation.Waiter) {
 	for _, e := range q {
 		t := e.table
 		if now-t.acceptedAt < starvation.After {
@@ -51,7 +51,7 @@
 }
 
 // serveOutOfOrder places tasks of a job out of order, or reserves capacity for them.
-func (p *Placer) serveOutOfOrder(t *jobTable, w *starvation.Waiter, tasks int, open []*fleet.Slot, chosen *[]hostStart) {
+func (p *Scheduler) serveOutOfOrder(t *jobTable, w *starvation.Waiter, tasks int, open []*fleet.Slot, chosen *[]hostStart) {
 	// A job served before it may have used the rest of their team's limit.
 	f := p.facts(t)
 	n := min(tasks, f.Passes(gate.Limit))
@@ -82,7 +82,7 @@
 }
 
 // reserveOutOfOrder reserves capacity for up to n unplaced tasks of a job and returns for how many.
-func (p *Placer) reserveOutOfOrder(t *jobTable, w *starvation.Waiter, n int) int {
+func (p *Scheduler) reserveOutOfOrder(t *jobTable, w *starvation.Waiter, n int) int {
 	need := t.need()
 	if !t.job.Spec.Gang {
 		n = min(n, maxReserved)
@@ -112,7 +112,7 @@
 func unbegunClass(s *job.Spec) string { return s.Team + "\x00" + s.Class }
 
 // placeInOrder places tasks in the order of service and reports them to the reserve.
-func (p *Placer) placeInOrder(t *jobTable, n int, free []*fleet.Slot, chosen *[]hostStart) int {
+func (p *Scheduler) placeInOrder(t *jobTable, n int, free []*fleet.Slot, chosen *[]hostStart) int {
 	held, class := p.fleet.Held(t.job.ID), t.reserveClass()
 	got := p.placeTasks(t, n, free, chosen)
 	used := held - p.fleet.Held(t.job.ID)
@@ -130,7 +130,7 @@
 
 // refundReserved returns a class its charge if capacity reserved out of order was not used before the reservation
 // expired, because the tasks beside it ran for too long.
-func (p *Placer) refundReserved(t *jobTable) {
+func (p *Scheduler) refundReserved(t *jobTable) {
 	if t.reservedCPUs > 0 && p.fleet.Held(t.job.ID) == 0 {
 		p.starvation.Refund(t.reservedClass, t.reservedCPUs)
 		t.reservedCPUs = 0
@@ -139,7 +139,7 @@
 
 // restoreAccounting continues the accounting of earlier owners for a team's classes. Otherwise a class that got nothing
 // yet would fall behind the others again with each new owner.
-func (p *Placer) restoreAccounting(tm *team) {
+func (p *Scheduler) restoreAccounting(tm *team) {
 	for class, cpus := range p.accountingOf(tm) {
 		p.starvation.Restore(class, cpus)
 	}
@@ -147,7 +147,7 @@
 
 // accountingOf derives from a team's records how many CPUs its classes got: the first task of each unfinished job
 // that has begun, all of them for a gang, and for the class of begun jobs all their tasks together.
-func (p *Placer) accountingOf(tm *team) map[string]float64 {
+func (p *Scheduler) accountingOf(tm *team) map[string]float64 {
 	got := map[string]float64{}
 	for _, t := range tm.inOrder() {
 		if t.job.Final() || !t.begun() {
--- a/internal/placer/table.go
+++ b/internal/placer/table.go
@@ -207,7 +207,7 @@
 
 // setTask is the only function that changes a task's state. It keeps the team's use, the job's counts and the list of
 // tasks on each machine up to date.
-func (p *Placer) setTask(t *jobTable, i int, s TaskState) {
+func (p *Scheduler) setTask(t *jobTable, i int, s TaskState) {
 	x := t.task(i)
 	was, wasIn := x.state, x.inUse()
 	x.state = s
@@ -255,4 +255,4 @@
 
 // zoneOf returns the zone of a machine. It is kept after the machine's deletion, because the counts by zone must not
 // change while a task is in use.
-func (p *Placer) zoneOf(machine string) string { return p.zoneByMachine[machine] }
+func (p *Scheduler) zoneOf(machine string) string { return p.zoneByMachine[machine] }
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -10,7 +10,7 @@
 )
 
 // tick repeats messages that may have been lost, and publishes usage, progress and demand.
-func (p *Placer) tick() {
+func (p *Scheduler) tick() {
 	now, wall := p.runner.Now(), p.runner.Wall()
 	p.turnover.Tick(now)
 	p.resendStarts(now, wall)
@@ -59,7 +59,7 @@
 }
 
 // resendStarts sends a start again if 800 ms later no view of its machine shows it.
-func (p *Placer) resendStarts(now, wall loop.Micros) {
+func (p *Scheduler) resendStarts(now, wall loop.Micros) {
 	var open []string
 	for m, on := range p.tasksByMachine {
 		if len(on.unresolved) > 0 {
@@ -87,7 +87,7 @@
 const sweepInterval = 2 * loop.Second
 
 // sweep repeats the stops of tasks whose job is final, and frees tasks on deleted machines.
-func (p *Placer) sweep() {
+func (p *Scheduler) sweep() {
 	for m, on := range loop.Sorted(p.tasksByMachine) {
 		gone := p.agent.IsGone(m)
 		due := map[taskRef]struct{}{} // usually few of the tasks in use
@@ -111,7 +111,7 @@
 
 // moveInheritedLogs schedules moving the logs that teams brought into a partition into the log of the partition, even
 // if nothing else is to be recorded. Until that is done every load of the partition reads them as well.
-func (p *Placer) moveInheritedLogs() {
+func (p *Scheduler) moveInheritedLogs() {
 	for _, part := range p.partitions {
 		if part.log.hasInherited() {
 			p.scheduleCommit(0)
@@ -122,7 +122,7 @@
 
 // evict stops tasks in time to save a checkpoint before a spot machine is reclaimed, or before a machine that is not
 // needed is returned.
-func (p *Placer) evict(now, wall loop.Micros) {
+func (p *Scheduler) evict(now, wall loop.Micros) {
 	p.agent.Views(func(v *agent.View) {
 		if v.NoticeAt == 0 && !v.Closed {
 			return
@@ -146,7 +146,7 @@
 	})
 }
 
-func (p *Placer) sendDemand() {
+func (p *Scheduler) sendDemand() {
 	t := peer.Tally{Wall: p.runner.Wall(), Wants: p.unplaced}
 	now := p.runner.Now()
 	for m := range p.tasksByMachine {
--- a/internal/placer/trial.go
+++ b/internal/placer/trial.go
@@ -8,7 +8,7 @@
 
 // trackFailures starts tracking a job's failures. The failures that all controllers observed survive a change of
 // owner, so that a job known to be broken does not get a fresh start from each new one.
-func (p *Placer) trackFailures(t *jobTable) {
+func (p *Scheduler) trackFailures(t *jobTable) {
 	t.probation.Changed = func(from, to health.TrialState) {
 		p.node.Meter.Trial(to.String())
 		if from == health.Untried && to == health.Sound {
@@ -23,7 +23,7 @@
 }
 
 // taskFailed records that a task of the job failed. A failure on a faulty machine does not count against the job.
-func (p *Placer) taskFailed(t *jobTable, x *task) {
+func (p *Scheduler) taskFailed(t *jobTable, x *task) {
 	t.avoid = p.attribution.Shuns(t.job.ID)
 	if p.attribution.AtFault(x.machine) {
 		return
@@ -33,14 +33,14 @@
 }
 
 // taskSucceeded records that a task of the job completed.
-func (p *Placer) taskSucceeded(t *jobTable, x *task) {
+func (p *Scheduler) taskSucceeded(t *jobTable, x *task) {
 	t.probation.Complete(x.failed)
 	x.failed = false
 	t.avoid = nil
 }
 
 // failureFacts returns what the predicates need to know of a job's failures.
-func (p *Placer) failureFacts(t *jobTable, now loop.Micros) gate.Failing {
+func (p *Scheduler) failureFacts(t *jobTable, now loop.Micros) gate.Failing {
 	f := gate.Failing{State: t.probation.State, Moments: t.probation.Moments, Machines: p.attribution.Against(t.job.ID), RestTo: t.probation.RestTo,
 		Late: len(t.failedTasks), LateNow: t.probation.Late(len(t.failedTasks))}
 	if !t.probation.Trusted() {
