--- a/internal/placer/flood_test.go
+++ b/internal/placer/flood_test.go
@@ -22,7 +22,7 @@
 	const writeRPS, jobs = 21, 10 // the only controller has 0.9 of the write rate
 	g := newRig(writeRPS, config.Team{Name: "red", CPUs: 800, CPUsMax: 800})
 	for i := range 40 {
-		g.show(fmt.Sprintf("n-%03d", i), "m8", "x", false)
+		g.deliverView(fmt.Sprintf("n-%03d", i), "m8", "x", false)
 	}
 	submitted := 0
 	var flood func()
--- a/internal/placer/forget_test.go
+++ b/internal/placer/forget_test.go
@@ -18,17 +18,17 @@
 // forget it.
 type forgetRig struct {
 	*rig
-	asked loop.Micros // when attempt 1 was first asked to be forgotten; 0: never
+	askedAt loop.Micros // when attempt 1 was first asked to be forgotten; 0: never
 }
 
 func newForgetRig() *forgetRig {
 	g := &forgetRig{rig: newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})}
 	g.onStop = func(s agent.Stop) {
-		if s.Forget && s.Attempt == 1 && g.asked == 0 {
-			g.asked = g.Now()
+		if s.Forget && s.Attempt == 1 && g.askedAt == 0 {
+			g.askedAt = g.Now()
 		}
 	}
-	g.show("n-001", "m8", "x", false)
+	g.deliverView("n-001", "m8", "x", false)
 	return g
 }
 
@@ -39,7 +39,7 @@
 // showFor reports the ended attempt repeatedly for the given time.
 func (g *forgetRig) showFor(d loop.Micros) {
 	for end := g.Now() + d; g.Now() < end; {
-		g.show("n-001", "m8", "x", false, attemptOne(wire.TaskExited, wire.WhyStopped))
+		g.deliverView("n-001", "m8", "x", false, attemptOne(wire.TaskExited, wire.WhyStopped))
 		g.Run(5 * loop.Millisecond)
 	}
 }
@@ -47,10 +47,10 @@
 func (g *forgetRig) checkAsked(t *testing.T, expiry loop.Micros) {
 	t.Helper()
 	switch {
-	case g.asked == 0:
+	case g.askedAt == 0:
 		t.Fatal("the machine is never asked to forget the attempt")
-	case g.asked <= expiry+delivery.AnswerLife:
-		t.Fatalf("the machine is asked to forget the attempt %d ms before a start of it can no longer arrive", (expiry+delivery.AnswerLife-g.asked)/1000)
+	case g.askedAt <= expiry+delivery.AnswerLife:
+		t.Fatalf("the machine is asked to forget the attempt %d ms before a start of it can no longer arrive", (expiry+delivery.AnswerLife-g.askedAt)/1000)
 	}
 }
 
@@ -65,11 +65,11 @@
 		{"the next attempt is being recorded", func(*forgetRig) {}},
 		{"the next attempt's reservation is refused", func(g *forgetRig) {
 			g.Run(90 * loop.Millisecond) // its machine is chosen, and it is not recorded yet
-			g.p.StartDropped("b", agent.Drop{Machine: "n-001", Task: "job-000001/0", Attempt: 2, Why: "full", Reserve: true})
+			g.scheduler.StartDropped("b", agent.Drop{Machine: "n-001", Task: "job-000001/0", Attempt: 2, Why: "full", Reserve: true})
 		}},
 		{"the next attempt's record is withdrawn", func(g *forgetRig) {
 			g.Run(90 * loop.Millisecond)
-			g.p.cordons.Put(cordon.Cordon{Name: "c", Machine: "n-001"}, func(cordon.Outcome) {})
+			g.scheduler.cordons.Put(cordon.Cordon{Name: "c", Machine: "n-001"}, func(cordon.Outcome) {})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -80,9 +80,9 @@
 				t.Fatalf("got %d starts, want one", len(g.starts))
 			}
 			expiry := g.starts[0].Expiry
-			g.show("n-001", "m8", "x", false, attemptOne(wire.TaskRunning, ""))
+			g.deliverView("n-001", "m8", "x", false, attemptOne(wire.TaskRunning, ""))
 			g.Run(20 * loop.Millisecond)
-			g.show("n-001", "m8", "x", false, attemptOne(wire.TaskExited, wire.WhyStopped))
+			g.deliverView("n-001", "m8", "x", false, attemptOne(wire.TaskExited, wire.WhyStopped))
 			c.next(g)
 			g.showFor(15 * loop.Second)
 			g.checkAsked(t, expiry)
@@ -95,15 +95,15 @@
 // exists but not when its start expires, only that it was recorded before the records were read.
 func forgetAsTheNextOwner(t *testing.T) {
 	g := newForgetRig()
-	g.p.node.Reserve = func(host string, s agent.Start) {
-		g.p.StartDropped(host, agent.Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Reserve: true})
+	g.scheduler.node.Reserve = func(host string, s agent.Start) {
+		g.scheduler.StartDropped(host, agent.Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Reserve: true})
 	}
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
-	g.p.OwnershipChanged(partition.ForTeam("red"), false, member.Owner{})
+	g.scheduler.OwnershipChanged(partition.ForTeam("red"), false, member.Owner{})
 	g.state.Put(segmentKey("x/red/", 0), segmentRecord{Machines: []machineEntry{}, Jobs: []jobEntry{{ID: id, Tasks: []taskEntry{{Index: 0, State: storedTerminated, Attempt: 1}}}}})
 	mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
-	g.p.OwnershipChanged(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Mark: mark})
-	latest := g.Now() + loop.Seconds(g.p.cfg.Operator.StartLifeS)
+	g.scheduler.OwnershipChanged(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Mark: mark})
+	latest := g.Now() + loop.Seconds(g.scheduler.cfg.Operator.StartLifeS)
 	g.showFor(20 * loop.Second)
 	g.checkAsked(t, latest)
 }
--- a/internal/placer/guarantee_test.go
+++ b/internal/placer/guarantee_test.go
@@ -21,7 +21,7 @@
 //
 // The fault was seen in TestNothingStarvesWhereNodesEnd with seed 54, from 200 to 220 s: blue ran 1.7 of its 38.4
 // CPUs, red 111.6 of 76.8, and 300 jobs of blue waited, with machines 92% busy throughout.
-func TestGuaranteeIsHeldBehindALargeJob(t *testing.T) {
+func TestGuaranteeIsMetBehindALargeJob(t *testing.T) {
 	const machines = 4
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16}, config.Team{Name: "blue", CPUs: 16})
 	g.acceptJob(1, job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 9000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
@@ -40,7 +40,7 @@
 			if len(running) > 0 { // the oldest task completes
 				running[0].State, running[0].Why = wire.TaskExited, wire.WhyDone
 			}
-			g.show(name, "m8", "x", false, running...)
+			g.deliverView(name, "m8", "x", false, running...)
 			if len(running) > 0 {
 				on[name] = running[1:]
 			}
@@ -53,7 +53,7 @@
 	used, steps := 0.0, 0
 	for ; g.Now() < 1190*loop.Second; steps++ {
 		step()
-		used += g.p.teams["blue"].cpus
+		used += g.scheduler.teams["blue"].cpus
 	}
 	if used /= float64(steps); used < 16/2 { // the test asks for half of the guarantee
 		t.Errorf("blue runs %.1f of its guaranteed 16 CPUs", used)
@@ -64,7 +64,7 @@
 
 // No capacity is reserved for a guarantee if no other team has borrowed it, before the job has waited long, or for a
 // team that has its guarantee.
-func TestGuaranteeIsNotHeldWithoutNeed(t *testing.T) {
+func TestNoReservationForGuaranteeWithoutNeed(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		used, by float64 // in use by the team, and by the other team
@@ -86,15 +86,15 @@
 				full = append(full, agent.Task{Task: agent.TaskName("job-000009", i), Attempt: 1, State: wire.TaskRunning})
 			}
 			g.acceptJob(9, job.Spec{Class: "k", Team: "green", Tasks: 8, CPUs: 1, MemoryGB: 1, AnyType: true})
-			g.show("n-001", "m8", "x", false, full...)
+			g.deliverView("n-001", "m8", "x", false, full...)
 			g.Run(loop.Second)
-			g.p.fleet.Refresh()
-			tm := g.p.teams["blue"]
-			tm.cpus, g.p.teams["red"].cpus = c.used, c.by
+			g.scheduler.fleet.Refresh()
+			tm := g.scheduler.teams["blue"]
+			tm.cpus, g.scheduler.teams["red"].cpus = c.used, c.by
 			x := tm.jobs[id]
 			x.acceptedAt, tm.shortfall.lacks = g.Now()-c.waits, c.lacks
-			g.p.reserveGuarantee(&queueEntry{table: x}, 1000, &budget{unmetByTeam: map[*team]float64{}})
-			if got := g.p.fleet.Held(id); (got > 0) != c.want || float64(got) > 16-c.used || float64(got) > maxReserved {
+			g.scheduler.reserveGuarantee(&queueEntry{table: x}, 1000, &budget{unmetByTeam: map[*team]float64{}})
+			if got := g.scheduler.fleet.Held(id); (got > 0) != c.want || float64(got) > 16-c.used || float64(got) > maxReserved {
 				t.Errorf("capacity is reserved for %d tasks, want a reservation: %v", got, c.want)
 			}
 		})
@@ -124,14 +124,14 @@
 
 // The accounting of a class under earlier owners is derived from the records. A job that has not begun is accounted
 // to a class of its own.
-func TestTurnsAreRestored(t *testing.T) {
+func TestClassAccountingIsRestored(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
 	begun := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	g.show("n-001", "m8", "x", false)
+	g.deliverView("n-001", "m8", "x", false)
 	g.Run(2 * loop.Second)
 	waiting := g.acceptJob(2, job.Spec{Class: "w", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	g.Run(2 * loop.Second)
-	tm := g.p.teams["red"]
+	tm := g.scheduler.teams["red"]
 	if n := tm.jobs[begun].inUse; n != 4 {
 		t.Fatalf("%d tasks are in use, want 4", n)
 	}
@@ -142,7 +142,7 @@
 		t.Errorf("a job that has not begun is in class %q", got)
 	}
 	restored := map[string]float64{}
-	for class, cpus := range g.p.accountingOf(tm) {
+	for class, cpus := range g.scheduler.accountingOf(tm) {
 		restored[class] = cpus
 	}
 	if len(restored) != 2 || restored["red"] != 8 || restored["red\x00k"] != 2 {
@@ -151,16 +151,16 @@
 }
 
 // Only the reservations of jobs owned here are sent to a peer that does not know them.
-func TestClaimsInForceAreThoseOfOwnedJobs(t *testing.T) {
+func TestReservationsAreThoseOfOwnedJobs(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
 	mine := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 100, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	theirs := g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Tasks: 1, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	g.show("n-001", "m8", "x", false)
+	g.deliverView("n-001", "m8", "x", false)
 	g.Run(loop.Second)
 	for _, id := range []string{mine, theirs} {
-		g.p.fleet.AddClaim(peer.Claim{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
+		g.scheduler.fleet.AddClaim(peer.Claim{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
 	}
-	if got := g.p.OwnReservations(); len(got) != 1 || got[0].Job != mine || got[0].CPUs != 2 {
+	if got := g.scheduler.OwnReservations(); len(got) != 1 || got[0].Job != mine || got[0].CPUs != 2 {
 		t.Errorf("got reservations %+v, want the one of %s", got, mine)
 	}
 }
--- a/internal/placer/image_test.go
+++ b/internal/placer/image_test.go
@@ -34,23 +34,23 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(100, config.Team{Name: "red", CPUs: 64, CPUsMax: 64}, config.Team{Name: "blue", CPUs: 64, CPUsMax: 64})
 			var claims []peer.Claim
-			g.p.node.SendReservations = func(cs []peer.Claim) { claims = append(claims, cs...) }
+			g.scheduler.node.SendReservations = func(cs []peer.Claim) { claims = append(claims, cs...) }
 			low := g.acceptJob(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 8, CPUs: 2, MemoryGB: 2, Image: "i", AnyType: true, Estimate: 60 * s})
 			was := g.acceptJob(2, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 1, CPUs: 2, MemoryGB: 2, Image: "u", ImageGB: c.image, AnyType: true, Estimate: 60 * s})
-			g.show("n-1", "m16", "x", false, agent.Task{Task: agent.TaskName(was, 0), Attempt: 1, State: wire.TaskRunning}) // the machine therefore has the image
+			g.deliverView("n-1", "m16", "x", false, agent.Task{Task: agent.TaskName(was, 0), Attempt: 1, State: wire.TaskRunning}) // the machine therefore has the image
 			busy := make([]agent.Task, 8)
 			for i := range busy {
 				busy[i] = agent.Task{Task: agent.TaskName(low, i), Attempt: 1, State: wire.TaskRunning}
 			}
 			again := func(d loop.Micros, tasks []agent.Task) {
 				for end := g.Now() + d; g.Now() < end; {
-					g.show("n-1", "m16", "x", false, tasks...)
-					g.show("n-2", "m16", "x", false)
+					g.deliverView("n-1", "m16", "x", false, tasks...)
+					g.deliverView("n-2", "m16", "x", false)
 					g.Run(200 * loop.Millisecond)
 				}
 			}
 			for _, id := range []string{low, was} { // owned by another controller; known here only from the views
-				g.p.forgetJob(g.p.teams[g.registry.Get(id).Spec.Team].jobs[id])
+				g.scheduler.forgetJob(g.scheduler.teams[g.registry.Get(id).Spec.Team].jobs[id])
 			}
 			again(c.ran, busy)
 			g.starts = nil
@@ -62,7 +62,7 @@
 			if c.claims > 0 && len(g.starts) > 0 {
 				t.Fatalf("%d tasks were placed elsewhere before the preempted tasks stopped", len(g.starts))
 			}
-			for _, w := range g.tally.Wants {
+			for _, w := range g.demand.Wants {
 				if w.Priority == int(job.High) {
 					t.Errorf("%d urgent tasks are published as unplaced", w.Count)
 				}
@@ -74,7 +74,7 @@
 			}
 			on := map[string]int{}
 			for i := range 4 {
-				on[g.p.teams["red"].jobs[id].task(i).machine]++
+				on[g.scheduler.teams["red"].jobs[id].task(i).machine]++
 			}
 			if on[c.at] != 4 {
 				t.Errorf("the tasks are on %v, want all on %s", fmt.Sprint(on), c.at)
--- a/internal/placer/partition_test.go
+++ b/internal/placer/partition_test.go
@@ -34,7 +34,7 @@
 	m.g.After(m.delay, func() {
 		for _, team := range teams {
 			m.known[team] = true
-			m.g.p.TeamAssigned(team)
+			m.g.scheduler.TeamAssigned(team)
 		}
 		done(true)
 	})
@@ -47,28 +47,28 @@
 		all = append(all, config.Team{Name: fmt.Sprintf("team-%03d", i), CPUs: 8, CPUsMax: 64})
 	}
 	g := newRig(writeRPS)
-	g.p.cfg.Cluster.Teams = all
-	g.p.node.Membership = &onePartition{g: g, known: map[string]bool{}}
-	g.own()
+	g.scheduler.cfg.Cluster.Teams = all
+	g.scheduler.node.Membership = &onePartition{g: g, known: map[string]bool{}}
+	g.acquirePartition()
 	for i := range machines {
-		g.show(fmt.Sprintf("n-%03d", i), "m8", "x", false)
+		g.deliverView(fmt.Sprintf("n-%03d", i), "m8", "x", false)
 	}
 	return g
 }
 
-// own makes this controller the owner of the partition under a new claim.
-func (g *rig) own() {
+// acquirePartition makes this controller the owner of the partition under a new claim.
+func (g *rig) acquirePartition() {
 	mark := g.state.Put(onlyID.ClaimKey(), map[string]any{"n": "a", "e": 1})
-	g.p.OwnershipChanged(onlyID, false, member.Owner{})
-	g.p.OwnershipChanged(onlyID, true, member.Owner{Node: "a", Epoch: 1, Mark: mark})
+	g.scheduler.OwnershipChanged(onlyID, false, member.Owner{})
+	g.scheduler.OwnershipChanged(onlyID, true, member.Owner{Node: "a", Epoch: 1, Mark: mark})
 	g.Run(loop.Second)
 }
 
-func small(team string, tasks int) job.Spec {
+func smallJob(team string, tasks int) job.Spec {
 	return job.Spec{Class: "k", Team: team, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
 }
 
-func names(starts []agent.Start) []string {
+func taskNames(starts []agent.Start) []string {
 	var out []string
 	for _, s := range starts {
 		out = append(out, s.Task)
@@ -82,11 +82,11 @@
 func TestTeamsShareWrites(t *testing.T) {
 	g := partitionRig(10, 40, 60)
 	for i := range 40 {
-		g.acceptJob(i, small(fmt.Sprintf("team-%03d", i), 5))
+		g.acceptJob(i, smallJob(fmt.Sprintf("team-%03d", i), 5))
 	}
 	before := g.writes
 	g.Run(3 * loop.Second)
-	if n := len(names(g.starts)); n != 200 {
+	if n := len(taskNames(g.starts)); n != 200 {
 		t.Fatalf("%d tasks were started, want 200", n)
 	}
 	if w := g.writes - before; w > 20 { // with a log per team, each team needed a write of its own
@@ -97,18 +97,18 @@
 // A controller that lost its partition without knowing it yet records nothing and starts nothing.
 func TestFormerOwnerRecordsNothing(t *testing.T) {
 	g := partitionRig(100, 4, 10)
-	g.acceptJob(1, small("team-000", 2))
+	g.acceptJob(1, smallJob("team-000", 2))
 	g.Run(loop.Second)
-	if len(names(g.starts)) != 2 {
-		t.Fatalf("started %v, want two tasks", names(g.starts))
+	if len(taskNames(g.starts)) != 2 {
+		t.Fatalf("started %v, want two tasks", taskNames(g.starts))
 	}
 	g.state.Put(onlyID.ClaimKey(), map[string]any{"n": "b", "e": 2}) // another controller's claim, of which this one receives no message
 	keys := g.state.Keys(onlyID.LogPrefix())
-	g.acceptJob(2, small("team-001", 3))
-	g.acceptJob(3, small("team-000", 3))
+	g.acceptJob(2, smallJob("team-001", 3))
+	g.acceptJob(3, smallJob("team-000", 3))
 	g.Run(3 * loop.Second)
-	if n := len(names(g.starts)); n != 2 {
-		t.Errorf("a former owner started %v", names(g.starts))
+	if n := len(taskNames(g.starts)); n != 2 {
+		t.Errorf("a former owner started %v", taskNames(g.starts))
 	}
 	if now := g.state.Keys(onlyID.LogPrefix()); !slices.Equal(now, keys) {
 		t.Errorf("a former owner's log grew from %v to %v", keys, now)
@@ -116,17 +116,17 @@
 }
 
 // A job that is cancelled while many teams' starts are written together delays the others' starts only briefly.
-func TestWithdrawnWithinACommitOfMany(t *testing.T) {
+func TestCancelledJobInAWriteOfManyTeams(t *testing.T) {
 	g := partitionRig(100, 30, 40)
 	for i := range 30 {
-		g.acceptJob(i, small(fmt.Sprintf("team-%03d", i), 2))
+		g.acceptJob(i, smallJob(fmt.Sprintf("team-%03d", i), 2))
 	}
 	id := "job-000007"
 	rec := job.Record{Phase: job.Withdrawn, At: g.Now(), Tasks: 2}
 	mark := g.state.Put(job.Keys+id, rec) // stored, and not known here yet
 	g.After(loop.Second, func() { g.mirror.Apply(job.Keys+id, wire.Marshal(rec), mark, false) })
 	g.Run(4 * loop.Second)
-	started := names(g.starts)
+	started := taskNames(g.starts)
 	if len(started) != 58 {
 		t.Errorf("%d tasks were started, want 58", len(started))
 	}
@@ -141,16 +141,16 @@
 	for _, lags := range []bool{false, true} {
 		g := partitionRig(100, 30, 80)
 		for i := range 30 {
-			g.acceptJob(i, small(fmt.Sprintf("team-%03d", i), 12))
+			g.acceptJob(i, smallJob(fmt.Sprintf("team-%03d", i), 12))
 		}
 		g.Run(5 * loop.Second)
-		if n := len(names(g.starts)); n != 360 {
+		if n := len(taskNames(g.starts)); n != 360 {
 			t.Fatalf("%d tasks were started, want 360", n)
 		}
 		if n := len(g.state.Keys(onlyID.LogPrefix())); n < 3 {
 			t.Fatalf("got %d segments, want at least 3 for the test to be meaningful", n)
 		}
-		m := g.p.node.Membership.(*onePartition)
+		m := g.scheduler.node.Membership.(*onePartition)
 		if lags {
 			for _, team := range []string{"team-003", "team-020"} {
 				m.known[team] = false
@@ -158,15 +158,15 @@
 			g.After(2*loop.Second, func() {
 				for _, team := range []string{"team-003", "team-020"} {
 					m.known[team] = true
-					g.p.TeamAssigned(team)
+					g.scheduler.TeamAssigned(team)
 				}
 			})
 		}
 		g.starts = nil
-		g.own()
+		g.acquirePartition()
 		g.Run(6 * loop.Second)
-		used := g.p.TasksInUse(onlyID)
-		if began := names(g.starts); used != 360 || len(began) > 0 {
+		used := g.scheduler.TasksInUse(onlyID)
+		if began := taskNames(g.starts); used != 360 || len(began) > 0 {
 			t.Errorf("lagging %v: the next owner knows %d of 360 tasks and started %d again", lags, used, len(began))
 		}
 	}
@@ -178,25 +178,25 @@
 	const tasks = 200
 	g := newRig(100, config.Team{Name: "team-000", CPUs: 8, CPUsMax: 2 * tasks})
 	for i := range tasks / 8 {
-		g.show(fmt.Sprintf("n-%03d", i), "m8", "x", false)
+		g.deliverView(fmt.Sprintf("n-%03d", i), "m8", "x", false)
 	}
-	g.acceptJob(1, small("team-000", tasks))
+	g.acceptJob(1, smallJob("team-000", tasks))
 	g.Run(3 * loop.Second)
 	own := partition.ForTeam("team-000")
-	if n, logs := len(names(g.starts)), len(g.state.Keys(own.LogPrefix())); n != tasks || logs < 2 {
+	if n, logs := len(taskNames(g.starts)), len(g.state.Keys(own.LogPrefix())); n != tasks || logs < 2 {
 		t.Fatalf("%d of %d tasks were started, with %d segments, want all and at least 2 segments", n, tasks, logs)
 	}
 	g.state.Put(own.ClaimKey(), map[string]any{"n": "", "e": 0, "p": string(onlyID)})
-	g.p.OwnershipChanged(own, false, member.Owner{})
-	g.p.node.Membership = &onePartition{g: g, known: map[string]bool{"team-000": true}}
+	g.scheduler.OwnershipChanged(own, false, member.Owner{})
+	g.scheduler.node.Membership = &onePartition{g: g, known: map[string]bool{"team-000": true}}
 	g.starts = nil
 	for _, owner := range []string{"the first owner", "the next one"} {
-		g.own()
+		g.acquirePartition()
 		g.Run(12 * loop.Second)
-		if began := names(g.starts); len(began) > 0 {
+		if began := taskNames(g.starts); len(began) > 0 {
 			t.Fatalf("%s starts %d tasks again", owner, len(began))
 		}
-		if tm := g.p.teams["team-000"]; tm == nil || tm.inUse() != tasks {
+		if tm := g.scheduler.teams["team-000"]; tm == nil || tm.inUse() != tasks {
 			t.Fatalf("%s does not know all tasks of its team", owner)
 		}
 		if left := g.state.Keys(own.LogPrefix()); len(left) > 0 {
@@ -209,23 +209,23 @@
 func TestSegmentsBecomeSmaller(t *testing.T) {
 	g := partitionRig(100, 20, 80)
 	for i := range 20 {
-		g.acceptJob(i, small(fmt.Sprintf("team-%03d", i), 15))
+		g.acceptJob(i, smallJob(fmt.Sprintf("team-%03d", i), 15))
 		if i == 10 {
 			g.Run(2 * loop.Second)
 			g.state.SetLimits(&standin.Limits{ValueBytes: 1024, TxnOps: 5})
 		}
 	}
 	g.Run(8 * loop.Second)
-	if n := len(names(g.starts)); n != 300 {
+	if n := len(taskNames(g.starts)); n != 300 {
 		t.Fatalf("%d tasks were started, want 300", n)
 	}
 	if g.state.Counts().Invalid == 0 {
 		t.Fatal("no record was refused as too large, so the test is not meaningful")
 	}
 	g.starts = nil
-	g.own()
+	g.acquirePartition()
 	g.Run(4 * loop.Second)
-	if used := g.p.TasksInUse(onlyID); used != 300 {
+	if used := g.scheduler.TasksInUse(onlyID); used != 300 {
 		t.Errorf("the next owner knows %d of 300 tasks", used)
 	}
 }
@@ -234,10 +234,10 @@
 // segment is kept, and starts that waited for the write wait again.
 func TestRefusedWriteMovesNothing(t *testing.T) {
 	g := partitionRig(100, 1, 4)
-	id := g.acceptJob(1, small("team-000", 4))
+	id := g.acceptJob(1, smallJob("team-000", 4))
 	g.Run(2 * loop.Second)
-	part := g.p.partitions[onlyID]
-	tb := g.p.teams["team-000"].jobs[id]
+	part := g.scheduler.partitions[onlyID]
+	tb := g.scheduler.teams["team-000"].jobs[id]
 	old := tb.task(0).segment
 	if old == nil || old.live != 4 {
 		t.Fatalf("the tasks' records are in segment %+v, want 4 live ones", old)
@@ -249,11 +249,11 @@
 	if old.live != 2 || w.segment.live != 2 {
 		t.Fatalf("before the refusal %d and %d records are live, want 2 and 2", old.live, w.segment.live)
 	}
-	g.p.shrinkSegments(part, w)
+	g.scheduler.shrinkSegments(part, w)
 	if old.live != 4 || w.segment.live != 0 || len(w.segment.refs) != 0 || tb.task(1).segment != old || tb.task(2).segment != old {
 		t.Errorf("after the refusal %d records are live in the stored segment and %d in the refused one, want 4 and 0", old.live, w.segment.live)
 	}
-	if part.log.open != nil || g.p.valueLimit >= 3000 {
-		t.Errorf("the next write goes into segment %+v with at most %d bytes, want a new segment below 3000 bytes", part.log.open, g.p.valueLimit)
+	if part.log.open != nil || g.scheduler.valueLimit >= 3000 {
+		t.Errorf("the next write goes into segment %+v with at most %d bytes, want a new segment below 3000 bytes", part.log.open, g.scheduler.valueLimit)
 	}
 }
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -30,17 +30,17 @@
 // rig is one owner on hand-driven time, with machines that exist only as views.
 type rig struct {
 	*standin.Stepped
-	p        *Scheduler
-	a        *agent.Agent
-	registry *job.Registry
-	mirror   *store.Mirror
-	state    *standin.State
-	writes   int
-	txns     int
-	starts   []agent.Start
-	tally    peer.Tally
-	seq      uint64
-	onStop   func(agent.Stop) // may be nil
+	scheduler *Scheduler
+	workers   *agent.Agent
+	registry  *job.Registry
+	mirror    *store.Mirror
+	state     *standin.State
+	writes    int
+	txns      int
+	starts    []agent.Start
+	demand    peer.Tally
+	seq       uint64
+	onStop    func(agent.Stop) // may be nil
 }
 
 func (g *rig) Do(method, path string, body []byte, d time.Duration) store.Response {
@@ -73,8 +73,8 @@
 	c := store.NewClient(g, g, log, 100, writeRPS, 1)
 	g.mirror = store.NewMirror(c, g, "c/")
 	g.registry = job.NewRegistry(g, c, g.mirror, log)
-	g.a = agent.New(g, log, agent.Host{Label: "a", Job: g.registry.Get, Changed: func(v *agent.View, c *agent.Changes) { g.p.ViewChanged(v, c) }}, nil)
-	g.p = New(g, c, log, cfg, Node{
+	g.workers = agent.New(g, log, agent.Host{Label: "a", Job: g.registry.Get, Changed: func(v *agent.View, c *agent.Changes) { g.scheduler.ViewChanged(v, c) }}, nil)
+	g.scheduler = New(g, c, log, cfg, Node{
 		Label: "a",
 		Type:  func(name string) (wire.MachineType, bool) { t, ok := types[name]; return t, ok },
 		Start: func(_ string, s agent.Start) { g.starts = append(g.starts, s) },
@@ -85,15 +85,15 @@
 		},
 		RequestTaskList:  func(string, string) {},
 		Reserve:          func(string, agent.Start) {},
-		SendDemand:       func(t peer.Tally) { g.tally = t },
+		SendDemand:       func(t peer.Tally) { g.demand = t },
 		SendProgress:     func([]peer.Progress) {},
 		SendUsage:        func([]peer.Usage) {},
 		SendReservations: func([]peer.Claim) {},
-	}, g.registry, g.a, cordon.NewBook(g, c, g.mirror, log, 0))
-	g.registry.OnJob = g.p.JobChanged
+	}, g.registry, g.workers, cordon.NewBook(g, c, g.mirror, log, 0))
+	g.registry.OnJob = g.scheduler.JobChanged
 	for _, t := range teams {
 		mark := g.state.Put("c/t/"+t.Name, map[string]any{"n": "a", "e": 1})
-		g.p.OwnershipChanged(partition.ForTeam(t.Name), true, member.Owner{Node: "a", Epoch: 1, Mark: mark})
+		g.scheduler.OwnershipChanged(partition.ForTeam(t.Name), true, member.Owner{Node: "a", Epoch: 1, Mark: mark})
 	}
 	g.mirror.Start()
 	g.Run(loop.Second)
@@ -109,15 +109,15 @@
 	return id
 }
 
-// show delivers a view of a machine with these tasks on it.
-func (g *rig) show(name, typ, zone string, spot bool, tasks ...agent.Task) {
+// deliverView delivers a view of a machine with these tasks on it.
+func (g *rig) deliverView(name, typ, zone string, spot bool, tasks ...agent.Task) {
 	g.seq++
-	g.a.Learn(&agent.View{Name: name, Type: typ, Zone: zone, Spot: spot, Host: "b", Session: 1, Seq: g.seq, Settled: true, At: g.Now(), Tasks: slices.Clone(tasks)})
+	g.workers.Learn(&agent.View{Name: name, Type: typ, Zone: zone, Spot: spot, Host: "b", Session: 1, Seq: g.seq, Settled: true, At: g.Now(), Tasks: slices.Clone(tasks)})
 }
 
-// plainRoom computes a machine's free capacity from nothing but its view and the tables.
-func (g *rig) plainRoom(name string) agent.Room {
-	v := g.a.View(name)
+// plainCapacity computes a machine's free capacity from nothing but its view and the tables.
+func (g *rig) plainCapacity(name string) agent.Room {
+	v := g.workers.View(name)
 	typ := types[v.Type]
 	room := agent.Room{CPUs: typ.CPUs, GPUs: typ.GPUs, MemoryGB: typ.MemoryGB}
 	shown := map[string]bool{}
@@ -128,7 +128,7 @@
 			room.Take(g.registry.Get(id).Spec)
 		}
 	}
-	for _, tm := range g.p.teams {
+	for _, tm := range g.scheduler.teams {
 		for _, t := range tm.jobs {
 			for i := range t.job.Tasks {
 				x := t.task(i)
@@ -142,15 +142,15 @@
 	return room
 }
 
-// plainPlace is a plain model of a placement pass: it places each task separately and looks at every machine for it.
-func (g *rig) plainPlace() map[string]string {
+// plainPass is a plain model of a placement pass: it places each task separately and looks at every machine for it.
+func (g *rig) plainPass() map[string]string {
 	out := map[string]string{}
 	rooms := map[string]agent.Room{}
-	g.a.Views(func(v *agent.View) { rooms[v.Name] = g.plainRoom(v.Name) })
+	g.workers.Views(func(v *agent.View) { rooms[v.Name] = g.plainCapacity(v.Name) })
 	cpus := map[string]float64{}
 	least := 1e9
 	cost := map[string]float64{}
-	g.a.Views(func(v *agent.View) {
+	g.workers.Views(func(v *agent.View) {
 		typ := types[v.Type]
 		cost[v.Name] = typ.Price / typ.CPUs
 		if v.Spot {
@@ -163,7 +163,7 @@
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	for _, e := range g.p.queue() {
+	for _, e := range g.scheduler.queue() {
 		t := e.table
 		s := t.job.Spec
 		zones := maps.Clone(t.zones)
@@ -173,9 +173,9 @@
 			}
 			best, bestScore := "", 0.0
 			for _, name := range names {
-				v := g.a.View(name)
+				v := g.workers.View(name)
 				room := rooms[name]
-				if !room.Fits(s) || !s.AllowsPlace(v.Type, v.Zone, v.Spot) || v.NoticeAt != 0 || v.Closed || g.Now() < g.p.fleet.Slot(name).Shut {
+				if !room.Fits(s) || !s.AllowsPlace(v.Type, v.Zone, v.Spot) || v.NoticeAt != 0 || v.Closed || g.Now() < g.scheduler.fleet.Slot(name).Shut {
 					continue
 				}
 				other := false
@@ -187,7 +187,7 @@
 				}
 				typ := types[v.Type]
 				score := 2*(typ.CPUs-room.CPUs)/typ.CPUs - 3*(1-least/cost[name])
-				if g.p.fleet.Slot(name).Runs.HasImage(s.Image) {
+				if g.scheduler.fleet.Slot(name).Runs.HasImage(s.Image) {
 					score++
 					if s.Priority >= job.High {
 						score += 9
@@ -203,7 +203,7 @@
 			room := rooms[best]
 			room.Take(s)
 			rooms[best] = room
-			zones[g.a.View(best).Zone]++
+			zones[g.workers.View(best).Zone]++
 			cpus[s.Team] += s.CPUs
 			out[fmt.Sprintf("%s on %s", t.job.ID, best)] += "+"
 		}
@@ -211,11 +211,11 @@
 	return out
 }
 
-// plainAboard rebuilds the lists of tasks on each machine, and of those not resolved yet, and describes the first
+// checkMachineLists rebuilds the lists of tasks on each machine, and of those not resolved yet, and describes the first
 // difference from the scheduler's own lists; "" if there is none.
-func (g *rig) plainAboard() string {
+func (g *rig) checkMachineLists() string {
 	all, open := map[string]int{}, map[string]int{}
-	for _, tm := range g.p.teams {
+	for _, tm := range g.scheduler.teams {
 		for _, tb := range tm.jobs {
 			for i := range tb.job.Tasks {
 				x := tb.task(i)
@@ -224,7 +224,7 @@
 					continue
 				}
 				all[x.machine]++
-				on := g.p.tasksByMachine[x.machine]
+				on := g.scheduler.tasksByMachine[x.machine]
 				if on == nil {
 					return tb.taskName(i) + " is in use, and no task is listed for its machine"
 				}
@@ -233,7 +233,7 @@
 				if !here || isOpen != (!x.listed || x.recheck) {
 					return fmt.Sprintf("%s on %s: listed %v, unresolved %v; seen %v, pending %v", tb.taskName(i), x.machine, here, isOpen, x.listed, x.recheck)
 				}
-				if v := g.a.View(x.machine); x.state == Placed && !x.listed && v != nil && v.Find(tb.taskName(i), x.attempt) != nil {
+				if v := g.workers.View(x.machine); x.state == Placed && !x.listed && v != nil && v.Find(tb.taskName(i), x.attempt) != nil {
 					return tb.taskName(i) + " was listed by its machine, and is not marked as seen"
 				}
 				if isOpen {
@@ -242,7 +242,7 @@
 			}
 		}
 	}
-	for m, on := range g.p.tasksByMachine {
+	for m, on := range g.scheduler.tasksByMachine {
 		if len(on.all) != all[m] || len(on.unresolved) != open[m] {
 			return fmt.Sprintf("%s: %d tasks and %d unresolved ones are listed, want %d and %d", m, len(on.all), len(on.unresolved), all[m], open[m])
 		}
@@ -255,14 +255,14 @@
 func TestPassesMatchThePlainModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newRig(1000, config.Team{Name: "red", CPUs: 1000, CPUsMax: 60}, config.Team{Name: "blue", CPUs: 1000, CPUsMax: 1000})
-		g.p.preemption.nextRun = 1 << 62 // the model preempts nothing
+		g.scheduler.preemption.nextRun = 1 << 62 // the model preempts nothing
 		machines, jobs := 0, 0
 		on := map[string][]agent.Task{}
 		for range rapid.IntRange(3, 25).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
 				machines++
-				g.show(fmt.Sprintf("n-%03d", machines), rapid.SampledFrom([]string{"m8", "m16"}).Draw(t, "type"),
+				g.deliverView(fmt.Sprintf("n-%03d", machines), rapid.SampledFrom([]string{"m8", "m16"}).Draw(t, "type"),
 					rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"), rapid.Bool().Draw(t, "spot"))
 			case 1:
 				jobs++
@@ -293,16 +293,16 @@
 							all[i].State, all[i].Why = wire.TaskExited, wire.WhyDone
 						}
 					}
-					v := g.a.View(name)
-					g.show(name, v.Type, v.Zone, v.Spot, slices.Clone(all)...)
+					v := g.workers.View(name)
+					g.deliverView(name, v.Type, v.Zone, v.Spot, slices.Clone(all)...)
 				}
 			default:
 				g.Run(loop.Micros(rapid.IntRange(1, 300).Draw(t, "ms")) * loop.Millisecond)
 			}
-			want := g.plainPlace()
+			want := g.plainPass()
 			before := map[string]bool{}
 			each := func(f func(string, *task, *jobTable)) {
-				for _, tm := range g.p.teams {
+				for _, tm := range g.scheduler.teams {
 					for _, tb := range tm.jobs {
 						for i := range tb.job.Tasks {
 							x := tb.task(i)
@@ -312,7 +312,7 @@
 				}
 			}
 			each(func(n string, x *task, _ *jobTable) { before[n] = x.inUse() })
-			g.p.place()
+			g.scheduler.place()
 			got := map[string]string{}
 			each(func(n string, x *task, tb *jobTable) {
 				if x.state == Recording && !before[n] {
@@ -322,13 +322,13 @@
 			if !maps.Equal(got, want) {
 				t.Fatalf("placed %v, want %v", got, want)
 			}
-			if why := g.plainAboard(); why != "" {
+			if why := g.checkMachineLists(); why != "" {
 				t.Fatal(why)
 			}
-			g.p.fleet.Refresh()
-			for _, sl := range g.p.fleet.All() {
+			g.scheduler.fleet.Refresh()
+			for _, sl := range g.scheduler.fleet.All() {
 				name := sl.V.Name
-				if room := g.plainRoom(name); sl.Known && room != sl.Room {
+				if room := g.plainCapacity(name); sl.Known && room != sl.Room {
 					t.Fatalf("%s: free capacity %v in its slot, %v computed from its view", name, sl.Room, room)
 				}
 			}
@@ -341,7 +341,7 @@
 func TestStartsShareWrites(t *testing.T) {
 	g := newRig(10, config.Team{Name: "red", CPUs: 5000, CPUsMax: 5000})
 	for i := range 60 {
-		g.show(fmt.Sprintf("n-%03d", i), "m8", "x", false)
+		g.deliverView(fmt.Sprintf("n-%03d", i), "m8", "x", false)
 	}
 	for i := range 40 {
 		g.acceptJob(i, job.Spec{Class: "k", Team: "red", Tasks: 12, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
@@ -381,16 +381,16 @@
 
 // A refused reservation that arrives after the task was recorded is no evidence that the task does not run: the start
 // is in flight and may still succeed. Treating it as a dropped start let ten tasks run twice in one simulated day.
-func TestLateRefusalProvesNothing(t *testing.T) {
+func TestLateRefusalDoesNotFreeATask(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
-	g.show("n-001", "m8", "x", false)
+	g.deliverView("n-001", "m8", "x", false)
 	g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
-	x := func() *task { return g.p.teams["red"].jobs["job-000001"].task(0) }
+	x := func() *task { return g.scheduler.teams["red"].jobs["job-000001"].task(0) }
 	for x().state != Recording {
 		g.Run(loop.Millisecond)
 	}
 	refuse := func() {
-		g.p.StartDropped("b", agent.Drop{Machine: "n-001", Task: "job-000001/0", Attempt: x().attempt, Why: "full", Reserve: true})
+		g.scheduler.StartDropped("b", agent.Drop{Machine: "n-001", Task: "job-000001/0", Attempt: x().attempt, Why: "full", Reserve: true})
 	}
 	refuse()
 	if x().state != Waiting {
@@ -408,10 +408,10 @@
 
 // The tasks of a cancelled job count as in use until they are confirmed terminated, also for the next owner, so the
 // log must keep them when a segment is rewritten.
-func TestLogKeepsWithdrawnTasks(t *testing.T) {
+func TestLogKeepsTasksOfCancelledJobs(t *testing.T) {
 	team := config.Team{Name: "red", CPUs: 4, CPUsMax: 4}
 	g := newRig(100, team)
-	g.show("n-001", "m8", "x", false)
+	g.deliverView("n-001", "m8", "x", false)
 	spec := job.Spec{Class: "k", Team: "red", Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
 	id := g.acceptJob(1, spec)
 	g.Run(loop.Second)
@@ -419,16 +419,16 @@
 	g.mirror.Apply(job.Keys+id, wire.Marshal(rec), g.state.Put(job.Keys+id, rec), false)
 	g.acceptJob(2, spec)
 	g.Run(loop.Second)
-	if use := g.p.teams["red"].cpus; use != 4 {
+	if use := g.scheduler.teams["red"].cpus; use != 4 {
 		t.Fatalf("%v CPUs are in use, want 4", use)
 	}
-	g.p.OwnershipChanged(partition.ForTeam("red"), false, member.Owner{})
+	g.scheduler.OwnershipChanged(partition.ForTeam("red"), false, member.Owner{})
 	mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
-	g.p.OwnershipChanged(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Mark: mark})
+	g.scheduler.OwnershipChanged(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Mark: mark})
 	g.acceptJob(3, spec)
 	g.starts = nil
 	g.Run(loop.Second)
-	if use := g.p.teams["red"].cpus; use != 4 {
+	if use := g.scheduler.teams["red"].cpus; use != 4 {
 		t.Fatalf("the next owner counts %v CPUs in use, want 4", use)
 	}
 	for _, s := range g.starts {
@@ -452,11 +452,11 @@
 			rec.Jobs[0].Tasks = append(rec.Jobs[0].Tasks, taskEntry{Index: i, State: storedPlaced, Attempt: 1, Machine: 1, Session: 1, Expiry: g.Now()})
 		}
 		g.state.Put(segmentKey("x/red/", 0), rec)
-		g.p.OwnershipChanged(partition.ForTeam("red"), false, member.Owner{})
+		g.scheduler.OwnershipChanged(partition.ForTeam("red"), false, member.Owner{})
 		mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
-		g.p.OwnershipChanged(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Mark: mark})
+		g.scheduler.OwnershipChanged(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Mark: mark})
 		for i := range 40 {
-			g.show(fmt.Sprintf("n-1%02d", i), "m8", "x", false)
+			g.deliverView(fmt.Sprintf("n-1%02d", i), "m8", "x", false)
 		}
 		g.Run(loop.Second)
 		started := map[string]bool{}
@@ -475,7 +475,7 @@
 
 // A machine whose tasks take twice as long as those of the same job elsewhere receives no starts for a while. A
 // machine that only runs longer jobs is not affected.
-func TestSlowMachinesRest(t *testing.T) {
+func TestSlowMachinesAreExcluded(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 500, CPUsMax: 500})
 	short := g.acceptJob(1, job.Spec{Class: "k", Team: "blue", Tasks: 99, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true})
 	long := g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Tasks: 99, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true})
@@ -509,8 +509,8 @@
 				kept = append(kept, x)
 			}
 			on[name] = kept
-			g.show(name, "m8", "x", false, slices.Clone(kept)...)
-			if g.p.fleet.Slot(name).Shut > g.Now() {
+			g.deliverView(name, "m8", "x", false, slices.Clone(kept)...)
+			if g.scheduler.fleet.Slot(name).Shut > g.Now() {
 				rested[name] = true
 			}
 		}
--- a/internal/placer/preempt_test.go
+++ b/internal/placer/preempt_test.go
@@ -15,26 +15,26 @@
 	"pgregory.net/rapid"
 )
 
-// stopFleet simulates machines on which no task completes: tasks start and stop only on command. It checks every
+// preemptionFleet simulates machines on which no task completes: tasks start and stop only on command. It checks every
 // preemption against the rules.
-type stopFleet struct {
+type preemptionFleet struct {
 	*rig
-	t        rapid.TB
-	teams    []config.Team
-	specs    map[string]*job.Spec
-	machines map[string][]agent.Task
-	taken    int                    // number of starts carried out
-	stopped  map[string]int         // by task: how often it was stopped
-	turns    map[[2]string][]string // by pair of jobs: which of them preempted the other, at each change
+	t            rapid.TB
+	teams        []config.Team
+	specs        map[string]*job.Spec
+	machines     map[string][]agent.Task
+	startsDone   int                    // number of starts carried out
+	stopped      map[string]int         // by task: how often it was stopped
+	alternations map[[2]string][]string // by pair of jobs: which of them preempted the other, at each change
 }
 
-func newStopFleet(t rapid.TB, teams []config.Team, machines int) *stopFleet {
-	f := &stopFleet{rig: newRig(1000, teams...), t: t, teams: teams, specs: map[string]*job.Spec{}, machines: map[string][]agent.Task{},
-		stopped: map[string]int{}, turns: map[[2]string][]string{}}
-	f.p.node.ReportCauses = true
-	f.p.node.SendReservations = func(claims []peer.Claim) {
+func newPreemptionFleet(t rapid.TB, teams []config.Team, machines int) *preemptionFleet {
+	f := &preemptionFleet{rig: newRig(1000, teams...), t: t, teams: teams, specs: map[string]*job.Spec{}, machines: map[string][]agent.Task{},
+		stopped: map[string]int{}, alternations: map[[2]string][]string{}}
+	f.scheduler.node.ReportCauses = true
+	f.scheduler.node.SendReservations = func(claims []peer.Claim) {
 		for i := range claims {
-			f.judge(&claims[i])
+			f.checkRules(&claims[i])
 		}
 	}
 	f.onStop = f.stop
@@ -45,22 +45,22 @@
 }
 
 // run advances time: starts are carried out, and every machine reports.
-func (f *stopFleet) run(d loop.Micros) {
+func (f *preemptionFleet) run(d loop.Micros) {
 	for end := f.Now() + d; f.Now() < end; {
-		for ; f.taken < len(f.starts); f.taken++ {
-			s := f.starts[f.taken]
+		for ; f.startsDone < len(f.starts); f.startsDone++ {
+			s := f.starts[f.startsDone]
 			if !slices.ContainsFunc(f.machines[s.Machine], func(x agent.Task) bool { return x.Task == s.Task && x.Attempt == s.Attempt }) {
 				f.machines[s.Machine] = append(f.machines[s.Machine], agent.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
 			}
 		}
 		for name, tasks := range loop.Sorted(f.machines) {
-			f.show(name, "m16", "x", false, tasks...)
+			f.deliverView(name, "m16", "x", false, tasks...)
 		}
 		f.Run(50 * loop.Millisecond)
 	}
 }
 
-func (f *stopFleet) stop(s agent.Stop) {
+func (f *preemptionFleet) stop(s agent.Stop) {
 	tasks := f.machines[s.Machine]
 	for i := range tasks {
 		x := &tasks[i]
@@ -72,33 +72,33 @@
 }
 
 // uses returns what each team has in use by the owner's tables.
-func (f *stopFleet) uses() map[string]float64 {
+func (f *preemptionFleet) uses() map[string]float64 {
 	uses := map[string]float64{}
 	for _, team := range f.teams {
-		uses[team.Name] = f.p.teams[team.Name].cpus
+		uses[team.Name] = f.scheduler.teams[team.Name].cpus
 	}
 	return uses
 }
 
-// tookTurn records that a job preempted another.
-func (f *stopFleet) tookTurn(victim, claimant string) {
+// recordPreemption records that a job preempted another.
+func (f *preemptionFleet) recordPreemption(victim, claimant string) {
 	pair := [2]string{min(victim, claimant), max(victim, claimant)}
-	if turns := f.turns[pair]; len(turns) == 0 || turns[len(turns)-1] != claimant {
-		f.turns[pair] = append(turns, claimant)
+	if turns := f.alternations[pair]; len(turns) == 0 || turns[len(turns)-1] != claimant {
+		f.alternations[pair] = append(turns, claimant)
 	}
 }
 
-// checkTurns fails the test if two jobs preempted each other alternately more than the given number of times.
-func (f *stopFleet) checkTurns(most int) {
-	for pair, turns := range f.turns {
+// checkAlternations fails the test if two jobs preempted each other alternately more than the given number of times.
+func (f *preemptionFleet) checkAlternations(most int) {
+	for pair, turns := range f.alternations {
 		if len(turns) > most {
 			f.t.Fatalf("%s and %s preempt each other alternately: %v", pair[0], pair[1], turns)
 		}
 	}
 }
 
-// judge applies the rules of preemption to all victims of one task together.
-func (f *stopFleet) judge(claim *peer.Claim) {
+// checkRules applies the rules of preemption to all victims of one task together.
+func (f *preemptionFleet) checkRules(claim *peer.Claim) {
 	claimant := f.specs[claim.Job]
 	uses := f.uses()
 	freed := map[string]float64{}
@@ -106,7 +106,7 @@
 	for _, name := range claim.Victims {
 		id, _, _ := agent.SplitTask(name)
 		victim := f.specs[id]
-		f.tookTurn(id, claim.Job)
+		f.recordPreemption(id, claim.Job)
 		freed[victim.Team] += victim.CPUs
 		switch {
 		case victim.Priority < claimant.Priority:
@@ -123,8 +123,8 @@
 	}
 }
 
-// tasksBeside returns the number of tasks of all other jobs.
-func (f *stopFleet) tasksBeside(id string) (n int) {
+// otherTasks returns the number of tasks of all other jobs.
+func (f *preemptionFleet) otherTasks(id string) (n int) {
 	for other, spec := range f.specs {
 		if other != id {
 			n += spec.Tasks
@@ -136,14 +136,14 @@
 // No preemption breaks the rules, and preemption ends: while no job arrives and none completes, no two jobs preempt
 // each other alternately, preemptions cease, and no task is preempted more often than there are tasks that could be
 // placed instead.
-func TestStopsComeToAnEnd(t *testing.T) {
+func TestPreemptionEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machines := rapid.IntRange(1, 4).Draw(t, "machines")
 		var teams []config.Team
 		for i := range rapid.IntRange(2, 4).Draw(t, "teams") {
 			teams = append(teams, config.Team{Name: fmt.Sprint("team", i), CPUs: float64(rapid.IntRange(0, 12*machines).Draw(t, "guarantee")), CPUsMax: 1000})
 		}
-		f := newStopFleet(t, teams, machines)
+		f := newPreemptionFleet(t, teams, machines)
 		f.run(100 * loop.Millisecond)
 		jobs := rapid.IntRange(2, 7).Draw(t, "jobs")
 		for i := range jobs {
@@ -155,10 +155,10 @@
 		}
 		// Each arriving job may change the order of two others once. While none arrives, capacity that tasks of
 		// different sizes leave free may go to one of them and be taken back once.
-		f.checkTurns(jobs)
-		clear(f.turns)
+		f.checkAlternations(jobs)
+		clear(f.alternations)
 		f.run(20 * loop.Second)
-		f.checkTurns(2)
+		f.checkAlternations(2)
 		before := 0
 		for _, n := range f.stopped {
 			before += n
@@ -173,15 +173,15 @@
 			t.Fatalf("%d tasks are preempted long after the last job arrived", after-before)
 		}
 		for task, n := range f.stopped {
-			if of, _, _ := agent.SplitTask(task); n > f.tasksBeside(of) {
-				t.Fatalf("%s is preempted %d times, there are %d tasks of other jobs", task, n, f.tasksBeside(of))
+			if of, _, _ := agent.SplitTask(task); n > f.otherTasks(of) {
+				t.Fatalf("%s is preempted %d times, there are %d tasks of other jobs", task, n, f.otherTasks(of))
 			}
 		}
 	})
 }
 
 // submit stores a job whose tasks do not complete by themselves.
-func (f *stopFleet) submit(number int, spec job.Spec) {
+func (f *preemptionFleet) submit(number int, spec job.Spec) {
 	spec.Class, spec.MemoryGB, spec.Image, spec.AnyType, spec.Estimate = "k", 0.1, "i", true, 600*loop.Second
 	f.specs[fmt.Sprintf("job-%06d", number)] = &spec
 	f.acceptJob(number, spec)
@@ -191,7 +191,7 @@
 // CPUs once preempted five tasks of a team that ran three CPUs beyond its guarantee. The same holds for all tasks of
 // one pass, and if tasks of lower priority are preempted as well. A job that does not fit into its team's guarantee
 // preempts nothing by that guarantee.
-func TestStopsLeaveAGuarantee(t *testing.T) {
+func TestPreemptionLeavesTheGuarantee(t *testing.T) {
 	type work struct {
 		team     string
 		priority job.Priority
@@ -213,7 +213,7 @@
 		{"a job as large as the guarantee", 4, 8, []work{{"blue", job.Normal, 16, 1}}, work{"red", job.Normal, 4, 1}, 4},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := newStopFleet(t, []config.Team{{Name: "red", CPUs: c.red, CPUsMax: 100}, {Name: "blue", CPUs: c.blue, CPUsMax: 100}}, 1)
+			f := newPreemptionFleet(t, []config.Team{{Name: "red", CPUs: c.red, CPUsMax: 100}, {Name: "blue", CPUs: c.blue, CPUsMax: 100}}, 1)
 			f.run(100 * loop.Millisecond)
 			for i, x := range append(c.running, c.comes) {
 				f.submit(i, job.Spec{Team: x.team, Priority: x.priority, Tasks: x.tasks, CPUs: x.cpus})
@@ -229,14 +229,14 @@
 
 // A guarantee is divided among a team's jobs by priority, then by acceptance, until it is used up.
 func TestShares(t *testing.T) {
-	f := newStopFleet(t, []config.Team{{Name: "red", CPUs: 10, CPUsMax: 100}}, 0)
+	f := newPreemptionFleet(t, []config.Team{{Name: "red", CPUs: 10, CPUsMax: 100}}, 0)
 	for i, spec := range []job.Spec{{Priority: job.Low, Tasks: 4, CPUs: 2}, {Priority: job.High, Tasks: 3, CPUs: 2}, {Priority: job.Low, Tasks: 9, CPUs: 1}} {
 		spec.Team = "red"
 		f.submit(i, spec)
 	}
 	f.run(100 * loop.Millisecond)
-	red := f.p.teams["red"]
-	shares := f.p.guaranteeShares(red)
+	red := f.scheduler.teams["red"]
+	shares := f.scheduler.guaranteeShares(red)
 	for id, want := range map[string]float64{"job-000000": 4, "job-000001": 6, "job-000002": 0} {
 		if got := shares[red.jobs[id]]; got != want {
 			t.Errorf("%s has a share of %v CPUs, want %v", id, got, want)
--- a/internal/placer/proof_test.go
+++ b/internal/placer/proof_test.go
@@ -12,18 +12,18 @@
 	"cleatpick/internal/wire"
 )
 
-// tell delivers a view from one incarnation of the host controller. If settled, the machine shows the effect of all
+// deliverViewOf delivers a view from one incarnation of the host controller. If settled, the machine shows the effect of all
 // commands to it.
-func (g *rig) tell(life loop.Micros, session uint64, settled bool, tasks ...agent.Task) {
+func (g *rig) deliverViewOf(life loop.Micros, session uint64, settled bool, tasks ...agent.Task) {
 	g.seq++
-	g.a.Learn(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Life: life, Session: session, Seq: g.seq, Settled: settled, At: g.Now(), Tasks: tasks})
+	g.workers.Learn(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Life: life, Session: session, Seq: g.seq, Settled: settled, At: g.Now(), Tasks: tasks})
 }
 
 // A refusal confirms that a start will not run only if the incarnation that refuses is the only one that ever
 // received the start. A host controller that restarted at once used to refuse, for lack of capacity or contact, a
 // start that its earlier incarnation had passed on just before. A delayed refusal of the earlier incarnation used to
 // arrive after the start was sent to the new one.
-func TestRefusalOfAnotherLife(t *testing.T) {
+func TestRefusalOfAnotherIncarnation(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		moved bool        // the host controller's new incarnation is known, and the start is sent to it
@@ -32,14 +32,14 @@
 	}{{"the only incarnation that has the start", false, 1, true}, {"an incarnation that never had the start", false, 2, false},
 		{"the earlier of two incarnations", true, 1, false}, {"the later of two incarnations", true, 2, false}} {
 		g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})
-		g.tell(1, 1, true)
+		g.deliverViewOf(1, 1, true)
 		g.acceptJob(1, job.Spec{Team: "red", Tasks: 1, CPUs: 2, AnyType: true, Estimate: loop.Second})
 		g.Run(500 * loop.Millisecond)
 		if len(g.starts) != 1 || g.starts[0].Life != 1 {
 			t.Fatalf("%s: started %+v, want one start for incarnation 1", c.name, g.starts)
 		}
 		if c.moved {
-			g.tell(2, 1, true)
+			g.deliverViewOf(2, 1, true)
 			g.Run(1500 * loop.Millisecond)
 			if n := len(g.starts); n < 2 || g.starts[n-1].Life != 2 {
 				t.Fatalf("%s: the start is not sent to the new incarnation: %+v", c.name, g.starts)
@@ -47,7 +47,7 @@
 		}
 		s := g.starts[0]
 		before := len(g.starts)
-		g.p.StartDropped("b", agent.Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Life: c.says})
+		g.scheduler.StartDropped("b", agent.Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Life: c.says})
 		g.Run(2 * loop.Second)
 		freed := len(g.starts) > before && g.starts[len(g.starts)-1].Attempt > s.Attempt
 		if freed != c.frees {
@@ -58,10 +58,10 @@
 
 // A machine whose reports arrive but show no effect of commands receives no starts. Its tasks run again once its
 // session is over, and not before.
-func TestDeafMachineIsOfferedNothing(t *testing.T) {
+func TestUnresponsiveMachineGetsNoStarts(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})
 	for range 4 { // it reports without effect to one controller after another
-		g.tell(1, 1, false)
+		g.deliverViewOf(1, 1, false)
 		g.Run(loop.Second)
 	}
 	g.acceptJob(1, job.Spec{Team: "red", Tasks: 2, CPUs: 2, AnyType: true, Estimate: loop.Second})
@@ -69,26 +69,26 @@
 	if len(g.starts) != 0 {
 		t.Fatalf("%d starts are sent to a machine that is unresponsive to commands", len(g.starts))
 	}
-	g.tell(1, 1, true)
+	g.deliverViewOf(1, 1, true)
 	g.Run(loop.Second)
 	if len(g.starts) != 2 {
 		t.Fatalf("%d starts once the machine responds to commands, want 2", len(g.starts))
 	}
 	g.starts = nil
 	on := []agent.Task{{Task: "job-000001/0", Attempt: 1, State: "running"}, {Task: "job-000001/1", Attempt: 1, State: "running"}}
-	g.tell(1, 1, true, on...)
+	g.deliverViewOf(1, 1, true, on...)
 	g.Run(loop.Second)
 	for range 10 {
-		g.tell(1, 1, false, on...)
+		g.deliverViewOf(1, 1, false, on...)
 		g.Run(loop.Second)
 	}
-	g.show("n-002", "m8", "x", false)
+	g.deliverView("n-002", "m8", "x", false)
 	g.Run(loop.Second)
 	if len(g.starts) != 0 {
 		t.Fatalf("tasks started again while the old session may last: %+v", g.starts)
 	}
 	g.seq = 1000
-	g.tell(1, 2, false) // the lease of the old session expired
+	g.deliverViewOf(1, 2, false) // the lease of the old session expired
 	g.Run(loop.Second)
 	if len(g.starts) != 2 || g.starts[0].Machine != "n-002" {
 		t.Fatalf("after the end of the session %+v, want both tasks on n-002", g.starts)
@@ -101,17 +101,17 @@
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
 	other := agent.Task{Task: agent.TaskName(g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Tasks: 1, CPUs: 1, AnyType: true}), 0), Attempt: 1, State: wire.TaskRunning}
-	g.p.OwnershipChanged(partition.ForTeam("red"), false, member.Owner{})
+	g.scheduler.OwnershipChanged(partition.ForTeam("red"), false, member.Owner{})
 	g.state.Put(segmentKey("x/red/", 0), segmentRecord{Machines: []machineEntry{{Name: "n-001", Zone: "x"}},
 		Jobs: []jobEntry{{ID: id, Tasks: []taskEntry{{Index: 0, State: storedPlaced, Attempt: 2, Machine: 1, Session: 1, Expiry: g.Now() - 60*loop.Second}}}}})
 	mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
-	g.p.OwnershipChanged(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Mark: mark})
+	g.scheduler.OwnershipChanged(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Mark: mark})
 	g.Run(loop.Second)
 	heldBack := agent.Task{Task: agent.TaskName(id, 0), Attempt: 2, State: wire.TaskRunning}
-	g.tell(1, 1, false, heldBack, other)
+	g.deliverViewOf(1, 1, false, heldBack, other)
 	g.Run(loop.Second)
 	for range 3 {
-		g.tell(1, 1, true, other)
+		g.deliverViewOf(1, 1, true, other)
 		g.Run(loop.Second)
 	}
 	if len(g.starts) == 0 || g.starts[0].Attempt != 3 {
--- a/internal/placer/quota_test.go
+++ b/internal/placer/quota_test.go
@@ -22,7 +22,7 @@
 		on[s.Machine] = append(on[s.Machine], agent.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
 	}
 	for _, m := range machines {
-		g.show(m, "m16", "x", false, on[m]...)
+		g.deliverView(m, "m16", "x", false, on[m]...)
 	}
 }
 
@@ -62,7 +62,7 @@
 			if len(g.starts) != c.placed {
 				t.Errorf("%d tasks are started, want %d", len(g.starts), c.placed)
 			}
-			f, _ := g.p.Facts(id, []wire.MachineType{types["m16"]}, true)
+			f, _ := g.scheduler.Facts(id, []wire.MachineType{types["m16"]}, true)
 			limited := 0
 			for _, r := range explain.Judge(f) {
 				if r.Kind == "teamLimit" {
@@ -75,7 +75,7 @@
 
 			g = newRig(100, red, blue)
 			var claims []peer.Claim
-			g.p.node.SendReservations = func(cs []peer.Claim) { claims = append(claims, cs...) }
+			g.scheduler.node.SendReservations = func(cs []peer.Claim) { claims = append(claims, cs...) }
 			g.showRunning(machines...)
 			other := spec
 			other.Team, other.Tasks = "blue", 48
@@ -92,7 +92,7 @@
 			if (len(claims) > 0) != c.stops {
 				t.Errorf("%d tasks of others are preempted", len(claims))
 			}
-			f, _ = g.p.Facts(id, []wire.MachineType{types["m16"]}, true)
+			f, _ = g.scheduler.Facts(id, []wire.MachineType{types["m16"]}, true)
 			for _, r := range explain.Judge(f) {
 				if r.Kind != "room" {
 					continue
--- a/internal/placer/share_test.go
+++ b/internal/placer/share_test.go
@@ -16,9 +16,9 @@
 //
 // The fault was found by review (docs/incidents/2026-12-02-ran-twice.md, "Still open"). Before the fix, 20 tasks of
 // blue were preempted for a guarantee of 4 tasks.
-func TestOnePassStopsNoMoreThanTheShareCovers(t *testing.T) {
+func TestOnePassPreemptsNoMoreThanTheShareCovers(t *testing.T) {
 	teams := []config.Team{{Name: "red", CPUs: 8, CPUsMax: 64}, {Name: "blue", CPUs: 64, CPUsMax: 64}}
-	f := newStopFleet(t, teams, 4)
+	f := newPreemptionFleet(t, teams, 4)
 	add := func(no int, spec job.Spec) string {
 		spec.Class, spec.MemoryGB, spec.AnyType, spec.Spot, spec.Estimate = "k", 1, true, true, 60*loop.Second
 		id := f.acceptJob(no, spec)
@@ -39,7 +39,7 @@
 	if stops > 4 {
 		t.Errorf("%d tasks of blue are preempted, red's guarantee covers 4", stops)
 	}
-	if running := f.p.teams["red"].jobs[urgent].inUse; running < 4 {
+	if running := f.scheduler.teams["red"].jobs[urgent].inUse; running < 4 {
 		t.Errorf("%d tasks of red are in use, its guarantee covers 4", running)
 	}
 }
--- a/internal/placer/starvation_test.go
+++ b/internal/placer/starvation_test.go
@@ -15,7 +15,7 @@
 // waiting time capacity is reserved for it, no small task takes that, and the task starts. The reservation ends with
 // the start, or when its job is over. Another owner that received the reservation drops it once the machine lists the
 // task.
-func TestRoomIsHeldForWhatFitsNowhere(t *testing.T) {
+func TestCapacityIsReservedForATaskThatFitsNowhere(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8}, config.Team{Name: "blue"})
 	small := g.acceptJob(1, job.Spec{Team: "red", Priority: job.Normal, Tasks: 9000, CPUs: 2, AnyType: true, Estimate: loop.Second})
 	whole := g.acceptJob(2, job.Spec{Team: "blue", Priority: job.Low, Tasks: 1, CPUs: 8, AnyType: true, Estimate: loop.Second})
@@ -29,7 +29,7 @@
 			if len(on) >= 4 {
 				on[0].State, on[0].Why = wire.TaskExited, wire.WhyDone
 			}
-			g.show("n-001", "m8", "x", false, on...)
+			g.deliverView("n-001", "m8", "x", false, on...)
 			g.Run(300 * loop.Millisecond)
 			if len(on) > 0 && on[0].State == wire.TaskExited {
 				g.starts = g.starts[1:]
@@ -46,15 +46,15 @@
 	}
 	accepted := g.Now()
 	end(70*loop.Second, began)
-	if began() || g.p.fleet.Held(whole) != 0 {
-		t.Fatalf("before the waiting time is over: begun %v, capacity reserved for %d tasks", began(), g.p.fleet.Held(whole))
+	if began() || g.scheduler.fleet.Held(whole) != 0 {
+		t.Fatalf("before the waiting time is over: begun %v, capacity reserved for %d tasks", began(), g.scheduler.fleet.Held(whole))
 	}
-	end(20*loop.Second, func() bool { return g.p.fleet.Held(whole) > 0 })
-	other := g.p.fleet.Slot("n-001")
-	if g.p.fleet.Held(whole) != 1 || len(other.Claims) != 1 {
-		t.Fatalf("capacity reserved for %d tasks, reservations %+v, want one", g.p.fleet.Held(whole), other.Claims)
+	end(20*loop.Second, func() bool { return g.scheduler.fleet.Held(whole) > 0 })
+	other := g.scheduler.fleet.Slot("n-001")
+	if g.scheduler.fleet.Held(whole) != 1 || len(other.Claims) != 1 {
+		t.Fatalf("capacity reserved for %d tasks, reservations %+v, want one", g.scheduler.fleet.Held(whole), other.Claims)
 	}
-	if f, ok := g.p.Facts(whole, nil, true); !ok || f.Held != 1 {
+	if f, ok := g.scheduler.Facts(whole, nil, true); !ok || f.Held != 1 {
 		t.Errorf("the facts for an explanation are %+v, want one reservation", f)
 	}
 	for k := 0; !began() && k < 40; k++ { // the small tasks complete, and none takes their place
@@ -62,25 +62,25 @@
 		for _, s := range g.starts[min(len(g.starts), k/4+1):] {
 			on = append(on, agent.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
 		}
-		g.show("n-001", "m8", "x", false, on...)
+		g.deliverView("n-001", "m8", "x", false, on...)
 		g.Run(300 * loop.Millisecond)
 	}
-	if !began() || g.Now()-accepted > 120*loop.Second || g.p.fleet.Held(whole) != 0 {
-		t.Errorf("begun %v after %d us, capacity still reserved for %d tasks", began(), g.Now()-accepted, g.p.fleet.Held(whole))
+	if !began() || g.Now()-accepted > 120*loop.Second || g.scheduler.fleet.Held(whole) != 0 {
+		t.Errorf("begun %v after %d us, capacity still reserved for %d tasks", began(), g.Now()-accepted, g.scheduler.fleet.Held(whole))
 	}
 	// The view of another owner that received a reservation: the machine lists the task, or the job ends.
 	claim := peer.Claim{Machine: "n-001", Job: small, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second}
-	g.show("n-001", "m8", "x", false)
+	g.deliverView("n-001", "m8", "x", false)
 	g.Run(loop.Second)
-	g.p.ReservationsReceived([]peer.Claim{claim, claim})
-	g.show("n-001", "m8", "x", false, agent.Task{Task: small + "/8999", Attempt: 1, State: wire.TaskRunning})
-	g.p.fleet.Refresh()
-	if n := g.p.fleet.Held(small); n != 1 {
+	g.scheduler.ReservationsReceived([]peer.Claim{claim, claim})
+	g.deliverView("n-001", "m8", "x", false, agent.Task{Task: small + "/8999", Attempt: 1, State: wire.TaskRunning})
+	g.scheduler.fleet.Refresh()
+	if n := g.scheduler.fleet.Held(small); n != 1 {
 		t.Errorf("%d of two reservations are left once one task is listed, want 1", n)
 	}
 	rec := job.Record{Phase: job.Withdrawn, At: 1, Tasks: 9000}
 	g.mirror.Apply(job.Keys+small, wire.Marshal(rec), g.state.Put(job.Keys+small, rec), false)
-	if n := g.p.fleet.Held(small); n != 0 {
+	if n := g.scheduler.fleet.Held(small); n != 0 {
 		t.Errorf("%d reservations are left of a job that is over", n)
 	}
 }
--- a/internal/placer/terms_test.go
+++ b/internal/placer/terms_test.go
@@ -23,9 +23,9 @@
 // A start that was recorded before a hold may run long after it, since a direct command can be delayed for minutes.
 // The hold must therefore stay pending until every such start has run or is confirmed terminated. Completing holds at
 // once broke them in one of a hundred simulated clusters.
-func TestHoldSettlesOnlyOnProof(t *testing.T) {
+func TestHoldCompletesOnlyOnceNoStartCanRun(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
-	g.show("n-001", "m8", "x", false)
+	g.deliverView("n-001", "m8", "x", false)
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 3, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
 	g.Run(500 * loop.Millisecond)
 	if len(g.starts) < 2 {
@@ -39,12 +39,12 @@
 	}
 	// One task is fetching its image and must be confirmed terminated first. The other is running and continues.
 	run := agent.Task{Task: "job-000001/0", Attempt: 1, State: wire.TaskRunning}
-	g.show("n-001", "m8", "x", false, run, agent.Task{Task: "job-000001/1", Attempt: 1, State: wire.TaskFetching})
+	g.deliverView("n-001", "m8", "x", false, run, agent.Task{Task: "job-000001/1", Attempt: 1, State: wire.TaskFetching})
 	g.Run(3 * loop.Second)
 	if s := g.stored(id).Terms.Hold.State; s != job.HoldSettling {
 		t.Fatalf("the hold is %q while a task of the job fetches its image", s)
 	}
-	g.show("n-001", "m8", "x", false, run, agent.Task{Task: "job-000001/1", Attempt: 1, State: wire.TaskExited, Why: wire.WhyStopped})
+	g.deliverView("n-001", "m8", "x", false, run, agent.Task{Task: "job-000001/1", Attempt: 1, State: wire.TaskExited, Why: wire.WhyStopped})
 	g.Run(3 * loop.Second)
 	if s := g.stored(id).Terms.Hold.State; s != job.HoldSet {
 		t.Fatalf("the hold is %q although no task can begin any more", s)
@@ -66,9 +66,9 @@
 func TestRecordsAreConditionedOnTerms(t *testing.T) {
 	for _, what := range []string{"hold", "cordon"} {
 		g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
-		g.show("n-001", "m8", "x", false)
+		g.deliverView("n-001", "m8", "x", false)
 		id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
-		for g.p.teams["red"].jobs[id].task(0).state != Recording {
+		for g.scheduler.teams["red"].jobs[id].task(0).state != Recording {
 			g.Run(loop.Millisecond)
 		}
 		if what == "hold" {
@@ -79,7 +79,7 @@
 			g.state.Put(cordon.Key, map[string]any{"f": 1, "c": []cordon.Cordon{{Name: "c", Zone: "x", Reason: "r"}}})
 		}
 		g.Run(10 * loop.Second)
-		if x := g.p.teams["red"].jobs[id].task(0); len(g.starts) != 0 || x.state != Waiting {
+		if x := g.scheduler.teams["red"].jobs[id].task(0); len(g.starts) != 0 || x.state != Waiting {
 			t.Errorf("%s: %d starts were sent; the task is in state %d, want waiting", what, len(g.starts), x.state)
 		}
 	}
@@ -87,14 +87,14 @@
 
 // When a job that another depends on is cancelled, the dependent job is released, is cancelled as well, or waits for
 // an operator, by its policy.
-func TestWithdrawnDependencies(t *testing.T) {
+func TestCancelledDependencies(t *testing.T) {
 	for _, c := range []struct {
 		policy  job.Policy
 		started bool
 		phase   job.Phase
 	}{{job.PolicyHold, false, job.Accepted}, {job.PolicyRelease, true, job.Accepted}, {job.PolicyWithdraw, false, job.Withdrawn}} {
 		g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
-		g.show("n-001", "m8", "x", false)
+		g.deliverView("n-001", "m8", "x", false)
 		spec := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
 		other := spec
 		other.Team = "blue" // owned by another controller
@@ -123,14 +123,14 @@
 // A hold with an end time ends by itself, and not before every controller's wall clock has passed that time.
 func TestHoldUntil(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
-	g.p.cfg.Cluster.ClockOffMS = 500
-	g.show("n-001", "m8", "x", false)
+	g.scheduler.cfg.Cluster.ClockOffMS = 500
+	g.deliverView("n-001", "m8", "x", false)
 	spec := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
 	until := g.Wall() + 4*loop.Second
 	g.registry.Propose("job-000001", &spec, &job.Terms{Hold: job.Hold{State: job.HoldSet, Until: until}}, func(job.Answer) {})
 	for g.Wall() < until+900*loop.Millisecond {
 		g.Run(100 * loop.Millisecond)
-		g.show("n-001", "m8", "x", false)
+		g.deliverView("n-001", "m8", "x", false)
 	}
 	if len(g.starts) != 0 {
 		t.Fatalf("%v were started before the hold had ended by every clock", g.starts)
@@ -142,10 +142,10 @@
 }
 
 // The owner of preempted tasks records for which job they were preempted, whichever controller preempted them.
-func TestStoppedForWhom(t *testing.T) {
+func TestPreemptingJobIsRecorded(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 50}, config.Team{Name: "blue", CPUs: 8, CPUsMax: 50})
-	g.p.node.ReportCauses = true
-	g.show("n-001", "m8", "x", false)
+	g.scheduler.node.ReportCauses = true
+	g.deliverView("n-001", "m8", "x", false)
 	spec := job.Spec{Class: "k", Team: "red", Priority: job.Low, Tasks: 2, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second, Checkpoint: loop.Second, Save: 5 * loop.Second}
 	low := g.acceptJob(1, spec)
 	g.Run(500 * loop.Millisecond)
@@ -153,7 +153,7 @@
 	for i := range 2 {
 		on = append(on, agent.Task{Task: agent.TaskName(low, i), Attempt: 1, State: wire.TaskRunning})
 	}
-	g.show("n-001", "m8", "x", false, on...)
+	g.deliverView("n-001", "m8", "x", false, on...)
 	g.Run(2 * loop.Second)
 	spec.Team, spec.Priority, spec.Tasks = "blue", job.High, 1
 	high := g.acceptJob(2, spec)
@@ -161,8 +161,8 @@
 	for i := range on {
 		on[i].State = wire.TaskSaving
 	}
-	g.show("n-001", "m8", "x", false, on...)
-	f, ok := g.p.Facts(low, nil, true)
+	g.deliverView("n-001", "m8", "x", false, on...)
+	f, ok := g.scheduler.Facts(low, nil, true)
 	if !ok || len(f.Flights) != 1 || f.Flights[0].For != high || f.Stopped["n-001"] != high {
 		t.Fatalf("the facts of the preempted job are %+v, want a task that saves for %s", f, high)
 	}
@@ -172,39 +172,39 @@
 // even if the stop was lost and the refusal is unchanged in later views.
 func TestBusyTaskIsFreedLater(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 50})
-	g.show("n-001", "m8", "x", false)
+	g.deliverView("n-001", "m8", "x", false)
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
 	g.Run(500 * loop.Millisecond)
 	name := agent.TaskName(id, 0)
 	busy := agent.Task{Task: name, Attempt: 1, State: wire.TaskExited, Why: wire.WhyBusy}
-	g.show("n-001", "m8", "x", false, agent.Task{Task: name, Attempt: 7, State: wire.TaskRunning}, busy)
+	g.deliverView("n-001", "m8", "x", false, agent.Task{Task: name, Attempt: 7, State: wire.TaskRunning}, busy)
 	g.Run(500 * loop.Millisecond)
-	if x := g.p.teams["red"].jobs[id].task(0); x.state != Placed || x.attempt != 1 {
+	if x := g.scheduler.teams["red"].jobs[id].task(0); x.state != Placed || x.attempt != 1 {
 		t.Fatalf("the task is freed while another attempt of it is on the machine (state %d, attempt %d)", x.state, x.attempt)
 	}
-	g.show("n-001", "m8", "x", false, busy)
+	g.deliverView("n-001", "m8", "x", false, busy)
 	g.Run(500 * loop.Millisecond)
-	if x := g.p.teams["red"].jobs[id].task(0); x.attempt != 2 {
+	if x := g.scheduler.teams["red"].jobs[id].task(0); x.attempt != 2 {
 		t.Fatalf("the task still waits (state %d, attempt %d)", x.state, x.attempt)
 	}
 }
 
 // The outage of a task on a failed machine is measured from the last report of that machine. If this owner never
 // received a report of it, nothing is measured; the time of another machine's report was once used.
-func TestRerunCountsFromTheMachinesOwnWord(t *testing.T) {
+func TestOutageCountsFromTheMachinesOwnLastReport(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 50})
-		g.show("n-001", "m8", "x", false)
+		g.deliverView("n-001", "m8", "x", false)
 		g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
 		g.Run(500 * loop.Millisecond)
 		if !known {
-			g.p.fleet.Gone("n-001")
+			g.scheduler.fleet.Gone("n-001")
 		}
-		g.show("n-002", "m8", "x", false)
-		g.show("n-002", "m8", "x", false)
+		g.deliverView("n-002", "m8", "x", false)
+		g.deliverView("n-002", "m8", "x", false)
 		g.seq++
-		g.a.Learn(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 2, Seq: g.seq, Settled: true, At: g.Now()})
-		if counted := g.p.reruns.pending == 1; counted != known {
+		g.workers.Learn(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 2, Seq: g.seq, Settled: true, At: g.Now()})
+		if counted := g.scheduler.reruns.pending == 1; counted != known {
 			t.Errorf("machine known before: %v, outage measured: %v", known, counted)
 		}
 	}
--- a/internal/placer/turns_test.go
+++ b/internal/placer/turns_test.go
@@ -15,11 +15,11 @@
 // firstClass returns which of two classes the reserve serves first, if a job of each has waited equally long.
 func firstClass(g *rig, a, b string) string {
 	now := g.Now()
-	g.p.starvation.Earn(now, 1000)
-	g.p.starvation.Earn(now+loop.Second, 1000)
+	g.scheduler.starvation.Earn(now, 1000)
+	g.scheduler.starvation.Earn(now+loop.Second, 1000)
 	old := now - 2*starvation.After
 	waiters := []starvation.Waiter{{ID: "job-1", Class: a, At: old, Since: old, Tasks: 1, CPUs: 1}, {ID: "job-2", Class: b, At: old, Since: old, Tasks: 1, CPUs: 1}}
-	return waiters[g.p.starvation.Pick(now, waiters)[0].At].Class
+	return waiters[g.scheduler.starvation.Pick(now, waiters)[0].At].Class
 }
 
 // busyMachine delivers a view of a machine whose 8 CPUs are in use by tasks of another owner.
@@ -29,19 +29,19 @@
 	for i := range 8 {
 		on = append(on, agent.Task{Task: agent.TaskName(id, i), Attempt: 1, State: wire.TaskRunning})
 	}
-	g.show(name, "m8", "x", false, on...)
+	g.deliverView(name, "m8", "x", false, on...)
 }
 
 // A new owner continues the accounting of the reserve: class a has been served, class b has not.
-func TestTurnsOutliveTheirOwner(t *testing.T) {
+func TestAccountingSurvivesOwnerChange(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
 	g.acceptJob(1, job.Spec{Class: "a", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	g.show("n-001", "m8", "x", false)
+	g.deliverView("n-001", "m8", "x", false)
 	g.Run(2 * loop.Second)
-	part := g.p.teams["red"].partition
-	g.p.starvation = starvation.New() // as at a controller that has just started
-	g.p.OwnershipChanged(part.id, false, part.claim)
-	g.p.OwnershipChanged(part.id, true, part.claim)
+	part := g.scheduler.teams["red"].partition
+	g.scheduler.starvation = starvation.New() // as at a controller that has just started
+	g.scheduler.OwnershipChanged(part.id, false, part.claim)
+	g.scheduler.OwnershipChanged(part.id, true, part.claim)
 	g.Run(2 * loop.Second)
 	if got, want := firstClass(g, "red\x00a", "red\x00b"), "red\x00b"; got != want {
 		t.Errorf("%q is served first, want %q", got, want)
@@ -49,13 +49,13 @@
 }
 
 // What a class gets in the order of service counts in the reserve's accounting.
-func TestOrdinaryStartsCountAmongTurns(t *testing.T) {
+func TestOrderedStartsCountInAccounting(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
 	if got := firstClass(g, "red\x00a", "red\x00b"); got != "red\x00a" {
 		t.Fatalf("%q is served first at the beginning", got)
 	}
 	g.acceptJob(1, job.Spec{Class: "a", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	g.show("n-001", "m8", "x", false)
+	g.deliverView("n-001", "m8", "x", false)
 	g.Run(loop.Second)
 	if got := firstClass(g, "red\x00a", "red\x00b"); got != "red\x00b" {
 		t.Errorf("%q is served first after a start of class a", got)
@@ -63,44 +63,44 @@
 }
 
 // A gang that needs more than all machines together does not keep other jobs from being served.
-func TestVainHolds(t *testing.T) {
+func TestUnplaceableGangDoesNotBlockOthers(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red"}, config.Team{Name: "blue", CPUs: 8})
 	busyMachine(g, "n-001")
 	g.Run(loop.Second)
-	vain := g.acceptJob(1, job.Spec{Class: "a", Team: "red", Priority: job.Low, Tasks: 4, CPUs: 8, MemoryGB: 1, AnyType: true, Gang: true, Estimate: loop.Second})
+	gang := g.acceptJob(1, job.Spec{Class: "a", Team: "red", Priority: job.Low, Tasks: 4, CPUs: 8, MemoryGB: 1, AnyType: true, Gang: true, Estimate: loop.Second})
 	whole := g.acceptJob(2, job.Spec{Class: "b", Team: "red", Priority: job.Low, Tasks: 1, CPUs: 8, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	held := func() bool { return g.p.fleet.Held(whole) > 0 }
+	held := func() bool { return g.scheduler.fleet.Held(whole) > 0 }
 	wait := func(d loop.Micros, until func() bool) bool {
 		for end := g.Now() + d; g.Now() < end && !until(); {
-			g.p.turnover.Rate = 5 // as in a small cluster that is always full: less is saved up than one task takes
+			g.scheduler.turnover.Rate = 5 // as in a small cluster that is always full: less is saved up than one task takes
 			busyMachine(g, "n-001")
 			g.Run(300 * loop.Millisecond)
 		}
 		return until()
 	}
-	if !wait(100*loop.Second, held) || g.p.fleet.Held(vain) > 0 {
-		t.Fatalf("capacity is reserved for the task as large as a machine: %v, for tasks of the gang: %d", held(), g.p.fleet.Held(vain))
+	if !wait(100*loop.Second, held) || g.scheduler.fleet.Held(gang) > 0 {
+		t.Fatalf("capacity is reserved for the task as large as a machine: %v, for tasks of the gang: %d", held(), g.scheduler.fleet.Held(gang))
 	}
-	if got := g.p.teams["red"].jobs[whole].reservedCPUs; got != 8 {
+	if got := g.scheduler.teams["red"].jobs[whole].reservedCPUs; got != 8 {
 		t.Errorf("%v CPUs are reserved out of order, want 8", got)
 	}
 }
 
 // A class is refunded for reserved capacity that was not used, and not for the part that was.
-func TestRefund(t *testing.T) {
+func TestUnusedReservationIsRefunded(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 8})
 	id := g.acceptJob(1, job.Spec{Class: "a", Team: "red", Tasks: 4, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	x := g.p.teams["red"].jobs[id]
+	x := g.scheduler.teams["red"].jobs[id]
 	for _, c := range []struct {
 		used  int
 		first string
 	}{{0, "red\x00a"}, {4, "red\x00b"}} {
-		g.p.starvation = starvation.New()
+		g.scheduler.starvation = starvation.New()
 		firstClass(g, "red\x00a", "red\x00b")
-		g.p.starvation.Spend("red\x00a", 8)
+		g.scheduler.starvation.Spend("red\x00a", 8)
 		x.reservedCPUs, x.reservedClass = 8, "red\x00a"
 		x.useReserved(c.used)
-		g.p.refundReserved(x)
+		g.scheduler.refundReserved(x)
 		if got := firstClass(g, "red\x00a", "red\x00b"); got != c.first || x.reservedCPUs != 0 {
 			t.Errorf("%q is served first after %d of 4 tasks used the reserved capacity, want %q; %v CPUs are still reserved", got, c.used, c.first, x.reservedCPUs)
 		}
@@ -108,41 +108,41 @@
 }
 
 // Capacity reserved for any job of a team counts toward the team's guarantee.
-func TestHeldRoomCountsInTheGuarantee(t *testing.T) {
+func TestReservationsCountInTheGuarantee(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16}, config.Team{Name: "blue", CPUs: 16})
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	other := g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	busyMachine(g, "n-001")
 	busyMachine(g, "n-002")
 	g.Run(loop.Second)
-	g.p.fleet.Refresh()
-	need := g.p.teams["blue"].jobs[other].need()
-	if n := len(g.p.fleet.Hold(&need, 4, reservationLife)); n != 4 {
+	g.scheduler.fleet.Refresh()
+	need := g.scheduler.teams["blue"].jobs[other].need()
+	if n := len(g.scheduler.fleet.Hold(&need, 4, reservationLife)); n != 4 {
 		t.Fatalf("capacity is reserved for %d tasks, want 4", n)
 	}
-	tm := g.p.teams["blue"]
-	tm.cpus, g.p.teams["red"].cpus, tm.shortfall.lacks = 5, 40, true
+	tm := g.scheduler.teams["blue"]
+	tm.cpus, g.scheduler.teams["red"].cpus, tm.shortfall.lacks = 5, 40, true
 	x := tm.jobs[id]
 	x.acceptedAt = g.Now() - 80*loop.Second
-	g.p.reserveGuarantee(&queueEntry{table: x}, 1000, &budget{unmetByTeam: map[*team]float64{}})
-	if got := g.p.fleet.Held(id); got != 3 { // 16 less 5 and 8
+	g.scheduler.reserveGuarantee(&queueEntry{table: x}, 1000, &budget{unmetByTeam: map[*team]float64{}})
+	if got := g.scheduler.fleet.Held(id); got != 3 { // 16 less 5 and 8
 		t.Errorf("capacity is reserved for %d tasks, want 3, the CPUs left of the guarantee", got)
 	}
 }
 
 // Capacity reserved by preemption counts toward a job's share of the guarantee.
-func TestRoomBeingMadeCountsInTheShare(t *testing.T) {
+func TestReservationsCountInTheShare(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 100, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	busyMachine(g, "n-001")
 	g.Run(loop.Second)
-	x := g.p.teams["red"].jobs[id]
-	before := g.p.fleet.Held(id)
+	x := g.scheduler.teams["red"].jobs[id]
+	before := g.scheduler.fleet.Held(id)
 	for held := before; held <= 9; held++ {
-		right := g.p.preemptionRight(&queueEntry{table: x}, &budget{})
+		right := g.scheduler.preemptionRight(&queueEntry{table: x}, &budget{})
 		if want := 8 - held; right.ShareTasks != want || right.RoomTasks != want || right.Share != (want > 0) {
 			t.Errorf("with reservations for %d tasks: share %v of %d, room of %d, want %d", held, right.Share, right.ShareTasks, right.RoomTasks, want)
 		}
-		g.p.fleet.AddClaim(peer.Claim{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
+		g.scheduler.fleet.AddClaim(peer.Claim{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
 	}
 }
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -21,22 +21,22 @@
 	"cleatpick/internal/wire"
 )
 
-// scene is one owner with machines and jobs that wait for many kinds of reasons. It is built from a seed, so that it
+// scenario is one owner with machines and jobs that wait for many kinds of reasons. It is built from a seed, so that it
 // can be built again with some of the reasons removed.
-type scene struct {
+type scenario struct {
 	*rig
-	rng   *rand.Rand
-	jobs  []string
-	shown map[string][]agent.Task // tasks on each machine of teams that are owned elsewhere
-	kind  map[string][3]string    // type, zone and kind of each machine
-	fill  int
-	cord  []cordon.Cordon
+	rng          *rand.Rand
+	jobs         []string
+	foreignTasks map[string][]agent.Task // tasks on each machine of teams that are owned elsewhere
+	kind         map[string][3]string    // type, zone and kind of each machine
+	foreignJobs  int
+	cordons      []cordon.Cordon
 }
 
 var zones = []string{"x", "y"}
 
-// late marks so many of a job's waiting tasks as having failed before.
-func (g *scene) late(t *jobTable, n int) {
+// markFailed marks so many of a job's waiting tasks as having failed before.
+func (g *scenario) markFailed(t *jobTable, n int) {
 	for range n {
 		if len(t.requeued) == 0 && t.firstUnplaced == t.job.Tasks {
 			return
@@ -47,20 +47,20 @@
 	}
 }
 
-func newScene(seed uint64) *scene {
-	g := &scene{rig: newRig(1000, config.Team{Name: "red", CPUs: 10, CPUsMax: 14}, config.Team{Name: "blue", CPUs: 4, CPUsMax: 60}),
-		rng: rand.New(rand.NewPCG(seed, 11)), shown: map[string][]agent.Task{}, kind: map[string][3]string{}}
-	g.p.preemption.nextRun = 1 << 62 // preemption is not among the reasons checked here
+func newScenario(seed uint64) *scenario {
+	g := &scenario{rig: newRig(1000, config.Team{Name: "red", CPUs: 10, CPUsMax: 14}, config.Team{Name: "blue", CPUs: 4, CPUsMax: 60}),
+		rng: rand.New(rand.NewPCG(seed, 11)), foreignTasks: map[string][]agent.Task{}, kind: map[string][3]string{}}
+	g.scheduler.preemption.nextRun = 1 << 62 // preemption is not among the reasons checked here
 	for _, step := range g.rng.Perm(12) {
 		switch {
 		case step < 4:
-			g.machine()
+			g.addRandomMachine()
 		case step < 9:
-			g.addJob()
+			g.addRandomJob()
 		case step < 11:
 			g.Run(loop.Micros(g.rng.IntN(900)) * loop.Millisecond)
 		default:
-			g.cordon()
+			g.addRandomCordon()
 		}
 	}
 	for _, id := range g.jobs { // the causes change while the jobs wait
@@ -77,11 +77,11 @@
 			if g.rng.IntN(2) == 0 {
 				t.probation.RestTo = g.Now() + 40*loop.Second
 			}
-			g.late(t, g.rng.IntN(t.waiting()+1))
+			g.markFailed(t, g.rng.IntN(t.waiting()+1))
 		}
 	}
 	if g.rng.IntN(3) == 0 {
-		g.machine()
+		g.addRandomMachine()
 	}
 	g.Run(600 * loop.Millisecond)
 	g.settleDown()
@@ -89,17 +89,17 @@
 }
 
 // settleDown lets started tasks be reported as running until passes change nothing more.
-func (g *scene) settleDown() {
+func (g *scenario) settleDown() {
 	for range 3 {
 		g.Run(300 * loop.Millisecond)
-		g.p.place()
+		g.scheduler.place()
 	}
 	g.Run(300 * loop.Millisecond)
-	g.p.place()
+	g.scheduler.place()
 }
 
-func (g *scene) table(id string) *jobTable {
-	for _, tm := range g.p.teams {
+func (g *scenario) table(id string) *jobTable {
+	for _, tm := range g.scheduler.teams {
 		if t := tm.jobs[id]; t != nil {
 			return t
 		}
@@ -107,34 +107,34 @@
 	return nil
 }
 
-func (g *scene) amend(id string, f func(*job.Record)) {
+func (g *scenario) amend(id string, f func(*job.Record)) {
 	rec := g.stored(id)
 	f(&rec)
 	g.mirror.Apply(job.Keys+id, wire.Marshal(rec), g.state.Put(job.Keys+id, rec), false)
 }
 
-// machine adds a machine, perhaps partly used by a team that is owned elsewhere.
-func (g *scene) machine() {
+// addRandomMachine adds a addRandomMachine, perhaps partly used by a team that is owned elsewhere.
+func (g *scenario) addRandomMachine() {
 	name := fmt.Sprintf("n-%03d", len(g.kind)+1)
 	typ, zone, spot := []string{"m8", "m16"}[g.rng.IntN(2)], zones[g.rng.IntN(2)], g.rng.IntN(2) == 0
 	used := float64(g.rng.IntN(int(types[typ].CPUs) + 1))
 	g.addMachine(name, typ, zone, spot, used, float64(g.rng.IntN(20)))
 	if g.rng.IntN(6) == 0 {
-		g.p.fleet.Slot(name).Rest(g.Now()+100*loop.Second, "its tasks run slowly")
+		g.scheduler.fleet.Slot(name).Rest(g.Now()+100*loop.Second, "its tasks run slowly")
 	}
 }
 
-func (g *scene) addMachine(name, typ, zone string, spot bool, cpus, memory float64) {
+func (g *scenario) addMachine(name, typ, zone string, spot bool, cpus, memory float64) {
 	g.kind[name] = [3]string{typ, zone, explain.Kind(spot)}
 	if cpus > 0 || memory > 0 {
-		g.fill++
-		id := g.acceptJob(500+g.fill, job.Spec{Class: "f", Team: "green", Tasks: 1, CPUs: cpus, MemoryGB: memory, Image: "f", AnyType: true})
-		g.shown[name] = []agent.Task{{Task: id + "/0", Attempt: 1, State: wire.TaskRunning}}
+		g.foreignJobs++
+		id := g.acceptJob(500+g.foreignJobs, job.Spec{Class: "f", Team: "green", Tasks: 1, CPUs: cpus, MemoryGB: memory, Image: "f", AnyType: true})
+		g.foreignTasks[name] = []agent.Task{{Task: id + "/0", Attempt: 1, State: wire.TaskRunning}}
 	}
-	g.show(name, typ, zone, spot, g.shown[name]...)
+	g.deliverView(name, typ, zone, spot, g.foreignTasks[name]...)
 }
 
-func (g *scene) addJob() {
+func (g *scenario) addRandomJob() {
 	r := g.rng
 	s := job.Spec{Class: "k", Team: []string{"red", "blue"}[r.IntN(2)], Priority: job.Priority(r.IntN(3)), Tasks: 1 + r.IntN(6),
 		CPUs: float64(1 + r.IntN(6)), MemoryGB: float64(1 + r.IntN(10)), Image: "i", AnyType: true, Spot: r.IntN(2) == 0, Estimate: loop.Second}
@@ -151,8 +151,8 @@
 		terms.Hold = job.Hold{State: job.HoldSet, Reason: "r"}
 	}
 	if r.IntN(4) == 0 {
-		g.fill++
-		dep := g.acceptJob(500+g.fill, job.Spec{Class: "f", Team: "green", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "f", AnyType: true})
+		g.foreignJobs++
+		dep := g.acceptJob(500+g.foreignJobs, job.Spec{Class: "f", Team: "green", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "f", AnyType: true})
 		terms.After = []string{dep}
 		if r.IntN(3) == 0 {
 			g.amend(dep, func(rec *job.Record) { rec.Phase = job.Withdrawn })
@@ -165,7 +165,7 @@
 	g.jobs = append(g.jobs, id)
 }
 
-func (g *scene) cordon() {
+func (g *scenario) addRandomCordon() {
 	if g.rng.IntN(2) == 0 {
 		return
 	}
@@ -181,20 +181,20 @@
 	g.putCordons([]cordon.Cordon{c})
 }
 
-func (g *scene) putCordons(all []cordon.Cordon) {
-	g.cord = all
+func (g *scenario) putCordons(all []cordon.Cordon) {
+	g.cordons = all
 	v := map[string]any{"f": 1, "c": all}
 	g.mirror.Apply(cordon.Key, wire.Marshal(v), g.state.Put(cordon.Key, v), false)
 }
 
-// plain is a plain model of the reasons. It derives them from what the scene contains and from the tasks' states,
+// plainModel is a plainModel model of the reasons. It derives them from what the scene contains and from the tasks' states,
 // without the predicates.
-type plain struct {
-	g *scene
+type plainModel struct {
+	g *scenario
 }
 
-func (m plain) barred(name, typ, zone, kind string) bool {
-	for _, c := range m.g.cord {
+func (m plainModel) cordoned(name, typ, zone, kind string) bool {
+	for _, c := range m.g.cordons {
 		if (c.Machine == "" || c.Machine == name) && (c.Type == "" || c.Type == typ) && (c.Zone == "" || c.Zone == zone) && (c.Kind == "" || c.Kind == kind) {
 			return true
 		}
@@ -202,7 +202,7 @@
 	return false
 }
 
-func (m plain) use(team string) (cpus float64) {
+func (m plainModel) use(team string) (cpus float64) {
 	for _, id := range m.g.jobs {
 		t := m.g.table(id)
 		if t == nil || t.job.Spec.Team != team {
@@ -218,7 +218,7 @@
 }
 
 // waiting counts the tasks that are neither in use nor done.
-func (m plain) waiting(t *jobTable) int {
+func (m plainModel) waiting(t *jobTable) int {
 	n := 0
 	for i := range t.job.Tasks {
 		if t.task(i).state == Waiting {
@@ -228,24 +228,24 @@
 	return n
 }
 
-func (m plain) allows(s *job.Spec, typ, zone, kind string) bool {
+func (m plainModel) allows(s *job.Spec, typ, zone, kind string) bool {
 	return (s.AnyType || slices.Contains(s.Types, typ)) && (s.Zone == "" || s.Zone == zone) && (s.Spot || kind == "ordinary")
 }
 
-// rooms returns the free capacity of every machine that accepts starts.
-func (m plain) rooms(cordons bool) map[string]agent.Room {
+// capacities returns the free capacity of every machine that accepts starts.
+func (m plainModel) capacities(cordons bool) map[string]agent.Room {
 	out := map[string]agent.Room{}
 	for name, k := range m.g.kind {
-		if m.g.p.fleet.Slot(name).Shut > m.g.Now() || (cordons && m.barred(name, k[0], k[1], k[2])) {
+		if m.g.scheduler.fleet.Slot(name).Shut > m.g.Now() || (cordons && m.cordoned(name, k[0], k[1], k[2])) {
 			continue
 		}
-		out[name] = m.g.plainRoom(name)
+		out[name] = m.g.plainCapacity(name)
 	}
 	return out
 }
 
-// put places up to n tasks one by one, and returns how many it placed.
-func (m plain) put(s *job.Spec, n int, rooms map[string]agent.Room) int {
+// placeTasks places up to n tasks one by one, and returns how many it placed.
+func (m plainModel) placeTasks(s *job.Spec, n int, rooms map[string]agent.Room) int {
 	got := 0
 	for _, name := range slices.Sorted(maps.Keys(rooms)) {
 		k := m.g.kind[name]
@@ -261,7 +261,7 @@
 }
 
 // reasons returns by kind how many tasks each reason blocks. It omits rank, which is checked by its effect.
-func (m plain) reasons(id string) map[string]int {
+func (m plainModel) reasons(id string) map[string]int {
 	g, t := m.g, m.g.table(id)
 	s, n := t.job.Spec, m.waiting(t)
 	out := map[string]int{}
@@ -317,12 +317,12 @@
 			out["teamLimit"] = n
 		}
 	}
-	fits, all := m.put(s, n, m.rooms(true)), m.put(s, n, m.rooms(false))
+	fits, all := m.placeTasks(s, n, m.capacities(true)), m.placeTasks(s, n, m.capacities(false))
 	barred := true
 	for typ := range types {
 		for _, zone := range zones {
 			for _, kind := range []string{"spot", "ordinary"} {
-				if m.allows(s, typ, zone, kind) && types[typ].CPUs >= s.CPUs && types[typ].MemoryGB >= s.MemoryGB && !m.barred("", typ, zone, kind) {
+				if m.allows(s, typ, zone, kind) && types[typ].CPUs >= s.CPUs && types[typ].MemoryGB >= s.MemoryGB && !m.cordoned("", typ, zone, kind) {
 					barred = false
 				}
 			}
@@ -348,8 +348,8 @@
 	return out
 }
 
-// away removes a reason in the way that its release describes.
-func (g *scene) away(id, kind string, r *explain.Reason, ahead []string) {
+// removeReason removes a reason in the way that its release describes.
+func (g *scenario) removeReason(id, kind string, r *explain.Reason, ahead []string) {
 	t := g.table(id)
 	switch kind {
 	case "hold":
@@ -367,7 +367,7 @@
 	case "probe":
 		// A task completes; while the back-off lasts, all others count as failed.
 		if t.probation.State != health.Sound && t.probation.RestTo > g.Now() {
-			g.late(t, t.waiting())
+			g.markFailed(t, t.waiting())
 		}
 		t.probation.State, t.probation.Moments = health.Sound, 0
 	case "teamLimit":
@@ -376,7 +376,7 @@
 		g.putCordons([]cordon.Cordon{})
 	case "room", "gang":
 		s := t.job.Spec
-		m := plain{g}
+		m := plainModel{g}
 		// Add a machine with capacity for one task for each task that lacks it: at a place that is not cordoned, if
 		// there is one, and that earlier work may use as well.
 		typ, zone, kind, best := "", "", "", -1
@@ -387,7 +387,7 @@
 						continue
 					}
 					score := 0
-					if !m.barred("", ty, z, k) {
+					if !m.cordoned("", ty, z, k) {
 						score += 4
 					}
 					for i, o := range ahead {
@@ -404,7 +404,7 @@
 				}
 			}
 		}
-		short := t.waiting() - m.put(s, t.waiting(), m.rooms(false))
+		short := t.waiting() - m.placeTasks(s, t.waiting(), m.capacities(false))
 		for i := range short {
 			g.addMachine(fmt.Sprintf("z-%03d", i), typ, zone, kind == "spot", types[typ].CPUs-s.CPUs, types[typ].MemoryGB-s.MemoryGB)
 		}
@@ -415,12 +415,12 @@
 	}
 }
 
-func (g *scene) judge(id string) ([]explain.Reason, bool) {
+func (g *scenario) explainJob(id string) ([]explain.Reason, bool) {
 	all := make([]wire.MachineType, 0, len(types))
 	for _, name := range slices.Sorted(maps.Keys(types)) {
 		all = append(all, types[name])
 	}
-	f, ok := g.p.Facts(id, all, true)
+	f, ok := g.scheduler.Facts(id, all, true)
 	if !ok {
 		return nil, false
 	}
@@ -440,19 +440,19 @@
 	stated := map[string]int{}
 	several, unsure, exact, answers, incomplete := 0, 0, 0, 0, 0
 	for seed := range worlds {
-		g := newScene(seed)
+		g := newScenario(seed)
 		var waits []string
 		for _, id := range g.jobs {
 			if x := g.table(id); x != nil && x.waiting() > 0 {
 				waits = append(waits, id)
 			}
 		}
-		if why := g.plainAboard(); why != "" {
+		if why := g.checkMachineLists(); why != "" {
 			t.Fatalf("seed %d: %s", seed, why)
 		}
 		for _, id := range waits {
-			reasons, sure := g.judge(id)
-			want := plain{g}.reasons(id)
+			reasons, sure := g.explainJob(id)
+			want := plainModel{g}.reasons(id)
 			got := map[string]int{}
 			for _, r := range reasons {
 				if r.Kind != "rank" && gate.Named(r.Kind) <= gate.Rank {
@@ -471,7 +471,7 @@
 			continue
 		}
 		id := waits[g.rng.IntN(len(waits))]
-		reasons, sure := g.judge(id)
+		reasons, sure := g.explainJob(id)
 		if len(reasons) > 1 {
 			several++
 		}
@@ -486,14 +486,14 @@
 			if i >= 0 && gate.Named(reasons[i].Kind) > gate.Rank {
 				continue // in flight
 			}
-			h := newScene(seed)
+			h := newScenario(seed)
 			for k := range reasons {
 				if k != i {
-					h.away(id, reasons[k].Kind, &reasons[k], ahead)
+					h.removeReason(id, reasons[k].Kind, &reasons[k], ahead)
 				}
 			}
-			h.p.RequestPass()
-			h.p.place()
+			h.scheduler.RequestPass()
+			h.scheduler.place()
 			left := 0
 			if x := h.table(id); x != nil {
 				left = x.waiting()
@@ -534,13 +534,13 @@
 	return strings.Join(out, "; ")
 }
 
-// teller returns a scene with one team that publishes causes, and the causes published last.
-func teller() (*scene, *[]gate.Cause) {
-	g := &scene{rig: newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 90})}
-	g.p.node.ReportCauses = true
-	g.p.preemption.nextRun = 1 << 62 // preemption is not checked here
+// newCausesScenario returns a scene with one team that publishes causes, and the causes published last.
+func newCausesScenario() (*scenario, *[]gate.Cause) {
+	g := &scenario{rig: newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 90})}
+	g.scheduler.node.ReportCauses = true
+	g.scheduler.preemption.nextRun = 1 << 62 // preemption is not checked here
 	var told []gate.Cause
-	g.p.node.SendProgress = func(all []peer.Progress) {
+	g.scheduler.node.SendProgress = func(all []peer.Progress) {
 		for _, p := range all {
 			if p.Waits {
 				told = p.Causes
@@ -552,7 +552,7 @@
 
 // The causes published for a job that fits nowhere name the predicate that blocks it. A cordon was once published as
 // a lack of capacity, and operators rented machines for it.
-func TestToldCauses(t *testing.T) {
+func TestPublishedCauses(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		cordon bool
@@ -566,8 +566,8 @@
 		{"a limit", false, job.Spec{Tasks: 3, CPUs: 40}, []gate.Kind{gate.Limit, gate.Room}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g, told := teller()
-			g.show("n-001", "m8", "x", false)
+			g, told := newCausesScenario()
+			g.deliverView("n-001", "m8", "x", false)
 			if c.cordon {
 				g.putCordons([]cordon.Cordon{{Name: "c", Reason: "r", Machine: "n-001"}})
 			}
@@ -589,7 +589,7 @@
 }
 
 // The state of a task in flight follows from what its machine's host controller reports, state by state.
-func TestFlightByFlight(t *testing.T) {
+func TestTasksInFlightAreReported(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		show  func(g *rig, task agent.Task)
@@ -599,16 +599,16 @@
 	}{
 		{"sent", func(*rig, agent.Task) {}, 0, gate.Starting, "sent"},
 		{"at its host", func(g *rig, x agent.Task) {
-			g.a.Learn(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: 99, Settled: true, At: g.Now(), Pending: []agent.Task{x}})
+			g.workers.Learn(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: 99, Settled: true, At: g.Now(), Pending: []agent.Task{x}})
 		}, 0, gate.Starting, "atItsHost"},
-		{"fetching", func(g *rig, x agent.Task) { x.State = wire.TaskFetching; g.show("n-001", "m8", "x", false, x) }, 0, gate.Fetching, "fetching"},
-		{"saving", func(g *rig, x agent.Task) { x.State = wire.TaskSaving; g.show("n-001", "m8", "x", false, x) }, 0, gate.Saving, "saving"},
-		{"running", func(g *rig, x agent.Task) { x.State = wire.TaskRunning; g.show("n-001", "m8", "x", false, x) }, 0, 0, ""},
+		{"fetching", func(g *rig, x agent.Task) { x.State = wire.TaskFetching; g.deliverView("n-001", "m8", "x", false, x) }, 0, gate.Fetching, "fetching"},
+		{"saving", func(g *rig, x agent.Task) { x.State = wire.TaskSaving; g.deliverView("n-001", "m8", "x", false, x) }, 0, gate.Saving, "saving"},
+		{"running", func(g *rig, x agent.Task) { x.State = wire.TaskRunning; g.deliverView("n-001", "m8", "x", false, x) }, 0, 0, ""},
 		{"silent", func(*rig, agent.Task) {}, 12 * loop.Second, gate.Unproven, "silent"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
-			g.show("n-001", "m8", "x", false)
+			g.deliverView("n-001", "m8", "x", false)
 			id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
 			g.Run(300 * loop.Millisecond)
 			if len(g.starts) != 1 {
@@ -616,7 +616,7 @@
 			}
 			c.show(g, agent.Task{Task: agent.TaskName(id, 0), Attempt: 1})
 			g.Run(c.wait + 50*loop.Millisecond)
-			f, _ := g.p.Facts(id, nil, true)
+			f, _ := g.scheduler.Facts(id, nil, true)
 			switch {
 			case c.kind == 0 && len(f.Flights) != 0:
 				t.Fatalf("reported %+v for a running task", f.Flights)
@@ -628,8 +628,8 @@
 }
 
 // A cause of another kind is published at once, even if it blocks as many tasks as before.
-func TestCauseOfAnotherKindIsTold(t *testing.T) {
-	g, told := teller()
+func TestCauseOfAnotherKindIsPublished(t *testing.T) {
+	g, told := newCausesScenario()
 	s := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
 	g.rig.acceptJob(1, s)
 	g.Run(1500 * loop.Millisecond)
@@ -637,7 +637,7 @@
 		t.Fatalf("published %v for a job without a machine", *told)
 	}
 	g.putCordons([]cordon.Cordon{{Name: "c", Reason: "r", Machine: "n-001"}})
-	g.show("n-001", "m8", "x", false)
+	g.deliverView("n-001", "m8", "x", false)
 	g.Run(1500 * loop.Millisecond)
 	if len(*told) != 1 || (*told)[0].Kind != gate.Cordon {
 		t.Fatalf("published %v for a job that only a cordon blocks", *told)
