--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -65,7 +65,7 @@
 		return false, nil
 	}
 	seen := map[string]bool{}
-	note := func(at cordon.Place) bool {
+	addBlocking := func(at cordon.Place) bool {
 		by := p.cordons.Barring(at)
 		for _, n := range by {
 			seen[n] = true
@@ -76,7 +76,7 @@
 	for _, typ := range types {
 		for _, zone := range typ.Zones {
 			for _, spot := range []bool{true, false} {
-				if s.AllowsPlace(typ.Name, zone, spot) && fitsType(s, &typ) && !note(cordon.Place{Type: typ.Name, Zone: zone, Spot: spot}) {
+				if s.AllowsPlace(typ.Name, zone, spot) && fitsType(s, &typ) && !addBlocking(cordon.Place{Type: typ.Name, Zone: zone, Spot: spot}) {
 					all = false
 				}
 			}
@@ -84,7 +84,7 @@
 	}
 	for _, sl := range p.fleet.All() {
 		if sl.Cordoned && s.AllowsPlace(sl.V.Type, sl.V.Zone, sl.V.Spot) {
-			note(fleet.Where(sl.V))
+			addBlocking(fleet.Where(sl.V))
 		}
 	}
 	for n := range seen {
@@ -273,8 +273,8 @@
 	}
 }
 
-// UnseenStarts returns the number of tasks of owned teams that were chosen or recorded for machines under the named cordon
-// and have not been seen running. They may still begin.
+// UnseenStarts returns the number of tasks of owned teams that were chosen or recorded for machines under the named
+// cordon and have not been seen running. They may still begin.
 func (p *Scheduler) UnseenStarts(name string) int {
 	n := 0
 	for machine, on := range p.tasksByMachine {
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -80,17 +80,17 @@
 		if t.job.Terms.Hold.State != job.HoldSettling {
 			continue
 		}
-		sure := true
+		settled := true
 		t.each(func(i int, x *task) {
 			if !x.inUse() || x.runningSince != 0 {
 				return // it is already running and continues
 			}
-			sure = false
+			settled = false
 			if x.state == Placed {
 				p.stop(t, i, 0)
 			}
 		})
-		if sure {
+		if settled {
 			t.nextAmendAt = now + 2*loop.Second
 			p.registry.Settle(t.job.ID, t.job.Revision, func(job.Answer) {})
 		}
--- a/internal/placer/groupcommit.go
+++ b/internal/placer/groupcommit.go
@@ -50,14 +50,14 @@
 			return
 		}
 		p.commitAt = 0
-		again := loop.Micros(0)
+		retryIn := loop.Micros(0)
 		for _, part := range loop.Sorted(p.partitions) {
-			if wait := p.commit(part); wait > 0 && (again == 0 || wait < again) {
-				again = wait
+			if wait := p.commit(part); wait > 0 && (retryIn == 0 || wait < retryIn) {
+				retryIn = wait
 			}
 		}
-		if again > 0 {
-			p.scheduleCommit(again)
+		if retryIn > 0 {
+			p.scheduleCommit(retryIn)
 		}
 	})
 }
@@ -85,11 +85,11 @@
 		}
 		return 0 // the sweep schedules what remains of inherited segments
 	}
-	ripe := 0 // the queue is in the order in which machines were chosen
-	for ripe < len(l.starts) && p.runner.Now()-l.starts[ripe].table.task(l.starts[ripe].index).chosenAt >= gatherTime {
-		ripe++
+	ready := 0 // the queue is in the order in which machines were chosen
+	for ready < len(l.starts) && p.runner.Now()-l.starts[ready].table.task(l.starts[ready].index).chosenAt >= gatherTime {
+		ready++
 	}
-	if ripe == 0 {
+	if ready == 0 {
 		age := p.runner.Now() - l.outcomesSince
 		if len(l.outcomes) == 0 || (!(2*n > p.client.Burst() && age >= outcomeMinDelay) && age < outcomeMaxDelay) {
 			if len(l.starts) > 0 {
@@ -98,33 +98,33 @@
 			return 200 * loop.Millisecond
 		}
 	}
-	p.storeWrite(part, p.compose(part, n, ripe))
+	p.storeWrite(part, p.compose(part, n, ready))
 	return 0
 }
 
 // stillInState drops the tasks whose state changed while they were queued.
-func (p *Scheduler) stillInState(line []taskRef, s TaskState) []taskRef {
-	kept := line[:0]
-	for _, r := range line {
+func (p *Scheduler) stillInState(queue []taskRef, s TaskState) []taskRef {
+	kept := queue[:0]
+	for _, r := range queue {
 		if p.ownsUnfinished(r.table) && !r.table.completing && r.table.task(r.index).state == s {
 			kept = append(kept, r)
 		}
 	}
-	clear(line[len(kept):])
+	clear(queue[len(kept):])
 	return kept
 }
 
 // dropBlockedStarts drops the starts that a hold or a cordon has forbidden since their machine was chosen.
-func (p *Scheduler) dropBlockedStarts(line []taskRef) []taskRef {
-	kept := line[:0]
-	for _, r := range line {
+func (p *Scheduler) dropBlockedStarts(queue []taskRef) []taskRef {
+	kept := queue[:0]
+	for _, r := range queue {
 		if p.startBlockedBy(r.table, r.table.task(r.index).machine) == "" {
 			kept = append(kept, r)
 			continue
 		}
 		p.setTask(r.table, r.index, Waiting)
 	}
-	clear(line[len(kept):])
+	clear(queue[len(kept):])
 	return kept
 }
 
@@ -135,7 +135,7 @@
 }
 
 // compose adds queued entries to the open segment and builds its record.
-func (p *Scheduler) compose(part *ownedPartition, writable, ripe int) *write {
+func (p *Scheduler) compose(part *ownedPartition, writable, ready int) *write {
 	l := &part.log
 	limit := p.valueLimit
 	if l.open == nil || l.open.size+4*(entrySize+namesSize) > limit {
@@ -143,18 +143,18 @@
 	}
 	w := &write{segment: l.open}
 	jobs := map[*jobTable]bool{}
-	most := p.maxJobs() / 2
-	put := func(line []taskRef, starts bool) []taskRef {
-		for k, r := range line {
-			if (starts && k >= ripe) || w.segment.size+entrySize+2*namesSize > limit || (starts && !jobs[r.table] && len(jobs) >= most) {
-				return append(line[:0], line[k:]...)
+	jobLimit := p.maxJobs() / 2
+	put := func(queue []taskRef, starts bool) []taskRef {
+		for k, r := range queue {
+			if (starts && k >= ready) || w.segment.size+entrySize+2*namesSize > limit || (starts && !jobs[r.table] && len(jobs) >= jobLimit) {
+				return append(queue[:0], queue[k:]...)
 			}
 			if starts {
 				jobs[r.table] = true
 			}
 			w.move(r)
 		}
-		return line[:0]
+		return queue[:0]
 	}
 	l.starts = put(l.starts, true)
 	l.outcomes = put(l.outcomes, false)
@@ -210,7 +210,7 @@
 	}
 }
 
-// buildRecord builds the buildRecord of a write's segment. Its starts may be sent until they expire, a fixed time
+// buildRecord builds the record of a write's segment. Its starts may be sent until they expire, a fixed time
 // from now.
 func (p *Scheduler) buildRecord(w *write) {
 	p.nonce++
--- a/internal/placer/guarantee.go
+++ b/internal/placer/guarantee.go
@@ -34,9 +34,9 @@
 	return false
 }
 
-// trackGuarantee updates whether a team lacks its guarantee; misses reports whether it has unplaced tasks now.
-func (p *Scheduler) trackGuarantee(tm *team, misses bool, now loop.Micros) {
-	lacks := misses && tm.cpus < shortfallFraction*tm.quota.CPUs
+// trackGuarantee updates whether a team lacks its guarantee; anyUnplaced reports whether it has unplaced tasks now.
+func (p *Scheduler) trackGuarantee(tm *team, anyUnplaced bool, now loop.Micros) {
+	lacks := anyUnplaced && tm.cpus < shortfallFraction*tm.quota.CPUs
 	if !tm.shortfall.observe(lacks, now) {
 		return
 	}
@@ -61,7 +61,7 @@
 // other teams run more than theirs. Nothing is preempted: capacity that becomes free on the machine is kept from
 // other teams. All waiting work of the team counts, including jobs that are not within the guarantee because earlier
 // jobs of the team alone exceed it.
-func (p *Scheduler) reserveGuarantee(e *queueEntry, missed int, b *budget) {
+func (p *Scheduler) reserveGuarantee(e *queueEntry, unplaced int, b *budget) {
 	t := e.table
 	now, cpus := p.runner.Now(), t.job.Spec.CPUs
 	if e.withinGuarantee || cpus <= 0 || now-t.acceptedAt < starvation.After || !t.team.shortfall.lacks {
@@ -71,7 +71,7 @@
 	if !known {
 		unmet = p.unmetGuarantee(t.team)
 	}
-	n := min(missed-p.fleet.Held(t.job.ID), int(unmet/cpus))
+	n := min(unplaced-p.fleet.Held(t.job.ID), int(unmet/cpus))
 	if !t.job.Spec.Gang {
 		n = min(n, maxReserved)
 	} else if n < t.waiting() {
--- a/internal/placer/load.go
+++ b/internal/placer/load.go
@@ -34,15 +34,15 @@
 		if !p.ownsPartition(part) {
 			return
 		}
-		again := func() { p.runner.After(loadRetryDelay, func() { p.loadLog(part) }) }
+		retry := func() { p.runner.After(loadRetryDelay, func() { p.loadLog(part) }) }
 		if !ok {
-			again()
+			retry()
 			return
 		}
 		segments := p.decode(items, part.log.prefix, "")
 		names := p.partitionTeams(part.id)
 		if !p.jobsKnown(segments) || !p.coversTeams(segments, part.id, names) {
-			again()
+			retry()
 			return
 		}
 		var teams []*team
@@ -66,12 +66,12 @@
 	if !p.ownsPartition(part) {
 		return
 	}
-	again := func() { p.runner.After(loadRetryDelay, func() { p.loadTeamLogs(part, teams, segments) }) }
+	retry := func() { p.runner.After(loadRetryDelay, func() { p.loadTeamLogs(part, teams, segments) }) }
 	p.client.Exists(store.Placements, partition.TeamLogs, func(exists, ok bool) {
 		switch {
 		case !p.ownsPartition(part):
 		case !ok:
-			again()
+			retry()
 		case !exists:
 			p.finishLoad(part, teams, segments)
 		default:
@@ -92,7 +92,7 @@
 		}
 		return
 	}
-	again := func() { p.runner.After(loadRetryDelay, func() { p.loadNextTeamLog(part, teams, left, segments) }) }
+	retry := func() { p.runner.After(loadRetryDelay, func() { p.loadNextTeamLog(part, teams, left, segments) }) }
 	name := left[0].cfg.Name
 	prefix := partition.ForTeam(name).LogPrefix()
 	p.client.Scan(store.Placements, prefix, func(items []wire.Item, _ uint64, ok bool) {
@@ -101,7 +101,7 @@
 		}
 		read := p.decode(items, prefix, name)
 		if !ok || !p.jobsKnown(read) {
-			again()
+			retry()
 			return
 		}
 		p.loadNextTeamLog(part, teams, left[1:], append(segments, read...))
@@ -286,10 +286,10 @@
 		return
 	}
 	t := p.tableOf(tm, j)
-	bad := 0
+	invalid := 0
 	for _, e := range je.Tasks {
 		if e.Index < 0 || e.Index >= j.Tasks || e.Machine < 0 || e.Machine > len(s.rec.Machines) || (e.State == storedPlaced && e.Machine == 0) {
-			bad++
+			invalid++
 			continue
 		}
 		if e.Attempt == 0 {
@@ -306,8 +306,8 @@
 		}
 		newest[r] = b
 	}
-	if bad > 0 {
-		p.log.Error("corrupt task log entries ignored; the job is not started", "key", s.key, "job", je.ID, "entries", bad)
+	if invalid > 0 {
+		p.log.Error("corrupt task log entries ignored; the job is not started", "key", s.key, "job", je.ID, "entries", invalid)
 		t.damaged = true
 	}
 }
--- a/internal/placer/logwrite.go
+++ b/internal/placer/logwrite.go
@@ -31,7 +31,7 @@
 		if !p.ownsPartition(part) {
 			return
 		}
-		again := func(d loop.Micros) { p.runner.After(d, func() { p.storeWrite(part, w) }) }
+		retry := func(d loop.Micros) { p.runner.After(d, func() { p.storeWrite(part, w) }) }
 		p.log.Debug("task log write answered", "partition", part.id, "segment", key, "entries", len(w.refs), "jobs", len(w.jobs), "outcome", int(r.Outcome), "took_us", p.runner.Now()-sent,
 			"starts_wait", len(part.log.starts), "outcomes_wait", len(part.log.outcomes), "segments", len(part.log.closed)+1)
 		switch r.Outcome {
@@ -47,19 +47,19 @@
 			}
 			// Revisions only increase, so no earlier attempt of the same transaction can be applied any more; and
 			// none was, since the segment is unchanged.
-			known := false
+			outdated := false
 			for _, k := range r.Failed {
 				if id, ok := strings.CutPrefix(k, job.Keys); ok {
-					known = true
+					outdated = true
 					p.registry.Refresh(id)
 				}
 				if k == cordon.Key {
-					known = true
+					outdated = true
 					p.cordons.Refresh()
 				}
 			}
-			if !known {
-				again(250 * loop.Millisecond) // the claim failed: this controller is about to learn that it lost the partition
+			if !outdated {
+				retry(250 * loop.Millisecond) // the claim failed: this controller is about to learn that it lost the partition
 				return
 			}
 			p.requeueWrite(part, w, 60*loop.Millisecond)
@@ -69,7 +69,7 @@
 		default:
 			// The write may have been applied, or may be applied later. Only this same record is retried until the
 			// answer is certain.
-			again(150 * loop.Millisecond)
+			retry(150 * loop.Millisecond)
 		}
 	})
 }
@@ -115,7 +115,7 @@
 	})
 }
 
-// writeStored handles a writeStored write: its starts may be sent now.
+// writeStored handles a stored write: its starts may be sent now.
 func (p *Scheduler) writeStored(part *ownedPartition, w *write) {
 	l := &part.log
 	l.writing = false
--- a/internal/placer/partition.go
+++ b/internal/placer/partition.go
@@ -36,7 +36,7 @@
 	assignRetryDelay = loop.Second
 )
 
-// ownsPartition reports whether this controller still ownsPartition the partition, under the same claim.
+// ownsPartition reports whether this controller still owns the partition, under the same claim.
 func (p *Scheduler) ownsPartition(part *ownedPartition) bool { return p.partitions[part.id] == part }
 
 // ownsJob reports whether the table belongs to a team that is owned now and to a job that is still known.
@@ -105,8 +105,8 @@
 	return part
 }
 
-// TeamReleased handles the message that no controller owns a team which is not assigned to a partition yet. Its recorded
-// tasks are to be taken over even if none of its jobs waits.
+// TeamReleased handles the message that no controller owns a team which is not assigned to a partition yet. Its
+// recorded tasks are to be taken over even if none of its jobs waits.
 func (p *Scheduler) TeamReleased(name string) { p.scheduleAssignment(name) }
 
 // scheduleAssignment schedules the assignment of a team to its partition, if that is owned here.
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -44,7 +44,7 @@
 	return q
 }
 
-// waitingJobs lists the jobs with waitingJobs tasks, unordered.
+// waitingJobs lists the jobs with waiting tasks, unordered.
 func (p *Scheduler) waitingJobs() []queueEntry {
 	var q []queueEntry
 	for _, tm := range p.teams {
@@ -69,7 +69,7 @@
 	return cmp.Or(cmp.Compare(o.rank(), e.rank()), cmp.Compare(e.queuedAt, o.queuedAt), cmp.Compare(e.table.job.ID, o.table.job.ID))
 }
 
-// precedes reports whether e is served precedes o.
+// precedes reports whether e is served before o.
 func (e *queueEntry) precedes(o *queueEntry) bool { return compareEntries(*e, *o) < 0 }
 
 // queuedAt returns the time by which jobs of one rank are ordered: the time of acceptance plus twice the time that the
@@ -84,46 +84,46 @@
 func (p *Scheduler) place() {
 	began := p.runner.Now()
 	q := p.queue()
-	p.unplaced = nil
+	p.unplacedRequests = nil
 	if len(q) == 0 {
 		return
 	}
 	p.fleet.ExpireClaims()
 	p.fleet.Refresh()
 	now := p.runner.Now()
-	open := p.fleet.Free()
-	stops := now >= p.preemption.nextRun
-	hope := p.turnover.Rate * p.expectedShare() * turnoverSeconds
+	freeSlots := p.fleet.Free()
+	mayPreempt := now >= p.preemption.nextRun
+	expected := p.turnover.Rate * p.expectedShare() * turnoverSeconds
 	b := budget{stopsLeft: maxPreemptions, freedRate: p.turnover.Rate * p.expectedShare(), noVictims: map[preemptionKind]bool{}, unmetByTeam: map[*team]float64{}}
 	var chosen []hostStart
-	p.serveLongestWaiting(q, open, &chosen)
+	p.serveLongestWaiting(q, freeSlots, &chosen)
 	full := map[fleet.Shape]bool{} // no machine has capacity for tasks of this shape
 	for _, e := range q {
 		t := e.table
 		s := t.job.Spec
 		facts := p.facts(t)
-		probe := facts.Passes(gate.Probe)
+		allowed := facts.Passes(gate.Probe)
 		if s.Gang && !p.gangFits(t) {
-			probe = 0
-			p.unplaced = append(p.unplaced, p.request(t, t.waiting()))
+			allowed = 0
+			p.unplacedRequests = append(p.unplacedRequests, p.request(t, t.waiting()))
 		}
-		sh, free := fleet.ShapeOf(s)
-		if n := min(probe, facts.Passes(gate.Limit)); n > 0 && (!full[sh] || p.fleet.Held(t.job.ID) > 0) {
-			if stops && !full[sh] && s.Priority >= job.High && !s.Gang {
-				p.preemptAtImage(&e, n, open, &b)
+		sh, unconstrained := fleet.ShapeOf(s)
+		if n := min(allowed, facts.Passes(gate.Limit)); n > 0 && (!full[sh] || p.fleet.Held(t.job.ID) > 0) {
+			if mayPreempt && !full[sh] && s.Priority >= job.High && !s.Gang {
+				p.preemptAtImage(&e, n, freeSlots, &b)
 			}
-			got := p.placeInOrder(t, n, open, &chosen)
-			probe -= got
-			if got < n && free && p.fleet.Held(t.job.ID) == 0 {
+			placed := p.placeInOrder(t, n, freeSlots, &chosen)
+			allowed -= placed
+			if placed < n && unconstrained && p.fleet.Held(t.job.ID) == 0 {
 				full[sh] = true
 			}
 		}
-		missed := p.waitingForCapacity(t)
+		unplaced := p.waitingForCapacity(t)
 		if s.Priority >= job.High && !full[sh] {
-			missed = max(missed-p.fleet.Held(t.job.ID), 0) // capacity is free; the job waits for a better place
+			unplaced = max(unplaced-p.fleet.Held(t.job.ID), 0) // capacity is free; the job waits for a better place
 		}
-		p.setUnplacedCause(t, missed > 0 && probe > 0 || s.Gang && missed > 0)
-		if missed <= 0 || probe <= 0 {
+		p.setUnplacedCause(t, unplaced > 0 && allowed > 0 || s.Gang && unplaced > 0)
+		if unplaced <= 0 || allowed <= 0 {
 			t.unplacedSince = 0
 			continue
 		}
@@ -131,20 +131,20 @@
 			t.unplacedSince = now
 			p.node.Meter.Miss()
 		}
-		if stops {
-			p.preemptFor(&e, missed, &b)
+		if mayPreempt {
+			p.preemptFor(&e, unplaced, &b)
 			// The search for victims scans the whole fleet, so its interval grows with its duration.
 			done := p.runner.Now()
 			p.preemption.nextRun = done + max(100*loop.Millisecond, 12*(done-now))
 		}
-		p.reserveGuarantee(&e, missed, &b)
+		p.reserveGuarantee(&e, unplaced, &b)
 		// Machines need not be rented for tasks for which completing tasks free capacity at once.
-		if soon := int(min(hope, float64(missed)*s.CPUs) / max(s.CPUs, 0.001)); soon > 0 {
-			hope -= float64(soon) * s.CPUs
-			missed -= soon
+		if freedSoon := int(min(expected, float64(unplaced)*s.CPUs) / max(s.CPUs, 0.001)); freedSoon > 0 {
+			expected -= float64(freedSoon) * s.CPUs
+			unplaced -= freedSoon
 		}
-		if missed > 0 {
-			p.unplaced = append(p.unplaced, p.request(t, missed))
+		if unplaced > 0 {
+			p.unplacedRequests = append(p.unplacedRequests, p.request(t, unplaced))
 		}
 	}
 	for _, c := range chosen {
@@ -156,7 +156,7 @@
 	}
 	p.lastPassTook = p.runner.Now() - began
 	p.node.Meter.Pass(p.lastPassTook, len(chosen))
-	p.log.Debug("placement pass finished", "tasks", len(chosen), "jobs", len(q), "missed", len(p.unplaced), "took_us", p.lastPassTook)
+	p.log.Debug("placement pass finished", "tasks", len(chosen), "jobs", len(q), "missed", len(p.unplacedRequests), "took_us", p.lastPassTook)
 }
 
 // expectedShare returns the fraction of newly freed capacity that this owner may expect.
@@ -191,15 +191,15 @@
 
 // preemptFor preempts tasks for a job's unplaced ones where the rules allow it, but only as far as completing tasks
 // will not free the capacity in time.
-func (p *Scheduler) preemptFor(e *queueEntry, missed int, b *budget) {
+func (p *Scheduler) preemptFor(e *queueEntry, unplaced int, b *budget) {
 	t := e.table
 	s := t.job.Spec
 	now := p.runner.Now()
-	n := missed
+	n := unplaced
 	right := p.preemptionRight(e, b)
 	within := right.Guarantee
-	if room := t.team.quota.CPUs - t.team.cpus; within && s.CPUs > 0 {
-		n = min(n, int(room/s.CPUs))
+	if remaining := t.team.quota.CPUs - t.team.cpus; within && s.CPUs > 0 {
+		n = min(n, int(remaining/s.CPUs))
 	}
 	patience := guaranteeWait
 	if s.Priority >= job.High {
@@ -209,12 +209,12 @@
 	}
 	n -= p.fleet.Held(t.job.ID) // capacity for these is already reserved
 	if n > 0 && s.CPUs > 0 {
-		hope := max(b.freedRate*float64(patience-(now-t.unplacedSince))/1e6-b.freedClaimed, 0)
-		by := min(int(hope/s.CPUs), n)
-		b.freedClaimed += float64(by) * s.CPUs
-		n -= by
+		expected := max(b.freedRate*float64(patience-(now-t.unplacedSince))/1e6-b.freedClaimed, 0)
+		covered := min(int(expected/s.CPUs), n)
+		b.freedClaimed += float64(covered) * s.CPUs
+		n -= covered
 	}
-	sh, free := fleet.ShapeOf(s)
+	sh, unconstrained := fleet.ShapeOf(s)
 	key := preemptionKind{sh, s.Team, within, right.Share, right.Room}
 	if n = min(n, b.stopsLeft); n <= 0 || b.noVictims[key] {
 		return
@@ -224,17 +224,17 @@
 	made := len(claims)
 	p.recordReservations(claims)
 	b.stopsLeft -= made
-	if made < n && free {
+	if made < n && unconstrained {
 		b.noVictims[key] = true
 	}
 }
 
 // preemptAtImage preempts tasks on machines that hold the job's image, for urgent tasks that would otherwise start
 // where the image must be fetched. A fetch takes longer than stopping tasks that have just begun.
-func (p *Scheduler) preemptAtImage(e *queueEntry, n int, open []*fleet.Slot, b *budget) {
+func (p *Scheduler) preemptAtImage(e *queueEntry, n int, freeSlots []*fleet.Slot, b *budget) {
 	t := e.table
 	need := t.need()
-	short := min(n-p.fleet.AtImage(need, n, open)-p.fleet.Held(t.job.ID), b.stopsLeft)
+	short := min(n-p.fleet.AtImage(need, n, freeSlots)-p.fleet.Held(t.job.ID), b.stopsLeft)
 	if short <= 0 {
 		return
 	}
@@ -244,17 +244,17 @@
 }
 
 // placeTasks places up to n waiting tasks of a job and returns how many it placed.
-func (p *Scheduler) placeTasks(t *jobTable, n int, free []*fleet.Slot, chosen *[]hostStart) int {
+func (p *Scheduler) placeTasks(t *jobTable, n int, slots []*fleet.Slot, chosen *[]hostStart) int {
 	s, got, need := t.job.Spec, 0, t.need()
 	if s.CPUs <= 0 {
-		free = p.fleet.All()
+		slots = p.fleet.All()
 	}
 	// Urgent tasks with a reservation wait for the reserved capacity and use no other.
 	elsewhere := n
 	if s.Priority >= job.High {
 		elsewhere = n - p.fleet.Held(t.job.ID)
 	}
-	for _, sl := range p.fleet.Ranked(&need, free) {
+	for _, sl := range p.fleet.Ranked(&need, slots) {
 		for got < n && sl.Takes(&need) {
 			if !sl.Claimed(t.job.ID) {
 				if elsewhere <= 0 {
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -100,7 +100,7 @@
 	return g
 }
 
-// acceptJob stores an accepted acceptJob, as another controller would.
+// acceptJob stores an accepted job, as another controller would.
 func (g *rig) acceptJob(no int, s job.Spec) string {
 	id := fmt.Sprintf("job-%06d", no)
 	rec := job.Record{Phase: job.Accepted, At: g.Now(), Spec: &s}
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -40,8 +40,8 @@
 	SendUsage func([]peer.Usage)
 	// SendReservations sends new reservations of capacity on machines to the peers.
 	SendReservations func([]peer.Claim)
-	// ReportCauses reports whether the causes of waiting are tracked and sent to the peers. Meter counts events and may be
-	// nil.
+	// ReportCauses reports whether the causes of waiting are tracked and sent to the peers. Meter counts events and
+	// may be nil.
 	ReportCauses bool
 	Meter        *metric.Meter
 	// Membership maps teams to partitions. It is nil where every team is a partition of its own.
@@ -80,7 +80,7 @@
 	zoneByMachine    map[string]string
 	nonce            uint64
 	valueLimit       int // limit on the estimated size of a segment, in bytes
-	unplaced         []peer.Want
+	unplacedRequests []peer.Want
 	usage            map[string]peer.Usage
 	preemption       preemptionState
 	turnover         fleet.Turnover
@@ -173,7 +173,7 @@
 	}
 }
 
-// cleanUpFinal cleans up after a job in a cleanUpFinal phase. Tasks that may still be on a machine are stopped, and
+// cleanUpFinal cleans up after a job in a final phase. Tasks that may still be on a machine are stopped, and
 // count as in use until they are confirmed terminated.
 func (p *Scheduler) cleanUpFinal(t *jobTable) {
 	t.each(func(i int, x *task) {
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -111,16 +111,16 @@
 	order := slices.Clone(tm.inOrder())
 	slices.SortStableFunc(order, func(a, b *jobTable) int { return cmp.Compare(b.job.Spec.Priority, a.job.Spec.Priority) })
 	shares := map[*jobTable]float64{}
-	left := tm.quota.CPUs
+	remaining := tm.quota.CPUs
 	for _, t := range order {
-		if left <= 0 {
+		if remaining <= 0 {
 			break
 		}
 		if t.job.Final() || p.blocked(t) {
 			continue
 		}
-		shares[t] = min(float64(t.job.Tasks-t.completed)*t.job.Spec.CPUs, left)
-		left -= shares[t]
+		shares[t] = min(float64(t.job.Tasks-t.completed)*t.job.Spec.CPUs, remaining)
+		remaining -= shares[t]
 	}
 	return shares
 }
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -9,84 +9,84 @@
 	"cleatpick/internal/wire"
 )
 
-// ViewChanged applies a machine's newer view to the tasks recorded on it. Tasks that are unchanged since the previous view
-// are not checked again.
+// ViewChanged applies a machine's newer view to the tasks recorded on it. Tasks that are unchanged since the previous
+// view are not checked again.
 func (p *Scheduler) ViewChanged(v *agent.View, c *agent.Changes) {
 	now := p.runner.Now()
 	// Tasks on a machine without recent reports may have begun long ago. If a new owner took its first view of a task
 	// for the start, every task would look slow.
 	old := p.fleet.Slot(v.Name)
-	unsure := old == nil || now-old.Heard > 2*loop.Seconds(p.cfg.Cluster.Workers.ReportS)
+	startsUnknown := old == nil || now-old.Heard > 2*loop.Seconds(p.cfg.Cluster.Workers.ReportS)
 	var before []agent.Task
-	var heard loop.Micros // time of the previous report; 0: none
+	var lastReport loop.Micros // time of the previous report; 0: none
 	if old == nil {
 		c = &agent.Changes{All: true}
 		if typ, ok := p.node.Type(v.Type); ok && len(v.Tasks) == 0 {
 			p.turnover.Free(typ.CPUs) // a machine that has just booted adds capacity
 		}
 	} else {
-		before, heard = old.V.Tasks, old.Heard
+		before, lastReport = old.V.Tasks, old.Heard
 	}
 	if old == nil || old.V.Zone != v.Zone {
 		p.zoneByMachine[v.Name] = v.Zone
 	}
 	// Most views only confirm that the machine is alive: no capacity became free.
-	quiet := old != nil && c.Still && len(v.Pending)+len(old.V.Pending) == 0 && v.Closed == old.V.Closed && v.NoticeAt == old.V.NoticeAt && !unsure
-	sl := p.fleet.View(v, now-v.Silence(p.runner.Wall(), p.clockBound()), quiet)
+	unchanged := old != nil && c.Still && len(v.Pending)+len(old.V.Pending) == 0 && v.Closed == old.V.Closed && v.NoticeAt == old.V.NoticeAt && !startsUnknown
+	sl := p.fleet.View(v, now-v.Silence(p.runner.Wall(), p.clockBound()), unchanged)
 	p.attribution.View(now, v, c)
 	if !c.Still {
 		sl.Rest(p.attribution.Until(v.Name), "tasks fail on it")
 	}
 	sl.Jobs = p.agent.Jobs(v)
-	told := sl.Runs.Follow(v, c, before, sl.Jobs, p.paces, now, unsure)
-	p.turnover.Free(told.Freed)
-	if told.Slow && now >= sl.Shut {
-		p.log.Debug("tasks run slowly on a machine; it receives no starts for a while", "machine", v.Name, "times", told.Factor)
+	observed := sl.Runs.Follow(v, c, before, sl.Jobs, p.paces, now, startsUnknown)
+	p.turnover.Free(observed.Freed)
+	if observed.Slow && now >= sl.Shut {
+		p.log.Debug("tasks run slowly on a machine; it receives no starts for a while", "machine", v.Name, "times", observed.Factor)
 		sl.Rest(now+health.SlowRest, "its tasks run slowly")
 		sl.Runs.Rest()
 	}
-	p.updateTasks(v, c, before, sl.Jobs, heard)
+	p.updateTasks(v, c, before, sl.Jobs, lastReport)
 	if v.Host != "" {
 		p.forgetEnded(v, sl.Jobs)
 	}
-	if !quiet {
+	if !unchanged {
 		p.RequestPass()
 	}
 }
 
 // updateTasks updates the tasks in use on a machine from its view. A task that was listed before and is unchanged needs
 // no update.
-func (p *Scheduler) updateTasks(v *agent.View, c *agent.Changes, before []agent.Task, jobs []*job.Job, heard loop.Micros) {
+func (p *Scheduler) updateTasks(v *agent.View, c *agent.Changes, before []agent.Task, jobs []*job.Job, lastReport loop.Micros) {
 	if p.tasksByMachine[v.Name] == nil {
 		return
 	}
 	if c.All {
-		p.eachInUse(v.Name, func(r taskRef) { p.updateTask(r.table, r.index, v, heard) })
+		p.eachInUse(v.Name, func(r taskRef) { p.updateTask(r.table, r.index, v, lastReport) })
 		return
 	}
 	for k := range v.Tasks {
 		if !c.Kept(k) {
-			p.updateNamedTask(v, v.Tasks[k].Task, jobs[k], heard)
+			p.updateNamedTask(v, v.Tasks[k].Task, jobs[k], lastReport)
 		}
 	}
-	p.updateVanishedTasks(v, c, before, heard)
-	p.eachUnresolved(v.Name, func(r taskRef) { p.updateTask(r.table, r.index, v, heard) })
+	p.updateVanishedTasks(v, c, before, lastReport)
+	p.eachUnresolved(v.Name, func(r taskRef) { p.updateTask(r.table, r.index, v, lastReport) })
 }
 
 // updateVanishedTasks checks the tasks that the previous view listed and this one does not. Usually their end is known,
 // since this owner asked for them to be forgotten. It is not if an earlier owner did that without recording their
 // end, and a delayed report listed them afterwards.
-func (p *Scheduler) updateVanishedTasks(v *agent.View, c *agent.Changes, before []agent.Task, heard loop.Micros) {
+func (p *Scheduler) updateVanishedTasks(v *agent.View, c *agent.Changes, before []agent.Task, lastReport loop.Micros) {
 	for _, k := range c.Gone {
 		if x := &before[k]; v.Find(x.Task, x.Attempt) == nil {
 			id, _, _ := agent.SplitTask(x.Task)
-			p.updateNamedTask(v, x.Task, p.registry.Get(id), heard)
+			p.updateNamedTask(v, x.Task, p.registry.Get(id), lastReport)
 		}
 	}
 }
 
 // updateNamedTask updates a task that has changed on the machine, if it is in use there.
-func (p *Scheduler) updateNamedTask(v *agent.View, name string, j *job.Job, heard loop.Micros) {
+func (p *Scheduler) updateNamedTask(v *agent.View, name string, j *job.Job, lastReport loop.Micros) {
 	if j == nil || j.Spec == nil {
 		return
 	}
@@ -97,14 +97,14 @@
 	if t := tm.jobs[j.ID]; t != nil {
 		if _, i, ok := agent.SplitTask(name); ok && i < j.Tasks {
 			if x := t.task(i); x.inUse() && x.machine == v.Name {
-				p.updateTask(t, i, v, heard)
+				p.updateTask(t, i, v, lastReport)
 			}
 		}
 	}
 }
 
-// updateTask derives a task's state from a view. heard is the time of the machine's previous report.
-func (p *Scheduler) updateTask(t *jobTable, i int, v *agent.View, heard loop.Micros) {
+// updateTask derives a task's state from a view. lastReport is the time of the machine's previous report.
+func (p *Scheduler) updateTask(t *jobTable, i int, v *agent.View, lastReport loop.Micros) {
 	x := t.task(i)
 	if x.state != Placed {
 		return
@@ -112,7 +112,7 @@
 	name := t.taskName(i)
 	if v.Session > x.session {
 		// The worker began a new session, so all tasks of the previous one were killed.
-		p.recordLost(t, i, heard)
+		p.recordLost(t, i, lastReport)
 		p.confirmTerminated(t, i, "new session")
 		return
 	}
@@ -128,12 +128,12 @@
 		// The task is absent from the list. That confirms termination only if the list was made when the start could
 		// no longer arrive: the start had expired by every clock, the worker's timeout for an answer carrying it was
 		// over, and the machine follows its host controller's token, so that no earlier command can take effect.
-		safe := p.clock.LatestArrival(x.expiry)
-		if v.Settled && v.At > safe {
+		latestArrival := p.clock.LatestArrival(x.expiry)
+		if v.Settled && v.At > latestArrival {
 			p.confirmTerminated(t, i, "absent")
 			return
 		}
-		if now := p.runner.Now(); p.runner.Wall() > safe && now-p.checkRequestedAt[v.Name] > loop.Second {
+		if now := p.runner.Now(); p.runner.Wall() > latestArrival && now-p.checkRequestedAt[v.Name] > loop.Second {
 			p.checkRequestedAt[v.Name] = now
 			p.node.RequestTaskList(v.Host, v.Name)
 		}
@@ -227,8 +227,8 @@
 		x := t.task(i)
 		// A repeated start would run a forgotten task again. The host controller checks this once more by what it
 		// knows; controllers before 0.9.1 rely on this check.
-		old := e.Attempt < x.attempt || (e.Attempt == x.attempt && (x.state == Completed || x.state == Waiting))
-		if old && !p.startCanArrive(tm, delivery.Attempt{Task: e.Task, Number: e.Attempt}) {
+		superseded := e.Attempt < x.attempt || (e.Attempt == x.attempt && (x.state == Completed || x.state == Waiting))
+		if superseded && !p.startCanArrive(tm, delivery.Attempt{Task: e.Task, Number: e.Attempt}) {
 			p.node.Stop(v.Host, agent.Stop{Machine: v.Name, Task: e.Task, Attempt: e.Attempt, Forget: true})
 		}
 	}
--- a/internal/placer/proof_test.go
+++ b/internal/placer/proof_test.go
@@ -12,8 +12,8 @@
 	"cleatpick/internal/wire"
 )
 
-// deliverViewOf delivers a view from one incarnation of the host controller. If settled, the machine shows the effect of all
-// commands to it.
+// deliverViewOf delivers a view from one incarnation of the host controller. If settled, the machine shows the effect
+// of all commands to it.
 func (g *rig) deliverViewOf(life loop.Micros, session uint64, settled bool, tasks ...agent.Task) {
 	g.seq++
 	g.workers.Learn(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Life: life, Session: session, Seq: g.seq, Settled: settled, At: g.Now(), Tasks: tasks})
--- a/internal/placer/rivals.go
+++ b/internal/placer/rivals.go
@@ -39,11 +39,11 @@
 
 // rivals lists the jobs that are served before self, or would be if no predicate blocked self, and how many tasks
 // each would place if there were capacity.
-func (p *Scheduler) rivals(q []queueEntry, self *queueEntry, limited, lifted bool, short int, types []wire.MachineType) (out []rival) {
+func (p *Scheduler) rivals(q []queueEntry, self *queueEntry, limited, ignoreCordons bool, lacking int, types []wire.MachineType) (out []rival) {
 	t := self.table
-	spoken := map[*team]agent.Room{}
+	usedByTeam := map[*team]agent.Room{}
 	q = slices.DeleteFunc(slices.Clone(q), func(e queueEntry) bool {
-		return !e.precedes(self) || !p.sharePlace(e.table.job.Spec, t.job.Spec, types, lifted)
+		return !e.precedes(self) || !p.sharePlace(e.table.job.Spec, t.job.Spec, types, ignoreCordons)
 	})
 	slices.SortFunc(q, compareEntries)
 	for i := range q {
@@ -55,8 +55,8 @@
 		r := rival{table: o, maxTasks: min(n, p.probeLimit(o)), takesFuture: fitsWherever(o.job.Spec, t.job.Spec)}
 		if r.tasks = r.maxTasks; !limited || o.team != t.team {
 			g := p.facts(o)
-			g.Used.CPUs += spoken[o.team].CPUs
-			g.Used.GPUs += spoken[o.team].GPUs
+			g.Used.CPUs += usedByTeam[o.team].CPUs
+			g.Used.GPUs += usedByTeam[o.team].GPUs
 			r.tasks = min(r.tasks, g.Passes(gate.Limit))
 		}
 		if r.maxTasks <= 0 {
@@ -71,15 +71,15 @@
 			if r.tasks < r.maxTasks {
 				r.tasks = 0
 			}
-			if r.maxTasks > short {
-				r.uncertain, r.takesFuture = r.uncertain || short > 0, false
+			if r.maxTasks > lacking {
+				r.uncertain, r.takesFuture = r.uncertain || lacking > 0, false
 			}
 		}
-		if !r.takesFuture && !limited && !lifted {
+		if !r.takesFuture && !limited && !ignoreCordons {
 			out = append(out, r) // the free capacity does not fit it, and it takes none of the future capacity
 			continue
 		}
-		spoken[o.team] = agent.Room{CPUs: spoken[o.team].CPUs + float64(r.tasks)*o.job.Spec.CPUs, GPUs: spoken[o.team].GPUs + float64(r.tasks)*o.job.Spec.GPUs}
+		usedByTeam[o.team] = agent.Room{CPUs: usedByTeam[o.team].CPUs + float64(r.tasks)*o.job.Spec.CPUs, GPUs: usedByTeam[o.team].GPUs + float64(r.tasks)*o.job.Spec.GPUs}
 		out = append(out, r)
 	}
 	return out
@@ -90,26 +90,26 @@
 func (p *Scheduler) jobsAhead(f *explain.Facts, t *jobTable, types []wire.MachineType) {
 	n := f.Gate.Waiting
 	limited := f.Gate.Passes(gate.Limit) < n
-	short := n - f.FitsAll                                   // single-task units of capacity that must become free
-	lifted := f.FitsAll > f.Fits || (f.Barred && f.Fits < n) // one of its reasons is a cordon
+	lacking := n - f.FitsAll                                        // single-task units of capacity that must become free
+	ignoreCordons := f.FitsAll > f.Fits || (f.Barred && f.Fits < n) // one of its reasons is a cordon
 	q, within := p.competitors(t)
 	self := queueEntry{t, within, t.queuedAt()}
-	if f.Within = within; short == 0 && !limited && !lifted {
+	if f.Within = within; lacking == 0 && !limited && !ignoreCordons {
 		return // there is capacity that the jobs before it cannot use
 	}
-	all := p.rivals(q, &self, limited, lifted, short, types)
-	coming := 0
+	all := p.rivals(q, &self, limited, ignoreCordons, lacking, types)
+	future := 0
 	for _, r := range all {
 		if r.takesFuture {
-			coming += r.tasks
+			future += r.tasks
 		}
 	}
-	f.Behind, f.Exact = min(short, coming), true
+	f.Behind, f.Exact = min(lacking, future), true
 	// If the team's limit or a cordon stopped blocking this job, it might stop blocking others, too. Those would be
 	// served first from the capacity that is free now.
-	if limited || lifted {
+	if limited || ignoreCordons {
 		f.Sure = len(all) <= maxSimulated
-		a, b := p.simulateBehind(f, t, all[:min(len(all), maxSimulated)], limited, lifted, short)
+		a, b := p.simulateBehind(f, t, all[:min(len(all), maxSimulated)], limited, ignoreCordons, lacking)
 		// The result then depends on which machine takes which task, so it is not certain.
 		f.Behind, f.Exact = min(a, b), false
 		if f.Behind == 0 {
@@ -126,7 +126,7 @@
 	if f.Behind == 0 {
 		f.Behind = min(n, maybe)
 	}
-	if !limited && !lifted && coming >= short {
+	if !limited && !ignoreCordons && future >= lacking {
 		f.Exact = true
 	}
 	if f.Behind == 0 {
@@ -142,33 +142,33 @@
 
 // simulateBehind simulates how many of the job's tasks lack capacity once its rivals are placed: a if they use the free
 // capacity first, b if they use the future capacity first.
-func (p *Scheduler) simulateBehind(f *explain.Facts, t *jobTable, all []rival, limited, lifted bool, short int) (a, b int) {
+func (p *Scheduler) simulateBehind(f *explain.Facts, t *jobTable, all []rival, limited, ignoreCordons bool, lacking int) (a, b int) {
 	n := f.Gate.Waiting
-	there, later, fresh := p.fleet.Copies(lifted), p.fleet.Copies(lifted), p.fleet.All()
-	if lifted {
-		fresh = p.fleet.Copies(true)
+	freeFirst, futureFirst, untouched := p.fleet.Copies(ignoreCordons), p.fleet.Copies(ignoreCordons), p.fleet.All()
+	if ignoreCordons {
+		untouched = p.fleet.Copies(true)
 	}
-	left, first := 0, short // future capacity, if rivals use the free capacity first, or last
-	var by [2]agent.Room    // what this team's other jobs use of its limit in each case
+	futureLeft, futureRest := 0, lacking // future capacity, if rivals use the free capacity first, or last
+	var by [2]agent.Room                 // what this team's other jobs use of its limit in each case
 	for i := range all {
 		r := &all[i]
-		if !lifted && r.table.team != t.team {
+		if !ignoreCordons && r.table.team != t.team {
 			// No predicate changes for it, so it cannot use the free capacity.
 			if r.takesFuture {
-				left, first = left+r.tasks, first-min(first, r.tasks)
+				futureLeft, futureRest = futureLeft+r.tasks, futureRest-min(futureRest, r.tasks)
 			}
 			continue
 		}
-		got := p.takeAll(*r, r.tasks, there)
+		got := p.takeAll(*r, r.tasks, freeFirst)
 		use := [2]int{got, 0}
 		if r.takesFuture {
-			left += r.tasks - got
-			use[1] = min(first, r.tasks)
-			first -= use[1]
+			futureLeft += r.tasks - got
+			use[1] = min(futureRest, r.tasks)
+			futureRest -= use[1]
 		}
-		use[1] += p.takeAll(*r, r.tasks-use[1], later)
+		use[1] += p.takeAll(*r, r.tasks-use[1], futureFirst)
 		// It may also use what earlier jobs leave.
-		r.uncertain = r.uncertain || got > 0 || use[1] > 0 || p.fleet.Trial(r.table.need(), r.maxTasks, fresh) > 0
+		r.uncertain = r.uncertain || got > 0 || use[1] > 0 || p.fleet.Trial(r.table.need(), r.maxTasks, untouched) > 0
 		if r.table.team == t.team && !limited {
 			for i, k := range use {
 				by[i].CPUs += float64(k) * r.table.job.Spec.CPUs
@@ -184,8 +184,8 @@
 			most[i] = g.Passes(gate.Limit)
 		}
 	}
-	a = n - min(p.fleet.Trial(t.need(), n, there)+max(short-left, 0), most[0])
-	b = n - min(p.fleet.Trial(t.need(), n, later)+first, most[1])
+	a = n - min(p.fleet.Trial(t.need(), n, freeFirst)+max(lacking-futureLeft, 0), most[0])
+	b = n - min(p.fleet.Trial(t.need(), n, futureFirst)+futureRest, most[1])
 	return max(a, 0), max(b, 0)
 }
 
@@ -226,15 +226,15 @@
 	return o.CPUs <= s.CPUs && o.GPUs <= s.GPUs && o.MemoryGB <= s.MemoryGB
 }
 
-// sharePlace reports whether both jobs allow some common place that is open to starts; lifted ignores cordons. It is
-// true while no machine types are known.
-func (p *Scheduler) sharePlace(o, s *job.Spec, types []wire.MachineType, lifted bool) bool {
+// sharePlace reports whether both jobs allow some common place that is open to starts, or any place if ignoreCordons
+// is set. It is true while no machine types are known.
+func (p *Scheduler) sharePlace(o, s *job.Spec, types []wire.MachineType, ignoreCordons bool) bool {
 	for i := range types {
 		typ := &types[i]
 		for _, zone := range typ.Zones {
 			for _, spot := range []bool{false, true} {
 				if o.AllowsPlace(typ.Name, zone, spot) && s.AllowsPlace(typ.Name, zone, spot) && fitsType(s, typ) &&
-					(lifted || !p.cordons.Barred(cordon.Place{Type: typ.Name, Zone: zone, Spot: spot})) {
+					(ignoreCordons || !p.cordons.Barred(cordon.Place{Type: typ.Name, Zone: zone, Spot: spot})) {
 					return true
 				}
 			}
--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -19,7 +19,7 @@
 // serveLongestWaiting gives a fraction of the freed capacity to the jobs that have waited longest, out of the order
 // of service. If such a task fits nowhere, capacity is reserved for it; otherwise small tasks would take whatever
 // becomes free before a large one fits. Nothing is preempted for it.
-func (p *Scheduler) serveLongestWaiting(q []queueEntry, open []*fleet.Slot, chosen *[]hostStart) {
+func (p *Scheduler) serveLongestWaiting(q []queueEntry, freeSlots []*fleet.Slot, chosen *[]hostStart) {
 	now := p.runner.Now()
 	if p.starvation.Earn(now, p.turnover.Rate*p.expectedShare()); !p.starvation.Owes() {
 		return // the usual case, and cheap where scanning a long queue would not be
@@ -29,7 +29,7 @@
 		return
 	}
 	for _, pick := range p.starvation.Pick(now, waiters) {
-		p.serveOutOfOrder(tables[pick.At], &waiters[pick.At], pick.Tasks, open, chosen)
+		p.serveOutOfOrder(tables[pick.At], &waiters[pick.At], pick.Tasks, freeSlots, chosen)
 	}
 }
 
@@ -51,7 +51,7 @@
 }
 
 // serveOutOfOrder places tasks of a job out of order, or reserves capacity for them.
-func (p *Scheduler) serveOutOfOrder(t *jobTable, w *starvation.Waiter, tasks int, open []*fleet.Slot, chosen *[]hostStart) {
+func (p *Scheduler) serveOutOfOrder(t *jobTable, w *starvation.Waiter, tasks int, freeSlots []*fleet.Slot, chosen *[]hostStart) {
 	// A job served before it may have used the rest of their team's limit.
 	f := p.facts(t)
 	n := min(tasks, f.Passes(gate.Limit))
@@ -63,7 +63,7 @@
 	}
 	got, held := 0, p.fleet.Held(w.ID)
 	if !t.job.Spec.Gang || p.gangFits(t) {
-		got = p.placeTasks(t, n, open, chosen)
+		got = p.placeTasks(t, n, freeSlots, chosen)
 	}
 	used := held - p.fleet.Held(w.ID)
 	t.useReserved(used)
@@ -112,9 +112,9 @@
 func unbegunClass(s *job.Spec) string { return s.Team + "\x00" + s.Class }
 
 // placeInOrder places tasks in the order of service and reports them to the reserve.
-func (p *Scheduler) placeInOrder(t *jobTable, n int, free []*fleet.Slot, chosen *[]hostStart) int {
+func (p *Scheduler) placeInOrder(t *jobTable, n int, slots []*fleet.Slot, chosen *[]hostStart) int {
 	held, class := p.fleet.Held(t.job.ID), t.reserveClass()
-	got := p.placeTasks(t, n, free, chosen)
+	got := p.placeTasks(t, n, slots, chosen)
 	used := held - p.fleet.Held(t.job.ID)
 	t.useReserved(used)
 	if new := got - used; new > 0 { // reserved capacity is already counted
--- a/internal/placer/table.go
+++ b/internal/placer/table.go
@@ -135,8 +135,8 @@
 	return cmp.Or(cmp.Compare(a.job.At, b.job.At), cmp.Compare(a.job.ID, b.job.ID))
 }
 
-// addJob adds a job and keeps the cached order; drop removes one. Sorting all jobs at each change took 2% of a large
-// controller's time. Both copy the list, since a caller may be iterating over it.
+// addJob adds a job and keeps the cached order; removeJob removes one. Sorting all jobs at each change took 2% of a
+// large controller's time. Both copy the list, since a caller may be iterating over it.
 func (tm *team) addJob(t *jobTable) {
 	tm.jobs[t.job.ID] = t
 	if tm.order != nil {
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -21,38 +21,38 @@
 		p.expiries.Prune(wall)
 	}
 	p.evict(now, wall)
-	var tell []peer.Progress
-	var use []peer.Usage
+	var progress []peer.Progress
+	var usage []peer.Usage
 	for _, tm := range loop.Sorted(p.teams) {
 		if !tm.loaded {
 			continue
 		}
 		p.applyTerms(tm)
-		use = append(use, peer.Usage{Team: tm.cfg.Name, CPUs: tm.cpus, GPUs: tm.gpus})
-		misses := false
+		usage = append(usage, peer.Usage{Team: tm.cfg.Name, CPUs: tm.cpus, GPUs: tm.gpus})
+		anyUnplaced := false
 		for _, t := range tm.inOrder() {
-			misses = misses || t.unplacedSince != 0
+			anyUnplaced = anyUnplaced || t.unplacedSince != 0
 			d, run := int64(t.completed), int64(t.running)
-			news := d != t.sentDone || run != t.sentRunning
+			changed := d != t.sentDone || run != t.sentRunning
 			if p.node.ReportCauses && !t.job.Final() && p.updateCauses(t, now-p.staleAfter(), wall) {
-				news = true
+				changed = true
 			}
-			if news {
+			if changed {
 				t.sentDone, t.sentRunning = d, run
-				news := peer.Progress{Job: t.job.ID, Done: d, Running: run}
+				update := peer.Progress{Job: t.job.ID, Done: d, Running: run}
 				if p.node.ReportCauses {
-					news.Causes, news.Waits, news.At = t.causes, true, wall
+					update.Causes, update.Waits, update.At = t.causes, true, wall
 				}
-				tell = append(tell, news)
+				progress = append(progress, update)
 			}
 		}
-		p.trackGuarantee(tm, misses, now)
+		p.trackGuarantee(tm, anyUnplaced, now)
 	}
-	if len(tell) > 0 {
-		p.node.SendProgress(tell)
+	if len(progress) > 0 {
+		p.node.SendProgress(progress)
 	}
-	if len(use) > 0 {
-		p.node.SendUsage(use)
+	if len(usage) > 0 {
+		p.node.SendUsage(usage)
 	}
 	p.RequestPass()
 	p.sendDemand()
@@ -60,14 +60,14 @@
 
 // resendStarts sends a start again if 800 ms later no view of its machine shows it.
 func (p *Scheduler) resendStarts(now, wall loop.Micros) {
-	var open []string
+	var machines []string
 	for m, on := range p.tasksByMachine {
 		if len(on.unresolved) > 0 {
-			open = append(open, m)
+			machines = append(machines, m)
 		}
 	}
-	slices.Sort(open)
-	for _, m := range open {
+	slices.Sort(machines)
+	for _, m := range machines {
 		v := p.agent.View(m)
 		if v == nil {
 			continue
@@ -147,7 +147,7 @@
 }
 
 func (p *Scheduler) sendDemand() {
-	t := peer.Tally{Wall: p.runner.Wall(), Wants: p.unplaced}
+	t := peer.Tally{Wall: p.runner.Wall(), Wants: p.unplacedRequests}
 	now := p.runner.Now()
 	for m := range p.tasksByMachine {
 		if sl := p.fleet.Slot(m); sl == nil || now-sl.Heard > p.staleAfter() {
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -113,7 +113,7 @@
 	g.mirror.Apply(job.Keys+id, wire.Marshal(rec), g.state.Put(job.Keys+id, rec), false)
 }
 
-// addRandomMachine adds a addRandomMachine, perhaps partly used by a team that is owned elsewhere.
+// addRandomMachine adds a machine, perhaps partly used by a team that is owned elsewhere.
 func (g *scenario) addRandomMachine() {
 	name := fmt.Sprintf("n-%03d", len(g.kind)+1)
 	typ, zone, spot := []string{"m8", "m16"}[g.rng.IntN(2)], zones[g.rng.IntN(2)], g.rng.IntN(2) == 0
@@ -187,8 +187,8 @@
 	g.mirror.Apply(cordon.Key, wire.Marshal(v), g.state.Put(cordon.Key, v), false)
 }
 
-// plainModel is a plainModel model of the reasons. It derives them from what the scene contains and from the tasks' states,
-// without the predicates.
+// plainModel is a plain model of the reasons. It derives them from what the scenario contains and from the tasks'
+// states, without the predicates.
 type plainModel struct {
 	g *scenario
 }
@@ -534,7 +534,7 @@
 	return strings.Join(out, "; ")
 }
 
-// newCausesScenario returns a scene with one team that publishes causes, and the causes published last.
+// newCausesScenario returns a scenario with one team that publishes causes, and the causes published last.
 func newCausesScenario() (*scenario, *[]gate.Cause) {
 	g := &scenario{rig: newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 90})}
 	g.scheduler.node.ReportCauses = true
