--- a/internal/placer/guarantee_test.go
+++ b/internal/placer/guarantee_test.go
@@ -28,10 +28,10 @@
 	g.acceptJob(2, job.Spec{Class: "large", Team: "blue", Priority: job.Low, Tasks: 4000, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	g.acceptJob(3, job.Spec{Class: "small", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	on := map[string][]agent.Task{}
-	taken := 0
+	startsDone := 0
 	step := func() {
-		for ; taken < len(g.starts); taken++ {
-			s := g.starts[taken]
+		for ; startsDone < len(g.starts); startsDone++ {
+			s := g.starts[startsDone]
 			on[s.Machine] = append(on[s.Machine], agent.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
 		}
 		for i := range machines {
@@ -66,11 +66,11 @@
 // team that has its guarantee.
 func TestNoReservationForGuaranteeWithoutNeed(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		used, by float64 // in use by the team, and by the other team
-		waits    loop.Micros
-		lacks    bool
-		want     bool
+		name              string
+		used, usedByOther float64 // in use by the team, and by the other team
+		waits             loop.Micros
+		lacks             bool
+		want              bool
 	}{
 		{"lacks its guarantee, and another team has borrowed", 2, 24, 80 * loop.Second, true, true},
 		{"no team has borrowed", 2, 16, 80 * loop.Second, true, false},
@@ -90,7 +90,7 @@
 			g.Run(loop.Second)
 			g.scheduler.fleet.Refresh()
 			tm := g.scheduler.teams["blue"]
-			tm.cpus, g.scheduler.teams["red"].cpus = c.used, c.by
+			tm.cpus, g.scheduler.teams["red"].cpus = c.used, c.usedByOther
 			x := tm.jobs[id]
 			x.acceptedAt, tm.shortfall.lacks = g.Now()-c.waits, c.lacks
 			g.scheduler.reserveGuarantee(&queueEntry{table: x}, 1000, &budget{unmetByTeam: map[*team]float64{}})
--- a/internal/placer/image_test.go
+++ b/internal/placer/image_test.go
@@ -19,12 +19,12 @@
 func TestUrgentWorkGoesToItsImage(t *testing.T) {
 	const s = loop.Second
 	for _, c := range []struct {
-		name   string
-		ran    loop.Micros // how long tasks of low priority have run on the machine with the image
-		image  float64     // size in GB
-		comes  bool        // the preempted tasks stop
-		at     string      // machine on which the urgent tasks are placed in the end
-		claims int
+		name        string
+		ran         loop.Micros // how long tasks of low priority have run on the machine with the image
+		image       float64     // size in GB
+		stopsArrive bool        // the preempted tasks stop
+		placedOn    string      // machine on which the urgent tasks are placed in the end
+		claims      int
 	}{
 		{"the running tasks have just begun", s, 2, true, "n-1", 4},
 		{"the running tasks have run for long", 30 * s, 2, true, "n-2", 0},
@@ -36,23 +36,23 @@
 			var claims []peer.Claim
 			g.scheduler.node.SendReservations = func(cs []peer.Claim) { claims = append(claims, cs...) }
 			low := g.acceptJob(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 8, CPUs: 2, MemoryGB: 2, Image: "i", AnyType: true, Estimate: 60 * s})
-			was := g.acceptJob(2, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 1, CPUs: 2, MemoryGB: 2, Image: "u", ImageGB: c.image, AnyType: true, Estimate: 60 * s})
-			g.deliverView("n-1", "m16", "x", false, agent.Task{Task: agent.TaskName(was, 0), Attempt: 1, State: wire.TaskRunning}) // the machine therefore has the image
+			earlier := g.acceptJob(2, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 1, CPUs: 2, MemoryGB: 2, Image: "u", ImageGB: c.image, AnyType: true, Estimate: 60 * s})
+			g.deliverView("n-1", "m16", "x", false, agent.Task{Task: agent.TaskName(earlier, 0), Attempt: 1, State: wire.TaskRunning}) // the machine therefore has the image
 			busy := make([]agent.Task, 8)
 			for i := range busy {
 				busy[i] = agent.Task{Task: agent.TaskName(low, i), Attempt: 1, State: wire.TaskRunning}
 			}
-			again := func(d loop.Micros, tasks []agent.Task) {
+			deliverViews := func(d loop.Micros, tasks []agent.Task) {
 				for end := g.Now() + d; g.Now() < end; {
 					g.deliverView("n-1", "m16", "x", false, tasks...)
 					g.deliverView("n-2", "m16", "x", false)
 					g.Run(200 * loop.Millisecond)
 				}
 			}
-			for _, id := range []string{low, was} { // owned by another controller; known here only from the views
+			for _, id := range []string{low, earlier} { // owned by another controller; known here only from the views
 				g.scheduler.forgetJob(g.scheduler.teams[g.registry.Get(id).Spec.Team].jobs[id])
 			}
-			again(c.ran, busy)
+			deliverViews(c.ran, busy)
 			g.starts = nil
 			id := g.acceptJob(3, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 4, CPUs: 2, MemoryGB: 2, Image: "u", ImageGB: c.image, AnyType: true, Estimate: 60 * s})
 			g.Run(500 * loop.Millisecond)
@@ -67,17 +67,17 @@
 					t.Errorf("%d urgent tasks are published as unplaced", w.Count)
 				}
 			}
-			if c.comes && c.claims > 0 {
-				again(600*loop.Millisecond, busy[4:])
+			if c.stopsArrive && c.claims > 0 {
+				deliverViews(600*loop.Millisecond, busy[4:])
 			} else {
-				again(4*s, busy)
+				deliverViews(4*s, busy)
 			}
 			on := map[string]int{}
 			for i := range 4 {
 				on[g.scheduler.teams["red"].jobs[id].task(i).machine]++
 			}
-			if on[c.at] != 4 {
-				t.Errorf("the tasks are on %v, want all on %s", fmt.Sprint(on), c.at)
+			if on[c.placedOn] != 4 {
+				t.Errorf("the tasks are on %v, want all on %s", fmt.Sprint(on), c.placedOn)
 			}
 		})
 	}
--- a/internal/placer/proof_test.go
+++ b/internal/placer/proof_test.go
@@ -25,10 +25,10 @@
 // arrive after the start was sent to the new one.
 func TestRefusalOfAnotherIncarnation(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		moved bool        // the host controller's new incarnation is known, and the start is sent to it
-		says  loop.Micros // incarnation that refuses
-		frees bool
+		name      string
+		moved     bool        // the host controller's new incarnation is known, and the start is sent to it
+		refusedBy loop.Micros // incarnation that refuses
+		frees     bool
 	}{{"the only incarnation that has the start", false, 1, true}, {"an incarnation that never had the start", false, 2, false},
 		{"the earlier of two incarnations", true, 1, false}, {"the later of two incarnations", true, 2, false}} {
 		g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})
@@ -47,7 +47,7 @@
 		}
 		s := g.starts[0]
 		before := len(g.starts)
-		g.scheduler.StartDropped("b", agent.Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Life: c.says})
+		g.scheduler.StartDropped("b", agent.Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Life: c.refusedBy})
 		g.Run(2 * loop.Second)
 		freed := len(g.starts) > before && g.starts[len(g.starts)-1].Attempt > s.Attempt
 		if freed != c.frees {
--- a/internal/placer/quota_test.go
+++ b/internal/placer/quota_test.go
@@ -30,21 +30,21 @@
 // no limit; it was once read as a limit of nothing, and all work of a team without a limit was refused for good.
 func TestGuaranteeAndLimit(t *testing.T) {
 	for _, c := range []struct {
-		have, most  float64
-		runnable    bool // whether a task of 16 CPUs can run
-		placed      int  // of 40 tasks on 48 CPUs
-		limited     int
-		room        string // state of its wait for capacity, when another team uses all of it
-		stops       bool   // whether tasks of others are then preempted
-		most1, says string // the limit in JSON, and in text for people
+		guarantee, limit     float64
+		runnable             bool // whether a task of 16 CPUs can run
+		placed               int  // of 40 tasks on 48 CPUs
+		limited              int
+		waitState            string // state of its wait for capacity, when another team uses all of it
+		preempts             bool   // whether tasks of others are then preempted
+		limitJSON, limitText string // the limit in JSON, and in text for people
 	}{
 		{0, 0, true, 40, 0, "behindGuarantees", false, `"cpusMax":null`, "no limit"},
 		{8, 0, true, 40, 0, "noRoom", true, `"cpusMax":null`, "no limit"},
 		{0, 12, false, 12, 28, "behindGuarantees", false, `"cpusMax":12`, "12 at most"},
 		{8, 12, false, 12, 28, "noRoom", true, `"cpusMax":12`, "12 at most"},
 	} {
-		t.Run(fmt.Sprint(c.have, " of ", c.most), func(t *testing.T) {
-			red, blue := config.Team{Name: "red", CPUs: c.have, CPUsMax: c.most}, config.Team{Name: "blue", CPUs: 16, CPUsMax: 0}
+		t.Run(fmt.Sprint(c.guarantee, " of ", c.limit), func(t *testing.T) {
+			red, blue := config.Team{Name: "red", CPUs: c.guarantee, CPUsMax: c.limit}, config.Team{Name: "blue", CPUs: 16, CPUsMax: 0}
 			settings := &config.Config{}
 			settings.Cluster.Teams = []config.Team{red, blue}
 			spec := job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 40, CPUs: 1, MemoryGB: 0.5, Image: "i", AnyType: true, Estimate: 60 * loop.Second}
@@ -89,7 +89,7 @@
 			own.Tasks = 4
 			id = g.acceptJob(2, own)
 			g.Run(6 * loop.Second) // capacity freed by completing tasks is awaited first
-			if (len(claims) > 0) != c.stops {
+			if (len(claims) > 0) != c.preempts {
 				t.Errorf("%d tasks of others are preempted", len(claims))
 			}
 			f, _ = g.scheduler.Facts(id, []wire.MachineType{types["m16"]}, true)
@@ -98,7 +98,7 @@
 					continue
 				}
 				raw, err := json.Marshal(r.Detail.Team)
-				if r.State != c.room || err != nil || !strings.Contains(string(raw), c.most1) || r.Detail.Team.CPUsMax.String() != c.says {
+				if r.State != c.waitState || err != nil || !strings.Contains(string(raw), c.limitJSON) || r.Detail.Team.CPUsMax.String() != c.limitText {
 					t.Errorf("its wait for capacity is reported as %s, %s, %v", r.State, raw, r.Detail.Team.CPUsMax)
 				}
 				return
--- a/internal/placer/share_test.go
+++ b/internal/placer/share_test.go
@@ -12,7 +12,7 @@
 // another team's guarantee, tasks for more of its own tasks than its team's guarantee covers.
 //
 // The right to a share used to be judged for a single task, before the pass; the number of tasks was bounded only if
-// the whole job fits into the guarantee (see `Placer.preemptFor`).
+// the whole job fits into the guarantee (see `Scheduler.preemptFor`).
 //
 // The fault was found by review (docs/incidents/2026-12-02-ran-twice.md, "Still open"). Before the fix, 20 tasks of
 // blue were preempted for a guarantee of 4 tasks.
--- a/internal/placer/starvation_test.go
+++ b/internal/placer/starvation_test.go
@@ -18,9 +18,9 @@
 func TestCapacityIsReservedForATaskThatFitsNowhere(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8}, config.Team{Name: "blue"})
 	small := g.acceptJob(1, job.Spec{Team: "red", Priority: job.Normal, Tasks: 9000, CPUs: 2, AnyType: true, Estimate: loop.Second})
-	whole := g.acceptJob(2, job.Spec{Team: "blue", Priority: job.Low, Tasks: 1, CPUs: 8, AnyType: true, Estimate: loop.Second})
+	large := g.acceptJob(2, job.Spec{Team: "blue", Priority: job.Low, Tasks: 1, CPUs: 8, AnyType: true, Estimate: loop.Second})
 	g.seq = 1
-	end := func(d loop.Micros, until func() bool) { // tasks on the machine complete one at a time, a second after they began
+	runUntil := func(d loop.Micros, until func() bool) { // tasks on the machine complete one at a time, a second after they began
 		for stop := g.Now() + d; g.Now() < stop && !until(); {
 			var on []agent.Task
 			for _, s := range g.starts {
@@ -38,23 +38,23 @@
 	}
 	began := func() bool {
 		for _, s := range g.starts {
-			if id, _, _ := agent.SplitTask(s.Task); id == whole {
+			if id, _, _ := agent.SplitTask(s.Task); id == large {
 				return true
 			}
 		}
 		return false
 	}
 	accepted := g.Now()
-	end(70*loop.Second, began)
-	if began() || g.scheduler.fleet.Held(whole) != 0 {
-		t.Fatalf("before the waiting time is over: begun %v, capacity reserved for %d tasks", began(), g.scheduler.fleet.Held(whole))
+	runUntil(70*loop.Second, began)
+	if began() || g.scheduler.fleet.Held(large) != 0 {
+		t.Fatalf("before the waiting time is over: begun %v, capacity reserved for %d tasks", began(), g.scheduler.fleet.Held(large))
 	}
-	end(20*loop.Second, func() bool { return g.scheduler.fleet.Held(whole) > 0 })
+	runUntil(20*loop.Second, func() bool { return g.scheduler.fleet.Held(large) > 0 })
 	other := g.scheduler.fleet.Slot("n-001")
-	if g.scheduler.fleet.Held(whole) != 1 || len(other.Claims) != 1 {
-		t.Fatalf("capacity reserved for %d tasks, reservations %+v, want one", g.scheduler.fleet.Held(whole), other.Claims)
+	if g.scheduler.fleet.Held(large) != 1 || len(other.Claims) != 1 {
+		t.Fatalf("capacity reserved for %d tasks, reservations %+v, want one", g.scheduler.fleet.Held(large), other.Claims)
 	}
-	if f, ok := g.scheduler.Facts(whole, nil, true); !ok || f.Held != 1 {
+	if f, ok := g.scheduler.Facts(large, nil, true); !ok || f.Held != 1 {
 		t.Errorf("the facts for an explanation are %+v, want one reservation", f)
 	}
 	for k := 0; !began() && k < 40; k++ { // the small tasks complete, and none takes their place
@@ -65,8 +65,8 @@
 		g.deliverView("n-001", "m8", "x", false, on...)
 		g.Run(300 * loop.Millisecond)
 	}
-	if !began() || g.Now()-accepted > 120*loop.Second || g.scheduler.fleet.Held(whole) != 0 {
-		t.Errorf("begun %v after %d us, capacity still reserved for %d tasks", began(), g.Now()-accepted, g.scheduler.fleet.Held(whole))
+	if !began() || g.Now()-accepted > 120*loop.Second || g.scheduler.fleet.Held(large) != 0 {
+		t.Errorf("begun %v after %d us, capacity still reserved for %d tasks", began(), g.Now()-accepted, g.scheduler.fleet.Held(large))
 	}
 	// The view of another owner that received a reservation: the machine lists the task, or the job ends.
 	claim := peer.Claim{Machine: "n-001", Job: small, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second}
--- a/internal/placer/turns_test.go
+++ b/internal/placer/turns_test.go
@@ -68,8 +68,8 @@
 	busyMachine(g, "n-001")
 	g.Run(loop.Second)
 	gang := g.acceptJob(1, job.Spec{Class: "a", Team: "red", Priority: job.Low, Tasks: 4, CPUs: 8, MemoryGB: 1, AnyType: true, Gang: true, Estimate: loop.Second})
-	whole := g.acceptJob(2, job.Spec{Class: "b", Team: "red", Priority: job.Low, Tasks: 1, CPUs: 8, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	held := func() bool { return g.scheduler.fleet.Held(whole) > 0 }
+	large := g.acceptJob(2, job.Spec{Class: "b", Team: "red", Priority: job.Low, Tasks: 1, CPUs: 8, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	held := func() bool { return g.scheduler.fleet.Held(large) > 0 }
 	wait := func(d loop.Micros, until func() bool) bool {
 		for end := g.Now() + d; g.Now() < end && !until(); {
 			g.scheduler.turnover.Rate = 5 // as in a small cluster that is always full: less is saved up than one task takes
@@ -81,7 +81,7 @@
 	if !wait(100*loop.Second, held) || g.scheduler.fleet.Held(gang) > 0 {
 		t.Fatalf("capacity is reserved for the task as large as a machine: %v, for tasks of the gang: %d", held(), g.scheduler.fleet.Held(gang))
 	}
-	if got := g.scheduler.teams["red"].jobs[whole].reservedCPUs; got != 8 {
+	if got := g.scheduler.teams["red"].jobs[large].reservedCPUs; got != 8 {
 		t.Errorf("%v CPUs are reserved out of order, want 8", got)
 	}
 }
