--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -94,6 +94,7 @@
 	return all, names
 }
 
+// fitsType reports whether a task fits on an empty machine of the type.
 func fitsType(s *job.Spec, t *wire.MachineType) bool {
 	return s.CPUs <= t.CPUs && s.GPUs <= t.GPUs && s.MemoryGB <= t.MemoryGB
 }
@@ -214,8 +215,8 @@
 // updateCauses updates a job's causes. It reports whether to send them: they differ in kind or by half in number from
 // those last sent, or a repeat is due.
 func (p *Scheduler) updateCauses(t *jobTable, after, wall loop.Micros) bool {
-	var room [gate.Recheck]gate.Cause
-	now := p.causes(t, room[:0], after, wall)
+	var buffer [gate.Recheck]gate.Cause
+	now := p.causes(t, buffer[:0], after, wall)
 	same := len(now) == len(t.causes)
 	for i := 0; same && i < len(now); i++ {
 		a, b := now[i], t.causes[i]
@@ -238,13 +239,13 @@
 }
 
 // setUnplacedCause records which machine predicate left a job's tasks unplaced in a pass.
-func (p *Scheduler) setUnplacedCause(t *jobTable, missing bool) {
+func (p *Scheduler) setUnplacedCause(t *jobTable, unplaced bool) {
 	if !p.node.ReportCauses {
 		return
 	}
 	now := p.runner.Now()
 	switch {
-	case !missing:
+	case !unplaced:
 		t.unplacedCause = 0
 	case t.job.Spec.Gang:
 		t.unplacedCause = gate.Gang
--- a/internal/placer/explain_rank.go
+++ b/internal/placer/explain_rank.go
@@ -216,6 +216,7 @@
 	return p.fleet.Take(r.table.need(), n, slots)
 }
 
+// probeLimit returns how many waiting tasks the job's failures allow to start.
 func (p *Scheduler) probeLimit(t *jobTable) int {
 	f := p.facts(t)
 	return f.Passes(gate.Probe)
--- a/internal/placer/groupcommit.go
+++ b/internal/placer/groupcommit.go
@@ -39,6 +39,7 @@
 	p.scheduleCommit(outcomeMinDelay)
 }
 
+// scheduleCommit schedules a commit of all owned partitions after d, or keeps an earlier one.
 func (p *Scheduler) scheduleCommit(d loop.Micros) {
 	due := p.runner.Now() + d
 	if p.commitAt != 0 && p.commitAt <= due {
--- a/internal/placer/guarantee.go
+++ b/internal/placer/guarantee.go
@@ -86,21 +86,21 @@
 // unmetGuarantee returns how much of a team's guarantee is neither in use nor reserved for it, limited to what other
 // teams have borrowed.
 func (p *Scheduler) unmetGuarantee(tm *team) float64 {
-	held := 0.0
+	reserved := 0.0
 	for id, n := range loop.Sorted(p.fleet.HeldJobs()) {
 		if t := tm.jobs[id]; t != nil {
-			held += float64(n) * t.job.Spec.CPUs
+			reserved += float64(n) * t.job.Spec.CPUs
 		}
 	}
-	return min(tm.quota.CPUs-tm.cpus, p.borrowed(tm)) - held
+	return min(tm.quota.CPUs-tm.cpus, p.borrowed(tm)) - reserved
 }
 
 // reserveCapacity reserves capacity for unplaced tasks of a job and returns for how many.
 func (p *Scheduler) reserveCapacity(t *jobTable, tasks int) int {
 	need := t.need()
-	claims := p.fleet.Hold(&need, tasks, reservationLife)
-	p.recordReservations(claims)
-	p.node.Meter.Held(len(claims))
-	p.starvation.Serve(t.reserveClass(), float64(len(claims))*t.job.Spec.CPUs)
-	return len(claims)
+	reservations := p.fleet.Hold(&need, tasks, reservationLife)
+	p.recordReservations(reservations)
+	p.node.Meter.Held(len(reservations))
+	p.starvation.Serve(t.reserveClass(), float64(len(reservations))*t.job.Spec.CPUs)
+	return len(reservations)
 }
--- a/internal/placer/logwrite.go
+++ b/internal/placer/logwrite.go
@@ -74,7 +74,7 @@
 	})
 }
 
-// requeueWrite queues starts again whose record is certainly not stored.
+// requeueWrite queues the starts and outcomes of a write again whose record is certainly not stored.
 func (p *Scheduler) requeueWrite(part *ownedPartition, w *write, after loop.Micros) {
 	for _, r := range w.refs {
 		switch x := r.table.task(r.index); {
@@ -167,6 +167,7 @@
 	minValueLimit = 800
 	// refusedRetryDelay is the pause before a refused record that cannot be made smaller is tried again.
 	refusedRetryDelay = 5 * loop.Second
+	// smallerRetryDelay is the pause before the entries of a refused record are written into smaller segments.
 	smallerRetryDelay = 200 * loop.Millisecond
 )
 
--- a/internal/placer/machinetasks.go
+++ b/internal/placer/machinetasks.go
@@ -61,12 +61,12 @@
 func (t *task) isUnresolved() bool { return !t.listed || t.recheck }
 
 // setListed is the only function that changes what a machine has shown of a task in use.
-func (p *Scheduler) setListed(t *jobTable, i int, seen, pending bool) {
+func (p *Scheduler) setListed(t *jobTable, i int, listed, recheck bool) {
 	x := t.task(i)
-	if x.listed == seen && x.recheck == pending {
+	if x.listed == listed && x.recheck == recheck {
 		return
 	}
-	x.listed, x.recheck = seen, pending
+	x.listed, x.recheck = listed, recheck
 	on := p.tasksByMachine[x.machine]
 	if on == nil {
 		return
--- a/internal/placer/outages.go
+++ b/internal/placer/outages.go
@@ -6,21 +6,21 @@
 // is the outage that users observe.
 type reruns struct {
 	pending int // tasks that do not run again yet
-	count   int // reruns since the first of the open tasks failed
+	count   int // reruns since the first of the pending tasks failed
 	longest loop.Micros
 	since   loop.Micros
 }
 
-// recordLost records that a task failed with its machine; heard is the time of the machine's last report.
-func (p *Scheduler) recordLost(t *jobTable, i int, heard loop.Micros) {
+// recordLost records that a task failed with its machine; lastReport is the time of the machine's last report.
+func (p *Scheduler) recordLost(t *jobTable, i int, lastReport loop.Micros) {
 	x := t.task(i)
-	if t.job.Final() || x.lostSince != 0 || heard == 0 {
+	if t.job.Final() || x.lostSince != 0 || lastReport == 0 {
 		return
 	}
-	x.lostSince = heard
+	x.lostSince = lastReport
 	o := &p.reruns
 	if o.pending == 0 {
-		*o = reruns{since: heard}
+		*o = reruns{since: lastReport}
 	}
 	o.pending++
 }
--- a/internal/placer/partition.go
+++ b/internal/placer/partition.go
@@ -56,6 +56,7 @@
 	p.loadLog(part)
 }
 
+// removePartition forgets a partition that was lost, with its teams.
 func (p *Scheduler) removePartition(id partition.ID) {
 	part := p.partitions[id]
 	if part == nil {
@@ -122,6 +123,7 @@
 	p.assignAfter(part, assignDelay)
 }
 
+// assignAfter schedules assign, unless it is scheduled or running already.
 func (p *Scheduler) assignAfter(part *ownedPartition, d loop.Micros) {
 	if part.assigning {
 		return
@@ -186,6 +188,7 @@
 	})
 }
 
+// loadAssignedTeams loads the teams that were assigned since the last call.
 func (p *Scheduler) loadAssignedTeams(part *ownedPartition) {
 	var teams []*team
 	for _, name := range part.toLoad {
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -94,7 +94,7 @@
 	freeSlots := p.fleet.Free()
 	mayPreempt := now >= p.preemption.nextRun
 	expected := p.turnover.Rate * p.expectedShare() * turnoverSeconds
-	b := budget{stopsLeft: maxPreemptions, freedRate: p.turnover.Rate * p.expectedShare(), noVictims: map[preemptionKind]bool{}, unmetByTeam: map[*team]float64{}}
+	b := budget{preemptionsLeft: maxPreemptions, freedRate: p.turnover.Rate * p.expectedShare(), noVictims: map[preemptionKind]bool{}, unmetByTeam: map[*team]float64{}}
 	var chosen []hostStart
 	p.serveLongestWaiting(q, freeSlots, &chosen)
 	full := map[fleet.Shape]bool{} // no machine has capacity for tasks of this shape
@@ -170,23 +170,23 @@
 
 // budget limits a pass: how many tasks it may still preempt, and how much capacity it expects without preemption.
 type budget struct {
-	stopsLeft    int
-	freedRate    float64 // CPUs per second that are freed by tasks that complete
-	freedClaimed float64 // CPUs of these already counted for earlier jobs
-	excess       map[string]float64
-	shares       map[*team]map[*jobTable]float64
-	noVictims    map[preemptionKind]bool // kinds of request for which no victim was found
+	preemptionsLeft int
+	freedRate       float64 // CPUs per second that are freed by tasks that complete
+	freedClaimed    float64 // CPUs of these already counted for earlier jobs
+	excess          map[string]float64
+	shares          map[*team]map[*jobTable]float64
+	noVictims       map[preemptionKind]bool // kinds of request for which no victim was found
 	// unmetByTeam holds by team for how many CPUs of its guarantee capacity may still be reserved.
 	unmetByTeam map[*team]float64
 }
 
 // preemptionKind describes a kind of request for preemption, as far as it decides whether victims exist.
 type preemptionKind struct {
-	shape  fleet.Shape
-	team   string
-	within bool
-	share  bool
-	room   bool
+	shape           fleet.Shape
+	team            string
+	withinGuarantee bool
+	share           bool
+	withinQuota     bool
 }
 
 // preemptFor preempts tasks for a job's unplaced ones where the rules allow it, but only as far as completing tasks
@@ -201,30 +201,30 @@
 	if remaining := t.team.quota.CPUs - t.team.cpus; within && s.CPUs > 0 {
 		n = min(n, int(remaining/s.CPUs))
 	}
-	patience := guaranteeWait
+	maxWait := guaranteeWait
 	if s.Priority >= job.High {
-		patience = 0
+		maxWait = 0
 	} else if !within {
 		return
 	}
 	n -= p.fleet.Held(t.job.ID) // capacity for these is already reserved
 	if n > 0 && s.CPUs > 0 {
-		expected := max(b.freedRate*float64(patience-(now-t.unplacedSince))/1e6-b.freedClaimed, 0)
+		expected := max(b.freedRate*float64(maxWait-(now-t.unplacedSince))/1e6-b.freedClaimed, 0)
 		covered := min(int(expected/s.CPUs), n)
 		b.freedClaimed += float64(covered) * s.CPUs
 		n -= covered
 	}
 	sh, unconstrained := fleet.ShapeOf(s)
 	key := preemptionKind{sh, s.Team, within, right.Share, right.Room}
-	if n = min(n, b.stopsLeft); n <= 0 || b.noVictims[key] {
+	if n = min(n, b.preemptionsLeft); n <= 0 || b.noVictims[key] {
 		return
 	}
 	need := t.need()
-	claims := p.fleet.Preempt(&need, n, right)
-	made := len(claims)
-	p.recordReservations(claims)
-	b.stopsLeft -= made
-	if made < n && unconstrained {
+	reservations := p.fleet.Preempt(&need, n, right)
+	preempted := len(reservations)
+	p.recordReservations(reservations)
+	b.preemptionsLeft -= preempted
+	if preempted < n && unconstrained {
 		b.noVictims[key] = true
 	}
 }
@@ -234,13 +234,13 @@
 func (p *Scheduler) preemptAtImage(e *queueEntry, n int, freeSlots []*fleet.Slot, b *budget) {
 	t := e.table
 	need := t.need()
-	short := min(n-p.fleet.AtImage(need, n, freeSlots)-p.fleet.Held(t.job.ID), b.stopsLeft)
-	if short <= 0 {
+	lacking := min(n-p.fleet.AtImage(need, n, freeSlots)-p.fleet.Held(t.job.ID), b.preemptionsLeft)
+	if lacking <= 0 {
 		return
 	}
-	claims := p.fleet.PreemptAtImage(&need, short, p.preemptionRight(e, b))
-	p.recordReservations(claims)
-	b.stopsLeft -= len(claims)
+	reservations := p.fleet.PreemptAtImage(&need, lacking, p.preemptionRight(e, b))
+	p.recordReservations(reservations)
+	b.preemptionsLeft -= len(reservations)
 }
 
 // placeTasks places up to n waiting tasks of a job and returns how many it placed.
@@ -282,6 +282,7 @@
 	return got
 }
 
+// request describes n unplaced tasks of a job for the leader.
 func (p *Scheduler) request(t *jobTable, n int) peer.Want {
 	s := t.job.Spec
 	w := peer.Want{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, AnyType: s.AnyType,
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -85,13 +85,13 @@
 		b.shares[t.team] = shares
 	}
 	cpus := t.job.Spec.CPUs
-	held := p.fleet.Held(t.job.ID) // capacity for these is already reserved
-	share := tasksWithin(shares[t]-float64(t.inUse)*cpus, cpus) - held
+	reserved := p.fleet.Held(t.job.ID) // capacity for these is already reserved
+	share := tasksWithin(shares[t]-float64(t.inUse)*cpus, cpus) - reserved
 	// Two teams that both run beyond their guarantees must not preempt each other's work alternately: only a team
 	// that uses less than its guarantee may claim capacity by it.
-	room := t.team.quota.CPUs - t.team.cpus
-	return fleet.Right{Guarantee: e.withinGuarantee && room >= cpus, Share: share > 0, Room: room >= cpus,
-		ShareTasks: share, RoomTasks: tasksWithin(room, cpus) - held, Excess: b.excess}
+	remaining := t.team.quota.CPUs - t.team.cpus
+	return fleet.Right{Guarantee: e.withinGuarantee && remaining >= cpus, Share: share > 0, Room: remaining >= cpus,
+		ShareTasks: share, RoomTasks: tasksWithin(remaining, cpus) - reserved, Excess: b.excess}
 }
 
 // tasksWithin returns how many tasks of the given CPUs a part of a guarantee covers.
--- a/internal/placer/scheduler.go
+++ b/internal/placer/scheduler.go
@@ -116,6 +116,7 @@
 	return p
 }
 
+// forgetJob removes a job's table and everything that refers to its tasks.
 func (p *Scheduler) forgetJob(t *jobTable) {
 	t.each(func(i int, x *task) {
 		p.recordRerun(x, false)
@@ -130,6 +131,7 @@
 	t.team.removeJob(t)
 }
 
+// tableOf returns the table of a job, which it creates if necessary.
 func (p *Scheduler) tableOf(tm *team, j *job.Job) *jobTable {
 	t := tm.jobs[j.ID]
 	if t == nil {
@@ -194,6 +196,7 @@
 	}
 }
 
+// stop sends a stop for a task's attempt, at most once per second. With a grace period the task may save first.
 func (p *Scheduler) stop(t *jobTable, i int, grace loop.Micros) {
 	x := t.task(i)
 	now := p.runner.Now()
@@ -249,6 +252,7 @@
 	}
 }
 
+// sendStart sends the start of a recorded task, or takes the task back if the start cannot be sent any more.
 func (p *Scheduler) sendStart(t *jobTable, i int) {
 	x := t.task(i)
 	v := p.agent.View(x.machine)
@@ -285,6 +289,7 @@
 	p.storeCompletion(t)
 }
 
+// storeCompletion stores that a job is done, and retries until the answer is certain.
 func (p *Scheduler) storeCompletion(t *jobTable) {
 	if p.teams[t.team.cfg.Name] != t.team || t.job.Final() {
 		return
--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -87,12 +87,12 @@
 	if !t.job.Spec.Gang {
 		n = min(n, maxReserved)
 	}
-	claims := p.fleet.Hold(&need, n, reservationLife)
-	p.recordReservations(claims)
-	p.node.Meter.Held(len(claims))
-	t.reservedCPUs, t.reservedClass = float64(len(claims))*w.CPUs, w.Class
-	p.log.Debug("capacity reserved for a job that waited long and fits nowhere", "job", w.ID, "tasks", len(claims), "waits_us", p.runner.Now()-w.At)
-	return len(claims)
+	reservations := p.fleet.Hold(&need, n, reservationLife)
+	p.recordReservations(reservations)
+	p.node.Meter.Held(len(reservations))
+	t.reservedCPUs, t.reservedClass = float64(len(reservations))*w.CPUs, w.Class
+	p.log.Debug("capacity reserved for a job that waited long and fits nowhere", "job", w.ID, "tasks", len(reservations), "waits_us", p.runner.Now()-w.At)
+	return len(reservations)
 }
 
 // begun reports whether tasks of the job run, may run or are done.
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -146,6 +146,7 @@
 	})
 }
 
+// sendDemand sends the unplaced requests, and the machines with tasks whose reports are overdue, to the leader.
 func (p *Scheduler) sendDemand() {
 	t := peer.Tally{Wall: p.runner.Wall(), Wants: p.unplacedRequests}
 	now := p.runner.Now()
