--- a/internal/placer/explain_test.go
+++ b/internal/placer/explain_test.go
@@ -88,7 +88,7 @@
 	return g
 }
 
-// settleDown lets started tasks be reported as running until passes change nothing more.
+// settleDown runs passes for long enough that started tasks are reported as running and nothing changes any more.
 func (g *scenario) settleDown() {
 	for range 3 {
 		g.Run(300 * loop.Millisecond)
@@ -245,15 +245,15 @@
 }
 
 // placeTasks places up to n tasks one by one, and returns how many it placed.
-func (m plainModel) placeTasks(s *job.Spec, n int, rooms map[string]agent.Room) int {
+func (m plainModel) placeTasks(s *job.Spec, n int, capacities map[string]agent.Room) int {
 	got := 0
-	for _, name := range slices.Sorted(maps.Keys(rooms)) {
+	for _, name := range slices.Sorted(maps.Keys(capacities)) {
 		k := m.g.kind[name]
-		for got < n && m.allows(s, k[0], k[1], k[2]) && rooms[name].CPUs >= s.CPUs-1e-6 && rooms[name].MemoryGB >= s.MemoryGB-1e-6 {
-			r := rooms[name]
+		for got < n && m.allows(s, k[0], k[1], k[2]) && capacities[name].CPUs >= s.CPUs-1e-6 && capacities[name].MemoryGB >= s.MemoryGB-1e-6 {
+			r := capacities[name]
 			r.CPUs -= s.CPUs
 			r.MemoryGB -= s.MemoryGB
-			rooms[name] = r
+			capacities[name] = r
 			got++
 		}
 	}
@@ -318,18 +318,18 @@
 		}
 	}
 	fits, all := m.placeTasks(s, n, m.capacities(true)), m.placeTasks(s, n, m.capacities(false))
-	barred := true
+	allCordoned := true
 	for typ := range types {
 		for _, zone := range zones {
 			for _, kind := range []string{"spot", "ordinary"} {
 				if m.allows(s, typ, zone, kind) && types[typ].CPUs >= s.CPUs && types[typ].MemoryGB >= s.MemoryGB && !m.cordoned("", typ, zone, kind) {
-					barred = false
+					allCordoned = false
 				}
 			}
 		}
 	}
 	if s.Gang {
-		if all > fits || (barred && fits < n) {
+		if all > fits || (allCordoned && fits < n) {
 			out["cordon"] = n
 		}
 		if all < n || inUse > 0 {
@@ -337,7 +337,7 @@
 		}
 		return out
 	}
-	if barred && n > fits {
+	if allCordoned && n > fits {
 		out["cordon"] = n - fits
 	} else if all > fits {
 		out["cordon"] = all - fits
@@ -431,15 +431,15 @@
 // removed, at least as many of the job's tasks still wait as that reason states; with all removed, all tasks start
 // within one pass. A plain model must state the same reasons.
 func TestReasonsAreExact(t *testing.T) {
-	worlds := uint64(1500)
+	seeds := uint64(1500)
 	if s := os.Getenv("CLEATPICK_WORLDS"); s != "" {
-		if _, err := fmt.Sscan(s, &worlds); err != nil {
+		if _, err := fmt.Sscan(s, &seeds); err != nil {
 			t.Fatal(err)
 		}
 	}
 	stated := map[string]int{}
 	several, unsure, exact, answers, incomplete := 0, 0, 0, 0, 0
-	for seed := range worlds {
+	for seed := range seeds {
 		g := newScenario(seed)
 		var waits []string
 		for _, id := range g.jobs {
@@ -518,7 +518,7 @@
 			}
 		}
 	}
-	t.Logf("%d seeds, %d with several reasons; %d of %d answers not complete; single remaining reasons: %v, %d with exactly their tasks, %d ranks uncertain", worlds, several, incomplete, answers, stated, exact, unsure)
+	t.Logf("%d seeds, %d with several reasons; %d of %d answers not complete; single remaining reasons: %v, %d with exactly their tasks, %d ranks uncertain", seeds, several, incomplete, answers, stated, exact, unsure)
 	for _, k := range []string{"hold", "dependency", "backOff", "probe", "teamLimit", "room", "rank", "cordon", "gang"} {
 		if stated[k] == 0 {
 			t.Errorf("no seed covers reason %s", k)
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -145,8 +145,8 @@
 // plainPass is a plain model of a placement pass: it places each task separately and looks at every machine for it.
 func (g *rig) plainPass() map[string]string {
 	out := map[string]string{}
-	rooms := map[string]agent.Room{}
-	g.workers.Views(func(v *agent.View) { rooms[v.Name] = g.plainCapacity(v.Name) })
+	capacities := map[string]agent.Room{}
+	g.workers.Views(func(v *agent.View) { capacities[v.Name] = g.plainCapacity(v.Name) })
 	cpus := map[string]float64{}
 	least := 1e9
 	cost := map[string]float64{}
@@ -158,8 +158,8 @@
 		}
 		least = min(least, cost[v.Name])
 	})
-	names := make([]string, 0, len(rooms))
-	for name := range rooms {
+	names := make([]string, 0, len(capacities))
+	for name := range capacities {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -174,7 +174,7 @@
 			best, bestScore := "", 0.0
 			for _, name := range names {
 				v := g.workers.View(name)
-				room := rooms[name]
+				room := capacities[name]
 				if !room.Fits(s) || !s.AllowsPlace(v.Type, v.Zone, v.Spot) || v.NoticeAt != 0 || v.Closed || g.Now() < g.scheduler.fleet.Slot(name).Shut {
 					continue
 				}
@@ -200,9 +200,9 @@
 			if best == "" {
 				break
 			}
-			room := rooms[best]
+			room := capacities[best]
 			room.Take(s)
-			rooms[best] = room
+			capacities[best] = room
 			zones[g.workers.View(best).Zone]++
 			cpus[s.Team] += s.CPUs
 			out[fmt.Sprintf("%s on %s", t.job.ID, best)] += "+"
