--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -62,7 +62,7 @@
 		if wire.Unmarshal(body, &name) != nil {
 			name = ""
 		}
-		reply(n.placer.Unseen(name))
+		reply(n.placer.UnseenStarts(name))
 	})
 	x.api = api.New(l, n.log, n.cfg, api.Node{
 		Ready:    n.ready,
@@ -82,7 +82,7 @@
 // counts returns a job's task counts: its own for a job that this controller owns, and otherwise those that the
 // owner sent last.
 func (n *Node) counts(j *job.Job) job.Counts {
-	if c, ok := n.placer.Counts(j); ok {
+	if c, ok := n.placer.JobCounts(j); ok {
 		return c
 	}
 	return n.progress[j.ID]
@@ -164,7 +164,7 @@
 func (n *Node) machines() []api.Machine {
 	var out []api.Machine
 	now, wall := n.loop.Now(), n.loop.Wall()
-	n.placer.Places(func(p *gate.Place, after loop.Micros) {
+	n.placer.EachPlace(func(p *gate.Place, after loop.Micros) {
 		v := p.V
 		m := api.Machine{Name: v.Name, Type: v.Type, Zone: v.Zone, Kind: explain.MachineKind(v.Spot), ReportsTo: v.Host, Shut: []string{}}
 		for i := range v.Tasks {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -46,7 +46,7 @@
 	jobs          *job.Registry
 	cordons       *cordon.Book
 	agent         *agent.Agent
-	placer        *placer.Placer
+	placer        *placer.Scheduler
 	rental        *rental.Rental
 	net           *peer.Net
 	reach         *reach.Judge
@@ -151,11 +151,11 @@
 			})
 		},
 		Changed: func(v *agent.View, c *agent.Changes) {
-			n.placer.View(v, c)
+			n.placer.ViewChanged(v, c)
 			n.rental.View(v)
 		},
 		Drop: func(to string, d agent.Drop) {
-			n.dispatch(to, func() { l.Post(func() { n.placer.Drop(cfg.Label, d) }) }, func(e *peer.Envelope) { e.Drops = append(e.Drops, d) })
+			n.dispatch(to, func() { l.Post(func() { n.placer.StartDropped(cfg.Label, d) }) }, func(e *peer.Envelope) { e.Drops = append(e.Drops, d) })
 		},
 		Barred:  n.startBlocked,
 		ClockTo: cfg.ClockDifference(),
@@ -168,7 +168,7 @@
 		Start: func(host string, s agent.Start) {
 			n.dispatch(host, func() { n.agent.Start(s) }, func(e *peer.Envelope) { e.Starts = append(e.Starts, s) })
 		},
-		Check: func(host, machine string) {
+		RequestTaskList: func(host, machine string) {
 			n.dispatch(host, func() { n.agent.Check(machine) }, func(e *peer.Envelope) { e.Checks = append(e.Checks, machine) })
 		},
 		Reserve: func(host string, s agent.Start) {
@@ -177,25 +177,25 @@
 		Stop: func(host string, s agent.Stop) {
 			n.dispatch(host, func() { n.agent.Stop(s) }, func(e *peer.Envelope) { e.Stops = append(e.Stops, s) })
 		},
-		Tally: func(t peer.Tally) {
+		SendDemand: func(t peer.Tally) {
 			o, ok := n.member.Leader()
 			if !ok {
 				return
 			}
 			n.dispatch(o.Node, func() { n.rental.Tally(cfg.Label, t) }, func(e *peer.Envelope) { e.Tally = &t })
 		},
-		Tells:      cfg.Operator.API.Enabled,
-		Meter:      n.meter,
-		Membership: n.member,
-		Tell: func(p []peer.Progress) {
+		ReportCauses: cfg.Operator.API.Enabled,
+		Meter:        n.meter,
+		Membership:   n.member,
+		SendProgress: func(p []peer.Progress) {
 			n.applyCauses(p, true)
 			n.net.All(func(e *peer.Envelope) { e.Progress = append(e.Progress, p...) })
 		},
-		Usage: func(u []peer.Usage) {
-			n.placer.Learn(u)
+		SendUsage: func(u []peer.Usage) {
+			n.placer.UsageReceived(u)
 			n.net.All(func(e *peer.Envelope) { e.Usage = u })
 		},
-		Claims: func(c []peer.Claim) {
+		SendReservations: func(c []peer.Claim) {
 			n.net.All(func(e *peer.Envelope) { e.Claims = append(e.Claims, c...) })
 		},
 	}, n.jobs, n.agent, n.cordons)
@@ -220,7 +220,7 @@
 		},
 		Probe: out.Probe,
 	})
-	n.rental.OnGone = n.placer.Gone
+	n.rental.OnGone = n.placer.MachineDeleted
 	n.jobs.OnJob = func(j *job.Job) {
 		if j.Phase == job.Cancelled {
 			n.watermark.Learn(horizon.Over{Job: j.ID, Mark: j.CancelledRevision()})
@@ -228,22 +228,22 @@
 		if j.Final() {
 			delete(n.progress, j.ID)
 			if n.apiParts != nil {
-				own := j.Spec != nil && n.placer.Owns(j.Spec.Team)
+				own := j.Spec != nil && n.placer.OwnsTeam(j.Spec.Team)
 				n.apiParts.explanations.Timelines.Finish(j.ID, l.Wall(), own)
 			}
 		}
-		n.placer.Job(j)
+		n.placer.JobChanged(j)
 	}
 	n.member.Isolated = n.reach.Isolated
 	n.member.Fit, n.member.PartlyDisconnected = n.reach.Fit, n.reach.Broken
-	n.member.Weight = n.placer.InUse
-	n.member.OnOwned = n.placer.Owned
-	n.member.OnAssigned = n.placer.Assigned
-	n.member.OnReleased = n.placer.Released
+	n.member.Weight = n.placer.TasksInUse
+	n.member.OnOwned = n.placer.OwnershipChanged
+	n.member.OnAssigned = n.placer.TeamAssigned
+	n.member.OnReleased = n.placer.TeamReleased
 	n.member.OnLeader = n.rental.Lead
 	n.net.Receive = n.receive
 	n.net.NewLife = func(label string) {
-		if claims := n.placer.ClaimsInForce(); len(claims) > 0 {
+		if claims := n.placer.OwnReservations(); len(claims) > 0 {
 			n.net.To(label, func(e *peer.Envelope) { e.Claims = append(e.Claims, claims...) })
 		}
 	}
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -35,7 +35,7 @@
 		n.agent.Start(s)
 	}
 	for _, d := range e.Drops {
-		n.placer.Drop(e.From, d)
+		n.placer.StartDropped(e.From, d)
 	}
 	if e.Tally != nil {
 		n.rental.Tally(e.From, *e.Tally)
@@ -50,8 +50,8 @@
 		n.apiParts.questions.Take(e)
 	}
 	n.jobs.ApplyQueuePositions(e.Places)
-	n.placer.Learn(e.Usage)
-	n.placer.LearnClaims(e.Claims)
+	n.placer.UsageReceived(e.Usage)
+	n.placer.ReservationsReceived(e.Claims)
 }
 
 // applyDeltas applies the incremental changes of machines that a peer sent, and requests the full view of each machine for
--- a/internal/placer/why_test.go
+++ b/internal/placer/explain_test.go
@@ -21,46 +21,46 @@
 	"cleatpick/internal/wire"
 )
 
-// scene is one owner with machines and jobs that wait for many kinds of reasons. It is built from a seed, so that it
+// scenario is one owner with machines and jobs that wait for many kinds of reasons. It is built from a seed, so that it
 // can be built again with some of the reasons removed.
-type scene struct {
+type scenario struct {
 	*rig
-	rng   *rand.Rand
-	jobs  []string
-	shown map[string][]agent.Task // tasks on each machine of teams that are owned elsewhere
-	kind  map[string][3]string    // type, zone and kind of each machine
-	fill  int
-	cord  []cordon.Cordon
+	rng          *rand.Rand
+	jobs         []string
+	foreignTasks map[string][]agent.Task // tasks on each machine of teams that are owned elsewhere
+	kind         map[string][3]string    // type, zone and kind of each machine
+	foreignJobs  int
+	cordons      []cordon.Cordon
 }
 
 var zones = []string{"x", "y"}
 
-// late marks so many of a job's waiting tasks as having failed before.
-func (g *scene) late(t *table, n int) {
+// markFailed marks so many of a job's waiting tasks as having failed before.
+func (g *scenario) markFailed(t *jobTable, n int) {
 	for range n {
-		if len(t.back) == 0 && t.next == t.j.Tasks {
+		if len(t.requeued) == 0 && t.firstUnplaced == t.job.Tasks {
 			return
 		}
-		i := t.pop()
+		i := t.popWaiting()
 		t.task(i).failed = true
-		t.late = append(t.late, i)
+		t.failedTasks = append(t.failedTasks, i)
 	}
 }
 
-func newScene(seed uint64) *scene {
-	g := &scene{rig: newRig(1000, config.Team{Name: "red", CPUs: 10, CPUsMax: 14}, config.Team{Name: "blue", CPUs: 4, CPUsMax: 60}),
-		rng: rand.New(rand.NewPCG(seed, 11)), shown: map[string][]agent.Task{}, kind: map[string][3]string{}}
-	g.p.pre.nextRun = 1 << 62 // preemption is not among the reasons checked here
+func newScenario(seed uint64) *scenario {
+	g := &scenario{rig: newRig(1000, config.Team{Name: "red", CPUs: 10, CPUsMax: 14}, config.Team{Name: "blue", CPUs: 4, CPUsMax: 60}),
+		rng: rand.New(rand.NewPCG(seed, 11)), foreignTasks: map[string][]agent.Task{}, kind: map[string][3]string{}}
+	g.scheduler.preemption.nextRun = 1 << 62 // preemption is not among the reasons checked here
 	for _, step := range g.rng.Perm(12) {
 		switch {
 		case step < 4:
-			g.machine()
+			g.addRandomMachine()
 		case step < 9:
-			g.addJob()
+			g.addRandomJob()
 		case step < 11:
 			g.Run(loop.Micros(g.rng.IntN(900)) * loop.Millisecond)
 		default:
-			g.cordon()
+			g.addRandomCordon()
 		}
 	}
 	for _, id := range g.jobs { // the causes change while the jobs wait
@@ -68,38 +68,38 @@
 		case 0:
 			g.amend(id, func(r *job.Record) { r.Terms = &job.Terms{Hold: job.Hold{State: job.HoldEffective, Reason: "r"}} })
 		case 1:
-			g.table(id).trial = health.Trial{State: health.Doubted, Moments: 1, RestTo: g.Now() + 40*loop.Second}
+			g.table(id).probation = health.Trial{State: health.Doubted, Moments: 1, RestTo: g.Now() + 40*loop.Second}
 		case 2:
-			g.table(id).trial = health.Trial{State: health.Broken, Moments: 4}
+			g.table(id).probation = health.Trial{State: health.Broken, Moments: 4}
 		case 3: // some of its tasks failed, others completed
 			t := g.table(id)
-			t.trial = health.Trial{State: health.Sound, Moments: 1 + g.rng.IntN(3)}
+			t.probation = health.Trial{State: health.Sound, Moments: 1 + g.rng.IntN(3)}
 			if g.rng.IntN(2) == 0 {
-				t.trial.RestTo = g.Now() + 40*loop.Second
+				t.probation.RestTo = g.Now() + 40*loop.Second
 			}
-			g.late(t, g.rng.IntN(t.waiting()+1))
+			g.markFailed(t, g.rng.IntN(t.waiting()+1))
 		}
 	}
 	if g.rng.IntN(3) == 0 {
-		g.machine()
+		g.addRandomMachine()
 	}
 	g.Run(600 * loop.Millisecond)
 	g.settleDown()
 	return g
 }
 
-// settleDown lets started tasks be reported as running until passes change nothing more.
-func (g *scene) settleDown() {
+// settleDown runs passes for long enough that started tasks are reported as running and nothing changes any more.
+func (g *scenario) settleDown() {
 	for range 3 {
 		g.Run(300 * loop.Millisecond)
-		g.p.place()
+		g.scheduler.place()
 	}
 	g.Run(300 * loop.Millisecond)
-	g.p.place()
+	g.scheduler.place()
 }
 
-func (g *scene) table(id string) *table {
-	for _, tm := range g.p.teams {
+func (g *scenario) table(id string) *jobTable {
+	for _, tm := range g.scheduler.teams {
 		if t := tm.jobs[id]; t != nil {
 			return t
 		}
@@ -107,34 +107,34 @@
 	return nil
 }
 
-func (g *scene) amend(id string, f func(*job.Record)) {
+func (g *scenario) amend(id string, f func(*job.Record)) {
 	rec := g.stored(id)
 	f(&rec)
 	g.mirror.Apply(job.KeyPrefix+id, wire.Marshal(rec), g.state.Put(job.KeyPrefix+id, rec), false)
 }
 
-// machine adds a machine, perhaps partly used by a team that is owned elsewhere.
-func (g *scene) machine() {
+// addRandomMachine adds a machine, perhaps partly used by a team that is owned elsewhere.
+func (g *scenario) addRandomMachine() {
 	name := fmt.Sprintf("n-%03d", len(g.kind)+1)
 	typ, zone, spot := []string{"m8", "m16"}[g.rng.IntN(2)], zones[g.rng.IntN(2)], g.rng.IntN(2) == 0
 	used := float64(g.rng.IntN(int(types[typ].CPUs) + 1))
 	g.addMachine(name, typ, zone, spot, used, float64(g.rng.IntN(20)))
 	if g.rng.IntN(6) == 0 {
-		g.p.fleet.Machine(name).BackOff(g.Now()+100*loop.Second, "its tasks run slowly")
+		g.scheduler.fleet.Machine(name).BackOff(g.Now()+100*loop.Second, "its tasks run slowly")
 	}
 }
 
-func (g *scene) addMachine(name, typ, zone string, spot bool, cpus, memory float64) {
+func (g *scenario) addMachine(name, typ, zone string, spot bool, cpus, memory float64) {
 	g.kind[name] = [3]string{typ, zone, explain.MachineKind(spot)}
 	if cpus > 0 || memory > 0 {
-		g.fill++
-		id := g.job(500+g.fill, job.Spec{Class: "f", Team: "green", Tasks: 1, CPUs: cpus, MemoryGB: memory, Image: "f", AnyType: true})
-		g.shown[name] = []agent.Task{{Task: id + "/0", Attempt: 1, State: wire.TaskRunning}}
+		g.foreignJobs++
+		id := g.acceptJob(500+g.foreignJobs, job.Spec{Class: "f", Team: "green", Tasks: 1, CPUs: cpus, MemoryGB: memory, Image: "f", AnyType: true})
+		g.foreignTasks[name] = []agent.Task{{Task: id + "/0", Attempt: 1, State: wire.TaskRunning}}
 	}
-	g.show(name, typ, zone, spot, g.shown[name]...)
+	g.deliverView(name, typ, zone, spot, g.foreignTasks[name]...)
 }
 
-func (g *scene) addJob() {
+func (g *scenario) addRandomJob() {
 	r := g.rng
 	s := job.Spec{Class: "k", Team: []string{"red", "blue"}[r.IntN(2)], Priority: job.Priority(r.IntN(3)), Tasks: 1 + r.IntN(6),
 		CPUs: float64(1 + r.IntN(6)), MemoryGB: float64(1 + r.IntN(10)), Image: "i", AnyType: true, Spot: r.IntN(2) == 0, Estimate: loop.Second}
@@ -151,8 +151,8 @@
 		terms.Hold = job.Hold{State: job.HoldEffective, Reason: "r"}
 	}
 	if r.IntN(4) == 0 {
-		g.fill++
-		dep := g.job(500+g.fill, job.Spec{Class: "f", Team: "green", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "f", AnyType: true})
+		g.foreignJobs++
+		dep := g.acceptJob(500+g.foreignJobs, job.Spec{Class: "f", Team: "green", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "f", AnyType: true})
 		terms.Dependencies = []string{dep}
 		if r.IntN(3) == 0 {
 			g.amend(dep, func(rec *job.Record) { rec.Phase = job.Cancelled })
@@ -165,7 +165,7 @@
 	g.jobs = append(g.jobs, id)
 }
 
-func (g *scene) cordon() {
+func (g *scenario) addRandomCordon() {
 	if g.rng.IntN(2) == 0 {
 		return
 	}
@@ -181,20 +181,20 @@
 	g.putCordons([]cordon.Cordon{c})
 }
 
-func (g *scene) putCordons(all []cordon.Cordon) {
-	g.cord = all
+func (g *scenario) putCordons(all []cordon.Cordon) {
+	g.cordons = all
 	v := map[string]any{"f": 1, "c": all}
 	g.mirror.Apply(cordon.Key, wire.Marshal(v), g.state.Put(cordon.Key, v), false)
 }
 
-// plain is a plain model of the reasons. It derives them from what the scene contains and from the tasks' states,
-// without the predicates.
-type plain struct {
-	g *scene
+// plainModel is a plain model of the reasons. It derives them from what the scenario contains and from the tasks'
+// states, without the predicates.
+type plainModel struct {
+	g *scenario
 }
 
-func (m plain) barred(name, typ, zone, kind string) bool {
-	for _, c := range m.g.cord {
+func (m plainModel) cordoned(name, typ, zone, kind string) bool {
+	for _, c := range m.g.cordons {
 		if (c.Machine == "" || c.Machine == name) && (c.Type == "" || c.Type == typ) && (c.Zone == "" || c.Zone == zone) && (c.Kind == "" || c.Kind == kind) {
 			return true
 		}
@@ -202,15 +202,15 @@
 	return false
 }
 
-func (m plain) use(team string) (cpus float64) {
+func (m plainModel) use(team string) (cpus float64) {
 	for _, id := range m.g.jobs {
 		t := m.g.table(id)
-		if t == nil || t.j.Spec.Team != team {
+		if t == nil || t.job.Spec.Team != team {
 			continue
 		}
-		for i := range t.j.Tasks {
+		for i := range t.job.Tasks {
 			if s := t.task(i).state; s == Recording || s == Placed {
-				cpus += t.j.Spec.CPUs
+				cpus += t.job.Spec.CPUs
 			}
 		}
 	}
@@ -218,9 +218,9 @@
 }
 
 // waiting counts the tasks that are neither in use nor done.
-func (m plain) waiting(t *table) int {
+func (m plainModel) waiting(t *jobTable) int {
 	n := 0
-	for i := range t.j.Tasks {
+	for i := range t.job.Tasks {
 		if t.task(i).state == Waiting {
 			n++
 		}
@@ -228,32 +228,32 @@
 	return n
 }
 
-func (m plain) allows(s *job.Spec, typ, zone, kind string) bool {
+func (m plainModel) allows(s *job.Spec, typ, zone, kind string) bool {
 	return (s.AnyType || slices.Contains(s.Types, typ)) && (s.Zone == "" || s.Zone == zone) && (s.Spot || kind == "ordinary")
 }
 
-// rooms returns the free capacity of every machine that accepts starts.
-func (m plain) rooms(cordons bool) map[string]agent.Room {
+// capacities returns the free capacity of every machine that accepts starts.
+func (m plainModel) capacities(cordons bool) map[string]agent.Room {
 	out := map[string]agent.Room{}
 	for name, k := range m.g.kind {
-		if m.g.p.fleet.Machine(name).Shut > m.g.Now() || (cordons && m.barred(name, k[0], k[1], k[2])) {
+		if m.g.scheduler.fleet.Machine(name).Shut > m.g.Now() || (cordons && m.cordoned(name, k[0], k[1], k[2])) {
 			continue
 		}
-		out[name] = m.g.plainRoom(name)
+		out[name] = m.g.plainCapacity(name)
 	}
 	return out
 }
 
-// put places up to n tasks one by one, and returns how many it placed.
-func (m plain) put(s *job.Spec, n int, rooms map[string]agent.Room) int {
+// placeTasks places up to n tasks one by one, and returns how many it placed.
+func (m plainModel) placeTasks(s *job.Spec, n int, capacities map[string]agent.Room) int {
 	got := 0
-	for _, name := range slices.Sorted(maps.Keys(rooms)) {
+	for _, name := range slices.Sorted(maps.Keys(capacities)) {
 		k := m.g.kind[name]
-		for got < n && m.allows(s, k[0], k[1], k[2]) && rooms[name].CPUs >= s.CPUs-1e-6 && rooms[name].MemoryGB >= s.MemoryGB-1e-6 {
-			r := rooms[name]
+		for got < n && m.allows(s, k[0], k[1], k[2]) && capacities[name].CPUs >= s.CPUs-1e-6 && capacities[name].MemoryGB >= s.MemoryGB-1e-6 {
+			r := capacities[name]
 			r.CPUs -= s.CPUs
 			r.MemoryGB -= s.MemoryGB
-			rooms[name] = r
+			capacities[name] = r
 			got++
 		}
 	}
@@ -261,9 +261,9 @@
 }
 
 // reasons returns by kind how many tasks each reason blocks. It omits rank, which is checked by its effect.
-func (m plain) reasons(id string) map[string]int {
+func (m plainModel) reasons(id string) map[string]int {
 	g, t := m.g, m.g.table(id)
-	s, n := t.j.Spec, m.waiting(t)
+	s, n := t.job.Spec, m.waiting(t)
 	out := map[string]int{}
 	if n == 0 {
 		return out
@@ -284,12 +284,12 @@
 			}
 		}
 	}
-	x := &t.trial
-	trusted, late := x.State == health.Untried || x.State == health.Sound, len(t.late)
+	x := &t.probation
+	trusted, late := x.State == health.Untried || x.State == health.Sound, len(t.failedTasks)
 	if x.RestTo > g.Now() && (!trusted || s.Gang || late >= n) {
 		out["backOff"] = n
 	}
-	inUse := t.j.Tasks - n - t.completed
+	inUse := t.job.Tasks - n - t.completed
 	if x.Moments > 0 && !s.Gang {
 		var k int
 		if trusted {
@@ -299,8 +299,8 @@
 			}
 		} else {
 			live := 0
-			for i := range t.j.Tasks {
-				if y := t.task(i); y.state == Placed && y.running && g.Now()-y.chosen > 2*loop.Second {
+			for i := range t.job.Tasks {
+				if y := t.task(i); y.state == Placed && y.running && g.Now()-y.chosenAt > 2*loop.Second {
 					live++
 				}
 			}
@@ -317,19 +317,19 @@
 			out["teamLimit"] = n
 		}
 	}
-	fits, all := m.put(s, n, m.rooms(true)), m.put(s, n, m.rooms(false))
-	barred := true
+	fits, all := m.placeTasks(s, n, m.capacities(true)), m.placeTasks(s, n, m.capacities(false))
+	allCordoned := true
 	for typ := range types {
 		for _, zone := range zones {
 			for _, kind := range []string{"spot", "ordinary"} {
-				if m.allows(s, typ, zone, kind) && types[typ].CPUs >= s.CPUs && types[typ].MemoryGB >= s.MemoryGB && !m.barred("", typ, zone, kind) {
-					barred = false
+				if m.allows(s, typ, zone, kind) && types[typ].CPUs >= s.CPUs && types[typ].MemoryGB >= s.MemoryGB && !m.cordoned("", typ, zone, kind) {
+					allCordoned = false
 				}
 			}
 		}
 	}
 	if s.Gang {
-		if all > fits || (barred && fits < n) {
+		if all > fits || (allCordoned && fits < n) {
 			out["cordon"] = n
 		}
 		if all < n || inUse > 0 {
@@ -337,7 +337,7 @@
 		}
 		return out
 	}
-	if barred && n > fits {
+	if allCordoned && n > fits {
 		out["cordon"] = n - fits
 	} else if all > fits {
 		out["cordon"] = all - fits
@@ -348,14 +348,14 @@
 	return out
 }
 
-// away removes a reason in the way that its release describes.
-func (g *scene) away(id, kind string, r *explain.Reason, ahead []string) {
+// removeReason removes a reason in the way that its release describes.
+func (g *scenario) removeReason(id, kind string, r *explain.Reason, ahead []string) {
 	t := g.table(id)
 	switch kind {
 	case "hold":
 		g.amend(id, func(rec *job.Record) { rec.Terms.Hold = job.Hold{} })
 	case "dependency":
-		for _, d := range t.j.Terms.Dependencies {
+		for _, d := range t.job.Terms.Dependencies {
 			if g.stored(d).Phase == job.Accepted {
 				g.amend(d, func(rec *job.Record) { rec.Phase = job.Done })
 			} else {
@@ -363,20 +363,20 @@
 			}
 		}
 	case "backOff":
-		t.trial.RestTo = 0
+		t.probation.RestTo = 0
 	case "probe":
 		// A task completes; while the back-off lasts, all others count as failed.
-		if t.trial.State != health.Sound && t.trial.RestTo > g.Now() {
-			g.late(t, t.waiting())
+		if t.probation.State != health.Sound && t.probation.RestTo > g.Now() {
+			g.markFailed(t, t.waiting())
 		}
-		t.trial.State, t.trial.Moments = health.Sound, 0
+		t.probation.State, t.probation.Moments = health.Sound, 0
 	case "teamLimit":
 		t.team.cfg.CPUsMax, t.team.quota.CPUsMax = 0, config.LimitOf(0)
 	case "cordon":
 		g.putCordons([]cordon.Cordon{})
 	case "room", "gang":
-		s := t.j.Spec
-		m := plain{g}
+		s := t.job.Spec
+		m := plainModel{g}
 		// Add a machine with capacity for one task for each task that lacks it: at a place that is not cordoned, if
 		// there is one, and that earlier work may use as well.
 		typ, zone, kind, best := "", "", "", -1
@@ -387,11 +387,11 @@
 						continue
 					}
 					score := 0
-					if !m.barred("", ty, z, k) {
+					if !m.cordoned("", ty, z, k) {
 						score += 4
 					}
 					for i, o := range ahead {
-						if x := g.table(o); x != nil && m.allows(x.j.Spec, ty, z, k) {
+						if x := g.table(o); x != nil && m.allows(x.job.Spec, ty, z, k) {
 							score |= 1
 							if i == 0 {
 								score |= 2 // the first in the order of service
@@ -404,7 +404,7 @@
 				}
 			}
 		}
-		short := t.waiting() - m.put(s, t.waiting(), m.rooms(false))
+		short := t.waiting() - m.placeTasks(s, t.waiting(), m.capacities(false))
 		for i := range short {
 			g.addMachine(fmt.Sprintf("z-%03d", i), typ, zone, kind == "spot", types[typ].CPUs-s.CPUs, types[typ].MemoryGB-s.MemoryGB)
 		}
@@ -415,12 +415,12 @@
 	}
 }
 
-func (g *scene) judge(id string) ([]explain.Reason, bool) {
+func (g *scenario) explainJob(id string) ([]explain.Reason, bool) {
 	all := make([]wire.MachineType, 0, len(types))
 	for _, name := range slices.Sorted(maps.Keys(types)) {
 		all = append(all, types[name])
 	}
-	f, ok := g.p.Facts(id, all, true)
+	f, ok := g.scheduler.Facts(id, all, true)
 	if !ok {
 		return nil, false
 	}
@@ -431,28 +431,28 @@
 // removed, at least as many of the job's tasks still wait as that reason states; with all removed, all tasks start
 // within one pass. A plain model must state the same reasons.
 func TestReasonsAreExact(t *testing.T) {
-	worlds := uint64(1500)
+	seeds := uint64(1500)
 	if s := os.Getenv("CLEATPICK_WORLDS"); s != "" {
-		if _, err := fmt.Sscan(s, &worlds); err != nil {
+		if _, err := fmt.Sscan(s, &seeds); err != nil {
 			t.Fatal(err)
 		}
 	}
 	stated := map[string]int{}
 	several, unsure, exact, answers, incomplete := 0, 0, 0, 0, 0
-	for seed := range worlds {
-		g := newScene(seed)
+	for seed := range seeds {
+		g := newScenario(seed)
 		var waits []string
 		for _, id := range g.jobs {
 			if x := g.table(id); x != nil && x.waiting() > 0 {
 				waits = append(waits, id)
 			}
 		}
-		if why := g.plainAboard(); why != "" {
+		if why := g.checkMachineLists(); why != "" {
 			t.Fatalf("seed %d: %s", seed, why)
 		}
 		for _, id := range waits {
-			reasons, sure := g.judge(id)
-			want := plain{g}.reasons(id)
+			reasons, sure := g.explainJob(id)
+			want := plainModel{g}.reasons(id)
 			got := map[string]int{}
 			for _, r := range reasons {
 				if r.Kind != "rank" && gate.Named(r.Kind) <= gate.Rank {
@@ -460,7 +460,7 @@
 				}
 			}
 			if !maps.Equal(got, want) {
-				t.Fatalf("seed %d: %s (%+v): the reasons are %v, by the plain model %v", seed, id, g.table(id).j.Spec, got, want)
+				t.Fatalf("seed %d: %s (%+v): the reasons are %v, by the plain model %v", seed, id, g.table(id).job.Spec, got, want)
 			}
 			if !sure {
 				incomplete++
@@ -471,7 +471,7 @@
 			continue
 		}
 		id := waits[g.rng.IntN(len(waits))]
-		reasons, sure := g.judge(id)
+		reasons, sure := g.explainJob(id)
 		if len(reasons) > 1 {
 			several++
 		}
@@ -486,14 +486,14 @@
 			if i >= 0 && gate.Named(reasons[i].Kind) > gate.Rank {
 				continue // in flight
 			}
-			h := newScene(seed)
+			h := newScenario(seed)
 			for k := range reasons {
 				if k != i {
-					h.away(id, reasons[k].Kind, &reasons[k], ahead)
+					h.removeReason(id, reasons[k].Kind, &reasons[k], ahead)
 				}
 			}
-			h.p.Kick()
-			h.p.place()
+			h.scheduler.RequestPass()
+			h.scheduler.place()
 			left := 0
 			if x := h.table(id); x != nil {
 				left = x.waiting()
@@ -518,7 +518,7 @@
 			}
 		}
 	}
-	t.Logf("%d seeds, %d with several reasons; %d of %d answers not complete; single remaining reasons: %v, %d with exactly their tasks, %d ranks uncertain", worlds, several, incomplete, answers, stated, exact, unsure)
+	t.Logf("%d seeds, %d with several reasons; %d of %d answers not complete; single remaining reasons: %v, %d with exactly their tasks, %d ranks uncertain", seeds, several, incomplete, answers, stated, exact, unsure)
 	for _, k := range []string{"hold", "dependency", "backOff", "probe", "teamLimit", "room", "rank", "cordon", "gang"} {
 		if stated[k] == 0 {
 			t.Errorf("no seed covers reason %s", k)
@@ -534,13 +534,13 @@
 	return strings.Join(out, "; ")
 }
 
-// teller returns a scene with one team that publishes causes, and the causes published last.
-func teller() (*scene, *[]gate.Cause) {
-	g := &scene{rig: newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 90})}
-	g.p.n.Tells = true
-	g.p.pre.nextRun = 1 << 62 // preemption is not checked here
+// newCausesScenario returns a scenario with one team that publishes causes, and the causes published last.
+func newCausesScenario() (*scenario, *[]gate.Cause) {
+	g := &scenario{rig: newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 90})}
+	g.scheduler.node.ReportCauses = true
+	g.scheduler.preemption.nextRun = 1 << 62 // preemption is not checked here
 	var told []gate.Cause
-	g.p.n.Tell = func(all []peer.Progress) {
+	g.scheduler.node.SendProgress = func(all []peer.Progress) {
 		for _, p := range all {
 			if p.Waits {
 				told = p.Causes
@@ -552,7 +552,7 @@
 
 // The causes published for a job that fits nowhere name the predicate that blocks it. A cordon was once published as
 // a lack of capacity, and operators rented machines for it.
-func TestToldCauses(t *testing.T) {
+func TestPublishedCauses(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		cordon bool
@@ -566,14 +566,14 @@
 		{"a limit", false, job.Spec{Tasks: 3, CPUs: 40}, []gate.Kind{gate.Limit, gate.Room}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g, told := teller()
-			g.show("n-001", "m8", "x", false)
+			g, told := newCausesScenario()
+			g.deliverView("n-001", "m8", "x", false)
 			if c.cordon {
 				g.putCordons([]cordon.Cordon{{Name: "c", Reason: "r", Machine: "n-001"}})
 			}
 			s := c.spec
 			s.Class, s.Team, s.MemoryGB, s.Image, s.AnyType, s.Estimate = "k", "red", 1, "i", true, loop.Second
-			g.rig.job(1, s)
+			g.rig.acceptJob(1, s)
 			g.Run(2 * loop.Second)
 			var kinds []gate.Kind
 			for _, x := range *told {
@@ -589,7 +589,7 @@
 }
 
 // The state of a task in flight follows from what its machine's host controller reports, state by state.
-func TestFlightByFlight(t *testing.T) {
+func TestTasksInFlightAreReported(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		show  func(g *rig, task agent.Task)
@@ -599,24 +599,24 @@
 	}{
 		{"sent", func(*rig, agent.Task) {}, 0, gate.Starting, "sent"},
 		{"at its host", func(g *rig, x agent.Task) {
-			g.a.Learn(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: 99, Settled: true, At: g.Now(), Pending: []agent.Task{x}})
+			g.workers.Learn(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: 99, Settled: true, At: g.Now(), Pending: []agent.Task{x}})
 		}, 0, gate.Starting, "atItsHost"},
-		{"fetching", func(g *rig, x agent.Task) { x.State = wire.TaskFetching; g.show("n-001", "m8", "x", false, x) }, 0, gate.Fetching, "fetching"},
-		{"saving", func(g *rig, x agent.Task) { x.State = wire.TaskSaving; g.show("n-001", "m8", "x", false, x) }, 0, gate.Saving, "saving"},
-		{"running", func(g *rig, x agent.Task) { x.State = wire.TaskRunning; g.show("n-001", "m8", "x", false, x) }, 0, 0, ""},
+		{"fetching", func(g *rig, x agent.Task) { x.State = wire.TaskFetching; g.deliverView("n-001", "m8", "x", false, x) }, 0, gate.Fetching, "fetching"},
+		{"saving", func(g *rig, x agent.Task) { x.State = wire.TaskSaving; g.deliverView("n-001", "m8", "x", false, x) }, 0, gate.Saving, "saving"},
+		{"running", func(g *rig, x agent.Task) { x.State = wire.TaskRunning; g.deliverView("n-001", "m8", "x", false, x) }, 0, 0, ""},
 		{"silent", func(*rig, agent.Task) {}, 12 * loop.Second, gate.Unproven, "silent"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
-			g.show("n-001", "m8", "x", false)
-			id := g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
+			g.deliverView("n-001", "m8", "x", false)
+			id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
 			g.Run(300 * loop.Millisecond)
 			if len(g.starts) != 1 {
 				t.Fatalf("got %d starts, want 1", len(g.starts))
 			}
 			c.show(g, agent.Task{Task: agent.TaskName(id, 0), Attempt: 1})
 			g.Run(c.wait + 50*loop.Millisecond)
-			f, _ := g.p.Facts(id, nil, true)
+			f, _ := g.scheduler.Facts(id, nil, true)
 			switch {
 			case c.kind == 0 && len(f.InFlight) != 0:
 				t.Fatalf("reported %+v for a running task", f.InFlight)
@@ -628,16 +628,16 @@
 }
 
 // A cause of another kind is published at once, even if it blocks as many tasks as before.
-func TestCauseOfAnotherKindIsTold(t *testing.T) {
-	g, told := teller()
+func TestCauseOfAnotherKindIsPublished(t *testing.T) {
+	g, told := newCausesScenario()
 	s := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
-	g.rig.job(1, s)
+	g.rig.acceptJob(1, s)
 	g.Run(1500 * loop.Millisecond)
 	if len(*told) != 1 || (*told)[0].Kind != gate.Room {
 		t.Fatalf("published %v for a job without a machine", *told)
 	}
 	g.putCordons([]cordon.Cordon{{Name: "c", Reason: "r", Machine: "n-001"}})
-	g.show("n-001", "m8", "x", false)
+	g.deliverView("n-001", "m8", "x", false)
 	g.Run(1500 * loop.Millisecond)
 	if len(*told) != 1 || (*told)[0].Kind != gate.Cordon {
 		t.Fatalf("published %v for a job that only a cordon blocks", *told)
--- /dev/null
+++ b/internal/placer/failures.go
@@ -0,0 +1,56 @@
+package placer
+
+import (
+	"cleatpick/internal/gate"
+	"cleatpick/internal/health"
+	"cleatpick/internal/loop"
+)
+
+// trackFailures starts tracking a job's failures. The failures that all controllers observed survive a change of
+// owner, so that a job known to be broken does not get a fresh start from each new one.
+func (p *Scheduler) trackFailures(t *jobTable) {
+	t.probation.Changed = func(from, to health.TrialState) {
+		p.node.Meter.Trial(to.String())
+		if from == health.Untried && to == health.Sound {
+			return // the outcome for nearly all jobs
+		}
+		p.log.Info("failure state of a job changed", "job", t.job.ID, "from", from.String(), "to", to.String(), "moments", t.probation.Moments, "machines", p.attribution.Against(t.job.ID))
+	}
+	if n := p.attribution.Against(t.job.ID); n >= health.BrokenOn {
+		now := p.runner.Now()
+		t.probation.Fail(now, now, n)
+	}
+}
+
+// taskFailed records that a task of the job failed. A failure on a faulty machine does not count against the job.
+func (p *Scheduler) taskFailed(t *jobTable, x *task) {
+	t.avoid = p.attribution.Shuns(t.job.ID)
+	if p.attribution.AtFault(x.machine) {
+		return
+	}
+	x.failed = true
+	t.probation.Fail(p.runner.Now(), x.chosenAt, p.attribution.Against(t.job.ID))
+}
+
+// taskSucceeded records that a task of the job completed.
+func (p *Scheduler) taskSucceeded(t *jobTable, x *task) {
+	t.probation.Complete(x.failed)
+	x.failed = false
+	t.avoid = nil
+}
+
+// failureFacts returns what the predicates need to know of a job's failures.
+func (p *Scheduler) failureFacts(t *jobTable, now loop.Micros) gate.Failing {
+	f := gate.Failing{State: t.probation.State, Moments: t.probation.Moments, Machines: p.attribution.Against(t.job.ID), RestTo: t.probation.RestTo,
+		Late: len(t.failedTasks), LateNow: t.probation.Late(len(t.failedTasks))}
+	if !t.probation.Trusted() {
+		survivors := 0
+		t.each(func(_ int, x *task) {
+			if x.state == Placed && x.running && t.probation.Survives(now, x.chosenAt) {
+				survivors++
+			}
+		})
+		f.Width = health.Width(survivors)
+	}
+	return f
+}
--- a/internal/placer/guarantee_test.go
+++ b/internal/placer/guarantee_test.go
@@ -21,17 +21,17 @@
 //
 // The fault was seen in TestNothingStarvesWhereNodesEnd with seed 54, from 200 to 220 s: blue ran 1.7 of its 38.4
 // CPUs, red 111.6 of 76.8, and 300 jobs of blue waited, with machines 92% busy throughout.
-func TestGuaranteeIsHeldBehindALargeJob(t *testing.T) {
+func TestGuaranteeIsMetBehindALargeJob(t *testing.T) {
 	const machines = 4
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16}, config.Team{Name: "blue", CPUs: 16})
-	g.job(1, job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 9000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	g.job(2, job.Spec{Class: "large", Team: "blue", Priority: job.Low, Tasks: 4000, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	g.job(3, job.Spec{Class: "small", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	g.acceptJob(1, job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 9000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	g.acceptJob(2, job.Spec{Class: "large", Team: "blue", Priority: job.Low, Tasks: 4000, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	g.acceptJob(3, job.Spec{Class: "small", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	on := map[string][]agent.Task{}
-	taken := 0
+	startsDone := 0
 	step := func() {
-		for ; taken < len(g.starts); taken++ {
-			s := g.starts[taken]
+		for ; startsDone < len(g.starts); startsDone++ {
+			s := g.starts[startsDone]
 			on[s.Machine] = append(on[s.Machine], agent.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
 		}
 		for i := range machines {
@@ -40,7 +40,7 @@
 			if len(running) > 0 { // the oldest task completes
 				running[0].State, running[0].Why = wire.TaskExited, wire.WhyDone
 			}
-			g.show(name, "m8", "x", false, running...)
+			g.deliverView(name, "m8", "x", false, running...)
 			if len(running) > 0 {
 				on[name] = running[1:]
 			}
@@ -53,7 +53,7 @@
 	used, steps := 0.0, 0
 	for ; g.Now() < 1190*loop.Second; steps++ {
 		step()
-		used += g.p.teams["blue"].cpus
+		used += g.scheduler.teams["blue"].cpus
 	}
 	if used /= float64(steps); used < 16/2 { // the test asks for half of the guarantee
 		t.Errorf("blue runs %.1f of its guaranteed 16 CPUs", used)
@@ -64,13 +64,13 @@
 
 // No capacity is reserved for a guarantee if no other team has borrowed it, before the job has waited long, or for a
 // team that has its guarantee.
-func TestGuaranteeIsNotHeldWithoutNeed(t *testing.T) {
+func TestNoReservationForGuaranteeWithoutNeed(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		used, by float64 // in use by the team, and by the other team
-		waits    loop.Micros
-		lacks    bool
-		want     bool
+		name              string
+		used, usedByOther float64 // in use by the team, and by the other team
+		waits             loop.Micros
+		lacks             bool
+		want              bool
 	}{
 		{"lacks its guarantee, and another team has borrowed", 2, 24, 80 * loop.Second, true, true},
 		{"no team has borrowed", 2, 16, 80 * loop.Second, true, false},
@@ -80,21 +80,21 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(1000, config.Team{Name: "red", CPUs: 16}, config.Team{Name: "blue", CPUs: 16})
-			id := g.job(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+			id := g.acceptJob(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 			var full []agent.Task
 			for i := range 8 {
 				full = append(full, agent.Task{Task: agent.TaskName("job-000009", i), Attempt: 1, State: wire.TaskRunning})
 			}
-			g.job(9, job.Spec{Class: "k", Team: "green", Tasks: 8, CPUs: 1, MemoryGB: 1, AnyType: true})
-			g.show("n-001", "m8", "x", false, full...)
+			g.acceptJob(9, job.Spec{Class: "k", Team: "green", Tasks: 8, CPUs: 1, MemoryGB: 1, AnyType: true})
+			g.deliverView("n-001", "m8", "x", false, full...)
 			g.Run(loop.Second)
-			g.p.fleet.Refresh()
-			tm := g.p.teams["blue"]
-			tm.cpus, g.p.teams["red"].cpus = c.used, c.by
+			g.scheduler.fleet.Refresh()
+			tm := g.scheduler.teams["blue"]
+			tm.cpus, g.scheduler.teams["red"].cpus = c.used, c.usedByOther
 			x := tm.jobs[id]
-			x.at, tm.short.lacks = g.Now()-c.waits, c.lacks
-			g.p.holdGuaranteed(&entryOf{t: x}, 1000, &budget{unmet: map[*team]float64{}})
-			if got := g.p.fleet.ReservationCount(id); (got > 0) != c.want || float64(got) > 16-c.used || float64(got) > mostHeld {
+			x.acceptedAt, tm.shortfall.lacks = g.Now()-c.waits, c.lacks
+			g.scheduler.reserveGuarantee(&queueEntry{table: x}, 1000, &budget{unmetByTeam: map[*team]float64{}})
+			if got := g.scheduler.fleet.ReservationCount(id); (got > 0) != c.want || float64(got) > 16-c.used || float64(got) > maxReserved {
 				t.Errorf("capacity is reserved for %d tasks, want a reservation: %v", got, c.want)
 			}
 		})
@@ -102,7 +102,7 @@
 }
 
 // A team counts as lacking its guarantee, and as having it again, only after the observation has been the same for
-// shortAfter without interruption.
+// shortfallDelay without interruption.
 func TestShortfall(t *testing.T) {
 	var s shortfall
 	now := 1000 * loop.Second
@@ -116,7 +116,7 @@
 	} {
 		now += c.after
 		was := s.lacks
-		if changed := s.follow(c.now, now); s.lacks != c.judged || changed != (was != s.lacks) {
+		if changed := s.observe(c.now, now); s.lacks != c.judged || changed != (was != s.lacks) {
 			t.Fatalf("step %d: lacks its guarantee: %v, changed: %v; want lacking: %v", i, s.lacks, changed, c.judged)
 		}
 	}
@@ -124,25 +124,25 @@
 
 // The accounting of a class under earlier owners is derived from the records. A job that has not begun is accounted
 // to a class of its own.
-func TestTurnsAreRestored(t *testing.T) {
+func TestClassAccountingIsRestored(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
-	begun := g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	g.show("n-001", "m8", "x", false)
+	begun := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	g.deliverView("n-001", "m8", "x", false)
 	g.Run(2 * loop.Second)
-	waiting := g.job(2, job.Spec{Class: "w", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	waiting := g.acceptJob(2, job.Spec{Class: "w", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	g.Run(2 * loop.Second)
-	tm := g.p.teams["red"]
+	tm := g.scheduler.teams["red"]
 	if n := tm.jobs[begun].inUse; n != 4 {
 		t.Fatalf("%d tasks are in use, want 4", n)
 	}
-	if got := tm.jobs[begun].turnClass(); got != "red" {
+	if got := tm.jobs[begun].reserveClass(); got != "red" {
 		t.Errorf("a job that has begun is in class %q", got)
 	}
-	if got := tm.jobs[waiting].turnClass(); got != "red\x00w" {
+	if got := tm.jobs[waiting].reserveClass(); got != "red\x00w" {
 		t.Errorf("a job that has not begun is in class %q", got)
 	}
 	restored := map[string]float64{}
-	for class, cpus := range g.p.turnsOf(tm) {
+	for class, cpus := range g.scheduler.accountingOf(tm) {
 		restored[class] = cpus
 	}
 	if len(restored) != 2 || restored["red"] != 8 || restored["red\x00k"] != 2 {
@@ -151,16 +151,16 @@
 }
 
 // Only the reservations of jobs owned here are sent to a peer that does not know them.
-func TestClaimsInForceAreThoseOfOwnedJobs(t *testing.T) {
+func TestReservationsAreThoseOfOwnedJobs(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
-	mine := g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 100, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	theirs := g.job(2, job.Spec{Class: "k", Team: "blue", Tasks: 1, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	g.show("n-001", "m8", "x", false)
+	mine := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 100, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	theirs := g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Tasks: 1, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	g.deliverView("n-001", "m8", "x", false)
 	g.Run(loop.Second)
 	for _, id := range []string{mine, theirs} {
-		g.p.fleet.AddReservation(peer.Claim{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
+		g.scheduler.fleet.AddReservation(peer.Claim{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
 	}
-	if got := g.p.ClaimsInForce(); len(got) != 1 || got[0].Job != mine || got[0].CPUs != 2 {
+	if got := g.scheduler.OwnReservations(); len(got) != 1 || got[0].Job != mine || got[0].CPUs != 2 {
 		t.Errorf("got reservations %+v, want the one of %s", got, mine)
 	}
 }
--- a/internal/placer/quota_test.go
+++ b/internal/placer/quota_test.go
@@ -22,7 +22,7 @@
 		on[s.Machine] = append(on[s.Machine], agent.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
 	}
 	for _, m := range machines {
-		g.show(m, "m16", "x", false, on[m]...)
+		g.deliverView(m, "m16", "x", false, on[m]...)
 	}
 }
 
@@ -30,21 +30,21 @@
 // no limit; it was once read as a limit of nothing, and all work of a team without a limit was refused for good.
 func TestGuaranteeAndLimit(t *testing.T) {
 	for _, c := range []struct {
-		have, most  float64
-		runnable    bool // whether a task of 16 CPUs can run
-		placed      int  // of 40 tasks on 48 CPUs
-		limited     int
-		room        string // state of its wait for capacity, when another team uses all of it
-		stops       bool   // whether tasks of others are then preempted
-		most1, says string // the limit in JSON, and in text for people
+		guarantee, limit     float64
+		runnable             bool // whether a task of 16 CPUs can run
+		placed               int  // of 40 tasks on 48 CPUs
+		limited              int
+		waitState            string // state of its wait for capacity, when another team uses all of it
+		preempts             bool   // whether tasks of others are then preempted
+		limitJSON, limitText string // the limit in JSON, and in text for people
 	}{
 		{0, 0, true, 40, 0, "behindGuarantees", false, `"cpusMax":null`, "no limit"},
 		{8, 0, true, 40, 0, "noRoom", true, `"cpusMax":null`, "no limit"},
 		{0, 12, false, 12, 28, "behindGuarantees", false, `"cpusMax":12`, "12 at most"},
 		{8, 12, false, 12, 28, "noRoom", true, `"cpusMax":12`, "12 at most"},
 	} {
-		t.Run(fmt.Sprint(c.have, " of ", c.most), func(t *testing.T) {
-			red, blue := config.Team{Name: "red", CPUs: c.have, CPUsMax: c.most}, config.Team{Name: "blue", CPUs: 16, CPUsMax: 0}
+		t.Run(fmt.Sprint(c.guarantee, " of ", c.limit), func(t *testing.T) {
+			red, blue := config.Team{Name: "red", CPUs: c.guarantee, CPUsMax: c.limit}, config.Team{Name: "blue", CPUs: 16, CPUsMax: 0}
 			settings := &config.Config{}
 			settings.Cluster.Teams = []config.Team{red, blue}
 			spec := job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 40, CPUs: 1, MemoryGB: 0.5, Image: "i", AnyType: true, Estimate: 60 * loop.Second}
@@ -57,12 +57,12 @@
 			machines := []string{"n-1", "n-2", "n-3"}
 			g := newRig(100, red, blue)
 			g.showRunning(machines...)
-			id := g.job(1, spec)
+			id := g.acceptJob(1, spec)
 			g.Run(600 * loop.Millisecond) // starts that no view shows by then are sent again
 			if len(g.starts) != c.placed {
 				t.Errorf("%d tasks are started, want %d", len(g.starts), c.placed)
 			}
-			f, _ := g.p.Facts(id, []wire.MachineType{types["m16"]}, true)
+			f, _ := g.scheduler.Facts(id, []wire.MachineType{types["m16"]}, true)
 			limited := 0
 			for _, r := range explain.Reasons(f) {
 				if r.Kind == "teamLimit" {
@@ -75,11 +75,11 @@
 
 			g = newRig(100, red, blue)
 			var claims []peer.Claim
-			g.p.n.Claims = func(cs []peer.Claim) { claims = append(claims, cs...) }
+			g.scheduler.node.SendReservations = func(cs []peer.Claim) { claims = append(claims, cs...) }
 			g.showRunning(machines...)
 			other := spec
 			other.Team, other.Tasks = "blue", 48
-			g.job(1, other)
+			g.acceptJob(1, other)
 			g.Run(600 * loop.Millisecond)
 			g.showRunning(machines...)
 			if len(g.starts) != 48 {
@@ -87,18 +87,18 @@
 			}
 			own := spec
 			own.Tasks = 4
-			id = g.job(2, own)
+			id = g.acceptJob(2, own)
 			g.Run(6 * loop.Second) // capacity freed by completing tasks is awaited first
-			if (len(claims) > 0) != c.stops {
+			if (len(claims) > 0) != c.preempts {
 				t.Errorf("%d tasks of others are preempted", len(claims))
 			}
-			f, _ = g.p.Facts(id, []wire.MachineType{types["m16"]}, true)
+			f, _ = g.scheduler.Facts(id, []wire.MachineType{types["m16"]}, true)
 			for _, r := range explain.Reasons(f) {
 				if r.Kind != "room" {
 					continue
 				}
 				raw, err := json.Marshal(r.Detail.Team)
-				if r.State != c.room || err != nil || !strings.Contains(string(raw), c.most1) || r.Detail.Team.CPUsMax.String() != c.says {
+				if r.State != c.waitState || err != nil || !strings.Contains(string(raw), c.limitJSON) || r.Detail.Team.CPUsMax.String() != c.limitText {
 					t.Errorf("its wait for capacity is reported as %s, %s, %v", r.State, raw, r.Detail.Team.CPUsMax)
 				}
 				return
--- /dev/null
+++ b/internal/placer/scheduler.go
@@ -0,0 +1,371 @@
+package placer
+
+import (
+	"log/slog"
+
+	"cleatpick/internal/agent"
+	"cleatpick/internal/config"
+	"cleatpick/internal/cordon"
+	"cleatpick/internal/delivery"
+	"cleatpick/internal/fleet"
+	"cleatpick/internal/health"
+	"cleatpick/internal/job"
+	"cleatpick/internal/loop"
+	"cleatpick/internal/member"
+	"cleatpick/internal/metric"
+	"cleatpick/internal/partition"
+	"cleatpick/internal/peer"
+	"cleatpick/internal/starvation"
+	"cleatpick/internal/store"
+	"cleatpick/internal/wire"
+)
+
+// Node holds what the scheduler needs of the controller around it. Host parameters name a host controller, which may
+// be this one.
+type Node struct {
+	Label string
+	Type  func(string) (wire.MachineType, bool)
+	// Start and Stop send a command to the named host controller.
+	Start func(host string, s agent.Start)
+	Stop  func(host string, s agent.Stop)
+	// RequestTaskList asks a machine's host controller for a task list that was certainly made after the request.
+	RequestTaskList func(host, machine string)
+	// Reserve tells the host controller of a placement whose record is still being stored.
+	Reserve func(host string, s agent.Start)
+	// SendDemand sends the list of unplaced requests to the leader.
+	SendDemand func(peer.Tally)
+	// SendProgress sends the task counts of owned jobs to the peers.
+	SendProgress func([]peer.Progress)
+	// SendUsage sends the resource use of the owned teams to the peers.
+	SendUsage func([]peer.Usage)
+	// SendReservations sends new reservations of capacity on machines to the peers.
+	SendReservations func([]peer.Claim)
+	// ReportCauses reports whether the causes of waiting are tracked and sent to the peers. Meter counts events and
+	// may be nil.
+	ReportCauses bool
+	Meter        *metric.Meter
+	// Membership maps teams to partitions. It is nil where every team is a partition of its own.
+	Membership Membership
+}
+
+// Membership is the part of the cluster membership that the scheduler uses.
+type Membership interface {
+	Layout() partition.Layout
+	// Assigned reports whether a team has been assigned to its numbered partition, which is permanent. Assign stores
+	// the assignment of those teams that no controller owns.
+	Assigned(team string) bool
+	Assign(id partition.ID, claim member.Owner, teams []string, done func(ok bool))
+}
+
+// Scheduler schedules the tasks of the owned teams. It runs on one event loop and is not safe for concurrent use.
+type Scheduler struct {
+	runner   loop.Runner
+	client   *store.Client
+	log      *slog.Logger
+	cfg      *config.Config
+	node     Node
+	registry *job.Registry
+	cordons  *cordon.Book
+	agent    *agent.Agent
+	// partitions holds the partitions that this controller owns; teams holds the teams assigned to them, by name.
+	partitions     map[partition.ID]*ownedPartition
+	teams          map[string]*team
+	tasksByMachine map[string]*machineTasks // tasks in use by machine
+	attribution    *health.Blame
+	fleet          *fleet.Fleet
+	passScheduled  bool
+	lastPassTook   loop.Micros // duration of the newest pass
+
+	commitAt         loop.Micros // when the next commit is due; 0: none is scheduled
+	zoneByMachine    map[string]string
+	nonce            uint64
+	valueLimit       int // limit on the estimated size of a segment, in bytes
+	unplacedRequests []peer.Want
+	usage            map[string]peer.Usage
+	preemption       preemptionState
+	turnover         fleet.Turnover
+	starvation       *starvation.Reserve
+	paces            health.Paces
+	checkRequestedAt map[string]loop.Micros
+	reruns           reruns
+	nextSweepAt      loop.Micros // when all tasks in use are checked next
+	clock            delivery.Clock
+	expiries         *delivery.Expiries // expiry of each attempt that this owner recorded
+}
+
+// New returns a scheduler that owns no partition yet and schedules its periodic work on r.
+func New(r loop.Runner, c *store.Client, log *slog.Logger, cfg *config.Config, n Node, registry *job.Registry, a *agent.Agent, cordons *cordon.Book) *Scheduler {
+	p := &Scheduler{runner: r, cordons: cordons, client: c, log: log, cfg: cfg, node: n, registry: registry, agent: a, partitions: map[partition.ID]*ownedPartition{}, teams: map[string]*team{},
+		valueLimit:     int(cfg.Cluster.State.ValueKB * 1024 * valueFraction),
+		tasksByMachine: map[string]*machineTasks{},
+		attribution:    health.NewBlame(func(id string) bool { j := registry.Get(id); return j != nil && !j.Final() }), zoneByMachine: map[string]string{}, nonce: loop.Rand(r).Uint64() >> 1, usage: map[string]peer.Usage{},
+
+		checkRequestedAt: map[string]loop.Micros{}, paces: health.Paces{}, starvation: starvation.New()}
+	p.clock = delivery.NewClock(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifeS))
+	p.expiries = delivery.NewExpiries(p.clock)
+	p.fleet = fleet.New(r, log, fleet.Node{Label: n.Label, Type: n.Type, Room: a.Room, Jobs: a.Jobs, Unshown: p.eachUnlisted, Stop: n.Stop,
+		Cordons: cordons, StaleAfter: p.staleAfter()})
+	loop.Every(r, 400*loop.Millisecond, p.tick)
+	loop.Every(r, 60*loop.Second, func() {
+		for m := range p.zoneByMachine { // of deleted machines, once no task is counted there
+			if p.tasksByMachine[m] == nil && p.fleet.Machine(m) == nil {
+				delete(p.zoneByMachine, m)
+			}
+		}
+	})
+	return p
+}
+
+// forgetJob removes a job's table and everything that refers to its tasks.
+func (p *Scheduler) forgetJob(t *jobTable) {
+	t.each(func(i int, x *task) {
+		p.recordRerun(x, false)
+		if x.inUse() {
+			p.removeInUse(taskRef{t, i})
+		}
+		if x.segment != nil {
+			x.segment.live--
+			x.segment = nil
+		}
+	})
+	t.team.removeJob(t)
+}
+
+// tableOf returns the table of a job, which it creates if necessary.
+func (p *Scheduler) tableOf(tm *team, j *job.Job) *jobTable {
+	t := tm.jobs[j.ID]
+	if t == nil {
+		t = &jobTable{job: j, team: tm, blocks: make([]*[blockSize]task, (j.Tasks+blockSize-1)/blockSize), zones: map[string]int{}}
+		t.acceptedAt = p.runner.Now() - max(p.runner.Wall()-j.At, 0)
+		t.servedEarlyAt = t.acceptedAt
+		p.trackFailures(t)
+		tm.addJob(t)
+	}
+	return t
+}
+
+// JobChanged applies a new or changed job record.
+func (p *Scheduler) JobChanged(j *job.Job) {
+	if j.Final() {
+		delete(p.paces, j.ID)
+		p.fleet.TrimReservations(j.ID, 0)
+		p.attribution.Over(j.ID)
+	}
+	if j.Spec == nil {
+		return
+	}
+	tm := p.teams[j.Spec.Team]
+	if tm == nil && !j.Final() {
+		p.scheduleAssignment(j.Spec.Team)
+	}
+	if tm == nil || !tm.loaded {
+		return
+	}
+	t := tm.jobs[j.ID]
+	if t == nil {
+		if j.Final() {
+			return
+		}
+		p.tableOf(tm, j)
+		p.RequestPass()
+		return
+	}
+	if j.Final() {
+		p.cleanUpFinal(t)
+	}
+}
+
+// cleanUpFinal cleans up after a job in a final phase. Tasks that may still be on a machine are stopped, and
+// count as in use until they are confirmed terminated.
+func (p *Scheduler) cleanUpFinal(t *jobTable) {
+	t.each(func(i int, x *task) {
+		if x.state == Recording || (x.state == Placed && x.recordedHere && x.sentTo == "") {
+			p.setTask(t, i, Waiting) // no start was sent
+		} else if x.state == Placed {
+			p.stop(t, i, 0)
+		}
+	})
+	p.forgetIfTerminated(t)
+	p.RequestPass()
+}
+
+// forgetIfTerminated forgets the table of a job in a final phase once none of its tasks can be on a machine.
+func (p *Scheduler) forgetIfTerminated(t *jobTable) {
+	if t.job.Final() && t.inUse == 0 {
+		p.forgetJob(t)
+	}
+}
+
+// stop sends a stop for a task's attempt, at most once per second. With a grace period the task may save first.
+func (p *Scheduler) stop(t *jobTable, i int, grace loop.Micros) {
+	x := t.task(i)
+	now := p.runner.Now()
+	if x.stopSentAt != 0 && now-x.stopSentAt < loop.Second {
+		return
+	}
+	if v := p.agent.View(x.machine); v != nil {
+		x.stopSentAt = now
+		p.node.Stop(v.Host, agent.Stop{Machine: x.machine, Task: t.taskName(i), Attempt: x.attempt, Grace: grace})
+	}
+}
+
+// StartDropped handles a host controller's message that it will never pass a start on to the worker.
+func (p *Scheduler) StartDropped(from string, d agent.Drop) {
+	id, i, ok := agent.SplitTask(d.Task)
+	if !ok {
+		return
+	}
+	j := p.registry.Get(id)
+	if j == nil || j.Spec == nil {
+		return
+	}
+	tm := p.teams[j.Spec.Team]
+	if tm == nil || tm.jobs[id] == nil || i >= j.Tasks {
+		return
+	}
+	t := tm.jobs[id]
+	x := t.task(i)
+	if x.attempt != d.Attempt || x.machine != d.Machine {
+		return
+	}
+	if d.Reserve {
+		// Another owner reserved the capacity first. The refusal frees the task only while no record of the start was
+		// attempted. Afterwards it is no evidence: the start may be in flight, and freeing the task then would let it
+		// run twice.
+		if x.state == Recording && x.expiry == 0 {
+			p.node.Meter.Refusal()
+			p.excludeBriefly(d.Machine)
+			p.confirmTerminated(t, i, "reservation refused: "+d.Why)
+			p.RequestPass()
+		}
+		return
+	}
+	if x.state != Placed {
+		return
+	}
+	// The refusal is evidence only if the start was sent to no other host controller and to no other incarnation of
+	// this one.
+	if x.recordedHere && !x.sentToSeveral && x.sentTo == from && x.sentToIncarnation == d.Life && !x.listed {
+		p.excludeBriefly(d.Machine)
+		p.confirmTerminated(t, i, "dropped: "+d.Why)
+		p.RequestPass()
+	}
+}
+
+// sendStart sends the start of a recorded task, or takes the task back if the start cannot be sent any more.
+func (p *Scheduler) sendStart(t *jobTable, i int) {
+	x := t.task(i)
+	v := p.agent.View(x.machine)
+	if v == nil || p.runner.Wall() >= x.expiry {
+		if x.sentTo == "" && x.recordedHere {
+			p.confirmTerminated(t, i, "not sent in time")
+			p.RequestPass()
+		}
+		return
+	}
+	if why := p.startBlockedBy(t, x.machine); why != "" {
+		// A start that was already sent may still run. One that was never sent can be taken back.
+		if x.sentTo == "" && x.recordedHere {
+			p.confirmTerminated(t, i, why)
+		}
+		return
+	}
+	if x.sentTo != "" && (x.sentTo != v.Host || x.sentToIncarnation != v.Life) {
+		x.sentToSeveral = true
+	}
+	if x.sentTo == "" {
+		p.node.Meter.Start()
+	}
+	x.sentTo, x.sentToIncarnation, x.sentAt = v.Host, v.Life, p.runner.Now()
+	p.node.Start(v.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.taskName(i), Attempt: x.attempt, Expiry: x.expiry, From: p.node.Label, Life: v.Life})
+}
+
+// completeIfDone stores a job's completion once all its tasks have completed.
+func (p *Scheduler) completeIfDone(t *jobTable) {
+	if t.completing || t.job.Final() || t.job.Spec.Service || t.completed < t.job.Tasks || !t.team.loaded {
+		return
+	}
+	t.completing = true
+	p.storeCompletion(t)
+}
+
+// storeCompletion stores that a job is done, and retries until the answer is certain.
+func (p *Scheduler) storeCompletion(t *jobTable) {
+	if p.teams[t.team.cfg.Name] != t.team || t.job.Final() {
+		return
+	}
+	ch := job.DoneChange(t.job)
+	part := t.team.partition
+	txn := wire.Txn{If: []wire.Cond{member.ClaimCond(part.id, part.claim), job.Cond(t.job)}, Then: []wire.Change{ch}}
+	p.client.Txn(store.Answers, txn, func(r store.Result) {
+		if p.teams[t.team.cfg.Name] != t.team {
+			return
+		}
+		switch r.Outcome {
+		case store.Applied:
+			p.log.Debug("job done", "job", t.job.ID, "class", t.job.Spec.Class, "tasks", t.job.Tasks, "took_us", p.runner.Wall()-t.job.At, "estimate_us", t.job.Spec.Estimate)
+			p.registry.ApplyStored(ch, r.Tally)
+			p.forgetJob(t)
+		case store.Conflict:
+			p.registry.Refresh(t.job.ID)
+			p.runner.After(250*loop.Millisecond, func() { p.storeCompletion(t) })
+		default:
+			p.runner.After(150*loop.Millisecond, func() { p.storeCompletion(t) })
+		}
+	})
+}
+
+// excludeBriefly excludes a machine from placement for 300 ms, until a newer view of it has arrived.
+func (p *Scheduler) excludeBriefly(machine string) {
+	if sl := p.fleet.Machine(machine); sl != nil {
+		sl.BackOff(p.runner.Now()+300*loop.Millisecond, "its host controller refused a start")
+	}
+}
+
+// JobCounts returns the task counts of a job whose team is owned here. ok is false for other jobs.
+func (p *Scheduler) JobCounts(j *job.Job) (job.Counts, bool) {
+	if j.Spec == nil {
+		return job.Counts{}, false
+	}
+	tm := p.teams[j.Spec.Team]
+	if tm == nil || tm.jobs[j.ID] == nil {
+		return job.Counts{}, false
+	}
+	t := tm.jobs[j.ID]
+	return job.Counts{Done: int64(t.completed), Running: int64(t.running)}, true
+}
+
+// TasksInUse returns the number of tasks of an owned partition that may be on machines.
+func (p *Scheduler) TasksInUse(id partition.ID) int {
+	n := 0
+	if part := p.partitions[id]; part != nil {
+		for _, tm := range part.teams {
+			n += tm.inUse()
+		}
+	}
+	return n
+}
+
+// UsageReceived records the resource use of teams that other controllers own.
+func (p *Scheduler) UsageReceived(u []peer.Usage) {
+	for _, x := range u {
+		p.usage[x.Team] = x
+	}
+}
+
+// minPassInterval is the minimum time between two passes. In a large cluster capacity becomes free continuously, and
+// a pass for each such event would scan the same queue every time.
+const minPassInterval = 80 * loop.Millisecond
+
+// RequestPass schedules a placement pass. Calls that arrive before the pass starts share it. The delay grows with the
+// duration of the newest pass, so that passes leave most of the controller's time to other work.
+func (p *Scheduler) RequestPass() {
+	if p.passScheduled {
+		return
+	}
+	p.passScheduled = true
+	p.runner.After(min(minPassInterval+10*p.lastPassTook, 400*loop.Millisecond), func() {
+		p.passScheduled = false
+		p.place()
+	})
+}
