--- a/internal/rental/cloud.go
+++ b/internal/rental/cloud.go
@@ -19,33 +19,33 @@
 	if gap := t.cfg.Operator.CloudCallS; gap > 0 {
 		rate = 1 / gap
 	}
-	if t.allowAt != 0 {
-		t.allow += float64(now-t.allowAt) / 1e6 * rate
+	if t.callBudgetAt != 0 {
+		t.callBudget += float64(now-t.callBudgetAt) / 1e6 * rate
 	}
-	if most := max(1.8*rate-1, 1); t.allow > most || t.allowAt == 0 {
-		t.allow = most
+	if most := max(1.8*rate-1, 1); t.callBudget > most || t.callBudgetAt == 0 {
+		t.callBudget = most
 	}
-	t.allowAt = now
-	return !t.calling && now >= t.pauseTo && t.allow >= 1
+	t.callBudgetAt = now
+	return !t.calling && now >= t.pausedUntil && t.callBudget >= 1
 }
 
 // call makes one paced cloud call. One call is made at a time.
-func (t *Rental) call(method, path string, body any, timeout loop.Micros, cb func(store.Response)) {
+func (t *Rental) call(method, path string, body any, timeout loop.Micros, done func(store.Response)) {
 	t.calling = true
-	t.allow--
+	t.callBudget--
 	var raw []byte
 	if body != nil {
 		raw = wire.Marshal(body)
 	}
-	t.r.Go(func() {
+	t.runner.Go(func() {
 		resp := t.cloud.Do(method, path, raw, loop.Duration(timeout))
-		t.r.Post(func() {
+		t.runner.Post(func() {
 			t.calling = false
 			if resp.Err != nil || resp.Status == 429 || (resp.Status == 503 && !strings.Contains(string(resp.Body), "capacity")) {
-				t.pauseTo = t.r.Now() + 600*loop.Millisecond
+				t.pausedUntil = t.runner.Now() + 600*loop.Millisecond
 			}
-			t.n.Meter.Cloud(metric.Outcome(resp.Status, resp.Err))
-			cb(resp)
+			t.node.Meter.Cloud(metric.Outcome(resp.Status, resp.Err))
+			done(resp)
 		})
 	})
 }
@@ -67,12 +67,12 @@
 			}
 			good = append(good, x)
 		}
-		t.catAt = t.r.Now()
+		t.catalogAt = t.runner.Now()
 		t.setCatalog(good)
 		ch := wire.Change{Put: CatalogKey, Value: catalogRecord{good}}
-		t.c.Txn(store.Background, wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}, Then: []wire.Change{ch}}, func(r store.Result) {
+		t.client.Txn(store.Background, wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}, Then: []wire.Change{ch}}, func(r store.Result) {
 			if r.Outcome == store.Applied {
-				t.m.Apply(CatalogKey, wire.Marshal(ch.Value), r.Tally, false)
+				t.mirror.Apply(CatalogKey, wire.Marshal(ch.Value), r.Tally, false)
 			}
 		})
 	})
@@ -95,7 +95,7 @@
 			t.list(l.Machines[len(l.Machines)-1].Name, all)
 			return
 		}
-		t.listAt, t.listed = t.r.Now(), true
+		t.listAt, t.listed = t.runner.Now(), true
 		for _, x := range all {
 			m := t.adopt(x.Name, x.Type, x.Zone, x.Spot)
 			if m == nil {
@@ -103,7 +103,7 @@
 			}
 			m.listed = x.State
 			if x.AgeS >= 0 && x.AgeS < 1e8 {
-				m.since = min(m.since, t.r.Now()-loop.Seconds(x.AgeS))
+				m.since = min(m.since, t.runner.Now()-loop.Seconds(x.AgeS))
 			}
 		}
 	})
--- a/internal/rental/coming_test.go
+++ b/internal/rental/coming_test.go
@@ -14,12 +14,12 @@
 
 // The capacity that requests take is compared with the plain rule, by which each request goes through all
 // expected machines from the first one on.
-func TestSupplyAgainstPlainRule(t *testing.T) {
+func TestExpectedCapacityAgainstPlainRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var plain []*comingMachine
-		s := supply{used: map[fleet.Shape]int{}}
+		var plain []*expectedMachine
+		s := expectedCapacity{exhausted: map[fleet.Shape]int{}}
 		join := func() {
-			c := comingMachine{offer{"m", rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"), rapid.Bool().Draw(t, "spot")}, agent.Room{CPUs: float64(rapid.IntRange(0, 8).Draw(t, "cpus")), MemoryGB: 16}}
+			c := expectedMachine{offer{"m", rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"), rapid.Bool().Draw(t, "spot")}, agent.Room{CPUs: float64(rapid.IntRange(0, 8).Draw(t, "cpus")), MemoryGB: 16}}
 			again := c
 			plain = append(plain, &c)
 			s.machines = append(s.machines, &again)
@@ -34,16 +34,16 @@
 			one, two := &gate.Need{Spec: spec, Tasks: 20, Zones: map[string]int{}}, &gate.Need{Spec: spec, Tasks: 20, Zones: map[string]int{}}
 			left := count
 			for _, c := range plain {
-				left -= c.serve(one, left)
+				left -= c.place(one, left)
 			}
-			if got := s.serve(two, count); got != left {
+			if got := s.place(two, count); got != left {
 				t.Fatalf("%d of %d tasks are left over, by the plain rule %d", got, count, left)
 			}
 			if rapid.Bool().Draw(t, "one more joins") {
 				join()
 			}
 		}
-		if !slices.EqualFunc(plain, s.machines, func(a, b *comingMachine) bool { return *a == *b }) {
+		if !slices.EqualFunc(plain, s.machines, func(a, b *expectedMachine) bool { return *a == *b }) {
 			t.Fatal("the capacity taken from the machines differs from that by the plain rule")
 		}
 	})
--- a/internal/rental/deletion.go
+++ b/internal/rental/deletion.go
@@ -12,13 +12,13 @@
 	"cleatpick/internal/wire"
 )
 
-// mostDeleted is the number of machines that one call may delete.
-const mostDeleted = 100
+// maxDeletionsPerCall is the number of machines that one call may delete.
+const maxDeletionsPerCall = 100
 
-// deleteSome requests the deletion of the machines that have waited longest, failed ones first.
-func (t *Rental) deleteSome() {
+// deleteNext requests the deletion of the machines that have waited longest, failed ones first.
+func (t *Rental) deleteNext() {
 	first := func(m *machine) int {
-		if m.lost {
+		if m.failed {
 			return 0
 		}
 		return 1
@@ -27,12 +27,12 @@
 		return cmp.Or(cmp.Compare(first(a), first(b)), cmp.Compare(a.deleteAt, b.deleteAt), cmp.Compare(a.name, b.name))
 	})
 	var names []string
-	for _, m := range all[:min(len(all), mostDeleted)] {
+	for _, m := range all[:min(len(all), maxDeletionsPerCall)] {
 		names = append(names, m.name)
 	}
 	// Only the current leader may delete, which the cloud cannot check: the transaction confirms it first.
 	t.calling = true
-	t.c.Txn(store.Placements, wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}}, func(r store.Result) {
+	t.client.Txn(store.Placements, wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}}, func(r store.Result) {
 		t.calling = false
 		if r.Outcome == store.Applied && t.leads {
 			t.delete(names)
@@ -49,7 +49,7 @@
 		// The answer confirms that the machines and all tasks on them are terminated. It is recorded, so that
 		// every owner learns of it.
 		t.seq++
-		ch := wire.Change{Put: fmt.Sprintf("%s%d-%d", GoneKeys, t.claim.Epoch, t.seq), Value: GoneRecord{names, t.r.Wall()}}
+		ch := wire.Change{Put: fmt.Sprintf("%s%d-%d", GoneKeys, t.claim.Epoch, t.seq), Value: GoneRecord{names, t.runner.Wall()}}
 		for _, name := range names {
 			// Its capacity is available in the cloud again, so an earlier refusal no longer holds.
 			if m := t.machines[name]; m != nil {
@@ -57,60 +57,60 @@
 					b.until = 0
 				}
 			}
-			t.gone(name)
+			t.markDeleted(name)
 		}
-		t.record(ch, 0)
+		t.recordDeletion(ch, 0)
 	})
 }
 
-// record stores the record of a deletion, retrying until the state service has applied it.
-func (t *Rental) record(ch wire.Change, tries int) {
-	t.c.Txn(store.Placements, wire.Txn{Then: []wire.Change{ch}}, func(r store.Result) {
+// recordDeletion stores the recordDeletion of a deletion, retrying until the state service has applied it.
+func (t *Rental) recordDeletion(ch wire.Change, tries int) {
+	t.client.Txn(store.Placements, wire.Txn{Then: []wire.Change{ch}}, func(r store.Result) {
 		if r.Outcome != store.Applied && r.Outcome != store.Invalid && tries < 200 {
-			t.r.After(300*loop.Millisecond, func() { t.record(ch, tries+1) })
+			t.runner.After(300*loop.Millisecond, func() { t.recordDeletion(ch, tries+1) })
 		}
 	})
 }
 
-// keepGone is how long records of deletions are kept. An owner that finds a task on a machine whose record
+// deletionRetention is how long records of deletions are kept. An owner that finds a task on a machine whose record
 // has been removed reports the machine as suspect, and the leader has its deletion confirmed again.
-const keepGone = 30 * 60 * loop.Second
+const deletionRetention = 30 * 60 * loop.Second
 
-// sweep removes records of deletions that are older than keepGone.
-func (t *Rental) sweep() {
-	if !t.leads || !t.n.Entitled() {
+// removeOldDeletions removes records of deletions that are older than keepGone.
+func (t *Rental) removeOldDeletions() {
+	if !t.leads || !t.node.Entitled() {
 		return
 	}
 	txn := wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}}
-	for _, key := range t.m.Under(GoneKeys) {
+	for _, key := range t.mirror.Under(GoneKeys) {
 		var rec GoneRecord
-		if e, ok := t.m.Get(key); ok && wire.Unmarshal(e.Value, &rec) == nil && t.r.Wall()-rec.At > keepGone &&
-			len(txn.Then) < t.c.MostChanges() {
+		if e, ok := t.mirror.Get(key); ok && wire.Unmarshal(e.Value, &rec) == nil && t.runner.Wall()-rec.At > deletionRetention &&
+			len(txn.Then) < t.client.MostChanges() {
 			txn.Then = append(txn.Then, wire.Change{Delete: key})
 		}
 	}
 	if len(txn.Then) == 0 {
 		return
 	}
-	t.c.Txn(store.Background, txn, func(r store.Result) {
+	t.client.Txn(store.Background, txn, func(r store.Result) {
 		if r.Outcome == store.Applied {
 			for _, ch := range txn.Then {
-				t.m.Apply(ch.Delete, nil, r.Tally, true)
+				t.mirror.Apply(ch.Delete, nil, r.Tally, true)
 			}
 		}
 	})
 }
 
-// gone forgets a machine that is known to be deleted, and notifies the workers' registry and OnGone once.
-func (t *Rental) gone(name string) {
+// markDeleted forgets a machine that is known to be deleted, and notifies the workers' registry and OnGone once.
+func (t *Rental) markDeleted(name string) {
 	if m := t.machines[name]; m != nil {
 		t.setState(m, Gone, m.why)
 		delete(t.machines, name)
-		t.byOrder = nil
-		t.losses.Forget(name)
+		t.sortedMachines = nil
+		t.failures.Forget(name)
 	}
-	if !t.agent.IsGone(name) {
-		t.agent.Gone(name)
+	if !t.workers.IsGone(name) {
+		t.workers.Gone(name)
 		if t.OnGone != nil {
 			t.OnGone(name)
 		}
--- a/internal/rental/machine.go
+++ b/internal/rental/machine.go
@@ -28,36 +28,36 @@
 }
 
 type machine struct {
-	name     string
-	typ      string
-	zone     string
-	spot     bool
-	state    MachineState
-	since    loop.Micros // when it was rented, as far as known
-	heard    loop.Micros // newest report that proves that it receives messages; 0: it never reported to this leader
-	told     loop.Micros // newest report of any kind
-	listed   string      // its state in the cloud's list
-	emptyTo  loop.Micros // end of its standby time; 0: not empty
-	why      string
-	deleteAt loop.Micros // when its state became Deleting
-	lost     bool        // proven failed: its deletion confirms that the tasks on it are terminated
-	asked    loop.Micros
-	firstSaw loop.Micros
-	rented   bool        // by this leader, so that since is exact
-	spareTo  loop.Micros // end of the standby time of a machine that is not needed; 0: it is needed
+	name         string
+	typ          string
+	zone         string
+	spot         bool
+	state        MachineState
+	since        loop.Micros // when it was rented, as far as known
+	confirmedAt  loop.Micros // newest report that proves that it receives messages; 0: it never reported to this leader
+	reportedAt   loop.Micros // newest report of any kind
+	listed       string      // its state in the cloud's list
+	standbyUntil loop.Micros // end of its standby time; 0: not empty
+	why          string
+	deleteAt     loop.Micros // when its state became Deleting
+	failed       bool        // proven failed: its deletion confirms that the tasks on it are terminated
+	closeAskedAt loop.Micros
+	firstSeen    loop.Micros
+	rented       bool        // by this leader, so that since is exact
+	drainAt      loop.Micros // end of the standby time of a machine that is not needed; 0: it is needed
 }
 
 // adopt returns the record of a machine, creating it if needed; nil if the machine is known to be deleted.
 func (t *Rental) adopt(name, typ, zone string, spot bool) *machine {
-	if t.agent.IsGone(name) {
+	if t.workers.IsGone(name) {
 		return nil
 	}
 	m := t.machines[name]
 	if m == nil {
-		now := t.r.Now()
-		m = &machine{name: name, typ: typ, zone: zone, spot: spot, since: now, firstSaw: now}
+		now := t.runner.Now()
+		m = &machine{name: name, typ: typ, zone: zone, spot: spot, since: now, firstSeen: now}
 		t.machines[name] = m
-		t.byOrder = nil
+		t.sortedMachines = nil
 	}
 	if m.typ == "" {
 		// An owner named the machine as suspect before anything else was known of it. While these fields
@@ -70,10 +70,10 @@
 
 // sorted lists the machines by name. The list is cached until a machine joins or leaves.
 func (t *Rental) sorted() []*machine {
-	if t.byOrder == nil {
-		t.byOrder = slices.SortedFunc(maps.Values(t.machines), func(a, b *machine) int { return strings.Compare(a.name, b.name) })
+	if t.sortedMachines == nil {
+		t.sortedMachines = slices.SortedFunc(maps.Values(t.machines), func(a, b *machine) int { return strings.Compare(a.name, b.name) })
 	}
-	return t.byOrder
+	return t.sortedMachines
 }
 
 // setState changes a machine's state and logs it; no other function changes the state.
@@ -85,14 +85,14 @@
 	m.state, m.why = s, why
 	delete(t.deleting, m.name)
 	if s == Deleting {
-		m.deleteAt = t.r.Now()
+		m.deleteAt = t.runner.Now()
 		t.deleting[m.name] = m
 	}
 }
 
-// lose queues a failed machine for deletion.
-func (t *Rental) lose(m *machine, why string) {
-	m.lost = true
+// markFailed queues a failed machine for deletion.
+func (t *Rental) markFailed(m *machine, why string) {
+	m.failed = true
 	t.setState(m, Deleting, why)
 }
 
@@ -107,25 +107,25 @@
 	if m == nil {
 		return
 	}
-	at := max(t.r.Now()-v.Silence(t.r.Wall(), t.cfg.ClockDifference()), t.started)
-	m.told = max(m.told, at)
-	if v.Settled || m.heard == 0 {
-		m.heard = max(m.heard, at)
+	at := max(t.runner.Now()-v.Silence(t.runner.Wall(), t.cfg.ClockDifference()), t.started)
+	m.reportedAt = max(m.reportedAt, at)
+	if v.Settled || m.confirmedAt == 0 {
+		m.confirmedAt = max(m.confirmedAt, at)
 	}
 	if m.state == Booting {
 		if typ, ok := t.byName[m.typ]; ok && typ.BootS > 0 && m.rented {
 			// In units of the nominal boot time, so that types share one distribution: one boot time counts
 			// as a second.
-			t.boots.Add(loop.Micros(float64(t.r.Now()-m.since) / typ.BootS))
+			t.bootTimes.Add(loop.Micros(float64(t.runner.Now()-m.since) / typ.BootS))
 		}
 		t.setState(m, Up, "heard")
 	}
 	if empty(v) {
-		if m.emptyTo == 0 {
-			m.emptyTo = t.r.Now() + t.standby(m)
+		if m.standbyUntil == 0 {
+			m.standbyUntil = t.runner.Now() + t.standby(m)
 		}
 	} else {
-		m.emptyTo = 0
+		m.standbyUntil = 0
 		if m.state == Closing && m.why == "idle" && !v.Closed {
 			t.setState(m, Up, "in use again")
 		}
@@ -154,27 +154,27 @@
 	return loop.Seconds(t.rand.ExpFloat64() * mean)
 }
 
-// judge checks all machines: for boots that take too long, failures, faulty machines, and empty machines
+// checkMachines checks all machines: for boots that take too long, failures, faulty machines, and empty machines
 // whose standby time is over.
-func (t *Rental) judge() {
-	now := t.r.Now()
+func (t *Rental) checkMachines() {
+	now := t.runner.Now()
 	suspects := t.suspects(now)
-	t.spare(now)
-	worth := t.worth()
-	t.judgeSilent(now, worth)
+	t.drainUnneeded(now)
+	worth := t.retention()
+	t.detectFailures(now, worth)
 	for _, m := range t.sorted() {
 		switch m.state {
 		case Booting:
-			t.judgeBoot(m, now, suspects[m.name], worth)
+			t.checkBoot(m, now, suspects[m.name], worth)
 		case Up:
-			switch v := t.agent.View(m.name); {
-			case t.n.Faulty(m.name):
+			switch v := t.workers.View(m.name); {
+			case t.node.Faulty(m.name):
 				t.setState(m, Closing, "fails tasks")
-			case m.emptyTo != 0 && now > m.emptyTo && v != nil && empty(v):
+			case m.standbyUntil != 0 && now > m.standbyUntil && v != nil && empty(v):
 				t.setState(m, Closing, "idle")
 			}
 		case Draining, Closing:
-			t.judgeClosing(m, now)
+			t.checkClosing(m, now)
 		}
 	}
 }
@@ -182,8 +182,8 @@
 // suspects lists the machines that hold tasks and whose reports do not reach the owners of those tasks.
 func (t *Rental) suspects(now loop.Micros) map[string]bool {
 	out := map[string]bool{}
-	for from, y := range t.tallies {
-		if now-t.tallyAt[from] < 5*loop.Second {
+	for from, y := range t.demands {
+		if now-t.demandAt[from] < 5*loop.Second {
 			for _, name := range y.Suspect {
 				out[name] = true
 			}
@@ -195,29 +195,29 @@
 	return out
 }
 
-// judgeSilent runs failure detection over all machines that have reported before, and queues the failed ones
+// detectFailures runs failure detection over all machines that have reported before, and queues the failed ones
 // for deletion.
-func (t *Rental) judgeSilent(now loop.Micros, worth func(*machine) loop.Micros) {
-	scene := loss.Scene{Now: now, Blind: t.n.Isolated() || now-t.started < 2*loop.Second, Unheard: t.n.Unheard}
-	for _, x := range t.losses.Look(scene, func(yield func(*loss.Facts)) {
+func (t *Rental) detectFailures(now loop.Micros, worth func(*machine) loop.Micros) {
+	scene := loss.Scene{Now: now, Blind: t.node.Isolated() || now-t.started < 2*loop.Second, Unheard: t.node.Unheard}
+	for _, x := range t.failures.Look(scene, func(yield func(*loss.Facts)) {
 		for _, m := range t.sorted() {
 			if m.state != Up && m.state != Draining && m.state != Closing {
 				continue
 			}
-			f := loss.Facts{Name: m.name, Zone: m.zone, Heard: m.heard, Told: m.told, Failed: m.listed == "failed", Worth: worth(m)}
-			if v := t.agent.View(m.name); v != nil {
+			f := loss.Facts{Name: m.name, Zone: m.zone, Heard: m.confirmedAt, Told: m.reportedAt, Failed: m.listed == "failed", Worth: worth(m)}
+			if v := t.workers.View(m.name); v != nil {
 				f.Addr = v.Addr
 			}
 			yield(&f)
 		}
 	}) {
-		t.lose(t.machines[x.Name], x.Why)
+		t.markFailed(t.machines[x.Name], x.Why)
 	}
 }
 
-// judgeBoot checks a machine that has not reported to this leader: whether it failed, or takes too long to
+// checkBoot checks a machine that has not reported to this leader: whether it failed, or takes too long to
 // boot.
-func (t *Rental) judgeBoot(m *machine, now loop.Micros, suspect bool, worth func(*machine) loop.Micros) {
+func (t *Rental) checkBoot(m *machine, now loop.Micros, suspect bool, worth func(*machine) loop.Micros) {
 	report, lease := loop.Seconds(t.cfg.Cluster.Workers.ReportS), loop.Seconds(t.cfg.Cluster.Workers.LeaseS)
 	typ, known := t.byName[m.typ]
 	boot := loop.Seconds(typ.BootS)
@@ -227,7 +227,7 @@
 	limit := loop.Micros(float64(boot)*t.cfg.Operator.BootStuckTimes) + 5*loop.Second
 	switch {
 	case m.listed == "failed":
-		t.lose(m, "failed")
+		t.markFailed(m, "failed")
 	case m.listed == "booting" || (m.listed == "" && !suspect):
 		if now-m.since > limit && now-t.started > 5*loop.Second {
 			t.setState(m, Deleting, "never came up")
@@ -238,36 +238,36 @@
 		// long as a machine that reported before: a leader that started during a network partition deleted
 		// half of the machines two seconds before the partition ended.
 		limit := max(lease, 2*report+8*loop.Second) + 3*loop.Second
-		if t.n.Unheard(m.zone) {
-			limit += outOfSight + worth(m)
+		if t.node.Unheard(m.zone) {
+			limit += partitionGrace + worth(m)
 		}
-		if now-m.firstSaw > limit {
-			t.lose(m, "not heard")
+		if now-m.firstSeen > limit {
+			t.markFailed(m, "not heard")
 		}
 	}
 }
 
-// judgeClosing asks the machine's host controller to start nothing on it, and has it deleted once a recent
+// checkClosing asks the machine's host controller to start nothing on it, and has it deleted once a recent
 // report shows that it is closed and empty.
-func (t *Rental) judgeClosing(m *machine, now loop.Micros) {
-	v := t.agent.View(m.name)
+func (t *Rental) checkClosing(m *machine, now loop.Micros) {
+	v := t.workers.View(m.name)
 	if v == nil {
 		t.setState(m, Deleting, m.why)
 		return
 	}
-	if now-m.asked > loop.Second {
-		m.asked = now
-		t.n.Close(v.Host, peer.Close{Machine: m.name, Until: t.r.Wall() + 12*loop.Second})
+	if now-m.closeAskedAt > loop.Second {
+		m.closeAskedAt = now
+		t.node.Close(v.Host, peer.Close{Machine: m.name, Until: t.runner.Wall() + 12*loop.Second})
 	}
-	if v.Closed && empty(v) && now-m.heard < 2*loop.Seconds(t.cfg.Cluster.Workers.ReportS)+2*loop.Second {
+	if v.Closed && empty(v) && now-m.confirmedAt < 2*loop.Seconds(t.cfg.Cluster.Workers.ReportS)+2*loop.Second {
 		t.setState(m, Deleting, m.why)
 	}
 }
 
 // probe asks a machine's worker directly, and calls done on the event loop.
 func (t *Rental) probe(addr string, done func(loss.Word)) {
-	t.r.Go(func() {
-		w := t.n.Probe(addr)
-		t.r.Post(func() { done(w) })
+	t.runner.Go(func() {
+		w := t.node.Probe(addr)
+		t.runner.Post(func() { done(w) })
 	})
 }
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -19,12 +19,12 @@
 	"cleatpick/internal/wire"
 )
 
-// wants collects the unplaced requests of all owners whose demand arrived recently, highest priority first.
-func (t *Rental) wants() []peer.Want {
+// requests collects the unplaced requests of all owners whose demand arrived recently, highest priority first.
+func (t *Rental) requests() []peer.Want {
 	var all []peer.Want
-	now := t.r.Now()
-	for from, y := range loop.Sorted(t.tallies) {
-		if now-t.tallyAt[from] < 4*loop.Second {
+	now := t.runner.Now()
+	for from, y := range loop.Sorted(t.demands) {
+		if now-t.demandAt[from] < 4*loop.Second {
 			all = append(all, y.Wants...)
 		}
 	}
@@ -51,13 +51,13 @@
 	return n
 }
 
-// roomOf returns the capacity of an empty machine of the type.
-func roomOf(x wire.MachineType) agent.Room {
+// capacityOf returns the capacity of an empty machine of the type.
+func capacityOf(x wire.MachineType) agent.Room {
 	return agent.Room{CPUs: x.CPUs, GPUs: x.GPUs, MemoryGB: x.MemoryGB}
 }
 
-// all lists every offer of the catalog: each type in each of its zones, as spot and as standard.
-func (t *Rental) all() iter.Seq[offer] {
+// allOffers lists every offer of the catalog: each type in each of its zones, as spot and as standard.
+func (t *Rental) allOffers() iter.Seq[offer] {
 	return func(yield func(offer) bool) {
 		for _, x := range t.types {
 			for _, z := range x.Zones {
@@ -69,22 +69,22 @@
 	}
 }
 
-// takes reports whether a machine of the offer is allowed and large enough for a task with this spec.
-func (t *Rental) takes(o offer, s *job.Spec) bool {
+// fitsOffer reports whether a machine of the offer is allowed and large enough for a task with this spec.
+func (t *Rental) fitsOffer(o offer, s *job.Spec) bool {
 	x, ok := t.byName[o.typ]
-	room := roomOf(x)
+	room := capacityOf(x)
 	return ok && room.Fits(s) && s.AllowsPlace(o.typ, o.zone, o.spot)
 }
 
-// expected lists the machines that will have capacity soon, which count for unplaced requests already.
-func (t *Rental) expected() []*comingMachine {
-	var out []*comingMachine
+// expectedMachines lists the machines that will have capacity soon, which count for unplaced requests already.
+func (t *Rental) expectedMachines() []*expectedMachine {
+	var out []*expectedMachine
 	add := func(typ, zone string, spot bool) {
 		if x, ok := t.byName[typ]; ok && !t.cordoned(offer{typ, zone, spot}) {
-			out = append(out, &comingMachine{offer{typ, zone, spot}, roomOf(x)})
+			out = append(out, &expectedMachine{offer{typ, zone, spot}, capacityOf(x)})
 		}
 	}
-	now := t.r.Now()
+	now := t.runner.Now()
 	for _, m := range t.sorted() {
 		x := t.byName[m.typ]
 		// A machine whose boot takes far longer than usual is not counted on.
@@ -94,13 +94,13 @@
 	}
 	// The free capacity of many silent machines comes back with them, or they have failed and their tasks are
 	// unplaced: renting for it before that is known would rent the capacity twice.
-	t.losses.Doubtful(now, func(name string) {
-		m, v := t.machines[name], t.agent.View(name)
+	t.failures.Doubtful(now, func(name string) {
+		m, v := t.machines[name], t.workers.View(name)
 		if m == nil || v == nil || m.state != Up {
 			return
 		}
-		if room, ok := t.agent.Room(v, t.byName[m.typ]); ok {
-			out = append(out, &comingMachine{offer{m.typ, m.zone, m.spot}, room})
+		if room, ok := t.workers.Room(v, t.byName[m.typ]); ok {
+			out = append(out, &expectedMachine{offer{m.typ, m.zone, m.spot}, room})
 		}
 	})
 	for _, o := range loop.Sorted(t.orders) {
@@ -115,19 +115,19 @@
 
 // cordoned reports whether a machine of the offer would accept no starts.
 func (t *Rental) cordoned(o offer) bool {
-	return t.n.Cordoned != nil && t.n.Cordoned(o.typ, o.zone, o.spot)
+	return t.node.Cordoned != nil && t.node.Cordoned(o.typ, o.zone, o.spot)
 }
 
-// planEvery is the time until the next plan after one that found all requests served by expected machines.
+// planInterval is the time until the next plan after one that found all requests served by expected machines.
 // Owners send their demand every 400 ms.
-const planEvery = 150 * loop.Millisecond
+const planInterval = 150 * loop.Millisecond
 
 // recordOrders turns requests that no expected machine will serve into recorded orders.
 func (t *Rental) recordOrders() {
 	if !t.listed || len(t.types) == 0 {
 		return
 	}
-	now := t.r.Now()
+	now := t.runner.Now()
 	for _, o := range t.orders {
 		if !o.o.Answered && !o.refused {
 			// One at a time: an order that is recorded early waits for its call while demand and refusals
@@ -148,25 +148,25 @@
 		most := slices.MaxFunc(keys, func(a, b offer) int { return need[a] - need[b] })
 		t.newOrder(most, min(need[most], 50))
 	} else {
-		t.planAt = now + planEvery
+		t.planAt = now + planInterval
 	}
 }
 
 // plan returns how many machines of each offer are missing beside the expected ones.
 func (t *Rental) plan(now loop.Micros) map[offer]int {
-	coming := supply{machines: t.expected(), used: map[fleet.Shape]int{}}
+	coming := expectedCapacity{machines: t.expectedMachines(), exhausted: map[fleet.Shape]int{}}
 	need := map[offer]int{}
-	for _, w := range t.wants() {
+	for _, w := range t.requests() {
 		n := needOf(&w)
-		left := coming.serve(n, w.Count)
+		left := coming.place(n, w.Count)
 		for left > 0 {
-			o, per, ok := t.cheapest(n, left, now, need)
+			o, per, ok := t.cheapestOffer(n, left, now, need)
 			if !ok {
 				break
 			}
 			need[o]++
-			c := &comingMachine{o, roomOf(t.byName[o.typ])}
-			got := c.serve(n, left)
+			c := &expectedMachine{o, capacityOf(t.byName[o.typ])}
+			got := c.place(n, left)
 			if got == 0 || per == 0 {
 				break
 			}
@@ -177,9 +177,9 @@
 	return need
 }
 
-// cheapest chooses the offer to rent for tasks of this shape: the lowest current price for each task served,
+// cheapestOffer chooses the offer to rent for tasks of this shape: the lowest current price for each task served,
 // leaving out offers that were refused recently, that are cordoned, or that the job's rules forbid.
-func (t *Rental) cheapest(n *gate.Need, left int, now loop.Micros, need map[offer]int) (offer, int, bool) {
+func (t *Rental) cheapestOffer(n *gate.Need, left int, now loop.Micros, need map[offer]int) (offer, int, bool) {
 	s := n.Spec
 	var best offer
 	bestCost, bestPer := math.Inf(1), 0
@@ -229,12 +229,12 @@
 func (t *Rental) newOrder(of offer, count int) {
 	t.seq++
 	name := fmt.Sprintf("r-%d-%d", t.claim.Epoch, t.seq)
-	o := &order{name: name, o: Order{Type: of.typ, Zone: of.zone, Spot: of.spot, Count: count, At: t.r.Wall()}}
+	o := &order{name: name, o: Order{Type: of.typ, Zone: of.zone, Spot: of.spot, Count: count, At: t.runner.Wall()}}
 	t.orders[name] = o
 	t.storeOrder(o, []wire.Cond{member.LeaderCond(t.claim), {Key: OrderKeys + name, Mark: 0}}, func(ok bool) {
 		if ok {
-			o.placed = true
-			if t.leads && t.orders[name] == o && t.mayCall(t.r.Now()) {
+			o.recorded = true
+			if t.leads && t.orders[name] == o && t.mayCall(t.runner.Now()) {
 				t.send(o)
 			}
 			return
@@ -244,26 +244,26 @@
 }
 
 // storeOrder writes an order's record under the given conditions, and passes on whether it was applied.
-func (t *Rental) storeOrder(o *order, cond []wire.Cond, cb func(ok bool)) {
-	t.c.Txn(store.Placements, wire.Txn{If: cond, Then: []wire.Change{{Put: OrderKeys + o.name, Value: o.o}}}, func(r store.Result) {
+func (t *Rental) storeOrder(o *order, cond []wire.Cond, done func(ok bool)) {
+	t.client.Txn(store.Placements, wire.Txn{If: cond, Then: []wire.Change{{Put: OrderKeys + o.name, Value: o.o}}}, func(r store.Result) {
 		if r.Outcome == store.Applied {
-			o.mark = r.Tally
+			o.revision = r.Tally
 		}
-		cb(r.Outcome == store.Applied)
+		done(r.Outcome == store.Applied)
 	})
 }
 
-// ready returns the recorded order to send next, or nil if there is none. It drops orders that were answered
+// nextOrder returns the recorded order to send next, or nil if there is none. It drops orders that were answered
 // more than a minute ago.
-func (t *Rental) ready() *order {
-	now := t.r.Now()
+func (t *Rental) nextOrder() *order {
+	now := t.runner.Now()
 	var first *order
 	for _, o := range loop.Sorted(t.orders) {
 		if o.finished != 0 && now-o.finished > 60*loop.Second {
 			t.dropOrder(o)
 			continue
 		}
-		if o.placed && !o.o.Answered && !o.busy && !o.refused && now >= o.nextTry && (first == nil || o.name < first.name) {
+		if o.recorded && !o.o.Answered && !o.busy && !o.refused && now >= o.nextTry && (first == nil || o.name < first.name) {
 			first = o
 		}
 	}
@@ -284,37 +284,37 @@
 		switch {
 		case resp.Err == nil && resp.Status == 200 && wire.Unmarshal(resp.Body, &got) == nil:
 			t.log.Info("machines rented", "order", o.name, "type", of.typ, "zone", of.zone, "spot", of.spot, "asked", o.o.Count, "got", len(got.Machines))
-			o.o.Answered, o.o.Machines, o.finished = true, got.Machines, t.r.Now()
+			o.o.Answered, o.o.Machines, o.finished = true, got.Machines, t.runner.Now()
 			for _, name := range got.Machines {
 				if m := t.adopt(name, of.typ, of.zone, of.spot); m != nil && m.state == Booting {
 					m.rented = true
 				}
 			}
 			if len(got.Machines) < o.o.Count {
-				t.refuse(of)
+				t.backOffOffer(of)
 			} else {
 				delete(t.offers, of)
 			}
-			t.storeOrder(o, []wire.Cond{{Key: OrderKeys + o.name, Mark: o.mark}}, func(bool) {})
+			t.storeOrder(o, []wire.Cond{{Key: OrderKeys + o.name, Mark: o.revision}}, func(bool) {})
 		case resp.Err == nil && resp.Status == 503 && strings.Contains(string(resp.Body), "capacity"):
 			t.log.Info("cloud has no capacity for the order; the offer is left out for a while", "order", o.name, "type", of.typ, "zone", of.zone, "spot", of.spot)
-			t.refuse(of)
+			t.backOffOffer(of)
 			o.refused = true
 			t.dropOrder(o)
 		case resp.Err == nil && resp.Status == 400:
 			t.log.Error("cloud rejected the order as malformed; the order is dropped", "order", o.name)
-			t.refuse(of)
+			t.backOffOffer(of)
 			o.refused = true
 			t.dropOrder(o)
 		default:
 			// No answer: machines may have been rented, or may be later. Repeating the same name is safe.
-			o.nextTry = t.r.Now() + loop.Second
+			o.nextTry = t.runner.Now() + loop.Second
 		}
 	})
 }
 
-// refuse leaves an offer out of the choice for a while, longer with each refusal.
-func (t *Rental) refuse(of offer) {
+// backOffOffer leaves an offer out of the choice for a while, longer with each refusal.
+func (t *Rental) backOffOffer(of offer) {
 	b := t.offers[of]
 	if b == nil {
 		b = &backoff{wait: 5 * loop.Second}
@@ -322,15 +322,15 @@
 	} else {
 		b.wait = min(b.wait*2, 40*loop.Second)
 	}
-	b.until = t.r.Now() + b.wait
+	b.until = t.runner.Now() + b.wait
 }
 
 // dropOrder forgets an order and deletes its record.
 func (t *Rental) dropOrder(o *order) {
 	delete(t.orders, o.name)
-	t.c.Txn(store.Background, wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}, Then: []wire.Change{{Delete: OrderKeys + o.name}}}, func(r store.Result) {
+	t.client.Txn(store.Background, wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}, Then: []wire.Change{{Delete: OrderKeys + o.name}}}, func(r store.Result) {
 		if r.Outcome == store.Applied {
-			t.m.Apply(OrderKeys+o.name, nil, r.Tally, true)
+			t.mirror.Apply(OrderKeys+o.name, nil, r.Tally, true)
 		}
 	})
 }
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -45,8 +45,8 @@
 type order struct {
 	name     string
 	o        Order
-	mark     uint64
-	placed   bool // its record is stored
+	revision uint64
+	recorded bool // its record is stored
 	busy     bool
 	refused  bool
 	tries    int
@@ -99,44 +99,44 @@
 
 // Rental is the autoscaler. It acts only while its controller is the leader.
 type Rental struct {
-	r        loop.Runner
-	log      *slog.Logger
-	cfg      *config.Config
-	c        *store.Client
-	m        *store.Mirror
-	cloud    store.Doer
-	agent    *agent.Agent
-	n        Node
-	leads    bool
-	claim    member.Owner
-	started  loop.Micros
-	types    []wire.MachineType
-	byName   map[string]wire.MachineType
-	machines map[string]*machine
-	orders   map[string]*order
-	tallies  map[string]peer.Tally
-	tallyAt  map[string]loop.Micros
-	offers   map[offer]*backoff
-	seq      int
-	allow    float64 // cloud calls that pacing allows now
-	allowAt  loop.Micros
-	pauseTo  loop.Micros
-	calling  bool
-	listAt   loop.Micros
-	catAt    loop.Micros
-	listed   bool // the list was read since this leadership began
-	spareAt  loop.Micros
-	judged   loop.Micros
-	darkAt   map[string]loop.Micros // when a zone was last seen unreachable
-	sparing  bool                   // machines in unreachable zones are retained for longer
-	planAt   loop.Micros            // earliest time of the next plan
-	losses   *loss.Judge
-	byOrder  []*machine // by name; nil: to be rebuilt
-	rand     *rand.Rand
-	deleting map[string]*machine // the machines in state Deleting
-	streak   int                 // orders sent since idle machines were last deleted
-	boots    *explain.Dist       // boot times, in units of the types' nominal boot times
-	deleted  map[string][]string // names of deleted machines, by key of their record
+	runner         loop.Runner
+	log            *slog.Logger
+	cfg            *config.Config
+	client         *store.Client
+	mirror         *store.Mirror
+	cloud          store.Doer
+	workers        *agent.Agent
+	node           Node
+	leads          bool
+	claim          member.Owner
+	started        loop.Micros
+	types          []wire.MachineType
+	byName         map[string]wire.MachineType
+	machines       map[string]*machine
+	orders         map[string]*order
+	demands        map[string]peer.Tally
+	demandAt       map[string]loop.Micros
+	offers         map[offer]*backoff
+	seq            int
+	callBudget     float64 // cloud calls that pacing allows now
+	callBudgetAt   loop.Micros
+	pausedUntil    loop.Micros
+	calling        bool
+	listAt         loop.Micros
+	catalogAt      loop.Micros
+	listed         bool // the list was read since this leadership began
+	drainCheckedAt loop.Micros
+	checkedAt      loop.Micros
+	unreachableAt  map[string]loop.Micros // when a zone was last seen unreachable
+	retaining      bool                   // machines in unreachable zones are retained for longer
+	planAt         loop.Micros            // earliest time of the next plan
+	failures       *loss.Judge
+	sortedMachines []*machine // by name; nil: to be rebuilt
+	rand           *rand.Rand
+	deleting       map[string]*machine // the machines in state Deleting
+	ordersInARow   int                 // orders sent since idle machines were last deleted
+	bootTimes      *explain.Dist       // boot times, in units of the types' nominal boot times
+	deleted        map[string][]string // names of deleted machines, by key of their record
 	// OnGone is called once for every machine that is known to be deleted.
 	OnGone func(string)
 }
@@ -144,10 +144,10 @@
 // New returns the autoscaler, which keeps its copy of the catalog and the deletions up to date on every
 // controller.
 func New(r loop.Runner, log *slog.Logger, cfg *config.Config, c *store.Client, m *store.Mirror, cloud store.Doer, a *agent.Agent, n Node) *Rental {
-	t := &Rental{r: r, log: log, cfg: cfg, c: c, m: m, cloud: cloud, agent: a, n: n, byName: map[string]wire.MachineType{}, rand: loop.Rand(r),
-		tallies: map[string]peer.Tally{}, darkAt: map[string]loop.Micros{}, tallyAt: map[string]loop.Micros{}, deleted: map[string][]string{}, boots: explain.NewDist()}
+	t := &Rental{runner: r, log: log, cfg: cfg, client: c, mirror: m, cloud: cloud, workers: a, node: n, byName: map[string]wire.MachineType{}, rand: loop.Rand(r),
+		demands: map[string]peer.Tally{}, unreachableAt: map[string]loop.Micros{}, demandAt: map[string]loop.Micros{}, deleted: map[string][]string{}, bootTimes: explain.NewDist()}
 	w := cfg.Cluster.Workers
-	t.losses = loss.New(loss.Rules{Report: loop.Seconds(w.ReportS), Lease: loop.Seconds(w.LeaseS), Out: outOfSight,
+	t.failures = loss.New(loss.Rules{Report: loop.Seconds(w.ReportS), Lease: loop.Seconds(w.LeaseS), Out: partitionGrace,
 		Most: loop.Seconds(cfg.Operator.SilentDeleteS), Probes: max(min(64, cfg.Cluster.Limits.MaxSockets/20), 4)}, log, n.Meter, t.probe)
 	m.On(CatalogKey, func(key string, e store.Entry) {
 		var rec catalogRecord
@@ -173,10 +173,10 @@
 		}
 		t.deleted[key] = rec.Machines
 		for _, name := range rec.Machines {
-			t.gone(name)
+			t.markDeleted(name)
 		}
 	})
-	loop.Every(r, 60*loop.Second, t.sweep)
+	loop.Every(r, 60*loop.Second, t.removeOldDeletions)
 	loop.Every(r, 50*loop.Millisecond, t.tick)
 	return t
 }
@@ -206,66 +206,66 @@
 		return
 	}
 	// A new leader rebuilds its state from the recorded orders, the machines' reports and the cloud's list.
-	t.started = t.r.Now()
-	t.byOrder = nil
+	t.started = t.runner.Now()
+	t.sortedMachines = nil
 	t.machines, t.orders, t.offers, t.deleting = map[string]*machine{}, map[string]*order{}, map[offer]*backoff{}, map[string]*machine{}
-	t.listAt, t.catAt, t.listed = 0, 0, false
+	t.listAt, t.catalogAt, t.listed = 0, 0, false
 	t.seq = 0
-	t.losses.Clear()
-	for _, key := range t.m.Under(OrderKeys) {
-		e, _ := t.m.Get(key)
+	t.failures.Clear()
+	for _, key := range t.mirror.Under(OrderKeys) {
+		e, _ := t.mirror.Get(key)
 		var o Order
 		if err := wire.Unmarshal(e.Value, &o); err != nil {
 			t.log.Error("corrupt order record ignored", "key", key, "err", err)
 			continue
 		}
 		name := strings.TrimPrefix(key, OrderKeys)
-		t.orders[name] = &order{name: name, o: o, mark: e.Mark, placed: true}
+		t.orders[name] = &order{name: name, o: o, revision: e.Mark, recorded: true}
 		if o.Answered {
-			t.orders[name].finished = t.r.Now()
+			t.orders[name].finished = t.runner.Now()
 			for _, m := range o.Machines {
 				t.adopt(m, o.Type, o.Zone, o.Spot)
 			}
 		}
 	}
-	t.agent.Views(t.View)
+	t.workers.Views(t.View)
 	t.log.Info("autoscaler started as leader; state rebuilt from records and reports", "orders", len(t.orders), "machines", len(t.machines))
 }
 
 // Tally records an owner's unplaced requests and suspect machines.
 func (t *Rental) Tally(from string, y peer.Tally) {
-	old := t.tallies[from]
+	old := t.demands[from]
 	off := t.cfg.ClockDifference() + 5*loop.Second
-	if y.Wall <= old.Wall || t.r.Wall()-y.Wall > off {
+	if y.Wall <= old.Wall || t.runner.Wall()-y.Wall > off {
 		return // a repeated or delayed message
 	}
-	t.tallies[from], t.tallyAt[from] = y, t.r.Now()
+	t.demands[from], t.demandAt[from] = y, t.runner.Now()
 }
 
 // Asked reports whether the machine types are known, so that submissions can be validated.
 func (t *Rental) Asked() bool { return len(t.types) > 0 }
 
-// outOfSight is how much longer than its lease an unreachable machine is retained while it may be alive
+// partitionGrace is how much longer than its lease an unreachable machine is retained while it may be alive
 // behind a network partition.
-const outOfSight = 8 * loop.Second
+const partitionGrace = 8 * loop.Second
 
-// judgeEach is the part of the interval between two checks of all machines that each machine adds, in
+// checkIntervalPerMachine is the part of the interval between two checks of all machines that each machine adds, in
 // microseconds.
-const judgeEach = 200
+const checkIntervalPerMachine = 200
 
 // tick checks the machines and makes the next cloud call when each is due.
 func (t *Rental) tick() {
-	if !t.leads || !t.n.Entitled() {
+	if !t.leads || !t.node.Entitled() {
 		// A leader that cannot renew its lease has been replaced, or soon will be: to it all machines look
 		// silent, and a delayed deletion request would take effect long afterwards.
 		return
 	}
-	now := t.r.Now()
-	if now-t.judged >= max(200*loop.Millisecond, loop.Micros(len(t.machines))*judgeEach) {
-		t.judged = now
-		t.judge()
+	now := t.runner.Now()
+	if now-t.checkedAt >= max(200*loop.Millisecond, loop.Micros(len(t.machines))*checkIntervalPerMachine) {
+		t.checkedAt = now
+		t.checkMachines()
 	}
 	if t.mayCall(now) {
-		t.perform(t.next(now))
+		t.perform(t.nextCall(now))
 	}
 }
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -25,20 +25,20 @@
 // calls.
 type rig struct {
 	*standin.Stepped
-	t        *Rental
-	a        *agent.Agent
-	cloud    *standin.Cloud
-	calls    []string
-	entitled bool
-	isolated bool
-	unheard  bool   // a peer in the machines' zone is unreachable
-	dark     string // a zone behind a network partition
-	jobs     map[string]*job.Job
-	runs     []agent.Task // tasks in the report of every machine
-	word     loss.Word
-	words    map[string]loss.Word // probe results by address, where they differ from word
-	ups      []wire.Listed
-	deleted  []string
+	scaler          *Rental
+	workers         *agent.Agent
+	cloud           *standin.Cloud
+	calls           []string
+	entitled        bool
+	isolated        bool
+	unheard         bool   // a peer in the machines' zone is unreachable
+	partitionedZone string // a zone behind a network partition
+	jobs            map[string]*job.Job
+	runs            []agent.Task // tasks in the report of every machine
+	probeAnswer     loss.Word
+	probeAnswers    map[string]loss.Word // probe results by address, where they differ from word
+	booted          []wire.Listed
+	deleted         []string
 }
 
 func (g *rig) Do(method, path string, body []byte, d time.Duration) store.Response {
@@ -47,7 +47,7 @@
 }
 
 func newRig(t *testing.T, each int) *rig {
-	g := &rig{Stepped: standin.NewStepped(1000 * loop.Second), entitled: true, word: loss.NoWay, words: map[string]loss.Word{}}
+	g := &rig{Stepped: standin.NewStepped(1000 * loop.Second), entitled: true, probeAnswer: loss.NoWay, probeAnswers: map[string]loss.Word{}}
 	cfg := &config.Config{Operator: config.Defaults()}
 	cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.LeaseS = 1, 10
 	cfg.Cluster.Cloud.RPS, cfg.Cluster.Cloud.ListLagS = 5, 2
@@ -58,25 +58,25 @@
 	c := store.NewClient(g, state, log, 1000, 1000, 1)
 	m := store.NewMirror(c, state, "c/")
 	g.cloud = standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.3, BootS: 4, Zones: []string{"x", "y"}}, each)
-	g.cloud.Up = func(l wire.Listed) { g.ups = append(g.ups, l) }
+	g.cloud.Up = func(l wire.Listed) { g.booted = append(g.booted, l) }
 	g.cloud.Gone = func(name string) { g.deleted = append(g.deleted, name) }
-	g.a = agent.New(g, log, agent.Host{Label: "a", Job: func(id string) *job.Job { return g.jobs[id] }, Changed: func(v *agent.View, _ *agent.Changes) { g.t.View(v) }}, nil)
-	g.t = New(g, log, cfg, c, m, g, g.a, Node{Close: func(string, peer.Close) {},
-		Unheard: func(z string) bool { return g.unheard || z == g.dark }, Entitled: func() bool { return g.entitled }, Isolated: func() bool { return g.isolated },
-		Faulty: func(string) bool { return false }, Probe: func(addr string) loss.Word { return cmp.Or(g.words[addr], g.word) }})
+	g.workers = agent.New(g, log, agent.Host{Label: "a", Job: func(id string) *job.Job { return g.jobs[id] }, Changed: func(v *agent.View, _ *agent.Changes) { g.scaler.View(v) }}, nil)
+	g.scaler = New(g, log, cfg, c, m, g, g.workers, Node{Close: func(string, peer.Close) {},
+		Unheard: func(z string) bool { return g.unheard || z == g.partitionedZone }, Entitled: func() bool { return g.entitled }, Isolated: func() bool { return g.isolated },
+		Faulty: func(string) bool { return false }, Probe: func(addr string) loss.Word { return cmp.Or(g.probeAnswers[addr], g.probeAnswer) }})
 	m.Start()
 	g.Run(loop.Second)
 	e, ok := m.Get("c/l")
 	if !ok {
 		t.Fatal("the leader's claim has not reached the mirror")
 	}
-	g.t.Lead(true, member.Owner{Node: "a", Epoch: 1, Mark: e.Mark})
+	g.scaler.Lead(true, member.Owner{Node: "a", Epoch: 1, Mark: e.Mark})
 	return g
 }
 
-// hear delivers a report of the machine.
-func (g *rig) hear(name, zone string) {
-	g.a.Learn(&agent.View{Name: name, Addr: name, Type: "m8", Zone: zone, Host: "b", Session: 1, Seq: uint64(g.Now()), Settled: true, At: g.Now(), Tasks: g.runs})
+// report delivers a report of the machine.
+func (g *rig) report(name, zone string) {
+	g.workers.Learn(&agent.View{Name: name, Addr: name, Type: "m8", Zone: zone, Host: "b", Session: 1, Seq: uint64(g.Now()), Settled: true, At: g.Now(), Tasks: g.runs})
 }
 
 // count returns the number of calls that contain part.
@@ -91,7 +91,7 @@
 
 // A leader that is cut off must not delete machines: it once saw all machines as silent and requested the
 // deletion of all of them. Requests that were delayed on their way would have taken effect long afterwards.
-func TestLeaderWithoutLeaseDoesNothing(t *testing.T) {
+func TestLeaderWithoutLeaseDeletesNothing(t *testing.T) {
 	for _, c := range []struct {
 		name               string
 		entitled, isolated bool
@@ -100,7 +100,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(t, 4)
 			g.Run(3 * loop.Second)
-			g.hear("n-900000", "x")
+			g.report("n-900000", "x")
 			g.Run(2 * loop.Second)
 			g.entitled, g.isolated = c.entitled, c.isolated
 			before := len(g.calls)
@@ -114,16 +114,16 @@
 
 // Copies of a machine's reports keep arriving after it has failed, at a leader that knows no newer report. As
 // none of them confirms a message sent to the machine, it must be declared failed all the same.
-func TestCopiesOfADeadMachinesReports(t *testing.T) {
+func TestFailedMachineIsDeletedDespiteReportCopies(t *testing.T) {
 	g := newRig(t, 4)
 	g.Run(3 * loop.Second)
-	g.hear("n-900000", "x")
+	g.report("n-900000", "x")
 	for k := range 60 {
-		g.hear("n-900001", "x") // another machine of the zone is alive
+		g.report("n-900001", "x") // another machine of the zone is alive
 		if g.Run(500 * loop.Millisecond); k%3 == 0 {
-			g.a.Learn(&agent.View{Name: "n-900000", Addr: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), Tasks: g.runs})
+			g.workers.Learn(&agent.View{Name: "n-900000", Addr: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), Tasks: g.runs})
 		}
-		if gone := g.a.IsGone("n-900000"); gone && k < 20 || !gone && k > 44 { // a lease of 10 s, 9 s more, and the call
+		if gone := g.workers.IsGone("n-900000"); gone && k < 20 || !gone && k > 44 { // a lease of 10 s, 9 s more, and the call
 			t.Fatalf("after %d ms the machine is deleted: %v", 500*k, gone)
 		}
 	}
@@ -131,10 +131,10 @@
 
 // An offer without capacity must not be ordered again and again for the same requests, and once there is
 // capacity again, no more is rented than the requests need.
-func TestStockoutBacksOffAndOrdersOnce(t *testing.T) {
+func TestRefusedOffersBackOffAndOrderOnce(t *testing.T) {
 	g := newRig(t, 0)
 	tally := func() {
-		g.t.Tally("b", peer.Tally{Wall: g.Now(), Wants: []peer.Want{{CPUs: 2, MemoryGB: 1, AnyType: true, Spot: true, Count: 8}}})
+		g.scaler.Tally("b", peer.Tally{Wall: g.Now(), Wants: []peer.Want{{CPUs: 2, MemoryGB: 1, AnyType: true, Spot: true, Count: 8}}})
 	}
 	for range 60 {
 		tally()
@@ -147,7 +147,7 @@
 	for range 100 {
 		tally() // no machine has reported yet: what was rented is expected
 		g.Run(100 * loop.Millisecond)
-		if len(g.ups) > 0 {
+		if len(g.booted) > 0 {
 			break
 		}
 	}
@@ -155,8 +155,8 @@
 		tally()
 		g.Run(100 * loop.Millisecond)
 	}
-	if len(g.ups) != 2 {
-		t.Fatalf("%d machines of 8 CPUs rented for 8 tasks of 2 CPUs, want 2", len(g.ups))
+	if len(g.booted) != 2 {
+		t.Fatalf("%d machines of 8 CPUs rented for 8 tasks of 2 CPUs, want 2", len(g.booted))
 	}
 }
 
@@ -164,72 +164,72 @@
 func TestIdleMachineIsClosedThenDeleted(t *testing.T) {
 	g := newRig(t, 4)
 	var closed []peer.Close
-	g.t.n.Close = func(_ string, c peer.Close) { closed = append(closed, c) }
+	g.scaler.node.Close = func(_ string, c peer.Close) { closed = append(closed, c) }
 	g.Run(3 * loop.Second)
 	seen := false
 	for range 4000 {
 		v := &agent.View{Name: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), Settled: true, At: g.Now()}
 		v.Closed = len(closed) > 0 && seen
 		seen = len(closed) > 0
-		g.a.Learn(v)
+		g.workers.Learn(v)
 		g.Run(500 * loop.Millisecond)
-		if g.a.IsGone("n-900000") {
+		if g.workers.IsGone("n-900000") {
 			break
 		}
 	}
-	if len(closed) == 0 || !g.a.IsGone("n-900000") {
-		t.Fatalf("machine closed %d times, deleted: %v", len(closed), g.a.IsGone("n-900000"))
+	if len(closed) == 0 || !g.workers.IsGone("n-900000") {
+		t.Fatalf("machine closed %d times, deleted: %v", len(closed), g.workers.IsGone("n-900000"))
 	}
 }
 
 // Records of deletions are removed after a while. A machine that is reported as suspect after that must have
 // its deletion confirmed again; otherwise the attempts recorded on it would never be resolved.
-func TestDeletionsAreSweptAndProvenAgain(t *testing.T) {
+func TestOldDeletionRecordsAreRemovedAndConfirmedAgain(t *testing.T) {
 	g := newRig(t, 4)
 	g.Run(3 * loop.Second)
-	g.hear("n-900000", "x")
+	g.report("n-900000", "x")
 	g.Run(25 * loop.Second) // no reports from now on
-	if !g.a.IsGone("n-900000") || len(g.t.m.Under(GoneKeys)) != 1 {
-		t.Fatalf("machine deleted: %v, deletion records %v", g.a.IsGone("n-900000"), g.t.m.Under(GoneKeys))
+	if !g.workers.IsGone("n-900000") || len(g.scaler.mirror.Under(GoneKeys)) != 1 {
+		t.Fatalf("machine deleted: %v, deletion records %v", g.workers.IsGone("n-900000"), g.scaler.mirror.Under(GoneKeys))
 	}
-	g.Run(keepGone + 120*loop.Second)
-	if n := len(g.t.m.Under(GoneKeys)); n != 0 || g.a.IsGone("n-900000") {
-		t.Fatalf("%d deletion records are left, machine deleted: %v", n, g.a.IsGone("n-900000"))
+	g.Run(deletionRetention + 120*loop.Second)
+	if n := len(g.scaler.mirror.Under(GoneKeys)); n != 0 || g.workers.IsGone("n-900000") {
+		t.Fatalf("%d deletion records are left, machine deleted: %v", n, g.workers.IsGone("n-900000"))
 	}
 	for range 80 {
-		g.t.Tally("b", peer.Tally{Wall: g.Now(), Suspect: []string{"n-900000"}})
+		g.scaler.Tally("b", peer.Tally{Wall: g.Now(), Suspect: []string{"n-900000"}})
 		g.Run(500 * loop.Millisecond)
 	}
-	if !g.a.IsGone("n-900000") {
+	if !g.workers.IsGone("n-900000") {
 		t.Fatal("the deletion of a suspect machine was not confirmed again")
 	}
 }
 
 // Cloud calls are scarce: those that confirm tasks terminated go first, and no purpose waits for ever.
-func TestWhatTheNextCallIsFor(t *testing.T) {
+func TestCloudCallPriority(t *testing.T) {
 	const s = loop.Second
-	usual := agenda{now: 1000 * s, listed: true, listAt: 998 * s, catAt: 990 * s, listEvery: 5 * s}
+	usual := pendingCalls{now: 1000 * s, listed: true, listAt: 998 * s, catAt: 990 * s, listEvery: 5 * s}
 	for _, c := range []struct {
 		name string
-		set  func(a *agenda)
-		want duty
+		set  func(a *pendingCalls)
+		want callPurpose
 	}{
-		{"no catalog yet", func(a *agenda) { a.catAt, a.lost = 0, 5 }, readCatalog},
-		{"no list yet", func(a *agenda) { a.listed, a.order = false, true }, readList},
-		{"failed machines before an order", func(a *agenda) { a.lost, a.order = 1, true }, deleteLost},
-		{"an order before a list that is due", func(a *agenda) { a.order, a.listAt = true, 994*s }, sendOrder},
-		{"an overdue list before failed machines", func(a *agenda) { a.lost, a.order, a.listAt = 100, true, 980*s }, readList},
-		{"an order before idle machines", func(a *agenda) { a.order, a.idle, a.idleSince = true, 9, 990*s }, sendOrder},
-		{"idle machines after several orders in a row", func(a *agenda) { a.order, a.idle, a.idleSince, a.streak = true, 9, 990*s, mostStreak }, giveBack},
-		{"idle machines wait for more", func(a *agenda) { a.idle, a.idleSince = 9, 1000*s-gathering+1 }, plan},
-		{"idle machines that waited long enough", func(a *agenda) { a.idle, a.idleSince = 9, 1000*s-gathering }, giveBack},
-		{"idle machines enough for a full call", func(a *agenda) { a.idle, a.idleSince = mostDeleted, 1000*s }, giveBack},
-		{"an old catalog", func(a *agenda) { a.catAt = 900 * s }, readCatalog},
-		{"nothing waits", func(*agenda) {}, plan},
+		{"no catalog yet", func(a *pendingCalls) { a.catAt, a.failed = 0, 5 }, readCatalog},
+		{"no list yet", func(a *pendingCalls) { a.listed, a.order = false, true }, readList},
+		{"failed machines before an order", func(a *pendingCalls) { a.failed, a.order = 1, true }, deleteFailed},
+		{"an order before a list that is due", func(a *pendingCalls) { a.order, a.listAt = true, 994*s }, sendOrder},
+		{"an overdue list before failed machines", func(a *pendingCalls) { a.failed, a.order, a.listAt = 100, true, 980*s }, readList},
+		{"an order before idle machines", func(a *pendingCalls) { a.order, a.idle, a.idleSince = true, 9, 990*s }, sendOrder},
+		{"idle machines after several orders in a row", func(a *pendingCalls) { a.order, a.idle, a.idleSince, a.ordersInARow = true, 9, 990*s, maxOrdersInARow }, deleteIdle},
+		{"idle machines wait for more", func(a *pendingCalls) { a.idle, a.idleSince = 9, 1000*s-idleBatchDelay+1 }, plan},
+		{"idle machines that waited long enough", func(a *pendingCalls) { a.idle, a.idleSince = 9, 1000*s-idleBatchDelay }, deleteIdle},
+		{"idle machines enough for a full call", func(a *pendingCalls) { a.idle, a.idleSince = maxDeletionsPerCall, 1000*s }, deleteIdle},
+		{"an old catalog", func(a *pendingCalls) { a.catAt = 900 * s }, readCatalog},
+		{"nothing waits", func(*pendingCalls) {}, plan},
 	} {
 		a := usual
 		c.set(&a)
-		if got := a.first(); got != c.want {
+		if got := a.next(); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -237,20 +237,20 @@
 
 // While many machines are suspected of having failed, nothing is rented for their free capacity: it would
 // exist twice once they come back.
-func TestNothingIsRentedForMachinesInDoubt(t *testing.T) {
+func TestNothingIsRentedForSuspectedMachines(t *testing.T) {
 	for _, c := range []struct {
 		word loss.Word
 		want bool
 	}{{loss.Mute, false}, {loss.NoWay, true}} {
 		g := newRig(t, 40)
-		g.word, g.t.cfg.Operator.OrdinaryStandbyMeanS = c.word, 1e6
+		g.probeAnswer, g.scaler.cfg.Operator.OrdinaryStandbyMeanS = c.word, 1e6
 		g.Run(3 * loop.Second)
 		hear := func(from, to int) {
 			for i := from; i < to; i++ {
 				name := fmt.Sprintf("n-9%05d", i)
-				g.hear(name, "x")
+				g.report(name, "x")
 				if i >= 10 {
-					g.words[name] = loss.Answered
+					g.probeAnswers[name] = loss.Answered
 				}
 			}
 		}
@@ -261,18 +261,18 @@
 		}
 		for range 6 {
 			hear(10, 20)
-			g.t.Tally("b", peer.Tally{Wall: g.Now(), Wants: []peer.Want{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 10}}})
+			g.scaler.Tally("b", peer.Tally{Wall: g.Now(), Wants: []peer.Want{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 10}}})
 			g.Run(500 * loop.Millisecond)
 		}
-		if rented := len(g.ups) > 0; rented != c.want {
-			t.Errorf("probes answer %v: %d machines are rented for ten unplaced tasks", c.word, len(g.ups))
+		if rented := len(g.booted) > 0; rented != c.want {
+			t.Errorf("probes answer %v: %d machines are rented for ten unplaced tasks", c.word, len(g.booted))
 		}
 	}
 }
 
 // A leader that starts during a zone's network partition retains the machines there, which have never
 // reported to it, for as long as a leader that received their reports before would.
-func TestNewLeaderDuringACut(t *testing.T) {
+func TestNewLeaderDuringNetworkPartition(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		g := newRig(t, 4)
 		g.unheard = cut
@@ -294,7 +294,7 @@
 
 // Capacity that a deletion frees must be rented at once. While refusals from before the deletion stayed in
 // force, a deployment whose machines had all been deleted rented nothing for 40 s.
-func TestDeletionsEndRefusals(t *testing.T) {
+func TestDeletionEndsRefusals(t *testing.T) {
 	g := newRig(t, 0)
 	delete(g.cloud.Left, "y")
 	g.runs = []agent.Task{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}
@@ -305,17 +305,17 @@
 		t.Fatal("the cloud rented nothing")
 	}
 	name, gone := got.Machines[0], loop.Micros(0)
-	g.ups = nil
+	g.booted = nil
 	for k := range 1000 {
 		if k < 600 {
-			g.hear(name, "x") // for 60 s; until then there is no capacity beside it
+			g.report(name, "x") // for 60 s; until then there is no capacity beside it
 		}
-		g.t.Tally("b", peer.Tally{Wall: g.Now(), Wants: []peer.Want{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 1}}})
+		g.scaler.Tally("b", peer.Tally{Wall: g.Now(), Wants: []peer.Want{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 1}}})
 		g.Run(100 * loop.Millisecond)
 		if gone == 0 && len(g.deleted) > 0 {
 			gone = g.Now()
 		}
-		if len(g.ups) > 0 {
+		if len(g.booted) > 0 {
 			if took := g.Now() - gone; gone == 0 || took > 2*loop.Second {
 				t.Fatalf("rented %d us after the deletion at %d us, want within 2 s", took, gone)
 			}
--- a/internal/rental/spare.go
+++ b/internal/rental/spare.go
@@ -8,12 +8,12 @@
 	"cleatpick/internal/peer"
 )
 
-// reserve is the free capacity, as a fraction of the capacity in use, that is kept for upcoming work before a
+// freeFraction is the free capacity, as a fraction of the capacity in use, that is kept for upcoming work before a
 // machine counts as not needed.
-const reserve = 0.2
+const freeFraction = 0.2
 
-// sized is a machine with its usage and price.
-type sized struct {
+// drainCandidate is a machine with its usage and price.
+type drainCandidate struct {
 	m    *machine
 	v    *agent.View
 	used float64
@@ -21,33 +21,33 @@
 	cost float64 // price per CPU
 }
 
-// spare drains machines whose tasks would fit into free capacity elsewhere. Such a machine would become empty
+// drainUnneeded drains machines whose tasks would fit into free capacity elsewhere. Such a machine would become empty
 // only when the last of its tasks ends, which takes long. After a standby time of its own it takes no more
 // starts, and tasks that can save their state move away. Unplaced requests return as many draining machines
 // to use as they need, and no more: with many jobs there are always some new requests, and returning all
 // draining machines for them kept a third of the machines idle.
-func (t *Rental) spare(now loop.Micros) {
-	if now-t.spareAt < loop.Second {
+func (t *Rental) drainUnneeded(now loop.Micros) {
+	if now-t.drainCheckedAt < loop.Second {
 		return
 	}
-	t.spareAt = now
+	t.drainCheckedAt = now
 	wanted := 0.0
-	for _, w := range t.wants() {
+	for _, w := range t.requests() {
 		wanted += w.CPUs * float64(w.Count)
 	}
-	var all []sized
+	var all []drainCandidate
 	free, used := 0.0, 0.0
 	for _, m := range t.sorted() {
 		typ, ok := t.byName[m.typ]
-		v := t.agent.View(m.name)
+		v := t.workers.View(m.name)
 		if !ok || v == nil || v.NoticeAt != 0 || (m.state != Up && m.state != Draining) {
 			continue
 		}
-		room, ok := t.agent.Room(v, typ)
+		room, ok := t.workers.Room(v, typ)
 		if !ok {
 			continue
 		}
-		x := sized{m, v, typ.CPUs - room.CPUs, room.CPUs, typ.Price / typ.CPUs}
+		x := drainCandidate{m, v, typ.CPUs - room.CPUs, room.CPUs, typ.Price / typ.CPUs}
 		if m.spot {
 			x.cost = typ.SpotPrice / typ.CPUs
 		}
@@ -69,14 +69,14 @@
 		}
 		return all[i].m.name < all[j].m.name
 	})
-	need := reserve*used + wanted
+	need := freeFraction*used + wanted
 	// The cheapest and fullest draining machines are returned to use first.
 	for i := len(all) - 1; i >= 0 && free < need; i-- {
 		if x := all[i]; x.m.state == Draining {
 			free += x.free + x.used
-			x.m.spareTo = 0
+			x.m.drainAt = 0
 			t.setState(x.m, Up, "needed again")
-			t.n.Close(x.v.Host, peer.Close{Machine: x.m.name})
+			t.node.Close(x.v.Host, peer.Close{Machine: x.m.name})
 		}
 	}
 	for _, x := range all {
@@ -84,13 +84,13 @@
 			continue
 		}
 		if free-x.free-x.used < need {
-			x.m.spareTo = 0
+			x.m.drainAt = 0
 			continue
 		}
 		free -= x.free + x.used
-		if x.m.spareTo == 0 {
-			x.m.spareTo = now + t.standby(x.m)
-		} else if now > x.m.spareTo {
+		if x.m.drainAt == 0 {
+			x.m.drainAt = now + t.standby(x.m)
+		} else if now > x.m.drainAt {
 			t.setState(x.m, Draining, "not needed")
 		}
 	}
--- a/internal/rental/supply.go
+++ b/internal/rental/supply.go
@@ -9,8 +9,8 @@
 	"cleatpick/internal/loop"
 )
 
-// mostOffers bounds each list in a supply.
-const mostOffers = 20
+// maxOffers bounds each list in a supply.
+const maxOffers = 20
 
 // Supply describes what this leader has rented or requested from the cloud that could take a task with spec
 // s.
@@ -20,29 +20,29 @@
 		out.State = "noLeader"
 		return out
 	}
-	now, wall := t.r.Now(), t.r.Wall()
-	serves := func(o offer) bool { return t.takes(o, s) && !t.cordoned(o) }
-	for _, w := range t.wants() {
+	now, wall := t.runner.Now(), t.runner.Wall()
+	serves := func(o offer) bool { return t.fitsOffer(o, s) && !t.cordoned(o) }
+	for _, w := range t.requests() {
 		if w.CPUs == s.CPUs && w.GPUs == s.GPUs && w.MemoryGB == s.MemoryGB && w.Zone == s.Zone && w.Spot == s.Spot && slices.Equal(w.Types, s.Types) {
 			out.Missed += w.Count
 		}
 	}
-	for of := range t.all() {
+	for of := range t.allOffers() {
 		if !serves(of) {
 			continue
 		}
 		out.Offers++
-		if b := t.offers[of]; b != nil && now < b.until && len(out.Refused) < mostOffers {
+		if b := t.offers[of]; b != nil && now < b.until && len(out.Refused) < maxOffers {
 			until := explain.Time(wall + b.until - now)
 			out.Refused = append(out.Refused, explain.Offer{Type: of.typ, Zone: of.zone, Kind: explain.Kind(of.spot), Until: &until})
 		}
 	}
 	for _, o := range t.orders {
-		if !o.o.Answered && !o.refused && serves(offer{o.o.Type, o.o.Zone, o.o.Spot}) && len(out.Ordered) < mostOffers {
+		if !o.o.Answered && !o.refused && serves(offer{o.o.Type, o.o.Zone, o.o.Spot}) && len(out.Ordered) < maxOffers {
 			out.Ordered = append(out.Ordered, explain.Offer{Type: o.o.Type, Zone: o.o.Zone, Kind: explain.Kind(o.o.Spot), Count: o.o.Count})
 		}
 	}
-	t.supplyBoots(&out, serves)
+	t.addBooting(&out, serves)
 	switch {
 	case len(out.Booting) > 0:
 		out.State = "booting"
@@ -58,9 +58,9 @@
 	return out
 }
 
-// supplyBoots counts the booting machines by offer, and estimates when the next of them is up.
-func (t *Rental) supplyBoots(out *explain.Supply, serves func(offer) bool) {
-	now := t.r.Now()
+// addBooting counts the booting machines by offer, and estimates when the next of them is up.
+func (t *Rental) addBooting(out *explain.Supply, serves func(offer) bool) {
+	now := t.runner.Now()
 	by := map[offer]*explain.Booting{}
 	for _, m := range t.machines {
 		of := offer{m.typ, m.zone, m.spot}
@@ -69,7 +69,7 @@
 		}
 		b := by[of]
 		if b == nil {
-			if len(by) >= mostOffers {
+			if len(by) >= maxOffers {
 				continue
 			}
 			b = &explain.Booting{Offer: explain.Offer{Type: m.typ, Zone: m.zone, Kind: explain.Kind(m.spot)}, Nominal: explain.Span(loop.Seconds(t.byName[m.typ].BootS))}
@@ -81,7 +81,7 @@
 	for _, b := range by {
 		out.Booting = append(out.Booting, *b)
 		nominal := t.byName[b.Type].BootS
-		if e := t.boots.Left(loop.Micros(float64(b.Age) / max(nominal, 0.001))); e != nil {
+		if e := t.bootTimes.Left(loop.Micros(float64(b.Age) / max(nominal, 0.001))); e != nil {
 			e.Low, e.Likely, e.High = scale(e.Low, nominal), scale(e.Likely, nominal), scale(e.High, nominal)
 			if out.Estimate == nil || e.Likely < out.Estimate.Likely {
 				out.Estimate = e
--- a/internal/rental/worth.go
+++ b/internal/rental/worth.go
@@ -8,69 +8,69 @@
 	"cleatpick/internal/loop"
 )
 
-// hour exceeds any wait that the failure detection considers.
-const hour = 3600 * loop.Second
+// unbounded exceeds any wait that the failure detection considers.
+const unbounded = 3600 * loop.Second
 
-// worth returns a function for how much longer than usual a machine of an unreachable zone is retained.
+// retention returns a function for how much longer than usual a machine of an unreachable zone is retained.
 // Deleting it confirms that its tasks are terminated, and has another machine rented, which must boot and
 // fetch images. While the work that waits already would use all capacity available elsewhere, the deletion
 // helps nobody before the network partition ends, and costs a boot afterwards. How long the partition lasts
 // is not known: waiting for as long as the deletion would cost loses at most twice what knowing it would
 // lose.
-func (t *Rental) worth() func(*machine) loop.Micros {
-	now := t.r.Now()
+func (t *Rental) retention() func(*machine) loop.Micros {
+	now := t.runner.Now()
 	dark := map[string]bool{}
 	for _, m := range t.machines {
 		if _, known := dark[m.zone]; !known {
-			if dark[m.zone] = t.n.Unheard(m.zone); dark[m.zone] {
-				t.darkAt[m.zone] = now
+			if dark[m.zone] = t.node.Unheard(m.zone); dark[m.zone] {
+				t.unreachableAt[m.zone] = now
 			}
 		}
 	}
 	back := 2*loop.Seconds(t.cfg.Cluster.Workers.ReportS) + 3*loop.Second
-	for zone, at := range t.darkAt {
+	for zone, at := range t.unreachableAt {
 		if now-at > back {
-			delete(t.darkAt, zone)
+			delete(t.unreachableAt, zone)
 		}
 	}
-	if len(t.darkAt) == 0 {
-		t.setSparing(false)
+	if len(t.unreachableAt) == 0 {
+		t.setRetaining(false)
 		return func(*machine) loop.Micros { return 0 }
 	}
-	full := !t.elsewhere(dark) && t.crowded(dark)
-	t.setSparing(full)
+	full := !t.offerElsewhere(dark) && t.demandExceedsMachine(dark)
+	t.setRetaining(full)
 	return func(m *machine) loop.Micros {
-		switch _, was := t.darkAt[m.zone]; {
+		switch _, was := t.unreachableAt[m.zone]; {
 		case was && !dark[m.zone]:
 			// After its zone is reachable again, a machine has the time of two reports to show which tasks
 			// run on it: what was retained must not be deleted just when its partition ends. A machine that
 			// never reported to this leader does not get this time: see judgeBoot.
-			return hour
-		case was && full && !t.holdsUrgent(m):
+			return unbounded
+		case was && full && !t.runsUrgentTasks(m):
 			return loop.Seconds(t.byName[m.typ].BootS)
 		}
 		return 0
 	}
 }
 
-// setSparing records whether machines in unreachable zones are retained for longer, and logs each change: it
+// setRetaining records whether machines in unreachable zones are retained for longer, and logs each change: it
 // tells operators why nothing is deleted.
-func (t *Rental) setSparing(on bool) {
-	if t.sparing == on {
+func (t *Rental) setRetaining(on bool) {
+	if t.retaining == on {
 		return
 	}
-	t.sparing = on
-	t.log.Info("retention of machines in unreachable zones changed", "spared", on, "zones", slices.Sorted(maps.Keys(t.darkAt)))
+	t.retaining = on
+	t.log.Info("retention of machines in unreachable zones changed", "spared", on, "zones", slices.Sorted(maps.Keys(t.unreachableAt)))
 }
 
-// holdsUrgent reports whether urgent tasks were active on a machine in its newest report. Urgent work need
+// runsUrgentTasks reports whether urgent tasks were active on a machine in its newest report. Urgent work need
 // not queue: once it is confirmed terminated, other work is preempted for it.
-func (t *Rental) holdsUrgent(m *machine) bool {
-	v := t.agent.View(m.name)
+func (t *Rental) runsUrgentTasks(m *machine) bool {
+	v := t.workers.View(m.name)
 	if v == nil {
 		return false
 	}
-	jobs := t.agent.Jobs(v)
+	jobs := t.workers.Jobs(v)
 	for i := range v.Tasks {
 		if j := jobs[i]; v.Tasks[i].Active() && j != nil && !j.Final() && j.Spec != nil && j.Spec.Priority >= job.High {
 			return true
@@ -79,10 +79,10 @@
 	return false
 }
 
-// elsewhere reports whether anything can be rented in a reachable zone, by the cloud's newest answers: an
+// offerElsewhere reports whether anything can be rented in a reachable zone, by the cloud's newest answers: an
 // offer that was refused counts as refused until it is granted.
-func (t *Rental) elsewhere(dark map[string]bool) bool {
-	for o := range t.all() {
+func (t *Rental) offerElsewhere(dark map[string]bool) bool {
+	for o := range t.allOffers() {
 		if !dark[o.zone] && t.offers[o] == nil && !t.cordoned(o) {
 			return true
 		}
@@ -90,26 +90,26 @@
 	return false
 }
 
-// crowded reports whether the unplaced requests that could run in reachable zones exceed the largest machine.
+// demandExceedsMachine reports whether the unplaced requests that could run in reachable zones exceed the largest machine.
 // Tasks that a deletion confirms terminated would only queue beside them.
-func (t *Rental) crowded(dark map[string]bool) bool {
+func (t *Rental) demandExceedsMachine(dark map[string]bool) bool {
 	most := 0.0
 	for _, x := range t.types {
 		most = max(most, x.CPUs)
 	}
 	missed := 0.0
-	for _, w := range t.wants() {
-		if s := specOf(&w); t.inSight(s, dark) {
+	for _, w := range t.requests() {
+		if s := specOf(&w); t.fitsReachableZone(s, dark) {
 			missed += w.CPUs * float64(w.Count)
 		}
 	}
 	return most > 0 && missed > most
 }
 
-// inSight reports whether a task may run on some type of machine in a reachable zone.
-func (t *Rental) inSight(s *job.Spec, dark map[string]bool) bool {
-	for o := range t.all() {
-		if !dark[o.zone] && t.takes(o, s) {
+// fitsReachableZone reports whether a task may run on some type of machine in a reachable zone.
+func (t *Rental) fitsReachableZone(s *job.Spec, dark map[string]bool) bool {
+	for o := range t.allOffers() {
+		if !dark[o.zone] && t.fitsOffer(o, s) {
 			return true
 		}
 	}
--- a/internal/rental/worth_test.go
+++ b/internal/rental/worth_test.go
@@ -11,15 +11,15 @@
 	"cleatpick/internal/wire"
 )
 
-// crowd is demand that exceeds one machine.
-var crowd = []peer.Want{{CPUs: 2, AnyType: true, Spot: true, Count: 8}}
+// highDemand is demand that exceeds one machine.
+var highDemand = []peer.Want{{CPUs: 2, AnyType: true, Spot: true, Count: 8}}
 
 // Machines behind a network partition are retained for a boot time longer, but only while nothing can be
 // rented elsewhere and more work waits than one machine holds. A leader once deleted 408 machines of a zone
 // two seconds before its partition ended, while all other cloud capacity was rented and thousands of tasks
 // waited: the tasks that this confirmed terminated only joined the queue, and the zone's machines had to boot
 // anew.
-func TestCutZoneIsLeftAlone(t *testing.T) {
+func TestMachinesInUnreachableZoneAreRetained(t *testing.T) {
 	boot := 4 * loop.Second
 	for _, c := range []struct {
 		name  string
@@ -30,45 +30,45 @@
 		runs  job.Priority // priority of the tasks on the machines
 		more  loop.Micros
 	}{
-		{"full, work waits", 6, crowd, true, false, job.Normal, boot},
-		{"full, work waits, a new leader", 6, crowd, true, true, job.Normal, boot},
-		{"full, urgent tasks run there", 6, crowd, true, false, job.High, 0},
+		{"full, work waits", 6, highDemand, true, false, job.Normal, boot},
+		{"full, work waits, a new leader", 6, highDemand, true, true, job.Normal, boot},
+		{"full, urgent tasks run there", 6, highDemand, true, false, job.High, 0},
 		{"full, little waits", 6, []peer.Want{{CPUs: 2, AnyType: true, Spot: true, Count: 4}}, true, false, job.Normal, 0},
 		{"full, waiting work fits nothing in reachable zones", 6, []peer.Want{{CPUs: 2, AnyType: true, Zone: "y", Count: 80}}, true, false, job.Normal, 0},
 		{"full, waiting work fits no machine", 6, []peer.Want{{CPUs: 9, AnyType: true, Spot: true, Count: 80}}, true, false, job.Normal, 0},
-		{"capacity elsewhere", 4000, crowd, true, false, job.Normal, 0},
-		{"no partition", 6, crowd, false, false, job.Normal, 0},
+		{"capacity elsewhere", 4000, highDemand, true, false, job.Normal, 0},
+		{"no partition", 6, highDemand, false, false, job.Normal, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(t, c.each)
-			g.t.cfg.Operator.StandbyMeanS, g.t.cfg.Operator.OrdinaryStandbyMeanS = 1e11, 1e11 // idle machines are kept
+			g.scaler.cfg.Operator.StandbyMeanS, g.scaler.cfg.Operator.OrdinaryStandbyMeanS = 1e11, 1e11 // idle machines are kept
 			g.jobs = map[string]*job.Job{"j": {ID: "j", Phase: job.Accepted, Spec: &job.Spec{CPUs: 1, Priority: c.runs}}}
 			g.runs = []agent.Task{{Task: "j/0", Attempt: 1, State: wire.TaskRunning}}
 			names := g.cloud.Fill(6) // half of them in x, the rest in y
 			step := func(y bool, wants []peer.Want) {
 				for i, name := range names {
 					if zone := []string{"x", "y"}[i/6]; zone == "x" || y {
-						g.hear(name, zone)
+						g.report(name, zone)
 					}
 				}
 				tally := peer.Tally{Wall: g.Now(), Wants: wants}
 				if c.new {
 					tally.Suspect = names[6:] // reported as suspect by an owner before the cloud lists them
 				}
-				g.t.Tally("b", tally)
+				g.scaler.Tally("b", tally)
 				g.Run(200 * loop.Millisecond)
 			}
 			for range 100 {
 				if !c.new {
-					step(true, crowd) // until every offer was refused
+					step(true, highDemand) // until every offer was refused
 				}
 			}
 			if c.cut {
-				g.dark = "y"
+				g.partitionedZone = "y"
 			}
 			from := g.Now()
 			if c.new {
-				g.t.Lead(true, g.t.claim)
+				g.scaler.Lead(true, g.scaler.claim)
 			}
 			first := func() loop.Micros {
 				for g.Now() < from+60*loop.Second {
@@ -79,8 +79,8 @@
 				}
 				return 0
 			}()
-			if full := c.more > 0 || c.runs == job.High; g.t.sparing != full {
-				t.Errorf("retaining machines in unreachable zones: %v", g.t.sparing)
+			if full := c.more > 0 || c.runs == job.High; g.scaler.retaining != full {
+				t.Errorf("retaining machines in unreachable zones: %v", g.scaler.retaining)
 			}
 			base := 19 * loop.Second // the lease, a second, and 8 s for an unreachable zone
 			if c.new {
@@ -95,25 +95,25 @@
 
 // Machines that were retained during a network partition have the time of two reports to show themselves once
 // it is over; those that do not report by then are deleted as any others.
-func TestZoneIsBackInSight(t *testing.T) {
+func TestZoneReachableAgain(t *testing.T) {
 	g := newRig(t, 6)
-	g.t.cfg.Operator.StandbyMeanS, g.t.cfg.Operator.OrdinaryStandbyMeanS = 1e11, 1e11
+	g.scaler.cfg.Operator.StandbyMeanS, g.scaler.cfg.Operator.OrdinaryStandbyMeanS = 1e11, 1e11
 	names := g.cloud.Fill(6)
 	step := func(n int) { // the first n report
 		for i, name := range names[:n] {
-			g.hear(name, []string{"x", "y"}[i/6])
+			g.report(name, []string{"x", "y"}[i/6])
 		}
-		g.t.Tally("b", peer.Tally{Wall: g.Now(), Wants: crowd})
+		g.scaler.Tally("b", peer.Tally{Wall: g.Now(), Wants: highDemand})
 		g.Run(200 * loop.Millisecond)
 	}
 	for range 100 {
 		step(12)
 	}
-	g.dark = "y"
+	g.partitionedZone = "y"
 	for range 110 { // 22 s: more than the lease and 8 s
 		step(6)
 	}
-	g.dark = ""
+	g.partitionedZone = ""
 	for range 15 {
 		step(6)
 	}
