--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -43,7 +43,7 @@
 	cordons  *cordon.Book
 	agent    *agent.Agent
 	placer   *placer.Placer
-	rental   *rental.Rental
+	rental   *rental.Autoscaler
 	net      *peer.Net
 	reach    *reach.Judge
 	horizon  *horizon.Judge
--- a/internal/rental/cloud.go
+++ b/internal/rental/cloud.go
@@ -14,7 +14,7 @@
 
 // mayCall reports whether pacing allows a cloud call now. The cloud allows bursts of two seconds' worth of
 // calls, which matter when many machines are rented at once.
-func (t *Rental) mayCall(now loop.Micros) bool {
+func (t *Autoscaler) mayCall(now loop.Micros) bool {
 	rate := 0.95 * t.cfg.Cluster.Cloud.RPS
 	if gap := t.cfg.Operator.CloudCallS; gap > 0 {
 		rate = 1 / gap
@@ -30,7 +30,7 @@
 }
 
 // call makes one paced cloud call. One call is made at a time.
-func (t *Rental) call(method, path string, body any, timeout loop.Micros, done func(store.Response)) {
+func (t *Autoscaler) call(method, path string, body any, timeout loop.Micros, done func(store.Response)) {
 	t.calling = true
 	t.callBudget--
 	var raw []byte
@@ -52,7 +52,7 @@
 
 // fetchCatalog reads the machine types and prices, drops entries that cannot be used, and records the rest
 // for the other controllers.
-func (t *Rental) fetchCatalog() {
+func (t *Autoscaler) fetchCatalog() {
 	t.call("GET", "/catalog", nil, 4*loop.Second, func(resp store.Response) {
 		var c wire.Catalog
 		if resp.Err != nil || resp.Status != 200 || wire.Unmarshal(resp.Body, &c) != nil || len(c.Types) == 0 {
@@ -80,7 +80,7 @@
 
 // list reads the cloud's list of machines, page by page. The list lags behind, so that a machine missing from
 // it may exist; a machine on it does exist.
-func (t *Rental) list(since string, all []wire.Listed) {
+func (t *Autoscaler) list(since string, all []wire.Listed) {
 	path := "/machines?limit=500"
 	if since != "" {
 		path += "&since=" + url.QueryEscape(since)
--- a/internal/rental/deletion.go
+++ b/internal/rental/deletion.go
@@ -16,7 +16,7 @@
 const maxDeletionsPerCall = 100
 
 // deleteNext requests the deletion of the machines that have waited longest, failed ones first.
-func (t *Rental) deleteNext() {
+func (t *Autoscaler) deleteNext() {
 	first := func(m *machine) int {
 		if m.failed {
 			return 0
@@ -41,7 +41,7 @@
 }
 
 // delete asks the cloud to delete machines, and records the confirmed deletion.
-func (t *Rental) delete(names []string) {
+func (t *Autoscaler) delete(names []string) {
 	t.call("POST", "/machines/delete", wire.Names{Machines: names}, 4*loop.Second, func(resp store.Response) {
 		if resp.Err != nil || resp.Status != 200 {
 			return // retried later: deleting a deleted machine has no effect
@@ -64,7 +64,7 @@
 }
 
 // recordDeletion stores the recordDeletion of a deletion, retrying until the state service has applied it.
-func (t *Rental) recordDeletion(ch wire.Change, tries int) {
+func (t *Autoscaler) recordDeletion(ch wire.Change, tries int) {
 	t.client.Txn(store.Placements, wire.Txn{Then: []wire.Change{ch}}, func(r store.Result) {
 		if r.Outcome != store.Applied && r.Outcome != store.Invalid && tries < 200 {
 			t.runner.After(300*loop.Millisecond, func() { t.recordDeletion(ch, tries+1) })
@@ -77,7 +77,7 @@
 const deletionRetention = 30 * 60 * loop.Second
 
 // removeOldDeletions removes records of deletions that are older than keepGone.
-func (t *Rental) removeOldDeletions() {
+func (t *Autoscaler) removeOldDeletions() {
 	if !t.leads || !t.node.Entitled() {
 		return
 	}
@@ -102,7 +102,7 @@
 }
 
 // markDeleted forgets a machine that is known to be deleted, and notifies the workers' registry and OnGone once.
-func (t *Rental) markDeleted(name string) {
+func (t *Autoscaler) markDeleted(name string) {
 	if m := t.machines[name]; m != nil {
 		t.setState(m, Gone, m.why)
 		delete(t.machines, name)
--- a/internal/rental/duty.go
+++ b/internal/rental/duty.go
@@ -69,7 +69,7 @@
 }
 
 // nextCall collects the work that waits, and returns what comes first, with the order that is ready.
-func (t *Rental) nextCall(now loop.Micros) (callPurpose, *order) {
+func (t *Autoscaler) nextCall(now loop.Micros) (callPurpose, *order) {
 	o := t.nextOrder()
 	a := pendingCalls{now: now, listed: t.listed, listAt: t.listAt, catAt: t.catalogAt, ordersInARow: t.ordersInARow, order: o != nil,
 		listEvery: max(5*loop.Second, loop.Seconds(t.cfg.Cluster.Cloud.ListLagS))}
@@ -86,7 +86,7 @@
 }
 
 // perform makes one call or plan; o is the order that is ready.
-func (t *Rental) perform(d callPurpose, o *order) {
+func (t *Autoscaler) perform(d callPurpose, o *order) {
 	switch d {
 	case readCatalog:
 		t.fetchCatalog()
--- a/internal/rental/machine.go
+++ b/internal/rental/machine.go
@@ -48,7 +48,7 @@
 }
 
 // adopt returns the record of a machine, creating it if needed; nil if the machine is known to be deleted.
-func (t *Rental) adopt(name, typ, zone string, spot bool) *machine {
+func (t *Autoscaler) adopt(name, typ, zone string, spot bool) *machine {
 	if t.workers.IsGone(name) {
 		return nil
 	}
@@ -69,7 +69,7 @@
 }
 
 // sorted lists the machines by name. The list is cached until a machine joins or leaves.
-func (t *Rental) sorted() []*machine {
+func (t *Autoscaler) sorted() []*machine {
 	if t.sortedMachines == nil {
 		t.sortedMachines = slices.SortedFunc(maps.Values(t.machines), func(a, b *machine) int { return strings.Compare(a.name, b.name) })
 	}
@@ -77,7 +77,7 @@
 }
 
 // setState changes a machine's state and logs it; no other function changes the state.
-func (t *Rental) setState(m *machine, s MachineState, why string) {
+func (t *Autoscaler) setState(m *machine, s MachineState, why string) {
 	if m.state == s {
 		return
 	}
@@ -91,7 +91,7 @@
 }
 
 // markFailed queues a failed machine for deletion.
-func (t *Rental) markFailed(m *machine, why string) {
+func (t *Autoscaler) markFailed(m *machine, why string) {
 	m.failed = true
 	t.setState(m, Deleting, why)
 }
@@ -99,7 +99,7 @@
 // View records a machine's view, with the time of its newest report. For a new leader the first view of a
 // machine counts like a report that proves that the machine receives messages, since this leader was sent none
 // before. No report counts as older than the leadership.
-func (t *Rental) View(v *agent.View) {
+func (t *Autoscaler) View(v *agent.View) {
 	if !t.leads {
 		return
 	}
@@ -146,7 +146,7 @@
 }
 
 // standby draws the time for which an empty machine is kept, at random around the operator's mean.
-func (t *Rental) standby(m *machine) loop.Micros {
+func (t *Autoscaler) standby(m *machine) loop.Micros {
 	mean := t.cfg.Operator.StandbyMeanS
 	if !m.spot {
 		mean = t.cfg.Operator.OrdinaryStandbyMeanS
@@ -156,7 +156,7 @@
 
 // checkMachines checks all machines: for boots that take too long, failures, faulty machines, and empty machines
 // whose standby time is over.
-func (t *Rental) checkMachines() {
+func (t *Autoscaler) checkMachines() {
 	now := t.runner.Now()
 	suspects := t.suspects(now)
 	t.drainUnneeded(now)
@@ -180,7 +180,7 @@
 }
 
 // suspects lists the machines that hold tasks and whose reports do not reach the owners of those tasks.
-func (t *Rental) suspects(now loop.Micros) map[string]bool {
+func (t *Autoscaler) suspects(now loop.Micros) map[string]bool {
 	out := map[string]bool{}
 	for from, y := range t.demands {
 		if now-t.demandAt[from] < 5*loop.Second {
@@ -197,7 +197,7 @@
 
 // detectFailures runs failure detection over all machines that have reported before, and queues the failed ones
 // for deletion.
-func (t *Rental) detectFailures(now loop.Micros, worth func(*machine) loop.Micros) {
+func (t *Autoscaler) detectFailures(now loop.Micros, worth func(*machine) loop.Micros) {
 	scene := loss.Scene{Now: now, Blind: t.node.Isolated() || now-t.started < 2*loop.Second, Unheard: t.node.Unheard}
 	for _, x := range t.failures.Look(scene, func(yield func(*loss.Facts)) {
 		for _, m := range t.sorted() {
@@ -217,7 +217,7 @@
 
 // checkBoot checks a machine that has not reported to this leader: whether it failed, or takes too long to
 // boot.
-func (t *Rental) checkBoot(m *machine, now loop.Micros, suspect bool, worth func(*machine) loop.Micros) {
+func (t *Autoscaler) checkBoot(m *machine, now loop.Micros, suspect bool, worth func(*machine) loop.Micros) {
 	report, lease := loop.Seconds(t.cfg.Cluster.Workers.ReportS), loop.Seconds(t.cfg.Cluster.Workers.LeaseS)
 	typ, known := t.byName[m.typ]
 	boot := loop.Seconds(typ.BootS)
@@ -249,7 +249,7 @@
 
 // checkClosing asks the machine's host controller to start nothing on it, and has it deleted once a recent
 // report shows that it is closed and empty.
-func (t *Rental) checkClosing(m *machine, now loop.Micros) {
+func (t *Autoscaler) checkClosing(m *machine, now loop.Micros) {
 	v := t.workers.View(m.name)
 	if v == nil {
 		t.setState(m, Deleting, m.why)
@@ -265,7 +265,7 @@
 }
 
 // probe asks a machine's worker directly, and calls done on the event loop.
-func (t *Rental) probe(addr string, done func(loss.Word)) {
+func (t *Autoscaler) probe(addr string, done func(loss.Word)) {
 	t.runner.Go(func() {
 		w := t.node.Probe(addr)
 		t.runner.Post(func() { done(w) })
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -20,7 +20,7 @@
 )
 
 // requests collects the unplaced requests of all owners whose demand arrived recently, highest priority first.
-func (t *Rental) requests() []peer.Want {
+func (t *Autoscaler) requests() []peer.Want {
 	var all []peer.Want
 	now := t.runner.Now()
 	for from, y := range loop.Sorted(t.demands) {
@@ -57,7 +57,7 @@
 }
 
 // allOffers lists every offer of the catalog: each type in each of its zones, as spot and as standard.
-func (t *Rental) allOffers() iter.Seq[offer] {
+func (t *Autoscaler) allOffers() iter.Seq[offer] {
 	return func(yield func(offer) bool) {
 		for _, x := range t.types {
 			for _, z := range x.Zones {
@@ -70,14 +70,14 @@
 }
 
 // fitsOffer reports whether a machine of the offer is allowed and large enough for a task with this spec.
-func (t *Rental) fitsOffer(o offer, s *job.Spec) bool {
+func (t *Autoscaler) fitsOffer(o offer, s *job.Spec) bool {
 	x, ok := t.byName[o.typ]
 	room := capacityOf(x)
 	return ok && room.Fits(s) && s.AllowsPlace(o.typ, o.zone, o.spot)
 }
 
 // expectedMachines lists the machines that will have capacity soon, which count for unplaced requests already.
-func (t *Rental) expectedMachines() []*expectedMachine {
+func (t *Autoscaler) expectedMachines() []*expectedMachine {
 	var out []*expectedMachine
 	add := func(typ, zone string, spot bool) {
 		if x, ok := t.byName[typ]; ok && !t.cordoned(offer{typ, zone, spot}) {
@@ -114,7 +114,7 @@
 }
 
 // cordoned reports whether a machine of the offer would accept no starts.
-func (t *Rental) cordoned(o offer) bool {
+func (t *Autoscaler) cordoned(o offer) bool {
 	return t.node.Cordoned != nil && t.node.Cordoned(o.typ, o.zone, o.spot)
 }
 
@@ -123,7 +123,7 @@
 const planInterval = 150 * loop.Millisecond
 
 // recordOrders turns requests that no expected machine will serve into recorded orders.
-func (t *Rental) recordOrders() {
+func (t *Autoscaler) recordOrders() {
 	if !t.listed || len(t.types) == 0 {
 		return
 	}
@@ -153,7 +153,7 @@
 }
 
 // plan returns how many machines of each offer are missing beside the expected ones.
-func (t *Rental) plan(now loop.Micros) map[offer]int {
+func (t *Autoscaler) plan(now loop.Micros) map[offer]int {
 	coming := expectedCapacity{machines: t.expectedMachines(), exhausted: map[fleet.Shape]int{}}
 	need := map[offer]int{}
 	for _, w := range t.requests() {
@@ -179,7 +179,7 @@
 
 // cheapestOffer chooses the offer to rent for tasks of this shape: the lowest current price for each task served,
 // leaving out offers that were refused recently, that are cordoned, or that the job's rules forbid.
-func (t *Rental) cheapestOffer(n *gate.Need, left int, now loop.Micros, need map[offer]int) (offer, int, bool) {
+func (t *Autoscaler) cheapestOffer(n *gate.Need, left int, now loop.Micros, need map[offer]int) (offer, int, bool) {
 	s := n.Spec
 	var best offer
 	bestCost, bestPer := math.Inf(1), 0
@@ -226,7 +226,7 @@
 }
 
 // newOrder records an order under a name that is never reused. The cloud is asked only after that.
-func (t *Rental) newOrder(of offer, count int) {
+func (t *Autoscaler) newOrder(of offer, count int) {
 	t.seq++
 	name := fmt.Sprintf("r-%d-%d", t.claim.Epoch, t.seq)
 	o := &order{name: name, o: Order{Type: of.typ, Zone: of.zone, Spot: of.spot, Count: count, At: t.runner.Wall()}}
@@ -244,7 +244,7 @@
 }
 
 // storeOrder writes an order's record under the given conditions, and passes on whether it was applied.
-func (t *Rental) storeOrder(o *order, cond []wire.Cond, done func(ok bool)) {
+func (t *Autoscaler) storeOrder(o *order, cond []wire.Cond, done func(ok bool)) {
 	t.client.Txn(store.Placements, wire.Txn{If: cond, Then: []wire.Change{{Put: OrderKeys + o.name, Value: o.o}}}, func(r store.Result) {
 		if r.Outcome == store.Applied {
 			o.revision = r.Tally
@@ -255,7 +255,7 @@
 
 // nextOrder returns the recorded order to send next, or nil if there is none. It drops orders that were answered
 // more than a minute ago.
-func (t *Rental) nextOrder() *order {
+func (t *Autoscaler) nextOrder() *order {
 	now := t.runner.Now()
 	var first *order
 	for _, o := range loop.Sorted(t.orders) {
@@ -271,7 +271,7 @@
 }
 
 // send asks the cloud for an order's machines and handles the answer.
-func (t *Rental) send(o *order) {
+func (t *Autoscaler) send(o *order) {
 	o.busy = true
 	o.tries++
 	of := offer{o.o.Type, o.o.Zone, o.o.Spot}
@@ -314,7 +314,7 @@
 }
 
 // backOffOffer leaves an offer out of the choice for a while, longer with each refusal.
-func (t *Rental) backOffOffer(of offer) {
+func (t *Autoscaler) backOffOffer(of offer) {
 	b := t.offers[of]
 	if b == nil {
 		b = &backoff{wait: 5 * loop.Second}
@@ -326,7 +326,7 @@
 }
 
 // dropOrder forgets an order and deletes its record.
-func (t *Rental) dropOrder(o *order) {
+func (t *Autoscaler) dropOrder(o *order) {
 	delete(t.orders, o.name)
 	t.client.Txn(store.Background, wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}, Then: []wire.Change{{Delete: OrderKeys + o.name}}}, func(r store.Result) {
 		if r.Outcome == store.Applied {
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -97,8 +97,8 @@
 	Meter *metric.Meter // may be nil
 }
 
-// Rental is the autoscaler. It acts only while its controller is the leader.
-type Rental struct {
+// Autoscaler is the autoscaler. It acts only while its controller is the leader.
+type Autoscaler struct {
 	runner         loop.Runner
 	log            *slog.Logger
 	cfg            *config.Config
@@ -143,8 +143,8 @@
 
 // New returns the autoscaler, which keeps its copy of the catalog and the deletions up to date on every
 // controller.
-func New(r loop.Runner, log *slog.Logger, cfg *config.Config, c *store.Client, m *store.Mirror, cloud store.Doer, a *agent.Agent, n Node) *Rental {
-	t := &Rental{runner: r, log: log, cfg: cfg, client: c, mirror: m, cloud: cloud, workers: a, node: n, byName: map[string]wire.MachineType{}, rand: loop.Rand(r),
+func New(r loop.Runner, log *slog.Logger, cfg *config.Config, c *store.Client, m *store.Mirror, cloud store.Doer, a *agent.Agent, n Node) *Autoscaler {
+	t := &Autoscaler{runner: r, log: log, cfg: cfg, client: c, mirror: m, cloud: cloud, workers: a, node: n, byName: map[string]wire.MachineType{}, rand: loop.Rand(r),
 		demands: map[string]peer.Tally{}, unreachableAt: map[string]loop.Micros{}, demandAt: map[string]loop.Micros{}, deleted: map[string][]string{}, bootTimes: explain.NewDist()}
 	w := cfg.Cluster.Workers
 	t.failures = loss.New(loss.Rules{Report: loop.Seconds(w.ReportS), Lease: loop.Seconds(w.LeaseS), Out: partitionGrace,
@@ -182,7 +182,7 @@
 }
 
 // setCatalog replaces the known machine types.
-func (t *Rental) setCatalog(types []wire.MachineType) {
+func (t *Autoscaler) setCatalog(types []wire.MachineType) {
 	t.types = types
 	clear(t.byName)
 	for _, x := range types {
@@ -191,16 +191,16 @@
 }
 
 // Types lists the machine types; empty while the catalog is not known.
-func (t *Rental) Types() []wire.MachineType { return t.types }
+func (t *Autoscaler) Types() []wire.MachineType { return t.types }
 
 // Type returns a machine type by name.
-func (t *Rental) Type(name string) (wire.MachineType, bool) {
+func (t *Autoscaler) Type(name string) (wire.MachineType, bool) {
 	x, ok := t.byName[name]
 	return x, ok
 }
 
 // Lead records that this controller has become or ceased to be the leader.
-func (t *Rental) Lead(leads bool, claim member.Owner) {
+func (t *Autoscaler) Lead(leads bool, claim member.Owner) {
 	t.leads, t.claim = leads, claim
 	if !leads {
 		return
@@ -233,7 +233,7 @@
 }
 
 // Tally records an owner's unplaced requests and suspect machines.
-func (t *Rental) Tally(from string, y peer.Tally) {
+func (t *Autoscaler) Tally(from string, y peer.Tally) {
 	old := t.demands[from]
 	off := t.cfg.ClockDifference() + 5*loop.Second
 	if y.Wall <= old.Wall || t.runner.Wall()-y.Wall > off {
@@ -243,7 +243,7 @@
 }
 
 // Asked reports whether the machine types are known, so that submissions can be validated.
-func (t *Rental) Asked() bool { return len(t.types) > 0 }
+func (t *Autoscaler) Asked() bool { return len(t.types) > 0 }
 
 // partitionGrace is how much longer than its lease an unreachable machine is retained while it may be alive
 // behind a network partition.
@@ -254,7 +254,7 @@
 const checkIntervalPerMachine = 200
 
 // tick checks the machines and makes the next cloud call when each is due.
-func (t *Rental) tick() {
+func (t *Autoscaler) tick() {
 	if !t.leads || !t.node.Entitled() {
 		// A leader that cannot renew its lease has been replaced, or soon will be: to it all machines look
 		// silent, and a delayed deletion request would take effect long afterwards.
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -25,7 +25,7 @@
 // calls.
 type rig struct {
 	*standin.Stepped
-	scaler          *Rental
+	scaler          *Autoscaler
 	workers         *agent.Agent
 	cloud           *standin.Cloud
 	calls           []string
--- a/internal/rental/spare.go
+++ b/internal/rental/spare.go
@@ -26,7 +26,7 @@
 // starts, and tasks that can save their state move away. Unplaced requests return as many draining machines
 // to use as they need, and no more: with many jobs there are always some new requests, and returning all
 // draining machines for them kept a third of the machines idle.
-func (t *Rental) drainUnneeded(now loop.Micros) {
+func (t *Autoscaler) drainUnneeded(now loop.Micros) {
 	if now-t.drainCheckedAt < loop.Second {
 		return
 	}
--- a/internal/rental/supply.go
+++ b/internal/rental/supply.go
@@ -14,7 +14,7 @@
 
 // Supply describes what this leader has rented or requested from the cloud that could take a task with spec
 // s.
-func (t *Rental) Supply(s *job.Spec) explain.Supply {
+func (t *Autoscaler) Supply(s *job.Spec) explain.Supply {
 	out := explain.Supply{State: "nothing"}
 	if !t.leads {
 		out.State = "noLeader"
@@ -59,7 +59,7 @@
 }
 
 // addBooting counts the booting machines by offer, and estimates when the next of them is up.
-func (t *Rental) addBooting(out *explain.Supply, serves func(offer) bool) {
+func (t *Autoscaler) addBooting(out *explain.Supply, serves func(offer) bool) {
 	now := t.runner.Now()
 	by := map[offer]*explain.Booting{}
 	for _, m := range t.machines {
--- a/internal/rental/worth.go
+++ b/internal/rental/worth.go
@@ -17,7 +17,7 @@
 // helps nobody before the network partition ends, and costs a boot afterwards. How long the partition lasts
 // is not known: waiting for as long as the deletion would cost loses at most twice what knowing it would
 // lose.
-func (t *Rental) retention() func(*machine) loop.Micros {
+func (t *Autoscaler) retention() func(*machine) loop.Micros {
 	now := t.runner.Now()
 	dark := map[string]bool{}
 	for _, m := range t.machines {
@@ -55,7 +55,7 @@
 
 // setRetaining records whether machines in unreachable zones are retained for longer, and logs each change: it
 // tells operators why nothing is deleted.
-func (t *Rental) setRetaining(on bool) {
+func (t *Autoscaler) setRetaining(on bool) {
 	if t.retaining == on {
 		return
 	}
@@ -65,7 +65,7 @@
 
 // runsUrgentTasks reports whether urgent tasks were active on a machine in its newest report. Urgent work need
 // not queue: once it is confirmed terminated, other work is preempted for it.
-func (t *Rental) runsUrgentTasks(m *machine) bool {
+func (t *Autoscaler) runsUrgentTasks(m *machine) bool {
 	v := t.workers.View(m.name)
 	if v == nil {
 		return false
@@ -81,7 +81,7 @@
 
 // offerElsewhere reports whether anything can be rented in a reachable zone, by the cloud's newest answers: an
 // offer that was refused counts as refused until it is granted.
-func (t *Rental) offerElsewhere(dark map[string]bool) bool {
+func (t *Autoscaler) offerElsewhere(dark map[string]bool) bool {
 	for o := range t.allOffers() {
 		if !dark[o.zone] && t.offers[o] == nil && !t.cordoned(o) {
 			return true
@@ -92,7 +92,7 @@
 
 // demandExceedsMachine reports whether the unplaced requests that could run in reachable zones exceed the largest machine.
 // Tasks that a deletion confirms terminated would only queue beside them.
-func (t *Rental) demandExceedsMachine(dark map[string]bool) bool {
+func (t *Autoscaler) demandExceedsMachine(dark map[string]bool) bool {
 	most := 0.0
 	for _, x := range t.types {
 		most = max(most, x.CPUs)
@@ -107,7 +107,7 @@
 }
 
 // fitsReachableZone reports whether a task may run on some type of machine in a reachable zone.
-func (t *Rental) fitsReachableZone(s *job.Spec, dark map[string]bool) bool {
+func (t *Autoscaler) fitsReachableZone(s *job.Spec, dark map[string]bool) bool {
 	for o := range t.allOffers() {
 		if !dark[o.zone] && t.fitsOffer(o, s) {
 			return true
