--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -25,9 +25,9 @@
 
 // Keys and key prefixes in the state service that this package owns.
 const (
-	OrderKeys  = "c/o/"
-	GoneKeys   = "c/g/"
-	CatalogKey = "c/k"
+	OrderKeys    = "c/o/"
+	DeletionKeys = "c/g/"
+	CatalogKey   = "c/k"
 )
 
 // Order is the record of a rental request. Its name is never reused.
@@ -160,7 +160,7 @@
 		}
 		t.setCatalog(rec.Types)
 	})
-	m.On(GoneKeys, func(key string, e store.Entry) {
+	m.On(DeletionKeys, func(key string, e store.Entry) {
 		var rec GoneRecord
 		if e.Mark == 0 {
 			a.Forget(t.deleted[key])
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -189,11 +189,11 @@
 	g.Run(3 * loop.Second)
 	g.report("n-900000", "x")
 	g.Run(25 * loop.Second) // no reports from now on
-	if !g.workers.IsGone("n-900000") || len(g.scaler.mirror.Under(GoneKeys)) != 1 {
-		t.Fatalf("machine deleted: %v, deletion records %v", g.workers.IsGone("n-900000"), g.scaler.mirror.Under(GoneKeys))
+	if !g.workers.IsGone("n-900000") || len(g.scaler.mirror.Under(DeletionKeys)) != 1 {
+		t.Fatalf("machine deleted: %v, deletion records %v", g.workers.IsGone("n-900000"), g.scaler.mirror.Under(DeletionKeys))
 	}
 	g.Run(deletionRetention + 120*loop.Second)
-	if n := len(g.scaler.mirror.Under(GoneKeys)); n != 0 || g.workers.IsGone("n-900000") {
+	if n := len(g.scaler.mirror.Under(DeletionKeys)); n != 0 || g.workers.IsGone("n-900000") {
 		t.Fatalf("%d deletion records are left, machine deleted: %v", n, g.workers.IsGone("n-900000"))
 	}
 	for range 80 {
