--- a/internal/rental/deletion.go
+++ b/internal/rental/deletion.go
@@ -49,7 +49,7 @@
 		// The answer confirms that the machines and all tasks on them are terminated. It is recorded, so that
 		// every owner learns of it.
 		t.seq++
-		ch := wire.Change{Put: fmt.Sprintf("%s%d-%d", DeletionKeys, t.claim.Epoch, t.seq), Value: GoneRecord{names, t.runner.Wall()}}
+		ch := wire.Change{Put: fmt.Sprintf("%s%d-%d", DeletionKeys, t.claim.Epoch, t.seq), Value: DeletionRecord{names, t.runner.Wall()}}
 		for _, name := range names {
 			// Its capacity is available in the cloud again, so an earlier refusal no longer holds.
 			if m := t.machines[name]; m != nil {
@@ -83,7 +83,7 @@
 	}
 	txn := wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}}
 	for _, key := range t.mirror.Under(DeletionKeys) {
-		var rec GoneRecord
+		var rec DeletionRecord
 		if e, ok := t.mirror.Get(key); ok && wire.Unmarshal(e.Value, &rec) == nil && t.runner.Wall()-rec.At > deletionRetention &&
 			len(txn.Then) < t.client.MostChanges() {
 			txn.Then = append(txn.Then, wire.Change{Delete: key})
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -54,8 +54,8 @@
 	finished loop.Micros
 }
 
-// GoneRecord is the record of deleted machines.
-type GoneRecord struct {
+// DeletionRecord is the record of deleted machines.
+type DeletionRecord struct {
 	Machines []string `cbor:"m"`
 	At       int64    `cbor:"at"`
 }
@@ -161,7 +161,7 @@
 		t.setCatalog(rec.Types)
 	})
 	m.On(DeletionKeys, func(key string, e store.Entry) {
-		var rec GoneRecord
+		var rec DeletionRecord
 		if e.Mark == 0 {
 			a.Forget(t.deleted[key])
 			delete(t.deleted, key)
