--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -215,7 +215,7 @@
 		},
 		Probe: out.Probe,
 	})
-	n.rental.OnGone = n.placer.Gone
+	n.rental.OnDeleted = n.placer.Gone
 	n.jobs.OnJob = func(j *job.Job) {
 		if j.Phase == job.Withdrawn {
 			n.horizon.Learn(horizon.Over{Job: j.ID, Mark: j.WithdrawnRevision()})
--- a/internal/rental/deletion.go
+++ b/internal/rental/deletion.go
@@ -111,8 +111,8 @@
 	}
 	if !t.workers.IsGone(name) {
 		t.workers.Gone(name)
-		if t.OnGone != nil {
-			t.OnGone(name)
+		if t.OnDeleted != nil {
+			t.OnDeleted(name)
 		}
 	}
 }
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -137,8 +137,8 @@
 	ordersInARow   int                 // orders sent since idle machines were last deleted
 	bootTimes      *explain.Dist       // boot times, in units of the types' nominal boot times
 	deleted        map[string][]string // names of deleted machines, by key of their record
-	// OnGone is called once for every machine that is known to be deleted.
-	OnGone func(string)
+	// OnDeleted is called once for every machine that is known to be deleted.
+	OnDeleted func(string)
 }
 
 // New returns the autoscaler, which keeps its copy of the catalog and the deletions up to date on every
