--- a/internal/rental/deletion.go
+++ b/internal/rental/deletion.go
@@ -104,7 +104,7 @@
 // markDeleted forgets a machine that is known to be deleted, and notifies the workers' registry and OnGone once.
 func (t *Autoscaler) markDeleted(name string) {
 	if m := t.machines[name]; m != nil {
-		t.setState(m, Gone, m.why)
+		t.setState(m, Deleted, m.why)
 		delete(t.machines, name)
 		t.sortedMachines = nil
 		t.failures.Forget(name)
--- a/internal/rental/machine.go
+++ b/internal/rental/machine.go
@@ -20,7 +20,7 @@
 	Draining                     // not needed: takes no starts, and tasks that can save their state move away
 	Closing                      // its host controller is asked to start nothing on it
 	Deleting                     // waits for its deletion by the cloud
-	Gone                         // the cloud has confirmed its deletion
+	Deleted                      // the cloud has confirmed its deletion
 )
 
 func (s MachineState) String() string {
