--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -235,7 +235,7 @@
 	n.member.OnOwned = n.placer.Owned
 	n.member.OnAssigned = n.placer.Assigned
 	n.member.OnReleased = n.placer.Released
-	n.member.OnLeader = n.rental.Lead
+	n.member.OnLeader = n.rental.SetLeader
 	n.net.Receive = n.receive
 	n.net.NewLife = func(label string) {
 		if claims := n.placer.ClaimsInForce(); len(claims) > 0 {
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -199,8 +199,8 @@
 	return x, ok
 }
 
-// Lead records that this controller has become or ceased to be the leader.
-func (t *Autoscaler) Lead(leads bool, claim member.Owner) {
+// SetLeader records that this controller has become or ceased to be the leader.
+func (t *Autoscaler) SetLeader(leads bool, claim member.Owner) {
 	t.leads, t.claim = leads, claim
 	if !leads {
 		return
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -70,7 +70,7 @@
 	if !ok {
 		t.Fatal("the leader's claim has not reached the mirror")
 	}
-	g.scaler.Lead(true, member.Owner{Node: "a", Epoch: 1, Mark: e.Mark})
+	g.scaler.SetLeader(true, member.Owner{Node: "a", Epoch: 1, Mark: e.Mark})
 	return g
 }
 
--- a/internal/rental/worth_test.go
+++ b/internal/rental/worth_test.go
@@ -68,7 +68,7 @@
 			}
 			from := g.Now()
 			if c.new {
-				g.scaler.Lead(true, g.scaler.claim)
+				g.scaler.SetLeader(true, g.scaler.claim)
 			}
 			first := func() loop.Micros {
 				for g.Now() < from+60*loop.Second {
