--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -177,7 +177,7 @@
 			if !ok {
 				return
 			}
-			n.at(o.Node, func() { n.rental.Tally(cfg.Label, t) }, func(e *peer.Envelope) { e.Tally = &t })
+			n.at(o.Node, func() { n.rental.UpdateDemand(cfg.Label, t) }, func(e *peer.Envelope) { e.Tally = &t })
 		},
 		Tells:      cfg.Operator.API.Enabled,
 		Meter:      n.meter,
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -38,7 +38,7 @@
 		n.placer.Drop(e.From, d)
 	}
 	if e.Tally != nil {
-		n.rental.Tally(e.From, *e.Tally)
+		n.rental.UpdateDemand(e.From, *e.Tally)
 	}
 	for _, p := range e.Progress {
 		if j := n.jobs.Get(p.Job); j == nil || !j.Final() {
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -232,8 +232,8 @@
 	t.log.Info("autoscaler started as leader; state rebuilt from records and reports", "orders", len(t.orders), "machines", len(t.machines))
 }
 
-// Tally records an owner's unplaced requests and suspect machines.
-func (t *Autoscaler) Tally(from string, y peer.Tally) {
+// UpdateDemand records an owner's unplaced requests and suspect machines.
+func (t *Autoscaler) UpdateDemand(from string, y peer.Tally) {
 	old := t.demands[from]
 	off := t.cfg.ClockDifference() + 5*loop.Second
 	if y.Wall <= old.Wall || t.runner.Wall()-y.Wall > off {
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -134,7 +134,7 @@
 func TestRefusedOffersBackOffAndOrderOnce(t *testing.T) {
 	g := newRig(t, 0)
 	tally := func() {
-		g.scaler.Tally("b", peer.Tally{Wall: g.Now(), Wants: []peer.Want{{CPUs: 2, MemoryGB: 1, AnyType: true, Spot: true, Count: 8}}})
+		g.scaler.UpdateDemand("b", peer.Tally{Wall: g.Now(), Wants: []peer.Want{{CPUs: 2, MemoryGB: 1, AnyType: true, Spot: true, Count: 8}}})
 	}
 	for range 60 {
 		tally()
@@ -197,7 +197,7 @@
 		t.Fatalf("%d deletion records are left, machine deleted: %v", n, g.workers.IsGone("n-900000"))
 	}
 	for range 80 {
-		g.scaler.Tally("b", peer.Tally{Wall: g.Now(), Suspect: []string{"n-900000"}})
+		g.scaler.UpdateDemand("b", peer.Tally{Wall: g.Now(), Suspect: []string{"n-900000"}})
 		g.Run(500 * loop.Millisecond)
 	}
 	if !g.workers.IsGone("n-900000") {
@@ -261,7 +261,7 @@
 		}
 		for range 6 {
 			hear(10, 20)
-			g.scaler.Tally("b", peer.Tally{Wall: g.Now(), Wants: []peer.Want{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 10}}})
+			g.scaler.UpdateDemand("b", peer.Tally{Wall: g.Now(), Wants: []peer.Want{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 10}}})
 			g.Run(500 * loop.Millisecond)
 		}
 		if rented := len(g.booted) > 0; rented != c.want {
@@ -310,7 +310,7 @@
 		if k < 600 {
 			g.report(name, "x") // for 60 s; until then there is no capacity beside it
 		}
-		g.scaler.Tally("b", peer.Tally{Wall: g.Now(), Wants: []peer.Want{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 1}}})
+		g.scaler.UpdateDemand("b", peer.Tally{Wall: g.Now(), Wants: []peer.Want{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 1}}})
 		g.Run(100 * loop.Millisecond)
 		if gone == 0 && len(g.deleted) > 0 {
 			gone = g.Now()
--- a/internal/rental/worth_test.go
+++ b/internal/rental/worth_test.go
@@ -55,7 +55,7 @@
 				if c.new {
 					tally.Suspect = names[6:] // reported as suspect by an owner before the cloud lists them
 				}
-				g.scaler.Tally("b", tally)
+				g.scaler.UpdateDemand("b", tally)
 				g.Run(200 * loop.Millisecond)
 			}
 			for range 100 {
@@ -103,7 +103,7 @@
 		for i, name := range names[:n] {
 			g.report(name, []string{"x", "y"}[i/6])
 		}
-		g.scaler.Tally("b", peer.Tally{Wall: g.Now(), Wants: highDemand})
+		g.scaler.UpdateDemand("b", peer.Tally{Wall: g.Now(), Wants: highDemand})
 		g.Run(200 * loop.Millisecond)
 	}
 	for range 100 {
