--- a/internal/node/fitness.go
+++ b/internal/node/fitness.go
@@ -79,7 +79,7 @@
 // healthy: a node that alone has lost the state service sends its users to the
 // others; when nobody has it, they stay and are told to come back.
 func (n *Node) healthy() bool {
-	if !n.mirror.Ready() || !n.rental.Asked() {
+	if !n.mirror.Ready() || !n.rental.CatalogKnown() {
 		return false
 	}
 	return n.contact() || n.coach() == ""
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -242,8 +242,8 @@
 	t.demands[from], t.demandAt[from] = y, t.runner.Now()
 }
 
-// Asked reports whether the machine types are known, so that submissions can be validated.
-func (t *Autoscaler) Asked() bool { return len(t.types) > 0 }
+// CatalogKnown reports whether the machine types are known, so that submissions can be validated.
+func (t *Autoscaler) CatalogKnown() bool { return len(t.types) > 0 }
 
 // partitionGrace is how much longer than its lease an unreachable machine is retained while it may be alive
 // behind a network partition.
