--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -147,7 +147,7 @@
 		},
 		Changed: func(v *agent.View, c *agent.Changes) {
 			n.placer.View(v, c)
-			n.rental.View(v)
+			n.rental.UpdateView(v)
 		},
 		Drop: func(to string, d agent.Drop) {
 			n.at(to, func() { l.Post(func() { n.placer.Drop(cfg.Label, d) }) }, func(e *peer.Envelope) { e.Drops = append(e.Drops, d) })
--- a/internal/rental/machine.go
+++ b/internal/rental/machine.go
@@ -96,10 +96,10 @@
 	t.setState(m, Deleting, why)
 }
 
-// View records a machine's view, with the time of its newest report. For a new leader the first view of a
+// UpdateView records a machine's view, with the time of its newest report. For a new leader the first view of a
 // machine counts like a report that proves that the machine receives messages, since this leader was sent none
 // before. No report counts as older than the leadership.
-func (t *Autoscaler) View(v *agent.View) {
+func (t *Autoscaler) UpdateView(v *agent.View) {
 	if !t.leads {
 		return
 	}
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -228,7 +228,7 @@
 			}
 		}
 	}
-	t.workers.Views(t.View)
+	t.workers.Views(t.UpdateView)
 	t.log.Info("autoscaler started as leader; state rebuilt from records and reports", "orders", len(t.orders), "machines", len(t.machines))
 }
 
