--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -198,7 +198,7 @@
 		Close: func(host string, c peer.Close) {
 			n.at(host, func() { n.agent.Close(c.Machine, c.Until) }, func(e *peer.Envelope) { e.Closes = append(e.Closes, c) })
 		},
-		Unheard: func(zone string) bool {
+		PeerUnreachable: func(zone string) bool {
 			for _, p := range cfg.Known {
 				if p.Site == zone && !n.reach.Heard(p.Label, 3*loop.Second) {
 					return true
--- a/internal/rental/machine.go
+++ b/internal/rental/machine.go
@@ -198,7 +198,7 @@
 // detectFailures runs failure detection over all machines that have reported before, and queues the failed ones
 // for deletion.
 func (t *Autoscaler) detectFailures(now loop.Micros, worth func(*machine) loop.Micros) {
-	scene := loss.Scene{Now: now, Blind: t.node.Isolated() || now-t.started < 2*loop.Second, Unheard: t.node.Unheard}
+	scene := loss.Scene{Now: now, Blind: t.node.Isolated() || now-t.started < 2*loop.Second, Unheard: t.node.PeerUnreachable}
 	for _, x := range t.failures.Look(scene, func(yield func(*loss.Facts)) {
 		for _, m := range t.sorted() {
 			if m.state != Up && m.state != Draining && m.state != Closing {
@@ -238,7 +238,7 @@
 		// long as a machine that reported before: a leader that started during a network partition deleted
 		// half of the machines two seconds before the partition ended.
 		limit := max(lease, 2*report+8*loop.Second) + 3*loop.Second
-		if t.node.Unheard(m.zone) {
+		if t.node.PeerUnreachable(m.zone) {
 			limit += partitionGrace + worth(m)
 		}
 		if now-m.firstSeen > limit {
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -81,9 +81,9 @@
 type Node struct {
 	// Close asks a machine's host controller to start nothing on it.
 	Close func(host string, c peer.Close)
-	// Unheard reports whether messages of a peer in this zone have stopped arriving: the peer may still be
+	// PeerUnreachable reports whether messages of a peer in this zone have stopped arriving: the peer may still be
 	// answering workers that no other controller can reach.
-	Unheard func(zone string) bool
+	PeerUnreachable func(zone string) bool
 	// Entitled reports whether this controller's lease certainly holds, and Isolated whether it receives
 	// messages from no peer at all.
 	Entitled func() bool
--- a/internal/rental/worth.go
+++ b/internal/rental/worth.go
@@ -22,7 +22,7 @@
 	dark := map[string]bool{}
 	for _, m := range t.machines {
 		if _, known := dark[m.zone]; !known {
-			if dark[m.zone] = t.node.Unheard(m.zone); dark[m.zone] {
+			if dark[m.zone] = t.node.PeerUnreachable(m.zone); dark[m.zone] {
 				t.unreachableAt[m.zone] = now
 			}
 		}
