--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -206,10 +206,10 @@
 			}
 			return false
 		},
-		Entitled: n.member.Entitled,
-		Isolated: func() bool { return n.reach.Isolated() && !n.member.AllAlone() },
-		Faulty:   n.placer.Faulty,
-		Meter:    n.meter,
+		LeaseValid: n.member.Entitled,
+		Isolated:   func() bool { return n.reach.Isolated() && !n.member.AllAlone() },
+		Faulty:     n.placer.Faulty,
+		Meter:      n.meter,
 		Cordoned: func(typ, zone string, spot bool) bool {
 			return n.cordons.Barred(cordon.Place{Type: typ, Zone: zone, Spot: spot})
 		},
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -84,10 +84,10 @@
 	// PeerUnreachable reports whether messages of a peer in this zone have stopped arriving: the peer may still be
 	// answering workers that no other controller can reach.
 	PeerUnreachable func(zone string) bool
-	// Entitled reports whether this controller's lease certainly holds, and Isolated whether it receives
+	// LeaseValid reports whether this controller's lease certainly holds, and Isolated whether it receives
 	// messages from no peer at all.
-	Entitled func() bool
-	Isolated func() bool
+	LeaseValid func() bool
+	Isolated   func() bool
 	// Cordoned reports whether all machines of this type, zone and kind are cordoned; it may be nil.
 	Cordoned func(typ, zone string, spot bool) bool
 	// Faulty reports whether a machine fails tasks of several jobs.
@@ -255,7 +255,7 @@
 
 // tick checks the machines and makes the next cloud call when each is due.
 func (t *Autoscaler) tick() {
-	if !t.leads || !t.node.Entitled() {
+	if !t.leads || !t.node.LeaseValid() {
 		// A leader that cannot renew its lease has been replaced, or soon will be: to it all machines look
 		// silent, and a delayed deletion request would take effect long afterwards.
 		return
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -62,7 +62,7 @@
 	g.cloud.Gone = func(name string) { g.deleted = append(g.deleted, name) }
 	g.workers = agent.New(g, log, agent.Host{Label: "a", Job: func(id string) *job.Job { return g.jobs[id] }, Changed: func(v *agent.View, _ *agent.Changes) { g.scaler.UpdateView(v) }}, nil)
 	g.scaler = New(g, log, cfg, c, m, g, g.workers, Node{Close: func(string, peer.Close) {},
-		PeerUnreachable: func(z string) bool { return g.unheard || z == g.partitionedZone }, Entitled: func() bool { return g.entitled }, Isolated: func() bool { return g.isolated },
+		PeerUnreachable: func(z string) bool { return g.unheard || z == g.partitionedZone }, LeaseValid: func() bool { return g.entitled }, Isolated: func() bool { return g.isolated },
 		Faulty: func(string) bool { return false }, Probe: func(addr string) loss.Word { return cmp.Or(g.probeAnswers[addr], g.probeAnswer) }})
 	m.Start()
 	g.Run(loop.Second)
