--- a/internal/fleet/reserve.go
+++ b/internal/fleet/reserve.go
@@ -12,7 +12,7 @@
 	"cleatpick/internal/peer"
 )
 
-// smallTaskDivisor is the divisor that separates smallTaskDivisor tasks from large ones: a task of up to a
+// smallTaskDivisor is the divisor that separates small tasks from large ones: a task of up to a
 // quarter of a machine's CPUs shares machines with other reservations.
 const smallTaskDivisor = 4
 
