--- a/internal/rental/coming.go
+++ b/internal/rental/coming.go
@@ -22,8 +22,8 @@
 	return took
 }
 
-// placeIgnoringZones subtracts up to n tasks from the machine's capacity, and returns how many fit. It does not check the
-// job's rules about zones.
+// placeIgnoringZones subtracts up to n tasks from the machine's capacity, and returns how many fit. It does
+// not check the job's rules about zones.
 func (c *expectedMachine) placeIgnoringZones(s *job.Spec, n int) int {
 	if !s.AllowsPlace(c.offer.typ, c.offer.zone, c.offer.spot) {
 		return 0
@@ -39,9 +39,9 @@
 // expectedCapacity is the expected machines and how far requests have filled them during one plan.
 type expectedCapacity struct {
 	machines []*expectedMachine
-	// exhausted counts, for each shape, the machines at the start of the list that have no capacity left for tasks
-	// of that shape. Capacities only shrink and machines are only appended, so later requests of the shape
-	// start there. Without it, each of many requests went through all machines in every plan.
+	// exhausted counts, for each shape, the machines at the start of the list that have no capacity left for
+	// tasks of that shape. Capacities only shrink and machines are only appended, so later requests of the
+	// shape start there. Without it, each of many requests went through all machines in every plan.
 	exhausted map[fleet.Shape]int
 }
 
--- a/internal/rental/deletion.go
+++ b/internal/rental/deletion.go
@@ -63,7 +63,7 @@
 	})
 }
 
-// recordDeletion stores the recordDeletion of a deletion, retrying until the state service has applied it.
+// recordDeletion stores the record of a deletion, retrying until the state service has applied it.
 func (t *Autoscaler) recordDeletion(ch wire.Change, tries int) {
 	t.client.Txn(store.Placements, wire.Txn{Then: []wire.Change{ch}}, func(r store.Result) {
 		if r.Outcome != store.Applied && r.Outcome != store.Invalid && tries < 200 {
@@ -72,11 +72,11 @@
 	})
 }
 
-// deletionRetention is how long records of deletions are kept. An owner that finds a task on a machine whose record
-// has been removed reports the machine as suspect, and the leader has its deletion confirmed again.
+// deletionRetention is how long records of deletions are kept. An owner that finds a task on a machine whose
+// record has been removed reports the machine as suspect, and the leader has its deletion confirmed again.
 const deletionRetention = 30 * 60 * loop.Second
 
-// removeOldDeletions removes records of deletions that are older than keepGone.
+// removeOldDeletions removes records of deletions that are older than deletionRetention.
 func (t *Autoscaler) removeOldDeletions() {
 	if !t.leads || !t.node.LeaseValid() {
 		return
@@ -101,7 +101,8 @@
 	})
 }
 
-// markDeleted forgets a machine that is known to be deleted, and notifies the workers' registry and OnGone once.
+// markDeleted forgets a machine that is known to be deleted, and notifies the workers' registry and OnDeleted
+// once.
 func (t *Autoscaler) markDeleted(name string) {
 	if m := t.machines[name]; m != nil {
 		t.setState(m, Deleted, m.why)
--- a/internal/rental/duty.go
+++ b/internal/rental/duty.go
@@ -2,8 +2,8 @@
 
 import "cleatpick/internal/loop"
 
-// callPurpose is the purpose of a cloud call. Calls are scarce, and with many machines several purposes wait for one
-// at any time; agenda.first alone decides which comes first.
+// callPurpose is the purpose of a cloud call. Calls are scarce, and with many machines several purposes wait
+// for one at any time; pendingCalls.next alone decides which comes first.
 type callPurpose int
 
 // The purposes.
@@ -32,15 +32,15 @@
 
 // pendingCalls is the work that waits for a cloud call.
 type pendingCalls struct {
-	now           loop.Micros
-	listed        bool // the list was read since this leadership began
-	listAt, catAt loop.Micros
-	listEvery     loop.Micros
-	failed        int
-	order         bool
-	idle          int
-	idleSince     loop.Micros
-	ordersInARow  int
+	now               loop.Micros
+	listed            bool // the list was read since this leadership began
+	listAt, catalogAt loop.Micros
+	listEvery         loop.Micros
+	failed            int
+	order             bool
+	idle              int
+	idleSince         loop.Micros
+	ordersInARow      int
 }
 
 // next returns the purpose of the next call.
@@ -48,7 +48,7 @@
 	overdue := a.now-a.listAt > 3*a.listEvery
 	idle := a.idle > 0 && (a.idle >= maxDeletionsPerCall || a.now-a.idleSince >= idleBatchDelay)
 	switch {
-	case a.catAt == 0:
+	case a.catalogAt == 0:
 		return readCatalog
 	case !a.listed:
 		return readList
@@ -60,7 +60,7 @@
 		return sendOrder
 	case a.now-a.listAt > a.listEvery:
 		return readList
-	case a.now-a.catAt > catalogInterval:
+	case a.now-a.catalogAt > catalogInterval:
 		return readCatalog
 	case idle:
 		return deleteIdle
@@ -71,7 +71,7 @@
 // nextCall collects the work that waits, and returns what comes first, with the order that is ready.
 func (t *Autoscaler) nextCall(now loop.Micros) (callPurpose, *order) {
 	o := t.nextOrder()
-	a := pendingCalls{now: now, listed: t.listed, listAt: t.listAt, catAt: t.catalogAt, ordersInARow: t.ordersInARow, order: o != nil,
+	a := pendingCalls{now: now, listed: t.listed, listAt: t.listAt, catalogAt: t.catalogAt, ordersInARow: t.ordersInARow, order: o != nil,
 		listEvery: max(5*loop.Second, loop.Seconds(t.cfg.Cluster.Cloud.ListLagS))}
 	for _, m := range t.deleting {
 		if m.failed {
--- a/internal/rental/machine.go
+++ b/internal/rental/machine.go
@@ -160,12 +160,12 @@
 	now := t.runner.Now()
 	suspects := t.suspects(now)
 	t.drainUnneeded(now)
-	worth := t.retention()
-	t.detectFailures(now, worth)
+	retention := t.retention()
+	t.detectFailures(now, retention)
 	for _, m := range t.sorted() {
 		switch m.state {
 		case Booting:
-			t.checkBoot(m, now, suspects[m.name], worth)
+			t.checkBoot(m, now, suspects[m.name], retention)
 		case Up:
 			switch v := t.workers.View(m.name); {
 			case t.node.Faulty(m.name):
@@ -197,14 +197,14 @@
 
 // detectFailures runs failure detection over all machines that have reported before, and queues the failed ones
 // for deletion.
-func (t *Autoscaler) detectFailures(now loop.Micros, worth func(*machine) loop.Micros) {
+func (t *Autoscaler) detectFailures(now loop.Micros, retention func(*machine) loop.Micros) {
 	scene := loss.Scene{Now: now, Blind: t.node.Isolated() || now-t.started < 2*loop.Second, Unheard: t.node.PeerUnreachable}
 	for _, x := range t.failures.Look(scene, func(yield func(*loss.Facts)) {
 		for _, m := range t.sorted() {
 			if m.state != Up && m.state != Draining && m.state != Closing {
 				continue
 			}
-			f := loss.Facts{Name: m.name, Zone: m.zone, Heard: m.confirmedAt, Told: m.reportedAt, Failed: m.listed == "failed", Worth: worth(m)}
+			f := loss.Facts{Name: m.name, Zone: m.zone, Heard: m.confirmedAt, Told: m.reportedAt, Failed: m.listed == "failed", Worth: retention(m)}
 			if v := t.workers.View(m.name); v != nil {
 				f.Addr = v.Addr
 			}
@@ -217,7 +217,7 @@
 
 // checkBoot checks a machine that has not reported to this leader: whether it failed, or takes too long to
 // boot.
-func (t *Autoscaler) checkBoot(m *machine, now loop.Micros, suspect bool, worth func(*machine) loop.Micros) {
+func (t *Autoscaler) checkBoot(m *machine, now loop.Micros, suspect bool, retention func(*machine) loop.Micros) {
 	report, lease := loop.Seconds(t.cfg.Cluster.Workers.ReportS), loop.Seconds(t.cfg.Cluster.Workers.LeaseS)
 	typ, known := t.byName[m.typ]
 	boot := loop.Seconds(typ.BootS)
@@ -239,7 +239,7 @@
 		// half of the machines two seconds before the partition ended.
 		limit := max(lease, 2*report+8*loop.Second) + 3*loop.Second
 		if t.node.PeerUnreachable(m.zone) {
-			limit += partitionGrace + worth(m)
+			limit += partitionGrace + retention(m)
 		}
 		if now-m.firstSeen > limit {
 			t.markFailed(m, "not heard")
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -81,8 +81,8 @@
 type Node struct {
 	// Close asks a machine's host controller to start nothing on it.
 	Close func(host string, c peer.Close)
-	// PeerUnreachable reports whether messages of a peer in this zone have stopped arriving: the peer may still be
-	// answering workers that no other controller can reach.
+	// PeerUnreachable reports whether messages of a peer in this zone have stopped arriving: the peer may
+	// still be answering workers that no other controller can reach.
 	PeerUnreachable func(zone string) bool
 	// LeaseValid reports whether this controller's lease certainly holds, and Isolated whether it receives
 	// messages from no peer at all.
@@ -249,8 +249,8 @@
 // behind a network partition.
 const partitionGrace = 8 * loop.Second
 
-// checkIntervalPerMachine is the part of the interval between two checks of all machines that each machine adds, in
-// microseconds.
+// checkIntervalPerMachine is the part of the interval between two checks of all machines that each machine
+// adds, in microseconds.
 const checkIntervalPerMachine = 200
 
 // tick checks the machines and makes the next cloud call when each is due.
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -31,12 +31,12 @@
 	calls           []string
 	entitled        bool
 	isolated        bool
-	unheard         bool   // a peer in the machines' zone is unreachable
+	peerUnreachable bool   // a peer in the machines' zone is unreachable
 	partitionedZone string // a zone behind a network partition
 	jobs            map[string]*job.Job
 	runs            []agent.Task // tasks in the report of every machine
 	probeAnswer     loss.Word
-	probeAnswers    map[string]loss.Word // probe results by address, where they differ from word
+	probeAnswers    map[string]loss.Word // probe results by address, where they differ from probeAnswer
 	booted          []wire.Listed
 	deleted         []string
 }
@@ -62,7 +62,7 @@
 	g.cloud.Gone = func(name string) { g.deleted = append(g.deleted, name) }
 	g.workers = agent.New(g, log, agent.Host{Label: "a", Job: func(id string) *job.Job { return g.jobs[id] }, Changed: func(v *agent.View, _ *agent.Changes) { g.scaler.UpdateView(v) }}, nil)
 	g.scaler = New(g, log, cfg, c, m, g, g.workers, Node{Close: func(string, peer.Close) {},
-		PeerUnreachable: func(z string) bool { return g.unheard || z == g.partitionedZone }, LeaseValid: func() bool { return g.entitled }, Isolated: func() bool { return g.isolated },
+		PeerUnreachable: func(z string) bool { return g.peerUnreachable || z == g.partitionedZone }, LeaseValid: func() bool { return g.entitled }, Isolated: func() bool { return g.isolated },
 		Faulty: func(string) bool { return false }, Probe: func(addr string) loss.Word { return cmp.Or(g.probeAnswers[addr], g.probeAnswer) }})
 	m.Start()
 	g.Run(loop.Second)
@@ -123,8 +123,8 @@
 		if g.Run(500 * loop.Millisecond); k%3 == 0 {
 			g.workers.Learn(&agent.View{Name: "n-900000", Addr: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), Tasks: g.runs})
 		}
-		if gone := g.workers.IsGone("n-900000"); gone && k < 20 || !gone && k > 44 { // a lease of 10 s, 9 s more, and the call
-			t.Fatalf("after %d ms the machine is deleted: %v", 500*k, gone)
+		if deleted := g.workers.IsGone("n-900000"); deleted && k < 20 || !deleted && k > 44 { // a lease of 10 s, 9 s more, and the call
+			t.Fatalf("after %d ms the machine is deleted: %v", 500*k, deleted)
 		}
 	}
 }
@@ -133,11 +133,11 @@
 // capacity again, no more is rented than the requests need.
 func TestRefusedOffersBackOffAndOrderOnce(t *testing.T) {
 	g := newRig(t, 0)
-	tally := func() {
+	sendDemand := func() {
 		g.scaler.UpdateDemand("b", peer.Tally{Wall: g.Now(), Wants: []peer.Want{{CPUs: 2, MemoryGB: 1, AnyType: true, Spot: true, Count: 8}}})
 	}
 	for range 60 {
-		tally()
+		sendDemand()
 		g.Run(500 * loop.Millisecond)
 	}
 	if n := count(g.calls, "POST /machines"); n < 4 || n > 24 {
@@ -145,14 +145,14 @@
 	}
 	g.cloud.Left["x"] = 10
 	for range 100 {
-		tally() // no machine has reported yet: what was rented is expected
+		sendDemand() // no machine has reported yet: what was rented is expected
 		g.Run(100 * loop.Millisecond)
 		if len(g.booted) > 0 {
 			break
 		}
 	}
 	for range 30 {
-		tally()
+		sendDemand()
 		g.Run(100 * loop.Millisecond)
 	}
 	if len(g.booted) != 2 {
@@ -208,13 +208,13 @@
 // Cloud calls are scarce: those that confirm tasks terminated go first, and no purpose waits for ever.
 func TestCloudCallPriority(t *testing.T) {
 	const s = loop.Second
-	usual := pendingCalls{now: 1000 * s, listed: true, listAt: 998 * s, catAt: 990 * s, listEvery: 5 * s}
+	usual := pendingCalls{now: 1000 * s, listed: true, listAt: 998 * s, catalogAt: 990 * s, listEvery: 5 * s}
 	for _, c := range []struct {
 		name string
 		set  func(a *pendingCalls)
 		want callPurpose
 	}{
-		{"no catalog yet", func(a *pendingCalls) { a.catAt, a.failed = 0, 5 }, readCatalog},
+		{"no catalog yet", func(a *pendingCalls) { a.catalogAt, a.failed = 0, 5 }, readCatalog},
 		{"no list yet", func(a *pendingCalls) { a.listed, a.order = false, true }, readList},
 		{"failed machines before an order", func(a *pendingCalls) { a.failed, a.order = 1, true }, deleteFailed},
 		{"an order before a list that is due", func(a *pendingCalls) { a.order, a.listAt = true, 994*s }, sendOrder},
@@ -224,7 +224,7 @@
 		{"idle machines wait for more", func(a *pendingCalls) { a.idle, a.idleSince = 9, 1000*s-idleBatchDelay+1 }, plan},
 		{"idle machines that waited long enough", func(a *pendingCalls) { a.idle, a.idleSince = 9, 1000*s-idleBatchDelay }, deleteIdle},
 		{"idle machines enough for a full call", func(a *pendingCalls) { a.idle, a.idleSince = maxDeletionsPerCall, 1000*s }, deleteIdle},
-		{"an old catalog", func(a *pendingCalls) { a.catAt = 900 * s }, readCatalog},
+		{"an old catalog", func(a *pendingCalls) { a.catalogAt = 900 * s }, readCatalog},
 		{"nothing waits", func(*pendingCalls) {}, plan},
 	} {
 		a := usual
@@ -245,7 +245,7 @@
 		g := newRig(t, 40)
 		g.probeAnswer, g.scaler.cfg.Operator.OrdinaryStandbyMeanS = c.word, 1e6
 		g.Run(3 * loop.Second)
-		hear := func(from, to int) {
+		reportAll := func(from, to int) {
 			for i := from; i < to; i++ {
 				name := fmt.Sprintf("n-9%05d", i)
 				g.report(name, "x")
@@ -254,13 +254,13 @@
 				}
 			}
 		}
-		hear(0, 20)
+		reportAll(0, 20)
 		for range 12 { // ten of them fall silent
-			hear(10, 20)
+			reportAll(10, 20)
 			g.Run(500 * loop.Millisecond)
 		}
 		for range 6 {
-			hear(10, 20)
+			reportAll(10, 20)
 			g.scaler.UpdateDemand("b", peer.Tally{Wall: g.Now(), Wants: []peer.Want{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 10}}})
 			g.Run(500 * loop.Millisecond)
 		}
@@ -273,21 +273,21 @@
 // A leader that starts during a zone's network partition retains the machines there, which have never
 // reported to it, for as long as a leader that received their reports before would.
 func TestNewLeaderDuringNetworkPartition(t *testing.T) {
-	for _, cut := range []bool{false, true} {
+	for _, partitioned := range []bool{false, true} {
 		g := newRig(t, 4)
-		g.unheard = cut
+		g.peerUnreachable = partitioned
 		var got wire.Names
 		r := g.cloud.Do("POST", "/machines", wire.Marshal(wire.Rent{Request: "before", Type: "m8", Zone: "x", Count: 3}), 0)
 		if err := wire.Unmarshal(r.Body, &got); err != nil || len(got.Machines) != 3 {
 			t.Fatal("the cloud rented nothing")
 		}
 		g.Run(17 * loop.Second) // the lease of 10 s, and 3 s
-		if n := len(g.deleted); (n == 0) != cut {
-			t.Errorf("partition %v: %d of 3 machines are deleted after 17 s", cut, n)
+		if n := len(g.deleted); (n == 0) != partitioned {
+			t.Errorf("partition %v: %d of 3 machines are deleted after 17 s", partitioned, n)
 		}
 		g.Run(12 * loop.Second)
 		if n := len(g.deleted); n != 3 {
-			t.Errorf("partition %v: %d of 3 machines are deleted after 29 s", cut, n)
+			t.Errorf("partition %v: %d of 3 machines are deleted after 29 s", partitioned, n)
 		}
 	}
 }
@@ -304,7 +304,7 @@
 	if r := g.cloud.Do("POST", "/machines", wire.Marshal(wire.Rent{Request: "before", Type: "m8", Zone: "x", Count: 1}), 0); wire.Unmarshal(r.Body, &got) != nil || len(got.Machines) != 1 {
 		t.Fatal("the cloud rented nothing")
 	}
-	name, gone := got.Machines[0], loop.Micros(0)
+	name, deletedAt := got.Machines[0], loop.Micros(0)
 	g.booted = nil
 	for k := range 1000 {
 		if k < 600 {
@@ -312,15 +312,15 @@
 		}
 		g.scaler.UpdateDemand("b", peer.Tally{Wall: g.Now(), Wants: []peer.Want{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 1}}})
 		g.Run(100 * loop.Millisecond)
-		if gone == 0 && len(g.deleted) > 0 {
-			gone = g.Now()
+		if deletedAt == 0 && len(g.deleted) > 0 {
+			deletedAt = g.Now()
 		}
 		if len(g.booted) > 0 {
-			if took := g.Now() - gone; gone == 0 || took > 2*loop.Second {
-				t.Fatalf("rented %d us after the deletion at %d us, want within 2 s", took, gone)
+			if took := g.Now() - deletedAt; deletedAt == 0 || took > 2*loop.Second {
+				t.Fatalf("rented %d us after the deletion at %d us, want within 2 s", took, deletedAt)
 			}
 			return
 		}
 	}
-	t.Fatalf("nothing is rented; the machine was deleted at %d us", gone)
+	t.Fatalf("nothing is rented; the machine was deleted at %d us", deletedAt)
 }
--- a/internal/rental/spare.go
+++ b/internal/rental/spare.go
@@ -8,8 +8,8 @@
 	"cleatpick/internal/peer"
 )
 
-// freeFraction is the free capacity, as a fraction of the capacity in use, that is kept for upcoming work before a
-// machine counts as not needed.
+// freeFraction is the free capacity, as a fraction of the capacity in use, that is kept for upcoming work
+// before a machine counts as not needed.
 const freeFraction = 0.2
 
 // drainCandidate is a machine with its usage and price.
@@ -21,11 +21,11 @@
 	cost float64 // price per CPU
 }
 
-// drainUnneeded drains machines whose tasks would fit into free capacity elsewhere. Such a machine would become empty
-// only when the last of its tasks ends, which takes long. After a standby time of its own it takes no more
-// starts, and tasks that can save their state move away. Unplaced requests return as many draining machines
-// to use as they need, and no more: with many jobs there are always some new requests, and returning all
-// draining machines for them kept a third of the machines idle.
+// drainUnneeded drains machines whose tasks would fit into free capacity elsewhere. Such a machine would
+// become empty only when the last of its tasks ends, which takes long. After a standby time of its own it
+// takes no more starts, and tasks that can save their state move away. Unplaced requests return as many
+// draining machines to use as they need, and no more: with many jobs there are always some new requests, and
+// returning all draining machines for them kept a third of the machines idle.
 func (t *Autoscaler) drainUnneeded(now loop.Micros) {
 	if now-t.drainCheckedAt < loop.Second {
 		return
--- a/internal/rental/worth.go
+++ b/internal/rental/worth.go
@@ -19,10 +19,10 @@
 // lose.
 func (t *Autoscaler) retention() func(*machine) loop.Micros {
 	now := t.runner.Now()
-	dark := map[string]bool{}
+	unreachable := map[string]bool{}
 	for _, m := range t.machines {
-		if _, known := dark[m.zone]; !known {
-			if dark[m.zone] = t.node.PeerUnreachable(m.zone); dark[m.zone] {
+		if _, known := unreachable[m.zone]; !known {
+			if unreachable[m.zone] = t.node.PeerUnreachable(m.zone); unreachable[m.zone] {
 				t.unreachableAt[m.zone] = now
 			}
 		}
@@ -37,14 +37,14 @@
 		t.setRetaining(false)
 		return func(*machine) loop.Micros { return 0 }
 	}
-	full := !t.offerElsewhere(dark) && t.demandExceedsMachine(dark)
+	full := !t.offerElsewhere(unreachable) && t.demandExceedsMachine(unreachable)
 	t.setRetaining(full)
 	return func(m *machine) loop.Micros {
 		switch _, was := t.unreachableAt[m.zone]; {
-		case was && !dark[m.zone]:
+		case was && !unreachable[m.zone]:
 			// After its zone is reachable again, a machine has the time of two reports to show which tasks
 			// run on it: what was retained must not be deleted just when its partition ends. A machine that
-			// never reported to this leader does not get this time: see judgeBoot.
+			// never reported to this leader does not get this time: see checkBoot.
 			return unbounded
 		case was && full && !t.runsUrgentTasks(m):
 			return loop.Seconds(t.byName[m.typ].BootS)
@@ -81,35 +81,35 @@
 
 // offerElsewhere reports whether anything can be rented in a reachable zone, by the cloud's newest answers: an
 // offer that was refused counts as refused until it is granted.
-func (t *Autoscaler) offerElsewhere(dark map[string]bool) bool {
+func (t *Autoscaler) offerElsewhere(unreachable map[string]bool) bool {
 	for o := range t.allOffers() {
-		if !dark[o.zone] && t.offers[o] == nil && !t.cordoned(o) {
+		if !unreachable[o.zone] && t.offers[o] == nil && !t.cordoned(o) {
 			return true
 		}
 	}
 	return false
 }
 
-// demandExceedsMachine reports whether the unplaced requests that could run in reachable zones exceed the largest machine.
-// Tasks that a deletion confirms terminated would only queue beside them.
-func (t *Autoscaler) demandExceedsMachine(dark map[string]bool) bool {
+// demandExceedsMachine reports whether the unplaced requests that could run in reachable zones exceed the
+// largest machine. Tasks that a deletion confirms terminated would only queue beside them.
+func (t *Autoscaler) demandExceedsMachine(unreachable map[string]bool) bool {
 	most := 0.0
 	for _, x := range t.types {
 		most = max(most, x.CPUs)
 	}
-	missed := 0.0
+	unplaced := 0.0
 	for _, w := range t.requests() {
-		if s := specOf(&w); t.fitsReachableZone(s, dark) {
-			missed += w.CPUs * float64(w.Count)
+		if s := specOf(&w); t.fitsReachableZone(s, unreachable) {
+			unplaced += w.CPUs * float64(w.Count)
 		}
 	}
-	return most > 0 && missed > most
+	return most > 0 && unplaced > most
 }
 
 // fitsReachableZone reports whether a task may run on some type of machine in a reachable zone.
-func (t *Autoscaler) fitsReachableZone(s *job.Spec, dark map[string]bool) bool {
+func (t *Autoscaler) fitsReachableZone(s *job.Spec, unreachable map[string]bool) bool {
 	for o := range t.allOffers() {
-		if !dark[o.zone] && t.fitsOffer(o, s) {
+		if !unreachable[o.zone] && t.fitsOffer(o, s) {
 			return true
 		}
 	}
--- a/internal/rental/worth_test.go
+++ b/internal/rental/worth_test.go
@@ -22,13 +22,13 @@
 func TestMachinesInUnreachableZoneAreRetained(t *testing.T) {
 	boot := 4 * loop.Second
 	for _, c := range []struct {
-		name  string
-		each  int // machines available of each offer
-		wants []peer.Want
-		cut   bool         // the zone is partitioned: a peer there is unreachable
-		new   bool         // the leader started after the partition began, and never received reports of these machines
-		runs  job.Priority // priority of the tasks on the machines
-		more  loop.Micros
+		name      string
+		each      int // machines available of each offer
+		wants     []peer.Want
+		partition bool         // the zone is partitioned: a peer there is unreachable
+		new       bool         // the leader started after the partition began, and never received reports of these machines
+		runs      job.Priority // priority of the tasks on the machines
+		more      loop.Micros
 	}{
 		{"full, work waits", 6, highDemand, true, false, job.Normal, boot},
 		{"full, work waits, a new leader", 6, highDemand, true, true, job.Normal, boot},
@@ -51,11 +51,11 @@
 						g.report(name, zone)
 					}
 				}
-				tally := peer.Tally{Wall: g.Now(), Wants: wants}
+				demand := peer.Tally{Wall: g.Now(), Wants: wants}
 				if c.new {
-					tally.Suspect = names[6:] // reported as suspect by an owner before the cloud lists them
+					demand.Suspect = names[6:] // reported as suspect by an owner before the cloud lists them
 				}
-				g.scaler.UpdateDemand("b", tally)
+				g.scaler.UpdateDemand("b", demand)
 				g.Run(200 * loop.Millisecond)
 			}
 			for range 100 {
@@ -63,7 +63,7 @@
 					step(true, highDemand) // until every offer was refused
 				}
 			}
-			if c.cut {
+			if c.partition {
 				g.partitionedZone = "y"
 			}
 			from := g.Now()
