--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -1,6 +1,8 @@
-// Package gate holds what may keep a job's tasks from going on. A gate looks at plain
-// facts and answers how many tasks it lets on, or what a machine lacks for one. The
-// placer asks the gates and obeys; an explanation asks the same gates and prints.
+// Package gate holds the scheduling predicates: the conditions that can keep a job's tasks from being placed
+// or run. A job predicate returns how many waiting tasks it allows; a machine predicate returns what a
+// machine lacks for a task. The predicates only look at facts that their callers collect. The scheduler
+// enforces the results, and explanations of waiting jobs evaluate the same predicates, so that the two always
+// agree. The package also owns the names of the causes of waiting, which users see.
 package gate
 
 import (
@@ -11,32 +13,31 @@
 	"cleatpick/internal/loop"
 )
 
-// Kind names a cause for which a task does not run. The numbers pass between
-// controllers and must not change.
+// Kind is a cause for which a task does not run. The numbers pass between controllers and must not change.
 type Kind uint8
 
-// The kinds. Those up to Rank keep a waiting task from being placed; the rest tell of
-// a task on its way to or on a machine.
+// The kinds. Those up to Rank keep a waiting task from being placed, as does Recheck until the next pass; the
+// others describe a task on its way to a machine or on it.
 const (
 	NoOwner      Kind = 1  // no controller owns the job's team
-	Loading      Kind = 2  // its owner reads the team's records
+	Loading      Kind = 2  // its owner is reading the team's records
 	StateContact Kind = 3  // its owner has no contact with the state service
 	Damaged      Kind = 4  // a record of the job's tasks cannot be read
-	Hold         Kind = 5  // held by a user or an operator
-	Dependency   Kind = 6  // another job must be done first
-	BackOff      Kind = 7  // it failed, and rests
-	Probe        Kind = 8  // it failed, and only a few tasks try again
+	Hold         Kind = 5  // put on hold by a user or an operator
+	Dependency   Kind = 6  // a job that must be done first is not
+	BackOff      Kind = 7  // it failed, and waits for the end of its back-off
+	Probe        Kind = 8  // it failed, and only a few tasks may try again
 	Limit        Kind = 9  // the team's limit
-	Gang         Kind = 10 // no room for all of its tasks at once
-	Cordon       Kind = 11 // an operator keeps starts off the machines that could take it
-	Room         Kind = 12 // no machine has room
-	Rank         Kind = 13 // work before it in the order takes what falls free
+	Gang         Kind = 10 // not enough capacity for all of its tasks at once
+	Cordon       Kind = 11 // the machines that could take it are cordoned
+	Room         Kind = 12 // no machine has the capacity
+	Rank         Kind = 13 // jobs before it in the order take the capacity that is freed
 	Recording    Kind = 14 // a machine is chosen, and the attempt is being recorded
-	Starting     Kind = 15 // recorded; its machine has not shown it yet
-	Fetching     Kind = 16 // its machine fetches the image
-	Saving       Kind = 17 // it was told to stop, and saves
-	Unproven     Kind = 18 // an earlier attempt is not proven off its machine
-	Recheck      Kind = 19 // room is there: the next pass places it
+	Starting     Kind = 15 // recorded; its machine has not reported it yet
+	Fetching     Kind = 16 // its machine is fetching the image
+	Saving       Kind = 17 // told to stop, and saving its state
+	Unproven     Kind = 18 // an earlier attempt is not confirmed terminated
+	Recheck      Kind = 19 // capacity is free: the next pass places it
 	kinds        Kind = 20
 )
 
@@ -44,7 +45,7 @@
 	Dependency: "dependency", BackOff: "backOff", Probe: "probe", Limit: "teamLimit", Gang: "gang", Cordon: "cordon", Room: "room", Rank: "rank",
 	Recording: "recording", Starting: "starting", Fetching: "fetching", Saving: "saving", Unproven: "unproven", Recheck: "nextPass"}
 
-// String is the kind's name in `/v1/`.
+// String returns the kind's name in `/v1/`.
 func (k Kind) String() string {
 	if k < kinds && names[k] != "" {
 		return names[k]
@@ -52,7 +53,7 @@
 	return "unknown"
 }
 
-// Named finds a kind by its name; 0 when there is none.
+// Named returns the kind with the given name, or 0 if there is none.
 func Named(name string) Kind {
 	for k, n := range names {
 		if n == name && n != "" {
@@ -62,7 +63,7 @@
 	return 0
 }
 
-// Names lists all kinds' names in the order of the kinds.
+// Names lists the names of all kinds, in the order of the kinds.
 func Names() []string {
 	var out []string
 	for _, n := range names {
@@ -73,26 +74,26 @@
 	return out
 }
 
-// Cause is a kind with the number of tasks that it keeps.
+// Cause is a kind with the number of tasks that it keeps waiting.
 type Cause struct {
 	_     struct{} `cbor:",toarray"`
 	Kind  Kind
 	Tasks int
-	Since loop.Micros // time of day since which it holds; 0: since now
+	Since loop.Micros // wall clock time since which it holds; 0: since now
 }
 
-// Everything is more tasks than any job has.
+// Everything stands for no bound: it is more tasks than any job has.
 const Everything = 1 << 30
 
-// Dep is a job that must be done first, as far as it is known.
+// Dep is a job that must be done first, with what is known of it here.
 type Dep struct {
 	_      struct{} `cbor:",toarray"`
 	ID     string
 	Phase  job.Phase // empty: not known here yet
-	Waived bool      // an operator released the job from this one, which was withdrawn
+	Waived bool      // an operator waived this dependency, whose job was cancelled
 }
 
-// Job are the facts by which a job's own gates judge, all its machines left aside.
+// Job holds the facts that the job predicates evaluate. Machines are not part of them.
 type Job struct {
 	Spec        *job.Spec
 	Hold        *job.Hold
@@ -102,33 +103,33 @@
 	Waiting     int
 	InUse       int // tasks that may be on machines
 	Failing     Failing
-	Used        agent.Room // by its team; memory is not limited
+	Used        agent.Room // by its team; memory has no limit
 	Quota       config.Quota
 	Now, Wall   loop.Micros
-	ClockTo     loop.Micros // twice the bound on the time of day
+	ClockTo     loop.Micros // twice the bound on the error of the wall clock
 }
 
-// Failing is what is known of a job's failures.
+// Failing describes a job's recent failures.
 type Failing struct {
 	State    health.TrialState
-	Moments  int // of failure, in a row
-	Machines int // on which it failed, not at fault themselves, since a task completed
+	Moments  int // consecutive failures; attempts placed before the newest counted one do not count again
+	Machines int // machines, not faulty themselves, on which it failed since a task last completed
 	RestTo   loop.Micros
-	Width    int // tasks that may be under way while the job is not trusted
+	Width    int // tasks that may run at once while the job is on probation
 	Late     int // waiting tasks that failed before
-	LateNow  int // of these, how many are tried at once after a rest
+	LateNow  int // how many of these may be retried at once after the back-off
 }
 
-// trusted tells whether nothing but the tasks that failed is held back.
+// trusted reports whether only the tasks that failed are held back, as opposed to all tasks of the job.
 func (f *Failing) trusted() bool {
 	return f.State == health.Untried || f.State == health.Sound
 }
 
-// resting tells whether what failed waits for the end of a rest.
+// resting reports whether the failed tasks are in back-off.
 func (j *Job) resting() bool { return j.Now < j.Failing.RestTo }
 
-// probes is how many waiting tasks its failures let a job have under way. A gang is tried
-// as a whole: one of its tasks alone would wait for the others.
+// probes returns how many waiting tasks may start, given the job's failures. A gang is retried as a whole,
+// since one of its tasks alone would wait for the others.
 func (j *Job) probes() int {
 	f := &j.Failing
 	switch {
@@ -144,25 +145,26 @@
 	return fresh + f.LateNow
 }
 
-// whole are the gates that let all of a job's tasks on or none.
+// whole lists the predicates that allow all of a job's tasks or none.
 var whole = [...]Kind{Damaged, Hold, Dependency, BackOff}
 
-// counted are the gates that let a number of tasks on.
+// counted lists the predicates that allow a number of tasks.
 var counted = [...]Kind{Probe, Limit}
 
-// Passes is how many of the waiting tasks the gate lets on.
+// Passes returns how many of the waiting tasks the predicate allows.
 func (j *Job) Passes(k Kind) int {
 	shut := false
 	switch k {
 	case Damaged:
 		shut = j.Damaged
 	case Hold:
-		// Hosts go by their own clocks, so the owner waits until all of them agree.
+		// Each host controller uses its own wall clock, so the owner waits until the hold has ended by all of
+		// them.
 		shut = j.Hold.Shut(j.Wall - j.ClockTo)
 	case Dependency:
 		shut = j.unmet()
 	case BackOff:
-		// Tasks of a sound job that never failed do not wait for those that did.
+		// Tasks of a trusted job that never failed do not wait for those that did.
 		shut = j.resting() && (!j.Failing.trusted() || j.Spec.Gang || j.Failing.Late >= j.Waiting)
 	case Probe:
 		return j.probes()
@@ -175,7 +177,7 @@
 	return Everything
 }
 
-// Open tells whether no gate shuts the whole job.
+// Open reports whether no predicate blocks the job as a whole.
 func (j *Job) Open() bool {
 	for _, k := range whole {
 		if j.Passes(k) == 0 {
@@ -185,7 +187,7 @@
 	return true
 }
 
-// Least is how many of the waiting tasks all counted gates let on.
+// Least returns how many of the waiting tasks all counted predicates allow.
 func (j *Job) Least() int {
 	n := Everything
 	for _, k := range counted {
@@ -194,13 +196,13 @@
 	return n
 }
 
-// limit is how many waiting tasks the team's limit leaves room for.
+// limit returns how many waiting tasks fit into the team's limit.
 func (j *Job) limit() int {
 	return j.Quota.Tasks(j.Waiting, j.Used.CPUs, j.Spec.CPUs, j.Used.GPUs, j.Spec.GPUs)
 }
 
-// unmet tells whether a job that must be done first is not. What was read as done or
-// withdrawn stays so, so that no condition on its record is needed at a start.
+// unmet reports whether a dependency is not met. Done and cancelled are final phases, so a start needs no
+// condition on the record of the other job.
 func (j *Job) unmet() bool {
 	for i := range j.After {
 		if !j.Met(&j.After[i]) {
@@ -210,7 +212,7 @@
 	return false
 }
 
-// Met tells whether a dependency does not hold the job any more.
+// Met reports whether the dependency no longer blocks the job.
 func (j *Job) Met(d *Dep) bool {
 	switch d.Phase {
 	case job.Done:
@@ -221,7 +223,7 @@
 	return false
 }
 
-// MustWithdraw tells whether the job is to be withdrawn since one before it was.
+// MustWithdraw reports whether the job is to be cancelled because a job that it depends on was.
 func (j *Job) MustWithdraw() bool {
 	if j.OnWithdrawn != job.PolicyWithdraw {
 		return false
@@ -234,7 +236,7 @@
 	return false
 }
 
-// Causes lists every job gate that keeps waiting tasks back, and how many each keeps.
+// Causes appends every job predicate that keeps tasks waiting, with the number of these tasks.
 func (j *Job) Causes(out []Cause) []Cause {
 	if j.Waiting == 0 {
 		return out
@@ -247,7 +249,7 @@
 	for _, k := range counted {
 		if n := j.Waiting - max(j.Passes(k), 0); n > 0 {
 			if j.Spec.Gang {
-				n = j.Waiting // all of a gang or none
+				n = j.Waiting // a gang is placed whole or not at all
 			}
 			out = append(out, Cause{Kind: k, Tasks: n})
 		}
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -13,10 +13,10 @@
 	"pgregory.net/rapid"
 )
 
-// The verdict must be the same every time, so the generator's seed is fixed.
+// The result must be the same in every run, so the generator's seed is fixed.
 func TestMain(m *testing.M) { fixed.Main(m) }
 
-// plainPasses says in words what each gate lets on, without the gates' own helpers.
+// plainPasses restates what each predicate allows, without the helpers of the product code.
 func plainPasses(j *Job, k Kind) int {
 	switch k {
 	case Damaged:
@@ -36,7 +36,7 @@
 			}
 		}
 	case BackOff:
-		some := j.Failing.State == health.Sound || j.Failing.State == health.Untried // only what failed rests
+		some := j.Failing.State == health.Sound || j.Failing.State == health.Untried // only the tasks that failed are in back-off
 		if j.Failing.RestTo > j.Now && (!some || j.Spec.Gang || j.Failing.Late >= j.Waiting) {
 			return 0
 		}
@@ -66,7 +66,8 @@
 	return Everything
 }
 
-// Every gate against the plain words, on facts at and around each threshold.
+// TestGatesAgainstPlainWords compares every predicate with its plain restatement, on facts at and around each
+// threshold.
 func TestGatesAgainstPlainWords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		num := func(name string, from, to int) int { return rapid.IntRange(from, to).Draw(t, name) }
@@ -100,7 +101,7 @@
 			plain := plainPasses(j, k)
 			got := j.Passes(k)
 			if min(max(got, 0), j.Waiting) != min(plain, j.Waiting) {
-				t.Fatalf("%v lets %d on, in plain words %d", k, got, plain)
+				t.Fatalf("%v allows %d tasks, by the plain restatement %d", k, got, plain)
 			}
 			if kept := j.Waiting - min(plain, j.Waiting); kept > 0 {
 				if j.Spec.Gang {
@@ -113,21 +114,21 @@
 			}
 		}
 		if j.Open() != open {
-			t.Fatalf("open: %v, in plain words %v", j.Open(), open)
+			t.Fatalf("open: %v, by the plain restatement %v", j.Open(), open)
 		}
 		got := j.Causes(nil)
 		if len(got) != len(want) {
-			t.Fatalf("causes %v, in plain words %v", got, want)
+			t.Fatalf("causes %v, by the plain restatement %v", got, want)
 		}
 		for i := range got {
 			if got[i].Kind != want[i].Kind || got[i].Tasks != want[i].Tasks {
-				t.Fatalf("causes %v, in plain words %v", got, want)
+				t.Fatalf("causes %v, by the plain restatement %v", got, want)
 			}
 		}
 	})
 }
 
-// What a machine lacks, thing by thing: each fault alone is named alone, and none is not.
+// TestEachLackAlone checks that each unmet condition is reported alone, and none where all are met.
 func TestEachLackAlone(t *testing.T) {
 	spec := &job.Spec{CPUs: 2, GPUs: 1, MemoryGB: 4, AnyType: true, Spot: true}
 	for _, c := range []struct {
@@ -166,10 +167,10 @@
 		c.set(p, n)
 		names := p.Lacks(n, 50, 100).Names()
 		if (c.name == "") != (len(names) == 0) || (c.name != "" && (len(names) != 1 || names[0] != c.name)) {
-			t.Errorf("lacks %v, want only %q", names, c.name)
+			t.Errorf("machine lacks %v, want only %q", names, c.name)
 		}
 		if takes := p.Open(50, 100) && p.Takes(n) && !p.Cordoned && p.V.NoticeAt == 0 && !p.V.Closed; takes != (c.name == "") {
-			t.Errorf("%q lacking: taken %v", c.name, takes)
+			t.Errorf("machine that lacks %q: accepted %v", c.name, takes)
 		}
 	}
 }
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -6,29 +6,29 @@
 	"cleatpick/internal/loop"
 )
 
-// Lack is what a machine lacks for a task, one bit for each thing.
+// Lack is a set of conditions that a machine does not meet for a task, one bit for each.
 type Lack uint32
 
-// What a machine may lack.
+// The conditions.
 const (
-	LackKnown    Lack = 1 << iota // its type, or a job on it, is not known here yet
-	LackNotice                    // the cloud takes it away
-	LackDraining                  // it is to be given back or replaced
-	LackHeard                     // it was not heard lately, or does not show its host's token: what is sent may not reach it
-	LackRested                    // it rests
-	LackCordon                    // an operator keeps starts off it
+	LackKnown    Lack = 1 << iota // its type, or the job of a task on it, is not known here yet
+	LackNotice                    // the cloud has announced that it takes the machine away
+	LackDraining                  // the machine is to be deleted or replaced
+	LackHeard                     // no recent report, or none that confirms the newest token of its host controller: a message to it may be lost
+	LackRested                    // it is in back-off
+	LackCordon                    // it is cordoned
 	LackCPUs
 	LackGPUs
 	LackMemory
 	LackPlace   // the job does not allow its type, zone or kind
-	LackOneZone // the job's other tasks are in another zone
-	LackSpread  // half of the job's tasks are in its zone
-	LackClaims  // its room is kept for work that others were stopped for
+	LackOneZone // the job's tasks must share a zone, and the others are in another one
+	LackSpread  // its zone already has the half of the job's tasks that may be in one zone
+	LackClaims  // its free capacity is reserved for other jobs
 )
 
 var lackNames = []string{"known", "notice", "draining", "heard", "rested", "cordon", "cpus", "gpus", "memory", "place", "oneZone", "scatter", "claimed"}
 
-// Names lists what is lacking.
+// Names lists the conditions by name.
 func (l Lack) Names() []string {
 	var out []string
 	for i, n := range lackNames {
@@ -39,7 +39,7 @@
 	return out
 }
 
-// Each calls f with the name of every single lack.
+// Each calls f with the name of each condition.
 func (l Lack) Each(f func(name string)) {
 	for i, n := range lackNames {
 		if l&(1<<i) != 0 {
@@ -48,41 +48,43 @@
 	}
 }
 
-// Need is what a job's task asks of a machine, its other tasks counted.
+// Need is what a task of a job requires of a machine, including what depends on the job's other tasks.
 type Need struct {
 	ID    string
 	Spec  *job.Spec
 	Tasks int
 	Zones map[string]int // tasks that may be on machines, by zone
-	// Shun names machines on which the job failed: others are better, where there are any.
+	// Shun names machines on which the job failed; they are chosen only if no other machine fits.
 	Shun map[string]struct{}
 }
 
-// Place is a machine as the machine gates see it.
+// Place holds the facts about a machine that the machine predicates evaluate.
 type Place struct {
 	V        *agent.View
 	Known    bool       // its type and the jobs of its tasks are known here
-	Room     agent.Room // what is free
+	Room     agent.Room // free capacity, reservations not subtracted
 	Heard    loop.Micros
-	Shut     loop.Micros // it rests until then
+	Shut     loop.Micros // end of its back-off
 	ShutWhy  string
 	Cordoned bool
 	Claims   []Claim
 }
 
-// Claim is room that is kept on a machine for a job that tasks were stopped for.
+// Claim is capacity on a machine that is reserved for one job.
 type Claim struct {
 	Job      string
 	Priority int
 	Room     agent.Room
-	Until    loop.Micros // time of day
-	Had      int         // tasks of the job that the machine showed when it was made, or whose claims were used since
+	Until    loop.Micros // wall clock time
+	Had      int         // the job's tasks that the machine reported when the reservation was made, and those that consumed other reservations since
 }
 
-// Closed is what keeps every task off the machine. After is the time since which a
-// machine must have been heard.
+// Closed returns the conditions that keep every task off the machine. after is the time since which a report
+// must have arrived.
 func (p *Place) Closed(after, now loop.Micros) Lack { return p.closed(after, now, true) }
 
+// closed is Closed; with all false it may stop at the first conditions found, as Open needs only to know if
+// there are any.
 func (p *Place) closed(after, now loop.Micros, all bool) (l Lack) {
 	add := func(x Lack, is bool) {
 		if is {
@@ -101,13 +103,14 @@
 	return l
 }
 
-// Open tells whether tasks may be placed on the machine now.
+// Open reports whether tasks may be placed on the machine now, if they fit.
 func (p *Place) Open(after, now loop.Micros) bool { return p.closed(after, now, false) == 0 }
 
-// Allowed tells whether the job's rules let a task of it go to this machine, counting
-// every task of it that may be on any machine.
+// Allowed reports whether the job's rules on types and zones let a task of it run on this machine. All of its
+// tasks that may be on machines count.
 func (p *Place) Allowed(n *Need) bool { return p.rules(n) == 0 }
 
+// rules returns the job's rules that the machine does not meet.
 func (p *Place) rules(n *Need) (l Lack) {
 	s := n.Spec
 	if !s.AllowsPlace(p.V.Type, p.V.Zone, p.V.Spot) {
@@ -122,7 +125,7 @@
 	return l
 }
 
-// elsewhere tells whether the job's tasks must be in one zone and some are in another than this.
+// elsewhere reports whether the job's tasks must share a zone and some of them are in another zone than this.
 func (n *Need) elsewhere(zone string) bool {
 	if n.Spec.OneZone {
 		for z, k := range n.Zones {
@@ -134,7 +137,8 @@
 	return false
 }
 
-// share is how many of so many more tasks may be in a zone where no more than half may be.
+// share returns how many of the given number of additional tasks may run in a zone if no more than half may
+// share one.
 func (n *Need) share(zone string, more int) int {
 	if n.Spec.Spread {
 		return min(more, max((n.Tasks+1)/2-n.Zones[zone], 0))
@@ -142,7 +146,7 @@
 	return more
 }
 
-// Most is how many of so many more tasks the job's rules about zones let go to a zone.
+// Most returns how many of the given number of additional tasks the job's zone rules allow in a zone.
 func (n *Need) Most(zone string, more int) int {
 	if n.elsewhere(zone) {
 		return 0
@@ -150,6 +154,7 @@
 	return n.share(zone, more)
 }
 
+// short returns which resources the capacity lacks for a task.
 func short(room *agent.Room, s *job.Spec) (l Lack) {
 	if room.Fits(s) {
 		return 0
@@ -164,12 +169,12 @@
 		}
 	}
 	if l == 0 {
-		l = LackCPUs // below zero in something of which the task asks nothing
+		l = LackCPUs // overcommitted in a resource that the task does not request
 	}
 	return l
 }
 
-// Takes tells whether the open machine may take a task of the job now.
+// Takes reports whether a machine that is open may take a task of the job now.
 func (p *Place) Takes(n *Need) bool {
 	if !p.Room.Fits(n.Spec) || !p.Allowed(n) {
 		return false
@@ -181,8 +186,8 @@
 	return room.Fits(n.Spec)
 }
 
-// Beside is what a machine has free for a job beside the room that is kept for other
-// jobs of at least its priority.
+// Beside returns the machine's free capacity less what is reserved for other jobs at the job's priority or
+// higher.
 func (p *Place) Beside(n *Need) agent.Room {
 	r := p.Room
 	for i := range p.Claims {
@@ -193,7 +198,7 @@
 	return r
 }
 
-// Lacks is all that keeps a task of the job off the machine; 0: it would be taken.
+// Lacks returns every condition that keeps a task of the job off the machine; 0 if it may take one.
 func (p *Place) Lacks(n *Need, after, now loop.Micros) Lack {
 	l := p.Closed(after, now) | p.rules(n)
 	if x := short(&p.Room, n.Spec); x != 0 {
