--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -16,7 +16,7 @@
 // Kind is a cause for which a task does not run. The numbers pass between controllers and must not change.
 type Kind uint8
 
-// The kinds. Those up to Rank keep a waiting task from being placed, as does Recheck until the next pass; the
+// The kindCount. Those up to Rank keep a waiting task from being placed, as does Recheck until the next pass; the
 // others describe a task on its way to a machine or on it.
 const (
 	NoOwner      Kind = 1  // no controller owns the job's team
@@ -38,24 +38,24 @@
 	Saving       Kind = 17 // told to stop, and saving its state
 	Unproven     Kind = 18 // an earlier attempt is not confirmed terminated
 	Recheck      Kind = 19 // capacity is free: the next pass places it
-	kinds        Kind = 20
+	kindCount    Kind = 20
 )
 
-var names = [kinds]string{NoOwner: "noOwner", Loading: "loading", StateContact: "stateContact", Damaged: "damagedRecord", Hold: "hold",
+var kindNames = [kindCount]string{NoOwner: "noOwner", Loading: "loading", StateContact: "stateContact", Damaged: "damagedRecord", Hold: "hold",
 	Dependency: "dependency", BackOff: "backOff", Probe: "probe", Limit: "teamLimit", Gang: "gang", Cordon: "cordon", Room: "room", Rank: "rank",
 	Recording: "recording", Starting: "starting", Fetching: "fetching", Saving: "saving", Unproven: "unproven", Recheck: "nextPass"}
 
 // String returns the kind's name in `/v1/`.
 func (k Kind) String() string {
-	if k < kinds && names[k] != "" {
-		return names[k]
+	if k < kindCount && kindNames[k] != "" {
+		return kindNames[k]
 	}
 	return "unknown"
 }
 
 // Named returns the kind with the given name, or 0 if there is none.
 func Named(name string) Kind {
-	for k, n := range names {
+	for k, n := range kindNames {
 		if n == name && n != "" {
 			return Kind(k)
 		}
@@ -66,7 +66,7 @@
 // Names lists the names of all kinds, in the order of the kinds.
 func Names() []string {
 	var out []string
-	for _, n := range names {
+	for _, n := range kindNames {
 		if n != "" {
 			out = append(out, n)
 		}
@@ -125,12 +125,12 @@
 	return f.State == health.Untried || f.State == health.Sound
 }
 
-// resting reports whether the failed tasks are in back-off.
-func (j *Job) resting() bool { return j.Now < j.Failing.RestTo }
+// inBackOff reports whether the failed tasks are in back-off.
+func (j *Job) inBackOff() bool { return j.Now < j.Failing.RestTo }
 
-// probes returns how many waiting tasks may start, given the job's failures. A gang is retried as a whole,
+// probationTasks returns how many waiting tasks may start, given the job's failures. A gang is retried as a whole,
 // since one of its tasks alone would wait for the others.
-func (j *Job) probes() int {
+func (j *Job) probationTasks() int {
 	f := &j.Failing
 	switch {
 	case j.Spec.Gang || f.Moments == 0:
@@ -139,14 +139,14 @@
 		return f.Width - j.InUse
 	}
 	fresh := j.Waiting - f.Late
-	if fresh > 0 && j.resting() {
+	if fresh > 0 && j.inBackOff() {
 		return fresh
 	}
 	return fresh + f.LateNow
 }
 
-// whole lists the predicates that allow all of a job's tasks or none.
-var whole = [...]Kind{Damaged, Hold, Dependency, BackOff}
+// jobWide lists the predicates that allow all of a job's tasks or none.
+var jobWide = [...]Kind{Damaged, Hold, Dependency, BackOff}
 
 // counted lists the predicates that allow a number of tasks.
 var counted = [...]Kind{Probe, Limit}
@@ -162,14 +162,14 @@
 		// them.
 		shut = j.Hold.Shut(j.Wall - j.ClockTo)
 	case Dependency:
-		shut = j.unmet()
+		shut = j.dependencyUnmet()
 	case BackOff:
 		// Tasks of a trusted job that never failed do not wait for those that did.
-		shut = j.resting() && (!j.Failing.trusted() || j.Spec.Gang || j.Failing.Late >= j.Waiting)
+		shut = j.inBackOff() && (!j.Failing.trusted() || j.Spec.Gang || j.Failing.Late >= j.Waiting)
 	case Probe:
-		return j.probes()
+		return j.probationTasks()
 	case Limit:
-		return j.limit()
+		return j.limitTasks()
 	}
 	if shut {
 		return 0
@@ -179,7 +179,7 @@
 
 // Open reports whether no predicate blocks the job as a whole.
 func (j *Job) Open() bool {
-	for _, k := range whole {
+	for _, k := range jobWide {
 		if j.Passes(k) == 0 {
 			return false
 		}
@@ -196,14 +196,14 @@
 	return n
 }
 
-// limit returns how many waiting tasks fit into the team's limit.
-func (j *Job) limit() int {
+// limitTasks returns how many waiting tasks fit into the team's limitTasks.
+func (j *Job) limitTasks() int {
 	return j.Quota.Tasks(j.Waiting, j.Used.CPUs, j.Spec.CPUs, j.Used.GPUs, j.Spec.GPUs)
 }
 
-// unmet reports whether a dependency is not met. Done and cancelled are final phases, so a start needs no
+// dependencyUnmet reports whether a dependency is not met. Done and cancelled are final phases, so a start needs no
 // condition on the record of the other job.
-func (j *Job) unmet() bool {
+func (j *Job) dependencyUnmet() bool {
 	for i := range j.After {
 		if !j.Met(&j.After[i]) {
 			return true
@@ -241,7 +241,7 @@
 	if j.Waiting == 0 {
 		return out
 	}
-	for _, k := range whole {
+	for _, k := range jobWide {
 		if j.Passes(k) == 0 {
 			out = append(out, Cause{Kind: k, Tasks: j.Waiting})
 		}
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -16,8 +16,8 @@
 // The result must be the same in every run, so the generator's seed is fixed.
 func TestMain(m *testing.M) { fixed.Main(m) }
 
-// plainPasses restates what each predicate allows, without the helpers of the product code.
-func plainPasses(j *Job, k Kind) int {
+// restatedAllowed restates what each predicate allows, without the helpers of the product code.
+func restatedAllowed(j *Job, k Kind) int {
 	switch k {
 	case Damaged:
 		if j.Damaged {
@@ -66,9 +66,9 @@
 	return Everything
 }
 
-// TestGatesAgainstPlainWords compares every predicate with its plain restatement, on facts at and around each
+// TestPredicatesAgainstPlainRestatement compares every predicate with its plain restatement, on facts at and around each
 // threshold.
-func TestGatesAgainstPlainWords(t *testing.T) {
+func TestPredicatesAgainstPlainRestatement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		num := func(name string, from, to int) int { return rapid.IntRange(from, to).Draw(t, name) }
 		yes := func(name string) bool { return rapid.Bool().Draw(t, name) }
@@ -98,7 +98,7 @@
 		open := true
 		var want []Cause
 		for _, k := range []Kind{Damaged, Hold, Dependency, BackOff, Probe, Limit} {
-			plain := plainPasses(j, k)
+			plain := restatedAllowed(j, k)
 			got := j.Passes(k)
 			if min(max(got, 0), j.Waiting) != min(plain, j.Waiting) {
 				t.Fatalf("%v allows %d tasks, by the plain restatement %d", k, got, plain)
@@ -128,8 +128,8 @@
 	})
 }
 
-// TestEachLackAlone checks that each unmet condition is reported alone, and none where all are met.
-func TestEachLackAlone(t *testing.T) {
+// TestEachLackIsReportedAlone checks that each unmet condition is reported alone, and none where all are met.
+func TestEachLackIsReportedAlone(t *testing.T) {
 	spec := &job.Spec{CPUs: 2, GPUs: 1, MemoryGB: 4, AnyType: true, Spot: true}
 	for _, c := range []struct {
 		name string
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -81,11 +81,11 @@
 
 // Closed returns the conditions that keep every task off the machine. after is the time since which a report
 // must have arrived.
-func (p *Place) Closed(after, now loop.Micros) Lack { return p.closed(after, now, true) }
+func (p *Place) Closed(after, now loop.Micros) Lack { return p.blocking(after, now, true) }
 
-// closed is Closed; with all false it may stop at the first conditions found, as Open needs only to know if
+// blocking is Closed; with all false it may stop at the first conditions found, as Open needs only to know if
 // there are any.
-func (p *Place) closed(after, now loop.Micros, all bool) (l Lack) {
+func (p *Place) blocking(after, now loop.Micros, all bool) (l Lack) {
 	add := func(x Lack, is bool) {
 		if is {
 			l |= x
@@ -104,29 +104,29 @@
 }
 
 // Open reports whether tasks may be placed on the machine now, if they fit.
-func (p *Place) Open(after, now loop.Micros) bool { return p.closed(after, now, false) == 0 }
+func (p *Place) Open(after, now loop.Micros) bool { return p.blocking(after, now, false) == 0 }
 
 // Allowed reports whether the job's rules on types and zones let a task of it run on this machine. All of its
 // tasks that may be on machines count.
-func (p *Place) Allowed(n *Need) bool { return p.rules(n) == 0 }
+func (p *Place) Allowed(n *Need) bool { return p.unmetRules(n) == 0 }
 
-// rules returns the job's rules that the machine does not meet.
-func (p *Place) rules(n *Need) (l Lack) {
+// unmetRules returns the job's unmetRules that the machine does not meet.
+func (p *Place) unmetRules(n *Need) (l Lack) {
 	s := n.Spec
 	if !s.AllowsPlace(p.V.Type, p.V.Zone, p.V.Spot) {
 		l |= LackPlace
 	}
-	if n.elsewhere(p.V.Zone) {
+	if n.boundElsewhere(p.V.Zone) {
 		l |= LackOneZone
 	}
-	if n.share(p.V.Zone, 1) == 0 {
+	if n.allowedBySpread(p.V.Zone, 1) == 0 {
 		l |= LackSpread
 	}
 	return l
 }
 
-// elsewhere reports whether the job's tasks must share a zone and some of them are in another zone than this.
-func (n *Need) elsewhere(zone string) bool {
+// boundElsewhere reports whether the job's tasks must share a zone and some of them are in another zone than this.
+func (n *Need) boundElsewhere(zone string) bool {
 	if n.Spec.OneZone {
 		for z, k := range n.Zones {
 			if k > 0 && z != zone {
@@ -137,9 +137,9 @@
 	return false
 }
 
-// share returns how many of the given number of additional tasks may run in a zone if no more than half may
-// share one.
-func (n *Need) share(zone string, more int) int {
+// allowedBySpread returns how many of the given number of additional tasks may run in a zone if no more than half may
+// allowedBySpread one.
+func (n *Need) allowedBySpread(zone string, more int) int {
 	if n.Spec.Spread {
 		return min(more, max((n.Tasks+1)/2-n.Zones[zone], 0))
 	}
@@ -148,14 +148,14 @@
 
 // Most returns how many of the given number of additional tasks the job's zone rules allow in a zone.
 func (n *Need) Most(zone string, more int) int {
-	if n.elsewhere(zone) {
+	if n.boundElsewhere(zone) {
 		return 0
 	}
-	return n.share(zone, more)
+	return n.allowedBySpread(zone, more)
 }
 
-// short returns which resources the capacity lacks for a task.
-func short(room *agent.Room, s *job.Spec) (l Lack) {
+// missingResources returns which resources the capacity lacks for a task.
+func missingResources(room *agent.Room, s *job.Spec) (l Lack) {
 	if room.Fits(s) {
 		return 0
 	}
@@ -200,8 +200,8 @@
 
 // Lacks returns every condition that keeps a task of the job off the machine; 0 if it may take one.
 func (p *Place) Lacks(n *Need, after, now loop.Micros) Lack {
-	l := p.Closed(after, now) | p.rules(n)
-	if x := short(&p.Room, n.Spec); x != 0 {
+	l := p.Closed(after, now) | p.unmetRules(n)
+	if x := missingResources(&p.Room, n.Spec); x != 0 {
 		return l | x
 	}
 	if room := p.Beside(n); !room.Fits(n.Spec) {
