--- a/internal/fleet/reservations.go
+++ b/internal/fleet/reservations.go
@@ -24,7 +24,7 @@
 		}
 		return
 	}
-	m.Claims = append(m.Claims, gate.Claim{Job: c.Job, Priority: c.Priority, Until: c.Until, Had: m.taskCount(c.Job),
+	m.Claims = append(m.Claims, gate.Reservation{Job: c.Job, Priority: c.Priority, Until: c.Until, Had: m.taskCount(c.Job),
 		Room: agent.Room{CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB}})
 	f.reserved[m] = struct{}{}
 	f.reservationCounts[c.Job]++
@@ -156,5 +156,5 @@
 
 // HasReservation reports whether capacity on the machine is reserved for the job.
 func (m *Machine) HasReservation(id string) bool {
-	return slices.ContainsFunc(m.Claims, func(c gate.Claim) bool { return c.Job == id })
+	return slices.ContainsFunc(m.Claims, func(c gate.Reservation) bool { return c.Job == id })
 }
--- a/internal/fleet/reserve.go
+++ b/internal/fleet/reserve.go
@@ -55,7 +55,7 @@
 		switch {
 		case smallTaskDivisor*s.CPUs > x.m.typ.CPUs:
 			return len(claims)
-		case 2*x.left.CPUs <= x.m.typ.CPUs, slices.ContainsFunc(claims, func(c gate.Claim) bool { return smallTaskDivisor*c.Room.CPUs > x.m.typ.CPUs }):
+		case 2*x.left.CPUs <= x.m.typ.CPUs, slices.ContainsFunc(claims, func(c gate.Reservation) bool { return smallTaskDivisor*c.Room.CPUs > x.m.typ.CPUs }):
 			return 1
 		}
 		return -len(claims)
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -67,11 +67,11 @@
 	Shut     loop.Micros // end of its back-off
 	ShutWhy  string
 	Cordoned bool
-	Claims   []Claim
+	Claims   []Reservation
 }
 
-// Claim is capacity on a machine that is reserved for one job.
-type Claim struct {
+// Reservation is capacity on a machine that is reserved for one job.
+type Reservation struct {
 	Job      string
 	Priority int
 	Room     agent.Room
