--- a/internal/fleet/reservations.go
+++ b/internal/fleet/reservations.go
@@ -25,7 +25,7 @@
 		return
 	}
 	m.Claims = append(m.Claims, gate.Reservation{Job: c.Job, Priority: c.Priority, Until: c.Until, Had: m.taskCount(c.Job),
-		Room: agent.Room{CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB}})
+		Capacity: agent.Room{CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB}})
 	f.reserved[m] = struct{}{}
 	f.reservationCounts[c.Job]++
 }
@@ -53,7 +53,7 @@
 	for m := range f.reserved {
 		for _, c := range m.Claims {
 			if own(c.Job) {
-				claims = append(claims, peer.Claim{Machine: m.V.Name, Job: c.Job, Priority: c.Priority, CPUs: c.Room.CPUs, GPUs: c.Room.GPUs, MemoryGB: c.Room.MemoryGB, Until: c.Until})
+				claims = append(claims, peer.Claim{Machine: m.V.Name, Job: c.Job, Priority: c.Priority, CPUs: c.Capacity.CPUs, GPUs: c.Capacity.GPUs, MemoryGB: c.Capacity.MemoryGB, Until: c.Until})
 			}
 		}
 	}
--- a/internal/fleet/reserve.go
+++ b/internal/fleet/reserve.go
@@ -39,7 +39,7 @@
 		if m.typ.CPUs > 0 && m.Open(after, now) && m.Allowed(&n) {
 			left := agent.Room{CPUs: m.typ.CPUs, GPUs: m.typ.GPUs, MemoryGB: m.typ.MemoryGB}
 			for i := range m.Claims {
-				left = left.Less(m.Claims[i].Room)
+				left = left.Less(m.Claims[i].Capacity)
 			}
 			if left.Fits(s) {
 				fit = append(fit, place{m, left, m.teamTaskCount(s.Team)})
@@ -55,7 +55,7 @@
 		switch {
 		case smallTaskDivisor*s.CPUs > x.m.typ.CPUs:
 			return len(claims)
-		case 2*x.left.CPUs <= x.m.typ.CPUs, slices.ContainsFunc(claims, func(c gate.Reservation) bool { return smallTaskDivisor*c.Room.CPUs > x.m.typ.CPUs }):
+		case 2*x.left.CPUs <= x.m.typ.CPUs, slices.ContainsFunc(claims, func(c gate.Reservation) bool { return smallTaskDivisor*c.Capacity.CPUs > x.m.typ.CPUs }):
 			return 1
 		}
 		return -len(claims)
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -74,7 +74,7 @@
 type Reservation struct {
 	Job      string
 	Priority int
-	Room     agent.Room
+	Capacity agent.Room
 	Until    loop.Micros // wall clock time
 	Had      int         // the job's tasks that the machine reported when the reservation was made, and those that consumed other reservations since
 }
@@ -192,7 +192,7 @@
 	r := p.Room
 	for i := range p.Claims {
 		if c := &p.Claims[i]; c.Job != n.ID && c.Priority >= int(n.Spec.Priority) {
-			r = r.Less(c.Room)
+			r = r.Less(c.Capacity)
 		}
 	}
 	return r
