--- a/internal/fleet/reservations.go
+++ b/internal/fleet/reservations.go
@@ -24,7 +24,7 @@
 		}
 		return
 	}
-	m.Claims = append(m.Claims, gate.Reservation{Job: c.Job, Priority: c.Priority, Until: c.Until, Had: m.taskCount(c.Job),
+	m.Claims = append(m.Claims, gate.Reservation{Job: c.Job, Priority: c.Priority, Until: c.Until, KnownTasks: m.taskCount(c.Job),
 		Capacity: agent.Room{CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB}})
 	f.reserved[m] = struct{}{}
 	f.reservationCounts[c.Job]++
@@ -82,7 +82,7 @@
 			f.dropReservation(m, i)
 			for k := range m.Claims {
 				if m.Claims[k].Job == id {
-					m.Claims[k].Had++ // the machine will report that task, which consumed this reservation only
+					m.Claims[k].KnownTasks++ // the machine will report that task, which consumed this reservation only
 				}
 			}
 			return
@@ -95,7 +95,7 @@
 // twice.
 func (f *Fleet) dropConsumedReservations(m *Machine) {
 	for i := 0; i < len(m.Claims); i++ {
-		if id := m.Claims[i].Job; m.taskCount(id) > m.Claims[i].Had {
+		if id := m.Claims[i].Job; m.taskCount(id) > m.Claims[i].KnownTasks {
 			f.ConsumeReservation(m, id)
 			i = -1
 		}
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -72,11 +72,11 @@
 
 // Reservation is capacity on a machine that is reserved for one job.
 type Reservation struct {
-	Job      string
-	Priority int
-	Capacity agent.Room
-	Until    loop.Micros // wall clock time
-	Had      int         // the job's tasks that the machine reported when the reservation was made, and those that consumed other reservations since
+	Job        string
+	Priority   int
+	Capacity   agent.Room
+	Until      loop.Micros // wall clock time
+	KnownTasks int         // the job's tasks that the machine reported when the reservation was made, and those that consumed other reservations since
 }
 
 // Closed returns the conditions that keep every task off the machine. after is the time since which a report
