--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -135,7 +135,7 @@
 	if m == nil {
 		return
 	}
-	for len(m.Claims) > 0 {
+	for len(m.Reservations) > 0 {
 		f.dropReservation(m, 0)
 	}
 	delete(f.machines, machine)
--- a/internal/fleet/reservations.go
+++ b/internal/fleet/reservations.go
@@ -24,7 +24,7 @@
 		}
 		return
 	}
-	m.Claims = append(m.Claims, gate.Reservation{Job: c.Job, Priority: c.Priority, Until: c.Until, KnownTasks: m.taskCount(c.Job),
+	m.Reservations = append(m.Reservations, gate.Reservation{Job: c.Job, Priority: c.Priority, Until: c.Until, KnownTasks: m.taskCount(c.Job),
 		Capacity: agent.Room{CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB}})
 	f.reserved[m] = struct{}{}
 	f.reservationCounts[c.Job]++
@@ -51,7 +51,7 @@
 // does not know them can be sent them.
 func (f *Fleet) ReservationsOf(own func(job string) bool) (claims []peer.Claim) {
 	for m := range f.reserved {
-		for _, c := range m.Claims {
+		for _, c := range m.Reservations {
 			if own(c.Job) {
 				claims = append(claims, peer.Claim{Machine: m.V.Name, Job: c.Job, Priority: c.Priority, CPUs: c.Capacity.CPUs, GPUs: c.Capacity.GPUs, MemoryGB: c.Capacity.MemoryGB, Until: c.Until})
 			}
@@ -64,12 +64,12 @@
 }
 
 func (f *Fleet) dropReservation(m *Machine, i int) {
-	id := m.Claims[i].Job
+	id := m.Reservations[i].Job
 	if f.reservationCounts[id]--; f.reservationCounts[id] <= 0 {
 		delete(f.reservationCounts, id)
 	}
-	m.Claims = append(m.Claims[:i], m.Claims[i+1:]...)
-	if len(m.Claims) == 0 {
+	m.Reservations = append(m.Reservations[:i], m.Reservations[i+1:]...)
+	if len(m.Reservations) == 0 {
 		delete(f.reserved, m)
 	}
 }
@@ -77,12 +77,12 @@
 // ConsumeReservation removes one reservation of the job on this machine, because a task of the job now uses its
 // capacity.
 func (f *Fleet) ConsumeReservation(m *Machine, id string) {
-	for i := range m.Claims {
-		if m.Claims[i].Job == id {
+	for i := range m.Reservations {
+		if m.Reservations[i].Job == id {
 			f.dropReservation(m, i)
-			for k := range m.Claims {
-				if m.Claims[k].Job == id {
-					m.Claims[k].KnownTasks++ // the machine will report that task, which consumed this reservation only
+			for k := range m.Reservations {
+				if m.Reservations[k].Job == id {
+					m.Reservations[k].KnownTasks++ // the machine will report that task, which consumed this reservation only
 				}
 			}
 			return
@@ -94,8 +94,8 @@
 // job's owner on another controller, whose task and reservation would otherwise count the same capacity
 // twice.
 func (f *Fleet) dropConsumedReservations(m *Machine) {
-	for i := 0; i < len(m.Claims); i++ {
-		if id := m.Claims[i].Job; m.taskCount(id) > m.Claims[i].KnownTasks {
+	for i := 0; i < len(m.Reservations); i++ {
+		if id := m.Reservations[i].Job; m.taskCount(id) > m.Reservations[i].KnownTasks {
 			f.ConsumeReservation(m, id)
 			i = -1
 		}
@@ -114,8 +114,8 @@
 	}
 	slices.SortFunc(on, func(a, b *Machine) int { return strings.Compare(a.V.Name, b.V.Name) })
 	for _, m := range on {
-		for i := len(m.Claims) - 1; i >= 0 && f.reservationCounts[id] > most; i-- {
-			if m.Claims[i].Job == id {
+		for i := len(m.Reservations) - 1; i >= 0 && f.reservationCounts[id] > most; i-- {
+			if m.Reservations[i].Job == id {
 				f.dropReservation(m, i)
 			}
 		}
@@ -139,8 +139,8 @@
 	wall := f.runner.Wall()
 	f.pendingReservations = slices.DeleteFunc(f.pendingReservations, func(c peer.Claim) bool { return wall >= c.Until })
 	for m := range f.reserved {
-		for i := len(m.Claims) - 1; i >= 0; i-- {
-			if wall >= m.Claims[i].Until {
+		for i := len(m.Reservations) - 1; i >= 0; i-- {
+			if wall >= m.Reservations[i].Until {
 				f.dropReservation(m, i)
 			}
 		}
@@ -156,5 +156,5 @@
 
 // HasReservation reports whether capacity on the machine is reserved for the job.
 func (m *Machine) HasReservation(id string) bool {
-	return slices.ContainsFunc(m.Claims, func(c gate.Reservation) bool { return c.Job == id })
+	return slices.ContainsFunc(m.Reservations, func(c gate.Reservation) bool { return c.Job == id })
 }
--- a/internal/fleet/reserve.go
+++ b/internal/fleet/reserve.go
@@ -38,8 +38,8 @@
 	for _, m := range f.order {
 		if m.typ.CPUs > 0 && m.Open(after, now) && m.Allowed(&n) {
 			left := agent.Room{CPUs: m.typ.CPUs, GPUs: m.typ.GPUs, MemoryGB: m.typ.MemoryGB}
-			for i := range m.Claims {
-				left = left.Less(m.Claims[i].Capacity)
+			for i := range m.Reservations {
+				left = left.Less(m.Reservations[i].Capacity)
 			}
 			if left.Fits(s) {
 				fit = append(fit, place{m, left, m.teamTaskCount(s.Team)})
@@ -51,7 +51,7 @@
 	// reserved beside it, too. Next come machines with the fewest tasks of the job's own team, which could
 	// use the freed capacity anyway, and then those with the most free CPUs, where the rest is freed soonest.
 	rank := func(x *place) int {
-		claims := x.m.Claims
+		claims := x.m.Reservations
 		switch {
 		case smallTaskDivisor*s.CPUs > x.m.typ.CPUs:
 			return len(claims)
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -155,13 +155,13 @@
 		{"scatter", func(p *Place, n *Need) { n.Spec.Spread, n.Zones = true, map[string]int{"x": 3} }},
 		{"", func(p *Place, n *Need) { n.Spec.Spread, n.Zones = true, map[string]int{"x": 2} }},
 		{"claimed", func(p *Place, _ *Need) {
-			p.Claims = []Reservation{{Job: "other", Priority: 1, Capacity: agent.Room{CPUs: 3}}}
+			p.Reservations = []Reservation{{Job: "other", Priority: 1, Capacity: agent.Room{CPUs: 3}}}
 		}},
 		{"", func(p *Place, _ *Need) {
-			p.Claims = []Reservation{{Job: "other", Priority: 0, Capacity: agent.Room{CPUs: 3}}}
+			p.Reservations = []Reservation{{Job: "other", Priority: 0, Capacity: agent.Room{CPUs: 3}}}
 		}},
 		{"", func(p *Place, _ *Need) {
-			p.Claims = []Reservation{{Job: "job-1", Priority: 3, Capacity: agent.Room{CPUs: 3}}}
+			p.Reservations = []Reservation{{Job: "job-1", Priority: 3, Capacity: agent.Room{CPUs: 3}}}
 		}},
 	} {
 		s := *spec
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -60,14 +60,14 @@
 
 // Place holds the facts about a machine that the machine predicates evaluate.
 type Place struct {
-	V        *agent.View
-	Known    bool       // its type and the jobs of its tasks are known here
-	Room     agent.Room // free capacity, reservations not subtracted
-	Heard    loop.Micros
-	Shut     loop.Micros // end of its back-off
-	ShutWhy  string
-	Cordoned bool
-	Claims   []Reservation
+	V            *agent.View
+	Known        bool       // its type and the jobs of its tasks are known here
+	Room         agent.Room // free capacity, reservations not subtracted
+	Heard        loop.Micros
+	Shut         loop.Micros // end of its back-off
+	ShutWhy      string
+	Cordoned     bool
+	Reservations []Reservation
 }
 
 // Reservation is capacity on a machine that is reserved for one job.
@@ -179,7 +179,7 @@
 	if !p.Room.Fits(n.Spec) || !p.Allowed(n) {
 		return false
 	}
-	if len(p.Claims) == 0 {
+	if len(p.Reservations) == 0 {
 		return true
 	}
 	room := p.Beside(n)
@@ -190,8 +190,8 @@
 // higher.
 func (p *Place) Beside(n *Need) agent.Room {
 	r := p.Room
-	for i := range p.Claims {
-		if c := &p.Claims[i]; c.Job != n.ID && c.Priority >= int(n.Spec.Priority) {
+	for i := range p.Reservations {
+		if c := &p.Reservations[i]; c.Job != n.ID && c.Priority >= int(n.Spec.Priority) {
 			r = r.Less(c.Capacity)
 		}
 	}
--- a/internal/placer/starvation_test.go
+++ b/internal/placer/starvation_test.go
@@ -51,8 +51,8 @@
 	}
 	end(20*loop.Second, func() bool { return g.p.fleet.ReservationCount(whole) > 0 })
 	other := g.p.fleet.Machine("n-001")
-	if g.p.fleet.ReservationCount(whole) != 1 || len(other.Claims) != 1 {
-		t.Fatalf("%d held, claims %+v", g.p.fleet.ReservationCount(whole), other.Claims)
+	if g.p.fleet.ReservationCount(whole) != 1 || len(other.Reservations) != 1 {
+		t.Fatalf("%d held, claims %+v", g.p.fleet.ReservationCount(whole), other.Reservations)
 	}
 	if f, ok := g.p.Facts(whole, nil, true); !ok || f.Held != 1 {
 		t.Errorf("an explanation is told of %+v", f)
