--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -20,10 +20,10 @@
 	LackCPUs
 	LackGPUs
 	LackMemory
-	LackPlace   // the job does not allow its type, zone or kind
-	LackOneZone // the job's tasks must share a zone, and the others are in another one
-	LackSpread  // its zone already has the half of the job's tasks that may be in one zone
-	LackClaims  // its free capacity is reserved for other jobs
+	LackPlace      // the job does not allow its type, zone or kind
+	LackOneZone    // the job's tasks must share a zone, and the others are in another one
+	LackSpread     // its zone already has the half of the job's tasks that may be in one zone
+	LackUnreserved // its free capacity is reserved for other jobs
 )
 
 var lackNames = []string{"known", "notice", "draining", "heard", "rested", "cordon", "cpus", "gpus", "memory", "place", "oneZone", "scatter", "claimed"}
@@ -205,7 +205,7 @@
 		return l | x
 	}
 	if room := p.Beside(n); !room.Fits(n.Spec) {
-		l |= LackClaims
+		l |= LackUnreserved
 	}
 	return l
 }
