--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -11,12 +11,12 @@
 
 // The conditions.
 const (
-	LackKnown    Lack = 1 << iota // its type, or the job of a task on it, is not known here yet
-	LackNotice                    // the cloud has announced that it takes the machine away
-	LackDraining                  // the machine is to be deleted or replaced
-	LackHeard                     // no recent report, or none that confirms the newest token of its host controller: a message to it may be lost
-	LackRested                    // it is in back-off
-	LackCordon                    // it is cordoned
+	LackKnown        Lack = 1 << iota // its type, or the job of a task on it, is not known here yet
+	LackNotice                        // the cloud has announced that it takes the machine away
+	LackDraining                      // the machine is to be deleted or replaced
+	LackRecentReport                  // no recent report, or none that confirms the newest token of its host controller: a message to it may be lost
+	LackRested                        // it is in back-off
+	LackCordon                        // it is cordoned
 	LackCPUs
 	LackGPUs
 	LackMemory
@@ -92,7 +92,7 @@
 		}
 	}
 	add(LackKnown, !p.Known)
-	add(LackHeard, p.Heard < after || !p.V.Settled)
+	add(LackRecentReport, p.Heard < after || !p.V.Settled)
 	add(LackRested, now < p.Shut)
 	if l != 0 && !all {
 		return l
