--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -248,7 +248,7 @@
 		g.Machines++
 		l := p.Lacks(&f.Need, f.After, f.Now)
 		l.Each(func(name string) { g.Lacks[name]++ })
-		if l&gate.LackRested != 0 {
+		if l&gate.LackBackOffOver != 0 {
 			if g.Resting == nil {
 				g.Resting = map[string]int{}
 			}
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -15,7 +15,7 @@
 	LackNotice                        // the cloud has announced that it takes the machine away
 	LackDraining                      // the machine is to be deleted or replaced
 	LackRecentReport                  // no recent report, or none that confirms the newest token of its host controller: a message to it may be lost
-	LackRested                        // it is in back-off
+	LackBackOffOver                   // it is in back-off
 	LackCordon                        // it is cordoned
 	LackCPUs
 	LackGPUs
@@ -93,7 +93,7 @@
 	}
 	add(LackKnown, !p.Known)
 	add(LackRecentReport, p.Heard < after || !p.V.Settled)
-	add(LackRested, now < p.Shut)
+	add(LackBackOffOver, now < p.Shut)
 	if l != 0 && !all {
 		return l
 	}
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -176,7 +176,7 @@
 		}
 		lacks := p.Closed(after, now)
 		m.Shut = append(m.Shut, lacks.Names()...)
-		if lacks&gate.LackRested != 0 {
+		if lacks&gate.LackBackOffOver != 0 {
 			until := explain.Time(wall + p.Shut - now)
 			m.RestsUntil, m.RestsSince = &until, p.ShutWhy
 		}
