--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -252,7 +252,7 @@
 			if g.Resting == nil {
 				g.Resting = map[string]int{}
 			}
-			g.Resting[p.ShutWhy]++
+			g.Resting[p.BackOffReason]++
 		}
 	}
 	return m
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -147,7 +147,7 @@
 // ignored.
 func (m *Machine) BackOff(until loop.Micros, why string) {
 	if until > m.Shut {
-		m.Shut, m.ShutWhy = until, why
+		m.Shut, m.BackOffReason = until, why
 	}
 }
 
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -60,14 +60,14 @@
 
 // Place holds the facts about a machine that the machine predicates evaluate.
 type Place struct {
-	V            *agent.View
-	Known        bool       // its type and the jobs of its tasks are known here
-	Room         agent.Room // free capacity, reservations not subtracted
-	Heard        loop.Micros
-	Shut         loop.Micros // end of its back-off
-	ShutWhy      string
-	Cordoned     bool
-	Reservations []Reservation
+	V             *agent.View
+	Known         bool       // its type and the jobs of its tasks are known here
+	Room          agent.Room // free capacity, reservations not subtracted
+	Heard         loop.Micros
+	Shut          loop.Micros // end of its back-off
+	BackOffReason string
+	Cordoned      bool
+	Reservations  []Reservation
 }
 
 // Reservation is capacity on a machine that is reserved for one job.
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -178,7 +178,7 @@
 		m.Shut = append(m.Shut, lacks.Names()...)
 		if lacks&gate.LackBackOffOver != 0 {
 			until := explain.Time(wall + p.Shut - now)
-			m.RestsUntil, m.RestsSince = &until, p.ShutWhy
+			m.RestsUntil, m.RestsSince = &until, p.BackOffReason
 		}
 		if v.NoticeAt != 0 {
 			at := explain.Time(v.NoticeAt)
