--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -146,8 +146,8 @@
 // BackOff keeps the machine from being chosen until the given time. An earlier time than the one in force is
 // ignored.
 func (m *Machine) BackOff(until loop.Micros, why string) {
-	if until > m.Shut {
-		m.Shut, m.BackOffReason = until, why
+	if until > m.BackOffUntil {
+		m.BackOffUntil, m.BackOffReason = until, why
 	}
 }
 
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -64,7 +64,7 @@
 	Known         bool       // its type and the jobs of its tasks are known here
 	Room          agent.Room // free capacity, reservations not subtracted
 	Heard         loop.Micros
-	Shut          loop.Micros // end of its back-off
+	BackOffUntil  loop.Micros // end of its back-off
 	BackOffReason string
 	Cordoned      bool
 	Reservations  []Reservation
@@ -93,7 +93,7 @@
 	}
 	add(LackKnown, !p.Known)
 	add(LackRecentReport, p.Heard < after || !p.V.Settled)
-	add(LackBackOffOver, now < p.Shut)
+	add(LackBackOffOver, now < p.BackOffUntil)
 	if l != 0 && !all {
 		return l
 	}
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -177,7 +177,7 @@
 		lacks := p.Closed(after, now)
 		m.Shut = append(m.Shut, lacks.Names()...)
 		if lacks&gate.LackBackOffOver != 0 {
-			until := explain.Time(wall + p.Shut - now)
+			until := explain.Time(wall + p.BackOffUntil - now)
 			m.RestsUntil, m.RestsSince = &until, p.BackOffReason
 		}
 		if v.NoticeAt != 0 {
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -177,7 +177,7 @@
 			for _, name := range names {
 				v := g.a.View(name)
 				room := rooms[name]
-				if !room.Fits(s) || !s.AllowsPlace(v.Type, v.Zone, v.Spot) || v.NoticeAt != 0 || v.Closed || g.Now() < g.p.fleet.Machine(name).Shut {
+				if !room.Fits(s) || !s.AllowsPlace(v.Type, v.Zone, v.Spot) || v.NoticeAt != 0 || v.Closed || g.Now() < g.p.fleet.Machine(name).BackOffUntil {
 					continue
 				}
 				other := false
@@ -513,7 +513,7 @@
 			}
 			on[name] = kept
 			g.show(name, "m8", "x", false, slices.Clone(kept)...)
-			if g.p.fleet.Machine(name).Shut > g.Now() {
+			if g.p.fleet.Machine(name).BackOffUntil > g.Now() {
 				rested[name] = true
 			}
 		}
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -40,7 +40,7 @@
 	sl.Jobs = p.agent.Jobs(v)
 	told := sl.Runs.Follow(v, c, before, sl.Jobs, p.paces, now, unsure)
 	p.turn.AddFreed(told.Freed)
-	if told.Slow && now >= sl.Shut {
+	if told.Slow && now >= sl.BackOffUntil {
 		p.log.Debug("slow machine rests", "machine", v.Name, "times", told.Factor)
 		sl.BackOff(now+health.SlowRest, "its tasks run slowly")
 		sl.Runs.Rest()
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -236,7 +236,7 @@
 func (m plain) rooms(cordons bool) map[string]agent.Room {
 	out := map[string]agent.Room{}
 	for name, k := range m.g.kind {
-		if m.g.p.fleet.Machine(name).Shut > m.g.Now() || (cordons && m.barred(name, k[0], k[1], k[2])) {
+		if m.g.p.fleet.Machine(name).BackOffUntil > m.g.Now() || (cordons && m.barred(name, k[0], k[1], k[2])) {
 			continue
 		}
 		out[name] = m.g.plainRoom(name)
