--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -111,7 +111,7 @@
 		f.sorted = false
 		f.pricedAt = 0
 	}
-	m.V, m.Heard = v, max(m.Heard, heard)
+	m.V, m.LastReport = v, max(m.LastReport, heard)
 	if first {
 		f.applyPendingReservations(v.Name)
 	}
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -137,8 +137,8 @@
 	}{
 		{"", func(*Place, *Need) {}},
 		{"known", func(p *Place, _ *Need) { p.Known = false }},
-		{"heard", func(p *Place, _ *Need) { p.Heard = 49 }},
-		{"", func(p *Place, _ *Need) { p.Heard = 50 }},
+		{"heard", func(p *Place, _ *Need) { p.LastReport = 49 }},
+		{"", func(p *Place, _ *Need) { p.LastReport = 50 }},
 		{"heard", func(p *Place, _ *Need) { p.V.Settled = false }},
 		{"rested", func(p *Place, _ *Need) { p.BackOffUntil = 101 }},
 		{"", func(p *Place, _ *Need) { p.BackOffUntil = 100 }},
@@ -166,7 +166,7 @@
 	} {
 		s := *spec
 		s.Priority = 1
-		p := &Place{V: &agent.View{Type: "m", Zone: "x", Spot: true, Settled: true}, Known: true, Heard: 99, Room: agent.Room{CPUs: 4, GPUs: 1, MemoryGB: 8}}
+		p := &Place{V: &agent.View{Type: "m", Zone: "x", Spot: true, Settled: true}, Known: true, LastReport: 99, Room: agent.Room{CPUs: 4, GPUs: 1, MemoryGB: 8}}
 		n := &Need{ID: "job-1", Spec: &s, Tasks: 5}
 		c.set(p, n)
 		names := p.Lacks(n, 50, 100).Names()
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -63,7 +63,7 @@
 	V             *agent.View
 	Known         bool       // its type and the jobs of its tasks are known here
 	Room          agent.Room // free capacity, reservations not subtracted
-	Heard         loop.Micros
+	LastReport    loop.Micros
 	BackOffUntil  loop.Micros // end of its back-off
 	BackOffReason string
 	Cordoned      bool
@@ -92,7 +92,7 @@
 		}
 	}
 	add(LackKnown, !p.Known)
-	add(LackRecentReport, p.Heard < after || !p.V.Settled)
+	add(LackRecentReport, p.LastReport < after || !p.V.Settled)
 	add(LackBackOffOver, now < p.BackOffUntil)
 	if l != 0 && !all {
 		return l
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -158,8 +158,8 @@
 	switch {
 	case v == nil || sl == nil:
 		return gate.Unproven, "neverHeard", 0
-	case sl.Heard < after:
-		return gate.Unproven, "silent", sl.Heard
+	case sl.LastReport < after:
+		return gate.Unproven, "silent", sl.LastReport
 	case x.running:
 		return 0, "", 0
 	}
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -16,7 +16,7 @@
 	// What runs on a machine that was not heard lately may have begun long ago. A new
 	// owner that took its first sight for the beginning found every task slow.
 	old := p.fleet.Machine(v.Name)
-	unsure := old == nil || now-old.Heard > 2*loop.Seconds(p.cfg.Cluster.Workers.ReportS)
+	unsure := old == nil || now-old.LastReport > 2*loop.Seconds(p.cfg.Cluster.Workers.ReportS)
 	var before []agent.Task
 	var heard loop.Micros // the time before this one; 0: never
 	if old == nil {
@@ -25,7 +25,7 @@
 			p.turn.AddFreed(typ.CPUs) // one that has just come up is room as well
 		}
 	} else {
-		before, heard = old.V.Tasks, old.Heard
+		before, heard = old.V.Tasks, old.LastReport
 	}
 	if old == nil || old.V.Zone != v.Zone {
 		p.zoneMemo[v.Name] = v.Zone
@@ -242,7 +242,7 @@
 	p.eachInUse(machine, func(r ref) {
 		if r.t.task(r.i).state == Placed {
 			if sl := p.fleet.Machine(machine); sl != nil {
-				p.noteLost(r.t, r.i, sl.Heard)
+				p.noteLost(r.t, r.i, sl.LastReport)
 			}
 			p.provenOff(r.t, r.i, "machine gone")
 		}
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -149,7 +149,7 @@
 	t := peer.Tally{Wall: p.r.Wall(), Wants: p.lastWant}
 	now := p.r.Now()
 	for m := range p.on {
-		if sl := p.fleet.Machine(m); sl == nil || now-sl.Heard > p.staleAfter() {
+		if sl := p.fleet.Machine(m); sl == nil || now-sl.LastReport > p.staleAfter() {
 			t.Suspect = append(t.Suspect, m)
 		}
 	}
