--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -233,7 +233,7 @@
 	m := &Machines{Groups: []Group{}}
 	for _, p := range f.Places {
 		m.Looked++
-		k := key{p.V.Type, p.V.Zone, p.V.Spot}
+		k := key{p.View.Type, p.View.Zone, p.View.Spot}
 		i, ok := at[k]
 		if !ok {
 			if len(m.Groups) >= mostGroups {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -111,7 +111,7 @@
 		f.sorted = false
 		f.pricedAt = 0
 	}
-	m.V, m.LastReport = v, max(m.LastReport, heard)
+	m.View, m.LastReport = v, max(m.LastReport, heard)
 	if first {
 		f.applyPendingReservations(v.Name)
 	}
@@ -171,20 +171,20 @@
 func (f *Fleet) Refresh() {
 	now := f.runner.Now()
 	if !f.sorted {
-		slices.SortFunc(f.order, func(a, b *Machine) int { return strings.Compare(a.V.Name, b.V.Name) })
+		slices.SortFunc(f.order, func(a, b *Machine) int { return strings.Compare(a.View.Name, b.View.Name) })
 		f.sorted = true
 	}
 	if v := f.node.Cordons.Version(); v != f.cordonVersion {
 		f.cordonVersion = v
 		for _, m := range f.order {
-			m.Cordoned = f.node.Cordons.Barred(CordonPlace(m.V))
+			m.Cordoned = f.node.Cordons.Barred(CordonPlace(m.View))
 		}
 	}
 	due := f.stale
 	f.stale = nil
 	for _, m := range due {
 		m.stale = false
-		if f.machines[m.V.Name] == m {
+		if f.machines[m.View.Name] == m {
 			f.refresh(m)
 		}
 	}
@@ -195,7 +195,7 @@
 }
 
 func (f *Fleet) refresh(m *Machine) {
-	v := m.V
+	v := m.View
 	typ, ok := f.node.Type(v.Type)
 	var room agent.Room
 	if ok {
@@ -224,9 +224,9 @@
 func (f *Fleet) updatePrices() {
 	least := math.Inf(1)
 	for _, m := range f.order {
-		if typ, ok := f.node.Type(m.V.Type); ok {
+		if typ, ok := f.node.Type(m.View.Type); ok {
 			m.cpuPrice = typ.Price / typ.CPUs
-			if m.V.Spot {
+			if m.View.Spot {
 				m.cpuPrice = typ.SpotPrice / typ.CPUs
 			}
 			least = min(least, m.cpuPrice)
@@ -246,7 +246,7 @@
 // choose the same machine.
 func (m *Machine) score(s *job.Spec, here string) float64 {
 	score := 2*m.usedCPUs/m.typ.CPUs - 3*m.priceExcess
-	if m.V.Host == here {
+	if m.View.Host == here {
 		score += 0.4
 	}
 	if m.Runs.HasImage(s.Image) {
@@ -294,7 +294,7 @@
 	for _, m := range machines {
 		if m.Open(after, now) && m.Takes(need) {
 			score := m.score(need.Spec, f.node.Label)
-			if _, failed := need.Shun[m.V.Name]; failed {
+			if _, failed := need.Shun[m.View.Name]; failed {
 				score -= avoidPenalty
 			}
 			all = append(all, scored{m, score})
@@ -349,7 +349,7 @@
 	for _, m := range machines {
 		for got < n && m.Takes(&need) {
 			m.Room.Take(need.Spec)
-			need.Zones[m.V.Zone]++
+			need.Zones[m.View.Zone]++
 			got++
 		}
 	}
--- a/internal/fleet/reservations.go
+++ b/internal/fleet/reservations.go
@@ -53,7 +53,7 @@
 	for m := range f.reserved {
 		for _, c := range m.Reservations {
 			if own(c.Job) {
-				claims = append(claims, peer.Claim{Machine: m.V.Name, Job: c.Job, Priority: c.Priority, CPUs: c.Capacity.CPUs, GPUs: c.Capacity.GPUs, MemoryGB: c.Capacity.MemoryGB, Until: c.Until})
+				claims = append(claims, peer.Claim{Machine: m.View.Name, Job: c.Job, Priority: c.Priority, CPUs: c.Capacity.CPUs, GPUs: c.Capacity.GPUs, MemoryGB: c.Capacity.MemoryGB, Until: c.Until})
 			}
 		}
 	}
@@ -112,7 +112,7 @@
 	for m := range f.reserved {
 		on = append(on, m)
 	}
-	slices.SortFunc(on, func(a, b *Machine) int { return strings.Compare(a.V.Name, b.V.Name) })
+	slices.SortFunc(on, func(a, b *Machine) int { return strings.Compare(a.View.Name, b.View.Name) })
 	for _, m := range on {
 		for i := len(m.Reservations) - 1; i >= 0 && f.reservationCounts[id] > most; i-- {
 			if m.Reservations[i].Job == id {
@@ -124,7 +124,7 @@
 
 // taskCount counts the job's tasks that the machine reports, running there or on their way to it.
 func (m *Machine) taskCount(id string) (n int) {
-	for _, list := range [...][]agent.Task{m.V.Tasks, m.V.Pending} {
+	for _, list := range [...][]agent.Task{m.View.Tasks, m.View.Pending} {
 		for i := range list {
 			if of, _, _ := agent.SplitTask(list[i].Task); of == id && list[i].State != wire.TaskExited {
 				n++
--- a/internal/fleet/reserve.go
+++ b/internal/fleet/reserve.go
@@ -67,8 +67,8 @@
 		m, room := x.m, x.left
 		for len(claims) < want && room.Fits(s) && m.Allowed(&n) {
 			room.Take(s)
-			n.Zones[m.V.Zone]++
-			c := peer.Claim{Machine: m.V.Name, Job: need.ID, Priority: int(job.Production), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Until: f.runner.Wall() + life}
+			n.Zones[m.View.Zone]++
+			c := peer.Claim{Machine: m.View.Name, Job: need.ID, Priority: int(job.Production), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Until: f.runner.Wall() + life}
 			claims = append(claims, c)
 		}
 		if len(claims) == want {
@@ -87,7 +87,7 @@
 // teamTaskCount counts the active tasks of a team that the machine reports.
 func (m *Machine) teamTaskCount(team string) (n int) {
 	for i, j := range m.Jobs {
-		if j != nil && j.Spec != nil && j.Spec.Team == team && i < len(m.V.Tasks) && m.V.Tasks[i].Active() {
+		if j != nil && j.Spec != nil && j.Spec.Team == team && i < len(m.View.Tasks) && m.View.Tasks[i].Active() {
 			n++
 		}
 	}
--- a/internal/fleet/victims.go
+++ b/internal/fleet/victims.go
@@ -44,8 +44,8 @@
 // priority first, then the others, and within each group the least loss first.
 func (f *Fleet) appendVictims(out []victim, need *gate.Need, m *Machine, now loop.Micros, by *PreemptionRights) []victim {
 	urgent := need.Spec.Priority >= job.High
-	for i := range m.V.Tasks {
-		x := &m.V.Tasks[i]
+	for i := range m.View.Tasks {
+		x := &m.View.Tasks[i]
 		if x.State != wire.TaskRunning && x.State != wire.TaskFetching {
 			continue
 		}
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -139,11 +139,11 @@
 		{"known", func(p *Place, _ *Need) { p.Known = false }},
 		{"heard", func(p *Place, _ *Need) { p.LastReport = 49 }},
 		{"", func(p *Place, _ *Need) { p.LastReport = 50 }},
-		{"heard", func(p *Place, _ *Need) { p.V.Settled = false }},
+		{"heard", func(p *Place, _ *Need) { p.View.Settled = false }},
 		{"rested", func(p *Place, _ *Need) { p.BackOffUntil = 101 }},
 		{"", func(p *Place, _ *Need) { p.BackOffUntil = 100 }},
-		{"notice", func(p *Place, _ *Need) { p.V.NoticeAt = 1 }},
-		{"draining", func(p *Place, _ *Need) { p.V.Closed = true }},
+		{"notice", func(p *Place, _ *Need) { p.View.NoticeAt = 1 }},
+		{"draining", func(p *Place, _ *Need) { p.View.Closed = true }},
 		{"cordon", func(p *Place, _ *Need) { p.Cordoned = true }},
 		{"cpus", func(p *Place, _ *Need) { p.Room.CPUs = 1.9 }},
 		{"gpus", func(p *Place, _ *Need) { p.Room.GPUs = 0 }},
@@ -166,14 +166,14 @@
 	} {
 		s := *spec
 		s.Priority = 1
-		p := &Place{V: &agent.View{Type: "m", Zone: "x", Spot: true, Settled: true}, Known: true, LastReport: 99, Room: agent.Room{CPUs: 4, GPUs: 1, MemoryGB: 8}}
+		p := &Place{View: &agent.View{Type: "m", Zone: "x", Spot: true, Settled: true}, Known: true, LastReport: 99, Room: agent.Room{CPUs: 4, GPUs: 1, MemoryGB: 8}}
 		n := &Need{ID: "job-1", Spec: &s, Tasks: 5}
 		c.set(p, n)
 		names := p.Lacks(n, 50, 100).Names()
 		if (c.name == "") != (len(names) == 0) || (c.name != "" && (len(names) != 1 || names[0] != c.name)) {
 			t.Errorf("machine lacks %v, want only %q", names, c.name)
 		}
-		if takes := p.Open(50, 100) && p.Takes(n) && !p.Cordoned && p.V.NoticeAt == 0 && !p.V.Closed; takes != (c.name == "") {
+		if takes := p.Open(50, 100) && p.Takes(n) && !p.Cordoned && p.View.NoticeAt == 0 && !p.View.Closed; takes != (c.name == "") {
 			t.Errorf("machine that lacks %q: accepted %v", c.name, takes)
 		}
 	}
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -60,7 +60,7 @@
 
 // Place holds the facts about a machine that the machine predicates evaluate.
 type Place struct {
-	V             *agent.View
+	View          *agent.View
 	Known         bool       // its type and the jobs of its tasks are known here
 	Room          agent.Room // free capacity, reservations not subtracted
 	LastReport    loop.Micros
@@ -92,13 +92,13 @@
 		}
 	}
 	add(LackKnown, !p.Known)
-	add(LackRecentReport, p.LastReport < after || !p.V.Settled)
+	add(LackRecentReport, p.LastReport < after || !p.View.Settled)
 	add(LackBackOffOver, now < p.BackOffUntil)
 	if l != 0 && !all {
 		return l
 	}
-	add(LackNotice, p.V.NoticeAt != 0)
-	add(LackDraining, p.V.Closed)
+	add(LackNotice, p.View.NoticeAt != 0)
+	add(LackDraining, p.View.Closed)
 	add(LackCordon, p.Cordoned)
 	return l
 }
@@ -113,13 +113,13 @@
 // unmetRules returns the job's unmetRules that the machine does not meet.
 func (p *Place) unmetRules(n *Need) (l Lack) {
 	s := n.Spec
-	if !s.AllowsPlace(p.V.Type, p.V.Zone, p.V.Spot) {
+	if !s.AllowsPlace(p.View.Type, p.View.Zone, p.View.Spot) {
 		l |= LackPlace
 	}
-	if n.boundElsewhere(p.V.Zone) {
+	if n.boundElsewhere(p.View.Zone) {
 		l |= LackOneZone
 	}
-	if n.allowedBySpread(p.V.Zone, 1) == 0 {
+	if n.allowedBySpread(p.View.Zone, 1) == 0 {
 		l |= LackSpread
 	}
 	return l
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -159,8 +159,8 @@
 			continue
 		}
 		s.n.placer.Places(func(p *gate.Place, _ loop.Micros) {
-			if x := w.workers[p.V.Name]; p.BackOffUntil > w.now && p.BackOffReason == "tasks fail on it" && x != nil && !x.w.Faulty {
-				w.fail("%s rests for failing tasks, and is well", p.V.Name)
+			if x := w.workers[p.View.Name]; p.BackOffUntil > w.now && p.BackOffReason == "tasks fail on it" && x != nil && !x.w.Faulty {
+				w.fail("%s rests for failing tasks, and is well", p.View.Name)
 			}
 		})
 	}
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -85,8 +85,8 @@
 		}
 	}
 	for _, sl := range p.fleet.All() {
-		if sl.Cordoned && s.AllowsPlace(sl.V.Type, sl.V.Zone, sl.V.Spot) {
-			note(fleet.CordonPlace(sl.V))
+		if sl.Cordoned && s.AllowsPlace(sl.View.Type, sl.View.Zone, sl.View.Spot) {
+			note(fleet.CordonPlace(sl.View))
 		}
 	}
 	for n := range seen {
@@ -282,7 +282,7 @@
 	n := 0
 	for machine, on := range p.on {
 		sl := p.fleet.Machine(machine)
-		if sl == nil || !slices.Contains(p.cordons.Barring(fleet.CordonPlace(sl.V)), name) {
+		if sl == nil || !slices.Contains(p.cordons.Barring(fleet.CordonPlace(sl.View)), name) {
 			continue
 		}
 		for r := range on.all {
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -264,12 +264,12 @@
 			i := t.pop()
 			x := t.task(i)
 			x.attempt++
-			x.machine, x.session, x.expiry, x.since = sl.V.Name, sl.V.Session, 0, 0
+			x.machine, x.session, x.expiry, x.since = sl.View.Name, sl.View.Session, 0, 0
 			x.chosen = p.r.Now()
 			sl.Allocate(s)
 			p.fleet.ConsumeReservation(sl, t.j.ID)
 			p.setTask(t, i, Recording)
-			*chosen = append(*chosen, hostStart{sl.V.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.name(i), Attempt: x.attempt, From: p.n.Label}})
+			*chosen = append(*chosen, hostStart{sl.View.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.name(i), Attempt: x.attempt, From: p.n.Label}})
 			p.recordStart(t, i)
 			got++
 		}
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -25,13 +25,13 @@
 			p.turn.AddFreed(typ.CPUs) // one that has just come up is room as well
 		}
 	} else {
-		before, heard = old.V.Tasks, old.LastReport
+		before, heard = old.View.Tasks, old.LastReport
 	}
-	if old == nil || old.V.Zone != v.Zone {
+	if old == nil || old.View.Zone != v.Zone {
 		p.zoneMemo[v.Name] = v.Zone
 	}
 	// Most views only say that a machine lives: nothing is free that was not.
-	quiet := old != nil && c.Still && len(v.Pending)+len(old.V.Pending) == 0 && v.Closed == old.V.Closed && v.NoticeAt == old.V.NoticeAt && !unsure
+	quiet := old != nil && c.Still && len(v.Pending)+len(old.View.Pending) == 0 && v.Closed == old.View.Closed && v.NoticeAt == old.View.NoticeAt && !unsure
 	sl := p.fleet.UpdateView(v, now-v.Silence(p.r.Wall(), p.clockTo()), quiet)
 	p.blame.View(now, v, c)
 	if !c.Still {
