--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -92,7 +92,7 @@
 	after := now - f.node.StaleAfter
 	f.free = f.free[:0]
 	for _, m := range f.order {
-		if m.Room.CPUs > 0 && m.Open(after, now) {
+		if m.Free.CPUs > 0 && m.Open(after, now) {
 			f.free = append(f.free, m)
 		}
 	}
@@ -153,7 +153,7 @@
 
 // Allocate subtracts a task that is placed here now from the machine's free capacity.
 func (m *Machine) Allocate(s *job.Spec) {
-	m.Room.Take(s)
+	m.Free.Take(s)
 	m.usedCPUs += s.CPUs
 }
 
@@ -207,7 +207,7 @@
 		return
 	}
 	f.node.Unshown(v, room.Take)
-	m.typ, m.Room, m.usedCPUs = typ, room, typ.CPUs-room.CPUs
+	m.typ, m.Free, m.usedCPUs = typ, room, typ.CPUs-room.CPUs
 	m.Jobs = f.node.Jobs(v)
 	m.lowestPriority = job.Production
 	for i, j := range m.Jobs {
@@ -348,7 +348,7 @@
 	got := 0
 	for _, m := range machines {
 		for got < n && m.Takes(&need) {
-			m.Room.Take(need.Spec)
+			m.Free.Take(need.Spec)
 			need.Zones[m.View.Zone]++
 			got++
 		}
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -166,12 +166,12 @@
 		for _, y := range o.victims {
 			wait = max(wait, y.grace)
 			by.Excess[y.spec.Team] -= y.spec.CPUs
-			o.m.Room.Give(y.spec)
+			o.m.Free.Give(y.spec)
 			o.m.preempted = append(o.m.preempted, pendingPreemption{delivery.Attempt{Task: y.task.Task, Number: y.task.Attempt}, now + y.grace + 5*loop.Second})
 			f.log.Debug("preempting task to make capacity for another job", "task", y.task.Task, "machine", o.m.View.Name, "for", need.ID, "grace_us", y.grace)
 			f.node.Stop(o.m.View.Host, agent.Stop{Machine: o.m.View.Name, Task: y.task.Task, Attempt: y.task.Attempt, Grace: y.grace})
 		}
-		o.m.Room.Take(s)
+		o.m.Free.Take(s)
 		f.MarkStale(o.m)
 		c := peer.Claim{Machine: o.m.View.Name, Job: need.ID, Priority: int(reservationPriority), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB,
 			Until: f.runner.Wall() + wait + life}
--- a/internal/fleet/reserve.go
+++ b/internal/fleet/reserve.go
@@ -61,7 +61,7 @@
 		return -len(claims)
 	}
 	slices.SortStableFunc(fit, func(a, b place) int {
-		return cmp.Or(cmp.Compare(rank(&a), rank(&b)), cmp.Compare(a.own, b.own), cmp.Compare(b.m.Room.CPUs, a.m.Room.CPUs))
+		return cmp.Or(cmp.Compare(rank(&a), rank(&b)), cmp.Compare(a.own, b.own), cmp.Compare(b.m.Free.CPUs, a.m.Free.CPUs))
 	})
 	for _, x := range fit {
 		m, room := x.m, x.left
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -145,9 +145,9 @@
 		{"notice", func(p *Place, _ *Need) { p.View.NoticeAt = 1 }},
 		{"draining", func(p *Place, _ *Need) { p.View.Closed = true }},
 		{"cordon", func(p *Place, _ *Need) { p.Cordoned = true }},
-		{"cpus", func(p *Place, _ *Need) { p.Room.CPUs = 1.9 }},
-		{"gpus", func(p *Place, _ *Need) { p.Room.GPUs = 0 }},
-		{"memory", func(p *Place, _ *Need) { p.Room.MemoryGB = 3 }},
+		{"cpus", func(p *Place, _ *Need) { p.Free.CPUs = 1.9 }},
+		{"gpus", func(p *Place, _ *Need) { p.Free.GPUs = 0 }},
+		{"memory", func(p *Place, _ *Need) { p.Free.MemoryGB = 3 }},
 		{"place", func(p *Place, n *Need) { n.Spec.Zone = "y" }},
 		{"place", func(p *Place, n *Need) { n.Spec.Spot = false }},
 		{"oneZone", func(p *Place, n *Need) { n.Spec.OneZone, n.Zones = true, map[string]int{"y": 1} }},
@@ -166,7 +166,7 @@
 	} {
 		s := *spec
 		s.Priority = 1
-		p := &Place{View: &agent.View{Type: "m", Zone: "x", Spot: true, Settled: true}, Known: true, LastReport: 99, Room: agent.Room{CPUs: 4, GPUs: 1, MemoryGB: 8}}
+		p := &Place{View: &agent.View{Type: "m", Zone: "x", Spot: true, Settled: true}, Known: true, LastReport: 99, Free: agent.Room{CPUs: 4, GPUs: 1, MemoryGB: 8}}
 		n := &Need{ID: "job-1", Spec: &s, Tasks: 5}
 		c.set(p, n)
 		names := p.Lacks(n, 50, 100).Names()
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -62,7 +62,7 @@
 type Place struct {
 	View          *agent.View
 	Known         bool       // its type and the jobs of its tasks are known here
-	Room          agent.Room // free capacity, reservations not subtracted
+	Free          agent.Room // free capacity, reservations not subtracted
 	LastReport    loop.Micros
 	BackOffUntil  loop.Micros // end of its back-off
 	BackOffReason string
@@ -176,7 +176,7 @@
 
 // Takes reports whether a machine that is open may take a task of the job now.
 func (p *Place) Takes(n *Need) bool {
-	if !p.Room.Fits(n.Spec) || !p.Allowed(n) {
+	if !p.Free.Fits(n.Spec) || !p.Allowed(n) {
 		return false
 	}
 	if len(p.Reservations) == 0 {
@@ -189,7 +189,7 @@
 // Beside returns the machine's free capacity less what is reserved for other jobs at the job's priority or
 // higher.
 func (p *Place) Beside(n *Need) agent.Room {
-	r := p.Room
+	r := p.Free
 	for i := range p.Reservations {
 		if c := &p.Reservations[i]; c.Job != n.ID && c.Priority >= int(n.Spec.Priority) {
 			r = r.Less(c.Capacity)
@@ -201,7 +201,7 @@
 // Lacks returns every condition that keeps a task of the job off the machine; 0 if it may take one.
 func (p *Place) Lacks(n *Need, after, now loop.Micros) Lack {
 	l := p.Closed(after, now) | p.unmetRules(n)
-	if x := missingResources(&p.Room, n.Spec); x != 0 {
+	if x := missingResources(&p.Free, n.Spec); x != 0 {
 		return l | x
 	}
 	if room := p.Beside(n); !room.Fits(n.Spec) {
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -171,7 +171,7 @@
 			}
 		}
 		if p.Known {
-			cpus, memory := p.Room.CPUs, p.Room.MemoryGB
+			cpus, memory := p.Free.CPUs, p.Free.MemoryGB
 			m.CPUsFree, m.MemoryFreeGB = &cpus, &memory
 		}
 		lacks := p.Closed(after, now)
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -330,8 +330,8 @@
 			g.p.fleet.Refresh()
 			for _, sl := range g.p.fleet.All() {
 				name := sl.View.Name
-				if room := g.plainRoom(name); sl.Known && room != sl.Room {
-					t.Fatalf("%s has %v free by its slot, %v by its view", name, sl.Room, room)
+				if room := g.plainRoom(name); sl.Known && room != sl.Free {
+					t.Fatalf("%s has %v free by its slot, %v by its view", name, sl.Free, room)
 				}
 			}
 		}
