--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -19,7 +19,7 @@
 	Team    config.Team
 	Within  bool // the job lies within its team's guarantee
 	Contact bool // the owner has contact with the state service
-	Places  []*gate.Place
+	Places  []*gate.MachineFacts
 	After   loop.Micros // machines must have been heard since
 	Now     loop.Micros // steady time
 	Wall    loop.Micros
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -41,7 +41,7 @@
 
 // Machine is one machine with what placement derives from its newest view.
 type Machine struct {
-	gate.Place
+	gate.MachineFacts
 	Runs           *health.Runs
 	Jobs           []*job.Job // of the view's tasks
 	typ            wire.MachineType
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -133,40 +133,40 @@
 	spec := &job.Spec{CPUs: 2, GPUs: 1, MemoryGB: 4, AnyType: true, Spot: true}
 	for _, c := range []struct {
 		name string
-		set  func(p *Place, n *Need)
+		set  func(p *MachineFacts, n *Need)
 	}{
-		{"", func(*Place, *Need) {}},
-		{"known", func(p *Place, _ *Need) { p.Known = false }},
-		{"heard", func(p *Place, _ *Need) { p.LastReport = 49 }},
-		{"", func(p *Place, _ *Need) { p.LastReport = 50 }},
-		{"heard", func(p *Place, _ *Need) { p.View.Settled = false }},
-		{"rested", func(p *Place, _ *Need) { p.BackOffUntil = 101 }},
-		{"", func(p *Place, _ *Need) { p.BackOffUntil = 100 }},
-		{"notice", func(p *Place, _ *Need) { p.View.NoticeAt = 1 }},
-		{"draining", func(p *Place, _ *Need) { p.View.Closed = true }},
-		{"cordon", func(p *Place, _ *Need) { p.Cordoned = true }},
-		{"cpus", func(p *Place, _ *Need) { p.Free.CPUs = 1.9 }},
-		{"gpus", func(p *Place, _ *Need) { p.Free.GPUs = 0 }},
-		{"memory", func(p *Place, _ *Need) { p.Free.MemoryGB = 3 }},
-		{"place", func(p *Place, n *Need) { n.Spec.Zone = "y" }},
-		{"place", func(p *Place, n *Need) { n.Spec.Spot = false }},
-		{"oneZone", func(p *Place, n *Need) { n.Spec.OneZone, n.Zones = true, map[string]int{"y": 1} }},
-		{"", func(p *Place, n *Need) { n.Spec.OneZone, n.Zones = true, map[string]int{"x": 3, "y": 0} }},
-		{"scatter", func(p *Place, n *Need) { n.Spec.Spread, n.Zones = true, map[string]int{"x": 3} }},
-		{"", func(p *Place, n *Need) { n.Spec.Spread, n.Zones = true, map[string]int{"x": 2} }},
-		{"claimed", func(p *Place, _ *Need) {
+		{"", func(*MachineFacts, *Need) {}},
+		{"known", func(p *MachineFacts, _ *Need) { p.Known = false }},
+		{"heard", func(p *MachineFacts, _ *Need) { p.LastReport = 49 }},
+		{"", func(p *MachineFacts, _ *Need) { p.LastReport = 50 }},
+		{"heard", func(p *MachineFacts, _ *Need) { p.View.Settled = false }},
+		{"rested", func(p *MachineFacts, _ *Need) { p.BackOffUntil = 101 }},
+		{"", func(p *MachineFacts, _ *Need) { p.BackOffUntil = 100 }},
+		{"notice", func(p *MachineFacts, _ *Need) { p.View.NoticeAt = 1 }},
+		{"draining", func(p *MachineFacts, _ *Need) { p.View.Closed = true }},
+		{"cordon", func(p *MachineFacts, _ *Need) { p.Cordoned = true }},
+		{"cpus", func(p *MachineFacts, _ *Need) { p.Free.CPUs = 1.9 }},
+		{"gpus", func(p *MachineFacts, _ *Need) { p.Free.GPUs = 0 }},
+		{"memory", func(p *MachineFacts, _ *Need) { p.Free.MemoryGB = 3 }},
+		{"place", func(p *MachineFacts, n *Need) { n.Spec.Zone = "y" }},
+		{"place", func(p *MachineFacts, n *Need) { n.Spec.Spot = false }},
+		{"oneZone", func(p *MachineFacts, n *Need) { n.Spec.OneZone, n.Zones = true, map[string]int{"y": 1} }},
+		{"", func(p *MachineFacts, n *Need) { n.Spec.OneZone, n.Zones = true, map[string]int{"x": 3, "y": 0} }},
+		{"scatter", func(p *MachineFacts, n *Need) { n.Spec.Spread, n.Zones = true, map[string]int{"x": 3} }},
+		{"", func(p *MachineFacts, n *Need) { n.Spec.Spread, n.Zones = true, map[string]int{"x": 2} }},
+		{"claimed", func(p *MachineFacts, _ *Need) {
 			p.Reservations = []Reservation{{Job: "other", Priority: 1, Capacity: agent.Room{CPUs: 3}}}
 		}},
-		{"", func(p *Place, _ *Need) {
+		{"", func(p *MachineFacts, _ *Need) {
 			p.Reservations = []Reservation{{Job: "other", Priority: 0, Capacity: agent.Room{CPUs: 3}}}
 		}},
-		{"", func(p *Place, _ *Need) {
+		{"", func(p *MachineFacts, _ *Need) {
 			p.Reservations = []Reservation{{Job: "job-1", Priority: 3, Capacity: agent.Room{CPUs: 3}}}
 		}},
 	} {
 		s := *spec
 		s.Priority = 1
-		p := &Place{View: &agent.View{Type: "m", Zone: "x", Spot: true, Settled: true}, Known: true, LastReport: 99, Free: agent.Room{CPUs: 4, GPUs: 1, MemoryGB: 8}}
+		p := &MachineFacts{View: &agent.View{Type: "m", Zone: "x", Spot: true, Settled: true}, Known: true, LastReport: 99, Free: agent.Room{CPUs: 4, GPUs: 1, MemoryGB: 8}}
 		n := &Need{ID: "job-1", Spec: &s, Tasks: 5}
 		c.set(p, n)
 		names := p.Lacks(n, 50, 100).Names()
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -58,8 +58,8 @@
 	Shun map[string]struct{}
 }
 
-// Place holds the facts about a machine that the machine predicates evaluate.
-type Place struct {
+// MachineFacts holds the facts about a machine that the machine predicates evaluate.
+type MachineFacts struct {
 	View          *agent.View
 	Known         bool       // its type and the jobs of its tasks are known here
 	Free          agent.Room // free capacity, reservations not subtracted
@@ -81,11 +81,11 @@
 
 // Closed returns the conditions that keep every task off the machine. after is the time since which a report
 // must have arrived.
-func (p *Place) Closed(after, now loop.Micros) Lack { return p.blocking(after, now, true) }
+func (p *MachineFacts) Closed(after, now loop.Micros) Lack { return p.blocking(after, now, true) }
 
 // blocking is Closed; with all false it may stop at the first conditions found, as Open needs only to know if
 // there are any.
-func (p *Place) blocking(after, now loop.Micros, all bool) (l Lack) {
+func (p *MachineFacts) blocking(after, now loop.Micros, all bool) (l Lack) {
 	add := func(x Lack, is bool) {
 		if is {
 			l |= x
@@ -104,14 +104,14 @@
 }
 
 // Open reports whether tasks may be placed on the machine now, if they fit.
-func (p *Place) Open(after, now loop.Micros) bool { return p.blocking(after, now, false) == 0 }
+func (p *MachineFacts) Open(after, now loop.Micros) bool { return p.blocking(after, now, false) == 0 }
 
 // Allowed reports whether the job's rules on types and zones let a task of it run on this machine. All of its
 // tasks that may be on machines count.
-func (p *Place) Allowed(n *Need) bool { return p.unmetRules(n) == 0 }
+func (p *MachineFacts) Allowed(n *Need) bool { return p.unmetRules(n) == 0 }
 
 // unmetRules returns the job's unmetRules that the machine does not meet.
-func (p *Place) unmetRules(n *Need) (l Lack) {
+func (p *MachineFacts) unmetRules(n *Need) (l Lack) {
 	s := n.Spec
 	if !s.AllowsPlace(p.View.Type, p.View.Zone, p.View.Spot) {
 		l |= LackPlace
@@ -175,7 +175,7 @@
 }
 
 // Takes reports whether a machine that is open may take a task of the job now.
-func (p *Place) Takes(n *Need) bool {
+func (p *MachineFacts) Takes(n *Need) bool {
 	if !p.Free.Fits(n.Spec) || !p.Allowed(n) {
 		return false
 	}
@@ -188,7 +188,7 @@
 
 // Beside returns the machine's free capacity less what is reserved for other jobs at the job's priority or
 // higher.
-func (p *Place) Beside(n *Need) agent.Room {
+func (p *MachineFacts) Beside(n *Need) agent.Room {
 	r := p.Free
 	for i := range p.Reservations {
 		if c := &p.Reservations[i]; c.Job != n.ID && c.Priority >= int(n.Spec.Priority) {
@@ -199,7 +199,7 @@
 }
 
 // Lacks returns every condition that keeps a task of the job off the machine; 0 if it may take one.
-func (p *Place) Lacks(n *Need, after, now loop.Micros) Lack {
+func (p *MachineFacts) Lacks(n *Need, after, now loop.Micros) Lack {
 	l := p.Closed(after, now) | p.unmetRules(n)
 	if x := missingResources(&p.Free, n.Spec); x != 0 {
 		return l | x
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -162,7 +162,7 @@
 func (n *Node) machines() []api.Machine {
 	var out []api.Machine
 	now, wall := n.loop.Now(), n.loop.Wall()
-	n.placer.Places(func(p *gate.Place, after loop.Micros) {
+	n.placer.Places(func(p *gate.MachineFacts, after loop.Micros) {
 		v := p.View
 		m := api.Machine{Name: v.Name, Type: v.Type, Zone: v.Zone, Kind: explain.Kind(v.Spot), ReportsTo: v.Host, Shut: []string{}}
 		for i := range v.Tasks {
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -158,7 +158,7 @@
 		if !s.alive || s.frozen {
 			continue
 		}
-		s.n.placer.Places(func(p *gate.Place, _ loop.Micros) {
+		s.n.placer.Places(func(p *gate.MachineFacts, _ loop.Micros) {
 			if x := w.workers[p.View.Name]; p.BackOffUntil > w.now && p.BackOffReason == "tasks fail on it" && x != nil && !x.w.Faulty {
 				w.fail("%s rests for failing tasks, and is well", p.View.Name)
 			}
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -38,9 +38,9 @@
 		After: now - p.staleAfter(), Running: t.running, Done: t.completed}
 	f.Gate.Now, f.Gate.Wall = f.Now, f.Wall
 	if n := f.Gate.Waiting; n > 0 && !j.Final() {
-		f.Places = make([]*gate.Place, len(p.fleet.All()))
+		f.Places = make([]*gate.MachineFacts, len(p.fleet.All()))
 		for i, sl := range p.fleet.All() {
-			f.Places[i] = &sl.Place
+			f.Places[i] = &sl.MachineFacts
 		}
 		f.Fits = p.fleet.CountFitting(t.need(), n, p.fleet.All())
 		f.FitsAll = p.trialUncordoned(t, n)
@@ -268,11 +268,11 @@
 func (p *Placer) Owns(team string) bool { return p.teams[team] != nil && p.teams[team].loaded }
 
 // Places calls f for every machine heard; a machine not heard since after takes no starts.
-func (p *Placer) Places(f func(pl *gate.Place, after loop.Micros)) {
+func (p *Placer) Places(f func(pl *gate.MachineFacts, after loop.Micros)) {
 	p.fleet.Refresh()
 	after := p.r.Now() - p.staleAfter()
 	for _, sl := range p.fleet.All() {
-		f(&sl.Place, after)
+		f(&sl.MachineFacts, after)
 	}
 }
 
