--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -79,9 +79,9 @@
 	KnownTasks int         // the job's tasks that the machine reported when the reservation was made, and those that consumed other reservations since
 }
 
-// Closed returns the conditions that keep every task off the machine. after is the time since which a report
+// Blocking returns the conditions that keep every task off the machine. after is the time since which a report
 // must have arrived.
-func (p *MachineFacts) Closed(after, now loop.Micros) Lack { return p.blocking(after, now, true) }
+func (p *MachineFacts) Blocking(after, now loop.Micros) Lack { return p.blocking(after, now, true) }
 
 // blocking is Closed; with all false it may stop at the first conditions found, as Open needs only to know if
 // there are any.
@@ -200,7 +200,7 @@
 
 // Lacks returns every condition that keeps a task of the job off the machine; 0 if it may take one.
 func (p *MachineFacts) Lacks(n *Need, after, now loop.Micros) Lack {
-	l := p.Closed(after, now) | p.unmetRules(n)
+	l := p.Blocking(after, now) | p.unmetRules(n)
 	if x := missingResources(&p.Free, n.Spec); x != 0 {
 		return l | x
 	}
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -174,7 +174,7 @@
 			cpus, memory := p.Free.CPUs, p.Free.MemoryGB
 			m.CPUsFree, m.MemoryFreeGB = &cpus, &memory
 		}
-		lacks := p.Closed(after, now)
+		lacks := p.Blocking(after, now)
 		m.Shut = append(m.Shut, lacks.Names()...)
 		if lacks&gate.LackBackOffOver != 0 {
 			until := explain.Time(wall + p.BackOffUntil - now)
