--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -92,7 +92,7 @@
 	after := now - f.node.StaleAfter
 	f.free = f.free[:0]
 	for _, m := range f.order {
-		if m.Free.CPUs > 0 && m.Open(after, now) {
+		if m.Free.CPUs > 0 && m.AcceptsStarts(after, now) {
 			f.free = append(f.free, m)
 		}
 	}
@@ -292,7 +292,7 @@
 	}
 	var all []scored
 	for _, m := range machines {
-		if m.Open(after, now) && m.Takes(need) {
+		if m.AcceptsStarts(after, now) && m.Takes(need) {
 			score := m.score(need.Spec, f.node.Label)
 			if _, failed := need.Shun[m.View.Name]; failed {
 				score -= avoidPenalty
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -139,7 +139,7 @@
 	for k := 0; k < len(f.order) && len(all) < candidatesPerTask*(want+8); k++ {
 		f.nextScan = (f.nextScan + 1) % len(f.order)
 		m := f.order[f.nextScan]
-		if (m.lowestPriority >= s.Priority && !borrowed) || !eligible(m) || !m.Open(after, now) {
+		if (m.lowestPriority >= s.Priority && !borrowed) || !eligible(m) || !m.AcceptsStarts(after, now) {
 			continue // no task there may be preempted
 		}
 		if o, ok := f.candidateOn(need, m, now, by); ok && o.cost <= maxCost {
--- a/internal/fleet/reserve.go
+++ b/internal/fleet/reserve.go
@@ -36,7 +36,7 @@
 	var fit []place
 	s := need.Spec
 	for _, m := range f.order {
-		if m.typ.CPUs > 0 && m.Open(after, now) && m.Allowed(&n) {
+		if m.typ.CPUs > 0 && m.AcceptsStarts(after, now) && m.Allowed(&n) {
 			left := agent.Room{CPUs: m.typ.CPUs, GPUs: m.typ.GPUs, MemoryGB: m.typ.MemoryGB}
 			for i := range m.Reservations {
 				left = left.Less(m.Reservations[i].Capacity)
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -103,8 +103,10 @@
 	return l
 }
 
-// Open reports whether tasks may be placed on the machine now, if they fit.
-func (p *MachineFacts) Open(after, now loop.Micros) bool { return p.blocking(after, now, false) == 0 }
+// AcceptsStarts reports whether tasks may be placed on the machine now, if they fit.
+func (p *MachineFacts) AcceptsStarts(after, now loop.Micros) bool {
+	return p.blocking(after, now, false) == 0
+}
 
 // Allowed reports whether the job's rules on types and zones let a task of it run on this machine. All of its
 // tasks that may be on machines count.
