--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -292,7 +292,7 @@
 	}
 	var all []scored
 	for _, m := range machines {
-		if m.AcceptsStarts(after, now) && m.Takes(need) {
+		if m.AcceptsStarts(after, now) && m.Fits(need) {
 			score := m.score(need.Spec, f.node.Label)
 			if _, failed := need.Shun[m.View.Name]; failed {
 				score -= avoidPenalty
@@ -347,7 +347,7 @@
 	}
 	got := 0
 	for _, m := range machines {
-		for got < n && m.Takes(&need) {
+		for got < n && m.Fits(&need) {
 			m.Free.Take(need.Spec)
 			need.Zones[m.View.Zone]++
 			got++
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -173,7 +173,7 @@
 		if (c.name == "") != (len(names) == 0) || (c.name != "" && (len(names) != 1 || names[0] != c.name)) {
 			t.Errorf("machine lacks %v, want only %q", names, c.name)
 		}
-		if takes := p.AcceptsStarts(50, 100) && p.Takes(n) && !p.Cordoned && p.View.NoticeAt == 0 && !p.View.Closed; takes != (c.name == "") {
+		if takes := p.AcceptsStarts(50, 100) && p.Fits(n) && !p.Cordoned && p.View.NoticeAt == 0 && !p.View.Closed; takes != (c.name == "") {
 			t.Errorf("machine that lacks %q: accepted %v", c.name, takes)
 		}
 	}
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -176,8 +176,8 @@
 	return l
 }
 
-// Takes reports whether a machine that is open may take a task of the job now.
-func (p *MachineFacts) Takes(n *Need) bool {
+// Fits reports whether a machine that is open may take a task of the job now.
+func (p *MachineFacts) Fits(n *Need) bool {
 	if !p.Free.Fits(n.Spec) || !p.Allowed(n) {
 		return false
 	}
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -254,7 +254,7 @@
 		elsewhere = n - p.fleet.ReservationCount(t.j.ID)
 	}
 	for _, sl := range p.fleet.Ranked(&need, free) {
-		for got < n && sl.Takes(&need) {
+		for got < n && sl.Fits(&need) {
 			if !sl.HasReservation(t.j.ID) {
 				if elsewhere <= 0 {
 					break
