--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -31,7 +31,7 @@
 	if len(f.scratch) == 0 {
 		return o, false
 	}
-	room := m.Beside(need)
+	room := m.Unreserved(need)
 	if !m.Runs.HasImage(s.Image) {
 		o.cost = 20 * s.CPUs
 	}
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -184,13 +184,13 @@
 	if len(p.Reservations) == 0 {
 		return true
 	}
-	room := p.Beside(n)
+	room := p.Unreserved(n)
 	return room.Fits(n.Spec)
 }
 
-// Beside returns the machine's free capacity less what is reserved for other jobs at the job's priority or
+// Unreserved returns the machine's free capacity less what is reserved for other jobs at the job's priority or
 // higher.
-func (p *MachineFacts) Beside(n *Need) agent.Room {
+func (p *MachineFacts) Unreserved(n *Need) agent.Room {
 	r := p.Free
 	for i := range p.Reservations {
 		if c := &p.Reservations[i]; c.Job != n.ID && c.Priority >= int(n.Spec.Priority) {
@@ -206,7 +206,7 @@
 	if x := missingResources(&p.Free, n.Spec); x != 0 {
 		return l | x
 	}
-	if room := p.Beside(n); !room.Fits(n.Spec) {
+	if room := p.Unreserved(n); !room.Fits(n.Spec) {
 		l |= LackUnreserved
 	}
 	return l
