--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -294,7 +294,7 @@
 	for _, m := range machines {
 		if m.AcceptsStarts(after, now) && m.Fits(need) {
 			score := m.score(need.Spec, f.node.Label)
-			if _, failed := need.Shun[m.View.Name]; failed {
+			if _, failed := need.Avoid[m.View.Name]; failed {
 				score -= avoidPenalty
 			}
 			all = append(all, scored{m, score})
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -54,8 +54,8 @@
 	Spec  *job.Spec
 	Tasks int
 	Zones map[string]int // tasks that may be on machines, by zone
-	// Shun names machines on which the job failed; they are chosen only if no other machine fits.
-	Shun map[string]struct{}
+	// Avoid names machines on which the job failed; they are chosen only if no other machine fits.
+	Avoid map[string]struct{}
 }
 
 // MachineFacts holds the facts about a machine that the machine predicates evaluate.
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -105,7 +105,7 @@
 
 // need is what a task of the job asks of a machine.
 func (t *table) need() gate.Need {
-	return gate.Need{ID: t.j.ID, Spec: t.j.Spec, Tasks: t.j.Tasks, Zones: t.zones, Shun: t.shun}
+	return gate.Need{ID: t.j.ID, Spec: t.j.Spec, Tasks: t.j.Tasks, Zones: t.zones, Avoid: t.shun}
 }
 
 // staleAfter is how long after its last word a machine takes no starts.
