--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -148,8 +148,8 @@
 	return more
 }
 
-// Most returns how many of the given number of additional tasks the job's zone rules allow in a zone.
-func (n *Need) Most(zone string, more int) int {
+// MaxInZone returns how many of the given number of additional tasks the job's zone rules allow in a zone.
+func (n *Need) MaxInZone(zone string, more int) int {
 	if n.boundElsewhere(zone) {
 		return 0
 	}
--- a/internal/rental/expected.go
+++ b/internal/rental/expected.go
@@ -15,7 +15,7 @@
 
 // place assigns up to n tasks of a request to the machine, and returns how many fit.
 func (c *expectedMachine) place(need *gate.Need, n int) int {
-	took := c.placeIgnoringZones(need.Spec, need.Most(c.offer.zone, n))
+	took := c.placeIgnoringZones(need.Spec, need.MaxInZone(c.offer.zone, n))
 	if need.Zones != nil {
 		need.Zones[c.offer.zone] += took
 	}
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -198,7 +198,7 @@
 			continue
 		}
 		for _, z := range x.Zones {
-			most := n.Most(z, left)
+			most := n.MaxInZone(z, left)
 			if most == 0 {
 				continue
 			}
