--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -14,7 +14,7 @@
 // them; it is asked for no judgement that it does not make itself.
 type Facts struct {
 	Job     *job.Job
-	Gate    gate.Job
+	Gate    gate.JobFacts
 	Need    gate.Need
 	Team    config.Team
 	Within  bool // the job lies within its team's guarantee
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -93,8 +93,8 @@
 	Waived bool      // an operator waived this dependency, whose job was cancelled
 }
 
-// Job holds the facts that the job predicates evaluate. Machines are not part of them.
-type Job struct {
+// JobFacts holds the facts that the job predicates evaluate. Machines are not part of them.
+type JobFacts struct {
 	Spec        *job.Spec
 	Hold        *job.Hold
 	After       []Dep
@@ -126,11 +126,11 @@
 }
 
 // inBackOff reports whether the failed tasks are in back-off.
-func (j *Job) inBackOff() bool { return j.Now < j.Failing.RestTo }
+func (j *JobFacts) inBackOff() bool { return j.Now < j.Failing.RestTo }
 
 // probationTasks returns how many waiting tasks may start, given the job's failures. A gang is retried as a whole,
 // since one of its tasks alone would wait for the others.
-func (j *Job) probationTasks() int {
+func (j *JobFacts) probationTasks() int {
 	f := &j.Failing
 	switch {
 	case j.Spec.Gang || f.Moments == 0:
@@ -152,7 +152,7 @@
 var counted = [...]Kind{Probe, Limit}
 
 // Passes returns how many of the waiting tasks the predicate allows.
-func (j *Job) Passes(k Kind) int {
+func (j *JobFacts) Passes(k Kind) int {
 	shut := false
 	switch k {
 	case Damaged:
@@ -178,7 +178,7 @@
 }
 
 // Open reports whether no predicate blocks the job as a whole.
-func (j *Job) Open() bool {
+func (j *JobFacts) Open() bool {
 	for _, k := range jobWide {
 		if j.Passes(k) == 0 {
 			return false
@@ -188,7 +188,7 @@
 }
 
 // Least returns how many of the waiting tasks all counted predicates allow.
-func (j *Job) Least() int {
+func (j *JobFacts) Least() int {
 	n := Everything
 	for _, k := range counted {
 		n = min(n, j.Passes(k))
@@ -197,13 +197,13 @@
 }
 
 // limitTasks returns how many waiting tasks fit into the team's limitTasks.
-func (j *Job) limitTasks() int {
+func (j *JobFacts) limitTasks() int {
 	return j.Quota.Tasks(j.Waiting, j.Used.CPUs, j.Spec.CPUs, j.Used.GPUs, j.Spec.GPUs)
 }
 
 // dependencyUnmet reports whether a dependency is not met. Done and cancelled are final phases, so a start needs no
 // condition on the record of the other job.
-func (j *Job) dependencyUnmet() bool {
+func (j *JobFacts) dependencyUnmet() bool {
 	for i := range j.After {
 		if !j.Met(&j.After[i]) {
 			return true
@@ -213,7 +213,7 @@
 }
 
 // Met reports whether the dependency no longer blocks the job.
-func (j *Job) Met(d *Dep) bool {
+func (j *JobFacts) Met(d *Dep) bool {
 	switch d.Phase {
 	case job.Done:
 		return true
@@ -224,7 +224,7 @@
 }
 
 // MustWithdraw reports whether the job is to be cancelled because a job that it depends on was.
-func (j *Job) MustWithdraw() bool {
+func (j *JobFacts) MustWithdraw() bool {
 	if j.OnWithdrawn != job.PolicyWithdraw {
 		return false
 	}
@@ -237,7 +237,7 @@
 }
 
 // Causes appends every job predicate that keeps tasks waiting, with the number of these tasks.
-func (j *Job) Causes(out []Cause) []Cause {
+func (j *JobFacts) Causes(out []Cause) []Cause {
 	if j.Waiting == 0 {
 		return out
 	}
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -17,7 +17,7 @@
 func TestMain(m *testing.M) { fixed.Main(m) }
 
 // restatedAllowed restates what each predicate allows, without the helpers of the product code.
-func restatedAllowed(j *Job, k Kind) int {
+func restatedAllowed(j *JobFacts, k Kind) int {
 	switch k {
 	case Damaged:
 		if j.Damaged {
@@ -72,7 +72,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		num := func(name string, from, to int) int { return rapid.IntRange(from, to).Draw(t, name) }
 		yes := func(name string) bool { return rapid.Bool().Draw(t, name) }
-		j := &Job{Spec: &job.Spec{CPUs: float64(num("cpus", 1, 4)), GPUs: float64(num("gpus", 0, 1)), Gang: num("gang", 0, 3) == 0},
+		j := &JobFacts{Spec: &job.Spec{CPUs: float64(num("cpus", 1, 4)), GPUs: float64(num("gpus", 0, 1)), Gang: num("gang", 0, 3) == 0},
 			Hold: &job.Hold{}, Damaged: num("damaged", 0, 5) == 0, Waiting: num("waiting", 0, 9), InUse: num("in use", 0, 3),
 			Now: 100, Wall: 200, ClockTo: loop.Micros(num("clock", 0, 3)),
 			Used:        agent.Room{CPUs: float64(num("used", 0, 20)), GPUs: float64(num("used gpus", 0, 3))},
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -30,7 +30,7 @@
 	now := p.r.Now()
 	t := tm.jobs[id]
 	if t == nil { // it is over, or was learnt a moment ago
-		return &explain.Facts{Job: j, Gate: gate.Job{Spec: j.Spec, Hold: &j.Terms.Hold}, Need: gate.Need{ID: id, Spec: j.Spec, Tasks: j.Tasks}, Team: tm.cfg, Contact: contact, Sure: true,
+		return &explain.Facts{Job: j, Gate: gate.JobFacts{Spec: j.Spec, Hold: &j.Terms.Hold}, Need: gate.Need{ID: id, Spec: j.Spec, Tasks: j.Tasks}, Team: tm.cfg, Contact: contact, Sure: true,
 			Now: now, Wall: p.r.Wall()}, true
 	}
 	p.fleet.Refresh()
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -9,9 +9,9 @@
 )
 
 // facts are what a job's own gates judge by.
-func (p *Placer) facts(t *table) gate.Job {
+func (p *Placer) facts(t *table) gate.JobFacts {
 	tm := t.team
-	f := gate.Job{Spec: t.j.Spec, Hold: &t.j.Terms.Hold, After: p.deps(t.j), OnWithdrawn: t.j.Terms.OnWithdrawn, Damaged: t.damaged,
+	f := gate.JobFacts{Spec: t.j.Spec, Hold: &t.j.Terms.Hold, After: p.deps(t.j), OnWithdrawn: t.j.Terms.OnWithdrawn, Damaged: t.damaged,
 		Waiting: t.waiting(), InUse: t.inUse,
 		Used: agent.Room{CPUs: tm.cpus, GPUs: tm.gpus}, Quota: tm.quota,
 		ClockTo: p.cfg.ClockDifference()}
