--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -91,7 +91,7 @@
 		if h.Until != 0 {
 			until := Time(h.Until)
 			d.Until, r.Until = &until, &until
-			left := Span(max(h.Until+f.Gate.ClockTo-f.Wall, 0))
+			left := Span(max(h.Until+f.Gate.ClockMargin-f.Wall, 0))
 			r.Estimate = &Estimate{Low: left, Likely: left, High: left + Span(loop.Second)}
 			r.Release = "the hold ends by itself, or an operator releases the job"
 		}
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -106,7 +106,7 @@
 	Used        agent.Room // by its team; memory has no limit
 	Quota       config.Quota
 	Now, Wall   loop.Micros
-	ClockTo     loop.Micros // twice the bound on the error of the wall clock
+	ClockMargin loop.Micros // twice the bound on the error of the wall clock
 }
 
 // Failing describes a job's recent failures.
@@ -160,7 +160,7 @@
 	case Hold:
 		// Each host controller uses its own wall clock, so the owner waits until the hold has ended by all of
 		// them.
-		shut = j.Hold.Shut(j.Wall - j.ClockTo)
+		shut = j.Hold.Shut(j.Wall - j.ClockMargin)
 	case Dependency:
 		shut = j.dependencyUnmet()
 	case BackOff:
