--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -145,8 +145,8 @@
 }
 
 func (f *Facts) team() *TeamUse {
-	return &TeamUse{Team: f.Team.Name, CPUs: f.Gate.Used.CPUs, CPUsMax: f.Gate.Quota.CPUsMax, CPUsHave: f.Gate.Quota.CPUs,
-		GPUs: f.Gate.Used.GPUs, GPUsMax: f.Gate.Quota.GPUsMax, Within: f.Within}
+	return &TeamUse{Team: f.Team.Name, CPUs: f.Gate.TeamUsage.CPUs, CPUsMax: f.Gate.Quota.CPUsMax, CPUsHave: f.Gate.Quota.CPUs,
+		GPUs: f.Gate.TeamUsage.GPUs, GPUsMax: f.Gate.Quota.GPUsMax, Within: f.Within}
 }
 
 // machines tells why the machines do not take what the job's own gates let on.
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -103,7 +103,7 @@
 	Waiting     int
 	InUse       int // tasks that may be on machines
 	Failing     Failing
-	Used        agent.Room // by its team; memory has no limit
+	TeamUsage   agent.Room // by its team; memory has no limit
 	Quota       config.Quota
 	Now, Wall   loop.Micros
 	ClockMargin loop.Micros // twice the bound on the error of the wall clock
@@ -198,7 +198,7 @@
 
 // limitTasks returns how many waiting tasks fit into the team's limitTasks.
 func (j *JobFacts) limitTasks() int {
-	return j.Quota.Tasks(j.Waiting, j.Used.CPUs, j.Spec.CPUs, j.Used.GPUs, j.Spec.GPUs)
+	return j.Quota.Tasks(j.Waiting, j.TeamUsage.CPUs, j.Spec.CPUs, j.TeamUsage.GPUs, j.Spec.GPUs)
 }
 
 // dependencyUnmet reports whether a dependency is not met. Done and cancelled are final phases, so a start needs no
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -58,7 +58,7 @@
 			return each == 0 || !bounded || used+each <= m+1e-6
 		}
 		n := 0
-		for n < j.Waiting && within(j.Used.CPUs+float64(n)*j.Spec.CPUs, j.Spec.CPUs, j.Quota.CPUsMax) && within(j.Used.GPUs+float64(n)*j.Spec.GPUs, j.Spec.GPUs, j.Quota.GPUsMax) {
+		for n < j.Waiting && within(j.TeamUsage.CPUs+float64(n)*j.Spec.CPUs, j.Spec.CPUs, j.Quota.CPUsMax) && within(j.TeamUsage.GPUs+float64(n)*j.Spec.GPUs, j.Spec.GPUs, j.Quota.GPUsMax) {
 			n++
 		}
 		return n
@@ -75,7 +75,7 @@
 		j := &JobFacts{Spec: &job.Spec{CPUs: float64(num("cpus", 1, 4)), GPUs: float64(num("gpus", 0, 1)), Gang: num("gang", 0, 3) == 0},
 			Hold: &job.Hold{}, Damaged: num("damaged", 0, 5) == 0, Waiting: num("waiting", 0, 9), InUse: num("in use", 0, 3),
 			Now: 100, Wall: 200, ClockMargin: loop.Micros(num("clock", 0, 3)),
-			Used:        agent.Room{CPUs: float64(num("used", 0, 20)), GPUs: float64(num("used gpus", 0, 3))},
+			TeamUsage:   agent.Room{CPUs: float64(num("used", 0, 20)), GPUs: float64(num("used gpus", 0, 3))},
 			Quota:       config.Quota{CPUsMax: config.LimitOf(float64(num("max", 0, 24))), GPUsMax: config.LimitOf(float64(num("max gpus", 0, 4)))},
 			OnWithdrawn: []job.Policy{job.PolicyHold, job.PolicyRelease, job.PolicyWithdraw}[num("policy", 0, 2)]}
 		if yes("rests") {
--- a/internal/placer/rivals.go
+++ b/internal/placer/rivals.go
@@ -53,8 +53,8 @@
 		r := rival{t: o, most: min(n, p.probes(o)), takes: smaller(o.j.Spec, t.j.Spec)}
 		if r.n = r.most; !limited || o.team != t.team {
 			g := p.facts(o)
-			g.Used.CPUs += spoken[o.team].CPUs
-			g.Used.GPUs += spoken[o.team].GPUs
+			g.TeamUsage.CPUs += spoken[o.team].CPUs
+			g.TeamUsage.GPUs += spoken[o.team].GPUs
 			r.n = min(r.n, g.Passes(gate.Limit))
 		}
 		if r.most <= 0 {
@@ -177,7 +177,7 @@
 	g := f.Gate
 	var most [2]int
 	for i := range most {
-		g.Used = agent.Room{CPUs: f.Gate.Used.CPUs + by[i].CPUs, GPUs: f.Gate.Used.GPUs + by[i].GPUs}
+		g.TeamUsage = agent.Room{CPUs: f.Gate.TeamUsage.CPUs + by[i].CPUs, GPUs: f.Gate.TeamUsage.GPUs + by[i].GPUs}
 		if most[i] = n; !limited {
 			most[i] = g.Passes(gate.Limit)
 		}
