--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -151,8 +151,8 @@
 // counted lists the predicates that allow a number of tasks.
 var counted = [...]Kind{Probe, Limit}
 
-// Passes returns how many of the waiting tasks the predicate allows.
-func (j *JobFacts) Passes(k Kind) int {
+// AllowedTasks returns how many of the waiting tasks the predicate allows.
+func (j *JobFacts) AllowedTasks(k Kind) int {
 	shut := false
 	switch k {
 	case Damaged:
@@ -180,7 +180,7 @@
 // Open reports whether no predicate blocks the job as a whole.
 func (j *JobFacts) Open() bool {
 	for _, k := range jobWide {
-		if j.Passes(k) == 0 {
+		if j.AllowedTasks(k) == 0 {
 			return false
 		}
 	}
@@ -191,7 +191,7 @@
 func (j *JobFacts) Least() int {
 	n := Everything
 	for _, k := range counted {
-		n = min(n, j.Passes(k))
+		n = min(n, j.AllowedTasks(k))
 	}
 	return n
 }
@@ -242,12 +242,12 @@
 		return out
 	}
 	for _, k := range jobWide {
-		if j.Passes(k) == 0 {
+		if j.AllowedTasks(k) == 0 {
 			out = append(out, Cause{Kind: k, Tasks: j.Waiting})
 		}
 	}
 	for _, k := range counted {
-		if n := j.Waiting - max(j.Passes(k), 0); n > 0 {
+		if n := j.Waiting - max(j.AllowedTasks(k), 0); n > 0 {
 			if j.Spec.Gang {
 				n = j.Waiting // a gang is placed whole or not at all
 			}
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -99,7 +99,7 @@
 		var want []Cause
 		for _, k := range []Kind{Damaged, Hold, Dependency, BackOff, Probe, Limit} {
 			plain := restatedAllowed(j, k)
-			got := j.Passes(k)
+			got := j.AllowedTasks(k)
 			if min(max(got, 0), j.Waiting) != min(plain, j.Waiting) {
 				t.Fatalf("%v allows %d tasks, by the plain restatement %d", k, got, plain)
 			}
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -47,7 +47,7 @@
 		return false
 	}
 	f := p.facts(t)
-	return f.Passes(gate.Hold) == 0 || f.Passes(gate.Dependency) == 0
+	return f.AllowedTasks(gate.Hold) == 0 || f.AllowedTasks(gate.Dependency) == 0
 }
 
 // barred tells why no start of the job on this machine may be recorded or sent: a hold,
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -101,13 +101,13 @@
 		t := e.t
 		s := t.j.Spec
 		facts := p.facts(t)
-		probe := facts.Passes(gate.Probe)
+		probe := facts.AllowedTasks(gate.Probe)
 		if s.Gang && !p.gangFits(t) {
 			probe = 0
 			p.lastWant = append(p.lastWant, p.want(t, t.waiting()))
 		}
 		sh, free := fleet.ShapeOf(s)
-		if n := min(probe, facts.Passes(gate.Limit)); n > 0 && (!full[sh] || p.fleet.ReservationCount(t.j.ID) > 0) {
+		if n := min(probe, facts.AllowedTasks(gate.Limit)); n > 0 && (!full[sh] || p.fleet.ReservationCount(t.j.ID) > 0) {
 			if stops && !full[sh] && s.Priority >= job.High && !s.Gang {
 				p.goToImage(&e, n, open, &b)
 			}
@@ -304,7 +304,7 @@
 // missed is how many of a job's tasks wait for room and not for their team's limit.
 func (p *Placer) missed(t *table) int {
 	f := p.facts(t)
-	return f.Passes(gate.Limit)
+	return f.AllowedTasks(gate.Limit)
 }
 
 // Faulty tells whether a machine should be replaced for failing tasks.
--- a/internal/placer/rivals.go
+++ b/internal/placer/rivals.go
@@ -55,7 +55,7 @@
 			g := p.facts(o)
 			g.TeamUsage.CPUs += spoken[o.team].CPUs
 			g.TeamUsage.GPUs += spoken[o.team].GPUs
-			r.n = min(r.n, g.Passes(gate.Limit))
+			r.n = min(r.n, g.AllowedTasks(gate.Limit))
 		}
 		if r.most <= 0 {
 			continue
@@ -87,7 +87,7 @@
 // other gates; and how many of its tasks would wait for that alone.
 func (p *Placer) ahead(f *explain.Facts, t *table, types []wire.MachineType) {
 	n := f.Gate.Waiting
-	limited := f.Gate.Passes(gate.Limit) < n
+	limited := f.Gate.AllowedTasks(gate.Limit) < n
 	short := n - f.FitsAll                                   // rooms for one task each that must come
 	lifted := f.FitsAll > f.Fits || (f.Barred && f.Fits < n) // a cordon is among its reasons
 	q, within := p.lineWith(t)
@@ -179,7 +179,7 @@
 	for i := range most {
 		g.TeamUsage = agent.Room{CPUs: f.Gate.TeamUsage.CPUs + by[i].CPUs, GPUs: f.Gate.TeamUsage.GPUs + by[i].GPUs}
 		if most[i] = n; !limited {
-			most[i] = g.Passes(gate.Limit)
+			most[i] = g.AllowedTasks(gate.Limit)
 		}
 	}
 	a = n - min(p.fleet.CountFitting(t.need(), n, there)+max(short-left, 0), most[0])
@@ -216,7 +216,7 @@
 
 func (p *Placer) probes(t *table) int {
 	f := p.facts(t)
-	return f.Passes(gate.Probe)
+	return f.AllowedTasks(gate.Probe)
 }
 
 // smaller tells whether a task of o fits where one task of s does.
--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -43,7 +43,7 @@
 		}
 		p.refundHeld(t)
 		f := p.facts(t)
-		if n := min(f.Passes(gate.Probe), f.Passes(gate.Limit), t.waiting()); n > 0 {
+		if n := min(f.AllowedTasks(gate.Probe), f.AllowedTasks(gate.Limit), t.waiting()); n > 0 {
 			tables = append(tables, t)
 			waiters = append(waiters, starvation.Waiter{ID: t.j.ID, Class: t.turnClass(), At: t.at, Since: t.pieceAt, Tasks: n, CPUs: t.j.Spec.CPUs})
 		}
@@ -55,9 +55,9 @@
 func (p *Placer) serveBeforeTurn(t *table, w *starvation.Waiter, tasks int, open []*fleet.Machine, chosen *[]hostStart) {
 	// One before it may have used what was left of their team's limit.
 	f := p.facts(t)
-	n := min(tasks, f.Passes(gate.Limit))
+	n := min(tasks, f.AllowedTasks(gate.Limit))
 	if t.j.Spec.Gang {
-		n = min(t.waiting(), f.Passes(gate.Limit))
+		n = min(t.waiting(), f.AllowedTasks(gate.Limit))
 	}
 	if n <= 0 {
 		return
