--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -216,7 +216,7 @@
 		for _, a := range r.Detail.Ahead {
 			r.BlockedBy = append(r.BlockedBy, a.Job)
 		}
-	} else if cordoned <= 0 && short <= 0 && f.Contact && f.Gate.Open() && f.Gate.Least() > 0 {
+	} else if cordoned <= 0 && short <= 0 && f.Contact && f.Gate.Unblocked() && f.Gate.Least() > 0 {
 		r := add(gate.Recheck, min(n, f.Gate.Least()))
 		r.State, r.Release = "due", "nothing: the next pass places it"
 		r.Estimate = &Estimate{Low: 0, Likely: Span(50 * loop.Millisecond), High: Span(loop.Second)}
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -177,8 +177,8 @@
 	return Everything
 }
 
-// Open reports whether no predicate blocks the job as a whole.
-func (j *JobFacts) Open() bool {
+// Unblocked reports whether no predicate blocks the job as a whole.
+func (j *JobFacts) Unblocked() bool {
 	for _, k := range jobWide {
 		if j.AllowedTasks(k) == 0 {
 			return false
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -113,8 +113,8 @@
 				open = false
 			}
 		}
-		if j.Open() != open {
-			t.Fatalf("open: %v, by the plain restatement %v", j.Open(), open)
+		if j.Unblocked() != open {
+			t.Fatalf("open: %v, by the plain restatement %v", j.Unblocked(), open)
 		}
 		got := j.Causes(nil)
 		if len(got) != len(want) {
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -184,7 +184,7 @@
 func (p *Placer) causes(t *table, out []gate.Cause, after, wall loop.Micros) []gate.Cause {
 	f := p.facts(t)
 	out = f.Causes(out)
-	if f.Waiting > 0 && t.short != 0 && f.Open() {
+	if f.Waiting > 0 && t.short != 0 && f.Unblocked() {
 		out = append(out, gate.Cause{Kind: t.short, Tasks: f.Waiting})
 	}
 	if t.inUse <= t.running {
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -100,7 +100,7 @@
 // open tells whether no gate shuts the whole job.
 func (p *Placer) open(t *table) bool {
 	f := p.facts(t)
-	return f.Open()
+	return f.Unblocked()
 }
 
 // need is what a task of the job asks of a machine.
