--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -187,8 +187,8 @@
 	return true
 }
 
-// Least returns how many of the waiting tasks all counted predicates allow.
-func (j *JobFacts) Least() int {
+// MinAllowedTasks returns how many of the waiting tasks all counted predicates allow.
+func (j *JobFacts) MinAllowedTasks() int {
 	n := Everything
 	for _, k := range counted {
 		n = min(n, j.AllowedTasks(k))
