--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -100,7 +100,7 @@
 		withdrawn := false
 		for i := range f.Gate.After {
 			d := &f.Gate.After[i]
-			if f.Gate.Met(d) {
+			if f.Gate.DependencyMet(d) {
 				continue
 			}
 			b := Before{Job: d.ID, State: PhaseName(d.Phase)}
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -205,15 +205,15 @@
 // condition on the record of the other job.
 func (j *JobFacts) dependencyUnmet() bool {
 	for i := range j.After {
-		if !j.Met(&j.After[i]) {
+		if !j.DependencyMet(&j.After[i]) {
 			return true
 		}
 	}
 	return false
 }
 
-// Met reports whether the dependency no longer blocks the job.
-func (j *JobFacts) Met(d *Dep) bool {
+// DependencyMet reports whether the dependency no longer blocks the job.
+func (j *JobFacts) DependencyMet(d *Dep) bool {
 	switch d.Phase {
 	case job.Done:
 		return true
