--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -223,8 +223,8 @@
 	return false
 }
 
-// MustWithdraw reports whether the job is to be cancelled because a job that it depends on was.
-func (j *JobFacts) MustWithdraw() bool {
+// MustCancel reports whether the job is to be cancelled because a job that it depends on was.
+func (j *JobFacts) MustCancel() bool {
 	if j.OnWithdrawn != job.PolicyWithdraw {
 		return false
 	}
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -71,7 +71,7 @@
 		if t.j.Final() || now < t.amendAt {
 			continue
 		}
-		if f := p.facts(t); f.MustWithdraw() {
+		if f := p.facts(t); f.MustCancel() {
 			t.amendAt = now + 2*loop.Second
 			p.log.Info("withdraws a job with one that it waits for", "job", t.j.ID)
 			p.registry.Withdraw(t.j.ID, func(job.Answer) {})
