--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -102,15 +102,15 @@
 	Damaged     bool
 	Waiting     int
 	InUse       int // tasks that may be on machines
-	Failing     Failing
+	Failing     FailureState
 	TeamUsage   agent.Room // by its team; memory has no limit
 	Quota       config.Quota
 	Now, Wall   loop.Micros
 	ClockMargin loop.Micros // twice the bound on the error of the wall clock
 }
 
-// Failing describes a job's recent failures.
-type Failing struct {
+// FailureState describes a job's recent failures.
+type FailureState struct {
 	State    health.TrialState
 	Moments  int // consecutive failures; attempts placed before the newest counted one do not count again
 	Machines int // machines, not faulty themselves, on which it failed since a task last completed
@@ -121,7 +121,7 @@
 }
 
 // trusted reports whether only the tasks that failed are held back, as opposed to all tasks of the job.
-func (f *Failing) trusted() bool {
+func (f *FailureState) trusted() bool {
 	return f.State == health.Untried || f.State == health.Sound
 }
 
