--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -111,13 +111,13 @@
 
 // FailureState describes a job's recent failures.
 type FailureState struct {
-	State    health.TrialState
-	Moments  int // consecutive failures; attempts placed before the newest counted one do not count again
-	Machines int // machines, not faulty themselves, on which it failed since a task last completed
-	RestTo   loop.Micros
-	Width    int // tasks that may run at once while the job is on probation
-	Late     int // waiting tasks that failed before
-	LateNow  int // how many of these may be retried at once after the back-off
+	State               health.TrialState
+	ConsecutiveFailures int // consecutive failures; attempts placed before the newest counted one do not count again
+	Machines            int // machines, not faulty themselves, on which it failed since a task last completed
+	RestTo              loop.Micros
+	Width               int // tasks that may run at once while the job is on probation
+	Late                int // waiting tasks that failed before
+	LateNow             int // how many of these may be retried at once after the back-off
 }
 
 // trusted reports whether only the tasks that failed are held back, as opposed to all tasks of the job.
@@ -133,7 +133,7 @@
 func (j *JobFacts) probationTasks() int {
 	f := &j.Failing
 	switch {
-	case j.Spec.Gang || f.Moments == 0:
+	case j.Spec.Gang || f.ConsecutiveFailures == 0:
 		return Everything
 	case !f.trusted():
 		return f.Width - j.InUse
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -42,7 +42,7 @@
 		}
 	case Probe:
 		f := j.Failing
-		if f.Moments == 0 || j.Spec.Gang {
+		if f.ConsecutiveFailures == 0 || j.Spec.Gang {
 			break
 		}
 		if f.State == health.Doubted || f.State == health.Broken {
@@ -82,7 +82,7 @@
 			j.Failing.RestTo = 100 + loop.Micros(num("rest", -1, 1))
 		}
 		if yes("fails") {
-			j.Failing.State, j.Failing.Moments, j.Failing.Width = health.TrialState(num("state", 0, 3)), num("moments", 0, 3), 1+2*num("survivors", 0, 2)
+			j.Failing.State, j.Failing.ConsecutiveFailures, j.Failing.Width = health.TrialState(num("state", 0, 3)), num("moments", 0, 3), 1+2*num("survivors", 0, 2)
 			j.Failing.Late = num("late", 0, j.Waiting)
 			j.Failing.LateNow = num("late now", 0, j.Failing.Late)
 		}
