--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -118,8 +118,8 @@
 			}
 		}
 	case gate.BackOff:
-		until := Time(f.Wall + f.Gate.Failing.RestTo - f.Now)
-		left := Span(f.Gate.Failing.RestTo - f.Now)
+		until := Time(f.Wall + f.Gate.Failing.BackOffUntil - f.Now)
+		left := Span(f.Gate.Failing.BackOffUntil - f.Now)
 		r.State, r.Until = "resting", &until
 		r.Estimate = &Estimate{Low: left, Likely: left, High: left + Span(loop.Second)}
 		r.Detail.Failures = f.failing()
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -114,7 +114,7 @@
 	State               health.TrialState
 	ConsecutiveFailures int // consecutive failures; attempts placed before the newest counted one do not count again
 	Machines            int // machines, not faulty themselves, on which it failed since a task last completed
-	RestTo              loop.Micros
+	BackOffUntil        loop.Micros
 	Width               int // tasks that may run at once while the job is on probation
 	Late                int // waiting tasks that failed before
 	LateNow             int // how many of these may be retried at once after the back-off
@@ -126,7 +126,7 @@
 }
 
 // inBackOff reports whether the failed tasks are in back-off.
-func (j *JobFacts) inBackOff() bool { return j.Now < j.Failing.RestTo }
+func (j *JobFacts) inBackOff() bool { return j.Now < j.Failing.BackOffUntil }
 
 // probationTasks returns how many waiting tasks may start, given the job's failures. A gang is retried as a whole,
 // since one of its tasks alone would wait for the others.
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -37,7 +37,7 @@
 		}
 	case BackOff:
 		some := j.Failing.State == health.Sound || j.Failing.State == health.Untried // only the tasks that failed are in back-off
-		if j.Failing.RestTo > j.Now && (!some || j.Spec.Gang || j.Failing.Late >= j.Waiting) {
+		if j.Failing.BackOffUntil > j.Now && (!some || j.Spec.Gang || j.Failing.Late >= j.Waiting) {
 			return 0
 		}
 	case Probe:
@@ -48,7 +48,7 @@
 		if f.State == health.Doubted || f.State == health.Broken {
 			return max(f.Width-j.InUse, 0)
 		}
-		if never := j.Waiting - f.Late; never > 0 && f.RestTo > j.Now {
+		if never := j.Waiting - f.Late; never > 0 && f.BackOffUntil > j.Now {
 			return never
 		}
 		return j.Waiting - f.Late + f.LateNow
@@ -79,7 +79,7 @@
 			Quota:       config.Quota{CPUsMax: config.LimitOf(float64(num("max", 0, 24))), GPUsMax: config.LimitOf(float64(num("max gpus", 0, 4)))},
 			OnWithdrawn: []job.Policy{job.PolicyHold, job.PolicyRelease, job.PolicyWithdraw}[num("policy", 0, 2)]}
 		if yes("rests") {
-			j.Failing.RestTo = 100 + loop.Micros(num("rest", -1, 1))
+			j.Failing.BackOffUntil = 100 + loop.Micros(num("rest", -1, 1))
 		}
 		if yes("fails") {
 			j.Failing.State, j.Failing.ConsecutiveFailures, j.Failing.Width = health.TrialState(num("state", 0, 3)), num("moments", 0, 3), 1+2*num("survivors", 0, 2)
