--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -129,7 +129,7 @@
 		switch x := &f.Gate.Failing; {
 		case x.State == health.Sound || x.State == health.Untried:
 			r.State, r.Release = "failedBefore", "tasks that failed before complete; the job's others go on"
-		case x.Width > 1:
+		case x.MaxInUse > 1:
 			r.State = "growing"
 		}
 		r.Detail.Failures = f.failing()
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -115,7 +115,7 @@
 	ConsecutiveFailures int // consecutive failures; attempts placed before the newest counted one do not count again
 	Machines            int // machines, not faulty themselves, on which it failed since a task last completed
 	BackOffUntil        loop.Micros
-	Width               int // tasks that may run at once while the job is on probation
+	MaxInUse            int // tasks that may run at once while the job is on probation
 	Late                int // waiting tasks that failed before
 	LateNow             int // how many of these may be retried at once after the back-off
 }
@@ -136,7 +136,7 @@
 	case j.Spec.Gang || f.ConsecutiveFailures == 0:
 		return Everything
 	case !f.trusted():
-		return f.Width - j.InUse
+		return f.MaxInUse - j.InUse
 	}
 	fresh := j.Waiting - f.Late
 	if fresh > 0 && j.inBackOff() {
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -46,7 +46,7 @@
 			break
 		}
 		if f.State == health.Doubted || f.State == health.Broken {
-			return max(f.Width-j.InUse, 0)
+			return max(f.MaxInUse-j.InUse, 0)
 		}
 		if never := j.Waiting - f.Late; never > 0 && f.BackOffUntil > j.Now {
 			return never
@@ -82,7 +82,7 @@
 			j.Failing.BackOffUntil = 100 + loop.Micros(num("rest", -1, 1))
 		}
 		if yes("fails") {
-			j.Failing.State, j.Failing.ConsecutiveFailures, j.Failing.Width = health.TrialState(num("state", 0, 3)), num("moments", 0, 3), 1+2*num("survivors", 0, 2)
+			j.Failing.State, j.Failing.ConsecutiveFailures, j.Failing.MaxInUse = health.TrialState(num("state", 0, 3)), num("moments", 0, 3), 1+2*num("survivors", 0, 2)
 			j.Failing.Late = num("late", 0, j.Waiting)
 			j.Failing.LateNow = num("late now", 0, j.Failing.Late)
 		}
--- a/internal/placer/trial.go
+++ b/internal/placer/trial.go
@@ -51,7 +51,7 @@
 				survivors++
 			}
 		})
-		f.Width = health.Width(survivors)
+		f.MaxInUse = health.Width(survivors)
 	}
 	return f
 }
