--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -117,7 +117,7 @@
 	BackOffUntil        loop.Micros
 	MaxInUse            int // tasks that may run at once while the job is on probation
 	Late                int // waiting tasks that failed before
-	LateNow             int // how many of these may be retried at once after the back-off
+	RetryNow            int // how many of these may be retried at once after the back-off
 }
 
 // trusted reports whether only the tasks that failed are held back, as opposed to all tasks of the job.
@@ -142,7 +142,7 @@
 	if fresh > 0 && j.inBackOff() {
 		return fresh
 	}
-	return fresh + f.LateNow
+	return fresh + f.RetryNow
 }
 
 // jobWide lists the predicates that allow all of a job's tasks or none.
