--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -141,7 +141,7 @@
 
 func (f *Facts) failing() *Failing {
 	x := &f.Gate.Failing
-	return &Failing{InARow: x.ConsecutiveFailures, Machines: x.Machines, Judged: x.State.String(), Tasks: x.Late}
+	return &Failing{InARow: x.ConsecutiveFailures, Machines: x.Machines, Judged: x.State.String(), Tasks: x.FailedWaiting}
 }
 
 func (f *Facts) team() *TeamUse {
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -116,7 +116,7 @@
 	Machines            int // machines, not faulty themselves, on which it failed since a task last completed
 	BackOffUntil        loop.Micros
 	MaxInUse            int // tasks that may run at once while the job is on probation
-	Late                int // waiting tasks that failed before
+	FailedWaiting       int // waiting tasks that failed before
 	RetryNow            int // how many of these may be retried at once after the back-off
 }
 
@@ -138,7 +138,7 @@
 	case !f.trusted():
 		return f.MaxInUse - j.InUse
 	}
-	fresh := j.Waiting - f.Late
+	fresh := j.Waiting - f.FailedWaiting
 	if fresh > 0 && j.inBackOff() {
 		return fresh
 	}
@@ -165,7 +165,7 @@
 		shut = j.dependencyUnmet()
 	case BackOff:
 		// Tasks of a trusted job that never failed do not wait for those that did.
-		shut = j.inBackOff() && (!j.Failing.trusted() || j.Spec.Gang || j.Failing.Late >= j.Waiting)
+		shut = j.inBackOff() && (!j.Failing.trusted() || j.Spec.Gang || j.Failing.FailedWaiting >= j.Waiting)
 	case Probe:
 		return j.probationTasks()
 	case Limit:
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -37,7 +37,7 @@
 		}
 	case BackOff:
 		some := j.Failing.State == health.Sound || j.Failing.State == health.Untried // only the tasks that failed are in back-off
-		if j.Failing.BackOffUntil > j.Now && (!some || j.Spec.Gang || j.Failing.Late >= j.Waiting) {
+		if j.Failing.BackOffUntil > j.Now && (!some || j.Spec.Gang || j.Failing.FailedWaiting >= j.Waiting) {
 			return 0
 		}
 	case Probe:
@@ -48,10 +48,10 @@
 		if f.State == health.Doubted || f.State == health.Broken {
 			return max(f.MaxInUse-j.InUse, 0)
 		}
-		if never := j.Waiting - f.Late; never > 0 && f.BackOffUntil > j.Now {
+		if never := j.Waiting - f.FailedWaiting; never > 0 && f.BackOffUntil > j.Now {
 			return never
 		}
-		return j.Waiting - f.Late + f.RetryNow
+		return j.Waiting - f.FailedWaiting + f.RetryNow
 	case Limit:
 		within := func(used, each float64, most config.Limit) bool {
 			m, bounded := most.Most()
@@ -83,8 +83,8 @@
 		}
 		if yes("fails") {
 			j.Failing.State, j.Failing.ConsecutiveFailures, j.Failing.MaxInUse = health.TrialState(num("state", 0, 3)), num("moments", 0, 3), 1+2*num("survivors", 0, 2)
-			j.Failing.Late = num("late", 0, j.Waiting)
-			j.Failing.RetryNow = num("late now", 0, j.Failing.Late)
+			j.Failing.FailedWaiting = num("late", 0, j.Waiting)
+			j.Failing.RetryNow = num("late now", 0, j.Failing.FailedWaiting)
 		}
 		if yes("held") {
 			j.Hold.State = job.HoldSet
--- a/internal/placer/trial.go
+++ b/internal/placer/trial.go
@@ -43,7 +43,7 @@
 // failing is what the gates are told of a job's failures.
 func (p *Placer) failing(t *table, now loop.Micros) gate.FailureState {
 	f := gate.FailureState{State: t.trial.State, ConsecutiveFailures: t.trial.Moments, Machines: p.blame.Against(t.j.ID), BackOffUntil: t.trial.RestTo,
-		Late: len(t.late), RetryNow: t.trial.Late(len(t.late))}
+		FailedWaiting: len(t.late), RetryNow: t.trial.Late(len(t.late))}
 	if !t.trial.Trusted() {
 		survivors := 0
 		t.each(func(_ int, x *task) {
