--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -82,8 +82,8 @@
 	Since loop.Micros // wall clock time since which it holds; 0: since now
 }
 
-// Everything stands for no bound: it is more tasks than any job has.
-const Everything = 1 << 30
+// Unlimited stands for no bound: it is more tasks than any job has.
+const Unlimited = 1 << 30
 
 // Dep is a job that must be done first, with what is known of it here.
 type Dep struct {
@@ -134,7 +134,7 @@
 	f := &j.Failing
 	switch {
 	case j.Spec.Gang || f.ConsecutiveFailures == 0:
-		return Everything
+		return Unlimited
 	case !f.trusted():
 		return f.MaxInUse - j.InUse
 	}
@@ -174,7 +174,7 @@
 	if shut {
 		return 0
 	}
-	return Everything
+	return Unlimited
 }
 
 // Unblocked reports whether no predicate blocks the job as a whole.
@@ -189,7 +189,7 @@
 
 // MinAllowedTasks returns how many of the waiting tasks all counted predicates allow.
 func (j *JobFacts) MinAllowedTasks() int {
-	n := Everything
+	n := Unlimited
 	for _, k := range counted {
 		n = min(n, j.AllowedTasks(k))
 	}
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -63,7 +63,7 @@
 		}
 		return n
 	}
-	return Everything
+	return Unlimited
 }
 
 // TestPredicatesAgainstPlainRestatement compares every predicate with its plain restatement, on facts at and around each
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -100,7 +100,7 @@
 	case part < each:
 		return 0
 	case each <= 0:
-		return gate.Everything
+		return gate.Unlimited
 	}
 	return int(part / each)
 }
