--- a/internal/api/list.go
+++ b/internal/api/list.go
@@ -50,7 +50,7 @@
 		fail(c.ctx, badQuery.with("state must be pending, running, done, withdrawn, unfinished or any").at("state"))
 		return
 	}
-	cause := gate.Named(waits)
+	cause := gate.KindByName(waits)
 	if waits != "" && cause == 0 {
 		fail(c.ctx, badQuery.with("waitingFor must be one of %s", strings.Join(gate.Names(), ", ")).at("waitingFor"))
 		return
--- a/internal/explain/desk.go
+++ b/internal/explain/desk.go
@@ -109,7 +109,7 @@
 	out := whyReply{Loaded: true, Waiting: f.Gate.Waiting, Running: f.Running, Done: f.Done, Reasons: Judge(f), Sure: f.Sure}
 	for i := range out.Reasons {
 		r := &out.Reasons[i]
-		k := gate.Named(r.Kind)
+		k := gate.KindByName(r.Kind)
 		since := d.Lines.Since(id, k)
 		if since != 0 {
 			t := Time(since)
@@ -217,7 +217,7 @@
 func (d *Desk) askLeader(a *Answer, j *job.Job, done func()) {
 	var short []*Reason
 	for i := range a.Reasons {
-		if k := gate.Named(a.Reasons[i].Kind); k == gate.Room || k == gate.Gang {
+		if k := gate.KindByName(a.Reasons[i].Kind); k == gate.Room || k == gate.Gang {
 			short = append(short, &a.Reasons[i])
 		}
 	}
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -53,8 +53,8 @@
 	return "unknown"
 }
 
-// Named returns the kind with the given name, or 0 if there is none.
-func Named(name string) Kind {
+// KindByName returns the kind with the given name, or 0 if there is none.
+func KindByName(name string) Kind {
 	for k, n := range kindNames {
 		if n == name && n != "" {
 			return Kind(k)
--- a/internal/node/calibration_test.go
+++ b/internal/node/calibration_test.go
@@ -113,7 +113,7 @@
 		if r.Tasks <= 0 || r.Release == "" || r.State == "" {
 			w.fail("why %s has an empty reason %+v", id, r)
 		}
-		if r.Since != nil && r.Estimate != nil && r.Estimate.Samples > 0 && gate.Named(r.Kind) != gate.Rank {
+		if r.Since != nil && r.Estimate != nil && r.Estimate.Samples > 0 && gate.KindByName(r.Kind) != gate.Rank {
 			a.estimates = append(a.estimates, estimate{id, r.Kind, loop.Micros(*r.Since), loop.Micros(x.AsOf), *r.Estimate})
 		}
 	}
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -456,7 +456,7 @@
 			want := plain{g}.reasons(id)
 			got := map[string]int{}
 			for _, r := range reasons {
-				if r.Kind != "rank" && gate.Named(r.Kind) <= gate.Rank {
+				if r.Kind != "rank" && gate.KindByName(r.Kind) <= gate.Rank {
 					got[r.Kind] = r.Tasks
 				}
 			}
@@ -484,7 +484,7 @@
 			}
 		}
 		for i := -1; i < len(reasons); i++ {
-			if i >= 0 && gate.Named(reasons[i].Kind) > gate.Rank {
+			if i >= 0 && gate.KindByName(reasons[i].Kind) > gate.Rank {
 				continue // on its way
 			}
 			h := newScene(seed)
