--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -124,7 +124,7 @@
 		r.Estimate = &Estimate{Low: left, Likely: left, High: left + Span(loop.Second)}
 		r.Detail.Failures = f.failing()
 		r.Release = "its rest is over; then a few of its tasks try again"
-	case gate.Probe:
+	case gate.Probation:
 		r.State, r.Release = "oneAtATime", "a task of the job completes; others follow once it has run for longer than those that failed"
 		switch x := &f.Gate.Failing; {
 		case x.State == health.Sound || x.State == health.Untried:
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -26,7 +26,7 @@
 	Hold         Kind = 5  // put on hold by a user or an operator
 	Dependency   Kind = 6  // a job that must be done first is not
 	BackOff      Kind = 7  // it failed, and waits for the end of its back-off
-	Probe        Kind = 8  // it failed, and only a few tasks may try again
+	Probation    Kind = 8  // it failed, and only a few tasks may try again
 	Limit        Kind = 9  // the team's limit
 	Gang         Kind = 10 // not enough capacity for all of its tasks at once
 	Cordon       Kind = 11 // the machines that could take it are cordoned
@@ -42,7 +42,7 @@
 )
 
 var kindNames = [kindCount]string{NoOwner: "noOwner", Loading: "loading", StateContact: "stateContact", Damaged: "damagedRecord", Hold: "hold",
-	Dependency: "dependency", BackOff: "backOff", Probe: "probe", Limit: "teamLimit", Gang: "gang", Cordon: "cordon", Room: "room", Rank: "rank",
+	Dependency: "dependency", BackOff: "backOff", Probation: "probe", Limit: "teamLimit", Gang: "gang", Cordon: "cordon", Room: "room", Rank: "rank",
 	Recording: "recording", Starting: "starting", Fetching: "fetching", Saving: "saving", Unproven: "unproven", Recheck: "nextPass"}
 
 // String returns the kind's name in `/v1/`.
@@ -149,7 +149,7 @@
 var jobWide = [...]Kind{Damaged, Hold, Dependency, BackOff}
 
 // counted lists the predicates that allow a number of tasks.
-var counted = [...]Kind{Probe, Limit}
+var counted = [...]Kind{Probation, Limit}
 
 // AllowedTasks returns how many of the waiting tasks the predicate allows.
 func (j *JobFacts) AllowedTasks(k Kind) int {
@@ -166,7 +166,7 @@
 	case BackOff:
 		// Tasks of a trusted job that never failed do not wait for those that did.
 		shut = j.inBackOff() && (!j.Failing.trusted() || j.Spec.Gang || j.Failing.FailedWaiting >= j.Waiting)
-	case Probe:
+	case Probation:
 		return j.probationTasks()
 	case Limit:
 		return j.limitTasks()
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -40,7 +40,7 @@
 		if j.Failing.BackOffUntil > j.Now && (!some || j.Spec.Gang || j.Failing.FailedWaiting >= j.Waiting) {
 			return 0
 		}
-	case Probe:
+	case Probation:
 		f := j.Failing
 		if f.ConsecutiveFailures == 0 || j.Spec.Gang {
 			break
@@ -97,7 +97,7 @@
 		}
 		open := true
 		var want []Cause
-		for _, k := range []Kind{Damaged, Hold, Dependency, BackOff, Probe, Limit} {
+		for _, k := range []Kind{Damaged, Hold, Dependency, BackOff, Probation, Limit} {
 			plain := restatedAllowed(j, k)
 			got := j.AllowedTasks(k)
 			if min(max(got, 0), j.Waiting) != min(plain, j.Waiting) {
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -101,7 +101,7 @@
 		t := e.t
 		s := t.j.Spec
 		facts := p.facts(t)
-		probe := facts.AllowedTasks(gate.Probe)
+		probe := facts.AllowedTasks(gate.Probation)
 		if s.Gang && !p.gangFits(t) {
 			probe = 0
 			p.lastWant = append(p.lastWant, p.want(t, t.waiting()))
--- a/internal/placer/rivals.go
+++ b/internal/placer/rivals.go
@@ -216,7 +216,7 @@
 
 func (p *Placer) probes(t *table) int {
 	f := p.facts(t)
-	return f.AllowedTasks(gate.Probe)
+	return f.AllowedTasks(gate.Probation)
 }
 
 // smaller tells whether a task of o fits where one task of s does.
--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -43,7 +43,7 @@
 		}
 		p.refundHeld(t)
 		f := p.facts(t)
-		if n := min(f.AllowedTasks(gate.Probe), f.AllowedTasks(gate.Limit), t.waiting()); n > 0 {
+		if n := min(f.AllowedTasks(gate.Probation), f.AllowedTasks(gate.Limit), t.waiting()); n > 0 {
 			tables = append(tables, t)
 			waiters = append(waiters, starvation.Waiter{ID: t.j.ID, Class: t.turnClass(), At: t.at, Since: t.pieceAt, Tasks: n, CPUs: t.j.Spec.CPUs})
 		}
