--- a/internal/explain/desk.go
+++ b/internal/explain/desk.go
@@ -217,7 +217,7 @@
 func (d *Desk) askLeader(a *Answer, j *job.Job, done func()) {
 	var short []*Reason
 	for i := range a.Reasons {
-		if k := gate.KindByName(a.Reasons[i].Kind); k == gate.Room || k == gate.Gang {
+		if k := gate.KindByName(a.Reasons[i].Kind); k == gate.Capacity || k == gate.Gang {
 			short = append(short, &a.Reasons[i])
 		}
 	}
--- a/internal/explain/desk_test.go
+++ b/internal/explain/desk_test.go
@@ -167,11 +167,11 @@
 		ended[k]++
 	}
 	set := func(at loop.Micros, causes ...gate.Cause) { l.Set("j", causes, at*loop.Second, true) }
-	room, limit := gate.Cause{Kind: gate.Room, Tasks: 3}, gate.Cause{Kind: gate.Limit, Tasks: 2}
+	room, limit := gate.Cause{Kind: gate.Capacity, Tasks: 3}, gate.Cause{Kind: gate.Limit, Tasks: 2}
 	set(10, room)
 	set(20, room, limit)
 	set(30, limit)
-	set(31, limit, gate.Cause{Kind: gate.Room, Tasks: 5}) // a second later: it never ended
+	set(31, limit, gate.Cause{Kind: gate.Capacity, Tasks: 5}) // a second later: it never ended
 	of := l.Of("j").Spans
 	if len(of) != 2 || of[1].Kind != "room" || of[1].From != Time(10*loop.Second) || of[1].Tasks != 5 || of[1].To != nil {
 		t.Fatalf("after a flap the timeline is %+v", of)
@@ -192,7 +192,7 @@
 	if last := all.Spans[len(all.Spans)-1]; last.Kind != "teamLimit" || last.To != nil {
 		t.Errorf("the newest span is %+v", last)
 	}
-	if ended[gate.Room] == 0 || ended[gate.Limit] == 0 {
+	if ended[gate.Capacity] == 0 || ended[gate.Limit] == 0 {
 		t.Errorf("ended: %v", ended)
 	}
 	for i := range mostOver + 10 {
@@ -208,13 +208,13 @@
 // What a wait that has lasted so long has left is told by those that lasted as long.
 func TestEstimatesAreConditional(t *testing.T) {
 	w := NewWaits()
-	if w.Left(gate.Room, false, 0) != nil {
+	if w.Left(gate.Capacity, false, 0) != nil {
 		t.Fatal("nothing is known, and something is told")
 	}
 	for i := range loop.Micros(200) {
-		w.Add(gate.Room, false, (1+i%10)*loop.Second) // one to ten seconds
+		w.Add(gate.Capacity, false, (1+i%10)*loop.Second) // one to ten seconds
 	}
-	young, old := w.Left(gate.Room, false, 0), w.Left(gate.Room, false, 8500*loop.Millisecond)
+	young, old := w.Left(gate.Capacity, false, 0), w.Left(gate.Capacity, false, 8500*loop.Millisecond)
 	if young == nil || old == nil {
 		t.Fatal("no estimate")
 	}
@@ -224,7 +224,7 @@
 	if s := loop.Micros(old.Likely); s > 2*loop.Second || old.Samples >= young.Samples {
 		t.Errorf("after 8.5 of at most 10 s, %d us are left by %d of %d samples", s, old.Samples, young.Samples)
 	}
-	if w.Left(gate.Room, false, 11*loop.Second) != nil || w.Left(gate.Room, true, 0) != nil {
+	if w.Left(gate.Capacity, false, 11*loop.Second) != nil || w.Left(gate.Capacity, true, 0) != nil {
 		t.Error("no wait lasted as long, or was urgent, and something is told")
 	}
 }
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -169,7 +169,7 @@
 		r.Detail.Cordons, r.Detail.Needs = f.Cordons, needs
 		r.BlockedBy = append(r.BlockedBy, f.Cordons...)
 	}
-	short, kind := n-f.FitsAll, gate.Room
+	short, kind := n-f.FitsAll, gate.Capacity
 	if s.Gang {
 		kind = gate.Gang
 		if short > 0 || f.Gate.InUse > 0 {
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -30,7 +30,7 @@
 	Limit        Kind = 9  // the team's limit
 	Gang         Kind = 10 // not enough capacity for all of its tasks at once
 	Cordon       Kind = 11 // the machines that could take it are cordoned
-	Room         Kind = 12 // no machine has the capacity
+	Capacity     Kind = 12 // no machine has the capacity
 	Rank         Kind = 13 // jobs before it in the order take the capacity that is freed
 	Recording    Kind = 14 // a machine is chosen, and the attempt is being recorded
 	Starting     Kind = 15 // recorded; its machine has not reported it yet
@@ -42,7 +42,7 @@
 )
 
 var kindNames = [kindCount]string{NoOwner: "noOwner", Loading: "loading", StateContact: "stateContact", Damaged: "damagedRecord", Hold: "hold",
-	Dependency: "dependency", BackOff: "backOff", Probation: "probe", Limit: "teamLimit", Gang: "gang", Cordon: "cordon", Room: "room", Rank: "rank",
+	Dependency: "dependency", BackOff: "backOff", Probation: "probe", Limit: "teamLimit", Gang: "gang", Cordon: "cordon", Capacity: "room", Rank: "rank",
 	Recording: "recording", Starting: "starting", Fetching: "fetching", Saving: "saving", Unproven: "unproven", Recheck: "nextPass"}
 
 // String returns the kind's name in `/v1/`.
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -254,13 +254,13 @@
 	case p.cordons.Any():
 		// Going through the fleet once more for each job is dear: now and then will do.
 		if t.short == 0 || now-t.shortAt > loop.Second {
-			t.short, t.shortAt = gate.Room, now
+			t.short, t.shortAt = gate.Capacity, now
 			if p.trialUncordoned(t, 1) > 0 {
 				t.short = gate.Cordon
 			}
 		}
 	default:
-		t.short = gate.Room
+		t.short = gate.Capacity
 	}
 }
 
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -560,11 +560,11 @@
 		spec   job.Spec
 		want   []gate.Kind
 	}{
-		{"no room", false, job.Spec{Tasks: 3, CPUs: 8}, []gate.Kind{gate.Room}},
-		{"no room behind a cordon of others", true, job.Spec{Tasks: 1, CPUs: 64}, []gate.Kind{gate.Room}},
+		{"no room", false, job.Spec{Tasks: 3, CPUs: 8}, []gate.Kind{gate.Capacity}},
+		{"no room behind a cordon of others", true, job.Spec{Tasks: 1, CPUs: 64}, []gate.Kind{gate.Capacity}},
 		{"a cordon", true, job.Spec{Tasks: 1, CPUs: 8}, []gate.Kind{gate.Cordon}},
 		{"a gang", false, job.Spec{Tasks: 3, CPUs: 8, Gang: true}, []gate.Kind{gate.Gang}},
-		{"a limit", false, job.Spec{Tasks: 3, CPUs: 40}, []gate.Kind{gate.Limit, gate.Room}},
+		{"a limit", false, job.Spec{Tasks: 3, CPUs: 40}, []gate.Kind{gate.Limit, gate.Capacity}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g, told := teller()
@@ -634,7 +634,7 @@
 	s := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
 	g.rig.job(1, s)
 	g.Run(1500 * loop.Millisecond)
-	if len(*told) != 1 || (*told)[0].Kind != gate.Room {
+	if len(*told) != 1 || (*told)[0].Kind != gate.Capacity {
 		t.Fatalf("told %v of a job without a machine", *told)
 	}
 	g.putCordons([]cordon.Cordon{{Name: "c", Reason: "r", Machine: "n-001"}})
