--- a/internal/explain/desk_test.go
+++ b/internal/explain/desk_test.go
@@ -108,7 +108,7 @@
 		{"on their way", func(o *office) {
 			o.facts.Gate.Waiting = 0
 			o.facts.Flights = []Flight{{Kind: gate.Recording, State: "recording", Machine: "n-1", Tasks: 1}, {Kind: gate.Saving, State: "saving", Machine: "n-2", Tasks: 2, For: "job-000009"},
-				{Kind: gate.Unproven, State: "absent", Machine: "n-3", Tasks: 1, Settles: "a list"}, {Kind: gate.Unproven, State: "silent", Machine: "n-4", Tasks: 1}}
+				{Kind: gate.Unconfirmed, State: "absent", Machine: "n-3", Tasks: 1, Settles: "a list"}, {Kind: gate.Unconfirmed, State: "silent", Machine: "n-4", Tasks: 1}}
 		}, "recording/recording:1 saving/saving:2 unproven/several:2 true 0"},
 	} {
 		o := newOffice()
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -260,7 +260,7 @@
 
 // flights tells of the tasks that are on their way.
 func (f *Facts) flights(add func(gate.Kind, int) *Reason) {
-	for _, k := range []gate.Kind{gate.Recording, gate.Starting, gate.Fetching, gate.Saving, gate.Unproven} {
+	for _, k := range []gate.Kind{gate.Recording, gate.Starting, gate.Fetching, gate.Saving, gate.Unconfirmed} {
 		var r *Reason
 		for i := range f.Flights {
 			x := &f.Flights[i]
@@ -286,11 +286,11 @@
 }
 
 var flightEnds = map[gate.Kind]string{
-	gate.Recording: "the attempt is stored",
-	gate.Starting:  "the machine shows the task",
-	gate.Fetching:  "the machine has the image",
-	gate.Saving:    "the task has saved; then it is placed again",
-	gate.Unproven:  "a proof that the task is off the machine named, or the machine is heard again",
+	gate.Recording:   "the attempt is stored",
+	gate.Starting:    "the machine shows the task",
+	gate.Fetching:    "the machine has the image",
+	gate.Saving:      "the task has saved; then it is placed again",
+	gate.Unconfirmed: "a proof that the task is off the machine named, or the machine is heard again",
 }
 
 // HoldName is the printed form of a hold's state.
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -36,14 +36,14 @@
 	Starting     Kind = 15 // recorded; its machine has not reported it yet
 	Fetching     Kind = 16 // its machine is fetching the image
 	Saving       Kind = 17 // told to stop, and saving its state
-	Unproven     Kind = 18 // an earlier attempt is not confirmed terminated
+	Unconfirmed  Kind = 18 // an earlier attempt is not confirmed terminated
 	Recheck      Kind = 19 // capacity is free: the next pass places it
 	kindCount    Kind = 20
 )
 
 var kindNames = [kindCount]string{NoOwner: "noOwner", Loading: "loading", StateContact: "stateContact", Damaged: "damagedRecord", Hold: "hold",
 	Dependency: "dependency", BackOff: "backOff", Probation: "probe", Limit: "teamLimit", Gang: "gang", Cordon: "cordon", Capacity: "room", Rank: "rank",
-	Recording: "recording", Starting: "starting", Fetching: "fetching", Saving: "saving", Unproven: "unproven", Recheck: "nextPass"}
+	Recording: "recording", Starting: "starting", Fetching: "fetching", Saving: "saving", Unconfirmed: "unproven", Recheck: "nextPass"}
 
 // String returns the kind's name in `/v1/`.
 func (k Kind) String() string {
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -127,7 +127,7 @@
 			case state == "absent":
 				left := loop.Duration(max(p.clock.LatestArrival(x.expiry)-wall, 0))
 				g.Settles = fmt.Sprintf("a new session of its worker, the machine's deletion, or a task list made later than %v from now that its host vouches for", left)
-			case k == gate.Unproven:
+			case k == gate.Unconfirmed:
 				g.Settles = "a report of the machine, or its deletion by the cloud"
 			}
 			groups[at] = g
@@ -157,9 +157,9 @@
 	v, sl := p.agent.View(x.machine), p.fleet.Machine(x.machine)
 	switch {
 	case v == nil || sl == nil:
-		return gate.Unproven, "neverHeard", 0
+		return gate.Unconfirmed, "neverHeard", 0
 	case sl.LastReport < after:
-		return gate.Unproven, "silent", sl.LastReport
+		return gate.Unconfirmed, "silent", sl.LastReport
 	case x.running:
 		return 0, "", 0
 	}
@@ -170,7 +170,7 @@
 	case e == nil && !x.seen && wall < p.clock.LatestArrival(x.expiry):
 		return gate.Starting, "sent", x.sentAt
 	case e == nil:
-		return gate.Unproven, "absent", x.sentAt
+		return gate.Unconfirmed, "absent", x.sentAt
 	case e.State == wire.TaskFetching:
 		return gate.Fetching, "fetching", x.sentAt
 	case e.State == wire.TaskSaving:
@@ -197,7 +197,7 @@
 			n[k]++
 		}
 	})
-	for _, k := range []gate.Kind{gate.Recording, gate.Starting, gate.Fetching, gate.Saving, gate.Unproven} {
+	for _, k := range []gate.Kind{gate.Recording, gate.Starting, gate.Fetching, gate.Saving, gate.Unconfirmed} {
 		if n[k] > 0 {
 			out = append(out, gate.Cause{Kind: k, Tasks: n[k]})
 		}
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -605,7 +605,7 @@
 		{"fetching", func(g *rig, x agent.Task) { x.State = wire.TaskFetching; g.show("n-001", "m8", "x", false, x) }, 0, gate.Fetching, "fetching"},
 		{"saving", func(g *rig, x agent.Task) { x.State = wire.TaskSaving; g.show("n-001", "m8", "x", false, x) }, 0, gate.Saving, "saving"},
 		{"running", func(g *rig, x agent.Task) { x.State = wire.TaskRunning; g.show("n-001", "m8", "x", false, x) }, 0, 0, ""},
-		{"silent", func(*rig, agent.Task) {}, 12 * loop.Second, gate.Unproven, "silent"},
+		{"silent", func(*rig, agent.Task) {}, 12 * loop.Second, gate.Unconfirmed, "silent"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
