--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -217,7 +217,7 @@
 			r.BlockedBy = append(r.BlockedBy, a.Job)
 		}
 	} else if cordoned <= 0 && short <= 0 && f.Contact && f.Gate.Unblocked() && f.Gate.MinAllowedTasks() > 0 {
-		r := add(gate.Recheck, min(n, f.Gate.MinAllowedTasks()))
+		r := add(gate.NextPass, min(n, f.Gate.MinAllowedTasks()))
 		r.State, r.Release = "due", "nothing: the next pass places it"
 		r.Estimate = &Estimate{Low: 0, Likely: Span(50 * loop.Millisecond), High: Span(loop.Second)}
 	}
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -16,7 +16,7 @@
 // Kind is a cause for which a task does not run. The numbers pass between controllers and must not change.
 type Kind uint8
 
-// The kindCount. Those up to Rank keep a waiting task from being placed, as does Recheck until the next pass; the
+// The kindCount. Those up to Rank keep a waiting task from being placed, as does NextPass until the next pass; the
 // others describe a task on its way to a machine or on it.
 const (
 	NoOwner      Kind = 1  // no controller owns the job's team
@@ -37,13 +37,13 @@
 	Fetching     Kind = 16 // its machine is fetching the image
 	Saving       Kind = 17 // told to stop, and saving its state
 	Unconfirmed  Kind = 18 // an earlier attempt is not confirmed terminated
-	Recheck      Kind = 19 // capacity is free: the next pass places it
+	NextPass     Kind = 19 // capacity is free: the next pass places it
 	kindCount    Kind = 20
 )
 
 var kindNames = [kindCount]string{NoOwner: "noOwner", Loading: "loading", StateContact: "stateContact", Damaged: "damagedRecord", Hold: "hold",
 	Dependency: "dependency", BackOff: "backOff", Probation: "probe", Limit: "teamLimit", Gang: "gang", Cordon: "cordon", Capacity: "room", Rank: "rank",
-	Recording: "recording", Starting: "starting", Fetching: "fetching", Saving: "saving", Unconfirmed: "unproven", Recheck: "nextPass"}
+	Recording: "recording", Starting: "starting", Fetching: "fetching", Saving: "saving", Unconfirmed: "unproven", NextPass: "nextPass"}
 
 // String returns the kind's name in `/v1/`.
 func (k Kind) String() string {
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -190,7 +190,7 @@
 	if t.inUse <= t.running {
 		return out
 	}
-	var n [gate.Recheck]int
+	var n [gate.NextPass]int
 	t.each(func(i int, x *task) {
 		if x.inUse() && !x.running {
 			k, _, _ := p.flight(t, i, x, after, wall)
@@ -217,7 +217,7 @@
 // newCauses brings a job's causes up to date, and tells whether they differ in kind, or
 // by half in number, from those last told, or are to be told again.
 func (p *Placer) newCauses(t *table, after, wall loop.Micros) bool {
-	var room [gate.Recheck]gate.Cause
+	var room [gate.NextPass]gate.Cause
 	now := p.causes(t, room[:0], after, wall)
 	same := len(now) == len(t.causes)
 	for i := 0; same && i < len(now); i++ {
