--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -16,8 +16,8 @@
 // Kind is a cause for which a task does not run. The numbers pass between controllers and must not change.
 type Kind uint8
 
-// The kindCount. Those up to Rank keep a waiting task from being placed, as does NextPass until the next pass; the
-// others describe a task on its way to a machine or on it.
+// The kinds. Those up to Rank keep a waiting task from being placed, as does NextPass until the next
+// pass; the others describe a task on its way to a machine or on it.
 const (
 	NoOwner      Kind = 1  // no controller owns the job's team
 	Loading      Kind = 2  // its owner is reading the team's records
@@ -103,7 +103,7 @@
 	Waiting     int
 	InUse       int // tasks that may be on machines
 	Failing     FailureState
-	TeamUsage   agent.Room // by its team; memory has no limit
+	TeamUsage   agent.Room // memory has no limit
 	Quota       config.Quota
 	Now, Wall   loop.Micros
 	ClockMargin loop.Micros // twice the bound on the error of the wall clock
@@ -112,7 +112,7 @@
 // FailureState describes a job's recent failures.
 type FailureState struct {
 	State               health.TrialState
-	ConsecutiveFailures int // consecutive failures; attempts placed before the newest counted one do not count again
+	ConsecutiveFailures int // attempts placed before the newest counted failure do not count again
 	Machines            int // machines, not faulty themselves, on which it failed since a task last completed
 	BackOffUntil        loop.Micros
 	MaxInUse            int // tasks that may run at once while the job is on probation
@@ -128,8 +128,8 @@
 // inBackOff reports whether the failed tasks are in back-off.
 func (j *JobFacts) inBackOff() bool { return j.Now < j.Failing.BackOffUntil }
 
-// probationTasks returns how many waiting tasks may start, given the job's failures. A gang is retried as a whole,
-// since one of its tasks alone would wait for the others.
+// probationTasks returns how many waiting tasks may start, given the job's failures. A gang is retried as a
+// whole, since one of its tasks alone would wait for the others.
 func (j *JobFacts) probationTasks() int {
 	f := &j.Failing
 	switch {
@@ -153,25 +153,25 @@
 
 // AllowedTasks returns how many of the waiting tasks the predicate allows.
 func (j *JobFacts) AllowedTasks(k Kind) int {
-	shut := false
+	blocked := false
 	switch k {
 	case Damaged:
-		shut = j.Damaged
+		blocked = j.Damaged
 	case Hold:
 		// Each host controller uses its own wall clock, so the owner waits until the hold has ended by all of
 		// them.
-		shut = j.Hold.Shut(j.Wall - j.ClockMargin)
+		blocked = j.Hold.Shut(j.Wall - j.ClockMargin)
 	case Dependency:
-		shut = j.dependencyUnmet()
+		blocked = j.dependencyUnmet()
 	case BackOff:
 		// Tasks of a trusted job that never failed do not wait for those that did.
-		shut = j.inBackOff() && (!j.Failing.trusted() || j.Spec.Gang || j.Failing.FailedWaiting >= j.Waiting)
+		blocked = j.inBackOff() && (!j.Failing.trusted() || j.Spec.Gang || j.Failing.FailedWaiting >= j.Waiting)
 	case Probation:
 		return j.probationTasks()
 	case Limit:
 		return j.limitTasks()
 	}
-	if shut {
+	if blocked {
 		return 0
 	}
 	return Unlimited
@@ -196,13 +196,13 @@
 	return n
 }
 
-// limitTasks returns how many waiting tasks fit into the team's limitTasks.
+// limitTasks returns how many waiting tasks fit into the team's limit.
 func (j *JobFacts) limitTasks() int {
 	return j.Quota.Tasks(j.Waiting, j.TeamUsage.CPUs, j.Spec.CPUs, j.TeamUsage.GPUs, j.Spec.GPUs)
 }
 
-// dependencyUnmet reports whether a dependency is not met. Done and cancelled are final phases, so a start needs no
-// condition on the record of the other job.
+// dependencyUnmet reports whether a dependency is not met. Done and cancelled are final phases, so a start
+// needs no condition on the record of the other job.
 func (j *JobFacts) dependencyUnmet() bool {
 	for i := range j.After {
 		if !j.DependencyMet(&j.After[i]) {
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -66,8 +66,8 @@
 	return Unlimited
 }
 
-// TestPredicatesAgainstPlainRestatement compares every predicate with its plain restatement, on facts at and around each
-// threshold.
+// TestPredicatesAgainstPlainRestatement compares every predicate with its plain restatement, on facts at and
+// around each threshold.
 func TestPredicatesAgainstPlainRestatement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		num := func(name string, from, to int) int { return rapid.IntRange(from, to).Draw(t, name) }
@@ -95,7 +95,7 @@
 		for range num("after", 0, 2) {
 			j.After = append(j.After, Dep{ID: "job-1", Phase: []job.Phase{"", job.Accepted, job.Done, job.Withdrawn}[num("phase", 0, 3)], Waived: yes("waived")})
 		}
-		open := true
+		unblocked := true
 		var want []Cause
 		for _, k := range []Kind{Damaged, Hold, Dependency, BackOff, Probation, Limit} {
 			plain := restatedAllowed(j, k)
@@ -110,11 +110,11 @@
 				want = append(want, Cause{Kind: k, Tasks: kept})
 			}
 			if k <= BackOff && plain == 0 {
-				open = false
+				unblocked = false
 			}
 		}
-		if j.Unblocked() != open {
-			t.Fatalf("open: %v, by the plain restatement %v", j.Unblocked(), open)
+		if j.Unblocked() != unblocked {
+			t.Fatalf("unblocked: %v, by the plain restatement %v", j.Unblocked(), unblocked)
 		}
 		got := j.Causes(nil)
 		if len(got) != len(want) {
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -83,8 +83,8 @@
 // must have arrived.
 func (p *MachineFacts) Blocking(after, now loop.Micros) Lack { return p.blocking(after, now, true) }
 
-// blocking is Closed; with all false it may stop at the first conditions found, as Open needs only to know if
-// there are any.
+// blocking computes Blocking; with all false it may stop at the first conditions found, as AcceptsStarts
+// needs only to know if there are any.
 func (p *MachineFacts) blocking(after, now loop.Micros, all bool) (l Lack) {
 	add := func(x Lack, is bool) {
 		if is {
@@ -112,7 +112,7 @@
 // tasks that may be on machines count.
 func (p *MachineFacts) Allowed(n *Need) bool { return p.unmetRules(n) == 0 }
 
-// unmetRules returns the job's unmetRules that the machine does not meet.
+// unmetRules returns the rules of the job that the machine does not meet.
 func (p *MachineFacts) unmetRules(n *Need) (l Lack) {
 	s := n.Spec
 	if !s.AllowsPlace(p.View.Type, p.View.Zone, p.View.Spot) {
@@ -127,7 +127,8 @@
 	return l
 }
 
-// boundElsewhere reports whether the job's tasks must share a zone and some of them are in another zone than this.
+// boundElsewhere reports whether the job's tasks must share a zone and some of them are in another zone than
+// this.
 func (n *Need) boundElsewhere(zone string) bool {
 	if n.Spec.OneZone {
 		for z, k := range n.Zones {
@@ -139,8 +140,8 @@
 	return false
 }
 
-// allowedBySpread returns how many of the given number of additional tasks may run in a zone if no more than half may
-// allowedBySpread one.
+// allowedBySpread returns how many of the given number of additional tasks may run in a zone if no more than
+// half may share one.
 func (n *Need) allowedBySpread(zone string, more int) int {
 	if n.Spec.Spread {
 		return min(more, max((n.Tasks+1)/2-n.Zones[zone], 0))
@@ -176,7 +177,7 @@
 	return l
 }
 
-// Fits reports whether a machine that is open may take a task of the job now.
+// Fits reports whether a machine that accepts starts may take a task of the job now.
 func (p *MachineFacts) Fits(n *Need) bool {
 	if !p.Free.Fits(n.Spec) || !p.Allowed(n) {
 		return false
