--- a/internal/starvation/reserve.go
+++ b/internal/starvation/reserve.go
@@ -1,11 +1,12 @@
-// Package starvation decides which waiting work goes before its turn, so that no class, no team
-// without a guarantee and no job of any size waits without bound while others never stop
-// coming. It decides on facts that its caller hands it, and does nothing itself.
+// Package starvation decides which waiting jobs are served ahead of the ordinary order, so that no class, no
+// team without a guarantee and no job of any size waits without bound while other jobs keep arriving.
 //
-// The order of service puts urgent work first, then guarantees, then what is small. Each of
-// these can go on for ever, and what comes after them would not begin at all. So a small
-// part of the room that falls free is given by another rule: of the jobs that have waited for
-// some time, the one goes first that has got nothing by it for longest, classes in turn.
+// The ordinary order of service puts urgent work first, then guarantees, then small jobs. Each of these can
+// continue for ever, and what comes after them would never start. A small part of the CPUs that are freed is
+// therefore given out by another rule: the classes are served in turn by fair queueing, and within a class,
+// of the jobs that have waited for some time, the one that got nothing by this rule for longest. The package
+// keeps the budget of CPUs and what each class received. Finding capacity, placing tasks and reserving
+// capacity for them is left to its callers.
 package starvation
 
 import (
@@ -16,51 +17,53 @@
 )
 
 const (
-	// After is how long after its acceptance a job with waiting tasks goes before its turn.
+	// After is the time since its acceptance from which a job with waiting tasks is served ahead of the
+	// order.
 	After = 75 * loop.Second
-	// Part is the part of the CPUs that fall free that is given by this rule.
+	// Part is the fraction of the freed CPUs that is given out by this rule.
 	Part = 0.08
-	// saved is for how long of that part may be saved up while nobody waits so long.
+	// saved limits the unused budget to what accrues in this time.
 	saved = 10 * loop.Second
-	// ahead is for how long of that part a class stands back at most for what it got in the ordinary
-	// order, or under an owner before.
+	// ahead limits, in time of the budget's accrual, how long a class waits for its turn because of what it
+	// received in the ordinary order, or under an earlier owner.
 	ahead = 20 * loop.Second
-	// piece is the part of its waiting tasks that a job gets at a time; more of a job's
-	// class that wait as long share it.
+	// piece divides the waiting tasks of a job: it gets this fraction of them at a time. The late jobs of one
+	// class share it.
 	piece = 8
-	// most bounds what is picked at a time.
+	// most bounds the number of jobs picked at a time.
 	most = 32
 )
 
-// Waiter is a job of which tasks wait.
+// Waiter is a job with waiting tasks.
 type Waiter struct {
 	ID    string
-	Class string      // with its team: classes have turns
-	At    loop.Micros // steady time at which it was accepted
-	Since loop.Micros // when it last got something before its turn; At, if it never did
-	Tasks int         // that wait, and that its gates let on
-	CPUs  float64     // of each
+	Class string      // includes the team; classes are served in turn
+	At    loop.Micros // when it was accepted, by the monotonic clock
+	Since loop.Micros // when it last received CPUs by this rule; At, if it never did
+	Tasks int         // waiting tasks that the job's predicates allow
+	CPUs  float64     // of each task
 }
 
-// Pick is a job that goes before its turn, with so many tasks.
+// Pick is a job to serve ahead of the order, and the number of its tasks.
 type Pick struct {
-	At    int // its place in the list of waiters
+	At    int // index in the list of waiters
 	Tasks int
 }
 
-// Reserve keeps what may be given before its turn, in CPUs, and the turns of the classes.
+// Reserve keeps the budget of CPUs for serving jobs ahead of the order, and what each class received.
 type Reserve struct {
 	credit float64
 	at     loop.Micros
-	rate   float64            // CPUs a second that fall free, as last told
-	turns  map[string]float64 // CPUs that each class got, from where it came in
-	now    float64            // the turn of the class served last
+	rate   float64            // CPUs freed per second, as last given to Earn
+	turns  map[string]float64 // CPUs that each class received, counted from the value of now at which it joined
+	now    float64            // turn of the class served last, from which new classes start
 }
 
-// New makes a reserve that owes nothing.
+// New returns a Reserve with an empty budget.
 func New() *Reserve { return &Reserve{turns: map[string]float64{}} }
 
-// Earn lets the part grow; rate is how many CPUs a second fall free for this node's work.
+// Earn adds to the budget for the time since the last call. rate is the number of CPUs per second that are
+// freed for this controller's jobs.
 func (r *Reserve) Earn(now loop.Micros, rate float64) {
 	r.rate = rate
 	if r.at != 0 {
@@ -70,59 +73,61 @@
 	r.credit = min(r.credit, float64(saved)/1e6*rate*Part+1)
 }
 
-// Owes tells whether anything may be given before its turn now.
+// Owes reports whether the budget allows serving a job ahead of the order now.
 func (r *Reserve) Owes() bool { return r.credit > 0 }
 
-// Spend takes in that so many CPUs were given to a class before its turn, or are held for it.
+// Spend records CPUs that were given to a class ahead of the order, or reserved for it.
 func (r *Reserve) Spend(class string, cpus float64) {
 	r.credit -= cpus
 	r.turns[class] += cpus
 	r.now = max(r.now, r.turns[class]-cpus)
 }
 
-// Serve takes in that so many CPUs went to a class in the ordinary order. The class gets its turn so
-// much the later, but for a bounded time: what is peculiar in a class that is served well, a job far
-// larger than the others, must not wait for ever.
+// Serve records CPUs that a class received in the ordinary order, which delays its turn. The delay is
+// bounded: an exceptional job in a class that is served well, such as one far larger than the others, must
+// not wait for ever.
 func (r *Reserve) Serve(class string, cpus float64) {
 	if turn, waits := r.turns[class]; waits {
 		r.turns[class] = max(turn, min(turn+cpus, r.now+r.lead()))
 	}
 }
 
-// Restore takes in what a class got under an owner before, so that its turns go on.
+// Restore records what a class received under an earlier owner, so that the fair queueing continues from
+// there.
 func (r *Reserve) Restore(class string, cpus float64) {
 	if _, known := r.turns[class]; !known {
 		r.turns[class] = r.now + min(cpus, r.lead())
 	}
 }
 
-// Defer takes in that no room could be given or held for a class whose turn it was: the others go
-// first for a second's worth. A job for which there never is room would otherwise keep all from theirs.
+// Defer records that no capacity could be given to the class whose turn it was, or reserved for it, and moves
+// its turn back by one second's budget. Otherwise a job for which there is never capacity would block all
+// other classes.
 func (r *Reserve) Defer(class string) {
 	if _, waits := r.turns[class]; waits {
 		r.turns[class] += r.rate*Part + 1e-3
 	}
 }
 
-// Refund takes in that room that was held for a class came to nothing: it has its turn again. What that
-// cost is not given anew.
+// Refund records that capacity reserved for a class was not used: the class gets its turn back. The budget is
+// not refunded.
 func (r *Reserve) Refund(class string, cpus float64) {
 	if _, waits := r.turns[class]; waits {
 		r.turns[class] -= cpus
 	}
 }
 
-// lead is how far ahead a class may be by what it got in the ordinary order.
+// lead returns how many CPUs a class's turn may be ahead because of the ordinary order.
 func (r *Reserve) lead() float64 { return float64(ahead)/1e6*r.rate*Part + 1 }
 
-// Pick tells who goes before its turn now, in this order. Credit may be overdrawn by one
-// piece, so that a task of any size gets its turn; it is made up for before the next.
+// Pick returns the jobs to serve ahead of the order now, in order. The last one may overdraw the budget, so
+// that a task of any size gets its turn; the overdraft must be earned back before the next pick.
 func (r *Reserve) Pick(now loop.Micros, all []Waiter) (picks []Pick) {
 	left := r.credit
 	if !r.Owes() {
 		return nil
 	}
-	late := map[string][]int{} // of each class, who waits longest first
+	late := map[string][]int{} // by class, the job first that received nothing for longest
 	for i := range all {
 		if w := &all[i]; w.Tasks > 0 && now-w.At >= After {
 			late[w.Class] = append(late[w.Class], i)
@@ -135,7 +140,7 @@
 			return cmp.Or(cmp.Compare(all[a].Since, all[b].Since), cmp.Compare(all[a].ID, all[b].ID))
 		})
 		if t, ok := r.turns[class]; !ok || t < r.now {
-			r.turns[class] = r.now // what it did not need while it was away is not made up for
+			r.turns[class] = r.now // a class does not make up for CPUs that it did not need while it was absent
 		}
 		turns[class] = r.turns[class]
 	}
@@ -163,7 +168,7 @@
 	return picks
 }
 
-// forget drops the turns of classes that have none waiting and are behind the others.
+// forget drops the classes that have no late job and whose turn is not ahead of the others.
 func (r *Reserve) forget(kept map[string]float64) {
 	for class, t := range r.turns {
 		if _, ok := kept[class]; !ok && t <= r.now {
--- a/internal/starvation/reserve_test.go
+++ b/internal/starvation/reserve_test.go
@@ -10,11 +10,11 @@
 	"pgregory.net/rapid"
 )
 
-// The verdict must be the same every time, so the generator's seed is fixed.
+// The result must be the same in every run, so the generator's seed is fixed.
 func TestMain(m *testing.M) { fixed.Main(m) }
 
-// plain picks one task's worth after another by the rule as it reads: of the classes with
-// somebody late the one that was given least since it came in, and there who waits longest.
+// plain restates the rule, counting up task by task: of the classes with a late job, the one that received
+// the least since it joined is next, and within the class the job that received nothing for longest.
 func plain(credit float64, turns map[string]float64, now loop.Micros, all []Waiter) map[string]int {
 	got := map[string]int{}
 	late := func(w *Waiter) bool {
@@ -59,7 +59,7 @@
 	return got
 }
 
-// The picks against the plain rule, under any load.
+// TestPicksAgainstPlainRule compares the picks with the plain rule, under random load.
 func TestPicksAgainstPlainRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := New()
@@ -79,11 +79,11 @@
 			want := plain(credit, turns, now, all)
 			picks := f.Pick(now, all)
 			if len(picks) != len(want) {
-				t.Fatalf("%d picks, by the plain rule %v", len(picks), want)
+				t.Fatalf("%d jobs picked, by the plain rule %v", len(picks), want)
 			}
 			for _, p := range picks {
 				if w := all[p.At]; want[w.ID] != p.Tasks {
-					t.Fatalf("%s goes first with %d tasks, by the plain rule %v", w.ID, p.Tasks, want)
+					t.Fatalf("%s is picked with %d tasks, by the plain rule %v", w.ID, p.Tasks, want)
 				}
 				f.Spend(all[p.At].Class, float64(p.Tasks)*all[p.At].CPUs)
 			}
@@ -91,11 +91,12 @@
 	})
 }
 
-// A class with a thousand jobs that never stop coming, one job of 25,000 tasks, and one whose
-// tasks take a whole machine each begin within four minutes, and no more is given before its
-// turn than is stated.
+// While other work takes all freed CPUs in the ordinary order, three kinds of waiting jobs must all start: a
+// stream of single-task jobs that keep arriving, most of them within four minutes, a job of 25,000 tasks and a
+// job whose tasks take a whole machine each, both within two minutes. The CPUs given out ahead of the order must
+// stay within the stated fraction.
 func TestEveryClassBegins(t *testing.T) {
-	const rate = 100.0 // CPUs a second that fall free; all of it is wanted by work before these
+	const rate = 100.0 // CPUs freed per second, all of which other work takes in the ordinary order
 	f := New()
 	now := 1000 * loop.Second
 	start := now
@@ -123,11 +124,11 @@
 	}
 	for _, id := range []string{"large", "whole"} {
 		if took := begun[id] - came[id]; begun[id] == 0 || took > 120*loop.Second {
-			t.Errorf("%s begins after %d us", id, took)
+			t.Errorf("%s starts after %d us, want at most 120 s", id, took)
 		}
 	}
 	if most := float64(now-start)/1e6*rate*Part + 65; given > most {
-		t.Errorf("%.0f CPUs are given before their turn, at most %.0f are stated", given, most)
+		t.Errorf("%.0f CPUs are given out ahead of the order, want at most %.0f", given, most)
 	}
 	swarm := 0
 	for id, at := range begun {
@@ -136,16 +137,16 @@
 		}
 	}
 	if swarm < 500 {
-		t.Errorf("%d single tasks begin in time beside the large", swarm)
+		t.Errorf("%d single-task jobs start in time beside the large ones, want at least 500", swarm)
 	}
 }
 
-// Whoever came lately waits for its turn as all do.
+// A job that was accepted less than After ago is not served ahead of the order.
 func TestNobodyLate(t *testing.T) {
 	f := New()
 	f.Earn(1000*loop.Second, 100)
 	f.Earn(1100*loop.Second, 100)
 	if p := f.Pick(1100*loop.Second, []Waiter{{ID: "a", Class: "a", At: 1100*loop.Second - After + 1, Tasks: 5, CPUs: 1}}); len(p) != 0 {
-		t.Errorf("%v goes before its turn", p)
+		t.Errorf("%v is picked, want no pick", p)
 	}
 }
--- a/internal/starvation/turns_test.go
+++ b/internal/starvation/turns_test.go
@@ -6,13 +6,14 @@
 	"cleatpick/internal/loop"
 )
 
-// twoClasses is a reserve of which two classes have a job that waits, and what tells which goes first.
+// twoClasses returns a Reserve with one late job in each of two classes, and a function that returns which is
+// picked first.
 func twoClasses() (f *Reserve, first func() string) {
 	now := 1000 * loop.Second
 	f = New()
 	f.Earn(now, 100)
 	return f, func() string {
-		f.credit = 1 // what it has is not judged here
+		f.credit = 1 // the budget is not tested here
 		now += loop.Second
 		f.Earn(now, 100)
 		waiters := []Waiter{{ID: "job-1", Class: "a", At: now - 2*After, Since: now - 2*After, Tasks: 1, CPUs: 1}, {ID: "job-2", Class: "b", At: now - 2*After, Since: now - 2*After, Tasks: 1, CPUs: 1}}
@@ -20,6 +21,7 @@
 	}
 }
 
+// TestTurns checks how each event changes which of two equal classes has its turn first.
 func TestTurns(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -27,44 +29,44 @@
 		first  string
 	}{
 		{"nothing", func(*Reserve) {}, "a"},
-		{"a got something before its turn", func(f *Reserve) { f.Spend("a", 2) }, "b"},
-		{"a got something in the ordinary order", func(f *Reserve) { f.Serve("a", 2) }, "b"},
-		{"that came to nothing", func(f *Reserve) { f.Spend("a", 2); f.Refund("a", 2) }, "a"},
-		{"no room could be held for a", func(f *Reserve) { f.Defer("a") }, "b"},
-		{"for a, and then for b twice", func(f *Reserve) { f.Defer("a"); f.Defer("b"); f.Defer("b") }, "a"},
-		{"a got much in the ordinary order, b more than what counts of that before its turn", func(f *Reserve) { f.Serve("a", 1e6); f.Spend("b", 20*100*Part+2) }, "a"},
-		{"a got much in the ordinary order, b less than what counts of that", func(f *Reserve) { f.Serve("a", 1e6); f.Spend("b", 20*100*Part-2) }, "b"},
+		{"a was served ahead of the order", func(f *Reserve) { f.Spend("a", 2) }, "b"},
+		{"a was served in the ordinary order", func(f *Reserve) { f.Serve("a", 2) }, "b"},
+		{"a was served ahead of the order, then refunded", func(f *Reserve) { f.Spend("a", 2); f.Refund("a", 2) }, "a"},
+		{"no capacity could be reserved for a", func(f *Reserve) { f.Defer("a") }, "b"},
+		{"no capacity for a, and then twice for b", func(f *Reserve) { f.Defer("a"); f.Defer("b"); f.Defer("b") }, "a"},
+		{"a was served much in the ordinary order, b ahead of it by more than counts of that", func(f *Reserve) { f.Serve("a", 1e6); f.Spend("b", 20*100*Part+2) }, "a"},
+		{"a was served much in the ordinary order, b ahead of it by less than counts of that", func(f *Reserve) { f.Serve("a", 1e6); f.Spend("b", 20*100*Part-2) }, "b"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f, first := twoClasses()
 			if got := first(); got != "a" {
-				t.Fatalf("%s goes first at the beginning", got)
+				t.Fatalf("%s is picked first at the beginning, want a", got)
 			}
 			c.happen(f)
 			if got := first(); got != c.first {
-				t.Errorf("%s goes first, want %s", got, c.first)
+				t.Errorf("%s is picked first, want %s", got, c.first)
 			}
 		})
 	}
 }
 
-// What a class got under an owner before counts once, and no more than for the stated time.
+// What a class received under an earlier owner counts once, and only up to the stated bound.
 func TestRestoredTurns(t *testing.T) {
 	f, first := twoClasses()
 	f.Restore("a", 3)
 	if got := first(); got != "b" {
-		t.Errorf("%s goes first where a got something before", got)
+		t.Errorf("%s is picked first although a was served under an earlier owner", got)
 	}
 	f.Spend("b", 5)
 	f.Restore("a", 1e6)
 	if got := first(); got != "a" {
-		t.Errorf("%s goes first, but what is known of a counts once", got)
+		t.Errorf("%s is picked first, but a class that is known already must not be restored again", got)
 	}
 	f, first = twoClasses()
 	f.Restore("a", 1e6)
 	f.Restore("b", 0)
 	f.Spend("b", 20*100*Part+2)
 	if got := first(); got != "a" {
-		t.Errorf("%s goes first, but a stands back for a stated time", got)
+		t.Errorf("%s is picked first, but the delay of a is bounded", got)
 	}
 }
