--- a/internal/starvation/reserve.go
+++ b/internal/starvation/reserve.go
@@ -22,16 +22,16 @@
 	After = 75 * loop.Second
 	// Part is the fraction of the freed CPUs that is given out by this rule.
 	Part = 0.08
-	// saved limits the unused budget to what accrues in this time.
-	saved = 10 * loop.Second
-	// ahead limits, in time of the budget's accrual, how long a class waits for its turn because of what it
+	// maxSavedTime limits the unused budget to what accrues in this time.
+	maxSavedTime = 10 * loop.Second
+	// maxLeadTime limits, in time of the budget's accrual, how long a class waits for its turn because of what it
 	// received in the ordinary order, or under an earlier owner.
-	ahead = 20 * loop.Second
-	// piece divides the waiting tasks of a job: it gets this fraction of them at a time. The late jobs of one
+	maxLeadTime = 20 * loop.Second
+	// taskDivisor divides the waiting tasks of a job: it gets this fraction of them at a time. The late jobs of one
 	// class share it.
-	piece = 8
-	// most bounds the number of jobs picked at a time.
-	most = 32
+	taskDivisor = 8
+	// maxPicks bounds the number of jobs picked at a time.
+	maxPicks = 32
 )
 
 // Waiter is a job with waiting tasks.
@@ -52,11 +52,11 @@
 
 // Reserve keeps the budget of CPUs for serving jobs ahead of the order, and what each class received.
 type Reserve struct {
-	credit float64
-	at     loop.Micros
-	rate   float64            // CPUs freed per second, as last given to Earn
-	turns  map[string]float64 // CPUs that each class received, counted from the value of now at which it joined
-	now    float64            // turn of the class served last, from which new classes start
+	credit      float64
+	earnedAt    loop.Micros
+	rate        float64            // CPUs freed per second, as last given to Earn
+	turns       map[string]float64 // CPUs that each class received, counted from the value of now at which it joined
+	currentTurn float64            // turn of the class served last, from which new classes start
 }
 
 // New returns a Reserve with an empty budget.
@@ -66,11 +66,11 @@
 // freed for this controller's jobs.
 func (r *Reserve) Earn(now loop.Micros, rate float64) {
 	r.rate = rate
-	if r.at != 0 {
-		r.credit += float64(now-r.at) / 1e6 * rate * Part
+	if r.earnedAt != 0 {
+		r.credit += float64(now-r.earnedAt) / 1e6 * rate * Part
 	}
-	r.at = now
-	r.credit = min(r.credit, float64(saved)/1e6*rate*Part+1)
+	r.earnedAt = now
+	r.credit = min(r.credit, float64(maxSavedTime)/1e6*rate*Part+1)
 }
 
 // Owes reports whether the budget allows serving a job ahead of the order now.
@@ -80,7 +80,7 @@
 func (r *Reserve) Spend(class string, cpus float64) {
 	r.credit -= cpus
 	r.turns[class] += cpus
-	r.now = max(r.now, r.turns[class]-cpus)
+	r.currentTurn = max(r.currentTurn, r.turns[class]-cpus)
 }
 
 // Serve records CPUs that a class received in the ordinary order, which delays its turn. The delay is
@@ -88,7 +88,7 @@
 // not wait for ever.
 func (r *Reserve) Serve(class string, cpus float64) {
 	if turn, waits := r.turns[class]; waits {
-		r.turns[class] = max(turn, min(turn+cpus, r.now+r.lead()))
+		r.turns[class] = max(turn, min(turn+cpus, r.currentTurn+r.maxLead()))
 	}
 }
 
@@ -96,7 +96,7 @@
 // there.
 func (r *Reserve) Restore(class string, cpus float64) {
 	if _, known := r.turns[class]; !known {
-		r.turns[class] = r.now + min(cpus, r.lead())
+		r.turns[class] = r.currentTurn + min(cpus, r.maxLead())
 	}
 }
 
@@ -117,8 +117,8 @@
 	}
 }
 
-// lead returns how many CPUs a class's turn may be ahead because of the ordinary order.
-func (r *Reserve) lead() float64 { return float64(ahead)/1e6*r.rate*Part + 1 }
+// maxLead returns how many CPUs a class's turn may be ahead because of the ordinary order.
+func (r *Reserve) maxLead() float64 { return float64(maxLeadTime)/1e6*r.rate*Part + 1 }
 
 // Pick returns the jobs to serve ahead of the order now, in order. The last one may overdraw the budget, so
 // that a task of any size gets its turn; the overdraft must be earned back before the next pick.
@@ -139,12 +139,12 @@
 		slices.SortFunc(line, func(a, b int) int {
 			return cmp.Or(cmp.Compare(all[a].Since, all[b].Since), cmp.Compare(all[a].ID, all[b].ID))
 		})
-		if t, ok := r.turns[class]; !ok || t < r.now {
-			r.turns[class] = r.now // a class does not make up for CPUs that it did not need while it was absent
+		if t, ok := r.turns[class]; !ok || t < r.currentTurn {
+			r.turns[class] = r.currentTurn // a class does not make up for CPUs that it did not need while it was absent
 		}
 		turns[class] = r.turns[class]
 	}
-	for left > 0 && len(picks) < most && len(late) > 0 {
+	for left > 0 && len(picks) < maxPicks && len(late) > 0 {
 		class := ""
 		for c := range loop.Sorted(late) {
 			if class == "" || turns[c] < turns[class] {
@@ -156,7 +156,7 @@
 			delete(late, class)
 		}
 		w := &all[i]
-		n := max(w.Tasks/(piece*share[class]), 1)
+		n := max(w.Tasks/(taskDivisor*share[class]), 1)
 		if w.CPUs > 0 {
 			n = min(n, max(int(left/w.CPUs), 1))
 		}
@@ -171,7 +171,7 @@
 // forget drops the classes that have no late job and whose turn is not ahead of the others.
 func (r *Reserve) forget(kept map[string]float64) {
 	for class, t := range r.turns {
-		if _, ok := kept[class]; !ok && t <= r.now {
+		if _, ok := kept[class]; !ok && t <= r.currentTurn {
 			delete(r.turns, class)
 		}
 	}
--- a/internal/starvation/reserve_test.go
+++ b/internal/starvation/reserve_test.go
@@ -13,9 +13,9 @@
 // The result must be the same in every run, so the generator's seed is fixed.
 func TestMain(m *testing.M) { fixed.Main(m) }
 
-// plain restates the rule, counting up task by task: of the classes with a late job, the one that received
+// restatedPicks restates the rule, counting up task by task: of the classes with a late job, the one that received
 // the least since it joined is next, and within the class the job that received nothing for longest.
-func plain(credit float64, turns map[string]float64, now loop.Micros, all []Waiter) map[string]int {
+func restatedPicks(credit float64, turns map[string]float64, now loop.Micros, all []Waiter) map[string]int {
 	got := map[string]int{}
 	late := func(w *Waiter) bool {
 		_, was := got[w.ID]
@@ -28,7 +28,7 @@
 		}
 	}
 	given := map[string]float64{}
-	for len(got) < most && credit > 0 {
+	for len(got) < maxPicks && credit > 0 {
 		var best *Waiter
 		for i := range all {
 			w := &all[i]
@@ -49,7 +49,7 @@
 			break
 		}
 		n := 0
-		for n == 0 || n < best.Tasks/(piece*shares[best.Class]) && float64(n+1)*best.CPUs <= credit {
+		for n == 0 || n < best.Tasks/(taskDivisor*shares[best.Class]) && float64(n+1)*best.CPUs <= credit {
 			n++
 		}
 		got[best.ID] = n
@@ -74,9 +74,9 @@
 			}
 			credit, turns := f.credit, map[string]float64{}
 			for _, w := range all {
-				turns[w.Class] = max(f.turns[w.Class], f.now)
+				turns[w.Class] = max(f.turns[w.Class], f.currentTurn)
 			}
-			want := plain(credit, turns, now, all)
+			want := restatedPicks(credit, turns, now, all)
 			picks := f.Pick(now, all)
 			if len(picks) != len(want) {
 				t.Fatalf("%d jobs picked, by the plain rule %v", len(picks), want)
@@ -95,7 +95,7 @@
 // stream of single-task jobs that keep arriving, most of them within four minutes, a job of 25,000 tasks and a
 // job whose tasks take a whole machine each, both within two minutes. The CPUs given out ahead of the order must
 // stay within the stated fraction.
-func TestEveryClassBegins(t *testing.T) {
+func TestEveryClassStarts(t *testing.T) {
 	const rate = 100.0 // CPUs freed per second, all of which other work takes in the ordinary order
 	f := New()
 	now := 1000 * loop.Second
@@ -142,7 +142,7 @@
 }
 
 // A job that was accepted less than After ago is not served ahead of the order.
-func TestNobodyLate(t *testing.T) {
+func TestRecentJobsAreNotPicked(t *testing.T) {
 	f := New()
 	f.Earn(1000*loop.Second, 100)
 	f.Earn(1100*loop.Second, 100)
--- a/internal/starvation/turns_test.go
+++ b/internal/starvation/turns_test.go
@@ -21,12 +21,12 @@
 	}
 }
 
-// TestTurns checks how each event changes which of two equal classes has its turn first.
-func TestTurns(t *testing.T) {
+// TestClassTurns checks how each event changes which of two equal classes has its turn first.
+func TestClassTurns(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		happen func(f *Reserve)
-		first  string
+		name  string
+		event func(f *Reserve)
+		first string
 	}{
 		{"nothing", func(*Reserve) {}, "a"},
 		{"a was served ahead of the order", func(f *Reserve) { f.Spend("a", 2) }, "b"},
@@ -42,7 +42,7 @@
 			if got := first(); got != "a" {
 				t.Fatalf("%s is picked first at the beginning, want a", got)
 			}
-			c.happen(f)
+			c.event(f)
 			if got := first(); got != c.first {
 				t.Errorf("%s is picked first, want %s", got, c.first)
 			}
