--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -83,7 +83,7 @@
 	usage      map[string]peer.Usage
 	pre        preemptor
 	turn       fleet.Turnover
-	reserve    *starvation.Reserve
+	reserve    *starvation.Budget
 	paces      health.Paces
 	checked    map[string]loop.Micros
 	reruns     reruns
--- a/internal/starvation/reserve.go
+++ b/internal/starvation/reserve.go
@@ -50,8 +50,8 @@
 	Tasks int
 }
 
-// Reserve keeps the budget of CPUs for serving jobs ahead of the order, and what each class received.
-type Reserve struct {
+// Budget keeps the budget of CPUs for serving jobs ahead of the order, and what each class received.
+type Budget struct {
 	credit      float64
 	earnedAt    loop.Micros
 	rate        float64            // CPUs freed per second, as last given to Earn
@@ -60,11 +60,11 @@
 }
 
 // New returns a Reserve with an empty budget.
-func New() *Reserve { return &Reserve{turns: map[string]float64{}} }
+func New() *Budget { return &Budget{turns: map[string]float64{}} }
 
 // Earn adds to the budget for the time since the last call. rate is the number of CPUs per second that are
 // freed for this controller's jobs.
-func (r *Reserve) Earn(now loop.Micros, rate float64) {
+func (r *Budget) Earn(now loop.Micros, rate float64) {
 	r.rate = rate
 	if r.earnedAt != 0 {
 		r.credit += float64(now-r.earnedAt) / 1e6 * rate * Part
@@ -74,10 +74,10 @@
 }
 
 // Owes reports whether the budget allows serving a job ahead of the order now.
-func (r *Reserve) Owes() bool { return r.credit > 0 }
+func (r *Budget) Owes() bool { return r.credit > 0 }
 
 // Spend records CPUs that were given to a class ahead of the order, or reserved for it.
-func (r *Reserve) Spend(class string, cpus float64) {
+func (r *Budget) Spend(class string, cpus float64) {
 	r.credit -= cpus
 	r.turns[class] += cpus
 	r.currentTurn = max(r.currentTurn, r.turns[class]-cpus)
@@ -86,7 +86,7 @@
 // Serve records CPUs that a class received in the ordinary order, which delays its turn. The delay is
 // bounded: an exceptional job in a class that is served well, such as one far larger than the others, must
 // not wait for ever.
-func (r *Reserve) Serve(class string, cpus float64) {
+func (r *Budget) Serve(class string, cpus float64) {
 	if turn, waits := r.turns[class]; waits {
 		r.turns[class] = max(turn, min(turn+cpus, r.currentTurn+r.maxLead()))
 	}
@@ -94,7 +94,7 @@
 
 // Restore records what a class received under an earlier owner, so that the fair queueing continues from
 // there.
-func (r *Reserve) Restore(class string, cpus float64) {
+func (r *Budget) Restore(class string, cpus float64) {
 	if _, known := r.turns[class]; !known {
 		r.turns[class] = r.currentTurn + min(cpus, r.maxLead())
 	}
@@ -103,7 +103,7 @@
 // Defer records that no capacity could be given to the class whose turn it was, or reserved for it, and moves
 // its turn back by one second's budget. Otherwise a job for which there is never capacity would block all
 // other classes.
-func (r *Reserve) Defer(class string) {
+func (r *Budget) Defer(class string) {
 	if _, waits := r.turns[class]; waits {
 		r.turns[class] += r.rate*Part + 1e-3
 	}
@@ -111,18 +111,18 @@
 
 // Refund records that capacity reserved for a class was not used: the class gets its turn back. The budget is
 // not refunded.
-func (r *Reserve) Refund(class string, cpus float64) {
+func (r *Budget) Refund(class string, cpus float64) {
 	if _, waits := r.turns[class]; waits {
 		r.turns[class] -= cpus
 	}
 }
 
 // maxLead returns how many CPUs a class's turn may be ahead because of the ordinary order.
-func (r *Reserve) maxLead() float64 { return float64(maxLeadTime)/1e6*r.rate*Part + 1 }
+func (r *Budget) maxLead() float64 { return float64(maxLeadTime)/1e6*r.rate*Part + 1 }
 
 // Pick returns the jobs to serve ahead of the order now, in order. The last one may overdraw the budget, so
 // that a task of any size gets its turn; the overdraft must be earned back before the next pick.
-func (r *Reserve) Pick(now loop.Micros, all []Waiter) (picks []Pick) {
+func (r *Budget) Pick(now loop.Micros, all []Waiter) (picks []Pick) {
 	left := r.credit
 	if !r.Owes() {
 		return nil
@@ -169,7 +169,7 @@
 }
 
 // forget drops the classes that have no late job and whose turn is not ahead of the others.
-func (r *Reserve) forget(kept map[string]float64) {
+func (r *Budget) forget(kept map[string]float64) {
 	for class, t := range r.turns {
 		if _, ok := kept[class]; !ok && t <= r.currentTurn {
 			delete(r.turns, class)
--- a/internal/starvation/turns_test.go
+++ b/internal/starvation/turns_test.go
@@ -8,7 +8,7 @@
 
 // twoClasses returns a Reserve with one late job in each of two classes, and a function that returns which is
 // picked first.
-func twoClasses() (f *Reserve, first func() string) {
+func twoClasses() (f *Budget, first func() string) {
 	now := 1000 * loop.Second
 	f = New()
 	f.Earn(now, 100)
@@ -25,17 +25,17 @@
 func TestClassTurns(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		event func(f *Reserve)
+		event func(f *Budget)
 		first string
 	}{
-		{"nothing", func(*Reserve) {}, "a"},
-		{"a was served ahead of the order", func(f *Reserve) { f.Spend("a", 2) }, "b"},
-		{"a was served in the ordinary order", func(f *Reserve) { f.Serve("a", 2) }, "b"},
-		{"a was served ahead of the order, then refunded", func(f *Reserve) { f.Spend("a", 2); f.Refund("a", 2) }, "a"},
-		{"no capacity could be reserved for a", func(f *Reserve) { f.Defer("a") }, "b"},
-		{"no capacity for a, and then twice for b", func(f *Reserve) { f.Defer("a"); f.Defer("b"); f.Defer("b") }, "a"},
-		{"a was served much in the ordinary order, b ahead of it by more than counts of that", func(f *Reserve) { f.Serve("a", 1e6); f.Spend("b", 20*100*Part+2) }, "a"},
-		{"a was served much in the ordinary order, b ahead of it by less than counts of that", func(f *Reserve) { f.Serve("a", 1e6); f.Spend("b", 20*100*Part-2) }, "b"},
+		{"nothing", func(*Budget) {}, "a"},
+		{"a was served ahead of the order", func(f *Budget) { f.Spend("a", 2) }, "b"},
+		{"a was served in the ordinary order", func(f *Budget) { f.Serve("a", 2) }, "b"},
+		{"a was served ahead of the order, then refunded", func(f *Budget) { f.Spend("a", 2); f.Refund("a", 2) }, "a"},
+		{"no capacity could be reserved for a", func(f *Budget) { f.Defer("a") }, "b"},
+		{"no capacity for a, and then twice for b", func(f *Budget) { f.Defer("a"); f.Defer("b"); f.Defer("b") }, "a"},
+		{"a was served much in the ordinary order, b ahead of it by more than counts of that", func(f *Budget) { f.Serve("a", 1e6); f.Spend("b", 20*100*Part+2) }, "a"},
+		{"a was served much in the ordinary order, b ahead of it by less than counts of that", func(f *Budget) { f.Serve("a", 1e6); f.Spend("b", 20*100*Part-2) }, "b"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f, first := twoClasses()
