--- a/internal/starvation/reserve.go
+++ b/internal/starvation/reserve.go
@@ -73,8 +73,8 @@
 	r.credit = min(r.credit, float64(maxSavedTime)/1e6*rate*Part+1)
 }
 
-// Owes reports whether the budget allows serving a job ahead of the order now.
-func (r *Budget) Owes() bool { return r.credit > 0 }
+// Available reports whether the budget allows serving a job ahead of the order now.
+func (r *Budget) Available() bool { return r.credit > 0 }
 
 // Spend records CPUs that were given to a class ahead of the order, or reserved for it.
 func (r *Budget) Spend(class string, cpus float64) {
@@ -124,7 +124,7 @@
 // that a task of any size gets its turn; the overdraft must be earned back before the next pick.
 func (r *Budget) Pick(now loop.Micros, all []Waiter) (picks []Pick) {
 	left := r.credit
-	if !r.Owes() {
+	if !r.Available() {
 		return nil
 	}
 	late := map[string][]int{} // by class, the job first that received nothing for longest
