--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -22,7 +22,7 @@
 // whatever falls free before a large one fits. Nothing is stopped for it.
 func (p *Placer) serveLongestWaiting(q []entryOf, open []*fleet.Machine, chosen *[]hostStart) {
 	now := p.r.Now()
-	if p.reserve.Earn(now, p.turn.Rate*p.share()); !p.reserve.Available() {
+	if p.reserve.Accrue(now, p.turn.Rate*p.share()); !p.reserve.Available() {
 		return // as most of the time, when so much waits that looking through it costs
 	}
 	tables, waiters := p.longWaiting(q, now)
--- a/internal/placer/turns_test.go
+++ b/internal/placer/turns_test.go
@@ -15,8 +15,8 @@
 // firstClass tells which of two classes the reserve serves first, both with a job that has waited as long.
 func firstClass(g *rig, a, b string) string {
 	now := g.Now()
-	g.p.reserve.Earn(now, 1000)
-	g.p.reserve.Earn(now+loop.Second, 1000)
+	g.p.reserve.Accrue(now, 1000)
+	g.p.reserve.Accrue(now+loop.Second, 1000)
 	old := now - 2*starvation.After
 	waiters := []starvation.Waiter{{ID: "job-1", Class: a, At: old, Since: old, Tasks: 1, CPUs: 1}, {ID: "job-2", Class: b, At: old, Since: old, Tasks: 1, CPUs: 1}}
 	return waiters[g.p.reserve.Pick(now, waiters)[0].At].Class
--- a/internal/starvation/reserve.go
+++ b/internal/starvation/reserve.go
@@ -62,9 +62,9 @@
 // New returns a Reserve with an empty budget.
 func New() *Budget { return &Budget{turns: map[string]float64{}} }
 
-// Earn adds to the budget for the time since the last call. rate is the number of CPUs per second that are
+// Accrue adds to the budget for the time since the last call. rate is the number of CPUs per second that are
 // freed for this controller's jobs.
-func (r *Budget) Earn(now loop.Micros, rate float64) {
+func (r *Budget) Accrue(now loop.Micros, rate float64) {
 	r.rate = rate
 	if r.earnedAt != 0 {
 		r.credit += float64(now-r.earnedAt) / 1e6 * rate * Part
--- a/internal/starvation/reserve_test.go
+++ b/internal/starvation/reserve_test.go
@@ -66,7 +66,7 @@
 		now := 1000 * loop.Second
 		for range rapid.IntRange(1, 6).Draw(t, "passes") {
 			now += loop.Micros(rapid.IntRange(1, 30).Draw(t, "later")) * loop.Second
-			f.Earn(now, float64(rapid.IntRange(0, 400).Draw(t, "rate")))
+			f.Accrue(now, float64(rapid.IntRange(0, 400).Draw(t, "rate")))
 			var all []Waiter
 			for k := range rapid.IntRange(0, 12).Draw(t, "waiters") {
 				all = append(all, Waiter{ID: fmt.Sprint("job-", k), Class: fmt.Sprint("c", rapid.IntRange(0, 3).Draw(t, "class")),
@@ -111,7 +111,7 @@
 			jobs = append(jobs, Waiter{ID: id, Class: "a", At: now, Since: now, Tasks: 1, CPUs: 1})
 			came[id] = now
 		}
-		f.Earn(now, rate)
+		f.Accrue(now, rate)
 		for _, p := range f.Pick(now, jobs) {
 			w := &jobs[p.At]
 			if begun[w.ID] == 0 {
@@ -144,8 +144,8 @@
 // A job that was accepted less than After ago is not served ahead of the order.
 func TestRecentJobsAreNotPicked(t *testing.T) {
 	f := New()
-	f.Earn(1000*loop.Second, 100)
-	f.Earn(1100*loop.Second, 100)
+	f.Accrue(1000*loop.Second, 100)
+	f.Accrue(1100*loop.Second, 100)
 	if p := f.Pick(1100*loop.Second, []Waiter{{ID: "a", Class: "a", At: 1100*loop.Second - After + 1, Tasks: 5, CPUs: 1}}); len(p) != 0 {
 		t.Errorf("%v is picked, want no pick", p)
 	}
