--- a/internal/placer/guarantee.go
+++ b/internal/placer/guarantee.go
@@ -101,6 +101,6 @@
 	claims := p.fleet.Reserve(&need, tasks, holdLife)
 	p.claimed(claims)
 	p.n.Meter.Held(len(claims))
-	p.reserve.Serve(t.turnClass(), float64(len(claims))*t.j.Spec.CPUs)
+	p.reserve.RecordOrdinary(t.turnClass(), float64(len(claims))*t.j.Spec.CPUs)
 	return len(claims)
 }
--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -119,7 +119,7 @@
 	used := held - p.fleet.ReservationCount(t.j.ID)
 	t.useHeld(used)
 	if new := got - used; new > 0 { // what was held is counted already
-		p.reserve.Serve(class, float64(new)*t.j.Spec.CPUs)
+		p.reserve.RecordOrdinary(class, float64(new)*t.j.Spec.CPUs)
 	}
 	return got
 }
--- a/internal/starvation/reserve.go
+++ b/internal/starvation/reserve.go
@@ -83,10 +83,10 @@
 	r.currentTurn = max(r.currentTurn, r.turns[class]-cpus)
 }
 
-// Serve records CPUs that a class received in the ordinary order, which delays its turn. The delay is
+// RecordOrdinary records CPUs that a class received in the ordinary order, which delays its turn. The delay is
 // bounded: an exceptional job in a class that is served well, such as one far larger than the others, must
 // not wait for ever.
-func (r *Budget) Serve(class string, cpus float64) {
+func (r *Budget) RecordOrdinary(class string, cpus float64) {
 	if turn, waits := r.turns[class]; waits {
 		r.turns[class] = max(turn, min(turn+cpus, r.currentTurn+r.maxLead()))
 	}
