--- a/internal/placer/guarantee.go
+++ b/internal/placer/guarantee.go
@@ -64,7 +64,7 @@
 func (p *Placer) holdGuaranteed(e *entryOf, missed int, b *budget) {
 	t := e.t
 	now, cpus := p.r.Now(), t.j.Spec.CPUs
-	if e.within || cpus <= 0 || now-t.at < starvation.After || !t.team.short.lacks {
+	if e.within || cpus <= 0 || now-t.at < starvation.MinWait || !t.team.short.lacks {
 		return
 	}
 	unmet, known := b.unmet[t.team]
--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -38,7 +38,7 @@
 func (p *Placer) longWaiting(q []entryOf, now loop.Micros) (tables []*table, waiters []starvation.Waiter) {
 	for _, e := range q {
 		t := e.t
-		if now-t.at < starvation.After {
+		if now-t.at < starvation.MinWait {
 			continue
 		}
 		p.refundHeld(t)
--- a/internal/starvation/reserve.go
+++ b/internal/starvation/reserve.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// After is the time since its acceptance from which a job with waiting tasks is served ahead of the
+	// MinWait is the time since its acceptance from which a job with waiting tasks is served ahead of the
 	// order.
-	After = 75 * loop.Second
+	MinWait = 75 * loop.Second
 	// Part is the fraction of the freed CPUs that is given out by this rule.
 	Part = 0.08
 	// maxSavedTime limits the unused budget to what accrues in this time.
@@ -129,7 +129,7 @@
 	}
 	late := map[string][]int{} // by class, the job first that received nothing for longest
 	for i := range all {
-		if w := &all[i]; w.Tasks > 0 && now-w.At >= After {
+		if w := &all[i]; w.Tasks > 0 && now-w.At >= MinWait {
 			late[w.Class] = append(late[w.Class], i)
 		}
 	}
--- a/internal/starvation/reserve_test.go
+++ b/internal/starvation/reserve_test.go
@@ -19,7 +19,7 @@
 	got := map[string]int{}
 	late := func(w *Waiter) bool {
 		_, was := got[w.ID]
-		return !was && w.Tasks > 0 && now-w.At >= After
+		return !was && w.Tasks > 0 && now-w.At >= MinWait
 	}
 	shares := map[string]int{}
 	for i := range all {
@@ -146,7 +146,7 @@
 	f := New()
 	f.Accrue(1000*loop.Second, 100)
 	f.Accrue(1100*loop.Second, 100)
-	if p := f.Pick(1100*loop.Second, []Waiter{{ID: "a", Class: "a", At: 1100*loop.Second - After + 1, Tasks: 5, CPUs: 1}}); len(p) != 0 {
+	if p := f.Pick(1100*loop.Second, []Waiter{{ID: "a", Class: "a", At: 1100*loop.Second - MinWait + 1, Tasks: 5, CPUs: 1}}); len(p) != 0 {
 		t.Errorf("%v is picked, want no pick", p)
 	}
 }
