--- a/internal/starvation/reserve.go
+++ b/internal/starvation/reserve.go
@@ -20,8 +20,8 @@
 	// MinWait is the time since its acceptance from which a job with waiting tasks is served ahead of the
 	// order.
 	MinWait = 75 * loop.Second
-	// Part is the fraction of the freed CPUs that is given out by this rule.
-	Part = 0.08
+	// Fraction is the fraction of the freed CPUs that is given out by this rule.
+	Fraction = 0.08
 	// maxSavedTime limits the unused budget to what accrues in this time.
 	maxSavedTime = 10 * loop.Second
 	// maxLeadTime limits, in time of the budget's accrual, how long a class waits for its turn because of what it
@@ -67,10 +67,10 @@
 func (r *Budget) Accrue(now loop.Micros, rate float64) {
 	r.rate = rate
 	if r.earnedAt != 0 {
-		r.credit += float64(now-r.earnedAt) / 1e6 * rate * Part
+		r.credit += float64(now-r.earnedAt) / 1e6 * rate * Fraction
 	}
 	r.earnedAt = now
-	r.credit = min(r.credit, float64(maxSavedTime)/1e6*rate*Part+1)
+	r.credit = min(r.credit, float64(maxSavedTime)/1e6*rate*Fraction+1)
 }
 
 // Available reports whether the budget allows serving a job ahead of the order now.
@@ -105,7 +105,7 @@
 // other classes.
 func (r *Budget) Defer(class string) {
 	if _, waits := r.turns[class]; waits {
-		r.turns[class] += r.rate*Part + 1e-3
+		r.turns[class] += r.rate*Fraction + 1e-3
 	}
 }
 
@@ -118,7 +118,7 @@
 }
 
 // maxLead returns how many CPUs a class's turn may be ahead because of the ordinary order.
-func (r *Budget) maxLead() float64 { return float64(maxLeadTime)/1e6*r.rate*Part + 1 }
+func (r *Budget) maxLead() float64 { return float64(maxLeadTime)/1e6*r.rate*Fraction + 1 }
 
 // Pick returns the jobs to serve ahead of the order now, in order. The last one may overdraw the budget, so
 // that a task of any size gets its turn; the overdraft must be earned back before the next pick.
--- a/internal/starvation/reserve_test.go
+++ b/internal/starvation/reserve_test.go
@@ -127,7 +127,7 @@
 			t.Errorf("%s starts after %d us, want at most 120 s", id, took)
 		}
 	}
-	if most := float64(now-start)/1e6*rate*Part + 65; given > most {
+	if most := float64(now-start)/1e6*rate*Fraction + 65; given > most {
 		t.Errorf("%.0f CPUs are given out ahead of the order, want at most %.0f", given, most)
 	}
 	swarm := 0
--- a/internal/starvation/turns_test.go
+++ b/internal/starvation/turns_test.go
@@ -34,8 +34,8 @@
 		{"a was served ahead of the order, then refunded", func(f *Budget) { f.Spend("a", 2); f.Refund("a", 2) }, "a"},
 		{"no capacity could be reserved for a", func(f *Budget) { f.Defer("a") }, "b"},
 		{"no capacity for a, and then twice for b", func(f *Budget) { f.Defer("a"); f.Defer("b"); f.Defer("b") }, "a"},
-		{"a was served much in the ordinary order, b ahead of it by more than counts of that", func(f *Budget) { f.RecordOrdinary("a", 1e6); f.Spend("b", 20*100*Part+2) }, "a"},
-		{"a was served much in the ordinary order, b ahead of it by less than counts of that", func(f *Budget) { f.RecordOrdinary("a", 1e6); f.Spend("b", 20*100*Part-2) }, "b"},
+		{"a was served much in the ordinary order, b ahead of it by more than counts of that", func(f *Budget) { f.RecordOrdinary("a", 1e6); f.Spend("b", 20*100*Fraction+2) }, "a"},
+		{"a was served much in the ordinary order, b ahead of it by less than counts of that", func(f *Budget) { f.RecordOrdinary("a", 1e6); f.Spend("b", 20*100*Fraction-2) }, "b"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f, first := twoClasses()
@@ -65,7 +65,7 @@
 	f, first = twoClasses()
 	f.Restore("a", 1e6)
 	f.Restore("b", 0)
-	f.Spend("b", 20*100*Part+2)
+	f.Spend("b", 20*100*Fraction+2)
 	if got := first(); got != "a" {
 		t.Errorf("%s is picked first, but the delay of a is bounded", got)
 	}
