--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -45,7 +45,7 @@
 		f := p.facts(t)
 		if n := min(f.AllowedTasks(gate.Probation), f.AllowedTasks(gate.Limit), t.waiting()); n > 0 {
 			tables = append(tables, t)
-			waiters = append(waiters, starvation.Waiter{ID: t.j.ID, Class: t.turnClass(), At: t.at, Since: t.pieceAt, Tasks: n, CPUs: t.j.Spec.CPUs})
+			waiters = append(waiters, starvation.Waiter{ID: t.j.ID, Class: t.turnClass(), AcceptedAt: t.at, Since: t.pieceAt, Tasks: n, CPUs: t.j.Spec.CPUs})
 		}
 	}
 	return tables, waiters
@@ -73,7 +73,7 @@
 		given = p.holdBeforeTurn(t, w, n)
 	}
 	if given > 0 {
-		p.log.Debug("before its turn", "job", w.ID, "class", t.j.Spec.Class, "team", t.j.Spec.Team, "begun", w.Class == t.j.Spec.Team, "tasks", given, "of_cpus", w.CPUs, "waits_us", p.r.Now()-w.At)
+		p.log.Debug("before its turn", "job", w.ID, "class", t.j.Spec.Class, "team", t.j.Spec.Team, "begun", w.Class == t.j.Spec.Team, "tasks", given, "of_cpus", w.CPUs, "waits_us", p.r.Now()-w.AcceptedAt)
 		p.reserve.Spend(w.Class, float64(given)*w.CPUs)
 	} else if got == 0 && held == 0 {
 		p.reserve.Defer(w.Class)
@@ -92,7 +92,7 @@
 	p.claimed(claims)
 	p.n.Meter.Held(len(claims))
 	t.heldCPUs, t.heldFor = float64(len(claims))*w.CPUs, w.Class
-	p.log.Debug("room held", "job", w.ID, "tasks", len(claims), "waits_us", p.r.Now()-w.At)
+	p.log.Debug("room held", "job", w.ID, "tasks", len(claims), "waits_us", p.r.Now()-w.AcceptedAt)
 	return len(claims)
 }
 
--- a/internal/starvation/reserve.go
+++ b/internal/starvation/reserve.go
@@ -36,12 +36,12 @@
 
 // Waiter is a job with waiting tasks.
 type Waiter struct {
-	ID    string
-	Class string      // includes the team; classes are served in turn
-	At    loop.Micros // when it was accepted, by the monotonic clock
-	Since loop.Micros // when it last received CPUs by this rule; At, if it never did
-	Tasks int         // waiting tasks that the job's predicates allow
-	CPUs  float64     // of each task
+	ID         string
+	Class      string      // includes the team; classes are served in turn
+	AcceptedAt loop.Micros // when it was accepted, by the monotonic clock
+	Since      loop.Micros // when it last received CPUs by this rule; At, if it never did
+	Tasks      int         // waiting tasks that the job's predicates allow
+	CPUs       float64     // of each task
 }
 
 // Pick is a job to serve ahead of the order, and the number of its tasks.
@@ -129,7 +129,7 @@
 	}
 	late := map[string][]int{} // by class, the job first that received nothing for longest
 	for i := range all {
-		if w := &all[i]; w.Tasks > 0 && now-w.At >= MinWait {
+		if w := &all[i]; w.Tasks > 0 && now-w.AcceptedAt >= MinWait {
 			late[w.Class] = append(late[w.Class], i)
 		}
 	}
--- a/internal/starvation/reserve_test.go
+++ b/internal/starvation/reserve_test.go
@@ -19,7 +19,7 @@
 	got := map[string]int{}
 	late := func(w *Waiter) bool {
 		_, was := got[w.ID]
-		return !was && w.Tasks > 0 && now-w.At >= MinWait
+		return !was && w.Tasks > 0 && now-w.AcceptedAt >= MinWait
 	}
 	shares := map[string]int{}
 	for i := range all {
@@ -70,7 +70,7 @@
 			var all []Waiter
 			for k := range rapid.IntRange(0, 12).Draw(t, "waiters") {
 				all = append(all, Waiter{ID: fmt.Sprint("job-", k), Class: fmt.Sprint("c", rapid.IntRange(0, 3).Draw(t, "class")),
-					At: now - loop.Micros(rapid.IntRange(60, 90).Draw(t, "age"))*loop.Second, Since: now - loop.Micros(rapid.IntRange(0, 90).Draw(t, "waited"))*loop.Second, Tasks: rapid.IntRange(0, 200).Draw(t, "tasks"), CPUs: float64(rapid.IntRange(1, 4).Draw(t, "cpus"))})
+					AcceptedAt: now - loop.Micros(rapid.IntRange(60, 90).Draw(t, "age"))*loop.Second, Since: now - loop.Micros(rapid.IntRange(0, 90).Draw(t, "waited"))*loop.Second, Tasks: rapid.IntRange(0, 200).Draw(t, "tasks"), CPUs: float64(rapid.IntRange(1, 4).Draw(t, "cpus"))})
 			}
 			credit, turns := f.credit, map[string]float64{}
 			for _, w := range all {
@@ -100,7 +100,7 @@
 	f := New()
 	now := 1000 * loop.Second
 	start := now
-	jobs := []Waiter{{ID: "large", Class: "b", At: now, Since: now, Tasks: 25000, CPUs: 0.25}, {ID: "whole", Class: "c", At: now, Since: now, Tasks: 50, CPUs: 64}}
+	jobs := []Waiter{{ID: "large", Class: "b", AcceptedAt: now, Since: now, Tasks: 25000, CPUs: 0.25}, {ID: "whole", Class: "c", AcceptedAt: now, Since: now, Tasks: 50, CPUs: 64}}
 	begun := map[string]loop.Micros{}
 	came := map[string]loop.Micros{"large": now, "whole": now}
 	given := 0.0
@@ -108,7 +108,7 @@
 		now += 100 * loop.Millisecond
 		if k%2 == 0 {
 			id := fmt.Sprintf("swarm-%05d", k)
-			jobs = append(jobs, Waiter{ID: id, Class: "a", At: now, Since: now, Tasks: 1, CPUs: 1})
+			jobs = append(jobs, Waiter{ID: id, Class: "a", AcceptedAt: now, Since: now, Tasks: 1, CPUs: 1})
 			came[id] = now
 		}
 		f.Accrue(now, rate)
@@ -146,7 +146,7 @@
 	f := New()
 	f.Accrue(1000*loop.Second, 100)
 	f.Accrue(1100*loop.Second, 100)
-	if p := f.Pick(1100*loop.Second, []Waiter{{ID: "a", Class: "a", At: 1100*loop.Second - MinWait + 1, Tasks: 5, CPUs: 1}}); len(p) != 0 {
+	if p := f.Pick(1100*loop.Second, []Waiter{{ID: "a", Class: "a", AcceptedAt: 1100*loop.Second - MinWait + 1, Tasks: 5, CPUs: 1}}); len(p) != 0 {
 		t.Errorf("%v is picked, want no pick", p)
 	}
 }
