--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -45,7 +45,7 @@
 		f := p.facts(t)
 		if n := min(f.AllowedTasks(gate.Probation), f.AllowedTasks(gate.Limit), t.waiting()); n > 0 {
 			tables = append(tables, t)
-			waiters = append(waiters, starvation.Waiter{ID: t.j.ID, Class: t.turnClass(), AcceptedAt: t.at, Since: t.pieceAt, Tasks: n, CPUs: t.j.Spec.CPUs})
+			waiters = append(waiters, starvation.Waiter{ID: t.j.ID, Class: t.turnClass(), AcceptedAt: t.at, LastServedAt: t.pieceAt, Tasks: n, CPUs: t.j.Spec.CPUs})
 		}
 	}
 	return tables, waiters
--- a/internal/starvation/reserve.go
+++ b/internal/starvation/reserve.go
@@ -36,12 +36,12 @@
 
 // Waiter is a job with waiting tasks.
 type Waiter struct {
-	ID         string
-	Class      string      // includes the team; classes are served in turn
-	AcceptedAt loop.Micros // when it was accepted, by the monotonic clock
-	Since      loop.Micros // when it last received CPUs by this rule; At, if it never did
-	Tasks      int         // waiting tasks that the job's predicates allow
-	CPUs       float64     // of each task
+	ID           string
+	Class        string      // includes the team; classes are served in turn
+	AcceptedAt   loop.Micros // when it was accepted, by the monotonic clock
+	LastServedAt loop.Micros // when it last received CPUs by this rule; At, if it never did
+	Tasks        int         // waiting tasks that the job's predicates allow
+	CPUs         float64     // of each task
 }
 
 // Pick is a job to serve ahead of the order, and the number of its tasks.
@@ -137,7 +137,7 @@
 	for class, line := range late {
 		share[class] = len(line)
 		slices.SortFunc(line, func(a, b int) int {
-			return cmp.Or(cmp.Compare(all[a].Since, all[b].Since), cmp.Compare(all[a].ID, all[b].ID))
+			return cmp.Or(cmp.Compare(all[a].LastServedAt, all[b].LastServedAt), cmp.Compare(all[a].ID, all[b].ID))
 		})
 		if t, ok := r.turns[class]; !ok || t < r.currentTurn {
 			r.turns[class] = r.currentTurn // a class does not make up for CPUs that it did not need while it was absent
--- a/internal/starvation/reserve_test.go
+++ b/internal/starvation/reserve_test.go
@@ -41,7 +41,7 @@
 				continue
 			}
 			b := turns[best.Class] + given[best.Class]
-			if a < b || a == b && (w.Class < best.Class || w.Class == best.Class && (w.Since < best.Since || w.Since == best.Since && w.ID < best.ID)) {
+			if a < b || a == b && (w.Class < best.Class || w.Class == best.Class && (w.LastServedAt < best.LastServedAt || w.LastServedAt == best.LastServedAt && w.ID < best.ID)) {
 				best = w
 			}
 		}
@@ -70,7 +70,7 @@
 			var all []Waiter
 			for k := range rapid.IntRange(0, 12).Draw(t, "waiters") {
 				all = append(all, Waiter{ID: fmt.Sprint("job-", k), Class: fmt.Sprint("c", rapid.IntRange(0, 3).Draw(t, "class")),
-					AcceptedAt: now - loop.Micros(rapid.IntRange(60, 90).Draw(t, "age"))*loop.Second, Since: now - loop.Micros(rapid.IntRange(0, 90).Draw(t, "waited"))*loop.Second, Tasks: rapid.IntRange(0, 200).Draw(t, "tasks"), CPUs: float64(rapid.IntRange(1, 4).Draw(t, "cpus"))})
+					AcceptedAt: now - loop.Micros(rapid.IntRange(60, 90).Draw(t, "age"))*loop.Second, LastServedAt: now - loop.Micros(rapid.IntRange(0, 90).Draw(t, "waited"))*loop.Second, Tasks: rapid.IntRange(0, 200).Draw(t, "tasks"), CPUs: float64(rapid.IntRange(1, 4).Draw(t, "cpus"))})
 			}
 			credit, turns := f.credit, map[string]float64{}
 			for _, w := range all {
@@ -100,7 +100,7 @@
 	f := New()
 	now := 1000 * loop.Second
 	start := now
-	jobs := []Waiter{{ID: "large", Class: "b", AcceptedAt: now, Since: now, Tasks: 25000, CPUs: 0.25}, {ID: "whole", Class: "c", AcceptedAt: now, Since: now, Tasks: 50, CPUs: 64}}
+	jobs := []Waiter{{ID: "large", Class: "b", AcceptedAt: now, LastServedAt: now, Tasks: 25000, CPUs: 0.25}, {ID: "whole", Class: "c", AcceptedAt: now, LastServedAt: now, Tasks: 50, CPUs: 64}}
 	begun := map[string]loop.Micros{}
 	came := map[string]loop.Micros{"large": now, "whole": now}
 	given := 0.0
@@ -108,7 +108,7 @@
 		now += 100 * loop.Millisecond
 		if k%2 == 0 {
 			id := fmt.Sprintf("swarm-%05d", k)
-			jobs = append(jobs, Waiter{ID: id, Class: "a", AcceptedAt: now, Since: now, Tasks: 1, CPUs: 1})
+			jobs = append(jobs, Waiter{ID: id, Class: "a", AcceptedAt: now, LastServedAt: now, Tasks: 1, CPUs: 1})
 			came[id] = now
 		}
 		f.Accrue(now, rate)
@@ -119,7 +119,7 @@
 			}
 			given += float64(p.Tasks) * w.CPUs
 			f.Spend(w.Class, float64(p.Tasks)*w.CPUs)
-			w.Since, w.Tasks = now, w.Tasks-p.Tasks
+			w.LastServedAt, w.Tasks = now, w.Tasks-p.Tasks
 		}
 	}
 	for _, id := range []string{"large", "whole"} {
