--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -30,7 +30,7 @@
 		return
 	}
 	for _, pick := range p.reserve.Pick(now, waiters) {
-		p.serveBeforeTurn(tables[pick.At], &waiters[pick.At], pick.Tasks, open, chosen)
+		p.serveBeforeTurn(tables[pick.Index], &waiters[pick.Index], pick.Tasks, open, chosen)
 	}
 }
 
--- a/internal/placer/turns_test.go
+++ b/internal/placer/turns_test.go
@@ -19,7 +19,7 @@
 	g.p.reserve.Accrue(now+loop.Second, 1000)
 	old := now - 2*starvation.MinWait
 	waiters := []starvation.Waiter{{ID: "job-1", Class: a, AcceptedAt: old, LastServedAt: old, Tasks: 1, CPUs: 1}, {ID: "job-2", Class: b, AcceptedAt: old, LastServedAt: old, Tasks: 1, CPUs: 1}}
-	return waiters[g.p.reserve.Pick(now, waiters)[0].At].Class
+	return waiters[g.p.reserve.Pick(now, waiters)[0].Index].Class
 }
 
 // busyMachine shows a machine whose 8 CPUs are in use by somebody else.
--- a/internal/starvation/reserve.go
+++ b/internal/starvation/reserve.go
@@ -46,7 +46,7 @@
 
 // Pick is a job to serve ahead of the order, and the number of its tasks.
 type Pick struct {
-	At    int // index in the list of waiters
+	Index int // index in the list of waiters
 	Tasks int
 }
 
@@ -162,7 +162,7 @@
 		}
 		turns[class] += float64(n) * w.CPUs
 		left -= float64(n) * w.CPUs
-		picks = append(picks, Pick{At: i, Tasks: n})
+		picks = append(picks, Pick{Index: i, Tasks: n})
 	}
 	r.forget(turns)
 	return picks
--- a/internal/starvation/reserve_test.go
+++ b/internal/starvation/reserve_test.go
@@ -82,10 +82,10 @@
 				t.Fatalf("%d jobs picked, by the plain rule %v", len(picks), want)
 			}
 			for _, p := range picks {
-				if w := all[p.At]; want[w.ID] != p.Tasks {
+				if w := all[p.Index]; want[w.ID] != p.Tasks {
 					t.Fatalf("%s is picked with %d tasks, by the plain rule %v", w.ID, p.Tasks, want)
 				}
-				f.Spend(all[p.At].Class, float64(p.Tasks)*all[p.At].CPUs)
+				f.Spend(all[p.Index].Class, float64(p.Tasks)*all[p.Index].CPUs)
 			}
 		}
 	})
@@ -113,7 +113,7 @@
 		}
 		f.Accrue(now, rate)
 		for _, p := range f.Pick(now, jobs) {
-			w := &jobs[p.At]
+			w := &jobs[p.Index]
 			if begun[w.ID] == 0 {
 				begun[w.ID] = now
 			}
--- a/internal/starvation/turns_test.go
+++ b/internal/starvation/turns_test.go
@@ -17,7 +17,7 @@
 		now += loop.Second
 		f.Accrue(now, 100)
 		waiters := []Waiter{{ID: "job-1", Class: "a", AcceptedAt: now - 2*MinWait, LastServedAt: now - 2*MinWait, Tasks: 1, CPUs: 1}, {ID: "job-2", Class: "b", AcceptedAt: now - 2*MinWait, LastServedAt: now - 2*MinWait, Tasks: 1, CPUs: 1}}
-		return waiters[f.Pick(now, waiters)[0].At].Class
+		return waiters[f.Pick(now, waiters)[0].Index].Class
 	}
 }
 
