--- a/internal/starvation/reserve.go
+++ b/internal/starvation/reserve.go
@@ -27,8 +27,8 @@
 	// maxLeadTime limits, in time of the budget's accrual, how long a class waits for its turn because of what it
 	// received in the ordinary order, or under an earlier owner.
 	maxLeadTime = 20 * loop.Second
-	// taskDivisor divides the waiting tasks of a job: it gets this fraction of them at a time. The late jobs of one
-	// class share it.
+	// taskDivisor divides the waiting tasks of a job: it gets this fraction of them at a time. The late jobs
+	// of one class share it.
 	taskDivisor = 8
 	// maxPicks bounds the number of jobs picked at a time.
 	maxPicks = 32
@@ -39,7 +39,7 @@
 	ID           string
 	Class        string      // includes the team; classes are served in turn
 	AcceptedAt   loop.Micros // when it was accepted, by the monotonic clock
-	LastServedAt loop.Micros // when it last received CPUs by this rule; At, if it never did
+	LastServedAt loop.Micros // when it last received CPUs by this rule; AcceptedAt, if it never did
 	Tasks        int         // waiting tasks that the job's predicates allow
 	CPUs         float64     // of each task
 }
@@ -50,16 +50,17 @@
 	Tasks int
 }
 
-// Budget keeps the budget of CPUs for serving jobs ahead of the order, and what each class received.
+// Budget keeps the number of CPUs that may be used for serving jobs ahead of the order, and what each class
+// received.
 type Budget struct {
 	credit      float64
 	earnedAt    loop.Micros
-	rate        float64            // CPUs freed per second, as last given to Earn
-	turns       map[string]float64 // CPUs that each class received, counted from the value of now at which it joined
+	rate        float64            // CPUs freed per second, as last given to Accrue
+	turns       map[string]float64 // CPUs that each class received, counted from the value of currentTurn at which it joined
 	currentTurn float64            // turn of the class served last, from which new classes start
 }
 
-// New returns a Reserve with an empty budget.
+// New returns an empty Budget.
 func New() *Budget { return &Budget{turns: map[string]float64{}} }
 
 // Accrue adds to the budget for the time since the last call. rate is the number of CPUs per second that are
@@ -134,9 +135,9 @@
 		}
 	}
 	turns, share := map[string]float64{}, map[string]int{}
-	for class, line := range late {
-		share[class] = len(line)
-		slices.SortFunc(line, func(a, b int) int {
+	for class, waiting := range late {
+		share[class] = len(waiting)
+		slices.SortFunc(waiting, func(a, b int) int {
 			return cmp.Or(cmp.Compare(all[a].LastServedAt, all[b].LastServedAt), cmp.Compare(all[a].ID, all[b].ID))
 		})
 		if t, ok := r.turns[class]; !ok || t < r.currentTurn {
--- a/internal/starvation/reserve_test.go
+++ b/internal/starvation/reserve_test.go
@@ -13,8 +13,8 @@
 // The result must be the same in every run, so the generator's seed is fixed.
 func TestMain(m *testing.M) { fixed.Main(m) }
 
-// restatedPicks restates the rule, counting up task by task: of the classes with a late job, the one that received
-// the least since it joined is next, and within the class the job that received nothing for longest.
+// restatedPicks restates the rule, counting up task by task: of the classes with a late job, the one that
+// received the least since it joined is next, and within the class the job that received nothing for longest.
 func restatedPicks(credit float64, turns map[string]float64, now loop.Micros, all []Waiter) map[string]int {
 	got := map[string]int{}
 	late := func(w *Waiter) bool {
@@ -101,21 +101,21 @@
 	now := 1000 * loop.Second
 	start := now
 	jobs := []Waiter{{ID: "large", Class: "b", AcceptedAt: now, LastServedAt: now, Tasks: 25000, CPUs: 0.25}, {ID: "whole", Class: "c", AcceptedAt: now, LastServedAt: now, Tasks: 50, CPUs: 64}}
-	begun := map[string]loop.Micros{}
-	came := map[string]loop.Micros{"large": now, "whole": now}
+	started := map[string]loop.Micros{}
+	arrived := map[string]loop.Micros{"large": now, "whole": now}
 	given := 0.0
 	for k := range 6000 { // ten minutes
 		now += 100 * loop.Millisecond
 		if k%2 == 0 {
 			id := fmt.Sprintf("swarm-%05d", k)
 			jobs = append(jobs, Waiter{ID: id, Class: "a", AcceptedAt: now, LastServedAt: now, Tasks: 1, CPUs: 1})
-			came[id] = now
+			arrived[id] = now
 		}
 		f.Accrue(now, rate)
 		for _, p := range f.Pick(now, jobs) {
 			w := &jobs[p.Index]
-			if begun[w.ID] == 0 {
-				begun[w.ID] = now
+			if started[w.ID] == 0 {
+				started[w.ID] = now
 			}
 			given += float64(p.Tasks) * w.CPUs
 			f.Spend(w.Class, float64(p.Tasks)*w.CPUs)
@@ -123,25 +123,25 @@
 		}
 	}
 	for _, id := range []string{"large", "whole"} {
-		if took := begun[id] - came[id]; begun[id] == 0 || took > 120*loop.Second {
+		if took := started[id] - arrived[id]; started[id] == 0 || took > 120*loop.Second {
 			t.Errorf("%s starts after %d us, want at most 120 s", id, took)
 		}
 	}
 	if most := float64(now-start)/1e6*rate*Fraction + 65; given > most {
 		t.Errorf("%.0f CPUs are given out ahead of the order, want at most %.0f", given, most)
 	}
-	swarm := 0
-	for id, at := range begun {
-		if id[0] == 's' && at-came[id] <= 240*loop.Second {
-			swarm++
+	smallStarted := 0
+	for id, at := range started {
+		if id[0] == 's' && at-arrived[id] <= 240*loop.Second {
+			smallStarted++
 		}
 	}
-	if swarm < 500 {
-		t.Errorf("%d single-task jobs start in time beside the large ones, want at least 500", swarm)
+	if smallStarted < 500 {
+		t.Errorf("%d single-task jobs start in time beside the large ones, want at least 500", smallStarted)
 	}
 }
 
-// A job that was accepted less than After ago is not served ahead of the order.
+// A job that was accepted less than MinWait ago is not served ahead of the order.
 func TestRecentJobsAreNotPicked(t *testing.T) {
 	f := New()
 	f.Accrue(1000*loop.Second, 100)
--- a/internal/starvation/turns_test.go
+++ b/internal/starvation/turns_test.go
@@ -6,7 +6,7 @@
 	"cleatpick/internal/loop"
 )
 
-// twoClasses returns a Reserve with one late job in each of two classes, and a function that returns which is
+// twoClasses returns a Budget with one late job in each of two classes, and a function that returns which is
 // picked first.
 func twoClasses() (f *Budget, first func() string) {
 	now := 1000 * loop.Second
