--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -1,9 +1,11 @@
-// Package admission decides who gets in, and in which order, when more is asked for than
-// can be taken. It decides on facts that others hand it, and does nothing itself.
+// Package admission decides which submissions are admitted, and in which order, when more arrive than can be
+// processed. It also computes the controller's share of the state service's rate limits, and reports overload
+// and refusals to operators. It owns the queue of waiting submissions and the queue positions of deferred
+// ones. Recording the admitted submissions and answering clients are left to its callers.
 //
-// Every node decides by itself, with the same weights from the settings. No bound here
-// depends on what other nodes think at a moment; what they tell each other, the places of
-// those who were put off, only keeps a user's place when the next try goes elsewhere.
+// Every controller decides by itself, with the same weights from the settings. No bound here depends on the
+// state of other controllers. The queue positions that controllers exchange only preserve a client's position
+// when it retries at another controller.
 package admission
 
 import (
@@ -13,94 +15,95 @@
 	"cleatpick/internal/loop"
 )
 
-// Request is a submission that asks to be taken.
+// Request is a submission that asks to be admitted.
 type Request struct {
 	ID, Team, Class string
 	Urgent          bool
 }
 
-// Place is where a request stands in line: the time of day of its first try. A retry, at
-// this node or another, keeps it.
+// Place is the queue position of a request: the wall clock time of its first try. A retry, at this controller
+// or another one, keeps it.
 type Place struct {
 	_     struct{} `cbor:",toarray"`
 	ID    string
 	First loop.Micros
 }
 
-// Answer is what becomes of a request now.
+// Answer is the decision on a request.
 type Answer struct {
 	Taken bool
-	After int // seconds after which it should ask again, where it was put off
-	// Instead is another request that loses its place in memory to this one, since its
-	// team holds more than its part; it is to be told After. Empty: none does.
+	After int // seconds after which the client should retry, if the request was deferred
+	// Instead is the ID of another waiting request that is evicted in favour of this one, because its team
+	// holds more than its part of the queue. Its client is to be told After. Empty: none is evicted.
 	Instead string
 }
 
 const (
-	// most bounds the requests that wait here.
+	// most bounds the waiting requests.
 	most = 600
-	// mostPlaces bounds the places that are remembered of those who were put off, and
-	// placeLife for how long: users give up 60 s after their first try.
+	// mostPlaces bounds the remembered positions of deferred requests, and placeLife is how long they are
+	// remembered: clients give up 60 s after their first try.
 	mostPlaces = 2000
 	placeLife  = 60 * loop.Second
-	// patience is how long a request may be expected to wait in memory. What would wait
-	// for longer is told so at once.
+	// patience is the longest expected wait with which a request is admitted to the queue. A request that
+	// would wait longer is deferred at once.
 	patience = 1200 * loop.Millisecond
-	// longest is the longest time that users wait before they come back.
+	// longest bounds the seconds after which a deferred client is told to retry.
 	longest = 30
-	// A class of urgent work gets so many times the turns of another of its team.
+	// urgentTurns is the weight of a class of urgent work; another class of its team has the weight 1.
 	urgentTurns = 4
-	// mostClasses bounds the classes of a team that have turns of their own. Classes are
-	// users' words: of those beyond it, all share one.
+	// mostClasses bounds the classes of a team that are scheduled separately. Clients choose the class names,
+	// so there may be any number: those beyond the bound share one.
 	mostClasses = 64
 	otherClass  = "\x00others"
 )
 
-// Turn is a request with its place.
+// Turn is a waiting request with its queue position.
 type Turn struct {
 	Request
-	First loop.Micros // time of day of its first try
+	First loop.Micros // wall clock time of its first try
 }
 
-// flow is what waits of one class, the longest asking first, with the turn at which it is
-// served next: each turn moves it on by one part of its weight.
+// flow is the waiting requests of one class, earliest first try first, with the virtual time at which the
+// class is served next: each request advances it by the inverse of the class's weight.
 type flow struct {
 	waiting []*Turn
 	turn    float64
 }
 
-// teamLine is what waits of one team.
+// teamLine is the waiting requests of one team, by class.
 type teamLine struct {
 	classes map[string]*flow
 	waiting int
 	turn    float64
-	now     float64 // the turn of the class served last
+	now     float64 // virtual time of the class served last
 }
 
-// Line is the requests that wait to be taken.
+// Line is the queue of requests that wait to be admitted: weighted fair queueing over the teams, and within a
+// team over its classes.
 type Line struct {
 	weight func(team string) float64
 	teams  map[string]*teamLine
 	byID   map[string]*Turn
-	now    float64 // the turn of the team served last
+	now    float64 // virtual time of the team served last
 	rate   takenRate
 	places map[string]loop.Micros
-	order  []Place // of places, by when they were given
-	news   []Place // to be told to the peers
+	order  []Place // of places, in the order in which they were recorded
+	news   []Place // new positions to be sent to the peers
 	over   Overload
 	spread int
 }
 
-// NewLine makes an empty line. weight is a team's part beside others', rate the requests
-// that are expected to be taken in a second until that was measured.
+// NewLine returns an empty queue. weight returns a team's weight relative to the others. rate is the number
+// of requests per second that are expected to be admitted, used until it has been measured.
 func NewLine(weight func(team string) float64, rate float64) *Line {
 	return &Line{weight: weight, teams: map[string]*teamLine{}, byID: map[string]*Turn{}, rate: newTakenRate(rate), places: map[string]loop.Micros{}}
 }
 
-// Waiting is the number of requests in line.
+// Waiting returns the number of requests in the queue.
 func (l *Line) Waiting() int { return len(l.byID) }
 
-// Ask lets a request in line, or puts it off. now is the steady time, wall the time of day.
+// Ask queues a request or defers it. now is the monotonic time, wall the wall clock time.
 func (l *Line) Ask(r Request, now, wall loop.Micros) Answer {
 	l.rate.relax(now)
 	l.forget(wall)
@@ -131,7 +134,8 @@
 	return a
 }
 
-// share is how many requests of a class are taken in a second while all that wait do.
+// share returns how many requests of the class are admitted per second while all classes that wait now keep
+// waiting.
 func (l *Line) share(r *Request) float64 {
 	all := l.weightOf(r.Team)
 	for name, t := range loop.Sorted(l.teams) {
@@ -160,7 +164,7 @@
 	return 1
 }
 
-// ahead is how many of its class stand before a request with that place.
+// ahead returns how many requests of the class come before one with the given first try.
 func (l *Line) ahead(r *Request, first loop.Micros) int {
 	t := l.teams[r.Team]
 	if t == nil {
@@ -176,14 +180,14 @@
 
 func byPlace(a, b *Turn) int { return cmp.Or(cmp.Compare(a.First, b.First), cmp.Compare(a.ID, b.ID)) }
 
-// after is in how many seconds to come back: when the share of its class has room again,
-// spread so that all do not come in the same second.
+// after returns the seconds after which to retry: when the class's share is free again, spread so that not
+// all clients retry in the same second.
 func (l *Line) after(wait float64) int {
 	l.spread++
 	return min(1+int(wait)+l.spread%3, longest)
 }
 
-// key is the name under which a class has its turns.
+// key returns the name under which a class is scheduled.
 func (t *teamLine) key(class string) string {
 	if t.classes[class] != nil || len(t.classes) < mostClasses {
 		return class
@@ -191,6 +195,7 @@
 	return otherClass
 }
 
+// enter inserts a request at its position among those of its class.
 func (l *Line) enter(e *Turn) {
 	t := l.teams[e.Team]
 	if t == nil {
@@ -198,7 +203,7 @@
 		l.teams[e.Team] = t
 	}
 	if t.waiting == 0 {
-		t.turn = max(t.turn, l.now) // what it did not use while it was away is not made up for
+		t.turn = max(t.turn, l.now) // a team does not make up for what it did not use while absent
 	}
 	t.waiting++
 	name := t.key(e.Class)
@@ -214,7 +219,7 @@
 	f.waiting = slices.Insert(f.waiting, i, e)
 }
 
-// Next takes up to n requests out of line, in the order of their teams' and classes' turns.
+// Next removes up to n requests from the queue, in the order in which their teams and classes are scheduled.
 func (l *Line) Next(n int) (turns []Turn) {
 	for len(turns) < n && len(l.byID) > 0 {
 		name, t := first(l.teams, func(t *teamLine) (bool, float64) { return t.waiting > 0, t.turn })
@@ -231,7 +236,7 @@
 	return turns
 }
 
-// first is the one of those that wait whose turn comes first, by name where it is the same.
+// first returns the waiting element with the least virtual time; equal ones are ordered by name.
 func first[T any](all map[string]T, at func(T) (waits bool, turn float64)) (name string, one T) {
 	best, found := 0.0, false
 	for k, x := range all {
@@ -242,7 +247,7 @@
 	return name, one
 }
 
-// leave takes the i-th of a class out of line. A team with nothing in line keeps no classes.
+// leave removes the i-th request of a class from the queue. A team without waiting requests keeps no classes.
 func (l *Line) leave(t *teamLine, class string, i int) {
 	f := t.classes[class]
 	delete(l.byID, f.waiting[i].ID)
@@ -254,7 +259,7 @@
 	}
 }
 
-// Back lets requests that were taken out wait again where they stood.
+// Back returns requests that were removed by Next to their positions in the queue.
 func (l *Line) Back(all []Turn) {
 	for i := range all {
 		if e := &all[i]; l.byID[e.ID] == nil {
@@ -264,8 +269,8 @@
 	}
 }
 
-// Drop takes a request out of line that waited too long, and keeps its place for its next
-// try. It tells when that should be.
+// Drop removes a request that waited too long, remembers its position for its next try, and returns the
+// seconds after which the client should retry.
 func (l *Line) Drop(id string, wall loop.Micros) (after int) {
 	e := l.byID[id]
 	if e == nil {
@@ -276,6 +281,7 @@
 	return l.after(wait)
 }
 
+// putOff removes a waiting request and remembers its position.
 func (l *Line) putOff(id string, wall loop.Micros) {
 	e := l.byID[id]
 	t := l.teams[e.Team]
@@ -286,8 +292,8 @@
 	}
 }
 
-// longest is the newest request of the team that holds most for its weight; none where
-// that is the team itself.
+// longest returns the newest request of the team that holds most of the queue for its weight, or none if that
+// is the given team itself.
 func (l *Line) longest(self string) string {
 	name, most := self, 0.0
 	if t := l.teams[self]; t != nil {
@@ -310,14 +316,14 @@
 	return newest.ID
 }
 
-// keep remembers a place; own tells whether the peers are to know of it.
+// keep remembers a position. own says that it was given here, so that the peers are told.
 func (l *Line) keep(p Place, own bool) {
 	if old, ok := l.places[p.ID]; ok {
 		l.places[p.ID] = min(old, p.First)
 		return
 	}
 	if len(l.places) >= mostPlaces {
-		return // its next try stands behind those who are remembered, and before nobody
+		return // not remembered: its next try ranks behind the remembered ones and ahead of none
 	}
 	l.places[p.ID] = p.First
 	l.order = append(l.order, p)
@@ -326,17 +332,17 @@
 	}
 }
 
-// mostNews bounds what is told to the peers at once.
+// mostNews bounds the positions sent to or accepted from a peer at once.
 const mostNews = 256
 
-// News are the places given since it was last asked for, for the peers.
+// News returns the positions recorded here since the last call, to be sent to the peers.
 func (l *Line) News() []Place {
 	out := l.news
 	l.news = nil
 	return out
 }
 
-// Learn takes in places that peers gave. A place of long ago or from the future is none.
+// Learn records positions from a peer. Positions that have expired, or lie in the future, are ignored.
 func (l *Line) Learn(all []Place, wall loop.Micros) {
 	for _, p := range all[:min(len(all), mostNews)] {
 		if p.ID != "" && p.First > wall-placeLife && p.First <= wall+loop.Second && l.byID[p.ID] == nil {
@@ -345,6 +351,7 @@
 	}
 }
 
+// forget drops the remembered positions that have expired.
 func (l *Line) forget(wall loop.Micros) {
 	for len(l.order) > 0 && (l.order[0].First <= wall-placeLife || len(l.order) > 2*mostPlaces) {
 		if p := l.order[0]; l.places[p.ID] <= wall-placeLife {
@@ -354,14 +361,15 @@
 	}
 }
 
-// Served takes in that so many requests were taken while others waited, for the rate.
+// Served records that n requests were admitted, for the estimate of the rate. busy says that others keep
+// waiting.
 func (l *Line) Served(n int, now loop.Micros, busy bool) { l.rate.served(n, now, busy) }
 
-// State is how crowded the line is.
+// State returns the load state of the queue.
 func (l *Line) State(now loop.Micros) State {
 	l.over.look(now, true, len(l.byID) > 0)
 	return l.over.state
 }
 
-// OnState is called for every change of the state.
+// OnState registers a function to be called for every change of the state.
 func (l *Line) OnState(f func(from, to State)) { l.over.changed = f }
--- a/internal/admission/line_test.go
+++ b/internal/admission/line_test.go
@@ -11,13 +11,13 @@
 
 const second = loop.Second
 
-// desk takes so many requests a second out of a line, in batches, as a node does.
+// desk admits requests from a queue at a fixed rate in batches, as a controller does.
 type desk struct {
 	l      *Line
 	now    loop.Micros
 	rate   float64
 	credit float64
-	taken  map[string]int // by team and by team/class
+	taken  map[string]int // admitted requests, by team and by team/class
 	done   map[string]bool
 }
 
@@ -45,7 +45,7 @@
 	}
 }
 
-// user asks, and asks again when it was told to, until it is taken or gives up after a
+// user is a client that submits a request and retries as told, until it is admitted or gives up after a
 // minute.
 type user struct {
 	Request
@@ -53,7 +53,7 @@
 	in, gaveUp  bool
 }
 
-// play lets users come at their rates for a time, and tells them all.
+// play lets clients arrive at the given rates for a time, and returns all of them.
 func (d *desk) play(span loop.Micros, rng *rand.Rand, flows map[Request]float64) (all []*user) {
 	for end := d.now + span; d.now < end; d.step(50 * loop.Millisecond) {
 		for f, rate := range flows {
@@ -86,8 +86,8 @@
 	return all
 }
 
-// However much one team asks for, each is served by its weight, each class of a team has
-// its floor, and what a team does not use goes to the others.
+// However much one team submits, each team is served by its weight, each class of a team keeps its minimum,
+// and what a team does not use goes to the others. Otherwise one team could keep the others out by retrying.
 func TestSharesUnderOverload(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	d := newDesk(20, map[string]float64{"large": 6, "small": 2, "guest": 1})
@@ -107,22 +107,22 @@
 		}
 	}
 	if in["large/a"] < asked["large/a"]-4 || in["small/u"] < asked["small/u"]-4 || late > 0 {
-		t.Errorf("of those within their share %d of %d and %d of %d are in, %d gave up", in["large/a"], asked["large/a"], in["small/u"], asked["small/u"], late)
+		t.Errorf("of the requests within their share %d of %d and %d of %d were admitted, %d gave up", in["large/a"], asked["large/a"], in["small/u"], asked["small/u"], late)
 	}
 	rest := 20*120 - float64(d.taken["large"])
 	for team, part := range map[string]float64{"small": 2. / 3, "guest": 1. / 3} {
 		if got := float64(d.taken[team]) / rest; math.Abs(got-part) > 0.04 {
-			t.Errorf("%s has %.2f of what is left, its part is %.2f", team, got, part)
+			t.Errorf("%s received %.2f of the rest, want %.2f", team, got, part)
 		}
 	}
 	if d.l.State(d.now) != Overloaded {
-		t.Errorf("it is %v", d.l.State(d.now))
+		t.Errorf("the load state is %v, want overloaded", d.l.State(d.now))
 	}
 }
 
-// Whoever was put off keeps its place: at the moment that one is taken, nobody of its class
-// with an earlier first try waits in line; and while a team asks for twice its share, at
-// least two in five of its users are in before they give up.
+// A deferred request keeps its position: when a request is admitted, none of its class with an earlier first
+// try is waiting in the queue. While a team submits twice its share, at least two in five of its clients are
+// admitted before they give up.
 func TestPlacesAreKept(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -139,7 +139,7 @@
 			}
 		}
 		if in*5 < over*2 {
-			t.Errorf("seed %d: %d of %d users are in", seed, in, over)
+			t.Errorf("seed %d: %d of %d clients were admitted, want at least two in five", seed, in, over)
 		}
 		l := NewLine(func(string) float64 { return 1 }, 10)
 		for range 200 {
@@ -154,7 +154,7 @@
 				for _, x := range l.Next(1) {
 					for id, first := range before {
 						if first < x.First {
-							t.Fatalf("seed %d: %s is taken, and %s asked before it", seed, x.ID, id)
+							t.Fatalf("seed %d: %s is admitted before %s, whose first try was earlier", seed, x.ID, id)
 						}
 					}
 				}
@@ -163,7 +163,7 @@
 	}
 }
 
-// A place that another node gave is kept here, and one of long ago or the future is not.
+// A position given by another controller counts here; one that has expired or lies in the future does not.
 func TestPlacesOfOtherNodes(t *testing.T) {
 	one := func(string) float64 { return 1 }
 	a, b := NewLine(one, 5), NewLine(one, 5)
@@ -173,7 +173,7 @@
 	}
 	told := a.News()
 	if len(told) == 0 || len(a.News()) != 0 {
-		t.Fatalf("%d places are told", len(told))
+		t.Fatalf("the first call of News returned %d positions, want some, and none from the second", len(told))
 	}
 	b.Learn(append(told, Place{ID: "old", First: now - 2*placeLife}, Place{ID: "new", First: now + 9*second}), now)
 	now += 3 * second
@@ -184,15 +184,15 @@
 		b.Ask(Request{ID: id, Team: "red", Class: "k"}, now, now)
 	}
 	if x := b.Next(1); len(x) != 1 || x[0].ID != told[0].ID {
-		t.Errorf("%v is first, not %s, which another node had put off", x, told[0].ID)
+		t.Errorf("%v is admitted first, want %s, which another controller had deferred", x, told[0].ID)
 	}
 	if len(b.News()) > 2 {
-		t.Error("places that were learnt are told on")
+		t.Error("positions learned from a peer are sent to peers again")
 	}
 }
 
-// Whatever is asked, what is kept is bounded; a team that holds least for its weight finds
-// room in a full line; and what is taken while nothing waits is never put off.
+// Whatever is submitted, the memory used is bounded; a team that holds least for its weight gets into a full
+// queue; and while nothing waits, no request is deferred.
 func TestLineIsBounded(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	l := NewLine(func(t string) float64 { return map[string]float64{"guest": 0.01, "red": 1}[t] }, 1e6)
@@ -203,28 +203,28 @@
 	}
 	g := l.teams["guest"]
 	if l.Waiting() > most || len(l.places) > mostPlaces || len(l.order) > 2*mostPlaces+1 || len(g.classes) > mostClasses+1 || len(l.news) > mostNews {
-		t.Errorf("%d wait, %d places, %d classes, %d news", l.Waiting(), len(l.places), len(g.classes), len(l.news))
+		t.Errorf("over a bound: %d waiting, %d positions, %d classes, %d new positions", l.Waiting(), len(l.places), len(g.classes), len(l.news))
 	}
 	if a := l.Ask(Request{ID: "mine", Team: "red", Class: "k"}, now, now); !a.Taken || a.Instead == "" || a.After < 1 || a.After > longest {
-		t.Errorf("in a full line a team that holds nothing gets %+v", a)
+		t.Errorf("in a full queue the decision for a team that holds nothing is %+v", a)
 	}
 	for l.Waiting() > 0 {
 		l.Next(8)
 	}
 	if len(g.classes) != 0 {
-		t.Errorf("%d classes are kept of a team with nothing in line", len(g.classes))
+		t.Errorf("%d classes are kept of a team without waiting requests", len(g.classes))
 	}
 	l = NewLine(func(string) float64 { return 1 }, 0)
 	for i := range 100 {
 		if a := l.Ask(Request{ID: fmt.Sprint(i), Team: "red", Class: "k"}, now, now); !a.Taken {
-			t.Fatal("put off although nothing waits")
+			t.Fatal("request deferred although none waits")
 		}
 		l.Next(1)
 	}
 }
 
-// A team that asked for nothing for long has its part once it asks, and not what it did not
-// use before; so has a class.
+// A team that submitted nothing for a long time gets its share once it submits again, but not what it did not
+// use before. The same holds for a class.
 func TestUnusedTurnsAreNotMadeUpFor(t *testing.T) {
 	l := NewLine(func(string) float64 { return 1 }, 1e6)
 	ask := func(team, class string, n int) {
@@ -241,11 +241,11 @@
 		n[x.Team+"/"+x.Class]++
 	}
 	if n["blue/a"] < 19 || n["blue/a"] > 21 || n["red/a"] < 9 || n["red/b"] < 9 {
-		t.Errorf("of the next 40: %v", n)
+		t.Errorf("of the next 40 requests, by team and class: %v", n)
 	}
 }
 
-// The states follow each other as named, and do not swing while users come back.
+// The load states follow each other in their order, and do not alternate while clients retry.
 func TestOverloadStates(t *testing.T) {
 	var o Overload
 	var seen []string
@@ -260,14 +260,14 @@
 	run(800*loop.Millisecond, true, nil)
 	run(2*second, false, nil)
 	run(3*second, true, nil)                                    // crowded
-	run(10*second, true, func(k int) bool { return k%20 == 0 }) // overloaded, every 2 s anew
+	run(10*second, true, func(k int) bool { return k%20 == 0 }) // overloaded, with a deferral every 2 s
 	run(20*second, true, nil)                                   // recovering after 5 s
 	run(5*second, false, nil)
 	if o.state != Recovering {
-		t.Errorf("users still come back, and it is %v", o.state)
+		t.Errorf("the load state is %v while clients still retry, want recovering", o.state)
 	}
 	run(40*second, false, nil) // calm
 	if got := fmt.Sprint(seen); got != "[crowded overloaded recovering calm]" {
-		t.Errorf("the states were %s", got)
+		t.Errorf("the load states were %s, want crowded, overloaded, recovering, calm", got)
 	}
 }
--- a/internal/admission/overload.go
+++ b/internal/admission/overload.go
@@ -2,40 +2,40 @@
 
 import "cleatpick/internal/loop"
 
-// State names how much more is asked for than can be taken.
+// State is the load state of the queue.
 type State int
 
-// The states.
+// The load states.
 const (
-	Calm       State = iota // nothing waits for long
-	Crowded                 // something has waited without a break for crowdedAfter
-	Overloaded              // requests are put off
-	Recovering              // none was put off for a moment, and those who were come back
+	Calm       State = iota // no request waits for long
+	Crowded                 // some request has been waiting at all times for crowdedAfter
+	Overloaded              // requests are deferred
+	Recovering              // none was deferred for recoverAfter, and the deferred clients are retrying
 )
 
 func (s State) String() string { return [...]string{"calm", "crowded", "overloaded", "recovering"}[s] }
 
 const (
 	crowdedAfter = loop.Second
-	// calmAfter is for how long the line must have been empty now and then to be calm again.
+	// calmAfter is how long the queue must keep becoming empty again before it counts as calm.
 	calmAfter = 3 * loop.Second
-	// recoverAfter is how long after the last request that was put off the overload is over,
-	// and backFor how long users are still coming back after that: as long as they may be told to.
+	// recoverAfter is the time after the last deferral when the overload counts as over, and backFor how long
+	// clients may still be retrying after that: the longest time that they may be told to wait.
 	recoverAfter = 5 * loop.Second
 	backFor      = longest * loop.Second
 )
 
-// Overload follows one resource.
+// Overload derives the load state from what happens to requests.
 type Overload struct {
 	state   State
 	since   loop.Micros
-	waits   loop.Micros // since when something waits without a break; 0: nothing does
-	empty   loop.Micros // when nothing waited last
-	off     loop.Micros // when a request was put off last
+	waits   loop.Micros // since when some request has been waiting at all times; 0: none waits
+	empty   loop.Micros // when no request was waiting last
+	off     loop.Micros // when a request was deferred last
 	changed func(from, to State)
 }
 
-// setState is the one place where the state changes.
+// setState changes the state and reports the change; no other function changes the state.
 func (o *Overload) setState(s State, now loop.Micros) {
 	if o.state == s {
 		return
@@ -47,7 +47,7 @@
 	}
 }
 
-// look takes in whether a request was taken, and whether any waits.
+// look updates the state. taken says that no request was deferred, waits that some request is waiting.
 func (o *Overload) look(now loop.Micros, taken, waits bool) {
 	if !taken {
 		o.off = now
--- a/internal/admission/rate.go
+++ b/internal/admission/rate.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	// newestPart is the part that the newest sample has in the rate.
+	// newestPart is the weight of the newest sample in the smoothed rate.
 	newestPart = 0.3
-	// longestSample is the longest time between two transactions that tells of the rate: beyond
-	// it the process stood still, or the state service was away.
+	// longestSample is the longest time between two transactions that counts as a sample: beyond it the
+	// process paused, or the state service was unavailable.
 	longestSample = 5 * loop.Second
-	// relaxAfter is how long after the newest sample the rate begins to go back to what is
-	// expected, and relaxHalf the time in which it goes half of the way.
+	// relaxAfter is the time since the newest sample after which the rate starts to return to the expected
+	// value; relaxHalf is the half-life of that return.
 	relaxAfter = 5 * loop.Second
 	relaxHalf  = 2 * loop.Second
-	// leastRate keeps the rate from 0.
+	// leastRate keeps the rate above 0.
 	leastRate = 0.1
 )
 
-// takenRate estimates how many requests are taken a second. Requests are put off by it, so it
-// must not hang on requests alone: without samples it goes back to what is expected, by time, and
-// is within a tenth of the way there relaxAfter and four times relaxHalf after the newest sample.
+// takenRate estimates how many requests are admitted per second. Requests are deferred by it, so it must not
+// depend on samples alone: if all were deferred, none would come. Without samples it returns to the expected
+// value, and is within a tenth of the difference from it after relaxAfter plus four times relaxHalf.
 type takenRate struct {
 	perSecond float64
 	expected  float64
-	from      loop.Micros // when the transaction before was answered, while others waited; 0: none
-	sampled   loop.Micros // when the newest sample was taken; 0: none was
-	relaxed   loop.Micros // until when the way back was gone
+	from      loop.Micros // when the previous transaction was answered while others waited; 0: none
+	sampled   loop.Micros // when the newest sample was taken; 0: never
+	relaxed   loop.Micros // time up to which the return has been applied
 }
 
 func newTakenRate(expected float64) takenRate {
@@ -36,7 +36,7 @@
 	return takenRate{perSecond: expected, expected: expected}
 }
 
-// served takes in that n requests were taken; busy tells whether others wait.
+// served records that n requests were admitted; busy says that others wait.
 func (r *takenRate) served(n int, now loop.Micros, busy bool) {
 	r.relax(now)
 	if took := now - r.from; r.from != 0 && n > 0 && took > 0 && took <= longestSample {
@@ -45,11 +45,11 @@
 		r.sampled = now
 	}
 	if r.from = now; !busy {
-		r.from = 0 // the time until the next one comes says nothing of the rate
+		r.from = 0 // the time until the next request arrives says nothing about the rate
 	}
 }
 
-// relax goes back to what is expected where no sample has come for a while.
+// relax returns the rate toward the expected value if no sample has come for a while.
 func (r *takenRate) relax(now loop.Micros) {
 	since := max(r.sampled+relaxAfter, r.relaxed)
 	if r.sampled == 0 || now <= since {
--- a/internal/admission/rate_test.go
+++ b/internal/admission/rate_test.go
@@ -8,9 +8,9 @@
 	"cleatpick/internal/loop"
 )
 
-// Whatever was measured before, the rate by which requests are put off comes back by itself: with
-// nothing taken, with a little, and with much taken as fast as is expected. A standstill between
-// two transactions is no measure of them.
+// The rate by which requests are deferred must return to the expected value whatever was measured before:
+// with nothing admitted, with little, and with much admitted at the expected rate. A rate that stayed low
+// would keep deferring requests that could be admitted. A pause between two transactions is no sample.
 func TestTakenRateComesBack(t *testing.T) {
 	const expected, soon = 40.0, relaxAfter + 4*relaxHalf
 	for seed := range uint64(200) {
@@ -42,18 +42,19 @@
 			c.relax(at)
 			allowed := max(0.15*expected, 0.1*math.Abs(r.perSecond-expected))
 			if math.Abs(c.perSecond-expected) > allowed {
-				t.Errorf("seed %d, then %s: %.2f a second after %d s, was %.2f", seed, after.name, c.perSecond, soon/loop.Second, r.perSecond)
+				t.Errorf("seed %d, then %s: rate is %.2f per second after %d s, was %.2f", seed, after.name, c.perSecond, soon/loop.Second, r.perSecond)
 			}
 		}
 	}
 }
 
+// A time between two transactions that is longer than longestSample must not lower the rate.
 func TestStandstillIsNoMeasure(t *testing.T) {
 	r := newTakenRate(40)
 	at := 3600 * loop.Second
 	r.served(8, at, true)
 	r.served(8, at+longestSample+1, true)
 	if r.perSecond != 40 {
-		t.Errorf("a standstill makes it %v a second", r.perSecond)
+		t.Errorf("after a pause the rate is %v per second, want 40", r.perSecond)
 	}
 }
--- a/internal/admission/refusals.go
+++ b/internal/admission/refusals.go
@@ -6,11 +6,11 @@
 	"cleatpick/internal/loop"
 )
 
-// refusalsEnd is for how long nothing may be refused for a reason until that counts as over.
+// refusalsEnd is the time without a refusal for a reason after which the spell of refusals counts as over.
 const refusalsEnd = 5 * loop.Second
 
-// Refusals tells the operators when a controller begins and ceases to refuse requests, by reason.
-// The reasons are a fixed list.
+// Refusals logs when a controller starts and stops refusing requests for a reason, once for each spell. The
+// reasons are a fixed list, which bounds the entries.
 type Refusals struct {
 	log    *slog.Logger
 	spells map[string]*refusalSpell
@@ -21,28 +21,28 @@
 	count       int
 }
 
-// NewRefusals makes one that has seen no refusal.
+// NewRefusals returns a Refusals without entries.
 func NewRefusals(log *slog.Logger) *Refusals {
 	return &Refusals{log: log, spells: map[string]*refusalSpell{}}
 }
 
-// Refuse takes in that a request was refused.
+// Refuse records that a request was refused, and logs the first one of a spell.
 func (r *Refusals) Refuse(reason string, now loop.Micros) {
 	s := r.spells[reason]
 	if s == nil {
 		s = &refusalSpell{began: now}
 		r.spells[reason] = s
-		r.log.Info("requests are refused", "reason", reason)
+		r.log.Info("started refusing requests", "reason", reason)
 	}
 	s.last = now
 	s.count++
 }
 
-// Look tells of the reasons for which nothing is refused any more. It is to be called regularly.
+// Look logs the spells that are over. It is to be called regularly.
 func (r *Refusals) Look(now loop.Micros) {
 	for reason, s := range loop.Sorted(r.spells) {
 		if now-s.last >= refusalsEnd {
-			r.log.Info("requests are no longer refused", "reason", reason, "refused", s.count, "lasted_us", s.last-s.began)
+			r.log.Info("stopped refusing requests", "reason", reason, "refused", s.count, "lasted_us", s.last-s.began)
 			delete(r.spells, reason)
 		}
 	}
