--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -39,23 +39,23 @@
 }
 
 const (
-	// most bounds the waiting requests.
-	most = 600
-	// mostPlaces bounds the remembered positions of deferred requests, and placeLife is how long they are
+	// maxWaiting bounds the waiting requests.
+	maxWaiting = 600
+	// maxPositions bounds the remembered positions of deferred requests, and placeLife is how long they are
 	// remembered: clients give up 60 s after their first try.
-	mostPlaces = 2000
-	placeLife  = 60 * loop.Second
-	// patience is the longest expected wait with which a request is admitted to the queue. A request that
+	maxPositions = 2000
+	positionLife = 60 * loop.Second
+	// maxWait is the longest expected wait with which a request is admitted to the queue. A request that
 	// would wait longer is deferred at once.
-	patience = 1200 * loop.Millisecond
-	// longest bounds the seconds after which a deferred client is told to retry.
-	longest = 30
-	// urgentTurns is the weight of a class of urgent work; another class of its team has the weight 1.
-	urgentTurns = 4
-	// mostClasses bounds the classes of a team that are scheduled separately. Clients choose the class names,
+	maxWait = 1200 * loop.Millisecond
+	// maxRetryAfter bounds the seconds after which a deferred client is told to retry.
+	maxRetryAfter = 30
+	// urgentWeight is the weight of a class of urgent work; another class of its team has the weight 1.
+	urgentWeight = 4
+	// maxClasses bounds the classes of a team that are scheduled separately. Clients choose the class names,
 	// so there may be any number: those beyond the bound share one.
-	mostClasses = 64
-	otherClass  = "\x00others"
+	maxClasses  = 64
+	sharedClass = "\x00others"
 )
 
 // Turn is a waiting request with its queue position.
@@ -64,40 +64,40 @@
 	First loop.Micros // wall clock time of its first try
 }
 
-// flow is the waiting requests of one class, earliest first try first, with the virtual time at which the
+// classQueue is the waiting requests of one class, earliest first try first, with the virtual time at which the
 // class is served next: each request advances it by the inverse of the class's weight.
-type flow struct {
+type classQueue struct {
 	waiting []*Turn
 	turn    float64
 }
 
-// teamLine is the waiting requests of one team, by class.
-type teamLine struct {
-	classes map[string]*flow
-	waiting int
-	turn    float64
-	now     float64 // virtual time of the class served last
+// teamQueue is the waiting requests of one team, by class.
+type teamQueue struct {
+	classes     map[string]*classQueue
+	waiting     int
+	turn        float64
+	virtualTime float64 // virtual time of the class served last
 }
 
 // Line is the queue of requests that wait to be admitted: weighted fair queueing over the teams, and within a
 // team over its classes.
 type Line struct {
-	weight func(team string) float64
-	teams  map[string]*teamLine
-	byID   map[string]*Turn
-	now    float64 // virtual time of the team served last
-	rate   takenRate
-	places map[string]loop.Micros
-	order  []Place // of places, in the order in which they were recorded
-	news   []Place // new positions to be sent to the peers
-	over   Overload
-	spread int
+	weight        func(team string) float64
+	teams         map[string]*teamQueue
+	byID          map[string]*Turn
+	virtualTime   float64 // virtual time of the team served last
+	rate          admissionRate
+	positions     map[string]loop.Micros
+	positionOrder []Place // of places, in the order in which they were recorded
+	newPositions  []Place // new positions to be sent to the peers
+	overload      Overload
+	spread        int
 }
 
 // NewLine returns an empty queue. weight returns a team's weight relative to the others. rate is the number
 // of requests per second that are expected to be admitted, used until it has been measured.
 func NewLine(weight func(team string) float64, rate float64) *Line {
-	return &Line{weight: weight, teams: map[string]*teamLine{}, byID: map[string]*Turn{}, rate: newTakenRate(rate), places: map[string]loop.Micros{}}
+	return &Line{weight: weight, teams: map[string]*teamQueue{}, byID: map[string]*Turn{}, rate: newAdmissionRate(rate), positions: map[string]loop.Micros{}}
 }
 
 // Waiting returns the number of requests in the queue.
@@ -105,38 +105,38 @@
 
 // Ask queues a request or defers it. now is the monotonic time, wall the wall clock time.
 func (l *Line) Ask(r Request, now, wall loop.Micros) Answer {
-	l.rate.relax(now)
-	l.forget(wall)
-	first, was := l.places[r.ID]
+	l.rate.decay(now)
+	l.forgetExpired(wall)
+	first, was := l.positions[r.ID]
 	if !was {
 		first = wall
 	}
 	ahead := l.ahead(&r, first)
 	a := Answer{Taken: true}
-	if wait := float64(ahead+1) / l.share(&r); ahead > 0 && wait > float64(patience)/1e6 {
-		a = Answer{After: l.after(wait)}
-	} else if len(l.byID) >= most {
-		if a.Instead = l.longest(r.Team); a.Instead == "" {
-			a = Answer{After: l.after(wait)}
+	if wait := float64(ahead+1) / l.classRate(&r); ahead > 0 && wait > float64(maxWait)/1e6 {
+		a = Answer{After: l.retryAfter(wait)}
+	} else if len(l.byID) >= maxWaiting {
+		if a.Instead = l.evictionCandidate(r.Team); a.Instead == "" {
+			a = Answer{After: l.retryAfter(wait)}
 		} else {
-			a.After = l.after(wait)
-			l.putOff(a.Instead, wall)
+			a.After = l.retryAfter(wait)
+			l.deferWaiting(a.Instead, wall)
 		}
 	}
-	l.over.look(now, a.Taken && a.Instead == "", len(l.byID) > 0)
+	l.overload.update(now, a.Taken && a.Instead == "", len(l.byID) > 0)
 	if !a.Taken {
-		l.keep(Place{ID: r.ID, First: first}, true)
+		l.rememberPosition(Place{ID: r.ID, First: first}, true)
 		return a
 	}
 	e := &Turn{r, first}
 	l.byID[r.ID] = e
-	l.enter(e)
+	l.insert(e)
 	return a
 }
 
-// share returns how many requests of the class are admitted per second while all classes that wait now keep
+// classRate returns how many requests of the class are admitted per second while all classes that wait now keep
 // waiting.
-func (l *Line) share(r *Request) float64 {
+func (l *Line) classRate(r *Request) float64 {
 	all := l.weightOf(r.Team)
 	for name, t := range loop.Sorted(l.teams) {
 		if t.waiting > 0 && name != r.Team {
@@ -144,11 +144,11 @@
 		}
 	}
 	part := l.weightOf(r.Team) / all
-	turns, mine := 0.0, turnsOf(r.Urgent)
+	turns, mine := 0.0, classWeight(r.Urgent)
 	if t := l.teams[r.Team]; t != nil {
 		for name, f := range loop.Sorted(t.classes) {
-			if len(f.waiting) > 0 && name != t.key(r.Class) {
-				turns += turnsOf(f.waiting[0].Urgent)
+			if len(f.waiting) > 0 && name != t.classKey(r.Class) {
+				turns += classWeight(f.waiting[0].Urgent)
 			}
 		}
 	}
@@ -157,9 +157,9 @@
 
 func (l *Line) weightOf(team string) float64 { return max(l.weight(team), 1e-6) }
 
-func turnsOf(urgent bool) float64 {
+func classWeight(urgent bool) float64 {
 	if urgent {
-		return urgentTurns
+		return urgentWeight
 	}
 	return 1
 }
@@ -170,74 +170,76 @@
 	if t == nil {
 		return 0
 	}
-	f := t.classes[t.key(r.Class)]
+	f := t.classes[t.classKey(r.Class)]
 	if f == nil {
 		return 0
 	}
-	i, _ := slices.BinarySearchFunc(f.waiting, &Turn{*r, first}, byPlace)
+	i, _ := slices.BinarySearchFunc(f.waiting, &Turn{*r, first}, compareFirstTry)
 	return i
 }
 
-func byPlace(a, b *Turn) int { return cmp.Or(cmp.Compare(a.First, b.First), cmp.Compare(a.ID, b.ID)) }
+func compareFirstTry(a, b *Turn) int {
+	return cmp.Or(cmp.Compare(a.First, b.First), cmp.Compare(a.ID, b.ID))
+}
 
-// after returns the seconds after which to retry: when the class's share is free again, spread so that not
+// retryAfter returns the seconds retryAfter which to retry: when the class's share is free again, spread so that not
 // all clients retry in the same second.
-func (l *Line) after(wait float64) int {
+func (l *Line) retryAfter(wait float64) int {
 	l.spread++
-	return min(1+int(wait)+l.spread%3, longest)
+	return min(1+int(wait)+l.spread%3, maxRetryAfter)
 }
 
-// key returns the name under which a class is scheduled.
-func (t *teamLine) key(class string) string {
-	if t.classes[class] != nil || len(t.classes) < mostClasses {
+// classKey returns the name under which a class is scheduled.
+func (t *teamQueue) classKey(class string) string {
+	if t.classes[class] != nil || len(t.classes) < maxClasses {
 		return class
 	}
-	return otherClass
+	return sharedClass
 }
 
-// enter inserts a request at its position among those of its class.
-func (l *Line) enter(e *Turn) {
+// insert inserts a request at its position among those of its class.
+func (l *Line) insert(e *Turn) {
 	t := l.teams[e.Team]
 	if t == nil {
-		t = &teamLine{classes: map[string]*flow{}}
+		t = &teamQueue{classes: map[string]*classQueue{}}
 		l.teams[e.Team] = t
 	}
 	if t.waiting == 0 {
-		t.turn = max(t.turn, l.now) // a team does not make up for what it did not use while absent
+		t.turn = max(t.turn, l.virtualTime) // a team does not make up for what it did not use while absent
 	}
 	t.waiting++
-	name := t.key(e.Class)
+	name := t.classKey(e.Class)
 	f := t.classes[name]
 	if f == nil {
-		f = &flow{}
+		f = &classQueue{}
 		t.classes[name] = f
 	}
 	if len(f.waiting) == 0 {
-		f.turn = max(f.turn, t.now)
+		f.turn = max(f.turn, t.virtualTime)
 	}
-	i, _ := slices.BinarySearchFunc(f.waiting, e, byPlace)
+	i, _ := slices.BinarySearchFunc(f.waiting, e, compareFirstTry)
 	f.waiting = slices.Insert(f.waiting, i, e)
 }
 
 // Next removes up to n requests from the queue, in the order in which their teams and classes are scheduled.
 func (l *Line) Next(n int) (turns []Turn) {
 	for len(turns) < n && len(l.byID) > 0 {
-		name, t := first(l.teams, func(t *teamLine) (bool, float64) { return t.waiting > 0, t.turn })
-		l.now = t.turn
+		name, t := leastTurn(l.teams, func(t *teamQueue) (bool, float64) { return t.waiting > 0, t.turn })
+		l.virtualTime = t.turn
 		t.turn += 1 / l.weightOf(name)
-		class, f := first(t.classes, func(f *flow) (bool, float64) { return len(f.waiting) > 0, f.turn })
-		t.now = f.turn
+		class, f := leastTurn(t.classes, func(f *classQueue) (bool, float64) { return len(f.waiting) > 0, f.turn })
+		t.virtualTime = f.turn
 		e := f.waiting[0]
-		f.turn += 1 / turnsOf(e.Urgent)
-		l.leave(t, class, 0)
-		delete(l.places, e.ID)
+		f.turn += 1 / classWeight(e.Urgent)
+		l.remove(t, class, 0)
+		delete(l.positions, e.ID)
 		turns = append(turns, *e)
 	}
 	return turns
 }
 
-// first returns the waiting element with the least virtual time; equal ones are ordered by name.
-func first[T any](all map[string]T, at func(T) (waits bool, turn float64)) (name string, one T) {
+// leastTurn returns the waiting element with the least virtual time; equal ones are ordered by name.
+func leastTurn[T any](all map[string]T, at func(T) (waits bool, turn float64)) (name string, one T) {
 	best, found := 0.0, false
 	for k, x := range all {
 		if waits, turn := at(x); waits && (!found || turn < best || turn == best && k < name) {
@@ -247,15 +249,15 @@
 	return name, one
 }
 
-// leave removes the i-th request of a class from the queue. A team without waiting requests keeps no classes.
-func (l *Line) leave(t *teamLine, class string, i int) {
+// remove removes the i-th request of a class from the queue. A team without waiting requests keeps no classes.
+func (l *Line) remove(t *teamQueue, class string, i int) {
 	f := t.classes[class]
 	delete(l.byID, f.waiting[i].ID)
 	f.waiting = slices.Delete(f.waiting, i, i+1)
 	t.waiting--
 	if t.waiting == 0 {
 		clear(t.classes)
-		t.now = 0
+		t.virtualTime = 0
 	}
 }
 
@@ -264,7 +266,7 @@
 	for i := range all {
 		if e := &all[i]; l.byID[e.ID] == nil {
 			l.byID[e.ID] = e
-			l.enter(e)
+			l.insert(e)
 		}
 	}
 }
@@ -276,25 +278,25 @@
 	if e == nil {
 		return 1
 	}
-	wait := float64(l.ahead(&e.Request, e.First)+1) / l.share(&e.Request)
-	l.putOff(id, wall)
-	return l.after(wait)
+	wait := float64(l.ahead(&e.Request, e.First)+1) / l.classRate(&e.Request)
+	l.deferWaiting(id, wall)
+	return l.retryAfter(wait)
 }
 
-// putOff removes a waiting request and remembers its position.
-func (l *Line) putOff(id string, wall loop.Micros) {
+// deferWaiting removes a waiting request and remembers its position.
+func (l *Line) deferWaiting(id string, wall loop.Micros) {
 	e := l.byID[id]
 	t := l.teams[e.Team]
-	class := t.key(e.Class)
+	class := t.classKey(e.Class)
 	if i := slices.Index(t.classes[class].waiting, e); i >= 0 {
-		l.leave(t, class, i)
-		l.keep(Place{ID: id, First: e.First}, true)
+		l.remove(t, class, i)
+		l.rememberPosition(Place{ID: id, First: e.First}, true)
 	}
 }
 
-// longest returns the newest request of the team that holds most of the queue for its weight, or none if that
+// evictionCandidate returns the newest request of the team that holds most of the queue for its weight, or none if that
 // is the given team itself.
-func (l *Line) longest(self string) string {
+func (l *Line) evictionCandidate(self string) string {
 	name, most := self, 0.0
 	if t := l.teams[self]; t != nil {
 		most = float64(t.waiting+1) / l.weightOf(self)
@@ -309,67 +311,67 @@
 	}
 	var newest *Turn
 	for _, f := range l.teams[name].classes {
-		if n := len(f.waiting); n > 0 && (newest == nil || byPlace(f.waiting[n-1], newest) > 0) {
+		if n := len(f.waiting); n > 0 && (newest == nil || compareFirstTry(f.waiting[n-1], newest) > 0) {
 			newest = f.waiting[n-1]
 		}
 	}
 	return newest.ID
 }
 
-// keep remembers a position. own says that it was given here, so that the peers are told.
-func (l *Line) keep(p Place, own bool) {
-	if old, ok := l.places[p.ID]; ok {
-		l.places[p.ID] = min(old, p.First)
+// rememberPosition remembers a position. own says that it was given here, so that the peers are told.
+func (l *Line) rememberPosition(p Place, own bool) {
+	if old, ok := l.positions[p.ID]; ok {
+		l.positions[p.ID] = min(old, p.First)
 		return
 	}
-	if len(l.places) >= mostPlaces {
+	if len(l.positions) >= maxPositions {
 		return // not remembered: its next try ranks behind the remembered ones and ahead of none
 	}
-	l.places[p.ID] = p.First
-	l.order = append(l.order, p)
-	if own && len(l.news) < mostNews {
-		l.news = append(l.news, p)
+	l.positions[p.ID] = p.First
+	l.positionOrder = append(l.positionOrder, p)
+	if own && len(l.newPositions) < maxNewPositions {
+		l.newPositions = append(l.newPositions, p)
 	}
 }
 
-// mostNews bounds the positions sent to or accepted from a peer at once.
-const mostNews = 256
+// maxNewPositions bounds the positions sent to or accepted from a peer at once.
+const maxNewPositions = 256
 
 // News returns the positions recorded here since the last call, to be sent to the peers.
 func (l *Line) News() []Place {
-	out := l.news
-	l.news = nil
+	out := l.newPositions
+	l.newPositions = nil
 	return out
 }
 
 // Learn records positions from a peer. Positions that have expired, or lie in the future, are ignored.
 func (l *Line) Learn(all []Place, wall loop.Micros) {
-	for _, p := range all[:min(len(all), mostNews)] {
-		if p.ID != "" && p.First > wall-placeLife && p.First <= wall+loop.Second && l.byID[p.ID] == nil {
-			l.keep(p, false)
+	for _, p := range all[:min(len(all), maxNewPositions)] {
+		if p.ID != "" && p.First > wall-positionLife && p.First <= wall+loop.Second && l.byID[p.ID] == nil {
+			l.rememberPosition(p, false)
 		}
 	}
 }
 
-// forget drops the remembered positions that have expired.
-func (l *Line) forget(wall loop.Micros) {
-	for len(l.order) > 0 && (l.order[0].First <= wall-placeLife || len(l.order) > 2*mostPlaces) {
-		if p := l.order[0]; l.places[p.ID] <= wall-placeLife {
-			delete(l.places, p.ID)
+// forgetExpired drops the remembered positions that have expired.
+func (l *Line) forgetExpired(wall loop.Micros) {
+	for len(l.positionOrder) > 0 && (l.positionOrder[0].First <= wall-positionLife || len(l.positionOrder) > 2*maxPositions) {
+		if p := l.positionOrder[0]; l.positions[p.ID] <= wall-positionLife {
+			delete(l.positions, p.ID)
 		}
-		l.order = l.order[1:]
+		l.positionOrder = l.positionOrder[1:]
 	}
 }
 
 // Served records that n requests were admitted, for the estimate of the rate. busy says that others keep
 // waiting.
-func (l *Line) Served(n int, now loop.Micros, busy bool) { l.rate.served(n, now, busy) }
+func (l *Line) Served(n int, now loop.Micros, busy bool) { l.rate.recordAdmitted(n, now, busy) }
 
 // State returns the load state of the queue.
 func (l *Line) State(now loop.Micros) State {
-	l.over.look(now, true, len(l.byID) > 0)
-	return l.over.state
+	l.overload.update(now, true, len(l.byID) > 0)
+	return l.overload.state
 }
 
 // OnState registers a function to be called for every change of the state.
-func (l *Line) OnState(f func(from, to State)) { l.over.changed = f }
+func (l *Line) OnState(f func(from, to State)) { l.overload.changed = f }
--- a/internal/admission/line_test.go
+++ b/internal/admission/line_test.go
@@ -11,9 +11,9 @@
 
 const second = loop.Second
 
-// desk admits requests from a queue at a fixed rate in batches, as a controller does.
-type desk struct {
-	l      *Line
+// admitter admits requests from a queue at a fixed rate in batches, as a controller does.
+type admitter struct {
+	queue  *Line
 	now    loop.Micros
 	rate   float64
 	credit float64
@@ -21,16 +21,16 @@
 	done   map[string]bool
 }
 
-func newDesk(rate float64, weights map[string]float64) *desk {
-	return &desk{l: NewLine(func(t string) float64 { return weights[t] }, rate), now: 1000 * second, rate: rate, taken: map[string]int{}, done: map[string]bool{}}
+func newAdmitter(rate float64, weights map[string]float64) *admitter {
+	return &admitter{queue: NewLine(func(t string) float64 { return weights[t] }, rate), now: 1000 * second, rate: rate, taken: map[string]int{}, done: map[string]bool{}}
 }
 
-func (d *desk) step(dt loop.Micros) {
+func (d *admitter) step(dt loop.Micros) {
 	d.now += dt
 	d.credit = min(d.credit+d.rate*float64(dt)/1e6, 8)
 	n := 0
 	for d.credit >= 1 {
-		x := d.l.Next(1)
+		x := d.queue.Next(1)
 		if len(x) == 0 {
 			break
 		}
@@ -41,26 +41,26 @@
 		d.taken[x[0].Team+"/"+x[0].Class]++
 	}
 	if n > 0 {
-		d.l.Served(n, d.now, d.l.Waiting() > 0)
+		d.queue.Served(n, d.now, d.queue.Waiting() > 0)
 	}
 }
 
-// user is a client that submits a request and retries as told, until it is admitted or gives up after a
+// client is a client that submits a request and retries as told, until it is admitted or gives up after a
 // minute.
-type user struct {
+type client struct {
 	Request
 	first, next loop.Micros
 	in, gaveUp  bool
 }
 
-// play lets clients arrive at the given rates for a time, and returns all of them.
-func (d *desk) play(span loop.Micros, rng *rand.Rand, flows map[Request]float64) (all []*user) {
+// run lets clients arrive at the given rates for a time, and returns all of them.
+func (d *admitter) run(span loop.Micros, rng *rand.Rand, flows map[Request]float64) (all []*client) {
 	for end := d.now + span; d.now < end; d.step(50 * loop.Millisecond) {
 		for f, rate := range flows {
 			for n := rate * 0.05; n > 0 && (n >= 1 || rng.Float64() < n); n-- {
 				r := f
 				r.ID = fmt.Sprint("job-", len(all))
-				all = append(all, &user{Request: r, first: d.now, next: d.now})
+				all = append(all, &client{Request: r, first: d.now, next: d.now})
 			}
 		}
 		for _, u := range all {
@@ -71,7 +71,7 @@
 				u.gaveUp = true
 				continue
 			}
-			a := d.l.Ask(u.Request, d.now, d.now)
+			a := d.queue.Ask(u.Request, d.now, d.now)
 			u.in = a.Taken
 			u.next = d.now + loop.Micros(a.After)*second
 			if a.Instead != "" {
@@ -90,8 +90,8 @@
 // and what a team does not use goes to the others. Otherwise one team could keep the others out by retrying.
 func TestSharesUnderOverload(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	d := newDesk(20, map[string]float64{"large": 6, "small": 2, "guest": 1})
-	all := d.play(120*second, rng, map[Request]float64{
+	d := newAdmitter(20, map[string]float64{"large": 6, "small": 2, "guest": 1})
+	all := d.run(120*second, rng, map[Request]float64{
 		{Team: "large", Class: "a"}:               3, // below its share of 13
 		{Team: "small", Class: "a"}:               40,
 		{Team: "small", Class: "u", Urgent: true}: 1,
@@ -115,19 +115,19 @@
 			t.Errorf("%s received %.2f of the rest, want %.2f", team, got, part)
 		}
 	}
-	if d.l.State(d.now) != Overloaded {
-		t.Errorf("the load state is %v, want overloaded", d.l.State(d.now))
+	if d.queue.State(d.now) != Overloaded {
+		t.Errorf("the load state is %v, want overloaded", d.queue.State(d.now))
 	}
 }
 
 // A deferred request keeps its position: when a request is admitted, none of its class with an earlier first
 // try is waiting in the queue. While a team submits twice its share, at least two in five of its clients are
 // admitted before they give up.
-func TestPlacesAreKept(t *testing.T) {
+func TestDeferredRequestsKeepTheirPositions(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		d := newDesk(10, map[string]float64{"red": 1, "blue": 1})
-		all := d.play(150*second, rng, map[Request]float64{{Team: "red", Class: "k"}: 10, {Team: "blue", Class: "k"}: 10})
+		d := newAdmitter(10, map[string]float64{"red": 1, "blue": 1})
+		all := d.run(150*second, rng, map[Request]float64{{Team: "red", Class: "k"}: 10, {Team: "blue", Class: "k"}: 10})
 		in, over := 0, 0
 		for _, u := range all {
 			if u.first > d.now-60*second {
@@ -164,7 +164,7 @@
 }
 
 // A position given by another controller counts here; one that has expired or lies in the future does not.
-func TestPlacesOfOtherNodes(t *testing.T) {
+func TestPositionsFromOtherControllers(t *testing.T) {
 	one := func(string) float64 { return 1 }
 	a, b := NewLine(one, 5), NewLine(one, 5)
 	now := 1000 * second
@@ -175,7 +175,7 @@
 	if len(told) == 0 || len(a.News()) != 0 {
 		t.Fatalf("the first call of News returned %d positions, want some, and none from the second", len(told))
 	}
-	b.Learn(append(told, Place{ID: "old", First: now - 2*placeLife}, Place{ID: "new", First: now + 9*second}), now)
+	b.Learn(append(told, Place{ID: "old", First: now - 2*positionLife}, Place{ID: "new", First: now + 9*second}), now)
 	now += 3 * second
 	for i := range 4 {
 		b.Ask(Request{ID: fmt.Sprint("job-10", i), Team: "red", Class: "k"}, now, now)
@@ -193,7 +193,7 @@
 
 // Whatever is submitted, the memory used is bounded; a team that holds least for its weight gets into a full
 // queue; and while nothing waits, no request is deferred.
-func TestLineIsBounded(t *testing.T) {
+func TestQueueIsBounded(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	l := NewLine(func(t string) float64 { return map[string]float64{"guest": 0.01, "red": 1}[t] }, 1e6)
 	now := 1000 * second
@@ -202,10 +202,10 @@
 		l.Ask(Request{ID: fmt.Sprint("job-", i), Team: "guest", Class: fmt.Sprint(rng.IntN(5000)), Urgent: i%2 == 0}, now, now)
 	}
 	g := l.teams["guest"]
-	if l.Waiting() > most || len(l.places) > mostPlaces || len(l.order) > 2*mostPlaces+1 || len(g.classes) > mostClasses+1 || len(l.news) > mostNews {
-		t.Errorf("over a bound: %d waiting, %d positions, %d classes, %d new positions", l.Waiting(), len(l.places), len(g.classes), len(l.news))
+	if l.Waiting() > maxWaiting || len(l.positions) > maxPositions || len(l.positionOrder) > 2*maxPositions+1 || len(g.classes) > maxClasses+1 || len(l.newPositions) > maxNewPositions {
+		t.Errorf("over a bound: %d waiting, %d positions, %d classes, %d new positions", l.Waiting(), len(l.positions), len(g.classes), len(l.newPositions))
 	}
-	if a := l.Ask(Request{ID: "mine", Team: "red", Class: "k"}, now, now); !a.Taken || a.Instead == "" || a.After < 1 || a.After > longest {
+	if a := l.Ask(Request{ID: "mine", Team: "red", Class: "k"}, now, now); !a.Taken || a.Instead == "" || a.After < 1 || a.After > maxRetryAfter {
 		t.Errorf("in a full queue the decision for a team that holds nothing is %+v", a)
 	}
 	for l.Waiting() > 0 {
@@ -225,7 +225,7 @@
 
 // A team that submitted nothing for a long time gets its share once it submits again, but not what it did not
 // use before. The same holds for a class.
-func TestUnusedTurnsAreNotMadeUpFor(t *testing.T) {
+func TestUnusedSharesAreNotAccumulated(t *testing.T) {
 	l := NewLine(func(string) float64 { return 1 }, 1e6)
 	ask := func(team, class string, n int) {
 		for i := range n {
@@ -254,7 +254,7 @@
 	run := func(d loop.Micros, waits bool, off func(k int) bool) {
 		for k := range int(d / (100 * loop.Millisecond)) {
 			now += 100 * loop.Millisecond
-			o.look(now, off == nil || !off(k), waits)
+			o.update(now, off == nil || !off(k), waits)
 		}
 	}
 	run(800*loop.Millisecond, true, nil)
--- a/internal/admission/overload.go
+++ b/internal/admission/overload.go
@@ -22,17 +22,17 @@
 	// recoverAfter is the time after the last deferral when the overload counts as over, and backFor how long
 	// clients may still be retrying after that: the longest time that they may be told to wait.
 	recoverAfter = 5 * loop.Second
-	backFor      = longest * loop.Second
+	retryingFor  = maxRetryAfter * loop.Second
 )
 
 // Overload derives the load state from what happens to requests.
 type Overload struct {
-	state   State
-	since   loop.Micros
-	waits   loop.Micros // since when some request has been waiting at all times; 0: none waits
-	empty   loop.Micros // when no request was waiting last
-	off     loop.Micros // when a request was deferred last
-	changed func(from, to State)
+	state        State
+	since        loop.Micros
+	waitingSince loop.Micros // since when some request has been waiting at all times; 0: none waits
+	emptyAt      loop.Micros // when no request was waiting last
+	deferredAt   loop.Micros // when a request was deferred last
+	changed      func(from, to State)
 }
 
 // setState changes the state and reports the change; no other function changes the state.
@@ -47,28 +47,28 @@
 	}
 }
 
-// look updates the state. taken says that no request was deferred, waits that some request is waiting.
-func (o *Overload) look(now loop.Micros, taken, waits bool) {
+// update updates the state. taken says that no request was deferred, waits that some request is waiting.
+func (o *Overload) update(now loop.Micros, taken, waits bool) {
 	if !taken {
-		o.off = now
+		o.deferredAt = now
 	}
 	switch {
 	case !waits:
-		o.waits, o.empty = 0, now
-	case o.waits == 0:
-		o.waits = now
+		o.waitingSince, o.emptyAt = 0, now
+	case o.waitingSince == 0:
+		o.waitingSince = now
 	}
-	crowded := o.waits != 0 && now-o.waits >= crowdedAfter
+	crowded := o.waitingSince != 0 && now-o.waitingSince >= crowdedAfter
 	switch {
 	case !taken:
 		o.setState(Overloaded, now)
-	case o.state == Overloaded && now-o.off >= recoverAfter:
+	case o.state == Overloaded && now-o.deferredAt >= recoverAfter:
 		o.setState(Recovering, now)
-	case o.state == Recovering && now-o.since >= backFor && !crowded:
+	case o.state == Recovering && now-o.since >= retryingFor && !crowded:
 		o.setState(Calm, now)
 	case o.state == Calm && crowded:
 		o.setState(Crowded, now)
-	case o.state == Crowded && !crowded && now-o.empty < calmAfter && now-o.since >= calmAfter:
+	case o.state == Crowded && !crowded && now-o.emptyAt < calmAfter && now-o.since >= calmAfter:
 		o.setState(Calm, now)
 	}
 }
--- a/internal/admission/part.go
+++ b/internal/admission/part.go
@@ -1,12 +1,12 @@
 package admission
 
-// headroom is the fraction of the state service's limits that is used. The rest is left for bursts of several
+// usableFraction is the fraction of the state service's limits that is used. The rest is left for bursts of several
 // controllers at the same time; a request that the service refuses costs a tenth of a second.
-const headroom = 0.9
+const usableFraction = 0.9
 
-// absentWeight is the weight of a controller that is not registered, relative to one that is: it reads,
+// unregisteredWeight is the weight of a controller that is not registered, relative to one that is: it reads,
 // requests its lease, and writes nothing else.
-const absentWeight = 0.25
+const unregisteredWeight = 0.25
 
 // Part returns the fraction of the state service's limits that a controller may use, given the number of
 // controllers and how many of them are registered; mine says that this one is. A registration depends on the
@@ -17,10 +17,10 @@
 func Part(registered, nodes int, mine bool) float64 {
 	nodes = max(nodes, 1)
 	registered = min(max(registered, 0), nodes)
-	self := absentWeight
+	self := unregisteredWeight
 	if mine {
 		registered = max(registered, 1)
 		self = 1
 	}
-	return headroom * self / (float64(registered) + absentWeight*float64(nodes-registered))
+	return usableFraction * self / (float64(registered) + unregisteredWeight*float64(nodes-registered))
 }
--- a/internal/admission/part_test.go
+++ b/internal/admission/part_test.go
@@ -7,12 +7,12 @@
 
 // The fractions must add up to the same sum whichever controllers are registered, share what absent
 // controllers do not use, and never shrink as other controllers leave.
-func TestPartsAddUp(t *testing.T) {
+func TestRateFractionsAddUp(t *testing.T) {
 	for nodes := 1; nodes <= 15; nodes++ {
 		before := 1.0
 		for registered := 0; registered <= nodes; registered++ {
 			sum := float64(registered)*Part(registered, nodes, true) + float64(nodes-registered)*Part(registered, nodes, false)
-			if registered > 0 && math.Abs(sum-headroom) > 1e-9 || registered == 0 && sum > headroom+1e-9 {
+			if registered > 0 && math.Abs(sum-usableFraction) > 1e-9 || registered == 0 && sum > usableFraction+1e-9 {
 				t.Errorf("%d of %d controllers registered: the fractions add up to %v", registered, nodes, sum)
 			}
 			if p := Part(registered, nodes, true); registered > 0 && p > before {
@@ -21,7 +21,7 @@
 				before = p
 			}
 		}
-		if p := Part(nodes, nodes, true); math.Abs(p-headroom/float64(nodes)) > 1e-9 {
+		if p := Part(nodes, nodes, true); math.Abs(p-usableFraction/float64(nodes)) > 1e-9 {
 			t.Errorf("%d controllers, all registered: the fraction of each is %v", nodes, p)
 		}
 	}
--- a/internal/admission/rate_test.go
+++ b/internal/admission/rate_test.go
@@ -11,15 +11,15 @@
 // The rate by which requests are deferred must return to the expected value whatever was measured before:
 // with nothing admitted, with little, and with much admitted at the expected rate. A rate that stayed low
 // would keep deferring requests that could be admitted. A pause between two transactions is no sample.
-func TestTakenRateComesBack(t *testing.T) {
-	const expected, soon = 40.0, relaxAfter + 4*relaxHalf
+func TestAdmissionRateReturnsToExpected(t *testing.T) {
+	const expected, soon = 40.0, decayAfter + 4*decayHalfLife
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 46))
-		r := newTakenRate(expected)
+		r := newAdmissionRate(expected)
 		now := 3600 * loop.Second
 		for range rng.IntN(40) {
 			now += loop.Micros(rng.Int64N([]int64{1, 50, 3000, 40000}[rng.IntN(4)]*loop.Millisecond) + 1)
-			r.served(rng.IntN(9), now, rng.IntN(4) > 0)
+			r.recordAdmitted(rng.IntN(9), now, rng.IntN(4) > 0)
 		}
 		for _, after := range []struct {
 			name  string
@@ -37,9 +37,9 @@
 					break
 				}
 				at += after.every
-				c.served(after.n, at, after.n > 1)
+				c.recordAdmitted(after.n, at, after.n > 1)
 			}
-			c.relax(at)
+			c.decay(at)
 			allowed := max(0.15*expected, 0.1*math.Abs(r.perSecond-expected))
 			if math.Abs(c.perSecond-expected) > allowed {
 				t.Errorf("seed %d, then %s: rate is %.2f per second after %d s, was %.2f", seed, after.name, c.perSecond, soon/loop.Second, r.perSecond)
@@ -49,11 +49,11 @@
 }
 
 // A time between two transactions that is longer than longestSample must not lower the rate.
-func TestStandstillIsNoMeasure(t *testing.T) {
-	r := newTakenRate(40)
+func TestPauseIsNoRateSample(t *testing.T) {
+	r := newAdmissionRate(40)
 	at := 3600 * loop.Second
-	r.served(8, at, true)
-	r.served(8, at+longestSample+1, true)
+	r.recordAdmitted(8, at, true)
+	r.recordAdmitted(8, at+maxSampleTime+1, true)
 	if r.perSecond != 40 {
 		t.Errorf("after a pause the rate is %v per second, want 40", r.perSecond)
 	}
--- a/internal/admission/refusals.go
+++ b/internal/admission/refusals.go
@@ -6,8 +6,8 @@
 	"cleatpick/internal/loop"
 )
 
-// refusalsEnd is the time without a refusal for a reason after which the spell of refusals counts as over.
-const refusalsEnd = 5 * loop.Second
+// spellEndsAfter is the time without a refusal for a reason after which the spell of refusals counts as over.
+const spellEndsAfter = 5 * loop.Second
 
 // Refusals logs when a controller starts and stops refusing requests for a reason, once for each spell. The
 // reasons are a fixed list, which bounds the entries.
@@ -41,7 +41,7 @@
 // Look logs the spells that are over. It is to be called regularly.
 func (r *Refusals) Look(now loop.Micros) {
 	for reason, s := range loop.Sorted(r.spells) {
-		if now-s.last >= refusalsEnd {
+		if now-s.last >= spellEndsAfter {
 			r.log.Info("stopped refusing requests", "reason", reason, "refused", s.count, "lasted_us", s.last-s.began)
 			delete(r.spells, reason)
 		}
