--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -79,9 +79,9 @@
 	virtualTime float64 // virtual time of the class served last
 }
 
-// Line is the queue of requests that wait to be admitted: weighted fair queueing over the teams, and within a
+// Queue is the queue of requests that wait to be admitted: weighted fair queueing over the teams, and within a
 // team over its classes.
-type Line struct {
+type Queue struct {
 	weight        func(team string) float64
 	teams         map[string]*teamQueue
 	byID          map[string]*Turn
@@ -96,15 +96,15 @@
 
 // NewLine returns an empty queue. weight returns a team's weight relative to the others. rate is the number
 // of requests per second that are expected to be admitted, used until it has been measured.
-func NewLine(weight func(team string) float64, rate float64) *Line {
-	return &Line{weight: weight, teams: map[string]*teamQueue{}, byID: map[string]*Turn{}, rate: newAdmissionRate(rate), positions: map[string]loop.Micros{}}
+func NewLine(weight func(team string) float64, rate float64) *Queue {
+	return &Queue{weight: weight, teams: map[string]*teamQueue{}, byID: map[string]*Turn{}, rate: newAdmissionRate(rate), positions: map[string]loop.Micros{}}
 }
 
 // Waiting returns the number of requests in the queue.
-func (l *Line) Waiting() int { return len(l.byID) }
+func (l *Queue) Waiting() int { return len(l.byID) }
 
 // Ask queues a request or defers it. now is the monotonic time, wall the wall clock time.
-func (l *Line) Ask(r Request, now, wall loop.Micros) Answer {
+func (l *Queue) Ask(r Request, now, wall loop.Micros) Answer {
 	l.rate.decay(now)
 	l.forgetExpired(wall)
 	first, was := l.positions[r.ID]
@@ -136,7 +136,7 @@
 
 // classRate returns how many requests of the class are admitted per second while all classes that wait now keep
 // waiting.
-func (l *Line) classRate(r *Request) float64 {
+func (l *Queue) classRate(r *Request) float64 {
 	all := l.weightOf(r.Team)
 	for name, t := range loop.Sorted(l.teams) {
 		if t.waiting > 0 && name != r.Team {
@@ -155,7 +155,7 @@
 	return max(l.rate.perSecond*part*mine/(turns+mine), 1e-3)
 }
 
-func (l *Line) weightOf(team string) float64 { return max(l.weight(team), 1e-6) }
+func (l *Queue) weightOf(team string) float64 { return max(l.weight(team), 1e-6) }
 
 func classWeight(urgent bool) float64 {
 	if urgent {
@@ -165,7 +165,7 @@
 }
 
 // ahead returns how many requests of the class come before one with the given first try.
-func (l *Line) ahead(r *Request, first loop.Micros) int {
+func (l *Queue) ahead(r *Request, first loop.Micros) int {
 	t := l.teams[r.Team]
 	if t == nil {
 		return 0
@@ -184,7 +184,7 @@
 
 // retryAfter returns the seconds retryAfter which to retry: when the class's share is free again, spread so that not
 // all clients retry in the same second.
-func (l *Line) retryAfter(wait float64) int {
+func (l *Queue) retryAfter(wait float64) int {
 	l.spread++
 	return min(1+int(wait)+l.spread%3, maxRetryAfter)
 }
@@ -198,7 +198,7 @@
 }
 
 // insert inserts a request at its position among those of its class.
-func (l *Line) insert(e *Turn) {
+func (l *Queue) insert(e *Turn) {
 	t := l.teams[e.Team]
 	if t == nil {
 		t = &teamQueue{classes: map[string]*classQueue{}}
@@ -222,7 +222,7 @@
 }
 
 // Next removes up to n requests from the queue, in the order in which their teams and classes are scheduled.
-func (l *Line) Next(n int) (turns []Turn) {
+func (l *Queue) Next(n int) (turns []Turn) {
 	for len(turns) < n && len(l.byID) > 0 {
 		name, t := leastTurn(l.teams, func(t *teamQueue) (bool, float64) { return t.waiting > 0, t.turn })
 		l.virtualTime = t.turn
@@ -250,7 +250,7 @@
 }
 
 // remove removes the i-th request of a class from the queue. A team without waiting requests keeps no classes.
-func (l *Line) remove(t *teamQueue, class string, i int) {
+func (l *Queue) remove(t *teamQueue, class string, i int) {
 	f := t.classes[class]
 	delete(l.byID, f.waiting[i].ID)
 	f.waiting = slices.Delete(f.waiting, i, i+1)
@@ -262,7 +262,7 @@
 }
 
 // Back returns requests that were removed by Next to their positions in the queue.
-func (l *Line) Back(all []Turn) {
+func (l *Queue) Back(all []Turn) {
 	for i := range all {
 		if e := &all[i]; l.byID[e.ID] == nil {
 			l.byID[e.ID] = e
@@ -273,7 +273,7 @@
 
 // Drop removes a request that waited too long, remembers its position for its next try, and returns the
 // seconds after which the client should retry.
-func (l *Line) Drop(id string, wall loop.Micros) (after int) {
+func (l *Queue) Drop(id string, wall loop.Micros) (after int) {
 	e := l.byID[id]
 	if e == nil {
 		return 1
@@ -284,7 +284,7 @@
 }
 
 // deferWaiting removes a waiting request and remembers its position.
-func (l *Line) deferWaiting(id string, wall loop.Micros) {
+func (l *Queue) deferWaiting(id string, wall loop.Micros) {
 	e := l.byID[id]
 	t := l.teams[e.Team]
 	class := t.classKey(e.Class)
@@ -296,7 +296,7 @@
 
 // evictionCandidate returns the newest request of the team that holds most of the queue for its weight, or none if that
 // is the given team itself.
-func (l *Line) evictionCandidate(self string) string {
+func (l *Queue) evictionCandidate(self string) string {
 	name, most := self, 0.0
 	if t := l.teams[self]; t != nil {
 		most = float64(t.waiting+1) / l.weightOf(self)
@@ -319,7 +319,7 @@
 }
 
 // rememberPosition remembers a position. own says that it was given here, so that the peers are told.
-func (l *Line) rememberPosition(p Place, own bool) {
+func (l *Queue) rememberPosition(p Place, own bool) {
 	if old, ok := l.positions[p.ID]; ok {
 		l.positions[p.ID] = min(old, p.First)
 		return
@@ -338,14 +338,14 @@
 const maxNewPositions = 256
 
 // News returns the positions recorded here since the last call, to be sent to the peers.
-func (l *Line) News() []Place {
+func (l *Queue) News() []Place {
 	out := l.newPositions
 	l.newPositions = nil
 	return out
 }
 
 // Learn records positions from a peer. Positions that have expired, or lie in the future, are ignored.
-func (l *Line) Learn(all []Place, wall loop.Micros) {
+func (l *Queue) Learn(all []Place, wall loop.Micros) {
 	for _, p := range all[:min(len(all), maxNewPositions)] {
 		if p.ID != "" && p.First > wall-positionLife && p.First <= wall+loop.Second && l.byID[p.ID] == nil {
 			l.rememberPosition(p, false)
@@ -354,7 +354,7 @@
 }
 
 // forgetExpired drops the remembered positions that have expired.
-func (l *Line) forgetExpired(wall loop.Micros) {
+func (l *Queue) forgetExpired(wall loop.Micros) {
 	for len(l.positionOrder) > 0 && (l.positionOrder[0].First <= wall-positionLife || len(l.positionOrder) > 2*maxPositions) {
 		if p := l.positionOrder[0]; l.positions[p.ID] <= wall-positionLife {
 			delete(l.positions, p.ID)
@@ -365,13 +365,13 @@
 
 // Served records that n requests were admitted, for the estimate of the rate. busy says that others keep
 // waiting.
-func (l *Line) Served(n int, now loop.Micros, busy bool) { l.rate.recordAdmitted(n, now, busy) }
+func (l *Queue) Served(n int, now loop.Micros, busy bool) { l.rate.recordAdmitted(n, now, busy) }
 
 // State returns the load state of the queue.
-func (l *Line) State(now loop.Micros) State {
+func (l *Queue) State(now loop.Micros) State {
 	l.overload.update(now, true, len(l.byID) > 0)
 	return l.overload.state
 }
 
 // OnState registers a function to be called for every change of the state.
-func (l *Line) OnState(f func(from, to State)) { l.overload.changed = f }
+func (l *Queue) OnState(f func(from, to State)) { l.overload.changed = f }
--- a/internal/admission/line_test.go
+++ b/internal/admission/line_test.go
@@ -13,7 +13,7 @@
 
 // admitter admits requests from a queue at a fixed rate in batches, as a controller does.
 type admitter struct {
-	queue  *Line
+	queue  *Queue
 	now    loop.Micros
 	rate   float64
 	credit float64
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -21,7 +21,7 @@
 	jobs      map[string]*Job
 	damaged   map[string]bool // records that cannot be read, set aside
 	creates   map[string]*creation
-	line      *admission.Line // of the creates that wait for their record
+	line      *admission.Queue // of the creates that wait for their record
 	creating  bool
 	reads     reads
 	overdue   overdue
