--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -94,9 +94,9 @@
 	spread        int
 }
 
-// NewLine returns an empty queue. weight returns a team's weight relative to the others. rate is the number
+// NewQueue returns an empty queue. weight returns a team's weight relative to the others. rate is the number
 // of requests per second that are expected to be admitted, used until it has been measured.
-func NewLine(weight func(team string) float64, rate float64) *Queue {
+func NewQueue(weight func(team string) float64, rate float64) *Queue {
 	return &Queue{weight: weight, teams: map[string]*teamQueue{}, byID: map[string]*Turn{}, rate: newAdmissionRate(rate), positions: map[string]loop.Micros{}}
 }
 
--- a/internal/admission/line_test.go
+++ b/internal/admission/line_test.go
@@ -22,7 +22,7 @@
 }
 
 func newAdmitter(rate float64, weights map[string]float64) *admitter {
-	return &admitter{queue: NewLine(func(t string) float64 { return weights[t] }, rate), now: 1000 * second, rate: rate, taken: map[string]int{}, done: map[string]bool{}}
+	return &admitter{queue: NewQueue(func(t string) float64 { return weights[t] }, rate), now: 1000 * second, rate: rate, taken: map[string]int{}, done: map[string]bool{}}
 }
 
 func (d *admitter) step(dt loop.Micros) {
@@ -141,7 +141,7 @@
 		if in*5 < over*2 {
 			t.Errorf("seed %d: %d of %d clients were admitted, want at least two in five", seed, in, over)
 		}
-		l := NewLine(func(string) float64 { return 1 }, 10)
+		l := NewQueue(func(string) float64 { return 1 }, 10)
 		for range 200 {
 			id := fmt.Sprint("job-", rng.IntN(100))
 			l.Ask(Request{ID: id, Team: "red", Class: "k"}, d.now, d.now)
@@ -166,7 +166,7 @@
 // A position given by another controller counts here; one that has expired or lies in the future does not.
 func TestPositionsFromOtherControllers(t *testing.T) {
 	one := func(string) float64 { return 1 }
-	a, b := NewLine(one, 5), NewLine(one, 5)
+	a, b := NewQueue(one, 5), NewQueue(one, 5)
 	now := 1000 * second
 	for i := range 40 {
 		a.Ask(Request{ID: fmt.Sprint("job-", i), Team: "red", Class: "k"}, now, now)
@@ -195,7 +195,7 @@
 // queue; and while nothing waits, no request is deferred.
 func TestQueueIsBounded(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
-	l := NewLine(func(t string) float64 { return map[string]float64{"guest": 0.01, "red": 1}[t] }, 1e6)
+	l := NewQueue(func(t string) float64 { return map[string]float64{"guest": 0.01, "red": 1}[t] }, 1e6)
 	now := 1000 * second
 	for i := range 20000 {
 		now += loop.Micros(rng.IntN(2000))
@@ -214,7 +214,7 @@
 	if len(g.classes) != 0 {
 		t.Errorf("%d classes are kept of a team without waiting requests", len(g.classes))
 	}
-	l = NewLine(func(string) float64 { return 1 }, 0)
+	l = NewQueue(func(string) float64 { return 1 }, 0)
 	for i := range 100 {
 		if a := l.Ask(Request{ID: fmt.Sprint(i), Team: "red", Class: "k"}, now, now); !a.Taken {
 			t.Fatal("request deferred although none waits")
@@ -226,7 +226,7 @@
 // A team that submitted nothing for a long time gets its share once it submits again, but not what it did not
 // use before. The same holds for a class.
 func TestUnusedSharesAreNotAccumulated(t *testing.T) {
-	l := NewLine(func(string) float64 { return 1 }, 1e6)
+	l := NewQueue(func(string) float64 { return 1 }, 1e6)
 	ask := func(team, class string, n int) {
 		for i := range n {
 			l.Ask(Request{ID: fmt.Sprint(team, class, i), Team: team, Class: class}, second, second)
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -97,7 +97,7 @@
 // Admit sets by what weights teams share what is taken, and how many submissions a second
 // are expected to be. It is to be called before anything is submitted.
 func (r *Registry) Admit(weight func(team string) float64, rate float64) {
-	r.line = admission.NewLine(weight, rate)
+	r.line = admission.NewQueue(weight, rate)
 	r.line.OnState(func(from, to admission.State) {
 		r.client.Meter.Admission(to.String())
 		r.log.Info("submissions", "from", from.String(), "to", to.String(), "waiting", r.line.Waiting())
