--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -21,9 +21,9 @@
 	Urgent          bool
 }
 
-// Place is the queue position of a request: the wall clock time of its first try. A retry, at this controller
+// Position is the queue position of a request: the wall clock time of its first try. A retry, at this controller
 // or another one, keeps it.
-type Place struct {
+type Position struct {
 	_     struct{} `cbor:",toarray"`
 	ID    string
 	First loop.Micros
@@ -88,8 +88,8 @@
 	virtualTime   float64 // virtual time of the team served last
 	rate          admissionRate
 	positions     map[string]loop.Micros
-	positionOrder []Place // of places, in the order in which they were recorded
-	newPositions  []Place // new positions to be sent to the peers
+	positionOrder []Position // of places, in the order in which they were recorded
+	newPositions  []Position // new positions to be sent to the peers
 	overload      Overload
 	spread        int
 }
@@ -125,7 +125,7 @@
 	}
 	l.overload.update(now, a.Taken && a.Instead == "", len(l.byID) > 0)
 	if !a.Taken {
-		l.rememberPosition(Place{ID: r.ID, First: first}, true)
+		l.rememberPosition(Position{ID: r.ID, First: first}, true)
 		return a
 	}
 	e := &Turn{r, first}
@@ -290,7 +290,7 @@
 	class := t.classKey(e.Class)
 	if i := slices.Index(t.classes[class].waiting, e); i >= 0 {
 		l.remove(t, class, i)
-		l.rememberPosition(Place{ID: id, First: e.First}, true)
+		l.rememberPosition(Position{ID: id, First: e.First}, true)
 	}
 }
 
@@ -319,7 +319,7 @@
 }
 
 // rememberPosition remembers a position. own says that it was given here, so that the peers are told.
-func (l *Queue) rememberPosition(p Place, own bool) {
+func (l *Queue) rememberPosition(p Position, own bool) {
 	if old, ok := l.positions[p.ID]; ok {
 		l.positions[p.ID] = min(old, p.First)
 		return
@@ -338,14 +338,14 @@
 const maxNewPositions = 256
 
 // News returns the positions recorded here since the last call, to be sent to the peers.
-func (l *Queue) News() []Place {
+func (l *Queue) News() []Position {
 	out := l.newPositions
 	l.newPositions = nil
 	return out
 }
 
 // Learn records positions from a peer. Positions that have expired, or lie in the future, are ignored.
-func (l *Queue) Learn(all []Place, wall loop.Micros) {
+func (l *Queue) Learn(all []Position, wall loop.Micros) {
 	for _, p := range all[:min(len(all), maxNewPositions)] {
 		if p.ID != "" && p.First > wall-positionLife && p.First <= wall+loop.Second && l.byID[p.ID] == nil {
 			l.rememberPosition(p, false)
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -128,7 +128,7 @@
 	Deltas []*agent.Delta `cbor:"16,keyasint,omitempty"`
 	Lost   []string       `cbor:"17,keyasint,omitempty"`
 	// Places are those of users who were put off, so that their next try keeps them.
-	Places []admission.Place `cbor:"18,keyasint,omitempty"`
+	Places []admission.Position `cbor:"18,keyasint,omitempty"`
 	// Life is the time of day at which the sender's process began.
 	Life loop.Micros `cbor:"19,keyasint,omitempty"`
 	// Horizon is what the sender asks and answers about cancellations.
