--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -24,9 +24,9 @@
 // Position is the queue position of a request: the wall clock time of its first try. A retry, at this controller
 // or another one, keeps it.
 type Position struct {
-	_     struct{} `cbor:",toarray"`
-	ID    string
-	First loop.Micros
+	_        struct{} `cbor:",toarray"`
+	ID       string
+	FirstTry loop.Micros
 }
 
 // Answer is the decision on a request.
@@ -125,7 +125,7 @@
 	}
 	l.overload.update(now, a.Taken && a.Instead == "", len(l.byID) > 0)
 	if !a.Taken {
-		l.rememberPosition(Position{ID: r.ID, First: first}, true)
+		l.rememberPosition(Position{ID: r.ID, FirstTry: first}, true)
 		return a
 	}
 	e := &Turn{r, first}
@@ -290,7 +290,7 @@
 	class := t.classKey(e.Class)
 	if i := slices.Index(t.classes[class].waiting, e); i >= 0 {
 		l.remove(t, class, i)
-		l.rememberPosition(Position{ID: id, First: e.First}, true)
+		l.rememberPosition(Position{ID: id, FirstTry: e.First}, true)
 	}
 }
 
@@ -321,13 +321,13 @@
 // rememberPosition remembers a position. own says that it was given here, so that the peers are told.
 func (l *Queue) rememberPosition(p Position, own bool) {
 	if old, ok := l.positions[p.ID]; ok {
-		l.positions[p.ID] = min(old, p.First)
+		l.positions[p.ID] = min(old, p.FirstTry)
 		return
 	}
 	if len(l.positions) >= maxPositions {
 		return // not remembered: its next try ranks behind the remembered ones and ahead of none
 	}
-	l.positions[p.ID] = p.First
+	l.positions[p.ID] = p.FirstTry
 	l.positionOrder = append(l.positionOrder, p)
 	if own && len(l.newPositions) < maxNewPositions {
 		l.newPositions = append(l.newPositions, p)
@@ -347,7 +347,7 @@
 // Learn records positions from a peer. Positions that have expired, or lie in the future, are ignored.
 func (l *Queue) Learn(all []Position, wall loop.Micros) {
 	for _, p := range all[:min(len(all), maxNewPositions)] {
-		if p.ID != "" && p.First > wall-positionLife && p.First <= wall+loop.Second && l.byID[p.ID] == nil {
+		if p.ID != "" && p.FirstTry > wall-positionLife && p.FirstTry <= wall+loop.Second && l.byID[p.ID] == nil {
 			l.rememberPosition(p, false)
 		}
 	}
@@ -355,7 +355,7 @@
 
 // forgetExpired drops the remembered positions that have expired.
 func (l *Queue) forgetExpired(wall loop.Micros) {
-	for len(l.positionOrder) > 0 && (l.positionOrder[0].First <= wall-positionLife || len(l.positionOrder) > 2*maxPositions) {
+	for len(l.positionOrder) > 0 && (l.positionOrder[0].FirstTry <= wall-positionLife || len(l.positionOrder) > 2*maxPositions) {
 		if p := l.positionOrder[0]; l.positions[p.ID] <= wall-positionLife {
 			delete(l.positions, p.ID)
 		}
