--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -29,8 +29,8 @@
 	FirstTry loop.Micros
 }
 
-// Answer is the decision on a request.
-type Answer struct {
+// Decision is the decision on a request.
+type Decision struct {
 	Taken bool
 	After int // seconds after which the client should retry, if the request was deferred
 	// Instead is the ID of another waiting request that is evicted in favour of this one, because its team
@@ -104,7 +104,7 @@
 func (l *Queue) Waiting() int { return len(l.byID) }
 
 // Ask queues a request or defers it. now is the monotonic time, wall the wall clock time.
-func (l *Queue) Ask(r Request, now, wall loop.Micros) Answer {
+func (l *Queue) Ask(r Request, now, wall loop.Micros) Decision {
 	l.rate.decay(now)
 	l.forgetExpired(wall)
 	first, was := l.positions[r.ID]
@@ -112,12 +112,12 @@
 		first = wall
 	}
 	ahead := l.ahead(&r, first)
-	a := Answer{Taken: true}
+	a := Decision{Taken: true}
 	if wait := float64(ahead+1) / l.classRate(&r); ahead > 0 && wait > float64(maxWait)/1e6 {
-		a = Answer{After: l.retryAfter(wait)}
+		a = Decision{After: l.retryAfter(wait)}
 	} else if len(l.byID) >= maxWaiting {
 		if a.Instead = l.evictionCandidate(r.Team); a.Instead == "" {
-			a = Answer{After: l.retryAfter(wait)}
+			a = Decision{After: l.retryAfter(wait)}
 		} else {
 			a.After = l.retryAfter(wait)
 			l.deferWaiting(a.Instead, wall)
