--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -31,8 +31,8 @@
 
 // Decision is the decision on a request.
 type Decision struct {
-	Taken bool
-	After int // seconds after which the client should retry, if the request was deferred
+	Admitted bool
+	After    int // seconds after which the client should retry, if the request was deferred
 	// Instead is the ID of another waiting request that is evicted in favour of this one, because its team
 	// holds more than its part of the queue. Its client is to be told After. Empty: none is evicted.
 	Instead string
@@ -112,7 +112,7 @@
 		first = wall
 	}
 	ahead := l.ahead(&r, first)
-	a := Decision{Taken: true}
+	a := Decision{Admitted: true}
 	if wait := float64(ahead+1) / l.classRate(&r); ahead > 0 && wait > float64(maxWait)/1e6 {
 		a = Decision{After: l.retryAfter(wait)}
 	} else if len(l.byID) >= maxWaiting {
@@ -123,8 +123,8 @@
 			l.deferWaiting(a.Instead, wall)
 		}
 	}
-	l.overload.update(now, a.Taken && a.Instead == "", len(l.byID) > 0)
-	if !a.Taken {
+	l.overload.update(now, a.Admitted && a.Instead == "", len(l.byID) > 0)
+	if !a.Admitted {
 		l.rememberPosition(Position{ID: r.ID, FirstTry: first}, true)
 		return a
 	}
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -58,7 +58,7 @@
 	if a.Instead != "" {
 		r.putOff(a.Instead, a.After)
 	}
-	if !a.Taken {
+	if !a.Admitted {
 		r.client.Meter.Submission("putOff")
 		r.deliver(q, Answer{Code: 429, ID: q.id, After: a.After, way: RefusedPutOff})
 		return
