--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -31,8 +31,8 @@
 
 // Decision is the decision on a request.
 type Decision struct {
-	Admitted bool
-	After    int // seconds after which the client should retry, if the request was deferred
+	Admitted   bool
+	RetryAfter int // seconds after which the client should retry, if the request was deferred
 	// Instead is the ID of another waiting request that is evicted in favour of this one, because its team
 	// holds more than its part of the queue. Its client is to be told After. Empty: none is evicted.
 	Instead string
@@ -114,12 +114,12 @@
 	ahead := l.ahead(&r, first)
 	a := Decision{Admitted: true}
 	if wait := float64(ahead+1) / l.classRate(&r); ahead > 0 && wait > float64(maxWait)/1e6 {
-		a = Decision{After: l.retryAfter(wait)}
+		a = Decision{RetryAfter: l.retryAfter(wait)}
 	} else if len(l.byID) >= maxWaiting {
 		if a.Instead = l.evictionCandidate(r.Team); a.Instead == "" {
-			a = Decision{After: l.retryAfter(wait)}
+			a = Decision{RetryAfter: l.retryAfter(wait)}
 		} else {
-			a.After = l.retryAfter(wait)
+			a.RetryAfter = l.retryAfter(wait)
 			l.deferWaiting(a.Instead, wall)
 		}
 	}
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -56,11 +56,11 @@
 	}
 	a := r.line.Ask(admission.Request{ID: q.id, Team: spec.Team, Class: spec.Class, Urgent: spec.Priority >= High}, r.runner.Now(), r.runner.Wall())
 	if a.Instead != "" {
-		r.putOff(a.Instead, a.After)
+		r.putOff(a.Instead, a.RetryAfter)
 	}
 	if !a.Admitted {
 		r.client.Meter.Submission("putOff")
-		r.deliver(q, Answer{Code: 429, ID: q.id, After: a.After, way: RefusedPutOff})
+		r.deliver(q, Answer{Code: 429, ID: q.id, After: a.RetryAfter, way: RefusedPutOff})
 		return
 	}
 	r.creates[q.id] = &creation{spec: spec, terms: terms.stored(), questions: []*question{q}, deadline: q.deadline}
