--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -33,9 +33,9 @@
 type Decision struct {
 	Admitted   bool
 	RetryAfter int // seconds after which the client should retry, if the request was deferred
-	// Instead is the ID of another waiting request that is evicted in favour of this one, because its team
+	// Evicted is the ID of another waiting request that is evicted in favour of this one, because its team
 	// holds more than its part of the queue. Its client is to be told After. Empty: none is evicted.
-	Instead string
+	Evicted string
 }
 
 const (
@@ -116,14 +116,14 @@
 	if wait := float64(ahead+1) / l.classRate(&r); ahead > 0 && wait > float64(maxWait)/1e6 {
 		a = Decision{RetryAfter: l.retryAfter(wait)}
 	} else if len(l.byID) >= maxWaiting {
-		if a.Instead = l.evictionCandidate(r.Team); a.Instead == "" {
+		if a.Evicted = l.evictionCandidate(r.Team); a.Evicted == "" {
 			a = Decision{RetryAfter: l.retryAfter(wait)}
 		} else {
 			a.RetryAfter = l.retryAfter(wait)
-			l.deferWaiting(a.Instead, wall)
+			l.deferWaiting(a.Evicted, wall)
 		}
 	}
-	l.overload.update(now, a.Admitted && a.Instead == "", len(l.byID) > 0)
+	l.overload.update(now, a.Admitted && a.Evicted == "", len(l.byID) > 0)
 	if !a.Admitted {
 		l.rememberPosition(Position{ID: r.ID, FirstTry: first}, true)
 		return a
--- a/internal/admission/line_test.go
+++ b/internal/admission/line_test.go
@@ -74,9 +74,9 @@
 			a := d.queue.Ask(u.Request, d.now, d.now)
 			u.in = a.Admitted
 			u.next = d.now + loop.Micros(a.RetryAfter)*second
-			if a.Instead != "" {
+			if a.Evicted != "" {
 				for _, o := range all {
-					if o.ID == a.Instead {
+					if o.ID == a.Evicted {
 						o.in, o.next = false, d.now+loop.Micros(a.RetryAfter)*second
 					}
 				}
@@ -205,7 +205,7 @@
 	if l.Waiting() > maxWaiting || len(l.positions) > maxPositions || len(l.positionOrder) > 2*maxPositions+1 || len(g.classes) > maxClasses+1 || len(l.newPositions) > maxNewPositions {
 		t.Errorf("over a bound: %d waiting, %d positions, %d classes, %d new positions", l.Waiting(), len(l.positions), len(g.classes), len(l.newPositions))
 	}
-	if a := l.Ask(Request{ID: "mine", Team: "red", Class: "k"}, now, now); !a.Admitted || a.Instead == "" || a.RetryAfter < 1 || a.RetryAfter > maxRetryAfter {
+	if a := l.Ask(Request{ID: "mine", Team: "red", Class: "k"}, now, now); !a.Admitted || a.Evicted == "" || a.RetryAfter < 1 || a.RetryAfter > maxRetryAfter {
 		t.Errorf("in a full queue the decision for a team that holds nothing is %+v", a)
 	}
 	for l.Waiting() > 0 {
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -55,8 +55,8 @@
 		return
 	}
 	a := r.line.Ask(admission.Request{ID: q.id, Team: spec.Team, Class: spec.Class, Urgent: spec.Priority >= High}, r.runner.Now(), r.runner.Wall())
-	if a.Instead != "" {
-		r.putOff(a.Instead, a.RetryAfter)
+	if a.Evicted != "" {
+		r.putOff(a.Evicted, a.RetryAfter)
 	}
 	if !a.Admitted {
 		r.client.Meter.Submission("putOff")
