--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -58,8 +58,8 @@
 	sharedClass = "\x00others"
 )
 
-// Turn is a waiting request with its queue position.
-type Turn struct {
+// Entry is a waiting request with its queue position.
+type Entry struct {
 	Request
 	First loop.Micros // wall clock time of its first try
 }
@@ -67,7 +67,7 @@
 // classQueue is the waiting requests of one class, earliest first try first, with the virtual time at which the
 // class is served next: each request advances it by the inverse of the class's weight.
 type classQueue struct {
-	waiting []*Turn
+	waiting []*Entry
 	turn    float64
 }
 
@@ -84,7 +84,7 @@
 type Queue struct {
 	weight        func(team string) float64
 	teams         map[string]*teamQueue
-	byID          map[string]*Turn
+	byID          map[string]*Entry
 	virtualTime   float64 // virtual time of the team served last
 	rate          admissionRate
 	positions     map[string]loop.Micros
@@ -97,7 +97,7 @@
 // NewQueue returns an empty queue. weight returns a team's weight relative to the others. rate is the number
 // of requests per second that are expected to be admitted, used until it has been measured.
 func NewQueue(weight func(team string) float64, rate float64) *Queue {
-	return &Queue{weight: weight, teams: map[string]*teamQueue{}, byID: map[string]*Turn{}, rate: newAdmissionRate(rate), positions: map[string]loop.Micros{}}
+	return &Queue{weight: weight, teams: map[string]*teamQueue{}, byID: map[string]*Entry{}, rate: newAdmissionRate(rate), positions: map[string]loop.Micros{}}
 }
 
 // Waiting returns the number of requests in the queue.
@@ -128,7 +128,7 @@
 		l.rememberPosition(Position{ID: r.ID, FirstTry: first}, true)
 		return a
 	}
-	e := &Turn{r, first}
+	e := &Entry{r, first}
 	l.byID[r.ID] = e
 	l.insert(e)
 	return a
@@ -174,11 +174,11 @@
 	if f == nil {
 		return 0
 	}
-	i, _ := slices.BinarySearchFunc(f.waiting, &Turn{*r, first}, compareFirstTry)
+	i, _ := slices.BinarySearchFunc(f.waiting, &Entry{*r, first}, compareFirstTry)
 	return i
 }
 
-func compareFirstTry(a, b *Turn) int {
+func compareFirstTry(a, b *Entry) int {
 	return cmp.Or(cmp.Compare(a.First, b.First), cmp.Compare(a.ID, b.ID))
 }
 
@@ -198,7 +198,7 @@
 }
 
 // insert inserts a request at its position among those of its class.
-func (l *Queue) insert(e *Turn) {
+func (l *Queue) insert(e *Entry) {
 	t := l.teams[e.Team]
 	if t == nil {
 		t = &teamQueue{classes: map[string]*classQueue{}}
@@ -222,7 +222,7 @@
 }
 
 // Next removes up to n requests from the queue, in the order in which their teams and classes are scheduled.
-func (l *Queue) Next(n int) (turns []Turn) {
+func (l *Queue) Next(n int) (turns []Entry) {
 	for len(turns) < n && len(l.byID) > 0 {
 		name, t := leastTurn(l.teams, func(t *teamQueue) (bool, float64) { return t.waiting > 0, t.turn })
 		l.virtualTime = t.turn
@@ -262,7 +262,7 @@
 }
 
 // Back returns requests that were removed by Next to their positions in the queue.
-func (l *Queue) Back(all []Turn) {
+func (l *Queue) Back(all []Entry) {
 	for i := range all {
 		if e := &all[i]; l.byID[e.ID] == nil {
 			l.byID[e.ID] = e
@@ -309,7 +309,7 @@
 	if name == self {
 		return ""
 	}
-	var newest *Turn
+	var newest *Entry
 	for _, f := range l.teams[name].classes {
 		if n := len(f.waiting); n > 0 && (newest == nil || compareFirstTry(f.waiting[n-1], newest) > 0) {
 			newest = f.waiting[n-1]
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -90,7 +90,7 @@
 
 // createBatch is the creations of one transaction.
 type createBatch struct {
-	turns   []admission.Turn
+	turns   []admission.Entry
 	records map[string]Record
 	txn     wire.Txn
 }
@@ -177,7 +177,7 @@
 				r.read(q)
 			}
 		default:
-			r.line.Back([]admission.Turn{turn})
+			r.line.Back([]admission.Entry{turn})
 		}
 	}
 }
