--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -61,7 +61,7 @@
 // Entry is a waiting request with its queue position.
 type Entry struct {
 	Request
-	First loop.Micros // wall clock time of its first try
+	FirstTry loop.Micros // wall clock time of its first try
 }
 
 // classQueue is the waiting requests of one class, earliest first try first, with the virtual time at which the
@@ -179,7 +179,7 @@
 }
 
 func compareFirstTry(a, b *Entry) int {
-	return cmp.Or(cmp.Compare(a.First, b.First), cmp.Compare(a.ID, b.ID))
+	return cmp.Or(cmp.Compare(a.FirstTry, b.FirstTry), cmp.Compare(a.ID, b.ID))
 }
 
 // retryAfter returns the seconds retryAfter which to retry: when the class's share is free again, spread so that not
@@ -278,7 +278,7 @@
 	if e == nil {
 		return 1
 	}
-	wait := float64(l.ahead(&e.Request, e.First)+1) / l.classRate(&e.Request)
+	wait := float64(l.ahead(&e.Request, e.FirstTry)+1) / l.classRate(&e.Request)
 	l.deferWaiting(id, wall)
 	return l.retryAfter(wait)
 }
@@ -290,7 +290,7 @@
 	class := t.classKey(e.Class)
 	if i := slices.Index(t.classes[class].waiting, e); i >= 0 {
 		l.remove(t, class, i)
-		l.rememberPosition(Position{ID: id, FirstTry: e.First}, true)
+		l.rememberPosition(Position{ID: id, FirstTry: e.FirstTry}, true)
 	}
 }
 
--- a/internal/admission/line_test.go
+++ b/internal/admission/line_test.go
@@ -149,11 +149,11 @@
 			if rng.IntN(3) == 0 {
 				before := map[string]loop.Micros{}
 				for id, e := range l.byID {
-					before[id] = e.First
+					before[id] = e.FirstTry
 				}
 				for _, x := range l.Next(1) {
 					for id, first := range before {
-						if first < x.First {
+						if first < x.FirstTry {
 							t.Fatalf("seed %d: %s is admitted before %s, whose first try was earlier", seed, x.ID, id)
 						}
 					}
