--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -261,8 +261,8 @@
 	}
 }
 
-// Back returns requests that were removed by Next to their positions in the queue.
-func (l *Queue) Back(all []Entry) {
+// Requeue returns requests that were removed by Next to their positions in the queue.
+func (l *Queue) Requeue(all []Entry) {
 	for i := range all {
 		if e := &all[i]; l.byID[e.ID] == nil {
 			l.byID[e.ID] = e
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -154,7 +154,7 @@
 	default:
 		// Unknown: the same creation may be tried again, since it is
 		// conditioned on the job's absence.
-		r.line.Back(batch.turns)
+		r.line.Requeue(batch.turns)
 		r.runner.After(createAgain, r.pumpCreates)
 		return
 	}
@@ -177,7 +177,7 @@
 				r.read(q)
 			}
 		default:
-			r.line.Back([]admission.Entry{turn})
+			r.line.Requeue([]admission.Entry{turn})
 		}
 	}
 }
