--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -271,9 +271,9 @@
 	}
 }
 
-// Drop removes a request that waited too long, remembers its position for its next try, and returns the
+// TimeOut removes a request that waited too long, remembers its position for its next try, and returns the
 // seconds after which the client should retry.
-func (l *Queue) Drop(id string, wall loop.Micros) (after int) {
+func (l *Queue) TimeOut(id string, wall loop.Micros) (after int) {
 	e := l.byID[id]
 	if e == nil {
 		return 1
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -187,7 +187,7 @@
 	for id, c := range loop.Sorted(r.creates) {
 		if now >= c.deadline {
 			a := refusal(id, 503, RefusedExpired)
-			a.After = r.line.Drop(id, r.runner.Wall())
+			a.After = r.line.TimeOut(id, r.runner.Wall())
 			r.endCreate(id, a)
 		}
 	}
