--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -337,8 +337,8 @@
 // maxNewPositions bounds the positions sent to or accepted from a peer at once.
 const maxNewPositions = 256
 
-// News returns the positions recorded here since the last call, to be sent to the peers.
-func (l *Queue) News() []Position {
+// TakeNewPositions returns the positions recorded here since the last call, to be sent to the peers.
+func (l *Queue) TakeNewPositions() []Position {
 	out := l.newPositions
 	l.newPositions = nil
 	return out
--- a/internal/admission/line_test.go
+++ b/internal/admission/line_test.go
@@ -171,8 +171,8 @@
 	for i := range 40 {
 		a.Admit(Request{ID: fmt.Sprint("job-", i), Team: "red", Class: "k"}, now, now)
 	}
-	told := a.News()
-	if len(told) == 0 || len(a.News()) != 0 {
+	told := a.TakeNewPositions()
+	if len(told) == 0 || len(a.TakeNewPositions()) != 0 {
 		t.Fatalf("the first call of News returned %d positions, want some, and none from the second", len(told))
 	}
 	b.Learn(append(told, Position{ID: "old", FirstTry: now - 2*positionLife}, Position{ID: "new", FirstTry: now + 9*second}), now)
@@ -186,7 +186,7 @@
 	if x := b.Next(1); len(x) != 1 || x[0].ID != told[0].ID {
 		t.Errorf("%v is admitted first, want %s, which another controller had deferred", x, told[0].ID)
 	}
-	if len(b.News()) > 2 {
+	if len(b.TakeNewPositions()) > 2 {
 		t.Error("positions learned from a peer are sent to peers again")
 	}
 }
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -106,7 +106,7 @@
 
 // Places are the places of those who were put off since the call before, for the peers;
 // LearnPlaces takes in theirs.
-func (r *Registry) Places() []admission.Position { return r.line.News() }
+func (r *Registry) Places() []admission.Position { return r.line.TakeNewPositions() }
 func (r *Registry) LearnPlaces(all []admission.Position) {
 	r.line.Learn(all, r.runner.Wall())
 }
