--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -344,8 +344,8 @@
 	return out
 }
 
-// Learn records positions from a peer. Positions that have expired, or lie in the future, are ignored.
-func (l *Queue) Learn(all []Position, wall loop.Micros) {
+// MergePositions records positions from a peer. Positions that have expired, or lie in the future, are ignored.
+func (l *Queue) MergePositions(all []Position, wall loop.Micros) {
 	for _, p := range all[:min(len(all), maxNewPositions)] {
 		if p.ID != "" && p.FirstTry > wall-positionLife && p.FirstTry <= wall+loop.Second && l.byID[p.ID] == nil {
 			l.rememberPosition(p, false)
--- a/internal/admission/line_test.go
+++ b/internal/admission/line_test.go
@@ -175,7 +175,7 @@
 	if len(told) == 0 || len(a.TakeNewPositions()) != 0 {
 		t.Fatalf("the first call of News returned %d positions, want some, and none from the second", len(told))
 	}
-	b.Learn(append(told, Position{ID: "old", FirstTry: now - 2*positionLife}, Position{ID: "new", FirstTry: now + 9*second}), now)
+	b.MergePositions(append(told, Position{ID: "old", FirstTry: now - 2*positionLife}, Position{ID: "new", FirstTry: now + 9*second}), now)
 	now += 3 * second
 	for i := range 4 {
 		b.Admit(Request{ID: fmt.Sprint("job-10", i), Team: "red", Class: "k"}, now, now)
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -108,7 +108,7 @@
 // LearnPlaces takes in theirs.
 func (r *Registry) Places() []admission.Position { return r.line.TakeNewPositions() }
 func (r *Registry) LearnPlaces(all []admission.Position) {
-	r.line.Learn(all, r.runner.Wall())
+	r.line.MergePositions(all, r.runner.Wall())
 }
 
 // Get finds a job known here.
