--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -363,9 +363,11 @@
 	}
 }
 
-// Served records that n requests were admitted, for the estimate of the rate. busy says that others keep
+// RecordAdmitted records that n requests were admitted, for the estimate of the rate. busy says that others keep
 // waiting.
-func (l *Queue) Served(n int, now loop.Micros, busy bool) { l.rate.recordAdmitted(n, now, busy) }
+func (l *Queue) RecordAdmitted(n int, now loop.Micros, busy bool) {
+	l.rate.recordAdmitted(n, now, busy)
+}
 
 // State returns the load state of the queue.
 func (l *Queue) State(now loop.Micros) State {
--- a/internal/admission/line_test.go
+++ b/internal/admission/line_test.go
@@ -41,7 +41,7 @@
 		d.taken[x[0].Team+"/"+x[0].Class]++
 	}
 	if n > 0 {
-		d.queue.Served(n, d.now, d.queue.Waiting() > 0)
+		d.queue.RecordAdmitted(n, d.now, d.queue.Waiting() > 0)
 	}
 }
 
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -138,7 +138,7 @@
 func (r *Registry) createsEnded(batch *createBatch, result store.Result, request store.Sequence) {
 	switch result.Outcome {
 	case store.Applied:
-		r.line.Served(len(batch.turns), r.runner.Now(), r.line.Waiting() > 0)
+		r.line.RecordAdmitted(len(batch.turns), r.runner.Now(), r.line.Waiting() > 0)
 		for _, turn := range batch.turns {
 			r.client.Meter.Submission("taken")
 			r.mirror.Apply(Keys+turn.ID, wire.Marshal(batch.records[turn.ID]), result.Tally, false)
