--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -375,5 +375,5 @@
 	return l.overload.state
 }
 
-// OnState registers a function to be called for every change of the state.
-func (l *Queue) OnState(f func(from, to State)) { l.overload.changed = f }
+// OnStateChange registers a function to be called for every change of the state.
+func (l *Queue) OnStateChange(f func(from, to State)) { l.overload.changed = f }
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -98,7 +98,7 @@
 // are expected to be. It is to be called before anything is submitted.
 func (r *Registry) Admit(weight func(team string) float64, rate float64) {
 	r.line = admission.NewQueue(weight, rate)
-	r.line.OnState(func(from, to admission.State) {
+	r.line.OnStateChange(func(from, to admission.State) {
 		r.client.Meter.Admission(to.String())
 		r.log.Info("submissions", "from", from.String(), "to", to.String(), "waiting", r.line.Waiting())
 	})
