--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -90,7 +90,7 @@
 	positions     map[string]loop.Micros
 	positionOrder []Position // of places, in the order in which they were recorded
 	newPositions  []Position // new positions to be sent to the peers
-	overload      Overload
+	overload      LoadTracker
 	spread        int
 }
 
--- a/internal/admission/line_test.go
+++ b/internal/admission/line_test.go
@@ -247,7 +247,7 @@
 
 // The load states follow each other in their order, and do not alternate while clients retry.
 func TestOverloadStates(t *testing.T) {
-	var o Overload
+	var o LoadTracker
 	var seen []string
 	o.changed = func(_, to State) { seen = append(seen, to.String()) }
 	now := 100 * second
--- a/internal/admission/overload.go
+++ b/internal/admission/overload.go
@@ -25,8 +25,8 @@
 	retryingFor  = maxRetryAfter * loop.Second
 )
 
-// Overload derives the load state from what happens to requests.
-type Overload struct {
+// LoadTracker derives the load state from what happens to requests.
+type LoadTracker struct {
 	state        State
 	since        loop.Micros
 	waitingSince loop.Micros // since when some request has been waiting at all times; 0: none waits
@@ -36,7 +36,7 @@
 }
 
 // setState changes the state and reports the change; no other function changes the state.
-func (o *Overload) setState(s State, now loop.Micros) {
+func (o *LoadTracker) setState(s State, now loop.Micros) {
 	if o.state == s {
 		return
 	}
@@ -48,7 +48,7 @@
 }
 
 // update updates the state. taken says that no request was deferred, waits that some request is waiting.
-func (o *Overload) update(now loop.Micros, taken, waits bool) {
+func (o *LoadTracker) update(now loop.Micros, taken, waits bool) {
 	if !taken {
 		o.deferredAt = now
 	}
