--- a/internal/admission/refusals.go
+++ b/internal/admission/refusals.go
@@ -26,8 +26,8 @@
 	return &Refusals{log: log, spells: map[string]*refusalSpell{}}
 }
 
-// Refuse records that a request was refused, and logs the first one of a spell.
-func (r *Refusals) Refuse(reason string, now loop.Micros) {
+// Record records that a request was refused, and logs the first one of a spell.
+func (r *Refusals) Record(reason string, now loop.Micros) {
 	s := r.spells[reason]
 	if s == nil {
 		s = &refusalSpell{began: now}
--- a/internal/job/answer.go
+++ b/internal/job/answer.go
@@ -110,7 +110,7 @@
 		if j := r.jobs[q.id]; j != nil && !j.Final() {
 			r.overdue.refused(q.id, q.since)
 		}
-		r.refusals.Refuse(string(a.way), r.runner.Now())
+		r.refusals.Record(string(a.way), r.runner.Now())
 	} else {
 		r.overdue.answered(q.id)
 	}
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -161,7 +161,7 @@
 func (r *Registry) TurnAway(id, reason string) {
 	now := r.runner.Now()
 	r.client.Meter.TurnedAway(reason)
-	r.refusals.Refuse(reason, now)
+	r.refusals.Record(reason, now)
 	since := r.overdue.since(id, now)
 	if j := r.jobs[id]; j != nil && !j.Final() {
 		r.overdue.refused(id, since)
