--- a/internal/admission/refusals.go
+++ b/internal/admission/refusals.go
@@ -38,8 +38,8 @@
 	s.count++
 }
 
-// Look logs the spells that are over. It is to be called regularly.
-func (r *Refusals) Look(now loop.Micros) {
+// LogEnded logs the spells that are over. It is to be called regularly.
+func (r *Refusals) LogEnded(now loop.Micros) {
 	for reason, s := range loop.Sorted(r.spells) {
 		if now-s.last >= spellEndsAfter {
 			r.log.Info("stopped refusing requests", "reason", reason, "refused", s.count, "lasted_us", s.last-s.began)
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -153,7 +153,7 @@
 	now := r.runner.Now()
 	r.expireCreates(now)
 	r.expireReads(now)
-	r.refusals.Look(now)
+	r.refusals.LogEnded(now)
 }
 
 // TurnAway takes in that a request about a job was told to come back before it got here, for a
