--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -34,14 +34,14 @@
 	Admitted   bool
 	RetryAfter int // seconds after which the client should retry, if the request was deferred
 	// Evicted is the ID of another waiting request that is evicted in favour of this one, because its team
-	// holds more than its part of the queue. Its client is to be told After. Empty: none is evicted.
+	// holds more than its part of the queue. Its client is to be told RetryAfter. Empty: none is evicted.
 	Evicted string
 }
 
 const (
 	// maxWaiting bounds the waiting requests.
 	maxWaiting = 600
-	// maxPositions bounds the remembered positions of deferred requests, and placeLife is how long they are
+	// maxPositions bounds the remembered positions of deferred requests, and positionLife is how long they are
 	// remembered: clients give up 60 s after their first try.
 	maxPositions = 2000
 	positionLife = 60 * loop.Second
@@ -88,7 +88,7 @@
 	virtualTime   float64 // virtual time of the team served last
 	rate          admissionRate
 	positions     map[string]loop.Micros
-	positionOrder []Position // of places, in the order in which they were recorded
+	positionOrder []Position // of positions, in the order in which they were recorded
 	newPositions  []Position // new positions to be sent to the peers
 	overload      LoadTracker
 	spread        int
@@ -182,7 +182,7 @@
 	return cmp.Or(cmp.Compare(a.FirstTry, b.FirstTry), cmp.Compare(a.ID, b.ID))
 }
 
-// retryAfter returns the seconds retryAfter which to retry: when the class's share is free again, spread so that not
+// retryAfter returns the seconds after which to retry: when the class's share is free again, spread so that not
 // all clients retry in the same second.
 func (l *Queue) retryAfter(wait float64) int {
 	l.spread++
@@ -294,8 +294,8 @@
 	}
 }
 
-// evictionCandidate returns the newest request of the team that holds most of the queue for its weight, or none if that
-// is the given team itself.
+// evictionCandidate returns the newest request of the team that holds most of the queue for its weight, or
+// none if that is the given team itself.
 func (l *Queue) evictionCandidate(self string) string {
 	name, most := self, 0.0
 	if t := l.teams[self]; t != nil {
--- a/internal/admission/overload.go
+++ b/internal/admission/overload.go
@@ -19,7 +19,7 @@
 	crowdedAfter = loop.Second
 	// calmAfter is how long the queue must keep becoming empty again before it counts as calm.
 	calmAfter = 3 * loop.Second
-	// recoverAfter is the time after the last deferral when the overload counts as over, and backFor how long
+	// recoverAfter is the time after the last deferral when the overload counts as over, and retryingFor how long
 	// clients may still be retrying after that: the longest time that they may be told to wait.
 	recoverAfter = 5 * loop.Second
 	retryingFor  = maxRetryAfter * loop.Second
--- a/internal/admission/part.go
+++ b/internal/admission/part.go
@@ -1,7 +1,7 @@
 package admission
 
-// usableFraction is the fraction of the state service's limits that is used. The rest is left for bursts of several
-// controllers at the same time; a request that the service refuses costs a tenth of a second.
+// usableFraction is the fraction of the state service's limits that is used. The rest is left for bursts of
+// several controllers at the same time; a request that the service refuses costs a tenth of a second.
 const usableFraction = 0.9
 
 // unregisteredWeight is the weight of a controller that is not registered, relative to one that is: it reads,
--- a/internal/admission/rate.go
+++ b/internal/admission/rate.go
@@ -13,7 +13,7 @@
 	// process paused, or the state service was unavailable.
 	maxSampleTime = 5 * loop.Second
 	// decayAfter is the time since the newest sample after which the rate starts to return to the expected
-	// value; relaxHalf is the half-life of that return.
+	// value; decayHalfLife is the half-life of that return.
 	decayAfter    = 5 * loop.Second
 	decayHalfLife = 2 * loop.Second
 	// minRate keeps the rate above 0.
@@ -22,7 +22,7 @@
 
 // admissionRate estimates how many requests are admitted per second. Requests are deferred by it, so it must not
 // depend on samples alone: if all were deferred, none would come. Without samples it returns to the expected
-// value, and is within a tenth of the difference from it after relaxAfter plus four times relaxHalf.
+// value, and is within a tenth of the difference from it after decayAfter plus four times decayHalfLife.
 type admissionRate struct {
 	perSecond  float64
 	expected   float64
--- a/internal/admission/rate_test.go
+++ b/internal/admission/rate_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// A time between two transactions that is longer than longestSample must not lower the rate.
+// A time between two transactions that is longer than maxSampleTime must not lower the rate.
 func TestPauseIsNoRateSample(t *testing.T) {
 	r := newAdmissionRate(40)
 	at := 3600 * loop.Second
