--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -31,7 +31,7 @@
 
 // Decision is the decision on a request.
 type Decision struct {
-	Admitted   bool
+	Queued     bool
 	RetryAfter int // seconds after which the client should retry, if the request was deferred
 	// Evicted is the ID of another waiting request that is evicted in favour of this one, because its team
 	// holds more than its part of the queue. Its client is to be told RetryAfter. Empty: none is evicted.
@@ -112,7 +112,7 @@
 		first = wall
 	}
 	ahead := l.ahead(&r, first)
-	a := Decision{Admitted: true}
+	a := Decision{Queued: true}
 	if wait := float64(ahead+1) / l.classRate(&r); ahead > 0 && wait > float64(maxWait)/1e6 {
 		a = Decision{RetryAfter: l.retryAfter(wait)}
 	} else if len(l.byID) >= maxWaiting {
@@ -123,8 +123,8 @@
 			l.deferWaiting(a.Evicted, wall)
 		}
 	}
-	l.overload.update(now, a.Admitted && a.Evicted == "", len(l.byID) > 0)
-	if !a.Admitted {
+	l.overload.update(now, a.Queued && a.Evicted == "", len(l.byID) > 0)
+	if !a.Queued {
 		l.rememberPosition(Position{ID: r.ID, FirstTry: first}, true)
 		return a
 	}
--- a/internal/admission/line_test.go
+++ b/internal/admission/line_test.go
@@ -72,7 +72,7 @@
 				continue
 			}
 			a := d.queue.Admit(u.Request, d.now, d.now)
-			u.in = a.Admitted
+			u.in = a.Queued
 			u.next = d.now + loop.Micros(a.RetryAfter)*second
 			if a.Evicted != "" {
 				for _, o := range all {
@@ -205,7 +205,7 @@
 	if l.Waiting() > maxWaiting || len(l.positions) > maxPositions || len(l.positionOrder) > 2*maxPositions+1 || len(g.classes) > maxClasses+1 || len(l.newPositions) > maxNewPositions {
 		t.Errorf("over a bound: %d waiting, %d positions, %d classes, %d new positions", l.Waiting(), len(l.positions), len(g.classes), len(l.newPositions))
 	}
-	if a := l.Admit(Request{ID: "mine", Team: "red", Class: "k"}, now, now); !a.Admitted || a.Evicted == "" || a.RetryAfter < 1 || a.RetryAfter > maxRetryAfter {
+	if a := l.Admit(Request{ID: "mine", Team: "red", Class: "k"}, now, now); !a.Queued || a.Evicted == "" || a.RetryAfter < 1 || a.RetryAfter > maxRetryAfter {
 		t.Errorf("in a full queue the decision for a team that holds nothing is %+v", a)
 	}
 	for l.Waiting() > 0 {
@@ -216,7 +216,7 @@
 	}
 	l = NewQueue(func(string) float64 { return 1 }, 0)
 	for i := range 100 {
-		if a := l.Admit(Request{ID: fmt.Sprint(i), Team: "red", Class: "k"}, now, now); !a.Admitted {
+		if a := l.Admit(Request{ID: fmt.Sprint(i), Team: "red", Class: "k"}, now, now); !a.Queued {
 			t.Fatal("request deferred although none waits")
 		}
 		l.Next(1)
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -58,7 +58,7 @@
 	if a.Evicted != "" {
 		r.putOff(a.Evicted, a.RetryAfter)
 	}
-	if !a.Admitted {
+	if !a.Queued {
 		r.client.Meter.Submission("putOff")
 		r.deliver(q, Answer{Code: 429, ID: q.id, After: a.RetryAfter, way: RefusedPutOff})
 		return
