--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -103,8 +103,8 @@
 // Waiting returns the number of requests in the queue.
 func (l *Queue) Waiting() int { return len(l.byID) }
 
-// Admit queues a request or defers it. now is the monotonic time, wall the wall clock time.
-func (l *Queue) Admit(r Request, now, wall loop.Micros) Decision {
+// Enqueue queues a request or defers it. now is the monotonic time, wall the wall clock time.
+func (l *Queue) Enqueue(r Request, now, wall loop.Micros) Decision {
 	l.rate.decay(now)
 	l.forgetExpired(wall)
 	first, was := l.positions[r.ID]
--- a/internal/admission/line_test.go
+++ b/internal/admission/line_test.go
@@ -71,7 +71,7 @@
 				u.gaveUp = true
 				continue
 			}
-			a := d.queue.Admit(u.Request, d.now, d.now)
+			a := d.queue.Enqueue(u.Request, d.now, d.now)
 			u.in = a.Queued
 			u.next = d.now + loop.Micros(a.RetryAfter)*second
 			if a.Evicted != "" {
@@ -144,7 +144,7 @@
 		l := NewQueue(func(string) float64 { return 1 }, 10)
 		for range 200 {
 			id := fmt.Sprint("job-", rng.IntN(100))
-			l.Admit(Request{ID: id, Team: "red", Class: "k"}, d.now, d.now)
+			l.Enqueue(Request{ID: id, Team: "red", Class: "k"}, d.now, d.now)
 			d.now += loop.Micros(rng.IntN(40)) * loop.Millisecond
 			if rng.IntN(3) == 0 {
 				before := map[string]loop.Micros{}
@@ -169,7 +169,7 @@
 	a, b := NewQueue(one, 5), NewQueue(one, 5)
 	now := 1000 * second
 	for i := range 40 {
-		a.Admit(Request{ID: fmt.Sprint("job-", i), Team: "red", Class: "k"}, now, now)
+		a.Enqueue(Request{ID: fmt.Sprint("job-", i), Team: "red", Class: "k"}, now, now)
 	}
 	told := a.TakeNewPositions()
 	if len(told) == 0 || len(a.TakeNewPositions()) != 0 {
@@ -178,10 +178,10 @@
 	b.MergePositions(append(told, Position{ID: "old", FirstTry: now - 2*positionLife}, Position{ID: "new", FirstTry: now + 9*second}), now)
 	now += 3 * second
 	for i := range 4 {
-		b.Admit(Request{ID: fmt.Sprint("job-10", i), Team: "red", Class: "k"}, now, now)
+		b.Enqueue(Request{ID: fmt.Sprint("job-10", i), Team: "red", Class: "k"}, now, now)
 	}
 	for _, id := range []string{told[0].ID, "old", "new"} {
-		b.Admit(Request{ID: id, Team: "red", Class: "k"}, now, now)
+		b.Enqueue(Request{ID: id, Team: "red", Class: "k"}, now, now)
 	}
 	if x := b.Next(1); len(x) != 1 || x[0].ID != told[0].ID {
 		t.Errorf("%v is admitted first, want %s, which another controller had deferred", x, told[0].ID)
@@ -199,13 +199,13 @@
 	now := 1000 * second
 	for i := range 20000 {
 		now += loop.Micros(rng.IntN(2000))
-		l.Admit(Request{ID: fmt.Sprint("job-", i), Team: "guest", Class: fmt.Sprint(rng.IntN(5000)), Urgent: i%2 == 0}, now, now)
+		l.Enqueue(Request{ID: fmt.Sprint("job-", i), Team: "guest", Class: fmt.Sprint(rng.IntN(5000)), Urgent: i%2 == 0}, now, now)
 	}
 	g := l.teams["guest"]
 	if l.Waiting() > maxWaiting || len(l.positions) > maxPositions || len(l.positionOrder) > 2*maxPositions+1 || len(g.classes) > maxClasses+1 || len(l.newPositions) > maxNewPositions {
 		t.Errorf("over a bound: %d waiting, %d positions, %d classes, %d new positions", l.Waiting(), len(l.positions), len(g.classes), len(l.newPositions))
 	}
-	if a := l.Admit(Request{ID: "mine", Team: "red", Class: "k"}, now, now); !a.Queued || a.Evicted == "" || a.RetryAfter < 1 || a.RetryAfter > maxRetryAfter {
+	if a := l.Enqueue(Request{ID: "mine", Team: "red", Class: "k"}, now, now); !a.Queued || a.Evicted == "" || a.RetryAfter < 1 || a.RetryAfter > maxRetryAfter {
 		t.Errorf("in a full queue the decision for a team that holds nothing is %+v", a)
 	}
 	for l.Waiting() > 0 {
@@ -216,7 +216,7 @@
 	}
 	l = NewQueue(func(string) float64 { return 1 }, 0)
 	for i := range 100 {
-		if a := l.Admit(Request{ID: fmt.Sprint(i), Team: "red", Class: "k"}, now, now); !a.Queued {
+		if a := l.Enqueue(Request{ID: fmt.Sprint(i), Team: "red", Class: "k"}, now, now); !a.Queued {
 			t.Fatal("request deferred although none waits")
 		}
 		l.Next(1)
@@ -229,7 +229,7 @@
 	l := NewQueue(func(string) float64 { return 1 }, 1e6)
 	ask := func(team, class string, n int) {
 		for i := range n {
-			l.Admit(Request{ID: fmt.Sprint(team, class, i), Team: team, Class: class}, second, second)
+			l.Enqueue(Request{ID: fmt.Sprint(team, class, i), Team: team, Class: class}, second, second)
 		}
 	}
 	ask("red", "a", 150)
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -54,7 +54,7 @@
 		c.questions = append(c.questions, q)
 		return
 	}
-	a := r.line.Admit(admission.Request{ID: q.id, Team: spec.Team, Class: spec.Class, Urgent: spec.Priority >= High}, r.runner.Now(), r.runner.Wall())
+	a := r.line.Enqueue(admission.Request{ID: q.id, Team: spec.Team, Class: spec.Class, Urgent: spec.Priority >= High}, r.runner.Now(), r.runner.Wall())
 	if a.Evicted != "" {
 		r.putOff(a.Evicted, a.RetryAfter)
 	}
