--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -45,7 +45,7 @@
 	// remembered: clients give up 60 s after their first try.
 	maxPositions = 2000
 	positionLife = 60 * loop.Second
-	// maxWait is the longest expected wait with which a request is admitted to the queue. A request that
+	// maxWait is the longest expected wait with which a request is queued. A request that
 	// would wait longer is deferred at once.
 	maxWait = 1200 * loop.Millisecond
 	// maxRetryAfter bounds the seconds after which a deferred client is told to retry.
@@ -101,61 +101,61 @@
 }
 
 // Waiting returns the number of requests in the queue.
-func (l *Queue) Waiting() int { return len(l.byID) }
+func (q *Queue) Waiting() int { return len(q.byID) }
 
 // Enqueue queues a request or defers it. now is the monotonic time, wall the wall clock time.
-func (l *Queue) Enqueue(r Request, now, wall loop.Micros) Decision {
-	l.rate.decay(now)
-	l.forgetExpired(wall)
-	first, was := l.positions[r.ID]
+func (q *Queue) Enqueue(r Request, now, wall loop.Micros) Decision {
+	q.rate.decay(now)
+	q.forgetExpired(wall)
+	first, was := q.positions[r.ID]
 	if !was {
 		first = wall
 	}
-	ahead := l.ahead(&r, first)
+	ahead := q.ahead(&r, first)
 	a := Decision{Queued: true}
-	if wait := float64(ahead+1) / l.classRate(&r); ahead > 0 && wait > float64(maxWait)/1e6 {
-		a = Decision{RetryAfter: l.retryAfter(wait)}
-	} else if len(l.byID) >= maxWaiting {
-		if a.Evicted = l.evictionCandidate(r.Team); a.Evicted == "" {
-			a = Decision{RetryAfter: l.retryAfter(wait)}
+	if wait := float64(ahead+1) / q.classRate(&r); ahead > 0 && wait > float64(maxWait)/1e6 {
+		a = Decision{RetryAfter: q.retryAfter(wait)}
+	} else if len(q.byID) >= maxWaiting {
+		if a.Evicted = q.evictionCandidate(r.Team); a.Evicted == "" {
+			a = Decision{RetryAfter: q.retryAfter(wait)}
 		} else {
-			a.RetryAfter = l.retryAfter(wait)
-			l.deferWaiting(a.Evicted, wall)
+			a.RetryAfter = q.retryAfter(wait)
+			q.deferWaiting(a.Evicted, wall)
 		}
 	}
-	l.overload.update(now, a.Queued && a.Evicted == "", len(l.byID) > 0)
+	q.overload.update(now, a.Queued && a.Evicted == "", len(q.byID) > 0)
 	if !a.Queued {
-		l.rememberPosition(Position{ID: r.ID, FirstTry: first}, true)
+		q.rememberPosition(Position{ID: r.ID, FirstTry: first}, true)
 		return a
 	}
 	e := &Entry{r, first}
-	l.byID[r.ID] = e
-	l.insert(e)
+	q.byID[r.ID] = e
+	q.insert(e)
 	return a
 }
 
 // classRate returns how many requests of the class are admitted per second while all classes that wait now keep
 // waiting.
-func (l *Queue) classRate(r *Request) float64 {
-	all := l.weightOf(r.Team)
-	for name, t := range loop.Sorted(l.teams) {
+func (q *Queue) classRate(r *Request) float64 {
+	all := q.weightOf(r.Team)
+	for name, t := range loop.Sorted(q.teams) {
 		if t.waiting > 0 && name != r.Team {
-			all += l.weightOf(name)
+			all += q.weightOf(name)
 		}
 	}
-	part := l.weightOf(r.Team) / all
+	part := q.weightOf(r.Team) / all
 	turns, mine := 0.0, classWeight(r.Urgent)
-	if t := l.teams[r.Team]; t != nil {
+	if t := q.teams[r.Team]; t != nil {
 		for name, f := range loop.Sorted(t.classes) {
 			if len(f.waiting) > 0 && name != t.classKey(r.Class) {
 				turns += classWeight(f.waiting[0].Urgent)
 			}
 		}
 	}
-	return max(l.rate.perSecond*part*mine/(turns+mine), 1e-3)
+	return max(q.rate.perSecond*part*mine/(turns+mine), 1e-3)
 }
 
-func (l *Queue) weightOf(team string) float64 { return max(l.weight(team), 1e-6) }
+func (q *Queue) weightOf(team string) float64 { return max(q.weight(team), 1e-6) }
 
 func classWeight(urgent bool) float64 {
 	if urgent {
@@ -165,8 +165,8 @@
 }
 
 // ahead returns how many requests of the class come before one with the given first try.
-func (l *Queue) ahead(r *Request, first loop.Micros) int {
-	t := l.teams[r.Team]
+func (q *Queue) ahead(r *Request, first loop.Micros) int {
+	t := q.teams[r.Team]
 	if t == nil {
 		return 0
 	}
@@ -184,9 +184,9 @@
 
 // retryAfter returns the seconds after which to retry: when the class's share is free again, spread so that not
 // all clients retry in the same second.
-func (l *Queue) retryAfter(wait float64) int {
-	l.spread++
-	return min(1+int(wait)+l.spread%3, maxRetryAfter)
+func (q *Queue) retryAfter(wait float64) int {
+	q.spread++
+	return min(1+int(wait)+q.spread%3, maxRetryAfter)
 }
 
 // classKey returns the name under which a class is scheduled.
@@ -198,14 +198,14 @@
 }
 
 // insert inserts a request at its position among those of its class.
-func (l *Queue) insert(e *Entry) {
-	t := l.teams[e.Team]
+func (q *Queue) insert(e *Entry) {
+	t := q.teams[e.Team]
 	if t == nil {
 		t = &teamQueue{classes: map[string]*classQueue{}}
-		l.teams[e.Team] = t
+		q.teams[e.Team] = t
 	}
 	if t.waiting == 0 {
-		t.turn = max(t.turn, l.virtualTime) // a team does not make up for what it did not use while absent
+		t.turn = max(t.turn, q.virtualTime) // a team does not make up for what it did not use while absent
 	}
 	t.waiting++
 	name := t.classKey(e.Class)
@@ -222,20 +222,20 @@
 }
 
 // Next removes up to n requests from the queue, in the order in which their teams and classes are scheduled.
-func (l *Queue) Next(n int) (turns []Entry) {
-	for len(turns) < n && len(l.byID) > 0 {
-		name, t := leastTurn(l.teams, func(t *teamQueue) (bool, float64) { return t.waiting > 0, t.turn })
-		l.virtualTime = t.turn
-		t.turn += 1 / l.weightOf(name)
+func (q *Queue) Next(n int) (entries []Entry) {
+	for len(entries) < n && len(q.byID) > 0 {
+		name, t := leastTurn(q.teams, func(t *teamQueue) (bool, float64) { return t.waiting > 0, t.turn })
+		q.virtualTime = t.turn
+		t.turn += 1 / q.weightOf(name)
 		class, f := leastTurn(t.classes, func(f *classQueue) (bool, float64) { return len(f.waiting) > 0, f.turn })
 		t.virtualTime = f.turn
 		e := f.waiting[0]
 		f.turn += 1 / classWeight(e.Urgent)
-		l.remove(t, class, 0)
-		delete(l.positions, e.ID)
-		turns = append(turns, *e)
+		q.remove(t, class, 0)
+		delete(q.positions, e.ID)
+		entries = append(entries, *e)
 	}
-	return turns
+	return entries
 }
 
 // leastTurn returns the waiting element with the least virtual time; equal ones are ordered by name.
@@ -250,9 +250,9 @@
 }
 
 // remove removes the i-th request of a class from the queue. A team without waiting requests keeps no classes.
-func (l *Queue) remove(t *teamQueue, class string, i int) {
+func (q *Queue) remove(t *teamQueue, class string, i int) {
 	f := t.classes[class]
-	delete(l.byID, f.waiting[i].ID)
+	delete(q.byID, f.waiting[i].ID)
 	f.waiting = slices.Delete(f.waiting, i, i+1)
 	t.waiting--
 	if t.waiting == 0 {
@@ -262,47 +262,47 @@
 }
 
 // Requeue returns requests that were removed by Next to their positions in the queue.
-func (l *Queue) Requeue(all []Entry) {
+func (q *Queue) Requeue(all []Entry) {
 	for i := range all {
-		if e := &all[i]; l.byID[e.ID] == nil {
-			l.byID[e.ID] = e
-			l.insert(e)
+		if e := &all[i]; q.byID[e.ID] == nil {
+			q.byID[e.ID] = e
+			q.insert(e)
 		}
 	}
 }
 
 // TimeOut removes a request that waited too long, remembers its position for its next try, and returns the
 // seconds after which the client should retry.
-func (l *Queue) TimeOut(id string, wall loop.Micros) (after int) {
-	e := l.byID[id]
+func (q *Queue) TimeOut(id string, wall loop.Micros) (after int) {
+	e := q.byID[id]
 	if e == nil {
 		return 1
 	}
-	wait := float64(l.ahead(&e.Request, e.FirstTry)+1) / l.classRate(&e.Request)
-	l.deferWaiting(id, wall)
-	return l.retryAfter(wait)
+	wait := float64(q.ahead(&e.Request, e.FirstTry)+1) / q.classRate(&e.Request)
+	q.deferWaiting(id, wall)
+	return q.retryAfter(wait)
 }
 
 // deferWaiting removes a waiting request and remembers its position.
-func (l *Queue) deferWaiting(id string, wall loop.Micros) {
-	e := l.byID[id]
-	t := l.teams[e.Team]
+func (q *Queue) deferWaiting(id string, wall loop.Micros) {
+	e := q.byID[id]
+	t := q.teams[e.Team]
 	class := t.classKey(e.Class)
 	if i := slices.Index(t.classes[class].waiting, e); i >= 0 {
-		l.remove(t, class, i)
-		l.rememberPosition(Position{ID: id, FirstTry: e.FirstTry}, true)
+		q.remove(t, class, i)
+		q.rememberPosition(Position{ID: id, FirstTry: e.FirstTry}, true)
 	}
 }
 
 // evictionCandidate returns the newest request of the team that holds most of the queue for its weight, or
 // none if that is the given team itself.
-func (l *Queue) evictionCandidate(self string) string {
+func (q *Queue) evictionCandidate(self string) string {
 	name, most := self, 0.0
-	if t := l.teams[self]; t != nil {
-		most = float64(t.waiting+1) / l.weightOf(self)
+	if t := q.teams[self]; t != nil {
+		most = float64(t.waiting+1) / q.weightOf(self)
 	}
-	for n, t := range loop.Sorted(l.teams) {
-		if x := float64(t.waiting) / l.weightOf(n); x > most || x == most && n < name && n != self && name != self {
+	for n, t := range loop.Sorted(q.teams) {
+		if x := float64(t.waiting) / q.weightOf(n); x > most || x == most && n < name && n != self && name != self {
 			name, most = n, x
 		}
 	}
@@ -310,7 +310,7 @@
 		return ""
 	}
 	var newest *Entry
-	for _, f := range l.teams[name].classes {
+	for _, f := range q.teams[name].classes {
 		if n := len(f.waiting); n > 0 && (newest == nil || compareFirstTry(f.waiting[n-1], newest) > 0) {
 			newest = f.waiting[n-1]
 		}
@@ -319,18 +319,18 @@
 }
 
 // rememberPosition remembers a position. own says that it was given here, so that the peers are told.
-func (l *Queue) rememberPosition(p Position, own bool) {
-	if old, ok := l.positions[p.ID]; ok {
-		l.positions[p.ID] = min(old, p.FirstTry)
+func (q *Queue) rememberPosition(p Position, own bool) {
+	if old, ok := q.positions[p.ID]; ok {
+		q.positions[p.ID] = min(old, p.FirstTry)
 		return
 	}
-	if len(l.positions) >= maxPositions {
+	if len(q.positions) >= maxPositions {
 		return // not remembered: its next try ranks behind the remembered ones and ahead of none
 	}
-	l.positions[p.ID] = p.FirstTry
-	l.positionOrder = append(l.positionOrder, p)
-	if own && len(l.newPositions) < maxNewPositions {
-		l.newPositions = append(l.newPositions, p)
+	q.positions[p.ID] = p.FirstTry
+	q.positionOrder = append(q.positionOrder, p)
+	if own && len(q.newPositions) < maxNewPositions {
+		q.newPositions = append(q.newPositions, p)
 	}
 }
 
@@ -338,42 +338,42 @@
 const maxNewPositions = 256
 
 // TakeNewPositions returns the positions recorded here since the last call, to be sent to the peers.
-func (l *Queue) TakeNewPositions() []Position {
-	out := l.newPositions
-	l.newPositions = nil
+func (q *Queue) TakeNewPositions() []Position {
+	out := q.newPositions
+	q.newPositions = nil
 	return out
 }
 
 // MergePositions records positions from a peer. Positions that have expired, or lie in the future, are ignored.
-func (l *Queue) MergePositions(all []Position, wall loop.Micros) {
+func (q *Queue) MergePositions(all []Position, wall loop.Micros) {
 	for _, p := range all[:min(len(all), maxNewPositions)] {
-		if p.ID != "" && p.FirstTry > wall-positionLife && p.FirstTry <= wall+loop.Second && l.byID[p.ID] == nil {
-			l.rememberPosition(p, false)
+		if p.ID != "" && p.FirstTry > wall-positionLife && p.FirstTry <= wall+loop.Second && q.byID[p.ID] == nil {
+			q.rememberPosition(p, false)
 		}
 	}
 }
 
 // forgetExpired drops the remembered positions that have expired.
-func (l *Queue) forgetExpired(wall loop.Micros) {
-	for len(l.positionOrder) > 0 && (l.positionOrder[0].FirstTry <= wall-positionLife || len(l.positionOrder) > 2*maxPositions) {
-		if p := l.positionOrder[0]; l.positions[p.ID] <= wall-positionLife {
-			delete(l.positions, p.ID)
+func (q *Queue) forgetExpired(wall loop.Micros) {
+	for len(q.positionOrder) > 0 && (q.positionOrder[0].FirstTry <= wall-positionLife || len(q.positionOrder) > 2*maxPositions) {
+		if p := q.positionOrder[0]; q.positions[p.ID] <= wall-positionLife {
+			delete(q.positions, p.ID)
 		}
-		l.positionOrder = l.positionOrder[1:]
+		q.positionOrder = q.positionOrder[1:]
 	}
 }
 
 // RecordAdmitted records that n requests were admitted, for the estimate of the rate. busy says that others keep
 // waiting.
-func (l *Queue) RecordAdmitted(n int, now loop.Micros, busy bool) {
-	l.rate.recordAdmitted(n, now, busy)
+func (q *Queue) RecordAdmitted(n int, now loop.Micros, busy bool) {
+	q.rate.recordAdmitted(n, now, busy)
 }
 
 // State returns the load state of the queue.
-func (l *Queue) State(now loop.Micros) State {
-	l.overload.update(now, true, len(l.byID) > 0)
-	return l.overload.state
+func (q *Queue) State(now loop.Micros) State {
+	q.overload.update(now, true, len(q.byID) > 0)
+	return q.overload.state
 }
 
 // OnStateChange registers a function to be called for every change of the state.
-func (l *Queue) OnStateChange(f func(from, to State)) { l.overload.changed = f }
+func (q *Queue) OnStateChange(f func(from, to State)) { q.overload.changed = f }
--- a/internal/admission/line_test.go
+++ b/internal/admission/line_test.go
@@ -13,16 +13,16 @@
 
 // admitter admits requests from a queue at a fixed rate in batches, as a controller does.
 type admitter struct {
-	queue  *Queue
-	now    loop.Micros
-	rate   float64
-	credit float64
-	taken  map[string]int // admitted requests, by team and by team/class
-	done   map[string]bool
+	queue    *Queue
+	now      loop.Micros
+	rate     float64
+	credit   float64
+	admitted map[string]int // admitted requests, by team and by team/class
+	done     map[string]bool
 }
 
 func newAdmitter(rate float64, weights map[string]float64) *admitter {
-	return &admitter{queue: NewQueue(func(t string) float64 { return weights[t] }, rate), now: 1000 * second, rate: rate, taken: map[string]int{}, done: map[string]bool{}}
+	return &admitter{queue: NewQueue(func(t string) float64 { return weights[t] }, rate), now: 1000 * second, rate: rate, admitted: map[string]int{}, done: map[string]bool{}}
 }
 
 func (d *admitter) step(dt loop.Micros) {
@@ -37,15 +37,15 @@
 		d.credit--
 		n++
 		d.done[x[0].ID] = true
-		d.taken[x[0].Team]++
-		d.taken[x[0].Team+"/"+x[0].Class]++
+		d.admitted[x[0].Team]++
+		d.admitted[x[0].Team+"/"+x[0].Class]++
 	}
 	if n > 0 {
 		d.queue.RecordAdmitted(n, d.now, d.queue.Waiting() > 0)
 	}
 }
 
-// client is a client that submits a request and retries as told, until it is admitted or gives up after a
+// client submits a request and retries as newPositions, until it is admitted or gives up after a
 // minute.
 type client struct {
 	Request
@@ -87,7 +87,8 @@
 }
 
 // However much one team submits, each team is served by its weight, each class of a team keeps its minimum,
-// and what a team does not use goes to the others. Otherwise one team could keep the others out by retrying.
+// and what a team does not use goes to the others. Otherwise the submissions of one team could keep the
+// others out.
 func TestSharesUnderOverload(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	d := newAdmitter(20, map[string]float64{"large": 6, "small": 2, "guest": 1})
@@ -97,21 +98,21 @@
 		{Team: "small", Class: "u", Urgent: true}: 1,
 		{Team: "guest", Class: "swarm"}:           200,
 	})
-	in, asked, late := map[string]int{}, map[string]int{}, 0
+	in, submitted, late := map[string]int{}, map[string]int{}, 0
 	for _, u := range all {
-		asked[u.Team+"/"+u.Class]++
+		submitted[u.Team+"/"+u.Class]++
 		if d.done[u.ID] {
 			in[u.Team+"/"+u.Class]++
 		} else if u.gaveUp && (u.Team == "large" || u.Urgent) {
 			late++
 		}
 	}
-	if in["large/a"] < asked["large/a"]-4 || in["small/u"] < asked["small/u"]-4 || late > 0 {
-		t.Errorf("of the requests within their share %d of %d and %d of %d were admitted, %d gave up", in["large/a"], asked["large/a"], in["small/u"], asked["small/u"], late)
+	if in["large/a"] < submitted["large/a"]-4 || in["small/u"] < submitted["small/u"]-4 || late > 0 {
+		t.Errorf("of the requests within their share %d of %d and %d of %d were admitted, %d gave up", in["large/a"], submitted["large/a"], in["small/u"], submitted["small/u"], late)
 	}
-	rest := 20*120 - float64(d.taken["large"])
+	rest := 20*120 - float64(d.admitted["large"])
 	for team, part := range map[string]float64{"small": 2. / 3, "guest": 1. / 3} {
-		if got := float64(d.taken[team]) / rest; math.Abs(got-part) > 0.04 {
+		if got := float64(d.admitted[team]) / rest; math.Abs(got-part) > 0.04 {
 			t.Errorf("%s received %.2f of the rest, want %.2f", team, got, part)
 		}
 	}
@@ -141,17 +142,17 @@
 		if in*5 < over*2 {
 			t.Errorf("seed %d: %d of %d clients were admitted, want at least two in five", seed, in, over)
 		}
-		l := NewQueue(func(string) float64 { return 1 }, 10)
+		q := NewQueue(func(string) float64 { return 1 }, 10)
 		for range 200 {
 			id := fmt.Sprint("job-", rng.IntN(100))
-			l.Enqueue(Request{ID: id, Team: "red", Class: "k"}, d.now, d.now)
+			q.Enqueue(Request{ID: id, Team: "red", Class: "k"}, d.now, d.now)
 			d.now += loop.Micros(rng.IntN(40)) * loop.Millisecond
 			if rng.IntN(3) == 0 {
 				before := map[string]loop.Micros{}
-				for id, e := range l.byID {
+				for id, e := range q.byID {
 					before[id] = e.FirstTry
 				}
-				for _, x := range l.Next(1) {
+				for _, x := range q.Next(1) {
 					for id, first := range before {
 						if first < x.FirstTry {
 							t.Fatalf("seed %d: %s is admitted before %s, whose first try was earlier", seed, x.ID, id)
@@ -171,20 +172,20 @@
 	for i := range 40 {
 		a.Enqueue(Request{ID: fmt.Sprint("job-", i), Team: "red", Class: "k"}, now, now)
 	}
-	told := a.TakeNewPositions()
-	if len(told) == 0 || len(a.TakeNewPositions()) != 0 {
-		t.Fatalf("the first call of News returned %d positions, want some, and none from the second", len(told))
+	newPositions := a.TakeNewPositions()
+	if len(newPositions) == 0 || len(a.TakeNewPositions()) != 0 {
+		t.Fatalf("the first call of TakeNewPositions returned %d positions, want some, and none from the second", len(newPositions))
 	}
-	b.MergePositions(append(told, Position{ID: "old", FirstTry: now - 2*positionLife}, Position{ID: "new", FirstTry: now + 9*second}), now)
+	b.MergePositions(append(newPositions, Position{ID: "old", FirstTry: now - 2*positionLife}, Position{ID: "new", FirstTry: now + 9*second}), now)
 	now += 3 * second
 	for i := range 4 {
 		b.Enqueue(Request{ID: fmt.Sprint("job-10", i), Team: "red", Class: "k"}, now, now)
 	}
-	for _, id := range []string{told[0].ID, "old", "new"} {
+	for _, id := range []string{newPositions[0].ID, "old", "new"} {
 		b.Enqueue(Request{ID: id, Team: "red", Class: "k"}, now, now)
 	}
-	if x := b.Next(1); len(x) != 1 || x[0].ID != told[0].ID {
-		t.Errorf("%v is admitted first, want %s, which another controller had deferred", x, told[0].ID)
+	if x := b.Next(1); len(x) != 1 || x[0].ID != newPositions[0].ID {
+		t.Errorf("%v is admitted first, want %s, which another controller had deferred", x, newPositions[0].ID)
 	}
 	if len(b.TakeNewPositions()) > 2 {
 		t.Error("positions learned from a peer are sent to peers again")
@@ -195,49 +196,49 @@
 // queue; and while nothing waits, no request is deferred.
 func TestQueueIsBounded(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
-	l := NewQueue(func(t string) float64 { return map[string]float64{"guest": 0.01, "red": 1}[t] }, 1e6)
+	q := NewQueue(func(t string) float64 { return map[string]float64{"guest": 0.01, "red": 1}[t] }, 1e6)
 	now := 1000 * second
 	for i := range 20000 {
 		now += loop.Micros(rng.IntN(2000))
-		l.Enqueue(Request{ID: fmt.Sprint("job-", i), Team: "guest", Class: fmt.Sprint(rng.IntN(5000)), Urgent: i%2 == 0}, now, now)
+		q.Enqueue(Request{ID: fmt.Sprint("job-", i), Team: "guest", Class: fmt.Sprint(rng.IntN(5000)), Urgent: i%2 == 0}, now, now)
 	}
-	g := l.teams["guest"]
-	if l.Waiting() > maxWaiting || len(l.positions) > maxPositions || len(l.positionOrder) > 2*maxPositions+1 || len(g.classes) > maxClasses+1 || len(l.newPositions) > maxNewPositions {
-		t.Errorf("over a bound: %d waiting, %d positions, %d classes, %d new positions", l.Waiting(), len(l.positions), len(g.classes), len(l.newPositions))
+	g := q.teams["guest"]
+	if q.Waiting() > maxWaiting || len(q.positions) > maxPositions || len(q.positionOrder) > 2*maxPositions+1 || len(g.classes) > maxClasses+1 || len(q.newPositions) > maxNewPositions {
+		t.Errorf("over a bound: %d waiting, %d positions, %d classes, %d new positions", q.Waiting(), len(q.positions), len(g.classes), len(q.newPositions))
 	}
-	if a := l.Enqueue(Request{ID: "mine", Team: "red", Class: "k"}, now, now); !a.Queued || a.Evicted == "" || a.RetryAfter < 1 || a.RetryAfter > maxRetryAfter {
+	if a := q.Enqueue(Request{ID: "mine", Team: "red", Class: "k"}, now, now); !a.Queued || a.Evicted == "" || a.RetryAfter < 1 || a.RetryAfter > maxRetryAfter {
 		t.Errorf("in a full queue the decision for a team that holds nothing is %+v", a)
 	}
-	for l.Waiting() > 0 {
-		l.Next(8)
+	for q.Waiting() > 0 {
+		q.Next(8)
 	}
 	if len(g.classes) != 0 {
 		t.Errorf("%d classes are kept of a team without waiting requests", len(g.classes))
 	}
-	l = NewQueue(func(string) float64 { return 1 }, 0)
+	q = NewQueue(func(string) float64 { return 1 }, 0)
 	for i := range 100 {
-		if a := l.Enqueue(Request{ID: fmt.Sprint(i), Team: "red", Class: "k"}, now, now); !a.Queued {
+		if a := q.Enqueue(Request{ID: fmt.Sprint(i), Team: "red", Class: "k"}, now, now); !a.Queued {
 			t.Fatal("request deferred although none waits")
 		}
-		l.Next(1)
+		q.Next(1)
 	}
 }
 
 // A team that submitted nothing for a long time gets its share once it submits again, but not what it did not
 // use before. The same holds for a class.
 func TestUnusedSharesAreNotAccumulated(t *testing.T) {
-	l := NewQueue(func(string) float64 { return 1 }, 1e6)
+	q := NewQueue(func(string) float64 { return 1 }, 1e6)
 	ask := func(team, class string, n int) {
 		for i := range n {
-			l.Enqueue(Request{ID: fmt.Sprint(team, class, i), Team: team, Class: class}, second, second)
+			q.Enqueue(Request{ID: fmt.Sprint(team, class, i), Team: team, Class: class}, second, second)
 		}
 	}
 	ask("red", "a", 150)
-	l.Next(100)
+	q.Next(100)
 	ask("blue", "a", 50)
 	ask("red", "b", 50)
 	n := map[string]int{}
-	for _, x := range l.Next(40) {
+	for _, x := range q.Next(40) {
 		n[x.Team+"/"+x.Class]++
 	}
 	if n["blue/a"] < 19 || n["blue/a"] > 21 || n["red/a"] < 9 || n["red/b"] < 9 {
--- a/internal/admission/overload.go
+++ b/internal/admission/overload.go
@@ -47,20 +47,20 @@
 	}
 }
 
-// update updates the state. taken says that no request was deferred, waits that some request is waiting.
-func (o *LoadTracker) update(now loop.Micros, taken, waits bool) {
-	if !taken {
+// update updates the state. queued says that no request was deferred, waiting that some request is waiting.
+func (o *LoadTracker) update(now loop.Micros, queued, waiting bool) {
+	if !queued {
 		o.deferredAt = now
 	}
 	switch {
-	case !waits:
+	case !waiting:
 		o.waitingSince, o.emptyAt = 0, now
 	case o.waitingSince == 0:
 		o.waitingSince = now
 	}
 	crowded := o.waitingSince != 0 && now-o.waitingSince >= crowdedAfter
 	switch {
-	case !taken:
+	case !queued:
 		o.setState(Overloaded, now)
 	case o.state == Overloaded && now-o.deferredAt >= recoverAfter:
 		o.setState(Recovering, now)
