--- a/internal/rental/autoscaler.go
+++ b/internal/rental/autoscaler.go
@@ -44,7 +44,7 @@
 // order is an order with what this leader knows of its progress.
 type order struct {
 	name     string
-	o        Order
+	record   Order
 	revision uint64
 	recorded bool // its record is stored
 	busy     bool
@@ -97,7 +97,7 @@
 	Meter *metric.Meter // may be nil
 }
 
-// Autoscaler is the autoscaler. It acts only while its controller is the leader.
+// Autoscaler decides what to rent and what to delete. It acts only while its controller is the leader.
 type Autoscaler struct {
 	runner         loop.Runner
 	log            *slog.Logger
@@ -220,7 +220,7 @@
 			continue
 		}
 		name := strings.TrimPrefix(key, OrderKeys)
-		t.orders[name] = &order{name: name, o: o, revision: e.Mark, recorded: true}
+		t.orders[name] = &order{name: name, record: o, revision: e.Mark, recorded: true}
 		if o.Answered {
 			t.orders[name].finished = t.runner.Now()
 			for _, m := range o.Machines {
@@ -233,13 +233,13 @@
 }
 
 // UpdateDemand records an owner's unplaced requests and suspect machines.
-func (t *Autoscaler) UpdateDemand(from string, y peer.Tally) {
+func (t *Autoscaler) UpdateDemand(from string, demand peer.Tally) {
 	old := t.demands[from]
-	off := t.cfg.ClockDifference() + 5*loop.Second
-	if y.Wall <= old.Wall || t.runner.Wall()-y.Wall > off {
+	maxAge := t.cfg.ClockDifference() + 5*loop.Second
+	if demand.Wall <= old.Wall || t.runner.Wall()-demand.Wall > maxAge {
 		return // a repeated or delayed message
 	}
-	t.demands[from], t.demandAt[from] = y, t.runner.Now()
+	t.demands[from], t.demandAt[from] = demand, t.runner.Now()
 }
 
 // CatalogKnown reports whether the machine types are known, so that submissions can be validated.
--- a/internal/rental/drain.go
+++ b/internal/rental/drain.go
@@ -43,11 +43,11 @@
 		if !ok || v == nil || v.NoticeAt != 0 || (m.state != Up && m.state != Draining) {
 			continue
 		}
-		room, ok := t.workers.Room(v, typ)
+		left, ok := t.workers.Room(v, typ)
 		if !ok {
 			continue
 		}
-		x := drainCandidate{m, v, typ.CPUs - room.CPUs, room.CPUs, typ.Price / typ.CPUs}
+		x := drainCandidate{m, v, typ.CPUs - left.CPUs, left.CPUs, typ.Price / typ.CPUs}
 		if m.spot {
 			x.cost = typ.SpotPrice / typ.CPUs
 		}
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -72,8 +72,8 @@
 // fitsOffer reports whether a machine of the offer is allowed and large enough for a task with this spec.
 func (t *Autoscaler) fitsOffer(o offer, s *job.Spec) bool {
 	x, ok := t.byName[o.typ]
-	room := capacityOf(x)
-	return ok && room.Fits(s) && s.AllowsPlace(o.typ, o.zone, o.spot)
+	free := capacityOf(x)
+	return ok && free.Fits(s) && s.AllowsPlace(o.typ, o.zone, o.spot)
 }
 
 // expectedMachines lists the machines that will have capacity soon, which count for unplaced requests already.
@@ -99,14 +99,14 @@
 		if m == nil || v == nil || m.state != Up {
 			return
 		}
-		if room, ok := t.workers.Room(v, t.byName[m.typ]); ok {
-			out = append(out, &expectedMachine{offer{m.typ, m.zone, m.spot}, room})
+		if free, ok := t.workers.Room(v, t.byName[m.typ]); ok {
+			out = append(out, &expectedMachine{offer{m.typ, m.zone, m.spot}, free})
 		}
 	})
 	for _, o := range loop.Sorted(t.orders) {
-		if !o.o.Answered && !o.refused {
-			for range o.o.Count {
-				add(o.o.Type, o.o.Zone, o.o.Spot)
+		if !o.record.Answered && !o.refused {
+			for range o.record.Count {
+				add(o.record.Type, o.record.Zone, o.record.Spot)
 			}
 		}
 	}
@@ -129,7 +129,7 @@
 	}
 	now := t.runner.Now()
 	for _, o := range t.orders {
-		if !o.o.Answered && !o.refused {
+		if !o.record.Answered && !o.refused {
 			// One at a time: an order that is recorded early waits for its call while demand and refusals
 			// change.
 			return
@@ -154,11 +154,11 @@
 
 // plan returns how many machines of each offer are missing beside the expected ones.
 func (t *Autoscaler) plan(now loop.Micros) map[offer]int {
-	coming := expectedCapacity{machines: t.expectedMachines(), exhausted: map[fleet.Shape]int{}}
+	expected := expectedCapacity{machines: t.expectedMachines(), exhausted: map[fleet.Shape]int{}}
 	need := map[offer]int{}
 	for _, w := range t.requests() {
 		n := needOf(&w)
-		left := coming.place(n, w.Count)
+		left := expected.place(n, w.Count)
 		for left > 0 {
 			o, per, ok := t.cheapestOffer(n, left, now, need)
 			if !ok {
@@ -171,7 +171,7 @@
 				break
 			}
 			left -= got
-			coming.machines = append(coming.machines, c)
+			expected.machines = append(expected.machines, c)
 		}
 	}
 	return need
@@ -229,7 +229,7 @@
 func (t *Autoscaler) newOrder(of offer, count int) {
 	t.seq++
 	name := fmt.Sprintf("r-%d-%d", t.claim.Epoch, t.seq)
-	o := &order{name: name, o: Order{Type: of.typ, Zone: of.zone, Spot: of.spot, Count: count, At: t.runner.Wall()}}
+	o := &order{name: name, record: Order{Type: of.typ, Zone: of.zone, Spot: of.spot, Count: count, At: t.runner.Wall()}}
 	t.orders[name] = o
 	t.storeOrder(o, []wire.Cond{member.LeaderCond(t.claim), {Key: OrderKeys + name, Mark: 0}}, func(ok bool) {
 		if ok {
@@ -245,7 +245,7 @@
 
 // storeOrder writes an order's record under the given conditions, and passes on whether it was applied.
 func (t *Autoscaler) storeOrder(o *order, cond []wire.Cond, done func(ok bool)) {
-	t.client.Txn(store.Placements, wire.Txn{If: cond, Then: []wire.Change{{Put: OrderKeys + o.name, Value: o.o}}}, func(r store.Result) {
+	t.client.Txn(store.Placements, wire.Txn{If: cond, Then: []wire.Change{{Put: OrderKeys + o.name, Value: o.record}}}, func(r store.Result) {
 		if r.Outcome == store.Applied {
 			o.revision = r.Tally
 		}
@@ -263,7 +263,7 @@
 			t.dropOrder(o)
 			continue
 		}
-		if o.recorded && !o.o.Answered && !o.busy && !o.refused && now >= o.nextTry && (first == nil || o.name < first.name) {
+		if o.recorded && !o.record.Answered && !o.busy && !o.refused && now >= o.nextTry && (first == nil || o.name < first.name) {
 			first = o
 		}
 	}
@@ -274,8 +274,8 @@
 func (t *Autoscaler) send(o *order) {
 	o.busy = true
 	o.tries++
-	of := offer{o.o.Type, o.o.Zone, o.o.Spot}
-	t.call("POST", "/machines", wire.Rent{Request: o.name, Type: of.typ, Zone: of.zone, Spot: of.spot, Count: o.o.Count}, 5*loop.Second, func(resp store.Response) {
+	of := offer{o.record.Type, o.record.Zone, o.record.Spot}
+	t.call("POST", "/machines", wire.Rent{Request: o.name, Type: of.typ, Zone: of.zone, Spot: of.spot, Count: o.record.Count}, 5*loop.Second, func(resp store.Response) {
 		o.busy = false
 		if !t.leads || t.orders[o.name] != o {
 			return
@@ -283,14 +283,14 @@
 		var got wire.Names
 		switch {
 		case resp.Err == nil && resp.Status == 200 && wire.Unmarshal(resp.Body, &got) == nil:
-			t.log.Info("machines rented", "order", o.name, "type", of.typ, "zone", of.zone, "spot", of.spot, "asked", o.o.Count, "got", len(got.Machines))
-			o.o.Answered, o.o.Machines, o.finished = true, got.Machines, t.runner.Now()
+			t.log.Info("machines rented", "order", o.name, "type", of.typ, "zone", of.zone, "spot", of.spot, "asked", o.record.Count, "got", len(got.Machines))
+			o.record.Answered, o.record.Machines, o.finished = true, got.Machines, t.runner.Now()
 			for _, name := range got.Machines {
 				if m := t.adopt(name, of.typ, of.zone, of.spot); m != nil && m.state == Booting {
 					m.rented = true
 				}
 			}
-			if len(got.Machines) < o.o.Count {
+			if len(got.Machines) < o.record.Count {
 				t.backOffOffer(of)
 			} else {
 				delete(t.offers, of)
--- a/internal/rental/supply.go
+++ b/internal/rental/supply.go
@@ -38,8 +38,8 @@
 		}
 	}
 	for _, o := range t.orders {
-		if !o.o.Answered && !o.refused && serves(offer{o.o.Type, o.o.Zone, o.o.Spot}) && len(out.Ordered) < maxOffers {
-			out.Ordered = append(out.Ordered, explain.Offer{Type: o.o.Type, Zone: o.o.Zone, Kind: explain.Kind(o.o.Spot), Count: o.o.Count})
+		if !o.record.Answered && !o.refused && serves(offer{o.record.Type, o.record.Zone, o.record.Spot}) && len(out.Ordered) < maxOffers {
+			out.Ordered = append(out.Ordered, explain.Offer{Type: o.record.Type, Zone: o.record.Zone, Kind: explain.Kind(o.record.Spot), Count: o.record.Count})
 		}
 	}
 	t.addBooting(&out, serves)
