--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -101,7 +101,7 @@
 
 // UpdateView records a machine's newer view and when its report was received. quiet means that nothing on the
 // machine has changed, so that it needs no refresh.
-func (f *Fleet) UpdateView(v *agent.View, heard loop.Micros, quiet bool) *Machine {
+func (f *Fleet) UpdateView(v *agent.View, reportedAt loop.Micros, quiet bool) *Machine {
 	m := f.machines[v.Name]
 	first := m == nil
 	if first {
@@ -111,7 +111,7 @@
 		f.sorted = false
 		f.pricedAt = 0
 	}
-	m.View, m.LastReport = v, max(m.LastReport, heard)
+	m.View, m.LastReport = v, max(m.LastReport, reportedAt)
 	if first {
 		f.applyPendingReservations(v.Name)
 	}
@@ -197,17 +197,17 @@
 func (f *Fleet) refresh(m *Machine) {
 	v := m.View
 	typ, ok := f.node.Type(v.Type)
-	var room agent.Room
+	var free agent.Room
 	if ok {
-		room, ok = f.node.Room(v, typ)
+		free, ok = f.node.Room(v, typ)
 	}
 	if !ok {
 		m.Known = false
 		f.MarkStale(m) // retried until its type and the jobs of its tasks are known here
 		return
 	}
-	f.node.Unshown(v, room.Take)
-	m.typ, m.Free, m.usedCPUs = typ, room, typ.CPUs-room.CPUs
+	f.node.Unshown(v, free.Take)
+	m.typ, m.Free, m.usedCPUs = typ, free, typ.CPUs-free.CPUs
 	m.Jobs = f.node.Jobs(v)
 	m.lowestPriority = job.Production
 	for i, j := range m.Jobs {
@@ -313,22 +313,22 @@
 	return placeOnRanked(need, n, copyMachines(f.Ranked(&need, machines)))
 }
 
-// Copies returns copies of all machines for trial placement. With lifted, cordons are ignored.
-func (f *Fleet) Copies(lifted bool) []*Machine {
+// Copies returns copies of all machines for trial placement. With ignoreCordons, none of them is cordoned.
+func (f *Fleet) Copies(ignoreCordons bool) []*Machine {
 	out := copyMachines(f.order)
 	for _, m := range out {
-		m.Cordoned = m.Cordoned && !lifted
+		m.Cordoned = m.Cordoned && !ignoreCordons
 	}
 	return out
 }
 
 // copyMachines returns copies of the machines for trial placement.
 func copyMachines(machines []*Machine) []*Machine {
-	room := make([]Machine, len(machines))
+	copies := make([]Machine, len(machines))
 	out := make([]*Machine, len(machines))
 	for i, m := range machines {
-		room[i] = *m
-		out[i] = &room[i]
+		copies[i] = *m
+		out[i] = &copies[i]
 	}
 	return out
 }
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -21,37 +21,37 @@
 }
 
 // candidateOn finds the cheapest preemptions on a machine that make capacity for a task of the job.
-func (f *Fleet) candidateOn(need *gate.Need, m *Machine, now loop.Micros, by *PreemptionRights) (candidate, bool) {
+func (f *Fleet) candidateOn(need *gate.Need, m *Machine, now loop.Micros, rights *PreemptionRights) (candidate, bool) {
 	s := need.Spec
 	o := candidate{m: m}
 	if !m.Allowed(need) {
 		return o, false
 	}
-	f.scratch = f.appendVictims(f.scratch[:0], need, m, now, by)
+	f.scratch = f.appendVictims(f.scratch[:0], need, m, now, rights)
 	if len(f.scratch) == 0 {
 		return o, false
 	}
-	room := m.Unreserved(need)
+	free := m.Unreserved(need)
 	if !m.Runs.HasImage(s.Image) {
 		o.cost = 20 * s.CPUs
 	}
 	f.preemptedCPUs.clear()
 	for i := range f.scratch {
-		if room.Fits(s) {
+		if free.Fits(s) {
 			break
 		}
 		v := &f.scratch[i]
 		// The victims for one task count together against their team's excess: checked one by one, they took
 		// a team below its guarantee.
-		if !by.allows(s, v.spec, f.preemptedCPUs.of(v.spec.Team)) {
+		if !rights.allows(s, v.spec, f.preemptedCPUs.of(v.spec.Team)) {
 			continue
 		}
 		f.preemptedCPUs.add(v.spec)
-		room.Give(v.spec)
+		free.Give(v.spec)
 		o.cost += v.loss
 		o.victims = append(o.victims, *v)
 	}
-	if len(o.victims) == 0 || !room.Fits(s) {
+	if len(o.victims) == 0 || !free.Fits(s) {
 		return o, false
 	}
 	return o, true
@@ -88,14 +88,14 @@
 
 // Preempt stops tasks to make capacity for up to want tasks of a job that did not fit, and returns one
 // reservation for each task it made capacity for.
-func (f *Fleet) Preempt(need *gate.Need, want int, by PreemptionRights) (claims []peer.Claim) {
-	return f.preempt(need, want, &by, math.Inf(1), reservationLife, func(*Machine) bool { return true })
+func (f *Fleet) Preempt(need *gate.Need, want int, rights PreemptionRights) (reservations []peer.Claim) {
+	return f.preempt(need, want, &rights, math.Inf(1), reservationLife, func(*Machine) bool { return true })
 }
 
 // PreemptForCachedImage makes capacity for an urgent job's tasks on machines that have its image cached, although
 // others have free capacity: there the tasks would wait for the fetch. It stops only tasks that lose less
 // than the fetch costs, so that the preemption is no net loss.
-func (f *Fleet) PreemptForCachedImage(need *gate.Need, want int, by PreemptionRights) []peer.Claim {
+func (f *Fleet) PreemptForCachedImage(need *gate.Need, want int, rights PreemptionRights) []peer.Claim {
 	rate := math.Inf(1)
 	for _, m := range f.order {
 		if m.typ.FetchGBs > 0 {
@@ -103,8 +103,8 @@
 		}
 	}
 	most := fetchCostFactor * need.Spec.ImageGB / rate * need.Spec.CPUs
-	by.LowerPriorityOnly = true // the tasks fit elsewhere
-	return f.preempt(need, want, &by, most, imageReservationLife, func(m *Machine) bool { return m.Runs.HasImage(need.Spec.Image) })
+	rights.LowerPriorityOnly = true // the tasks fit elsewhere
+	return f.preempt(need, want, &rights, most, imageReservationLife, func(m *Machine) bool { return m.Runs.HasImage(need.Spec.Image) })
 }
 
 // fetchCostFactor is how many times the cost of a fetch may be lost to avoid it: while the image is fetched, an
@@ -125,15 +125,15 @@
 	return f.CountFitting(need, n, there)
 }
 
-// preempt computes candidates on the machines for which of returns true, once for each, until it has enough to
-// choose from. After that it recomputes only the chosen machine. Each task may cost at most the given number
-// of CPU seconds.
-func (f *Fleet) preempt(need *gate.Need, want int, by *PreemptionRights, maxCost float64, life loop.Micros, eligible func(*Machine) bool) (claims []peer.Claim) {
+// preempt computes candidates on the machines for which eligible returns true, once for each, until it has
+// enough to choose from. After that it recomputes only the chosen machine. Each task may cost at most maxCost
+// CPU seconds.
+func (f *Fleet) preempt(need *gate.Need, want int, rights *PreemptionRights, maxCost float64, life loop.Micros, eligible func(*Machine) bool) (reservations []peer.Claim) {
 	s := need.Spec
 	now := f.runner.Now()
 	after := now - f.node.StaleAfter
 	var all candidateHeap
-	borrowed := by.WithinGuarantee && !by.LowerPriorityOnly && by.anyOtherExcess(s.Team)
+	borrowed := rights.WithinGuarantee && !rights.LowerPriorityOnly && rights.anyOtherExcess(s.Team)
 	// With many machines, any few of them are about as good as the best of all: the search starts where the
 	// last one ended, and stops once there are enough candidates.
 	for k := 0; k < len(f.order) && len(all) < candidatesPerTask*(want+8); k++ {
@@ -142,7 +142,7 @@
 		if (m.lowestPriority >= s.Priority && !borrowed) || !eligible(m) || !m.AcceptsStarts(after, now) {
 			continue // no task there may be preempted
 		}
-		if o, ok := f.candidateOn(need, m, now, by); ok && o.cost <= maxCost {
+		if o, ok := f.candidateOn(need, m, now, rights); ok && o.cost <= maxCost {
 			all = append(all, o)
 		}
 	}
@@ -151,7 +151,7 @@
 	for made < want && len(all) > 0 {
 		best := all[0]
 		// Preemptions made for this job since may have used up another team's excess.
-		o, ok := f.candidateOn(need, best.m, now, by)
+		o, ok := f.candidateOn(need, best.m, now, rights)
 		if !ok || o.cost > maxCost {
 			heap.Pop(&all)
 			continue
@@ -165,7 +165,7 @@
 		wait := loop.Micros(0)
 		for _, y := range o.victims {
 			wait = max(wait, y.grace)
-			by.Excess[y.spec.Team] -= y.spec.CPUs
+			rights.Excess[y.spec.Team] -= y.spec.CPUs
 			o.m.Free.Give(y.spec)
 			o.m.preempted = append(o.m.preempted, pendingPreemption{delivery.Attempt{Task: y.task.Task, Number: y.task.Attempt}, now + y.grace + 5*loop.Second})
 			f.log.Debug("preempting task to make capacity for another job", "task", y.task.Task, "machine", o.m.View.Name, "for", need.ID, "grace_us", y.grace)
@@ -179,14 +179,14 @@
 			c.Victims = append(c.Victims, y.task.Task)
 		}
 		f.AddReservation(c)
-		claims = append(claims, c)
-		by.consume(made)
-		if again, ok := f.candidateOn(need, o.m, now, by); ok {
+		reservations = append(reservations, c)
+		rights.consume(made)
+		if again, ok := f.candidateOn(need, o.m, now, rights); ok {
 			all[0] = again
 			heap.Fix(&all, 0)
 		} else {
 			heap.Pop(&all)
 		}
 	}
-	return claims
+	return reservations
 }
--- a/internal/fleet/reservations.go
+++ b/internal/fleet/reservations.go
@@ -49,18 +49,18 @@
 
 // ReservationsOf lists the unexpired reservations of the jobs for which own returns true, so that a peer that
 // does not know them can be sent them.
-func (f *Fleet) ReservationsOf(own func(job string) bool) (claims []peer.Claim) {
+func (f *Fleet) ReservationsOf(own func(job string) bool) (reservations []peer.Claim) {
 	for m := range f.reserved {
 		for _, c := range m.Reservations {
 			if own(c.Job) {
-				claims = append(claims, peer.Claim{Machine: m.View.Name, Job: c.Job, Priority: c.Priority, CPUs: c.Capacity.CPUs, GPUs: c.Capacity.GPUs, MemoryGB: c.Capacity.MemoryGB, Until: c.Until})
+				reservations = append(reservations, peer.Claim{Machine: m.View.Name, Job: c.Job, Priority: c.Priority, CPUs: c.Capacity.CPUs, GPUs: c.Capacity.GPUs, MemoryGB: c.Capacity.MemoryGB, Until: c.Until})
 			}
 		}
 	}
-	slices.SortStableFunc(claims, func(a, b peer.Claim) int {
+	slices.SortStableFunc(reservations, func(a, b peer.Claim) int {
 		return cmp.Or(strings.Compare(a.Machine, b.Machine), strings.Compare(a.Job, b.Job), cmp.Compare(a.Until, b.Until))
 	})
-	return claims
+	return reservations
 }
 
 func (f *Fleet) dropReservation(m *Machine, i int) {
--- a/internal/fleet/reserve.go
+++ b/internal/fleet/reserve.go
@@ -21,7 +21,7 @@
 // take it. Capacity that is reserved already is subtracted first, and small reservations share a machine:
 // when each had a machine of its own, none was left for gangs or for tasks as large as a machine. For a gang
 // it reserves everything or nothing, since a part of a gang cannot run.
-func (f *Fleet) Reserve(need *gate.Need, want int, life loop.Micros) (claims []peer.Claim) {
+func (f *Fleet) Reserve(need *gate.Need, want int, life loop.Micros) (reservations []peer.Claim) {
 	n := *need
 	if n.Zones = maps.Clone(need.Zones); n.Zones == nil {
 		n.Zones = map[string]int{}
@@ -51,37 +51,37 @@
 	// reserved beside it, too. Next come machines with the fewest tasks of the job's own team, which could
 	// use the freed capacity anyway, and then those with the most free CPUs, where the rest is freed soonest.
 	rank := func(x *place) int {
-		claims := x.m.Reservations
+		reservations := x.m.Reservations
 		switch {
 		case smallTaskDivisor*s.CPUs > x.m.typ.CPUs:
-			return len(claims)
-		case 2*x.left.CPUs <= x.m.typ.CPUs, slices.ContainsFunc(claims, func(c gate.Reservation) bool { return smallTaskDivisor*c.Capacity.CPUs > x.m.typ.CPUs }):
+			return len(reservations)
+		case 2*x.left.CPUs <= x.m.typ.CPUs, slices.ContainsFunc(reservations, func(c gate.Reservation) bool { return smallTaskDivisor*c.Capacity.CPUs > x.m.typ.CPUs }):
 			return 1
 		}
-		return -len(claims)
+		return -len(reservations)
 	}
 	slices.SortStableFunc(fit, func(a, b place) int {
 		return cmp.Or(cmp.Compare(rank(&a), rank(&b)), cmp.Compare(a.own, b.own), cmp.Compare(b.m.Free.CPUs, a.m.Free.CPUs))
 	})
 	for _, x := range fit {
-		m, room := x.m, x.left
-		for len(claims) < want && room.Fits(s) && m.Allowed(&n) {
-			room.Take(s)
+		m, free := x.m, x.left
+		for len(reservations) < want && free.Fits(s) && m.Allowed(&n) {
+			free.Take(s)
 			n.Zones[m.View.Zone]++
 			c := peer.Claim{Machine: m.View.Name, Job: need.ID, Priority: int(job.Production), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Until: f.runner.Wall() + life}
-			claims = append(claims, c)
+			reservations = append(reservations, c)
 		}
-		if len(claims) == want {
+		if len(reservations) == want {
 			break
 		}
 	}
-	if s.Gang && len(claims) < want {
+	if s.Gang && len(reservations) < want {
 		return nil
 	}
-	for _, c := range claims {
+	for _, c := range reservations {
 		f.AddReservation(c)
 	}
-	return claims
+	return reservations
 }
 
 // teamTaskCount counts the active tasks of a team that the machine reports.
--- a/internal/fleet/victims.go
+++ b/internal/fleet/victims.go
@@ -42,7 +42,7 @@
 
 // appendVictims appends the tasks on a machine that may be preempted, each considered by itself: those of lower
 // priority first, then the others, and within each group the least loss first.
-func (f *Fleet) appendVictims(out []victim, need *gate.Need, m *Machine, now loop.Micros, by *PreemptionRights) []victim {
+func (f *Fleet) appendVictims(out []victim, need *gate.Need, m *Machine, now loop.Micros, rights *PreemptionRights) []victim {
 	urgent := need.Spec.Priority >= job.High
 	for i := range m.View.Tasks {
 		x := &m.View.Tasks[i]
@@ -50,7 +50,7 @@
 			continue
 		}
 		j := m.Jobs[i]
-		if j == nil || j.Spec == nil || !by.allows(need.Spec, j.Spec, 0) {
+		if j == nil || j.Spec == nil || !rights.allows(need.Spec, j.Spec, 0) {
 			continue
 		}
 		if m.isStopping(x, now) {
