--- a/internal/explain/desk.go
+++ b/internal/explain/desk.go
@@ -112,7 +112,7 @@
 	out := whyReply{Loaded: true, Waiting: f.Gate.Waiting, Running: f.Running, Done: f.Done, Reasons: Reasons(f), AheadComplete: f.AheadComplete}
 	for i := range out.Reasons {
 		r := &out.Reasons[i]
-		k := gate.Named(r.Kind)
+		k := gate.KindByName(r.Kind)
 		since := d.Timelines.Since(id, k)
 		if since != 0 {
 			t := Time(since)
@@ -221,7 +221,7 @@
 func (d *Service) askLeader(a *Answer, j *job.Job, done func()) {
 	var short []*Reason
 	for i := range a.Reasons {
-		if k := gate.Named(a.Reasons[i].Kind); k == gate.Room || k == gate.Gang {
+		if k := gate.KindByName(a.Reasons[i].Kind); k == gate.Capacity || k == gate.Gang {
 			short = append(short, &a.Reasons[i])
 		}
 	}
--- a/internal/explain/desk_test.go
+++ b/internal/explain/desk_test.go
@@ -32,7 +32,7 @@
 	spec := &job.Spec{Class: "k", Team: "red", Tasks: 6, CPUs: 2, MemoryGB: 1, AnyType: true}
 	j := &job.Job{ID: "job-000001", Phase: job.Accepted, Spec: spec, Tasks: 6}
 	o.facts = &Facts{Job: j, Team: config.Team{Name: "red"}, StateContact: true, AheadComplete: true, Exact: true, Now: o.Now(), Wall: o.Wall(),
-		Gate: gate.Job{Spec: spec, Hold: &j.Terms.Hold, Waiting: 3, InUse: 3, Quota: config.Quota{CPUs: 4, CPUsMax: config.LimitOf(99)}},
+		Gate: gate.JobFacts{Spec: spec, Hold: &j.Terms.Hold, Waiting: 3, InUse: 3, Quota: config.Quota{CPUs: 4, CPUsMax: config.LimitOf(99)}},
 		Need: gate.Need{ID: j.ID, Spec: spec, Tasks: 6}, Fits: 0, FitsAll: 0, Running: 1, Done: 0}
 	o.supply = Supply{State: "booting", Booting: []Booting{{Offer: Offer{Type: "m", Count: 2}}}}
 	o.service = NewService(o, Dependencies{
@@ -110,7 +110,7 @@
 		{"in flight", func(o *simulation) {
 			o.facts.Gate.Waiting = 0
 			o.facts.InFlight = []InFlight{{Kind: gate.Recording, State: "recording", Machine: "n-1", Tasks: 1}, {Kind: gate.Saving, State: "saving", Machine: "n-2", Tasks: 2, PreemptedFor: "job-000009"},
-				{Kind: gate.Unproven, State: "absent", Machine: "n-3", Tasks: 1, ConfirmedBy: "a list"}, {Kind: gate.Unproven, State: "silent", Machine: "n-4", Tasks: 1}}
+				{Kind: gate.Unconfirmed, State: "absent", Machine: "n-3", Tasks: 1, ConfirmedBy: "a list"}, {Kind: gate.Unconfirmed, State: "silent", Machine: "n-4", Tasks: 1}}
 		}, "recording/recording:1 saving/saving:2 unproven/several:2 true 0"},
 	} {
 		o := newSimulation()
@@ -170,11 +170,11 @@
 		ended[k]++
 	}
 	set := func(at loop.Micros, causes ...gate.Cause) { l.Set("j", causes, at*loop.Second, true) }
-	room, limit := gate.Cause{Kind: gate.Room, Tasks: 3}, gate.Cause{Kind: gate.Limit, Tasks: 2}
+	room, limit := gate.Cause{Kind: gate.Capacity, Tasks: 3}, gate.Cause{Kind: gate.Limit, Tasks: 2}
 	set(10, room)
 	set(20, room, limit)
 	set(30, limit)
-	set(31, limit, gate.Cause{Kind: gate.Room, Tasks: 5}) // one second later: the interval continues
+	set(31, limit, gate.Cause{Kind: gate.Capacity, Tasks: 5}) // one second later: the interval continues
 	of := l.Get("j").Intervals
 	if len(of) != 2 || of[1].Kind != "room" || of[1].From != Time(10*loop.Second) || of[1].Tasks != 5 || of[1].To != nil {
 		t.Fatalf("after a short interruption of a cause the timeline is %+v", of)
@@ -195,7 +195,7 @@
 	if last := all.Intervals[len(all.Intervals)-1]; last.Kind != "teamLimit" || last.To != nil {
 		t.Errorf("the newest entry is %+v, want a teamLimit that still holds", last)
 	}
-	if ended[gate.Room] == 0 || ended[gate.Limit] == 0 {
+	if ended[gate.Capacity] == 0 || ended[gate.Limit] == 0 {
 		t.Errorf("ended intervals by kind are %v, want some of room and of teamLimit", ended)
 	}
 	for i := range maxFinished + 10 {
@@ -212,13 +212,13 @@
 // as long, not from all of them; with too few of these there must be no estimate.
 func TestEstimatesAreConditional(t *testing.T) {
 	w := NewWaits()
-	if w.Remaining(gate.Room, false, 0) != nil {
+	if w.Remaining(gate.Capacity, false, 0) != nil {
 		t.Fatal("got an estimate without any recorded wait, want none")
 	}
 	for i := range loop.Micros(200) {
-		w.Add(gate.Room, false, (1+i%10)*loop.Second) // one to ten seconds
+		w.Add(gate.Capacity, false, (1+i%10)*loop.Second) // one to ten seconds
 	}
-	young, old := w.Remaining(gate.Room, false, 0), w.Remaining(gate.Room, false, 8500*loop.Millisecond)
+	young, old := w.Remaining(gate.Capacity, false, 0), w.Remaining(gate.Capacity, false, 8500*loop.Millisecond)
 	if young == nil || old == nil {
 		t.Fatal("got no estimate from 200 recorded waits")
 	}
@@ -228,7 +228,7 @@
 	if s := loop.Micros(old.Likely); s > 2*loop.Second || old.Samples >= young.Samples {
 		t.Errorf("after 8.5 of at most 10 s the likely rest is %d us from %d of %d samples", s, old.Samples, young.Samples)
 	}
-	if w.Remaining(gate.Room, false, 11*loop.Second) != nil || w.Remaining(gate.Room, true, 0) != nil {
+	if w.Remaining(gate.Capacity, false, 11*loop.Second) != nil || w.Remaining(gate.Capacity, true, 0) != nil {
 		t.Error("got an estimate though no recorded wait lasted as long, or none was urgent")
 	}
 }
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -14,12 +14,12 @@
 // gathers them; they contain no decision that it does not make itself.
 type Facts struct {
 	Job             *job.Job
-	Gate            gate.Job
+	Gate            gate.JobFacts
 	Need            gate.Need
 	Team            config.Team
 	WithinGuarantee bool // the job is within its team's guarantee
 	StateContact    bool // the owner has contact with the state service
-	Places          []*gate.Place
+	Places          []*gate.MachineFacts
 	ReportedAfter   loop.Micros // a machine's last report must be newer than this
 	Now             loop.Micros // monotonic clock
 	Wall            loop.Micros
@@ -92,7 +92,7 @@
 		if h.Until != 0 {
 			until := Time(h.Until)
 			d.Until, r.Until = &until, &until
-			left := Duration(max(h.Until+f.Gate.ClockTo-f.Wall, 0))
+			left := Duration(max(h.Until+f.Gate.ClockMargin-f.Wall, 0))
 			r.Estimate = &Estimate{Low: left, Likely: left, High: left + Duration(loop.Second)}
 			r.Release = "the hold ends by itself, or an operator releases the job"
 		}
@@ -101,7 +101,7 @@
 		withdrawn := false
 		for i := range f.Gate.After {
 			d := &f.Gate.After[i]
-			if f.Gate.Met(d) {
+			if f.Gate.DependencyMet(d) {
 				continue
 			}
 			b := Prerequisite{Job: d.ID, State: PhaseName(d.Phase)}
@@ -119,18 +119,18 @@
 			}
 		}
 	case gate.BackOff:
-		until := Time(f.Wall + f.Gate.Failing.RestTo - f.Now)
-		left := Duration(f.Gate.Failing.RestTo - f.Now)
+		until := Time(f.Wall + f.Gate.Failing.BackOffUntil - f.Now)
+		left := Duration(f.Gate.Failing.BackOffUntil - f.Now)
 		r.State, r.Until = "resting", &until
 		r.Estimate = &Estimate{Low: left, Likely: left, High: left + Duration(loop.Second)}
 		r.Detail.Failures = f.failures()
 		r.Release = "its back-off ends; then a few of its tasks are tried again"
-	case gate.Probe:
+	case gate.Probation:
 		r.State, r.Release = "oneAtATime", "a task of the job completes; others follow once it has run for longer than those that failed"
 		switch x := &f.Gate.Failing; {
 		case x.State == health.Sound || x.State == health.Untried:
 			r.State, r.Release = "failedBefore", "the tasks that failed before complete; the job's other tasks are not held back"
-		case x.Width > 1:
+		case x.MaxInUse > 1:
 			r.State = "growing"
 		}
 		r.Detail.Failures = f.failures()
@@ -142,12 +142,12 @@
 
 func (f *Facts) failures() *FailureSummary {
 	x := &f.Gate.Failing
-	return &FailureSummary{Consecutive: x.Moments, Machines: x.Machines, Verdict: x.State.String(), Tasks: x.Late}
+	return &FailureSummary{Consecutive: x.ConsecutiveFailures, Machines: x.Machines, Verdict: x.State.String(), Tasks: x.FailedWaiting}
 }
 
 func (f *Facts) teamUse() *TeamUse {
-	return &TeamUse{Team: f.Team.Name, CPUs: f.Gate.Used.CPUs, CPUsMax: f.Gate.Quota.CPUsMax, CPUsGuaranteed: f.Gate.Quota.CPUs,
-		GPUs: f.Gate.Used.GPUs, GPUsMax: f.Gate.Quota.GPUsMax, WithinGuarantee: f.WithinGuarantee}
+	return &TeamUse{Team: f.Team.Name, CPUs: f.Gate.TeamUsage.CPUs, CPUsMax: f.Gate.Quota.CPUsMax, CPUsGuaranteed: f.Gate.Quota.CPUs,
+		GPUs: f.Gate.TeamUsage.GPUs, GPUsMax: f.Gate.Quota.GPUsMax, WithinGuarantee: f.WithinGuarantee}
 }
 
 // addMachineReasons adds the reasons why the addMachineReasons do not take the waiting tasks that the job's
@@ -171,7 +171,7 @@
 		r.Detail.Cordons, r.Detail.Needs = f.Cordons, needs
 		r.BlockedBy = append(r.BlockedBy, f.Cordons...)
 	}
-	short, kind := n-f.FitsAll, gate.Room
+	short, kind := n-f.FitsAll, gate.Capacity
 	if s.Gang {
 		kind = gate.Gang
 		if short > 0 || f.Gate.InUse > 0 {
@@ -218,8 +218,8 @@
 		for _, a := range r.Detail.Ahead {
 			r.BlockedBy = append(r.BlockedBy, a.Job)
 		}
-	} else if cordoned <= 0 && short <= 0 && f.StateContact && f.Gate.Open() && f.Gate.Least() > 0 {
-		r := add(gate.Recheck, min(n, f.Gate.Least()))
+	} else if cordoned <= 0 && short <= 0 && f.StateContact && f.Gate.Unblocked() && f.Gate.MinAllowedTasks() > 0 {
+		r := add(gate.NextPass, min(n, f.Gate.MinAllowedTasks()))
 		r.State, r.Release = "due", "nothing: the next scheduling pass places it"
 		r.Estimate = &Estimate{Low: 0, Likely: Duration(50 * loop.Millisecond), High: Duration(loop.Second)}
 	}
@@ -235,7 +235,7 @@
 	m := &Machines{Groups: []MachineGroup{}}
 	for _, p := range f.Places {
 		m.Examined++
-		k := key{p.V.Type, p.V.Zone, p.V.Spot}
+		k := key{p.View.Type, p.View.Zone, p.View.Spot}
 		i, ok := at[k]
 		if !ok {
 			if len(m.Groups) >= maxGroups {
@@ -250,11 +250,11 @@
 		g.Machines++
 		l := p.Lacks(&f.Need, f.ReportedAfter, f.Now)
 		l.Each(func(name string) { g.Lacks[name]++ })
-		if l&gate.LackRested != 0 {
+		if l&gate.LackBackOffOver != 0 {
 			if g.Resting == nil {
 				g.Resting = map[string]int{}
 			}
-			g.Resting[p.ShutWhy]++
+			g.Resting[p.BackOffReason]++
 		}
 	}
 	return m
@@ -262,7 +262,7 @@
 
 // addInFlight adds the reasons of tasks that are neither waiting nor running.
 func (f *Facts) addInFlight(add func(gate.Kind, int) *Reason) {
-	for _, k := range []gate.Kind{gate.Recording, gate.Starting, gate.Fetching, gate.Saving, gate.Unproven} {
+	for _, k := range []gate.Kind{gate.Recording, gate.Starting, gate.Fetching, gate.Saving, gate.Unconfirmed} {
 		var r *Reason
 		for i := range f.InFlight {
 			x := &f.InFlight[i]
@@ -288,11 +288,11 @@
 }
 
 var inFlightRelease = map[gate.Kind]string{
-	gate.Recording: "the attempt is stored in the state service",
-	gate.Starting:  "the machine reports the task",
-	gate.Fetching:  "the machine has fetched the image",
-	gate.Saving:    "the task has saved its checkpoint; then it is placed again",
-	gate.Unproven:  "the task is confirmed terminated, or reports of the machine named arrive again",
+	gate.Recording:   "the attempt is stored in the state service",
+	gate.Starting:    "the machine reports the task",
+	gate.Fetching:    "the machine has fetched the image",
+	gate.Saving:      "the task has saved its checkpoint; then it is placed again",
+	gate.Unconfirmed: "the task is confirmed terminated, or reports of the machine named arrive again",
 }
 
 // HoldName returns the printed form of a hold's state.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -41,7 +41,7 @@
 
 // Machine is one machine with what placement derives from its newest view.
 type Machine struct {
-	gate.Place
+	gate.MachineFacts
 	Runs           *health.Runs
 	Jobs           []*job.Job // of the view's tasks
 	typ            wire.MachineType
@@ -92,7 +92,7 @@
 	after := now - f.node.StaleAfter
 	f.free = f.free[:0]
 	for _, m := range f.order {
-		if m.Room.CPUs > 0 && m.Open(after, now) {
+		if m.Free.CPUs > 0 && m.AcceptsStarts(after, now) {
 			f.free = append(f.free, m)
 		}
 	}
@@ -101,7 +101,7 @@
 
 // UpdateView records a machine's newer view and when its report was received. quiet means that nothing on the
 // machine has changed, so that it needs no refresh.
-func (f *Fleet) UpdateView(v *agent.View, heard loop.Micros, quiet bool) *Machine {
+func (f *Fleet) UpdateView(v *agent.View, reportedAt loop.Micros, quiet bool) *Machine {
 	m := f.machines[v.Name]
 	first := m == nil
 	if first {
@@ -111,7 +111,7 @@
 		f.sorted = false
 		f.pricedAt = 0
 	}
-	m.V, m.Heard = v, max(m.Heard, heard)
+	m.View, m.LastReport = v, max(m.LastReport, reportedAt)
 	if first {
 		f.applyPendingReservations(v.Name)
 	}
@@ -135,7 +135,7 @@
 	if m == nil {
 		return
 	}
-	for len(m.Claims) > 0 {
+	for len(m.Reservations) > 0 {
 		f.dropReservation(m, 0)
 	}
 	delete(f.machines, machine)
@@ -146,14 +146,14 @@
 // BackOff keeps the machine from being chosen until the given time. An earlier time than the one in force is
 // ignored.
 func (m *Machine) BackOff(until loop.Micros, why string) {
-	if until > m.Shut {
-		m.Shut, m.ShutWhy = until, why
+	if until > m.BackOffUntil {
+		m.BackOffUntil, m.BackOffReason = until, why
 	}
 }
 
 // Allocate subtracts a task that is placed here now from the machine's free capacity.
 func (m *Machine) Allocate(s *job.Spec) {
-	m.Room.Take(s)
+	m.Free.Take(s)
 	m.usedCPUs += s.CPUs
 }
 
@@ -171,20 +171,20 @@
 func (f *Fleet) Refresh() {
 	now := f.runner.Now()
 	if !f.sorted {
-		slices.SortFunc(f.order, func(a, b *Machine) int { return strings.Compare(a.V.Name, b.V.Name) })
+		slices.SortFunc(f.order, func(a, b *Machine) int { return strings.Compare(a.View.Name, b.View.Name) })
 		f.sorted = true
 	}
 	if v := f.node.Cordons.Version(); v != f.cordonVersion {
 		f.cordonVersion = v
 		for _, m := range f.order {
-			m.Cordoned = f.node.Cordons.Barred(CordonPlace(m.V))
+			m.Cordoned = f.node.Cordons.Barred(CordonPlace(m.View))
 		}
 	}
 	due := f.stale
 	f.stale = nil
 	for _, m := range due {
 		m.stale = false
-		if f.machines[m.V.Name] == m {
+		if f.machines[m.View.Name] == m {
 			f.refresh(m)
 		}
 	}
@@ -195,19 +195,19 @@
 }
 
 func (f *Fleet) refresh(m *Machine) {
-	v := m.V
+	v := m.View
 	typ, ok := f.node.Type(v.Type)
-	var room agent.Room
+	var free agent.Room
 	if ok {
-		room, ok = f.node.Room(v, typ)
+		free, ok = f.node.Room(v, typ)
 	}
 	if !ok {
 		m.Known = false
 		f.MarkStale(m) // retried until its type and the jobs of its tasks are known here
 		return
 	}
-	f.node.Unshown(v, room.Take)
-	m.typ, m.Room, m.usedCPUs = typ, room, typ.CPUs-room.CPUs
+	f.node.Unshown(v, free.Take)
+	m.typ, m.Free, m.usedCPUs = typ, free, typ.CPUs-free.CPUs
 	m.Jobs = f.node.Jobs(v)
 	m.lowestPriority = job.Production
 	for i, j := range m.Jobs {
@@ -224,9 +224,9 @@
 func (f *Fleet) updatePrices() {
 	least := math.Inf(1)
 	for _, m := range f.order {
-		if typ, ok := f.node.Type(m.V.Type); ok {
+		if typ, ok := f.node.Type(m.View.Type); ok {
 			m.cpuPrice = typ.Price / typ.CPUs
-			if m.V.Spot {
+			if m.View.Spot {
 				m.cpuPrice = typ.SpotPrice / typ.CPUs
 			}
 			least = min(least, m.cpuPrice)
@@ -246,7 +246,7 @@
 // choose the same machine.
 func (m *Machine) score(s *job.Spec, here string) float64 {
 	score := 2*m.usedCPUs/m.typ.CPUs - 3*m.priceExcess
-	if m.V.Host == here {
+	if m.View.Host == here {
 		score += 0.4
 	}
 	if m.Runs.HasImage(s.Image) {
@@ -292,9 +292,9 @@
 	}
 	var all []scored
 	for _, m := range machines {
-		if m.Open(after, now) && m.Takes(need) {
+		if m.AcceptsStarts(after, now) && m.Fits(need) {
 			score := m.score(need.Spec, f.node.Label)
-			if _, failed := need.Shun[m.V.Name]; failed {
+			if _, failed := need.Avoid[m.View.Name]; failed {
 				score -= avoidPenalty
 			}
 			all = append(all, scored{m, score})
@@ -313,22 +313,22 @@
 	return placeOnRanked(need, n, copyMachines(f.Ranked(&need, machines)))
 }
 
-// Copies returns copies of all machines for trial placement. With lifted, cordons are ignored.
-func (f *Fleet) Copies(lifted bool) []*Machine {
+// Copies returns copies of all machines for trial placement. With ignoreCordons, none of them is cordoned.
+func (f *Fleet) Copies(ignoreCordons bool) []*Machine {
 	out := copyMachines(f.order)
 	for _, m := range out {
-		m.Cordoned = m.Cordoned && !lifted
+		m.Cordoned = m.Cordoned && !ignoreCordons
 	}
 	return out
 }
 
 // copyMachines returns copies of the machines for trial placement.
 func copyMachines(machines []*Machine) []*Machine {
-	room := make([]Machine, len(machines))
+	copies := make([]Machine, len(machines))
 	out := make([]*Machine, len(machines))
 	for i, m := range machines {
-		room[i] = *m
-		out[i] = &room[i]
+		copies[i] = *m
+		out[i] = &copies[i]
 	}
 	return out
 }
@@ -347,9 +347,9 @@
 	}
 	got := 0
 	for _, m := range machines {
-		for got < n && m.Takes(&need) {
-			m.Room.Take(need.Spec)
-			need.Zones[m.V.Zone]++
+		for got < n && m.Fits(&need) {
+			m.Free.Take(need.Spec)
+			need.Zones[m.View.Zone]++
 			got++
 		}
 	}
--- a/internal/job/answer.go
+++ b/internal/job/answer.go
@@ -114,7 +114,7 @@
 		if j := r.jobs[req.id]; j != nil && !j.Final() {
 			r.unanswered.recordRefusal(req.id, req.unansweredSince)
 		}
-		r.refusals.Refuse(string(a.source), r.runner.Now())
+		r.refusals.Record(string(a.source), r.runner.Now())
 	} else {
 		r.unanswered.recordAnswer(req.id)
 	}
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -27,7 +27,7 @@
 	jobs       map[string]*Job
 	damaged    map[string]bool // jobs whose newest record cannot be decoded
 	pending    map[string]*creation
-	queue      *admission.Line // submissions that wait for their record to be stored
+	queue      *admission.Queue // submissions that wait for their record to be stored
 	storing    bool
 	reads      readQueue
 	unanswered unansweredJobs
@@ -104,19 +104,19 @@
 // ConfigureAdmission sets the weights by which teams share the admission of submissions, and the expected number of
 // submissions per second. It must be called before anything is submitted.
 func (r *Registry) ConfigureAdmission(weight func(team string) float64, rate float64) {
-	r.queue = admission.NewLine(weight, rate)
-	r.queue.OnState(func(from, to admission.State) {
+	r.queue = admission.NewQueue(weight, rate)
+	r.queue.OnStateChange(func(from, to admission.State) {
 		r.client.Meter.Admission(to.String())
 		r.log.Info("load state of the submission queue changed", "from", from.String(), "to", to.String(), "waiting", r.queue.Waiting())
 	})
 }
 
 // TakeQueuePositions returns the queue positions of clients deferred since the previous call, to be sent to the peers.
-func (r *Registry) TakeQueuePositions() []admission.Place { return r.queue.News() }
+func (r *Registry) TakeQueuePositions() []admission.Position { return r.queue.TakeNewPositions() }
 
 // ApplyQueuePositions applies the queue positions that a peer sent.
-func (r *Registry) ApplyQueuePositions(all []admission.Place) {
-	r.queue.Learn(all, r.runner.Wall())
+func (r *Registry) ApplyQueuePositions(all []admission.Position) {
+	r.queue.MergePositions(all, r.runner.Wall())
 }
 
 // Get returns a job known here, nil if there is none.
@@ -162,7 +162,7 @@
 	now := r.runner.Now()
 	r.expireCreates(now)
 	r.expireReads(now)
-	r.refusals.Look(now)
+	r.refusals.LogEnded(now)
 }
 
 // RecordRefusal records that a request about a job was refused with Retry-After before it reached the registry. The
@@ -170,7 +170,7 @@
 func (r *Registry) RecordRefusal(id, reason string) {
 	now := r.runner.Now()
 	r.client.Meter.TurnedAway(reason)
-	r.refusals.Refuse(reason, now)
+	r.refusals.Record(reason, now)
 	since := r.unanswered.since(id, now)
 	if j := r.jobs[id]; j != nil && !j.Final() {
 		r.unanswered.recordRefusal(id, since)
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -55,13 +55,13 @@
 		c.requests = append(c.requests, req)
 		return
 	}
-	a := r.queue.Ask(admission.Request{ID: req.id, Team: spec.Team, Class: spec.Class, Urgent: spec.Priority >= High}, r.runner.Now(), r.runner.Wall())
-	if a.Instead != "" {
-		r.deferSubmission(a.Instead, a.After)
+	a := r.queue.Enqueue(admission.Request{ID: req.id, Team: spec.Team, Class: spec.Class, Urgent: spec.Priority >= High}, r.runner.Now(), r.runner.Wall())
+	if a.Evicted != "" {
+		r.deferSubmission(a.Evicted, a.RetryAfter)
 	}
-	if !a.Taken {
+	if !a.Queued {
 		r.client.Meter.Submission("putOff")
-		r.deliver(req, Answer{Code: 429, ID: req.id, RetryAfter: a.After, source: RefusedDeferred})
+		r.deliver(req, Answer{Code: 429, ID: req.id, RetryAfter: a.RetryAfter, source: RefusedDeferred})
 		return
 	}
 	r.pending[req.id] = &creation{spec: spec, terms: terms.stored(), requests: []*userRequest{req}, deadline: req.deadline}
@@ -91,7 +91,7 @@
 
 // createBatch is the set of new jobs that one transaction stores.
 type createBatch struct {
-	turns   []admission.Turn
+	turns   []admission.Entry
 	records map[string]Record
 	txn     wire.Txn
 }
@@ -141,7 +141,7 @@
 func (r *Registry) handleStored(batch *createBatch, result store.Result, sequence store.Sequence) {
 	switch result.Outcome {
 	case store.Applied:
-		r.queue.Served(len(batch.turns), r.runner.Now(), r.queue.Waiting() > 0)
+		r.queue.RecordAdmitted(len(batch.turns), r.runner.Now(), r.queue.Waiting() > 0)
 		for _, turn := range batch.turns {
 			r.client.Meter.Submission("taken")
 			r.mirror.Apply(KeyPrefix+turn.ID, wire.Marshal(batch.records[turn.ID]), result.Tally, false)
@@ -158,7 +158,7 @@
 	default:
 		// The outcome is unknown. Repeating the transaction is safe, since it is conditioned on the absence of
 		// the records.
-		r.queue.Back(batch.turns)
+		r.queue.Requeue(batch.turns)
 		r.runner.After(createRetryDelay, r.storeWaiting)
 		return
 	}
@@ -181,7 +181,7 @@
 				r.answerWhenCurrent(req)
 			}
 		default:
-			r.queue.Back([]admission.Turn{turn})
+			r.queue.Requeue([]admission.Entry{turn})
 		}
 	}
 }
@@ -191,7 +191,7 @@
 	for id, c := range loop.Sorted(r.pending) {
 		if now >= c.deadline {
 			a := newRefusal(id, 503, RefusedExpired)
-			a.RetryAfter = r.queue.Drop(id, r.runner.Wall())
+			a.RetryAfter = r.queue.TimeOut(id, r.runner.Wall())
 			r.answerSubmitters(id, a)
 		}
 	}
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -164,8 +164,8 @@
 func (n *Node) machines() []api.Machine {
 	var out []api.Machine
 	now, wall := n.loop.Now(), n.loop.Wall()
-	n.placer.EachPlace(func(p *gate.Place, after loop.Micros) {
-		v := p.V
+	n.placer.EachPlace(func(p *gate.MachineFacts, after loop.Micros) {
+		v := p.View
 		m := api.Machine{Name: v.Name, Type: v.Type, Zone: v.Zone, Kind: explain.MachineKind(v.Spot), ReportsTo: v.Host, Shut: []string{}}
 		for i := range v.Tasks {
 			if v.Tasks[i].Active() {
@@ -173,14 +173,14 @@
 			}
 		}
 		if p.Known {
-			cpus, memory := p.Room.CPUs, p.Room.MemoryGB
+			cpus, memory := p.Free.CPUs, p.Free.MemoryGB
 			m.CPUsFree, m.MemoryFreeGB = &cpus, &memory
 		}
-		lacks := p.Closed(after, now)
+		lacks := p.Blocking(after, now)
 		m.Shut = append(m.Shut, lacks.Names()...)
-		if lacks&gate.LackRested != 0 {
-			until := explain.Time(wall + p.Shut - now)
-			m.RestsUntil, m.RestsSince = &until, p.ShutWhy
+		if lacks&gate.LackBackOffOver != 0 {
+			until := explain.Time(wall + p.BackOffUntil - now)
+			m.RestsUntil, m.RestsSince = &until, p.BackOffReason
 		}
 		if v.NoticeAt != 0 {
 			at := explain.Time(v.NoticeAt)
--- a/internal/node/fitness.go
+++ b/internal/node/fitness.go
@@ -81,7 +81,7 @@
 // healthy reports whether users should be routed to this controller. One that alone has lost the state service is
 // unhealthy, so that its users go to the others. If no controller has contact, users stay and are deferred.
 func (n *Node) healthy() bool {
-	if !n.mirror.Ready() || !n.rental.Asked() {
+	if !n.mirror.Ready() || !n.rental.CatalogKnown() {
 		return false
 	}
 	return n.hasStateContact() || n.redirectTarget() == ""
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -47,7 +47,7 @@
 	cordons       *cordon.Book
 	agent         *agent.Agent
 	placer        *placer.Scheduler
-	rental        *rental.Rental
+	rental        *rental.Autoscaler
 	net           *peer.Net
 	reach         *reach.Judge
 	watermark     *horizon.Judge
@@ -152,7 +152,7 @@
 		},
 		Changed: func(v *agent.View, c *agent.Changes) {
 			n.placer.ViewChanged(v, c)
-			n.rental.View(v)
+			n.rental.UpdateView(v)
 		},
 		Drop: func(to string, d agent.Drop) {
 			n.dispatch(to, func() { l.Post(func() { n.placer.StartDropped(cfg.Label, d) }) }, func(e *peer.Envelope) { e.Drops = append(e.Drops, d) })
@@ -182,7 +182,7 @@
 			if !ok {
 				return
 			}
-			n.dispatch(o.Node, func() { n.rental.Tally(cfg.Label, t) }, func(e *peer.Envelope) { e.Tally = &t })
+			n.dispatch(o.Node, func() { n.rental.UpdateDemand(cfg.Label, t) }, func(e *peer.Envelope) { e.Tally = &t })
 		},
 		ReportCauses: cfg.Operator.API.Enabled,
 		Meter:        n.meter,
@@ -203,7 +203,7 @@
 		Close: func(host string, c peer.Close) {
 			n.dispatch(host, func() { n.agent.Close(c.Machine, c.Until) }, func(e *peer.Envelope) { e.Closes = append(e.Closes, c) })
 		},
-		Unheard: func(zone string) bool {
+		PeerUnreachable: func(zone string) bool {
 			for _, p := range cfg.Known {
 				if p.Site == zone && !n.reach.Heard(p.Label, 3*loop.Second) {
 					return true
@@ -211,16 +211,16 @@
 			}
 			return false
 		},
-		Entitled: n.member.LeaseValid,
-		Isolated: func() bool { return n.reach.Isolated() && !n.member.AllIsolated() },
-		Faulty:   n.placer.Faulty,
-		Meter:    n.meter,
+		LeaseValid: n.member.LeaseValid,
+		Isolated:   func() bool { return n.reach.Isolated() && !n.member.AllIsolated() },
+		Faulty:     n.placer.Faulty,
+		Meter:      n.meter,
 		Cordoned: func(typ, zone string, spot bool) bool {
 			return n.cordons.Barred(cordon.Place{Type: typ, Zone: zone, Spot: spot})
 		},
 		Probe: out.Probe,
 	})
-	n.rental.OnGone = n.placer.MachineDeleted
+	n.rental.OnDeleted = n.placer.MachineDeleted
 	n.jobs.OnJob = func(j *job.Job) {
 		if j.Phase == job.Cancelled {
 			n.watermark.Learn(horizon.Over{Job: j.ID, Mark: j.CancelledRevision()})
@@ -240,7 +240,7 @@
 	n.member.OnOwned = n.placer.OwnershipChanged
 	n.member.OnAssigned = n.placer.TeamAssigned
 	n.member.OnReleased = n.placer.TeamReleased
-	n.member.OnLeader = n.rental.Lead
+	n.member.OnLeader = n.rental.SetLeader
 	n.net.Receive = n.receive
 	n.net.NewLife = func(label string) {
 		if claims := n.placer.OwnReservations(); len(claims) > 0 {
@@ -297,7 +297,7 @@
 	n.reach.Look()
 	n.trackIsolation()
 	if n.mirror.Ready() {
-		n.client.Use(admission.Part(n.member.RegisteredCount(), n.cfg.Cluster.Nodes, n.member.LeaseValid()))
+		n.client.Use(admission.RateFraction(n.member.RegisteredCount(), n.cfg.Cluster.Nodes, n.member.LeaseValid()))
 	}
 	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.hasStateContact() && n.member.LeaseValid(), Hosted: n.agent.Hosted(), Hears: []string{}}
 	for _, label := range n.net.Peers() {
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -161,9 +161,9 @@
 		if !s.alive || s.frozen {
 			continue
 		}
-		s.n.placer.EachPlace(func(p *gate.Place, _ loop.Micros) {
-			if x := w.workers[p.V.Name]; p.Shut > w.now && p.ShutWhy == "tasks fail on it" && x != nil && !x.w.Faulty {
-				w.fail("%s takes no starts because tasks failed on it, but it is healthy", p.V.Name)
+		s.n.placer.EachPlace(func(p *gate.MachineFacts, _ loop.Micros) {
+			if x := w.workers[p.View.Name]; p.BackOffUntil > w.now && p.BackOffReason == "tasks fail on it" && x != nil && !x.w.Faulty {
+				w.fail("%s takes no starts because tasks failed on it, but it is healthy", p.View.Name)
 			}
 		})
 	}
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -129,7 +129,7 @@
 	Lost   []string       `cbor:"17,keyasint,omitempty"`
 	// Places are the queue positions of users who were deferred, so that they keep them when they retry with any
 	// controller.
-	Places []admission.Place `cbor:"18,keyasint,omitempty"`
+	Places []admission.Position `cbor:"18,keyasint,omitempty"`
 	// Life identifies the incarnation of the sender: the wall clock time at which its process started.
 	Life loop.Micros `cbor:"19,keyasint,omitempty"`
 	// Horizon is what the sender asks and answers about cancellations, for the cancellation watermark.
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -29,7 +29,7 @@
 	now := p.runner.Now()
 	t := tm.jobs[id]
 	if t == nil { // it is over, or was received only just now
-		return &explain.Facts{Job: j, Gate: gate.Job{Spec: j.Spec, Hold: &j.Terms.Hold}, Need: gate.Need{ID: id, Spec: j.Spec, Tasks: j.Tasks}, Team: tm.cfg, StateContact: contact, AheadComplete: true,
+		return &explain.Facts{Job: j, Gate: gate.JobFacts{Spec: j.Spec, Hold: &j.Terms.Hold}, Need: gate.Need{ID: id, Spec: j.Spec, Tasks: j.Tasks}, Team: tm.cfg, StateContact: contact, AheadComplete: true,
 			Now: now, Wall: p.runner.Wall()}, true
 	}
 	p.fleet.Refresh()
@@ -37,9 +37,9 @@
 		ReportedAfter: now - p.staleAfter(), Running: t.running, Done: t.completed}
 	f.Gate.Now, f.Gate.Wall = f.Now, f.Wall
 	if n := f.Gate.Waiting; n > 0 && !j.Final() {
-		f.Places = make([]*gate.Place, len(p.fleet.All()))
+		f.Places = make([]*gate.MachineFacts, len(p.fleet.All()))
 		for i, sl := range p.fleet.All() {
-			f.Places[i] = &sl.Place
+			f.Places[i] = &sl.MachineFacts
 		}
 		f.Fits = p.fleet.CountFitting(t.need(), n, p.fleet.All())
 		f.FitsAll = p.fitsUncordoned(t, n)
@@ -83,8 +83,8 @@
 		}
 	}
 	for _, sl := range p.fleet.All() {
-		if sl.Cordoned && s.AllowsPlace(sl.V.Type, sl.V.Zone, sl.V.Spot) {
-			addBlocking(fleet.CordonPlace(sl.V))
+		if sl.Cordoned && s.AllowsPlace(sl.View.Type, sl.View.Zone, sl.View.Spot) {
+			addBlocking(fleet.CordonPlace(sl.View))
 		}
 	}
 	for n := range seen {
@@ -126,7 +126,7 @@
 			case state == "absent":
 				left := loop.Duration(max(p.clock.LatestArrival(x.expiry)-wall, 0))
 				g.ConfirmedBy = fmt.Sprintf("a new session of its worker, the machine's deletion, or a task list made more than %v from now that its host controller confirms", left)
-			case k == gate.Unproven:
+			case k == gate.Unconfirmed:
 				g.ConfirmedBy = "a report of the machine, or its deletion by the cloud"
 			}
 			groups[at] = g
@@ -156,9 +156,9 @@
 	v, sl := p.agent.View(x.machine), p.fleet.Machine(x.machine)
 	switch {
 	case v == nil || sl == nil:
-		return gate.Unproven, "neverHeard", 0
-	case sl.Heard < after:
-		return gate.Unproven, "silent", sl.Heard
+		return gate.Unconfirmed, "neverHeard", 0
+	case sl.LastReport < after:
+		return gate.Unconfirmed, "silent", sl.LastReport
 	case x.running:
 		return 0, "", 0
 	}
@@ -169,7 +169,7 @@
 	case e == nil && !x.listed && wall < p.clock.LatestArrival(x.expiry):
 		return gate.Starting, "sent", x.sentAt
 	case e == nil:
-		return gate.Unproven, "absent", x.sentAt
+		return gate.Unconfirmed, "absent", x.sentAt
 	case e.State == wire.TaskFetching:
 		return gate.Fetching, "fetching", x.sentAt
 	case e.State == wire.TaskSaving:
@@ -183,20 +183,20 @@
 func (p *Scheduler) causes(t *jobTable, out []gate.Cause, after, wall loop.Micros) []gate.Cause {
 	f := p.facts(t)
 	out = f.Causes(out)
-	if f.Waiting > 0 && t.unplacedCause != 0 && f.Open() {
+	if f.Waiting > 0 && t.unplacedCause != 0 && f.Unblocked() {
 		out = append(out, gate.Cause{Kind: t.unplacedCause, Tasks: f.Waiting})
 	}
 	if t.inUse <= t.running {
 		return out
 	}
-	var n [gate.Recheck]int
+	var n [gate.NextPass]int
 	t.each(func(i int, x *task) {
 		if x.inUse() && !x.running {
 			k, _, _ := p.taskInFlight(t, i, x, after, wall)
 			n[k]++
 		}
 	})
-	for _, k := range []gate.Kind{gate.Recording, gate.Starting, gate.Fetching, gate.Saving, gate.Unproven} {
+	for _, k := range []gate.Kind{gate.Recording, gate.Starting, gate.Fetching, gate.Saving, gate.Unconfirmed} {
 		if n[k] > 0 {
 			out = append(out, gate.Cause{Kind: k, Tasks: n[k]})
 		}
@@ -215,7 +215,7 @@
 // updateCauses updates a job's causes. It reports whether to send them: they differ in kind or by half in number from
 // those last sent, or a repeat is due.
 func (p *Scheduler) updateCauses(t *jobTable, after, wall loop.Micros) bool {
-	var buffer [gate.Recheck]gate.Cause
+	var buffer [gate.NextPass]gate.Cause
 	now := p.causes(t, buffer[:0], after, wall)
 	same := len(now) == len(t.causes)
 	for i := 0; same && i < len(now); i++ {
@@ -252,13 +252,13 @@
 	case p.cordons.Any():
 		// Another scan of the fleet for each job is expensive, so it is done at most once per second.
 		if t.unplacedCause == 0 || now-t.unplacedCauseAt > loop.Second {
-			t.unplacedCause, t.unplacedCauseAt = gate.Room, now
+			t.unplacedCause, t.unplacedCauseAt = gate.Capacity, now
 			if p.fitsUncordoned(t, 1) > 0 {
 				t.unplacedCause = gate.Cordon
 			}
 		}
 	default:
-		t.unplacedCause = gate.Room
+		t.unplacedCause = gate.Capacity
 	}
 }
 
@@ -266,11 +266,11 @@
 func (p *Scheduler) OwnsTeam(team string) bool { return p.teams[team] != nil && p.teams[team].loaded }
 
 // EachPlace calls f for every known machine. Machines whose last report is older than after receive no starts.
-func (p *Scheduler) EachPlace(f func(pl *gate.Place, after loop.Micros)) {
+func (p *Scheduler) EachPlace(f func(pl *gate.MachineFacts, after loop.Micros)) {
 	p.fleet.Refresh()
 	after := p.runner.Now() - p.staleAfter()
 	for _, sl := range p.fleet.All() {
-		f(&sl.Place, after)
+		f(&sl.MachineFacts, after)
 	}
 }
 
@@ -280,7 +280,7 @@
 	n := 0
 	for machine, on := range p.tasksByMachine {
 		sl := p.fleet.Machine(machine)
-		if sl == nil || !slices.Contains(p.cordons.Barring(fleet.CordonPlace(sl.V)), name) {
+		if sl == nil || !slices.Contains(p.cordons.Barring(fleet.CordonPlace(sl.View)), name) {
 			continue
 		}
 		for r := range on.all {
--- a/internal/placer/explain_rank.go
+++ b/internal/placer/explain_rank.go
@@ -55,9 +55,9 @@
 		r := rival{table: o, maxTasks: min(n, p.probeLimit(o)), takesFuture: fitsWherever(o.job.Spec, t.job.Spec)}
 		if r.tasks = r.maxTasks; !limited || o.team != t.team {
 			g := p.facts(o)
-			g.Used.CPUs += usedByTeam[o.team].CPUs
-			g.Used.GPUs += usedByTeam[o.team].GPUs
-			r.tasks = min(r.tasks, g.Passes(gate.Limit))
+			g.TeamUsage.CPUs += usedByTeam[o.team].CPUs
+			g.TeamUsage.GPUs += usedByTeam[o.team].GPUs
+			r.tasks = min(r.tasks, g.AllowedTasks(gate.Limit))
 		}
 		if r.maxTasks <= 0 {
 			continue
@@ -89,7 +89,7 @@
 // other predicates, and how many of its tasks would wait for that reason alone.
 func (p *Scheduler) jobsAhead(f *explain.Facts, t *jobTable, types []wire.MachineType) {
 	n := f.Gate.Waiting
-	limited := f.Gate.Passes(gate.Limit) < n
+	limited := f.Gate.AllowedTasks(gate.Limit) < n
 	lacking := n - f.FitsAll                                             // single-task units of capacity that must become free
 	ignoreCordons := f.FitsAll > f.Fits || (f.AllCordoned && f.Fits < n) // one of its reasons is a cordon
 	q, within := p.competitors(t)
@@ -179,9 +179,9 @@
 	g := f.Gate
 	var most [2]int
 	for i := range most {
-		g.Used = agent.Room{CPUs: f.Gate.Used.CPUs + by[i].CPUs, GPUs: f.Gate.Used.GPUs + by[i].GPUs}
+		g.TeamUsage = agent.Room{CPUs: f.Gate.TeamUsage.CPUs + by[i].CPUs, GPUs: f.Gate.TeamUsage.GPUs + by[i].GPUs}
 		if most[i] = n; !limited {
-			most[i] = g.Passes(gate.Limit)
+			most[i] = g.AllowedTasks(gate.Limit)
 		}
 	}
 	a = n - min(p.fleet.CountFitting(t.need(), n, freeFirst)+max(lacking-futureLeft, 0), most[0])
@@ -219,7 +219,7 @@
 // probeLimit returns how many waiting tasks the job's failures allow to start.
 func (p *Scheduler) probeLimit(t *jobTable) int {
 	f := p.facts(t)
-	return f.Passes(gate.Probe)
+	return f.AllowedTasks(gate.Probation)
 }
 
 // fitsWherever reports whether a task of o fits wherever a task of s does.
--- a/internal/placer/explain_test.go
+++ b/internal/placer/explain_test.go
@@ -236,7 +236,7 @@
 func (m plainModel) capacities(cordons bool) map[string]agent.Room {
 	out := map[string]agent.Room{}
 	for name, k := range m.g.kind {
-		if m.g.scheduler.fleet.Machine(name).Shut > m.g.Now() || (cordons && m.cordoned(name, k[0], k[1], k[2])) {
+		if m.g.scheduler.fleet.Machine(name).BackOffUntil > m.g.Now() || (cordons && m.cordoned(name, k[0], k[1], k[2])) {
 			continue
 		}
 		out[name] = m.g.plainCapacity(name)
@@ -455,7 +455,7 @@
 			want := plainModel{g}.reasons(id)
 			got := map[string]int{}
 			for _, r := range reasons {
-				if r.Kind != "rank" && gate.Named(r.Kind) <= gate.Rank {
+				if r.Kind != "rank" && gate.KindByName(r.Kind) <= gate.Rank {
 					got[r.Kind] = r.Tasks
 				}
 			}
@@ -483,7 +483,7 @@
 			}
 		}
 		for i := -1; i < len(reasons); i++ {
-			if i >= 0 && gate.Named(reasons[i].Kind) > gate.Rank {
+			if i >= 0 && gate.KindByName(reasons[i].Kind) > gate.Rank {
 				continue // in flight
 			}
 			h := newScenario(seed)
@@ -559,11 +559,11 @@
 		spec   job.Spec
 		want   []gate.Kind
 	}{
-		{"no room", false, job.Spec{Tasks: 3, CPUs: 8}, []gate.Kind{gate.Room}},
-		{"no room behind a cordon of others", true, job.Spec{Tasks: 1, CPUs: 64}, []gate.Kind{gate.Room}},
+		{"no room", false, job.Spec{Tasks: 3, CPUs: 8}, []gate.Kind{gate.Capacity}},
+		{"no room behind a cordon of others", true, job.Spec{Tasks: 1, CPUs: 64}, []gate.Kind{gate.Capacity}},
 		{"a cordon", true, job.Spec{Tasks: 1, CPUs: 8}, []gate.Kind{gate.Cordon}},
 		{"a gang", false, job.Spec{Tasks: 3, CPUs: 8, Gang: true}, []gate.Kind{gate.Gang}},
-		{"a limit", false, job.Spec{Tasks: 3, CPUs: 40}, []gate.Kind{gate.Limit, gate.Room}},
+		{"a limit", false, job.Spec{Tasks: 3, CPUs: 40}, []gate.Kind{gate.Limit, gate.Capacity}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g, told := newCausesScenario()
@@ -604,7 +604,7 @@
 		{"fetching", func(g *rig, x agent.Task) { x.State = wire.TaskFetching; g.deliverView("n-001", "m8", "x", false, x) }, 0, gate.Fetching, "fetching"},
 		{"saving", func(g *rig, x agent.Task) { x.State = wire.TaskSaving; g.deliverView("n-001", "m8", "x", false, x) }, 0, gate.Saving, "saving"},
 		{"running", func(g *rig, x agent.Task) { x.State = wire.TaskRunning; g.deliverView("n-001", "m8", "x", false, x) }, 0, 0, ""},
-		{"silent", func(*rig, agent.Task) {}, 12 * loop.Second, gate.Unproven, "silent"},
+		{"silent", func(*rig, agent.Task) {}, 12 * loop.Second, gate.Unconfirmed, "silent"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
@@ -633,7 +633,7 @@
 	s := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
 	g.rig.acceptJob(1, s)
 	g.Run(1500 * loop.Millisecond)
-	if len(*told) != 1 || (*told)[0].Kind != gate.Room {
+	if len(*told) != 1 || (*told)[0].Kind != gate.Capacity {
 		t.Fatalf("published %v for a job without a machine", *told)
 	}
 	g.putCordons([]cordon.Cordon{{Name: "c", Reason: "r", Machine: "n-001"}})
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -9,12 +9,12 @@
 )
 
 // facts collects the state of a job that its own predicates evaluate.
-func (p *Scheduler) facts(t *jobTable) gate.Job {
+func (p *Scheduler) facts(t *jobTable) gate.JobFacts {
 	tm := t.team
-	f := gate.Job{Spec: t.job.Spec, Hold: &t.job.Terms.Hold, After: p.dependencies(t.job), OnWithdrawn: t.job.Terms.OnCancelled, Damaged: t.damaged,
+	f := gate.JobFacts{Spec: t.job.Spec, Hold: &t.job.Terms.Hold, After: p.dependencies(t.job), OnWithdrawn: t.job.Terms.OnCancelled, Damaged: t.damaged,
 		Waiting: t.waiting(), InUse: t.inUse,
-		Used: agent.Room{CPUs: tm.cpus, GPUs: tm.gpus}, Quota: tm.quota,
-		ClockTo: p.cfg.ClockDifference()}
+		TeamUsage: agent.Room{CPUs: tm.cpus, GPUs: tm.gpus}, Quota: tm.quota,
+		ClockMargin: p.cfg.ClockDifference()}
 	// The clocks are read only for the few jobs that need them, since a pass calls this for all jobs.
 	if t.probation.Moments != 0 || t.probation.RestTo != 0 {
 		f.Now = p.runner.Now()
@@ -47,7 +47,7 @@
 		return false
 	}
 	f := p.facts(t)
-	return f.Passes(gate.Hold) == 0 || f.Passes(gate.Dependency) == 0
+	return f.AllowedTasks(gate.Hold) == 0 || f.AllowedTasks(gate.Dependency) == 0
 }
 
 // startBlockedBy returns why no start of the job on this machine may be recorded or sent, or "" if it may: a hold or
@@ -57,7 +57,7 @@
 	if t.job.Terms.Hold.State != job.HoldNone && t.job.Terms.Hold.Blocks(p.runner.Wall()) {
 		return "held"
 	}
-	if sl := p.fleet.Machine(machine); sl != nil && p.cordons.Barred(fleet.CordonPlace(sl.V)) {
+	if sl := p.fleet.Machine(machine); sl != nil && p.cordons.Barred(fleet.CordonPlace(sl.View)) {
 		return "cordoned"
 	}
 	return ""
@@ -71,7 +71,7 @@
 		if t.job.Final() || now < t.nextAmendAt {
 			continue
 		}
-		if f := p.facts(t); f.MustWithdraw() {
+		if f := p.facts(t); f.MustCancel() {
 			t.nextAmendAt = now + 2*loop.Second
 			p.log.Info("cancelling a job because a job that it depends on was cancelled", "job", t.job.ID)
 			p.registry.Cancel(t.job.ID, func(job.Answer) {})
@@ -100,12 +100,12 @@
 // eligible reports whether no predicate blocks the whole job.
 func (p *Scheduler) eligible(t *jobTable) bool {
 	f := p.facts(t)
-	return f.Open()
+	return f.Unblocked()
 }
 
 // need returns what a task of the job requires of a machine.
 func (t *jobTable) need() gate.Need {
-	return gate.Need{ID: t.job.ID, Spec: t.job.Spec, Tasks: t.job.Tasks, Zones: t.zones, Shun: t.avoid}
+	return gate.Need{ID: t.job.ID, Spec: t.job.Spec, Tasks: t.job.Tasks, Zones: t.zones, Avoid: t.avoid}
 }
 
 // staleAfter is how long after its last report a machine still receives starts.
--- a/internal/placer/failures.go
+++ b/internal/placer/failures.go
@@ -40,9 +40,9 @@
 }
 
 // failureFacts returns what the predicates need to know of a job's failures.
-func (p *Scheduler) failureFacts(t *jobTable, now loop.Micros) gate.Failing {
-	f := gate.Failing{State: t.probation.State, Moments: t.probation.Moments, Machines: p.attribution.Against(t.job.ID), RestTo: t.probation.RestTo,
-		Late: len(t.failedTasks), LateNow: t.probation.Late(len(t.failedTasks))}
+func (p *Scheduler) failureFacts(t *jobTable, now loop.Micros) gate.FailureState {
+	f := gate.FailureState{State: t.probation.State, ConsecutiveFailures: t.probation.Moments, Machines: p.attribution.Against(t.job.ID), BackOffUntil: t.probation.RestTo,
+		FailedWaiting: len(t.failedTasks), RetryNow: t.probation.Late(len(t.failedTasks))}
 	if !t.probation.Trusted() {
 		survivors := 0
 		t.each(func(_ int, x *task) {
@@ -50,7 +50,7 @@
 				survivors++
 			}
 		})
-		f.Width = health.Width(survivors)
+		f.MaxInUse = health.Width(survivors)
 	}
 	return f
 }
--- a/internal/placer/guarantee.go
+++ b/internal/placer/guarantee.go
@@ -64,7 +64,7 @@
 func (p *Scheduler) reserveGuarantee(e *queueEntry, unplaced int, b *budget) {
 	t := e.table
 	now, cpus := p.runner.Now(), t.job.Spec.CPUs
-	if e.withinGuarantee || cpus <= 0 || now-t.acceptedAt < starvation.After || !t.team.shortfall.lacks {
+	if e.withinGuarantee || cpus <= 0 || now-t.acceptedAt < starvation.MinWait || !t.team.shortfall.lacks {
 		return
 	}
 	unmet, known := b.unmetByTeam[t.team]
@@ -101,6 +101,6 @@
 	reservations := p.fleet.Reserve(&need, tasks, reservationLife)
 	p.recordReservations(reservations)
 	p.node.Meter.Held(len(reservations))
-	p.starvation.Serve(t.reserveClass(), float64(len(reservations))*t.job.Spec.CPUs)
+	p.starvation.RecordOrdinary(t.reserveClass(), float64(len(reservations))*t.job.Spec.CPUs)
 	return len(reservations)
 }
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -102,13 +102,13 @@
 		t := e.table
 		s := t.job.Spec
 		facts := p.facts(t)
-		allowed := facts.Passes(gate.Probe)
+		allowed := facts.AllowedTasks(gate.Probation)
 		if s.Gang && !p.gangFits(t) {
 			allowed = 0
 			p.unplacedRequests = append(p.unplacedRequests, p.request(t, t.waiting()))
 		}
 		sh, unconstrained := fleet.ShapeOf(s)
-		if n := min(allowed, facts.Passes(gate.Limit)); n > 0 && (!full[sh] || p.fleet.ReservationCount(t.job.ID) > 0) {
+		if n := min(allowed, facts.AllowedTasks(gate.Limit)); n > 0 && (!full[sh] || p.fleet.ReservationCount(t.job.ID) > 0) {
 			if mayPreempt && !full[sh] && s.Priority >= job.High && !s.Gang {
 				p.preemptAtImage(&e, n, freeSlots, &b)
 			}
@@ -255,7 +255,7 @@
 		elsewhere = n - p.fleet.ReservationCount(t.job.ID)
 	}
 	for _, sl := range p.fleet.Ranked(&need, slots) {
-		for got < n && sl.Takes(&need) {
+		for got < n && sl.Fits(&need) {
 			if !sl.HasReservation(t.job.ID) {
 				if elsewhere <= 0 {
 					break
@@ -265,12 +265,12 @@
 			i := t.popWaiting()
 			x := t.task(i)
 			x.attempt++
-			x.machine, x.session, x.expiry, x.runningSince = sl.V.Name, sl.V.Session, 0, 0
+			x.machine, x.session, x.expiry, x.runningSince = sl.View.Name, sl.View.Session, 0, 0
 			x.chosenAt = p.runner.Now()
 			sl.Allocate(s)
 			p.fleet.ConsumeReservation(sl, t.job.ID)
 			p.setTask(t, i, Recording)
-			*chosen = append(*chosen, hostStart{sl.V.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.taskName(i), Attempt: x.attempt, From: p.node.Label}})
+			*chosen = append(*chosen, hostStart{sl.View.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.taskName(i), Attempt: x.attempt, From: p.node.Label}})
 			p.queueStart(t, i)
 			got++
 		}
@@ -305,7 +305,7 @@
 // waitingForCapacity returns how many tasks of a job wait for capacity rather than for their team's limit.
 func (p *Scheduler) waitingForCapacity(t *jobTable) int {
 	f := p.facts(t)
-	return f.Passes(gate.Limit)
+	return f.AllowedTasks(gate.Limit)
 }
 
 // Faulty reports whether a machine should be replaced because tasks fail on it.
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -175,7 +175,7 @@
 			for _, name := range names {
 				v := g.workers.View(name)
 				room := capacities[name]
-				if !room.Fits(s) || !s.AllowsPlace(v.Type, v.Zone, v.Spot) || v.NoticeAt != 0 || v.Closed || g.Now() < g.scheduler.fleet.Machine(name).Shut {
+				if !room.Fits(s) || !s.AllowsPlace(v.Type, v.Zone, v.Spot) || v.NoticeAt != 0 || v.Closed || g.Now() < g.scheduler.fleet.Machine(name).BackOffUntil {
 					continue
 				}
 				other := false
@@ -327,9 +327,9 @@
 			}
 			g.scheduler.fleet.Refresh()
 			for _, sl := range g.scheduler.fleet.All() {
-				name := sl.V.Name
-				if room := g.plainCapacity(name); sl.Known && room != sl.Room {
-					t.Fatalf("%s: free capacity %v in its slot, %v computed from its view", name, sl.Room, room)
+				name := sl.View.Name
+				if room := g.plainCapacity(name); sl.Known && room != sl.Free {
+					t.Fatalf("%s: free capacity %v in its slot, %v computed from its view", name, sl.Free, room)
 				}
 			}
 		}
@@ -510,7 +510,7 @@
 			}
 			on[name] = kept
 			g.deliverView(name, "m8", "x", false, slices.Clone(kept)...)
-			if g.scheduler.fleet.Machine(name).Shut > g.Now() {
+			if g.scheduler.fleet.Machine(name).BackOffUntil > g.Now() {
 				rested[name] = true
 			}
 		}
--- a/internal/placer/scheduler.go
+++ b/internal/placer/scheduler.go
@@ -84,7 +84,7 @@
 	usage            map[string]peer.Usage
 	preemption       preemptionState
 	turnover         fleet.Turnover
-	starvation       *starvation.Reserve
+	starvation       *starvation.Budget
 	paces            health.Paces
 	checkRequestedAt map[string]loop.Micros
 	reruns           reruns
--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -21,7 +21,7 @@
 // becomes free before a large one fits. Nothing is preempted for it.
 func (p *Scheduler) serveLongestWaiting(q []queueEntry, freeSlots []*fleet.Machine, chosen *[]hostStart) {
 	now := p.runner.Now()
-	if p.starvation.Earn(now, p.turnover.Rate*p.expectedShare()); !p.starvation.Owes() {
+	if p.starvation.Accrue(now, p.turnover.Rate*p.expectedShare()); !p.starvation.Available() {
 		return // the usual case, and cheap where scanning a long queue would not be
 	}
 	tables, waiters := p.longWaiting(q, now)
@@ -29,7 +29,7 @@
 		return
 	}
 	for _, pick := range p.starvation.Pick(now, waiters) {
-		p.serveOutOfOrder(tables[pick.At], &waiters[pick.At], pick.Tasks, freeSlots, chosen)
+		p.serveOutOfOrder(tables[pick.Index], &waiters[pick.Index], pick.Tasks, freeSlots, chosen)
 	}
 }
 
@@ -37,14 +37,14 @@
 func (p *Scheduler) longWaiting(q []queueEntry, now loop.Micros) (tables []*jobTable, waiters []starvation.Waiter) {
 	for _, e := range q {
 		t := e.table
-		if now-t.acceptedAt < starvation.After {
+		if now-t.acceptedAt < starvation.MinWait {
 			continue
 		}
 		p.refundReserved(t)
 		f := p.facts(t)
-		if n := min(f.Passes(gate.Probe), f.Passes(gate.Limit), t.waiting()); n > 0 {
+		if n := min(f.AllowedTasks(gate.Probation), f.AllowedTasks(gate.Limit), t.waiting()); n > 0 {
 			tables = append(tables, t)
-			waiters = append(waiters, starvation.Waiter{ID: t.job.ID, Class: t.reserveClass(), At: t.acceptedAt, Since: t.servedEarlyAt, Tasks: n, CPUs: t.job.Spec.CPUs})
+			waiters = append(waiters, starvation.Waiter{ID: t.job.ID, Class: t.reserveClass(), AcceptedAt: t.acceptedAt, LastServedAt: t.servedEarlyAt, Tasks: n, CPUs: t.job.Spec.CPUs})
 		}
 	}
 	return tables, waiters
@@ -54,9 +54,9 @@
 func (p *Scheduler) serveOutOfOrder(t *jobTable, w *starvation.Waiter, tasks int, freeSlots []*fleet.Machine, chosen *[]hostStart) {
 	// A job served before it may have used the rest of their team's limit.
 	f := p.facts(t)
-	n := min(tasks, f.Passes(gate.Limit))
+	n := min(tasks, f.AllowedTasks(gate.Limit))
 	if t.job.Spec.Gang {
-		n = min(t.waiting(), f.Passes(gate.Limit))
+		n = min(t.waiting(), f.AllowedTasks(gate.Limit))
 	}
 	if n <= 0 {
 		return
@@ -72,7 +72,7 @@
 		given = p.reserveOutOfOrder(t, w, n)
 	}
 	if given > 0 {
-		p.log.Debug("job served out of order because it waited long", "job", w.ID, "class", t.job.Spec.Class, "team", t.job.Spec.Team, "begun", w.Class == t.job.Spec.Team, "tasks", given, "of_cpus", w.CPUs, "waits_us", p.runner.Now()-w.At)
+		p.log.Debug("job served out of order because it waited long", "job", w.ID, "class", t.job.Spec.Class, "team", t.job.Spec.Team, "begun", w.Class == t.job.Spec.Team, "tasks", given, "of_cpus", w.CPUs, "waits_us", p.runner.Now()-w.AcceptedAt)
 		p.starvation.Spend(w.Class, float64(given)*w.CPUs)
 	} else if got == 0 && held == 0 {
 		p.starvation.Defer(w.Class)
@@ -91,7 +91,7 @@
 	p.recordReservations(reservations)
 	p.node.Meter.Held(len(reservations))
 	t.reservedCPUs, t.reservedClass = float64(len(reservations))*w.CPUs, w.Class
-	p.log.Debug("capacity reserved for a job that waited long and fits nowhere", "job", w.ID, "tasks", len(reservations), "waits_us", p.runner.Now()-w.At)
+	p.log.Debug("capacity reserved for a job that waited long and fits nowhere", "job", w.ID, "tasks", len(reservations), "waits_us", p.runner.Now()-w.AcceptedAt)
 	return len(reservations)
 }
 
@@ -118,7 +118,7 @@
 	used := held - p.fleet.ReservationCount(t.job.ID)
 	t.useReserved(used)
 	if new := got - used; new > 0 { // reserved capacity is already counted
-		p.starvation.Serve(class, float64(new)*t.job.Spec.CPUs)
+		p.starvation.RecordOrdinary(class, float64(new)*t.job.Spec.CPUs)
 	}
 	return got
 }
--- a/internal/placer/starvation_accounting_test.go
+++ b/internal/placer/starvation_accounting_test.go
@@ -15,11 +15,11 @@
 // firstClass returns which of two classes the reserve serves first, if a job of each has waited equally long.
 func firstClass(g *rig, a, b string) string {
 	now := g.Now()
-	g.scheduler.starvation.Earn(now, 1000)
-	g.scheduler.starvation.Earn(now+loop.Second, 1000)
-	old := now - 2*starvation.After
-	waiters := []starvation.Waiter{{ID: "job-1", Class: a, At: old, Since: old, Tasks: 1, CPUs: 1}, {ID: "job-2", Class: b, At: old, Since: old, Tasks: 1, CPUs: 1}}
-	return waiters[g.scheduler.starvation.Pick(now, waiters)[0].At].Class
+	g.scheduler.starvation.Accrue(now, 1000)
+	g.scheduler.starvation.Accrue(now+loop.Second, 1000)
+	old := now - 2*starvation.MinWait
+	waiters := []starvation.Waiter{{ID: "job-1", Class: a, AcceptedAt: old, LastServedAt: old, Tasks: 1, CPUs: 1}, {ID: "job-2", Class: b, AcceptedAt: old, LastServedAt: old, Tasks: 1, CPUs: 1}}
+	return waiters[g.scheduler.starvation.Pick(now, waiters)[0].Index].Class
 }
 
 // busyMachine delivers a view of a machine whose 8 CPUs are in use by tasks of another owner.
--- a/internal/placer/starvation_test.go
+++ b/internal/placer/starvation_test.go
@@ -51,8 +51,8 @@
 	}
 	runUntil(20*loop.Second, func() bool { return g.scheduler.fleet.ReservationCount(large) > 0 })
 	other := g.scheduler.fleet.Machine("n-001")
-	if g.scheduler.fleet.ReservationCount(large) != 1 || len(other.Claims) != 1 {
-		t.Fatalf("capacity reserved for %d tasks, reservations %+v, want one", g.scheduler.fleet.ReservationCount(large), other.Claims)
+	if g.scheduler.fleet.ReservationCount(large) != 1 || len(other.Reservations) != 1 {
+		t.Fatalf("capacity reserved for %d tasks, reservations %+v, want one", g.scheduler.fleet.ReservationCount(large), other.Reservations)
 	}
 	if f, ok := g.scheduler.Facts(large, nil, true); !ok || f.Reserved != 1 {
 		t.Errorf("the facts for an explanation are %+v, want one reservation", f)
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -151,7 +151,7 @@
 	t := peer.Tally{Wall: p.runner.Wall(), Wants: p.unplacedRequests}
 	now := p.runner.Now()
 	for m := range p.tasksByMachine {
-		if sl := p.fleet.Machine(m); sl == nil || now-sl.Heard > p.staleAfter() {
+		if sl := p.fleet.Machine(m); sl == nil || now-sl.LastReport > p.staleAfter() {
 			t.Suspect = append(t.Suspect, m)
 		}
 	}
--- a/internal/placer/views.go
+++ b/internal/placer/views.go
@@ -16,7 +16,7 @@
 	// Tasks on a machine without recent reports may have begun long ago. If a new owner took its first view of a task
 	// for the start, every task would look slow.
 	old := p.fleet.Machine(v.Name)
-	startsUnknown := old == nil || now-old.Heard > 2*loop.Seconds(p.cfg.Cluster.Workers.ReportS)
+	startsUnknown := old == nil || now-old.LastReport > 2*loop.Seconds(p.cfg.Cluster.Workers.ReportS)
 	var before []agent.Task
 	var lastReport loop.Micros // time of the previous report; 0: none
 	if old == nil {
@@ -25,13 +25,13 @@
 			p.turnover.AddFreed(typ.CPUs) // a machine that has just booted adds capacity
 		}
 	} else {
-		before, lastReport = old.V.Tasks, old.Heard
+		before, lastReport = old.View.Tasks, old.LastReport
 	}
-	if old == nil || old.V.Zone != v.Zone {
+	if old == nil || old.View.Zone != v.Zone {
 		p.zoneByMachine[v.Name] = v.Zone
 	}
 	// Most views only confirm that the machine is alive: no capacity became free.
-	unchanged := old != nil && c.Still && len(v.Pending)+len(old.V.Pending) == 0 && v.Closed == old.V.Closed && v.NoticeAt == old.V.NoticeAt && !startsUnknown
+	unchanged := old != nil && c.Still && len(v.Pending)+len(old.View.Pending) == 0 && v.Closed == old.View.Closed && v.NoticeAt == old.View.NoticeAt && !startsUnknown
 	sl := p.fleet.UpdateView(v, now-v.Silence(p.runner.Wall(), p.clockBound()), unchanged)
 	p.attribution.View(now, v, c)
 	if !c.Still {
@@ -40,7 +40,7 @@
 	sl.Jobs = p.agent.Jobs(v)
 	observed := sl.Runs.Follow(v, c, before, sl.Jobs, p.paces, now, startsUnknown)
 	p.turnover.AddFreed(observed.Freed)
-	if observed.Slow && now >= sl.Shut {
+	if observed.Slow && now >= sl.BackOffUntil {
 		p.log.Debug("tasks run slowly on a machine; it receives no starts for a while", "machine", v.Name, "times", observed.Factor)
 		sl.BackOff(now+health.SlowRest, "its tasks run slowly")
 		sl.Runs.Rest()
@@ -239,7 +239,7 @@
 	p.eachInUse(machine, func(r taskRef) {
 		if r.table.task(r.index).state == Placed {
 			if sl := p.fleet.Machine(machine); sl != nil {
-				p.recordLost(r.table, r.index, sl.Heard)
+				p.recordLost(r.table, r.index, sl.LastReport)
 			}
 			p.confirmTerminated(r.table, r.index, "machine gone")
 		}
--- /dev/null
+++ b/internal/rental/call_purpose.go
@@ -0,0 +1,104 @@
+package rental
+
+import "cleatpick/internal/loop"
+
+// callPurpose is the purpose of a cloud call. Calls are scarce, and with many machines several purposes wait
+// for one at any time; pendingCalls.next alone decides which comes first.
+type callPurpose int
+
+// The purposes.
+const (
+	readCatalog  callPurpose = iota // machine types and prices
+	readList                        // existing machines
+	deleteFailed                    // confirms that the tasks on failed machines are terminated, and frees cloud capacity
+	sendOrder                       // rents machines for unplaced requests
+	deleteIdle                      // deletes idle machines, to save cost
+	plan                            // no call: unplaced requests become a recorded order
+)
+
+func (d callPurpose) String() string {
+	return [...]string{"readCatalog", "readList", "deleteLost", "sendOrder", "giveBack", "plan"}[d]
+}
+
+const (
+	// catalogInterval is the age from which the catalog is read again.
+	catalogInterval = 45 * loop.Second
+	// idleBatchDelay is how long machines that are no longer needed wait for others to be deleted in the same
+	// call, while they are fewer than one call takes: each such call is one call less for orders.
+	idleBatchDelay = 500 * loop.Millisecond
+	// maxOrdersInARow is the number of orders that may be sent in a row while idle machines wait for deletion.
+	maxOrdersInARow = 3
+)
+
+// pendingCalls is the work that waits for a cloud call.
+type pendingCalls struct {
+	now               loop.Micros
+	listed            bool // the list was read since this leadership began
+	listAt, catalogAt loop.Micros
+	listEvery         loop.Micros
+	failed            int
+	order             bool
+	idle              int
+	idleSince         loop.Micros
+	ordersInARow      int
+}
+
+// next returns the purpose of the next call.
+func (a *pendingCalls) next() callPurpose {
+	overdue := a.now-a.listAt > 3*a.listEvery
+	idle := a.idle > 0 && (a.idle >= maxDeletionsPerCall || a.now-a.idleSince >= idleBatchDelay)
+	switch {
+	case a.catalogAt == 0:
+		return readCatalog
+	case !a.listed:
+		return readList
+	case a.failed > 0 && !overdue:
+		return deleteFailed
+	case overdue:
+		return readList // a list that is never read hides machines that were rented unknowingly
+	case a.order && !(idle && a.ordersInARow >= maxOrdersInARow):
+		return sendOrder
+	case a.now-a.listAt > a.listEvery:
+		return readList
+	case a.now-a.catalogAt > catalogInterval:
+		return readCatalog
+	case idle:
+		return deleteIdle
+	}
+	return plan
+}
+
+// nextCall collects the work that waits, and returns what comes first, with the order that is ready.
+func (t *Autoscaler) nextCall(now loop.Micros) (callPurpose, *order) {
+	o := t.nextOrder()
+	a := pendingCalls{now: now, listed: t.listed, listAt: t.listAt, catalogAt: t.catalogAt, ordersInARow: t.ordersInARow, order: o != nil,
+		listEvery: max(5*loop.Second, loop.Seconds(t.cfg.Cluster.Cloud.ListLagS))}
+	for _, m := range t.deleting {
+		if m.failed {
+			a.failed++
+			continue
+		}
+		if a.idle++; a.idleSince == 0 || m.deleteAt < a.idleSince {
+			a.idleSince = m.deleteAt
+		}
+	}
+	return a.next(), o
+}
+
+// perform makes one call or plan; o is the order that is ready.
+func (t *Autoscaler) perform(d callPurpose, o *order) {
+	switch d {
+	case readCatalog:
+		t.fetchCatalog()
+	case readList:
+		t.list("", nil)
+	case deleteFailed, deleteIdle:
+		t.ordersInARow = 0
+		t.deleteNext()
+	case sendOrder:
+		t.ordersInARow++
+		t.send(o)
+	case plan:
+		t.recordOrders()
+	}
+}
--- /dev/null
+++ b/internal/starvation/budget.go
@@ -0,0 +1,179 @@
+// Package starvation decides which waiting jobs are served ahead of the ordinary order, so that no class, no
+// team without a guarantee and no job of any size waits without bound while other jobs keep arriving.
+//
+// The ordinary order of service puts urgent work first, then guarantees, then small jobs. Each of these can
+// continue for ever, and what comes after them would never start. A small part of the CPUs that are freed is
+// therefore given out by another rule: the classes are served in turn by fair queueing, and within a class,
+// of the jobs that have waited for some time, the one that got nothing by this rule for longest. The package
+// keeps the budget of CPUs and what each class received. Finding capacity, placing tasks and reserving
+// capacity for them is left to its callers.
+package starvation
+
+import (
+	"cmp"
+	"slices"
+
+	"cleatpick/internal/loop"
+)
+
+const (
+	// MinWait is the time since its acceptance from which a job with waiting tasks is served ahead of the
+	// order.
+	MinWait = 75 * loop.Second
+	// Fraction is the fraction of the freed CPUs that is given out by this rule.
+	Fraction = 0.08
+	// maxSavedTime limits the unused budget to what accrues in this time.
+	maxSavedTime = 10 * loop.Second
+	// maxLeadTime limits, in time of the budget's accrual, how long a class waits for its turn because of what it
+	// received in the ordinary order, or under an earlier owner.
+	maxLeadTime = 20 * loop.Second
+	// taskDivisor divides the waiting tasks of a job: it gets this fraction of them at a time. The late jobs
+	// of one class share it.
+	taskDivisor = 8
+	// maxPicks bounds the number of jobs picked at a time.
+	maxPicks = 32
+)
+
+// Waiter is a job with waiting tasks.
+type Waiter struct {
+	ID           string
+	Class        string      // includes the team; classes are served in turn
+	AcceptedAt   loop.Micros // when it was accepted, by the monotonic clock
+	LastServedAt loop.Micros // when it last received CPUs by this rule; AcceptedAt, if it never did
+	Tasks        int         // waiting tasks that the job's predicates allow
+	CPUs         float64     // of each task
+}
+
+// Pick is a job to serve ahead of the order, and the number of its tasks.
+type Pick struct {
+	Index int // index in the list of waiters
+	Tasks int
+}
+
+// Budget keeps the number of CPUs that may be used for serving jobs ahead of the order, and what each class
+// received.
+type Budget struct {
+	credit      float64
+	earnedAt    loop.Micros
+	rate        float64            // CPUs freed per second, as last given to Accrue
+	turns       map[string]float64 // CPUs that each class received, counted from the value of currentTurn at which it joined
+	currentTurn float64            // turn of the class served last, from which new classes start
+}
+
+// New returns an empty Budget.
+func New() *Budget { return &Budget{turns: map[string]float64{}} }
+
+// Accrue adds to the budget for the time since the last call. rate is the number of CPUs per second that are
+// freed for this controller's jobs.
+func (r *Budget) Accrue(now loop.Micros, rate float64) {
+	r.rate = rate
+	if r.earnedAt != 0 {
+		r.credit += float64(now-r.earnedAt) / 1e6 * rate * Fraction
+	}
+	r.earnedAt = now
+	r.credit = min(r.credit, float64(maxSavedTime)/1e6*rate*Fraction+1)
+}
+
+// Available reports whether the budget allows serving a job ahead of the order now.
+func (r *Budget) Available() bool { return r.credit > 0 }
+
+// Spend records CPUs that were given to a class ahead of the order, or reserved for it.
+func (r *Budget) Spend(class string, cpus float64) {
+	r.credit -= cpus
+	r.turns[class] += cpus
+	r.currentTurn = max(r.currentTurn, r.turns[class]-cpus)
+}
+
+// RecordOrdinary records CPUs that a class received in the ordinary order, which delays its turn. The delay is
+// bounded: an exceptional job in a class that is served well, such as one far larger than the others, must
+// not wait for ever.
+func (r *Budget) RecordOrdinary(class string, cpus float64) {
+	if turn, waits := r.turns[class]; waits {
+		r.turns[class] = max(turn, min(turn+cpus, r.currentTurn+r.maxLead()))
+	}
+}
+
+// Restore records what a class received under an earlier owner, so that the fair queueing continues from
+// there.
+func (r *Budget) Restore(class string, cpus float64) {
+	if _, known := r.turns[class]; !known {
+		r.turns[class] = r.currentTurn + min(cpus, r.maxLead())
+	}
+}
+
+// Defer records that no capacity could be given to the class whose turn it was, or reserved for it, and moves
+// its turn back by one second's budget. Otherwise a job for which there is never capacity would block all
+// other classes.
+func (r *Budget) Defer(class string) {
+	if _, waits := r.turns[class]; waits {
+		r.turns[class] += r.rate*Fraction + 1e-3
+	}
+}
+
+// Refund records that capacity reserved for a class was not used: the class gets its turn back. The budget is
+// not refunded.
+func (r *Budget) Refund(class string, cpus float64) {
+	if _, waits := r.turns[class]; waits {
+		r.turns[class] -= cpus
+	}
+}
+
+// maxLead returns how many CPUs a class's turn may be ahead because of the ordinary order.
+func (r *Budget) maxLead() float64 { return float64(maxLeadTime)/1e6*r.rate*Fraction + 1 }
+
+// Pick returns the jobs to serve ahead of the order now, in order. The last one may overdraw the budget, so
+// that a task of any size gets its turn; the overdraft must be earned back before the next pick.
+func (r *Budget) Pick(now loop.Micros, all []Waiter) (picks []Pick) {
+	left := r.credit
+	if !r.Available() {
+		return nil
+	}
+	late := map[string][]int{} // by class, the job first that received nothing for longest
+	for i := range all {
+		if w := &all[i]; w.Tasks > 0 && now-w.AcceptedAt >= MinWait {
+			late[w.Class] = append(late[w.Class], i)
+		}
+	}
+	turns, share := map[string]float64{}, map[string]int{}
+	for class, waiting := range late {
+		share[class] = len(waiting)
+		slices.SortFunc(waiting, func(a, b int) int {
+			return cmp.Or(cmp.Compare(all[a].LastServedAt, all[b].LastServedAt), cmp.Compare(all[a].ID, all[b].ID))
+		})
+		if t, ok := r.turns[class]; !ok || t < r.currentTurn {
+			r.turns[class] = r.currentTurn // a class does not make up for CPUs that it did not need while it was absent
+		}
+		turns[class] = r.turns[class]
+	}
+	for left > 0 && len(picks) < maxPicks && len(late) > 0 {
+		class := ""
+		for c := range loop.Sorted(late) {
+			if class == "" || turns[c] < turns[class] {
+				class = c
+			}
+		}
+		i := late[class][0]
+		if late[class] = late[class][1:]; len(late[class]) == 0 {
+			delete(late, class)
+		}
+		w := &all[i]
+		n := max(w.Tasks/(taskDivisor*share[class]), 1)
+		if w.CPUs > 0 {
+			n = min(n, max(int(left/w.CPUs), 1))
+		}
+		turns[class] += float64(n) * w.CPUs
+		left -= float64(n) * w.CPUs
+		picks = append(picks, Pick{Index: i, Tasks: n})
+	}
+	r.forget(turns)
+	return picks
+}
+
+// forget drops the classes that have no late job and whose turn is not ahead of the others.
+func (r *Budget) forget(kept map[string]float64) {
+	for class, t := range r.turns {
+		if _, ok := kept[class]; !ok && t <= r.currentTurn {
+			delete(r.turns, class)
+		}
+	}
+}
