--- a/internal/job/terms.go
+++ b/internal/job/terms.go
@@ -41,8 +41,8 @@
 	PolicyCancel  Policy = "w"
 )
 
-// MaxAfter is the largest number of jobs that one job can depend on.
-const MaxAfter = 64
+// MaxDependencies is the largest number of jobs that one job can depend on.
+const MaxDependencies = 64
 
 // Terms are the conditions on a job's starts that are not part of the wire protocol of submissions: its hold
 // and its dependencies. They are part of the job's record. Every start is conditioned on that record's
