--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -184,8 +184,8 @@
 	return wire.Change{Put: KeyPrefix + j.ID, Value: Record{Phase: Done, At: j.At, Tasks: j.Tasks}}
 }
 
-// Cond returns the condition that the job's record still has the revision known here.
-func Cond(j *Job) wire.Cond { return wire.Cond{Key: KeyPrefix + j.ID, Mark: j.Revision} }
+// RevisionCond returns the condition that the job's record still has the revision known here.
+func RevisionCond(j *Job) wire.Cond { return wire.Cond{Key: KeyPrefix + j.ID, Mark: j.Revision} }
 
 // ApplyStored applies a record that a transaction of this controller has stored.
 func (r *Registry) ApplyStored(ch wire.Change, tally uint64) {
--- a/internal/placer/groupcommit.go
+++ b/internal/placer/groupcommit.go
@@ -270,7 +270,7 @@
 	// make the record fail, however late it is carried out.
 	w.cond = nil
 	for _, t := range w.jobs {
-		w.cond = append(w.cond, job.Cond(t.j))
+		w.cond = append(w.cond, job.RevisionCond(t.j))
 	}
 	if len(w.jobs) > 0 {
 		w.cond = append(w.cond, p.cordons.Cond())
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -289,7 +289,7 @@
 	}
 	ch := job.DoneChange(t.j)
 	part := t.team.part
-	txn := wire.Txn{If: []wire.Cond{member.ClaimCond(part.id, part.claim), job.Cond(t.j)}, Then: []wire.Change{ch}}
+	txn := wire.Txn{If: []wire.Cond{member.ClaimCond(part.id, part.claim), job.RevisionCond(t.j)}, Then: []wire.Change{ch}}
 	p.c.Txn(store.Answers, txn, func(r store.Result) {
 		if p.teams[t.team.cfg.Name] != t.team {
 			return
