--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -198,8 +198,8 @@
 		causes := a.n.Desk.Lines.Causes(j.ID)
 		out.WaitingFor = explain.Sums(causes)
 	}
-	if j.At != 0 {
-		at := explain.Time(j.At)
+	if j.AcceptedAt != 0 {
+		at := explain.Time(j.AcceptedAt)
 		out.SubmittedAt = &at
 	}
 	s := j.Spec
@@ -209,7 +209,7 @@
 	out.Class, out.Team, out.Priority = s.Class, s.Team, explain.PriorityName(s.Priority)
 	out.CPUs, out.MemoryGB, out.Image = s.CPUs, s.MemoryGB, s.Image
 	if s.Deadline > 0 {
-		at := explain.Time(j.At + s.Deadline)
+		at := explain.Time(j.AcceptedAt + s.Deadline)
 		out.DeadlineAt = &at
 	}
 	if j.Final() {
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -80,13 +80,13 @@
 
 // Job is a job as known to this controller.
 type Job struct {
-	ID       string
-	Revision uint64 // of the newest record that is known here
-	Phase    Phase
-	At       int64
-	Spec     *Spec
-	Tasks    int
-	Terms    Terms
+	ID         string
+	Revision   uint64 // of the newest record that is known here
+	Phase      Phase
+	AcceptedAt int64
+	Spec       *Spec
+	Tasks      int
+	Terms      Terms
 	// PeerRevision is the revision at which a peer knows the job as cancelled, while the record of that
 	// revision has not arrived here; 0 otherwise.
 	PeerRevision uint64
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -76,7 +76,7 @@
 func (t *table) turn() loop.Micros {
 	s := t.j.Spec
 	work := float64(t.j.Tasks-t.completed) * float64(s.Estimate) * s.CPUs
-	return t.j.At + loop.Micros(2*work/t.team.quota.Weight)
+	return t.j.AcceptedAt + loop.Micros(2*work/t.team.quota.Weight)
 }
 
 // place gives waiting tasks to machines with free room; those that find none are misses.
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -133,7 +133,7 @@
 	t := tm.jobs[j.ID]
 	if t == nil {
 		t = &table{j: j, team: tm, blocks: make([]*[blockSize]task, (j.Tasks+blockSize-1)/blockSize), zones: map[string]int{}}
-		t.at = p.r.Now() - max(p.r.Wall()-j.At, 0)
+		t.at = p.r.Now() - max(p.r.Wall()-j.AcceptedAt, 0)
 		t.pieceAt = t.at
 		p.watch(t)
 		tm.enter(t)
@@ -296,7 +296,7 @@
 		}
 		switch r.Outcome {
 		case store.Applied:
-			p.log.Debug("job done", "job", t.j.ID, "class", t.j.Spec.Class, "tasks", t.j.Tasks, "took_us", p.r.Wall()-t.j.At, "estimate_us", t.j.Spec.Estimate)
+			p.log.Debug("job done", "job", t.j.ID, "class", t.j.Spec.Class, "tasks", t.j.Tasks, "took_us", p.r.Wall()-t.j.AcceptedAt, "estimate_us", t.j.Spec.Estimate)
 			p.registry.ApplyStored(ch, r.Tally)
 			p.forgetTable(t)
 		case store.Conflict:
--- a/internal/placer/table.go
+++ b/internal/placer/table.go
@@ -122,7 +122,7 @@
 }
 
 func accepted(a, b *table) int {
-	return cmp.Or(cmp.Compare(a.j.At, b.j.At), cmp.Compare(a.j.ID, b.j.ID))
+	return cmp.Or(cmp.Compare(a.j.AcceptedAt, b.j.AcceptedAt), cmp.Compare(a.j.ID, b.j.ID))
 }
 
 // enter and drop keep the order: to sort all jobs anew whenever one came or went cost a
