--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -313,7 +313,7 @@
 	if n := listed(); n != 1 {
 		t.Fatalf("%d jobs are listed", n)
 	}
-	g.state.Put(job.KeyPrefix+"job-000001", job.Record{Phase: job.Cancelled, At: 1})
+	g.state.Put(job.KeyPrefix+"job-000001", job.Record{Phase: job.Cancelled, AcceptedAt: 1})
 	if n := listed(); n != 0 {
 		t.Errorf("%d jobs are listed as not over, after another controller's cancellation", n)
 	}
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -68,9 +68,9 @@
 		"cpus": 1.0, "cards": 0.0, "ramGb": 1.0, "kit": "i", "sizeGb": 1.0, "builds": nil, "field": nil, "oneZone": false, "scatter": false,
 		"loaners": true, "expectS": 1.0, "timeoutS": 0.0, "huddleS": 0.0, "whistleS": nil}
 	spec := &job.Spec{Class: "k", Team: "red", Tasks: 3, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true}
-	state.Put(job.KeyPrefix+"job-1", job.Record{Phase: job.Accepted, At: 1, Spec: spec})
-	state.Put(job.KeyPrefix+"job-2", job.Record{Phase: job.Done, At: 1, Tasks: 3})
-	state.Put(job.KeyPrefix+"job-3", job.Record{Phase: job.Cancelled, At: 1, Tasks: 3})
+	state.Put(job.KeyPrefix+"job-1", job.Record{Phase: job.Accepted, AcceptedAt: 1, Spec: spec})
+	state.Put(job.KeyPrefix+"job-2", job.Record{Phase: job.Done, AcceptedAt: 1, Tasks: 3})
+	state.Put(job.KeyPrefix+"job-3", job.Record{Phase: job.Cancelled, AcceptedAt: 1, Tasks: 3})
 	without := func(field string) map[string]any {
 		m := maps.Clone(whole)
 		delete(m, field)
--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -87,7 +87,7 @@
 
 // recordWith returns the job's record with other terms.
 func (j *Job) recordWith(t Terms) *Record {
-	return &Record{Phase: j.Phase, At: j.AcceptedAt, Spec: j.Spec, Terms: t.stored()}
+	return &Record{Phase: j.Phase, AcceptedAt: j.AcceptedAt, Spec: j.Spec, Terms: t.stored()}
 }
 
 // Cancel stores a cancellation unless the job is done. cb receives the final state, or 404 or 503.
--- a/internal/job/read_bench_test.go
+++ b/internal/job/read_bench_test.go
@@ -22,7 +22,7 @@
 				spec := &Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true}
 				for k := range jobs {
 					id := fmt.Sprintf("job-%d", k)
-					record := Record{Phase: Accepted, At: 1, Spec: spec}
+					record := Record{Phase: Accepted, AcceptedAt: 1, Spec: spec}
 					registry.mirror.Apply(KeyPrefix+id, wire.Marshal(record), net.state.Put(KeyPrefix+id, record), false)
 				}
 				net.Run(loop.Second)
--- a/internal/job/read_test.go
+++ b/internal/job/read_test.go
@@ -95,10 +95,10 @@
 		for k := range 8 { // another controller accepts jobs and completes them
 			id := fmt.Sprintf("job-%d", k)
 			n.After(loop.Micros(n.rng.IntN(8000))*loop.Millisecond, func() {
-				n.state.Put(KeyPrefix+id, Record{Phase: Accepted, At: 1, Spec: spec})
+				n.state.Put(KeyPrefix+id, Record{Phase: Accepted, AcceptedAt: 1, Spec: spec})
 				held[id] = 1
 				n.After(loop.Micros(n.rng.IntN(4000))*loop.Millisecond, func() {
-					n.state.Put(KeyPrefix+id, Record{Phase: Done, At: 1, Tasks: 1})
+					n.state.Put(KeyPrefix+id, Record{Phase: Done, AcceptedAt: 1, Tasks: 1})
 					held[id] = 2
 				})
 			})
@@ -169,8 +169,8 @@
 			worst := loop.Micros(0)
 			for k := range jobs {
 				id := fmt.Sprintf("job-%d", k)
-				mark := n.state.Put(KeyPrefix+id, Record{Phase: Accepted, At: 1, Spec: spec})
-				registry.mirror.Apply(KeyPrefix+id, wire.Marshal(Record{Phase: Accepted, At: 1, Spec: spec}), mark, false)
+				mark := n.state.Put(KeyPrefix+id, Record{Phase: Accepted, AcceptedAt: 1, Spec: spec})
+				registry.mirror.Apply(KeyPrefix+id, wire.Marshal(Record{Phase: Accepted, AcceptedAt: 1, Spec: spec}), mark, false)
 				last[id] = n.Now()
 				n.After(loop.Micros(k)*every*loop.Second/jobs, func() { ask(id) })
 			}
@@ -222,10 +222,10 @@
 			spec := &Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true}
 			for k := range jobs {
 				id := fmt.Sprintf("job-%d", k)
-				mark := n.state.Put(KeyPrefix+id, Record{Phase: Accepted, At: 1, Spec: spec})
-				registry.mirror.Apply(KeyPrefix+id, wire.Marshal(Record{Phase: Accepted, At: 1, Spec: spec}), mark, false)
+				mark := n.state.Put(KeyPrefix+id, Record{Phase: Accepted, AcceptedAt: 1, Spec: spec})
+				registry.mirror.Apply(KeyPrefix+id, wire.Marshal(Record{Phase: Accepted, AcceptedAt: 1, Spec: spec}), mark, false)
 				if k >= jobs-c.changed {
-					n.state.Put(KeyPrefix+id, Record{Phase: Accepted, At: 2, Spec: spec})
+					n.state.Put(KeyPrefix+id, Record{Phase: Accepted, AcceptedAt: 2, Spec: spec})
 				}
 			}
 			known, good, most := 0, 0, 0
@@ -290,8 +290,8 @@
 	store := func(id string, v any) {
 		registry.mirror.Apply(KeyPrefix+id, wire.Marshal(v), n.state.Put(KeyPrefix+id, v), false)
 	}
-	store("job-1", Record{Phase: Accepted, At: 1, Spec: spec})
-	store("job-2", Record{Phase: Done, At: 1, Tasks: 1})
+	store("job-1", Record{Phase: Accepted, AcceptedAt: 1, Spec: spec})
+	store("job-2", Record{Phase: Done, AcceptedAt: 1, Tasks: 1})
 	for _, id := range []string{"job-1", "job-2", "job-3"} {
 		store(id, "nonsense")
 	}
--- a/internal/job/record.go
+++ b/internal/job/record.go
@@ -71,11 +71,11 @@
 // Record is the job record in the state service. The record of a job that is done keeps only its phase, the time
 // of its acceptance and its number of tasks.
 type Record struct {
-	Phase Phase  `cbor:"st"`
-	At    int64  `cbor:"at,omitempty"` // wall-clock time at which the job was accepted
-	Spec  *Spec  `cbor:"s,omitempty"`
-	Tasks int    `cbor:"n,omitempty"`
-	Terms *Terms `cbor:"x,omitempty"`
+	Phase      Phase  `cbor:"st"`
+	AcceptedAt int64  `cbor:"at,omitempty"` // wall-clock time at which the job was accepted
+	Spec       *Spec  `cbor:"s,omitempty"`
+	Tasks      int    `cbor:"n,omitempty"`
+	Terms      *Terms `cbor:"x,omitempty"`
 }
 
 // Job is a job as known to this controller.
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -71,7 +71,7 @@
 		j = &Job{ID: id}
 		r.jobs[id] = j
 	}
-	j.Revision, j.Phase, j.AcceptedAt = e.Mark, rec.Phase, rec.At
+	j.Revision, j.Phase, j.AcceptedAt = e.Mark, rec.Phase, rec.AcceptedAt
 	r.applyPeerRevision(j)
 	if rec.Spec != nil {
 		j.Spec, j.Tasks = rec.Spec, rec.Spec.Tasks
@@ -181,7 +181,7 @@
 // DoneChange returns the change that marks a job done. Its transaction must be conditioned on Cond of the same
 // job.
 func DoneChange(j *Job) wire.Change {
-	return wire.Change{Put: KeyPrefix + j.ID, Value: Record{Phase: Done, At: j.AcceptedAt, Tasks: j.Tasks}}
+	return wire.Change{Put: KeyPrefix + j.ID, Value: Record{Phase: Done, AcceptedAt: j.AcceptedAt, Tasks: j.Tasks}}
 }
 
 // RevisionCond returns the condition that the job's record still has the revision known here.
--- a/internal/job/stale_answer_test.go
+++ b/internal/job/stale_answer_test.go
@@ -52,7 +52,7 @@
 					net.After(5*loop.Millisecond, cancel)
 					return
 				}
-				net.state.Put(KeyPrefix+id, Record{Phase: Cancelled, At: 1})
+				net.state.Put(KeyPrefix+id, Record{Phase: Cancelled, AcceptedAt: 1})
 			}
 			net.After(begin, cancel)
 		}
@@ -76,7 +76,7 @@
 			last := map[string]loop.Micros{}
 			for k := range jobs {
 				id := fmt.Sprintf("job-%d", k)
-				record := Record{Phase: Accepted, At: 1, Spec: spec}
+				record := Record{Phase: Accepted, AcceptedAt: 1, Spec: spec}
 				registry.mirror.Apply(KeyPrefix+id, wire.Marshal(record), net.state.Put(KeyPrefix+id, record), false)
 			}
 			slowAt := net.Now() + 5*loop.Second
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -110,7 +110,7 @@
 		if c == nil {
 			continue // its submitters were already answered
 		}
-		record := Record{Phase: Accepted, At: r.runner.Wall(), Spec: c.spec, Terms: c.terms}
+		record := Record{Phase: Accepted, AcceptedAt: r.runner.Wall(), Spec: c.spec, Terms: c.terms}
 		size += recordOverheadBytes + len(wire.Marshal(record))
 		batch.turns = append(batch.turns, next[0])
 		batch.records[id] = record
--- a/internal/placer/partition_test.go
+++ b/internal/placer/partition_test.go
@@ -122,7 +122,7 @@
 		g.job(i, small(fmt.Sprintf("team-%03d", i), 2))
 	}
 	id := "job-000007"
-	rec := job.Record{Phase: job.Cancelled, At: g.Now(), Tasks: 2}
+	rec := job.Record{Phase: job.Cancelled, AcceptedAt: g.Now(), Tasks: 2}
 	mark := g.state.Put(job.KeyPrefix+id, rec) // stored, and not yet known here
 	g.After(loop.Second, func() { g.mirror.Apply(job.KeyPrefix+id, wire.Marshal(rec), mark, false) })
 	g.Run(4 * loop.Second)
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -103,7 +103,7 @@
 // job stores an accepted job, as another node would have.
 func (g *rig) job(no int, s job.Spec) string {
 	id := fmt.Sprintf("job-%06d", no)
-	rec := job.Record{Phase: job.Accepted, At: g.Now(), Spec: &s}
+	rec := job.Record{Phase: job.Accepted, AcceptedAt: g.Now(), Spec: &s}
 	mark := g.state.Put(job.KeyPrefix+id, rec)
 	g.mirror.Apply(job.KeyPrefix+id, wire.Marshal(rec), mark, false)
 	return id
@@ -418,7 +418,7 @@
 	spec := job.Spec{Class: "k", Team: "red", Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
 	id := g.job(1, spec)
 	g.Run(loop.Second)
-	rec := job.Record{Phase: job.Cancelled, At: g.Now(), Spec: &spec}
+	rec := job.Record{Phase: job.Cancelled, AcceptedAt: g.Now(), Spec: &spec}
 	g.mirror.Apply(job.KeyPrefix+id, wire.Marshal(rec), g.state.Put(job.KeyPrefix+id, rec), false)
 	g.job(2, spec)
 	g.Run(loop.Second)
--- a/internal/placer/starvation_test.go
+++ b/internal/placer/starvation_test.go
@@ -78,7 +78,7 @@
 	if n := g.p.fleet.Held(small); n != 1 {
 		t.Errorf("%d of two claims are left once one task is there", n)
 	}
-	rec := job.Record{Phase: job.Cancelled, At: 1, Tasks: 9000}
+	rec := job.Record{Phase: job.Cancelled, AcceptedAt: 1, Tasks: 9000}
 	g.mirror.Apply(job.KeyPrefix+small, wire.Marshal(rec), g.state.Put(job.KeyPrefix+small, rec), false)
 	if n := g.p.fleet.Held(small); n != 0 {
 		t.Errorf("%d claims are left of a job that is over", n)
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -160,7 +160,7 @@
 		}
 	}
 	id := fmt.Sprintf("job-%06d", len(g.jobs)+1)
-	rec := job.Record{Phase: job.Accepted, At: g.Now(), Spec: &s, Terms: terms}
+	rec := job.Record{Phase: job.Accepted, AcceptedAt: g.Now(), Spec: &s, Terms: terms}
 	g.mirror.Apply(job.KeyPrefix+id, wire.Marshal(rec), g.state.Put(job.KeyPrefix+id, rec), false)
 	g.jobs = append(g.jobs, id)
 }
