--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -59,7 +59,7 @@
 	t := &job.Terms{Dependencies: p.After, OnCancelled: policies[p.OnWithdrawn]}
 	if p.Hold || p.HoldUntil != nil {
 		// Nothing of a job that is not stored yet can have begun.
-		t.Hold = job.Hold{State: job.HoldEffective, Reason: p.HoldReason, By: by, At: wall}
+		t.Hold = job.Hold{State: job.HoldEffective, Reason: p.HoldReason, By: by, RequestedAt: wall}
 		if p.HoldUntil != nil {
 			t.Hold.Until = int64(*p.HoldUntil)
 		}
@@ -216,7 +216,7 @@
 		return out
 	}
 	if h := j.Terms.Hold; h.Blocks(a.r.Wall()) {
-		d := explain.HoldDetail{Reason: h.Reason, By: h.By, At: explain.Time(h.At)}
+		d := explain.HoldDetail{Reason: h.Reason, By: h.By, At: explain.Time(h.RequestedAt)}
 		if h.Until != 0 {
 			until := explain.Time(h.Until)
 			d.Until = &until
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -85,7 +85,7 @@
 		r.State, r.Release = "setAside", "the damaged record of the job's tasks is repaired; the owner's log names its key"
 	case gate.Hold:
 		h := f.Gate.Hold
-		d := &HoldDetail{Reason: h.Reason, By: h.By, At: Time(h.At)}
+		d := &HoldDetail{Reason: h.Reason, By: h.By, At: Time(h.RequestedAt)}
 		r.Detail.Hold, r.State = d, HoldName(h.State)
 		r.Release = "an operator releases the job"
 		if h.Until != 0 {
--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -103,10 +103,10 @@
 // time, has passed. The hold is stored as settling; the job's owner calls Settle once no start that was
 // recorded before can still be carried out.
 func (r *Registry) Hold(id string, h Hold, callback func(Answer)) {
-	h.At = r.runner.Wall()
+	h.RequestedAt = r.runner.Wall()
 	r.Amend(id, func(j *Job) *Record {
 		old := j.Terms.Hold
-		if old.State != HoldNone && old.Until == h.Until && old.Reason == h.Reason && old.By == h.By && h.Blocks(h.At) {
+		if old.State != HoldNone && old.Until == h.Until && old.Reason == h.Reason && old.By == h.By && h.Blocks(h.RequestedAt) {
 			return nil // the request was repeated
 		}
 		t := j.Terms
--- a/internal/job/terms.go
+++ b/internal/job/terms.go
@@ -19,11 +19,11 @@
 
 // Hold prevents a job's tasks from being started; tasks that run continue.
 type Hold struct {
-	State  HoldState `cbor:"s,omitempty"`
-	Until  int64     `cbor:"u,omitempty"` // wall-clock time at which the hold ends by itself; 0: never
-	Reason string    `cbor:"r,omitempty"`
-	By     string    `cbor:"b,omitempty"` // name of the API key that requested the hold
-	At     int64     `cbor:"a,omitempty"` // wall-clock time of the request
+	State       HoldState `cbor:"s,omitempty"`
+	Until       int64     `cbor:"u,omitempty"` // wall-clock time at which the hold ends by itself; 0: never
+	Reason      string    `cbor:"r,omitempty"`
+	By          string    `cbor:"b,omitempty"` // name of the API key that requested the hold
+	RequestedAt int64     `cbor:"a,omitempty"` // wall-clock time of the request
 }
 
 // Blocks reports whether the hold blocks starts at a wall-clock time.
