--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -13,7 +13,7 @@
 const amendRetryDelay = 120 * loop.Millisecond
 
 // Amend changes a job's record on condition that it has the revision known here, and repeats that with the
-// newer revision if it has changed. cb receives the resulting state of the job, or 404 or 503. The record of a
+// newer revision if it has changed. callback receives the resulting state of the job, or 404 or 503. The record of a
 // final job is never changed.
 func (r *Registry) Amend(id string, edit Edit, callback func(Answer)) {
 	r.amend(r.newUserRequest(id, true, callback), edit)
@@ -90,7 +90,7 @@
 	return &Record{Phase: j.Phase, AcceptedAt: j.AcceptedAt, Spec: j.Spec, Terms: t.stored()}
 }
 
-// Cancel stores a cancellation unless the job is done. cb receives the final state, or 404 or 503.
+// Cancel stores a cancellation unless the job is done. callback receives the final state, or 404 or 503.
 func (r *Registry) Cancel(id string, callback func(Answer)) {
 	r.Amend(id, func(j *Job) *Record {
 		rec := j.recordWith(j.Terms)
@@ -100,8 +100,8 @@
 }
 
 // Hold prevents a job's tasks from being started until the job is released or the hold's end, a wall-clock
-// time, has passed. The hold is stored as settling; the job's owner calls Settle once no start that was
-// recorded before can still be carried out.
+// time, has passed. The hold is stored as pending; the job's owner calls ConfirmHold once no start
+// that was recorded before can still be carried out.
 func (r *Registry) Hold(id string, h Hold, callback func(Answer)) {
 	h.RequestedAt = r.runner.Wall()
 	r.Amend(id, func(j *Job) *Record {
@@ -111,19 +111,17 @@
 		}
 		t := j.Terms
 		t.Hold = h
-		// The old hold has no end, so no task has begun since it was set, and none begins before this record is
-		// stored. A hold that ends by itself does not prove that: this record may be stored after its end.
 		t.Hold.State = HoldPending
 		if old.State == HoldEffective && old.Until == 0 {
-			// Nothing began since, and nothing does before this is stored. One that ends
-			// by itself proves less: this may be stored late, after its end.
+			// The old hold has no end, so no task has begun since it was set, and none begins before this record is
+			// stored. A hold that ends by itself does not prove that: this record may be stored after its end.
 			t.Hold.State = HoldEffective
 		}
 		return j.recordWith(t)
 	}, callback)
 }
 
-// ConfirmHold marks a hold as set, provided that the job's record still has this revision.
+// ConfirmHold marks a hold as effective, provided that the job's record still has this revision.
 func (r *Registry) ConfirmHold(id string, mark uint64, callback func(Answer)) {
 	r.Amend(id, func(j *Job) *Record {
 		if j.Revision != mark || j.Terms.Hold.State != HoldPending {
@@ -156,7 +154,7 @@
 	}, callback)
 }
 
-// Exists determines whether a job was ever accepted; cb receives 200, 404 or 503. Records are never removed, so
+// Exists determines whether a job was ever accepted; callback receives 200, 404 or 503. Records are never removed, so
 // a job known here exists.
 func (r *Registry) Exists(id string, callback func(code int)) {
 	if r.jobs[id] != nil {
--- a/internal/job/answer.go
+++ b/internal/job/answer.go
@@ -32,7 +32,7 @@
 	SourcePeer    Source = "peer"    // memory: a peer reported that the job was cancelled
 	SourceRead    Source = "read"    // the copy of the records, synchronized since the request came
 	SourceStored  Source = "stored"  // a record that was stored since the request came
-	SourceDamaged Source = "damaged" // as WayRead, but the newest record cannot be decoded
+	SourceDamaged Source = "damaged" // as SourceRead, but the newest record cannot be decoded
 
 	RefusedFull     Source = "full"    // the maximum number of users is waiting
 	RefusedDeferred Source = "put off" // the queue of submissions is too long
--- a/internal/job/read.go
+++ b/internal/job/read.go
@@ -22,7 +22,7 @@
 // unanswered shortest.
 
 const (
-	// maxWaitingReads bounds the number of users that wait for a job's state, unless MostAsking sets less.
+	// maxWaitingReads bounds the number of users that wait for a job's state, unless SetMaxWaitingReads sets less.
 	maxWaitingReads = 2000
 	// answerTimeout is how long a user waits here before being told to retry.
 	answerTimeout = 1500 * loop.Millisecond
@@ -91,7 +91,7 @@
 	r.sync()
 }
 
-// Sync calls cb once the copy of the records holds everything that the state service held when Sync was called.
+// Sync calls callback once the copy of the records holds everything that the state service held when Sync was called.
 // It serves answers about many jobs. ok is false if that was not possible in time.
 func (r *Registry) Sync(callback func(ok bool)) {
 	req := r.newUserRequest("", true, func(a Answer) { callback(!a.refused()) })
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -178,8 +178,8 @@
 	r.log.Debug("request refused before it reached the job registry", "job", id, "reason", reason, "unanswered_us", now-since)
 }
 
-// DoneChange returns the change that marks a job done. Its transaction must be conditioned on Cond of the same
-// job.
+// DoneChange returns the change that marks a job done. Its transaction must be conditioned on RevisionCond of
+// the same job.
 func DoneChange(j *Job) wire.Change {
 	return wire.Change{Put: KeyPrefix + j.ID, Value: Record{Phase: Done, AcceptedAt: j.AcceptedAt, Tasks: j.Tasks}}
 }
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -28,7 +28,7 @@
 	deadline loop.Micros
 }
 
-// Submit stores a job unless it exists. cb receives 201 if it was stored, 200 if it existed, or a refusal with
+// Submit stores a job unless it exists. callback receives 201 if it was stored, 200 if it existed, or a refusal with
 // 429 or 503.
 func (r *Registry) Submit(id string, spec *Spec, callback func(Answer)) {
 	r.SubmitWithTerms(id, spec, &Terms{}, callback)
--- a/internal/job/terms.go
+++ b/internal/job/terms.go
@@ -9,8 +9,8 @@
 // HoldState is the state of a job's hold.
 type HoldState string
 
-// The states of a hold. While a hold is settling, tasks whose start was recorded before the hold was stored may
-// still begin; once it is set, no task of the job begins.
+// The states of a hold. While a hold is pending, tasks whose start was recorded before the hold was stored may still
+// begin; once it is effective, no task of the job begins.
 const (
 	HoldNone      HoldState = ""
 	HoldPending   HoldState = "s"
@@ -51,7 +51,7 @@
 	Hold         Hold     `cbor:"h,omitempty"`
 	Dependencies []string `cbor:"a,omitempty"`
 	OnCancelled  Policy   `cbor:"o,omitempty"`
-	Waived       []string `cbor:"w,omitempty"` // jobs of After that were cancelled and that an operator released this job from
+	Waived       []string `cbor:"w,omitempty"` // dependencies that were cancelled and that an operator released this job from
 }
 
 func (t *Terms) empty() bool {
