--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -14,8 +14,8 @@
 	"cleatpick/internal/wire"
 )
 
-// good returns the fields of a valid submission.
-func good() map[string]any {
+// validSubmission returns the fields of a valid submission.
+func validSubmission() map[string]any {
 	return map[string]any{"nameId": "job-000412", "lineup": "train", "squad": "red", "play": "batch", "urgency": "high", "snaps": 16,
 		"cpus": 8.0, "cards": 0.0, "ramGb": 64.0, "kit": "img-07", "sizeGb": 6.2, "builds": []string{"g8"}, "field": nil,
 		"oneZone": true, "scatter": false, "loaners": true, "expectS": 240.0, "timeoutS": 30.0, "huddleS": 4.0, "whistleS": 900.0, "later": 1}
@@ -24,12 +24,12 @@
 // Valid submissions are decoded, and a submission with any field missing, of the wrong type or out of range is
 // rejected. Its id is returned in either case if it is valid.
 func TestParse(t *testing.T) {
-	id, s, ok := Parse(wire.Marshal(good()))
+	id, s, ok := Parse(wire.Marshal(validSubmission()))
 	if !ok || id != "job-000412" || s.Tasks != 16 || s.Priority != High || s.AnyType || s.Zone != "" || s.Deadline != 900e6 || s.Checkpoint != 30e6 {
 		t.Fatalf("got %q %+v %v", id, s, ok)
 	}
 	change := func(key string, v any) []byte {
-		m := maps.Clone(good())
+		m := maps.Clone(validSubmission())
 		if v == "absent" {
 			delete(m, key)
 		} else {
@@ -52,7 +52,7 @@
 		"oneZone": {"absent", "yes"}, "scatter": {"absent", 1}, "loaners": {"absent", nil},
 		"expectS": {"absent", -1.0}, "timeoutS": {"absent", -1.0}, "huddleS": {"absent", math.NaN()}, "whistleS": {-1.0, "soon"},
 	}
-	for key := range good() {
+	for key := range validSubmission() {
 		if key == "later" || key == "builds" || key == "field" || key == "whistleS" {
 			continue
 		}
@@ -121,7 +121,7 @@
 
 // Parse accepts or rejects any input, without panicking and without accepting values out of range.
 func FuzzParse(f *testing.F) {
-	f.Add(wire.Marshal(good()))
+	f.Add(wire.Marshal(validSubmission()))
 	f.Add([]byte{0xa1, 0x61, 0x61, 0xf9, 0x7e, 0x00})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if id, s, ok := Parse(b); ok && (!ValidID(id) || s.Tasks < 1 || s.CPUs < 0 || math.IsNaN(s.CPUs)) {
@@ -130,16 +130,16 @@
 	})
 }
 
-// frozen is an event loop whose time stands still: delayed functions never run. Every request to the state
+// frozenLoop is an event loop whose time stands still: delayed functions never run. Every request to the state
 // service is refused.
-type frozen struct{}
+type frozenLoop struct{}
 
-func (frozen) Now() loop.Micros          { return 1 }
-func (frozen) Wall() loop.Micros         { return 1 }
-func (frozen) Post(f func())             { f() }
-func (frozen) After(loop.Micros, func()) {}
-func (frozen) Go(f func())               { f() }
-func (frozen) Do(string, string, []byte, time.Duration) store.Response {
+func (frozenLoop) Now() loop.Micros          { return 1 }
+func (frozenLoop) Wall() loop.Micros         { return 1 }
+func (frozenLoop) Post(f func())             { f() }
+func (frozenLoop) After(loop.Micros, func()) {}
+func (frozenLoop) Go(f func())               { f() }
+func (frozenLoop) Do(string, string, []byte, time.Duration) store.Response {
 	return store.Response{Status: 503}
 }
 
@@ -147,8 +147,8 @@
 // not wait until it recovers.
 func TestRefusalIsAnsweredAtOnce(t *testing.T) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	c := store.NewClient(frozen{}, frozen{}, log, 100, 100, 1)
-	registry := NewRegistry(frozen{}, c, store.NewMirror(c, frozen{}, "c/"), log)
+	c := store.NewClient(frozenLoop{}, frozenLoop{}, log, 100, 100, 1)
+	registry := NewRegistry(frozenLoop{}, c, store.NewMirror(c, frozenLoop{}, "c/"), log)
 	var codes []int
 	note := func(a Answer) { codes = append(codes, a.Code) }
 	registry.Submit("job-1", &Spec{Team: "red", Tasks: 1}, note)
--- a/internal/job/peers_test.go
+++ b/internal/job/peers_test.go
@@ -12,22 +12,22 @@
 // A cancellation reported by a peer takes effect at once, persists when older revisions of the job's record
 // arrive, and is replaced by the record of its own revision. A job that is not known here otherwise becomes
 // final, too.
-func TestWithdrawnByAPeersWord(t *testing.T) {
+func TestCancellationReportedByPeer(t *testing.T) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	c := store.NewClient(frozen{}, frozen{}, log, 100, 100, 1)
-	m := store.NewMirror(c, frozen{}, "c/")
-	registry := NewRegistry(frozen{}, c, m, log)
-	heard := map[string]uint64{}
+	c := store.NewClient(frozenLoop{}, frozenLoop{}, log, 100, 100, 1)
+	m := store.NewMirror(c, frozenLoop{}, "c/")
+	registry := NewRegistry(frozenLoop{}, c, m, log)
+	cancelledAt := map[string]uint64{}
 	registry.OnJob = func(j *Job) {
 		if j.Phase == Cancelled {
-			heard[j.ID] = j.CancelledRevision()
+			cancelledAt[j.ID] = j.CancelledRevision()
 		}
 	}
 	spec := &Spec{Team: "red", Tasks: 3, CPUs: 1}
 	record := func(id string, p Phase, mark uint64) {
 		m.Apply(KeyPrefix+id, wire.Marshal(Record{Phase: p, Spec: spec}), mark, false)
 	}
-	told := func(id string, want Phase) {
+	expectAnswer := func(id string, want Phase) {
 		t.Helper()
 		got := Answer{}
 		registry.Poll(id, func(a Answer) { got = a })
@@ -37,17 +37,17 @@
 	}
 	record("job-000001", Accepted, 5)
 	for _, id := range []string{"job-000001", "job-000002"} {
-		if !registry.ApplyPeerCancellation(id, 9) || heard[id] != 9 {
-			t.Errorf("the cancellation of %s is not applied: OnJob was called with revision %d", id, heard[id])
+		if !registry.ApplyPeerCancellation(id, 9) || cancelledAt[id] != 9 {
+			t.Errorf("the cancellation of %s is not applied: OnJob was called with revision %d", id, cancelledAt[id])
 		}
-		told(id, Cancelled)
+		expectAnswer(id, Cancelled)
 		record(id, Accepted, 7) // an amendment from before the cancellation that arrives late
-		told(id, Cancelled)
+		expectAnswer(id, Cancelled)
 		if j := registry.Get(id); j.Spec == nil || !j.Final() || j.CancelledRevision() != 9 || registry.peerOnly == 0 {
 			t.Errorf("%s after an older revision arrived: %+v", id, j)
 		}
 		record(id, Cancelled, 9)
-		told(id, Cancelled)
+		expectAnswer(id, Cancelled)
 		if j := registry.Get(id); j.PeerRevision != 0 || j.Revision != 9 || !registry.ApplyPeerCancellation(id, 9) {
 			t.Errorf("%s after the record of its cancellation arrived: %+v", id, j)
 		}
@@ -62,7 +62,7 @@
 			t.Errorf("a cancellation of %s at revision %d is applied", x.id, x.mark)
 		}
 	}
-	told("job-000003", Done)
+	expectAnswer("job-000003", Done)
 	if j := registry.Get("job-000004"); registry.peerOnly != 0 || j.Final() || registry.Get("job-000005") != nil {
 		t.Errorf("%d jobs are known as cancelled only from a peer, want none; job-000004 is %+v", registry.peerOnly, j)
 	}
--- a/internal/job/read_bench_test.go
+++ b/internal/job/read_bench_test.go
@@ -17,7 +17,7 @@
 			asked, answered, requests := 0, 0, 0
 			for range b.N {
 				net, registry := newSlowRegistry(1, 54)
-				net.slow = 5
+				net.maxDelayMs = 5
 				registry.SetMaxWaitingReads(645)
 				spec := &Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true}
 				for k := range jobs {
--- a/internal/job/read_test.go
+++ b/internal/job/read_test.go
@@ -17,23 +17,25 @@
 // slowNet delays every request to the state service and every answer by a random time.
 type slowNet struct {
 	*standin.Stepped
-	rng   *rand.Rand
-	state *standin.State
-	sent  map[string]int // requests by path
-	back  bool
-	lose  float64
-	slow  int // upper bound of the delay in each direction, in milliseconds
-	// extra returns an additional delay of an answer; nil adds none.
-	extra func() loop.Micros
+	rng        *rand.Rand
+	state      *standin.State
+	sent       map[string]int // requests by path
+	answering  bool
+	lossRate   float64
+	maxDelayMs int // upper bound of the delay in each direction, in milliseconds
+	// extraDelay returns an additional delay of an answer; nil adds none.
+	extraDelay func() loop.Micros
 }
 
-func (n *slowNet) delay() loop.Micros { return loop.Micros(n.rng.IntN(n.slow)) * loop.Millisecond }
+func (n *slowNet) delay() loop.Micros {
+	return loop.Micros(n.rng.IntN(n.maxDelayMs)) * loop.Millisecond
+}
 
 func (n *slowNet) Post(f func()) {
-	if n.back {
+	if n.answering {
 		d := n.delay()
-		if n.extra != nil {
-			d += n.extra()
+		if n.extraDelay != nil {
+			d += n.extraDelay()
 		}
 		n.After(d, f)
 		return
@@ -43,9 +45,9 @@
 
 func (n *slowNet) Go(f func()) {
 	n.After(n.delay(), func() {
-		n.back = true
+		n.answering = true
 		f()
-		n.back = false
+		n.answering = false
 	})
 }
 
@@ -55,22 +57,22 @@
 	} else {
 		n.sent["/store"]++
 	}
-	if n.rng.Float64() < n.lose {
+	if n.rng.Float64() < n.lossRate {
 		return store.Response{Err: io.ErrUnexpectedEOF}
 	}
 	return n.state.Do(method, path, body, 0)
 }
 
 func newSlowRegistry(seed uint64, rps float64) (*slowNet, *Registry) {
-	n := &slowNet{Stepped: standin.NewStepped(100 * loop.Second), rng: rand.New(rand.NewPCG(seed, 3)), sent: map[string]int{}, slow: 120}
+	n := &slowNet{Stepped: standin.NewStepped(100 * loop.Second), rng: rand.New(rand.NewPCG(seed, 3)), sent: map[string]int{}, maxDelayMs: 120}
 	n.state = standin.NewState(n.Now)
 	log := slog.New(slog.DiscardHandler)
 	c := store.NewClient(n, n, log, rps, rps, 1)
 	return n, NewRegistry(n, c, store.NewMirror(c, n, "c/"), log)
 }
 
-// rankOf orders phases by progress: no job, accepted, final.
-func rankOf(p Phase) int {
+// progressOf orders phases by progress: no job, accepted, final.
+func progressOf(p Phase) int {
 	switch p {
 	case Accepted:
 		return 1
@@ -84,10 +86,10 @@
 // ahead of the state service; every user is answered once and in time. This guards against letting a poll join
 // a read of the state service that is already in flight: what another controller told a user since that read
 // began would be taken back.
-func TestAnswersAreNeverOlderThanTheirQuestions(t *testing.T) {
+func TestAnswersAreNeverOlderThanTheirRequests(t *testing.T) {
 	for seed := range uint64(150) {
 		n, registry := newSlowRegistry(seed, 60)
-		n.lose = 0.02
+		n.lossRate = 0.02
 		spec := &Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true}
 		held := map[string]int{}
 		answers, good := 0, 0
@@ -117,7 +119,7 @@
 						return
 					}
 					good++
-					if got := rankOf(a.Phase); got < asked || got > held[id] || (a.Code == 404) != (got == 0) {
+					if got := progressOf(a.Phase); got < asked || got > held[id] || (a.Code == 404) != (got == 0) {
 						t.Fatalf("seed %d: %s is answered as %q (%d); its rank was %d when asked and is %d now", seed, id, a.Phase, a.Code, asked, held[id])
 					}
 				})
@@ -133,7 +135,7 @@
 // Under a flood of polls by other users, every known job is still answered again and again: within the bound
 // stated in read.go, J/P periods and the interval between two polls of its user. The test allows a quarter of
 // the time after which a job counts as lost.
-func TestNoJobIsForgottenInAStorm(t *testing.T) {
+func TestEveryJobIsAnsweredUnderPollFlood(t *testing.T) {
 	const jobs, rps, span, every = 400, 24, 40, 5
 	for _, c := range []struct {
 		name string
@@ -150,7 +152,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n, registry := newSlowRegistry(5, rps)
-			n.slow = 10
+			n.maxDelayMs = 10
 			registry.SetMaxWaitingReads(100)
 			spec := &Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true}
 			last := map[string]loop.Micros{}
@@ -195,7 +197,7 @@
 // many records changed. Submissions and their retries are decided as fast as without the flood, excess polls
 // are refused at once, the number of requests to the state service is bounded, and no kind of poll prevents the
 // others from being answered.
-func TestPollStorms(t *testing.T) {
+func TestPollFloods(t *testing.T) {
 	const jobs, rps, rate, span = 250, 30, 3000, 4
 	for _, c := range []struct {
 		name    string
@@ -217,7 +219,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n, registry := newSlowRegistry(1, rps)
-			n.slow = 6
+			n.maxDelayMs = 6
 			registry.SetMaxWaitingReads(450)
 			spec := &Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true}
 			for k := range jobs {
@@ -284,7 +286,7 @@
 
 // A record that cannot be decoded does not make its job unknown: polls and repeated submissions are still
 // answered that it was accepted, or how it ended if that was read before.
-func TestDamagedRecordIsNotForgotten(t *testing.T) {
+func TestCorruptRecordStaysAccepted(t *testing.T) {
 	n, registry := newSlowRegistry(7, 60)
 	spec := &Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true}
 	store := func(id string, v any) {
@@ -313,10 +315,10 @@
 
 // A poll for a job that is accepted here while the read for the poll is in flight is not answered 404, although
 // the job was unknown when the poll came: this controller has told a user by then that the job was accepted.
-func TestAcceptedWhileItIsAskedAbout(t *testing.T) {
+func TestPollDuringSubmission(t *testing.T) {
 	for seed := range uint64(60) {
 		n, registry := newSlowRegistry(seed, 1000)
-		n.slow = 400
+		n.maxDelayMs = 400
 		accepted, told := false, 0
 		registry.mirror.Start()
 		n.Run(3 * loop.Second)
--- a/internal/job/stale_answer_test.go
+++ b/internal/job/stale_answer_test.go
@@ -11,10 +11,10 @@
 // A submission that is repeated while the record of the first one is being stored is never answered with a
 // state older than the one that the state service held when it was repeated: what another controller stored and
 // told users meanwhile is not taken back. Answers of the state service are delayed.
-func TestRepeatedSubmissionsAreNotAnsweredFromThePast(t *testing.T) {
+func TestRepeatedSubmissionIsNotAnsweredWithOldState(t *testing.T) {
 	for seed := range uint64(100) {
 		net, registry := newSlowRegistry(seed, 200)
-		net.slow = 350
+		net.maxDelayMs = 350
 		spec := &Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true}
 		held := func(id string) int {
 			raw, found := net.state.Value(KeyPrefix + id)
@@ -22,7 +22,7 @@
 			if !found || wire.Unmarshal(raw, &record) != nil {
 				return 0
 			}
-			return rankOf(record.Phase)
+			return progressOf(record.Phase)
 		}
 		asked, answered := 0, 0
 		submit := func(id string) {
@@ -33,7 +33,7 @@
 				if a.Code != 200 && a.Code != 201 {
 					return
 				}
-				if rankOf(a.Phase) < before {
+				if progressOf(a.Phase) < before {
 					t.Errorf("seed %d: a repeated submission of %s is answered %q (%d), older than the record when it came", seed, id, a.Phase, a.Code)
 				}
 			})
@@ -66,12 +66,12 @@
 // However long one read of the state service took, polls are answered again soon after the service has
 // recovered. This guards against admitting polls by an estimate of the service's speed that only admitted polls
 // could correct.
-func TestPollsAreAnsweredAfterASlowComparison(t *testing.T) {
+func TestPollsAreAnsweredAfterASlowRead(t *testing.T) {
 	const jobs, pollsPerSecond, soon = 20, 10, 8 * loop.Second
 	for _, stall := range []loop.Micros{2 * loop.Second, 8 * loop.Second, 12 * loop.Second, 20 * loop.Second, 40 * loop.Second} {
 		t.Run(fmt.Sprintf("%d s", stall/loop.Second), func(t *testing.T) {
 			net, registry := newSlowRegistry(1, 60)
-			net.slow = 10
+			net.maxDelayMs = 10
 			spec := &Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true}
 			last := map[string]loop.Micros{}
 			for k := range jobs {
@@ -81,7 +81,7 @@
 			}
 			slowAt := net.Now() + 5*loop.Second
 			quickAt := slowAt + stall
-			net.extra = func() loop.Micros { // an answer arrives once the service is fast again
+			net.extraDelay = func() loop.Micros { // an answer arrives once the service is fast again
 				if now := net.Now(); now >= slowAt && now < quickAt {
 					return quickAt - now
 				}
@@ -97,7 +97,7 @@
 					})
 				})
 			}
-			told := func(since loop.Micros, when string) {
+			expectAnswers := func(since loop.Micros, when string) {
 				for k := range jobs {
 					if id := fmt.Sprintf("job-%d", k); last[id] < since {
 						t.Errorf("no poll for %s was answered %s", id, when)
@@ -105,9 +105,9 @@
 				}
 			}
 			net.Run(quickAt + soon - net.Now())
-			told(quickAt, "in the first seconds after the service recovered")
+			expectAnswers(quickAt, "in the first seconds after the service recovered")
 			net.Run(20 * loop.Second)
-			told(net.Now()-soon, "in the last seconds, long after the service recovered")
+			expectAnswers(net.Now()-soon, "in the last seconds, long after the service recovered")
 		})
 	}
 }
