--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -12,43 +12,51 @@
 	"cleatpick/internal/wire"
 )
 
-// Direct sends commands straight to a worker; it blocks, and runs off the loop.
+// Direct sends commands straight to a worker, outside the answer to a report. It blocks and is called off the
+// event loop.
 type Direct func(addr string, c wire.Commands, timeout time.Duration) store.Response
 
-// Host is what this slice needs of the node around it.
+// Host holds the settings and callbacks that the registry needs from its controller.
 type Host struct {
-	Label string
-	// Life names this life of the process: no earlier or later one has the same.
+	Label string // name of this controller
+	// Life is the incarnation of this process; no earlier or later run has the same.
 	Life loop.Micros
-	// MayAnswer tells whether reports may be answered, else where to send the worker.
+	// MayAnswer reports whether reports may be answered; if not, it returns the controller to which the worker
+	// is sent.
 	MayAnswer func() (ok bool, coach string)
-	// MayStart tells whether new starts may be passed on.
+	// MayStart reports whether new starts may be passed on.
 	MayStart func() bool
-	// SendOn tells whether a worker should report elsewhere, since what is heard here
-	// reaches no owner, where, and after how long once more: it is answered here meanwhile,
-	// should it find nobody else. before is how often it was sent on.
+	// SendOn reports whether a worker should report to another controller, because reports that arrive here do
+	// not reach the owners, and to which one. If the worker finds no other controller, it is answered here
+	// until again has passed since it was last sent on. before is how often it was sent on.
 	SendOn func(machine string, before int) (on bool, to string, again loop.Micros)
-	Epoch  func() uint64
-	Raise  func(done func())
-	Type   func(name string) (wire.MachineType, bool)
-	Job    func(id string) *job.Job
-	// Publish hands what changed of hosted machines to the peers.
+	// Epoch returns the current epoch of this controller, the high part of the tokens that it issues.
+	Epoch func() uint64
+	// Raise obtains a newer epoch from the state service and calls done, also when it fails.
+	Raise func(done func())
+	// Type finds a machine type of the catalog.
+	Type func(name string) (wire.MachineType, bool)
+	// Job finds a job known here, nil if there is none.
+	Job func(id string) *job.Job
+	// Publish sends the changes of hosted machines to the peers.
 	Publish func(News)
-	// Changed is called for every newer view, of any node, with how it differs from the
-	// one of the call before.
+	// Changed is called for every newer view, from any controller, with its differences from the view of the
+	// previous call for that machine.
 	Changed func(*View, *Changes)
-	Drop    func(to string, d Drop)
-	// Barred tells why no start of the job may reach the machine now, beyond the job
-	// being over: a hold, a cordon. It may be nil.
-	Barred  func(j *job.Job, v *View) string
-	ClockTo loop.Micros // twice the bound on the time of day
-	// Clock judges until when a start can arrive.
+	// Drop sends a rejection to the owner whose start is rejected.
+	Drop func(to string, d Drop)
+	// Barred returns why no start of the job may reach the machine now, apart from the job being final, for
+	// example a hold or a cordon; it is empty if none is. It may be nil.
+	Barred func(j *job.Job, v *View) string
+	// ClockTo is twice the bound on the error of a wall clock.
+	ClockTo loop.Micros
+	// Clock determines until when a start can still arrive.
 	Clock delivery.Clock
-	// Meter counts; it may be nil.
+	// Meter counts commands and decisions about forgetting attempts; it may be nil.
 	Meter *metric.Meter
 }
 
-// Agent is this node's machine room.
+// Agent is the registry of workers of one controller. It is used on the event loop only.
 type Agent struct {
 	r      loop.Runner
 	log    *slog.Logger
@@ -56,20 +64,20 @@
 	direct Direct
 	hosted map[string]*machine
 	views  map[string]*View
-	gone   map[string]bool
-	sentOn map[string]sending
+	gone   map[string]bool    // machines known to be deleted
+	sentOn map[string]sending // workers that were sent to another controller
 
 	toPublish []*machine
 }
 
-// New makes the machine room.
+// New makes an empty registry.
 func New(r loop.Runner, log *slog.Logger, h Host, direct Direct) *Agent {
 	a := &Agent{r: r, log: log, h: h, direct: direct, hosted: map[string]*machine{}, views: map[string]*View{}, gone: map[string]bool{}, sentOn: map[string]sending{}}
 	loop.Every(r, 500*loop.Millisecond, a.tick)
 	return a
 }
 
-// Learn takes in a view of a machine that reports to another node.
+// Learn applies a view of a machine that reports to another controller.
 func (a *Agent) Learn(v *View) {
 	if a.gone[v.Name] || v.Host == a.h.Label || !v.newer(a.views[v.Name]) {
 		return
@@ -81,7 +89,7 @@
 	a.renew(v)
 }
 
-// Republish hands all hosted machines' views out, as after a peer came back.
+// Republish sends the full views of all hosted machines again, for example after a peer restarted.
 func (a *Agent) Republish() {
 	for _, m := range loop.Sorted(a.hosted) {
 		m.told = nil
@@ -89,7 +97,7 @@
 	}
 }
 
-// Check asks a hosted machine for a task list that is certainly new.
+// Check asks a hosted machine's worker for a task list that is certainly made after this call.
 func (a *Agent) Check(name string) {
 	if m := a.hosted[name]; m != nil {
 		m.check = true
@@ -97,7 +105,7 @@
 	}
 }
 
-// Close keeps starts off a machine until a time of day; a past one opens it again.
+// Close blocks starts on a hosted machine until a wall-clock time; a time in the past allows them again.
 func (a *Agent) Close(name string, until loop.Micros) {
 	m := a.hosted[name]
 	if m == nil {
@@ -121,7 +129,7 @@
 	}
 }
 
-// Gone takes in that a machine was deleted, with everything that was on it.
+// Gone records that a machine was deleted, with everything that ran on it.
 func (a *Agent) Gone(name string) {
 	if a.gone[name] {
 		return
@@ -132,38 +140,39 @@
 	delete(a.views, name)
 }
 
-// Forget drops the memory of deleted machines. Should one of them turn up in a message
-// that was held back, it is found silent and deleted once more.
+// Forget drops the memory of deleted machines. If a delayed message makes one of them known again, it is found
+// not to report and is deleted once more.
 func (a *Agent) Forget(names []string) {
 	for _, name := range names {
 		delete(a.gone, name)
 	}
 }
 
-// IsGone tells whether the machine is known to be deleted.
+// IsGone reports whether the machine is known to be deleted.
 func (a *Agent) IsGone(name string) bool { return a.gone[name] }
 
-// View is the newest view of a machine, nil if it was never heard.
+// View returns the newest view of a machine, nil if none ever arrived.
 func (a *Agent) View(name string) *View { return a.views[name] }
 
-// Room is what is free on a machine; ok is false where that is not known.
+// Room returns the free capacity of a machine of type t; ok is false if it is not known, since a job on it is
+// not known here.
 func (a *Agent) Room(v *View, t wire.MachineType) (Room, bool) {
 	ok := v.resolve(a.h.Job)
 	return Room{t.CPUs, t.GPUs, t.MemoryGB}.Less(v.used), ok
 }
 
-// Jobs are the jobs of a view's tasks, in their order; nil where one is not known here.
+// Jobs returns the jobs of a view's tasks, in their order; nil where one is not known here.
 func (a *Agent) Jobs(v *View) []*job.Job {
 	v.lookUp(a.h.Job)
 	return v.jobs
 }
 
-// Views calls f for every machine heard and not gone.
+// Views calls f for the newest view of every machine that is not deleted, in the order of names.
 func (a *Agent) Views(f func(*View)) {
 	for _, v := range loop.Sorted(a.views) {
 		f(v)
 	}
 }
 
-// Hosted is the number of machines that report here.
+// Hosted returns the number of machines that report to this controller.
 func (a *Agent) Hosted() int { return len(a.hosted) }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -14,10 +14,10 @@
 	"cleatpick/internal/wire"
 )
 
-// The verdict must be the same every time, so the generator's seed is fixed.
+// The results must be the same in every run, so the seed of the property tests is fixed.
 func TestMain(m *testing.M) { fixed.Main(m) }
 
-// hand is time moved by hand; blocking work runs when the test says so.
+// hand is an event loop with a clock set by the test; delayed functions run when the test calls runWork.
 type hand struct {
 	now  loop.Micros
 	work []func()
@@ -29,6 +29,7 @@
 func (h *hand) After(d loop.Micros, f func()) { h.work = append(h.work, f) }
 func (h *hand) Go(f func())                   { f() }
 
+// rig is a registry with one hosted machine, n-1, for whose worker the test acts.
 type rig struct {
 	*hand
 	a     *Agent
@@ -36,14 +37,15 @@
 	sent  []wire.Commands
 	resp  store.Response
 	drops []Drop
-	// underWay is called while a direct command is under way; it may be nil.
+	// underWay is called while a direct command is in flight; it may be nil.
 	underWay func()
-	session  uint64 // of the worker; 0: its first
+	session  uint64 // of the worker; 0 stands for 1
 }
 
-// m is the machine as its host keeps it.
+// m returns the entry of the hosted machine.
 func (g *rig) m() *machine { return g.a.hosted["n-1"] }
 
+// newRig makes a registry that knows one job of nine tasks and machines with 4 CPUs.
 func newRig() *rig {
 	g := &rig{hand: &hand{now: 1000 * loop.Second}, epoch: 5}
 	spec := &job.Spec{Team: "t", Tasks: 9, CPUs: 2, MemoryGB: 1, AnyType: true}
@@ -72,6 +74,7 @@
 	return g
 }
 
+// beat delivers a report of the worker and returns the commands of the answer.
 func (g *rig) beat(t *testing.T, seq, token uint64, tasks ...wire.ReportTask) wire.Commands {
 	t.Helper()
 	var c wire.Commands
@@ -84,6 +87,7 @@
 	return c
 }
 
+// runWork runs the functions that are delayed now.
 func (g *rig) runWork() {
 	w := g.work
 	g.work = nil
@@ -92,7 +96,7 @@
 	}
 }
 
-// A report can be held back for minutes. Its list must not count as made when it came.
+// A report can be delayed for minutes. Its task list must not count as made at the time of its arrival.
 func TestLateReportIsNoFreshList(t *testing.T) {
 	g := newRig()
 	token := g.beat(t, 1, 0).Token
@@ -100,27 +104,27 @@
 	g.now += 3 * loop.Second
 	g.beat(t, 2, token)
 	g.now += 60 * loop.Second
-	g.beat(t, 3, token) // may have been under way all the time
+	g.beat(t, 3, token) // may have been on its way all the time
 	if at := g.a.View("n-1").At; at != given {
-		t.Fatalf("the list counts as made at %d, the token was given out at %d", at, given)
+		t.Fatalf("the list counts as made after %d, but its token was issued at %d", at, given)
 	}
 	g.resp = store.Response{Status: 200, Body: wire.Marshal(wire.Report{Machine: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 4, Token: token})}
 	asked := g.now
 	g.a.Check("n-1")
 	g.runWork()
 	if at := g.a.View("n-1").At; at != asked {
-		t.Fatalf("a list that was asked for counts as made at %d, not at %d", at, asked)
+		t.Fatalf("a requested list counts as made after %d, want %d", at, asked)
 	}
 }
 
-// A worker that has seen a higher token gets a newer epoch's, and nothing counts as
-// settled before it shows that.
+// A worker that has seen a higher token is given a token of a newer epoch, and the view is not settled before
+// the worker shows it.
 func TestHigherTokenTakesNewEpoch(t *testing.T) {
 	g := newRig()
 	c := g.beat(t, 1, 9<<counterBits)
 	if c.Token <= 9<<counterBits {
-		// The first raise gave 7: still too low, so it must have gone on.
-		t.Fatalf("token %d does not outrank the worker's", c.Token)
+		// The first new epoch is 7, which is still too low, so another must be obtained.
+		t.Fatalf("token %d is not above the worker's", c.Token)
 	}
 	if g.a.View("n-1").Settled {
 		t.Fatal("settled before the worker showed the token")
@@ -131,8 +135,8 @@
 	}
 }
 
-// After a direct command of unknown outcome the start may land at any time: it stays
-// listed, and no list settles anything, until the worker shows a higher token.
+// After a direct command of unknown outcome its start may be carried out at any time: it stays listed as
+// pending, and the view is not settled, until the worker shows a higher token.
 func TestUnansweredDirectCommand(t *testing.T) {
 	g := newRig()
 	token := g.beat(t, 1, 0).Token
@@ -141,23 +145,23 @@
 	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*loop.Second, From: "a"})
 	g.runWork()
 	if len(g.sent) != 1 || len(g.sent[0].Commands) != 1 {
-		t.Fatalf("the start did not go out directly: %v", g.sent)
+		t.Fatalf("the start was not sent directly: %v", g.sent)
 	}
-	g.now += 30 * loop.Second // long expired
+	g.now += 30 * loop.Second // the start has long expired
 	c := g.beat(t, 3, token)
 	if v := g.a.View("n-1"); v.Settled || !v.Holds("job-1/0", 1) {
-		t.Fatalf("settled %v, still listed %v", v.Settled, v.Holds("job-1/0", 1))
+		t.Fatalf("settled: %v, start still pending: %v", v.Settled, v.Holds("job-1/0", 1))
 	}
 	if c.Token != token+1 {
 		t.Fatalf("token %d was not raised above %d", c.Token, token)
 	}
 	g.beat(t, 4, c.Token)
 	if v := g.a.View("n-1"); !v.Settled || v.Holds("job-1/0", 1) {
-		t.Fatalf("settled %v, still listed %v after the higher token was shown", v.Settled, v.Holds("job-1/0", 1))
+		t.Fatalf("after the higher token was shown: settled: %v, start still pending: %v", v.Settled, v.Holds("job-1/0", 1))
 	}
 }
 
-// What does not fit, is too old or meant another session is dropped, and said so.
+// A start that does not fit, has expired or is meant for another session is rejected, and its owner is told so.
 func TestStartsThatAreDropped(t *testing.T) {
 	g := newRig()
 	token := g.beat(t, 1, 0).Token
@@ -168,16 +172,16 @@
 	g.a.Start(Start{Machine: "n-1", Session: 2, Task: "job-1/2", Attempt: 1, Expiry: life, From: "a"})
 	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/3", Attempt: 1, Expiry: g.now - 1, From: "a"})
 	if len(g.drops) != 3 || g.drops[0].Task != "job-1/1" {
-		t.Fatalf("dropped: %v", g.drops)
+		t.Fatalf("rejected: %v, want three, the first of them job-1/1", g.drops)
 	}
 	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/1", Attempt: 1, Expiry: life, From: "a"})
 	if len(g.drops) != 4 || g.a.View("n-1").Holds("job-1/1", 1) {
-		t.Fatal("a dropped start was taken on later")
+		t.Fatal("a rejected start was accepted later")
 	}
 }
 
-// A host that was ended and is back at once knows nothing of the starts that its life before
-// passed on. It must not refuse them, since a refusal says that nothing will land.
+// A host that restarts at once does not know which starts its previous incarnation passed on. It must not
+// reject them, since a rejection says that the start will never be carried out.
 func TestStartForAnEarlierLife(t *testing.T) {
 	g := newRig()
 	g.a.h.Life = 2
@@ -186,19 +190,19 @@
 	start := Start{Machine: "n-1", Session: 9, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*loop.Second, From: "a", Life: 1}
 	g.a.Start(start)
 	if len(g.drops) != 0 {
-		t.Fatalf("a start for another life is refused: %v", g.drops)
+		t.Fatalf("a start for another incarnation is rejected: %v", g.drops)
 	}
 	start.Life = 2
 	g.a.Start(start)
 	if len(g.drops) != 1 || g.drops[0].Life != 2 {
-		t.Fatalf("a start of another session is refused as %v, want once by life 2", g.drops)
+		t.Fatalf("rejections of a start for another session: %v, want one by incarnation 2", g.drops)
 	}
 }
 
-// A copy of a report proves no more than the report did: whatever it meets, a host that knows
-// the machine, one that has just begun and remembers nothing, or the machine's deletion, it
-// settles nothing, brings no older list back, and takes no machine from the node that it
-// reports to. Copies of copies and copies in reverse order are the same.
+// A duplicate of a report proves no more than the report did. Whether it reaches a host that knows the machine,
+// a host that has just restarted, or one that knows the machine as deleted, it must not settle the view,
+// restore an older task list or move the machine away from the host to which it reports. The same holds for
+// duplicates of duplicates and in reverse order.
 func TestCopiesOfReports(t *testing.T) {
 	report := func(session, seq, token uint64, running ...string) wire.Report {
 		r := wire.Report{Machine: "n-1", Addr: "x:1", Type: "m", Zone: "z", Session: session, Seq: seq, Token: token}
@@ -222,36 +226,38 @@
 		g.now += 20 * loop.Second
 		take(g, r)
 		if v := g.a.View("n-1"); v.Seq != 3 || v.Session != 1 || v.At != before.At || len(v.Tasks) != 0 {
-			t.Fatalf("a copy of report %d brings %+v about", r.Seq, v)
+			t.Fatalf("a duplicate of report %d changes the view to %+v", r.Seq, v)
 		}
 	}
-	// One of a session before.
+	// A duplicate from the previous session.
 	take(g, report(2, 1, token))
 	if take(g, report(1, 9, token, "job-1/0")); g.a.View("n-1").Session != 2 || len(g.a.View("n-1").Tasks) != 0 || status != 503 {
-		t.Fatalf("a copy of an earlier session is answered %d and brings %+v about", status, g.a.View("n-1"))
+		t.Fatalf("a duplicate from an earlier session is answered %d and changes the view to %+v", status, g.a.View("n-1"))
 	}
-	// A host that has just begun, in any order, and one that the machine does not report to.
+	// A host that has just restarted, with duplicates in any order, and then a host to which the machine does
+	// not report.
 	g = newRig()
 	g.epoch = 9
 	for _, r := range []wire.Report{report(1, 7, token, "job-1/0"), report(1, 8, token), report(1, 7, token, "job-1/0"), report(1, 8, token)} {
 		take(g, r)
 		if v := g.a.View("n-1"); v.Settled || v.At != 0 {
-			t.Fatalf("a copy of report %d counts as settled %v, made after %d", r.Seq, v.Settled, v.At)
+			t.Fatalf("after a duplicate of report %d: settled: %v, list made after %d", r.Seq, v.Settled, v.At)
 		}
 	}
 	g.a.Learn(&View{Name: "n-1", Host: "b", Session: 1, Seq: 9, Settled: true, At: g.now})
 	if take(g, report(1, 8, token)); status != 503 || g.a.View("n-1").Host != "b" || g.a.Hosted() != 0 {
-		t.Fatalf("a copy is answered %d and moves the machine to %q", status, g.a.View("n-1").Host)
+		t.Fatalf("a duplicate is answered %d, and the machine's host is %q", status, g.a.View("n-1").Host)
 	}
-	// After the machine's deletion.
+	// After the machine was deleted.
 	g.a.Gone("n-1")
 	if take(g, report(1, 10, token)); status != 503 || g.a.View("n-1") != nil {
-		t.Fatalf("a copy brings a deleted machine back: %+v", g.a.View("n-1"))
+		t.Fatalf("a duplicate makes a deleted machine known again: %+v", g.a.View("n-1"))
 	}
 }
 
-// A direct answer overtakes a report, whose answer still renews the lease: it ends what is over
-// like any other, or a task of a cancelled job would live on by answers that say nothing.
+// The answer to a report that a direct answer has overtaken still renews the worker's lease. So it must stop
+// the tasks of final jobs like any other answer; otherwise answers without commands would keep a cancelled
+// job's task alive.
 func TestOvertakenReportEndsWhatIsOver(t *testing.T) {
 	g := newRig()
 	run := wire.ReportTask{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}
@@ -261,7 +267,7 @@
 	g.a.Check("n-1")
 	g.runWork()
 	if c := g.beat(t, 3, token, run); len(c.Commands) != 0 {
-		t.Fatalf("%v, while the job is wanted", c.Commands)
+		t.Fatalf("the overtaken report is answered with %v although the job is not final", c.Commands)
 	}
 	g.a.job("job-1/0").Phase = job.Cancelled
 	if c := g.beat(t, 3, token, run); len(c.Commands) != 1 || c.Commands[0].Op != wire.OpStop || *c.Commands[0].GraceS != 0 {
@@ -269,15 +275,15 @@
 	}
 }
 
-// A start that was taken on is looked at once more by each command and each answer that could
-// carry it: its job may have been cancelled since, and its user told so.
+// An accepted start is checked again for every message that could carry it: its job may have been cancelled
+// since, and the user told so.
 func TestPendingStartOfACancelledJob(t *testing.T) {
 	g := newRig()
 	token := g.beat(t, 1, 0).Token
 	g.beat(t, 2, token)
 	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*loop.Second, From: "a"})
 	if !g.a.View("n-1").Holds("job-1/0", 1) && len(g.work) == 0 {
-		t.Fatal("the start was not taken on")
+		t.Fatal("the start was not accepted")
 	}
 	g.a.job("job-1/0").Phase = job.Cancelled
 	g.resp = store.Response{Status: 200, Body: wire.Marshal(wire.Report{Machine: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 3, Token: token})}
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -9,7 +9,7 @@
 	"cleatpick/internal/wire"
 )
 
-// expire forgets starts that may not be carried out any more and cannot be on their way.
+// expire removes starts that may not be carried out any more and cannot be in flight.
 func (a *Agent) expire(m *machine, wall loop.Micros) {
 	for k, p := range m.pending {
 		if wall >= p.start.Expiry && !p.direct && !m.inAnswer(k) && p.untilToken == 0 {
@@ -24,17 +24,17 @@
 	}
 }
 
-// way is how commands travel to a worker.
+// way is the path by which commands reach a worker.
 type way string
 
-// The ways of commands.
+// The paths of commands.
 const (
 	wayDirect     way = "direct"
 	wayAnswer     way = "answer"
-	wayLateAnswer way = "lateAnswer" // to a report that a direct command's answer has overtaken
+	wayLateAnswer way = "lateAnswer" // in the answer to a report that was overtaken by the answer to a direct command
 )
 
-// commands gathers what the worker is to do now, in a message that leaves at once.
+// commands collects what the worker must do now, for a message that is sent at once.
 func (a *Agent) commands(m *machine, by way) []wire.Command {
 	out := a.asked(m, []wire.Command{})
 	out = a.ends(m, out)
@@ -43,7 +43,7 @@
 	return out
 }
 
-// asked adds the stops and forgets that owners ask for.
+// asked appends the stops and forgets that owners requested.
 func (a *Agent) asked(m *machine, out []wire.Command) []wire.Command {
 	now := a.r.Now()
 	for _, k := range sortedKeys(m.stops) {
@@ -67,8 +67,8 @@
 	return out
 }
 
-// starts adds the starts that wait for the worker. What is under way in an answer goes directly
-// as well: one lost packet delays an answer by some 200 ms.
+// starts appends the starts that the worker has not received. A start in an answer in flight is sent directly
+// as well, since one lost packet delays an answer by about 200 ms.
 func (a *Agent) starts(m *machine, by way, out []wire.Command) []wire.Command {
 	wall := a.r.Wall()
 	if !a.h.MayStart() || wall < m.closeTo {
@@ -92,8 +92,7 @@
 	return out
 }
 
-// ends adds what ends and forgets the tasks of jobs that are over. Every answer that renews a
-// lease carries it.
+// ends appends stops and forgets for the tasks of final jobs. Every answer that renews a lease contains them.
 func (a *Agent) ends(m *machine, out []wire.Command) []wire.Command {
 	jobs := a.Jobs(&m.view)
 	for i := range m.view.Tasks {
@@ -103,7 +102,7 @@
 			continue
 		}
 		if t.Active() {
-			// Nobody has any use for what a withdrawn job's tasks still do.
+			// A final job has no use for its tasks' state, so they get no time to save it.
 			zero := 0.0
 			out = append(out, wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
 		} else if a.mayForget(m, i) {
@@ -113,7 +112,7 @@
 	return out
 }
 
-// operation names a command's operation in logs and metrics.
+// operation returns the name of a command's operation for logs and metrics.
 func operation(op string) string {
 	switch op {
 	case wire.OpStart:
@@ -126,7 +125,7 @@
 	return "other"
 }
 
-// logCommands tells of each command that leaves for a worker, and counts it.
+// logCommands logs and counts each command that is sent to a worker.
 func (a *Agent) logCommands(m *machine, by way, commands []wire.Command) {
 	for i := range commands {
 		a.h.Meter.Command(operation(commands[i].Op), string(by))
@@ -136,16 +135,18 @@
 	}
 	for i := range commands {
 		c := &commands[i]
-		a.log.Debug("command leaves", "op", operation(c.Op), "task", c.Task, "attempt", c.Attempt, "machine", m.view.Name, "way", string(by), "token", m.token, "session", m.view.Session)
+		a.log.Debug("command sent to worker", "op", operation(c.Op), "task", c.Task, "attempt", c.Attempt, "machine", m.view.Name, "way", string(by), "token", m.token, "session", m.view.Session)
 	}
 }
 
+// job finds the job of a task, nil if it is not known here.
 func (a *Agent) job(task string) *job.Job {
 	id, _, _ := SplitTask(task)
 	return a.h.Job(id)
 }
 
-// listPending lists the starts that may still be carried out, and those to come.
+// listPending lists in the view the starts that may still be carried out, and the reservations for starts to
+// come.
 func (a *Agent) listPending(m *machine) {
 	now := a.r.Now()
 	v := &m.view
--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -7,24 +7,24 @@
 	"cleatpick/internal/loop"
 )
 
-// Changes is how a view differs from the one before it of the same machine. What a
-// machine's view costs then follows what happened there, not what runs there.
+// Changes are the differences between a view and the previous view of the same machine. They make the cost of a
+// new view proportional to what changed on the machine rather than to what runs there.
 type Changes struct {
-	// All: nothing is known of a view before, or it was of another session.
+	// All is set if no previous view is known or it was of another session.
 	All bool
-	// Still: every task stands as before; From and Gone are empty.
+	// Still is set if every task is unchanged; From and Gone are empty then.
 	Still bool
-	// From is where each task of the view stood in the one before, unchanged; -1: it is
-	// new or stands otherwise.
+	// From holds, for each task of the view, its position in the previous view if it is unchanged; -1 if it is
+	// new or has changed.
 	From []int
-	// Gone are the tasks of the view before that are not here, or stand otherwise here.
+	// Gone holds the positions in the previous view of the tasks that are missing or have changed.
 	Gone []int
 }
 
-// Kept tells whether a task of the view stands as before.
+// Kept reports whether a task of the view is unchanged.
 func (c *Changes) Kept(i int) bool { return c.Still || (!c.All && c.From[i] >= 0) }
 
-// Was is where a task that is kept stood in the view before.
+// Was returns the position in the previous view of a task that is unchanged.
 func (c *Changes) Was(i int) int {
 	if c.Still {
 		return i
@@ -32,9 +32,8 @@
 	return c.From[i]
 }
 
-// Since compares a view with one before. Workers report tasks in the order in which they
-// began, so that one pass over both lists finds what is alike; a list in another order
-// merely looks as if more had changed.
+// Since compares a view with an earlier one. Workers report tasks in the order in which they began, so one pass
+// over both lists finds the unchanged ones; with lists in another order, more tasks merely count as changed.
 func (v *View) Since(old *View) Changes {
 	if old == nil || old.Session != v.Session {
 		return Changes{All: true}
@@ -70,8 +69,8 @@
 	return c
 }
 
-// standsAs tells whether both views list the same tasks alike. Where nothing has changed,
-// they mostly share one list.
+// standsAs reports whether both views list the same tasks in the same states. Where nothing has changed, they
+// usually share one slice.
 func (v *View) standsAs(old *View) bool {
 	if len(v.Tasks) != len(old.Tasks) {
 		return false
@@ -79,12 +78,14 @@
 	return len(v.Tasks) == 0 || &v.Tasks[0] == &old.Tasks[0] || slices.Equal(v.Tasks, old.Tasks)
 }
 
+// is reports whether both are the same attempt.
 func (t *Task) is(o *Task) bool { return t.Attempt == o.Attempt && t.Task == o.Task }
 
-// inherit takes over what was found out of the tasks that stand as before.
+// inherit takes the jobs of unchanged tasks over from the previous view, and shares its strings and, if all
+// tasks are unchanged, its slices.
 func (v *View) inherit(old *View, c *Changes) {
 	if c.Still && len(old.jobs) == len(old.Tasks) {
-		v.Tasks, v.jobs, v.resolved = old.Tasks, old.jobs, false // one list for both
+		v.Tasks, v.jobs, v.resolved = old.Tasks, old.jobs, false // both views share the slices
 		return
 	}
 	v.jobs, v.resolved = make([]*job.Job, len(v.Tasks)), false
@@ -95,21 +96,21 @@
 		if c.Kept(k) {
 			i := c.Was(k)
 			v.jobs[k] = old.jobs[i]
-			v.Tasks[k].Task = old.Tasks[i].Task // one string for both
+			v.Tasks[k].Task = old.Tasks[i].Task // both views share the string
 		}
 	}
 }
 
-// Placed is a task with its place in a view's list.
+// Placed is a task with its position in a view's list.
 type Placed struct {
 	_    struct{} `cbor:",toarray"`
 	At   int
 	Task Task
 }
 
-// Delta is a machine's newer view, told by how it differs from one told before. It is of
-// use only to who has exactly that one: of the same host, its life and the session, and of
-// the same report and revision, since a host that began anew counts its revisions anew.
+// Delta is a newer view of a machine, expressed as its differences from a view published before. It can be
+// applied only to exactly that view: of the same host, incarnation and session, and of the same report and
+// revision. The incarnation matters because a restarted host counts its revisions from the beginning.
 type Delta struct {
 	Name     string      `cbor:"1,keyasint"`
 	Session  uint64      `cbor:"2,keyasint"`
@@ -121,14 +122,14 @@
 	At       loop.Micros `cbor:"8,keyasint"`
 	NoticeAt loop.Micros `cbor:"9,keyasint,omitempty"`
 	Closed   bool        `cbor:"10,keyasint,omitempty"`
-	Gone     []int       `cbor:"11,keyasint,omitempty"` // places in the list before
-	New      []Placed    `cbor:"12,keyasint,omitempty"` // places in the list after
+	Gone     []int       `cbor:"11,keyasint,omitempty"` // positions in the previous list
+	New      []Placed    `cbor:"12,keyasint,omitempty"` // positions in the new list
 	Pending  []Task      `cbor:"13,keyasint,omitempty"`
 	Life     loop.Micros `cbor:"14,keyasint,omitempty"`
 	Reported loop.Micros `cbor:"15,keyasint,omitempty"`
 }
 
-// deltaTo tells v by how it differs from base; ok is false where only a full view will do.
+// deltaTo returns the differences of v from base; ok is false where only the full view can be sent.
 func (v *View) deltaTo(base *View) (d *Delta, ok bool) {
 	if base == nil || base.Host != v.Host || base.Life != v.Life || base.Session != v.Session || base.Addr != v.Addr {
 		return nil, false
@@ -144,8 +145,8 @@
 	return d, true
 }
 
-// apply makes the view that a delta tells, from the view that it was told against; nil
-// where that is not this one, or the delta makes no sense.
+// apply returns the view that results from applying a delta to base; nil if base is not the view that the delta
+// was computed from, or the delta is inconsistent.
 func (d *Delta) apply(base *View) *View {
 	if base == nil || base.Session != d.Session || base.Seq != d.BaseSeq || base.Rev != d.BaseRev || base.Life != d.Life {
 		return nil
@@ -185,26 +186,28 @@
 	return &v
 }
 
-// Changes of a machine's view are gathered before they are told, since a start is seen in
-// several steps that follow each other closely. The larger the fleet, the longer: what
-// each machine costs all nodes is what grows with machines times nodes.
+// Changes of a machine's view are collected before they are published, since a start changes the view in
+// several steps in quick succession. The delay grows with the fleet, because the cost of publishing grows with
+// the number of machines times the number of controllers.
 const (
 	gather     = 25 * loop.Millisecond
-	gatherEach = 40 // microseconds for each machine of the fleet, where that is more
+	gatherEach = 40 // in microseconds per machine of the fleet, if that gives more than gather
 	gatherMost = 100 * loop.Millisecond
 )
 
+// gatherFor returns the delay between the first change of a view and its publication.
 func (a *Agent) gatherFor() loop.Micros {
 	return min(max(gather, loop.Micros(len(a.views)*gatherEach)), gatherMost)
 }
 
-// News is what a host tells the other nodes of its machines.
+// News is what a host publishes of its machines: full views, and deltas for machines whose previous view was
+// published.
 type News struct {
 	Views  []*View
 	Deltas []*Delta
 }
 
-// publishSoon tells the peers of the machine's view, together with what follows soon.
+// publishSoon schedules the publication of the machine's view, together with the changes that follow soon.
 func (a *Agent) publishSoon(m *machine) {
 	if m.publishing {
 		return
@@ -216,6 +219,7 @@
 	}
 }
 
+// publish sends the scheduled views to the peers, as deltas where possible.
 func (a *Agent) publish() {
 	all := a.toPublish
 	a.toPublish = nil
@@ -239,15 +243,15 @@
 	}
 }
 
-// LearnDelta takes in how a machine that reports to another node has changed there. It
-// tells whether the full view must be asked for.
+// LearnDelta applies a delta of a machine that reports to another controller. It returns true if the full view
+// must be requested, since the delta does not apply to the view known here.
 func (a *Agent) LearnDelta(from string, d *Delta) (lost bool) {
 	if a.gone[d.Name] || from == a.h.Label {
 		return false
 	}
 	old := a.views[d.Name]
 	if told := (View{Host: from, Session: d.Session, Seq: d.Seq, Rev: d.Rev}); !told.newer(old) {
-		return false // late: as much is known here
+		return false // late: a view at least as new is known here
 	}
 	if old == nil || old.Host != from {
 		return true
@@ -260,7 +264,8 @@
 	return false
 }
 
-// Full are the newest views of hosted machines, for a peer that lacks what was told before.
+// Full returns the newest published views of hosted machines, for a peer that lacks the views to which deltas
+// apply.
 func (a *Agent) Full(names []string) (out []*View) {
 	for _, name := range names {
 		if m := a.hosted[name]; m != nil && m.told != nil {
--- a/internal/agent/delta_test.go
+++ b/internal/agent/delta_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawTasks changes a task list as a worker would, and now and then as none would.
+// drawTasks changes a task list as a worker would, and sometimes in ways that no worker would.
 func drawTasks(t *rapid.T, old []Task, next *int) []Task {
 	out := slices.Clone(old)
 	for range rapid.IntRange(0, 4).Draw(t, "changes") {
@@ -29,7 +29,7 @@
 				i := rapid.IntRange(0, n-1).Draw(t, "forgotten")
 				out = slices.Delete(out, i, i+1)
 			}
-		case 4: // another order: legal, and only dearer
+		case 4: // another order is legal and only makes the delta larger
 			if n > 1 {
 				i := rapid.IntRange(0, n-2).Draw(t, "swapped")
 				out[i], out[i+1] = out[i+1], out[i]
@@ -39,14 +39,14 @@
 	return out
 }
 
-// A view that was told by differences is the view that was meant, whatever was lost,
-// repeated or late in between; where it cannot be, the full one is asked for. The changes
-// that a view is said to hold are those that a plain look finds.
+// A view built from deltas equals the view that the host published, whatever messages were lost, duplicated or
+// late before; where that is impossible, the full view is requested. The differences that Since reports are
+// those that a comparison of all tasks finds.
 func TestDeltasTellTheSameViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		next := 0
 		host := &View{Name: "n-1", Addr: "x", Host: "b", Session: 1, Tasks: []Task{}}
-		var told *View // by the host
+		var told *View // as published by the host
 		a := newRig().a
 		var late [][]byte
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
@@ -91,7 +91,8 @@
 	})
 }
 
-// deliver hands a delta over. want is what it tells; nil when it is late.
+// deliver hands a delta to the receiving registry. want is the view that it describes; nil if the delta is
+// late.
 func deliver(t *rapid.T, a *Agent, frame []byte, want *View) {
 	d := new(Delta)
 	if err := wire.Unmarshal(frame, d); err != nil {
@@ -102,9 +103,9 @@
 	have := a.View(d.Name)
 	switch {
 	case want == nil && before != nil && have != before && have.Rev <= before.Rev && have.Session == before.Session:
-		t.Fatal("a late delta brought an older view back")
+		t.Fatal("a late delta replaced the view by an older one")
 	case want != nil && lost:
-		c := *want // it is asked for
+		c := *want // the full view is requested
 		a.Learn(&c)
 	case want != nil:
 		h, w := *have, *want
@@ -113,17 +114,17 @@
 			h.Tasks, w.Tasks = nil, nil
 		}
 		if !reflect.DeepEqual(h, w) {
-			t.Fatalf("learnt %+v, told %+v", h, w)
+			t.Fatalf("the receiver has %+v, the host published %+v", h, w)
 		}
 	}
 }
 
-// plainChanges compares Since with a look at every task.
+// plainChanges compares the result of Since with a comparison of every task.
 func plainChanges(t *rapid.T, old, v *View) {
 	c := v.Since(old)
 	if c.All {
 		if old.Session == v.Session {
-			t.Fatal("nothing is taken over within a session")
+			t.Fatal("all tasks count as changed within one session")
 		}
 		return
 	}
@@ -134,15 +135,15 @@
 	}
 	for i := range old.Tasks {
 		if at := v.Find(old.Tasks[i].Task, old.Tasks[i].Attempt); (at == nil || *at != old.Tasks[i]) && !slices.Contains(c.Gone, i) {
-			t.Fatalf("%+v has gone or changed, and is not said to have", old.Tasks[i])
+			t.Fatalf("%+v is missing or has changed but is not reported in Gone", old.Tasks[i])
 		}
 	}
 	if c.Still != slices.Equal(old.Tasks, v.Tasks) {
-		t.Fatalf("still: %v", c.Still)
+		t.Fatalf("Still is %v, which a comparison of the lists contradicts", c.Still)
 	}
 }
 
-// A delta from a peer that is broken must do no harm.
+// A corrupt delta from a peer is rejected or applied consistently, without a panic.
 func FuzzDelta(f *testing.F) {
 	f.Add(wire.Marshal(&Delta{Name: "n-1", Session: 1, BaseSeq: 1, BaseRev: 1, Seq: 2, Rev: 2, Gone: []int{-1, 7, 0}, New: []Placed{{At: 1 << 40}}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/internal/agent/direct.go
+++ b/internal/agent/direct.go
@@ -8,7 +8,7 @@
 	"cleatpick/internal/wire"
 )
 
-// flushSoon sends what waits for a machine straight to it, in a moment.
+// flushSoon schedules flush, so that commands that come together are sent together.
 func (a *Agent) flushSoon(m *machine) {
 	if m.flushing {
 		return
@@ -20,8 +20,8 @@
 	})
 }
 
-// flush sends commands straight to the worker. It does so only under a token that
-// the worker has shown: then no other node can give commands without this one seeing it.
+// flush sends the pending commands straight to the worker. It does so only while the worker shows this host's
+// token: then no other controller can command the worker without this one noticing.
 func (a *Agent) flush(m *machine) {
 	if a.hosted[m.view.Name] != m || m.state != Held || m.direct {
 		return
@@ -41,6 +41,7 @@
 	})
 }
 
+// directDone handles the response to a direct command.
 func (a *Agent) directDone(m *machine, token uint64, sent loop.Micros, resp store.Response) {
 	m.direct = false
 	var r wire.Report
@@ -55,9 +56,9 @@
 		return
 	}
 	if !sure {
-		// It may land minutes later. A higher token shuts it out, once the
-		// worker shows that it has seen it.
-		a.log.Debug("direct command unanswered", "machine", m.view.Name, "err", resp.Err, "status", resp.Status)
+		// The command may still be carried out minutes later, until the worker has seen a higher token and
+		// shows it.
+		a.log.Debug("direct command without a definite answer; the machine gets a higher token and no direct commands until it shows it", "machine", m.view.Name, "err", resp.Err, "status", resp.Status)
 		if m.token == token {
 			m.token++
 			m.tokenAt = a.r.Wall()
--- a/internal/agent/forget.go
+++ b/internal/agent/forget.go
@@ -5,20 +5,20 @@
 	"cleatpick/internal/loop"
 )
 
-// forgetVerdict tells whether an ended attempt may be forgotten, or why not yet.
+// forgetVerdict says whether a worker may forget a terminated attempt, or why not yet.
 type forgetVerdict string
 
-// The verdicts, as the metrics name them.
+// The verdicts, as named in metrics.
 const (
 	forgetAllowed   forgetVerdict = "allowed"
-	forgetUnsettled forgetVerdict = "unsettled" // commands or answers under an older token may be under way
-	forgetDirect    forgetVerdict = "direct"    // a direct command is under way
-	forgetPending   forgetVerdict = "pending"   // this host may still pass its start on
-	forgetAnswer    forgetVerdict = "answer"    // its start is in an answer under way
-	forgetUnexpired forgetVerdict = "unexpired" // another host may still pass its start on
+	forgetUnsettled forgetVerdict = "unsettled" // commands or answers under an older token may be in flight
+	forgetDirect    forgetVerdict = "direct"    // a direct command is in flight
+	forgetPending   forgetVerdict = "pending"   // this host may still pass a start of the attempt on
+	forgetAnswer    forgetVerdict = "answer"    // a start of the attempt is in an answer in flight
+	forgetUnexpired forgetVerdict = "unexpired" // another host may still pass a start of the attempt on
 )
 
-// judgeForget judges an ended attempt at a place of the machine's list.
+// judgeForget returns the verdict for the terminated attempt at a position of the task list.
 func (a *Agent) judgeForget(m *machine, i int) forgetVerdict {
 	t := &m.view.Tasks[i]
 	attempt := delivery.Attempt{Task: t.Task, Number: t.Attempt}
@@ -37,18 +37,18 @@
 	return forgetAllowed
 }
 
-// mayForget judges whether the worker may be told now to forget the attempt at a place of the
-// list: whether no start of it can arrive any more. Every forget that leaves a host has passed it,
-// whoever asked for it.
+// mayForget reports whether the worker may be told now to forget the attempt at a position of the task list:
+// whether no start of the attempt can arrive any more. A worker that has forgotten an attempt would run it
+// again if such a start arrived. Every forget that a host sends has passed this check, whoever requested it.
 //
-//   - What this host sent under the token that the worker shows: no direct command is under way, and
-//     the worker has reported since the answer that carried a start of the attempt. That is known,
-//     not inferred from time.
-//   - What was sent under a lower token, by this host or another, is refused by a worker that shows
-//     this one.
-//   - What another host may still pass on, which the worker goes to next: no host does once the
-//     start has expired. The attempt was recorded before a list showed it, so that is told by when
-//     this host first saw it listed, without its owner's word or clock.
+//   - Starts that this host sent under the token that the worker shows: no direct command is in flight, and the
+//     worker has reported since the answer that contained a start of the attempt. This is known, not inferred
+//     from elapsed time.
+//   - Starts that were sent under a lower token, by this host or another: a worker that shows the current token
+//     rejects them.
+//   - Starts that another host, to which the worker moves next, may still pass on: no host does so after the
+//     start has expired. The attempt was recorded before a task list showed it, so the time at which this host
+//     first saw it listed bounds the expiry, without relying on its owner's messages or clock.
 func (a *Agent) mayForget(m *machine, i int) bool {
 	if m.view.Tasks[i].Active() {
 		return false
@@ -58,14 +58,14 @@
 	return verdict == forgetAllowed
 }
 
-// inAnswer tells whether a start is in the answer to the newest report.
+// inAnswer reports whether a start of the attempt is in the answer to the newest report.
 func (m *machine) inAnswer(attempt delivery.Attempt) bool {
 	_, in := m.answered[attempt]
 	return in
 }
 
-// listedSince tells for each task of the view when this host first saw that attempt listed. before
-// is the machine's view that this one follows, and c how they differ.
+// listedSince returns, for each task of the view, the time at which this host first saw that attempt listed.
+// before is the machine's previous view, and c the differences between the two.
 func (v *View) listedSince(before *View, c *Changes, wall loop.Micros) []loop.Micros {
 	known := len(before.listed) == len(before.Tasks) && !c.All
 	if known && c.Still {
--- a/internal/agent/forget_test.go
+++ b/internal/agent/forget_test.go
@@ -12,12 +12,12 @@
 	"cleatpick/internal/wire"
 )
 
-// answersDirect lets the worker answer the next direct commands with a report.
+// answersDirect makes the worker answer the next direct commands with a report.
 func (g *rig) answersDirect(seq, token uint64, tasks ...wire.ReportTask) {
 	g.resp = store.Response{Status: 200, Body: wire.Marshal(wire.Report{Machine: "n-1", Type: "m", Zone: "z", Session: 1, Seq: seq, Token: token, Tasks: tasks})}
 }
 
-// forgetsOf counts the forgets among commands.
+// forgetsOf counts the forget commands in messages.
 func forgetsOf(messages ...wire.Commands) (n int) {
 	for _, message := range messages {
 		for _, command := range message.Commands {
@@ -29,21 +29,21 @@
 	return n
 }
 
-// The commands of the incident of the second run: a start leaves in the answer to a report and,
-// at the same moment, in a direct command. The direct one arrives, and the task is started and
-// stopped, while the answer waits for a lost packet. An owner asks for the attempt to be forgotten.
-// Until the worker has reported again, the answer can still arrive, and would start the task anew.
+// A start is sent in the answer to a report and, at the same time, in a direct command. The direct command
+// arrives first, and the attempt is started and stopped while the answer is delayed by a lost packet. Its owner
+// then requests that the attempt is forgotten. Until the worker has reported again, the answer can still
+// arrive; after a forget it would start the attempt anew.
 func TestForgetWaitsForTheAnswerUnderWay(t *testing.T) {
 	g := newRig()
 	token := g.beat(t, 1, 0).Token
 	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 5, Expiry: g.now + 6*loop.Second, From: "a"})
 	if c := g.beat(t, 2, token); len(c.Commands) != 1 || c.Commands[0].Op != wire.OpStart {
-		t.Fatalf("the answer carries %v, want the start", c.Commands)
+		t.Fatalf("the answer contains %v, want the start", c.Commands)
 	}
 	g.answersDirect(3, token, wire.ReportTask{Task: "job-1/0", Attempt: 5, State: wire.TaskRunning})
 	g.runWork()
 	if len(g.sent) != 1 || len(g.sent[0].Commands) != 1 {
-		t.Fatalf("%v is sent directly, want the start as well", g.sent)
+		t.Fatalf("sent directly: %v, want the start as well", g.sent)
 	}
 	g.now += 45 * loop.Millisecond
 	g.answersDirect(4, token, wire.ReportTask{Task: "job-1/0", Attempt: 5, State: wire.TaskExited, Why: wire.WhyStopped})
@@ -57,34 +57,34 @@
 	}
 	forget(130 * loop.Millisecond)
 	if n := forgetsOf(g.sent...); n != 0 {
-		t.Fatalf("%d forgets leave while the answer with the start is under way", n)
+		t.Fatalf("%d forgets are sent while the answer with the start is in flight", n)
 	}
-	// Its time does not make an answer arrive: a process may have stood still before sending it.
+	// Elapsed time does not prove that the answer has arrived: the process may have paused before sending it.
 	forget(60 * loop.Second)
 	if n := forgetsOf(g.sent...); n != 0 {
-		t.Fatalf("%d forgets leave while nothing shows that the answer has arrived", n)
+		t.Fatalf("%d forgets are sent while nothing proves that the answer has arrived", n)
 	}
 	g.now += loop.Second
 	g.a.Stop(Stop{Machine: "n-1", Task: "job-1/0", Attempt: 5, Forget: true})
 	c := g.beat(t, 9, token, wire.ReportTask{Task: "job-1/0", Attempt: 5, State: wire.TaskExited, Why: wire.WhyStopped})
 	if n := forgetsOf(c); n != 1 {
-		t.Fatalf("%d forgets once the worker has reported again and the start has expired, want one", n)
+		t.Fatalf("%d forgets after the worker has reported again and the start has expired, want one", n)
 	}
 }
 
-// ended is an attempt as a report lists it once it is over.
+// ended is a terminated attempt as a report lists it.
 func ended(number uint64) wire.ReportTask {
 	return wire.ReportTask{Task: "job-1/0", Attempt: number, State: wire.TaskExited, Why: wire.WhyStopped}
 }
 
-// Each thing that can still bring a start of an ended attempt keeps its forget back by itself, both
-// where an owner asks for it and where its job is over; nothing else does.
+// Each way in which a start of a terminated attempt can still arrive blocks its forget by itself, both when an
+// owner requests it and when the job is final; nothing else blocks it.
 func TestWhatKeepsAForgetBack(t *testing.T) {
 	const startLife = 6 * loop.Second
 	long := startLife + delivery.AnswerLife + loop.Second
 	for _, c := range []struct {
 		name string
-		// play brings the machine to the point at which the forget would leave, and returns what leaves.
+		// play brings the machine to the point at which the forget would be sent, and returns the messages.
 		play func(g *rig, token uint64) []wire.Commands
 		want int
 	}{
@@ -113,7 +113,7 @@
 		{"the worker shows a lower token", func(g *rig, token uint64) []wire.Commands {
 			g.resp = store.Response{Err: io.ErrUnexpectedEOF}
 			g.a.Check("n-1")
-			g.runWork() // of unknown outcome: the token is raised
+			g.runWork() // the outcome is unknown, so the token is raised
 			g.now += long
 			return []wire.Commands{g.beat(t, 3, token, ended(1))}
 		}, 0},
@@ -124,16 +124,16 @@
 			g.now += long
 			return []wire.Commands{g.beat(t, 3, token+1, ended(1))}
 		}, 1},
-		{"a direct command is under way", func(g *rig, token uint64) (out []wire.Commands) {
+		{"a direct command is in flight", func(g *rig, token uint64) (out []wire.Commands) {
 			g.now += long
 			g.answersDirect(4, token, ended(1))
 			g.underWay = func() { out = append(out, g.beat(t, 3, token, ended(1))) }
 			g.a.Check("n-1")
 			g.sent = nil
 			g.runWork()
-			return out // without what the direct command itself carries
+			return out // without the commands of the direct command itself
 		}, 0},
-		{"a copy of an earlier report", func(g *rig, token uint64) []wire.Commands {
+		{"a duplicate of an earlier report", func(g *rig, token uint64) []wire.Commands {
 			g.now += long
 			g.m().answered[delivery.Attempt{Task: "job-1/0", Number: 1}] = struct{}{}
 			return []wire.Commands{g.beat(t, 2, token, ended(1))}
@@ -145,7 +145,7 @@
 			g.a.Check("n-1")
 			g.runWork()
 			before := len(g.sent)
-			late := g.beat(t, 4, token, ended(1)) // shows that the answer arrived
+			late := g.beat(t, 4, token, ended(1)) // proves that the answer arrived
 			return append(g.sent[:before:before], late)
 		}, -1},
 		{"its start is pending", func(g *rig, token uint64) []wire.Commands {
@@ -155,7 +155,7 @@
 		}, 0},
 	} {
 		for _, over := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s/job over %v", c.name, over), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/job final %v", c.name, over), func(t *testing.T) {
 				g := newRig()
 				token := g.beat(t, 1, 0).Token
 				g.beat(t, 2, token, ended(1))
@@ -167,14 +167,14 @@
 					}
 				}
 				want := c.want
-				if want < 0 { // only the answer to the late report may carry it, and that only what is over
+				if want < 0 { // only the answer to the late report may contain a forget, and only if the job is final
 					want = 0
 					if over {
 						want = 1
 					}
 				}
 				if n := forgetsOf(c.play(g, token)...); n != want {
-					t.Errorf("%d forgets leave, want %d", n, want)
+					t.Errorf("%d forgets are sent, want %d", n, want)
 				}
 			})
 		}
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -10,86 +10,92 @@
 	"cleatpick/internal/loop"
 )
 
-// counterBits is the part of a token that counts within an epoch.
+// counterBits is the number of low bits of a token that count within an epoch. The high bits are the epoch.
 const counterBits = 20
 
-// EpochOf is the epoch of the node that gave a token.
+// EpochOf returns the epoch of the controller that issued a token.
 func EpochOf(token uint64) uint64 { return token >> counterBits }
 
-// HostState names where a machine stands with this node.
+// HostState is the state of a machine at the controller to which it reports.
 type HostState int
 
-// The states of a machine at a node.
+// The states of a machine. Only in the state Held can no other controller's command be carried out.
 const (
-	Elsewhere HostState = iota // another node has newer reports
-	Raising                    // its token is above ours: a new epoch is being taken
-	Taking                     // our token was sent, but the worker has not shown it
-	Held                       // the worker shows our token: nobody else's command can land
+	Elsewhere HostState = iota // another controller has newer reports
+	Raising                    // the worker shows a token above ours: a newer epoch is being obtained
+	Taking                     // our token was sent, but the worker has not shown it yet
+	Held                       // the worker shows our token: no other controller's command can be carried out
 )
 
-// sortedKeys lists attempts by name: commands and views must not hang on a map's order.
+// sortedKeys returns the attempts of a map sorted by name, so that the order of commands and views does not
+// depend on the order of Go's maps.
 func sortedKeys[V any](m map[delivery.Attempt]V) []delivery.Attempt {
 	return slices.SortedFunc(maps.Keys(m), func(a, b delivery.Attempt) int {
 		return cmp.Or(strings.Compare(a.Task, b.Task), cmp.Compare(a.Number, b.Number))
 	})
 }
 
-// pending is a start that this host took on and that its worker has not shown yet.
+// pending is a start that this host has accepted and that the worker has not listed yet.
 type pending struct {
-	start      Start
-	direct     bool   // in the direct command under way
-	untilToken uint64 // sent by a direct command of unknown outcome: may land until this token shows
+	start  Start
+	direct bool // part of the direct command in flight
+	// untilToken, if not 0, means that the start was sent in a direct command of unknown outcome. It may be carried
+	// out until the worker shows this token.
+	untilToken uint64
 }
 
-// request is a stop or a forget that an owner asks for.
+// request is a stop or a forget that an owner requested.
 type request struct {
 	stop  Stop
-	until loop.Micros
+	until loop.Micros // monotonic time at which the request is dropped
 }
 
-// machine is a machine that reports to this node.
+// machine is the state of a machine that reports to this controller.
 type machine struct {
 	view    View
 	state   HostState
 	token   uint64
-	tokenAt loop.Micros // time of day before which nobody had the token
-	check   bool        // an owner asks for a task list that is certainly new
+	tokenAt loop.Micros // wall-clock time before which nobody had the token
+	check   bool        // an owner requested a task list that is certainly new
 	pending map[delivery.Attempt]*pending
-	// reportSession and reportSeq name the newest report, and answered are the starts in the answer
-	// to it, which may be under way until the worker reports again.
+	// reportSession and reportSeq identify the newest report. answered holds the starts in the answer to it,
+	// which may be in flight until the worker reports again.
 	reportSession, reportSeq uint64
 	answered                 map[delivery.Attempt]struct{}
-	refused                  map[delivery.Attempt]loop.Micros // dropped starts, remembered until they have expired
-	reserved                 map[delivery.Attempt]loop.Micros // room that owners have chosen and are still recording, and for how long
-	stops                    map[delivery.Attempt]request
-	direct                   bool // a direct command is under way
-	flushing                 bool
-	refreshing               bool
-	closeTo                  loop.Micros
-	sent                     loop.Micros // when the view was last published
-	dirty                    bool
-	told                     *View // as last published: what deltas are told against
-	publishing               bool
+	// refused holds rejected starts and the time until which they are remembered: no copy of one may be accepted
+	// before it has expired.
+	refused map[delivery.Attempt]loop.Micros
+	// reserved holds the capacity reserved for starts whose attempts owners are still recording, and until when.
+	reserved   map[delivery.Attempt]loop.Micros
+	stops      map[delivery.Attempt]request
+	direct     bool        // a direct command is in flight
+	flushing   bool        // flush is scheduled
+	refreshing bool        // refresh is scheduled
+	closeTo    loop.Micros // wall-clock time until which the machine accepts no starts
+	sent       loop.Micros // monotonic time at which the view was last published
+	dirty      bool        // the view has changed in a way that peers must learn soon
+	told       *View       // the view as last published, from which the next delta is computed
+	publishing bool        // in Agent.toPublish
 }
 
-// newMachine makes the entry of a machine that begins to report here.
+// newMachine makes the entry of a machine that reports here for the first time.
 func newMachine() *machine {
 	return &machine{pending: map[delivery.Attempt]*pending{}, answered: map[delivery.Attempt]struct{}{}, refused: map[delivery.Attempt]loop.Micros{},
 		reserved: map[delivery.Attempt]loop.Micros{}, stops: map[delivery.Attempt]request{}}
 }
 
-// setState is the one place where a machine's standing with this node changes.
+// setState changes a machine's state. No other function does.
 func (a *Agent) setState(m *machine, s HostState) {
 	if m.state == s {
 		return
 	}
-	a.log.Debug("machine standing", "machine", m.view.Name, "from", m.state, "to", s, "token", m.token, "session", m.view.Session)
+	a.log.Debug("hosting state of machine changed", "machine", m.view.Name, "from", m.state, "to", s, "token", m.token, "session", m.view.Session)
 	m.state = s
 	m.view.Settled = s == Held
 }
 
-// reported takes in that a worker made a report. It has one report in flight at a time, so the
-// answers to all earlier ones have arrived or never will. A copy of a report says nothing new.
+// reported records that a worker made a report. A worker has one report in flight at a time, so the answers to
+// all earlier reports have arrived or never will. A duplicate of a report proves nothing new.
 func (m *machine) reported(session, seq uint64) {
 	if session < m.reportSession || session == m.reportSession && seq <= m.reportSeq {
 		return
@@ -98,7 +104,7 @@
 	clear(m.answered)
 }
 
-// String names the state in logs.
+// String returns the state's name in logs.
 func (s HostState) String() string {
 	return [...]string{"elsewhere", "raising", "taking", "held"}[s]
 }
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -5,13 +5,13 @@
 	"cleatpick/internal/wire"
 )
 
-// Answer is the response to a report.
+// Answer is the HTTP response to a report.
 type Answer struct {
 	Status int
 	Body   any
 }
 
-// Report takes in a report that came to this node; reply is called once, on the loop.
+// Report handles a report that arrived at this controller. reply is called once, on the event loop.
 func (a *Agent) Report(r wire.Report, reply func(Answer)) {
 	if ok, coach := a.h.MayAnswer(); !ok {
 		reply(Answer{421, wire.ReportTo{Node: coach}})
@@ -29,15 +29,15 @@
 	}
 	m := a.hosted[r.Machine]
 	if known := a.views[r.Machine]; known != nil && !(r.Session > known.Session || (r.Session == known.Session && r.Seq > known.Seq)) {
-		// Its task list is as old as itself. Where the answer of a direct command
-		// overtook it, the worker waits for this answer and stays; a report that
-		// was held back on its way was given up by its worker long ago.
+		// The report's task list is outdated. If the answer to a direct command overtook the report, the worker
+		// waits for this answer and stays with this host. A report that was delayed on its way has been given
+		// up by its worker long ago.
 		if m == nil || m.token == 0 || r.Session != m.view.Session {
 			reply(Answer{503, wire.Error{Error: "late report"}})
 			return
 		}
-		//
-		// It renews the lease like any other, so it ends what is over like any other.
+		// The answer renews the worker's lease like any other, so it must stop the tasks of final jobs like any
+		// other.
 		m.reported(r.Session, r.Seq)
 		commands := a.ends(m, []wire.Command{})
 		a.logCommands(m, wayLateAnswer, commands)
@@ -54,8 +54,7 @@
 		if EpochOf(r.Token) < epoch {
 			m.token, m.tokenAt = epoch<<counterBits, a.r.Wall()
 		} else {
-			// The worker follows a higher token than any of ours: only a
-			// newer epoch gives commands to it again.
+			// The worker obeys a token above all of ours. Only a token of a newer epoch is obeyed again.
 			a.setState(m, Raising)
 			before := epoch
 			a.h.Raise(func() {
@@ -74,24 +73,24 @@
 	a.refresh(m)
 }
 
-// sending is when a worker was last sent on, and how often it was.
+// sending records when a worker was last sent to another controller, and how often it was.
 type sending struct {
 	at    loop.Micros
 	times int
 }
 
-// applyReport brings the machine's view up to a report or to the body of a direct command's answer.
+// applyReport updates the machine's view from a report, or from the body of the answer to a direct command.
 //
-// A report may have been held back for minutes, and looks new to a node that heard
-// nothing meanwhile. It was certainly made after the token that it shows was given
-// out, and the body of a direct answer after its command was sent: that is madeAfter.
+// A report may have been delayed for minutes, and looks new to a controller that received nothing meanwhile. It
+// was certainly made after the token that it shows was issued, and the body of a direct answer after its
+// command was sent; that time is madeAfter.
 func (a *Agent) applyReport(m *machine, r wire.Report, reported bool, madeAfter loop.Micros) {
 	wall := a.r.Wall()
 	v := &m.view
 	if v.Session != 0 && r.Session > v.Session {
-		// The worker's lease ran out: all its tasks are killed and forgotten,
-		// and commands of the session before are refused.
-		a.log.Info("machine began a new session", "machine", r.Machine, "session", r.Session)
+		// The worker's lease expired: all its tasks were killed and forgotten, and commands of the previous
+		// session are rejected.
+		a.log.Info("worker began a new session; its earlier tasks were killed and pending starts are dropped", "machine", r.Machine, "session", r.Session)
 		clear(m.pending)
 	}
 	if reported {
@@ -129,17 +128,17 @@
 	for k, p := range m.pending {
 		switch {
 		case v.Find(k.Task, k.Number) != nil:
-			// Seen. Its direct command, or the answer with it, may still be under way: that repeat has no
-			// effect while the worker knows the attempt, and mayForget sees to it that it does.
+			// The worker has the start. A copy of it, in a direct command or in an answer, may still be in
+			// flight. It has no effect while the worker knows the attempt, and mayForget ensures that it does.
 			delete(m.pending, k)
 		case p.untilToken != 0 && r.Token >= p.untilToken:
-			p.untilToken = 0 // what was sent under the old token can no longer land
+			p.untilToken = 0 // a command under the old token can no longer be carried out
 		}
 	}
 	a.expire(m, wall)
 }
 
-// refresh renews what others see of the machine.
+// refresh updates the machine's newest view, and publishes it if peers must learn of the change.
 func (a *Agent) refresh(m *machine) {
 	now := a.r.Now()
 	v := &m.view
--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -6,9 +6,10 @@
 	"cleatpick/internal/loop"
 )
 
-// Reserve keeps room for a start while its attempt is being recorded, and refuses at
-// once what does not fit any more: with many owners after the same room, every vain
-// choice would otherwise cost a record. What counts is the start itself.
+// Reserve reserves capacity for a start while its owner records the attempt, and rejects at once what does not
+// fit. When many owners compete for the same capacity, every choice in vain would otherwise cost a record in
+// the state service. Whether the start is accepted is decided by
+// Start alone.
 func (a *Agent) Reserve(s Start) {
 	m := a.hosted[s.Machine]
 	if m == nil {
@@ -16,7 +17,7 @@
 	}
 	j := a.job(s.Task)
 	if j == nil {
-		return // its record is on its way here; the start will tell
+		return // the job's record has not arrived here yet; Start decides
 	}
 	if why := a.refusal(m, s, j); why != "" {
 		a.h.Drop(s.From, Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, Reserve: true, Life: a.h.Life})
@@ -27,7 +28,7 @@
 	a.refreshSoon(m)
 }
 
-// refusal tells why a start cannot be taken on now; it is empty if it can.
+// refusal returns why a start cannot be accepted now; it is empty if it can.
 func (a *Agent) refusal(m *machine, s Start, j *job.Job) string {
 	typ, known := a.h.Type(m.view.Type)
 	switch {
@@ -45,13 +46,14 @@
 	if why := a.barred(j, &m.view); why != "" {
 		return why
 	}
-	m.view.resolved = false // it is not a published view, and changes
+	m.view.resolved = false // this is not a published view and changes, so its capacity is computed anew
 	if room, ok := a.Room(&m.view, typ); !ok || !room.Fits(j.Spec) {
 		return "full"
 	}
 	return ""
 }
 
+// barred returns why no start of the job may reach the machine, empty if one may.
 func (a *Agent) barred(j *job.Job, v *View) string {
 	if a.h.Barred == nil {
 		return ""
@@ -59,8 +61,8 @@
 	return a.h.Barred(j, v)
 }
 
-// refreshSoon renews what others see of the machine once for several causes that come
-// together: the starts of a large job reach a machine one after another.
+// refreshSoon schedules refresh, once for several changes that come together: the starts of a large job reach a
+// machine one after another.
 func (a *Agent) refreshSoon(m *machine) {
 	if m.refreshing {
 		return
@@ -74,7 +76,7 @@
 	})
 }
 
-// Start takes on an owner's start, or drops it and says so.
+// Start accepts an owner's start, or rejects it and tells the owner.
 func (a *Agent) Start(s Start) {
 	m := a.hosted[s.Machine]
 	k := delivery.Attempt{Task: s.Task, Number: s.Attempt}
@@ -86,9 +88,11 @@
 		a.h.Drop(s.From, Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, Life: a.h.Life})
 	}
 	if m == nil || s.Life != 0 && s.Life != a.h.Life {
-		// The owner hears of the new host, or of its new life, and sends it there until the
-		// start expires. What an earlier life has passed on is not known here: to refuse it
-		// now was once taken for proof that it never would land. Owners before 0.6.0 name none.
+		// The machine reports elsewhere, or the start is meant for an earlier incarnation of this process. The start
+		// is ignored: the owner learns of the new host or incarnation and sends it there until the start expires.
+		// It must not be rejected, because the earlier incarnation may have passed it on, and the owner takes a
+		// rejection as proof that the start will never be carried out. Owners before version 0.6.0 name no
+		// incarnation.
 		return
 	}
 	if m.view.Find(s.Task, s.Attempt) != nil || m.pending[k] != nil {
@@ -100,7 +104,7 @@
 	}
 	j := a.job(s.Task)
 	if j == nil && wall < s.Expiry {
-		// Its record is on its way here: the owner saw the job a moment earlier.
+		// The job's record has not arrived here yet; the owner has only just seen the job.
 		a.r.After(40*loop.Millisecond, func() { a.Start(s) })
 		return
 	}
@@ -117,13 +121,13 @@
 	default:
 		m.pending[k] = &pending{start: s}
 		m.dirty = true
-		a.listPending(m) // the next start must find this room taken
+		a.listPending(m) // the next start must find this capacity taken
 		a.refreshSoon(m)
 		a.flushSoon(m)
 	}
 }
 
-// Stop takes on a stop or a forget of a task on a hosted machine.
+// Stop accepts a request to stop or forget a task on a hosted machine.
 func (a *Agent) Stop(s Stop) {
 	m := a.hosted[s.Machine]
 	if m == nil {
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -1,6 +1,10 @@
-// Package agent stands for the machines: it answers the reports of those whose
-// newest report came to this node, passes starts on to them, and keeps the
-// newest view of every machine, its own or another node's.
+// Package agent is the registry of workers. For the machines whose workers report to this controller, the host
+// controller, it answers reports, passes the owners' starts and stops on to the worker, and decides when a
+// worker may be told to forget an attempt. For every machine, hosted here or by another controller, it keeps
+// the newest view: its tasks, its pending starts and its free capacity.
+//
+// Which task runs where is decided by the scheduler of the partition's owner, and which machines exist by the
+// autoscaler. Whether a machine has failed is left to failure detection.
 package agent
 
 import (
@@ -12,7 +16,7 @@
 	"cleatpick/internal/wire"
 )
 
-// Task is a task on a machine, or a start on its way there.
+// Task is one attempt of a task on a machine, or a start that is on its way to it.
 type Task struct {
 	Task    string `cbor:"1,keyasint"`
 	Attempt uint64 `cbor:"2,keyasint"`
@@ -21,10 +25,10 @@
 	Saved   bool   `cbor:"5,keyasint,omitempty"`
 }
 
-// Active tells whether the task holds room on its machine.
+// Active reports whether the attempt occupies capacity on its machine.
 func (t *Task) Active() bool { return t.State != wire.TaskExited }
 
-// View is a machine as its host saw it last.
+// View is the state of a machine as its host controller saw it last. A published view never changes.
 type View struct {
 	Name     string      `cbor:"1,keyasint"`
 	Addr     string      `cbor:"2,keyasint"`
@@ -35,28 +39,28 @@
 	Session  uint64      `cbor:"7,keyasint"`
 	Seq      uint64      `cbor:"8,keyasint"`
 	Rev      uint64      `cbor:"9,keyasint"`
-	Settled  bool        `cbor:"10,keyasint"` // no command of an earlier host or token can still be carried out
-	At       loop.Micros `cbor:"11,keyasint"` // time of day after which the task list was certainly made; reports can come late
-	NoticeAt loop.Micros `cbor:"12,keyasint,omitempty"`
-	Closed   bool        `cbor:"13,keyasint,omitempty"` // takes no starts, since it is to be deleted
+	Settled  bool        `cbor:"10,keyasint"`           // the worker has shown its host's token: no command of an earlier host or token can still be carried out
+	At       loop.Micros `cbor:"11,keyasint"`           // wall-clock time after which the task list was certainly made; reports can arrive late
+	NoticeAt loop.Micros `cbor:"12,keyasint,omitempty"` // wall-clock time at which the machine is reclaimed, by the notice in its reports; 0: no notice
+	Closed   bool        `cbor:"13,keyasint,omitempty"` // accepts no starts, since the machine is to be deleted
 	Tasks    []Task      `cbor:"14,keyasint,omitempty"`
 	Pending  []Task      `cbor:"15,keyasint,omitempty"` // starts that may still be carried out
-	Life     loop.Micros `cbor:"16,keyasint,omitempty"` // which life of its host's process tells this
-	// Reported is the time of day at which the host got the newest report. Only an answered report
-	// renews the machine's lease: what answers commands may be reached, and not be able to report.
+	Life     loop.Micros `cbor:"16,keyasint,omitempty"` // incarnation of the host's process that published the view
+	// Reported is the wall-clock time at which the host received the newest report. Only an answered report
+	// renews the machine's lease: a machine that answers commands may still be unable to report.
 	Reported loop.Micros `cbor:"17,keyasint,omitempty"`
 
-	jobs     []*job.Job // of Tasks, looked up once; a published view never changes
-	used     Room       // what its tasks and pending starts take
-	resolved bool       // every job was known here
+	jobs     []*job.Job // of Tasks, looked up once; nil where a job is not known here yet
+	used     Room       // capacity taken by active tasks and pending starts
+	resolved bool       // the jobs of all active tasks and pending starts were known here, so used is complete
 
-	// listed tells for each of Tasks when its host first saw the attempt listed, by its time of day.
-	// It is the host's alone.
+	// listed holds, for each of Tasks, the wall-clock time at which the host first saw the attempt listed. Only
+	// the host has it; it is not published.
 	listed []loop.Micros
 }
 
-// Silence is for how long at least the machine has not reported, by a time of day and twice the
-// bound on clocks. Hosts before 0.8.0 do not tell.
+// Silence returns for how long at least the machine has not reported, by a wall-clock time and twice the bound
+// on clock errors. It returns 0 for the view of a host before version 0.8.0, which does not publish Reported.
 func (v *View) Silence(wall, clockTo loop.Micros) loop.Micros {
 	if v.Reported == 0 {
 		return 0
@@ -64,8 +68,8 @@
 	return max(wall-v.Reported-clockTo, 0)
 }
 
-// resolve looks the jobs of a view's tasks up. It is asked again while one of them
-// is not known here yet, and costs nothing once all are.
+// resolve computes the capacity in use and reports whether all jobs that it needs were known here. It is called
+// again while one of them is not, and returns at once when all are.
 func (v *View) resolve(find func(id string) *job.Job) bool {
 	if v.resolved {
 		return true
@@ -101,7 +105,7 @@
 	return all
 }
 
-// lookUp finds the jobs of the tasks; most were found for a view before.
+// lookUp finds the jobs of the tasks; most were already found for an earlier view.
 func (v *View) lookUp(find func(id string) *job.Job) {
 	if len(v.jobs) != len(v.Tasks) {
 		v.jobs = make([]*job.Job, len(v.Tasks))
@@ -114,7 +118,7 @@
 	}
 }
 
-// newer tells whether v says more than old about the same machine.
+// newer reports whether v is a newer view of the same machine than old.
 func (v *View) newer(old *View) bool {
 	if old == nil {
 		return true
@@ -128,8 +132,8 @@
 	return v.Host == old.Host && v.Rev > old.Rev
 }
 
-// Find looks for one attempt of a task on the machine. An ended attempt stays in
-// the reports until it is forgotten, so the same task may stand there several times.
+// Find returns one attempt of a task on the machine, nil if it is not listed. A terminated attempt stays in the
+// reports until the worker forgets it, so several attempts of one task may be listed.
 func (v *View) Find(task string, attempt uint64) *Task {
 	if i := v.index(task, attempt); i >= 0 {
 		return &v.Tasks[i]
@@ -137,7 +141,7 @@
 	return nil
 }
 
-// index is where an attempt stands in the list, -1 where it is not listed.
+// index returns the position of an attempt in Tasks, -1 if it is not listed.
 func (v *View) index(task string, attempt uint64) int {
 	for i := range v.Tasks {
 		if v.Tasks[i].Attempt == attempt && v.Tasks[i].Task == task {
@@ -147,7 +151,7 @@
 	return -1
 }
 
-// Holds tells whether a start of this attempt may still be carried out.
+// Holds reports whether a start of this attempt may still be carried out.
 func (v *View) Holds(task string, attempt uint64) bool {
 	for i := range v.Pending {
 		if v.Pending[i].Task == task && v.Pending[i].Attempt == attempt {
@@ -163,36 +167,35 @@
 	Session uint64      `cbor:"2,keyasint"`
 	Task    string      `cbor:"3,keyasint"`
 	Attempt uint64      `cbor:"4,keyasint"`
-	Expiry  loop.Micros `cbor:"5,keyasint"` // time of day after which nobody may carry it out
+	Expiry  loop.Micros `cbor:"5,keyasint"` // wall-clock time after which nobody may carry it out
 	From    string      `cbor:"6,keyasint"`
-	// Life is the life of the host's process that it is meant for. A host that was ended and
-	// is back within a moment remembers nothing of what it passed on before.
+	// Life is the incarnation of the host's process for which the start is meant. A host that has restarted
+	// does not know which starts it passed on before.
 	Life loop.Micros `cbor:"7,keyasint,omitempty"`
 }
 
-// Stop asks for a task to be stopped, with time to save or without.
+// Stop orders a task to be stopped, with or without time to save its state, or to be forgotten.
 type Stop struct {
 	Machine string      `cbor:"1,keyasint"`
 	Task    string      `cbor:"2,keyasint"`
 	Attempt uint64      `cbor:"3,keyasint"`
-	Grace   loop.Micros `cbor:"4,keyasint,omitempty"`
-	Forget  bool        `cbor:"5,keyasint,omitempty"` // forget instead: its result is recorded
+	Grace   loop.Micros `cbor:"4,keyasint,omitempty"` // time to save; 0: the task is killed at once
+	Forget  bool        `cbor:"5,keyasint,omitempty"` // forget the attempt instead: its result is recorded
 }
 
-// Drop tells an owner that its start was not and will never be passed on by this host;
-// or, with Reserve, only that no room is kept for it. The latter proves nothing of a
-// start: the start may follow, and find room.
+// Drop tells an owner that this host did not and will never pass its start on. With Reserve it says only that
+// no capacity is reserved for the start, and proves nothing about the start itself: it may follow, and may fit.
 type Drop struct {
 	Machine string `cbor:"1,keyasint"`
 	Task    string `cbor:"2,keyasint"`
 	Attempt uint64 `cbor:"3,keyasint"`
 	Why     string `cbor:"4,keyasint"`
 	Reserve bool   `cbor:"5,keyasint,omitempty"`
-	// Life is the life of the host's process that says so, and that will never pass it on.
+	// Life is the incarnation of the host's process that will never pass the start on.
 	Life loop.Micros `cbor:"6,keyasint,omitempty"`
 }
 
-// SplitTask takes a task's name apart.
+// SplitTask splits a task's name into its job's id and its index.
 func SplitTask(task string) (id string, index int, ok bool) {
 	i := strings.LastIndexByte(task, '/')
 	if i < 0 {
@@ -205,32 +208,33 @@
 	return task[:i], n, true
 }
 
-// TaskName puts a task's name together.
+// TaskName returns the name of a task.
 func TaskName(id string, index int) string { return id + "/" + strconv.Itoa(index) }
 
-// Room is what is free on a machine.
+// Room is an amount of capacity on a machine.
 type Room struct{ CPUs, GPUs, MemoryGB float64 }
 
+// tiny is the tolerance for rounding errors in sums of capacities.
 const tiny = 1e-6
 
-// Fits tells whether a task of the job fits into the room.
+// Fits reports whether a task of the job fits into the capacity.
 func (r *Room) Fits(s *job.Spec) bool {
 	return s.CPUs <= r.CPUs+tiny && s.GPUs <= r.GPUs+tiny && s.MemoryGB <= r.MemoryGB+tiny
 }
 
-// Take takes a task's share away.
+// Take subtracts the capacity that a task of the job needs.
 func (r *Room) Take(s *job.Spec) {
 	r.CPUs -= s.CPUs
 	r.GPUs -= s.GPUs
 	r.MemoryGB -= s.MemoryGB
 }
 
-// Less is what is left of the room beside what is used.
+// Less returns the capacity that remains when used is subtracted.
 func (r Room) Less(used Room) Room {
 	return Room{r.CPUs - used.CPUs, r.GPUs - used.GPUs, r.MemoryGB - used.MemoryGB}
 }
 
-// Give gives a task's share back.
+// Give adds the capacity that a task of the job needs.
 func (r *Room) Give(s *job.Spec) {
 	r.CPUs += s.CPUs
 	r.GPUs += s.GPUs
--- a/internal/agent/view_test.go
+++ b/internal/agent/view_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A report that was held back on its way must not replace a newer view, and a
-// new session outranks every sequence number of the one before.
+// A report that was delayed on its way must not replace a newer view, and any report of a new session is newer
+// than all reports of the previous one.
 func TestNewerView(t *testing.T) {
 	v := func(session, seq, rev uint64, host string) *View {
 		return &View{Session: session, Seq: seq, Rev: rev, Host: host}
@@ -26,18 +26,17 @@
 	}
 }
 
-// An attempt that was stopped stays in the reports beside the next attempt of the
-// same task. Taking the first for the second once let a running task look absent,
-// and it was started on another machine.
+// A stopped attempt stays in the reports beside the next attempt of the same task. Confusing the two would make
+// a running task look absent, and it would be started on another machine as well.
 func TestFindTellsAttemptsApart(t *testing.T) {
 	v := &View{Tasks: []Task{{Task: "job-1/4", Attempt: 1, State: "ended", Why: "stopped"}, {Task: "job-1/4", Attempt: 2, State: "running"}}}
 	if e := v.Find("job-1/4", 2); e == nil || !e.Active() {
 		t.Fatalf("the running attempt is not found: %v", e)
 	}
 	if e := v.Find("job-1/4", 1); e == nil || e.Active() {
-		t.Fatalf("the ended attempt is not found: %v", e)
+		t.Fatalf("the terminated attempt is not found: %v", e)
 	}
 	if e := v.Find("job-1/4", 3); e != nil {
-		t.Fatalf("an attempt that is not there is found: %v", e)
+		t.Fatalf("an attempt that is not listed is found: %v", e)
 	}
 }
