--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -58,41 +58,41 @@
 
 // Agent is the registry of workers of one controller. It is used on the event loop only.
 type Agent struct {
-	r      loop.Runner
-	log    *slog.Logger
-	h      Host
-	direct Direct
-	hosted map[string]*machine
-	views  map[string]*View
-	gone   map[string]bool    // machines known to be deleted
-	sentOn map[string]sending // workers that were sent to another controller
+	runner     loop.Runner
+	log        *slog.Logger
+	config     Host
+	sendDirect Direct
+	hosted     map[string]*machine
+	views      map[string]*View
+	deleted    map[string]bool     // machines known to be deleted
+	redirects  map[string]redirect // workers that were sent to another controller
 
 	toPublish []*machine
 }
 
 // New makes an empty registry.
 func New(r loop.Runner, log *slog.Logger, h Host, direct Direct) *Agent {
-	a := &Agent{r: r, log: log, h: h, direct: direct, hosted: map[string]*machine{}, views: map[string]*View{}, gone: map[string]bool{}, sentOn: map[string]sending{}}
+	a := &Agent{runner: r, log: log, config: h, sendDirect: direct, hosted: map[string]*machine{}, views: map[string]*View{}, deleted: map[string]bool{}, redirects: map[string]redirect{}}
 	loop.Every(r, 500*loop.Millisecond, a.tick)
 	return a
 }
 
 // Learn applies a view of a machine that reports to another controller.
 func (a *Agent) Learn(v *View) {
-	if a.gone[v.Name] || v.Host == a.h.Label || !v.newer(a.views[v.Name]) {
+	if a.deleted[v.Name] || v.Host == a.config.Label || !v.newerThan(a.views[v.Name]) {
 		return
 	}
 	if m := a.hosted[v.Name]; m != nil {
 		a.setState(m, Elsewhere)
 		delete(a.hosted, v.Name)
 	}
-	a.renew(v)
+	a.setView(v)
 }
 
 // Republish sends the full views of all hosted machines again, for example after a peer restarted.
 func (a *Agent) Republish() {
 	for _, m := range loop.Sorted(a.hosted) {
-		m.told = nil
+		m.published = nil
 		a.publishSoon(m)
 	}
 }
@@ -100,8 +100,8 @@
 // Check asks a hosted machine's worker for a task list that is certainly made after this call.
 func (a *Agent) Check(name string) {
 	if m := a.hosted[name]; m != nil {
-		m.check = true
-		a.flushSoon(m)
+		m.wantTaskList = true
+		a.sendCommandsSoon(m)
 	}
 }
 
@@ -111,31 +111,31 @@
 	if m == nil {
 		return
 	}
-	m.closeTo = until
-	if m.view.Closed != (a.r.Wall() < until) {
+	m.closedUntil = until
+	if m.view.Closed != (a.runner.Wall() < until) {
 		m.dirty = true
-		a.refresh(m)
+		a.updateView(m)
 	}
 }
 
 func (a *Agent) tick() {
-	wall := a.r.Wall()
+	wall := a.runner.Wall()
 	for _, m := range loop.Sorted(a.hosted) {
-		a.expire(m, wall)
-		if m.view.Closed != (wall < m.closeTo) {
+		a.expireStarts(m, wall)
+		if m.view.Closed != (wall < m.closedUntil) {
 			m.dirty = true
-			a.refresh(m)
+			a.updateView(m)
 		}
 	}
 }
 
 // Gone records that a machine was deleted, with everything that ran on it.
 func (a *Agent) Gone(name string) {
-	if a.gone[name] {
+	if a.deleted[name] {
 		return
 	}
-	a.gone[name] = true
-	delete(a.sentOn, name)
+	a.deleted[name] = true
+	delete(a.redirects, name)
 	delete(a.hosted, name)
 	delete(a.views, name)
 }
@@ -144,12 +144,12 @@
 // not to report and is deleted once more.
 func (a *Agent) Forget(names []string) {
 	for _, name := range names {
-		delete(a.gone, name)
+		delete(a.deleted, name)
 	}
 }
 
 // IsGone reports whether the machine is known to be deleted.
-func (a *Agent) IsGone(name string) bool { return a.gone[name] }
+func (a *Agent) IsGone(name string) bool { return a.deleted[name] }
 
 // View returns the newest view of a machine, nil if none ever arrived.
 func (a *Agent) View(name string) *View { return a.views[name] }
@@ -157,13 +157,13 @@
 // Room returns the free capacity of a machine of type t; ok is false if it is not known, since a job on it is
 // not known here.
 func (a *Agent) Room(v *View, t wire.MachineType) (Room, bool) {
-	ok := v.resolve(a.h.Job)
+	ok := v.resolve(a.config.Job)
 	return Room{t.CPUs, t.GPUs, t.MemoryGB}.Less(v.used), ok
 }
 
 // Jobs returns the jobs of a view's tasks, in their order; nil where one is not known here.
 func (a *Agent) Jobs(v *View) []*job.Job {
-	v.lookUp(a.h.Job)
+	v.lookUpJobs(a.config.Job)
 	return v.jobs
 }
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -17,37 +17,37 @@
 // The results must be the same in every run, so the seed of the property tests is fixed.
 func TestMain(m *testing.M) { fixed.Main(m) }
 
-// hand is an event loop with a clock set by the test; delayed functions run when the test calls runWork.
-type hand struct {
+// manualLoop is an event loop with a clock set by the test; delayed functions run when the test calls runWork.
+type manualLoop struct {
 	now  loop.Micros
 	work []func()
 }
 
-func (h *hand) Now() loop.Micros              { return h.now }
-func (h *hand) Wall() loop.Micros             { return h.now }
-func (h *hand) Post(f func())                 { f() }
-func (h *hand) After(d loop.Micros, f func()) { h.work = append(h.work, f) }
-func (h *hand) Go(f func())                   { f() }
+func (h *manualLoop) Now() loop.Micros              { return h.now }
+func (h *manualLoop) Wall() loop.Micros             { return h.now }
+func (h *manualLoop) Post(f func())                 { f() }
+func (h *manualLoop) After(d loop.Micros, f func()) { h.work = append(h.work, f) }
+func (h *manualLoop) Go(f func())                   { f() }
 
-// rig is a registry with one hosted machine, n-1, for whose worker the test acts.
-type rig struct {
-	*hand
-	a     *Agent
-	epoch uint64
-	sent  []wire.Commands
-	resp  store.Response
-	drops []Drop
-	// underWay is called while a direct command is in flight; it may be nil.
-	underWay func()
-	session  uint64 // of the worker; 0 stands for 1
+// testRegistry is a registry with one hosted machine, n-1, for whose worker the test acts.
+type testRegistry struct {
+	*manualLoop
+	a          *Agent
+	epoch      uint64
+	sent       []wire.Commands
+	resp       store.Response
+	rejections []Drop
+	// duringDirect is called while a direct command is in flight; it may be nil.
+	duringDirect func()
+	session      uint64 // of the worker; 0 stands for 1
 }
 
-// m returns the entry of the hosted machine.
-func (g *rig) m() *machine { return g.a.hosted["n-1"] }
+// hostedMachine returns the entry of the hosted machine.
+func (g *testRegistry) hostedMachine() *machine { return g.a.hosted["n-1"] }
 
-// newRig makes a registry that knows one job of nine tasks and machines with 4 CPUs.
-func newRig() *rig {
-	g := &rig{hand: &hand{now: 1000 * loop.Second}, epoch: 5}
+// newTestRegistry makes a registry that knows one job of nine tasks and machines with 4 CPUs.
+func newTestRegistry() *testRegistry {
+	g := &testRegistry{manualLoop: &manualLoop{now: 1000 * loop.Second}, epoch: 5}
 	spec := &job.Spec{Team: "t", Tasks: 9, CPUs: 2, MemoryGB: 1, AnyType: true}
 	j := &job.Job{ID: "job-1", Phase: job.Accepted, Spec: spec, Tasks: 9}
 	g.a = New(g, slog.New(slog.NewTextHandler(io.Discard, nil)), Host{
@@ -61,12 +61,12 @@
 			}
 			return nil
 		},
-		Publish: func(News) {}, Changed: func(*View, *Changes) {}, Drop: func(_ string, d Drop) { g.drops = append(g.drops, d) },
+		Publish: func(News) {}, Changed: func(*View, *Changes) {}, Drop: func(_ string, d Drop) { g.rejections = append(g.rejections, d) },
 		Clock: delivery.NewClock(0, 6*loop.Second),
 	}, func(_ string, c wire.Commands, _ time.Duration) store.Response {
 		g.sent = append(g.sent, c)
-		if g.underWay != nil {
-			g.underWay()
+		if g.duringDirect != nil {
+			g.duringDirect()
 		}
 		return g.resp
 	})
@@ -74,8 +74,8 @@
 	return g
 }
 
-// beat delivers a report of the worker and returns the commands of the answer.
-func (g *rig) beat(t *testing.T, seq, token uint64, tasks ...wire.ReportTask) wire.Commands {
+// report delivers a report of the worker and returns the commands of the answer.
+func (g *testRegistry) report(t *testing.T, seq, token uint64, tasks ...wire.ReportTask) wire.Commands {
 	t.Helper()
 	var c wire.Commands
 	g.a.Report(wire.Report{Machine: "n-1", Addr: "x:1", Type: "m", Zone: "z", Session: max(g.session, 1), Seq: seq, Token: token, Tasks: tasks}, func(a Answer) {
@@ -88,7 +88,7 @@
 }
 
 // runWork runs the functions that are delayed now.
-func (g *rig) runWork() {
+func (g *testRegistry) runWork() {
 	w := g.work
 	g.work = nil
 	for _, f := range w {
@@ -97,14 +97,14 @@
 }
 
 // A report can be delayed for minutes. Its task list must not count as made at the time of its arrival.
-func TestLateReportIsNoFreshList(t *testing.T) {
-	g := newRig()
-	token := g.beat(t, 1, 0).Token
+func TestDelayedReportDoesNotRefreshTaskList(t *testing.T) {
+	g := newTestRegistry()
+	token := g.report(t, 1, 0).Token
 	given := g.now
 	g.now += 3 * loop.Second
-	g.beat(t, 2, token)
+	g.report(t, 2, token)
 	g.now += 60 * loop.Second
-	g.beat(t, 3, token) // may have been on its way all the time
+	g.report(t, 3, token) // may have been on its way all the time
 	if at := g.a.View("n-1").At; at != given {
 		t.Fatalf("the list counts as made after %d, but its token was issued at %d", at, given)
 	}
@@ -120,8 +120,8 @@
 // A worker that has seen a higher token is given a token of a newer epoch, and the view is not settled before
 // the worker shows it.
 func TestHigherTokenTakesNewEpoch(t *testing.T) {
-	g := newRig()
-	c := g.beat(t, 1, 9<<counterBits)
+	g := newTestRegistry()
+	c := g.report(t, 1, 9<<counterBits)
 	if c.Token <= 9<<counterBits {
 		// The first new epoch is 7, which is still too low, so another must be obtained.
 		t.Fatalf("token %d is not above the worker's", c.Token)
@@ -129,7 +129,7 @@
 	if g.a.View("n-1").Settled {
 		t.Fatal("settled before the worker showed the token")
 	}
-	g.beat(t, 2, c.Token)
+	g.report(t, 2, c.Token)
 	if !g.a.View("n-1").Settled {
 		t.Fatal("not settled although the worker shows the token")
 	}
@@ -138,9 +138,9 @@
 // After a direct command of unknown outcome its start may be carried out at any time: it stays listed as
 // pending, and the view is not settled, until the worker shows a higher token.
 func TestUnansweredDirectCommand(t *testing.T) {
-	g := newRig()
-	token := g.beat(t, 1, 0).Token
-	g.beat(t, 2, token)
+	g := newTestRegistry()
+	token := g.report(t, 1, 0).Token
+	g.report(t, 2, token)
 	g.resp = store.Response{Err: io.ErrUnexpectedEOF}
 	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*loop.Second, From: "a"})
 	g.runWork()
@@ -148,54 +148,54 @@
 		t.Fatalf("the start was not sent directly: %v", g.sent)
 	}
 	g.now += 30 * loop.Second // the start has long expired
-	c := g.beat(t, 3, token)
+	c := g.report(t, 3, token)
 	if v := g.a.View("n-1"); v.Settled || !v.Holds("job-1/0", 1) {
 		t.Fatalf("settled: %v, start still pending: %v", v.Settled, v.Holds("job-1/0", 1))
 	}
 	if c.Token != token+1 {
 		t.Fatalf("token %d was not raised above %d", c.Token, token)
 	}
-	g.beat(t, 4, c.Token)
+	g.report(t, 4, c.Token)
 	if v := g.a.View("n-1"); !v.Settled || v.Holds("job-1/0", 1) {
 		t.Fatalf("after the higher token was shown: settled: %v, start still pending: %v", v.Settled, v.Holds("job-1/0", 1))
 	}
 }
 
 // A start that does not fit, has expired or is meant for another session is rejected, and its owner is told so.
-func TestStartsThatAreDropped(t *testing.T) {
-	g := newRig()
-	token := g.beat(t, 1, 0).Token
-	g.beat(t, 2, token, wire.ReportTask{Task: "job-1/8", Attempt: 1, State: wire.TaskRunning})
+func TestRejectedStarts(t *testing.T) {
+	g := newTestRegistry()
+	token := g.report(t, 1, 0).Token
+	g.report(t, 2, token, wire.ReportTask{Task: "job-1/8", Attempt: 1, State: wire.TaskRunning})
 	life := g.now + 6*loop.Second
 	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 1, Expiry: life, From: "a"}) // fits
 	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/1", Attempt: 1, Expiry: life, From: "a"}) // full
 	g.a.Start(Start{Machine: "n-1", Session: 2, Task: "job-1/2", Attempt: 1, Expiry: life, From: "a"})
 	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/3", Attempt: 1, Expiry: g.now - 1, From: "a"})
-	if len(g.drops) != 3 || g.drops[0].Task != "job-1/1" {
-		t.Fatalf("rejected: %v, want three, the first of them job-1/1", g.drops)
+	if len(g.rejections) != 3 || g.rejections[0].Task != "job-1/1" {
+		t.Fatalf("rejected: %v, want three, the first of them job-1/1", g.rejections)
 	}
 	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/1", Attempt: 1, Expiry: life, From: "a"})
-	if len(g.drops) != 4 || g.a.View("n-1").Holds("job-1/1", 1) {
+	if len(g.rejections) != 4 || g.a.View("n-1").Holds("job-1/1", 1) {
 		t.Fatal("a rejected start was accepted later")
 	}
 }
 
 // A host that restarts at once does not know which starts its previous incarnation passed on. It must not
 // reject them, since a rejection says that the start will never be carried out.
-func TestStartForAnEarlierLife(t *testing.T) {
-	g := newRig()
-	g.a.h.Life = 2
-	token := g.beat(t, 1, 0).Token
-	g.beat(t, 2, token)
+func TestStartForAnEarlierIncarnation(t *testing.T) {
+	g := newTestRegistry()
+	g.a.config.Life = 2
+	token := g.report(t, 1, 0).Token
+	g.report(t, 2, token)
 	start := Start{Machine: "n-1", Session: 9, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*loop.Second, From: "a", Life: 1}
 	g.a.Start(start)
-	if len(g.drops) != 0 {
-		t.Fatalf("a start for another incarnation is rejected: %v", g.drops)
+	if len(g.rejections) != 0 {
+		t.Fatalf("a start for another incarnation is rejected: %v", g.rejections)
 	}
 	start.Life = 2
 	g.a.Start(start)
-	if len(g.drops) != 1 || g.drops[0].Life != 2 {
-		t.Fatalf("rejections of a start for another session: %v, want one by incarnation 2", g.drops)
+	if len(g.rejections) != 1 || g.rejections[0].Life != 2 {
+		t.Fatalf("rejections of a start for another session: %v, want one by incarnation 2", g.rejections)
 	}
 }
 
@@ -203,7 +203,7 @@
 // a host that has just restarted, or one that knows the machine as deleted, it must not settle the view,
 // restore an older task list or move the machine away from the host to which it reports. The same holds for
 // duplicates of duplicates and in reverse order.
-func TestCopiesOfReports(t *testing.T) {
+func TestDuplicateReports(t *testing.T) {
 	report := func(session, seq, token uint64, running ...string) wire.Report {
 		r := wire.Report{Machine: "n-1", Addr: "x:1", Type: "m", Zone: "z", Session: session, Seq: seq, Token: token}
 		for _, x := range running {
@@ -212,15 +212,15 @@
 		return r
 	}
 	status := 0
-	take := func(g *rig, r wire.Report) int {
+	take := func(g *testRegistry, r wire.Report) int {
 		g.a.Report(r, func(a Answer) { status = a.Status })
 		return status
 	}
 	// A host that knows the machine.
-	g := newRig()
-	token := g.beat(t, 1, 0).Token
-	g.beat(t, 2, token, wire.ReportTask{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning})
-	g.beat(t, 3, token)
+	g := newTestRegistry()
+	token := g.report(t, 1, 0).Token
+	g.report(t, 2, token, wire.ReportTask{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning})
+	g.report(t, 3, token)
 	before := *g.a.View("n-1")
 	for _, r := range []wire.Report{report(1, 3, token), report(1, 2, token, "job-1/0"), report(1, 1, 0), report(1, 2, token, "job-1/0")} {
 		g.now += 20 * loop.Second
@@ -236,7 +236,7 @@
 	}
 	// A host that has just restarted, with duplicates in any order, and then a host to which the machine does
 	// not report.
-	g = newRig()
+	g = newTestRegistry()
 	g.epoch = 9
 	for _, r := range []wire.Report{report(1, 7, token, "job-1/0"), report(1, 8, token), report(1, 7, token, "job-1/0"), report(1, 8, token)} {
 		take(g, r)
@@ -258,19 +258,19 @@
 // The answer to a report that a direct answer has overtaken still renews the worker's lease. So it must stop
 // the tasks of final jobs like any other answer; otherwise answers without commands would keep a cancelled
 // job's task alive.
-func TestOvertakenReportEndsWhatIsOver(t *testing.T) {
-	g := newRig()
+func TestOvertakenReportStopsTasksOfFinalJobs(t *testing.T) {
+	g := newTestRegistry()
 	run := wire.ReportTask{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}
-	token := g.beat(t, 1, 0).Token
-	g.beat(t, 2, token, run)
+	token := g.report(t, 1, 0).Token
+	g.report(t, 2, token, run)
 	g.resp = store.Response{Status: 200, Body: wire.Marshal(wire.Report{Machine: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 4, Token: token, Tasks: []wire.ReportTask{run}})}
 	g.a.Check("n-1")
 	g.runWork()
-	if c := g.beat(t, 3, token, run); len(c.Commands) != 0 {
+	if c := g.report(t, 3, token, run); len(c.Commands) != 0 {
 		t.Fatalf("the overtaken report is answered with %v although the job is not final", c.Commands)
 	}
-	g.a.job("job-1/0").Phase = job.Cancelled
-	if c := g.beat(t, 3, token, run); len(c.Commands) != 1 || c.Commands[0].Op != wire.OpStop || *c.Commands[0].GraceS != 0 {
+	g.a.jobOf("job-1/0").Phase = job.Cancelled
+	if c := g.report(t, 3, token, run); len(c.Commands) != 1 || c.Commands[0].Op != wire.OpStop || *c.Commands[0].GraceS != 0 {
 		t.Fatalf("the overtaken report is answered with %v", c.Commands)
 	}
 }
@@ -278,14 +278,14 @@
 // An accepted start is checked again for every message that could carry it: its job may have been cancelled
 // since, and the user told so.
 func TestPendingStartOfACancelledJob(t *testing.T) {
-	g := newRig()
-	token := g.beat(t, 1, 0).Token
-	g.beat(t, 2, token)
+	g := newTestRegistry()
+	token := g.report(t, 1, 0).Token
+	g.report(t, 2, token)
 	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*loop.Second, From: "a"})
 	if !g.a.View("n-1").Holds("job-1/0", 1) && len(g.work) == 0 {
 		t.Fatal("the start was not accepted")
 	}
-	g.a.job("job-1/0").Phase = job.Cancelled
+	g.a.jobOf("job-1/0").Phase = job.Cancelled
 	g.resp = store.Response{Status: 200, Body: wire.Marshal(wire.Report{Machine: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 3, Token: token})}
 	g.a.Check("n-1")
 	g.runWork()
@@ -294,7 +294,7 @@
 			t.Errorf("the machine is sent %v", c.Commands)
 		}
 	}
-	if c := g.beat(t, 4, token); len(c.Commands) != 0 || len(g.sent) == 0 {
+	if c := g.report(t, 4, token); len(c.Commands) != 0 || len(g.sent) == 0 {
 		t.Errorf("the report is answered with %v, after %d commands", c.Commands, len(g.sent))
 	}
 }
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -9,44 +9,44 @@
 	"cleatpick/internal/wire"
 )
 
-// expire removes starts that may not be carried out any more and cannot be in flight.
-func (a *Agent) expire(m *machine, wall loop.Micros) {
+// expireStarts removes starts that may not be carried out any more and cannot be in flight.
+func (a *Agent) expireStarts(m *machine, wall loop.Micros) {
 	for k, p := range m.pending {
 		if wall >= p.start.Expiry && !p.direct && !m.inAnswer(k) && p.untilToken == 0 {
 			delete(m.pending, k)
 			m.dirty = true
 		}
 	}
-	for k, until := range m.refused {
+	for k, until := range m.rejected {
 		if wall > until {
-			delete(m.refused, k)
+			delete(m.rejected, k)
 		}
 	}
 }
 
-// way is the path by which commands reach a worker.
-type way string
+// commandPath is the path by which commands reach a worker.
+type commandPath string
 
 // The paths of commands.
 const (
-	wayDirect     way = "direct"
-	wayAnswer     way = "answer"
-	wayLateAnswer way = "lateAnswer" // in the answer to a report that was overtaken by the answer to a direct command
+	pathDirect     commandPath = "direct"
+	pathAnswer     commandPath = "answer"
+	pathLateAnswer commandPath = "lateAnswer" // in the answer to a report that was overtaken by the answer to a direct command
 )
 
 // commands collects what the worker must do now, for a message that is sent at once.
-func (a *Agent) commands(m *machine, by way) []wire.Command {
-	out := a.asked(m, []wire.Command{})
-	out = a.ends(m, out)
-	out = a.starts(m, by, out)
+func (a *Agent) commands(m *machine, by commandPath) []wire.Command {
+	out := a.requestedCommands(m, []wire.Command{})
+	out = a.finalJobCommands(m, out)
+	out = a.startCommands(m, by, out)
 	a.logCommands(m, by, out)
 	return out
 }
 
-// asked appends the stops and forgets that owners requested.
-func (a *Agent) asked(m *machine, out []wire.Command) []wire.Command {
-	now := a.r.Now()
-	for _, k := range sortedKeys(m.stops) {
+// requestedCommands appends the stops and forgets that owners requested.
+func (a *Agent) requestedCommands(m *machine, out []wire.Command) []wire.Command {
+	now := a.runner.Now()
+	for _, k := range sortedAttempts(m.stops) {
 		q := m.stops[k]
 		i := m.view.index(k.Task, k.Number)
 		if now > q.until || i < 0 {
@@ -67,33 +67,34 @@
 	return out
 }
 
-// starts appends the starts that the worker has not received. A start in an answer in flight is sent directly
-// as well, since one lost packet delays an answer by about 200 ms.
-func (a *Agent) starts(m *machine, by way, out []wire.Command) []wire.Command {
-	wall := a.r.Wall()
-	if !a.h.MayStart() || wall < m.closeTo {
+// startCommands appends the starts that the worker has not received. A start in an answer in flight is sent
+// directly as well, since one lost packet delays an answer by about 200 ms.
+func (a *Agent) startCommands(m *machine, by commandPath, out []wire.Command) []wire.Command {
+	wall := a.runner.Wall()
+	if !a.config.MayStart() || wall < m.closedUntil {
 		return out
 	}
-	for _, k := range sortedKeys(m.pending) {
+	for _, k := range sortedAttempts(m.pending) {
 		p := m.pending[k]
 		if p.direct || p.untilToken != 0 || wall >= p.start.Expiry {
 			continue
 		}
-		if j := a.job(k.Task); j == nil || j.Final() || a.barred(j, &m.view) != "" {
+		if j := a.jobOf(k.Task); j == nil || j.Final() || a.startBlocked(j, &m.view) != "" {
 			continue
 		}
-		if by == wayDirect {
+		if by == pathDirect {
 			p.direct = true
 		} else {
-			m.answered[k] = struct{}{}
+			m.startsInAnswer[k] = struct{}{}
 		}
 		out = append(out, wire.Command{Op: wire.OpStart, Task: k.Task, Attempt: k.Number})
 	}
 	return out
 }
 
-// ends appends stops and forgets for the tasks of final jobs. Every answer that renews a lease contains them.
-func (a *Agent) ends(m *machine, out []wire.Command) []wire.Command {
+// finalJobCommands appends stops and forgets for the tasks of final jobs. Every answer that renews a lease
+// contains them.
+func (a *Agent) finalJobCommands(m *machine, out []wire.Command) []wire.Command {
 	jobs := a.Jobs(&m.view)
 	for i := range m.view.Tasks {
 		t := &m.view.Tasks[i]
@@ -112,8 +113,8 @@
 	return out
 }
 
-// operation returns the name of a command's operation for logs and metrics.
-func operation(op string) string {
+// operationName returns the name of a command's operation for logs and metrics.
+func operationName(op string) string {
 	switch op {
 	case wire.OpStart:
 		return "start"
@@ -126,37 +127,37 @@
 }
 
 // logCommands logs and counts each command that is sent to a worker.
-func (a *Agent) logCommands(m *machine, by way, commands []wire.Command) {
+func (a *Agent) logCommands(m *machine, by commandPath, commands []wire.Command) {
 	for i := range commands {
-		a.h.Meter.Command(operation(commands[i].Op), string(by))
+		a.config.Meter.Command(operationName(commands[i].Op), string(by))
 	}
 	if len(commands) == 0 || !a.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
 	for i := range commands {
 		c := &commands[i]
-		a.log.Debug("command sent to worker", "op", operation(c.Op), "task", c.Task, "attempt", c.Attempt, "machine", m.view.Name, "way", string(by), "token", m.token, "session", m.view.Session)
+		a.log.Debug("command sent to worker", "op", operationName(c.Op), "task", c.Task, "attempt", c.Attempt, "machine", m.view.Name, "way", string(by), "token", m.token, "session", m.view.Session)
 	}
 }
 
-// job finds the job of a task, nil if it is not known here.
-func (a *Agent) job(task string) *job.Job {
+// jobOf finds the job of a task, nil if it is not known here.
+func (a *Agent) jobOf(task string) *job.Job {
 	id, _, _ := SplitTask(task)
-	return a.h.Job(id)
+	return a.config.Job(id)
 }
 
 // listPending lists in the view the starts that may still be carried out, and the reservations for starts to
 // come.
 func (a *Agent) listPending(m *machine) {
-	now := a.r.Now()
+	now := a.runner.Now()
 	v := &m.view
-	v.Pending = make([]Task, 0, len(m.pending)+len(m.reserved))
-	for _, k := range sortedKeys(m.pending) {
+	v.Pending = make([]Task, 0, len(m.pending)+len(m.reservations))
+	for _, k := range sortedAttempts(m.pending) {
 		v.Pending = append(v.Pending, Task{Task: k.Task, Attempt: k.Number})
 	}
-	for _, k := range sortedKeys(m.reserved) {
-		if now > m.reserved[k] || m.pending[k] != nil || v.Find(k.Task, k.Number) != nil {
-			delete(m.reserved, k)
+	for _, k := range sortedAttempts(m.reservations) {
+		if now > m.reservations[k] || m.pending[k] != nil || v.Find(k.Task, k.Number) != nil {
+			delete(m.reservations, k)
 			continue
 		}
 		v.Pending = append(v.Pending, Task{Task: k.Task, Attempt: k.Number})
--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -38,7 +38,7 @@
 	if old == nil || old.Session != v.Session {
 		return Changes{All: true}
 	}
-	if v.standsAs(old) {
+	if v.sameTasks(old) {
 		return Changes{Still: true}
 	}
 	c := Changes{From: make([]int, len(v.Tasks))}
@@ -47,7 +47,7 @@
 		t := &v.Tasks[k]
 		c.From[k] = -1
 		at := i
-		for at < len(old.Tasks) && !old.Tasks[at].is(t) {
+		for at < len(old.Tasks) && !old.Tasks[at].sameAttempt(t) {
 			at++
 		}
 		if at == len(old.Tasks) {
@@ -69,21 +69,21 @@
 	return c
 }
 
-// standsAs reports whether both views list the same tasks in the same states. Where nothing has changed, they
+// sameTasks reports whether both views list the same tasks in the same states. Where nothing has changed, they
 // usually share one slice.
-func (v *View) standsAs(old *View) bool {
+func (v *View) sameTasks(old *View) bool {
 	if len(v.Tasks) != len(old.Tasks) {
 		return false
 	}
 	return len(v.Tasks) == 0 || &v.Tasks[0] == &old.Tasks[0] || slices.Equal(v.Tasks, old.Tasks)
 }
 
-// is reports whether both are the same attempt.
-func (t *Task) is(o *Task) bool { return t.Attempt == o.Attempt && t.Task == o.Task }
+// sameAttempt reports whether both are the same attempt.
+func (t *Task) sameAttempt(o *Task) bool { return t.Attempt == o.Attempt && t.Task == o.Task }
 
-// inherit takes the jobs of unchanged tasks over from the previous view, and shares its strings and, if all
+// shareWith takes the jobs of unchanged tasks over from the previous view, and shares its strings and, if all
 // tasks are unchanged, its slices.
-func (v *View) inherit(old *View, c *Changes) {
+func (v *View) shareWith(old *View, c *Changes) {
 	if c.Still && len(old.jobs) == len(old.Tasks) {
 		v.Tasks, v.jobs, v.resolved = old.Tasks, old.jobs, false // both views share the slices
 		return
@@ -190,14 +190,14 @@
 // several steps in quick succession. The delay grows with the fleet, because the cost of publishing grows with
 // the number of machines times the number of controllers.
 const (
-	gather     = 25 * loop.Millisecond
-	gatherEach = 40 // in microseconds per machine of the fleet, if that gives more than gather
-	gatherMost = 100 * loop.Millisecond
+	minPublishDelay        = 25 * loop.Millisecond
+	publishDelayPerMachine = 40 // in microseconds per machine of the fleet, if that gives more than minPublishDelay
+	maxPublishDelay        = 100 * loop.Millisecond
 )
 
-// gatherFor returns the delay between the first change of a view and its publication.
-func (a *Agent) gatherFor() loop.Micros {
-	return min(max(gather, loop.Micros(len(a.views)*gatherEach)), gatherMost)
+// publishDelay returns the delay between the first change of a view and its publication.
+func (a *Agent) publishDelay() loop.Micros {
+	return min(max(minPublishDelay, loop.Micros(len(a.views)*publishDelayPerMachine)), maxPublishDelay)
 }
 
 // News is what a host publishes of its machines: full views, and deltas for machines whose previous view was
@@ -209,13 +209,13 @@
 
 // publishSoon schedules the publication of the machine's view, together with the changes that follow soon.
 func (a *Agent) publishSoon(m *machine) {
-	if m.publishing {
+	if m.publishScheduled {
 		return
 	}
-	m.publishing = true
+	m.publishScheduled = true
 	a.toPublish = append(a.toPublish, m)
 	if len(a.toPublish) == 1 {
-		a.r.After(a.gatherFor(), a.publish)
+		a.runner.After(a.publishDelay(), a.publish)
 	}
 }
 
@@ -224,33 +224,33 @@
 	all := a.toPublish
 	a.toPublish = nil
 	var n News
-	now := a.r.Now()
+	now := a.runner.Now()
 	for _, m := range all {
-		m.publishing = false
+		m.publishScheduled = false
 		v := a.views[m.view.Name]
-		if a.hosted[m.view.Name] != m || v == nil || v.Host != a.h.Label {
+		if a.hosted[m.view.Name] != m || v == nil || v.Host != a.config.Label {
 			continue
 		}
-		if d, ok := v.deltaTo(m.told); ok {
+		if d, ok := v.deltaTo(m.published); ok {
 			n.Deltas = append(n.Deltas, d)
 		} else {
 			n.Views = append(n.Views, v)
 		}
-		m.told, m.sent = v, now
+		m.published, m.publishedAt = v, now
 	}
 	if len(n.Views)+len(n.Deltas) > 0 {
-		a.h.Publish(n)
+		a.config.Publish(n)
 	}
 }
 
 // LearnDelta applies a delta of a machine that reports to another controller. It returns true if the full view
 // must be requested, since the delta does not apply to the view known here.
 func (a *Agent) LearnDelta(from string, d *Delta) (lost bool) {
-	if a.gone[d.Name] || from == a.h.Label {
+	if a.deleted[d.Name] || from == a.config.Label {
 		return false
 	}
 	old := a.views[d.Name]
-	if told := (View{Host: from, Session: d.Session, Seq: d.Seq, Rev: d.Rev}); !told.newer(old) {
+	if told := (View{Host: from, Session: d.Session, Seq: d.Seq, Rev: d.Rev}); !told.newerThan(old) {
 		return false // late: a view at least as new is known here
 	}
 	if old == nil || old.Host != from {
@@ -268,8 +268,8 @@
 // apply.
 func (a *Agent) Full(names []string) (out []*View) {
 	for _, name := range names {
-		if m := a.hosted[name]; m != nil && m.told != nil {
-			out = append(out, m.told)
+		if m := a.hosted[name]; m != nil && m.published != nil {
+			out = append(out, m.published)
 		}
 	}
 	return out
--- a/internal/agent/delta_test.go
+++ b/internal/agent/delta_test.go
@@ -42,12 +42,12 @@
 // A view built from deltas equals the view that the host published, whatever messages were lost, duplicated or
 // late before; where that is impossible, the full view is requested. The differences that Since reports are
 // those that a comparison of all tasks finds.
-func TestDeltasTellTheSameViews(t *testing.T) {
+func TestDeltasReproduceViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		next := 0
 		host := &View{Name: "n-1", Addr: "x", Host: "b", Session: 1, Tasks: []Task{}}
 		var told *View // as published by the host
-		a := newRig().a
+		a := newTestRegistry().a
 		var late [][]byte
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			v := *host
@@ -60,7 +60,7 @@
 				v.Session, v.Seq, v.Tasks = v.Session+1, 1, []Task{}
 			}
 			v.Settled, v.At = rapid.Bool().Draw(t, "settled"), v.At+1
-			plainChanges(t, host, &v)
+			checkChanges(t, host, &v)
 			host = &v
 			if rapid.IntRange(0, 2).Draw(t, "gather") == 0 {
 				continue
@@ -119,8 +119,8 @@
 	}
 }
 
-// plainChanges compares the result of Since with a comparison of every task.
-func plainChanges(t *rapid.T, old, v *View) {
+// checkChanges compares the result of Since with a comparison of every task.
+func checkChanges(t *rapid.T, old, v *View) {
 	c := v.Since(old)
 	if c.All {
 		if old.Session == v.Session {
--- a/internal/agent/forget.go
+++ b/internal/agent/forget.go
@@ -25,13 +25,13 @@
 	switch {
 	case m.state != Held:
 		return forgetUnsettled
-	case m.direct:
+	case m.directInFlight:
 		return forgetDirect
 	case m.pending[attempt] != nil:
 		return forgetPending
 	case m.inAnswer(attempt):
 		return forgetAnswer
-	case a.r.Wall() <= a.h.Clock.LatestArrivalOfRecorded(m.view.listed[i]):
+	case a.runner.Wall() <= a.config.Clock.LatestArrivalOfRecorded(m.view.firstListed[i]):
 		return forgetUnexpired
 	}
 	return forgetAllowed
@@ -54,22 +54,22 @@
 		return false
 	}
 	verdict := a.judgeForget(m, i)
-	a.h.Meter.Forget(string(verdict))
+	a.config.Meter.Forget(string(verdict))
 	return verdict == forgetAllowed
 }
 
 // inAnswer reports whether a start of the attempt is in the answer to the newest report.
 func (m *machine) inAnswer(attempt delivery.Attempt) bool {
-	_, in := m.answered[attempt]
+	_, in := m.startsInAnswer[attempt]
 	return in
 }
 
-// listedSince returns, for each task of the view, the time at which this host first saw that attempt listed.
+// firstListedTimes returns, for each task of the view, the time at which this host first saw that attempt listed.
 // before is the machine's previous view, and c the differences between the two.
-func (v *View) listedSince(before *View, c *Changes, wall loop.Micros) []loop.Micros {
-	known := len(before.listed) == len(before.Tasks) && !c.All
+func (v *View) firstListedTimes(before *View, c *Changes, wall loop.Micros) []loop.Micros {
+	known := len(before.firstListed) == len(before.Tasks) && !c.All
 	if known && c.Still {
-		return before.listed
+		return before.firstListed
 	}
 	listed := make([]loop.Micros, len(v.Tasks))
 	for i := range v.Tasks {
@@ -78,9 +78,9 @@
 			continue
 		}
 		if c.Kept(i) {
-			listed[i] = before.listed[c.Was(i)]
+			listed[i] = before.firstListed[c.Was(i)]
 		} else if was := before.index(v.Tasks[i].Task, v.Tasks[i].Attempt); was >= 0 {
-			listed[i] = before.listed[was]
+			listed[i] = before.firstListed[was]
 		}
 	}
 	return listed
--- a/internal/agent/forget_test.go
+++ b/internal/agent/forget_test.go
@@ -13,7 +13,7 @@
 )
 
 // answersDirect makes the worker answer the next direct commands with a report.
-func (g *rig) answersDirect(seq, token uint64, tasks ...wire.ReportTask) {
+func (g *testRegistry) answersDirect(seq, token uint64, tasks ...wire.ReportTask) {
 	g.resp = store.Response{Status: 200, Body: wire.Marshal(wire.Report{Machine: "n-1", Type: "m", Zone: "z", Session: 1, Seq: seq, Token: token, Tasks: tasks})}
 }
 
@@ -33,11 +33,11 @@
 // arrives first, and the attempt is started and stopped while the answer is delayed by a lost packet. Its owner
 // then requests that the attempt is forgotten. Until the worker has reported again, the answer can still
 // arrive; after a forget it would start the attempt anew.
-func TestForgetWaitsForTheAnswerUnderWay(t *testing.T) {
-	g := newRig()
-	token := g.beat(t, 1, 0).Token
+func TestForgetWaitsForAnswerInFlight(t *testing.T) {
+	g := newTestRegistry()
+	token := g.report(t, 1, 0).Token
 	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 5, Expiry: g.now + 6*loop.Second, From: "a"})
-	if c := g.beat(t, 2, token); len(c.Commands) != 1 || c.Commands[0].Op != wire.OpStart {
+	if c := g.report(t, 2, token); len(c.Commands) != 1 || c.Commands[0].Op != wire.OpStart {
 		t.Fatalf("the answer contains %v, want the start", c.Commands)
 	}
 	g.answersDirect(3, token, wire.ReportTask{Task: "job-1/0", Attempt: 5, State: wire.TaskRunning})
@@ -66,7 +66,7 @@
 	}
 	g.now += loop.Second
 	g.a.Stop(Stop{Machine: "n-1", Task: "job-1/0", Attempt: 5, Forget: true})
-	c := g.beat(t, 9, token, wire.ReportTask{Task: "job-1/0", Attempt: 5, State: wire.TaskExited, Why: wire.WhyStopped})
+	c := g.report(t, 9, token, wire.ReportTask{Task: "job-1/0", Attempt: 5, State: wire.TaskExited, Why: wire.WhyStopped})
 	if n := forgetsOf(c); n != 1 {
 		t.Fatalf("%d forgets after the worker has reported again and the start has expired, want one", n)
 	}
@@ -79,91 +79,91 @@
 
 // Each way in which a start of a terminated attempt can still arrive blocks its forget by itself, both when an
 // owner requests it and when the job is final; nothing else blocks it.
-func TestWhatKeepsAForgetBack(t *testing.T) {
+func TestWhatBlocksAForget(t *testing.T) {
 	const startLife = 6 * loop.Second
 	long := startLife + delivery.AnswerLife + loop.Second
 	for _, c := range []struct {
 		name string
-		// play brings the machine to the point at which the forget would be sent, and returns the messages.
-		play func(g *rig, token uint64) []wire.Commands
-		want int
+		// messages brings the machine to the point at which the forget would be sent, and returns the messages.
+		messages func(g *testRegistry, token uint64) []wire.Commands
+		want     int
 	}{
-		{"nothing", func(g *rig, token uint64) []wire.Commands {
+		{"nothing", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
-			return []wire.Commands{g.beat(t, 3, token, ended(1))}
+			return []wire.Commands{g.report(t, 3, token, ended(1))}
 		}, 1},
-		{"another host may pass its start on", func(g *rig, token uint64) []wire.Commands {
+		{"another host may pass its start on", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += startLife + delivery.AnswerLife
-			return []wire.Commands{g.beat(t, 3, token, ended(1))}
+			return []wire.Commands{g.report(t, 3, token, ended(1))}
 		}, 0},
-		{"listed in another state before", func(g *rig, token uint64) []wire.Commands {
-			g.beat(t, 3, token, wire.ReportTask{Task: "job-1/0", Attempt: 2, State: wire.TaskRunning})
+		{"listed in another state before", func(g *testRegistry, token uint64) []wire.Commands {
+			g.report(t, 3, token, wire.ReportTask{Task: "job-1/0", Attempt: 2, State: wire.TaskRunning})
 			g.now += long
-			return []wire.Commands{g.beat(t, 4, token, ended(2))}
+			return []wire.Commands{g.report(t, 4, token, ended(2))}
 		}, 1},
-		{"listed beside an earlier attempt", func(g *rig, token uint64) []wire.Commands {
+		{"listed beside an earlier attempt", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
-			return []wire.Commands{g.beat(t, 3, token, ended(1), ended(2))}
+			return []wire.Commands{g.report(t, 3, token, ended(1), ended(2))}
 		}, 1},
-		{"a new session", func(g *rig, token uint64) []wire.Commands {
+		{"a new session", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
 			g.session = 2
-			return []wire.Commands{g.beat(t, 1, token, ended(1))}
+			return []wire.Commands{g.report(t, 1, token, ended(1))}
 		}, 0},
-		{"the worker shows a lower token", func(g *rig, token uint64) []wire.Commands {
+		{"the worker shows a lower token", func(g *testRegistry, token uint64) []wire.Commands {
 			g.resp = store.Response{Err: io.ErrUnexpectedEOF}
 			g.a.Check("n-1")
 			g.runWork() // the outcome is unknown, so the token is raised
 			g.now += long
-			return []wire.Commands{g.beat(t, 3, token, ended(1))}
+			return []wire.Commands{g.report(t, 3, token, ended(1))}
 		}, 0},
-		{"the worker shows the raised token", func(g *rig, token uint64) []wire.Commands {
+		{"the worker shows the raised token", func(g *testRegistry, token uint64) []wire.Commands {
 			g.resp = store.Response{Err: io.ErrUnexpectedEOF}
 			g.a.Check("n-1")
 			g.runWork()
 			g.now += long
-			return []wire.Commands{g.beat(t, 3, token+1, ended(1))}
+			return []wire.Commands{g.report(t, 3, token+1, ended(1))}
 		}, 1},
-		{"a direct command is in flight", func(g *rig, token uint64) (out []wire.Commands) {
+		{"a direct command is in flight", func(g *testRegistry, token uint64) (out []wire.Commands) {
 			g.now += long
 			g.answersDirect(4, token, ended(1))
-			g.underWay = func() { out = append(out, g.beat(t, 3, token, ended(1))) }
+			g.duringDirect = func() { out = append(out, g.report(t, 3, token, ended(1))) }
 			g.a.Check("n-1")
 			g.sent = nil
 			g.runWork()
 			return out // without the commands of the direct command itself
 		}, 0},
-		{"a duplicate of an earlier report", func(g *rig, token uint64) []wire.Commands {
+		{"a duplicate of an earlier report", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
-			g.m().answered[delivery.Attempt{Task: "job-1/0", Number: 1}] = struct{}{}
-			return []wire.Commands{g.beat(t, 2, token, ended(1))}
+			g.hostedMachine().startsInAnswer[delivery.Attempt{Task: "job-1/0", Number: 1}] = struct{}{}
+			return []wire.Commands{g.report(t, 2, token, ended(1))}
 		}, 0},
-		{"its start is in an answer, and a direct answer has overtaken the next report", func(g *rig, token uint64) []wire.Commands {
+		{"its start is in an answer, and a direct answer has overtaken the next report", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
-			g.m().answered[delivery.Attempt{Task: "job-1/0", Number: 1}] = struct{}{}
+			g.hostedMachine().startsInAnswer[delivery.Attempt{Task: "job-1/0", Number: 1}] = struct{}{}
 			g.answersDirect(5, token, ended(1))
 			g.a.Check("n-1")
 			g.runWork()
 			before := len(g.sent)
-			late := g.beat(t, 4, token, ended(1)) // proves that the answer arrived
+			late := g.report(t, 4, token, ended(1)) // proves that the answer arrived
 			return append(g.sent[:before:before], late)
 		}, -1},
-		{"its start is pending", func(g *rig, token uint64) []wire.Commands {
+		{"its start is pending", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
-			g.m().pending[delivery.Attempt{Task: "job-1/0", Number: 1}] = &pending{untilToken: token}
-			return []wire.Commands{{Commands: g.a.commands(g.m(), wayAnswer)}}
+			g.hostedMachine().pending[delivery.Attempt{Task: "job-1/0", Number: 1}] = &pendingStart{untilToken: token}
+			return []wire.Commands{{Commands: g.a.commands(g.hostedMachine(), pathAnswer)}}
 		}, 0},
 	} {
 		for _, over := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/job final %v", c.name, over), func(t *testing.T) {
-				g := newRig()
-				token := g.beat(t, 1, 0).Token
-				g.beat(t, 2, token, ended(1))
+				g := newTestRegistry()
+				token := g.report(t, 1, 0).Token
+				g.report(t, 2, token, ended(1))
 				if over {
-					g.a.job("job-1/0").Phase = job.Cancelled
+					g.a.jobOf("job-1/0").Phase = job.Cancelled
 				} else {
 					for number := range uint64(3) {
-						g.m().stops[delivery.Attempt{Task: "job-1/0", Number: number}] = request{Stop{Forget: true}, g.now + 100*loop.Second}
+						g.hostedMachine().stops[delivery.Attempt{Task: "job-1/0", Number: number}] = stopRequest{Stop{Forget: true}, g.now + 100*loop.Second}
 					}
 				}
 				want := c.want
@@ -173,7 +173,7 @@
 						want = 1
 					}
 				}
-				if n := forgetsOf(c.play(g, token)...); n != want {
+				if n := forgetsOf(c.messages(g, token)...); n != want {
 					t.Errorf("%d forgets are sent, want %d", n, want)
 				}
 			})
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -27,16 +27,16 @@
 	Held                       // the worker shows our token: no other controller's command can be carried out
 )
 
-// sortedKeys returns the attempts of a map sorted by name, so that the order of commands and views does not
+// sortedAttempts returns the attempts of a map sorted by name, so that the order of commands and views does not
 // depend on the order of Go's maps.
-func sortedKeys[V any](m map[delivery.Attempt]V) []delivery.Attempt {
+func sortedAttempts[V any](m map[delivery.Attempt]V) []delivery.Attempt {
 	return slices.SortedFunc(maps.Keys(m), func(a, b delivery.Attempt) int {
 		return cmp.Or(strings.Compare(a.Task, b.Task), cmp.Compare(a.Number, b.Number))
 	})
 }
 
-// pending is a start that this host has accepted and that the worker has not listed yet.
-type pending struct {
+// pendingStart is a start that this host has accepted and that the worker has not listed yet.
+type pendingStart struct {
 	start  Start
 	direct bool // part of the direct command in flight
 	// untilToken, if not 0, means that the start was sent in a direct command of unknown outcome. It may be carried
@@ -44,44 +44,44 @@
 	untilToken uint64
 }
 
-// request is a stop or a forget that an owner requested.
-type request struct {
+// stopRequest is a stop or a forget that an owner requested.
+type stopRequest struct {
 	stop  Stop
 	until loop.Micros // monotonic time at which the request is dropped
 }
 
 // machine is the state of a machine that reports to this controller.
 type machine struct {
-	view    View
-	state   HostState
-	token   uint64
-	tokenAt loop.Micros // wall-clock time before which nobody had the token
-	check   bool        // an owner requested a task list that is certainly new
-	pending map[delivery.Attempt]*pending
-	// reportSession and reportSeq identify the newest report. answered holds the starts in the answer to it,
+	view          View
+	state         HostState
+	token         uint64
+	tokenIssuedAt loop.Micros // wall-clock time before which nobody had the token
+	wantTaskList  bool        // an owner requested a task list that is certainly new
+	pending       map[delivery.Attempt]*pendingStart
+	// reportSession and reportSeq identify the newest report. startsInAnswer holds the starts in the answer to it,
 	// which may be in flight until the worker reports again.
 	reportSession, reportSeq uint64
-	answered                 map[delivery.Attempt]struct{}
-	// refused holds rejected starts and the time until which they are remembered: no copy of one may be accepted
+	startsInAnswer           map[delivery.Attempt]struct{}
+	// rejected holds rejected starts and the time until which they are remembered: no copy of one may be accepted
 	// before it has expired.
-	refused map[delivery.Attempt]loop.Micros
-	// reserved holds the capacity reserved for starts whose attempts owners are still recording, and until when.
-	reserved   map[delivery.Attempt]loop.Micros
-	stops      map[delivery.Attempt]request
-	direct     bool        // a direct command is in flight
-	flushing   bool        // flush is scheduled
-	refreshing bool        // refresh is scheduled
-	closeTo    loop.Micros // wall-clock time until which the machine accepts no starts
-	sent       loop.Micros // monotonic time at which the view was last published
-	dirty      bool        // the view has changed in a way that peers must learn soon
-	told       *View       // the view as last published, from which the next delta is computed
-	publishing bool        // in Agent.toPublish
+	rejected map[delivery.Attempt]loop.Micros
+	// reservations holds the capacity reserved for starts whose attempts owners are still recording, and until when.
+	reservations     map[delivery.Attempt]loop.Micros
+	stops            map[delivery.Attempt]stopRequest
+	directInFlight   bool        // a direct command is in flight
+	flushScheduled   bool        // sendCommands is scheduled
+	refreshScheduled bool        // updateView is scheduled
+	closedUntil      loop.Micros // wall-clock time until which the machine accepts no starts
+	publishedAt      loop.Micros // monotonic time at which the view was last published
+	dirty            bool        // the view has changed in a way that peers must learn soon
+	published        *View       // the view as last published, from which the next delta is computed
+	publishScheduled bool        // in Registry.toPublish
 }
 
 // newMachine makes the entry of a machine that reports here for the first time.
 func newMachine() *machine {
-	return &machine{pending: map[delivery.Attempt]*pending{}, answered: map[delivery.Attempt]struct{}{}, refused: map[delivery.Attempt]loop.Micros{},
-		reserved: map[delivery.Attempt]loop.Micros{}, stops: map[delivery.Attempt]request{}}
+	return &machine{pending: map[delivery.Attempt]*pendingStart{}, startsInAnswer: map[delivery.Attempt]struct{}{}, rejected: map[delivery.Attempt]loop.Micros{},
+		reservations: map[delivery.Attempt]loop.Micros{}, stops: map[delivery.Attempt]stopRequest{}}
 }
 
 // setState changes a machine's state. No other function does.
@@ -94,14 +94,14 @@
 	m.view.Settled = s == Held
 }
 
-// reported records that a worker made a report. A worker has one report in flight at a time, so the answers to
+// recordReport records that a worker made a report. A worker has one report in flight at a time, so the answers to
 // all earlier reports have arrived or never will. A duplicate of a report proves nothing new.
-func (m *machine) reported(session, seq uint64) {
+func (m *machine) recordReport(session, seq uint64) {
 	if session < m.reportSession || session == m.reportSession && seq <= m.reportSeq {
 		return
 	}
 	m.reportSession, m.reportSeq = session, seq
-	clear(m.answered)
+	clear(m.startsInAnswer)
 }
 
 // String returns the state's name in logs.
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -13,17 +13,17 @@
 
 // Report handles a report that arrived at this controller. reply is called once, on the event loop.
 func (a *Agent) Report(r wire.Report, reply func(Answer)) {
-	if ok, coach := a.h.MayAnswer(); !ok {
+	if ok, coach := a.config.MayAnswer(); !ok {
 		reply(Answer{421, wire.ReportTo{Node: coach}})
 		return
 	}
-	was := a.sentOn[r.Machine]
-	if on, to, again := a.h.SendOn(r.Machine, was.times); on && a.r.Now()-was.at > again {
-		a.sentOn[r.Machine] = sending{a.r.Now(), was.times + 1}
+	was := a.redirects[r.Machine]
+	if on, to, again := a.config.SendOn(r.Machine, was.times); on && a.runner.Now()-was.at > again {
+		a.redirects[r.Machine] = redirect{a.runner.Now(), was.times + 1}
 		reply(Answer{421, wire.ReportTo{Node: to}})
 		return
 	}
-	if a.gone[r.Machine] {
+	if a.deleted[r.Machine] {
 		reply(Answer{503, wire.Error{Error: "machine is deleted"}})
 		return
 	}
@@ -38,9 +38,9 @@
 		}
 		// The answer renews the worker's lease like any other, so it must stop the tasks of final jobs like any
 		// other.
-		m.reported(r.Session, r.Seq)
-		commands := a.ends(m, []wire.Command{})
-		a.logCommands(m, wayLateAnswer, commands)
+		m.recordReport(r.Session, r.Seq)
+		commands := a.finalJobCommands(m, []wire.Command{})
+		a.logCommands(m, pathLateAnswer, commands)
 		reply(Answer{200, wire.Commands{Token: m.token, Commands: commands}})
 		return
 	}
@@ -49,16 +49,16 @@
 		m.view.Name = r.Machine
 		a.hosted[r.Machine] = m
 	}
-	epoch := a.h.Epoch()
+	epoch := a.config.Epoch()
 	if r.Token > m.token || m.token == 0 {
 		if EpochOf(r.Token) < epoch {
-			m.token, m.tokenAt = epoch<<counterBits, a.r.Wall()
+			m.token, m.tokenIssuedAt = epoch<<counterBits, a.runner.Wall()
 		} else {
 			// The worker obeys a token above all of ours. Only a token of a newer epoch is obeyed again.
 			a.setState(m, Raising)
 			before := epoch
-			a.h.Raise(func() {
-				if a.h.Epoch() <= before {
+			a.config.Raise(func() {
+				if a.config.Epoch() <= before {
 					reply(Answer{503, wire.Error{Error: "no epoch"}})
 					return
 				}
@@ -67,14 +67,14 @@
 			return
 		}
 	}
-	a.applyReport(m, r, true, m.tokenAt)
-	commands := a.commands(m, wayAnswer)
+	a.applyReport(m, r, true, m.tokenIssuedAt)
+	commands := a.commands(m, pathAnswer)
 	reply(Answer{200, wire.Commands{Token: m.token, Commands: commands}})
-	a.refresh(m)
+	a.updateView(m)
 }
 
-// sending records when a worker was last sent to another controller, and how often it was.
-type sending struct {
+// redirect records when a worker was last sent to another controller, and how often it was.
+type redirect struct {
 	at    loop.Micros
 	times int
 }
@@ -85,7 +85,7 @@
 // was certainly made after the token that it shows was issued, and the body of a direct answer after its
 // command was sent; that time is madeAfter.
 func (a *Agent) applyReport(m *machine, r wire.Report, reported bool, madeAfter loop.Micros) {
-	wall := a.r.Wall()
+	wall := a.runner.Wall()
 	v := &m.view
 	if v.Session != 0 && r.Session > v.Session {
 		// The worker's lease expired: all its tasks were killed and forgotten, and commands of the previous
@@ -94,7 +94,7 @@
 		clear(m.pending)
 	}
 	if reported {
-		m.reported(r.Session, r.Seq)
+		m.recordReport(r.Session, r.Seq)
 	}
 	if r.Token == m.token {
 		a.setState(m, Held)
@@ -108,12 +108,12 @@
 	}
 	v.Session = r.Session
 	c := v.Since(&before)
-	v.inherit(&before, &c)
-	v.listed = v.listedSince(&before, &c, wall)
+	v.shareWith(&before, &c)
+	v.firstListed = v.firstListedTimes(&before, &c, wall)
 	if !c.Still || (v.NoticeAt == 0) != (r.NoticeS == nil) {
 		m.dirty = true
 	}
-	v.Name, v.Addr, v.Type, v.Zone, v.Spot, v.Host, v.Life = r.Machine, r.Addr, r.Type, r.Zone, r.Spot, a.h.Label, a.h.Life
+	v.Name, v.Addr, v.Type, v.Zone, v.Spot, v.Host, v.Life = r.Machine, r.Addr, r.Type, r.Zone, r.Spot, a.config.Label, a.config.Life
 	v.Seq = r.Seq
 	if reported {
 		v.Reported = wall
@@ -135,15 +135,15 @@
 			p.untilToken = 0 // a command under the old token can no longer be carried out
 		}
 	}
-	a.expire(m, wall)
+	a.expireStarts(m, wall)
 }
 
-// refresh updates the machine's newest view, and publishes it if peers must learn of the change.
-func (a *Agent) refresh(m *machine) {
-	now := a.r.Now()
+// updateView updates the machine's newest view, and publishes it if peers must learn of the change.
+func (a *Agent) updateView(m *machine) {
+	now := a.runner.Now()
 	v := &m.view
 	old := a.views[v.Name]
-	closed := a.r.Wall() < m.closeTo
+	closed := a.runner.Wall() < m.closedUntil
 	a.listPending(m)
 	if closed != v.Closed || (old != nil && len(v.Pending) != len(old.Pending)) {
 		m.dirty = true
@@ -155,20 +155,20 @@
 	v.Rev++
 	c := *v
 	c.resolved = false
-	if m.dirty || now-m.sent > 2*loop.Second {
+	if m.dirty || now-m.publishedAt > 2*loop.Second {
 		m.dirty = false
 		a.publishSoon(m)
 	}
-	a.renew(&c)
+	a.setView(&c)
 }
 
-// renew makes v the newest view of its machine.
-func (a *Agent) renew(v *View) {
+// setView makes v the newest view of its machine.
+func (a *Agent) setView(v *View) {
 	old := a.views[v.Name]
 	c := v.Since(old)
 	if v.jobs == nil {
-		v.inherit(old, &c)
+		v.shareWith(old, &c)
 	}
 	a.views[v.Name] = v
-	a.h.Changed(v, &c)
+	a.config.Changed(v, &c)
 }
--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -15,35 +15,35 @@
 	if m == nil {
 		return
 	}
-	j := a.job(s.Task)
+	j := a.jobOf(s.Task)
 	if j == nil {
 		return // the job's record has not arrived here yet; Start decides
 	}
-	if why := a.refusal(m, s, j); why != "" {
-		a.h.Drop(s.From, Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, Reserve: true, Life: a.h.Life})
+	if why := a.rejectionReason(m, s, j); why != "" {
+		a.config.Drop(s.From, Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, Reserve: true, Life: a.config.Life})
 		return
 	}
-	m.reserved[delivery.Attempt{Task: s.Task, Number: s.Attempt}] = a.r.Now() + 700*loop.Millisecond
+	m.reservations[delivery.Attempt{Task: s.Task, Number: s.Attempt}] = a.runner.Now() + 700*loop.Millisecond
 	a.listPending(m)
-	a.refreshSoon(m)
+	a.updateViewSoon(m)
 }
 
-// refusal returns why a start cannot be accepted now; it is empty if it can.
-func (a *Agent) refusal(m *machine, s Start, j *job.Job) string {
-	typ, known := a.h.Type(m.view.Type)
+// rejectionReason returns why a start cannot be accepted now; it is empty if it can.
+func (a *Agent) rejectionReason(m *machine, s Start, j *job.Job) string {
+	typ, known := a.config.Type(m.view.Type)
 	switch {
 	case s.Session != m.view.Session:
 		return "another session"
-	case a.r.Wall() < m.closeTo:
+	case a.runner.Wall() < m.closedUntil:
 		return "closed"
 	case m.view.NoticeAt != 0:
 		return "notice"
 	case j == nil || j.Final() || !known:
 		return "unknown"
-	case !a.h.MayStart():
+	case !a.config.MayStart():
 		return "no state contact"
 	}
-	if why := a.barred(j, &m.view); why != "" {
+	if why := a.startBlocked(j, &m.view); why != "" {
 		return why
 	}
 	m.view.resolved = false // this is not a published view and changes, so its capacity is computed anew
@@ -53,25 +53,25 @@
 	return ""
 }
 
-// barred returns why no start of the job may reach the machine, empty if one may.
-func (a *Agent) barred(j *job.Job, v *View) string {
-	if a.h.Barred == nil {
+// startBlocked returns why no start of the job may reach the machine, empty if one may.
+func (a *Agent) startBlocked(j *job.Job, v *View) string {
+	if a.config.Barred == nil {
 		return ""
 	}
-	return a.h.Barred(j, v)
+	return a.config.Barred(j, v)
 }
 
-// refreshSoon schedules refresh, once for several changes that come together: the starts of a large job reach a
+// updateViewSoon schedules updateView, once for several changes that come together: the starts of a large job reach a
 // machine one after another.
-func (a *Agent) refreshSoon(m *machine) {
-	if m.refreshing {
+func (a *Agent) updateViewSoon(m *machine) {
+	if m.refreshScheduled {
 		return
 	}
-	m.refreshing = true
-	a.r.After(3*loop.Millisecond, func() {
-		m.refreshing = false
+	m.refreshScheduled = true
+	a.runner.After(3*loop.Millisecond, func() {
+		m.refreshScheduled = false
 		if a.hosted[m.view.Name] == m {
-			a.refresh(m)
+			a.updateView(m)
 		}
 	})
 }
@@ -80,14 +80,14 @@
 func (a *Agent) Start(s Start) {
 	m := a.hosted[s.Machine]
 	k := delivery.Attempt{Task: s.Task, Number: s.Attempt}
-	wall := a.r.Wall()
+	wall := a.runner.Wall()
 	drop := func(why string) {
 		if m != nil {
-			m.refused[k] = s.Expiry + a.h.ClockTo
+			m.rejected[k] = s.Expiry + a.config.ClockTo
 		}
-		a.h.Drop(s.From, Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, Life: a.h.Life})
+		a.config.Drop(s.From, Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, Life: a.config.Life})
 	}
-	if m == nil || s.Life != 0 && s.Life != a.h.Life {
+	if m == nil || s.Life != 0 && s.Life != a.config.Life {
 		// The machine reports elsewhere, or the start is meant for an earlier incarnation of this process. The start
 		// is ignored: the owner learns of the new host or incarnation and sends it there until the start expires.
 		// It must not be rejected, because the earlier incarnation may have passed it on, and the owner takes a
@@ -98,32 +98,32 @@
 	if m.view.Find(s.Task, s.Attempt) != nil || m.pending[k] != nil {
 		return
 	}
-	if _, was := m.refused[k]; was {
+	if _, was := m.rejected[k]; was {
 		drop("dropped before")
 		return
 	}
-	j := a.job(s.Task)
+	j := a.jobOf(s.Task)
 	if j == nil && wall < s.Expiry {
 		// The job's record has not arrived here yet; the owner has only just seen the job.
-		a.r.After(40*loop.Millisecond, func() { a.Start(s) })
+		a.runner.After(40*loop.Millisecond, func() { a.Start(s) })
 		return
 	}
-	if _, ok := m.reserved[k]; ok {
-		delete(m.reserved, k)
+	if _, ok := m.reservations[k]; ok {
+		delete(m.reservations, k)
 		a.listPending(m)
 	}
-	why := a.refusal(m, s, j)
+	why := a.rejectionReason(m, s, j)
 	switch {
 	case wall >= s.Expiry:
 		drop("too old")
 	case why != "":
 		drop(why)
 	default:
-		m.pending[k] = &pending{start: s}
+		m.pending[k] = &pendingStart{start: s}
 		m.dirty = true
 		a.listPending(m) // the next start must find this capacity taken
-		a.refreshSoon(m)
-		a.flushSoon(m)
+		a.updateViewSoon(m)
+		a.sendCommandsSoon(m)
 	}
 }
 
@@ -134,8 +134,8 @@
 		return
 	}
 	k := delivery.Attempt{Task: s.Task, Number: s.Attempt}
-	m.stops[k] = request{s, a.r.Now() + 5*loop.Second}
+	m.stops[k] = stopRequest{s, a.runner.Now() + 5*loop.Second}
 	if !s.Forget {
-		a.flushSoon(m)
+		a.sendCommandsSoon(m)
 	}
 }
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -54,9 +54,9 @@
 	used     Room       // capacity taken by active tasks and pending starts
 	resolved bool       // the jobs of all active tasks and pending starts were known here, so used is complete
 
-	// listed holds, for each of Tasks, the wall-clock time at which the host first saw the attempt listed. Only
+	// firstListed holds, for each of Tasks, the wall-clock time at which the host first saw the attempt listed. Only
 	// the host has it; it is not published.
-	listed []loop.Micros
+	firstListed []loop.Micros
 }
 
 // Silence returns for how long at least the machine has not reported, by a wall-clock time and twice the bound
@@ -76,7 +76,7 @@
 	}
 	all := true
 	v.used = Room{}
-	v.lookUp(find)
+	v.lookUpJobs(find)
 	for i := range v.Tasks {
 		j := v.jobs[i]
 		if !v.Tasks[i].Active() {
@@ -105,8 +105,8 @@
 	return all
 }
 
-// lookUp finds the jobs of the tasks; most were already found for an earlier view.
-func (v *View) lookUp(find func(id string) *job.Job) {
+// lookUpJobs finds the jobs of the tasks; most were already found for an earlier view.
+func (v *View) lookUpJobs(find func(id string) *job.Job) {
 	if len(v.jobs) != len(v.Tasks) {
 		v.jobs = make([]*job.Job, len(v.Tasks))
 	}
@@ -118,8 +118,8 @@
 	}
 }
 
-// newer reports whether v is a newer view of the same machine than old.
-func (v *View) newer(old *View) bool {
+// newerThan reports whether v is a newer view of the same machine than old.
+func (v *View) newerThan(old *View) bool {
 	if old == nil {
 		return true
 	}
@@ -214,12 +214,12 @@
 // Room is an amount of capacity on a machine.
 type Room struct{ CPUs, GPUs, MemoryGB float64 }
 
-// tiny is the tolerance for rounding errors in sums of capacities.
-const tiny = 1e-6
+// tolerance is the tolerance for rounding errors in sums of capacities.
+const tolerance = 1e-6
 
 // Fits reports whether a task of the job fits into the capacity.
 func (r *Room) Fits(s *job.Spec) bool {
-	return s.CPUs <= r.CPUs+tiny && s.GPUs <= r.GPUs+tiny && s.MemoryGB <= r.MemoryGB+tiny
+	return s.CPUs <= r.CPUs+tolerance && s.GPUs <= r.GPUs+tolerance && s.MemoryGB <= r.MemoryGB+tolerance
 }
 
 // Take subtracts the capacity that a task of the job needs.
--- a/internal/agent/view_test.go
+++ b/internal/agent/view_test.go
@@ -20,7 +20,7 @@
 		{v(1, 5, 2, "b"), v(1, 5, 1, "a"), false},
 	}
 	for i, c := range cases {
-		if got := c.a.newer(c.b); got != c.want {
+		if got := c.a.newerThan(c.b); got != c.want {
 			t.Errorf("case %d: newer is %v, want %v", i, got, c.want)
 		}
 	}
@@ -28,7 +28,7 @@
 
 // A stopped attempt stays in the reports beside the next attempt of the same task. Confusing the two would make
 // a running task look absent, and it would be started on another machine as well.
-func TestFindTellsAttemptsApart(t *testing.T) {
+func TestFindDistinguishesAttempts(t *testing.T) {
 	v := &View{Tasks: []Task{{Task: "job-1/4", Attempt: 1, State: "ended", Why: "stopped"}, {Task: "job-1/4", Attempt: 2, State: "running"}}}
 	if e := v.Find("job-1/4", 2); e == nil || !e.Active() {
 		t.Fatalf("the running attempt is not found: %v", e)
