--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -56,8 +56,8 @@
 	Meter *metric.Meter
 }
 
-// Agent is the registry of workers of one controller. It is used on the event loop only.
-type Agent struct {
+// Registry is the registry of workers of one controller. It is used on the event loop only.
+type Registry struct {
 	runner     loop.Runner
 	log        *slog.Logger
 	config     Host
@@ -71,14 +71,14 @@
 }
 
 // New makes an empty registry.
-func New(r loop.Runner, log *slog.Logger, h Host, direct Direct) *Agent {
-	a := &Agent{runner: r, log: log, config: h, sendDirect: direct, hosted: map[string]*machine{}, views: map[string]*View{}, deleted: map[string]bool{}, redirects: map[string]redirect{}}
+func New(r loop.Runner, log *slog.Logger, h Host, direct Direct) *Registry {
+	a := &Registry{runner: r, log: log, config: h, sendDirect: direct, hosted: map[string]*machine{}, views: map[string]*View{}, deleted: map[string]bool{}, redirects: map[string]redirect{}}
 	loop.Every(r, 500*loop.Millisecond, a.tick)
 	return a
 }
 
 // Learn applies a view of a machine that reports to another controller.
-func (a *Agent) Learn(v *View) {
+func (a *Registry) Learn(v *View) {
 	if a.deleted[v.Name] || v.Host == a.config.Label || !v.newerThan(a.views[v.Name]) {
 		return
 	}
@@ -90,7 +90,7 @@
 }
 
 // Republish sends the full views of all hosted machines again, for example after a peer restarted.
-func (a *Agent) Republish() {
+func (a *Registry) Republish() {
 	for _, m := range loop.Sorted(a.hosted) {
 		m.published = nil
 		a.publishSoon(m)
@@ -98,7 +98,7 @@
 }
 
 // Check asks a hosted machine's worker for a task list that is certainly made after this call.
-func (a *Agent) Check(name string) {
+func (a *Registry) Check(name string) {
 	if m := a.hosted[name]; m != nil {
 		m.wantTaskList = true
 		a.sendCommandsSoon(m)
@@ -106,7 +106,7 @@
 }
 
 // Close blocks starts on a hosted machine until a wall-clock time; a time in the past allows them again.
-func (a *Agent) Close(name string, until loop.Micros) {
+func (a *Registry) Close(name string, until loop.Micros) {
 	m := a.hosted[name]
 	if m == nil {
 		return
@@ -118,7 +118,7 @@
 	}
 }
 
-func (a *Agent) tick() {
+func (a *Registry) tick() {
 	wall := a.runner.Wall()
 	for _, m := range loop.Sorted(a.hosted) {
 		a.expireStarts(m, wall)
@@ -130,7 +130,7 @@
 }
 
 // Gone records that a machine was deleted, with everything that ran on it.
-func (a *Agent) Gone(name string) {
+func (a *Registry) Gone(name string) {
 	if a.deleted[name] {
 		return
 	}
@@ -142,37 +142,37 @@
 
 // Forget drops the memory of deleted machines. If a delayed message makes one of them known again, it is found
 // not to report and is deleted once more.
-func (a *Agent) Forget(names []string) {
+func (a *Registry) Forget(names []string) {
 	for _, name := range names {
 		delete(a.deleted, name)
 	}
 }
 
 // IsGone reports whether the machine is known to be deleted.
-func (a *Agent) IsGone(name string) bool { return a.deleted[name] }
+func (a *Registry) IsGone(name string) bool { return a.deleted[name] }
 
 // View returns the newest view of a machine, nil if none ever arrived.
-func (a *Agent) View(name string) *View { return a.views[name] }
+func (a *Registry) View(name string) *View { return a.views[name] }
 
 // Room returns the free capacity of a machine of type t; ok is false if it is not known, since a job on it is
 // not known here.
-func (a *Agent) Room(v *View, t wire.MachineType) (Room, bool) {
+func (a *Registry) Room(v *View, t wire.MachineType) (Room, bool) {
 	ok := v.resolve(a.config.Job)
 	return Room{t.CPUs, t.GPUs, t.MemoryGB}.Less(v.used), ok
 }
 
 // Jobs returns the jobs of a view's tasks, in their order; nil where one is not known here.
-func (a *Agent) Jobs(v *View) []*job.Job {
+func (a *Registry) Jobs(v *View) []*job.Job {
 	v.lookUpJobs(a.config.Job)
 	return v.jobs
 }
 
 // Views calls f for the newest view of every machine that is not deleted, in the order of names.
-func (a *Agent) Views(f func(*View)) {
+func (a *Registry) Views(f func(*View)) {
 	for _, v := range loop.Sorted(a.views) {
 		f(v)
 	}
 }
 
 // Hosted returns the number of machines that report to this controller.
-func (a *Agent) Hosted() int { return len(a.hosted) }
+func (a *Registry) Hosted() int { return len(a.hosted) }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -32,7 +32,7 @@
 // testRegistry is a registry with one hosted machine, n-1, for whose worker the test acts.
 type testRegistry struct {
 	*manualLoop
-	a          *Agent
+	a          *Registry
 	epoch      uint64
 	sent       []wire.Commands
 	resp       store.Response
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -10,7 +10,7 @@
 )
 
 // expireStarts removes starts that may not be carried out any more and cannot be in flight.
-func (a *Agent) expireStarts(m *machine, wall loop.Micros) {
+func (a *Registry) expireStarts(m *machine, wall loop.Micros) {
 	for k, p := range m.pending {
 		if wall >= p.start.Expiry && !p.direct && !m.inAnswer(k) && p.untilToken == 0 {
 			delete(m.pending, k)
@@ -35,7 +35,7 @@
 )
 
 // commands collects what the worker must do now, for a message that is sent at once.
-func (a *Agent) commands(m *machine, by commandPath) []wire.Command {
+func (a *Registry) commands(m *machine, by commandPath) []wire.Command {
 	out := a.requestedCommands(m, []wire.Command{})
 	out = a.finalJobCommands(m, out)
 	out = a.startCommands(m, by, out)
@@ -44,7 +44,7 @@
 }
 
 // requestedCommands appends the stops and forgets that owners requested.
-func (a *Agent) requestedCommands(m *machine, out []wire.Command) []wire.Command {
+func (a *Registry) requestedCommands(m *machine, out []wire.Command) []wire.Command {
 	now := a.runner.Now()
 	for _, k := range sortedAttempts(m.stops) {
 		q := m.stops[k]
@@ -69,7 +69,7 @@
 
 // startCommands appends the starts that the worker has not received. A start in an answer in flight is sent
 // directly as well, since one lost packet delays an answer by about 200 ms.
-func (a *Agent) startCommands(m *machine, by commandPath, out []wire.Command) []wire.Command {
+func (a *Registry) startCommands(m *machine, by commandPath, out []wire.Command) []wire.Command {
 	wall := a.runner.Wall()
 	if !a.config.MayStart() || wall < m.closedUntil {
 		return out
@@ -94,7 +94,7 @@
 
 // finalJobCommands appends stops and forgets for the tasks of final jobs. Every answer that renews a lease
 // contains them.
-func (a *Agent) finalJobCommands(m *machine, out []wire.Command) []wire.Command {
+func (a *Registry) finalJobCommands(m *machine, out []wire.Command) []wire.Command {
 	jobs := a.Jobs(&m.view)
 	for i := range m.view.Tasks {
 		t := &m.view.Tasks[i]
@@ -127,7 +127,7 @@
 }
 
 // logCommands logs and counts each command that is sent to a worker.
-func (a *Agent) logCommands(m *machine, by commandPath, commands []wire.Command) {
+func (a *Registry) logCommands(m *machine, by commandPath, commands []wire.Command) {
 	for i := range commands {
 		a.config.Meter.Command(operationName(commands[i].Op), string(by))
 	}
@@ -141,14 +141,14 @@
 }
 
 // jobOf finds the job of a task, nil if it is not known here.
-func (a *Agent) jobOf(task string) *job.Job {
+func (a *Registry) jobOf(task string) *job.Job {
 	id, _, _ := SplitTask(task)
 	return a.config.Job(id)
 }
 
 // listPending lists in the view the starts that may still be carried out, and the reservations for starts to
 // come.
-func (a *Agent) listPending(m *machine) {
+func (a *Registry) listPending(m *machine) {
 	now := a.runner.Now()
 	v := &m.view
 	v.Pending = make([]Task, 0, len(m.pending)+len(m.reservations))
--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -196,7 +196,7 @@
 )
 
 // publishDelay returns the delay between the first change of a view and its publication.
-func (a *Agent) publishDelay() loop.Micros {
+func (a *Registry) publishDelay() loop.Micros {
 	return min(max(minPublishDelay, loop.Micros(len(a.views)*publishDelayPerMachine)), maxPublishDelay)
 }
 
@@ -208,7 +208,7 @@
 }
 
 // publishSoon schedules the publication of the machine's view, together with the changes that follow soon.
-func (a *Agent) publishSoon(m *machine) {
+func (a *Registry) publishSoon(m *machine) {
 	if m.publishScheduled {
 		return
 	}
@@ -220,7 +220,7 @@
 }
 
 // publish sends the scheduled views to the peers, as deltas where possible.
-func (a *Agent) publish() {
+func (a *Registry) publish() {
 	all := a.toPublish
 	a.toPublish = nil
 	var n News
@@ -245,7 +245,7 @@
 
 // LearnDelta applies a delta of a machine that reports to another controller. It returns true if the full view
 // must be requested, since the delta does not apply to the view known here.
-func (a *Agent) LearnDelta(from string, d *Delta) (lost bool) {
+func (a *Registry) LearnDelta(from string, d *Delta) (lost bool) {
 	if a.deleted[d.Name] || from == a.config.Label {
 		return false
 	}
@@ -266,7 +266,7 @@
 
 // Full returns the newest published views of hosted machines, for a peer that lacks the views to which deltas
 // apply.
-func (a *Agent) Full(names []string) (out []*View) {
+func (a *Registry) Full(names []string) (out []*View) {
 	for _, name := range names {
 		if m := a.hosted[name]; m != nil && m.published != nil {
 			out = append(out, m.published)
--- a/internal/agent/delta_test.go
+++ b/internal/agent/delta_test.go
@@ -93,7 +93,7 @@
 
 // deliver hands a delta to the receiving registry. want is the view that it describes; nil if the delta is
 // late.
-func deliver(t *rapid.T, a *Agent, frame []byte, want *View) {
+func deliver(t *rapid.T, a *Registry, frame []byte, want *View) {
 	d := new(Delta)
 	if err := wire.Unmarshal(frame, d); err != nil {
 		t.Fatal(err)
--- a/internal/agent/direct.go
+++ b/internal/agent/direct.go
@@ -9,7 +9,7 @@
 )
 
 // sendCommandsSoon schedules sendCommands, so that commands that come together are sent together.
-func (a *Agent) sendCommandsSoon(m *machine) {
+func (a *Registry) sendCommandsSoon(m *machine) {
 	if m.flushScheduled {
 		return
 	}
@@ -22,7 +22,7 @@
 
 // sendCommands sends the pending commands straight to the worker. It does so only while the worker shows this host's
 // token: then no other controller can command the worker without this one noticing.
-func (a *Agent) sendCommands(m *machine) {
+func (a *Registry) sendCommands(m *machine) {
 	if a.hosted[m.view.Name] != m || m.state != Held || m.directInFlight {
 		return
 	}
@@ -42,7 +42,7 @@
 }
 
 // handleDirectResponse handles the response to a direct command.
-func (a *Agent) handleDirectResponse(m *machine, token uint64, sent loop.Micros, resp store.Response) {
+func (a *Registry) handleDirectResponse(m *machine, token uint64, sent loop.Micros, resp store.Response) {
 	m.directInFlight = false
 	var r wire.Report
 	sure := resp.Err == nil && (resp.Status == 200 || resp.Status == 409) && wire.Unmarshal(resp.Body, &r) == nil
--- a/internal/agent/forget.go
+++ b/internal/agent/forget.go
@@ -19,7 +19,7 @@
 )
 
 // judgeForget returns the verdict for the terminated attempt at a position of the task list.
-func (a *Agent) judgeForget(m *machine, i int) forgetVerdict {
+func (a *Registry) judgeForget(m *machine, i int) forgetVerdict {
 	t := &m.view.Tasks[i]
 	attempt := delivery.Attempt{Task: t.Task, Number: t.Attempt}
 	switch {
@@ -49,7 +49,7 @@
 //   - Starts that another host, to which the worker moves next, may still pass on: no host does so after the
 //     start has expired. The attempt was recorded before a task list showed it, so the time at which this host
 //     first saw it listed bounds the expiry, without relying on its owner's messages or clock.
-func (a *Agent) mayForget(m *machine, i int) bool {
+func (a *Registry) mayForget(m *machine, i int) bool {
 	if m.view.Tasks[i].Active() {
 		return false
 	}
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -85,7 +85,7 @@
 }
 
 // setState changes a machine's state. No other function does.
-func (a *Agent) setState(m *machine, s HostState) {
+func (a *Registry) setState(m *machine, s HostState) {
 	if m.state == s {
 		return
 	}
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -12,7 +12,7 @@
 }
 
 // Report handles a report that arrived at this controller. reply is called once, on the event loop.
-func (a *Agent) Report(r wire.Report, reply func(Answer)) {
+func (a *Registry) Report(r wire.Report, reply func(Answer)) {
 	if ok, coach := a.config.MayAnswer(); !ok {
 		reply(Answer{421, wire.ReportTo{Node: coach}})
 		return
@@ -84,7 +84,7 @@
 // A report may have been delayed for minutes, and looks new to a controller that received nothing meanwhile. It
 // was certainly made after the token that it shows was issued, and the body of a direct answer after its
 // command was sent; that time is madeAfter.
-func (a *Agent) applyReport(m *machine, r wire.Report, reported bool, madeAfter loop.Micros) {
+func (a *Registry) applyReport(m *machine, r wire.Report, reported bool, madeAfter loop.Micros) {
 	wall := a.runner.Wall()
 	v := &m.view
 	if v.Session != 0 && r.Session > v.Session {
@@ -139,7 +139,7 @@
 }
 
 // updateView updates the machine's newest view, and publishes it if peers must learn of the change.
-func (a *Agent) updateView(m *machine) {
+func (a *Registry) updateView(m *machine) {
 	now := a.runner.Now()
 	v := &m.view
 	old := a.views[v.Name]
@@ -163,7 +163,7 @@
 }
 
 // setView makes v the newest view of its machine.
-func (a *Agent) setView(v *View) {
+func (a *Registry) setView(v *View) {
 	old := a.views[v.Name]
 	c := v.Since(old)
 	if v.jobs == nil {
--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -10,7 +10,7 @@
 // fit. When many owners compete for the same capacity, every choice in vain would otherwise cost a record in
 // the state service. Whether the start is accepted is decided by
 // Start alone.
-func (a *Agent) Reserve(s Start) {
+func (a *Registry) Reserve(s Start) {
 	m := a.hosted[s.Machine]
 	if m == nil {
 		return
@@ -29,7 +29,7 @@
 }
 
 // rejectionReason returns why a start cannot be accepted now; it is empty if it can.
-func (a *Agent) rejectionReason(m *machine, s Start, j *job.Job) string {
+func (a *Registry) rejectionReason(m *machine, s Start, j *job.Job) string {
 	typ, known := a.config.Type(m.view.Type)
 	switch {
 	case s.Session != m.view.Session:
@@ -54,7 +54,7 @@
 }
 
 // startBlocked returns why no start of the job may reach the machine, empty if one may.
-func (a *Agent) startBlocked(j *job.Job, v *View) string {
+func (a *Registry) startBlocked(j *job.Job, v *View) string {
 	if a.config.Barred == nil {
 		return ""
 	}
@@ -63,7 +63,7 @@
 
 // updateViewSoon schedules updateView, once for several changes that come together: the starts of a large job reach a
 // machine one after another.
-func (a *Agent) updateViewSoon(m *machine) {
+func (a *Registry) updateViewSoon(m *machine) {
 	if m.refreshScheduled {
 		return
 	}
@@ -77,7 +77,7 @@
 }
 
 // Start accepts an owner's start, or rejects it and tells the owner.
-func (a *Agent) Start(s Start) {
+func (a *Registry) Start(s Start) {
 	m := a.hosted[s.Machine]
 	k := delivery.Attempt{Task: s.Task, Number: s.Attempt}
 	wall := a.runner.Wall()
@@ -128,7 +128,7 @@
 }
 
 // Stop accepts a request to stop or forget a task on a hosted machine.
-func (a *Agent) Stop(s Stop) {
+func (a *Registry) Stop(s Stop) {
 	m := a.hosted[s.Machine]
 	if m == nil {
 		return
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -30,7 +30,7 @@
 	Foreign func(team string) bool
 	Counts  func(*job.Job) job.Counts
 	Jobs    *job.Registry
-	Agent   *agent.Agent
+	Agent   *agent.Registry
 	// API serves what stands beside the protocol: /v1/ and /metrics; nil: nothing does.
 	API fasthttp.RequestHandler
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -41,7 +41,7 @@
 	member   *member.Member
 	jobs     *job.Registry
 	cordons  *cordon.Book
-	agent    *agent.Agent
+	agent    *agent.Registry
 	placer   *placer.Placer
 	rental   *rental.Rental
 	net      *peer.Net
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -31,7 +31,7 @@
 type rig struct {
 	*standin.Stepped
 	p        *Placer
-	a        *agent.Agent
+	a        *agent.Registry
 	registry *job.Registry
 	mirror   *store.Mirror
 	state    *standin.State
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -65,7 +65,7 @@
 	n        Node
 	registry *job.Registry
 	cordons  *cordon.Book
-	agent    *agent.Agent
+	agent    *agent.Registry
 	// partitions are those that this node owns, and teams what was assigned to them.
 	partitions map[partition.ID]*ownedPartition
 	teams      map[string]*team
@@ -93,7 +93,7 @@
 }
 
 // New makes the placer.
-func New(r loop.Runner, c *store.Client, log *slog.Logger, cfg *config.Config, n Node, registry *job.Registry, a *agent.Agent, cordons *cordon.Book) *Placer {
+func New(r loop.Runner, c *store.Client, log *slog.Logger, cfg *config.Config, n Node, registry *job.Registry, a *agent.Registry, cordons *cordon.Book) *Placer {
 	p := &Placer{r: r, cordons: cordons, c: c, log: log, cfg: cfg, n: n, registry: registry, agent: a, partitions: map[partition.ID]*ownedPartition{}, teams: map[string]*team{},
 		valueLimit: int(cfg.Cluster.State.ValueKB * 1024 * valuePart),
 		on:         map[string]*machineTasks{},
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -98,7 +98,7 @@
 	c        *store.Client
 	m        *store.Mirror
 	cloud    store.Doer
-	agent    *agent.Agent
+	agent    *agent.Registry
 	n        Node
 	leads    bool
 	claim    member.Owner
@@ -135,7 +135,7 @@
 }
 
 // New makes the rental slice.
-func New(r loop.Runner, log *slog.Logger, cfg *config.Config, c *store.Client, m *store.Mirror, cloud store.Doer, a *agent.Agent, n Node) *Rental {
+func New(r loop.Runner, log *slog.Logger, cfg *config.Config, c *store.Client, m *store.Mirror, cloud store.Doer, a *agent.Registry, n Node) *Rental {
 	t := &Rental{r: r, log: log, cfg: cfg, c: c, m: m, cloud: cloud, agent: a, n: n, byName: map[string]wire.MachineType{}, rand: loop.Rand(r),
 		tallies: map[string]peer.Tally{}, darkAt: map[string]loop.Micros{}, tallyAt: map[string]loop.Micros{}, deleted: map[string][]string{}, boots: explain.NewDist()}
 	w := cfg.Cluster.Workers
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -24,7 +24,7 @@
 type rig struct {
 	*standin.Stepped
 	t        *Rental
-	a        *agent.Agent
+	a        *agent.Registry
 	cloud    *standin.Cloud
 	calls    []string
 	entitled bool
