--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -16,8 +16,8 @@
 // event loop.
 type Direct func(addr string, c wire.Commands, timeout time.Duration) store.Response
 
-// Host holds the settings and callbacks that the registry needs from its controller.
-type Host struct {
+// Config holds the settings and callbacks that the registry needs from its controller.
+type Config struct {
 	Label string // name of this controller
 	// Life is the incarnation of this process; no earlier or later run has the same.
 	Life loop.Micros
@@ -60,7 +60,7 @@
 type Registry struct {
 	runner     loop.Runner
 	log        *slog.Logger
-	config     Host
+	config     Config
 	sendDirect Direct
 	hosted     map[string]*machine
 	views      map[string]*View
@@ -71,7 +71,7 @@
 }
 
 // New makes an empty registry.
-func New(r loop.Runner, log *slog.Logger, h Host, direct Direct) *Registry {
+func New(r loop.Runner, log *slog.Logger, h Config, direct Direct) *Registry {
 	a := &Registry{runner: r, log: log, config: h, sendDirect: direct, hosted: map[string]*machine{}, views: map[string]*View{}, deleted: map[string]bool{}, redirects: map[string]redirect{}}
 	loop.Every(r, 500*loop.Millisecond, a.tick)
 	return a
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -50,7 +50,7 @@
 	g := &testRegistry{manualLoop: &manualLoop{now: 1000 * loop.Second}, epoch: 5}
 	spec := &job.Spec{Team: "t", Tasks: 9, CPUs: 2, MemoryGB: 1, AnyType: true}
 	j := &job.Job{ID: "job-1", Phase: job.Accepted, Spec: spec, Tasks: 9}
-	g.a = New(g, slog.New(slog.NewTextHandler(io.Discard, nil)), Host{
+	g.a = New(g, slog.New(slog.NewTextHandler(io.Discard, nil)), Config{
 		Label: "a", MayAnswer: func() (bool, string) { return true, "" }, MayStart: func() bool { return true },
 		SendOn: func(string, int) (bool, string, loop.Micros) { return false, "", 0 }, Epoch: func() uint64 { return g.epoch },
 		Raise: func(done func()) { g.epoch += 2; done() },
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -129,7 +129,7 @@
 	n.net.Earlier = func(string) { n.meter.EarlierFrame() }
 	n.overlook()
 	n.watchStalls()
-	n.agent = agent.New(l, log, agent.Host{
+	n.agent = agent.New(l, log, agent.Config{
 		Label:     cfg.Label,
 		Life:      n.net.Life,
 		MayAnswer: n.mayAnswer,
