--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -12,9 +12,9 @@
 	"cleatpick/internal/wire"
 )
 
-// Direct sends commands straight to a worker, outside the answer to a report. It blocks and is called off the
+// DirectSender sends commands straight to a worker, outside the answer to a report. It blocks and is called off the
 // event loop.
-type Direct func(addr string, c wire.Commands, timeout time.Duration) store.Response
+type DirectSender func(addr string, c wire.Commands, timeout time.Duration) store.Response
 
 // Config holds the settings and callbacks that the registry needs from its controller.
 type Config struct {
@@ -61,7 +61,7 @@
 	runner     loop.Runner
 	log        *slog.Logger
 	config     Config
-	sendDirect Direct
+	sendDirect DirectSender
 	hosted     map[string]*machine
 	views      map[string]*View
 	deleted    map[string]bool     // machines known to be deleted
@@ -71,7 +71,7 @@
 }
 
 // New makes an empty registry.
-func New(r loop.Runner, log *slog.Logger, h Config, direct Direct) *Registry {
+func New(r loop.Runner, log *slog.Logger, h Config, direct DirectSender) *Registry {
 	a := &Registry{runner: r, log: log, config: h, sendDirect: direct, hosted: map[string]*machine{}, views: map[string]*View{}, deleted: map[string]bool{}, redirects: map[string]redirect{}}
 	loop.Every(r, 500*loop.Millisecond, a.tick)
 	return a
