--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -19,8 +19,8 @@
 // Config holds the settings and callbacks that the registry needs from its controller.
 type Config struct {
 	Label string // name of this controller
-	// Life is the incarnation of this process; no earlier or later run has the same.
-	Life loop.Micros
+	// Incarnation is the incarnation of this process; no earlier or later run has the same.
+	Incarnation loop.Micros
 	// MayAnswer reports whether reports may be answered; if not, it returns the controller to which the worker
 	// is sent.
 	MayAnswer func() (ok bool, coach string)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -184,7 +184,7 @@
 // reject them, since a rejection says that the start will never be carried out.
 func TestStartForAnEarlierIncarnation(t *testing.T) {
 	g := newTestRegistry()
-	g.a.config.Life = 2
+	g.a.config.Incarnation = 2
 	token := g.report(t, 1, 0).Token
 	g.report(t, 2, token)
 	start := Start{Machine: "n-1", Session: 9, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*loop.Second, From: "a", Life: 1}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -130,15 +130,15 @@
 	n.overlook()
 	n.watchStalls()
 	n.agent = agent.New(l, log, agent.Config{
-		Label:     cfg.Label,
-		Life:      n.net.Life,
-		MayAnswer: n.mayAnswer,
-		MayStart:  n.mayStart,
-		SendOn:    n.sendOn,
-		Epoch:     n.member.Epoch,
-		Raise:     n.member.RaiseEpoch,
-		Type:      func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
-		Job:       n.jobs.Get,
+		Label:       cfg.Label,
+		Incarnation: n.net.Life,
+		MayAnswer:   n.mayAnswer,
+		MayStart:    n.mayStart,
+		SendOn:      n.sendOn,
+		Epoch:       n.member.Epoch,
+		Raise:       n.member.RaiseEpoch,
+		Type:        func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
+		Job:         n.jobs.Get,
 		Publish: func(news agent.News) {
 			n.net.All(func(e *peer.Envelope) {
 				e.Views = append(e.Views, news.Views...)
