--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -26,10 +26,10 @@
 	MayAnswer func() (ok bool, coach string)
 	// MayStart reports whether new starts may be passed on.
 	MayStart func() bool
-	// SendOn reports whether a worker should report to another controller, because reports that arrive here do
+	// Redirect reports whether a worker should report to another controller, because reports that arrive here do
 	// not reach the owners, and to which one. If the worker finds no other controller, it is answered here
 	// until again has passed since it was last sent on. before is how often it was sent on.
-	SendOn func(machine string, before int) (on bool, to string, again loop.Micros)
+	Redirect func(machine string, before int) (on bool, to string, again loop.Micros)
 	// Epoch returns the current epoch of this controller, the high part of the tokens that it issues.
 	Epoch func() uint64
 	// Raise obtains a newer epoch from the state service and calls done, also when it fails.
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -52,7 +52,7 @@
 	j := &job.Job{ID: "job-1", Phase: job.Accepted, Spec: spec, Tasks: 9}
 	g.a = New(g, slog.New(slog.NewTextHandler(io.Discard, nil)), Config{
 		Label: "a", MayAnswer: func() (bool, string) { return true, "" }, MayStart: func() bool { return true },
-		SendOn: func(string, int) (bool, string, loop.Micros) { return false, "", 0 }, Epoch: func() uint64 { return g.epoch },
+		Redirect: func(string, int) (bool, string, loop.Micros) { return false, "", 0 }, Epoch: func() uint64 { return g.epoch },
 		Raise: func(done func()) { g.epoch += 2; done() },
 		Type:  func(string) (wire.MachineType, bool) { return wire.MachineType{Name: "m", CPUs: 4, MemoryGB: 8}, true },
 		Job: func(id string) *job.Job {
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -18,7 +18,7 @@
 		return
 	}
 	was := a.redirects[r.Machine]
-	if on, to, again := a.config.SendOn(r.Machine, was.times); on && a.runner.Now()-was.at > again {
+	if on, to, again := a.config.Redirect(r.Machine, was.times); on && a.runner.Now()-was.at > again {
 		a.redirects[r.Machine] = redirect{a.runner.Now(), was.times + 1}
 		reply(Answer{421, wire.ReportTo{Node: to}})
 		return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -134,7 +134,7 @@
 		Incarnation: n.net.Life,
 		MayAnswer:   n.mayAnswer,
 		MayStart:    n.mayStart,
-		SendOn:      n.sendOn,
+		Redirect:    n.sendOn,
 		Epoch:       n.member.Epoch,
 		Raise:       n.member.RaiseEpoch,
 		Type:        func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
