--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -32,8 +32,8 @@
 	Redirect func(machine string, before int) (on bool, to string, again loop.Micros)
 	// Epoch returns the current epoch of this controller, the high part of the tokens that it issues.
 	Epoch func() uint64
-	// Raise obtains a newer epoch from the state service and calls done, also when it fails.
-	Raise func(done func())
+	// RaiseEpoch obtains a newer epoch from the state service and calls done, also when it fails.
+	RaiseEpoch func(done func())
 	// Type finds a machine type of the catalog.
 	Type func(name string) (wire.MachineType, bool)
 	// Job finds a job known here, nil if there is none.
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -57,7 +57,7 @@
 			// The worker obeys a token above all of ours. Only a token of a newer epoch is obeyed again.
 			a.setState(m, Raising)
 			before := epoch
-			a.config.Raise(func() {
+			a.config.RaiseEpoch(func() {
 				if a.config.Epoch() <= before {
 					reply(Answer{503, wire.Error{Error: "no epoch"}})
 					return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -136,7 +136,7 @@
 		MayStart:    n.mayStart,
 		Redirect:    n.sendOn,
 		Epoch:       n.member.Epoch,
-		Raise:       n.member.RaiseEpoch,
+		RaiseEpoch:  n.member.RaiseEpoch,
 		Type:        func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
 		Job:         n.jobs.Get,
 		Publish: func(news agent.News) {
