--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -34,8 +34,8 @@
 	Epoch func() uint64
 	// RaiseEpoch obtains a newer epoch from the state service and calls done, also when it fails.
 	RaiseEpoch func(done func())
-	// Type finds a machine type of the catalog.
-	Type func(name string) (wire.MachineType, bool)
+	// MachineType finds a machine type of the catalog.
+	MachineType func(name string) (wire.MachineType, bool)
 	// Job finds a job known here, nil if there is none.
 	Job func(id string) *job.Job
 	// Publish sends the changes of hosted machines to the peers.
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -53,8 +53,8 @@
 	g.a = New(g, slog.New(slog.NewTextHandler(io.Discard, nil)), Config{
 		Label: "a", MayAnswer: func() (bool, string) { return true, "" }, MayStart: func() bool { return true },
 		Redirect: func(string, int) (bool, string, loop.Micros) { return false, "", 0 }, Epoch: func() uint64 { return g.epoch },
-		RaiseEpoch: func(done func()) { g.epoch += 2; done() },
-		Type:       func(string) (wire.MachineType, bool) { return wire.MachineType{Name: "m", CPUs: 4, MemoryGB: 8}, true },
+		RaiseEpoch:  func(done func()) { g.epoch += 2; done() },
+		MachineType: func(string) (wire.MachineType, bool) { return wire.MachineType{Name: "m", CPUs: 4, MemoryGB: 8}, true },
 		Job: func(id string) *job.Job {
 			if id == j.ID {
 				return j
--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -30,7 +30,7 @@
 
 // rejectionReason returns why a start cannot be accepted now; it is empty if it can.
 func (a *Registry) rejectionReason(m *machine, s Start, j *job.Job) string {
-	typ, known := a.config.Type(m.view.Type)
+	typ, known := a.config.MachineType(m.view.Type)
 	switch {
 	case s.Session != m.view.Session:
 		return "another session"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -137,7 +137,7 @@
 		Redirect:    n.sendOn,
 		Epoch:       n.member.Epoch,
 		RaiseEpoch:  n.member.RaiseEpoch,
-		Type:        func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
+		MachineType: func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
 		Job:         n.jobs.Get,
 		Publish: func(news agent.News) {
 			n.net.All(func(e *peer.Envelope) {
