--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -36,8 +36,8 @@
 	RaiseEpoch func(done func())
 	// MachineType finds a machine type of the catalog.
 	MachineType func(name string) (wire.MachineType, bool)
-	// Job finds a job known here, nil if there is none.
-	Job func(id string) *job.Job
+	// FindJob finds a job known here, nil if there is none.
+	FindJob func(id string) *job.Job
 	// Publish sends the changes of hosted machines to the peers.
 	Publish func(News)
 	// Changed is called for every newer view, from any controller, with its differences from the view of the
@@ -157,13 +157,13 @@
 // Room returns the free capacity of a machine of type t; ok is false if it is not known, since a job on it is
 // not known here.
 func (a *Registry) Room(v *View, t wire.MachineType) (Room, bool) {
-	ok := v.resolve(a.config.Job)
+	ok := v.resolve(a.config.FindJob)
 	return Room{t.CPUs, t.GPUs, t.MemoryGB}.Less(v.used), ok
 }
 
 // Jobs returns the jobs of a view's tasks, in their order; nil where one is not known here.
 func (a *Registry) Jobs(v *View) []*job.Job {
-	v.lookUpJobs(a.config.Job)
+	v.lookUpJobs(a.config.FindJob)
 	return v.jobs
 }
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -55,7 +55,7 @@
 		Redirect: func(string, int) (bool, string, loop.Micros) { return false, "", 0 }, Epoch: func() uint64 { return g.epoch },
 		RaiseEpoch:  func(done func()) { g.epoch += 2; done() },
 		MachineType: func(string) (wire.MachineType, bool) { return wire.MachineType{Name: "m", CPUs: 4, MemoryGB: 8}, true },
-		Job: func(id string) *job.Job {
+		FindJob: func(id string) *job.Job {
 			if id == j.ID {
 				return j
 			}
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -143,7 +143,7 @@
 // jobOf finds the job of a task, nil if it is not known here.
 func (a *Registry) jobOf(task string) *job.Job {
 	id, _, _ := SplitTask(task)
-	return a.config.Job(id)
+	return a.config.FindJob(id)
 }
 
 // listPending lists in the view the starts that may still be carried out, and the reservations for starts to
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -138,7 +138,7 @@
 		Epoch:       n.member.Epoch,
 		RaiseEpoch:  n.member.RaiseEpoch,
 		MachineType: func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
-		Job:         n.jobs.Get,
+		FindJob:     n.jobs.Get,
 		Publish: func(news agent.News) {
 			n.net.All(func(e *peer.Envelope) {
 				e.Views = append(e.Views, news.Views...)
