--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -40,9 +40,9 @@
 	FindJob func(id string) *job.Job
 	// Publish sends the changes of hosted machines to the peers.
 	Publish func(News)
-	// Changed is called for every newer view, from any controller, with its differences from the view of the
+	// ViewChanged is called for every newer view, from any controller, with its differences from the view of the
 	// previous call for that machine.
-	Changed func(*View, *Changes)
+	ViewChanged func(*View, *Changes)
 	// Drop sends a rejection to the owner whose start is rejected.
 	Drop func(to string, d Drop)
 	// Barred returns why no start of the job may reach the machine now, apart from the job being final, for
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -170,5 +170,5 @@
 		v.shareWith(old, &c)
 	}
 	a.views[v.Name] = v
-	a.config.Changed(v, &c)
+	a.config.ViewChanged(v, &c)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -145,7 +145,7 @@
 				e.Deltas = append(e.Deltas, news.Deltas...)
 			})
 		},
-		Changed: func(v *agent.View, c *agent.Changes) {
+		ViewChanged: func(v *agent.View, c *agent.Changes) {
 			n.placer.View(v, c)
 			n.rental.View(v)
 		},
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -73,7 +73,7 @@
 	c := store.NewClient(g, g, log, 100, writeRPS, 1)
 	g.mirror = store.NewMirror(c, g, "c/")
 	g.registry = job.NewRegistry(g, c, g.mirror, log)
-	g.a = agent.New(g, log, agent.Config{Label: "a", FindJob: g.registry.Get, Changed: func(v *agent.View, c *agent.Changes) { g.p.View(v, c) }}, nil)
+	g.a = agent.New(g, log, agent.Config{Label: "a", FindJob: g.registry.Get, ViewChanged: func(v *agent.View, c *agent.Changes) { g.p.View(v, c) }}, nil)
 	g.p = New(g, c, log, cfg, Node{
 		Label: "a",
 		Type:  func(name string) (wire.MachineType, bool) { t, ok := types[name]; return t, ok },
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -58,7 +58,7 @@
 	g.cloud = standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.3, BootS: 4, Zones: []string{"x", "y"}}, each)
 	g.cloud.Up = func(l wire.Listed) { g.ups = append(g.ups, l) }
 	g.cloud.Gone = func(name string) { g.deleted = append(g.deleted, name) }
-	g.a = agent.New(g, log, agent.Config{Label: "a", FindJob: func(id string) *job.Job { return g.jobs[id] }, Changed: func(v *agent.View, _ *agent.Changes) { g.t.View(v) }}, nil)
+	g.a = agent.New(g, log, agent.Config{Label: "a", FindJob: func(id string) *job.Job { return g.jobs[id] }, ViewChanged: func(v *agent.View, _ *agent.Changes) { g.t.View(v) }}, nil)
 	g.t = New(g, log, cfg, c, m, g, g.a, Node{Close: func(string, peer.Close) {},
 		Unheard: func(z string) bool { return g.unheard || z == g.dark }, Entitled: func() bool { return g.entitled }, Isolated: func() bool { return g.isolated },
 		Faulty: func(string) bool { return false }, Probe: func(addr string) loss.Word { return cmp.Or(g.words[addr], g.word) }})
