--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -43,8 +43,8 @@
 	// ViewChanged is called for every newer view, from any controller, with its differences from the view of the
 	// previous call for that machine.
 	ViewChanged func(*View, *Changes)
-	// Drop sends a rejection to the owner whose start is rejected.
-	Drop func(to string, d Drop)
+	// SendRejection sends a rejection to the owner whose start is rejected.
+	SendRejection func(to string, d Drop)
 	// Barred returns why no start of the job may reach the machine now, apart from the job being final, for
 	// example a hold or a cordon; it is empty if none is. It may be nil.
 	Barred func(j *job.Job, v *View) string
