--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -45,9 +45,9 @@
 	ViewChanged func(*View, *Changes)
 	// SendRejection sends a rejection to the owner whose start is rejected.
 	SendRejection func(to string, d Drop)
-	// Barred returns why no start of the job may reach the machine now, apart from the job being final, for
+	// StartBlocked returns why no start of the job may reach the machine now, apart from the job being final, for
 	// example a hold or a cordon; it is empty if none is. It may be nil.
-	Barred func(j *job.Job, v *View) string
+	StartBlocked func(j *job.Job, v *View) string
 	// ClockTo is twice the bound on the error of a wall clock.
 	ClockTo loop.Micros
 	// Clock determines until when a start can still arrive.
--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -55,10 +55,10 @@
 
 // startBlocked returns why no start of the job may reach the machine, empty if one may.
 func (a *Registry) startBlocked(j *job.Job, v *View) string {
-	if a.config.Barred == nil {
+	if a.config.StartBlocked == nil {
 		return ""
 	}
-	return a.config.Barred(j, v)
+	return a.config.StartBlocked(j, v)
 }
 
 // updateViewSoon schedules updateView, once for several changes that come together: the starts of a large job reach a
