--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -83,7 +83,7 @@
 	wall := a.runner.Wall()
 	drop := func(why string) {
 		if m != nil {
-			m.rejected[k] = s.Expiry + a.config.ClockTo
+			m.rejected[k] = s.Expiry + a.config.ClockUncertainty
 		}
 		a.config.SendRejection(s.From, Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, Life: a.config.Incarnation})
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -152,10 +152,10 @@
 		SendRejection: func(to string, d agent.Drop) {
 			n.at(to, func() { l.Post(func() { n.placer.Drop(cfg.Label, d) }) }, func(e *peer.Envelope) { e.Drops = append(e.Drops, d) })
 		},
-		StartBlocked: n.barred,
-		ClockTo:      cfg.ClockDifference(),
-		Clock:        delivery.NewClock(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifeS)),
-		Meter:        n.meter,
+		StartBlocked:     n.barred,
+		ClockUncertainty: cfg.ClockDifference(),
+		Clock:            delivery.NewClock(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifeS)),
+		Meter:            n.meter,
 	}, n.commands)
 	n.placer = placer.New(l, n.client, log, cfg, placer.Node{
 		Label: cfg.Label,
