--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -77,8 +77,8 @@
 	return a
 }
 
-// Learn applies a view of a machine that reports to another controller.
-func (a *Registry) Learn(v *View) {
+// ApplyView applies a view of a machine that reports to another controller.
+func (a *Registry) ApplyView(v *View) {
 	if a.deleted[v.Name] || v.Host == a.config.Label || !v.newerThan(a.views[v.Name]) {
 		return
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -244,7 +244,7 @@
 			t.Fatalf("after a duplicate of report %d: settled: %v, list made after %d", r.Seq, v.Settled, v.At)
 		}
 	}
-	g.a.Learn(&View{Name: "n-1", Host: "b", Session: 1, Seq: 9, Settled: true, At: g.now})
+	g.a.ApplyView(&View{Name: "n-1", Host: "b", Session: 1, Seq: 9, Settled: true, At: g.now})
 	if take(g, report(1, 8, token)); status != 503 || g.a.View("n-1").Host != "b" || g.a.Hosted() != 0 {
 		t.Fatalf("a duplicate is answered %d, and the machine's host is %q", status, g.a.View("n-1").Host)
 	}
--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -260,7 +260,7 @@
 	if v == nil {
 		return true
 	}
-	a.Learn(v)
+	a.ApplyView(v)
 	return false
 }
 
--- a/internal/agent/delta_test.go
+++ b/internal/agent/delta_test.go
@@ -70,7 +70,7 @@
 			if !ok {
 				if rapid.IntRange(0, 4).Draw(t, "lost full") != 0 {
 					c := v
-					a.Learn(&c)
+					a.ApplyView(&c)
 				}
 				continue
 			}
@@ -106,7 +106,7 @@
 		t.Fatal("a late delta replaced the view by an older one")
 	case want != nil && lost:
 		c := *want // the full view is requested
-		a.Learn(&c)
+		a.ApplyView(&c)
 	case want != nil:
 		h, w := *have, *want
 		h.jobs, w.jobs, h.used, w.used, h.resolved, w.resolved = nil, nil, Room{}, Room{}, false, false
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -15,7 +15,7 @@
 	n.member.LearnTeams(e.Teams)
 	for _, v := range e.Views {
 		if v != nil && v.Name != "" {
-			n.agent.Learn(v)
+			n.agent.ApplyView(v)
 		}
 	}
 	n.deltas(e)
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -73,7 +73,7 @@
 }
 
 func (g *rig) hear(name, zone string) {
-	g.a.Learn(&agent.View{Name: name, Addr: name, Type: "m8", Zone: zone, Host: "b", Session: 1, Seq: uint64(g.Now()), Settled: true, At: g.Now(), Tasks: g.runs})
+	g.a.ApplyView(&agent.View{Name: name, Addr: name, Type: "m8", Zone: zone, Host: "b", Session: 1, Seq: uint64(g.Now()), Settled: true, At: g.Now(), Tasks: g.runs})
 }
 
 func count(calls []string, part string) (n int) {
@@ -117,7 +117,7 @@
 	for k := range 60 {
 		g.hear("n-900001", "x") // its neighbour lives
 		if g.Run(500 * loop.Millisecond); k%3 == 0 {
-			g.a.Learn(&agent.View{Name: "n-900000", Addr: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), Tasks: g.runs})
+			g.a.ApplyView(&agent.View{Name: "n-900000", Addr: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), Tasks: g.runs})
 		}
 		if gone := g.a.IsGone("n-900000"); gone && k < 20 || !gone && k > 44 { // a lease of 10 s, and 9 s and a call
 			t.Fatalf("after %d ms the machine is gone %v", 500*k, gone)
@@ -167,7 +167,7 @@
 		v := &agent.View{Name: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), Settled: true, At: g.Now()}
 		v.Closed = len(closed) > 0 && seen
 		seen = len(closed) > 0
-		g.a.Learn(v)
+		g.a.ApplyView(v)
 		g.Run(500 * loop.Millisecond)
 		if g.a.IsGone("n-900000") {
 			break
