--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -243,9 +243,9 @@
 	}
 }
 
-// LearnDelta applies a delta of a machine that reports to another controller. It returns true if the full view
+// ApplyDelta applies a delta of a machine that reports to another controller. It returns true if the full view
 // must be requested, since the delta does not apply to the view known here.
-func (a *Registry) LearnDelta(from string, d *Delta) (lost bool) {
+func (a *Registry) ApplyDelta(from string, d *Delta) (lost bool) {
 	if a.deleted[d.Name] || from == a.config.Label {
 		return false
 	}
--- a/internal/agent/delta_test.go
+++ b/internal/agent/delta_test.go
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	before := a.View(d.Name)
-	lost := a.LearnDelta("b", d)
+	lost := a.ApplyDelta("b", d)
 	have := a.View(d.Name)
 	switch {
 	case want == nil && before != nil && have != before && have.Rev <= before.Rev && have.Session == before.Session:
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -59,7 +59,7 @@
 func (n *Node) deltas(e *peer.Envelope) {
 	var lost []string
 	for _, d := range e.Deltas {
-		if d != nil && d.Name != "" && n.agent.LearnDelta(e.From, d) {
+		if d != nil && d.Name != "" && n.agent.ApplyDelta(e.From, d) {
 			lost = append(lost, d.Name)
 		}
 	}
