--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// Check asks a hosted machine's worker for a task list that is certainly made after this call.
-func (a *Registry) Check(name string) {
+// RequestTaskList asks a hosted machine's worker for a task list that is certainly made after this call.
+func (a *Registry) RequestTaskList(name string) {
 	if m := a.hosted[name]; m != nil {
 		m.wantTaskList = true
 		a.sendCommandsSoon(m)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -110,7 +110,7 @@
 	}
 	g.resp = store.Response{Status: 200, Body: wire.Marshal(wire.Report{Machine: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 4, Token: token})}
 	asked := g.now
-	g.a.Check("n-1")
+	g.a.RequestTaskList("n-1")
 	g.runWork()
 	if at := g.a.View("n-1").At; at != asked {
 		t.Fatalf("a requested list counts as made after %d, want %d", at, asked)
@@ -264,7 +264,7 @@
 	token := g.report(t, 1, 0).Token
 	g.report(t, 2, token, run)
 	g.resp = store.Response{Status: 200, Body: wire.Marshal(wire.Report{Machine: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 4, Token: token, Tasks: []wire.ReportTask{run}})}
-	g.a.Check("n-1")
+	g.a.RequestTaskList("n-1")
 	g.runWork()
 	if c := g.report(t, 3, token, run); len(c.Commands) != 0 {
 		t.Fatalf("the overtaken report is answered with %v although the job is not final", c.Commands)
@@ -287,7 +287,7 @@
 	}
 	g.a.jobOf("job-1/0").Phase = job.Cancelled
 	g.resp = store.Response{Status: 200, Body: wire.Marshal(wire.Report{Machine: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 3, Token: token})}
-	g.a.Check("n-1")
+	g.a.RequestTaskList("n-1")
 	g.runWork()
 	for _, c := range g.sent {
 		if len(c.Commands) != 0 {
--- a/internal/agent/forget_test.go
+++ b/internal/agent/forget_test.go
@@ -52,7 +52,7 @@
 	forget := func(after loop.Micros) {
 		g.now += after
 		g.a.Stop(Stop{Machine: "n-1", Task: "job-1/0", Attempt: 5, Forget: true})
-		g.a.Check("n-1")
+		g.a.RequestTaskList("n-1")
 		g.runWork()
 	}
 	forget(130 * loop.Millisecond)
@@ -112,14 +112,14 @@
 		}, 0},
 		{"the worker shows a lower token", func(g *testRegistry, token uint64) []wire.Commands {
 			g.resp = store.Response{Err: io.ErrUnexpectedEOF}
-			g.a.Check("n-1")
+			g.a.RequestTaskList("n-1")
 			g.runWork() // the outcome is unknown, so the token is raised
 			g.now += long
 			return []wire.Commands{g.report(t, 3, token, ended(1))}
 		}, 0},
 		{"the worker shows the raised token", func(g *testRegistry, token uint64) []wire.Commands {
 			g.resp = store.Response{Err: io.ErrUnexpectedEOF}
-			g.a.Check("n-1")
+			g.a.RequestTaskList("n-1")
 			g.runWork()
 			g.now += long
 			return []wire.Commands{g.report(t, 3, token+1, ended(1))}
@@ -128,7 +128,7 @@
 			g.now += long
 			g.answersDirect(4, token, ended(1))
 			g.duringDirect = func() { out = append(out, g.report(t, 3, token, ended(1))) }
-			g.a.Check("n-1")
+			g.a.RequestTaskList("n-1")
 			g.sent = nil
 			g.runWork()
 			return out // without the commands of the direct command itself
@@ -142,7 +142,7 @@
 			g.now += long
 			g.hostedMachine().startsInAnswer[delivery.Attempt{Task: "job-1/0", Number: 1}] = struct{}{}
 			g.answersDirect(5, token, ended(1))
-			g.a.Check("n-1")
+			g.a.RequestTaskList("n-1")
 			g.runWork()
 			before := len(g.sent)
 			late := g.report(t, 4, token, ended(1)) // proves that the answer arrived
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -164,7 +164,7 @@
 			n.at(host, func() { n.agent.Start(s) }, func(e *peer.Envelope) { e.Starts = append(e.Starts, s) })
 		},
 		Check: func(host, machine string) {
-			n.at(host, func() { n.agent.Check(machine) }, func(e *peer.Envelope) { e.Checks = append(e.Checks, machine) })
+			n.at(host, func() { n.agent.RequestTaskList(machine) }, func(e *peer.Envelope) { e.Checks = append(e.Checks, machine) })
 		},
 		Reserve: func(host string, s agent.Start) {
 			n.at(host, func() { n.agent.Reserve(s) }, func(e *peer.Envelope) { e.Reserves = append(e.Reserves, s) })
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -26,7 +26,7 @@
 		n.agent.Stop(s)
 	}
 	for _, name := range e.Checks {
-		n.agent.Check(name)
+		n.agent.RequestTaskList(name)
 	}
 	for _, s := range e.Reserves {
 		n.agent.Reserve(s)
