--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// Close blocks starts on a hosted machine until a wall-clock time; a time in the past allows them again.
-func (a *Registry) Close(name string, until loop.Micros) {
+// CloseToStarts blocks starts on a hosted machine until a wall-clock time; a time in the past allows them again.
+func (a *Registry) CloseToStarts(name string, until loop.Micros) {
 	m := a.hosted[name]
 	if m == nil {
 		return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -196,7 +196,7 @@
 	}, n.jobs, n.agent, n.cordons)
 	n.rental = rental.New(l, log, cfg, n.client, n.mirror, out.Cloud, n.agent, rental.Node{
 		Close: func(host string, c peer.Close) {
-			n.at(host, func() { n.agent.Close(c.Machine, c.Until) }, func(e *peer.Envelope) { e.Closes = append(e.Closes, c) })
+			n.at(host, func() { n.agent.CloseToStarts(c.Machine, c.Until) }, func(e *peer.Envelope) { e.Closes = append(e.Closes, c) })
 		},
 		Unheard: func(zone string) bool {
 			for _, p := range cfg.Known {
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -20,7 +20,7 @@
 	}
 	n.deltas(e)
 	for _, c := range e.Closes {
-		n.agent.Close(c.Machine, c.Until)
+		n.agent.CloseToStarts(c.Machine, c.Until)
 	}
 	for _, s := range e.Stops {
 		n.agent.Stop(s)
