--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// Gone records that a machine was deleted, with everything that ran on it.
-func (a *Registry) Gone(name string) {
+// MarkDeleted records that a machine was deleted, with everything that ran on it.
+func (a *Registry) MarkDeleted(name string) {
 	if a.deleted[name] {
 		return
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -249,7 +249,7 @@
 		t.Fatalf("a duplicate is answered %d, and the machine's host is %q", status, g.a.View("n-1").Host)
 	}
 	// After the machine was deleted.
-	g.a.Gone("n-1")
+	g.a.MarkDeleted("n-1")
 	if take(g, report(1, 10, token)); status != 503 || g.a.View("n-1") != nil {
 		t.Fatalf("a duplicate makes a deleted machine known again: %+v", g.a.View("n-1"))
 	}
--- a/internal/rental/deletion.go
+++ b/internal/rental/deletion.go
@@ -107,7 +107,7 @@
 		t.losses.Forget(name)
 	}
 	if !t.agent.IsGone(name) {
-		t.agent.Gone(name)
+		t.agent.MarkDeleted(name)
 		if t.OnGone != nil {
 			t.OnGone(name)
 		}
