--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// IsGone reports whether the machine is known to be deleted.
-func (a *Registry) IsGone(name string) bool { return a.deleted[name] }
+// IsDeleted reports whether the machine is known to be deleted.
+func (a *Registry) IsDeleted(name string) bool { return a.deleted[name] }
 
 // View returns the newest view of a machine, nil if none ever arrived.
 func (a *Registry) View(name string) *View { return a.views[name] }
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -89,7 +89,7 @@
 // sweep repeats stops of jobs that are over, and frees what was on deleted machines.
 func (p *Placer) sweep() {
 	for m, on := range loop.Sorted(p.on) {
-		gone := p.agent.IsGone(m)
+		gone := p.agent.IsDeleted(m)
 		due := map[ref]struct{}{} // little of what runs is ever due
 		for r := range on.all {
 			if gone || r.t.j.Final() {
--- a/internal/rental/deletion.go
+++ b/internal/rental/deletion.go
@@ -106,7 +106,7 @@
 		t.byOrder = nil
 		t.losses.Forget(name)
 	}
-	if !t.agent.IsGone(name) {
+	if !t.agent.IsDeleted(name) {
 		t.agent.MarkDeleted(name)
 		if t.OnGone != nil {
 			t.OnGone(name)
--- a/internal/rental/machine.go
+++ b/internal/rental/machine.go
@@ -48,7 +48,7 @@
 }
 
 func (t *Rental) adopt(name, typ, zone string, spot bool) *machine {
-	if t.agent.IsGone(name) {
+	if t.agent.IsDeleted(name) {
 		return nil
 	}
 	m := t.machines[name]
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -119,7 +119,7 @@
 		if g.Run(500 * loop.Millisecond); k%3 == 0 {
 			g.a.ApplyView(&agent.View{Name: "n-900000", Addr: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), Tasks: g.runs})
 		}
-		if gone := g.a.IsGone("n-900000"); gone && k < 20 || !gone && k > 44 { // a lease of 10 s, and 9 s and a call
+		if gone := g.a.IsDeleted("n-900000"); gone && k < 20 || !gone && k > 44 { // a lease of 10 s, and 9 s and a call
 			t.Fatalf("after %d ms the machine is gone %v", 500*k, gone)
 		}
 	}
@@ -169,12 +169,12 @@
 		seen = len(closed) > 0
 		g.a.ApplyView(v)
 		g.Run(500 * loop.Millisecond)
-		if g.a.IsGone("n-900000") {
+		if g.a.IsDeleted("n-900000") {
 			break
 		}
 	}
-	if len(closed) == 0 || !g.a.IsGone("n-900000") {
-		t.Fatalf("closed %d times, gone %v", len(closed), g.a.IsGone("n-900000"))
+	if len(closed) == 0 || !g.a.IsDeleted("n-900000") {
+		t.Fatalf("closed %d times, gone %v", len(closed), g.a.IsDeleted("n-900000"))
 	}
 }
 
@@ -185,18 +185,18 @@
 	g.Run(3 * loop.Second)
 	g.hear("n-900000", "x")
 	g.Run(25 * loop.Second) // silent from now on
-	if !g.a.IsGone("n-900000") || len(g.t.m.Under(GoneKeys)) != 1 {
-		t.Fatalf("gone %v, records %v", g.a.IsGone("n-900000"), g.t.m.Under(GoneKeys))
+	if !g.a.IsDeleted("n-900000") || len(g.t.m.Under(GoneKeys)) != 1 {
+		t.Fatalf("gone %v, records %v", g.a.IsDeleted("n-900000"), g.t.m.Under(GoneKeys))
 	}
 	g.Run(keepGone + 120*loop.Second)
-	if n := len(g.t.m.Under(GoneKeys)); n != 0 || g.a.IsGone("n-900000") {
-		t.Fatalf("%d records are left, gone %v", n, g.a.IsGone("n-900000"))
+	if n := len(g.t.m.Under(GoneKeys)); n != 0 || g.a.IsDeleted("n-900000") {
+		t.Fatalf("%d records are left, gone %v", n, g.a.IsDeleted("n-900000"))
 	}
 	for range 80 {
 		g.t.Tally("b", peer.Tally{Wall: g.Now(), Suspect: []string{"n-900000"}})
 		g.Run(500 * loop.Millisecond)
 	}
-	if !g.a.IsGone("n-900000") {
+	if !g.a.IsDeleted("n-900000") {
 		t.Fatal("a suspect machine was not proven deleted again")
 	}
 }
