--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -140,9 +140,9 @@
 	delete(a.views, name)
 }
 
-// Forget drops the memory of deleted machines. If a delayed message makes one of them known again, it is found
+// ForgetDeleted drops the memory of deleted machines. If a delayed message makes one of them known again, it is found
 // not to report and is deleted once more.
-func (a *Registry) Forget(names []string) {
+func (a *Registry) ForgetDeleted(names []string) {
 	for _, name := range names {
 		delete(a.deleted, name)
 	}
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -155,7 +155,7 @@
 	m.On(GoneKeys, func(key string, e store.Entry) {
 		var rec GoneRecord
 		if e.Mark == 0 {
-			a.Forget(t.deleted[key])
+			a.ForgetDeleted(t.deleted[key])
 			delete(t.deleted, key)
 			return
 		}
