--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -154,9 +154,9 @@
 // View returns the newest view of a machine, nil if none ever arrived.
 func (a *Registry) View(name string) *View { return a.views[name] }
 
-// Room returns the free capacity of a machine of type t; ok is false if it is not known, since a job on it is
+// FreeCapacity returns the free capacity of a machine of type t; ok is false if it is not known, since a job on it is
 // not known here.
-func (a *Registry) Room(v *View, t wire.MachineType) (Room, bool) {
+func (a *Registry) FreeCapacity(v *View, t wire.MachineType) (Room, bool) {
 	ok := v.resolve(a.config.FindJob)
 	return Room{t.CPUs, t.GPUs, t.MemoryGB}.Less(v.used), ok
 }
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -102,7 +102,7 @@
 		checked: map[string]loop.Micros{}, paces: health.Paces{}, reserve: starvation.New()}
 	p.clock = delivery.NewClock(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifeS))
 	p.expiries = delivery.NewExpiries(p.clock)
-	p.fleet = fleet.New(r, log, fleet.Node{Label: n.Label, Type: n.Type, Room: a.Room, Jobs: a.Jobs, Unshown: p.unshown, Stop: n.Stop,
+	p.fleet = fleet.New(r, log, fleet.Node{Label: n.Label, Type: n.Type, Room: a.FreeCapacity, Jobs: a.Jobs, Unshown: p.unshown, Stop: n.Stop,
 		Cordons: cordons, StaleAfter: p.staleAfter()})
 	loop.Every(r, 400*loop.Millisecond, p.tick)
 	loop.Every(r, 60*loop.Second, func() {
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -98,7 +98,7 @@
 		if m == nil || v == nil || m.state != Up {
 			return
 		}
-		if room, ok := t.agent.Room(v, t.byName[m.typ]); ok {
+		if room, ok := t.agent.FreeCapacity(v, t.byName[m.typ]); ok {
 			out = append(out, &comingMachine{offer{m.typ, m.zone, m.spot}, room})
 		}
 	})
--- a/internal/rental/spare.go
+++ b/internal/rental/spare.go
@@ -43,7 +43,7 @@
 		if !ok || v == nil || v.NoticeAt != 0 || (m.state != Up && m.state != Draining) {
 			continue
 		}
-		room, ok := t.agent.Room(v, typ)
+		room, ok := t.agent.FreeCapacity(v, typ)
 		if !ok {
 			continue
 		}
