--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -167,8 +167,8 @@
 	return v.jobs
 }
 
-// Views calls f for the newest view of every machine that is not deleted, in the order of names.
-func (a *Registry) Views(f func(*View)) {
+// EachView calls f for the newest view of every machine that is not deleted, in the order of names.
+func (a *Registry) EachView(f func(*View)) {
 	for _, v := range loop.Sorted(a.views) {
 		f(v)
 	}
--- a/internal/placer/load.go
+++ b/internal/placer/load.go
@@ -194,7 +194,7 @@
 		}
 	}
 	if len(segments) > 0 { // without records nothing of these teams is on any machine
-		p.agent.Views(func(v *agent.View) { p.View(v, &agent.Changes{All: true}) })
+		p.agent.EachView(func(v *agent.View) { p.View(v, &agent.Changes{All: true}) })
 	}
 	p.Kick()
 }
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -148,11 +148,11 @@
 func (g *rig) plainPlace() map[string]string {
 	out := map[string]string{}
 	rooms := map[string]agent.Room{}
-	g.a.Views(func(v *agent.View) { rooms[v.Name] = g.plainRoom(v.Name) })
+	g.a.EachView(func(v *agent.View) { rooms[v.Name] = g.plainRoom(v.Name) })
 	cpus := map[string]float64{}
 	least := 1e9
 	cost := map[string]float64{}
-	g.a.Views(func(v *agent.View) {
+	g.a.EachView(func(v *agent.View) {
 		typ := types[v.Type]
 		cost[v.Name] = typ.Price / typ.CPUs
 		if v.Spot {
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -122,7 +122,7 @@
 
 // evict lets tasks save before a spot machine is taken, or one that is not needed is given back.
 func (p *Placer) evict(now, wall loop.Micros) {
-	p.agent.Views(func(v *agent.View) {
+	p.agent.EachView(func(v *agent.View) {
 		if v.NoticeAt == 0 && !v.Closed {
 			return
 		}
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -220,7 +220,7 @@
 			}
 		}
 	}
-	t.agent.Views(t.View)
+	t.agent.EachView(t.View)
 	t.log.Info("leading", "orders", len(t.orders), "machines", len(t.machines))
 }
 
