--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -174,5 +174,5 @@
 	}
 }
 
-// Hosted returns the number of machines that report to this controller.
-func (a *Registry) Hosted() int { return len(a.hosted) }
+// HostedCount returns the number of machines that report to this controller.
+func (a *Registry) HostedCount() int { return len(a.hosted) }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -245,7 +245,7 @@
 		}
 	}
 	g.a.ApplyView(&View{Name: "n-1", Host: "b", Session: 1, Seq: 9, Settled: true, At: g.now})
-	if take(g, report(1, 8, token)); status != 503 || g.a.View("n-1").Host != "b" || g.a.Hosted() != 0 {
+	if take(g, report(1, 8, token)); status != 503 || g.a.View("n-1").Host != "b" || g.a.HostedCount() != 0 {
 		t.Fatalf("a duplicate is answered %d, and the machine's host is %q", status, g.a.View("n-1").Host)
 	}
 	// After the machine was deleted.
--- a/internal/node/addition_hand_test.go
+++ b/internal/node/addition_hand_test.go
@@ -129,7 +129,7 @@
 func TestNodeThatIsLeftKeepsItsWorkers(t *testing.T) {
 	for _, nodes := range []int{3, 5} {
 		w := handWorld(t, nodes)
-		left := slices.MaxFunc(w.labels, func(a, b string) int { return w.nodes[a].n.agent.Hosted() - w.nodes[b].n.agent.Hosted() })
+		left := slices.MaxFunc(w.labels, func(a, b string) int { return w.nodes[a].n.agent.HostedCount() - w.nodes[b].n.agent.HostedCount() })
 		var mine []string
 		for _, name := range w.present() {
 			if v := w.nodes[left].n.agent.View(name); v != nil && v.Host == left {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -294,7 +294,7 @@
 	if n.mirror.Ready() {
 		n.client.Use(admission.Part(n.member.Nodes(), n.cfg.Cluster.Nodes, n.member.Entitled()))
 	}
-	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.contact() && n.member.Entitled(), Hosted: n.agent.Hosted(), Hears: []string{}}
+	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.contact() && n.member.Entitled(), Hosted: n.agent.HostedCount(), Hears: []string{}}
 	for _, label := range n.net.Peers() {
 		if n.reach.Heard(label, reach.Fresh) {
 			s.Hears = append(s.Hears, label)
--- a/internal/node/together_test.go
+++ b/internal/node/together_test.go
@@ -316,7 +316,7 @@
 	w.run(3680 * loop.Second)
 	hosted := 0
 	for _, l := range w.labels {
-		hosted += w.nodes[l].n.agent.Hosted()
+		hosted += w.nodes[l].n.agent.HostedCount()
 	}
 	if hosted != len(names) || len(w.present()) != len(names) {
 		t.Errorf("%d machines have a host and %d are there, of %d", hosted, len(w.present()), len(names))
