--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -264,9 +264,9 @@
 	return false
 }
 
-// Full returns the newest published views of hosted machines, for a peer that lacks the views to which deltas
+// FullViews returns the newest published views of hosted machines, for a peer that lacks the views to which deltas
 // apply.
-func (a *Registry) Full(names []string) (out []*View) {
+func (a *Registry) FullViews(names []string) (out []*View) {
 	for _, name := range names {
 		if m := a.hosted[name]; m != nil && m.published != nil {
 			out = append(out, m.published)
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -66,7 +66,7 @@
 	if len(lost) > 0 {
 		n.net.To(e.From, func(o *peer.Envelope) { o.Lost = append(o.Lost, lost...) })
 	}
-	if views := n.agent.Full(e.Lost); len(views) > 0 {
+	if views := n.agent.FullViews(e.Lost); len(views) > 0 {
 		n.net.To(e.From, func(o *peer.Envelope) { o.Views = append(o.Views, views...) })
 	}
 }
