--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -156,9 +156,9 @@
 
 // FreeCapacity returns the free capacity of a machine of type t; ok is false if it is not known, since a job on it is
 // not known here.
-func (a *Registry) FreeCapacity(v *View, t wire.MachineType) (Room, bool) {
+func (a *Registry) FreeCapacity(v *View, t wire.MachineType) (Capacity, bool) {
 	ok := v.resolve(a.config.FindJob)
-	return Room{t.CPUs, t.GPUs, t.MemoryGB}.Less(v.used), ok
+	return Capacity{t.CPUs, t.GPUs, t.MemoryGB}.Less(v.used), ok
 }
 
 // Jobs returns the jobs of a view's tasks, in their order; nil where one is not known here.
--- a/internal/agent/delta_test.go
+++ b/internal/agent/delta_test.go
@@ -109,7 +109,7 @@
 		a.ApplyView(&c)
 	case want != nil:
 		h, w := *have, *want
-		h.jobs, w.jobs, h.used, w.used, h.resolved, w.resolved = nil, nil, Room{}, Room{}, false, false
+		h.jobs, w.jobs, h.used, w.used, h.resolved, w.resolved = nil, nil, Capacity{}, Capacity{}, false, false
 		if len(h.Tasks) == len(w.Tasks) && len(h.Tasks) == 0 {
 			h.Tasks, w.Tasks = nil, nil
 		}
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -51,7 +51,7 @@
 	Reported loop.Micros `cbor:"17,keyasint,omitempty"`
 
 	jobs     []*job.Job // of Tasks, looked up once; nil where a job is not known here yet
-	used     Room       // capacity taken by active tasks and pending starts
+	used     Capacity   // capacity taken by active tasks and pending starts
 	resolved bool       // the jobs of all active tasks and pending starts were known here, so used is complete
 
 	// firstListed holds, for each of Tasks, the wall-clock time at which the host first saw the attempt listed. Only
@@ -75,7 +75,7 @@
 		return true
 	}
 	all := true
-	v.used = Room{}
+	v.used = Capacity{}
 	v.lookUpJobs(find)
 	for i := range v.Tasks {
 		j := v.jobs[i]
@@ -211,31 +211,31 @@
 // TaskName returns the name of a task.
 func TaskName(id string, index int) string { return id + "/" + strconv.Itoa(index) }
 
-// Room is an amount of capacity on a machine.
-type Room struct{ CPUs, GPUs, MemoryGB float64 }
+// Capacity is an amount of capacity on a machine.
+type Capacity struct{ CPUs, GPUs, MemoryGB float64 }
 
 // tolerance is the tolerance for rounding errors in sums of capacities.
 const tolerance = 1e-6
 
 // Fits reports whether a task of the job fits into the capacity.
-func (r *Room) Fits(s *job.Spec) bool {
+func (r *Capacity) Fits(s *job.Spec) bool {
 	return s.CPUs <= r.CPUs+tolerance && s.GPUs <= r.GPUs+tolerance && s.MemoryGB <= r.MemoryGB+tolerance
 }
 
 // Take subtracts the capacity that a task of the job needs.
-func (r *Room) Take(s *job.Spec) {
+func (r *Capacity) Take(s *job.Spec) {
 	r.CPUs -= s.CPUs
 	r.GPUs -= s.GPUs
 	r.MemoryGB -= s.MemoryGB
 }
 
 // Less returns the capacity that remains when used is subtracted.
-func (r Room) Less(used Room) Room {
-	return Room{r.CPUs - used.CPUs, r.GPUs - used.GPUs, r.MemoryGB - used.MemoryGB}
+func (r Capacity) Less(used Capacity) Capacity {
+	return Capacity{r.CPUs - used.CPUs, r.GPUs - used.GPUs, r.MemoryGB - used.MemoryGB}
 }
 
 // Give adds the capacity that a task of the job needs.
-func (r *Room) Give(s *job.Spec) {
+func (r *Capacity) Give(s *job.Spec) {
 	r.CPUs += s.CPUs
 	r.GPUs += s.GPUs
 	r.MemoryGB += s.MemoryGB
--- a/internal/fleet/claims.go
+++ b/internal/fleet/claims.go
@@ -25,7 +25,7 @@
 		return
 	}
 	sl.Claims = append(sl.Claims, gate.Claim{Job: c.Job, Priority: c.Priority, Until: c.Until, Had: sl.tasksOf(c.Job),
-		Room: agent.Room{CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB}})
+		Room: agent.Capacity{CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB}})
 	f.claimed[sl] = struct{}{}
 	f.held[c.Job]++
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -25,7 +25,7 @@
 	Label string
 	Type  func(string) (wire.MachineType, bool)
 	// Room is what a view leaves free, Jobs are the jobs of its tasks.
-	Room func(*agent.View, wire.MachineType) (agent.Room, bool)
+	Room func(*agent.View, wire.MachineType) (agent.Capacity, bool)
 	Jobs func(*agent.View) []*job.Job
 	// Unshown calls f for every task that was chosen for or started on the machine and
 	// that its view does not show yet.
@@ -191,7 +191,7 @@
 func (f *Fleet) refresh(sl *Slot) {
 	v := sl.V
 	typ, ok := f.n.Type(v.Type)
-	var room agent.Room
+	var room agent.Capacity
 	if ok {
 		room, ok = f.n.Room(v, typ)
 	}
--- a/internal/fleet/hold.go
+++ b/internal/fleet/hold.go
@@ -29,14 +29,14 @@
 	after := now - f.n.StaleAfter
 	type place struct {
 		sl   *Slot
-		left agent.Room // of an empty machine, beside what is kept there
-		own  int        // tasks of the team there
+		left agent.Capacity // of an empty machine, beside what is kept there
+		own  int            // tasks of the team there
 	}
 	var fit []place
 	s := need.Spec
 	for _, sl := range f.order {
 		if sl.typ.CPUs > 0 && sl.Open(after, now) && sl.Allowed(&n) {
-			left := agent.Room{CPUs: sl.typ.CPUs, GPUs: sl.typ.GPUs, MemoryGB: sl.typ.MemoryGB}
+			left := agent.Capacity{CPUs: sl.typ.CPUs, GPUs: sl.typ.GPUs, MemoryGB: sl.typ.MemoryGB}
 			for i := range sl.Claims {
 				left = left.Less(sl.Claims[i].Room)
 			}
--- a/internal/fleet/hold_test.go
+++ b/internal/fleet/hold_test.go
@@ -25,7 +25,7 @@
 		Type: func(string) (wire.MachineType, bool) {
 			return wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32}, true
 		},
-		Room: func(*agent.View, wire.MachineType) (agent.Room, bool) { return agent.Room{MemoryGB: 32}, true },
+		Room: func(*agent.View, wire.MachineType) (agent.Capacity, bool) { return agent.Capacity{MemoryGB: 32}, true },
 		Jobs: func(v *agent.View) (of []*job.Job) {
 			for _, x := range v.Tasks {
 				id, _, _ := agent.SplitTask(x.Task)
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -102,7 +102,7 @@
 	Waiting     int
 	InUse       int // tasks that may be on machines
 	Failing     Failing
-	Used        agent.Room // by its team; memory is not limited
+	Used        agent.Capacity // by its team; memory is not limited
 	Quota       config.Quota
 	Now, Wall   loop.Micros
 	ClockTo     loop.Micros // twice the bound on the time of day
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -74,7 +74,7 @@
 		j := &Job{Spec: &job.Spec{CPUs: float64(num("cpus", 1, 4)), GPUs: float64(num("gpus", 0, 1)), Gang: num("gang", 0, 3) == 0},
 			Hold: &job.Hold{}, Damaged: num("damaged", 0, 5) == 0, Waiting: num("waiting", 0, 9), InUse: num("in use", 0, 3),
 			Now: 100, Wall: 200, ClockTo: loop.Micros(num("clock", 0, 3)),
-			Used:        agent.Room{CPUs: float64(num("used", 0, 20)), GPUs: float64(num("used gpus", 0, 3))},
+			Used:        agent.Capacity{CPUs: float64(num("used", 0, 20)), GPUs: float64(num("used gpus", 0, 3))},
 			Quota:       config.Quota{CPUsMax: config.LimitOf(float64(num("max", 0, 24))), GPUsMax: config.LimitOf(float64(num("max gpus", 0, 4)))},
 			OnWithdrawn: []job.Policy{job.PolicyHold, job.PolicyRelease, job.PolicyCancel}[num("policy", 0, 2)]}
 		if yes("rests") {
@@ -154,14 +154,18 @@
 		{"scatter", func(p *Place, n *Need) { n.Spec.Spread, n.Zones = true, map[string]int{"x": 3} }},
 		{"", func(p *Place, n *Need) { n.Spec.Spread, n.Zones = true, map[string]int{"x": 2} }},
 		{"claimed", func(p *Place, _ *Need) {
-			p.Claims = []Claim{{Job: "other", Priority: 1, Room: agent.Room{CPUs: 3}}}
+			p.Claims = []Claim{{Job: "other", Priority: 1, Room: agent.Capacity{CPUs: 3}}}
+		}},
+		{"", func(p *Place, _ *Need) {
+			p.Claims = []Claim{{Job: "other", Priority: 0, Room: agent.Capacity{CPUs: 3}}}
+		}},
+		{"", func(p *Place, _ *Need) {
+			p.Claims = []Claim{{Job: "job-1", Priority: 3, Room: agent.Capacity{CPUs: 3}}}
 		}},
-		{"", func(p *Place, _ *Need) { p.Claims = []Claim{{Job: "other", Priority: 0, Room: agent.Room{CPUs: 3}}} }},
-		{"", func(p *Place, _ *Need) { p.Claims = []Claim{{Job: "job-1", Priority: 3, Room: agent.Room{CPUs: 3}}} }},
 	} {
 		s := *spec
 		s.Priority = 1
-		p := &Place{V: &agent.View{Type: "m", Zone: "x", Spot: true, Settled: true}, Known: true, Heard: 99, Room: agent.Room{CPUs: 4, GPUs: 1, MemoryGB: 8}}
+		p := &Place{V: &agent.View{Type: "m", Zone: "x", Spot: true, Settled: true}, Known: true, Heard: 99, Room: agent.Capacity{CPUs: 4, GPUs: 1, MemoryGB: 8}}
 		n := &Need{ID: "job-1", Spec: &s, Tasks: 5}
 		c.set(p, n)
 		names := p.Lacks(n, 50, 100).Names()
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -61,8 +61,8 @@
 // Place is a machine as the machine gates see it.
 type Place struct {
 	V        *agent.View
-	Known    bool       // its type and the jobs of its tasks are known here
-	Room     agent.Room // what is free
+	Known    bool           // its type and the jobs of its tasks are known here
+	Room     agent.Capacity // what is free
 	Heard    loop.Micros
 	Shut     loop.Micros // it rests until then
 	ShutWhy  string
@@ -74,7 +74,7 @@
 type Claim struct {
 	Job      string
 	Priority int
-	Room     agent.Room
+	Room     agent.Capacity
 	Until    loop.Micros // time of day
 	Had      int         // tasks of the job that the machine showed when it was made, or whose claims were used since
 }
@@ -150,7 +150,7 @@
 	return n.share(zone, more)
 }
 
-func short(room *agent.Room, s *job.Spec) (l Lack) {
+func short(room *agent.Capacity, s *job.Spec) (l Lack) {
 	if room.Fits(s) {
 		return 0
 	}
@@ -158,7 +158,7 @@
 		l    Lack
 		task job.Spec
 	}{{LackCPUs, job.Spec{CPUs: s.CPUs}}, {LackGPUs, job.Spec{GPUs: s.GPUs}}, {LackMemory, job.Spec{MemoryGB: s.MemoryGB}}} {
-		r := agent.Room{CPUs: max(room.CPUs, 0), GPUs: max(room.GPUs, 0), MemoryGB: max(room.MemoryGB, 0)}
+		r := agent.Capacity{CPUs: max(room.CPUs, 0), GPUs: max(room.GPUs, 0), MemoryGB: max(room.MemoryGB, 0)}
 		if !r.Fits(&x.task) {
 			l |= x.l
 		}
@@ -183,7 +183,7 @@
 
 // Beside is what a machine has free for a job beside the room that is kept for other
 // jobs of at least its priority.
-func (p *Place) Beside(n *Need) agent.Room {
+func (p *Place) Beside(n *Need) agent.Capacity {
 	r := p.Room
 	for i := range p.Claims {
 		if c := &p.Claims[i]; c.Job != n.ID && c.Priority >= int(n.Spec.Priority) {
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -13,7 +13,7 @@
 	tm := t.team
 	f := gate.Job{Spec: t.j.Spec, Hold: &t.j.Terms.Hold, After: p.deps(t.j), OnWithdrawn: t.j.Terms.OnCancelled, Damaged: t.damaged,
 		Waiting: t.waiting(), InUse: t.inUse,
-		Used: agent.Room{CPUs: tm.cpus, GPUs: tm.gpus}, Quota: tm.quota,
+		Used: agent.Capacity{CPUs: tm.cpus, GPUs: tm.gpus}, Quota: tm.quota,
 		ClockTo: p.cfg.ClockDifference()}
 	// The clocks are read only for the few jobs that ask for it: a pass goes through all.
 	if t.trial.Moments != 0 || t.trial.RestTo != 0 {
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -117,10 +117,10 @@
 
 // plainRoom is a machine's free room, worked out from nothing but its view and the
 // tables.
-func (g *rig) plainRoom(name string) agent.Room {
+func (g *rig) plainRoom(name string) agent.Capacity {
 	v := g.a.View(name)
 	typ := types[v.Type]
-	room := agent.Room{CPUs: typ.CPUs, GPUs: typ.GPUs, MemoryGB: typ.MemoryGB}
+	room := agent.Capacity{CPUs: typ.CPUs, GPUs: typ.GPUs, MemoryGB: typ.MemoryGB}
 	shown := map[string]bool{}
 	for _, x := range v.Tasks {
 		id, _, _ := agent.SplitTask(x.Task)
@@ -147,7 +147,7 @@
 // looked at for each.
 func (g *rig) plainPlace() map[string]string {
 	out := map[string]string{}
-	rooms := map[string]agent.Room{}
+	rooms := map[string]agent.Capacity{}
 	g.a.EachView(func(v *agent.View) { rooms[v.Name] = g.plainRoom(v.Name) })
 	cpus := map[string]float64{}
 	least := 1e9
--- a/internal/placer/rivals.go
+++ b/internal/placer/rivals.go
@@ -41,7 +41,7 @@
 // its own were shut, and what each would place if there were room.
 func (p *Placer) rivals(q []entryOf, self *entryOf, limited, lifted bool, short int, types []wire.MachineType) (out []rival) {
 	t := self.t
-	spoken := map[*team]agent.Room{}
+	spoken := map[*team]agent.Capacity{}
 	q = slices.DeleteFunc(slices.Clone(q), func(e entryOf) bool { return !e.before(self) || !p.meet(e.t.j.Spec, t.j.Spec, types, lifted) })
 	slices.SortFunc(q, compare)
 	for i := range q {
@@ -77,7 +77,7 @@
 			out = append(out, r) // it missed the room that is there, and takes none that comes
 			continue
 		}
-		spoken[o.team] = agent.Room{CPUs: spoken[o.team].CPUs + float64(r.n)*o.j.Spec.CPUs, GPUs: spoken[o.team].GPUs + float64(r.n)*o.j.Spec.GPUs}
+		spoken[o.team] = agent.Capacity{CPUs: spoken[o.team].CPUs + float64(r.n)*o.j.Spec.CPUs, GPUs: spoken[o.team].GPUs + float64(r.n)*o.j.Spec.GPUs}
 		out = append(out, r)
 	}
 	return out
@@ -146,8 +146,8 @@
 	if lifted {
 		fresh = p.fleet.Copies(true)
 	}
-	left, first := 0, short // what comes, if the room there is taken first, or last
-	var by [2]agent.Room    // what this team's other jobs use of its limit then
+	left, first := 0, short  // what comes, if the room there is taken first, or last
+	var by [2]agent.Capacity // what this team's other jobs use of its limit then
 	for i := range all {
 		r := &all[i]
 		if !lifted && r.t.team != t.team {
@@ -177,7 +177,7 @@
 	g := f.Gate
 	var most [2]int
 	for i := range most {
-		g.Used = agent.Room{CPUs: f.Gate.Used.CPUs + by[i].CPUs, GPUs: f.Gate.Used.GPUs + by[i].GPUs}
+		g.Used = agent.Capacity{CPUs: f.Gate.Used.CPUs + by[i].CPUs, GPUs: f.Gate.Used.GPUs + by[i].GPUs}
 		if most[i] = n; !limited {
 			most[i] = g.Passes(gate.Limit)
 		}
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -233,8 +233,8 @@
 }
 
 // rooms is what every machine that takes starts has free.
-func (m plain) rooms(cordons bool) map[string]agent.Room {
-	out := map[string]agent.Room{}
+func (m plain) rooms(cordons bool) map[string]agent.Capacity {
+	out := map[string]agent.Capacity{}
 	for name, k := range m.g.kind {
 		if m.g.p.fleet.Slot(name).Shut > m.g.Now() || (cordons && m.barred(name, k[0], k[1], k[2])) {
 			continue
@@ -245,7 +245,7 @@
 }
 
 // put takes room for up to n tasks, one by one, and tells how many got some.
-func (m plain) put(s *job.Spec, n int, rooms map[string]agent.Room) int {
+func (m plain) put(s *job.Spec, n int, rooms map[string]agent.Capacity) int {
 	got := 0
 	for _, name := range slices.Sorted(maps.Keys(rooms)) {
 		k := m.g.kind[name]
--- a/internal/rental/coming.go
+++ b/internal/rental/coming.go
@@ -10,7 +10,7 @@
 // comingMachine is a machine on its way, with the room that no request has taken yet.
 type comingMachine struct {
 	offer offer
-	room  agent.Room
+	room  agent.Capacity
 }
 
 // serve takes the room of up to n tasks of a request, and tells of how many.
--- a/internal/rental/coming_test.go
+++ b/internal/rental/coming_test.go
@@ -19,7 +19,7 @@
 		var plain []*comingMachine
 		s := supply{used: map[fleet.Shape]int{}}
 		join := func() {
-			c := comingMachine{offer{"m", rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"), rapid.Bool().Draw(t, "spot")}, agent.Room{CPUs: float64(rapid.IntRange(0, 8).Draw(t, "cpus")), MemoryGB: 16}}
+			c := comingMachine{offer{"m", rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"), rapid.Bool().Draw(t, "spot")}, agent.Capacity{CPUs: float64(rapid.IntRange(0, 8).Draw(t, "cpus")), MemoryGB: 16}}
 			again := c
 			plain = append(plain, &c)
 			s.machines = append(s.machines, &again)
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -51,8 +51,8 @@
 }
 
 // roomOf is what an empty machine of the type has free.
-func roomOf(x wire.MachineType) agent.Room {
-	return agent.Room{CPUs: x.CPUs, GPUs: x.GPUs, MemoryGB: x.MemoryGB}
+func roomOf(x wire.MachineType) agent.Capacity {
+	return agent.Capacity{CPUs: x.CPUs, GPUs: x.GPUs, MemoryGB: x.MemoryGB}
 }
 
 // all lists every offer of the catalog.
