--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -222,8 +222,8 @@
 	return s.CPUs <= r.CPUs+tolerance && s.GPUs <= r.GPUs+tolerance && s.MemoryGB <= r.MemoryGB+tolerance
 }
 
-// Take subtracts the capacity that a task of the job needs.
-func (r *Capacity) Take(s *job.Spec) {
+// Subtract subtracts the capacity that a task of the job needs.
+func (r *Capacity) Subtract(s *job.Spec) {
 	r.CPUs -= s.CPUs
 	r.GPUs -= s.GPUs
 	r.MemoryGB -= s.MemoryGB
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -149,7 +149,7 @@
 
 // Take takes the room of a task that is placed here now.
 func (sl *Slot) Take(s *job.Spec) {
-	sl.Room.Take(s)
+	sl.Room.Subtract(s)
 	sl.used += s.CPUs
 }
 
@@ -200,7 +200,7 @@
 		f.Touch(sl) // until its type and its tasks' jobs are known here
 		return
 	}
-	f.n.Unshown(v, room.Take)
+	f.n.Unshown(v, room.Subtract)
 	sl.typ, sl.Room, sl.used = typ, room, typ.CPUs-room.CPUs
 	sl.Jobs = f.n.Jobs(v)
 	sl.lowest = job.Production
@@ -339,7 +339,7 @@
 	got := 0
 	for _, sl := range slots {
 		for got < n && sl.Takes(&need) {
-			sl.Room.Take(need.Spec)
+			sl.Room.Subtract(need.Spec)
 			need.Zones[sl.V.Zone]++
 			got++
 		}
--- a/internal/fleet/hold.go
+++ b/internal/fleet/hold.go
@@ -65,7 +65,7 @@
 	for _, x := range fit {
 		sl, room := x.sl, x.left
 		for len(claims) < want && room.Fits(s) && sl.Allowed(&n) {
-			room.Take(s)
+			room.Subtract(s)
 			n.Zones[sl.V.Zone]++
 			c := peer.Claim{Machine: sl.V.Name, Job: need.ID, Priority: int(job.Production), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Until: f.r.Wall() + life}
 			claims = append(claims, c)
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -169,7 +169,7 @@
 			f.log.Debug("preempt", "task", y.task.Task, "machine", o.sl.V.Name, "for", need.ID, "grace_us", y.grace)
 			f.n.Stop(o.sl.V.Host, agent.Stop{Machine: o.sl.V.Name, Task: y.task.Task, Attempt: y.task.Attempt, Grace: y.grace})
 		}
-		o.sl.Room.Take(s)
+		o.sl.Room.Subtract(s)
 		f.Touch(o.sl)
 		c := peer.Claim{Machine: o.sl.V.Name, Job: need.ID, Priority: int(claimPriority), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB,
 			Until: f.r.Wall() + wait + life}
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -126,7 +126,7 @@
 		id, _, _ := agent.SplitTask(x.Task)
 		shown[fmt.Sprint(x.Task, x.Attempt)] = true
 		if x.State != wire.TaskExited {
-			room.Take(g.registry.Get(id).Spec)
+			room.Subtract(g.registry.Get(id).Spec)
 		}
 	}
 	for _, tm := range g.p.teams {
@@ -135,7 +135,7 @@
 				x := t.task(i)
 				if (x.state == Recording || x.state == Placed) && x.machine == name && x.session >= v.Session &&
 					!shown[fmt.Sprint(t.name(i), x.attempt)] {
-					room.Take(t.j.Spec)
+					room.Subtract(t.j.Spec)
 				}
 			}
 		}
@@ -203,7 +203,7 @@
 				break
 			}
 			room := rooms[best]
-			room.Take(s)
+			room.Subtract(s)
 			rooms[best] = room
 			zones[g.a.View(best).Zone]++
 			cpus[s.Team] += s.CPUs
--- a/internal/rental/coming.go
+++ b/internal/rental/coming.go
@@ -28,7 +28,7 @@
 	}
 	took := 0
 	for took < n && c.room.Fits(s) {
-		c.room.Take(s)
+		c.room.Subtract(s)
 		took++
 	}
 	return took
