--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -86,7 +86,7 @@
 			all = false
 			continue
 		}
-		v.used.Give(j.Spec)
+		v.used.Add(j.Spec)
 	}
 	for i := range v.Pending {
 		p := &v.Pending[i]
@@ -99,7 +99,7 @@
 			all = false
 			continue
 		}
-		v.used.Give(j.Spec)
+		v.used.Add(j.Spec)
 	}
 	v.resolved = all
 	return all
@@ -234,8 +234,8 @@
 	return Capacity{r.CPUs - used.CPUs, r.GPUs - used.GPUs, r.MemoryGB - used.MemoryGB}
 }
 
-// Give adds the capacity that a task of the job needs.
-func (r *Capacity) Give(s *job.Spec) {
+// Add adds the capacity that a task of the job needs.
+func (r *Capacity) Add(s *job.Spec) {
 	r.CPUs += s.CPUs
 	r.GPUs += s.GPUs
 	r.MemoryGB += s.MemoryGB
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -46,7 +46,7 @@
 			continue
 		}
 		f.stops.add(v.spec)
-		room.Give(v.spec)
+		room.Add(v.spec)
 		o.cost += v.loss
 		o.set = append(o.set, *v)
 	}
@@ -164,7 +164,7 @@
 		for _, y := range o.set {
 			wait = max(wait, y.grace)
 			by.Excess[y.spec.Team] -= y.spec.CPUs
-			o.sl.Room.Give(y.spec)
+			o.sl.Room.Add(y.spec)
 			o.sl.stopped = append(o.sl.stopped, stopping{delivery.Attempt{Task: y.task.Task, Number: y.task.Attempt}, now + y.grace + 5*loop.Second})
 			f.log.Debug("preempt", "task", y.task.Task, "machine", o.sl.V.Name, "for", need.ID, "grace_us", y.grace)
 			f.n.Stop(o.sl.V.Host, agent.Stop{Machine: o.sl.V.Name, Task: y.task.Task, Attempt: y.task.Attempt, Grace: y.grace})
