--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -158,7 +158,7 @@
 // not known here.
 func (a *Registry) FreeCapacity(v *View, t wire.MachineType) (Capacity, bool) {
 	ok := v.resolve(a.config.FindJob)
-	return Capacity{t.CPUs, t.GPUs, t.MemoryGB}.Less(v.used), ok
+	return Capacity{t.CPUs, t.GPUs, t.MemoryGB}.Minus(v.used), ok
 }
 
 // Jobs returns the jobs of a view's tasks, in their order; nil where one is not known here.
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -229,8 +229,8 @@
 	r.MemoryGB -= s.MemoryGB
 }
 
-// Less returns the capacity that remains when used is subtracted.
-func (r Capacity) Less(used Capacity) Capacity {
+// Minus returns the capacity that remains when used is subtracted.
+func (r Capacity) Minus(used Capacity) Capacity {
 	return Capacity{r.CPUs - used.CPUs, r.GPUs - used.GPUs, r.MemoryGB - used.MemoryGB}
 }
 
--- a/internal/fleet/hold.go
+++ b/internal/fleet/hold.go
@@ -38,7 +38,7 @@
 		if sl.typ.CPUs > 0 && sl.Open(after, now) && sl.Allowed(&n) {
 			left := agent.Capacity{CPUs: sl.typ.CPUs, GPUs: sl.typ.GPUs, MemoryGB: sl.typ.MemoryGB}
 			for i := range sl.Claims {
-				left = left.Less(sl.Claims[i].Room)
+				left = left.Minus(sl.Claims[i].Room)
 			}
 			if left.Fits(s) {
 				fit = append(fit, place{sl, left, sl.tasksOfTeam(s.Team)})
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -187,7 +187,7 @@
 	r := p.Room
 	for i := range p.Claims {
 		if c := &p.Claims[i]; c.Job != n.ID && c.Priority >= int(n.Spec.Priority) {
-			r = r.Less(c.Room)
+			r = r.Minus(c.Room)
 		}
 	}
 	return r
