--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -126,11 +126,11 @@
 		// The first new epoch is 7, which is still too low, so another must be obtained.
 		t.Fatalf("token %d is not above the worker's", c.Token)
 	}
-	if g.a.View("n-1").Settled {
+	if g.a.View("n-1").TokenConfirmed {
 		t.Fatal("settled before the worker showed the token")
 	}
 	g.report(t, 2, c.Token)
-	if !g.a.View("n-1").Settled {
+	if !g.a.View("n-1").TokenConfirmed {
 		t.Fatal("not settled although the worker shows the token")
 	}
 }
@@ -149,15 +149,15 @@
 	}
 	g.now += 30 * loop.Second // the start has long expired
 	c := g.report(t, 3, token)
-	if v := g.a.View("n-1"); v.Settled || !v.Holds("job-1/0", 1) {
-		t.Fatalf("settled: %v, start still pending: %v", v.Settled, v.Holds("job-1/0", 1))
+	if v := g.a.View("n-1"); v.TokenConfirmed || !v.Holds("job-1/0", 1) {
+		t.Fatalf("settled: %v, start still pending: %v", v.TokenConfirmed, v.Holds("job-1/0", 1))
 	}
 	if c.Token != token+1 {
 		t.Fatalf("token %d was not raised above %d", c.Token, token)
 	}
 	g.report(t, 4, c.Token)
-	if v := g.a.View("n-1"); !v.Settled || v.Holds("job-1/0", 1) {
-		t.Fatalf("after the higher token was shown: settled: %v, start still pending: %v", v.Settled, v.Holds("job-1/0", 1))
+	if v := g.a.View("n-1"); !v.TokenConfirmed || v.Holds("job-1/0", 1) {
+		t.Fatalf("after the higher token was shown: settled: %v, start still pending: %v", v.TokenConfirmed, v.Holds("job-1/0", 1))
 	}
 }
 
@@ -240,11 +240,11 @@
 	g.epoch = 9
 	for _, r := range []wire.Report{report(1, 7, token, "job-1/0"), report(1, 8, token), report(1, 7, token, "job-1/0"), report(1, 8, token)} {
 		take(g, r)
-		if v := g.a.View("n-1"); v.Settled || v.At != 0 {
-			t.Fatalf("after a duplicate of report %d: settled: %v, list made after %d", r.Seq, v.Settled, v.At)
+		if v := g.a.View("n-1"); v.TokenConfirmed || v.At != 0 {
+			t.Fatalf("after a duplicate of report %d: settled: %v, list made after %d", r.Seq, v.TokenConfirmed, v.At)
 		}
 	}
-	g.a.ApplyView(&View{Name: "n-1", Host: "b", Session: 1, Seq: 9, Settled: true, At: g.now})
+	g.a.ApplyView(&View{Name: "n-1", Host: "b", Session: 1, Seq: 9, TokenConfirmed: true, At: g.now})
 	if take(g, report(1, 8, token)); status != 503 || g.a.View("n-1").Host != "b" || g.a.HostedCount() != 0 {
 		t.Fatalf("a duplicate is answered %d, and the machine's host is %q", status, g.a.View("n-1").Host)
 	}
--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -135,7 +135,7 @@
 		return nil, false
 	}
 	c := v.Since(base)
-	d = &Delta{Name: v.Name, Session: v.Session, BaseSeq: base.Seq, BaseRev: base.Rev, Seq: v.Seq, Rev: v.Rev, Settled: v.Settled,
+	d = &Delta{Name: v.Name, Session: v.Session, BaseSeq: base.Seq, BaseRev: base.Rev, Seq: v.Seq, Rev: v.Rev, Settled: v.TokenConfirmed,
 		At: v.At, NoticeAt: v.NoticeAt, Closed: v.Closed, Gone: c.Gone, Pending: v.Pending, Life: v.Life, Reported: v.Reported}
 	for k, i := range c.From {
 		if i < 0 {
@@ -156,7 +156,7 @@
 		return nil
 	}
 	v := *base
-	v.Seq, v.Rev, v.Settled, v.At, v.NoticeAt, v.Closed, v.Pending = d.Seq, d.Rev, d.Settled, d.At, d.NoticeAt, d.Closed, d.Pending
+	v.Seq, v.Rev, v.TokenConfirmed, v.At, v.NoticeAt, v.Closed, v.Pending = d.Seq, d.Rev, d.Settled, d.At, d.NoticeAt, d.Closed, d.Pending
 	v.Reported = d.Reported
 	v.jobs, v.resolved = nil, false
 	if len(d.Gone)+len(d.New) == 0 {
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -91,7 +91,7 @@
 	}
 	a.log.Debug("hosting state of machine changed", "machine", m.view.Name, "from", m.state, "to", s, "token", m.token, "session", m.view.Session)
 	m.state = s
-	m.view.Settled = s == Held
+	m.view.TokenConfirmed = s == Held
 }
 
 // recordReport records that a worker made a report. A worker has one report in flight at a time, so the answers to
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -148,7 +148,7 @@
 	if closed != v.Closed || (old != nil && len(v.Pending) != len(old.Pending)) {
 		m.dirty = true
 	}
-	if old == nil || old.Settled != v.Settled || old.Host != v.Host {
+	if old == nil || old.TokenConfirmed != v.TokenConfirmed || old.Host != v.Host {
 		m.dirty = true
 	}
 	v.Closed = closed
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -30,22 +30,22 @@
 
 // View is the state of a machine as its host controller saw it last. A published view never changes.
 type View struct {
-	Name     string      `cbor:"1,keyasint"`
-	Addr     string      `cbor:"2,keyasint"`
-	Type     string      `cbor:"3,keyasint"`
-	Zone     string      `cbor:"4,keyasint"`
-	Spot     bool        `cbor:"5,keyasint"`
-	Host     string      `cbor:"6,keyasint"`
-	Session  uint64      `cbor:"7,keyasint"`
-	Seq      uint64      `cbor:"8,keyasint"`
-	Rev      uint64      `cbor:"9,keyasint"`
-	Settled  bool        `cbor:"10,keyasint"`           // the worker has shown its host's token: no command of an earlier host or token can still be carried out
-	At       loop.Micros `cbor:"11,keyasint"`           // wall-clock time after which the task list was certainly made; reports can arrive late
-	NoticeAt loop.Micros `cbor:"12,keyasint,omitempty"` // wall-clock time at which the machine is reclaimed, by the notice in its reports; 0: no notice
-	Closed   bool        `cbor:"13,keyasint,omitempty"` // accepts no starts, since the machine is to be deleted
-	Tasks    []Task      `cbor:"14,keyasint,omitempty"`
-	Pending  []Task      `cbor:"15,keyasint,omitempty"` // starts that may still be carried out
-	Life     loop.Micros `cbor:"16,keyasint,omitempty"` // incarnation of the host's process that published the view
+	Name           string      `cbor:"1,keyasint"`
+	Addr           string      `cbor:"2,keyasint"`
+	Type           string      `cbor:"3,keyasint"`
+	Zone           string      `cbor:"4,keyasint"`
+	Spot           bool        `cbor:"5,keyasint"`
+	Host           string      `cbor:"6,keyasint"`
+	Session        uint64      `cbor:"7,keyasint"`
+	Seq            uint64      `cbor:"8,keyasint"`
+	Rev            uint64      `cbor:"9,keyasint"`
+	TokenConfirmed bool        `cbor:"10,keyasint"`           // the worker has shown its host's token: no command of an earlier host or token can still be carried out
+	At             loop.Micros `cbor:"11,keyasint"`           // wall-clock time after which the task list was certainly made; reports can arrive late
+	NoticeAt       loop.Micros `cbor:"12,keyasint,omitempty"` // wall-clock time at which the machine is reclaimed, by the notice in its reports; 0: no notice
+	Closed         bool        `cbor:"13,keyasint,omitempty"` // accepts no starts, since the machine is to be deleted
+	Tasks          []Task      `cbor:"14,keyasint,omitempty"`
+	Pending        []Task      `cbor:"15,keyasint,omitempty"` // starts that may still be carried out
+	Life           loop.Micros `cbor:"16,keyasint,omitempty"` // incarnation of the host's process that published the view
 	// Reported is the wall-clock time at which the host received the newest report. Only an answered report
 	// renews the machine's lease: a machine that answers commands may still be unable to report.
 	Reported loop.Micros `cbor:"17,keyasint,omitempty"`
--- a/internal/fleet/hold_test.go
+++ b/internal/fleet/hold_test.go
@@ -38,7 +38,7 @@
 	for i, team := range teams {
 		id := fmt.Sprintf("job-%06d", 100+i)
 		jobs[id] = &job.Job{ID: id, Spec: &job.Spec{Team: team, CPUs: 8}}
-		f.View(&agent.View{Name: fmt.Sprint("n-", i), Type: "m8", Zone: "x", Settled: true, Tasks: []agent.Task{{Task: agent.TaskName(id, 0), State: wire.TaskRunning}}}, clock.Now(), false)
+		f.View(&agent.View{Name: fmt.Sprint("n-", i), Type: "m8", Zone: "x", TokenConfirmed: true, Tasks: []agent.Task{{Task: agent.TaskName(id, 0), State: wire.TaskRunning}}}, clock.Now(), false)
 	}
 	f.Refresh()
 	return f
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -138,7 +138,7 @@
 		{"known", func(p *Place, _ *Need) { p.Known = false }},
 		{"heard", func(p *Place, _ *Need) { p.Heard = 49 }},
 		{"", func(p *Place, _ *Need) { p.Heard = 50 }},
-		{"heard", func(p *Place, _ *Need) { p.V.Settled = false }},
+		{"heard", func(p *Place, _ *Need) { p.V.TokenConfirmed = false }},
 		{"rested", func(p *Place, _ *Need) { p.Shut = 101 }},
 		{"", func(p *Place, _ *Need) { p.Shut = 100 }},
 		{"notice", func(p *Place, _ *Need) { p.V.NoticeAt = 1 }},
@@ -165,7 +165,7 @@
 	} {
 		s := *spec
 		s.Priority = 1
-		p := &Place{V: &agent.View{Type: "m", Zone: "x", Spot: true, Settled: true}, Known: true, Heard: 99, Room: agent.Capacity{CPUs: 4, GPUs: 1, MemoryGB: 8}}
+		p := &Place{V: &agent.View{Type: "m", Zone: "x", Spot: true, TokenConfirmed: true}, Known: true, Heard: 99, Room: agent.Capacity{CPUs: 4, GPUs: 1, MemoryGB: 8}}
 		n := &Need{ID: "job-1", Spec: &s, Tasks: 5}
 		c.set(p, n)
 		names := p.Lacks(n, 50, 100).Names()
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -90,7 +90,7 @@
 		}
 	}
 	add(LackKnown, !p.Known)
-	add(LackHeard, p.Heard < after || !p.V.Settled)
+	add(LackHeard, p.Heard < after || !p.V.TokenConfirmed)
 	add(LackRested, now < p.Shut)
 	if l != 0 && !all {
 		return l
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -130,7 +130,7 @@
 		// an answer that carries it was over, when the list was made; and the
 		// machine follows its host's token, so that no earlier command can land.
 		safe := p.clock.LatestArrival(x.expiry)
-		if v.Settled && v.At > safe {
+		if v.TokenConfirmed && v.At > safe {
 			p.provenOff(t, i, "absent")
 			return
 		}
@@ -209,7 +209,7 @@
 
 // forgets asks a machine to forget ended tasks whose outcome is kept or of no use.
 func (p *Placer) forgets(v *agent.View, jobs []*job.Job) {
-	if !v.Settled {
+	if !v.TokenConfirmed {
 		return
 	}
 	for k := range v.Tasks {
--- a/internal/rental/machine.go
+++ b/internal/rental/machine.go
@@ -107,7 +107,7 @@
 	}
 	at := max(t.r.Now()-v.Silence(t.r.Wall(), t.cfg.ClockDifference()), t.started)
 	m.told = max(m.told, at)
-	if v.Settled || m.heard == 0 {
+	if v.TokenConfirmed || m.heard == 0 {
 		m.heard = max(m.heard, at)
 	}
 	if m.state == Booting {
