--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -105,14 +105,14 @@
 	g.report(t, 2, token)
 	g.now += 60 * loop.Second
 	g.report(t, 3, token) // may have been on its way all the time
-	if at := g.a.View("n-1").At; at != given {
+	if at := g.a.View("n-1").MadeAfter; at != given {
 		t.Fatalf("the list counts as made after %d, but its token was issued at %d", at, given)
 	}
 	g.resp = store.Response{Status: 200, Body: wire.Marshal(wire.Report{Machine: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 4, Token: token})}
 	asked := g.now
 	g.a.RequestTaskList("n-1")
 	g.runWork()
-	if at := g.a.View("n-1").At; at != asked {
+	if at := g.a.View("n-1").MadeAfter; at != asked {
 		t.Fatalf("a requested list counts as made after %d, want %d", at, asked)
 	}
 }
@@ -225,7 +225,7 @@
 	for _, r := range []wire.Report{report(1, 3, token), report(1, 2, token, "job-1/0"), report(1, 1, 0), report(1, 2, token, "job-1/0")} {
 		g.now += 20 * loop.Second
 		take(g, r)
-		if v := g.a.View("n-1"); v.Seq != 3 || v.Session != 1 || v.At != before.At || len(v.Tasks) != 0 {
+		if v := g.a.View("n-1"); v.Seq != 3 || v.Session != 1 || v.MadeAfter != before.MadeAfter || len(v.Tasks) != 0 {
 			t.Fatalf("a duplicate of report %d changes the view to %+v", r.Seq, v)
 		}
 	}
@@ -240,11 +240,11 @@
 	g.epoch = 9
 	for _, r := range []wire.Report{report(1, 7, token, "job-1/0"), report(1, 8, token), report(1, 7, token, "job-1/0"), report(1, 8, token)} {
 		take(g, r)
-		if v := g.a.View("n-1"); v.TokenConfirmed || v.At != 0 {
-			t.Fatalf("after a duplicate of report %d: settled: %v, list made after %d", r.Seq, v.TokenConfirmed, v.At)
+		if v := g.a.View("n-1"); v.TokenConfirmed || v.MadeAfter != 0 {
+			t.Fatalf("after a duplicate of report %d: settled: %v, list made after %d", r.Seq, v.TokenConfirmed, v.MadeAfter)
 		}
 	}
-	g.a.ApplyView(&View{Name: "n-1", Host: "b", Session: 1, Seq: 9, TokenConfirmed: true, At: g.now})
+	g.a.ApplyView(&View{Name: "n-1", Host: "b", Session: 1, Seq: 9, TokenConfirmed: true, MadeAfter: g.now})
 	if take(g, report(1, 8, token)); status != 503 || g.a.View("n-1").Host != "b" || g.a.HostedCount() != 0 {
 		t.Fatalf("a duplicate is answered %d, and the machine's host is %q", status, g.a.View("n-1").Host)
 	}
--- a/internal/agent/delta_test.go
+++ b/internal/agent/delta_test.go
@@ -59,7 +59,7 @@
 			if rapid.IntRange(0, 9).Draw(t, "session") == 0 {
 				v.Session, v.Seq, v.Tasks = v.Session+1, 1, []Task{}
 			}
-			v.TokenConfirmed, v.At = rapid.Bool().Draw(t, "settled"), v.At+1
+			v.TokenConfirmed, v.MadeAfter = rapid.Bool().Draw(t, "settled"), v.MadeAfter+1
 			checkChanges(t, host, &v)
 			host = &v
 			if rapid.IntRange(0, 2).Draw(t, "gather") == 0 {
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -119,7 +119,7 @@
 		v.Reported = wall
 	}
 	if r.Token == m.token {
-		v.At = max(v.At, madeAfter)
+		v.MadeAfter = max(v.MadeAfter, madeAfter)
 	}
 	v.NoticeAt = 0
 	if r.NoticeS != nil {
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -40,7 +40,7 @@
 	Seq            uint64      `cbor:"8,keyasint"`
 	Rev            uint64      `cbor:"9,keyasint"`
 	TokenConfirmed bool        `cbor:"10,keyasint"`           // the worker has shown its host's token: no command of an earlier host or token can still be carried out
-	At             loop.Micros `cbor:"11,keyasint"`           // wall-clock time after which the task list was certainly made; reports can arrive late
+	MadeAfter      loop.Micros `cbor:"11,keyasint"`           // wall-clock time after which the task list was certainly made; reports can arrive late
 	NoticeAt       loop.Micros `cbor:"12,keyasint,omitempty"` // wall-clock time at which the machine is reclaimed, by the notice in its reports; 0: no notice
 	Closed         bool        `cbor:"13,keyasint,omitempty"` // accepts no starts, since the machine is to be deleted
 	Tasks          []Task      `cbor:"14,keyasint,omitempty"`
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -112,7 +112,7 @@
 // show lets a machine be heard with these tasks on it.
 func (g *rig) show(name, typ, zone string, spot bool, tasks ...agent.Task) {
 	g.seq++
-	g.a.ApplyView(&agent.View{Name: name, Type: typ, Zone: zone, Spot: spot, Host: "b", Session: 1, Seq: g.seq, TokenConfirmed: true, At: g.Now(), Tasks: slices.Clone(tasks)})
+	g.a.ApplyView(&agent.View{Name: name, Type: typ, Zone: zone, Spot: spot, Host: "b", Session: 1, Seq: g.seq, TokenConfirmed: true, MadeAfter: g.Now(), Tasks: slices.Clone(tasks)})
 }
 
 // plainRoom is a machine's free room, worked out from nothing but its view and the
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -130,7 +130,7 @@
 		// an answer that carries it was over, when the list was made; and the
 		// machine follows its host's token, so that no earlier command can land.
 		safe := p.clock.LatestArrival(x.expiry)
-		if v.TokenConfirmed && v.At > safe {
+		if v.TokenConfirmed && v.MadeAfter > safe {
 			p.provenOff(t, i, "absent")
 			return
 		}
--- a/internal/placer/terms_test.go
+++ b/internal/placer/terms_test.go
@@ -202,7 +202,7 @@
 		g.show("n-002", "m8", "x", false)
 		g.show("n-002", "m8", "x", false)
 		g.seq++
-		g.a.ApplyView(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 2, Seq: g.seq, TokenConfirmed: true, At: g.Now()})
+		g.a.ApplyView(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 2, Seq: g.seq, TokenConfirmed: true, MadeAfter: g.Now()})
 		if counted := g.p.reruns.open == 1; counted != known {
 			t.Errorf("known before: %v, counted: %v", known, counted)
 		}
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -600,7 +600,7 @@
 	}{
 		{"sent", func(*rig, agent.Task) {}, 0, gate.Starting, "sent"},
 		{"at its host", func(g *rig, x agent.Task) {
-			g.a.ApplyView(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: 99, TokenConfirmed: true, At: g.Now(), Pending: []agent.Task{x}})
+			g.a.ApplyView(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: 99, TokenConfirmed: true, MadeAfter: g.Now(), Pending: []agent.Task{x}})
 		}, 0, gate.Starting, "atItsHost"},
 		{"fetching", func(g *rig, x agent.Task) { x.State = wire.TaskFetching; g.show("n-001", "m8", "x", false, x) }, 0, gate.Fetching, "fetching"},
 		{"saving", func(g *rig, x agent.Task) { x.State = wire.TaskSaving; g.show("n-001", "m8", "x", false, x) }, 0, gate.Saving, "saving"},
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -73,7 +73,7 @@
 }
 
 func (g *rig) hear(name, zone string) {
-	g.a.ApplyView(&agent.View{Name: name, Addr: name, Type: "m8", Zone: zone, Host: "b", Session: 1, Seq: uint64(g.Now()), TokenConfirmed: true, At: g.Now(), Tasks: g.runs})
+	g.a.ApplyView(&agent.View{Name: name, Addr: name, Type: "m8", Zone: zone, Host: "b", Session: 1, Seq: uint64(g.Now()), TokenConfirmed: true, MadeAfter: g.Now(), Tasks: g.runs})
 }
 
 func count(calls []string, part string) (n int) {
@@ -164,7 +164,7 @@
 	g.Run(3 * loop.Second)
 	seen := false
 	for range 4000 {
-		v := &agent.View{Name: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), TokenConfirmed: true, At: g.Now()}
+		v := &agent.View{Name: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), TokenConfirmed: true, MadeAfter: g.Now()}
 		v.Closed = len(closed) > 0 && seen
 		seen = len(closed) > 0
 		g.a.ApplyView(v)
