--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -112,7 +112,7 @@
 		return
 	}
 	m.closedUntil = until
-	if m.view.Closed != (a.runner.Wall() < until) {
+	if m.view.ClosedToStarts != (a.runner.Wall() < until) {
 		m.dirty = true
 		a.updateView(m)
 	}
@@ -122,7 +122,7 @@
 	wall := a.runner.Wall()
 	for _, m := range loop.Sorted(a.hosted) {
 		a.expireStarts(m, wall)
-		if m.view.Closed != (wall < m.closedUntil) {
+		if m.view.ClosedToStarts != (wall < m.closedUntil) {
 			m.dirty = true
 			a.updateView(m)
 		}
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -145,13 +145,13 @@
 	old := a.views[v.Name]
 	closed := a.runner.Wall() < m.closedUntil
 	a.listPending(m)
-	if closed != v.Closed || (old != nil && len(v.Pending) != len(old.Pending)) {
+	if closed != v.ClosedToStarts || (old != nil && len(v.Pending) != len(old.Pending)) {
 		m.dirty = true
 	}
 	if old == nil || old.TokenConfirmed != v.TokenConfirmed || old.Host != v.Host {
 		m.dirty = true
 	}
-	v.Closed = closed
+	v.ClosedToStarts = closed
 	v.Rev++
 	c := *v
 	c.resolved = false
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -42,7 +42,7 @@
 	TokenConfirmed bool        `cbor:"10,keyasint"`           // the worker has shown its host's token: no command of an earlier host or token can still be carried out
 	MadeAfter      loop.Micros `cbor:"11,keyasint"`           // wall-clock time after which the task list was certainly made; reports can arrive late
 	NoticeAt       loop.Micros `cbor:"12,keyasint,omitempty"` // wall-clock time at which the machine is reclaimed, by the notice in its reports; 0: no notice
-	Closed         bool        `cbor:"13,keyasint,omitempty"` // accepts no starts, since the machine is to be deleted
+	ClosedToStarts bool        `cbor:"13,keyasint,omitempty"` // accepts no starts, since the machine is to be deleted
 	Tasks          []Task      `cbor:"14,keyasint,omitempty"`
 	Pending        []Task      `cbor:"15,keyasint,omitempty"` // starts that may still be carried out
 	Life           loop.Micros `cbor:"16,keyasint,omitempty"` // incarnation of the host's process that published the view
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -142,7 +142,7 @@
 		{"rested", func(p *Place, _ *Need) { p.Shut = 101 }},
 		{"", func(p *Place, _ *Need) { p.Shut = 100 }},
 		{"notice", func(p *Place, _ *Need) { p.V.NoticeAt = 1 }},
-		{"draining", func(p *Place, _ *Need) { p.V.Closed = true }},
+		{"draining", func(p *Place, _ *Need) { p.V.ClosedToStarts = true }},
 		{"cordon", func(p *Place, _ *Need) { p.Cordoned = true }},
 		{"cpus", func(p *Place, _ *Need) { p.Room.CPUs = 1.9 }},
 		{"gpus", func(p *Place, _ *Need) { p.Room.GPUs = 0 }},
@@ -172,7 +172,7 @@
 		if (c.name == "") != (len(names) == 0) || (c.name != "" && (len(names) != 1 || names[0] != c.name)) {
 			t.Errorf("lacks %v, want only %q", names, c.name)
 		}
-		if takes := p.Open(50, 100) && p.Takes(n) && !p.Cordoned && p.V.NoticeAt == 0 && !p.V.Closed; takes != (c.name == "") {
+		if takes := p.Open(50, 100) && p.Takes(n) && !p.Cordoned && p.V.NoticeAt == 0 && !p.V.ClosedToStarts; takes != (c.name == "") {
 			t.Errorf("%q lacking: taken %v", c.name, takes)
 		}
 	}
--- a/internal/gate/place.go
+++ b/internal/gate/place.go
@@ -96,7 +96,7 @@
 		return l
 	}
 	add(LackNotice, p.V.NoticeAt != 0)
-	add(LackDraining, p.V.Closed)
+	add(LackDraining, p.V.ClosedToStarts)
 	add(LackCordon, p.Cordoned)
 	return l
 }
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -177,7 +177,7 @@
 			for _, name := range names {
 				v := g.a.View(name)
 				room := rooms[name]
-				if !room.Fits(s) || !s.AllowsPlace(v.Type, v.Zone, v.Spot) || v.NoticeAt != 0 || v.Closed || g.Now() < g.p.fleet.Slot(name).Shut {
+				if !room.Fits(s) || !s.AllowsPlace(v.Type, v.Zone, v.Spot) || v.NoticeAt != 0 || v.ClosedToStarts || g.Now() < g.p.fleet.Slot(name).Shut {
 					continue
 				}
 				other := false
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -123,7 +123,7 @@
 // evict lets tasks save before a spot machine is taken, or one that is not needed is given back.
 func (p *Placer) evict(now, wall loop.Micros) {
 	p.agent.EachView(func(v *agent.View) {
-		if v.NoticeAt == 0 && !v.Closed {
+		if v.NoticeAt == 0 && !v.ClosedToStarts {
 			return
 		}
 		p.eachInUse(v.Name, func(r ref) {
--- a/internal/rental/machine.go
+++ b/internal/rental/machine.go
@@ -123,7 +123,7 @@
 		}
 	} else {
 		m.emptyTo = 0
-		if m.state == Closing && m.why == "idle" && !v.Closed {
+		if m.state == Closing && m.why == "idle" && !v.ClosedToStarts {
 			t.setState(m, Up, "in use again")
 		}
 	}
@@ -250,7 +250,7 @@
 		m.asked = now
 		t.n.Close(v.Host, peer.Close{Machine: m.name, Until: t.r.Wall() + 12*loop.Second})
 	}
-	if v.Closed && empty(v) && now-m.heard < 2*loop.Seconds(t.cfg.Cluster.Workers.ReportS)+2*loop.Second {
+	if v.ClosedToStarts && empty(v) && now-m.heard < 2*loop.Seconds(t.cfg.Cluster.Workers.ReportS)+2*loop.Second {
 		t.setState(m, Deleting, m.why)
 	}
 }
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -165,7 +165,7 @@
 	seen := false
 	for range 4000 {
 		v := &agent.View{Name: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), TokenConfirmed: true, MadeAfter: g.Now()}
-		v.Closed = len(closed) > 0 && seen
+		v.ClosedToStarts = len(closed) > 0 && seen
 		seen = len(closed) > 0
 		g.a.ApplyView(v)
 		g.Run(500 * loop.Millisecond)
