--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -131,12 +131,12 @@
 
 // deltaTo returns the differences of v from base; ok is false where only the full view can be sent.
 func (v *View) deltaTo(base *View) (d *Delta, ok bool) {
-	if base == nil || base.Host != v.Host || base.Life != v.Life || base.Session != v.Session || base.Addr != v.Addr {
+	if base == nil || base.Host != v.Host || base.Incarnation != v.Incarnation || base.Session != v.Session || base.Addr != v.Addr {
 		return nil, false
 	}
 	c := v.Since(base)
 	d = &Delta{Name: v.Name, Session: v.Session, BaseSeq: base.Seq, BaseRev: base.Rev, Seq: v.Seq, Rev: v.Rev, Settled: v.TokenConfirmed,
-		At: v.MadeAfter, NoticeAt: v.NoticeAt, Closed: v.ClosedToStarts, Gone: c.Gone, Pending: v.Pending, Life: v.Life, Reported: v.Reported}
+		At: v.MadeAfter, NoticeAt: v.NoticeAt, Closed: v.ClosedToStarts, Gone: c.Gone, Pending: v.Pending, Life: v.Incarnation, Reported: v.Reported}
 	for k, i := range c.From {
 		if i < 0 {
 			d.New = append(d.New, Placed{At: k, Task: v.Tasks[k]})
@@ -148,7 +148,7 @@
 // apply returns the view that results from applying a delta to base; nil if base is not the view that the delta
 // was computed from, or the delta is inconsistent.
 func (d *Delta) apply(base *View) *View {
-	if base == nil || base.Session != d.Session || base.Seq != d.BaseSeq || base.Rev != d.BaseRev || base.Life != d.Life {
+	if base == nil || base.Session != d.Session || base.Seq != d.BaseSeq || base.Rev != d.BaseRev || base.Incarnation != d.Life {
 		return nil
 	}
 	kept := len(base.Tasks) - len(d.Gone)
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -113,7 +113,7 @@
 	if !c.Still || (v.NoticeAt == 0) != (r.NoticeS == nil) {
 		m.dirty = true
 	}
-	v.Name, v.Addr, v.Type, v.Zone, v.Spot, v.Host, v.Life = r.Machine, r.Addr, r.Type, r.Zone, r.Spot, a.config.Label, a.config.Incarnation
+	v.Name, v.Addr, v.Type, v.Zone, v.Spot, v.Host, v.Incarnation = r.Machine, r.Addr, r.Type, r.Zone, r.Spot, a.config.Label, a.config.Incarnation
 	v.Seq = r.Seq
 	if reported {
 		v.Reported = wall
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -45,7 +45,7 @@
 	ClosedToStarts bool        `cbor:"13,keyasint,omitempty"` // accepts no starts, since the machine is to be deleted
 	Tasks          []Task      `cbor:"14,keyasint,omitempty"`
 	Pending        []Task      `cbor:"15,keyasint,omitempty"` // starts that may still be carried out
-	Life           loop.Micros `cbor:"16,keyasint,omitempty"` // incarnation of the host's process that published the view
+	Incarnation    loop.Micros `cbor:"16,keyasint,omitempty"` // incarnation of the host's process that published the view
 	// Reported is the wall-clock time at which the host received the newest report. Only an answered report
 	// renews the machine's lease: a machine that answers commands may still be unable to report.
 	Reported loop.Micros `cbor:"17,keyasint,omitempty"`
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -264,14 +264,14 @@
 		}
 		return
 	}
-	if x.sentTo != "" && (x.sentTo != v.Host || x.life != v.Life) {
+	if x.sentTo != "" && (x.sentTo != v.Host || x.life != v.Incarnation) {
 		x.spread = true
 	}
 	if x.sentTo == "" {
 		p.n.Meter.Start()
 	}
-	x.sentTo, x.life, x.sentAt = v.Host, v.Life, p.r.Now()
-	p.n.Start(v.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.name(i), Attempt: x.attempt, Expiry: x.expiry, From: p.n.Label, Life: v.Life})
+	x.sentTo, x.life, x.sentAt = v.Host, v.Incarnation, p.r.Now()
+	p.n.Start(v.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.name(i), Attempt: x.attempt, Expiry: x.expiry, From: p.n.Label, Life: v.Incarnation})
 }
 
 // maybeDone stores a job's completion once all its tasks have completed.
--- a/internal/placer/proof_test.go
+++ b/internal/placer/proof_test.go
@@ -15,7 +15,7 @@
 // tell lets a machine be heard from one life of its host; settled: it shows what it was told.
 func (g *rig) tell(life loop.Micros, session uint64, settled bool, tasks ...agent.Task) {
 	g.seq++
-	g.a.ApplyView(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Life: life, Session: session, Seq: g.seq, TokenConfirmed: settled, MadeAfter: g.Now(), Tasks: tasks})
+	g.a.ApplyView(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Incarnation: life, Session: session, Seq: g.seq, TokenConfirmed: settled, MadeAfter: g.Now(), Tasks: tasks})
 }
 
 // A refusal proves a start off only where the life of the host that refuses is the only one
