--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -136,7 +136,7 @@
 	}
 	c := v.Since(base)
 	d = &Delta{Name: v.Name, Session: v.Session, BaseSeq: base.Seq, BaseRev: base.Rev, Seq: v.Seq, Rev: v.Rev, Settled: v.TokenConfirmed,
-		At: v.MadeAfter, NoticeAt: v.NoticeAt, Closed: v.ClosedToStarts, Gone: c.Gone, Pending: v.Pending, Life: v.Incarnation, Reported: v.Reported}
+		At: v.MadeAfter, NoticeAt: v.NoticeAt, Closed: v.ClosedToStarts, Gone: c.Gone, Pending: v.Pending, Life: v.Incarnation, Reported: v.ReportedAt}
 	for k, i := range c.From {
 		if i < 0 {
 			d.New = append(d.New, Placed{At: k, Task: v.Tasks[k]})
@@ -157,7 +157,7 @@
 	}
 	v := *base
 	v.Seq, v.Rev, v.TokenConfirmed, v.MadeAfter, v.NoticeAt, v.ClosedToStarts, v.Pending = d.Seq, d.Rev, d.Settled, d.At, d.NoticeAt, d.Closed, d.Pending
-	v.Reported = d.Reported
+	v.ReportedAt = d.Reported
 	v.jobs, v.resolved = nil, false
 	if len(d.Gone)+len(d.New) == 0 {
 		return &v
--- a/internal/agent/delta_test.go
+++ b/internal/agent/delta_test.go
@@ -54,7 +54,7 @@
 			v.Tasks = drawTasks(t, host.Tasks, &next)
 			v.Rev++
 			if rapid.Bool().Draw(t, "report") {
-				v.Seq, v.Reported = v.Seq+1, v.Reported+5
+				v.Seq, v.ReportedAt = v.Seq+1, v.ReportedAt+5
 			}
 			if rapid.IntRange(0, 9).Draw(t, "session") == 0 {
 				v.Session, v.Seq, v.Tasks = v.Session+1, 1, []Task{}
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -116,7 +116,7 @@
 	v.Name, v.Addr, v.Type, v.Zone, v.Spot, v.Host, v.Incarnation = r.Machine, r.Addr, r.Type, r.Zone, r.Spot, a.config.Label, a.config.Incarnation
 	v.Seq = r.Seq
 	if reported {
-		v.Reported = wall
+		v.ReportedAt = wall
 	}
 	if r.Token == m.token {
 		v.MadeAfter = max(v.MadeAfter, madeAfter)
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -46,9 +46,9 @@
 	Tasks          []Task      `cbor:"14,keyasint,omitempty"`
 	Pending        []Task      `cbor:"15,keyasint,omitempty"` // starts that may still be carried out
 	Incarnation    loop.Micros `cbor:"16,keyasint,omitempty"` // incarnation of the host's process that published the view
-	// Reported is the wall-clock time at which the host received the newest report. Only an answered report
+	// ReportedAt is the wall-clock time at which the host received the newest report. Only an answered report
 	// renews the machine's lease: a machine that answers commands may still be unable to report.
-	Reported loop.Micros `cbor:"17,keyasint,omitempty"`
+	ReportedAt loop.Micros `cbor:"17,keyasint,omitempty"`
 
 	jobs     []*job.Job // of Tasks, looked up once; nil where a job is not known here yet
 	used     Capacity   // capacity taken by active tasks and pending starts
@@ -62,10 +62,10 @@
 // Silence returns for how long at least the machine has not reported, by a wall-clock time and twice the bound
 // on clock errors. It returns 0 for the view of a host before version 0.8.0, which does not publish Reported.
 func (v *View) Silence(wall, clockTo loop.Micros) loop.Micros {
-	if v.Reported == 0 {
+	if v.ReportedAt == 0 {
 		return 0
 	}
-	return max(wall-v.Reported-clockTo, 0)
+	return max(wall-v.ReportedAt-clockTo, 0)
 }
 
 // resolve computes the capacity in use and reports whether all jobs that it needs were known here. It is called
