--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -149,15 +149,15 @@
 	}
 	g.now += 30 * loop.Second // the start has long expired
 	c := g.report(t, 3, token)
-	if v := g.a.View("n-1"); v.TokenConfirmed || !v.Holds("job-1/0", 1) {
-		t.Fatalf("settled: %v, start still pending: %v", v.TokenConfirmed, v.Holds("job-1/0", 1))
+	if v := g.a.View("n-1"); v.TokenConfirmed || !v.HasPending("job-1/0", 1) {
+		t.Fatalf("settled: %v, start still pending: %v", v.TokenConfirmed, v.HasPending("job-1/0", 1))
 	}
 	if c.Token != token+1 {
 		t.Fatalf("token %d was not raised above %d", c.Token, token)
 	}
 	g.report(t, 4, c.Token)
-	if v := g.a.View("n-1"); !v.TokenConfirmed || v.Holds("job-1/0", 1) {
-		t.Fatalf("after the higher token was shown: settled: %v, start still pending: %v", v.TokenConfirmed, v.Holds("job-1/0", 1))
+	if v := g.a.View("n-1"); !v.TokenConfirmed || v.HasPending("job-1/0", 1) {
+		t.Fatalf("after the higher token was shown: settled: %v, start still pending: %v", v.TokenConfirmed, v.HasPending("job-1/0", 1))
 	}
 }
 
@@ -175,7 +175,7 @@
 		t.Fatalf("rejected: %v, want three, the first of them job-1/1", g.rejections)
 	}
 	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/1", Attempt: 1, Expiry: life, From: "a"})
-	if len(g.rejections) != 4 || g.a.View("n-1").Holds("job-1/1", 1) {
+	if len(g.rejections) != 4 || g.a.View("n-1").HasPending("job-1/1", 1) {
 		t.Fatal("a rejected start was accepted later")
 	}
 }
@@ -282,7 +282,7 @@
 	token := g.report(t, 1, 0).Token
 	g.report(t, 2, token)
 	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*loop.Second, From: "a"})
-	if !g.a.View("n-1").Holds("job-1/0", 1) && len(g.work) == 0 {
+	if !g.a.View("n-1").HasPending("job-1/0", 1) && len(g.work) == 0 {
 		t.Fatal("the start was not accepted")
 	}
 	g.a.jobOf("job-1/0").Phase = job.Cancelled
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -151,8 +151,8 @@
 	return -1
 }
 
-// Holds reports whether a start of this attempt may still be carried out.
-func (v *View) Holds(task string, attempt uint64) bool {
+// HasPending reports whether a start of this attempt may still be carried out.
+func (v *View) HasPending(task string, attempt uint64) bool {
 	for i := range v.Pending {
 		if v.Pending[i].Task == task && v.Pending[i].Attempt == attempt {
 			return true
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -165,7 +165,7 @@
 	}
 	e := v.Find(t.name(i), x.attempt)
 	switch {
-	case e == nil && v.Holds(t.name(i), x.attempt):
+	case e == nil && v.HasPending(t.name(i), x.attempt):
 		return gate.Starting, "atItsHost", x.sentAt
 	case e == nil && !x.seen && wall < p.clock.LatestArrival(x.expiry):
 		return gate.Starting, "sent", x.sentAt
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -122,7 +122,7 @@
 			return // it is listed, or was and is not any more
 		}
 		n := r.t.name(r.i)
-		if x.session < v.Session || v.Holds(n, x.attempt) || v.Find(n, x.attempt) != nil {
+		if x.session < v.Session || v.HasPending(n, x.attempt) || v.Find(n, x.attempt) != nil {
 			return
 		}
 		f(r.t.j.Spec)
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -122,7 +122,7 @@
 	e := v.Find(name, x.attempt)
 	p.setSighting(t, i, x.seen, x.seen && e == nil)
 	if e == nil {
-		if v.Holds(name, x.attempt) {
+		if v.HasPending(name, x.attempt) {
 			return
 		}
 		// Absent. That proves something only once the start can no longer
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -75,7 +75,7 @@
 		for _, r := range sortedRefs(p.on[m].open) {
 			x := r.t.task(r.i)
 			if x.state == Placed && x.ours && !x.seen && !r.t.j.Final() && wall < x.expiry && now-x.sentAt > 800*loop.Millisecond &&
-				!v.Holds(r.t.name(r.i), x.attempt) && v.Find(r.t.name(r.i), x.attempt) == nil {
+				!v.HasPending(r.t.name(r.i), x.attempt) && v.Find(r.t.name(r.i), x.attempt) == nil {
 				p.sendStart(r.t, r.i)
 			}
 		}
