--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -44,7 +44,7 @@
 	// previous call for that machine.
 	ViewChanged func(*View, *Changes)
 	// SendRejection sends a rejection to the owner whose start is rejected.
-	SendRejection func(to string, d Drop)
+	SendRejection func(to string, d Rejection)
 	// StartBlocked returns why no start of the job may reach the machine now, apart from the job being final, for
 	// example a hold or a cordon; it is empty if none is. It may be nil.
 	StartBlocked func(j *job.Job, v *View) string
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -36,7 +36,7 @@
 	epoch      uint64
 	sent       []wire.Commands
 	resp       store.Response
-	rejections []Drop
+	rejections []Rejection
 	// duringDirect is called while a direct command is in flight; it may be nil.
 	duringDirect func()
 	session      uint64 // of the worker; 0 stands for 1
@@ -61,7 +61,7 @@
 			}
 			return nil
 		},
-		Publish: func(News) {}, ViewChanged: func(*View, *Changes) {}, SendRejection: func(_ string, d Drop) { g.rejections = append(g.rejections, d) },
+		Publish: func(News) {}, ViewChanged: func(*View, *Changes) {}, SendRejection: func(_ string, d Rejection) { g.rejections = append(g.rejections, d) },
 		Clock: delivery.NewClock(0, 6*loop.Second),
 	}, func(_ string, c wire.Commands, _ time.Duration) store.Response {
 		g.sent = append(g.sent, c)
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -183,9 +183,9 @@
 	Forget  bool        `cbor:"5,keyasint,omitempty"` // forget the attempt instead: its result is recorded
 }
 
-// Drop tells an owner that this host did not and will never pass its start on. With Reserve it says only that
+// Rejection tells an owner that this host did not and will never pass its start on. With Reserve it says only that
 // no capacity is reserved for the start, and proves nothing about the start itself: it may follow, and may fit.
-type Drop struct {
+type Rejection struct {
 	Machine string `cbor:"1,keyasint"`
 	Task    string `cbor:"2,keyasint"`
 	Attempt uint64 `cbor:"3,keyasint"`
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -149,7 +149,7 @@
 			n.placer.View(v, c)
 			n.rental.View(v)
 		},
-		SendRejection: func(to string, d agent.Drop) {
+		SendRejection: func(to string, d agent.Rejection) {
 			n.at(to, func() { l.Post(func() { n.placer.Drop(cfg.Label, d) }) }, func(e *peer.Envelope) { e.Drops = append(e.Drops, d) })
 		},
 		StartBlocked:     n.barred,
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -108,21 +108,21 @@
 
 // Envelope is one frame.
 type Envelope struct {
-	From      string        `cbor:"1,keyasint"`
-	Status    *Status       `cbor:"2,keyasint,omitempty"`
-	Views     []*agent.View `cbor:"3,keyasint,omitempty"`
-	Starts    []agent.Start `cbor:"4,keyasint,omitempty"`
-	Stops     []agent.Stop  `cbor:"5,keyasint,omitempty"`
-	Drops     []agent.Drop  `cbor:"6,keyasint,omitempty"`
-	Tally     *Tally        `cbor:"7,keyasint,omitempty"`
-	Closes    []Close       `cbor:"8,keyasint,omitempty"`
-	Progress  []Progress    `cbor:"9,keyasint,omitempty"`
-	Usage     []Usage       `cbor:"10,keyasint,omitempty"`
-	Claims    []Claim       `cbor:"11,keyasint,omitempty"`
-	Reserves  []agent.Start `cbor:"12,keyasint,omitempty"`
-	Checks    []string      `cbor:"13,keyasint,omitempty"`
-	Questions []Question    `cbor:"14,keyasint,omitempty"`
-	Replies   []Reply       `cbor:"15,keyasint,omitempty"`
+	From      string            `cbor:"1,keyasint"`
+	Status    *Status           `cbor:"2,keyasint,omitempty"`
+	Views     []*agent.View     `cbor:"3,keyasint,omitempty"`
+	Starts    []agent.Start     `cbor:"4,keyasint,omitempty"`
+	Stops     []agent.Stop      `cbor:"5,keyasint,omitempty"`
+	Drops     []agent.Rejection `cbor:"6,keyasint,omitempty"`
+	Tally     *Tally            `cbor:"7,keyasint,omitempty"`
+	Closes    []Close           `cbor:"8,keyasint,omitempty"`
+	Progress  []Progress        `cbor:"9,keyasint,omitempty"`
+	Usage     []Usage           `cbor:"10,keyasint,omitempty"`
+	Claims    []Claim           `cbor:"11,keyasint,omitempty"`
+	Reserves  []agent.Start     `cbor:"12,keyasint,omitempty"`
+	Checks    []string          `cbor:"13,keyasint,omitempty"`
+	Questions []Question        `cbor:"14,keyasint,omitempty"`
+	Replies   []Reply           `cbor:"15,keyasint,omitempty"`
 	// Deltas are views told by how they differ from ones told before, and Lost names
 	// machines of the receiver's whose full views the sender lacks for that.
 	Deltas []*agent.Delta `cbor:"16,keyasint,omitempty"`
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -206,7 +206,7 @@
 }
 
 // Drop takes in that a host will never pass a start on.
-func (p *Placer) Drop(from string, d agent.Drop) {
+func (p *Placer) Drop(from string, d agent.Rejection) {
 	id, i, ok := agent.SplitTask(d.Task)
 	if !ok {
 		return
