--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -20,7 +20,7 @@
 		return // the job's record has not arrived here yet; Start decides
 	}
 	if why := a.rejectionReason(m, s, j); why != "" {
-		a.config.SendRejection(s.From, Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, Reserve: true, Life: a.config.Incarnation})
+		a.config.SendRejection(s.From, Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, OnlyReservation: true, Life: a.config.Incarnation})
 		return
 	}
 	m.reservations[delivery.Attempt{Task: s.Task, Number: s.Attempt}] = a.runner.Now() + 700*loop.Millisecond
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -186,11 +186,11 @@
 // Rejection tells an owner that this host did not and will never pass its start on. With Reserve it says only that
 // no capacity is reserved for the start, and proves nothing about the start itself: it may follow, and may fit.
 type Rejection struct {
-	Machine string `cbor:"1,keyasint"`
-	Task    string `cbor:"2,keyasint"`
-	Attempt uint64 `cbor:"3,keyasint"`
-	Why     string `cbor:"4,keyasint"`
-	Reserve bool   `cbor:"5,keyasint,omitempty"`
+	Machine         string `cbor:"1,keyasint"`
+	Task            string `cbor:"2,keyasint"`
+	Attempt         uint64 `cbor:"3,keyasint"`
+	Why             string `cbor:"4,keyasint"`
+	OnlyReservation bool   `cbor:"5,keyasint,omitempty"`
 	// Life is the incarnation of the host's process that will never pass the start on.
 	Life loop.Micros `cbor:"6,keyasint,omitempty"`
 }
--- a/internal/placer/forget_test.go
+++ b/internal/placer/forget_test.go
@@ -64,7 +64,7 @@
 		{"the next attempt is being recorded", func(*forgetRig) {}},
 		{"the next attempt has no room", func(g *forgetRig) {
 			g.Run(90 * loop.Millisecond) // it is chosen, and not yet recorded
-			g.p.Drop("b", agent.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: 2, Why: "full", Reserve: true})
+			g.p.Drop("b", agent.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: 2, Why: "full", OnlyReservation: true})
 		}},
 		{"the next attempt's record is withdrawn", func(g *forgetRig) {
 			g.Run(90 * loop.Millisecond)
@@ -95,7 +95,7 @@
 func forgetAsTheNextOwner(t *testing.T) {
 	g := newForgetRig()
 	g.p.n.Reserve = func(host string, s agent.Start) {
-		g.p.Drop(host, agent.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Reserve: true})
+		g.p.Drop(host, agent.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", OnlyReservation: true})
 	}
 	id := g.job(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
 	g.p.Owned(partition.ForTeam("red"), false, member.Owner{})
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -393,7 +393,7 @@
 		g.Run(loop.Millisecond)
 	}
 	refuse := func() {
-		g.p.Drop("b", agent.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: x().attempt, Why: "full", Reserve: true})
+		g.p.Drop("b", agent.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: x().attempt, Why: "full", OnlyReservation: true})
 	}
 	refuse()
 	if x().state != Waiting {
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -224,7 +224,7 @@
 	if x.attempt != d.Attempt || x.machine != d.Machine {
 		return
 	}
-	if d.Reserve {
+	if d.OnlyReservation {
 		// Another owner took the room first. Where no record was taken yet, none is
 		// needed. Afterwards the refusal proves nothing: the start may be on its way,
 		// and taking one for the other let tasks run twice.
