--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -187,12 +187,12 @@
 	g.a.config.Incarnation = 2
 	token := g.report(t, 1, 0).Token
 	g.report(t, 2, token)
-	start := Start{Machine: "n-1", Session: 9, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*loop.Second, From: "a", Life: 1}
+	start := Start{Machine: "n-1", Session: 9, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*loop.Second, From: "a", Incarnation: 1}
 	g.a.Start(start)
 	if len(g.rejections) != 0 {
 		t.Fatalf("a start for another incarnation is rejected: %v", g.rejections)
 	}
-	start.Life = 2
+	start.Incarnation = 2
 	g.a.Start(start)
 	if len(g.rejections) != 1 || g.rejections[0].Life != 2 {
 		t.Fatalf("rejections of a start for another session: %v, want one by incarnation 2", g.rejections)
--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -87,7 +87,7 @@
 		}
 		a.config.SendRejection(s.From, Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, Life: a.config.Incarnation})
 	}
-	if m == nil || s.Life != 0 && s.Life != a.config.Incarnation {
+	if m == nil || s.Incarnation != 0 && s.Incarnation != a.config.Incarnation {
 		// The machine reports elsewhere, or the start is meant for an earlier incarnation of this process. The start
 		// is ignored: the owner learns of the new host or incarnation and sends it there until the start expires.
 		// It must not be rejected, because the earlier incarnation may have passed it on, and the owner takes a
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -169,9 +169,9 @@
 	Attempt uint64      `cbor:"4,keyasint"`
 	Expiry  loop.Micros `cbor:"5,keyasint"` // wall-clock time after which nobody may carry it out
 	From    string      `cbor:"6,keyasint"`
-	// Life is the incarnation of the host's process for which the start is meant. A host that has restarted
+	// Incarnation is the incarnation of the host's process for which the start is meant. A host that has restarted
 	// does not know which starts it passed on before.
-	Life loop.Micros `cbor:"7,keyasint,omitempty"`
+	Incarnation loop.Micros `cbor:"7,keyasint,omitempty"`
 }
 
 // Stop orders a task to be stopped, with or without time to save its state, or to be forgotten.
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -271,7 +271,7 @@
 		p.n.Meter.Start()
 	}
 	x.sentTo, x.life, x.sentAt = v.Host, v.Incarnation, p.r.Now()
-	p.n.Start(v.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.name(i), Attempt: x.attempt, Expiry: x.expiry, From: p.n.Label, Life: v.Incarnation})
+	p.n.Start(v.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.name(i), Attempt: x.attempt, Expiry: x.expiry, From: p.n.Label, Incarnation: v.Incarnation})
 }
 
 // maybeDone stores a job's completion once all its tasks have completed.
--- a/internal/placer/proof_test.go
+++ b/internal/placer/proof_test.go
@@ -34,13 +34,13 @@
 		g.tell(1, 1, true)
 		g.job(1, job.Spec{Team: "red", Tasks: 1, CPUs: 2, AnyType: true, Estimate: loop.Second})
 		g.Run(500 * loop.Millisecond)
-		if len(g.starts) != 1 || g.starts[0].Life != 1 {
+		if len(g.starts) != 1 || g.starts[0].Incarnation != 1 {
 			t.Fatalf("%s: started %+v, want one start for life 1", c.name, g.starts)
 		}
 		if c.moved {
 			g.tell(2, 1, true)
 			g.Run(1500 * loop.Millisecond)
-			if n := len(g.starts); n < 2 || g.starts[n-1].Life != 2 {
+			if n := len(g.starts); n < 2 || g.starts[n-1].Incarnation != 2 {
 				t.Fatalf("%s: the start is not sent to the new life: %+v", c.name, g.starts)
 			}
 		}
