--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -194,7 +194,7 @@
 	}
 	start.Incarnation = 2
 	g.a.Start(start)
-	if len(g.rejections) != 1 || g.rejections[0].Life != 2 {
+	if len(g.rejections) != 1 || g.rejections[0].Incarnation != 2 {
 		t.Fatalf("rejections of a start for another session: %v, want one by incarnation 2", g.rejections)
 	}
 }
--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -20,7 +20,7 @@
 		return // the job's record has not arrived here yet; Start decides
 	}
 	if why := a.rejectionReason(m, s, j); why != "" {
-		a.config.SendRejection(s.From, Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, OnlyReservation: true, Life: a.config.Incarnation})
+		a.config.SendRejection(s.From, Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, OnlyReservation: true, Incarnation: a.config.Incarnation})
 		return
 	}
 	m.reservations[delivery.Attempt{Task: s.Task, Number: s.Attempt}] = a.runner.Now() + 700*loop.Millisecond
@@ -85,7 +85,7 @@
 		if m != nil {
 			m.rejected[k] = s.Expiry + a.config.ClockUncertainty
 		}
-		a.config.SendRejection(s.From, Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, Life: a.config.Incarnation})
+		a.config.SendRejection(s.From, Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, Incarnation: a.config.Incarnation})
 	}
 	if m == nil || s.Incarnation != 0 && s.Incarnation != a.config.Incarnation {
 		// The machine reports elsewhere, or the start is meant for an earlier incarnation of this process. The start
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -191,8 +191,8 @@
 	Attempt         uint64 `cbor:"3,keyasint"`
 	Why             string `cbor:"4,keyasint"`
 	OnlyReservation bool   `cbor:"5,keyasint,omitempty"`
-	// Life is the incarnation of the host's process that will never pass the start on.
-	Life loop.Micros `cbor:"6,keyasint,omitempty"`
+	// Incarnation is the incarnation of the host's process that will never pass the start on.
+	Incarnation loop.Micros `cbor:"6,keyasint,omitempty"`
 }
 
 // SplitTask splits a task's name into its job's id and its index.
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -240,7 +240,7 @@
 		return
 	}
 	// Proof only if no other host was ever given this start, and no other life of this one.
-	if x.ours && !x.spread && x.sentTo == from && x.life == d.Life && !x.seen {
+	if x.ours && !x.spread && x.sentTo == from && x.life == d.Incarnation && !x.seen {
 		p.shut(d.Machine)
 		p.provenOff(t, i, "dropped: "+d.Why)
 		p.Kick()
--- a/internal/placer/proof_test.go
+++ b/internal/placer/proof_test.go
@@ -46,7 +46,7 @@
 		}
 		s := g.starts[0]
 		before := len(g.starts)
-		g.p.Drop("b", agent.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Life: c.says})
+		g.p.Drop("b", agent.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Incarnation: c.says})
 		g.Run(2 * loop.Second)
 		freed := len(g.starts) > before && g.starts[len(g.starts)-1].Attempt > s.Attempt
 		if freed != c.frees {
