--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -39,7 +39,7 @@
 	// FindJob finds a job known here, nil if there is none.
 	FindJob func(id string) *job.Job
 	// Publish sends the changes of hosted machines to the peers.
-	Publish func(News)
+	Publish func(ViewUpdate)
 	// ViewChanged is called for every newer view, from any controller, with its differences from the view of the
 	// previous call for that machine.
 	ViewChanged func(*View, *Changes)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -61,7 +61,7 @@
 			}
 			return nil
 		},
-		Publish: func(News) {}, ViewChanged: func(*View, *Changes) {}, SendRejection: func(_ string, d Rejection) { g.rejections = append(g.rejections, d) },
+		Publish: func(ViewUpdate) {}, ViewChanged: func(*View, *Changes) {}, SendRejection: func(_ string, d Rejection) { g.rejections = append(g.rejections, d) },
 		Clock: delivery.NewClock(0, 6*loop.Second),
 	}, func(_ string, c wire.Commands, _ time.Duration) store.Response {
 		g.sent = append(g.sent, c)
--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -200,9 +200,9 @@
 	return min(max(minPublishDelay, loop.Micros(len(a.views)*publishDelayPerMachine)), maxPublishDelay)
 }
 
-// News is what a host publishes of its machines: full views, and deltas for machines whose previous view was
+// ViewUpdate is what a host publishes of its machines: full views, and deltas for machines whose previous view was
 // published.
-type News struct {
+type ViewUpdate struct {
 	Views  []*View
 	Deltas []*Delta
 }
@@ -223,7 +223,7 @@
 func (a *Registry) publish() {
 	all := a.toPublish
 	a.toPublish = nil
-	var n News
+	var n ViewUpdate
 	now := a.runner.Now()
 	for _, m := range all {
 		m.publishScheduled = false
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -139,7 +139,7 @@
 		RaiseEpoch:  n.member.RaiseEpoch,
 		MachineType: func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
 		FindJob:     n.jobs.Get,
-		Publish: func(news agent.News) {
+		Publish: func(news agent.ViewUpdate) {
 			n.net.All(func(e *peer.Envelope) {
 				e.Views = append(e.Views, news.Views...)
 				e.Deltas = append(e.Deltas, news.Deltas...)
