--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -12,8 +12,8 @@
 type Changes struct {
 	// All is set if no previous view is known or it was of another session.
 	All bool
-	// Still is set if every task is unchanged; From and Gone are empty then.
-	Still bool
+	// Unchanged is set if every task is unchanged; From and Gone are empty then.
+	Unchanged bool
 	// From holds, for each task of the view, its position in the previous view if it is unchanged; -1 if it is
 	// new or has changed.
 	From []int
@@ -22,11 +22,11 @@
 }
 
 // Kept reports whether a task of the view is unchanged.
-func (c *Changes) Kept(i int) bool { return c.Still || (!c.All && c.From[i] >= 0) }
+func (c *Changes) Kept(i int) bool { return c.Unchanged || (!c.All && c.From[i] >= 0) }
 
 // Was returns the position in the previous view of a task that is unchanged.
 func (c *Changes) Was(i int) int {
-	if c.Still {
+	if c.Unchanged {
 		return i
 	}
 	return c.From[i]
@@ -39,7 +39,7 @@
 		return Changes{All: true}
 	}
 	if v.sameTasks(old) {
-		return Changes{Still: true}
+		return Changes{Unchanged: true}
 	}
 	c := Changes{From: make([]int, len(v.Tasks))}
 	i := 0
@@ -84,7 +84,7 @@
 // shareWith takes the jobs of unchanged tasks over from the previous view, and shares its strings and, if all
 // tasks are unchanged, its slices.
 func (v *View) shareWith(old *View, c *Changes) {
-	if c.Still && len(old.jobs) == len(old.Tasks) {
+	if c.Unchanged && len(old.jobs) == len(old.Tasks) {
 		v.Tasks, v.jobs, v.resolved = old.Tasks, old.jobs, false // both views share the slices
 		return
 	}
--- a/internal/agent/delta_test.go
+++ b/internal/agent/delta_test.go
@@ -138,8 +138,8 @@
 			t.Fatalf("%+v is missing or has changed but is not reported in Gone", old.Tasks[i])
 		}
 	}
-	if c.Still != slices.Equal(old.Tasks, v.Tasks) {
-		t.Fatalf("Still is %v, which a comparison of the lists contradicts", c.Still)
+	if c.Unchanged != slices.Equal(old.Tasks, v.Tasks) {
+		t.Fatalf("Still is %v, which a comparison of the lists contradicts", c.Unchanged)
 	}
 }
 
--- a/internal/agent/forget.go
+++ b/internal/agent/forget.go
@@ -68,7 +68,7 @@
 // before is the machine's previous view, and c the differences between the two.
 func (v *View) firstListedTimes(before *View, c *Changes, wall loop.Micros) []loop.Micros {
 	known := len(before.firstListed) == len(before.Tasks) && !c.All
-	if known && c.Still {
+	if known && c.Unchanged {
 		return before.firstListed
 	}
 	listed := make([]loop.Micros, len(v.Tasks))
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -110,7 +110,7 @@
 	c := v.Since(&before)
 	v.shareWith(&before, &c)
 	v.firstListed = v.firstListedTimes(&before, &c, wall)
-	if !c.Still || (v.NoticeAt == 0) != (r.NoticeS == nil) {
+	if !c.Unchanged || (v.NoticeAt == 0) != (r.NoticeS == nil) {
 		m.dirty = true
 	}
 	v.Name, v.Addr, v.Type, v.Zone, v.Spot, v.Host, v.Incarnation = r.Machine, r.Addr, r.Type, r.Zone, r.Spot, a.config.Label, a.config.Incarnation
--- a/internal/health/blame.go
+++ b/internal/health/blame.go
@@ -84,7 +84,7 @@
 
 // View takes in a machine's newer view.
 func (b *Blame) View(now loop.Micros, v *agent.View, c *agent.Changes) {
-	if c.Still {
+	if c.Unchanged {
 		return
 	}
 	for i := range v.Tasks {
--- a/internal/health/runs.go
+++ b/internal/health/runs.go
@@ -58,7 +58,7 @@
 	if late {
 		r.judged = now
 	}
-	same := c.Still && len(r.runs) == len(v.Tasks)
+	same := c.Unchanged && len(r.runs) == len(v.Tasks)
 	if same && !late {
 		return out
 	}
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -31,10 +31,10 @@
 		p.zoneMemo[v.Name] = v.Zone
 	}
 	// Most views only say that a machine lives: nothing is free that was not.
-	quiet := old != nil && c.Still && len(v.Pending)+len(old.V.Pending) == 0 && v.ClosedToStarts == old.V.ClosedToStarts && v.NoticeAt == old.V.NoticeAt && !unsure
+	quiet := old != nil && c.Unchanged && len(v.Pending)+len(old.V.Pending) == 0 && v.ClosedToStarts == old.V.ClosedToStarts && v.NoticeAt == old.V.NoticeAt && !unsure
 	sl := p.fleet.View(v, now-v.Silence(p.r.Wall(), p.clockTo()), quiet)
 	p.blame.View(now, v, c)
-	if !c.Still {
+	if !c.Unchanged {
 		sl.Rest(p.blame.Until(v.Name), "tasks fail on it")
 	}
 	sl.Jobs = p.agent.Jobs(v)
