--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -14,22 +14,22 @@
 	All bool
 	// Unchanged is set if every task is unchanged; From and Gone are empty then.
 	Unchanged bool
-	// From holds, for each task of the view, its position in the previous view if it is unchanged; -1 if it is
+	// OldIndex holds, for each task of the view, its position in the previous view if it is unchanged; -1 if it is
 	// new or has changed.
-	From []int
+	OldIndex []int
 	// Gone holds the positions in the previous view of the tasks that are missing or have changed.
 	Gone []int
 }
 
 // Kept reports whether a task of the view is unchanged.
-func (c *Changes) Kept(i int) bool { return c.Unchanged || (!c.All && c.From[i] >= 0) }
+func (c *Changes) Kept(i int) bool { return c.Unchanged || (!c.All && c.OldIndex[i] >= 0) }
 
 // Was returns the position in the previous view of a task that is unchanged.
 func (c *Changes) Was(i int) int {
 	if c.Unchanged {
 		return i
 	}
-	return c.From[i]
+	return c.OldIndex[i]
 }
 
 // Since compares a view with an earlier one. Workers report tasks in the order in which they began, so one pass
@@ -41,11 +41,11 @@
 	if v.sameTasks(old) {
 		return Changes{Unchanged: true}
 	}
-	c := Changes{From: make([]int, len(v.Tasks))}
+	c := Changes{OldIndex: make([]int, len(v.Tasks))}
 	i := 0
 	for k := range v.Tasks {
 		t := &v.Tasks[k]
-		c.From[k] = -1
+		c.OldIndex[k] = -1
 		at := i
 		for at < len(old.Tasks) && !old.Tasks[at].sameAttempt(t) {
 			at++
@@ -58,7 +58,7 @@
 		}
 		i = at + 1
 		if o := &old.Tasks[at]; o.State == t.State && o.Why == t.Why && o.Saved == t.Saved {
-			c.From[k] = at
+			c.OldIndex[k] = at
 		} else {
 			c.Gone = append(c.Gone, at)
 		}
@@ -137,7 +137,7 @@
 	c := v.Since(base)
 	d = &Delta{Name: v.Name, Session: v.Session, BaseSeq: base.Seq, BaseRev: base.Rev, Seq: v.Seq, Rev: v.Rev, Settled: v.TokenConfirmed,
 		At: v.MadeAfter, NoticeAt: v.NoticeAt, Closed: v.ClosedToStarts, Gone: c.Gone, Pending: v.Pending, Life: v.Incarnation, Reported: v.ReportedAt}
-	for k, i := range c.From {
+	for k, i := range c.OldIndex {
 		if i < 0 {
 			d.New = append(d.New, Placed{At: k, Task: v.Tasks[k]})
 		}
