--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -17,8 +17,8 @@
 	// OldIndex holds, for each task of the view, its position in the previous view if it is unchanged; -1 if it is
 	// new or has changed.
 	OldIndex []int
-	// Gone holds the positions in the previous view of the tasks that are missing or have changed.
-	Gone []int
+	// Removed holds the positions in the previous view of the tasks that are missing or have changed.
+	Removed []int
 }
 
 // Kept reports whether a task of the view is unchanged.
@@ -54,17 +54,17 @@
 			continue
 		}
 		for ; i < at; i++ {
-			c.Gone = append(c.Gone, i)
+			c.Removed = append(c.Removed, i)
 		}
 		i = at + 1
 		if o := &old.Tasks[at]; o.State == t.State && o.Why == t.Why && o.Saved == t.Saved {
 			c.OldIndex[k] = at
 		} else {
-			c.Gone = append(c.Gone, at)
+			c.Removed = append(c.Removed, at)
 		}
 	}
 	for ; i < len(old.Tasks); i++ {
-		c.Gone = append(c.Gone, i)
+		c.Removed = append(c.Removed, i)
 	}
 	return c
 }
@@ -136,7 +136,7 @@
 	}
 	c := v.Since(base)
 	d = &Delta{Name: v.Name, Session: v.Session, BaseSeq: base.Seq, BaseRev: base.Rev, Seq: v.Seq, Rev: v.Rev, Settled: v.TokenConfirmed,
-		At: v.MadeAfter, NoticeAt: v.NoticeAt, Closed: v.ClosedToStarts, Gone: c.Gone, Pending: v.Pending, Life: v.Incarnation, Reported: v.ReportedAt}
+		At: v.MadeAfter, NoticeAt: v.NoticeAt, Closed: v.ClosedToStarts, Gone: c.Removed, Pending: v.Pending, Life: v.Incarnation, Reported: v.ReportedAt}
 	for k, i := range c.OldIndex {
 		if i < 0 {
 			d.New = append(d.New, Placed{At: k, Task: v.Tasks[k]})
--- a/internal/agent/delta_test.go
+++ b/internal/agent/delta_test.go
@@ -134,7 +134,7 @@
 		}
 	}
 	for i := range old.Tasks {
-		if at := v.Find(old.Tasks[i].Task, old.Tasks[i].Attempt); (at == nil || *at != old.Tasks[i]) && !slices.Contains(c.Gone, i) {
+		if at := v.Find(old.Tasks[i].Task, old.Tasks[i].Attempt); (at == nil || *at != old.Tasks[i]) && !slices.Contains(c.Removed, i) {
 			t.Fatalf("%+v is missing or has changed but is not reported in Gone", old.Tasks[i])
 		}
 	}
--- a/internal/health/runs.go
+++ b/internal/health/runs.go
@@ -100,7 +100,7 @@
 
 // was is what was known of a task that now stands otherwise.
 func (r *Runs) was(x *agent.Task, c *agent.Changes, old []agent.Task) run {
-	for _, g := range c.Gone {
+	for _, g := range c.Removed {
 		if g < len(r.runs) && old[g].Attempt == x.Attempt && old[g].Task == x.Task {
 			return r.runs[g]
 		}
--- a/internal/health/runs_test.go
+++ b/internal/health/runs_test.go
@@ -203,7 +203,7 @@
 			gone[i] = i
 		}
 		from := slices.Repeat([]int{-1}, tasks)
-		told := r.Follow(ended, &agent.Changes{OldIndex: from, Gone: gone}, running.Tasks, jobs, paces, at+40*loop.Second, unsure)
+		told := r.Follow(ended, &agent.Changes{OldIndex: from, Removed: gone}, running.Tasks, jobs, paces, at+40*loop.Second, unsure)
 		if told.Freed != tasks || told.Slow == unsure {
 			t.Errorf("unsure %v: %+v", unsure, told)
 		}
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -77,7 +77,7 @@
 // owner knows that they ended, since it asked for them to be forgotten. Not so where an earlier owner
 // did so before it recorded their end, and a report that was held back has shown them since.
 func (p *Placer) judgeVanished(v *agent.View, c *agent.Changes, before []agent.Task, heard loop.Micros) {
-	for _, k := range c.Gone {
+	for _, k := range c.Removed {
 		if x := &before[k]; v.Find(x.Task, x.Attempt) == nil {
 			id, _, _ := agent.SplitTask(x.Task)
 			p.judgeNamed(v, x.Task, p.registry.Get(id), heard)
