--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -24,8 +24,8 @@
 // Kept reports whether a task of the view is unchanged.
 func (c *Changes) Kept(i int) bool { return c.Unchanged || (!c.All && c.OldIndex[i] >= 0) }
 
-// Was returns the position in the previous view of a task that is unchanged.
-func (c *Changes) Was(i int) int {
+// OldIndexOf returns the position in the previous view of a task that is unchanged.
+func (c *Changes) OldIndexOf(i int) int {
 	if c.Unchanged {
 		return i
 	}
@@ -94,7 +94,7 @@
 	}
 	for k := range v.Tasks {
 		if c.Kept(k) {
-			i := c.Was(k)
+			i := c.OldIndexOf(k)
 			v.jobs[k] = old.jobs[i]
 			v.Tasks[k].Task = old.Tasks[i].Task // both views share the string
 		}
--- a/internal/agent/delta_test.go
+++ b/internal/agent/delta_test.go
@@ -129,8 +129,8 @@
 		return
 	}
 	for k := range v.Tasks {
-		if c.Kept(k) && v.Tasks[k] != old.Tasks[c.Was(k)] {
-			t.Fatalf("%+v counts as unchanged since %+v", v.Tasks[k], old.Tasks[c.Was(k)])
+		if c.Kept(k) && v.Tasks[k] != old.Tasks[c.OldIndexOf(k)] {
+			t.Fatalf("%+v counts as unchanged since %+v", v.Tasks[k], old.Tasks[c.OldIndexOf(k)])
 		}
 	}
 	for i := range old.Tasks {
--- a/internal/agent/forget.go
+++ b/internal/agent/forget.go
@@ -78,7 +78,7 @@
 			continue
 		}
 		if c.Kept(i) {
-			listed[i] = before.firstListed[c.Was(i)]
+			listed[i] = before.firstListed[c.OldIndexOf(i)]
 		} else if was := before.index(v.Tasks[i].Task, v.Tasks[i].Attempt); was >= 0 {
 			listed[i] = before.firstListed[was]
 		}
--- a/internal/health/runs.go
+++ b/internal/health/runs.go
@@ -68,8 +68,8 @@
 	}
 	for i := range v.Tasks {
 		x, j := &v.Tasks[i], jobs[i]
-		if c.Kept(i) && c.Was(i) < len(r.runs) {
-			runs[i] = r.runs[c.Was(i)]
+		if c.Kept(i) && c.OldIndexOf(i) < len(r.runs) {
+			runs[i] = r.runs[c.OldIndexOf(i)]
 			out.Slow = late && r.overdue(&runs[i], j, paces, now) || out.Slow
 			continue
 		}
