--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -32,9 +32,9 @@
 	return c.OldIndex[i]
 }
 
-// Since compares a view with an earlier one. Workers report tasks in the order in which they began, so one pass
+// ChangesSince compares a view with an earlier one. Workers report tasks in the order in which they began, so one pass
 // over both lists finds the unchanged ones; with lists in another order, more tasks merely count as changed.
-func (v *View) Since(old *View) Changes {
+func (v *View) ChangesSince(old *View) Changes {
 	if old == nil || old.Session != v.Session {
 		return Changes{All: true}
 	}
@@ -134,7 +134,7 @@
 	if base == nil || base.Host != v.Host || base.Incarnation != v.Incarnation || base.Session != v.Session || base.Addr != v.Addr {
 		return nil, false
 	}
-	c := v.Since(base)
+	c := v.ChangesSince(base)
 	d = &Delta{Name: v.Name, Session: v.Session, BaseSeq: base.Seq, BaseRev: base.Rev, Seq: v.Seq, Rev: v.Rev, Settled: v.TokenConfirmed,
 		At: v.MadeAfter, NoticeAt: v.NoticeAt, Closed: v.ClosedToStarts, Gone: c.Removed, Pending: v.Pending, Life: v.Incarnation, Reported: v.ReportedAt}
 	for k, i := range c.OldIndex {
--- a/internal/agent/delta_test.go
+++ b/internal/agent/delta_test.go
@@ -121,7 +121,7 @@
 
 // checkChanges compares the result of Since with a comparison of every task.
 func checkChanges(t *rapid.T, old, v *View) {
-	c := v.Since(old)
+	c := v.ChangesSince(old)
 	if c.All {
 		if old.Session == v.Session {
 			t.Fatal("all tasks count as changed within one session")
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -107,7 +107,7 @@
 		v.Tasks = append(v.Tasks, Task{t.Task, t.Attempt, t.State, t.Why, t.Saved})
 	}
 	v.Session = r.Session
-	c := v.Since(&before)
+	c := v.ChangesSince(&before)
 	v.shareWith(&before, &c)
 	v.firstListed = v.firstListedTimes(&before, &c, wall)
 	if !c.Unchanged || (v.NoticeAt == 0) != (r.NoticeS == nil) {
@@ -165,7 +165,7 @@
 // setView makes v the newest view of its machine.
 func (a *Registry) setView(v *View) {
 	old := a.views[v.Name]
-	c := v.Since(old)
+	c := v.ChangesSince(old)
 	if v.jobs == nil {
 		v.shareWith(old, &c)
 	}
--- a/internal/health/runs_test.go
+++ b/internal/health/runs_test.go
@@ -145,7 +145,7 @@
 				}
 			}
 			unsure := rapid.IntRange(0, 15).Draw(t, "unsure") == 0
-			c := v.Since(old)
+			c := v.ChangesSince(old)
 			got := r.Follow(&v, &c, old.Tasks, jobs, paces, now, unsure)
 			freed, slow := p.view(&v, jobs, now, unsure)
 			if r.tempo.n != p.count || math.Abs(r.tempo.mean-p.mean) > 1e-9 {
