--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -112,21 +112,21 @@
 // applied only to exactly that view: of the same host, incarnation and session, and of the same report and
 // revision. The incarnation matters because a restarted host counts its revisions from the beginning.
 type Delta struct {
-	Name     string      `cbor:"1,keyasint"`
-	Session  uint64      `cbor:"2,keyasint"`
-	BaseSeq  uint64      `cbor:"3,keyasint"`
-	BaseRev  uint64      `cbor:"4,keyasint"`
-	Seq      uint64      `cbor:"5,keyasint"`
-	Rev      uint64      `cbor:"6,keyasint"`
-	Settled  bool        `cbor:"7,keyasint,omitempty"`
-	At       loop.Micros `cbor:"8,keyasint"`
-	NoticeAt loop.Micros `cbor:"9,keyasint,omitempty"`
-	Closed   bool        `cbor:"10,keyasint,omitempty"`
-	Gone     []int       `cbor:"11,keyasint,omitempty"` // positions in the previous list
-	New      []Placed    `cbor:"12,keyasint,omitempty"` // positions in the new list
-	Pending  []Task      `cbor:"13,keyasint,omitempty"`
-	Life     loop.Micros `cbor:"14,keyasint,omitempty"`
-	Reported loop.Micros `cbor:"15,keyasint,omitempty"`
+	Name           string      `cbor:"1,keyasint"`
+	Session        uint64      `cbor:"2,keyasint"`
+	BaseSeq        uint64      `cbor:"3,keyasint"`
+	BaseRev        uint64      `cbor:"4,keyasint"`
+	Seq            uint64      `cbor:"5,keyasint"`
+	Rev            uint64      `cbor:"6,keyasint"`
+	TokenConfirmed bool        `cbor:"7,keyasint,omitempty"`
+	At             loop.Micros `cbor:"8,keyasint"`
+	NoticeAt       loop.Micros `cbor:"9,keyasint,omitempty"`
+	Closed         bool        `cbor:"10,keyasint,omitempty"`
+	Gone           []int       `cbor:"11,keyasint,omitempty"` // positions in the previous list
+	New            []Placed    `cbor:"12,keyasint,omitempty"` // positions in the new list
+	Pending        []Task      `cbor:"13,keyasint,omitempty"`
+	Life           loop.Micros `cbor:"14,keyasint,omitempty"`
+	Reported       loop.Micros `cbor:"15,keyasint,omitempty"`
 }
 
 // deltaTo returns the differences of v from base; ok is false where only the full view can be sent.
@@ -135,7 +135,7 @@
 		return nil, false
 	}
 	c := v.ChangesSince(base)
-	d = &Delta{Name: v.Name, Session: v.Session, BaseSeq: base.Seq, BaseRev: base.Rev, Seq: v.Seq, Rev: v.Rev, Settled: v.TokenConfirmed,
+	d = &Delta{Name: v.Name, Session: v.Session, BaseSeq: base.Seq, BaseRev: base.Rev, Seq: v.Seq, Rev: v.Rev, TokenConfirmed: v.TokenConfirmed,
 		At: v.MadeAfter, NoticeAt: v.NoticeAt, Closed: v.ClosedToStarts, Gone: c.Removed, Pending: v.Pending, Life: v.Incarnation, Reported: v.ReportedAt}
 	for k, i := range c.OldIndex {
 		if i < 0 {
@@ -156,7 +156,7 @@
 		return nil
 	}
 	v := *base
-	v.Seq, v.Rev, v.TokenConfirmed, v.MadeAfter, v.NoticeAt, v.ClosedToStarts, v.Pending = d.Seq, d.Rev, d.Settled, d.At, d.NoticeAt, d.Closed, d.Pending
+	v.Seq, v.Rev, v.TokenConfirmed, v.MadeAfter, v.NoticeAt, v.ClosedToStarts, v.Pending = d.Seq, d.Rev, d.TokenConfirmed, d.At, d.NoticeAt, d.Closed, d.Pending
 	v.ReportedAt = d.Reported
 	v.jobs, v.resolved = nil, false
 	if len(d.Gone)+len(d.New) == 0 {
