--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -121,7 +121,7 @@
 	TokenConfirmed bool        `cbor:"7,keyasint,omitempty"`
 	MadeAfter      loop.Micros `cbor:"8,keyasint"`
 	NoticeAt       loop.Micros `cbor:"9,keyasint,omitempty"`
-	Closed         bool        `cbor:"10,keyasint,omitempty"`
+	ClosedToStarts bool        `cbor:"10,keyasint,omitempty"`
 	Gone           []int       `cbor:"11,keyasint,omitempty"` // positions in the previous list
 	New            []Placed    `cbor:"12,keyasint,omitempty"` // positions in the new list
 	Pending        []Task      `cbor:"13,keyasint,omitempty"`
@@ -136,7 +136,7 @@
 	}
 	c := v.ChangesSince(base)
 	d = &Delta{Name: v.Name, Session: v.Session, BaseSeq: base.Seq, BaseRev: base.Rev, Seq: v.Seq, Rev: v.Rev, TokenConfirmed: v.TokenConfirmed,
-		MadeAfter: v.MadeAfter, NoticeAt: v.NoticeAt, Closed: v.ClosedToStarts, Gone: c.Removed, Pending: v.Pending, Life: v.Incarnation, Reported: v.ReportedAt}
+		MadeAfter: v.MadeAfter, NoticeAt: v.NoticeAt, ClosedToStarts: v.ClosedToStarts, Gone: c.Removed, Pending: v.Pending, Life: v.Incarnation, Reported: v.ReportedAt}
 	for k, i := range c.OldIndex {
 		if i < 0 {
 			d.New = append(d.New, Placed{At: k, Task: v.Tasks[k]})
@@ -156,7 +156,7 @@
 		return nil
 	}
 	v := *base
-	v.Seq, v.Rev, v.TokenConfirmed, v.MadeAfter, v.NoticeAt, v.ClosedToStarts, v.Pending = d.Seq, d.Rev, d.TokenConfirmed, d.MadeAfter, d.NoticeAt, d.Closed, d.Pending
+	v.Seq, v.Rev, v.TokenConfirmed, v.MadeAfter, v.NoticeAt, v.ClosedToStarts, v.Pending = d.Seq, d.Rev, d.TokenConfirmed, d.MadeAfter, d.NoticeAt, d.ClosedToStarts, d.Pending
 	v.ReportedAt = d.Reported
 	v.jobs, v.resolved = nil, false
 	if len(d.Gone)+len(d.New) == 0 {
