--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -122,7 +122,7 @@
 	MadeAfter      loop.Micros `cbor:"8,keyasint"`
 	NoticeAt       loop.Micros `cbor:"9,keyasint,omitempty"`
 	ClosedToStarts bool        `cbor:"10,keyasint,omitempty"`
-	Gone           []int       `cbor:"11,keyasint,omitempty"` // positions in the previous list
+	Removed        []int       `cbor:"11,keyasint,omitempty"` // positions in the previous list
 	New            []Placed    `cbor:"12,keyasint,omitempty"` // positions in the new list
 	Pending        []Task      `cbor:"13,keyasint,omitempty"`
 	Life           loop.Micros `cbor:"14,keyasint,omitempty"`
@@ -136,7 +136,7 @@
 	}
 	c := v.ChangesSince(base)
 	d = &Delta{Name: v.Name, Session: v.Session, BaseSeq: base.Seq, BaseRev: base.Rev, Seq: v.Seq, Rev: v.Rev, TokenConfirmed: v.TokenConfirmed,
-		MadeAfter: v.MadeAfter, NoticeAt: v.NoticeAt, ClosedToStarts: v.ClosedToStarts, Gone: c.Removed, Pending: v.Pending, Life: v.Incarnation, Reported: v.ReportedAt}
+		MadeAfter: v.MadeAfter, NoticeAt: v.NoticeAt, ClosedToStarts: v.ClosedToStarts, Removed: c.Removed, Pending: v.Pending, Life: v.Incarnation, Reported: v.ReportedAt}
 	for k, i := range c.OldIndex {
 		if i < 0 {
 			d.New = append(d.New, Placed{At: k, Task: v.Tasks[k]})
@@ -151,7 +151,7 @@
 	if base == nil || base.Session != d.Session || base.Seq != d.BaseSeq || base.Rev != d.BaseRev || base.Incarnation != d.Life {
 		return nil
 	}
-	kept := len(base.Tasks) - len(d.Gone)
+	kept := len(base.Tasks) - len(d.Removed)
 	if kept < 0 {
 		return nil
 	}
@@ -159,7 +159,7 @@
 	v.Seq, v.Rev, v.TokenConfirmed, v.MadeAfter, v.NoticeAt, v.ClosedToStarts, v.Pending = d.Seq, d.Rev, d.TokenConfirmed, d.MadeAfter, d.NoticeAt, d.ClosedToStarts, d.Pending
 	v.ReportedAt = d.Reported
 	v.jobs, v.resolved = nil, false
-	if len(d.Gone)+len(d.New) == 0 {
+	if len(d.Removed)+len(d.New) == 0 {
 		return &v
 	}
 	v.Tasks = make([]Task, kept+len(d.New))
@@ -170,7 +170,7 @@
 			fresh++
 			continue
 		}
-		for gone < len(d.Gone) && d.Gone[gone] == i {
+		for gone < len(d.Removed) && d.Removed[gone] == i {
 			gone++
 			i++
 		}
@@ -180,7 +180,7 @@
 		v.Tasks[k] = base.Tasks[i]
 		i++
 	}
-	if fresh != len(d.New) || len(base.Tasks)-i != len(d.Gone)-gone {
+	if fresh != len(d.New) || len(base.Tasks)-i != len(d.Removed)-gone {
 		return nil
 	}
 	return &v
