--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -123,7 +123,7 @@
 	NoticeAt       loop.Micros `cbor:"9,keyasint,omitempty"`
 	ClosedToStarts bool        `cbor:"10,keyasint,omitempty"`
 	Removed        []int       `cbor:"11,keyasint,omitempty"` // positions in the previous list
-	New            []Placed    `cbor:"12,keyasint,omitempty"` // positions in the new list
+	Added          []Placed    `cbor:"12,keyasint,omitempty"` // positions in the new list
 	Pending        []Task      `cbor:"13,keyasint,omitempty"`
 	Life           loop.Micros `cbor:"14,keyasint,omitempty"`
 	Reported       loop.Micros `cbor:"15,keyasint,omitempty"`
@@ -139,7 +139,7 @@
 		MadeAfter: v.MadeAfter, NoticeAt: v.NoticeAt, ClosedToStarts: v.ClosedToStarts, Removed: c.Removed, Pending: v.Pending, Life: v.Incarnation, Reported: v.ReportedAt}
 	for k, i := range c.OldIndex {
 		if i < 0 {
-			d.New = append(d.New, Placed{At: k, Task: v.Tasks[k]})
+			d.Added = append(d.Added, Placed{At: k, Task: v.Tasks[k]})
 		}
 	}
 	return d, true
@@ -159,14 +159,14 @@
 	v.Seq, v.Rev, v.TokenConfirmed, v.MadeAfter, v.NoticeAt, v.ClosedToStarts, v.Pending = d.Seq, d.Rev, d.TokenConfirmed, d.MadeAfter, d.NoticeAt, d.ClosedToStarts, d.Pending
 	v.ReportedAt = d.Reported
 	v.jobs, v.resolved = nil, false
-	if len(d.Removed)+len(d.New) == 0 {
+	if len(d.Removed)+len(d.Added) == 0 {
 		return &v
 	}
-	v.Tasks = make([]Task, kept+len(d.New))
+	v.Tasks = make([]Task, kept+len(d.Added))
 	gone, fresh, i := 0, 0, 0
 	for k := range v.Tasks {
-		if fresh < len(d.New) && d.New[fresh].At == k {
-			v.Tasks[k] = d.New[fresh].Task
+		if fresh < len(d.Added) && d.Added[fresh].At == k {
+			v.Tasks[k] = d.Added[fresh].Task
 			fresh++
 			continue
 		}
@@ -180,7 +180,7 @@
 		v.Tasks[k] = base.Tasks[i]
 		i++
 	}
-	if fresh != len(d.New) || len(base.Tasks)-i != len(d.Removed)-gone {
+	if fresh != len(d.Added) || len(base.Tasks)-i != len(d.Removed)-gone {
 		return nil
 	}
 	return &v
--- a/internal/agent/delta_test.go
+++ b/internal/agent/delta_test.go
@@ -145,14 +145,14 @@
 
 // A corrupt delta from a peer is rejected or applied consistently, without a panic.
 func FuzzDelta(f *testing.F) {
-	f.Add(wire.Marshal(&Delta{Name: "n-1", Session: 1, BaseSeq: 1, BaseRev: 1, Seq: 2, Rev: 2, Removed: []int{-1, 7, 0}, New: []Placed{{At: 1 << 40}}}))
+	f.Add(wire.Marshal(&Delta{Name: "n-1", Session: 1, BaseSeq: 1, BaseRev: 1, Seq: 2, Rev: 2, Removed: []int{-1, 7, 0}, Added: []Placed{{At: 1 << 40}}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		d := new(Delta)
 		if wire.Unmarshal(raw, d) != nil {
 			return
 		}
 		base := &View{Name: "n-1", Session: d.Session, Seq: d.BaseSeq, Rev: d.BaseRev, Tasks: []Task{{Task: "j/0", Attempt: 1}, {Task: "j/1", Attempt: 1}}}
-		if v := d.apply(base); v != nil && len(v.Tasks) != len(base.Tasks)-len(d.Removed)+len(d.New) {
+		if v := d.apply(base); v != nil && len(v.Tasks) != len(base.Tasks)-len(d.Removed)+len(d.Added) {
 			t.Fatal("tasks were lost")
 		}
 	})
