--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -125,7 +125,7 @@
 	Removed        []int       `cbor:"11,keyasint,omitempty"` // positions in the previous list
 	Added          []Placed    `cbor:"12,keyasint,omitempty"` // positions in the new list
 	Pending        []Task      `cbor:"13,keyasint,omitempty"`
-	Life           loop.Micros `cbor:"14,keyasint,omitempty"`
+	Incarnation    loop.Micros `cbor:"14,keyasint,omitempty"`
 	Reported       loop.Micros `cbor:"15,keyasint,omitempty"`
 }
 
@@ -136,7 +136,7 @@
 	}
 	c := v.ChangesSince(base)
 	d = &Delta{Name: v.Name, Session: v.Session, BaseSeq: base.Seq, BaseRev: base.Rev, Seq: v.Seq, Rev: v.Rev, TokenConfirmed: v.TokenConfirmed,
-		MadeAfter: v.MadeAfter, NoticeAt: v.NoticeAt, ClosedToStarts: v.ClosedToStarts, Removed: c.Removed, Pending: v.Pending, Life: v.Incarnation, Reported: v.ReportedAt}
+		MadeAfter: v.MadeAfter, NoticeAt: v.NoticeAt, ClosedToStarts: v.ClosedToStarts, Removed: c.Removed, Pending: v.Pending, Incarnation: v.Incarnation, Reported: v.ReportedAt}
 	for k, i := range c.OldIndex {
 		if i < 0 {
 			d.Added = append(d.Added, Placed{At: k, Task: v.Tasks[k]})
@@ -148,7 +148,7 @@
 // apply returns the view that results from applying a delta to base; nil if base is not the view that the delta
 // was computed from, or the delta is inconsistent.
 func (d *Delta) apply(base *View) *View {
-	if base == nil || base.Session != d.Session || base.Seq != d.BaseSeq || base.Rev != d.BaseRev || base.Incarnation != d.Life {
+	if base == nil || base.Session != d.Session || base.Seq != d.BaseSeq || base.Rev != d.BaseRev || base.Incarnation != d.Incarnation {
 		return nil
 	}
 	kept := len(base.Tasks) - len(d.Removed)
