--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -126,7 +126,7 @@
 	Added          []Placed    `cbor:"12,keyasint,omitempty"` // positions in the new list
 	Pending        []Task      `cbor:"13,keyasint,omitempty"`
 	Incarnation    loop.Micros `cbor:"14,keyasint,omitempty"`
-	Reported       loop.Micros `cbor:"15,keyasint,omitempty"`
+	ReportedAt     loop.Micros `cbor:"15,keyasint,omitempty"`
 }
 
 // deltaTo returns the differences of v from base; ok is false where only the full view can be sent.
@@ -136,7 +136,7 @@
 	}
 	c := v.ChangesSince(base)
 	d = &Delta{Name: v.Name, Session: v.Session, BaseSeq: base.Seq, BaseRev: base.Rev, Seq: v.Seq, Rev: v.Rev, TokenConfirmed: v.TokenConfirmed,
-		MadeAfter: v.MadeAfter, NoticeAt: v.NoticeAt, ClosedToStarts: v.ClosedToStarts, Removed: c.Removed, Pending: v.Pending, Incarnation: v.Incarnation, Reported: v.ReportedAt}
+		MadeAfter: v.MadeAfter, NoticeAt: v.NoticeAt, ClosedToStarts: v.ClosedToStarts, Removed: c.Removed, Pending: v.Pending, Incarnation: v.Incarnation, ReportedAt: v.ReportedAt}
 	for k, i := range c.OldIndex {
 		if i < 0 {
 			d.Added = append(d.Added, Placed{At: k, Task: v.Tasks[k]})
@@ -157,7 +157,7 @@
 	}
 	v := *base
 	v.Seq, v.Rev, v.TokenConfirmed, v.MadeAfter, v.NoticeAt, v.ClosedToStarts, v.Pending = d.Seq, d.Rev, d.TokenConfirmed, d.MadeAfter, d.NoticeAt, d.ClosedToStarts, d.Pending
-	v.ReportedAt = d.Reported
+	v.ReportedAt = d.ReportedAt
 	v.jobs, v.resolved = nil, false
 	if len(d.Removed)+len(d.Added) == 0 {
 		return &v
