--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// Placed is a task with its position in a view's list.
-type Placed struct {
+// IndexedTask is a task with its position in a view's list.
+type IndexedTask struct {
 	_    struct{} `cbor:",toarray"`
 	At   int
 	Task Task
@@ -112,21 +112,21 @@
 // applied only to exactly that view: of the same host, incarnation and session, and of the same report and
 // revision. The incarnation matters because a restarted host counts its revisions from the beginning.
 type Delta struct {
-	Name           string      `cbor:"1,keyasint"`
-	Session        uint64      `cbor:"2,keyasint"`
-	BaseSeq        uint64      `cbor:"3,keyasint"`
-	BaseRev        uint64      `cbor:"4,keyasint"`
-	Seq            uint64      `cbor:"5,keyasint"`
-	Rev            uint64      `cbor:"6,keyasint"`
-	TokenConfirmed bool        `cbor:"7,keyasint,omitempty"`
-	MadeAfter      loop.Micros `cbor:"8,keyasint"`
-	NoticeAt       loop.Micros `cbor:"9,keyasint,omitempty"`
-	ClosedToStarts bool        `cbor:"10,keyasint,omitempty"`
-	Removed        []int       `cbor:"11,keyasint,omitempty"` // positions in the previous list
-	Added          []Placed    `cbor:"12,keyasint,omitempty"` // positions in the new list
-	Pending        []Task      `cbor:"13,keyasint,omitempty"`
-	Incarnation    loop.Micros `cbor:"14,keyasint,omitempty"`
-	ReportedAt     loop.Micros `cbor:"15,keyasint,omitempty"`
+	Name           string        `cbor:"1,keyasint"`
+	Session        uint64        `cbor:"2,keyasint"`
+	BaseSeq        uint64        `cbor:"3,keyasint"`
+	BaseRev        uint64        `cbor:"4,keyasint"`
+	Seq            uint64        `cbor:"5,keyasint"`
+	Rev            uint64        `cbor:"6,keyasint"`
+	TokenConfirmed bool          `cbor:"7,keyasint,omitempty"`
+	MadeAfter      loop.Micros   `cbor:"8,keyasint"`
+	NoticeAt       loop.Micros   `cbor:"9,keyasint,omitempty"`
+	ClosedToStarts bool          `cbor:"10,keyasint,omitempty"`
+	Removed        []int         `cbor:"11,keyasint,omitempty"` // positions in the previous list
+	Added          []IndexedTask `cbor:"12,keyasint,omitempty"` // positions in the new list
+	Pending        []Task        `cbor:"13,keyasint,omitempty"`
+	Incarnation    loop.Micros   `cbor:"14,keyasint,omitempty"`
+	ReportedAt     loop.Micros   `cbor:"15,keyasint,omitempty"`
 }
 
 // deltaTo returns the differences of v from base; ok is false where only the full view can be sent.
@@ -139,7 +139,7 @@
 		MadeAfter: v.MadeAfter, NoticeAt: v.NoticeAt, ClosedToStarts: v.ClosedToStarts, Removed: c.Removed, Pending: v.Pending, Incarnation: v.Incarnation, ReportedAt: v.ReportedAt}
 	for k, i := range c.OldIndex {
 		if i < 0 {
-			d.Added = append(d.Added, Placed{At: k, Task: v.Tasks[k]})
+			d.Added = append(d.Added, IndexedTask{At: k, Task: v.Tasks[k]})
 		}
 	}
 	return d, true
