--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -103,9 +103,9 @@
 
 // IndexedTask is a task with its position in a view's list.
 type IndexedTask struct {
-	_    struct{} `cbor:",toarray"`
-	At   int
-	Task Task
+	_     struct{} `cbor:",toarray"`
+	Index int
+	Task  Task
 }
 
 // Delta is a newer view of a machine, expressed as its differences from a view published before. It can be
@@ -139,7 +139,7 @@
 		MadeAfter: v.MadeAfter, NoticeAt: v.NoticeAt, ClosedToStarts: v.ClosedToStarts, Removed: c.Removed, Pending: v.Pending, Incarnation: v.Incarnation, ReportedAt: v.ReportedAt}
 	for k, i := range c.OldIndex {
 		if i < 0 {
-			d.Added = append(d.Added, IndexedTask{At: k, Task: v.Tasks[k]})
+			d.Added = append(d.Added, IndexedTask{Index: k, Task: v.Tasks[k]})
 		}
 	}
 	return d, true
@@ -165,7 +165,7 @@
 	v.Tasks = make([]Task, kept+len(d.Added))
 	gone, fresh, i := 0, 0, 0
 	for k := range v.Tasks {
-		if fresh < len(d.Added) && d.Added[fresh].At == k {
+		if fresh < len(d.Added) && d.Added[fresh].Index == k {
 			v.Tasks[k] = d.Added[fresh].Task
 			fresh++
 			continue
--- a/internal/agent/delta_test.go
+++ b/internal/agent/delta_test.go
@@ -145,7 +145,7 @@
 
 // A corrupt delta from a peer is rejected or applied consistently, without a panic.
 func FuzzDelta(f *testing.F) {
-	f.Add(wire.Marshal(&Delta{Name: "n-1", Session: 1, BaseSeq: 1, BaseRev: 1, Seq: 2, Rev: 2, Removed: []int{-1, 7, 0}, Added: []IndexedTask{{At: 1 << 40}}}))
+	f.Add(wire.Marshal(&Delta{Name: "n-1", Session: 1, BaseSeq: 1, BaseRev: 1, Seq: 2, Rev: 2, Removed: []int{-1, 7, 0}, Added: []IndexedTask{{Index: 1 << 40}}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		d := new(Delta)
 		if wire.Unmarshal(raw, d) != nil {
