--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -16,15 +16,15 @@
 // EpochOf returns the epoch of the controller that issued a token.
 func EpochOf(token uint64) uint64 { return token >> counterBits }
 
-// HostState is the state of a machine at the controller to which it reports.
-type HostState int
+// HostingState is the state of a machine at the controller to which it reports.
+type HostingState int
 
 // The states of a machine. Only in the state Held can no other controller's command be carried out.
 const (
-	Elsewhere HostState = iota // another controller has newer reports
-	Raising                    // the worker shows a token above ours: a newer epoch is being obtained
-	Taking                     // our token was sent, but the worker has not shown it yet
-	Held                       // the worker shows our token: no other controller's command can be carried out
+	Elsewhere HostingState = iota // another controller has newer reports
+	Raising                       // the worker shows a token above ours: a newer epoch is being obtained
+	Taking                        // our token was sent, but the worker has not shown it yet
+	Held                          // the worker shows our token: no other controller's command can be carried out
 )
 
 // sortedAttempts returns the attempts of a map sorted by name, so that the order of commands and views does not
@@ -53,7 +53,7 @@
 // machine is the state of a machine that reports to this controller.
 type machine struct {
 	view          View
-	state         HostState
+	state         HostingState
 	token         uint64
 	tokenIssuedAt loop.Micros // wall-clock time before which nobody had the token
 	wantTaskList  bool        // an owner requested a task list that is certainly new
@@ -85,7 +85,7 @@
 }
 
 // setState changes a machine's state. No other function does.
-func (a *Registry) setState(m *machine, s HostState) {
+func (a *Registry) setState(m *machine, s HostingState) {
 	if m.state == s {
 		return
 	}
@@ -105,6 +105,6 @@
 }
 
 // String returns the state's name in logs.
-func (s HostState) String() string {
+func (s HostingState) String() string {
 	return [...]string{"elsewhere", "raising", "taking", "held"}[s]
 }
