--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -83,7 +83,7 @@
 		return
 	}
 	if m := a.hosted[v.Name]; m != nil {
-		a.setState(m, Elsewhere)
+		a.setState(m, HostedElsewhere)
 		delete(a.hosted, v.Name)
 	}
 	a.setView(v)
