--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -22,7 +22,7 @@
 // The states of a machine. Only in the state Held can no other controller's command be carried out.
 const (
 	HostedElsewhere HostingState = iota // another controller has newer reports
-	Raising                             // the worker shows a token above ours: a newer epoch is being obtained
+	RaisingEpoch                        // the worker shows a token above ours: a newer epoch is being obtained
 	Taking                              // our token was sent, but the worker has not shown it yet
 	Held                                // the worker shows our token: no other controller's command can be carried out
 )
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -55,7 +55,7 @@
 			m.token, m.tokenIssuedAt = epoch<<counterBits, a.runner.Wall()
 		} else {
 			// The worker obeys a token above all of ours. Only a token of a newer epoch is obeyed again.
-			a.setState(m, Raising)
+			a.setState(m, RaisingEpoch)
 			before := epoch
 			a.config.RaiseEpoch(func() {
 				if a.config.Epoch() <= before {
