--- a/internal/agent/direct.go
+++ b/internal/agent/direct.go
@@ -63,7 +63,7 @@
 			m.token++
 			m.tokenIssuedAt = a.runner.Wall()
 		}
-		a.setState(m, Taking)
+		a.setState(m, AwaitingToken)
 		a.updateView(m)
 		return
 	}
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -23,7 +23,7 @@
 const (
 	HostedElsewhere HostingState = iota // another controller has newer reports
 	RaisingEpoch                        // the worker shows a token above ours: a newer epoch is being obtained
-	Taking                              // our token was sent, but the worker has not shown it yet
+	AwaitingToken                       // our token was sent, but the worker has not shown it yet
 	Held                                // the worker shows our token: no other controller's command can be carried out
 )
 
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -99,7 +99,7 @@
 	if r.Token == m.token {
 		a.setState(m, Held)
 	} else {
-		a.setState(m, Taking)
+		a.setState(m, AwaitingToken)
 	}
 	before := *v
 	v.Tasks = make([]Task, 0, len(r.Tasks))
