--- a/internal/agent/direct.go
+++ b/internal/agent/direct.go
@@ -23,7 +23,7 @@
 // sendCommands sends the pending commands straight to the worker. It does so only while the worker shows this host's
 // token: then no other controller can command the worker without this one noticing.
 func (a *Registry) sendCommands(m *machine) {
-	if a.hosted[m.view.Name] != m || m.state != Held || m.directInFlight {
+	if a.hosted[m.view.Name] != m || m.state != TokenShown || m.directInFlight {
 		return
 	}
 	if ok, _ := a.config.MayAnswer(); !ok {
@@ -74,7 +74,7 @@
 		a.applyReport(m, r, false, sent)
 		a.updateView(m)
 	}
-	if m.state == Held {
+	if m.state == TokenShown {
 		for k := range m.pending {
 			if !m.inAnswer(k) {
 				a.sendCommandsSoon(m)
--- a/internal/agent/forget.go
+++ b/internal/agent/forget.go
@@ -23,7 +23,7 @@
 	t := &m.view.Tasks[i]
 	attempt := delivery.Attempt{Task: t.Task, Number: t.Attempt}
 	switch {
-	case m.state != Held:
+	case m.state != TokenShown:
 		return forgetUnsettled
 	case m.directInFlight:
 		return forgetDirect
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -19,12 +19,12 @@
 // HostingState is the state of a machine at the controller to which it reports.
 type HostingState int
 
-// The states of a machine. Only in the state Held can no other controller's command be carried out.
+// The states of a machine. Only in the state TokenShown can no other controller's command be carried out.
 const (
 	HostedElsewhere HostingState = iota // another controller has newer reports
 	RaisingEpoch                        // the worker shows a token above ours: a newer epoch is being obtained
 	AwaitingToken                       // our token was sent, but the worker has not shown it yet
-	Held                                // the worker shows our token: no other controller's command can be carried out
+	TokenShown                          // the worker shows our token: no other controller's command can be carried out
 )
 
 // sortedAttempts returns the attempts of a map sorted by name, so that the order of commands and views does not
@@ -91,7 +91,7 @@
 	}
 	a.log.Debug("hosting state of machine changed", "machine", m.view.Name, "from", m.state, "to", s, "token", m.token, "session", m.view.Session)
 	m.state = s
-	m.view.TokenConfirmed = s == Held
+	m.view.TokenConfirmed = s == TokenShown
 }
 
 // recordReport records that a worker made a report. A worker has one report in flight at a time, so the answers to
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -97,7 +97,7 @@
 		m.recordReport(r.Session, r.Seq)
 	}
 	if r.Token == m.token {
-		a.setState(m, Held)
+		a.setState(m, TokenShown)
 	} else {
 		a.setState(m, AwaitingToken)
 	}
