--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -23,12 +23,12 @@
 	Incarnation loop.Micros
 	// MayAnswer reports whether reports may be answered; if not, it returns the controller to which the worker
 	// is sent.
-	MayAnswer func() (ok bool, coach string)
+	MayAnswer func() (ok bool, controller string)
 	// MayStart reports whether new starts may be passed on.
 	MayStart func() bool
 	// Redirect reports whether a worker should report to another controller, because reports that arrive here do
 	// not reach the owners, and to which one. If the worker finds no other controller, it is answered here
-	// until again has passed since it was last sent on. before is how often it was sent on.
+	// until again has passed since it was last redirected. before is how often it was redirected.
 	Redirect func(machine string, before int) (on bool, to string, again loop.Micros)
 	// Epoch returns the current epoch of this controller, the high part of the tokens that it issues.
 	Epoch func() uint64
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// A worker that has seen a higher token is given a token of a newer epoch, and the view is not settled before
-// the worker shows it.
+// A worker that has seen a higher token is given a token of a newer epoch, and the view does not count the token
+// as confirmed before the worker shows it.
 func TestHigherTokenTakesNewEpoch(t *testing.T) {
 	g := newTestRegistry()
 	c := g.report(t, 1, 9<<counterBits)
@@ -127,16 +127,16 @@
 		t.Fatalf("token %d is not above the worker's", c.Token)
 	}
 	if g.a.View("n-1").TokenConfirmed {
-		t.Fatal("settled before the worker showed the token")
+		t.Fatal("the token is confirmed before the worker showed it")
 	}
 	g.report(t, 2, c.Token)
 	if !g.a.View("n-1").TokenConfirmed {
-		t.Fatal("not settled although the worker shows the token")
+		t.Fatal("the token is not confirmed although the worker shows it")
 	}
 }
 
 // After a direct command of unknown outcome its start may be carried out at any time: it stays listed as
-// pending, and the view is not settled, until the worker shows a higher token.
+// pending, and the token is not confirmed, until the worker shows a higher one.
 func TestUnansweredDirectCommand(t *testing.T) {
 	g := newTestRegistry()
 	token := g.report(t, 1, 0).Token
@@ -150,14 +150,14 @@
 	g.now += 30 * loop.Second // the start has long expired
 	c := g.report(t, 3, token)
 	if v := g.a.View("n-1"); v.TokenConfirmed || !v.HasPending("job-1/0", 1) {
-		t.Fatalf("settled: %v, start still pending: %v", v.TokenConfirmed, v.HasPending("job-1/0", 1))
+		t.Fatalf("token confirmed: %v, start still pending: %v", v.TokenConfirmed, v.HasPending("job-1/0", 1))
 	}
 	if c.Token != token+1 {
 		t.Fatalf("token %d was not raised above %d", c.Token, token)
 	}
 	g.report(t, 4, c.Token)
 	if v := g.a.View("n-1"); !v.TokenConfirmed || v.HasPending("job-1/0", 1) {
-		t.Fatalf("after the higher token was shown: settled: %v, start still pending: %v", v.TokenConfirmed, v.HasPending("job-1/0", 1))
+		t.Fatalf("after the higher token was shown: token confirmed: %v, start still pending: %v", v.TokenConfirmed, v.HasPending("job-1/0", 1))
 	}
 }
 
@@ -200,7 +200,7 @@
 }
 
 // A duplicate of a report proves no more than the report did. Whether it reaches a host that knows the machine,
-// a host that has just restarted, or one that knows the machine as deleted, it must not settle the view,
+// a host that has just restarted, or one that knows the machine as deleted, it must not confirm the token,
 // restore an older task list or move the machine away from the host to which it reports. The same holds for
 // duplicates of duplicates and in reverse order.
 func TestDuplicateReports(t *testing.T) {
@@ -241,7 +241,7 @@
 	for _, r := range []wire.Report{report(1, 7, token, "job-1/0"), report(1, 8, token), report(1, 7, token, "job-1/0"), report(1, 8, token)} {
 		take(g, r)
 		if v := g.a.View("n-1"); v.TokenConfirmed || v.MadeAfter != 0 {
-			t.Fatalf("after a duplicate of report %d: settled: %v, list made after %d", r.Seq, v.TokenConfirmed, v.MadeAfter)
+			t.Fatalf("after a duplicate of report %d: token confirmed: %v, list made after %d", r.Seq, v.TokenConfirmed, v.MadeAfter)
 		}
 	}
 	g.a.ApplyView(&View{Name: "n-1", Host: "b", Session: 1, Seq: 9, TokenConfirmed: true, MadeAfter: g.now})
--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -12,7 +12,7 @@
 type Changes struct {
 	// All is set if no previous view is known or it was of another session.
 	All bool
-	// Unchanged is set if every task is unchanged; From and Gone are empty then.
+	// Unchanged is set if every task is unchanged; OldIndex and Removed are empty then.
 	Unchanged bool
 	// OldIndex holds, for each task of the view, its position in the previous view if it is unchanged; -1 if it is
 	// new or has changed.
--- a/internal/agent/delta_test.go
+++ b/internal/agent/delta_test.go
@@ -40,7 +40,7 @@
 }
 
 // A view built from deltas equals the view that the host published, whatever messages were lost, duplicated or
-// late before; where that is impossible, the full view is requested. The differences that Since reports are
+// late before; where that is impossible, the full view is requested. The differences that ChangesSince reports are
 // those that a comparison of all tasks finds.
 func TestDeltasReproduceViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -119,7 +119,7 @@
 	}
 }
 
-// checkChanges compares the result of Since with a comparison of every task.
+// checkChanges compares the result of ChangesSince with a comparison of every task.
 func checkChanges(t *rapid.T, old, v *View) {
 	c := v.ChangesSince(old)
 	if c.All {
@@ -135,11 +135,11 @@
 	}
 	for i := range old.Tasks {
 		if at := v.Find(old.Tasks[i].Task, old.Tasks[i].Attempt); (at == nil || *at != old.Tasks[i]) && !slices.Contains(c.Removed, i) {
-			t.Fatalf("%+v is missing or has changed but is not reported in Gone", old.Tasks[i])
+			t.Fatalf("%+v is missing or has changed but is not reported in Removed", old.Tasks[i])
 		}
 	}
 	if c.Unchanged != slices.Equal(old.Tasks, v.Tasks) {
-		t.Fatalf("Still is %v, which a comparison of the lists contradicts", c.Unchanged)
+		t.Fatalf("Unchanged is %v, which a comparison of the lists contradicts", c.Unchanged)
 	}
 }
 
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -13,8 +13,8 @@
 
 // Report handles a report that arrived at this controller. reply is called once, on the event loop.
 func (a *Registry) Report(r wire.Report, reply func(Answer)) {
-	if ok, coach := a.config.MayAnswer(); !ok {
-		reply(Answer{421, wire.ReportTo{Node: coach}})
+	if ok, controller := a.config.MayAnswer(); !ok {
+		reply(Answer{421, wire.ReportTo{Node: controller}})
 		return
 	}
 	was := a.redirects[r.Machine]
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -60,7 +60,7 @@
 }
 
 // Silence returns for how long at least the machine has not reported, by a wall-clock time and twice the bound
-// on clock errors. It returns 0 for the view of a host before version 0.8.0, which does not publish Reported.
+// on clock errors. It returns 0 for the view of a host before version 0.8.0, which does not publish ReportedAt.
 func (v *View) Silence(wall, clockTo loop.Micros) loop.Micros {
 	if v.ReportedAt == 0 {
 		return 0
@@ -183,8 +183,9 @@
 	Forget  bool        `cbor:"5,keyasint,omitempty"` // forget the attempt instead: its result is recorded
 }
 
-// Rejection tells an owner that this host did not and will never pass its start on. With Reserve it says only that
-// no capacity is reserved for the start, and proves nothing about the start itself: it may follow, and may fit.
+// Rejection tells an owner that this host did not and will never pass its start on. With OnlyReservation it
+// says only that no capacity is reserved for the start, and proves nothing about the start itself: it may follow, and
+// may fit.
 type Rejection struct {
 	Machine         string `cbor:"1,keyasint"`
 	Task            string `cbor:"2,keyasint"`
