--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -1,10 +1,14 @@
-// Package horizon judges how far a node's knowledge of cancellations reaches, once for all
-// who ask in this process. A node's horizon is the latest moment, by its own steady clock, such
-// that every cancellation that any node confirmed to a user before it is known here.
+// Package horizon decides how recent a controller's knowledge of cancellations is, and so whether it may answer
+// the reports of workers. A controller's cancellation watermark is the latest time on its own monotonic clock
+// such that it knows every cancellation that any controller confirmed to a user before that time.
 //
-// A report that is answered keeps a lease alive, and with it tasks that somebody may have
-// cancelled elsewhere. So reports are answered only while now < horizon + Grace, in contact with
-// the state service or out of it. docs/DESIGN.md has the argument, line by line.
+// An answered report renews a worker's lease, and so keeps tasks running that may have been cancelled through
+// another controller. Therefore reports are answered only while now < watermark + Grace, whether or not the
+// state service can be reached. The watermark is advanced by answers of the state service and by messages
+// between controllers. docs/DESIGN.md contains the proof.
+//
+// The package owns the watermark and the messages that advance it. Reading the state service, sending messages
+// and answering reports are left to others.
 package horizon
 
 import (
@@ -15,104 +19,107 @@
 	"cleatpick/internal/loop"
 )
 
-// State names what moves the horizon.
+// State says what advances the watermark.
 type State int
 
-// The states of the horizon.
+// The states of the watermark.
 const (
-	Blind   State = iota // the records were not read yet
-	Current              // the state service moves it
-	Shared               // peers move it
-	Aging                // nothing does, and reports are answered on what is left
-	Lapsed               // it is too old: workers are let go
+	Blind   State = iota // the job records have not been read yet, so there is no watermark
+	Current              // the state service advances it
+	Shared               // messages of peers advance it
+	Aging                // nothing advances it; reports are answered until Grace has passed
+	Lapsed               // it is older than Grace; reports are not answered, and the workers' leases expire
 )
 
 func (s State) String() string {
 	return [...]string{"blind", "current", "shared", "aging", "lapsed"}[s]
 }
 
-// Grace is for how long after its horizon a node answers reports. What is answered at U keeps
-// tasks until U + lease at most, and a cancellation unknown here was confirmed at the horizon
-// or later. The margin is for clocks that drift and for what is looked at now and then.
+// Grace returns for how long after its watermark a controller answers reports. A report answered at time U
+// keeps tasks running until U + lease at most, and a cancellation that is unknown here was confirmed at the
+// watermark or later. So with U < watermark + Grace, its tasks stop within cancel of the confirmation. The
+// margin covers the drift of clocks and checks that run only periodically.
 func Grace(lease, cancel loop.Micros) loop.Micros {
 	room := cancel - lease
 	return room - min(2*loop.Second, room/4)
 }
 
-// Wait is for how long a watch of the state service may stay open with nothing to tell: an
-// answered watch moves the horizon to when it was sent, so a quiet prefix must not let it age.
-// It costs 1/Wait requests a second, at most a twentieth of a node's part of them.
+// Wait returns for how long a watch of the state service may stay open without changes. An answered watch
+// advances the watermark to the time at which it was sent, so the watermark must not age while a prefix does
+// not change. It costs 1/Wait requests per second, at most a twentieth of the controller's share of requests.
 func Wait(grace loop.Micros, rps float64) loop.Micros {
 	const least = loop.Second / 4
 	want := min(max(grace/8, least), 2*loop.Second)
 	return min(max(want, loop.Seconds(20/max(rps, 0.01))), max(grace/2, least))
 }
 
-// Over is a job that was cancelled, with the version of its record.
+// Over is a cancelled job, with the revision of its record.
 type Over struct {
 	Job  string `cbor:"1,keyasint"`
 	Mark uint64 `cbor:"2,keyasint"`
 }
 
-// Version is that of the words below; others are dropped.
+// Version is the version of the messages below; messages of other versions are dropped.
 const Version = 1
 
-// Word is what a node tells one peer: a question, and the answer to that one's newest.
+// Word is the message of a controller to one peer. It is a question, and also the answer to that peer's newest
+// question.
 type Word struct {
 	Version int         `cbor:"1,keyasint"`
-	Stamp   loop.Micros `cbor:"2,keyasint"` // the sender's steady clock: the question
-	Reach   uint64      `cbor:"3,keyasint"` // the revision up to which the sender has every change
-	// Echo is the stamp of the receiver that is answered, of its life Life; 0: the sender
-	// cannot tell. Whatever it has confirmed until it was asked is up to revision From, or
-	// stands in Over.
+	Stamp   loop.Micros `cbor:"2,keyasint"` // the sender's monotonic clock; identifies the question
+	Reach   uint64      `cbor:"3,keyasint"` // the store revision up to which the sender knows every change
+	// Echo is the Stamp of the receiver's question that is answered, and Life the receiver's incarnation that
+	// asked it; an Echo of 0 means that the sender cannot answer. Every cancellation that the sender confirmed
+	// to a user before it received the question has a revision of at most From or is listed in Over.
 	Echo loop.Micros `cbor:"4,keyasint,omitempty"`
 	Life loop.Micros `cbor:"5,keyasint,omitempty"`
 	From uint64      `cbor:"6,keyasint,omitempty"`
 	Over []Over      `cbor:"7,keyasint,omitempty"`
-	// Knows tells that the sender has a horizon, which was Age old at the answer.
+	// Knows is set if the sender has a watermark, which was Age old when it answered.
 	Knows bool        `cbor:"8,keyasint,omitempty"`
 	Age   loop.Micros `cbor:"9,keyasint,omitempty"`
 }
 
+// peer is what is known of one peer.
 type peer struct {
-	stamp, life loop.Micros // its newest question
-	reach       uint64
-	asked       loop.Micros // when that came
+	stamp, life loop.Micros // of its newest question
+	reach       uint64      // the revision up to which it knows every change, as of that question
+	asked       loop.Micros // when that question arrived
 	echo        loop.Micros // our newest stamp that it has answered; 0: none
 }
 
-// mostRecent bounds the cancellations that are kept to be told to peers: those of the highest
-// versions. A peer that lacks older ones is told that this node cannot tell.
+// mostRecent bounds the cancellations that are kept for messages to peers: those of the highest revisions are.
+// A peer that may lack older ones is not answered.
 const mostRecent = 4096
 
-// mostAsked is for how long a question is answered again. What a peer lacks grows while it is
-// silent, and an old question's answer is of no use to it.
+// mostAsked is for how long a question is answered repeatedly. What a silent peer lacks keeps growing, and the
+// answer to an old question is of no use to it.
 const mostAsked = 5 * loop.Second
 
-// Judge follows the horizon of one node.
+// Judge maintains the cancellation watermark of one controller. It is used on the event loop only.
 type Judge struct {
 	clock loop.Clock
 	log   *slog.Logger
 	life  loop.Micros
 	grace loop.Micros
 	peers map[string]*peer
-	read  bool        // the records were read in this life
-	at    loop.Micros // what the state service has moved the horizon to
-	reach uint64      // the revision up to which every change is known here
-	by    loop.Micros // what single peers' horizons have moved it to
-	// recent are cancellations known here, by version, and floor the highest version of those
-	// that were dropped.
+	read  bool        // the job records were read in this incarnation
+	at    loop.Micros // the watermark by the answers of the state service
+	reach uint64      // the store revision up to which every change is known here
+	by    loop.Micros // the highest watermark that a single peer has passed on
+	// recent holds the cancellations known here, sorted by revision, and floor is the highest revision of those
+	// that were dropped from it.
 	recent []Over
 	floor  uint64
 	state  State
-	since  loop.Micros // of the state
-	// Take hands over a cancellation that a peer tells of; false: it cannot be kept.
+	since  loop.Micros // monotonic time of the last change of state
+	// Take accepts a cancellation that a peer sent; it returns false if the cancellation cannot be recorded.
 	Take func(Over) bool
-	// Dropped is called for every word that is thrown away; it may be nil.
+	// Dropped is called for every message that is discarded; it may be nil.
 	Dropped func(peer, why string)
 }
 
-// New makes a judge that knows nothing. life names this life of the process.
+// New makes a judge without a watermark. life is the incarnation of this process.
 func New(clock loop.Clock, log *slog.Logger, life, grace loop.Micros, peers []string) *Judge {
 	j := &Judge{clock: clock, log: log, life: life, grace: grace, peers: map[string]*peer{}, since: clock.Now()}
 	for _, p := range peers {
@@ -121,14 +128,14 @@
 	return j
 }
 
-// Mirror takes in that an answer of the state service to a request that was sent at a time is
-// known here whole, with everything up to a revision.
+// Mirror records that an answer of the state service to a request sent at a time has been applied completely,
+// so that every change up to the revision reach is known here.
 func (j *Judge) Mirror(sent loop.Micros, reach uint64) {
 	j.read, j.at, j.reach = true, max(j.at, sent), max(j.reach, reach)
 }
 
-// Learn takes in a cancellation that is known here, by whatever way. It is to be called before
-// anybody is told: what a peer is told next then holds it.
+// Learn records a cancellation known here from any source. It must be called before any user is told of the
+// cancellation, so that the next message to a peer includes it.
 func (j *Judge) Learn(o Over) {
 	if o.Mark <= j.floor {
 		return
@@ -143,13 +150,13 @@
 	if n := len(j.recent) - mostRecent; n > 0 {
 		j.floor = j.recent[n-1].Mark
 		for n < len(j.recent) && j.recent[n].Mark == j.floor {
-			n++ // of one version all are kept, or none
+			n++ // cancellations of one revision are kept or dropped together
 		}
 		j.recent = slices.Delete(j.recent, 0, n)
 	}
 }
 
-// At is the horizon; 0: there is none.
+// At returns the watermark; 0 if there is none.
 func (j *Judge) At() loop.Micros {
 	if !j.read {
 		return 0
@@ -158,11 +165,12 @@
 	return max(j.at, j.by, all)
 }
 
-// slowest is what all peers together have moved the horizon to, and which of them holds it back.
-// A node without peers knows all that it has confirmed itself, and its earlier lives.
+// slowest returns the watermark that follows from the answers of all peers together, and the peer that holds it
+// back. Without peers it is now, since the controller knows all that it, or an earlier incarnation of it, has
+// confirmed.
 func (j *Judge) slowest() (at loop.Micros, who string) {
 	at = j.clock.Now()
-	for label, p := range j.peers { // for each report that is answered: in no order, a tie goes to the first by name
+	for label, p := range j.peers { // runs for each answered report, so the peers are not sorted; a tie goes to the first name
 		if p.echo < at || p.echo == at && who > label {
 			at, who = p.echo, label
 		}
@@ -170,13 +178,13 @@
 	return at, who
 }
 
-// Holds tells whether reports may be answered now.
+// Holds reports whether reports may be answered now.
 func (j *Judge) Holds() bool {
 	at := j.At()
 	return at != 0 && j.clock.Now() < at+j.grace
 }
 
-// Word is what to tell a peer now; nil for one that is not known.
+// Word returns the message to send to a peer now; nil for an unknown peer.
 func (j *Judge) Word(label string) *Word {
 	p := j.peers[label]
 	if p == nil {
@@ -185,8 +193,8 @@
 	now := j.clock.Now()
 	w := &Word{Version: Version, Stamp: now, Reach: j.reach}
 	if !j.read || p.stamp == 0 || now-p.asked > mostAsked || p.reach < j.floor {
-		// Not asked lately, or not to be told: what earlier lives of this process have confirmed is
-		// known once the records were read, and not before.
+		// There is no recent question, or it cannot be answered. What earlier incarnations of this process
+		// confirmed is known only once the records have been read.
 		return w
 	}
 	i, _ := slices.BinarySearchFunc(j.recent, p.reach, func(o Over, reach uint64) int {
@@ -200,7 +208,8 @@
 	return w
 }
 
-// Hear takes in a peer's word, from the life of its process that the frame names.
+// Hear applies a message from a peer; life is the incarnation of its process, as named by the frame that
+// contained the message.
 func (j *Judge) Hear(label string, life loop.Micros, w *Word) {
 	p := j.peers[label]
 	if p == nil || w == nil {
@@ -214,7 +223,7 @@
 		p.stamp, p.life, p.reach, p.asked = w.Stamp, life, w.Reach, j.clock.Now()
 	}
 	if w.Echo == 0 || !j.read {
-		return // before the records are read, all that was ever cancelled would be news
+		return // before the records are read, every cancellation ever made would be unknown here
 	}
 	if w.Life != j.life {
 		j.drop(label, "answers an earlier life")
@@ -232,7 +241,7 @@
 	}
 }
 
-// nonsense tells why a word proves nothing; it is empty for one that is sound.
+// nonsense returns why a message proves nothing; it is empty for a valid message.
 func (j *Judge) nonsense(w *Word) string {
 	switch {
 	case w.Version != Version:
@@ -254,15 +263,16 @@
 	return ""
 }
 
+// drop logs and counts a message that is discarded.
 func (j *Judge) drop(label, why string) {
-	j.log.Debug("word on cancellations dropped", "node", label, "why", why)
+	j.log.Debug("message on cancellations dropped; it does not advance the watermark", "node", label, "why", why)
 	if j.Dropped != nil {
 		j.Dropped(label, why)
 	}
 }
 
-// Look judges what moves the horizon now, logs a change, and tells its age. It is to be called
-// now and then.
+// Look determines what advances the watermark now, logs a change, and returns the watermark's age. It must be
+// called periodically.
 func (j *Judge) Look() (age loop.Micros) {
 	now := j.clock.Now()
 	at := j.At()
@@ -284,7 +294,7 @@
 	return age
 }
 
-// setState is the one place where the state changes.
+// setState changes the state. No other function does.
 func (j *Judge) setState(s State, now, age loop.Micros) {
 	if j.state == s {
 		return
@@ -293,12 +303,12 @@
 	from := j.state
 	j.state, j.since = s, now
 	if s == Lapsed {
-		j.log.Warn("workers are let go: cancellations told elsewhere may not be known here", "age_us", age,
+		j.log.Warn("knowledge of cancellations is too old; reports are not answered and the workers' leases will expire", "age_us", age,
 			"state_service_us", now-j.at, "held_back_by", who)
 		return
 	}
-	j.log.Info("knowledge of cancellations", "from", from.String(), "to", s.String(), "age_us", age, "held_back_by", who)
+	j.log.Info("what advances the cancellation watermark changed", "from", from.String(), "to", s.String(), "age_us", age, "held_back_by", who)
 }
 
-// State is what moved the horizon at the newest Look.
+// State returns the state as of the last call of Look.
 func (j *Judge) State() State { return j.state }
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -10,7 +10,7 @@
 	"cleatpick/internal/loop"
 )
 
-// hand is a steady clock moved by hand, with a zero of its own.
+// hand is a monotonic clock set by the test, with a zero of its own.
 type hand struct{ true, zero loop.Micros }
 
 func (h *hand) Now() loop.Micros  { return h.true - h.zero }
@@ -20,27 +20,29 @@
 
 const grace = 18 * loop.Second
 
-// sim is a deployment as plainly as it can be told: what the state service holds, what each
-// node knows, and what users were told when.
+// sim is a simulated deployment: what the state service holds, what each controller knows, and what users were
+// told when. The network loses, delays and duplicates messages.
 type sim struct {
 	now    loop.Micros
 	rng    *rand.Rand
-	stored []string // by version, which begins at 1
+	stored []string // cancelled jobs; the revision of the first is 1
 	nodes  []*simNode
-	told   map[string]loop.Micros
+	told   map[string]loop.Micros // time at which the first user was told of each cancellation
 	flying []flight
 }
 
+// simNode is a simulated controller.
 type simNode struct {
 	label string
 	clock *hand
 	j     *Judge
 	life  loop.Micros
 	known map[string]uint64
-	upTo  int // the version up to which its mirror has all
-	cut   bool
+	upTo  int  // the revision up to which its mirror has every change
+	cut   bool // disconnected from the state service
 }
 
+// flight is a message in flight.
 type flight struct {
 	at       loop.Micros
 	from, to int
@@ -48,6 +50,7 @@
 	w        *Word
 }
 
+// newSim makes a deployment of n controllers.
 func newSim(seed uint64, n int) *sim {
 	s := &sim{now: 1000 * loop.Second, rng: rand.New(rand.NewPCG(seed, 3)), told: map[string]loop.Micros{}}
 	for i := range n {
@@ -59,7 +62,7 @@
 	return s
 }
 
-// begin starts a life of a node's process, which knows nothing of the one before.
+// begin starts a new incarnation of a controller, which knows nothing of the previous one.
 func (s *sim) begin(i int) {
 	n := s.nodes[i]
 	n.clock = &hand{true: s.now, zero: s.now - loop.Second - s.rng.Int64N(int64(1000*loop.Second))}
@@ -79,7 +82,7 @@
 	}
 }
 
-// read lets a request that was sent a while ago be answered now.
+// read delivers the answer to a request that a controller sent some time ago.
 func (s *sim) read(i int, sent loop.Micros) {
 	n := s.nodes[i]
 	if n.cut {
@@ -92,12 +95,13 @@
 	n.j.Mirror(max(sent, n.life)-n.clock.zero, uint64(n.upTo))
 }
 
+// know records a cancellation at a controller.
 func (n *simNode) know(job string, mark uint64) {
 	n.known[job] = mark
 	n.j.Learn(Over{job, mark})
 }
 
-// cancel stores a cancellation by way of a node, which tells its user at once.
+// cancel stores a cancellation through a controller, which tells its user at once.
 func (s *sim) cancel(i int) {
 	n := s.nodes[i]
 	if n.cut || !n.j.read {
@@ -109,12 +113,14 @@
 	s.tell(i, job)
 }
 
+// tell lets a controller tell a user of a cancellation that it knows.
 func (s *sim) tell(i int, job string) {
 	if _, was := s.told[job]; !was && s.nodes[i].known[job] != 0 {
 		s.told[job] = s.now
 	}
 }
 
+// step advances the time and performs one random action; lossy adds long delays, disconnections and restarts.
 func (s *sim) step(lossy bool) {
 	s.now += s.rng.Int64N(int64(300 * loop.Millisecond))
 	for _, n := range s.nodes {
@@ -128,7 +134,8 @@
 	case 3:
 		s.cancel(i)
 	case 4:
-		// A second request for one that another has stored: known from whatever way.
+		// Another user requests a cancellation that a controller has stored already; this one may know it from
+		// any source.
 		if len(s.stored) > 0 {
 			s.tell(i, s.stored[s.rng.IntN(len(s.stored))])
 		}
@@ -138,7 +145,7 @@
 				continue
 			}
 			w := n.j.Word(s.nodes[k].label)
-			for s.rng.IntN(5) > 0 { // lost, once, or repeated
+			for s.rng.IntN(5) > 0 { // the message is lost, delivered once or duplicated
 				d := s.rng.Int64N(int64(200 * loop.Millisecond))
 				if lossy && s.rng.IntN(6) == 0 {
 					d = s.rng.Int64N(int64(60 * loop.Second))
@@ -169,8 +176,8 @@
 	s.flying = left
 }
 
-// Whatever is lost, late, repeated or begun anew: a node knows all that users were told before
-// its horizon.
+// Whatever messages are lost, late or duplicated, and whichever controllers restart: a controller knows every
+// cancellation that a user was told of before its watermark.
 func TestAllBeforeTheHorizonIsKnown(t *testing.T) {
 	moved := 0
 	for seed := range uint64(400) {
@@ -183,11 +190,11 @@
 					continue
 				}
 				if at > n.clock.Now() {
-					t.Fatalf("seed %d: the horizon of %s lies in the future", seed, n.label)
+					t.Fatalf("seed %d: the watermark of %s is in the future", seed, n.label)
 				}
 				for job, told := range s.told {
 					if told < at+n.clock.zero && n.known[job] == 0 {
-						t.Fatalf("seed %d: %s does not know of %s, told %d us before its horizon", seed, n.label, job, at+n.clock.zero-told)
+						t.Fatalf("seed %d: %s does not know the cancellation of %s, confirmed %d us before its watermark", seed, n.label, job, at+n.clock.zero-told)
 					}
 				}
 				if n.cut && at > n.j.at+5*loop.Second {
@@ -197,11 +204,11 @@
 		}
 	}
 	if moved < 1000 {
-		t.Errorf("peers moved a horizon %d times only", moved)
+		t.Errorf("peers advanced the watermark of a disconnected controller %d times, want at least 1000", moved)
 	}
 }
 
-// While all nodes hear each other, their horizons go on without the state service.
+// While all controllers reach each other, their watermarks advance without the state service.
 func TestPeersMoveTheHorizon(t *testing.T) {
 	for n := 1; n <= 15; n++ {
 		s := newSim(uint64(n), n)
@@ -214,31 +221,32 @@
 		}
 		for _, x := range s.nodes {
 			if age := x.clock.Now() - x.j.At(); age > loop.Micros(n)*8*loop.Second || !x.j.read || age > 0 && n == 1 {
-				t.Errorf("%d nodes: the horizon of %s is %d us old", n, x.label, age)
+				t.Errorf("%d controllers: the watermark of %s is %d us old", n, x.label, age)
 			}
 		}
 	}
 }
 
-// What makes no sense, or answers another life, is dropped and counted, and moves nothing.
+// A message that is invalid or answers another incarnation is dropped and counted, and does not advance the
+// watermark.
 func TestNonsenseProvesNothing(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		w    Word
 		bad  bool
 	}{
-		{"sound", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10}, false},
+		{"valid", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10}, false},
 		{"only a question", Word{Version: 1, Stamp: 5}, false},
 		{"another version", Word{Version: 2, Stamp: 5, Echo: 900, Life: 7, From: 10}, true},
 		{"no version", Word{Stamp: 5, Echo: 900, Life: 7, From: 10}, true},
 		{"no stamp", Word{Version: 1, Echo: 900, Life: 7, From: 10}, true},
-		{"from the future", Word{Version: 1, Stamp: 5, Echo: 1001, Life: 7, From: 10}, true},
-		{"an earlier life", Word{Version: 1, Stamp: 5, Echo: 900, Life: 6, From: 10}, true},
+		{"an echo from the future", Word{Version: 1, Stamp: 5, Echo: 1001, Life: 7, From: 10}, true},
+		{"an earlier incarnation", Word{Version: 1, Stamp: 5, Echo: 900, Life: 6, From: 10}, true},
 		{"a revision that nobody has", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 11}, true},
 		{"a negative age", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10, Knows: true, Age: -5}, true},
 		{"a cancellation without a name", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10, Over: []Over{{"", 12}}}, true},
-		{"a cancellation from before", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10, Over: []Over{{"job-000001", 10}}}, true},
-		{"one that cannot be kept", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10, Over: []Over{{"full", 12}}}, true},
+		{"a cancellation at an earlier revision", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10, Over: []Over{{"job-000001", 10}}}, true},
+		{"a cancellation that cannot be recorded", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10, Over: []Over{{"full", 12}}}, true},
 	} {
 		j := New(&hand{true: 1000}, quiet, 7, grace, []string{"b"})
 		j.Take = func(o Over) bool { return o.Job != "full" }
@@ -251,28 +259,28 @@
 			want = 100
 		}
 		if j.At() != want || (dropped > 0) != c.bad {
-			t.Errorf("%s: the horizon is %d, not %d; %d words were dropped", c.name, j.At(), want, dropped)
+			t.Errorf("%s: the watermark is %d, want %d; %d messages were dropped", c.name, j.At(), want, dropped)
 		}
 		j.Hear("nobody", 3, &c.w)
 		j.Hear("b", 3, nil)
 	}
 }
 
-// A process that is back counts its time anew. Its questions are answered although their stamps
-// are smaller than those of its earlier life; of one life only the newest is.
+// A restarted process counts its monotonic time anew. Its questions are answered although their stamps are
+// lower than those of its previous incarnation; within one incarnation only the newest question is answered.
 func TestTheNewLifeIsAnswered(t *testing.T) {
 	j := New(&hand{true: 1000}, quiet, 7, grace, []string{"b"})
 	j.Mirror(100, 10)
 	for _, c := range [][4]loop.Micros{{3, 800, 3, 800}, {3, 700, 3, 800}, {4, 20, 4, 20}, {4, 30, 4, 30}, {4, 25, 4, 30}} {
 		j.Hear("b", c[0], &Word{Version: 1, Stamp: c[1], Reach: 10})
 		if w := j.Word("b"); w.Life != c[2] || w.Echo != c[3] {
-			t.Errorf("after %d of life %d, %d of life %d is answered", c[1], c[0], w.Echo, w.Life)
+			t.Errorf("after question %d of incarnation %d, question %d of incarnation %d is answered", c[1], c[0], w.Echo, w.Life)
 		}
 	}
 }
 
-// More cancellations than are kept: a peer that lacks one of those that were dropped is not
-// answered, and one that does not is.
+// When more cancellations are known than are kept, a peer that may lack a dropped one is not answered, and any
+// other peer is.
 func TestMoreThanIsKept(t *testing.T) {
 	j := New(&hand{true: 1000}, quiet, 7, grace, []string{"b"})
 	j.Mirror(100, 10000)
@@ -284,12 +292,13 @@
 		j.Hear("b", 3, &Word{Version: 1, Stamp: 5 + loop.Micros(reach), Reach: reach})
 		w := j.Word("b")
 		if answered := w.Echo != 0; answered != (reach >= lowest) || answered && len(w.Over) != int(5000-reach) {
-			t.Errorf("up to %d: %d of %d cancellations are told, as an answer to %d", reach, len(w.Over), 5000-reach, w.Echo)
+			t.Errorf("peer at revision %d: %d of %d cancellations are sent, as an answer to question %d", reach, len(w.Over), 5000-reach, w.Echo)
 		}
 	}
 }
 
-// The states in their order, and the time that is left by arithmetic.
+// The states follow each other as the watermark ages and advances. Grace and Wait return the values computed by
+// hand.
 func TestStates(t *testing.T) {
 	c := &hand{true: 100 * loop.Second}
 	j := New(c, quiet, 7, grace, []string{"b", "c"})
@@ -307,18 +316,18 @@
 		j.Hear(p, 3, &Word{Version: 1, Stamp: 5, Echo: 108 * loop.Second, Life: 7, From: 10})
 	}
 	look(109)
-	j.Hear("b", 3, &Word{Version: 1, Stamp: 6, Echo: 109 * loop.Second, Life: 7, From: 10}) // c holds it back
+	j.Hear("b", 3, &Word{Version: 1, Stamp: 6, Echo: 109 * loop.Second, Life: 7, From: 10}) // c holds the watermark back
 	look(120)
 	look(125)
 	look(126)
 	j.Hear("b", 3, &Word{Version: 1, Stamp: 7, Echo: 126 * loop.Second, Life: 7, From: 10, Knows: true, Age: loop.Second})
 	look(126)
 	if s, want := fmt.Sprint(got), "[blind false current true shared true aging true aging true lapsed false shared true]"; s != want {
-		t.Errorf("%s, not %s", s, want)
+		t.Errorf("states: %s, want %s", s, want)
 	}
 	for _, x := range [][3]loop.Micros{{26500, 46500, 18000}, {17500, 47500, 28000}, {10000, 11000, 750}} {
 		if g := Grace(x[0]*1000, x[1]*1000); g != x[2]*1000 {
-			t.Errorf("lease %d, cancellation %d: %d us are left, not %d", x[0], x[1], g, x[2]*1000)
+			t.Errorf("lease %d, cancellation %d: Grace is %d us, want %d", x[0], x[1], g, x[2]*1000)
 		}
 	}
 	for _, x := range []struct {
@@ -327,7 +336,7 @@
 		want  loop.Micros
 	}{{18 * loop.Second, 54, 2 * loop.Second}, {18 * loop.Second, 4, 5 * loop.Second}, {18 * loop.Second, 0.1, 9 * loop.Second}, {loop.Second, 100, loop.Second / 4}, {8 * loop.Second, 54, loop.Second}} {
 		if got := Wait(x.grace, x.rps); got != x.want {
-			t.Errorf("%+v: a watch waits %d us", x, got)
+			t.Errorf("%+v: Wait is %d us", x, got)
 		}
 	}
 }
