--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -40,8 +40,8 @@
 // watermark or later. So with U < watermark + Grace, its tasks stop within cancel of the confirmation. The
 // margin covers the drift of clocks and checks that run only periodically.
 func Grace(lease, cancel loop.Micros) loop.Micros {
-	room := cancel - lease
-	return room - min(2*loop.Second, room/4)
+	budget := cancel - lease
+	return budget - min(2*loop.Second, budget/4)
 }
 
 // Wait returns for how long a watch of the state service may stay open without changes. An answered watch
@@ -82,37 +82,37 @@
 
 // peer is what is known of one peer.
 type peer struct {
-	stamp, life loop.Micros // of its newest question
-	reach       uint64      // the revision up to which it knows every change, as of that question
-	asked       loop.Micros // when that question arrived
-	echo        loop.Micros // our newest stamp that it has answered; 0: none
+	timestamp, incarnation loop.Micros // of its newest question
+	revision               uint64      // the revision up to which it knows every change, as of that question
+	receivedAt             loop.Micros // when that question arrived
+	echoed                 loop.Micros // our newest stamp that it has answered; 0: none
 }
 
-// mostRecent bounds the cancellations that are kept for messages to peers: those of the highest revisions are.
+// maxRecent bounds the cancellations that are kept for messages to peers: those of the highest revisions are.
 // A peer that may lack older ones is not answered.
-const mostRecent = 4096
+const maxRecent = 4096
 
-// mostAsked is for how long a question is answered repeatedly. What a silent peer lacks keeps growing, and the
+// maxQuestionAge is for how long a question is answered repeatedly. What a silent peer lacks keeps growing, and the
 // answer to an old question is of no use to it.
-const mostAsked = 5 * loop.Second
+const maxQuestionAge = 5 * loop.Second
 
 // Judge maintains the cancellation watermark of one controller. It is used on the event loop only.
 type Judge struct {
-	clock loop.Clock
-	log   *slog.Logger
-	life  loop.Micros
-	grace loop.Micros
-	peers map[string]*peer
-	read  bool        // the job records were read in this incarnation
-	at    loop.Micros // the watermark by the answers of the state service
-	reach uint64      // the store revision up to which every change is known here
-	by    loop.Micros // the highest watermark that a single peer has passed on
+	clock       loop.Clock
+	log         *slog.Logger
+	incarnation loop.Micros
+	grace       loop.Micros
+	peers       map[string]*peer
+	loaded      bool        // the job records were read in this incarnation
+	byStore     loop.Micros // the watermark by the answers of the state service
+	revision    uint64      // the store revision up to which every change is known here
+	byPeer      loop.Micros // the highest watermark that a single peer has passed on
 	// recent holds the cancellations known here, sorted by revision, and floor is the highest revision of those
 	// that were dropped from it.
-	recent []Over
-	floor  uint64
-	state  State
-	since  loop.Micros // monotonic time of the last change of state
+	recent      []Over
+	droppedUpTo uint64
+	state       State
+	since       loop.Micros // monotonic time of the last change of state
 	// Take accepts a cancellation that a peer sent; it returns false if the cancellation cannot be recorded.
 	Take func(Over) bool
 	// Dropped is called for every message that is discarded; it may be nil.
@@ -120,8 +120,8 @@
 }
 
 // New makes a judge without a watermark. life is the incarnation of this process.
-func New(clock loop.Clock, log *slog.Logger, life, grace loop.Micros, peers []string) *Judge {
-	j := &Judge{clock: clock, log: log, life: life, grace: grace, peers: map[string]*peer{}, since: clock.Now()}
+func New(clock loop.Clock, log *slog.Logger, incarnation, grace loop.Micros, peers []string) *Judge {
+	j := &Judge{clock: clock, log: log, incarnation: incarnation, grace: grace, peers: map[string]*peer{}, since: clock.Now()}
 	for _, p := range peers {
 		j.peers[p] = &peer{}
 	}
@@ -131,13 +131,13 @@
 // Mirror records that an answer of the state service to a request sent at a time has been applied completely,
 // so that every change up to the revision reach is known here.
 func (j *Judge) Mirror(sent loop.Micros, reach uint64) {
-	j.read, j.at, j.reach = true, max(j.at, sent), max(j.reach, reach)
+	j.loaded, j.byStore, j.revision = true, max(j.byStore, sent), max(j.revision, reach)
 }
 
 // Learn records a cancellation known here from any source. It must be called before any user is told of the
 // cancellation, so that the next message to a peer includes it.
 func (j *Judge) Learn(o Over) {
-	if o.Mark <= j.floor {
+	if o.Mark <= j.droppedUpTo {
 		return
 	}
 	i, have := slices.BinarySearchFunc(j.recent, o, func(a, b Over) int {
@@ -147,9 +147,9 @@
 		return
 	}
 	j.recent = slices.Insert(j.recent, i, o)
-	if n := len(j.recent) - mostRecent; n > 0 {
-		j.floor = j.recent[n-1].Mark
-		for n < len(j.recent) && j.recent[n].Mark == j.floor {
+	if n := len(j.recent) - maxRecent; n > 0 {
+		j.droppedUpTo = j.recent[n-1].Mark
+		for n < len(j.recent) && j.recent[n].Mark == j.droppedUpTo {
 			n++ // cancellations of one revision are kept or dropped together
 		}
 		j.recent = slices.Delete(j.recent, 0, n)
@@ -158,21 +158,21 @@
 
 // At returns the watermark; 0 if there is none.
 func (j *Judge) At() loop.Micros {
-	if !j.read {
+	if !j.loaded {
 		return 0
 	}
-	all, _ := j.slowest()
-	return max(j.at, j.by, all)
+	all, _ := j.byAllPeers()
+	return max(j.byStore, j.byPeer, all)
 }
 
-// slowest returns the watermark that follows from the answers of all peers together, and the peer that holds it
+// byAllPeers returns the watermark that follows from the answers of all peers together, and the peer that holds it
 // back. Without peers it is now, since the controller knows all that it, or an earlier incarnation of it, has
 // confirmed.
-func (j *Judge) slowest() (at loop.Micros, who string) {
+func (j *Judge) byAllPeers() (at loop.Micros, who string) {
 	at = j.clock.Now()
 	for label, p := range j.peers { // runs for each answered report, so the peers are not sorted; a tie goes to the first name
-		if p.echo < at || p.echo == at && who > label {
-			at, who = p.echo, label
+		if p.echoed < at || p.echoed == at && who > label {
+			at, who = p.echoed, label
 		}
 	}
 	return at, who
@@ -191,68 +191,68 @@
 		return nil
 	}
 	now := j.clock.Now()
-	w := &Word{Version: Version, Stamp: now, Reach: j.reach}
-	if !j.read || p.stamp == 0 || now-p.asked > mostAsked || p.reach < j.floor {
+	w := &Word{Version: Version, Stamp: now, Reach: j.revision}
+	if !j.loaded || p.timestamp == 0 || now-p.receivedAt > maxQuestionAge || p.revision < j.droppedUpTo {
 		// There is no recent question, or it cannot be answered. What earlier incarnations of this process
 		// confirmed is known only once the records have been read.
 		return w
 	}
-	i, _ := slices.BinarySearchFunc(j.recent, p.reach, func(o Over, reach uint64) int {
+	i, _ := slices.BinarySearchFunc(j.recent, p.revision, func(o Over, reach uint64) int {
 		if o.Mark <= reach {
 			return -1
 		}
 		return 1
 	})
-	w.Echo, w.Life, w.From, w.Over = p.stamp, p.life, p.reach, slices.Clone(j.recent[i:])
+	w.Echo, w.Life, w.From, w.Over = p.timestamp, p.incarnation, p.revision, slices.Clone(j.recent[i:])
 	w.Knows, w.Age = true, now-j.At()
 	return w
 }
 
 // Hear applies a message from a peer; life is the incarnation of its process, as named by the frame that
 // contained the message.
-func (j *Judge) Hear(label string, life loop.Micros, w *Word) {
+func (j *Judge) Hear(label string, incarnation loop.Micros, w *Word) {
 	p := j.peers[label]
 	if p == nil || w == nil {
 		return
 	}
-	if why := j.nonsense(w); why != "" {
-		j.drop(label, why)
+	if why := j.invalidReason(w); why != "" {
+		j.discard(label, why)
 		return
 	}
-	if p.life != life || w.Stamp > p.stamp {
-		p.stamp, p.life, p.reach, p.asked = w.Stamp, life, w.Reach, j.clock.Now()
+	if p.incarnation != incarnation || w.Stamp > p.timestamp {
+		p.timestamp, p.incarnation, p.revision, p.receivedAt = w.Stamp, incarnation, w.Reach, j.clock.Now()
 	}
-	if w.Echo == 0 || !j.read {
+	if w.Echo == 0 || !j.loaded {
 		return // before the records are read, every cancellation ever made would be unknown here
 	}
-	if w.Life != j.life {
-		j.drop(label, "answers an earlier life")
+	if w.Life != j.incarnation {
+		j.discard(label, "answers an earlier life")
 		return
 	}
 	for _, o := range w.Over {
 		if !j.Take(o) {
-			j.drop(label, "a cancellation cannot be kept")
+			j.discard(label, "a cancellation cannot be kept")
 			return
 		}
 	}
-	p.echo = max(p.echo, w.Echo)
+	p.echoed = max(p.echoed, w.Echo)
 	if w.Knows {
-		j.by = max(j.by, w.Echo-w.Age)
+		j.byPeer = max(j.byPeer, w.Echo-w.Age)
 	}
 }
 
-// nonsense returns why a message proves nothing; it is empty for a valid message.
-func (j *Judge) nonsense(w *Word) string {
+// invalidReason returns why a message proves nothing; it is empty for a valid message.
+func (j *Judge) invalidReason(w *Word) string {
 	switch {
 	case w.Version != Version:
 		return "unknown version"
 	case w.Stamp <= 0 || w.Echo < 0 || w.Age < 0:
 		return "malformed"
-	case w.Echo > j.clock.Now() && w.Life == j.life:
+	case w.Echo > j.clock.Now() && w.Life == j.incarnation:
 		return "a stamp from the future"
-	case w.Echo != 0 && w.Life == j.life && w.From > j.reach:
+	case w.Echo != 0 && w.Life == j.incarnation && w.From > j.revision:
 		return "a revision that was never named"
-	case len(w.Over) > mostRecent:
+	case len(w.Over) > maxRecent:
 		return "too many cancellations"
 	}
 	for _, o := range w.Over {
@@ -263,8 +263,8 @@
 	return ""
 }
 
-// drop logs and counts a message that is discarded.
-func (j *Judge) drop(label, why string) {
+// discard logs and counts a message that is discarded.
+func (j *Judge) discard(label, why string) {
 	j.log.Debug("message on cancellations dropped; it does not advance the watermark", "node", label, "why", why)
 	if j.Dropped != nil {
 		j.Dropped(label, why)
@@ -284,7 +284,7 @@
 		return 0
 	case age >= j.grace:
 		j.setState(Lapsed, now, age)
-	case now-j.at < max(fresh, loop.Second):
+	case now-j.byStore < max(fresh, loop.Second):
 		j.setState(Current, now, age)
 	case age < max(fresh, loop.Second):
 		j.setState(Shared, now, age)
@@ -299,12 +299,12 @@
 	if j.state == s {
 		return
 	}
-	_, who := j.slowest()
+	_, who := j.byAllPeers()
 	from := j.state
 	j.state, j.since = s, now
 	if s == Lapsed {
 		j.log.Warn("knowledge of cancellations is too old; reports are not answered and the workers' leases will expire", "age_us", age,
-			"state_service_us", now-j.at, "held_back_by", who)
+			"state_service_us", now-j.byStore, "held_back_by", who)
 		return
 	}
 	j.log.Info("what advances the cancellation watermark changed", "from", from.String(), "to", s.String(), "age_us", age, "held_back_by", who)
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -10,70 +10,70 @@
 	"cleatpick/internal/loop"
 )
 
-// hand is a monotonic clock set by the test, with a zero of its own.
-type hand struct{ true, zero loop.Micros }
+// manualClock is a monotonic clock set by the test, with a zero of its own.
+type manualClock struct{ true, zero loop.Micros }
 
-func (h *hand) Now() loop.Micros  { return h.true - h.zero }
-func (h *hand) Wall() loop.Micros { return h.true }
+func (h *manualClock) Now() loop.Micros  { return h.true - h.zero }
+func (h *manualClock) Wall() loop.Micros { return h.true }
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 const grace = 18 * loop.Second
 
-// sim is a simulated deployment: what the state service holds, what each controller knows, and what users were
+// simulation is a simulated deployment: what the state service holds, what each controller knows, and what users were
 // told when. The network loses, delays and duplicates messages.
-type sim struct {
-	now    loop.Micros
-	rng    *rand.Rand
-	stored []string // cancelled jobs; the revision of the first is 1
-	nodes  []*simNode
-	told   map[string]loop.Micros // time at which the first user was told of each cancellation
-	flying []flight
+type simulation struct {
+	now         loop.Micros
+	rng         *rand.Rand
+	stored      []string // cancelled jobs; the revision of the first is 1
+	nodes       []*simController
+	confirmedAt map[string]loop.Micros // time at which the first user was told of each cancellation
+	inFlight    []message
 }
 
-// simNode is a simulated controller.
-type simNode struct {
-	label string
-	clock *hand
-	j     *Judge
-	life  loop.Micros
-	known map[string]uint64
-	upTo  int  // the revision up to which its mirror has every change
-	cut   bool // disconnected from the state service
+// simController is a simulated controller.
+type simController struct {
+	label        string
+	clock        *manualClock
+	j            *Judge
+	incarnation  loop.Micros
+	known        map[string]uint64
+	revision     int  // the revision up to which its mirror has every change
+	disconnected bool // disconnected from the state service
 }
 
-// flight is a message in flight.
-type flight struct {
-	at       loop.Micros
-	from, to int
-	life     loop.Micros
-	w        *Word
+// message is a message in flight.
+type message struct {
+	at          loop.Micros
+	from, to    int
+	incarnation loop.Micros
+	w           *Word
 }
 
 // newSim makes a deployment of n controllers.
-func newSim(seed uint64, n int) *sim {
-	s := &sim{now: 1000 * loop.Second, rng: rand.New(rand.NewPCG(seed, 3)), told: map[string]loop.Micros{}}
+func newSim(seed uint64, n int) *simulation {
+	s := &simulation{now: 1000 * loop.Second, rng: rand.New(rand.NewPCG(seed, 3)), confirmedAt: map[string]loop.Micros{}}
 	for i := range n {
-		s.nodes = append(s.nodes, &simNode{label: string(rune('a' + i))})
+		s.nodes = append(s.nodes, &simController{label: string(rune('a' + i))})
 	}
 	for i := range n {
-		s.begin(i)
+		s.restart(i)
 	}
 	return s
 }
 
-// begin starts a new incarnation of a controller, which knows nothing of the previous one.
-func (s *sim) begin(i int) {
+// restart starts a new incarnation of a controller, which knows nothing of the previous one.
+func (s *simulation) restart(i int) {
 	n := s.nodes[i]
-	n.clock = &hand{true: s.now, zero: s.now - loop.Second - s.rng.Int64N(int64(1000*loop.Second))}
-	n.life, n.known, n.upTo = s.now, map[string]uint64{}, 0
+	n.clock = &manualClock{true: s.now, zero: s.now - loop.Second - s.rng.Int64N(int64(1000*loop.Second))}
+	n.incarnation, n.known, n.revision = s.now, map[string]uint64{}, 0
 	var peers []string
 	for k, o := range s.nodes {
 		if k != i {
 			peers = append(peers, o.label)
 		}
 	}
-	n.j = New(n.clock, quiet, n.life, grace, peers)
+	n.j = New(n.clock, quiet, n.incarnation, grace, peers)
 	j := n.j
 	j.Take = func(o Over) bool {
 		n.known[o.Job] = o.Mark
@@ -82,46 +82,46 @@
 	}
 }
 
-// read delivers the answer to a request that a controller sent some time ago.
-func (s *sim) read(i int, sent loop.Micros) {
+// deliverRead delivers the answer to a request that a controller sent some time ago.
+func (s *simulation) deliverRead(i int, sent loop.Micros) {
 	n := s.nodes[i]
-	if n.cut {
+	if n.disconnected {
 		return
 	}
-	for m := n.upTo; m < len(s.stored); m++ {
-		n.know(s.stored[m], uint64(m+1))
+	for m := n.revision; m < len(s.stored); m++ {
+		n.learn(s.stored[m], uint64(m+1))
 	}
-	n.upTo = len(s.stored)
-	n.j.Mirror(max(sent, n.life)-n.clock.zero, uint64(n.upTo))
+	n.revision = len(s.stored)
+	n.j.Mirror(max(sent, n.incarnation)-n.clock.zero, uint64(n.revision))
 }
 
-// know records a cancellation at a controller.
-func (n *simNode) know(job string, mark uint64) {
+// learn records a cancellation at a controller.
+func (n *simController) learn(job string, mark uint64) {
 	n.known[job] = mark
 	n.j.Learn(Over{job, mark})
 }
 
 // cancel stores a cancellation through a controller, which tells its user at once.
-func (s *sim) cancel(i int) {
+func (s *simulation) cancel(i int) {
 	n := s.nodes[i]
-	if n.cut || !n.j.read {
+	if n.disconnected || !n.j.loaded {
 		return
 	}
 	job := fmt.Sprint("job-", len(s.stored))
 	s.stored = append(s.stored, job)
-	n.know(job, uint64(len(s.stored)))
-	s.tell(i, job)
+	n.learn(job, uint64(len(s.stored)))
+	s.confirm(i, job)
 }
 
-// tell lets a controller tell a user of a cancellation that it knows.
-func (s *sim) tell(i int, job string) {
-	if _, was := s.told[job]; !was && s.nodes[i].known[job] != 0 {
-		s.told[job] = s.now
+// confirm lets a controller confirm to a user a cancellation that it knows.
+func (s *simulation) confirm(i int, job string) {
+	if _, was := s.confirmedAt[job]; !was && s.nodes[i].known[job] != 0 {
+		s.confirmedAt[job] = s.now
 	}
 }
 
 // step advances the time and performs one random action; lossy adds long delays, disconnections and restarts.
-func (s *sim) step(lossy bool) {
+func (s *simulation) step(lossy bool) {
 	s.now += s.rng.Int64N(int64(300 * loop.Millisecond))
 	for _, n := range s.nodes {
 		n.clock.true = s.now
@@ -130,14 +130,14 @@
 	n := s.nodes[i]
 	switch s.rng.IntN(10) {
 	case 0, 1, 2:
-		s.read(i, s.now-s.rng.Int64N(int64(2*loop.Second)))
+		s.deliverRead(i, s.now-s.rng.Int64N(int64(2*loop.Second)))
 	case 3:
 		s.cancel(i)
 	case 4:
 		// Another user requests a cancellation that a controller has stored already; this one may know it from
 		// any source.
 		if len(s.stored) > 0 {
-			s.tell(i, s.stored[s.rng.IntN(len(s.stored))])
+			s.confirm(i, s.stored[s.rng.IntN(len(s.stored))])
 		}
 	case 5, 6, 7:
 		for k := range s.nodes {
@@ -150,7 +150,7 @@
 				if lossy && s.rng.IntN(6) == 0 {
 					d = s.rng.Int64N(int64(60 * loop.Second))
 				}
-				s.flying = append(s.flying, flight{s.now + d, i, k, n.life, w})
+				s.inFlight = append(s.inFlight, message{s.now + d, i, k, n.incarnation, w})
 				if s.rng.IntN(4) > 0 {
 					break
 				}
@@ -158,27 +158,27 @@
 		}
 	case 8:
 		if lossy && s.rng.IntN(6) == 0 {
-			n.cut = !n.cut
+			n.disconnected = !n.disconnected
 		}
 	case 9:
 		if lossy && s.rng.IntN(25) == 0 {
-			s.begin(i)
+			s.restart(i)
 		}
 	}
-	left := s.flying[:0]
-	for _, f := range s.flying {
+	left := s.inFlight[:0]
+	for _, f := range s.inFlight {
 		if f.at > s.now {
 			left = append(left, f)
 			continue
 		}
-		s.nodes[f.to].j.Hear(s.nodes[f.from].label, f.life, f.w)
+		s.nodes[f.to].j.Hear(s.nodes[f.from].label, f.incarnation, f.w)
 	}
-	s.flying = left
+	s.inFlight = left
 }
 
 // Whatever messages are lost, late or duplicated, and whichever controllers restart: a controller knows every
 // cancellation that a user was told of before its watermark.
-func TestAllBeforeTheHorizonIsKnown(t *testing.T) {
+func TestAllCancellationsBeforeTheWatermarkAreKnown(t *testing.T) {
 	moved := 0
 	for seed := range uint64(400) {
 		s := newSim(seed, 1+int(seed%5))
@@ -192,12 +192,12 @@
 				if at > n.clock.Now() {
 					t.Fatalf("seed %d: the watermark of %s is in the future", seed, n.label)
 				}
-				for job, told := range s.told {
+				for job, told := range s.confirmedAt {
 					if told < at+n.clock.zero && n.known[job] == 0 {
 						t.Fatalf("seed %d: %s does not know the cancellation of %s, confirmed %d us before its watermark", seed, n.label, job, at+n.clock.zero-told)
 					}
 				}
-				if n.cut && at > n.j.at+5*loop.Second {
+				if n.disconnected && at > n.j.byStore+5*loop.Second {
 					moved++
 				}
 			}
@@ -209,18 +209,18 @@
 }
 
 // While all controllers reach each other, their watermarks advance without the state service.
-func TestPeersMoveTheHorizon(t *testing.T) {
+func TestPeersAdvanceTheWatermark(t *testing.T) {
 	for n := 1; n <= 15; n++ {
 		s := newSim(uint64(n), n)
 		for i := range s.nodes {
-			s.read(i, s.now)
-			s.nodes[i].cut = true
+			s.deliverRead(i, s.now)
+			s.nodes[i].disconnected = true
 		}
 		for range 200 * n {
 			s.step(false)
 		}
 		for _, x := range s.nodes {
-			if age := x.clock.Now() - x.j.At(); age > loop.Micros(n)*8*loop.Second || !x.j.read || age > 0 && n == 1 {
+			if age := x.clock.Now() - x.j.At(); age > loop.Micros(n)*8*loop.Second || !x.j.loaded || age > 0 && n == 1 {
 				t.Errorf("%d controllers: the watermark of %s is %d us old", n, x.label, age)
 			}
 		}
@@ -229,7 +229,7 @@
 
 // A message that is invalid or answers another incarnation is dropped and counted, and does not advance the
 // watermark.
-func TestNonsenseProvesNothing(t *testing.T) {
+func TestInvalidMessagesAreDiscarded(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		w    Word
@@ -248,7 +248,7 @@
 		{"a cancellation at an earlier revision", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10, Over: []Over{{"job-000001", 10}}}, true},
 		{"a cancellation that cannot be recorded", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10, Over: []Over{{"full", 12}}}, true},
 	} {
-		j := New(&hand{true: 1000}, quiet, 7, grace, []string{"b"})
+		j := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
 		j.Take = func(o Over) bool { return o.Job != "full" }
 		dropped := 0
 		j.Dropped = func(string, string) { dropped++ }
@@ -268,8 +268,8 @@
 
 // A restarted process counts its monotonic time anew. Its questions are answered although their stamps are
 // lower than those of its previous incarnation; within one incarnation only the newest question is answered.
-func TestTheNewLifeIsAnswered(t *testing.T) {
-	j := New(&hand{true: 1000}, quiet, 7, grace, []string{"b"})
+func TestQuestionsOfANewIncarnationAreAnswered(t *testing.T) {
+	j := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
 	j.Mirror(100, 10)
 	for _, c := range [][4]loop.Micros{{3, 800, 3, 800}, {3, 700, 3, 800}, {4, 20, 4, 20}, {4, 30, 4, 30}, {4, 25, 4, 30}} {
 		j.Hear("b", c[0], &Word{Version: 1, Stamp: c[1], Reach: 10})
@@ -281,13 +281,13 @@
 
 // When more cancellations are known than are kept, a peer that may lack a dropped one is not answered, and any
 // other peer is.
-func TestMoreThanIsKept(t *testing.T) {
-	j := New(&hand{true: 1000}, quiet, 7, grace, []string{"b"})
+func TestMoreCancellationsThanAreKept(t *testing.T) {
+	j := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
 	j.Mirror(100, 10000)
 	for k := range 5000 {
 		j.Learn(Over{fmt.Sprint(k), uint64(1 + (k*7919)%5000)})
 	}
-	lowest := uint64(5000 - mostRecent)
+	lowest := uint64(5000 - maxRecent)
 	for _, reach := range []uint64{0, lowest - 1, lowest, lowest + 1, 4999, 5000} {
 		j.Hear("b", 3, &Word{Version: 1, Stamp: 5 + loop.Micros(reach), Reach: reach})
 		w := j.Word("b")
@@ -300,7 +300,7 @@
 // The states follow each other as the watermark ages and advances. Grace and Wait return the values computed by
 // hand.
 func TestStates(t *testing.T) {
-	c := &hand{true: 100 * loop.Second}
+	c := &manualClock{true: 100 * loop.Second}
 	j := New(c, quiet, 7, grace, []string{"b", "c"})
 	var got []string
 	look := func(at loop.Micros) {
