--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -96,8 +96,8 @@
 // answer to an old question is of no use to it.
 const maxQuestionAge = 5 * loop.Second
 
-// Judge maintains the cancellation watermark of one controller. It is used on the event loop only.
-type Judge struct {
+// Tracker maintains the cancellation watermark of one controller. It is used on the event loop only.
+type Tracker struct {
 	clock       loop.Clock
 	log         *slog.Logger
 	incarnation loop.Micros
@@ -120,8 +120,8 @@
 }
 
 // New makes a judge without a watermark. life is the incarnation of this process.
-func New(clock loop.Clock, log *slog.Logger, incarnation, grace loop.Micros, peers []string) *Judge {
-	j := &Judge{clock: clock, log: log, incarnation: incarnation, grace: grace, peers: map[string]*peer{}, since: clock.Now()}
+func New(clock loop.Clock, log *slog.Logger, incarnation, grace loop.Micros, peers []string) *Tracker {
+	j := &Tracker{clock: clock, log: log, incarnation: incarnation, grace: grace, peers: map[string]*peer{}, since: clock.Now()}
 	for _, p := range peers {
 		j.peers[p] = &peer{}
 	}
@@ -130,13 +130,13 @@
 
 // Mirror records that an answer of the state service to a request sent at a time has been applied completely,
 // so that every change up to the revision reach is known here.
-func (j *Judge) Mirror(sent loop.Micros, reach uint64) {
+func (j *Tracker) Mirror(sent loop.Micros, reach uint64) {
 	j.loaded, j.byStore, j.revision = true, max(j.byStore, sent), max(j.revision, reach)
 }
 
 // Learn records a cancellation known here from any source. It must be called before any user is told of the
 // cancellation, so that the next message to a peer includes it.
-func (j *Judge) Learn(o Over) {
+func (j *Tracker) Learn(o Over) {
 	if o.Mark <= j.droppedUpTo {
 		return
 	}
@@ -157,7 +157,7 @@
 }
 
 // At returns the watermark; 0 if there is none.
-func (j *Judge) At() loop.Micros {
+func (j *Tracker) At() loop.Micros {
 	if !j.loaded {
 		return 0
 	}
@@ -168,7 +168,7 @@
 // byAllPeers returns the watermark that follows from the answers of all peers together, and the peer that holds it
 // back. Without peers it is now, since the controller knows all that it, or an earlier incarnation of it, has
 // confirmed.
-func (j *Judge) byAllPeers() (at loop.Micros, who string) {
+func (j *Tracker) byAllPeers() (at loop.Micros, who string) {
 	at = j.clock.Now()
 	for label, p := range j.peers { // runs for each answered report, so the peers are not sorted; a tie goes to the first name
 		if p.echoed < at || p.echoed == at && who > label {
@@ -179,13 +179,13 @@
 }
 
 // Holds reports whether reports may be answered now.
-func (j *Judge) Holds() bool {
+func (j *Tracker) Holds() bool {
 	at := j.At()
 	return at != 0 && j.clock.Now() < at+j.grace
 }
 
 // Word returns the message to send to a peer now; nil for an unknown peer.
-func (j *Judge) Word(label string) *Word {
+func (j *Tracker) Word(label string) *Word {
 	p := j.peers[label]
 	if p == nil {
 		return nil
@@ -210,7 +210,7 @@
 
 // Hear applies a message from a peer; life is the incarnation of its process, as named by the frame that
 // contained the message.
-func (j *Judge) Hear(label string, incarnation loop.Micros, w *Word) {
+func (j *Tracker) Hear(label string, incarnation loop.Micros, w *Word) {
 	p := j.peers[label]
 	if p == nil || w == nil {
 		return
@@ -242,7 +242,7 @@
 }
 
 // invalidReason returns why a message proves nothing; it is empty for a valid message.
-func (j *Judge) invalidReason(w *Word) string {
+func (j *Tracker) invalidReason(w *Word) string {
 	switch {
 	case w.Version != Version:
 		return "unknown version"
@@ -264,7 +264,7 @@
 }
 
 // discard logs and counts a message that is discarded.
-func (j *Judge) discard(label, why string) {
+func (j *Tracker) discard(label, why string) {
 	j.log.Debug("message on cancellations dropped; it does not advance the watermark", "node", label, "why", why)
 	if j.Dropped != nil {
 		j.Dropped(label, why)
@@ -273,7 +273,7 @@
 
 // Look determines what advances the watermark now, logs a change, and returns the watermark's age. It must be
 // called periodically.
-func (j *Judge) Look() (age loop.Micros) {
+func (j *Tracker) Look() (age loop.Micros) {
 	now := j.clock.Now()
 	at := j.At()
 	age = now - at
@@ -295,7 +295,7 @@
 }
 
 // setState changes the state. No other function does.
-func (j *Judge) setState(s State, now, age loop.Micros) {
+func (j *Tracker) setState(s State, now, age loop.Micros) {
 	if j.state == s {
 		return
 	}
@@ -311,4 +311,4 @@
 }
 
 // State returns the state as of the last call of Look.
-func (j *Judge) State() State { return j.state }
+func (j *Tracker) State() State { return j.state }
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -35,7 +35,7 @@
 type simController struct {
 	label        string
 	clock        *manualClock
-	j            *Judge
+	j            *Tracker
 	incarnation  loop.Micros
 	known        map[string]uint64
 	revision     int  // the revision up to which its mirror has every change
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -46,7 +46,7 @@
 	rental   *rental.Rental
 	net      *peer.Net
 	reach    *reach.Judge
-	horizon  *horizon.Judge
+	horizon  *horizon.Tracker
 	front    *front.Front
 	out      Outside
 	progress map[string]job.Counts
