--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -53,8 +53,8 @@
 	return min(max(want, loop.Seconds(20/max(rps, 0.01))), max(grace/2, least))
 }
 
-// Over is a cancelled job, with the revision of its record.
-type Over struct {
+// Cancellation is a cancelled job, with the revision of its record.
+type Cancellation struct {
 	Job  string `cbor:"1,keyasint"`
 	Mark uint64 `cbor:"2,keyasint"`
 }
@@ -71,10 +71,10 @@
 	// Echo is the Stamp of the receiver's question that is answered, and Life the receiver's incarnation that
 	// asked it; an Echo of 0 means that the sender cannot answer. Every cancellation that the sender confirmed
 	// to a user before it received the question has a revision of at most From or is listed in Over.
-	Echo loop.Micros `cbor:"4,keyasint,omitempty"`
-	Life loop.Micros `cbor:"5,keyasint,omitempty"`
-	From uint64      `cbor:"6,keyasint,omitempty"`
-	Over []Over      `cbor:"7,keyasint,omitempty"`
+	Echo loop.Micros    `cbor:"4,keyasint,omitempty"`
+	Life loop.Micros    `cbor:"5,keyasint,omitempty"`
+	From uint64         `cbor:"6,keyasint,omitempty"`
+	Over []Cancellation `cbor:"7,keyasint,omitempty"`
 	// Knows is set if the sender has a watermark, which was Age old when it answered.
 	Knows bool        `cbor:"8,keyasint,omitempty"`
 	Age   loop.Micros `cbor:"9,keyasint,omitempty"`
@@ -109,12 +109,12 @@
 	byPeer      loop.Micros // the highest watermark that a single peer has passed on
 	// recent holds the cancellations known here, sorted by revision, and floor is the highest revision of those
 	// that were dropped from it.
-	recent      []Over
+	recent      []Cancellation
 	droppedUpTo uint64
 	state       State
 	since       loop.Micros // monotonic time of the last change of state
 	// Take accepts a cancellation that a peer sent; it returns false if the cancellation cannot be recorded.
-	Take func(Over) bool
+	Take func(Cancellation) bool
 	// Dropped is called for every message that is discarded; it may be nil.
 	Dropped func(peer, why string)
 }
@@ -136,11 +136,11 @@
 
 // Learn records a cancellation known here from any source. It must be called before any user is told of the
 // cancellation, so that the next message to a peer includes it.
-func (j *Tracker) Learn(o Over) {
+func (j *Tracker) Learn(o Cancellation) {
 	if o.Mark <= j.droppedUpTo {
 		return
 	}
-	i, have := slices.BinarySearchFunc(j.recent, o, func(a, b Over) int {
+	i, have := slices.BinarySearchFunc(j.recent, o, func(a, b Cancellation) int {
 		return cmp.Or(cmp.Compare(a.Mark, b.Mark), cmp.Compare(a.Job, b.Job))
 	})
 	if have {
@@ -197,7 +197,7 @@
 		// confirmed is known only once the records have been read.
 		return w
 	}
-	i, _ := slices.BinarySearchFunc(j.recent, p.revision, func(o Over, reach uint64) int {
+	i, _ := slices.BinarySearchFunc(j.recent, p.revision, func(o Cancellation, reach uint64) int {
 		if o.Mark <= reach {
 			return -1
 		}
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -75,7 +75,7 @@
 	}
 	n.j = New(n.clock, quiet, n.incarnation, grace, peers)
 	j := n.j
-	j.Take = func(o Over) bool {
+	j.Take = func(o Cancellation) bool {
 		n.known[o.Job] = o.Mark
 		j.Learn(o)
 		return true
@@ -98,7 +98,7 @@
 // learn records a cancellation at a controller.
 func (n *simController) learn(job string, mark uint64) {
 	n.known[job] = mark
-	n.j.Learn(Over{job, mark})
+	n.j.Learn(Cancellation{job, mark})
 }
 
 // cancel stores a cancellation through a controller, which tells its user at once.
@@ -244,12 +244,12 @@
 		{"an earlier incarnation", Word{Version: 1, Stamp: 5, Echo: 900, Life: 6, From: 10}, true},
 		{"a revision that nobody has", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 11}, true},
 		{"a negative age", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10, Knows: true, Age: -5}, true},
-		{"a cancellation without a name", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10, Over: []Over{{"", 12}}}, true},
-		{"a cancellation at an earlier revision", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10, Over: []Over{{"job-000001", 10}}}, true},
-		{"a cancellation that cannot be recorded", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10, Over: []Over{{"full", 12}}}, true},
+		{"a cancellation without a name", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10, Over: []Cancellation{{"", 12}}}, true},
+		{"a cancellation at an earlier revision", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10, Over: []Cancellation{{"job-000001", 10}}}, true},
+		{"a cancellation that cannot be recorded", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10, Over: []Cancellation{{"full", 12}}}, true},
 	} {
 		j := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
-		j.Take = func(o Over) bool { return o.Job != "full" }
+		j.Take = func(o Cancellation) bool { return o.Job != "full" }
 		dropped := 0
 		j.Dropped = func(string, string) { dropped++ }
 		j.Mirror(100, 10)
@@ -285,7 +285,7 @@
 	j := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
 	j.Mirror(100, 10000)
 	for k := range 5000 {
-		j.Learn(Over{fmt.Sprint(k), uint64(1 + (k*7919)%5000)})
+		j.Learn(Cancellation{fmt.Sprint(k), uint64(1 + (k*7919)%5000)})
 	}
 	lowest := uint64(5000 - maxRecent)
 	for _, reach := range []uint64{0, lowest - 1, lowest, lowest + 1, 4999, 5000} {
