--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -55,8 +55,8 @@
 
 // Cancellation is a cancelled job, with the revision of its record.
 type Cancellation struct {
-	Job  string `cbor:"1,keyasint"`
-	Mark uint64 `cbor:"2,keyasint"`
+	Job      string `cbor:"1,keyasint"`
+	Revision uint64 `cbor:"2,keyasint"`
 }
 
 // Version is the version of the messages below; messages of other versions are dropped.
@@ -137,19 +137,19 @@
 // Learn records a cancellation known here from any source. It must be called before any user is told of the
 // cancellation, so that the next message to a peer includes it.
 func (j *Tracker) Learn(o Cancellation) {
-	if o.Mark <= j.droppedUpTo {
+	if o.Revision <= j.droppedUpTo {
 		return
 	}
 	i, have := slices.BinarySearchFunc(j.recent, o, func(a, b Cancellation) int {
-		return cmp.Or(cmp.Compare(a.Mark, b.Mark), cmp.Compare(a.Job, b.Job))
+		return cmp.Or(cmp.Compare(a.Revision, b.Revision), cmp.Compare(a.Job, b.Job))
 	})
 	if have {
 		return
 	}
 	j.recent = slices.Insert(j.recent, i, o)
 	if n := len(j.recent) - maxRecent; n > 0 {
-		j.droppedUpTo = j.recent[n-1].Mark
-		for n < len(j.recent) && j.recent[n].Mark == j.droppedUpTo {
+		j.droppedUpTo = j.recent[n-1].Revision
+		for n < len(j.recent) && j.recent[n].Revision == j.droppedUpTo {
 			n++ // cancellations of one revision are kept or dropped together
 		}
 		j.recent = slices.Delete(j.recent, 0, n)
@@ -198,7 +198,7 @@
 		return w
 	}
 	i, _ := slices.BinarySearchFunc(j.recent, p.revision, func(o Cancellation, reach uint64) int {
-		if o.Mark <= reach {
+		if o.Revision <= reach {
 			return -1
 		}
 		return 1
@@ -256,7 +256,7 @@
 		return "too many cancellations"
 	}
 	for _, o := range w.Over {
-		if o.Job == "" || o.Mark <= w.From {
+		if o.Job == "" || o.Revision <= w.From {
 			return "malformed"
 		}
 	}
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -76,7 +76,7 @@
 	n.j = New(n.clock, quiet, n.incarnation, grace, peers)
 	j := n.j
 	j.Take = func(o Cancellation) bool {
-		n.known[o.Job] = o.Mark
+		n.known[o.Job] = o.Revision
 		j.Learn(o)
 		return true
 	}
