--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -59,8 +59,8 @@
 	Revision uint64 `cbor:"2,keyasint"`
 }
 
-// Version is the version of the messages below; messages of other versions are dropped.
-const Version = 1
+// MessageVersion is the version of the messages below; messages of other versions are dropped.
+const MessageVersion = 1
 
 // Word is the message of a controller to one peer. It is a question, and also the answer to that peer's newest
 // question.
@@ -191,7 +191,7 @@
 		return nil
 	}
 	now := j.clock.Now()
-	w := &Word{Version: Version, Stamp: now, Reach: j.revision}
+	w := &Word{Version: MessageVersion, Stamp: now, Reach: j.revision}
 	if !j.loaded || p.timestamp == 0 || now-p.receivedAt > maxQuestionAge || p.revision < j.droppedUpTo {
 		// There is no recent question, or it cannot be answered. What earlier incarnations of this process
 		// confirmed is known only once the records have been read.
@@ -244,7 +244,7 @@
 // invalidReason returns why a message proves nothing; it is empty for a valid message.
 func (j *Tracker) invalidReason(w *Word) string {
 	switch {
-	case w.Version != Version:
+	case w.Version != MessageVersion:
 		return "unknown version"
 	case w.Stamp <= 0 || w.Echo < 0 || w.Age < 0:
 		return "malformed"
