--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -62,9 +62,9 @@
 // MessageVersion is the version of the messages below; messages of other versions are dropped.
 const MessageVersion = 1
 
-// Word is the message of a controller to one peer. It is a question, and also the answer to that peer's newest
+// Message is the message of a controller to one peer. It is a question, and also the answer to that peer's newest
 // question.
-type Word struct {
+type Message struct {
 	Version int         `cbor:"1,keyasint"`
 	Stamp   loop.Micros `cbor:"2,keyasint"` // the sender's monotonic clock; identifies the question
 	Reach   uint64      `cbor:"3,keyasint"` // the store revision up to which the sender knows every change
@@ -185,13 +185,13 @@
 }
 
 // Word returns the message to send to a peer now; nil for an unknown peer.
-func (j *Tracker) Word(label string) *Word {
+func (j *Tracker) Word(label string) *Message {
 	p := j.peers[label]
 	if p == nil {
 		return nil
 	}
 	now := j.clock.Now()
-	w := &Word{Version: MessageVersion, Stamp: now, Reach: j.revision}
+	w := &Message{Version: MessageVersion, Stamp: now, Reach: j.revision}
 	if !j.loaded || p.timestamp == 0 || now-p.receivedAt > maxQuestionAge || p.revision < j.droppedUpTo {
 		// There is no recent question, or it cannot be answered. What earlier incarnations of this process
 		// confirmed is known only once the records have been read.
@@ -210,7 +210,7 @@
 
 // Hear applies a message from a peer; life is the incarnation of its process, as named by the frame that
 // contained the message.
-func (j *Tracker) Hear(label string, incarnation loop.Micros, w *Word) {
+func (j *Tracker) Hear(label string, incarnation loop.Micros, w *Message) {
 	p := j.peers[label]
 	if p == nil || w == nil {
 		return
@@ -242,7 +242,7 @@
 }
 
 // invalidReason returns why a message proves nothing; it is empty for a valid message.
-func (j *Tracker) invalidReason(w *Word) string {
+func (j *Tracker) invalidReason(w *Message) string {
 	switch {
 	case w.Version != MessageVersion:
 		return "unknown version"
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -132,7 +132,7 @@
 	// Life is the time of day at which the sender's process began.
 	Life loop.Micros `cbor:"19,keyasint,omitempty"`
 	// Horizon is what the sender asks and answers about cancellations.
-	Horizon *horizon.Word `cbor:"20,keyasint,omitempty"`
+	Horizon *horizon.Message `cbor:"20,keyasint,omitempty"`
 	// Teams are those that the sender's settings name, told to each peer that is reached anew.
 	Teams []string `cbor:"21,keyasint,omitempty"`
 }
