--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -184,8 +184,8 @@
 	return at != 0 && j.clock.Now() < at+j.grace
 }
 
-// Word returns the message to send to a peer now; nil for an unknown peer.
-func (j *Tracker) Word(label string) *Message {
+// MessageFor returns the message to send to a peer now; nil for an unknown peer.
+func (j *Tracker) MessageFor(label string) *Message {
 	p := j.peers[label]
 	if p == nil {
 		return nil
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -144,7 +144,7 @@
 			if k == i {
 				continue
 			}
-			w := n.j.Word(s.nodes[k].label)
+			w := n.j.MessageFor(s.nodes[k].label)
 			for s.rng.IntN(5) > 0 { // the message is lost, delivered once or duplicated
 				d := s.rng.Int64N(int64(200 * loop.Millisecond))
 				if lossy && s.rng.IntN(6) == 0 {
@@ -273,7 +273,7 @@
 	j.Mirror(100, 10)
 	for _, c := range [][4]loop.Micros{{3, 800, 3, 800}, {3, 700, 3, 800}, {4, 20, 4, 20}, {4, 30, 4, 30}, {4, 25, 4, 30}} {
 		j.Hear("b", c[0], &Message{Version: 1, Stamp: c[1], Reach: 10})
-		if w := j.Word("b"); w.Life != c[2] || w.Echo != c[3] {
+		if w := j.MessageFor("b"); w.Life != c[2] || w.Echo != c[3] {
 			t.Errorf("after question %d of incarnation %d, question %d of incarnation %d is answered", c[1], c[0], w.Echo, w.Life)
 		}
 	}
@@ -290,7 +290,7 @@
 	lowest := uint64(5000 - maxRecent)
 	for _, reach := range []uint64{0, lowest - 1, lowest, lowest + 1, 4999, 5000} {
 		j.Hear("b", 3, &Message{Version: 1, Stamp: 5 + loop.Micros(reach), Reach: reach})
-		w := j.Word("b")
+		w := j.MessageFor("b")
 		if answered := w.Echo != 0; answered != (reach >= lowest) || answered && len(w.Over) != int(5000-reach) {
 			t.Errorf("peer at revision %d: %d of %d cancellations are sent, as an answer to question %d", reach, len(w.Over), 5000-reach, w.Echo)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -304,7 +304,7 @@
 	n.net.All(func(e *peer.Envelope) { e.Status, e.Places = s, places })
 	n.meter.Horizon(n.horizon.Look())
 	for _, label := range n.net.Peers() {
-		n.net.To(label, func(e *peer.Envelope) { e.Horizon = n.horizon.Word(label) })
+		n.net.To(label, func(e *peer.Envelope) { e.Horizon = n.horizon.MessageFor(label) })
 	}
 }
 
