--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -67,7 +67,7 @@
 type Message struct {
 	Version   int         `cbor:"1,keyasint"`
 	Timestamp loop.Micros `cbor:"2,keyasint"` // the sender's monotonic clock; identifies the question
-	Reach     uint64      `cbor:"3,keyasint"` // the store revision up to which the sender knows every change
+	Revision  uint64      `cbor:"3,keyasint"` // the store revision up to which the sender knows every change
 	// Echo is the Stamp of the receiver's question that is answered, and Life the receiver's incarnation that
 	// asked it; an Echo of 0 means that the sender cannot answer. Every cancellation that the sender confirmed
 	// to a user before it received the question has a revision of at most From or is listed in Over.
@@ -191,7 +191,7 @@
 		return nil
 	}
 	now := j.clock.Now()
-	w := &Message{Version: MessageVersion, Timestamp: now, Reach: j.revision}
+	w := &Message{Version: MessageVersion, Timestamp: now, Revision: j.revision}
 	if !j.loaded || p.timestamp == 0 || now-p.receivedAt > maxQuestionAge || p.revision < j.droppedUpTo {
 		// There is no recent question, or it cannot be answered. What earlier incarnations of this process
 		// confirmed is known only once the records have been read.
@@ -220,7 +220,7 @@
 		return
 	}
 	if p.incarnation != incarnation || w.Timestamp > p.timestamp {
-		p.timestamp, p.incarnation, p.revision, p.receivedAt = w.Timestamp, incarnation, w.Reach, j.clock.Now()
+		p.timestamp, p.incarnation, p.revision, p.receivedAt = w.Timestamp, incarnation, w.Revision, j.clock.Now()
 	}
 	if w.Echo == 0 || !j.loaded {
 		return // before the records are read, every cancellation ever made would be unknown here
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -272,7 +272,7 @@
 	j := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
 	j.Mirror(100, 10)
 	for _, c := range [][4]loop.Micros{{3, 800, 3, 800}, {3, 700, 3, 800}, {4, 20, 4, 20}, {4, 30, 4, 30}, {4, 25, 4, 30}} {
-		j.Hear("b", c[0], &Message{Version: 1, Timestamp: c[1], Reach: 10})
+		j.Hear("b", c[0], &Message{Version: 1, Timestamp: c[1], Revision: 10})
 		if w := j.MessageFor("b"); w.Life != c[2] || w.Echo != c[3] {
 			t.Errorf("after question %d of incarnation %d, question %d of incarnation %d is answered", c[1], c[0], w.Echo, w.Life)
 		}
@@ -289,7 +289,7 @@
 	}
 	lowest := uint64(5000 - maxRecent)
 	for _, reach := range []uint64{0, lowest - 1, lowest, lowest + 1, 4999, 5000} {
-		j.Hear("b", 3, &Message{Version: 1, Timestamp: 5 + loop.Micros(reach), Reach: reach})
+		j.Hear("b", 3, &Message{Version: 1, Timestamp: 5 + loop.Micros(reach), Revision: reach})
 		w := j.MessageFor("b")
 		if answered := w.Echo != 0; answered != (reach >= lowest) || answered && len(w.Over) != int(5000-reach) {
 			t.Errorf("peer at revision %d: %d of %d cancellations are sent, as an answer to question %d", reach, len(w.Over), 5000-reach, w.Echo)
