--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -75,9 +75,9 @@
 	Incarnation loop.Micros    `cbor:"5,keyasint,omitempty"`
 	From        uint64         `cbor:"6,keyasint,omitempty"`
 	Over        []Cancellation `cbor:"7,keyasint,omitempty"`
-	// Knows is set if the sender has a watermark, which was Age old when it answered.
-	Knows bool        `cbor:"8,keyasint,omitempty"`
-	Age   loop.Micros `cbor:"9,keyasint,omitempty"`
+	// HasWatermark is set if the sender has a watermark, which was Age old when it answered.
+	HasWatermark bool        `cbor:"8,keyasint,omitempty"`
+	Age          loop.Micros `cbor:"9,keyasint,omitempty"`
 }
 
 // peer is what is known of one peer.
@@ -204,7 +204,7 @@
 		return 1
 	})
 	w.Echo, w.Incarnation, w.From, w.Over = p.timestamp, p.incarnation, p.revision, slices.Clone(j.recent[i:])
-	w.Knows, w.Age = true, now-j.At()
+	w.HasWatermark, w.Age = true, now-j.At()
 	return w
 }
 
@@ -236,7 +236,7 @@
 		}
 	}
 	p.echoed = max(p.echoed, w.Echo)
-	if w.Knows {
+	if w.HasWatermark {
 		j.byPeer = max(j.byPeer, w.Echo-w.Age)
 	}
 }
