--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -113,8 +113,8 @@
 	droppedUpTo uint64
 	state       State
 	since       loop.Micros // monotonic time of the last change of state
-	// Take accepts a cancellation that a peer sent; it returns false if the cancellation cannot be recorded.
-	Take func(Cancellation) bool
+	// RecordFromPeer accepts a cancellation that a peer sent; it returns false if the cancellation cannot be recorded.
+	RecordFromPeer func(Cancellation) bool
 	// Dropped is called for every message that is discarded; it may be nil.
 	Dropped func(peer, why string)
 }
@@ -230,7 +230,7 @@
 		return
 	}
 	for _, o := range w.Over {
-		if !j.Take(o) {
+		if !j.RecordFromPeer(o) {
 			j.discard(label, "a cancellation cannot be kept")
 			return
 		}
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -75,7 +75,7 @@
 	}
 	n.j = New(n.clock, quiet, n.incarnation, grace, peers)
 	j := n.j
-	j.Take = func(o Cancellation) bool {
+	j.RecordFromPeer = func(o Cancellation) bool {
 		n.known[o.Job] = o.Revision
 		j.Learn(o)
 		return true
@@ -249,7 +249,7 @@
 		{"a cancellation that cannot be recorded", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, From: 10, Over: []Cancellation{{"full", 12}}}, true},
 	} {
 		j := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
-		j.Take = func(o Cancellation) bool { return o.Job != "full" }
+		j.RecordFromPeer = func(o Cancellation) bool { return o.Job != "full" }
 		dropped := 0
 		j.Dropped = func(string, string) { dropped++ }
 		j.Mirror(100, 10)
--- a/internal/node/overlook.go
+++ b/internal/node/overlook.go
@@ -14,7 +14,7 @@
 	n.mirror.Wait = horizon.Wait(grace, n.cfg.Cluster.State.RPS*0.9/float64(max(n.cfg.Cluster.Nodes, 1)))
 	n.horizon = horizon.New(n.loop, n.log, n.net.Life, grace, n.net.Peers())
 	n.mirror.OnSynced(func(s store.Synced) { n.horizon.Mirror(s.Sent, s.Reach) })
-	n.horizon.Take = func(o horizon.Cancellation) bool { return n.jobs.ApplyPeerCancellation(o.Job, o.Revision) }
+	n.horizon.RecordFromPeer = func(o horizon.Cancellation) bool { return n.jobs.ApplyPeerCancellation(o.Job, o.Revision) }
 	n.horizon.Dropped = func(string, string) { n.meter.HorizonWord() }
 	if grace < 2*contactAge {
 		n.log.Warn("cluster.workers.cancel_s is so close to cluster.workers.lease_s that work outlives hardly any outage of the state service",
