--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -115,8 +115,8 @@
 	since       loop.Micros // monotonic time of the last change of state
 	// RecordFromPeer accepts a cancellation that a peer sent; it returns false if the cancellation cannot be recorded.
 	RecordFromPeer func(Cancellation) bool
-	// Dropped is called for every message that is discarded; it may be nil.
-	Dropped func(peer, why string)
+	// Discarded is called for every message that is discarded; it may be nil.
+	Discarded func(peer, why string)
 }
 
 // New makes a judge without a watermark. life is the incarnation of this process.
@@ -266,8 +266,8 @@
 // discard logs and counts a message that is discarded.
 func (j *Tracker) discard(label, why string) {
 	j.log.Debug("message on cancellations dropped; it does not advance the watermark", "node", label, "why", why)
-	if j.Dropped != nil {
-		j.Dropped(label, why)
+	if j.Discarded != nil {
+		j.Discarded(label, why)
 	}
 }
 
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -251,7 +251,7 @@
 		j := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
 		j.RecordFromPeer = func(o Cancellation) bool { return o.Job != "full" }
 		dropped := 0
-		j.Dropped = func(string, string) { dropped++ }
+		j.Discarded = func(string, string) { dropped++ }
 		j.Mirror(100, 10)
 		j.Hear("b", 3, &c.w)
 		want := loop.Micros(900)
--- a/internal/node/overlook.go
+++ b/internal/node/overlook.go
@@ -15,7 +15,7 @@
 	n.horizon = horizon.New(n.loop, n.log, n.net.Life, grace, n.net.Peers())
 	n.mirror.OnSynced(func(s store.Synced) { n.horizon.Mirror(s.Sent, s.Reach) })
 	n.horizon.RecordFromPeer = func(o horizon.Cancellation) bool { return n.jobs.ApplyPeerCancellation(o.Job, o.Revision) }
-	n.horizon.Dropped = func(string, string) { n.meter.HorizonWord() }
+	n.horizon.Discarded = func(string, string) { n.meter.HorizonWord() }
 	if grace < 2*contactAge {
 		n.log.Warn("cluster.workers.cancel_s is so close to cluster.workers.lease_s that work outlives hardly any outage of the state service",
 			"cancel_s", w.CancelS, "lease_s", w.LeaseS, "left_us", grace)
