--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -128,9 +128,9 @@
 	return j
 }
 
-// Mirror records that an answer of the state service to a request sent at a time has been applied completely,
+// RecordSync records that an answer of the state service to a request sent at a time has been applied completely,
 // so that every change up to the revision reach is known here.
-func (j *Tracker) Mirror(sent loop.Micros, reach uint64) {
+func (j *Tracker) RecordSync(sent loop.Micros, reach uint64) {
 	j.loaded, j.byStore, j.revision = true, max(j.byStore, sent), max(j.revision, reach)
 }
 
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -92,7 +92,7 @@
 		n.learn(s.stored[m], uint64(m+1))
 	}
 	n.revision = len(s.stored)
-	n.j.Mirror(max(sent, n.incarnation)-n.clock.zero, uint64(n.revision))
+	n.j.RecordSync(max(sent, n.incarnation)-n.clock.zero, uint64(n.revision))
 }
 
 // learn records a cancellation at a controller.
@@ -252,7 +252,7 @@
 		j.RecordFromPeer = func(o Cancellation) bool { return o.Job != "full" }
 		dropped := 0
 		j.Discarded = func(string, string) { dropped++ }
-		j.Mirror(100, 10)
+		j.RecordSync(100, 10)
 		j.Hear("b", 3, &c.w)
 		want := loop.Micros(900)
 		if c.bad || c.w.Echo == 0 {
@@ -270,7 +270,7 @@
 // lower than those of its previous incarnation; within one incarnation only the newest question is answered.
 func TestQuestionsOfANewIncarnationAreAnswered(t *testing.T) {
 	j := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
-	j.Mirror(100, 10)
+	j.RecordSync(100, 10)
 	for _, c := range [][4]loop.Micros{{3, 800, 3, 800}, {3, 700, 3, 800}, {4, 20, 4, 20}, {4, 30, 4, 30}, {4, 25, 4, 30}} {
 		j.Hear("b", c[0], &Message{Version: 1, Timestamp: c[1], Revision: 10})
 		if w := j.MessageFor("b"); w.Incarnation != c[2] || w.Echo != c[3] {
@@ -283,7 +283,7 @@
 // other peer is.
 func TestMoreCancellationsThanAreKept(t *testing.T) {
 	j := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
-	j.Mirror(100, 10000)
+	j.RecordSync(100, 10000)
 	for k := range 5000 {
 		j.Learn(Cancellation{fmt.Sprint(k), uint64(1 + (k*7919)%5000)})
 	}
@@ -309,7 +309,7 @@
 		got = append(got, fmt.Sprint(j.State(), j.Holds()))
 	}
 	look(100)
-	j.Mirror(100*loop.Second, 10)
+	j.RecordSync(100*loop.Second, 10)
 	look(101)
 	c.true = 108 * loop.Second
 	for _, p := range []string{"b", "c"} {
