--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -134,9 +134,9 @@
 	j.loaded, j.byStore, j.revision = true, max(j.byStore, sent), max(j.revision, reach)
 }
 
-// Learn records a cancellation known here from any source. It must be called before any user is told of the
+// RecordCancellation records a cancellation known here from any source. It must be called before any user is told of the
 // cancellation, so that the next message to a peer includes it.
-func (j *Tracker) Learn(o Cancellation) {
+func (j *Tracker) RecordCancellation(o Cancellation) {
 	if o.Revision <= j.droppedUpTo {
 		return
 	}
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -77,7 +77,7 @@
 	j := n.j
 	j.RecordFromPeer = func(o Cancellation) bool {
 		n.known[o.Job] = o.Revision
-		j.Learn(o)
+		j.RecordCancellation(o)
 		return true
 	}
 }
@@ -98,7 +98,7 @@
 // learn records a cancellation at a controller.
 func (n *simController) learn(job string, mark uint64) {
 	n.known[job] = mark
-	n.j.Learn(Cancellation{job, mark})
+	n.j.RecordCancellation(Cancellation{job, mark})
 }
 
 // cancel stores a cancellation through a controller, which tells its user at once.
@@ -285,7 +285,7 @@
 	j := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
 	j.RecordSync(100, 10000)
 	for k := range 5000 {
-		j.Learn(Cancellation{fmt.Sprint(k), uint64(1 + (k*7919)%5000)})
+		j.RecordCancellation(Cancellation{fmt.Sprint(k), uint64(1 + (k*7919)%5000)})
 	}
 	lowest := uint64(5000 - maxRecent)
 	for _, reach := range []uint64{0, lowest - 1, lowest, lowest + 1, 4999, 5000} {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -218,7 +218,7 @@
 	n.rental.OnGone = n.placer.Gone
 	n.jobs.OnJob = func(j *job.Job) {
 		if j.Phase == job.Cancelled {
-			n.horizon.Learn(horizon.Cancellation{Job: j.ID, Revision: j.CancelledRevision()})
+			n.horizon.RecordCancellation(horizon.Cancellation{Job: j.ID, Revision: j.CancelledRevision()})
 		}
 		if j.Final() {
 			delete(n.progress, j.ID)
