--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// At returns the watermark; 0 if there is none.
-func (j *Tracker) At() loop.Micros {
+// Watermark returns the watermark; 0 if there is none.
+func (j *Tracker) Watermark() loop.Micros {
 	if !j.loaded {
 		return 0
 	}
@@ -180,7 +180,7 @@
 
 // Holds reports whether reports may be answered now.
 func (j *Tracker) Holds() bool {
-	at := j.At()
+	at := j.Watermark()
 	return at != 0 && j.clock.Now() < at+j.grace
 }
 
@@ -204,7 +204,7 @@
 		return 1
 	})
 	w.Echo, w.Incarnation, w.From, w.Over = p.timestamp, p.incarnation, p.revision, slices.Clone(j.recent[i:])
-	w.HasWatermark, w.Age = true, now-j.At()
+	w.HasWatermark, w.Age = true, now-j.Watermark()
 	return w
 }
 
@@ -275,7 +275,7 @@
 // called periodically.
 func (j *Tracker) Look() (age loop.Micros) {
 	now := j.clock.Now()
-	at := j.At()
+	at := j.Watermark()
 	age = now - at
 	fresh := j.grace / 4
 	switch {
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -185,7 +185,7 @@
 		for range 600 {
 			s.step(true)
 			for _, n := range s.nodes {
-				at := n.j.At()
+				at := n.j.Watermark()
 				if at == 0 {
 					continue
 				}
@@ -220,7 +220,7 @@
 			s.step(false)
 		}
 		for _, x := range s.nodes {
-			if age := x.clock.Now() - x.j.At(); age > loop.Micros(n)*8*loop.Second || !x.j.loaded || age > 0 && n == 1 {
+			if age := x.clock.Now() - x.j.Watermark(); age > loop.Micros(n)*8*loop.Second || !x.j.loaded || age > 0 && n == 1 {
 				t.Errorf("%d controllers: the watermark of %s is %d us old", n, x.label, age)
 			}
 		}
@@ -258,8 +258,8 @@
 		if c.bad || c.w.Echo == 0 {
 			want = 100
 		}
-		if j.At() != want || (dropped > 0) != c.bad {
-			t.Errorf("%s: the watermark is %d, want %d; %d messages were dropped", c.name, j.At(), want, dropped)
+		if j.Watermark() != want || (dropped > 0) != c.bad {
+			t.Errorf("%s: the watermark is %d, want %d; %d messages were dropped", c.name, j.Watermark(), want, dropped)
 		}
 		j.Hear("nobody", 3, &c.w)
 		j.Hear("b", 3, nil)
