--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -178,8 +178,8 @@
 	return at, who
 }
 
-// Holds reports whether reports may be answered now.
-func (j *Tracker) Holds() bool {
+// MayAnswerReports reports whether reports may be answered now.
+func (j *Tracker) MayAnswerReports() bool {
 	at := j.Watermark()
 	return at != 0 && j.clock.Now() < at+j.grace
 }
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -306,7 +306,7 @@
 	look := func(at loop.Micros) {
 		c.true = at * loop.Second
 		j.Look()
-		got = append(got, fmt.Sprint(j.State(), j.Holds()))
+		got = append(got, fmt.Sprint(j.State(), j.MayAnswerReports()))
 	}
 	look(100)
 	j.RecordSync(100*loop.Second, 10)
--- a/internal/node/fitness.go
+++ b/internal/node/fitness.go
@@ -49,7 +49,7 @@
 			return false, to
 		}
 	}
-	if !n.horizon.Holds() {
+	if !n.horizon.MayAnswerReports() {
 		return false, n.coach()
 	}
 	return true, ""
