--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -208,9 +208,9 @@
 	return w
 }
 
-// Hear applies a message from a peer; life is the incarnation of its process, as named by the frame that
+// Receive applies a message from a peer; life is the incarnation of its process, as named by the frame that
 // contained the message.
-func (j *Tracker) Hear(label string, incarnation loop.Micros, w *Message) {
+func (j *Tracker) Receive(label string, incarnation loop.Micros, w *Message) {
 	p := j.peers[label]
 	if p == nil || w == nil {
 		return
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -171,7 +171,7 @@
 			left = append(left, f)
 			continue
 		}
-		s.nodes[f.to].j.Hear(s.nodes[f.from].label, f.incarnation, f.w)
+		s.nodes[f.to].j.Receive(s.nodes[f.from].label, f.incarnation, f.w)
 	}
 	s.inFlight = left
 }
@@ -253,7 +253,7 @@
 		dropped := 0
 		j.Discarded = func(string, string) { dropped++ }
 		j.RecordSync(100, 10)
-		j.Hear("b", 3, &c.w)
+		j.Receive("b", 3, &c.w)
 		want := loop.Micros(900)
 		if c.bad || c.w.Echo == 0 {
 			want = 100
@@ -261,8 +261,8 @@
 		if j.Watermark() != want || (dropped > 0) != c.bad {
 			t.Errorf("%s: the watermark is %d, want %d; %d messages were dropped", c.name, j.Watermark(), want, dropped)
 		}
-		j.Hear("nobody", 3, &c.w)
-		j.Hear("b", 3, nil)
+		j.Receive("nobody", 3, &c.w)
+		j.Receive("b", 3, nil)
 	}
 }
 
@@ -272,7 +272,7 @@
 	j := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
 	j.RecordSync(100, 10)
 	for _, c := range [][4]loop.Micros{{3, 800, 3, 800}, {3, 700, 3, 800}, {4, 20, 4, 20}, {4, 30, 4, 30}, {4, 25, 4, 30}} {
-		j.Hear("b", c[0], &Message{Version: 1, Timestamp: c[1], Revision: 10})
+		j.Receive("b", c[0], &Message{Version: 1, Timestamp: c[1], Revision: 10})
 		if w := j.MessageFor("b"); w.Incarnation != c[2] || w.Echo != c[3] {
 			t.Errorf("after question %d of incarnation %d, question %d of incarnation %d is answered", c[1], c[0], w.Echo, w.Incarnation)
 		}
@@ -289,7 +289,7 @@
 	}
 	lowest := uint64(5000 - maxRecent)
 	for _, reach := range []uint64{0, lowest - 1, lowest, lowest + 1, 4999, 5000} {
-		j.Hear("b", 3, &Message{Version: 1, Timestamp: 5 + loop.Micros(reach), Revision: reach})
+		j.Receive("b", 3, &Message{Version: 1, Timestamp: 5 + loop.Micros(reach), Revision: reach})
 		w := j.MessageFor("b")
 		if answered := w.Echo != 0; answered != (reach >= lowest) || answered && len(w.Over) != int(5000-reach) {
 			t.Errorf("peer at revision %d: %d of %d cancellations are sent, as an answer to question %d", reach, len(w.Over), 5000-reach, w.Echo)
@@ -313,14 +313,14 @@
 	look(101)
 	c.true = 108 * loop.Second
 	for _, p := range []string{"b", "c"} {
-		j.Hear(p, 3, &Message{Version: 1, Timestamp: 5, Echo: 108 * loop.Second, Incarnation: 7, From: 10})
+		j.Receive(p, 3, &Message{Version: 1, Timestamp: 5, Echo: 108 * loop.Second, Incarnation: 7, From: 10})
 	}
 	look(109)
-	j.Hear("b", 3, &Message{Version: 1, Timestamp: 6, Echo: 109 * loop.Second, Incarnation: 7, From: 10}) // c holds the watermark back
+	j.Receive("b", 3, &Message{Version: 1, Timestamp: 6, Echo: 109 * loop.Second, Incarnation: 7, From: 10}) // c holds the watermark back
 	look(120)
 	look(125)
 	look(126)
-	j.Hear("b", 3, &Message{Version: 1, Timestamp: 7, Echo: 126 * loop.Second, Incarnation: 7, From: 10, HasWatermark: true, Age: loop.Second})
+	j.Receive("b", 3, &Message{Version: 1, Timestamp: 7, Echo: 126 * loop.Second, Incarnation: 7, From: 10, HasWatermark: true, Age: loop.Second})
 	look(126)
 	if s, want := fmt.Sprint(got), "[blind false current true shared true aging true aging true lapsed false shared true]"; s != want {
 		t.Errorf("states: %s, want %s", s, want)
