--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -271,9 +271,9 @@
 	}
 }
 
-// Look determines what advances the watermark now, logs a change, and returns the watermark's age. It must be
+// UpdateState determines what advances the watermark now, logs a change, and returns the watermark's age. It must be
 // called periodically.
-func (j *Tracker) Look() (age loop.Micros) {
+func (j *Tracker) UpdateState() (age loop.Micros) {
 	now := j.clock.Now()
 	at := j.Watermark()
 	age = now - at
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -305,7 +305,7 @@
 	var got []string
 	look := func(at loop.Micros) {
 		c.true = at * loop.Second
-		j.Look()
+		j.UpdateState()
 		got = append(got, fmt.Sprint(j.State(), j.MayAnswerReports()))
 	}
 	look(100)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -302,7 +302,7 @@
 	}
 	places := n.jobs.TakeQueuePositions()
 	n.net.All(func(e *peer.Envelope) { e.Status, e.Places = s, places })
-	n.meter.Horizon(n.horizon.Look())
+	n.meter.Horizon(n.horizon.UpdateState())
 	for _, label := range n.net.Peers() {
 		n.net.To(label, func(e *peer.Envelope) { e.Horizon = n.horizon.MessageFor(label) })
 	}
