--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -24,11 +24,11 @@
 
 // The states of the watermark.
 const (
-	Blind   State = iota // the job records have not been read yet, so there is no watermark
-	Current              // the state service advances it
-	Shared               // messages of peers advance it
-	Aging                // nothing advances it; reports are answered until Grace has passed
-	Lapsed               // it is older than Grace; reports are not answered, and the workers' leases expire
+	NotLoaded State = iota // the job records have not been read yet, so there is no watermark
+	Current                // the state service advances it
+	Shared                 // messages of peers advance it
+	Aging                  // nothing advances it; reports are answered until Grace has passed
+	Lapsed                 // it is older than Grace; reports are not answered, and the workers' leases expire
 )
 
 func (s State) String() string {
@@ -280,7 +280,7 @@
 	fresh := j.grace / 4
 	switch {
 	case at == 0:
-		j.setState(Blind, now, age)
+		j.setState(NotLoaded, now, age)
 		return 0
 	case age >= j.grace:
 		j.setState(Lapsed, now, age)
