--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -28,7 +28,7 @@
 	Current                // the state service advances it
 	Shared                 // messages of peers advance it
 	Aging                  // nothing advances it; reports are answered until Grace has passed
-	Lapsed                 // it is older than Grace; reports are not answered, and the workers' leases expire
+	Expired                // it is older than Grace; reports are not answered, and the workers' leases expire
 )
 
 func (s State) String() string {
@@ -283,7 +283,7 @@
 		j.setState(NotLoaded, now, age)
 		return 0
 	case age >= j.grace:
-		j.setState(Lapsed, now, age)
+		j.setState(Expired, now, age)
 	case now-j.byStore < max(fresh, loop.Second):
 		j.setState(Current, now, age)
 	case age < max(fresh, loop.Second):
@@ -302,7 +302,7 @@
 	_, who := j.byAllPeers()
 	from := j.state
 	j.state, j.since = s, now
-	if s == Lapsed {
+	if s == Expired {
 		j.log.Warn("knowledge of cancellations is too old; reports are not answered and the workers' leases will expire", "age_us", age,
 			"state_service_us", now-j.byStore, "held_back_by", who)
 		return
