--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -44,10 +44,10 @@
 	return budget - min(2*loop.Second, budget/4)
 }
 
-// Wait returns for how long a watch of the state service may stay open without changes. An answered watch
+// WatchWait returns for how long a watch of the state service may stay open without changes. An answered watch
 // advances the watermark to the time at which it was sent, so the watermark must not age while a prefix does
-// not change. It costs 1/Wait requests per second, at most a twentieth of the controller's share of requests.
-func Wait(grace loop.Micros, rps float64) loop.Micros {
+// not change. It costs 1/WatchWait requests per second, at most a twentieth of the controller's share of requests.
+func WatchWait(grace loop.Micros, rps float64) loop.Micros {
 	const least = loop.Second / 4
 	want := min(max(grace/8, least), 2*loop.Second)
 	return min(max(want, loop.Seconds(20/max(rps, 0.01))), max(grace/2, least))
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -335,7 +335,7 @@
 		rps   float64
 		want  loop.Micros
 	}{{18 * loop.Second, 54, 2 * loop.Second}, {18 * loop.Second, 4, 5 * loop.Second}, {18 * loop.Second, 0.1, 9 * loop.Second}, {loop.Second, 100, loop.Second / 4}, {8 * loop.Second, 54, loop.Second}} {
-		if got := Wait(x.grace, x.rps); got != x.want {
+		if got := WatchWait(x.grace, x.rps); got != x.want {
 			t.Errorf("%+v: Wait is %d us", x, got)
 		}
 	}
