--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -71,10 +71,10 @@
 	// Echo is the Stamp of the receiver's question that is answered, and Life the receiver's incarnation that
 	// asked it; an Echo of 0 means that the sender cannot answer. Every cancellation that the sender confirmed
 	// to a user before it received the question has a revision of at most From or is listed in Over.
-	Echo        loop.Micros    `cbor:"4,keyasint,omitempty"`
-	Incarnation loop.Micros    `cbor:"5,keyasint,omitempty"`
-	From        uint64         `cbor:"6,keyasint,omitempty"`
-	Over        []Cancellation `cbor:"7,keyasint,omitempty"`
+	Echo          loop.Micros    `cbor:"4,keyasint,omitempty"`
+	Incarnation   loop.Micros    `cbor:"5,keyasint,omitempty"`
+	SinceRevision uint64         `cbor:"6,keyasint,omitempty"`
+	Over          []Cancellation `cbor:"7,keyasint,omitempty"`
 	// HasWatermark is set if the sender has a watermark, which was Age old when it answered.
 	HasWatermark bool        `cbor:"8,keyasint,omitempty"`
 	Age          loop.Micros `cbor:"9,keyasint,omitempty"`
@@ -203,7 +203,7 @@
 		}
 		return 1
 	})
-	w.Echo, w.Incarnation, w.From, w.Over = p.timestamp, p.incarnation, p.revision, slices.Clone(j.recent[i:])
+	w.Echo, w.Incarnation, w.SinceRevision, w.Over = p.timestamp, p.incarnation, p.revision, slices.Clone(j.recent[i:])
 	w.HasWatermark, w.Age = true, now-j.Watermark()
 	return w
 }
@@ -250,13 +250,13 @@
 		return "malformed"
 	case w.Echo > j.clock.Now() && w.Incarnation == j.incarnation:
 		return "a stamp from the future"
-	case w.Echo != 0 && w.Incarnation == j.incarnation && w.From > j.revision:
+	case w.Echo != 0 && w.Incarnation == j.incarnation && w.SinceRevision > j.revision:
 		return "a revision that was never named"
 	case len(w.Over) > maxRecent:
 		return "too many cancellations"
 	}
 	for _, o := range w.Over {
-		if o.Job == "" || o.Revision <= w.From {
+		if o.Job == "" || o.Revision <= w.SinceRevision {
 			return "malformed"
 		}
 	}
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -235,18 +235,18 @@
 		w    Message
 		bad  bool
 	}{
-		{"valid", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, From: 10}, false},
+		{"valid", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10}, false},
 		{"only a question", Message{Version: 1, Timestamp: 5}, false},
-		{"another version", Message{Version: 2, Timestamp: 5, Echo: 900, Incarnation: 7, From: 10}, true},
-		{"no version", Message{Timestamp: 5, Echo: 900, Incarnation: 7, From: 10}, true},
-		{"no stamp", Message{Version: 1, Echo: 900, Incarnation: 7, From: 10}, true},
-		{"an echo from the future", Message{Version: 1, Timestamp: 5, Echo: 1001, Incarnation: 7, From: 10}, true},
-		{"an earlier incarnation", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 6, From: 10}, true},
-		{"a revision that nobody has", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, From: 11}, true},
-		{"a negative age", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, From: 10, HasWatermark: true, Age: -5}, true},
-		{"a cancellation without a name", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, From: 10, Over: []Cancellation{{"", 12}}}, true},
-		{"a cancellation at an earlier revision", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, From: 10, Over: []Cancellation{{"job-000001", 10}}}, true},
-		{"a cancellation that cannot be recorded", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, From: 10, Over: []Cancellation{{"full", 12}}}, true},
+		{"another version", Message{Version: 2, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10}, true},
+		{"no version", Message{Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10}, true},
+		{"no stamp", Message{Version: 1, Echo: 900, Incarnation: 7, SinceRevision: 10}, true},
+		{"an echo from the future", Message{Version: 1, Timestamp: 5, Echo: 1001, Incarnation: 7, SinceRevision: 10}, true},
+		{"an earlier incarnation", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 6, SinceRevision: 10}, true},
+		{"a revision that nobody has", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 11}, true},
+		{"a negative age", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, HasWatermark: true, Age: -5}, true},
+		{"a cancellation without a name", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, Over: []Cancellation{{"", 12}}}, true},
+		{"a cancellation at an earlier revision", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, Over: []Cancellation{{"job-000001", 10}}}, true},
+		{"a cancellation that cannot be recorded", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, Over: []Cancellation{{"full", 12}}}, true},
 	} {
 		j := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
 		j.RecordFromPeer = func(o Cancellation) bool { return o.Job != "full" }
@@ -313,14 +313,14 @@
 	look(101)
 	c.true = 108 * loop.Second
 	for _, p := range []string{"b", "c"} {
-		j.Receive(p, 3, &Message{Version: 1, Timestamp: 5, Echo: 108 * loop.Second, Incarnation: 7, From: 10})
+		j.Receive(p, 3, &Message{Version: 1, Timestamp: 5, Echo: 108 * loop.Second, Incarnation: 7, SinceRevision: 10})
 	}
 	look(109)
-	j.Receive("b", 3, &Message{Version: 1, Timestamp: 6, Echo: 109 * loop.Second, Incarnation: 7, From: 10}) // c holds the watermark back
+	j.Receive("b", 3, &Message{Version: 1, Timestamp: 6, Echo: 109 * loop.Second, Incarnation: 7, SinceRevision: 10}) // c holds the watermark back
 	look(120)
 	look(125)
 	look(126)
-	j.Receive("b", 3, &Message{Version: 1, Timestamp: 7, Echo: 126 * loop.Second, Incarnation: 7, From: 10, HasWatermark: true, Age: loop.Second})
+	j.Receive("b", 3, &Message{Version: 1, Timestamp: 7, Echo: 126 * loop.Second, Incarnation: 7, SinceRevision: 10, HasWatermark: true, Age: loop.Second})
 	look(126)
 	if s, want := fmt.Sprint(got), "[blind false current true shared true aging true aging true lapsed false shared true]"; s != want {
 		t.Errorf("states: %s, want %s", s, want)
