--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -74,7 +74,7 @@
 	Echo          loop.Micros    `cbor:"4,keyasint,omitempty"`
 	Incarnation   loop.Micros    `cbor:"5,keyasint,omitempty"`
 	SinceRevision uint64         `cbor:"6,keyasint,omitempty"`
-	Over          []Cancellation `cbor:"7,keyasint,omitempty"`
+	Cancellations []Cancellation `cbor:"7,keyasint,omitempty"`
 	// HasWatermark is set if the sender has a watermark, which was Age old when it answered.
 	HasWatermark bool        `cbor:"8,keyasint,omitempty"`
 	Age          loop.Micros `cbor:"9,keyasint,omitempty"`
@@ -203,7 +203,7 @@
 		}
 		return 1
 	})
-	w.Echo, w.Incarnation, w.SinceRevision, w.Over = p.timestamp, p.incarnation, p.revision, slices.Clone(j.recent[i:])
+	w.Echo, w.Incarnation, w.SinceRevision, w.Cancellations = p.timestamp, p.incarnation, p.revision, slices.Clone(j.recent[i:])
 	w.HasWatermark, w.Age = true, now-j.Watermark()
 	return w
 }
@@ -229,7 +229,7 @@
 		j.discard(label, "answers an earlier life")
 		return
 	}
-	for _, o := range w.Over {
+	for _, o := range w.Cancellations {
 		if !j.RecordFromPeer(o) {
 			j.discard(label, "a cancellation cannot be kept")
 			return
@@ -252,10 +252,10 @@
 		return "a stamp from the future"
 	case w.Echo != 0 && w.Incarnation == j.incarnation && w.SinceRevision > j.revision:
 		return "a revision that was never named"
-	case len(w.Over) > maxRecent:
+	case len(w.Cancellations) > maxRecent:
 		return "too many cancellations"
 	}
-	for _, o := range w.Over {
+	for _, o := range w.Cancellations {
 		if o.Job == "" || o.Revision <= w.SinceRevision {
 			return "malformed"
 		}
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -244,9 +244,9 @@
 		{"an earlier incarnation", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 6, SinceRevision: 10}, true},
 		{"a revision that nobody has", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 11}, true},
 		{"a negative age", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, HasWatermark: true, Age: -5}, true},
-		{"a cancellation without a name", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, Over: []Cancellation{{"", 12}}}, true},
-		{"a cancellation at an earlier revision", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, Over: []Cancellation{{"job-000001", 10}}}, true},
-		{"a cancellation that cannot be recorded", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, Over: []Cancellation{{"full", 12}}}, true},
+		{"a cancellation without a name", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, Cancellations: []Cancellation{{"", 12}}}, true},
+		{"a cancellation at an earlier revision", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, Cancellations: []Cancellation{{"job-000001", 10}}}, true},
+		{"a cancellation that cannot be recorded", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, Cancellations: []Cancellation{{"full", 12}}}, true},
 	} {
 		j := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
 		j.RecordFromPeer = func(o Cancellation) bool { return o.Job != "full" }
@@ -291,8 +291,8 @@
 	for _, reach := range []uint64{0, lowest - 1, lowest, lowest + 1, 4999, 5000} {
 		j.Receive("b", 3, &Message{Version: 1, Timestamp: 5 + loop.Micros(reach), Revision: reach})
 		w := j.MessageFor("b")
-		if answered := w.Echo != 0; answered != (reach >= lowest) || answered && len(w.Over) != int(5000-reach) {
-			t.Errorf("peer at revision %d: %d of %d cancellations are sent, as an answer to question %d", reach, len(w.Over), 5000-reach, w.Echo)
+		if answered := w.Echo != 0; answered != (reach >= lowest) || answered && len(w.Cancellations) != int(5000-reach) {
+			t.Errorf("peer at revision %d: %d of %d cancellations are sent, as an answer to question %d", reach, len(w.Cancellations), 5000-reach, w.Echo)
 		}
 	}
 }
