--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -77,7 +77,7 @@
 	Cancellations []Cancellation `cbor:"7,keyasint,omitempty"`
 	// HasWatermark is set if the sender has a watermark, which was Age old when it answered.
 	HasWatermark bool        `cbor:"8,keyasint,omitempty"`
-	Age          loop.Micros `cbor:"9,keyasint,omitempty"`
+	WatermarkAge loop.Micros `cbor:"9,keyasint,omitempty"`
 }
 
 // peer is what is known of one peer.
@@ -204,7 +204,7 @@
 		return 1
 	})
 	w.Echo, w.Incarnation, w.SinceRevision, w.Cancellations = p.timestamp, p.incarnation, p.revision, slices.Clone(j.recent[i:])
-	w.HasWatermark, w.Age = true, now-j.Watermark()
+	w.HasWatermark, w.WatermarkAge = true, now-j.Watermark()
 	return w
 }
 
@@ -237,7 +237,7 @@
 	}
 	p.echoed = max(p.echoed, w.Echo)
 	if w.HasWatermark {
-		j.byPeer = max(j.byPeer, w.Echo-w.Age)
+		j.byPeer = max(j.byPeer, w.Echo-w.WatermarkAge)
 	}
 }
 
@@ -246,7 +246,7 @@
 	switch {
 	case w.Version != MessageVersion:
 		return "unknown version"
-	case w.Timestamp <= 0 || w.Echo < 0 || w.Age < 0:
+	case w.Timestamp <= 0 || w.Echo < 0 || w.WatermarkAge < 0:
 		return "malformed"
 	case w.Echo > j.clock.Now() && w.Incarnation == j.incarnation:
 		return "a stamp from the future"
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -243,7 +243,7 @@
 		{"an echo from the future", Message{Version: 1, Timestamp: 5, Echo: 1001, Incarnation: 7, SinceRevision: 10}, true},
 		{"an earlier incarnation", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 6, SinceRevision: 10}, true},
 		{"a revision that nobody has", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 11}, true},
-		{"a negative age", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, HasWatermark: true, Age: -5}, true},
+		{"a negative age", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, HasWatermark: true, WatermarkAge: -5}, true},
 		{"a cancellation without a name", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, Cancellations: []Cancellation{{"", 12}}}, true},
 		{"a cancellation at an earlier revision", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, Cancellations: []Cancellation{{"job-000001", 10}}}, true},
 		{"a cancellation that cannot be recorded", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, Cancellations: []Cancellation{{"full", 12}}}, true},
@@ -320,7 +320,7 @@
 	look(120)
 	look(125)
 	look(126)
-	j.Receive("b", 3, &Message{Version: 1, Timestamp: 7, Echo: 126 * loop.Second, Incarnation: 7, SinceRevision: 10, HasWatermark: true, Age: loop.Second})
+	j.Receive("b", 3, &Message{Version: 1, Timestamp: 7, Echo: 126 * loop.Second, Incarnation: 7, SinceRevision: 10, HasWatermark: true, WatermarkAge: loop.Second})
 	look(126)
 	if s, want := fmt.Sprint(got), "[blind false current true shared true aging true aging true lapsed false shared true]"; s != want {
 		t.Errorf("states: %s, want %s", s, want)
