--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -68,14 +68,15 @@
 	Version   int         `cbor:"1,keyasint"`
 	Timestamp loop.Micros `cbor:"2,keyasint"` // the sender's monotonic clock; identifies the question
 	Revision  uint64      `cbor:"3,keyasint"` // the store revision up to which the sender knows every change
-	// Echo is the Stamp of the receiver's question that is answered, and Life the receiver's incarnation that
-	// asked it; an Echo of 0 means that the sender cannot answer. Every cancellation that the sender confirmed
-	// to a user before it received the question has a revision of at most From or is listed in Over.
+	// Echo is the Timestamp of the receiver's question that is answered, and Incarnation the receiver's
+	// incarnation that asked it; an Echo of 0 means that the sender cannot answer. Every cancellation that the
+	// sender confirmed to a user before it received the question has a revision of at most SinceRevision or is
+	// listed in Cancellations.
 	Echo          loop.Micros    `cbor:"4,keyasint,omitempty"`
 	Incarnation   loop.Micros    `cbor:"5,keyasint,omitempty"`
 	SinceRevision uint64         `cbor:"6,keyasint,omitempty"`
 	Cancellations []Cancellation `cbor:"7,keyasint,omitempty"`
-	// HasWatermark is set if the sender has a watermark, which was Age old when it answered.
+	// HasWatermark is set if the sender has a watermark, which was WatermarkAge old when it answered.
 	HasWatermark bool        `cbor:"8,keyasint,omitempty"`
 	WatermarkAge loop.Micros `cbor:"9,keyasint,omitempty"`
 }
@@ -85,7 +86,7 @@
 	timestamp, incarnation loop.Micros // of its newest question
 	revision               uint64      // the revision up to which it knows every change, as of that question
 	receivedAt             loop.Micros // when that question arrived
-	echoed                 loop.Micros // our newest stamp that it has answered; 0: none
+	echoed                 loop.Micros // our newest timestamp that it has answered; 0: none
 }
 
 // maxRecent bounds the cancellations that are kept for messages to peers: those of the highest revisions are.
@@ -107,8 +108,8 @@
 	byStore     loop.Micros // the watermark by the answers of the state service
 	revision    uint64      // the store revision up to which every change is known here
 	byPeer      loop.Micros // the highest watermark that a single peer has passed on
-	// recent holds the cancellations known here, sorted by revision, and floor is the highest revision of those
-	// that were dropped from it.
+	// recent holds the cancellations known here, sorted by revision, and droppedUpTo is the highest revision
+	// of those that were dropped from it.
 	recent      []Cancellation
 	droppedUpTo uint64
 	state       State
@@ -119,58 +120,58 @@
 	Discarded func(peer, why string)
 }
 
-// New makes a judge without a watermark. life is the incarnation of this process.
+// New makes a tracker without a watermark. incarnation is that of this process.
 func New(clock loop.Clock, log *slog.Logger, incarnation, grace loop.Micros, peers []string) *Tracker {
-	j := &Tracker{clock: clock, log: log, incarnation: incarnation, grace: grace, peers: map[string]*peer{}, since: clock.Now()}
+	t := &Tracker{clock: clock, log: log, incarnation: incarnation, grace: grace, peers: map[string]*peer{}, since: clock.Now()}
 	for _, p := range peers {
-		j.peers[p] = &peer{}
+		t.peers[p] = &peer{}
 	}
-	return j
+	return t
 }
 
 // RecordSync records that an answer of the state service to a request sent at a time has been applied completely,
 // so that every change up to the revision reach is known here.
-func (j *Tracker) RecordSync(sent loop.Micros, reach uint64) {
-	j.loaded, j.byStore, j.revision = true, max(j.byStore, sent), max(j.revision, reach)
+func (t *Tracker) RecordSync(sent loop.Micros, reach uint64) {
+	t.loaded, t.byStore, t.revision = true, max(t.byStore, sent), max(t.revision, reach)
 }
 
 // RecordCancellation records a cancellation known here from any source. It must be called before any user is told of the
 // cancellation, so that the next message to a peer includes it.
-func (j *Tracker) RecordCancellation(o Cancellation) {
-	if o.Revision <= j.droppedUpTo {
+func (t *Tracker) RecordCancellation(o Cancellation) {
+	if o.Revision <= t.droppedUpTo {
 		return
 	}
-	i, have := slices.BinarySearchFunc(j.recent, o, func(a, b Cancellation) int {
+	i, have := slices.BinarySearchFunc(t.recent, o, func(a, b Cancellation) int {
 		return cmp.Or(cmp.Compare(a.Revision, b.Revision), cmp.Compare(a.Job, b.Job))
 	})
 	if have {
 		return
 	}
-	j.recent = slices.Insert(j.recent, i, o)
-	if n := len(j.recent) - maxRecent; n > 0 {
-		j.droppedUpTo = j.recent[n-1].Revision
-		for n < len(j.recent) && j.recent[n].Revision == j.droppedUpTo {
+	t.recent = slices.Insert(t.recent, i, o)
+	if n := len(t.recent) - maxRecent; n > 0 {
+		t.droppedUpTo = t.recent[n-1].Revision
+		for n < len(t.recent) && t.recent[n].Revision == t.droppedUpTo {
 			n++ // cancellations of one revision are kept or dropped together
 		}
-		j.recent = slices.Delete(j.recent, 0, n)
+		t.recent = slices.Delete(t.recent, 0, n)
 	}
 }
 
 // Watermark returns the watermark; 0 if there is none.
-func (j *Tracker) Watermark() loop.Micros {
-	if !j.loaded {
+func (t *Tracker) Watermark() loop.Micros {
+	if !t.loaded {
 		return 0
 	}
-	all, _ := j.byAllPeers()
-	return max(j.byStore, j.byPeer, all)
+	all, _ := t.byAllPeers()
+	return max(t.byStore, t.byPeer, all)
 }
 
 // byAllPeers returns the watermark that follows from the answers of all peers together, and the peer that holds it
 // back. Without peers it is now, since the controller knows all that it, or an earlier incarnation of it, has
 // confirmed.
-func (j *Tracker) byAllPeers() (at loop.Micros, who string) {
-	at = j.clock.Now()
-	for label, p := range j.peers { // runs for each answered report, so the peers are not sorted; a tie goes to the first name
+func (t *Tracker) byAllPeers() (at loop.Micros, who string) {
+	at = t.clock.Now()
+	for label, p := range t.peers { // runs for each answered report, so the peers are not sorted; a tie goes to the first name
 		if p.echoed < at || p.echoed == at && who > label {
 			at, who = p.echoed, label
 		}
@@ -179,78 +180,78 @@
 }
 
 // MayAnswerReports reports whether reports may be answered now.
-func (j *Tracker) MayAnswerReports() bool {
-	at := j.Watermark()
-	return at != 0 && j.clock.Now() < at+j.grace
+func (t *Tracker) MayAnswerReports() bool {
+	at := t.Watermark()
+	return at != 0 && t.clock.Now() < at+t.grace
 }
 
 // MessageFor returns the message to send to a peer now; nil for an unknown peer.
-func (j *Tracker) MessageFor(label string) *Message {
-	p := j.peers[label]
+func (t *Tracker) MessageFor(label string) *Message {
+	p := t.peers[label]
 	if p == nil {
 		return nil
 	}
-	now := j.clock.Now()
-	w := &Message{Version: MessageVersion, Timestamp: now, Revision: j.revision}
-	if !j.loaded || p.timestamp == 0 || now-p.receivedAt > maxQuestionAge || p.revision < j.droppedUpTo {
+	now := t.clock.Now()
+	w := &Message{Version: MessageVersion, Timestamp: now, Revision: t.revision}
+	if !t.loaded || p.timestamp == 0 || now-p.receivedAt > maxQuestionAge || p.revision < t.droppedUpTo {
 		// There is no recent question, or it cannot be answered. What earlier incarnations of this process
 		// confirmed is known only once the records have been read.
 		return w
 	}
-	i, _ := slices.BinarySearchFunc(j.recent, p.revision, func(o Cancellation, reach uint64) int {
+	i, _ := slices.BinarySearchFunc(t.recent, p.revision, func(o Cancellation, reach uint64) int {
 		if o.Revision <= reach {
 			return -1
 		}
 		return 1
 	})
-	w.Echo, w.Incarnation, w.SinceRevision, w.Cancellations = p.timestamp, p.incarnation, p.revision, slices.Clone(j.recent[i:])
-	w.HasWatermark, w.WatermarkAge = true, now-j.Watermark()
+	w.Echo, w.Incarnation, w.SinceRevision, w.Cancellations = p.timestamp, p.incarnation, p.revision, slices.Clone(t.recent[i:])
+	w.HasWatermark, w.WatermarkAge = true, now-t.Watermark()
 	return w
 }
 
-// Receive applies a message from a peer; life is the incarnation of its process, as named by the frame that
-// contained the message.
-func (j *Tracker) Receive(label string, incarnation loop.Micros, w *Message) {
-	p := j.peers[label]
+// Receive applies a message from a peer; incarnation is that of its process, as named by the frame that contained the
+// message.
+func (t *Tracker) Receive(label string, incarnation loop.Micros, w *Message) {
+	p := t.peers[label]
 	if p == nil || w == nil {
 		return
 	}
-	if why := j.invalidReason(w); why != "" {
-		j.discard(label, why)
+	if why := t.invalidReason(w); why != "" {
+		t.discard(label, why)
 		return
 	}
 	if p.incarnation != incarnation || w.Timestamp > p.timestamp {
-		p.timestamp, p.incarnation, p.revision, p.receivedAt = w.Timestamp, incarnation, w.Revision, j.clock.Now()
+		p.timestamp, p.incarnation, p.revision, p.receivedAt = w.Timestamp, incarnation, w.Revision, t.clock.Now()
 	}
-	if w.Echo == 0 || !j.loaded {
+	if w.Echo == 0 || !t.loaded {
 		return // before the records are read, every cancellation ever made would be unknown here
 	}
-	if w.Incarnation != j.incarnation {
-		j.discard(label, "answers an earlier life")
+	if w.Incarnation != t.incarnation {
+		t.discard(label, "answers an earlier life")
 		return
 	}
 	for _, o := range w.Cancellations {
-		if !j.RecordFromPeer(o) {
-			j.discard(label, "a cancellation cannot be kept")
+		if !t.RecordFromPeer(o) {
+			t.discard(label, "a cancellation cannot be kept")
 			return
 		}
 	}
 	p.echoed = max(p.echoed, w.Echo)
 	if w.HasWatermark {
-		j.byPeer = max(j.byPeer, w.Echo-w.WatermarkAge)
+		t.byPeer = max(t.byPeer, w.Echo-w.WatermarkAge)
 	}
 }
 
 // invalidReason returns why a message proves nothing; it is empty for a valid message.
-func (j *Tracker) invalidReason(w *Message) string {
+func (t *Tracker) invalidReason(w *Message) string {
 	switch {
 	case w.Version != MessageVersion:
 		return "unknown version"
 	case w.Timestamp <= 0 || w.Echo < 0 || w.WatermarkAge < 0:
 		return "malformed"
-	case w.Echo > j.clock.Now() && w.Incarnation == j.incarnation:
+	case w.Echo > t.clock.Now() && w.Incarnation == t.incarnation:
 		return "a stamp from the future"
-	case w.Echo != 0 && w.Incarnation == j.incarnation && w.SinceRevision > j.revision:
+	case w.Echo != 0 && w.Incarnation == t.incarnation && w.SinceRevision > t.revision:
 		return "a revision that was never named"
 	case len(w.Cancellations) > maxRecent:
 		return "too many cancellations"
@@ -264,51 +265,51 @@
 }
 
 // discard logs and counts a message that is discarded.
-func (j *Tracker) discard(label, why string) {
-	j.log.Debug("message on cancellations dropped; it does not advance the watermark", "node", label, "why", why)
-	if j.Discarded != nil {
-		j.Discarded(label, why)
+func (t *Tracker) discard(label, why string) {
+	t.log.Debug("message on cancellations dropped; it does not advance the watermark", "node", label, "why", why)
+	if t.Discarded != nil {
+		t.Discarded(label, why)
 	}
 }
 
 // UpdateState determines what advances the watermark now, logs a change, and returns the watermark's age. It must be
 // called periodically.
-func (j *Tracker) UpdateState() (age loop.Micros) {
-	now := j.clock.Now()
-	at := j.Watermark()
+func (t *Tracker) UpdateState() (age loop.Micros) {
+	now := t.clock.Now()
+	at := t.Watermark()
 	age = now - at
-	fresh := j.grace / 4
+	fresh := t.grace / 4
 	switch {
 	case at == 0:
-		j.setState(NotLoaded, now, age)
+		t.setState(NotLoaded, now, age)
 		return 0
-	case age >= j.grace:
-		j.setState(Expired, now, age)
-	case now-j.byStore < max(fresh, loop.Second):
-		j.setState(Current, now, age)
+	case age >= t.grace:
+		t.setState(Expired, now, age)
+	case now-t.byStore < max(fresh, loop.Second):
+		t.setState(Current, now, age)
 	case age < max(fresh, loop.Second):
-		j.setState(Shared, now, age)
+		t.setState(Shared, now, age)
 	default:
-		j.setState(Aging, now, age)
+		t.setState(Aging, now, age)
 	}
 	return age
 }
 
 // setState changes the state. No other function does.
-func (j *Tracker) setState(s State, now, age loop.Micros) {
-	if j.state == s {
+func (t *Tracker) setState(s State, now, age loop.Micros) {
+	if t.state == s {
 		return
 	}
-	_, who := j.byAllPeers()
-	from := j.state
-	j.state, j.since = s, now
+	_, who := t.byAllPeers()
+	from := t.state
+	t.state, t.since = s, now
 	if s == Expired {
-		j.log.Warn("knowledge of cancellations is too old; reports are not answered and the workers' leases will expire", "age_us", age,
-			"state_service_us", now-j.byStore, "held_back_by", who)
+		t.log.Warn("knowledge of cancellations is too old; reports are not answered and the workers' leases will expire", "age_us", age,
+			"state_service_us", now-t.byStore, "held_back_by", who)
 		return
 	}
-	j.log.Info("what advances the cancellation watermark changed", "from", from.String(), "to", s.String(), "age_us", age, "held_back_by", who)
+	t.log.Info("what advances the cancellation watermark changed", "from", from.String(), "to", s.String(), "age_us", age, "held_back_by", who)
 }
 
 // State returns the state as of the last call of Look.
-func (j *Tracker) State() State { return j.state }
+func (t *Tracker) State() State { return t.state }
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -239,7 +239,7 @@
 		{"only a question", Message{Version: 1, Timestamp: 5}, false},
 		{"another version", Message{Version: 2, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10}, true},
 		{"no version", Message{Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10}, true},
-		{"no stamp", Message{Version: 1, Echo: 900, Incarnation: 7, SinceRevision: 10}, true},
+		{"no timestamp", Message{Version: 1, Echo: 900, Incarnation: 7, SinceRevision: 10}, true},
 		{"an echo from the future", Message{Version: 1, Timestamp: 5, Echo: 1001, Incarnation: 7, SinceRevision: 10}, true},
 		{"an earlier incarnation", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 6, SinceRevision: 10}, true},
 		{"a revision that nobody has", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 11}, true},
@@ -266,7 +266,7 @@
 	}
 }
 
-// A restarted process counts its monotonic time anew. Its questions are answered although their stamps are
+// A restarted process counts its monotonic time anew. Its questions are answered although their timestamps are
 // lower than those of its previous incarnation; within one incarnation only the newest question is answered.
 func TestQuestionsOfANewIncarnationAreAnswered(t *testing.T) {
 	j := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
@@ -297,7 +297,7 @@
 	}
 }
 
-// The states follow each other as the watermark ages and advances. Grace and Wait return the values computed by
+// The states follow each other as the watermark ages and advances. Grace and WatchWait return the values computed by
 // hand.
 func TestStates(t *testing.T) {
 	c := &manualClock{true: 100 * loop.Second}
@@ -336,7 +336,7 @@
 		want  loop.Micros
 	}{{18 * loop.Second, 54, 2 * loop.Second}, {18 * loop.Second, 4, 5 * loop.Second}, {18 * loop.Second, 0.1, 9 * loop.Second}, {loop.Second, 100, loop.Second / 4}, {8 * loop.Second, 54, loop.Second}} {
 		if got := WatchWait(x.grace, x.rps); got != x.want {
-			t.Errorf("%+v: Wait is %d us", x, got)
+			t.Errorf("%+v: WatchWait is %d us", x, got)
 		}
 	}
 }
