--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -35,7 +35,7 @@
 type simController struct {
 	label        string
 	clock        *manualClock
-	j            *Tracker
+	tracker      *Tracker
 	incarnation  loop.Micros
 	known        map[string]uint64
 	revision     int  // the revision up to which its mirror has every change
@@ -73,11 +73,11 @@
 			peers = append(peers, o.label)
 		}
 	}
-	n.j = New(n.clock, quiet, n.incarnation, grace, peers)
-	j := n.j
-	j.RecordFromPeer = func(o Cancellation) bool {
+	n.tracker = New(n.clock, quiet, n.incarnation, grace, peers)
+	tracker := n.tracker
+	tracker.RecordFromPeer = func(o Cancellation) bool {
 		n.known[o.Job] = o.Revision
-		j.RecordCancellation(o)
+		tracker.RecordCancellation(o)
 		return true
 	}
 }
@@ -92,19 +92,19 @@
 		n.learn(s.stored[m], uint64(m+1))
 	}
 	n.revision = len(s.stored)
-	n.j.RecordSync(max(sent, n.incarnation)-n.clock.zero, uint64(n.revision))
+	n.tracker.RecordSync(max(sent, n.incarnation)-n.clock.zero, uint64(n.revision))
 }
 
 // learn records a cancellation at a controller.
 func (n *simController) learn(job string, mark uint64) {
 	n.known[job] = mark
-	n.j.RecordCancellation(Cancellation{job, mark})
+	n.tracker.RecordCancellation(Cancellation{job, mark})
 }
 
 // cancel stores a cancellation through a controller, which tells its user at once.
 func (s *simulation) cancel(i int) {
 	n := s.nodes[i]
-	if n.disconnected || !n.j.loaded {
+	if n.disconnected || !n.tracker.loaded {
 		return
 	}
 	job := fmt.Sprint("job-", len(s.stored))
@@ -144,7 +144,7 @@
 			if k == i {
 				continue
 			}
-			w := n.j.MessageFor(s.nodes[k].label)
+			w := n.tracker.MessageFor(s.nodes[k].label)
 			for s.rng.IntN(5) > 0 { // the message is lost, delivered once or duplicated
 				d := s.rng.Int64N(int64(200 * loop.Millisecond))
 				if lossy && s.rng.IntN(6) == 0 {
@@ -171,7 +171,7 @@
 			left = append(left, f)
 			continue
 		}
-		s.nodes[f.to].j.Receive(s.nodes[f.from].label, f.incarnation, f.w)
+		s.nodes[f.to].tracker.Receive(s.nodes[f.from].label, f.incarnation, f.w)
 	}
 	s.inFlight = left
 }
@@ -185,7 +185,7 @@
 		for range 600 {
 			s.step(true)
 			for _, n := range s.nodes {
-				at := n.j.Watermark()
+				at := n.tracker.Watermark()
 				if at == 0 {
 					continue
 				}
@@ -197,7 +197,7 @@
 						t.Fatalf("seed %d: %s does not know the cancellation of %s, confirmed %d us before its watermark", seed, n.label, job, at+n.clock.zero-told)
 					}
 				}
-				if n.disconnected && at > n.j.byStore+5*loop.Second {
+				if n.disconnected && at > n.tracker.byStore+5*loop.Second {
 					moved++
 				}
 			}
@@ -220,7 +220,7 @@
 			s.step(false)
 		}
 		for _, x := range s.nodes {
-			if age := x.clock.Now() - x.j.Watermark(); age > loop.Micros(n)*8*loop.Second || !x.j.loaded || age > 0 && n == 1 {
+			if age := x.clock.Now() - x.tracker.Watermark(); age > loop.Micros(n)*8*loop.Second || !x.tracker.loaded || age > 0 && n == 1 {
 				t.Errorf("%d controllers: the watermark of %s is %d us old", n, x.label, age)
 			}
 		}
@@ -248,32 +248,32 @@
 		{"a cancellation at an earlier revision", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, Cancellations: []Cancellation{{"job-000001", 10}}}, true},
 		{"a cancellation that cannot be recorded", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, Cancellations: []Cancellation{{"full", 12}}}, true},
 	} {
-		j := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
-		j.RecordFromPeer = func(o Cancellation) bool { return o.Job != "full" }
+		tracker := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
+		tracker.RecordFromPeer = func(o Cancellation) bool { return o.Job != "full" }
 		dropped := 0
-		j.Discarded = func(string, string) { dropped++ }
-		j.RecordSync(100, 10)
-		j.Receive("b", 3, &c.w)
+		tracker.Discarded = func(string, string) { dropped++ }
+		tracker.RecordSync(100, 10)
+		tracker.Receive("b", 3, &c.w)
 		want := loop.Micros(900)
 		if c.bad || c.w.Echo == 0 {
 			want = 100
 		}
-		if j.Watermark() != want || (dropped > 0) != c.bad {
-			t.Errorf("%s: the watermark is %d, want %d; %d messages were dropped", c.name, j.Watermark(), want, dropped)
+		if tracker.Watermark() != want || (dropped > 0) != c.bad {
+			t.Errorf("%s: the watermark is %d, want %d; %d messages were dropped", c.name, tracker.Watermark(), want, dropped)
 		}
-		j.Receive("nobody", 3, &c.w)
-		j.Receive("b", 3, nil)
+		tracker.Receive("nobody", 3, &c.w)
+		tracker.Receive("b", 3, nil)
 	}
 }
 
 // A restarted process counts its monotonic time anew. Its questions are answered although their timestamps are
 // lower than those of its previous incarnation; within one incarnation only the newest question is answered.
 func TestQuestionsOfANewIncarnationAreAnswered(t *testing.T) {
-	j := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
-	j.RecordSync(100, 10)
+	tracker := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
+	tracker.RecordSync(100, 10)
 	for _, c := range [][4]loop.Micros{{3, 800, 3, 800}, {3, 700, 3, 800}, {4, 20, 4, 20}, {4, 30, 4, 30}, {4, 25, 4, 30}} {
-		j.Receive("b", c[0], &Message{Version: 1, Timestamp: c[1], Revision: 10})
-		if w := j.MessageFor("b"); w.Incarnation != c[2] || w.Echo != c[3] {
+		tracker.Receive("b", c[0], &Message{Version: 1, Timestamp: c[1], Revision: 10})
+		if w := tracker.MessageFor("b"); w.Incarnation != c[2] || w.Echo != c[3] {
 			t.Errorf("after question %d of incarnation %d, question %d of incarnation %d is answered", c[1], c[0], w.Echo, w.Incarnation)
 		}
 	}
@@ -282,15 +282,15 @@
 // When more cancellations are known than are kept, a peer that may lack a dropped one is not answered, and any
 // other peer is.
 func TestMoreCancellationsThanAreKept(t *testing.T) {
-	j := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
-	j.RecordSync(100, 10000)
+	tracker := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
+	tracker.RecordSync(100, 10000)
 	for k := range 5000 {
-		j.RecordCancellation(Cancellation{fmt.Sprint(k), uint64(1 + (k*7919)%5000)})
+		tracker.RecordCancellation(Cancellation{fmt.Sprint(k), uint64(1 + (k*7919)%5000)})
 	}
 	lowest := uint64(5000 - maxRecent)
 	for _, reach := range []uint64{0, lowest - 1, lowest, lowest + 1, 4999, 5000} {
-		j.Receive("b", 3, &Message{Version: 1, Timestamp: 5 + loop.Micros(reach), Revision: reach})
-		w := j.MessageFor("b")
+		tracker.Receive("b", 3, &Message{Version: 1, Timestamp: 5 + loop.Micros(reach), Revision: reach})
+		w := tracker.MessageFor("b")
 		if answered := w.Echo != 0; answered != (reach >= lowest) || answered && len(w.Cancellations) != int(5000-reach) {
 			t.Errorf("peer at revision %d: %d of %d cancellations are sent, as an answer to question %d", reach, len(w.Cancellations), 5000-reach, w.Echo)
 		}
@@ -301,26 +301,26 @@
 // hand.
 func TestStates(t *testing.T) {
 	c := &manualClock{true: 100 * loop.Second}
-	j := New(c, quiet, 7, grace, []string{"b", "c"})
+	tracker := New(c, quiet, 7, grace, []string{"b", "c"})
 	var got []string
 	look := func(at loop.Micros) {
 		c.true = at * loop.Second
-		j.UpdateState()
-		got = append(got, fmt.Sprint(j.State(), j.MayAnswerReports()))
+		tracker.UpdateState()
+		got = append(got, fmt.Sprint(tracker.State(), tracker.MayAnswerReports()))
 	}
 	look(100)
-	j.RecordSync(100*loop.Second, 10)
+	tracker.RecordSync(100*loop.Second, 10)
 	look(101)
 	c.true = 108 * loop.Second
 	for _, p := range []string{"b", "c"} {
-		j.Receive(p, 3, &Message{Version: 1, Timestamp: 5, Echo: 108 * loop.Second, Incarnation: 7, SinceRevision: 10})
+		tracker.Receive(p, 3, &Message{Version: 1, Timestamp: 5, Echo: 108 * loop.Second, Incarnation: 7, SinceRevision: 10})
 	}
 	look(109)
-	j.Receive("b", 3, &Message{Version: 1, Timestamp: 6, Echo: 109 * loop.Second, Incarnation: 7, SinceRevision: 10}) // c holds the watermark back
+	tracker.Receive("b", 3, &Message{Version: 1, Timestamp: 6, Echo: 109 * loop.Second, Incarnation: 7, SinceRevision: 10}) // c holds the watermark back
 	look(120)
 	look(125)
 	look(126)
-	j.Receive("b", 3, &Message{Version: 1, Timestamp: 7, Echo: 126 * loop.Second, Incarnation: 7, SinceRevision: 10, HasWatermark: true, WatermarkAge: loop.Second})
+	tracker.Receive("b", 3, &Message{Version: 1, Timestamp: 7, Echo: 126 * loop.Second, Incarnation: 7, SinceRevision: 10, HasWatermark: true, WatermarkAge: loop.Second})
 	look(126)
 	if s, want := fmt.Sprint(got), "[blind false current true shared true aging true aging true lapsed false shared true]"; s != want {
 		t.Errorf("states: %s, want %s", s, want)
