--- a/internal/store/fairness_test.go
+++ b/internal/store/fairness_test.go
@@ -13,25 +13,15 @@
 	"cleatpick/internal/wire"
 )
 
-// What happens: where submissions ask for more than a controller's share of changes, its orders for
-// machines, its records of starts and even its reads wait behind them.
-//
-// Why: `store.Client.pump` served waiting requests strictly by their kind, submissions first, and
-// returned at the first one that lacked changes, so that all later kinds waited, also reads, which
-// need no change.
-//
-// What showed it: a leader that users also found first rented its first machine after 10 to 37 s, and
-// reads waited 0.4 s each (docs/incidents/2026-12-02-went-back-and-forgotten.md). Here, on the sources
-// before: of 61 reads none was answered in 60 s, nor was any of 61 orders or records.
 const (
 	floodSeconds = 60
-	// The users expect the answer to a submission within 200 ms, and work within a guarantee to begin
-	// within 5 s, of which a report, a choice, a record and a start are each a part.
+	// Users expect the answer to a submission within 200 ms, and work within a guarantee to begin within 5 s,
+	// of which a report, a placement decision, a record and a start each take a part.
 	readWithin  = 200 * loop.Millisecond
 	writeWithin = loop.Second
 )
 
-// flood keeps ten times a share of changes waiting, as submissions in full transactions.
+// flood keeps submissions of ten times the share of changes waiting, in full transactions.
 type flood struct {
 	client  *store.Client
 	changes int // that were stored
@@ -54,7 +44,7 @@
 	})
 }
 
-// waits is how long the requests of one kind waited.
+// waits measures how long the requests of one kind wait.
 type waits struct {
 	name    string
 	within  loop.Micros
@@ -72,6 +62,12 @@
 	}
 }
 
+// Submissions that need more changes than a controller's share must not delay its orders for machines, its
+// records of starts, and its reads. The failure occurs if waiting requests are served strictly by class,
+// submissions first, and serving stops at the first request that lacks changes: later classes then wait, even
+// reads, which need no changes. With such a client, none of 61 reads in this test was answered within 60 s, nor
+// was any of 61 orders or records; in a run, a leader to which users also submitted rented its first machine
+// after 10 to 37 s, and reads waited 0.4 s each (docs/incidents/2026-12-02-went-back-and-forgotten.md).
 func TestNothingWaitsBehindSubmissions(t *testing.T) {
 	const rps, writeRPS, nodes = 180, 70, 3
 	clock := standin.NewStepped(1000 * loop.Second)
@@ -85,7 +81,7 @@
 	reads := &waits{name: "reads", within: readWithin}
 	orders := &waits{name: "orders for machines", within: writeWithin}
 	starts := &waits{name: "records of starts and ends", within: writeWithin}
-	tidying := &waits{name: "tidying", within: 4 * writeWithin}
+	tidying := &waits{name: "background deletions", within: 4 * writeWithin}
 	var every func()
 	every = func() {
 		read, order, record, tidied := reads.ask(clock.Now), orders.ask(clock.Now), starts.ask(clock.Now), tidying.ask(clock.Now)
@@ -107,20 +103,20 @@
 	clock.Run(floodSeconds * loop.Second)
 	for _, w := range []*waits{reads, orders, starts, tidying, lease} {
 		if w.asked-w.done > int(w.within/loop.Second)+1 || w.longest > w.within {
-			t.Errorf("%s: %d of %d answered, the longest after %d ms, at most %d ms are stated", w.name, w.done, w.asked, w.longest/loop.Millisecond, w.within/loop.Millisecond)
+			t.Errorf("%s: %d of %d answered, the slowest after %d ms, want at most %d ms", w.name, w.done, w.asked, w.longest/loop.Millisecond, w.within/loop.Millisecond)
 		}
 	}
-	// What the others leave goes to submissions: four changes a second are not theirs.
+	// Submissions get what the other classes leave, which need four changes per second.
 	const share = 0.9 * writeRPS / nodes
 	if least := (share - 4 - 1) * floodSeconds; float64(f.changes) < least {
-		t.Errorf("%d changes went to submissions, at least %.0f are left to them", f.changes, least)
+		t.Errorf("%d changes were stored for submissions, want at least %.0f", f.changes, least)
 	}
 	if most := share*floodSeconds + share; float64(sent.changes) > most {
-		t.Errorf("%d changes were sent, the share is %.0f", sent.changes, most)
+		t.Errorf("%d changes were sent, want at most %.0f", sent.changes, most)
 	}
 }
 
-// counted counts the changes that are sent.
+// counted counts the changes that are sent to the state service.
 type counted struct {
 	state   *standin.State
 	changes int
--- a/internal/store/http.go
+++ b/internal/store/http.go
@@ -7,21 +7,22 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Response is what one HTTP exchange gave.
+// Response is the result of one HTTP exchange. Status and Body are set only if Err is nil.
 type Response struct {
 	Status int
 	Body   []byte
 	Err    error
 }
 
-// Doer makes one HTTP exchange; it blocks, and runs off the loop.
+// Doer performs one HTTP exchange. Do blocks and is called off the event loop.
 type Doer interface {
 	Do(method, path string, body []byte, timeout time.Duration) Response
 }
 
+// httpDoer is a Doer for one address.
 type httpDoer struct{ c *fasthttp.HostClient }
 
-// NewDoer speaks HTTP to one address.
+// NewDoer makes a Doer for one address with a limited number of connections.
 func NewDoer(addr string, conns int) Doer {
 	return httpDoer{&fasthttp.HostClient{
 		Addr: addr, MaxConns: conns, MaxConnWaitTimeout: time.Second,
@@ -34,7 +35,7 @@
 		DisableHeaderNamesNormalizing: true,
 		MaxIdemponentCallAttempts:     1,
 		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) {
-			return false, false // whether to repeat is the slices' decision
+			return false, false // the callers decide whether to repeat a request
 		},
 		MaxResponseBodySize: 32 << 20,
 	}}
@@ -44,7 +45,7 @@
 	return Exchange(h.c, h.c.Addr, method, path, body, timeout)
 }
 
-// Exchange makes one HTTP exchange with an address by way of a client.
+// Exchange performs one HTTP exchange with an address through a client.
 func Exchange(c interface {
 	DoTimeout(*fasthttp.Request, *fasthttp.Response, time.Duration) error
 }, addr, method, path string, body []byte, timeout time.Duration) Response {
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -10,110 +10,111 @@
 	"cleatpick/internal/wire"
 )
 
-// Entry is a mirrored key. Mark 0 stands for an absent key.
+// Entry is a mirrored key. A Mark of 0 stands for an absent key.
 type Entry struct {
 	Value wire.Raw
 	Mark  uint64
-	gone  bool
+	gone  bool // removed; the entry only keeps the revision
 }
 
-// MirrorState names where the mirror stands.
+// MirrorState is the state of a mirror.
 type MirrorState int
 
-// The states of the mirror.
+// The states of a mirror.
 const (
-	MirrorEmpty    MirrorState = iota // nothing was read yet
+	MirrorEmpty    MirrorState = iota // nothing has been read yet
 	MirrorReading                     // the keys are being read
-	MirrorWatching                    // read, and followed by watches
+	MirrorWatching                    // the keys were read and are followed by watches
 )
 
-// Mirror is a copy of all keys under one prefix, kept up by a watch. It may lag;
-// whoever needs certainty adds conditions to a transaction.
+// Mirror is a copy of all keys under one prefix, kept up to date by watches. It may lag behind; a caller that
+// needs certainty adds conditions to a transaction.
 type Mirror struct {
 	c       *Client
 	watch   Doer
 	prefix  string
 	state   MirrorState
-	since   uint64
-	known   bool // the keys were read at least once
-	tries   int
+	since   uint64 // store revision up to which every change has been applied
+	known   bool   // the keys were read at least once
+	tries   int    // scans in a row that failed
 	entries map[string]Entry
-	removed []removal // of entries, in the order in which they were learnt
+	removed []removal // of entries, in the order in which they were applied
 	subs    []sub
 	ready   []func()
 	rand    *rand.Rand
-	// Wait is for how long a watch stays open with nothing to tell.
+	// Wait is for how long a watch stays open without changes.
 	Wait     loop.Micros
 	synced   []func(Synced)
-	scanning bool        // the keys are being read
-	slack    loop.Micros // beyond the wait, after which a watch counts as lost
-	opened   loop.Micros // when the newest watch was
+	scanning bool        // a scan of all keys is in flight
+	slack    loop.Micros // time beyond Wait after which a watch counts as lost
+	opened   loop.Micros // monotonic time at which the newest watch was opened
 }
 
-// Synced tells that the copy holds whatever the state service held when a request was made.
+// Synced says that the copy holds everything that the state service held when a request was made.
 type Synced struct {
-	Sent    loop.Micros // when the request was made
-	Request Sequence    // its number
-	Reach   uint64      // the revision up to which every change is known
+	Sent    loop.Micros // monotonic time at which the request was made
+	Request Sequence    // the request's sequence number
+	Reach   uint64      // the store revision up to which every change has been applied
 }
 
 const (
-	// watchGather is for how long changes gather at least between a watch's answer and the
-	// next one, and watchPart the part of this node's requests that watches may take: each
-	// counts as a request, and with many controllers they would leave none for anything else.
-	// Beyond watchMost none waits: what others store and cancel is to be known here.
+	// watchGather is the least time between the answer of a watch and the next watch, in which changes are
+	// collected. watchPart is the part of this controller's requests that watches may take: each counts as a
+	// request, and with many controllers they would leave none for anything else. A watch is not delayed by
+	// more than watchMost on that account, since jobs that others store and cancel must become known here.
 	watchGather = 60 * loop.Millisecond
 	watchMost   = 500 * loop.Millisecond
 	watchPart   = 0.3
 )
 
-// watchPause is the time from a watch's answer until the next watch is opened.
+// watchPause returns the time from the answer of a watch until the next watch is opened.
 func (m *Mirror) watchPause() loop.Micros {
 	apart := loop.Micros(1e6 / (m.c.reads.rate * watchPart))
 	return max(watchGather, min(m.opened+apart-m.c.r.Now(), watchMost))
 }
 
 const (
-	// A watch whose connection is dead is given up after this and its wait, and after twice as
-	// much each time that brings nothing: a service that is slow must not be asked in vain.
+	// A watch whose connection is dead is given up after its Wait and a slack. The slack doubles with each
+	// watch that gets no answer, so that a slow service is not asked in vain over and over.
 	leastSlack = 3 * loop.Second
 	mostSlack  = 24 * loop.Second
 )
 
-// removal is a key that was removed. Its version is kept for a while, so that what was
-// told late of the key before does not bring it back.
+// removal is a removed key. Its revision is kept for a while, so that a late message about an earlier revision
+// does not restore the key.
 type removal struct {
 	key  string
 	mark uint64
 }
 
+// sub is a subscription to the keys under a prefix.
 type sub struct {
 	prefix string
 	f      func(key string, e Entry)
 }
 
-// NewMirror makes a mirror; Start reads and follows the keys.
+// NewMirror makes an empty mirror; Start reads the keys and follows them.
 func NewMirror(c *Client, watch Doer, prefix string) *Mirror {
 	return &Mirror{c: c, watch: watch, prefix: prefix, entries: map[string]Entry{}, Wait: 20 * loop.Second, slack: leastSlack}
 }
 
-// On calls f for every change of a key under the prefix. A removed key has Mark 0.
+// On calls f for every change of a key under the prefix. The entry of a removed key has a Mark of 0.
 func (m *Mirror) On(prefix string, f func(key string, e Entry)) {
 	m.subs = append(m.subs, sub{prefix, f})
 }
 
-// OnSynced calls f whenever all that an answer of the state service tells has been taken in.
+// OnSynced calls f whenever an answer of the state service has been applied completely.
 func (m *Mirror) OnSynced(f func(Synced)) { m.synced = append(m.synced, f) }
 
-// OnReady calls f once the keys were read for the first time.
+// OnReady calls f once the keys have been read for the first time.
 func (m *Mirror) OnReady(f func()) { m.ready = append(m.ready, f) }
 
-// Ready tells whether the keys were read.
+// Ready reports whether the keys have been read.
 func (m *Mirror) Ready() bool { return m.known }
 
 func (m *Mirror) setState(s MirrorState) { m.state = s }
 
-// Get returns the newest known version of a key.
+// Get returns the newest known revision of a key.
 func (m *Mirror) Get(key string) (Entry, bool) {
 	e, ok := m.entries[key]
 	if !ok || e.gone {
@@ -122,7 +123,7 @@
 	return e, true
 }
 
-// Under lists the known keys under a prefix, in order.
+// Under returns the known keys under a prefix, sorted.
 func (m *Mirror) Under(prefix string) []string {
 	var keys []string
 	for k, e := range m.entries {
@@ -134,7 +135,7 @@
 	return keys
 }
 
-// Apply takes in a version of a key learnt in any way; older ones are ignored.
+// Apply applies a revision of a key learnt from any source; revisions not newer than the known one are ignored.
 func (m *Mirror) Apply(key string, value wire.Raw, mark uint64, removed bool) {
 	old, known := m.entries[key]
 	if known && old.Mark >= mark {
@@ -158,21 +159,21 @@
 	}
 }
 
-// Start reads all keys, then follows their changes for as long as the process lives.
+// Start reads all keys, and follows their changes from then on.
 func (m *Mirror) Start() {
 	m.rand = loop.Rand(m.c.r)
 	m.read()
 }
 
-// read reads all keys until that succeeds, and then follows their changes.
+// read reads all keys, repeatedly until that succeeds, and then follows their changes.
 func (m *Mirror) read() {
 	m.setState(MirrorReading)
 	m.scan(func(ok bool) {
 		if !ok {
-			// Nodes that start together must not ask together.
+			// The delay is random, so that controllers that start together do not retry together.
 			m.tries = min(m.tries+1, 4)
 			wait := 200 * loop.Millisecond << m.tries
-			m.c.log.Info("state service cannot be read yet", "prefix", m.prefix, "again_in_us", wait)
+			m.c.log.Info("keys cannot be read from the state service; the read will be retried", "prefix", m.prefix, "again_in_us", wait)
 			m.c.r.After(wait/2+m.rand.Int64N(wait/2), m.read)
 			return
 		}
@@ -182,7 +183,7 @@
 	})
 }
 
-// scan reads all keys once; done tells whether they were all taken in. One is under way at a time.
+// scan reads all keys once; done is told whether they were all applied. Only one scan is in flight at a time.
 func (m *Mirror) scan(done func(ok bool)) {
 	if m.scanning {
 		m.c.r.Post(func() { done(false) })
@@ -197,8 +198,8 @@
 			return
 		}
 		m.replace(items, tally)
-		// An empty store has tally 0. Taken for 1, as it was, its very first change was
-		// never seen by any node but the one that made it.
+		// An empty store has revision 0. It must not be taken for 1: the first change of all, at revision 1,
+		// would then be missed by every controller but the one that made it.
 		first := !m.known
 		m.known, m.since = true, max(m.since, tally)
 		m.tellSynced(sent, request)
@@ -211,14 +212,14 @@
 	})
 }
 
-// replace takes in all keys as they were at a revision or later; what is missing was removed.
+// replace applies the state of all keys at a revision or later; keys that are missing were removed.
 func (m *Mirror) replace(items []wire.Item, tally uint64) {
 	have := map[string]bool{}
 	for _, it := range items {
 		have[it.Key] = true
 		m.Apply(it.Key, it.Value, it.Mark, false)
 	}
-	var gone []string // few, if any; sorted, and not all that there is
+	var gone []string // usually few, so sorting these is cheaper than sorting all keys
 	for k, e := range m.entries {
 		if !have[k] && !e.gone && e.Mark <= tally {
 			gone = append(gone, k)
@@ -226,18 +227,18 @@
 	}
 	sort.Strings(gone)
 	for _, k := range gone {
-		m.Apply(k, nil, tally, true) // it went while we could not see
+		m.Apply(k, nil, tally, true) // removed since the last read
 	}
 }
 
-// changesPath asks for the changes that are not known here yet.
+// changesPath returns the path of a watch for the changes that are not known here yet.
 func (m *Mirror) changesPath(wait loop.Micros) string {
 	return "/changes?under=" + m.prefix + "&since=" + strconv.FormatUint(m.since, 10) + "&waitMs=" + strconv.FormatInt(wait/loop.Millisecond, 10)
 }
 
-// Sync brings the copy up to what the state service holds now, by asking for the changes that
-// are not known here: a watch that does not wait. Those who are told by OnSynced are told before
-// done is called: with Applied, Refused (certainly not answered) or Unknown.
+// Sync brings the copy up to date with what the state service holds now, by a watch that does not wait. The
+// functions set by OnSynced are called before done. done receives Applied, Refused (the state service certainly
+// did not answer the read) or Unknown.
 func (m *Mirror) Sync(p Prio, done func(Outcome)) {
 	sent, request := m.c.r.Now(), m.c.Next()
 	m.c.Send(p, 0, "GET", m.changesPath(0), nil, m.c.patience(), func(resp Response) {
@@ -258,8 +259,7 @@
 	})
 }
 
-// follow opens the next watch. Watches count against the limit, so changes that
-// come close together are left to gather for a moment.
+// follow opens the next watch. It takes a request from the limits without waiting for it.
 func (m *Mirror) follow() {
 	now := m.c.r.Now()
 	m.opened = now
@@ -272,6 +272,7 @@
 	})
 }
 
+// followed handles the answer of a watch and schedules the next one.
 func (m *Mirror) followed(sent loop.Micros, request Sequence, resp Response) {
 	if resp.Err == nil && resp.Status == 410 {
 		m.read()
@@ -293,7 +294,7 @@
 	m.c.r.After(m.watchPause(), m.follow)
 }
 
-// take takes in changes that the state service told of.
+// take applies the changes in an answer of the state service.
 func (m *Mirror) take(events *wire.Events) {
 	for _, e := range events.Events {
 		if e.Put != "" {
@@ -305,9 +306,10 @@
 	m.since = max(m.since, events.Tally)
 }
 
-// keptRemovals is for how many revisions the version of a removed key is kept.
+// keptRemovals is the number of store revisions for which the revision of a removed key is kept.
 const keptRemovals = 5000
 
+// forgetRemovals drops the revisions of keys that were removed long ago.
 func (m *Mirror) forgetRemovals() {
 	for len(m.removed) > 0 && m.removed[0].mark+keptRemovals < m.since {
 		if x := m.removed[0]; m.entries[x.key].gone && m.entries[x.key].Mark == x.mark {
@@ -317,6 +319,7 @@
 	}
 }
 
+// tellSynced calls the functions set by OnSynced.
 func (m *Mirror) tellSynced(sent loop.Micros, request Sequence) {
 	for _, f := range m.synced {
 		f(Synced{Sent: sent, Request: request, Reach: m.since})
--- a/internal/store/queue.go
+++ b/internal/store/queue.go
@@ -1,35 +1,38 @@
 package store
 
-// weights are the parts of this node's share that the classes of requests have while all of them
-// wait. What one does not use goes to the others. Leases have none: they are never kept waiting.
+// weights are the parts of this controller's share that the classes of requests get while all of them have
+// requests waiting. What one class does not use goes to the others. Leases have no weight, since they never
+// wait.
 var weights = [prios]float64{Answers: 4, Inquiries: 4, Placements: 4, Results: 2, Background: 1}
 
-// maxQueue bounds the requests of one class that wait.
+// maxQueue bounds the number of waiting requests of one class.
 const maxQueue = 1000
 
-// classQueue is the requests of one class that wait, in the order in which they came.
+// classQueue holds the waiting requests of one class, in the order of their arrival.
 type classQueue struct {
 	waiting []request
-	finish  float64 // the finish tag of the newest request that was sent
+	finish  float64 // finish tag of the newest request that was sent
 }
 
-// fairQueue is start-time fair queueing over the classes of requests: each request has a start tag,
-// which is the finish tag of the one before it in its class or, where the class was idle, the least start tag
-// of those who wait; and the least start tag is served first. A class that keeps asking so gets its
-// weight of what is sent, whatever the others ask for, and what a class does not use is the others'.
+// fairQueue implements start-time fair queueing over the classes of requests. Each request has a start tag: the
+// finish tag of the previous request of its class or, if the class was idle, the least start tag of the waiting
+// requests. The request with the least start tag is served first. So a class that always has requests waiting
+// gets its weight of what is sent, whatever the other classes ask for, and the others get what a class does not
+// use.
 type fairQueue struct {
 	classes [prios]classQueue
-	now     float64 // the least start tag of those who waited when the newest request was sent
+	now     float64 // virtual time: the least start tag of the waiting requests when the newest request was sent
 }
 
-// start is the start tag of the next request of a class.
+// start returns the start tag of the next request of a class.
 func (q *fairQueue) start(p Prio) float64 { return max(q.now, q.classes[p].finish) }
 
+// add appends a request to its class.
 func (q *fairQueue) add(r request) {
 	q.classes[r.prio].waiting = append(q.classes[r.prio].waiting, r)
 }
 
-// head is the next request of a class, nil where none waits.
+// head returns the next request of a class, nil if none waits.
 func (q *fairQueue) head(p Prio) *request {
 	if w := q.classes[p].waiting; len(w) > 0 {
 		return &w[0]
@@ -37,10 +40,10 @@
 	return nil
 }
 
-// waiting is the number of requests of a class.
+// waiting returns the number of waiting requests of a class.
 func (q *fairQueue) waiting(p Prio) int { return len(q.classes[p].waiting) }
 
-// all is the number of requests.
+// all returns the number of waiting requests of all classes.
 func (q *fairQueue) all() (n int) {
 	for p := range q.classes {
 		n += len(q.classes[p].waiting)
@@ -48,7 +51,7 @@
 	return n
 }
 
-// least is the class with the least start tag of those whose head qualifies.
+// least returns the class with the least start tag among those whose head qualifies. Leases are left out.
 func (q *fairQueue) least(qualifies func(p Prio, head *request) bool) (class Prio, found bool) {
 	for p := Leases + 1; p < prios; p++ {
 		if head := q.head(p); head != nil && qualifies(p, head) && (!found || q.start(p) < q.start(class)) {
@@ -58,13 +61,13 @@
 	return class, found
 }
 
-// writer is the class whose turn it is to change something. Only this one may, even where less would
-// do for another, or a large transaction would wait for ever.
+// writer returns the class whose turn it is to send changes. No other class may, even if fewer changes would
+// suffice for it; otherwise a large transaction could wait for ever.
 func (q *fairQueue) writer() (class Prio, found bool) {
 	return q.least(func(_ Prio, head *request) bool { return head.writes > 0 })
 }
 
-// take removes the head of a class, at a cost in changes.
+// take removes the head of a class and charges the class for it; cost is measured in changes.
 func (q *fairQueue) take(p Prio, cost float64) request {
 	if first, waits := q.least(func(Prio, *request) bool { return true }); waits {
 		q.now = q.start(first)
--- a/internal/store/rate.go
+++ b/internal/store/rate.go
@@ -2,12 +2,13 @@
 
 import "cleatpick/internal/loop"
 
-// bucket is a token bucket on the steady clock.
+// bucket is a token bucket on the monotonic clock.
 type bucket struct {
 	rate, burst, have float64
 	at                loop.Micros
 }
 
+// fill adds the tokens that have accrued until now; the bucket starts full.
 func (b *bucket) fill(now loop.Micros) {
 	if b.at != 0 {
 		b.have += float64(now-b.at) / 1e6 * b.rate
@@ -19,16 +20,17 @@
 }
 
 const (
-	// A refusal for the rate tells that all controllers together ask too much. Each that is
-	// refused slows down by refusedPace, at most once in refusedRest, to leastPace at the
-	// least, and comes back by regainPace with each Use that follows a rest without one.
+	// A refusal by rate means that all controllers together send too many requests. Each controller that is
+	// refused multiplies its pace by refusedPace, at most once in refusedRest and down to leastPace at most.
+	// The pace recovers by regainPace with each call of Use that comes more than a second after the last
+	// slowdown.
 	refusedPace = 0.7
 	refusedRest = 500 * loop.Millisecond
 	leastPace   = 0.25
 	regainPace  = 0.05
 )
 
-// Use sets the part of the service's limits that this node uses. It is called regularly.
+// Use sets the part of the service's limits that this controller uses. It is called periodically.
 func (c *Client) Use(part float64) {
 	pace := c.pace
 	if pace < 1 && c.r.Now()-c.refused > loop.Second {
@@ -37,7 +39,7 @@
 	c.setRates(part, pace)
 }
 
-// slowDown takes in that the service refused a request for its rate.
+// slowDown reduces the pace after the service refused a request by rate.
 func (c *Client) slowDown() {
 	now := c.r.Now()
 	if c.refused == 0 || now-c.refused >= refusedRest {
@@ -46,6 +48,7 @@
 	}
 }
 
+// setRates sets the rates and bursts of the token buckets.
 func (c *Client) setRates(part, pace float64) {
 	if part == c.part && pace == c.pace {
 		return
@@ -53,7 +56,7 @@
 	now := c.r.Now()
 	for _, b := range []*bucket{&c.reads, &c.asks, &c.puts} {
 		if b.at != 0 {
-			b.fill(now) // what was earned until now was earned at the old rate
+			b.fill(now) // tokens that accrued until now did so at the old rate
 		}
 	}
 	c.part, c.pace = part, pace
--- a/internal/store/sequence.go
+++ b/internal/store/sequence.go
@@ -1,9 +1,9 @@
 package store
 
-// Sequence numbers what happens on the loop in its order: requests to the state service by when
-// they were made, users' questions by when they came. An answer that rests on a request speaks of
-// a moment after a question only if its number is the larger one. Times do not tell that: many
-// things happen in one microsecond.
+// Sequence numbers events on the event loop in their order: requests to the state service when they are made,
+// and users' requests when they arrive. An answer based on a request to the state service reflects a time after
+// a user's request only if its number is the higher one. Clock times do not show that, since several events can
+// have the same microsecond.
 type Sequence uint64
 
 // Next draws the next number.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -16,9 +16,10 @@
 	"pgregory.net/rapid"
 )
 
-// The verdict must be the same every time, so the generator's seed is fixed.
+// The results must be the same in every run, so the seed of the property tests is fixed.
 func TestMain(m *testing.M) { fixed.Main(m) }
 
+// still is an event loop with a clock set by the test; delayed functions are collected and run by the test.
 type still struct {
 	now   loop.Micros
 	after []func()
@@ -30,6 +31,7 @@
 func (s *still) After(_ loop.Micros, f func()) { s.after = append(s.after, f) }
 func (s *still) Go(f func())                   { f() }
 
+// counter counts the requests by path and answers each as an applied transaction.
 type counter struct{ sent map[string]int }
 
 func (c *counter) Do(method, path string, _ []byte, _ time.Duration) Response {
@@ -37,15 +39,15 @@
 	return Response{Status: 200, Body: wire.Marshal(wire.TxnResult{Tally: 1})}
 }
 
-// Events, own writes and reads reach the mirror in any order and any number of
-// times; it must end where a plain list of all versions ends.
+// Events, own writes and reads reach the mirror in any order and any number of times. It must end in the state
+// that a list of all revisions gives.
 func TestMirrorKeepsTheNewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMirror(nil, nil, "c/")
 		seen := map[string]uint64{}
 		m.On("c/", func(key string, e Entry) {
 			if e.Mark != 0 && e.Mark <= seen[key] {
-				t.Fatalf("%s went back from %d to %d", key, seen[key], e.Mark)
+				t.Fatalf("the callback for %s goes back from revision %d to %d", key, seen[key], e.Mark)
 			}
 			seen[key] = max(seen[key], e.Mark)
 		})
@@ -67,18 +69,18 @@
 		for key, i := range model {
 			e, ok := m.Get(key)
 			if ok == all[i].gone || (ok && e.Mark != uint64(i)) {
-				t.Fatalf("%s is %v at %d, want version %d (gone %v)", key, ok, e.Mark, i, all[i].gone)
+				t.Fatalf("%s: found %v at revision %d, want revision %d (removed: %v)", key, ok, e.Mark, i, all[i].gone)
 			}
 		}
 	})
 }
 
-// late is a state service whose answers take their time.
+// late is a state service whose answers take some time.
 type late struct {
 	r     *still
 	takes loop.Micros
 	resp  func(path string) Response
-	asked []time.Duration // the time limits of the requests
+	asked []time.Duration // timeouts of the requests
 }
 
 func (l *late) Do(_, path string, _ []byte, limit time.Duration) Response {
@@ -87,9 +89,9 @@
 	return l.resp(path)
 }
 
-// What an answer tells was certainly so when it was asked for, and not when it came: a watch
-// may have been answered long before. One that brings nothing tells nothing, and is given more
-// time the next time, so that a slow service is not asked in vain for ever.
+// An answer proves the state of the service at the time of its request, not at the time of its arrival: a watch
+// may have been answered long before. A watch without an answer proves nothing, and the next one gets a longer
+// timeout, so that a slow service is not asked in vain for ever.
 func TestSyncedCountsFromTheRequest(t *testing.T) {
 	r := &still{now: 100 * loop.Second}
 	tally := uint64(7)
@@ -125,18 +127,18 @@
 	s := loop.Second
 	want := [][2]loop.Micros{{100 * s, 7}, {101 * s, 7}, {102 * s, 9}, {109 * s, 12}, {110 * s, 12}}
 	if !slices.Equal(got, want) {
-		t.Errorf("synced as of %v, not %v", got, want)
+		t.Errorf("synced as of %v, want %v", got, want)
 	}
 	var limits []int
 	for _, d := range l.asked[1:] {
 		limits = append(limits, int(d/time.Second))
 	}
 	if !slices.Equal(limits, []int{5, 5, 5, 8, 14, 26, 26, 26, 26, 5}) {
-		t.Errorf("watches were given %v s", limits)
+		t.Errorf("the watches had timeouts of %v s", limits)
 	}
 }
 
-// Leases go first and are never paced; everything else keeps to this node's share.
+// Requests about leases are sent first and are never paced; all others keep to this controller's share.
 func TestPacingLetsLeasesThrough(t *testing.T) {
 	r := &still{now: loop.Second}
 	c := &counter{sent: map[string]int{}}
@@ -146,15 +148,15 @@
 	}
 	burst := c.sent["/multi"]
 	if burst == 0 || burst > 10 {
-		t.Fatalf("%d of 100 went out at once with a share of 9 a second", burst)
+		t.Fatalf("%d of 100 requests were sent at once with a share of 9 per second", burst)
 	}
 	for range 5 {
 		cl.Extend(7, func(bool, bool) {})
 	}
 	if c.sent["/holds/7/extend"] != 5 {
-		t.Fatalf("%d of 5 renewals went out", c.sent["/holds/7/extend"])
+		t.Fatalf("%d of 5 lease renewals were sent at once", c.sent["/holds/7/extend"])
 	}
-	for range 20 { // two seconds in steps
+	for range 20 { // two seconds in steps of 100 ms
 		r.now += 100 * loop.Millisecond
 		due := r.after
 		r.after = nil
@@ -163,11 +165,12 @@
 		}
 	}
 	if n := c.sent["/multi"] - burst; n < 8 || n > 20 {
-		t.Fatalf("%d more went out in two seconds", n)
+		t.Fatalf("%d more requests were sent in two seconds, want 8 to 20", n)
 	}
 }
 
-// The outcome of a transaction decides what may be believed; only a clear answer is one.
+// The outcome of a transaction is Applied, Conflict or Refused only if the response proves it; otherwise it is
+// Unknown.
 func TestOutcomes(t *testing.T) {
 	cl := NewClient(&still{}, nil, slog.New(slog.NewTextHandler(io.Discard, nil)), 1, 1, 1)
 	body := func(r wire.TxnResult) []byte { return wire.Marshal(r) }
@@ -186,16 +189,16 @@
 		{Response{Status: 400, Body: body(wire.TxnResult{Error: "malformed"})}, Invalid},
 	} {
 		if got := cl.outcome(c.resp); got.Outcome != c.want {
-			t.Errorf("%+v is %d, want %d", c.resp, got.Outcome, c.want)
+			t.Errorf("the outcome of response %+v is %d, want %d", c.resp, got.Outcome, c.want)
 		}
 	}
 }
 
-// Who waits for a transaction stands still: an answer that is lost is given up soon, and the
-// wait grows only while several in a row do not come, since the service is slow then.
+// The caller of a transaction is blocked until its answer. So the client gives up on a lost answer soon, and
+// waits longer only while several answers in a row do not arrive, since the service is slow then.
 func TestLostAnswersAreGivenUpSoon(t *testing.T) {
 	r := &still{now: 100 * loop.Second}
-	lost := func(n int) bool { return n%3 != 0 } // two of three
+	lost := func(n int) bool { return n%3 != 0 } // two of three answers are lost
 	n := 0
 	l := &late{r: r, takes: 2 * loop.Second, resp: func(string) Response {
 		if n++; lost(n) {
@@ -215,14 +218,14 @@
 		return out
 	}
 	if got := waits(12); !slices.Equal(got, []int{400, 400, 400, 400, 400, 400, 400, 400, 400, 400, 400, 400}) {
-		t.Errorf("with two of three lost, %v ms are waited", got)
+		t.Errorf("with two of three answers lost, the timeouts are %v ms", got)
 	}
 	lost = func(int) bool { return true }
 	if got := waits(9); !slices.Equal(got, []int{400, 400, 400, 800, 800, 800, 1500, 1500, 1500}) {
-		t.Errorf("with all lost, %v ms are waited", got)
+		t.Errorf("with all answers lost, the timeouts are %v ms", got)
 	}
 	lost = func(int) bool { return false }
 	if got := waits(2); !slices.Equal(got, []int{1500, 400}) {
-		t.Errorf("once they come again, %v ms are waited", got)
+		t.Errorf("once answers arrive again, the timeouts are %v ms", got)
 	}
 }
--- a/internal/store/sync_test.go
+++ b/internal/store/sync_test.go
@@ -10,8 +10,9 @@
 	"cleatpick/internal/wire"
 )
 
-// A Sync takes in all changes before it tells that it has, numbers itself as of its request, reads
-// everything where changes are no longer kept, and claims nothing without an answer.
+// Sync applies all changes before it calls the functions of OnSynced, reports the sequence number of its
+// request, reads all keys if the changes are no longer kept by the service, and reports nothing without an
+// answer.
 func TestSync(t *testing.T) {
 	changes := wire.Events{Tally: 9, Events: []wire.Event{{Put: "c/a", Value: wire.Marshal(1), Mark: 8}, {Delete: "c/b", Mark: 9}}}
 	keys := wire.Range{Tally: 30, Items: []wire.Item{{Key: "c/a", Value: wire.Marshal(2), Mark: 20}}}
@@ -20,16 +21,16 @@
 		changes Response
 		keys    Response
 		want    Outcome
-		reach   uint64 // 0: nothing is told
-		mark    uint64 // of c/a
+		reach   uint64 // revision that is reported; 0: nothing is
+		mark    uint64 // revision of c/a afterwards
 	}{
 		{"changes", Response{Status: 200, Body: wire.Marshal(changes)}, Response{}, Applied, 9, 8},
 		{"changes no longer kept", Response{Status: 410}, Response{Status: 200, Body: wire.Marshal(keys)}, Applied, 30, 20},
 		{"neither", Response{Status: 410}, Response{Status: 503}, Unknown, 0, 3},
-		{"an outage", Response{Status: 503}, Response{}, Refused, 0, 3},
-		{"the rate", Response{Status: 429}, Response{}, Refused, 0, 3},
+		{"status 503", Response{Status: 503}, Response{}, Refused, 0, 3},
+		{"status 429", Response{Status: 429}, Response{}, Refused, 0, 3},
 		{"no answer", Response{Err: io.EOF}, Response{}, Unknown, 0, 3},
-		{"nonsense", Response{Status: 200, Body: []byte{0xff}}, Response{}, Unknown, 0, 3},
+		{"an undecodable answer", Response{Status: 200, Body: []byte{0xff}}, Response{}, Unknown, 0, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := &still{now: 100 * loop.Second}
@@ -49,7 +50,7 @@
 			var told []Synced
 			m.OnSynced(func(s Synced) {
 				if e, _ := m.Get("c/a"); e.Mark != c.mark {
-					t.Errorf("told before %+v was taken in", e)
+					t.Errorf("OnSynced was called before the changes were applied: c/a is %+v", e)
 				}
 				told = append(told, s)
 			})
@@ -58,22 +59,22 @@
 			m.Sync(Inquiries, func(o Outcome) { outcome = o })
 			after := client.Next()
 			if outcome != c.want || path != "/changes?under=c/&since=4&waitMs=0" {
-				t.Errorf("outcome %v of %q", outcome, path)
+				t.Errorf("the outcome is %v after a request for %q", outcome, path)
 			}
 			if e, _ := m.Get("c/a"); e.Mark != c.mark {
-				t.Errorf("the copy holds %+v", e)
+				t.Errorf("the copy holds c/a as %+v", e)
 			}
 			if _, there := m.Get("c/b"); there != (c.reach == 0) {
-				t.Errorf("a removed key is there: %v", there)
+				t.Errorf("the removed key c/b is in the copy: %v", there)
 			}
 			if c.reach == 0 {
 				if len(told) != 0 {
-					t.Errorf("told %+v", told)
+					t.Errorf("OnSynced was called with %+v, want no call", told)
 				}
 				return
 			}
 			if len(told) != 1 || told[0].Reach != c.reach || told[0].Request <= before || told[0].Request >= after || told[0].Sent > r.now-loop.Second {
-				t.Errorf("told %+v, between %d and %d", told, before, after)
+				t.Errorf("OnSynced was called with %+v, want one call with a request number between %d and %d", told, before, after)
 			}
 		})
 	}
--- a/internal/store/txnlimit.go
+++ b/internal/store/txnlimit.go
@@ -3,38 +3,40 @@
 import "cleatpick/internal/wire"
 
 const (
-	// usualTxnOps is assumed until SetTxnOps tells better.
+	// usualTxnOps is the largest number of changes in a transaction until SetTxnOps is called.
 	usualTxnOps = 16
-	// leastTxnOps and leastValue are what every state service takes.
+	// leastTxnOps and leastValue are the number of changes and the size of a value, in bytes, that every state
+	// service accepts.
 	leastTxnOps = 5
 	leastValue  = 2 << 10
-	// condsPerOp is how many conditions a transaction may have for each change that it may have.
+	// condsPerOp is the number of conditions that a transaction may have for each change that it may have.
 	condsPerOp = 4
 )
 
-// SetTxnOps sets how many changes the settings allow a transaction.
+// SetTxnOps sets the largest number of changes in a transaction, as the settings name it.
 func (c *Client) SetTxnOps(n int) { c.txnOps = max(n, 1) }
 
-// MostChanges is how many changes a transaction may have.
+// MostChanges returns the largest number of changes in a transaction.
 func (c *Client) MostChanges() int { return c.txnOps }
 
-// MostConds is how many conditions a transaction may have.
+// MostConds returns the largest number of conditions in a transaction.
 func (c *Client) MostConds() int { return condsPerOp * c.txnOps }
 
-// refusedAsMalformed takes in that a transaction was called malformed. The state service may
-// have come to take fewer changes than the settings say; the values that it takes are the
-// concern of whoever made them.
+// refusedAsMalformed halves the size of later transactions after one was rejected as malformed: the state
+// service may accept fewer changes than the settings say. It does nothing if the cause is a value that is too
+// large, which is left to the caller that made it.
 func (c *Client) refusedAsMalformed(t wire.Txn) {
 	used := max(len(t.Then), (len(t.If)+condsPerOp-1)/condsPerOp)
 	if used <= leastTxnOps && largestValue(t) > leastValue {
-		return // it is the value
+		return // the value is too large
 	}
 	if fewer := max(min(c.txnOps, used)/2, 1); fewer < c.txnOps {
 		c.txnOps = max(fewer, min(leastTxnOps, c.txnOps))
-		c.log.Info("transactions become smaller", "changes", c.txnOps)
+		c.log.Info("largest number of changes in a transaction reduced, since the state service rejected a transaction as malformed", "changes", c.txnOps)
 	}
 }
 
+// largestValue returns the size in bytes of the largest value that a transaction puts.
 func largestValue(t wire.Txn) int {
 	most := 0
 	for _, ch := range t.Then {
