--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -12,158 +12,167 @@
 	"cleatpick/internal/wire"
 )
 
-// Direct sends commands straight to a worker; it blocks, and runs off the loop.
-type Direct func(addr string, c wire.Commands, timeout time.Duration) store.Response
-
-// Host is what this slice needs of the node around it.
-type Host struct {
-	Label string
-	// Life names this life of the process: no earlier or later one has the same.
-	Life loop.Micros
-	// MayAnswer tells whether reports may be answered, else where to send the worker.
-	MayAnswer func() (ok bool, coach string)
-	// MayStart tells whether new starts may be passed on.
+// DirectSender sends commands straight to a worker, outside the answer to a report. It blocks and is called off the
+// event loop.
+type DirectSender func(addr string, c wire.Commands, timeout time.Duration) store.Response
+
+// Config holds the settings and callbacks that the registry needs from its controller.
+type Config struct {
+	Label string // name of this controller
+	// Incarnation is the incarnation of this process; no earlier or later run has the same.
+	Incarnation loop.Micros
+	// MayAnswer reports whether reports may be answered; if not, it returns the controller to which the worker
+	// is sent.
+	MayAnswer func() (ok bool, controller string)
+	// MayStart reports whether new starts may be passed on.
 	MayStart func() bool
-	// SendOn tells whether a worker should report elsewhere, since what is heard here
-	// reaches no owner, where, and after how long once more: it is answered here meanwhile,
-	// should it find nobody else. before is how often it was sent on.
-	SendOn func(machine string, before int) (on bool, to string, again loop.Micros)
-	Epoch  func() uint64
-	Raise  func(done func())
-	Type   func(name string) (wire.MachineType, bool)
-	Job    func(id string) *job.Job
-	// Publish hands what changed of hosted machines to the peers.
-	Publish func(News)
-	// Changed is called for every newer view, of any node, with how it differs from the
-	// one of the call before.
-	Changed func(*View, *Changes)
-	Drop    func(to string, d Drop)
-	// Barred tells why no start of the job may reach the machine now, beyond the job
-	// being over: a hold, a cordon. It may be nil.
-	Barred  func(j *job.Job, v *View) string
-	ClockTo loop.Micros // twice the bound on the time of day
-	// Clock judges until when a start can arrive.
+	// Redirect reports whether a worker should report to another controller, because reports that arrive here do
+	// not reach the owners, and to which one. If the worker finds no other controller, it is answered here
+	// until again has passed since it was last redirected. before is how often it was redirected.
+	Redirect func(machine string, before int) (on bool, to string, again loop.Micros)
+	// Epoch returns the current epoch of this controller, the high part of the tokens that it issues.
+	Epoch func() uint64
+	// RaiseEpoch obtains a newer epoch from the state service and calls done, also when it fails.
+	RaiseEpoch func(done func())
+	// MachineType finds a machine type of the catalog.
+	MachineType func(name string) (wire.MachineType, bool)
+	// FindJob finds a job known here, nil if there is none.
+	FindJob func(id string) *job.Job
+	// Publish sends the changes of hosted machines to the peers.
+	Publish func(ViewUpdate)
+	// ViewChanged is called for every newer view, from any controller, with its differences from the view of the
+	// previous call for that machine.
+	ViewChanged func(*View, *Changes)
+	// SendRejection sends a rejection to the owner whose start is rejected.
+	SendRejection func(to string, d Rejection)
+	// StartBlocked returns why no start of the job may reach the machine now, apart from the job being final, for
+	// example a hold or a cordon; it is empty if none is. It may be nil.
+	StartBlocked func(j *job.Job, v *View) string
+	// ClockUncertainty is twice the bound on the error of a wall clock.
+	ClockUncertainty loop.Micros
+	// Clock determines until when a start can still arrive.
 	Clock delivery.Clock
-	// Meter counts; it may be nil.
+	// Meter counts commands and decisions about forgetting attempts; it may be nil.
 	Meter *metric.Meter
 }
 
-// Agent is this node's machine room.
-type Agent struct {
-	r      loop.Runner
-	log    *slog.Logger
-	h      Host
-	direct Direct
-	hosted map[string]*machine
-	views  map[string]*View
-	gone   map[string]bool
-	sentOn map[string]sending
+// Registry is the registry of workers of one controller. It is used on the event loop only.
+type Registry struct {
+	runner     loop.Runner
+	log        *slog.Logger
+	config     Config
+	sendDirect DirectSender
+	hosted     map[string]*machine
+	views      map[string]*View
+	deleted    map[string]bool     // machines known to be deleted
+	redirects  map[string]redirect // workers that were sent to another controller
 
 	toPublish []*machine
 }
 
-// New makes the machine room.
-func New(r loop.Runner, log *slog.Logger, h Host, direct Direct) *Agent {
-	a := &Agent{r: r, log: log, h: h, direct: direct, hosted: map[string]*machine{}, views: map[string]*View{}, gone: map[string]bool{}, sentOn: map[string]sending{}}
+// New makes an empty registry.
+func New(r loop.Runner, log *slog.Logger, h Config, direct DirectSender) *Registry {
+	a := &Registry{runner: r, log: log, config: h, sendDirect: direct, hosted: map[string]*machine{}, views: map[string]*View{}, deleted: map[string]bool{}, redirects: map[string]redirect{}}
 	loop.Every(r, 500*loop.Millisecond, a.tick)
 	return a
 }
 
-// Learn takes in a view of a machine that reports to another node.
-func (a *Agent) Learn(v *View) {
-	if a.gone[v.Name] || v.Host == a.h.Label || !v.newer(a.views[v.Name]) {
+// ApplyView applies a view of a machine that reports to another controller.
+func (a *Registry) ApplyView(v *View) {
+	if a.deleted[v.Name] || v.Host == a.config.Label || !v.newerThan(a.views[v.Name]) {
 		return
 	}
 	if m := a.hosted[v.Name]; m != nil {
-		a.setState(m, Elsewhere)
+		a.setState(m, HostedElsewhere)
 		delete(a.hosted, v.Name)
 	}
-	a.renew(v)
+	a.setView(v)
 }
 
-// Republish hands all hosted machines' views out, as after a peer came back.
-func (a *Agent) Republish() {
+// Republish sends the full views of all hosted machines again, for example after a peer restarted.
+func (a *Registry) Republish() {
 	for _, m := range loop.Sorted(a.hosted) {
-		m.told = nil
+		m.published = nil
 		a.publishSoon(m)
 	}
 }
 
-// Check asks a hosted machine for a task list that is certainly new.
-func (a *Agent) Check(name string) {
+// RequestTaskList asks a hosted machine's worker for a task list that is certainly made after this call.
+func (a *Registry) RequestTaskList(name string) {
 	if m := a.hosted[name]; m != nil {
-		m.check = true
-		a.flushSoon(m)
+		m.wantTaskList = true
+		a.sendCommandsSoon(m)
 	}
 }
 
-// Close keeps starts off a machine until a time of day; a past one opens it again.
-func (a *Agent) Close(name string, until loop.Micros) {
+// CloseToStarts blocks starts on a hosted machine until a wall-clock time; a time in the past allows them again.
+func (a *Registry) CloseToStarts(name string, until loop.Micros) {
 	m := a.hosted[name]
 	if m == nil {
 		return
 	}
-	m.closeTo = until
-	if m.view.Closed != (a.r.Wall() < until) {
+	m.closedUntil = until
+	if m.view.ClosedToStarts != (a.runner.Wall() < until) {
 		m.dirty = true
-		a.refresh(m)
+		a.updateView(m)
 	}
 }
 
-func (a *Agent) tick() {
-	wall := a.r.Wall()
+func (a *Registry) tick() {
+	wall := a.runner.Wall()
 	for _, m := range loop.Sorted(a.hosted) {
-		a.expire(m, wall)
-		if m.view.Closed != (wall < m.closeTo) {
+		a.expireStarts(m, wall)
+		if m.view.ClosedToStarts != (wall < m.closedUntil) {
 			m.dirty = true
-			a.refresh(m)
+			a.updateView(m)
 		}
 	}
 }
 
-// Gone takes in that a machine was deleted, with everything that was on it.
-func (a *Agent) Gone(name string) {
-	if a.gone[name] {
+// MarkDeleted records that a machine was deleted, with everything that ran on it.
+func (a *Registry) MarkDeleted(name string) {
+	if a.deleted[name] {
 		return
 	}
-	a.gone[name] = true
-	delete(a.sentOn, name)
+	a.deleted[name] = true
+	delete(a.redirects, name)
 	delete(a.hosted, name)
 	delete(a.views, name)
 }
 
-// Forget drops the memory of deleted machines. Should one of them turn up in a message
-// that was held back, it is found silent and deleted once more.
-func (a *Agent) Forget(names []string) {
+// ForgetDeleted drops the memory of deleted machines. If a delayed message makes one of them known again, it is found
+// not to report and is deleted once more.
+func (a *Registry) ForgetDeleted(names []string) {
 	for _, name := range names {
-		delete(a.gone, name)
+		delete(a.deleted, name)
 	}
 }
 
-// IsGone tells whether the machine is known to be deleted.
-func (a *Agent) IsGone(name string) bool { return a.gone[name] }
+// IsDeleted reports whether the machine is known to be deleted.
+func (a *Registry) IsDeleted(name string) bool { return a.deleted[name] }
 
-// View is the newest view of a machine, nil if it was never heard.
-func (a *Agent) View(name string) *View { return a.views[name] }
+// View returns the newest view of a machine, nil if none ever arrived.
+func (a *Registry) View(name string) *View { return a.views[name] }
 
-// Room is what is free on a machine; ok is false where that is not known.
-func (a *Agent) Room(v *View, t wire.MachineType) (Room, bool) {
-	ok := v.resolve(a.h.Job)
-	return Room{t.CPUs, t.GPUs, t.MemoryGB}.Less(v.used), ok
+// FreeCapacity returns the free capacity of a machine of type t; ok is false if it is not known, since a job on it is
+// not known here.
+func (a *Registry) FreeCapacity(v *View, t wire.MachineType) (Capacity, bool) {
+	ok := v.resolve(a.config.FindJob)
+	return Capacity{t.CPUs, t.GPUs, t.MemoryGB}.Minus(v.used), ok
 }
 
-// Jobs are the jobs of a view's tasks, in their order; nil where one is not known here.
-func (a *Agent) Jobs(v *View) []*job.Job {
-	v.lookUp(a.h.Job)
+// Jobs returns the jobs of a view's tasks, in their order; nil where one is not known here.
+func (a *Registry) Jobs(v *View) []*job.Job {
+	v.lookUpJobs(a.config.FindJob)
 	return v.jobs
 }
 
-// Views calls f for every machine heard and not gone.
-func (a *Agent) Views(f func(*View)) {
+// EachView calls f for the newest view of every machine that is not deleted, in the order of names.
+func (a *Registry) EachView(f func(*View)) {
 	for _, v := range loop.Sorted(a.views) {
 		f(v)
 	}
 }
 
-// Hosted is the number of machines that report here.
-func (a *Agent) Hosted() int { return len(a.hosted) }
+// HostedCount returns the number of machines that report to this controller.
+func (a *Registry) HostedCount() int { return len(a.hosted) }
--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -7,84 +7,85 @@
 	"cleatpick/internal/loop"
 )
 
-// Changes is how a view differs from the one before it of the same machine. What a
-// machine's view costs then follows what happened there, not what runs there.
+// Changes are the differences between a view and the previous view of the same machine. They make the cost of a
+// new view proportional to what changed on the machine rather than to what runs there.
 type Changes struct {
-	// All: nothing is known of a view before, or it was of another session.
+	// All is set if no previous view is known or it was of another session.
 	All bool
-	// Still: every task stands as before; From and Gone are empty.
-	Still bool
-	// From is where each task of the view stood in the one before, unchanged; -1: it is
-	// new or stands otherwise.
-	From []int
-	// Gone are the tasks of the view before that are not here, or stand otherwise here.
-	Gone []int
+	// Unchanged is set if every task is unchanged; OldIndex and Removed are empty then.
+	Unchanged bool
+	// OldIndex holds, for each task of the view, its position in the previous view if it is unchanged; -1 if it is
+	// new or has changed.
+	OldIndex []int
+	// Removed holds the positions in the previous view of the tasks that are missing or have changed.
+	Removed []int
 }
 
-// Kept tells whether a task of the view stands as before.
-func (c *Changes) Kept(i int) bool { return c.Still || (!c.All && c.From[i] >= 0) }
+// Kept reports whether a task of the view is unchanged.
+func (c *Changes) Kept(i int) bool { return c.Unchanged || (!c.All && c.OldIndex[i] >= 0) }
 
-// Was is where a task that is kept stood in the view before.
-func (c *Changes) Was(i int) int {
-	if c.Still {
+// OldIndexOf returns the position in the previous view of a task that is unchanged.
+func (c *Changes) OldIndexOf(i int) int {
+	if c.Unchanged {
 		return i
 	}
-	return c.From[i]
+	return c.OldIndex[i]
 }
 
-// Since compares a view with one before. Workers report tasks in the order in which they
-// began, so that one pass over both lists finds what is alike; a list in another order
-// merely looks as if more had changed.
-func (v *View) Since(old *View) Changes {
+// ChangesSince compares a view with an earlier one. Workers report tasks in the order in which they began, so one pass
+// over both lists finds the unchanged ones; with lists in another order, more tasks merely count as changed.
+func (v *View) ChangesSince(old *View) Changes {
 	if old == nil || old.Session != v.Session {
 		return Changes{All: true}
 	}
-	if v.standsAs(old) {
-		return Changes{Still: true}
+	if v.sameTasks(old) {
+		return Changes{Unchanged: true}
 	}
-	c := Changes{From: make([]int, len(v.Tasks))}
+	c := Changes{OldIndex: make([]int, len(v.Tasks))}
 	i := 0
 	for k := range v.Tasks {
 		t := &v.Tasks[k]
-		c.From[k] = -1
+		c.OldIndex[k] = -1
 		at := i
-		for at < len(old.Tasks) && !old.Tasks[at].is(t) {
+		for at < len(old.Tasks) && !old.Tasks[at].sameAttempt(t) {
 			at++
 		}
 		if at == len(old.Tasks) {
 			continue
 		}
 		for ; i < at; i++ {
-			c.Gone = append(c.Gone, i)
+			c.Removed = append(c.Removed, i)
 		}
 		i = at + 1
 		if o := &old.Tasks[at]; o.State == t.State && o.Why == t.Why && o.Saved == t.Saved {
-			c.From[k] = at
+			c.OldIndex[k] = at
 		} else {
-			c.Gone = append(c.Gone, at)
+			c.Removed = append(c.Removed, at)
 		}
 	}
 	for ; i < len(old.Tasks); i++ {
-		c.Gone = append(c.Gone, i)
+		c.Removed = append(c.Removed, i)
 	}
 	return c
 }
 
-// standsAs tells whether both views list the same tasks alike. Where nothing has changed,
-// they mostly share one list.
-func (v *View) standsAs(old *View) bool {
+// sameTasks reports whether both views list the same tasks in the same states. Where nothing has changed, they
+// usually share one slice.
+func (v *View) sameTasks(old *View) bool {
 	if len(v.Tasks) != len(old.Tasks) {
 		return false
 	}
 	return len(v.Tasks) == 0 || &v.Tasks[0] == &old.Tasks[0] || slices.Equal(v.Tasks, old.Tasks)
 }
 
-func (t *Task) is(o *Task) bool { return t.Attempt == o.Attempt && t.Task == o.Task }
+// sameAttempt reports whether both are the same attempt.
+func (t *Task) sameAttempt(o *Task) bool { return t.Attempt == o.Attempt && t.Task == o.Task }
 
-// inherit takes over what was found out of the tasks that stand as before.
-func (v *View) inherit(old *View, c *Changes) {
-	if c.Still && len(old.jobs) == len(old.Tasks) {
-		v.Tasks, v.jobs, v.resolved = old.Tasks, old.jobs, false // one list for both
+// shareWith takes the jobs of unchanged tasks over from the previous view, and shares its strings and, if all
+// tasks are unchanged, its slices.
+func (v *View) shareWith(old *View, c *Changes) {
+	if c.Unchanged && len(old.jobs) == len(old.Tasks) {
+		v.Tasks, v.jobs, v.resolved = old.Tasks, old.jobs, false // both views share the slices
 		return
 	}
 	v.jobs, v.resolved = make([]*job.Job, len(v.Tasks)), false
@@ -93,83 +94,83 @@
 	}
 	for k := range v.Tasks {
 		if c.Kept(k) {
-			i := c.Was(k)
+			i := c.OldIndexOf(k)
 			v.jobs[k] = old.jobs[i]
-			v.Tasks[k].Task = old.Tasks[i].Task // one string for both
+			v.Tasks[k].Task = old.Tasks[i].Task // both views share the string
 		}
 	}
 }
 
-// Placed is a task with its place in a view's list.
-type Placed struct {
-	_    struct{} `cbor:",toarray"`
-	At   int
-	Task Task
+// IndexedTask is a task with its position in a view's list.
+type IndexedTask struct {
+	_     struct{} `cbor:",toarray"`
+	Index int
+	Task  Task
 }
 
-// Delta is a machine's newer view, told by how it differs from one told before. It is of
-// use only to who has exactly that one: of the same host, its life and the session, and of
-// the same report and revision, since a host that began anew counts its revisions anew.
+// Delta is a newer view of a machine, expressed as its differences from a view published before. It can be
+// applied only to exactly that view: of the same host, incarnation and session, and of the same report and
+// revision. The incarnation matters because a restarted host counts its revisions from the beginning.
 type Delta struct {
-	Name     string      `cbor:"1,keyasint"`
-	Session  uint64      `cbor:"2,keyasint"`
-	BaseSeq  uint64      `cbor:"3,keyasint"`
-	BaseRev  uint64      `cbor:"4,keyasint"`
-	Seq      uint64      `cbor:"5,keyasint"`
-	Rev      uint64      `cbor:"6,keyasint"`
-	Settled  bool        `cbor:"7,keyasint,omitempty"`
-	At       loop.Micros `cbor:"8,keyasint"`
-	NoticeAt loop.Micros `cbor:"9,keyasint,omitempty"`
-	Closed   bool        `cbor:"10,keyasint,omitempty"`
-	Gone     []int       `cbor:"11,keyasint,omitempty"` // places in the list before
-	New      []Placed    `cbor:"12,keyasint,omitempty"` // places in the list after
-	Pending  []Task      `cbor:"13,keyasint,omitempty"`
-	Life     loop.Micros `cbor:"14,keyasint,omitempty"`
-	Reported loop.Micros `cbor:"15,keyasint,omitempty"`
+	Name           string        `cbor:"1,keyasint"`
+	Session        uint64        `cbor:"2,keyasint"`
+	BaseSeq        uint64        `cbor:"3,keyasint"`
+	BaseRev        uint64        `cbor:"4,keyasint"`
+	Seq            uint64        `cbor:"5,keyasint"`
+	Rev            uint64        `cbor:"6,keyasint"`
+	TokenConfirmed bool          `cbor:"7,keyasint,omitempty"`
+	MadeAfter      loop.Micros   `cbor:"8,keyasint"`
+	NoticeAt       loop.Micros   `cbor:"9,keyasint,omitempty"`
+	ClosedToStarts bool          `cbor:"10,keyasint,omitempty"`
+	Removed        []int         `cbor:"11,keyasint,omitempty"` // positions in the previous list
+	Added          []IndexedTask `cbor:"12,keyasint,omitempty"` // positions in the new list
+	Pending        []Task        `cbor:"13,keyasint,omitempty"`
+	Incarnation    loop.Micros   `cbor:"14,keyasint,omitempty"`
+	ReportedAt     loop.Micros   `cbor:"15,keyasint,omitempty"`
 }
 
-// deltaTo tells v by how it differs from base; ok is false where only a full view will do.
+// deltaTo returns the differences of v from base; ok is false where only the full view can be sent.
 func (v *View) deltaTo(base *View) (d *Delta, ok bool) {
-	if base == nil || base.Host != v.Host || base.Life != v.Life || base.Session != v.Session || base.Addr != v.Addr {
+	if base == nil || base.Host != v.Host || base.Incarnation != v.Incarnation || base.Session != v.Session || base.Addr != v.Addr {
 		return nil, false
 	}
-	c := v.Since(base)
-	d = &Delta{Name: v.Name, Session: v.Session, BaseSeq: base.Seq, BaseRev: base.Rev, Seq: v.Seq, Rev: v.Rev, Settled: v.Settled,
-		At: v.At, NoticeAt: v.NoticeAt, Closed: v.Closed, Gone: c.Gone, Pending: v.Pending, Life: v.Life, Reported: v.Reported}
-	for k, i := range c.From {
+	c := v.ChangesSince(base)
+	d = &Delta{Name: v.Name, Session: v.Session, BaseSeq: base.Seq, BaseRev: base.Rev, Seq: v.Seq, Rev: v.Rev, TokenConfirmed: v.TokenConfirmed,
+		MadeAfter: v.MadeAfter, NoticeAt: v.NoticeAt, ClosedToStarts: v.ClosedToStarts, Removed: c.Removed, Pending: v.Pending, Incarnation: v.Incarnation, ReportedAt: v.ReportedAt}
+	for k, i := range c.OldIndex {
 		if i < 0 {
-			d.New = append(d.New, Placed{At: k, Task: v.Tasks[k]})
+			d.Added = append(d.Added, IndexedTask{Index: k, Task: v.Tasks[k]})
 		}
 	}
 	return d, true
 }
 
-// apply makes the view that a delta tells, from the view that it was told against; nil
-// where that is not this one, or the delta makes no sense.
+// apply returns the view that results from applying a delta to base; nil if base is not the view that the delta
+// was computed from, or the delta is inconsistent.
 func (d *Delta) apply(base *View) *View {
-	if base == nil || base.Session != d.Session || base.Seq != d.BaseSeq || base.Rev != d.BaseRev || base.Life != d.Life {
+	if base == nil || base.Session != d.Session || base.Seq != d.BaseSeq || base.Rev != d.BaseRev || base.Incarnation != d.Incarnation {
 		return nil
 	}
-	kept := len(base.Tasks) - len(d.Gone)
+	kept := len(base.Tasks) - len(d.Removed)
 	if kept < 0 {
 		return nil
 	}
 	v := *base
-	v.Seq, v.Rev, v.Settled, v.At, v.NoticeAt, v.Closed, v.Pending = d.Seq, d.Rev, d.Settled, d.At, d.NoticeAt, d.Closed, d.Pending
-	v.Reported = d.Reported
+	v.Seq, v.Rev, v.TokenConfirmed, v.MadeAfter, v.NoticeAt, v.ClosedToStarts, v.Pending = d.Seq, d.Rev, d.TokenConfirmed, d.MadeAfter, d.NoticeAt, d.ClosedToStarts, d.Pending
+	v.ReportedAt = d.ReportedAt
 	v.jobs, v.resolved = nil, false
-	if len(d.Gone)+len(d.New) == 0 {
+	if len(d.Removed)+len(d.Added) == 0 {
 		return &v
 	}
-	v.Tasks = make([]Task, kept+len(d.New))
+	v.Tasks = make([]Task, kept+len(d.Added))
 	gone, fresh, i := 0, 0, 0
 	for k := range v.Tasks {
-		if fresh < len(d.New) && d.New[fresh].At == k {
-			v.Tasks[k] = d.New[fresh].Task
+		if fresh < len(d.Added) && d.Added[fresh].Index == k {
+			v.Tasks[k] = d.Added[fresh].Task
 			fresh++
 			continue
 		}
-		for gone < len(d.Gone) && d.Gone[gone] == i {
+		for gone < len(d.Removed) && d.Removed[gone] == i {
 			gone++
 			i++
 		}
@@ -179,75 +180,78 @@
 		v.Tasks[k] = base.Tasks[i]
 		i++
 	}
-	if fresh != len(d.New) || len(base.Tasks)-i != len(d.Gone)-gone {
+	if fresh != len(d.Added) || len(base.Tasks)-i != len(d.Removed)-gone {
 		return nil
 	}
 	return &v
 }
 
-// Changes of a machine's view are gathered before they are told, since a start is seen in
-// several steps that follow each other closely. The larger the fleet, the longer: what
-// each machine costs all nodes is what grows with machines times nodes.
+// Changes of a machine's view are collected before they are published, since a start changes the view in
+// several steps in quick succession. The delay grows with the fleet, because the cost of publishing grows with
+// the number of machines times the number of controllers.
 const (
-	gather     = 25 * loop.Millisecond
-	gatherEach = 40 // microseconds for each machine of the fleet, where that is more
-	gatherMost = 100 * loop.Millisecond
+	minPublishDelay        = 25 * loop.Millisecond
+	publishDelayPerMachine = 40 // in microseconds per machine of the fleet, if that gives more than minPublishDelay
+	maxPublishDelay        = 100 * loop.Millisecond
 )
 
-func (a *Agent) gatherFor() loop.Micros {
-	return min(max(gather, loop.Micros(len(a.views)*gatherEach)), gatherMost)
+// publishDelay returns the delay between the first change of a view and its publication.
+func (a *Registry) publishDelay() loop.Micros {
+	return min(max(minPublishDelay, loop.Micros(len(a.views)*publishDelayPerMachine)), maxPublishDelay)
 }
 
-// News is what a host tells the other nodes of its machines.
-type News struct {
+// ViewUpdate is what a host publishes of its machines: full views, and deltas for machines whose previous view was
+// published.
+type ViewUpdate struct {
 	Views  []*View
 	Deltas []*Delta
 }
 
-// publishSoon tells the peers of the machine's view, together with what follows soon.
-func (a *Agent) publishSoon(m *machine) {
-	if m.publishing {
+// publishSoon schedules the publication of the machine's view, together with the changes that follow soon.
+func (a *Registry) publishSoon(m *machine) {
+	if m.publishScheduled {
 		return
 	}
-	m.publishing = true
+	m.publishScheduled = true
 	a.toPublish = append(a.toPublish, m)
 	if len(a.toPublish) == 1 {
-		a.r.After(a.gatherFor(), a.publish)
+		a.runner.After(a.publishDelay(), a.publish)
 	}
 }
 
-func (a *Agent) publish() {
+// publish sends the scheduled views to the peers, as deltas where possible.
+func (a *Registry) publish() {
 	all := a.toPublish
 	a.toPublish = nil
-	var n News
-	now := a.r.Now()
+	var n ViewUpdate
+	now := a.runner.Now()
 	for _, m := range all {
-		m.publishing = false
+		m.publishScheduled = false
 		v := a.views[m.view.Name]
-		if a.hosted[m.view.Name] != m || v == nil || v.Host != a.h.Label {
+		if a.hosted[m.view.Name] != m || v == nil || v.Host != a.config.Label {
 			continue
 		}
-		if d, ok := v.deltaTo(m.told); ok {
+		if d, ok := v.deltaTo(m.published); ok {
 			n.Deltas = append(n.Deltas, d)
 		} else {
 			n.Views = append(n.Views, v)
 		}
-		m.told, m.sent = v, now
+		m.published, m.publishedAt = v, now
 	}
 	if len(n.Views)+len(n.Deltas) > 0 {
-		a.h.Publish(n)
+		a.config.Publish(n)
 	}
 }
 
-// LearnDelta takes in how a machine that reports to another node has changed there. It
-// tells whether the full view must be asked for.
-func (a *Agent) LearnDelta(from string, d *Delta) (lost bool) {
-	if a.gone[d.Name] || from == a.h.Label {
+// ApplyDelta applies a delta of a machine that reports to another controller. It returns true if the full view
+// must be requested, since the delta does not apply to the view known here.
+func (a *Registry) ApplyDelta(from string, d *Delta) (lost bool) {
+	if a.deleted[d.Name] || from == a.config.Label {
 		return false
 	}
 	old := a.views[d.Name]
-	if told := (View{Host: from, Session: d.Session, Seq: d.Seq, Rev: d.Rev}); !told.newer(old) {
-		return false // late: as much is known here
+	if told := (View{Host: from, Session: d.Session, Seq: d.Seq, Rev: d.Rev}); !told.newerThan(old) {
+		return false // late: a view at least as new is known here
 	}
 	if old == nil || old.Host != from {
 		return true
@@ -256,15 +260,16 @@
 	if v == nil {
 		return true
 	}
-	a.Learn(v)
+	a.ApplyView(v)
 	return false
 }
 
-// Full are the newest views of hosted machines, for a peer that lacks what was told before.
-func (a *Agent) Full(names []string) (out []*View) {
+// FullViews returns the newest published views of hosted machines, for a peer that lacks the views to which deltas
+// apply.
+func (a *Registry) FullViews(names []string) (out []*View) {
 	for _, name := range names {
-		if m := a.hosted[name]; m != nil && m.told != nil {
-			out = append(out, m.told)
+		if m := a.hosted[name]; m != nil && m.published != nil {
+			out = append(out, m.published)
 		}
 	}
 	return out
--- a/internal/agent/delta_test.go
+++ b/internal/agent/delta_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawTasks changes a task list as a worker would, and now and then as none would.
+// drawTasks changes a task list as a worker would, and sometimes in ways that no worker would.
 func drawTasks(t *rapid.T, old []Task, next *int) []Task {
 	out := slices.Clone(old)
 	for range rapid.IntRange(0, 4).Draw(t, "changes") {
@@ -29,7 +29,7 @@
 				i := rapid.IntRange(0, n-1).Draw(t, "forgotten")
 				out = slices.Delete(out, i, i+1)
 			}
-		case 4: // another order: legal, and only dearer
+		case 4: // another order is legal and only makes the delta larger
 			if n > 1 {
 				i := rapid.IntRange(0, n-2).Draw(t, "swapped")
 				out[i], out[i+1] = out[i+1], out[i]
@@ -39,28 +39,28 @@
 	return out
 }
 
-// A view that was told by differences is the view that was meant, whatever was lost,
-// repeated or late in between; where it cannot be, the full one is asked for. The changes
-// that a view is said to hold are those that a plain look finds.
-func TestDeltasTellTheSameViews(t *testing.T) {
+// A view built from deltas equals the view that the host published, whatever messages were lost, duplicated or
+// late before; where that is impossible, the full view is requested. The differences that ChangesSince reports are
+// those that a comparison of all tasks finds.
+func TestDeltasReproduceViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		next := 0
 		host := &View{Name: "n-1", Addr: "x", Host: "b", Session: 1, Tasks: []Task{}}
-		var told *View // by the host
-		a := newRig().a
+		var told *View // as published by the host
+		a := newTestRegistry().a
 		var late [][]byte
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			v := *host
 			v.Tasks = drawTasks(t, host.Tasks, &next)
 			v.Rev++
 			if rapid.Bool().Draw(t, "report") {
-				v.Seq, v.Reported = v.Seq+1, v.Reported+5
+				v.Seq, v.ReportedAt = v.Seq+1, v.ReportedAt+5
 			}
 			if rapid.IntRange(0, 9).Draw(t, "session") == 0 {
 				v.Session, v.Seq, v.Tasks = v.Session+1, 1, []Task{}
 			}
-			v.Settled, v.At = rapid.Bool().Draw(t, "settled"), v.At+1
-			plainChanges(t, host, &v)
+			v.TokenConfirmed, v.MadeAfter = rapid.Bool().Draw(t, "settled"), v.MadeAfter+1
+			checkChanges(t, host, &v)
 			host = &v
 			if rapid.IntRange(0, 2).Draw(t, "gather") == 0 {
 				continue
@@ -70,7 +70,7 @@
 			if !ok {
 				if rapid.IntRange(0, 4).Draw(t, "lost full") != 0 {
 					c := v
-					a.Learn(&c)
+					a.ApplyView(&c)
 				}
 				continue
 			}
@@ -91,67 +91,68 @@
 	})
 }
 
-// deliver hands a delta over. want is what it tells; nil when it is late.
-func deliver(t *rapid.T, a *Agent, frame []byte, want *View) {
+// deliver hands a delta to the receiving registry. want is the view that it describes; nil if the delta is
+// late.
+func deliver(t *rapid.T, a *Registry, frame []byte, want *View) {
 	d := new(Delta)
 	if err := wire.Unmarshal(frame, d); err != nil {
 		t.Fatal(err)
 	}
 	before := a.View(d.Name)
-	lost := a.LearnDelta("b", d)
+	lost := a.ApplyDelta("b", d)
 	have := a.View(d.Name)
 	switch {
 	case want == nil && before != nil && have != before && have.Rev <= before.Rev && have.Session == before.Session:
-		t.Fatal("a late delta brought an older view back")
+		t.Fatal("a late delta replaced the view by an older one")
 	case want != nil && lost:
-		c := *want // it is asked for
-		a.Learn(&c)
+		c := *want // the full view is requested
+		a.ApplyView(&c)
 	case want != nil:
 		h, w := *have, *want
-		h.jobs, w.jobs, h.used, w.used, h.resolved, w.resolved = nil, nil, Room{}, Room{}, false, false
+		h.jobs, w.jobs, h.used, w.used, h.resolved, w.resolved = nil, nil, Capacity{}, Capacity{}, false, false
 		if len(h.Tasks) == len(w.Tasks) && len(h.Tasks) == 0 {
 			h.Tasks, w.Tasks = nil, nil
 		}
 		if !reflect.DeepEqual(h, w) {
-			t.Fatalf("learnt %+v, told %+v", h, w)
+			t.Fatalf("the receiver has %+v, the host published %+v", h, w)
 		}
 	}
 }
 
-// plainChanges compares Since with a look at every task.
-func plainChanges(t *rapid.T, old, v *View) {
-	c := v.Since(old)
+// checkChanges compares the result of ChangesSince with a comparison of every task.
+func checkChanges(t *rapid.T, old, v *View) {
+	c := v.ChangesSince(old)
 	if c.All {
 		if old.Session == v.Session {
-			t.Fatal("nothing is taken over within a session")
+			t.Fatal("all tasks count as changed within one session")
 		}
 		return
 	}
 	for k := range v.Tasks {
-		if c.Kept(k) && v.Tasks[k] != old.Tasks[c.Was(k)] {
-			t.Fatalf("%+v counts as unchanged since %+v", v.Tasks[k], old.Tasks[c.Was(k)])
+		if c.Kept(k) && v.Tasks[k] != old.Tasks[c.OldIndexOf(k)] {
+			t.Fatalf("%+v counts as unchanged since %+v", v.Tasks[k], old.Tasks[c.OldIndexOf(k)])
 		}
 	}
 	for i := range old.Tasks {
-		if at := v.Find(old.Tasks[i].Task, old.Tasks[i].Attempt); (at == nil || *at != old.Tasks[i]) && !slices.Contains(c.Gone, i) {
-			t.Fatalf("%+v has gone or changed, and is not said to have", old.Tasks[i])
+		if at := v.Find(old.Tasks[i].Task, old.Tasks[i].Attempt); (at == nil || *at != old.Tasks[i]) && !slices.Contains(c.Removed, i) {
+			t.Fatalf("%+v is missing or has changed but is not reported in Removed", old.Tasks[i])
 		}
 	}
-	if c.Still != slices.Equal(old.Tasks, v.Tasks) {
-		t.Fatalf("still: %v", c.Still)
+	if c.Unchanged != slices.Equal(old.Tasks, v.Tasks) {
+		t.Fatalf("Unchanged is %v, which a comparison of the lists contradicts", c.Unchanged)
 	}
 }
 
-// A delta from a peer that is broken must do no harm.
+// A corrupt delta from a peer is rejected or applied consistently, without a panic.
 func FuzzDelta(f *testing.F) {
-	f.Add(wire.Marshal(&Delta{Name: "n-1", Session: 1, BaseSeq: 1, BaseRev: 1, Seq: 2, Rev: 2, Gone: []int{-1, 7, 0}, New: []Placed{{At: 1 << 40}}}))
+	f.Add(wire.Marshal(&Delta{Name: "n-1", Session: 1, BaseSeq: 1, BaseRev: 1, Seq: 2, Rev: 2, Removed: []int{-1, 7, 0}, Added: []IndexedTask{{Index: 1 << 40}}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		d := new(Delta)
 		if wire.Unmarshal(raw, d) != nil {
 			return
 		}
 		base := &View{Name: "n-1", Session: d.Session, Seq: d.BaseSeq, Rev: d.BaseRev, Tasks: []Task{{Task: "j/0", Attempt: 1}, {Task: "j/1", Attempt: 1}}}
-		if v := d.apply(base); v != nil && len(v.Tasks) != len(base.Tasks)-len(d.Gone)+len(d.New) {
+		if v := d.apply(base); v != nil && len(v.Tasks) != len(base.Tasks)-len(d.Removed)+len(d.Added) {
 			t.Fatal("tasks were lost")
 		}
 	})
--- a/internal/agent/direct.go
+++ b/internal/agent/direct.go
@@ -8,41 +8,42 @@
 	"cleatpick/internal/wire"
 )
 
-// flushSoon sends what waits for a machine straight to it, in a moment.
-func (a *Agent) flushSoon(m *machine) {
-	if m.flushing {
+// sendCommandsSoon schedules sendCommands, so that commands that come together are sent together.
+func (a *Registry) sendCommandsSoon(m *machine) {
+	if m.flushScheduled {
 		return
 	}
-	m.flushing = true
-	a.r.After(4*loop.Millisecond, func() {
-		m.flushing = false
-		a.flush(m)
+	m.flushScheduled = true
+	a.runner.After(4*loop.Millisecond, func() {
+		m.flushScheduled = false
+		a.sendCommands(m)
 	})
 }
 
-// flush sends commands straight to the worker. It does so only under a token that
-// the worker has shown: then no other node can give commands without this one seeing it.
-func (a *Agent) flush(m *machine) {
-	if a.hosted[m.view.Name] != m || m.state != Held || m.direct {
+// sendCommands sends the pending commands straight to the worker. It does so only while the worker shows this host's
+// token: then no other controller can command the worker without this one noticing.
+func (a *Registry) sendCommands(m *machine) {
+	if a.hosted[m.view.Name] != m || m.state != TokenShown || m.directInFlight {
 		return
 	}
-	if ok, _ := a.h.MayAnswer(); !ok {
+	if ok, _ := a.config.MayAnswer(); !ok {
 		return
 	}
-	cmds := a.commands(m, wayDirect)
-	if len(cmds) == 0 && !m.check {
+	cmds := a.commands(m, pathDirect)
+	if len(cmds) == 0 && !m.wantTaskList {
 		return
 	}
-	m.direct, m.check = true, false
-	token, session, addr, sent := m.token, m.view.Session, m.view.Addr, a.r.Wall()
-	a.r.Go(func() {
-		resp := a.direct(addr, wire.Commands{Token: token, Session: session, Commands: cmds}, 1500*time.Millisecond)
-		a.r.Post(func() { a.directDone(m, token, sent, resp) })
+	m.directInFlight, m.wantTaskList = true, false
+	token, session, addr, sent := m.token, m.view.Session, m.view.Addr, a.runner.Wall()
+	a.runner.Go(func() {
+		resp := a.sendDirect(addr, wire.Commands{Token: token, Session: session, Commands: cmds}, 1500*time.Millisecond)
+		a.runner.Post(func() { a.handleDirectResponse(m, token, sent, resp) })
 	})
 }
 
-func (a *Agent) directDone(m *machine, token uint64, sent loop.Micros, resp store.Response) {
-	m.direct = false
+// handleDirectResponse handles the response to a direct command.
+func (a *Registry) handleDirectResponse(m *machine, token uint64, sent loop.Micros, resp store.Response) {
+	m.directInFlight = false
 	var r wire.Report
 	sure := resp.Err == nil && (resp.Status == 200 || resp.Status == 409) && wire.Unmarshal(resp.Body, &r) == nil
 	for _, p := range m.pending {
@@ -55,15 +56,15 @@
 		return
 	}
 	if !sure {
-		// It may land minutes later. A higher token shuts it out, once the
-		// worker shows that it has seen it.
-		a.log.Debug("direct command unanswered", "machine", m.view.Name, "err", resp.Err, "status", resp.Status)
+		// The command may still be carried out minutes later, until the worker has seen a higher token and
+		// shows it.
+		a.log.Debug("direct command without a definite answer; the machine gets a higher token and no direct commands until it shows it", "machine", m.view.Name, "err", resp.Err, "status", resp.Status)
 		if m.token == token {
 			m.token++
-			m.tokenAt = a.r.Wall()
+			m.tokenIssuedAt = a.runner.Wall()
 		}
-		a.setState(m, Taking)
-		a.refresh(m)
+		a.setState(m, AwaitingToken)
+		a.updateView(m)
 		return
 	}
 	if r.Machine == m.view.Name && (r.Session > m.view.Session || (r.Session == m.view.Session && r.Seq > m.view.Seq)) {
@@ -71,12 +72,12 @@
 			sent = 0
 		}
 		a.applyReport(m, r, false, sent)
-		a.refresh(m)
+		a.updateView(m)
 	}
-	if m.state == Held {
+	if m.state == TokenShown {
 		for k := range m.pending {
 			if !m.inAnswer(k) {
-				a.flushSoon(m)
+				a.sendCommandsSoon(m)
 				break
 			}
 		}
--- a/internal/agent/forget_test.go
+++ b/internal/agent/forget_test.go
@@ -12,12 +12,12 @@
 	"cleatpick/internal/wire"
 )
 
-// answersDirect lets the worker answer the next direct commands with a report.
-func (g *rig) answersDirect(seq, token uint64, tasks ...wire.ReportTask) {
+// answersDirect makes the worker answer the next direct commands with a report.
+func (g *testRegistry) answersDirect(seq, token uint64, tasks ...wire.ReportTask) {
 	g.resp = store.Response{Status: 200, Body: wire.Marshal(wire.Report{Machine: "n-1", Type: "m", Zone: "z", Session: 1, Seq: seq, Token: token, Tasks: tasks})}
 }
 
-// forgetsOf counts the forgets among commands.
+// forgetsOf counts the forget commands in messages.
 func forgetsOf(messages ...wire.Commands) (n int) {
 	for _, message := range messages {
 		for _, command := range message.Commands {
@@ -29,21 +29,21 @@
 	return n
 }
 
-// The commands of the incident of the second run: a start leaves in the answer to a report and,
-// at the same moment, in a direct command. The direct one arrives, and the task is started and
-// stopped, while the answer waits for a lost packet. An owner asks for the attempt to be forgotten.
-// Until the worker has reported again, the answer can still arrive, and would start the task anew.
-func TestForgetWaitsForTheAnswerUnderWay(t *testing.T) {
-	g := newRig()
-	token := g.beat(t, 1, 0).Token
+// A start is sent in the answer to a report and, at the same time, in a direct command. The direct command
+// arrives first, and the attempt is started and stopped while the answer is delayed by a lost packet. Its owner
+// then requests that the attempt is forgotten. Until the worker has reported again, the answer can still
+// arrive; after a forget it would start the attempt anew.
+func TestForgetWaitsForAnswerInFlight(t *testing.T) {
+	g := newTestRegistry()
+	token := g.report(t, 1, 0).Token
 	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 5, Expiry: g.now + 6*loop.Second, From: "a"})
-	if c := g.beat(t, 2, token); len(c.Commands) != 1 || c.Commands[0].Op != wire.OpStart {
-		t.Fatalf("the answer carries %v, want the start", c.Commands)
+	if c := g.report(t, 2, token); len(c.Commands) != 1 || c.Commands[0].Op != wire.OpStart {
+		t.Fatalf("the answer contains %v, want the start", c.Commands)
 	}
 	g.answersDirect(3, token, wire.ReportTask{Task: "job-1/0", Attempt: 5, State: wire.TaskRunning})
 	g.runWork()
 	if len(g.sent) != 1 || len(g.sent[0].Commands) != 1 {
-		t.Fatalf("%v is sent directly, want the start as well", g.sent)
+		t.Fatalf("sent directly: %v, want the start as well", g.sent)
 	}
 	g.now += 45 * loop.Millisecond
 	g.answersDirect(4, token, wire.ReportTask{Task: "job-1/0", Attempt: 5, State: wire.TaskExited, Why: wire.WhyStopped})
@@ -52,129 +52,129 @@
 	forget := func(after loop.Micros) {
 		g.now += after
 		g.a.Stop(Stop{Machine: "n-1", Task: "job-1/0", Attempt: 5, Forget: true})
-		g.a.Check("n-1")
+		g.a.RequestTaskList("n-1")
 		g.runWork()
 	}
 	forget(130 * loop.Millisecond)
 	if n := forgetsOf(g.sent...); n != 0 {
-		t.Fatalf("%d forgets leave while the answer with the start is under way", n)
+		t.Fatalf("%d forgets are sent while the answer with the start is in flight", n)
 	}
-	// Its time does not make an answer arrive: a process may have stood still before sending it.
+	// Elapsed time does not prove that the answer has arrived: the process may have paused before sending it.
 	forget(60 * loop.Second)
 	if n := forgetsOf(g.sent...); n != 0 {
-		t.Fatalf("%d forgets leave while nothing shows that the answer has arrived", n)
+		t.Fatalf("%d forgets are sent while nothing proves that the answer has arrived", n)
 	}
 	g.now += loop.Second
 	g.a.Stop(Stop{Machine: "n-1", Task: "job-1/0", Attempt: 5, Forget: true})
-	c := g.beat(t, 9, token, wire.ReportTask{Task: "job-1/0", Attempt: 5, State: wire.TaskExited, Why: wire.WhyStopped})
+	c := g.report(t, 9, token, wire.ReportTask{Task: "job-1/0", Attempt: 5, State: wire.TaskExited, Why: wire.WhyStopped})
 	if n := forgetsOf(c); n != 1 {
-		t.Fatalf("%d forgets once the worker has reported again and the start has expired, want one", n)
+		t.Fatalf("%d forgets after the worker has reported again and the start has expired, want one", n)
 	}
 }
 
-// ended is an attempt as a report lists it once it is over.
+// ended is a terminated attempt as a report lists it.
 func ended(number uint64) wire.ReportTask {
 	return wire.ReportTask{Task: "job-1/0", Attempt: number, State: wire.TaskExited, Why: wire.WhyStopped}
 }
 
-// Each thing that can still bring a start of an ended attempt keeps its forget back by itself, both
-// where an owner asks for it and where its job is over; nothing else does.
-func TestWhatKeepsAForgetBack(t *testing.T) {
+// Each way in which a start of a terminated attempt can still arrive blocks its forget by itself, both when an
+// owner requests it and when the job is final; nothing else blocks it.
+func TestWhatBlocksAForget(t *testing.T) {
 	const startLife = 6 * loop.Second
 	long := startLife + delivery.AnswerLife + loop.Second
 	for _, c := range []struct {
 		name string
-		// play brings the machine to the point at which the forget would leave, and returns what leaves.
-		play func(g *rig, token uint64) []wire.Commands
-		want int
+		// messages brings the machine to the point at which the forget would be sent, and returns the messages.
+		messages func(g *testRegistry, token uint64) []wire.Commands
+		want     int
 	}{
-		{"nothing", func(g *rig, token uint64) []wire.Commands {
+		{"nothing", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
-			return []wire.Commands{g.beat(t, 3, token, ended(1))}
+			return []wire.Commands{g.report(t, 3, token, ended(1))}
 		}, 1},
-		{"another host may pass its start on", func(g *rig, token uint64) []wire.Commands {
+		{"another host may pass its start on", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += startLife + delivery.AnswerLife
-			return []wire.Commands{g.beat(t, 3, token, ended(1))}
+			return []wire.Commands{g.report(t, 3, token, ended(1))}
 		}, 0},
-		{"listed in another state before", func(g *rig, token uint64) []wire.Commands {
-			g.beat(t, 3, token, wire.ReportTask{Task: "job-1/0", Attempt: 2, State: wire.TaskRunning})
+		{"listed in another state before", func(g *testRegistry, token uint64) []wire.Commands {
+			g.report(t, 3, token, wire.ReportTask{Task: "job-1/0", Attempt: 2, State: wire.TaskRunning})
 			g.now += long
-			return []wire.Commands{g.beat(t, 4, token, ended(2))}
+			return []wire.Commands{g.report(t, 4, token, ended(2))}
 		}, 1},
-		{"listed beside an earlier attempt", func(g *rig, token uint64) []wire.Commands {
+		{"listed beside an earlier attempt", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
-			return []wire.Commands{g.beat(t, 3, token, ended(1), ended(2))}
+			return []wire.Commands{g.report(t, 3, token, ended(1), ended(2))}
 		}, 1},
-		{"a new session", func(g *rig, token uint64) []wire.Commands {
+		{"a new session", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
 			g.session = 2
-			return []wire.Commands{g.beat(t, 1, token, ended(1))}
+			return []wire.Commands{g.report(t, 1, token, ended(1))}
 		}, 0},
-		{"the worker shows a lower token", func(g *rig, token uint64) []wire.Commands {
+		{"the worker shows a lower token", func(g *testRegistry, token uint64) []wire.Commands {
 			g.resp = store.Response{Err: io.ErrUnexpectedEOF}
-			g.a.Check("n-1")
-			g.runWork() // of unknown outcome: the token is raised
+			g.a.RequestTaskList("n-1")
+			g.runWork() // the outcome is unknown, so the token is raised
 			g.now += long
-			return []wire.Commands{g.beat(t, 3, token, ended(1))}
+			return []wire.Commands{g.report(t, 3, token, ended(1))}
 		}, 0},
-		{"the worker shows the raised token", func(g *rig, token uint64) []wire.Commands {
+		{"the worker shows the raised token", func(g *testRegistry, token uint64) []wire.Commands {
 			g.resp = store.Response{Err: io.ErrUnexpectedEOF}
-			g.a.Check("n-1")
+			g.a.RequestTaskList("n-1")
 			g.runWork()
 			g.now += long
-			return []wire.Commands{g.beat(t, 3, token+1, ended(1))}
+			return []wire.Commands{g.report(t, 3, token+1, ended(1))}
 		}, 1},
-		{"a direct command is under way", func(g *rig, token uint64) (out []wire.Commands) {
+		{"a direct command is in flight", func(g *testRegistry, token uint64) (out []wire.Commands) {
 			g.now += long
 			g.answersDirect(4, token, ended(1))
-			g.underWay = func() { out = append(out, g.beat(t, 3, token, ended(1))) }
-			g.a.Check("n-1")
+			g.duringDirect = func() { out = append(out, g.report(t, 3, token, ended(1))) }
+			g.a.RequestTaskList("n-1")
 			g.sent = nil
 			g.runWork()
-			return out // without what the direct command itself carries
+			return out // without the commands of the direct command itself
 		}, 0},
-		{"a copy of an earlier report", func(g *rig, token uint64) []wire.Commands {
+		{"a duplicate of an earlier report", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
-			g.m().answered[delivery.Attempt{Task: "job-1/0", Number: 1}] = struct{}{}
-			return []wire.Commands{g.beat(t, 2, token, ended(1))}
+			g.hostedMachine().startsInAnswer[delivery.Attempt{Task: "job-1/0", Number: 1}] = struct{}{}
+			return []wire.Commands{g.report(t, 2, token, ended(1))}
 		}, 0},
-		{"its start is in an answer, and a direct answer has overtaken the next report", func(g *rig, token uint64) []wire.Commands {
+		{"its start is in an answer, and a direct answer has overtaken the next report", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
-			g.m().answered[delivery.Attempt{Task: "job-1/0", Number: 1}] = struct{}{}
+			g.hostedMachine().startsInAnswer[delivery.Attempt{Task: "job-1/0", Number: 1}] = struct{}{}
 			g.answersDirect(5, token, ended(1))
-			g.a.Check("n-1")
+			g.a.RequestTaskList("n-1")
 			g.runWork()
 			before := len(g.sent)
-			late := g.beat(t, 4, token, ended(1)) // shows that the answer arrived
+			late := g.report(t, 4, token, ended(1)) // proves that the answer arrived
 			return append(g.sent[:before:before], late)
 		}, -1},
-		{"its start is pending", func(g *rig, token uint64) []wire.Commands {
+		{"its start is pending", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
-			g.m().pending[delivery.Attempt{Task: "job-1/0", Number: 1}] = &pending{untilToken: token}
-			return []wire.Commands{{Commands: g.a.commands(g.m(), wayAnswer)}}
+			g.hostedMachine().pending[delivery.Attempt{Task: "job-1/0", Number: 1}] = &pendingStart{untilToken: token}
+			return []wire.Commands{{Commands: g.a.commands(g.hostedMachine(), pathAnswer)}}
 		}, 0},
 	} {
 		for _, over := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s/job over %v", c.name, over), func(t *testing.T) {
-				g := newRig()
-				token := g.beat(t, 1, 0).Token
-				g.beat(t, 2, token, ended(1))
+			t.Run(fmt.Sprintf("%s/job final %v", c.name, over), func(t *testing.T) {
+				g := newTestRegistry()
+				token := g.report(t, 1, 0).Token
+				g.report(t, 2, token, ended(1))
 				if over {
-					g.a.job("job-1/0").Phase = job.Cancelled
+					g.a.jobOf("job-1/0").Phase = job.Cancelled
 				} else {
 					for number := range uint64(3) {
-						g.m().stops[delivery.Attempt{Task: "job-1/0", Number: number}] = request{Stop{Forget: true}, g.now + 100*loop.Second}
+						g.hostedMachine().stops[delivery.Attempt{Task: "job-1/0", Number: number}] = stopRequest{Stop{Forget: true}, g.now + 100*loop.Second}
 					}
 				}
 				want := c.want
-				if want < 0 { // only the answer to the late report may carry it, and that only what is over
+				if want < 0 { // only the answer to the late report may contain a forget, and only if the job is final
 					want = 0
 					if over {
 						want = 1
 					}
 				}
-				if n := forgetsOf(c.play(g, token)...); n != want {
-					t.Errorf("%d forgets leave, want %d", n, want)
+				if n := forgetsOf(c.messages(g, token)...); n != want {
+					t.Errorf("%d forgets are sent, want %d", n, want)
 				}
 			})
 		}
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -5,42 +5,42 @@
 	"cleatpick/internal/wire"
 )
 
-// Answer is the response to a report.
+// Answer is the HTTP response to a report.
 type Answer struct {
 	Status int
 	Body   any
 }
 
-// Report takes in a report that came to this node; reply is called once, on the loop.
-func (a *Agent) Report(r wire.Report, reply func(Answer)) {
-	if ok, coach := a.h.MayAnswer(); !ok {
-		reply(Answer{421, wire.ReportTo{Node: coach}})
+// Report handles a report that arrived at this controller. reply is called once, on the event loop.
+func (a *Registry) Report(r wire.Report, reply func(Answer)) {
+	if ok, controller := a.config.MayAnswer(); !ok {
+		reply(Answer{421, wire.ReportTo{Node: controller}})
 		return
 	}
-	was := a.sentOn[r.Machine]
-	if on, to, again := a.h.SendOn(r.Machine, was.times); on && a.r.Now()-was.at > again {
-		a.sentOn[r.Machine] = sending{a.r.Now(), was.times + 1}
+	was := a.redirects[r.Machine]
+	if on, to, again := a.config.Redirect(r.Machine, was.times); on && a.runner.Now()-was.at > again {
+		a.redirects[r.Machine] = redirect{a.runner.Now(), was.times + 1}
 		reply(Answer{421, wire.ReportTo{Node: to}})
 		return
 	}
-	if a.gone[r.Machine] {
+	if a.deleted[r.Machine] {
 		reply(Answer{503, wire.Error{Error: "machine is deleted"}})
 		return
 	}
 	m := a.hosted[r.Machine]
 	if known := a.views[r.Machine]; known != nil && !(r.Session > known.Session || (r.Session == known.Session && r.Seq > known.Seq)) {
-		// Its task list is as old as itself. Where the answer of a direct command
-		// overtook it, the worker waits for this answer and stays; a report that
-		// was held back on its way was given up by its worker long ago.
+		// The report's task list is outdated. If the answer to a direct command overtook the report, the worker
+		// waits for this answer and stays with this host. A report that was delayed on its way has been given
+		// up by its worker long ago.
 		if m == nil || m.token == 0 || r.Session != m.view.Session {
 			reply(Answer{503, wire.Error{Error: "late report"}})
 			return
 		}
-		//
-		// It renews the lease like any other, so it ends what is over like any other.
-		m.reported(r.Session, r.Seq)
-		commands := a.ends(m, []wire.Command{})
-		a.logCommands(m, wayLateAnswer, commands)
+		// The answer renews the worker's lease like any other, so it must stop the tasks of final jobs like any
+		// other.
+		m.recordReport(r.Session, r.Seq)
+		commands := a.finalJobCommands(m, []wire.Command{})
+		a.logCommands(m, pathLateAnswer, commands)
 		reply(Answer{200, wire.Commands{Token: m.token, Commands: commands}})
 		return
 	}
@@ -49,17 +49,16 @@
 		m.view.Name = r.Machine
 		a.hosted[r.Machine] = m
 	}
-	epoch := a.h.Epoch()
+	epoch := a.config.Epoch()
 	if r.Token > m.token || m.token == 0 {
 		if EpochOf(r.Token) < epoch {
-			m.token, m.tokenAt = epoch<<counterBits, a.r.Wall()
+			m.token, m.tokenIssuedAt = epoch<<counterBits, a.runner.Wall()
 		} else {
-			// The worker follows a higher token than any of ours: only a
-			// newer epoch gives commands to it again.
-			a.setState(m, Raising)
+			// The worker obeys a token above all of ours. Only a token of a newer epoch is obeyed again.
+			a.setState(m, RaisingEpoch)
 			before := epoch
-			a.h.Raise(func() {
-				if a.h.Epoch() <= before {
+			a.config.RaiseEpoch(func() {
+				if a.config.Epoch() <= before {
 					reply(Answer{503, wire.Error{Error: "no epoch"}})
 					return
 				}
@@ -68,39 +67,39 @@
 			return
 		}
 	}
-	a.applyReport(m, r, true, m.tokenAt)
-	commands := a.commands(m, wayAnswer)
+	a.applyReport(m, r, true, m.tokenIssuedAt)
+	commands := a.commands(m, pathAnswer)
 	reply(Answer{200, wire.Commands{Token: m.token, Commands: commands}})
-	a.refresh(m)
+	a.updateView(m)
 }
 
-// sending is when a worker was last sent on, and how often it was.
-type sending struct {
+// redirect records when a worker was last sent to another controller, and how often it was.
+type redirect struct {
 	at    loop.Micros
 	times int
 }
 
-// applyReport brings the machine's view up to a report or to the body of a direct command's answer.
+// applyReport updates the machine's view from a report, or from the body of the answer to a direct command.
 //
-// A report may have been held back for minutes, and looks new to a node that heard
-// nothing meanwhile. It was certainly made after the token that it shows was given
-// out, and the body of a direct answer after its command was sent: that is madeAfter.
-func (a *Agent) applyReport(m *machine, r wire.Report, reported bool, madeAfter loop.Micros) {
-	wall := a.r.Wall()
+// A report may have been delayed for minutes, and looks new to a controller that received nothing meanwhile. It
+// was certainly made after the token that it shows was issued, and the body of a direct answer after its
+// command was sent; that time is madeAfter.
+func (a *Registry) applyReport(m *machine, r wire.Report, reported bool, madeAfter loop.Micros) {
+	wall := a.runner.Wall()
 	v := &m.view
 	if v.Session != 0 && r.Session > v.Session {
-		// The worker's lease ran out: all its tasks are killed and forgotten,
-		// and commands of the session before are refused.
-		a.log.Info("machine began a new session", "machine", r.Machine, "session", r.Session)
+		// The worker's lease expired: all its tasks were killed and forgotten, and commands of the previous
+		// session are rejected.
+		a.log.Info("worker began a new session; its earlier tasks were killed and pending starts are dropped", "machine", r.Machine, "session", r.Session)
 		clear(m.pending)
 	}
 	if reported {
-		m.reported(r.Session, r.Seq)
+		m.recordReport(r.Session, r.Seq)
 	}
 	if r.Token == m.token {
-		a.setState(m, Held)
+		a.setState(m, TokenShown)
 	} else {
-		a.setState(m, Taking)
+		a.setState(m, AwaitingToken)
 	}
 	before := *v
 	v.Tasks = make([]Task, 0, len(r.Tasks))
@@ -108,19 +107,19 @@
 		v.Tasks = append(v.Tasks, Task{t.Task, t.Attempt, t.State, t.Why, t.Saved})
 	}
 	v.Session = r.Session
-	c := v.Since(&before)
-	v.inherit(&before, &c)
-	v.listed = v.listedSince(&before, &c, wall)
-	if !c.Still || (v.NoticeAt == 0) != (r.NoticeS == nil) {
+	c := v.ChangesSince(&before)
+	v.shareWith(&before, &c)
+	v.firstListed = v.firstListedTimes(&before, &c, wall)
+	if !c.Unchanged || (v.NoticeAt == 0) != (r.NoticeS == nil) {
 		m.dirty = true
 	}
-	v.Name, v.Addr, v.Type, v.Zone, v.Spot, v.Host, v.Life = r.Machine, r.Addr, r.Type, r.Zone, r.Spot, a.h.Label, a.h.Life
+	v.Name, v.Addr, v.Type, v.Zone, v.Spot, v.Host, v.Incarnation = r.Machine, r.Addr, r.Type, r.Zone, r.Spot, a.config.Label, a.config.Incarnation
 	v.Seq = r.Seq
 	if reported {
-		v.Reported = wall
+		v.ReportedAt = wall
 	}
 	if r.Token == m.token {
-		v.At = max(v.At, madeAfter)
+		v.MadeAfter = max(v.MadeAfter, madeAfter)
 	}
 	v.NoticeAt = 0
 	if r.NoticeS != nil {
@@ -129,47 +128,47 @@
 	for k, p := range m.pending {
 		switch {
 		case v.Find(k.Task, k.Number) != nil:
-			// Seen. Its direct command, or the answer with it, may still be under way: that repeat has no
-			// effect while the worker knows the attempt, and mayForget sees to it that it does.
+			// The worker has the start. A copy of it, in a direct command or in an answer, may still be in
+			// flight. It has no effect while the worker knows the attempt, and mayForget ensures that it does.
 			delete(m.pending, k)
 		case p.untilToken != 0 && r.Token >= p.untilToken:
-			p.untilToken = 0 // what was sent under the old token can no longer land
+			p.untilToken = 0 // a command under the old token can no longer be carried out
 		}
 	}
-	a.expire(m, wall)
+	a.expireStarts(m, wall)
 }
 
-// refresh renews what others see of the machine.
-func (a *Agent) refresh(m *machine) {
-	now := a.r.Now()
+// updateView updates the machine's newest view, and publishes it if peers must learn of the change.
+func (a *Registry) updateView(m *machine) {
+	now := a.runner.Now()
 	v := &m.view
 	old := a.views[v.Name]
-	closed := a.r.Wall() < m.closeTo
+	closed := a.runner.Wall() < m.closedUntil
 	a.listPending(m)
-	if closed != v.Closed || (old != nil && len(v.Pending) != len(old.Pending)) {
+	if closed != v.ClosedToStarts || (old != nil && len(v.Pending) != len(old.Pending)) {
 		m.dirty = true
 	}
-	if old == nil || old.Settled != v.Settled || old.Host != v.Host {
+	if old == nil || old.TokenConfirmed != v.TokenConfirmed || old.Host != v.Host {
 		m.dirty = true
 	}
-	v.Closed = closed
+	v.ClosedToStarts = closed
 	v.Rev++
 	c := *v
 	c.resolved = false
-	if m.dirty || now-m.sent > 2*loop.Second {
+	if m.dirty || now-m.publishedAt > 2*loop.Second {
 		m.dirty = false
 		a.publishSoon(m)
 	}
-	a.renew(&c)
+	a.setView(&c)
 }
 
-// renew makes v the newest view of its machine.
-func (a *Agent) renew(v *View) {
+// setView makes v the newest view of its machine.
+func (a *Registry) setView(v *View) {
 	old := a.views[v.Name]
-	c := v.Since(old)
+	c := v.ChangesSince(old)
 	if v.jobs == nil {
-		v.inherit(old, &c)
+		v.shareWith(old, &c)
 	}
 	a.views[v.Name] = v
-	a.h.Changed(v, &c)
+	a.config.ViewChanged(v, &c)
 }
--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -6,132 +6,136 @@
 	"cleatpick/internal/loop"
 )
 
-// Reserve keeps room for a start while its attempt is being recorded, and refuses at
-// once what does not fit any more: with many owners after the same room, every vain
-// choice would otherwise cost a record. What counts is the start itself.
-func (a *Agent) Reserve(s Start) {
+// Reserve reserves capacity for a start while its owner records the attempt, and rejects at once what does not
+// fit. When many owners compete for the same capacity, every choice in vain would otherwise cost a record in
+// the state service. Whether the start is accepted is decided by
+// Start alone.
+func (a *Registry) Reserve(s Start) {
 	m := a.hosted[s.Machine]
 	if m == nil {
 		return
 	}
-	j := a.job(s.Task)
+	j := a.jobOf(s.Task)
 	if j == nil {
-		return // its record is on its way here; the start will tell
+		return // the job's record has not arrived here yet; Start decides
 	}
-	if why := a.refusal(m, s, j); why != "" {
-		a.h.Drop(s.From, Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, Reserve: true, Life: a.h.Life})
+	if why := a.rejectionReason(m, s, j); why != "" {
+		a.config.SendRejection(s.From, Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, OnlyReservation: true, Incarnation: a.config.Incarnation})
 		return
 	}
-	m.reserved[delivery.Attempt{Task: s.Task, Number: s.Attempt}] = a.r.Now() + 700*loop.Millisecond
+	m.reservations[delivery.Attempt{Task: s.Task, Number: s.Attempt}] = a.runner.Now() + 700*loop.Millisecond
 	a.listPending(m)
-	a.refreshSoon(m)
+	a.updateViewSoon(m)
 }
 
-// refusal tells why a start cannot be taken on now; it is empty if it can.
-func (a *Agent) refusal(m *machine, s Start, j *job.Job) string {
-	typ, known := a.h.Type(m.view.Type)
+// rejectionReason returns why a start cannot be accepted now; it is empty if it can.
+func (a *Registry) rejectionReason(m *machine, s Start, j *job.Job) string {
+	typ, known := a.config.MachineType(m.view.Type)
 	switch {
 	case s.Session != m.view.Session:
 		return "another session"
-	case a.r.Wall() < m.closeTo:
+	case a.runner.Wall() < m.closedUntil:
 		return "closed"
 	case m.view.NoticeAt != 0:
 		return "notice"
 	case j == nil || j.Final() || !known:
 		return "unknown"
-	case !a.h.MayStart():
+	case !a.config.MayStart():
 		return "no state contact"
 	}
-	if why := a.barred(j, &m.view); why != "" {
+	if why := a.startBlocked(j, &m.view); why != "" {
 		return why
 	}
-	m.view.resolved = false // it is not a published view, and changes
-	if room, ok := a.Room(&m.view, typ); !ok || !room.Fits(j.Spec) {
+	m.view.resolved = false // this is not a published view and changes, so its capacity is computed anew
+	if room, ok := a.FreeCapacity(&m.view, typ); !ok || !room.Fits(j.Spec) {
 		return "full"
 	}
 	return ""
 }
 
-func (a *Agent) barred(j *job.Job, v *View) string {
-	if a.h.Barred == nil {
+// startBlocked returns why no start of the job may reach the machine, empty if one may.
+func (a *Registry) startBlocked(j *job.Job, v *View) string {
+	if a.config.StartBlocked == nil {
 		return ""
 	}
-	return a.h.Barred(j, v)
+	return a.config.StartBlocked(j, v)
 }
 
-// refreshSoon renews what others see of the machine once for several causes that come
-// together: the starts of a large job reach a machine one after another.
-func (a *Agent) refreshSoon(m *machine) {
-	if m.refreshing {
+// updateViewSoon schedules updateView, once for several changes that come together: the starts of a large job reach a
+// machine one after another.
+func (a *Registry) updateViewSoon(m *machine) {
+	if m.refreshScheduled {
 		return
 	}
-	m.refreshing = true
-	a.r.After(3*loop.Millisecond, func() {
-		m.refreshing = false
+	m.refreshScheduled = true
+	a.runner.After(3*loop.Millisecond, func() {
+		m.refreshScheduled = false
 		if a.hosted[m.view.Name] == m {
-			a.refresh(m)
+			a.updateView(m)
 		}
 	})
 }
 
-// Start takes on an owner's start, or drops it and says so.
-func (a *Agent) Start(s Start) {
+// Start accepts an owner's start, or rejects it and tells the owner.
+func (a *Registry) Start(s Start) {
 	m := a.hosted[s.Machine]
 	k := delivery.Attempt{Task: s.Task, Number: s.Attempt}
-	wall := a.r.Wall()
+	wall := a.runner.Wall()
 	drop := func(why string) {
 		if m != nil {
-			m.refused[k] = s.Expiry + a.h.ClockTo
+			m.rejected[k] = s.Expiry + a.config.ClockUncertainty
 		}
-		a.h.Drop(s.From, Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, Life: a.h.Life})
-	}
-	if m == nil || s.Life != 0 && s.Life != a.h.Life {
-		// The owner hears of the new host, or of its new life, and sends it there until the
-		// start expires. What an earlier life has passed on is not known here: to refuse it
-		// now was once taken for proof that it never would land. Owners before 0.6.0 name none.
+		a.config.SendRejection(s.From, Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, Incarnation: a.config.Incarnation})
+	}
+	if m == nil || s.Incarnation != 0 && s.Incarnation != a.config.Incarnation {
+		// The machine reports elsewhere, or the start is meant for an earlier incarnation of this process. The start
+		// is ignored: the owner learns of the new host or incarnation and sends it there until the start expires.
+		// It must not be rejected, because the earlier incarnation may have passed it on, and the owner takes a
+		// rejection as proof that the start will never be carried out. Owners before version 0.6.0 name no
+		// incarnation.
 		return
 	}
 	if m.view.Find(s.Task, s.Attempt) != nil || m.pending[k] != nil {
 		return
 	}
-	if _, was := m.refused[k]; was {
+	if _, was := m.rejected[k]; was {
 		drop("dropped before")
 		return
 	}
-	j := a.job(s.Task)
+	j := a.jobOf(s.Task)
 	if j == nil && wall < s.Expiry {
-		// Its record is on its way here: the owner saw the job a moment earlier.
-		a.r.After(40*loop.Millisecond, func() { a.Start(s) })
+		// The job's record has not arrived here yet; the owner has only just seen the job.
+		a.runner.After(40*loop.Millisecond, func() { a.Start(s) })
 		return
 	}
-	if _, ok := m.reserved[k]; ok {
-		delete(m.reserved, k)
+	if _, ok := m.reservations[k]; ok {
+		delete(m.reservations, k)
 		a.listPending(m)
 	}
-	why := a.refusal(m, s, j)
+	why := a.rejectionReason(m, s, j)
 	switch {
 	case wall >= s.Expiry:
 		drop("too old")
 	case why != "":
 		drop(why)
 	default:
-		m.pending[k] = &pending{start: s}
+		m.pending[k] = &pendingStart{start: s}
 		m.dirty = true
-		a.listPending(m) // the next start must find this room taken
-		a.refreshSoon(m)
-		a.flushSoon(m)
+		a.listPending(m) // the next start must find this capacity taken
+		a.updateViewSoon(m)
+		a.sendCommandsSoon(m)
 	}
 }
 
-// Stop takes on a stop or a forget of a task on a hosted machine.
-func (a *Agent) Stop(s Stop) {
+// Stop accepts a request to stop or forget a task on a hosted machine.
+func (a *Registry) Stop(s Stop) {
 	m := a.hosted[s.Machine]
 	if m == nil {
 		return
 	}
 	k := delivery.Attempt{Task: s.Task, Number: s.Attempt}
-	m.stops[k] = request{s, a.r.Now() + 5*loop.Second}
+	m.stops[k] = stopRequest{s, a.runner.Now() + 5*loop.Second}
 	if !s.Forget {
-		a.flushSoon(m)
+		a.sendCommandsSoon(m)
 	}
 }
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -59,7 +59,7 @@
 	t := &job.Terms{Dependencies: p.After, OnCancelled: policies[p.OnWithdrawn]}
 	if p.Hold || p.HoldUntil != nil {
 		// Nothing of a job that is not stored yet can have begun.
-		t.Hold = job.Hold{State: job.HoldEffective, Reason: p.HoldReason, By: by, At: wall}
+		t.Hold = job.Hold{State: job.HoldEffective, Reason: p.HoldReason, By: by, RequestedAt: wall}
 		if p.HoldUntil != nil {
 			t.Hold.Until = int64(*p.HoldUntil)
 		}
@@ -198,8 +198,8 @@
 		causes := a.n.Desk.Timelines.Causes(j.ID)
 		out.WaitingFor = explain.CauseCounts(causes)
 	}
-	if j.At != 0 {
-		at := explain.Time(j.At)
+	if j.AcceptedAt != 0 {
+		at := explain.Time(j.AcceptedAt)
 		out.SubmittedAt = &at
 	}
 	s := j.Spec
@@ -209,14 +209,14 @@
 	out.Class, out.Team, out.Priority = s.Class, s.Team, explain.PriorityName(s.Priority)
 	out.CPUs, out.MemoryGB, out.Image = s.CPUs, s.MemoryGB, s.Image
 	if s.Deadline > 0 {
-		at := explain.Time(j.At + s.Deadline)
+		at := explain.Time(j.AcceptedAt + s.Deadline)
 		out.DeadlineAt = &at
 	}
 	if j.Final() {
 		return out
 	}
 	if h := j.Terms.Hold; h.Blocks(a.r.Wall()) {
-		d := explain.HoldDetail{Reason: h.Reason, By: h.By, At: explain.Time(h.At)}
+		d := explain.HoldDetail{Reason: h.Reason, By: h.By, At: explain.Time(h.RequestedAt)}
 		if h.Until != 0 {
 			until := explain.Time(h.Until)
 			d.Until = &until
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -28,7 +28,7 @@
 	Type  func(string) (wire.MachineType, bool)
 	// Room returns the capacity that a machine's view leaves free, Jobs the jobs of the tasks in it, by
 	// index; both are false or nil for what is not known here yet.
-	Room func(*agent.View, wire.MachineType) (agent.Room, bool)
+	Room func(*agent.View, wire.MachineType) (agent.Capacity, bool)
 	Jobs func(*agent.View) []*job.Job
 	// Unshown calls f for every task that was chosen for the machine or started on it and that its view does
 	// not include yet.
@@ -153,7 +153,7 @@
 
 // Allocate subtracts a task that is placed here now from the machine's free capacity.
 func (m *Machine) Allocate(s *job.Spec) {
-	m.Free.Take(s)
+	m.Free.Subtract(s)
 	m.usedCPUs += s.CPUs
 }
 
@@ -197,7 +197,7 @@
 func (f *Fleet) refresh(m *Machine) {
 	v := m.View
 	typ, ok := f.node.Type(v.Type)
-	var free agent.Room
+	var free agent.Capacity
 	if ok {
 		free, ok = f.node.Room(v, typ)
 	}
@@ -206,7 +206,7 @@
 		f.MarkStale(m) // retried until its type and the jobs of its tasks are known here
 		return
 	}
-	f.node.Unshown(v, free.Take)
+	f.node.Unshown(v, free.Subtract)
 	m.typ, m.Free, m.usedCPUs = typ, free, typ.CPUs-free.CPUs
 	m.Jobs = f.node.Jobs(v)
 	m.lowestPriority = job.Production
@@ -348,7 +348,7 @@
 	got := 0
 	for _, m := range machines {
 		for got < n && m.Fits(&need) {
-			m.Free.Take(need.Spec)
+			m.Free.Subtract(need.Spec)
 			need.Zones[m.View.Zone]++
 			got++
 		}
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -47,7 +47,7 @@
 			continue
 		}
 		f.preemptedCPUs.add(v.spec)
-		free.Give(v.spec)
+		free.Add(v.spec)
 		o.cost += v.loss
 		o.victims = append(o.victims, *v)
 	}
@@ -166,12 +166,12 @@
 		for _, y := range o.victims {
 			wait = max(wait, y.grace)
 			rights.Excess[y.spec.Team] -= y.spec.CPUs
-			o.m.Free.Give(y.spec)
+			o.m.Free.Add(y.spec)
 			o.m.preempted = append(o.m.preempted, pendingPreemption{delivery.Attempt{Task: y.task.Task, Number: y.task.Attempt}, now + y.grace + 5*loop.Second})
 			f.log.Debug("preempting task to make capacity for another job", "task", y.task.Task, "machine", o.m.View.Name, "for", need.ID, "grace_us", y.grace)
 			f.node.Stop(o.m.View.Host, agent.Stop{Machine: o.m.View.Name, Task: y.task.Task, Attempt: y.task.Attempt, Grace: y.grace})
 		}
-		o.m.Free.Take(s)
+		o.m.Free.Subtract(s)
 		f.MarkStale(o.m)
 		c := peer.Claim{Machine: o.m.View.Name, Job: need.ID, Priority: int(reservationPriority), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB,
 			Until: f.runner.Wall() + wait + life}
--- a/internal/fleet/reservations.go
+++ b/internal/fleet/reservations.go
@@ -25,7 +25,7 @@
 		return
 	}
 	m.Reservations = append(m.Reservations, gate.Reservation{Job: c.Job, Priority: c.Priority, Until: c.Until, KnownTasks: m.taskCount(c.Job),
-		Capacity: agent.Room{CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB}})
+		Capacity: agent.Capacity{CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB}})
 	f.reserved[m] = struct{}{}
 	f.reservationCounts[c.Job]++
 }
--- a/internal/fleet/reserve.go
+++ b/internal/fleet/reserve.go
@@ -30,16 +30,16 @@
 	after := now - f.node.StaleAfter
 	type place struct {
 		m    *Machine
-		left agent.Room // of the empty machine, less its reservations
-		own  int        // number of the team's tasks there
+		left agent.Capacity // of the empty machine, less its reservations
+		own  int            // number of the team's tasks there
 	}
 	var fit []place
 	s := need.Spec
 	for _, m := range f.order {
 		if m.typ.CPUs > 0 && m.AcceptsStarts(after, now) && m.Allowed(&n) {
-			left := agent.Room{CPUs: m.typ.CPUs, GPUs: m.typ.GPUs, MemoryGB: m.typ.MemoryGB}
+			left := agent.Capacity{CPUs: m.typ.CPUs, GPUs: m.typ.GPUs, MemoryGB: m.typ.MemoryGB}
 			for i := range m.Reservations {
-				left = left.Less(m.Reservations[i].Capacity)
+				left = left.Minus(m.Reservations[i].Capacity)
 			}
 			if left.Fits(s) {
 				fit = append(fit, place{m, left, m.teamTaskCount(s.Team)})
@@ -66,7 +66,7 @@
 	for _, x := range fit {
 		m, free := x.m, x.left
 		for len(reservations) < want && free.Fits(s) && m.Allowed(&n) {
-			free.Take(s)
+			free.Subtract(s)
 			n.Zones[m.View.Zone]++
 			c := peer.Claim{Machine: m.View.Name, Job: need.ID, Priority: int(job.Production), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Until: f.runner.Wall() + life}
 			reservations = append(reservations, c)
--- a/internal/fleet/reserve_test.go
+++ b/internal/fleet/reserve_test.go
@@ -26,7 +26,7 @@
 		Type: func(string) (wire.MachineType, bool) {
 			return wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32}, true
 		},
-		Room: func(*agent.View, wire.MachineType) (agent.Room, bool) { return agent.Room{MemoryGB: 32}, true },
+		Room: func(*agent.View, wire.MachineType) (agent.Capacity, bool) { return agent.Capacity{MemoryGB: 32}, true },
 		Jobs: func(v *agent.View) (of []*job.Job) {
 			for _, x := range v.Tasks {
 				id, _, _ := agent.SplitTask(x.Task)
@@ -39,7 +39,7 @@
 	for i, team := range teams {
 		id := fmt.Sprintf("job-%06d", 100+i)
 		jobs[id] = &job.Job{ID: id, Spec: &job.Spec{Team: team, CPUs: 8}}
-		f.UpdateView(&agent.View{Name: fmt.Sprint("n-", i), Type: "m8", Zone: "x", Settled: true, Tasks: []agent.Task{{Task: agent.TaskName(id, 0), State: wire.TaskRunning}}}, clock.Now(), false)
+		f.UpdateView(&agent.View{Name: fmt.Sprint("n-", i), Type: "m8", Zone: "x", TokenConfirmed: true, Tasks: []agent.Task{{Task: agent.TaskName(id, 0), State: wire.TaskRunning}}}, clock.Now(), false)
 	}
 	f.Refresh()
 	return f
--- a/internal/gate/job.go
+++ b/internal/gate/job.go
@@ -103,7 +103,7 @@
 	Waiting     int
 	InUse       int // tasks that may be on machines
 	Failing     FailureState
-	TeamUsage   agent.Room // memory has no limit
+	TeamUsage   agent.Capacity // memory has no limit
 	Quota       config.Quota
 	Now, Wall   loop.Micros
 	ClockMargin loop.Micros // twice the bound on the error of the wall clock
--- a/internal/gate/machine.go
+++ b/internal/gate/machine.go
@@ -61,8 +61,8 @@
 // MachineFacts holds the facts about a machine that the machine predicates evaluate.
 type MachineFacts struct {
 	View          *agent.View
-	Known         bool       // its type and the jobs of its tasks are known here
-	Free          agent.Room // free capacity, reservations not subtracted
+	Known         bool           // its type and the jobs of its tasks are known here
+	Free          agent.Capacity // free capacity, reservations not subtracted
 	LastReport    loop.Micros
 	BackOffUntil  loop.Micros // end of its back-off
 	BackOffReason string
@@ -74,7 +74,7 @@
 type Reservation struct {
 	Job        string
 	Priority   int
-	Capacity   agent.Room
+	Capacity   agent.Capacity
 	Until      loop.Micros // wall clock time
 	KnownTasks int         // the job's tasks that the machine reported when the reservation was made, and those that consumed other reservations since
 }
@@ -92,13 +92,13 @@
 		}
 	}
 	add(LackKnown, !p.Known)
-	add(LackRecentReport, p.LastReport < after || !p.View.Settled)
+	add(LackRecentReport, p.LastReport < after || !p.View.TokenConfirmed)
 	add(LackBackOffOver, now < p.BackOffUntil)
 	if l != 0 && !all {
 		return l
 	}
 	add(LackNotice, p.View.NoticeAt != 0)
-	add(LackDraining, p.View.Closed)
+	add(LackDraining, p.View.ClosedToStarts)
 	add(LackCordon, p.Cordoned)
 	return l
 }
@@ -158,7 +158,7 @@
 }
 
 // missingResources returns which resources the capacity lacks for a task.
-func missingResources(room *agent.Room, s *job.Spec) (l Lack) {
+func missingResources(room *agent.Capacity, s *job.Spec) (l Lack) {
 	if room.Fits(s) {
 		return 0
 	}
@@ -166,7 +166,7 @@
 		l    Lack
 		task job.Spec
 	}{{LackCPUs, job.Spec{CPUs: s.CPUs}}, {LackGPUs, job.Spec{GPUs: s.GPUs}}, {LackMemory, job.Spec{MemoryGB: s.MemoryGB}}} {
-		r := agent.Room{CPUs: max(room.CPUs, 0), GPUs: max(room.GPUs, 0), MemoryGB: max(room.MemoryGB, 0)}
+		r := agent.Capacity{CPUs: max(room.CPUs, 0), GPUs: max(room.GPUs, 0), MemoryGB: max(room.MemoryGB, 0)}
 		if !r.Fits(&x.task) {
 			l |= x.l
 		}
@@ -191,11 +191,11 @@
 
 // Unreserved returns the machine's free capacity less what is reserved for other jobs at the job's priority or
 // higher.
-func (p *MachineFacts) Unreserved(n *Need) agent.Room {
+func (p *MachineFacts) Unreserved(n *Need) agent.Capacity {
 	r := p.Free
 	for i := range p.Reservations {
 		if c := &p.Reservations[i]; c.Job != n.ID && c.Priority >= int(n.Spec.Priority) {
-			r = r.Less(c.Capacity)
+			r = r.Minus(c.Capacity)
 		}
 	}
 	return r
--- a/internal/gate/predicate_test.go
+++ b/internal/gate/predicate_test.go
@@ -75,7 +75,7 @@
 		j := &JobFacts{Spec: &job.Spec{CPUs: float64(num("cpus", 1, 4)), GPUs: float64(num("gpus", 0, 1)), Gang: num("gang", 0, 3) == 0},
 			Hold: &job.Hold{}, Damaged: num("damaged", 0, 5) == 0, Waiting: num("waiting", 0, 9), InUse: num("in use", 0, 3),
 			Now: 100, Wall: 200, ClockMargin: loop.Micros(num("clock", 0, 3)),
-			TeamUsage:   agent.Room{CPUs: float64(num("used", 0, 20)), GPUs: float64(num("used gpus", 0, 3))},
+			TeamUsage:   agent.Capacity{CPUs: float64(num("used", 0, 20)), GPUs: float64(num("used gpus", 0, 3))},
 			Quota:       config.Quota{CPUsMax: config.LimitOf(float64(num("max", 0, 24))), GPUsMax: config.LimitOf(float64(num("max gpus", 0, 4)))},
 			OnWithdrawn: []job.Policy{job.PolicyHold, job.PolicyRelease, job.PolicyCancel}[num("policy", 0, 2)]}
 		if yes("rests") {
@@ -139,11 +139,11 @@
 		{"known", func(p *MachineFacts, _ *Need) { p.Known = false }},
 		{"heard", func(p *MachineFacts, _ *Need) { p.LastReport = 49 }},
 		{"", func(p *MachineFacts, _ *Need) { p.LastReport = 50 }},
-		{"heard", func(p *MachineFacts, _ *Need) { p.View.Settled = false }},
+		{"heard", func(p *MachineFacts, _ *Need) { p.View.TokenConfirmed = false }},
 		{"rested", func(p *MachineFacts, _ *Need) { p.BackOffUntil = 101 }},
 		{"", func(p *MachineFacts, _ *Need) { p.BackOffUntil = 100 }},
 		{"notice", func(p *MachineFacts, _ *Need) { p.View.NoticeAt = 1 }},
-		{"draining", func(p *MachineFacts, _ *Need) { p.View.Closed = true }},
+		{"draining", func(p *MachineFacts, _ *Need) { p.View.ClosedToStarts = true }},
 		{"cordon", func(p *MachineFacts, _ *Need) { p.Cordoned = true }},
 		{"cpus", func(p *MachineFacts, _ *Need) { p.Free.CPUs = 1.9 }},
 		{"gpus", func(p *MachineFacts, _ *Need) { p.Free.GPUs = 0 }},
@@ -155,25 +155,25 @@
 		{"scatter", func(p *MachineFacts, n *Need) { n.Spec.Spread, n.Zones = true, map[string]int{"x": 3} }},
 		{"", func(p *MachineFacts, n *Need) { n.Spec.Spread, n.Zones = true, map[string]int{"x": 2} }},
 		{"claimed", func(p *MachineFacts, _ *Need) {
-			p.Reservations = []Reservation{{Job: "other", Priority: 1, Capacity: agent.Room{CPUs: 3}}}
+			p.Reservations = []Reservation{{Job: "other", Priority: 1, Capacity: agent.Capacity{CPUs: 3}}}
 		}},
 		{"", func(p *MachineFacts, _ *Need) {
-			p.Reservations = []Reservation{{Job: "other", Priority: 0, Capacity: agent.Room{CPUs: 3}}}
+			p.Reservations = []Reservation{{Job: "other", Priority: 0, Capacity: agent.Capacity{CPUs: 3}}}
 		}},
 		{"", func(p *MachineFacts, _ *Need) {
-			p.Reservations = []Reservation{{Job: "job-1", Priority: 3, Capacity: agent.Room{CPUs: 3}}}
+			p.Reservations = []Reservation{{Job: "job-1", Priority: 3, Capacity: agent.Capacity{CPUs: 3}}}
 		}},
 	} {
 		s := *spec
 		s.Priority = 1
-		p := &MachineFacts{View: &agent.View{Type: "m", Zone: "x", Spot: true, Settled: true}, Known: true, LastReport: 99, Free: agent.Room{CPUs: 4, GPUs: 1, MemoryGB: 8}}
+		p := &MachineFacts{View: &agent.View{Type: "m", Zone: "x", Spot: true, TokenConfirmed: true}, Known: true, LastReport: 99, Free: agent.Capacity{CPUs: 4, GPUs: 1, MemoryGB: 8}}
 		n := &Need{ID: "job-1", Spec: &s, Tasks: 5}
 		c.set(p, n)
 		names := p.Lacks(n, 50, 100).Names()
 		if (c.name == "") != (len(names) == 0) || (c.name != "" && (len(names) != 1 || names[0] != c.name)) {
 			t.Errorf("machine lacks %v, want only %q", names, c.name)
 		}
-		if takes := p.AcceptsStarts(50, 100) && p.Fits(n) && !p.Cordoned && p.View.NoticeAt == 0 && !p.View.Closed; takes != (c.name == "") {
+		if takes := p.AcceptsStarts(50, 100) && p.Fits(n) && !p.Cordoned && p.View.NoticeAt == 0 && !p.View.ClosedToStarts; takes != (c.name == "") {
 			t.Errorf("machine that lacks %q: accepted %v", c.name, takes)
 		}
 	}
--- a/internal/health/runs.go
+++ b/internal/health/runs.go
@@ -58,7 +58,7 @@
 	if late {
 		r.judged = now
 	}
-	same := c.Still && len(r.runs) == len(v.Tasks)
+	same := c.Unchanged && len(r.runs) == len(v.Tasks)
 	if same && !late {
 		return out
 	}
@@ -68,8 +68,8 @@
 	}
 	for i := range v.Tasks {
 		x, j := &v.Tasks[i], jobs[i]
-		if c.Kept(i) && c.Was(i) < len(r.runs) {
-			runs[i] = r.runs[c.Was(i)]
+		if c.Kept(i) && c.OldIndexOf(i) < len(r.runs) {
+			runs[i] = r.runs[c.OldIndexOf(i)]
 			out.Slow = late && r.overdue(&runs[i], j, paces, now) || out.Slow
 			continue
 		}
@@ -100,7 +100,7 @@
 
 // was is what was known of a task that now stands otherwise.
 func (r *Runs) was(x *agent.Task, c *agent.Changes, old []agent.Task) run {
-	for _, g := range c.Gone {
+	for _, g := range c.Removed {
 		if g < len(r.runs) && old[g].Attempt == x.Attempt && old[g].Task == x.Task {
 			return r.runs[g]
 		}
--- a/internal/health/runs_test.go
+++ b/internal/health/runs_test.go
@@ -145,7 +145,7 @@
 				}
 			}
 			unsure := rapid.IntRange(0, 15).Draw(t, "unsure") == 0
-			c := v.Since(old)
+			c := v.ChangesSince(old)
 			got := r.Follow(&v, &c, old.Tasks, jobs, paces, now, unsure)
 			freed, slow := p.view(&v, jobs, now, unsure)
 			if r.tempo.n != p.count || math.Abs(r.tempo.mean-p.mean) > 1e-9 {
@@ -203,7 +203,7 @@
 			gone[i] = i
 		}
 		from := slices.Repeat([]int{-1}, tasks)
-		told := r.Follow(ended, &agent.Changes{From: from, Gone: gone}, running.Tasks, jobs, paces, at+40*loop.Second, unsure)
+		told := r.Follow(ended, &agent.Changes{OldIndex: from, Removed: gone}, running.Tasks, jobs, paces, at+40*loop.Second, unsure)
 		if told.Freed != tasks || told.Slow == unsure {
 			t.Errorf("unsure %v: %+v", unsure, told)
 		}
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -10,112 +10,118 @@
 	"cleatpick/internal/loop"
 )
 
-// hand is a steady clock moved by hand, with a zero of its own.
-type hand struct{ true, zero loop.Micros }
+// manualClock is a monotonic clock set by the test, with a zero of its own.
+type manualClock struct{ true, zero loop.Micros }
 
-func (h *hand) Now() loop.Micros  { return h.true - h.zero }
-func (h *hand) Wall() loop.Micros { return h.true }
+func (h *manualClock) Now() loop.Micros  { return h.true - h.zero }
+func (h *manualClock) Wall() loop.Micros { return h.true }
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 const grace = 18 * loop.Second
 
-// sim is a deployment as plainly as it can be told: what the state service holds, what each
-// node knows, and what users were told when.
-type sim struct {
-	now    loop.Micros
-	rng    *rand.Rand
-	stored []string // by version, which begins at 1
-	nodes  []*simNode
-	told   map[string]loop.Micros
-	flying []flight
+// simulation is a simulated deployment: what the state service holds, what each controller knows, and what users were
+// told when. The network loses, delays and duplicates messages.
+type simulation struct {
+	now         loop.Micros
+	rng         *rand.Rand
+	stored      []string // cancelled jobs; the revision of the first is 1
+	nodes       []*simController
+	confirmedAt map[string]loop.Micros // time at which the first user was told of each cancellation
+	inFlight    []message
 }
 
-type simNode struct {
-	label string
-	clock *hand
-	j     *Judge
-	life  loop.Micros
-	known map[string]uint64
-	upTo  int // the version up to which its mirror has all
-	cut   bool
+// simController is a simulated controller.
+type simController struct {
+	label        string
+	clock        *manualClock
+	tracker      *Tracker
+	incarnation  loop.Micros
+	known        map[string]uint64
+	revision     int  // the revision up to which its mirror has every change
+	disconnected bool // disconnected from the state service
 }
 
-type flight struct {
-	at       loop.Micros
-	from, to int
-	life     loop.Micros
-	w        *Word
+// message is a message in flight.
+type message struct {
+	at          loop.Micros
+	from, to    int
+	incarnation loop.Micros
+	w           *Message
 }
 
-func newSim(seed uint64, n int) *sim {
-	s := &sim{now: 1000 * loop.Second, rng: rand.New(rand.NewPCG(seed, 3)), told: map[string]loop.Micros{}}
+// newSim makes a deployment of n controllers.
+func newSim(seed uint64, n int) *simulation {
+	s := &simulation{now: 1000 * loop.Second, rng: rand.New(rand.NewPCG(seed, 3)), confirmedAt: map[string]loop.Micros{}}
 	for i := range n {
-		s.nodes = append(s.nodes, &simNode{label: string(rune('a' + i))})
+		s.nodes = append(s.nodes, &simController{label: string(rune('a' + i))})
 	}
 	for i := range n {
-		s.begin(i)
+		s.restart(i)
 	}
 	return s
 }
 
-// begin starts a life of a node's process, which knows nothing of the one before.
-func (s *sim) begin(i int) {
+// restart starts a new incarnation of a controller, which knows nothing of the previous one.
+func (s *simulation) restart(i int) {
 	n := s.nodes[i]
-	n.clock = &hand{true: s.now, zero: s.now - loop.Second - s.rng.Int64N(int64(1000*loop.Second))}
-	n.life, n.known, n.upTo = s.now, map[string]uint64{}, 0
+	n.clock = &manualClock{true: s.now, zero: s.now - loop.Second - s.rng.Int64N(int64(1000*loop.Second))}
+	n.incarnation, n.known, n.revision = s.now, map[string]uint64{}, 0
 	var peers []string
 	for k, o := range s.nodes {
 		if k != i {
 			peers = append(peers, o.label)
 		}
 	}
-	n.j = New(n.clock, quiet, n.life, grace, peers)
-	j := n.j
-	j.Take = func(o Over) bool {
-		n.known[o.Job] = o.Mark
-		j.Learn(o)
+	n.tracker = New(n.clock, quiet, n.incarnation, grace, peers)
+	tracker := n.tracker
+	tracker.RecordFromPeer = func(o Cancellation) bool {
+		n.known[o.Job] = o.Revision
+		tracker.RecordCancellation(o)
 		return true
 	}
 }
 
-// read lets a request that was sent a while ago be answered now.
-func (s *sim) read(i int, sent loop.Micros) {
+// deliverRead delivers the answer to a request that a controller sent some time ago.
+func (s *simulation) deliverRead(i int, sent loop.Micros) {
 	n := s.nodes[i]
-	if n.cut {
+	if n.disconnected {
 		return
 	}
-	for m := n.upTo; m < len(s.stored); m++ {
-		n.know(s.stored[m], uint64(m+1))
+	for m := n.revision; m < len(s.stored); m++ {
+		n.learn(s.stored[m], uint64(m+1))
 	}
-	n.upTo = len(s.stored)
-	n.j.Mirror(max(sent, n.life)-n.clock.zero, uint64(n.upTo))
+	n.revision = len(s.stored)
+	n.tracker.RecordSync(max(sent, n.incarnation)-n.clock.zero, uint64(n.revision))
 }
 
-func (n *simNode) know(job string, mark uint64) {
+// learn records a cancellation at a controller.
+func (n *simController) learn(job string, mark uint64) {
 	n.known[job] = mark
-	n.j.Learn(Over{job, mark})
+	n.tracker.RecordCancellation(Cancellation{job, mark})
 }
 
-// cancel stores a cancellation by way of a node, which tells its user at once.
-func (s *sim) cancel(i int) {
+// cancel stores a cancellation through a controller, which tells its user at once.
+func (s *simulation) cancel(i int) {
 	n := s.nodes[i]
-	if n.cut || !n.j.read {
+	if n.disconnected || !n.tracker.loaded {
 		return
 	}
 	job := fmt.Sprint("job-", len(s.stored))
 	s.stored = append(s.stored, job)
-	n.know(job, uint64(len(s.stored)))
-	s.tell(i, job)
+	n.learn(job, uint64(len(s.stored)))
+	s.confirm(i, job)
 }
 
-func (s *sim) tell(i int, job string) {
-	if _, was := s.told[job]; !was && s.nodes[i].known[job] != 0 {
-		s.told[job] = s.now
+// confirm lets a controller confirm to a user a cancellation that it knows.
+func (s *simulation) confirm(i int, job string) {
+	if _, was := s.confirmedAt[job]; !was && s.nodes[i].known[job] != 0 {
+		s.confirmedAt[job] = s.now
 	}
 }
 
-func (s *sim) step(lossy bool) {
+// step advances the time and performs one random action; lossy adds long delays, disconnections and restarts.
+func (s *simulation) step(lossy bool) {
 	s.now += s.rng.Int64N(int64(300 * loop.Millisecond))
 	for _, n := range s.nodes {
 		n.clock.true = s.now
@@ -124,26 +130,27 @@
 	n := s.nodes[i]
 	switch s.rng.IntN(10) {
 	case 0, 1, 2:
-		s.read(i, s.now-s.rng.Int64N(int64(2*loop.Second)))
+		s.deliverRead(i, s.now-s.rng.Int64N(int64(2*loop.Second)))
 	case 3:
 		s.cancel(i)
 	case 4:
-		// A second request for one that another has stored: known from whatever way.
+		// Another user requests a cancellation that a controller has stored already; this one may know it from
+		// any source.
 		if len(s.stored) > 0 {
-			s.tell(i, s.stored[s.rng.IntN(len(s.stored))])
+			s.confirm(i, s.stored[s.rng.IntN(len(s.stored))])
 		}
 	case 5, 6, 7:
 		for k := range s.nodes {
 			if k == i {
 				continue
 			}
-			w := n.j.Word(s.nodes[k].label)
-			for s.rng.IntN(5) > 0 { // lost, once, or repeated
+			w := n.tracker.MessageFor(s.nodes[k].label)
+			for s.rng.IntN(5) > 0 { // the message is lost, delivered once or duplicated
 				d := s.rng.Int64N(int64(200 * loop.Millisecond))
 				if lossy && s.rng.IntN(6) == 0 {
 					d = s.rng.Int64N(int64(60 * loop.Second))
 				}
-				s.flying = append(s.flying, flight{s.now + d, i, k, n.life, w})
+				s.inFlight = append(s.inFlight, message{s.now + d, i, k, n.incarnation, w})
 				if s.rng.IntN(4) > 0 {
 					break
 				}
@@ -151,174 +158,176 @@
 		}
 	case 8:
 		if lossy && s.rng.IntN(6) == 0 {
-			n.cut = !n.cut
+			n.disconnected = !n.disconnected
 		}
 	case 9:
 		if lossy && s.rng.IntN(25) == 0 {
-			s.begin(i)
+			s.restart(i)
 		}
 	}
-	left := s.flying[:0]
-	for _, f := range s.flying {
+	left := s.inFlight[:0]
+	for _, f := range s.inFlight {
 		if f.at > s.now {
 			left = append(left, f)
 			continue
 		}
-		s.nodes[f.to].j.Hear(s.nodes[f.from].label, f.life, f.w)
+		s.nodes[f.to].tracker.Receive(s.nodes[f.from].label, f.incarnation, f.w)
 	}
-	s.flying = left
+	s.inFlight = left
 }
 
-// Whatever is lost, late, repeated or begun anew: a node knows all that users were told before
-// its horizon.
-func TestAllBeforeTheHorizonIsKnown(t *testing.T) {
+// Whatever messages are lost, late or duplicated, and whichever controllers restart: a controller knows every
+// cancellation that a user was told of before its watermark.
+func TestAllCancellationsBeforeTheWatermarkAreKnown(t *testing.T) {
 	moved := 0
 	for seed := range uint64(400) {
 		s := newSim(seed, 1+int(seed%5))
 		for range 600 {
 			s.step(true)
 			for _, n := range s.nodes {
-				at := n.j.At()
+				at := n.tracker.Watermark()
 				if at == 0 {
 					continue
 				}
 				if at > n.clock.Now() {
-					t.Fatalf("seed %d: the horizon of %s lies in the future", seed, n.label)
+					t.Fatalf("seed %d: the watermark of %s is in the future", seed, n.label)
 				}
-				for job, told := range s.told {
+				for job, told := range s.confirmedAt {
 					if told < at+n.clock.zero && n.known[job] == 0 {
-						t.Fatalf("seed %d: %s does not know of %s, told %d us before its horizon", seed, n.label, job, at+n.clock.zero-told)
+						t.Fatalf("seed %d: %s does not know the cancellation of %s, confirmed %d us before its watermark", seed, n.label, job, at+n.clock.zero-told)
 					}
 				}
-				if n.cut && at > n.j.at+5*loop.Second {
+				if n.disconnected && at > n.tracker.byStore+5*loop.Second {
 					moved++
 				}
 			}
 		}
 	}
 	if moved < 1000 {
-		t.Errorf("peers moved a horizon %d times only", moved)
+		t.Errorf("peers advanced the watermark of a disconnected controller %d times, want at least 1000", moved)
 	}
 }
 
-// While all nodes hear each other, their horizons go on without the state service.
-func TestPeersMoveTheHorizon(t *testing.T) {
+// While all controllers reach each other, their watermarks advance without the state service.
+func TestPeersAdvanceTheWatermark(t *testing.T) {
 	for n := 1; n <= 15; n++ {
 		s := newSim(uint64(n), n)
 		for i := range s.nodes {
-			s.read(i, s.now)
-			s.nodes[i].cut = true
+			s.deliverRead(i, s.now)
+			s.nodes[i].disconnected = true
 		}
 		for range 200 * n {
 			s.step(false)
 		}
 		for _, x := range s.nodes {
-			if age := x.clock.Now() - x.j.At(); age > loop.Micros(n)*8*loop.Second || !x.j.read || age > 0 && n == 1 {
-				t.Errorf("%d nodes: the horizon of %s is %d us old", n, x.label, age)
+			if age := x.clock.Now() - x.tracker.Watermark(); age > loop.Micros(n)*8*loop.Second || !x.tracker.loaded || age > 0 && n == 1 {
+				t.Errorf("%d controllers: the watermark of %s is %d us old", n, x.label, age)
 			}
 		}
 	}
 }
 
-// What makes no sense, or answers another life, is dropped and counted, and moves nothing.
-func TestNonsenseProvesNothing(t *testing.T) {
+// A message that is invalid or answers another incarnation is dropped and counted, and does not advance the
+// watermark.
+func TestInvalidMessagesAreDiscarded(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		w    Word
+		w    Message
 		bad  bool
 	}{
-		{"sound", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10}, false},
-		{"only a question", Word{Version: 1, Stamp: 5}, false},
-		{"another version", Word{Version: 2, Stamp: 5, Echo: 900, Life: 7, From: 10}, true},
-		{"no version", Word{Stamp: 5, Echo: 900, Life: 7, From: 10}, true},
-		{"no stamp", Word{Version: 1, Echo: 900, Life: 7, From: 10}, true},
-		{"from the future", Word{Version: 1, Stamp: 5, Echo: 1001, Life: 7, From: 10}, true},
-		{"an earlier life", Word{Version: 1, Stamp: 5, Echo: 900, Life: 6, From: 10}, true},
-		{"a revision that nobody has", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 11}, true},
-		{"a negative age", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10, Knows: true, Age: -5}, true},
-		{"a cancellation without a name", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10, Over: []Over{{"", 12}}}, true},
-		{"a cancellation from before", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10, Over: []Over{{"job-000001", 10}}}, true},
-		{"one that cannot be kept", Word{Version: 1, Stamp: 5, Echo: 900, Life: 7, From: 10, Over: []Over{{"full", 12}}}, true},
+		{"valid", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10}, false},
+		{"only a question", Message{Version: 1, Timestamp: 5}, false},
+		{"another version", Message{Version: 2, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10}, true},
+		{"no version", Message{Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10}, true},
+		{"no timestamp", Message{Version: 1, Echo: 900, Incarnation: 7, SinceRevision: 10}, true},
+		{"an echo from the future", Message{Version: 1, Timestamp: 5, Echo: 1001, Incarnation: 7, SinceRevision: 10}, true},
+		{"an earlier incarnation", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 6, SinceRevision: 10}, true},
+		{"a revision that nobody has", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 11}, true},
+		{"a negative age", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, HasWatermark: true, WatermarkAge: -5}, true},
+		{"a cancellation without a name", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, Cancellations: []Cancellation{{"", 12}}}, true},
+		{"a cancellation at an earlier revision", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, Cancellations: []Cancellation{{"job-000001", 10}}}, true},
+		{"a cancellation that cannot be recorded", Message{Version: 1, Timestamp: 5, Echo: 900, Incarnation: 7, SinceRevision: 10, Cancellations: []Cancellation{{"full", 12}}}, true},
 	} {
-		j := New(&hand{true: 1000}, quiet, 7, grace, []string{"b"})
-		j.Take = func(o Over) bool { return o.Job != "full" }
+		tracker := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
+		tracker.RecordFromPeer = func(o Cancellation) bool { return o.Job != "full" }
 		dropped := 0
-		j.Dropped = func(string, string) { dropped++ }
-		j.Mirror(100, 10)
-		j.Hear("b", 3, &c.w)
+		tracker.Discarded = func(string, string) { dropped++ }
+		tracker.RecordSync(100, 10)
+		tracker.Receive("b", 3, &c.w)
 		want := loop.Micros(900)
 		if c.bad || c.w.Echo == 0 {
 			want = 100
 		}
-		if j.At() != want || (dropped > 0) != c.bad {
-			t.Errorf("%s: the horizon is %d, not %d; %d words were dropped", c.name, j.At(), want, dropped)
+		if tracker.Watermark() != want || (dropped > 0) != c.bad {
+			t.Errorf("%s: the watermark is %d, want %d; %d messages were dropped", c.name, tracker.Watermark(), want, dropped)
 		}
-		j.Hear("nobody", 3, &c.w)
-		j.Hear("b", 3, nil)
+		tracker.Receive("nobody", 3, &c.w)
+		tracker.Receive("b", 3, nil)
 	}
 }
 
-// A process that is back counts its time anew. Its questions are answered although their stamps
-// are smaller than those of its earlier life; of one life only the newest is.
-func TestTheNewLifeIsAnswered(t *testing.T) {
-	j := New(&hand{true: 1000}, quiet, 7, grace, []string{"b"})
-	j.Mirror(100, 10)
+// A restarted process counts its monotonic time anew. Its questions are answered although their timestamps are
+// lower than those of its previous incarnation; within one incarnation only the newest question is answered.
+func TestQuestionsOfANewIncarnationAreAnswered(t *testing.T) {
+	tracker := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
+	tracker.RecordSync(100, 10)
 	for _, c := range [][4]loop.Micros{{3, 800, 3, 800}, {3, 700, 3, 800}, {4, 20, 4, 20}, {4, 30, 4, 30}, {4, 25, 4, 30}} {
-		j.Hear("b", c[0], &Word{Version: 1, Stamp: c[1], Reach: 10})
-		if w := j.Word("b"); w.Life != c[2] || w.Echo != c[3] {
-			t.Errorf("after %d of life %d, %d of life %d is answered", c[1], c[0], w.Echo, w.Life)
+		tracker.Receive("b", c[0], &Message{Version: 1, Timestamp: c[1], Revision: 10})
+		if w := tracker.MessageFor("b"); w.Incarnation != c[2] || w.Echo != c[3] {
+			t.Errorf("after question %d of incarnation %d, question %d of incarnation %d is answered", c[1], c[0], w.Echo, w.Incarnation)
 		}
 	}
 }
 
-// More cancellations than are kept: a peer that lacks one of those that were dropped is not
-// answered, and one that does not is.
-func TestMoreThanIsKept(t *testing.T) {
-	j := New(&hand{true: 1000}, quiet, 7, grace, []string{"b"})
-	j.Mirror(100, 10000)
+// When more cancellations are known than are kept, a peer that may lack a dropped one is not answered, and any
+// other peer is.
+func TestMoreCancellationsThanAreKept(t *testing.T) {
+	tracker := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
+	tracker.RecordSync(100, 10000)
 	for k := range 5000 {
-		j.Learn(Over{fmt.Sprint(k), uint64(1 + (k*7919)%5000)})
+		tracker.RecordCancellation(Cancellation{fmt.Sprint(k), uint64(1 + (k*7919)%5000)})
 	}
-	lowest := uint64(5000 - mostRecent)
+	lowest := uint64(5000 - maxRecent)
 	for _, reach := range []uint64{0, lowest - 1, lowest, lowest + 1, 4999, 5000} {
-		j.Hear("b", 3, &Word{Version: 1, Stamp: 5 + loop.Micros(reach), Reach: reach})
-		w := j.Word("b")
-		if answered := w.Echo != 0; answered != (reach >= lowest) || answered && len(w.Over) != int(5000-reach) {
-			t.Errorf("up to %d: %d of %d cancellations are told, as an answer to %d", reach, len(w.Over), 5000-reach, w.Echo)
+		tracker.Receive("b", 3, &Message{Version: 1, Timestamp: 5 + loop.Micros(reach), Revision: reach})
+		w := tracker.MessageFor("b")
+		if answered := w.Echo != 0; answered != (reach >= lowest) || answered && len(w.Cancellations) != int(5000-reach) {
+			t.Errorf("peer at revision %d: %d of %d cancellations are sent, as an answer to question %d", reach, len(w.Cancellations), 5000-reach, w.Echo)
 		}
 	}
 }
 
-// The states in their order, and the time that is left by arithmetic.
+// The states follow each other as the watermark ages and advances. Grace and WatchWait return the values computed by
+// hand.
 func TestStates(t *testing.T) {
-	c := &hand{true: 100 * loop.Second}
-	j := New(c, quiet, 7, grace, []string{"b", "c"})
+	c := &manualClock{true: 100 * loop.Second}
+	tracker := New(c, quiet, 7, grace, []string{"b", "c"})
 	var got []string
 	look := func(at loop.Micros) {
 		c.true = at * loop.Second
-		j.Look()
-		got = append(got, fmt.Sprint(j.State(), j.Holds()))
+		tracker.UpdateState()
+		got = append(got, fmt.Sprint(tracker.State(), tracker.MayAnswerReports()))
 	}
 	look(100)
-	j.Mirror(100*loop.Second, 10)
+	tracker.RecordSync(100*loop.Second, 10)
 	look(101)
 	c.true = 108 * loop.Second
 	for _, p := range []string{"b", "c"} {
-		j.Hear(p, 3, &Word{Version: 1, Stamp: 5, Echo: 108 * loop.Second, Life: 7, From: 10})
+		tracker.Receive(p, 3, &Message{Version: 1, Timestamp: 5, Echo: 108 * loop.Second, Incarnation: 7, SinceRevision: 10})
 	}
 	look(109)
-	j.Hear("b", 3, &Word{Version: 1, Stamp: 6, Echo: 109 * loop.Second, Life: 7, From: 10}) // c holds it back
+	tracker.Receive("b", 3, &Message{Version: 1, Timestamp: 6, Echo: 109 * loop.Second, Incarnation: 7, SinceRevision: 10}) // c holds the watermark back
 	look(120)
 	look(125)
 	look(126)
-	j.Hear("b", 3, &Word{Version: 1, Stamp: 7, Echo: 126 * loop.Second, Life: 7, From: 10, Knows: true, Age: loop.Second})
+	tracker.Receive("b", 3, &Message{Version: 1, Timestamp: 7, Echo: 126 * loop.Second, Incarnation: 7, SinceRevision: 10, HasWatermark: true, WatermarkAge: loop.Second})
 	look(126)
 	if s, want := fmt.Sprint(got), "[blind false current true shared true aging true aging true lapsed false shared true]"; s != want {
-		t.Errorf("%s, not %s", s, want)
+		t.Errorf("states: %s, want %s", s, want)
 	}
 	for _, x := range [][3]loop.Micros{{26500, 46500, 18000}, {17500, 47500, 28000}, {10000, 11000, 750}} {
 		if g := Grace(x[0]*1000, x[1]*1000); g != x[2]*1000 {
-			t.Errorf("lease %d, cancellation %d: %d us are left, not %d", x[0], x[1], g, x[2]*1000)
+			t.Errorf("lease %d, cancellation %d: Grace is %d us, want %d", x[0], x[1], g, x[2]*1000)
 		}
 	}
 	for _, x := range []struct {
@@ -326,8 +335,8 @@
 		rps   float64
 		want  loop.Micros
 	}{{18 * loop.Second, 54, 2 * loop.Second}, {18 * loop.Second, 4, 5 * loop.Second}, {18 * loop.Second, 0.1, 9 * loop.Second}, {loop.Second, 100, loop.Second / 4}, {8 * loop.Second, 54, loop.Second}} {
-		if got := Wait(x.grace, x.rps); got != x.want {
-			t.Errorf("%+v: a watch waits %d us", x, got)
+		if got := WatchWait(x.grace, x.rps); got != x.want {
+			t.Errorf("%+v: WatchWait is %d us", x, got)
 		}
 	}
 }
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -71,7 +71,7 @@
 		j = &Job{ID: id}
 		r.jobs[id] = j
 	}
-	j.Revision, j.Phase, j.At = e.Mark, rec.Phase, rec.At
+	j.Revision, j.Phase, j.AcceptedAt = e.Mark, rec.Phase, rec.AcceptedAt
 	r.applyPeerRevision(j)
 	if rec.Spec != nil {
 		j.Spec, j.Tasks = rec.Spec, rec.Spec.Tasks
@@ -178,14 +178,14 @@
 	r.log.Debug("request refused before it reached the job registry", "job", id, "reason", reason, "unanswered_us", now-since)
 }
 
-// DoneChange returns the change that marks a job done. Its transaction must be conditioned on Cond of the same
-// job.
+// DoneChange returns the change that marks a job done. Its transaction must be conditioned on RevisionCond of
+// the same job.
 func DoneChange(j *Job) wire.Change {
-	return wire.Change{Put: KeyPrefix + j.ID, Value: Record{Phase: Done, At: j.At, Tasks: j.Tasks}}
+	return wire.Change{Put: KeyPrefix + j.ID, Value: Record{Phase: Done, AcceptedAt: j.AcceptedAt, Tasks: j.Tasks}}
 }
 
-// Cond returns the condition that the job's record still has the revision known here.
-func Cond(j *Job) wire.Cond { return wire.Cond{Key: KeyPrefix + j.ID, Mark: j.Revision} }
+// RevisionCond returns the condition that the job's record still has the revision known here.
+func RevisionCond(j *Job) wire.Cond { return wire.Cond{Key: KeyPrefix + j.ID, Mark: j.Revision} }
 
 // ApplyStored applies a record that a transaction of this controller has stored.
 func (r *Registry) ApplyStored(ch wire.Change, tally uint64) {
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -28,7 +28,7 @@
 	deadline loop.Micros
 }
 
-// Submit stores a job unless it exists. cb receives 201 if it was stored, 200 if it existed, or a refusal with
+// Submit stores a job unless it exists. callback receives 201 if it was stored, 200 if it existed, or a refusal with
 // 429 or 503.
 func (r *Registry) Submit(id string, spec *Spec, callback func(Answer)) {
 	r.SubmitWithTerms(id, spec, &Terms{}, callback)
@@ -110,7 +110,7 @@
 		if c == nil {
 			continue // its submitters were already answered
 		}
-		record := Record{Phase: Accepted, At: r.runner.Wall(), Spec: c.spec, Terms: c.terms}
+		record := Record{Phase: Accepted, AcceptedAt: r.runner.Wall(), Spec: c.spec, Terms: c.terms}
 		size += recordOverheadBytes + len(wire.Marshal(record))
 		batch.turns = append(batch.turns, next[0])
 		batch.records[id] = record
--- a/internal/job/terms.go
+++ b/internal/job/terms.go
@@ -9,8 +9,8 @@
 // HoldState is the state of a job's hold.
 type HoldState string
 
-// The states of a hold. While a hold is settling, tasks whose start was recorded before the hold was stored may
-// still begin; once it is set, no task of the job begins.
+// The states of a hold. While a hold is pending, tasks whose start was recorded before the hold was stored may still
+// begin; once it is effective, no task of the job begins.
 const (
 	HoldNone      HoldState = ""
 	HoldPending   HoldState = "s"
@@ -19,11 +19,11 @@
 
 // Hold prevents a job's tasks from being started; tasks that run continue.
 type Hold struct {
-	State  HoldState `cbor:"s,omitempty"`
-	Until  int64     `cbor:"u,omitempty"` // wall-clock time at which the hold ends by itself; 0: never
-	Reason string    `cbor:"r,omitempty"`
-	By     string    `cbor:"b,omitempty"` // name of the API key that requested the hold
-	At     int64     `cbor:"a,omitempty"` // wall-clock time of the request
+	State       HoldState `cbor:"s,omitempty"`
+	Until       int64     `cbor:"u,omitempty"` // wall-clock time at which the hold ends by itself; 0: never
+	Reason      string    `cbor:"r,omitempty"`
+	By          string    `cbor:"b,omitempty"` // name of the API key that requested the hold
+	RequestedAt int64     `cbor:"a,omitempty"` // wall-clock time of the request
 }
 
 // Blocks reports whether the hold blocks starts at a wall-clock time.
@@ -41,8 +41,8 @@
 	PolicyCancel  Policy = "w"
 )
 
-// MaxAfter is the largest number of jobs that one job can depend on.
-const MaxAfter = 64
+// MaxDependencies is the largest number of jobs that one job can depend on.
+const MaxDependencies = 64
 
 // Terms are the conditions on a job's starts that are not part of the wire protocol of submissions: its hold
 // and its dependencies. They are part of the job's record. Every start is conditioned on that record's
@@ -51,7 +51,7 @@
 	Hold         Hold     `cbor:"h,omitempty"`
 	Dependencies []string `cbor:"a,omitempty"`
 	OnCancelled  Policy   `cbor:"o,omitempty"`
-	Waived       []string `cbor:"w,omitempty"` // jobs of After that were cancelled and that an operator released this job from
+	Waived       []string `cbor:"w,omitempty"` // dependencies that were cancelled and that an operator released this job from
 }
 
 func (t *Terms) empty() bool {
--- a/internal/node/fitness.go
+++ b/internal/node/fitness.go
@@ -50,7 +50,7 @@
 			return false, to
 		}
 	}
-	if !n.watermark.Holds() {
+	if !n.watermark.MayAnswerReports() {
 		return false, n.redirectTarget()
 	}
 	return true, ""
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -45,12 +45,12 @@
 	member        *member.Member
 	jobs          *job.Registry
 	cordons       *cordon.Book
-	agent         *agent.Agent
+	agent         *agent.Registry
 	placer        *placer.Scheduler
 	rental        *rental.Autoscaler
 	net           *peer.Net
 	reach         *reach.Judge
-	watermark     *horizon.Judge
+	watermark     *horizon.Tracker
 	front         *front.Front
 	deps          Dependencies
 	progress      map[string]job.Counts
@@ -134,33 +134,33 @@
 	n.net.Earlier = func(string) { n.meter.EarlierFrame() }
 	n.setUpWatermark()
 	n.watchPauses()
-	n.agent = agent.New(l, log, agent.Host{
-		Label:     cfg.Label,
-		Life:      n.net.Life,
-		MayAnswer: n.mayAnswer,
-		MayStart:  n.mayStart,
-		SendOn:    n.redirect,
-		Epoch:     n.member.Epoch,
-		Raise:     n.member.RaiseEpoch,
-		Type:      func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
-		Job:       n.jobs.Get,
-		Publish: func(news agent.News) {
+	n.agent = agent.New(l, log, agent.Config{
+		Label:       cfg.Label,
+		Incarnation: n.net.Life,
+		MayAnswer:   n.mayAnswer,
+		MayStart:    n.mayStart,
+		Redirect:    n.redirect,
+		Epoch:       n.member.Epoch,
+		RaiseEpoch:  n.member.RaiseEpoch,
+		MachineType: func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
+		FindJob:     n.jobs.Get,
+		Publish: func(news agent.ViewUpdate) {
 			n.net.All(func(e *peer.Envelope) {
 				e.Views = append(e.Views, news.Views...)
 				e.Deltas = append(e.Deltas, news.Deltas...)
 			})
 		},
-		Changed: func(v *agent.View, c *agent.Changes) {
+		ViewChanged: func(v *agent.View, c *agent.Changes) {
 			n.placer.ViewChanged(v, c)
 			n.rental.UpdateView(v)
 		},
-		Drop: func(to string, d agent.Drop) {
+		SendRejection: func(to string, d agent.Rejection) {
 			n.dispatch(to, func() { l.Post(func() { n.placer.StartDropped(cfg.Label, d) }) }, func(e *peer.Envelope) { e.Drops = append(e.Drops, d) })
 		},
-		Barred:  n.startBlocked,
-		ClockTo: cfg.ClockDifference(),
-		Clock:   delivery.NewClock(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifeS)),
-		Meter:   n.meter,
+		StartBlocked:     n.startBlocked,
+		ClockUncertainty: cfg.ClockDifference(),
+		Clock:            delivery.NewClock(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifeS)),
+		Meter:            n.meter,
 	}, n.sendCommands)
 	n.placer = placer.New(l, n.client, log, cfg, placer.Node{
 		Label: cfg.Label,
@@ -169,7 +169,7 @@
 			n.dispatch(host, func() { n.agent.Start(s) }, func(e *peer.Envelope) { e.Starts = append(e.Starts, s) })
 		},
 		RequestTaskList: func(host, machine string) {
-			n.dispatch(host, func() { n.agent.Check(machine) }, func(e *peer.Envelope) { e.Checks = append(e.Checks, machine) })
+			n.dispatch(host, func() { n.agent.RequestTaskList(machine) }, func(e *peer.Envelope) { e.Checks = append(e.Checks, machine) })
 		},
 		Reserve: func(host string, s agent.Start) {
 			n.dispatch(host, func() { n.agent.Reserve(s) }, func(e *peer.Envelope) { e.Reserves = append(e.Reserves, s) })
@@ -201,7 +201,7 @@
 	}, n.jobs, n.agent, n.cordons)
 	n.rental = rental.New(l, log, cfg, n.client, n.mirror, out.Cloud, n.agent, rental.Node{
 		Close: func(host string, c peer.Close) {
-			n.dispatch(host, func() { n.agent.Close(c.Machine, c.Until) }, func(e *peer.Envelope) { e.Closes = append(e.Closes, c) })
+			n.dispatch(host, func() { n.agent.CloseToStarts(c.Machine, c.Until) }, func(e *peer.Envelope) { e.Closes = append(e.Closes, c) })
 		},
 		PeerUnreachable: func(zone string) bool {
 			for _, p := range cfg.Known {
@@ -223,7 +223,7 @@
 	n.rental.OnDeleted = n.placer.MachineDeleted
 	n.jobs.OnJob = func(j *job.Job) {
 		if j.Phase == job.Cancelled {
-			n.watermark.Learn(horizon.Over{Job: j.ID, Mark: j.CancelledRevision()})
+			n.watermark.RecordCancellation(horizon.Cancellation{Job: j.ID, Revision: j.CancelledRevision()})
 		}
 		if j.Final() {
 			delete(n.progress, j.ID)
@@ -299,7 +299,7 @@
 	if n.mirror.Ready() {
 		n.client.Use(admission.RateFraction(n.member.RegisteredCount(), n.cfg.Cluster.Nodes, n.member.LeaseValid()))
 	}
-	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.hasStateContact() && n.member.LeaseValid(), Hosted: n.agent.Hosted(), Hears: []string{}}
+	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.hasStateContact() && n.member.LeaseValid(), Hosted: n.agent.HostedCount(), Hears: []string{}}
 	for _, label := range n.net.Peers() {
 		if n.reach.Heard(label, reach.Fresh) {
 			s.Hears = append(s.Hears, label)
@@ -307,9 +307,9 @@
 	}
 	places := n.jobs.TakeQueuePositions()
 	n.net.All(func(e *peer.Envelope) { e.Status, e.Places = s, places })
-	n.meter.Horizon(n.watermark.Look())
+	n.meter.Horizon(n.watermark.UpdateState())
 	for _, label := range n.net.Peers() {
-		n.net.To(label, func(e *peer.Envelope) { e.Horizon = n.watermark.Word(label) })
+		n.net.To(label, func(e *peer.Envelope) { e.Horizon = n.watermark.MessageFor(label) })
 	}
 }
 
--- a/internal/node/overlook.go
+++ b/internal/node/overlook.go
@@ -12,11 +12,11 @@
 func (n *Node) setUpWatermark() {
 	w := &n.cfg.Cluster.Workers
 	grace := horizon.Grace(loop.Seconds(w.LeaseS), loop.Seconds(w.CancelS))
-	n.mirror.Wait = horizon.Wait(grace, n.cfg.Cluster.State.RPS*0.9/float64(max(n.cfg.Cluster.Nodes, 1)))
+	n.mirror.Wait = horizon.WatchWait(grace, n.cfg.Cluster.State.RPS*0.9/float64(max(n.cfg.Cluster.Nodes, 1)))
 	n.watermark = horizon.New(n.loop, n.log, n.net.Life, grace, n.net.Peers())
-	n.mirror.OnSynced(func(s store.Synced) { n.watermark.Mirror(s.Sent, s.Reach) })
-	n.watermark.Take = func(o horizon.Over) bool { return n.jobs.ApplyPeerCancellation(o.Job, o.Mark) }
-	n.watermark.Dropped = func(string, string) { n.meter.HorizonWord() }
+	n.mirror.OnSynced(func(s store.Synced) { n.watermark.RecordSync(s.Sent, s.Reach) })
+	n.watermark.RecordFromPeer = func(o horizon.Cancellation) bool { return n.jobs.ApplyPeerCancellation(o.Job, o.Revision) }
+	n.watermark.Discarded = func(string, string) { n.meter.HorizonWord() }
 	if grace < 2*maxContactAge {
 		n.log.Warn("cluster.workers.cancel_s barely exceeds cluster.workers.lease_s; running tasks survive only very short outages of the state service",
 			"cancel_s", w.CancelS, "lease_s", w.LeaseS, "left_us", grace)
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -11,22 +11,22 @@
 	if s := e.Status; s != nil {
 		n.reach.Hear(e.From, reach.Word{Wall: s.Wall, Contact: s.Contact, Hears: s.Hears})
 	}
-	n.watermark.Hear(e.From, e.Life, e.Horizon)
+	n.watermark.Receive(e.From, e.Life, e.Horizon)
 	n.member.LearnTeams(e.Teams)
 	for _, v := range e.Views {
 		if v != nil && v.Name != "" {
-			n.agent.Learn(v)
+			n.agent.ApplyView(v)
 		}
 	}
 	n.applyDeltas(e)
 	for _, c := range e.Closes {
-		n.agent.Close(c.Machine, c.Until)
+		n.agent.CloseToStarts(c.Machine, c.Until)
 	}
 	for _, s := range e.Stops {
 		n.agent.Stop(s)
 	}
 	for _, name := range e.Checks {
-		n.agent.Check(name)
+		n.agent.RequestTaskList(name)
 	}
 	for _, s := range e.Reserves {
 		n.agent.Reserve(s)
@@ -59,14 +59,14 @@
 func (n *Node) applyDeltas(e *peer.Envelope) {
 	var lost []string
 	for _, d := range e.Deltas {
-		if d != nil && d.Name != "" && n.agent.LearnDelta(e.From, d) {
+		if d != nil && d.Name != "" && n.agent.ApplyDelta(e.From, d) {
 			lost = append(lost, d.Name)
 		}
 	}
 	if len(lost) > 0 {
 		n.net.To(e.From, func(o *peer.Envelope) { o.Lost = append(o.Lost, lost...) })
 	}
-	if views := n.agent.Full(e.Lost); len(views) > 0 {
+	if views := n.agent.FullViews(e.Lost); len(views) > 0 {
 		n.net.To(e.From, func(o *peer.Envelope) { o.Views = append(o.Views, views...) })
 	}
 }
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -164,7 +164,7 @@
 	}
 	e := v.Find(t.taskName(i), x.attempt)
 	switch {
-	case e == nil && v.Holds(t.taskName(i), x.attempt):
+	case e == nil && v.HasPending(t.taskName(i), x.attempt):
 		return gate.Starting, "atItsHost", x.sentAt
 	case e == nil && !x.listed && wall < p.clock.LatestArrival(x.expiry):
 		return gate.Starting, "sent", x.sentAt
--- a/internal/placer/explain_test.go
+++ b/internal/placer/explain_test.go
@@ -160,7 +160,7 @@
 		}
 	}
 	id := fmt.Sprintf("job-%06d", len(g.jobs)+1)
-	rec := job.Record{Phase: job.Accepted, At: g.Now(), Spec: &s, Terms: terms}
+	rec := job.Record{Phase: job.Accepted, AcceptedAt: g.Now(), Spec: &s, Terms: terms}
 	g.mirror.Apply(job.KeyPrefix+id, wire.Marshal(rec), g.state.Put(job.KeyPrefix+id, rec), false)
 	g.jobs = append(g.jobs, id)
 }
@@ -233,8 +233,8 @@
 }
 
 // capacities returns the free capacity of every machine that accepts starts.
-func (m plainModel) capacities(cordons bool) map[string]agent.Room {
-	out := map[string]agent.Room{}
+func (m plainModel) capacities(cordons bool) map[string]agent.Capacity {
+	out := map[string]agent.Capacity{}
 	for name, k := range m.g.kind {
 		if m.g.scheduler.fleet.Machine(name).BackOffUntil > m.g.Now() || (cordons && m.cordoned(name, k[0], k[1], k[2])) {
 			continue
@@ -245,7 +245,7 @@
 }
 
 // placeTasks places up to n tasks one by one, and returns how many it placed.
-func (m plainModel) placeTasks(s *job.Spec, n int, capacities map[string]agent.Room) int {
+func (m plainModel) placeTasks(s *job.Spec, n int, capacities map[string]agent.Capacity) int {
 	got := 0
 	for _, name := range slices.Sorted(maps.Keys(capacities)) {
 		k := m.g.kind[name]
@@ -599,7 +599,7 @@
 	}{
 		{"sent", func(*rig, agent.Task) {}, 0, gate.Starting, "sent"},
 		{"at its host", func(g *rig, x agent.Task) {
-			g.workers.Learn(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: 99, Settled: true, At: g.Now(), Pending: []agent.Task{x}})
+			g.workers.ApplyView(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: 99, TokenConfirmed: true, MadeAfter: g.Now(), Pending: []agent.Task{x}})
 		}, 0, gate.Starting, "atItsHost"},
 		{"fetching", func(g *rig, x agent.Task) { x.State = wire.TaskFetching; g.deliverView("n-001", "m8", "x", false, x) }, 0, gate.Fetching, "fetching"},
 		{"saving", func(g *rig, x agent.Task) { x.State = wire.TaskSaving; g.deliverView("n-001", "m8", "x", false, x) }, 0, gate.Saving, "saving"},
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -13,7 +13,7 @@
 	tm := t.team
 	f := gate.JobFacts{Spec: t.job.Spec, Hold: &t.job.Terms.Hold, After: p.dependencies(t.job), OnWithdrawn: t.job.Terms.OnCancelled, Damaged: t.damaged,
 		Waiting: t.waiting(), InUse: t.inUse,
-		TeamUsage: agent.Room{CPUs: tm.cpus, GPUs: tm.gpus}, Quota: tm.quota,
+		TeamUsage: agent.Capacity{CPUs: tm.cpus, GPUs: tm.gpus}, Quota: tm.quota,
 		ClockMargin: p.cfg.ClockDifference()}
 	// The clocks are read only for the few jobs that need them, since a pass calls this for all jobs.
 	if t.probation.Moments != 0 || t.probation.RestTo != 0 {
@@ -122,7 +122,7 @@
 			return // it is listed, or was listed and is not any more
 		}
 		n := r.table.taskName(r.index)
-		if x.session < v.Session || v.Holds(n, x.attempt) || v.Find(n, x.attempt) != nil {
+		if x.session < v.Session || v.HasPending(n, x.attempt) || v.Find(n, x.attempt) != nil {
 			return
 		}
 		f(r.table.job.Spec)
--- a/internal/placer/groupcommit.go
+++ b/internal/placer/groupcommit.go
@@ -273,7 +273,7 @@
 	// make the write fail, however late it is applied.
 	w.conditions = nil
 	for _, t := range w.jobs {
-		w.conditions = append(w.conditions, job.Cond(t.job))
+		w.conditions = append(w.conditions, job.RevisionCond(t.job))
 	}
 	if len(w.jobs) > 0 {
 		w.conditions = append(w.conditions, p.cordons.Cond())
--- a/internal/placer/jobtable.go
+++ b/internal/placer/jobtable.go
@@ -132,7 +132,7 @@
 }
 
 func byAcceptance(a, b *jobTable) int {
-	return cmp.Or(cmp.Compare(a.job.At, b.job.At), cmp.Compare(a.job.ID, b.job.ID))
+	return cmp.Or(cmp.Compare(a.job.AcceptedAt, b.job.AcceptedAt), cmp.Compare(a.job.ID, b.job.ID))
 }
 
 // addJob adds a job and keeps the cached order; removeJob removes one. Sorting all jobs at each change took 2% of a
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -77,7 +77,7 @@
 func (t *jobTable) queuedAt() loop.Micros {
 	s := t.job.Spec
 	work := float64(t.job.Tasks-t.completed) * float64(s.Estimate) * s.CPUs
-	return t.job.At + loop.Micros(2*work/t.team.quota.Weight)
+	return t.job.AcceptedAt + loop.Micros(2*work/t.team.quota.Weight)
 }
 
 // place runs a pass: it assigns waiting tasks to machines with free capacity and collects those that remain unplaced.
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -31,7 +31,7 @@
 type rig struct {
 	*standin.Stepped
 	scheduler *Scheduler
-	workers   *agent.Agent
+	workers   *agent.Registry
 	registry  *job.Registry
 	mirror    *store.Mirror
 	state     *standin.State
@@ -73,7 +73,7 @@
 	c := store.NewClient(g, g, log, 100, writeRPS, 1)
 	g.mirror = store.NewMirror(c, g, "c/")
 	g.registry = job.NewRegistry(g, c, g.mirror, log)
-	g.workers = agent.New(g, log, agent.Host{Label: "a", Job: g.registry.Get, Changed: func(v *agent.View, c *agent.Changes) { g.scheduler.ViewChanged(v, c) }}, nil)
+	g.workers = agent.New(g, log, agent.Config{Label: "a", FindJob: g.registry.Get, ViewChanged: func(v *agent.View, c *agent.Changes) { g.scheduler.ViewChanged(v, c) }}, nil)
 	g.scheduler = New(g, c, log, cfg, Node{
 		Label: "a",
 		Type:  func(name string) (wire.MachineType, bool) { t, ok := types[name]; return t, ok },
@@ -103,7 +103,7 @@
 // acceptJob stores an accepted job, as another controller would.
 func (g *rig) acceptJob(no int, s job.Spec) string {
 	id := fmt.Sprintf("job-%06d", no)
-	rec := job.Record{Phase: job.Accepted, At: g.Now(), Spec: &s}
+	rec := job.Record{Phase: job.Accepted, AcceptedAt: g.Now(), Spec: &s}
 	mark := g.state.Put(job.KeyPrefix+id, rec)
 	g.mirror.Apply(job.KeyPrefix+id, wire.Marshal(rec), mark, false)
 	return id
@@ -112,20 +112,20 @@
 // deliverView delivers a view of a machine with these tasks on it.
 func (g *rig) deliverView(name, typ, zone string, spot bool, tasks ...agent.Task) {
 	g.seq++
-	g.workers.Learn(&agent.View{Name: name, Type: typ, Zone: zone, Spot: spot, Host: "b", Session: 1, Seq: g.seq, Settled: true, At: g.Now(), Tasks: slices.Clone(tasks)})
+	g.workers.ApplyView(&agent.View{Name: name, Type: typ, Zone: zone, Spot: spot, Host: "b", Session: 1, Seq: g.seq, TokenConfirmed: true, MadeAfter: g.Now(), Tasks: slices.Clone(tasks)})
 }
 
 // plainCapacity computes a machine's free capacity from nothing but its view and the tables.
-func (g *rig) plainCapacity(name string) agent.Room {
+func (g *rig) plainCapacity(name string) agent.Capacity {
 	v := g.workers.View(name)
 	typ := types[v.Type]
-	room := agent.Room{CPUs: typ.CPUs, GPUs: typ.GPUs, MemoryGB: typ.MemoryGB}
+	room := agent.Capacity{CPUs: typ.CPUs, GPUs: typ.GPUs, MemoryGB: typ.MemoryGB}
 	shown := map[string]bool{}
 	for _, x := range v.Tasks {
 		id, _, _ := agent.SplitTask(x.Task)
 		shown[fmt.Sprint(x.Task, x.Attempt)] = true
 		if x.State != wire.TaskExited {
-			room.Take(g.registry.Get(id).Spec)
+			room.Subtract(g.registry.Get(id).Spec)
 		}
 	}
 	for _, tm := range g.scheduler.teams {
@@ -134,7 +134,7 @@
 				x := t.task(i)
 				if (x.state == Recording || x.state == Placed) && x.machine == name && x.session >= v.Session &&
 					!shown[fmt.Sprint(t.taskName(i), x.attempt)] {
-					room.Take(t.job.Spec)
+					room.Subtract(t.job.Spec)
 				}
 			}
 		}
@@ -145,12 +145,12 @@
 // plainPass is a plain model of a placement pass: it places each task separately and looks at every machine for it.
 func (g *rig) plainPass() map[string]string {
 	out := map[string]string{}
-	capacities := map[string]agent.Room{}
-	g.workers.Views(func(v *agent.View) { capacities[v.Name] = g.plainCapacity(v.Name) })
+	capacities := map[string]agent.Capacity{}
+	g.workers.EachView(func(v *agent.View) { capacities[v.Name] = g.plainCapacity(v.Name) })
 	cpus := map[string]float64{}
 	least := 1e9
 	cost := map[string]float64{}
-	g.workers.Views(func(v *agent.View) {
+	g.workers.EachView(func(v *agent.View) {
 		typ := types[v.Type]
 		cost[v.Name] = typ.Price / typ.CPUs
 		if v.Spot {
@@ -175,7 +175,7 @@
 			for _, name := range names {
 				v := g.workers.View(name)
 				room := capacities[name]
-				if !room.Fits(s) || !s.AllowsPlace(v.Type, v.Zone, v.Spot) || v.NoticeAt != 0 || v.Closed || g.Now() < g.scheduler.fleet.Machine(name).BackOffUntil {
+				if !room.Fits(s) || !s.AllowsPlace(v.Type, v.Zone, v.Spot) || v.NoticeAt != 0 || v.ClosedToStarts || g.Now() < g.scheduler.fleet.Machine(name).BackOffUntil {
 					continue
 				}
 				other := false
@@ -201,7 +201,7 @@
 				break
 			}
 			room := capacities[best]
-			room.Take(s)
+			room.Subtract(s)
 			capacities[best] = room
 			zones[g.workers.View(best).Zone]++
 			cpus[s.Team] += s.CPUs
@@ -390,7 +390,7 @@
 		g.Run(loop.Millisecond)
 	}
 	refuse := func() {
-		g.scheduler.StartDropped("b", agent.Drop{Machine: "n-001", Task: "job-000001/0", Attempt: x().attempt, Why: "full", Reserve: true})
+		g.scheduler.StartDropped("b", agent.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: x().attempt, Why: "full", OnlyReservation: true})
 	}
 	refuse()
 	if x().state != Waiting {
@@ -415,7 +415,7 @@
 	spec := job.Spec{Class: "k", Team: "red", Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
 	id := g.acceptJob(1, spec)
 	g.Run(loop.Second)
-	rec := job.Record{Phase: job.Cancelled, At: g.Now(), Spec: &spec}
+	rec := job.Record{Phase: job.Cancelled, AcceptedAt: g.Now(), Spec: &spec}
 	g.mirror.Apply(job.KeyPrefix+id, wire.Marshal(rec), g.state.Put(job.KeyPrefix+id, rec), false)
 	g.acceptJob(2, spec)
 	g.Run(loop.Second)
--- a/internal/placer/scheduler.go
+++ b/internal/placer/scheduler.go
@@ -66,7 +66,7 @@
 	node     Node
 	registry *job.Registry
 	cordons  *cordon.Book
-	agent    *agent.Agent
+	agent    *agent.Registry
 	// partitions holds the partitions that this controller owns; teams holds the teams assigned to them, by name.
 	partitions     map[partition.ID]*ownedPartition
 	teams          map[string]*team
@@ -94,7 +94,7 @@
 }
 
 // New returns a scheduler that owns no partition yet and schedules its periodic work on r.
-func New(r loop.Runner, c *store.Client, log *slog.Logger, cfg *config.Config, n Node, registry *job.Registry, a *agent.Agent, cordons *cordon.Book) *Scheduler {
+func New(r loop.Runner, c *store.Client, log *slog.Logger, cfg *config.Config, n Node, registry *job.Registry, a *agent.Registry, cordons *cordon.Book) *Scheduler {
 	p := &Scheduler{runner: r, cordons: cordons, client: c, log: log, cfg: cfg, node: n, registry: registry, agent: a, partitions: map[partition.ID]*ownedPartition{}, teams: map[string]*team{},
 		valueLimit:     int(cfg.Cluster.State.ValueKB * 1024 * valueFraction),
 		tasksByMachine: map[string]*machineTasks{},
@@ -103,7 +103,7 @@
 		checkRequestedAt: map[string]loop.Micros{}, paces: health.Paces{}, starvation: starvation.New()}
 	p.clock = delivery.NewClock(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifeS))
 	p.expiries = delivery.NewExpiries(p.clock)
-	p.fleet = fleet.New(r, log, fleet.Node{Label: n.Label, Type: n.Type, Room: a.Room, Jobs: a.Jobs, Unshown: p.eachUnlisted, Stop: n.Stop,
+	p.fleet = fleet.New(r, log, fleet.Node{Label: n.Label, Type: n.Type, Room: a.FreeCapacity, Jobs: a.Jobs, Unshown: p.eachUnlisted, Stop: n.Stop,
 		Cordons: cordons, StaleAfter: p.staleAfter()})
 	loop.Every(r, 400*loop.Millisecond, p.tick)
 	loop.Every(r, 60*loop.Second, func() {
@@ -136,7 +136,7 @@
 	t := tm.jobs[j.ID]
 	if t == nil {
 		t = &jobTable{job: j, team: tm, blocks: make([]*[blockSize]task, (j.Tasks+blockSize-1)/blockSize), zones: map[string]int{}}
-		t.acceptedAt = p.runner.Now() - max(p.runner.Wall()-j.At, 0)
+		t.acceptedAt = p.runner.Now() - max(p.runner.Wall()-j.AcceptedAt, 0)
 		t.servedEarlyAt = t.acceptedAt
 		p.trackFailures(t)
 		tm.addJob(t)
@@ -210,7 +210,7 @@
 }
 
 // StartDropped handles a host controller's message that it will never pass a start on to the worker.
-func (p *Scheduler) StartDropped(from string, d agent.Drop) {
+func (p *Scheduler) StartDropped(from string, d agent.Rejection) {
 	id, i, ok := agent.SplitTask(d.Task)
 	if !ok {
 		return
@@ -228,7 +228,7 @@
 	if x.attempt != d.Attempt || x.machine != d.Machine {
 		return
 	}
-	if d.Reserve {
+	if d.OnlyReservation {
 		// Another owner reserved the capacity first. The refusal frees the task only while no record of the start was
 		// attempted. Afterwards it is no evidence: the start may be in flight, and freeing the task then would let it
 		// run twice.
@@ -245,7 +245,7 @@
 	}
 	// The refusal is evidence only if the start was sent to no other host controller and to no other incarnation of
 	// this one.
-	if x.recordedHere && !x.sentToSeveral && x.sentTo == from && x.sentToIncarnation == d.Life && !x.listed {
+	if x.recordedHere && !x.sentToSeveral && x.sentTo == from && x.sentToIncarnation == d.Incarnation && !x.listed {
 		p.excludeBriefly(d.Machine)
 		p.confirmTerminated(t, i, "dropped: "+d.Why)
 		p.RequestPass()
@@ -270,14 +270,14 @@
 		}
 		return
 	}
-	if x.sentTo != "" && (x.sentTo != v.Host || x.sentToIncarnation != v.Life) {
+	if x.sentTo != "" && (x.sentTo != v.Host || x.sentToIncarnation != v.Incarnation) {
 		x.sentToSeveral = true
 	}
 	if x.sentTo == "" {
 		p.node.Meter.Start()
 	}
-	x.sentTo, x.sentToIncarnation, x.sentAt = v.Host, v.Life, p.runner.Now()
-	p.node.Start(v.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.taskName(i), Attempt: x.attempt, Expiry: x.expiry, From: p.node.Label, Life: v.Life})
+	x.sentTo, x.sentToIncarnation, x.sentAt = v.Host, v.Incarnation, p.runner.Now()
+	p.node.Start(v.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.taskName(i), Attempt: x.attempt, Expiry: x.expiry, From: p.node.Label, Incarnation: v.Incarnation})
 }
 
 // completeIfDone stores a job's completion once all its tasks have completed.
@@ -296,14 +296,14 @@
 	}
 	ch := job.DoneChange(t.job)
 	part := t.team.partition
-	txn := wire.Txn{If: []wire.Cond{member.ClaimCond(part.id, part.claim), job.Cond(t.job)}, Then: []wire.Change{ch}}
+	txn := wire.Txn{If: []wire.Cond{member.ClaimCond(part.id, part.claim), job.RevisionCond(t.job)}, Then: []wire.Change{ch}}
 	p.client.Txn(store.Answers, txn, func(r store.Result) {
 		if p.teams[t.team.cfg.Name] != t.team {
 			return
 		}
 		switch r.Outcome {
 		case store.Applied:
-			p.log.Debug("job done", "job", t.job.ID, "class", t.job.Spec.Class, "tasks", t.job.Tasks, "took_us", p.runner.Wall()-t.job.At, "estimate_us", t.job.Spec.Estimate)
+			p.log.Debug("job done", "job", t.job.ID, "class", t.job.Spec.Class, "tasks", t.job.Tasks, "took_us", p.runner.Wall()-t.job.AcceptedAt, "estimate_us", t.job.Spec.Estimate)
 			p.registry.ApplyStored(ch, r.Tally)
 			p.forgetJob(t)
 		case store.Conflict:
--- a/internal/placer/terms_test.go
+++ b/internal/placer/terms_test.go
@@ -203,7 +203,7 @@
 		g.deliverView("n-002", "m8", "x", false)
 		g.deliverView("n-002", "m8", "x", false)
 		g.seq++
-		g.workers.Learn(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 2, Seq: g.seq, Settled: true, At: g.Now()})
+		g.workers.ApplyView(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 2, Seq: g.seq, TokenConfirmed: true, MadeAfter: g.Now()})
 		if counted := g.scheduler.reruns.pending == 1; counted != known {
 			t.Errorf("machine known before: %v, outage measured: %v", known, counted)
 		}
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -75,7 +75,7 @@
 		for _, r := range sortedRefs(p.tasksByMachine[m].unresolved) {
 			x := r.table.task(r.index)
 			if x.state == Placed && x.recordedHere && !x.listed && !r.table.job.Final() && wall < x.expiry && now-x.sentAt > 800*loop.Millisecond &&
-				!v.Holds(r.table.taskName(r.index), x.attempt) && v.Find(r.table.taskName(r.index), x.attempt) == nil {
+				!v.HasPending(r.table.taskName(r.index), x.attempt) && v.Find(r.table.taskName(r.index), x.attempt) == nil {
 				p.sendStart(r.table, r.index)
 			}
 		}
@@ -89,7 +89,7 @@
 // sweep repeats the stops of tasks whose job is final, and frees tasks on deleted machines.
 func (p *Scheduler) sweep() {
 	for m, on := range loop.Sorted(p.tasksByMachine) {
-		gone := p.agent.IsGone(m)
+		gone := p.agent.IsDeleted(m)
 		due := map[taskRef]struct{}{} // usually few of the tasks in use
 		for r := range on.all {
 			if gone || r.table.job.Final() {
@@ -123,8 +123,8 @@
 // evict stops tasks in time to save a checkpoint before a spot machine is reclaimed, or before a machine that is not
 // needed is returned.
 func (p *Scheduler) evict(now, wall loop.Micros) {
-	p.agent.Views(func(v *agent.View) {
-		if v.NoticeAt == 0 && !v.Closed {
+	p.agent.EachView(func(v *agent.View) {
+		if v.NoticeAt == 0 && !v.ClosedToStarts {
 			return
 		}
 		p.eachInUse(v.Name, func(r taskRef) {
--- a/internal/placer/views.go
+++ b/internal/placer/views.go
@@ -31,10 +31,10 @@
 		p.zoneByMachine[v.Name] = v.Zone
 	}
 	// Most views only confirm that the machine is alive: no capacity became free.
-	unchanged := old != nil && c.Still && len(v.Pending)+len(old.View.Pending) == 0 && v.Closed == old.View.Closed && v.NoticeAt == old.View.NoticeAt && !startsUnknown
+	unchanged := old != nil && c.Unchanged && len(v.Pending)+len(old.View.Pending) == 0 && v.ClosedToStarts == old.View.ClosedToStarts && v.NoticeAt == old.View.NoticeAt && !startsUnknown
 	sl := p.fleet.UpdateView(v, now-v.Silence(p.runner.Wall(), p.clockBound()), unchanged)
 	p.attribution.View(now, v, c)
-	if !c.Still {
+	if !c.Unchanged {
 		sl.BackOff(p.attribution.Until(v.Name), "tasks fail on it")
 	}
 	sl.Jobs = p.agent.Jobs(v)
@@ -77,7 +77,7 @@
 // since this owner asked for them to be forgotten. It is not if an earlier owner did that without recording their
 // end, and a delayed report listed them afterwards.
 func (p *Scheduler) updateVanishedTasks(v *agent.View, c *agent.Changes, before []agent.Task, lastReport loop.Micros) {
-	for _, k := range c.Gone {
+	for _, k := range c.Removed {
 		if x := &before[k]; v.Find(x.Task, x.Attempt) == nil {
 			id, _, _ := agent.SplitTask(x.Task)
 			p.updateNamedTask(v, x.Task, p.registry.Get(id), lastReport)
@@ -122,14 +122,14 @@
 	e := v.Find(name, x.attempt)
 	p.setListed(t, i, x.listed, x.listed && e == nil)
 	if e == nil {
-		if v.Holds(name, x.attempt) {
+		if v.HasPending(name, x.attempt) {
 			return
 		}
 		// The task is absent from the list. That confirms termination only if the list was made when the start could
 		// no longer arrive: the start had expired by every clock, the worker's timeout for an answer carrying it was
 		// over, and the machine follows its host controller's token, so that no earlier command can take effect.
 		latestArrival := p.clock.LatestArrival(x.expiry)
-		if v.Settled && v.At > latestArrival {
+		if v.TokenConfirmed && v.MadeAfter > latestArrival {
 			p.confirmTerminated(t, i, "absent")
 			return
 		}
@@ -206,7 +206,7 @@
 
 // forgetEnded asks a machine to forget ended tasks whose outcome is recorded or not needed.
 func (p *Scheduler) forgetEnded(v *agent.View, jobs []*job.Job) {
-	if !v.Settled {
+	if !v.TokenConfirmed {
 		return
 	}
 	for k := range v.Tasks {
--- a/internal/placer/views_test.go
+++ b/internal/placer/views_test.go
@@ -16,7 +16,7 @@
 // of all commands to it.
 func (g *rig) deliverViewOf(life loop.Micros, session uint64, settled bool, tasks ...agent.Task) {
 	g.seq++
-	g.workers.Learn(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Life: life, Session: session, Seq: g.seq, Settled: settled, At: g.Now(), Tasks: tasks})
+	g.workers.ApplyView(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Incarnation: life, Session: session, Seq: g.seq, TokenConfirmed: settled, MadeAfter: g.Now(), Tasks: tasks})
 }
 
 // A refusal confirms that a start will not run only if the incarnation that refuses is the only one that ever
@@ -35,19 +35,19 @@
 		g.deliverViewOf(1, 1, true)
 		g.acceptJob(1, job.Spec{Team: "red", Tasks: 1, CPUs: 2, AnyType: true, Estimate: loop.Second})
 		g.Run(500 * loop.Millisecond)
-		if len(g.starts) != 1 || g.starts[0].Life != 1 {
+		if len(g.starts) != 1 || g.starts[0].Incarnation != 1 {
 			t.Fatalf("%s: started %+v, want one start for incarnation 1", c.name, g.starts)
 		}
 		if c.moved {
 			g.deliverViewOf(2, 1, true)
 			g.Run(1500 * loop.Millisecond)
-			if n := len(g.starts); n < 2 || g.starts[n-1].Life != 2 {
+			if n := len(g.starts); n < 2 || g.starts[n-1].Incarnation != 2 {
 				t.Fatalf("%s: the start is not sent to the new incarnation: %+v", c.name, g.starts)
 			}
 		}
 		s := g.starts[0]
 		before := len(g.starts)
-		g.scheduler.StartDropped("b", agent.Drop{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Life: c.refusedBy})
+		g.scheduler.StartDropped("b", agent.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Incarnation: c.refusedBy})
 		g.Run(2 * loop.Second)
 		freed := len(g.starts) > before && g.starts[len(g.starts)-1].Attempt > s.Attempt
 		if freed != c.frees {
--- a/internal/rental/autoscaler.go
+++ b/internal/rental/autoscaler.go
@@ -105,7 +105,7 @@
 	client         *store.Client
 	mirror         *store.Mirror
 	cloud          store.Doer
-	workers        *agent.Agent
+	workers        *agent.Registry
 	node           Node
 	leads          bool
 	claim          member.Owner
@@ -143,7 +143,7 @@
 
 // New returns the autoscaler, which keeps its copy of the catalog and the deletions up to date on every
 // controller.
-func New(r loop.Runner, log *slog.Logger, cfg *config.Config, c *store.Client, m *store.Mirror, cloud store.Doer, a *agent.Agent, n Node) *Autoscaler {
+func New(r loop.Runner, log *slog.Logger, cfg *config.Config, c *store.Client, m *store.Mirror, cloud store.Doer, a *agent.Registry, n Node) *Autoscaler {
 	t := &Autoscaler{runner: r, log: log, cfg: cfg, client: c, mirror: m, cloud: cloud, workers: a, node: n, byName: map[string]wire.MachineType{}, rand: loop.Rand(r),
 		demands: map[string]peer.Tally{}, unreachableAt: map[string]loop.Micros{}, demandAt: map[string]loop.Micros{}, deleted: map[string][]string{}, bootTimes: explain.NewDistribution()}
 	w := cfg.Cluster.Workers
@@ -163,7 +163,7 @@
 	m.On(DeletionKeys, func(key string, e store.Entry) {
 		var rec DeletionRecord
 		if e.Mark == 0 {
-			a.Forget(t.deleted[key])
+			a.ForgetDeleted(t.deleted[key])
 			delete(t.deleted, key)
 			return
 		}
@@ -228,7 +228,7 @@
 			}
 		}
 	}
-	t.workers.Views(t.UpdateView)
+	t.workers.EachView(t.UpdateView)
 	t.log.Info("autoscaler started as leader; state rebuilt from records and reports", "orders", len(t.orders), "machines", len(t.machines))
 }
 
--- a/internal/rental/autoscaler_test.go
+++ b/internal/rental/autoscaler_test.go
@@ -26,7 +26,7 @@
 type rig struct {
 	*standin.Stepped
 	scaler          *Autoscaler
-	workers         *agent.Agent
+	workers         *agent.Registry
 	cloud           *standin.Cloud
 	calls           []string
 	entitled        bool
@@ -60,7 +60,7 @@
 	g.cloud = standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.3, BootS: 4, Zones: []string{"x", "y"}}, each)
 	g.cloud.Up = func(l wire.Listed) { g.booted = append(g.booted, l) }
 	g.cloud.Gone = func(name string) { g.deleted = append(g.deleted, name) }
-	g.workers = agent.New(g, log, agent.Host{Label: "a", Job: func(id string) *job.Job { return g.jobs[id] }, Changed: func(v *agent.View, _ *agent.Changes) { g.scaler.UpdateView(v) }}, nil)
+	g.workers = agent.New(g, log, agent.Config{Label: "a", FindJob: func(id string) *job.Job { return g.jobs[id] }, ViewChanged: func(v *agent.View, _ *agent.Changes) { g.scaler.UpdateView(v) }}, nil)
 	g.scaler = New(g, log, cfg, c, m, g, g.workers, Node{Close: func(string, peer.Close) {},
 		PeerUnreachable: func(z string) bool { return g.peerUnreachable || z == g.partitionedZone }, LeaseValid: func() bool { return g.entitled }, Isolated: func() bool { return g.isolated },
 		Faulty: func(string) bool { return false }, Probe: func(addr string) loss.Word { return cmp.Or(g.probeAnswers[addr], g.probeAnswer) }})
@@ -76,7 +76,7 @@
 
 // report delivers a report of the machine.
 func (g *rig) report(name, zone string) {
-	g.workers.Learn(&agent.View{Name: name, Addr: name, Type: "m8", Zone: zone, Host: "b", Session: 1, Seq: uint64(g.Now()), Settled: true, At: g.Now(), Tasks: g.runs})
+	g.workers.ApplyView(&agent.View{Name: name, Addr: name, Type: "m8", Zone: zone, Host: "b", Session: 1, Seq: uint64(g.Now()), TokenConfirmed: true, MadeAfter: g.Now(), Tasks: g.runs})
 }
 
 // count returns the number of calls that contain part.
@@ -121,9 +121,9 @@
 	for k := range 60 {
 		g.report("n-900001", "x") // another machine of the zone is alive
 		if g.Run(500 * loop.Millisecond); k%3 == 0 {
-			g.workers.Learn(&agent.View{Name: "n-900000", Addr: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), Tasks: g.runs})
+			g.workers.ApplyView(&agent.View{Name: "n-900000", Addr: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), Tasks: g.runs})
 		}
-		if deleted := g.workers.IsGone("n-900000"); deleted && k < 20 || !deleted && k > 44 { // a lease of 10 s, 9 s more, and the call
+		if deleted := g.workers.IsDeleted("n-900000"); deleted && k < 20 || !deleted && k > 44 { // a lease of 10 s, 9 s more, and the call
 			t.Fatalf("after %d ms the machine is deleted: %v", 500*k, deleted)
 		}
 	}
@@ -168,17 +168,17 @@
 	g.Run(3 * loop.Second)
 	seen := false
 	for range 4000 {
-		v := &agent.View{Name: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), Settled: true, At: g.Now()}
-		v.Closed = len(closed) > 0 && seen
+		v := &agent.View{Name: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), TokenConfirmed: true, MadeAfter: g.Now()}
+		v.ClosedToStarts = len(closed) > 0 && seen
 		seen = len(closed) > 0
-		g.workers.Learn(v)
+		g.workers.ApplyView(v)
 		g.Run(500 * loop.Millisecond)
-		if g.workers.IsGone("n-900000") {
+		if g.workers.IsDeleted("n-900000") {
 			break
 		}
 	}
-	if len(closed) == 0 || !g.workers.IsGone("n-900000") {
-		t.Fatalf("machine closed %d times, deleted: %v", len(closed), g.workers.IsGone("n-900000"))
+	if len(closed) == 0 || !g.workers.IsDeleted("n-900000") {
+		t.Fatalf("machine closed %d times, deleted: %v", len(closed), g.workers.IsDeleted("n-900000"))
 	}
 }
 
@@ -189,18 +189,18 @@
 	g.Run(3 * loop.Second)
 	g.report("n-900000", "x")
 	g.Run(25 * loop.Second) // no reports from now on
-	if !g.workers.IsGone("n-900000") || len(g.scaler.mirror.Under(DeletionKeys)) != 1 {
-		t.Fatalf("machine deleted: %v, deletion records %v", g.workers.IsGone("n-900000"), g.scaler.mirror.Under(DeletionKeys))
+	if !g.workers.IsDeleted("n-900000") || len(g.scaler.mirror.Under(DeletionKeys)) != 1 {
+		t.Fatalf("machine deleted: %v, deletion records %v", g.workers.IsDeleted("n-900000"), g.scaler.mirror.Under(DeletionKeys))
 	}
 	g.Run(deletionRetention + 120*loop.Second)
-	if n := len(g.scaler.mirror.Under(DeletionKeys)); n != 0 || g.workers.IsGone("n-900000") {
-		t.Fatalf("%d deletion records are left, machine deleted: %v", n, g.workers.IsGone("n-900000"))
+	if n := len(g.scaler.mirror.Under(DeletionKeys)); n != 0 || g.workers.IsDeleted("n-900000") {
+		t.Fatalf("%d deletion records are left, machine deleted: %v", n, g.workers.IsDeleted("n-900000"))
 	}
 	for range 80 {
 		g.scaler.UpdateDemand("b", peer.Tally{Wall: g.Now(), Suspect: []string{"n-900000"}})
 		g.Run(500 * loop.Millisecond)
 	}
-	if !g.workers.IsGone("n-900000") {
+	if !g.workers.IsDeleted("n-900000") {
 		t.Fatal("the deletion of a suspect machine was not confirmed again")
 	}
 }
--- a/internal/rental/deletion.go
+++ b/internal/rental/deletion.go
@@ -110,8 +110,8 @@
 		t.sortedMachines = nil
 		t.failures.Forget(name)
 	}
-	if !t.workers.IsGone(name) {
-		t.workers.Gone(name)
+	if !t.workers.IsDeleted(name) {
+		t.workers.MarkDeleted(name)
 		if t.OnDeleted != nil {
 			t.OnDeleted(name)
 		}
--- a/internal/rental/drain.go
+++ b/internal/rental/drain.go
@@ -43,7 +43,7 @@
 		if !ok || v == nil || v.NoticeAt != 0 || (m.state != Up && m.state != Draining) {
 			continue
 		}
-		left, ok := t.workers.Room(v, typ)
+		left, ok := t.workers.FreeCapacity(v, typ)
 		if !ok {
 			continue
 		}
--- a/internal/rental/expected.go
+++ b/internal/rental/expected.go
@@ -10,7 +10,7 @@
 // expectedMachine is a machine that is expected soon, with the capacity that no request has been assigned yet.
 type expectedMachine struct {
 	offer    offer
-	capacity agent.Room
+	capacity agent.Capacity
 }
 
 // place assigns up to n tasks of a request to the machine, and returns how many fit.
@@ -30,7 +30,7 @@
 	}
 	took := 0
 	for took < n && c.capacity.Fits(s) {
-		c.capacity.Take(s)
+		c.capacity.Subtract(s)
 		took++
 	}
 	return took
--- a/internal/rental/machine.go
+++ b/internal/rental/machine.go
@@ -49,7 +49,7 @@
 
 // adopt returns the record of a machine, creating it if needed; nil if the machine is known to be deleted.
 func (t *Autoscaler) adopt(name, typ, zone string, spot bool) *machine {
-	if t.workers.IsGone(name) {
+	if t.workers.IsDeleted(name) {
 		return nil
 	}
 	m := t.machines[name]
@@ -109,7 +109,7 @@
 	}
 	at := max(t.runner.Now()-v.Silence(t.runner.Wall(), t.cfg.ClockDifference()), t.started)
 	m.reportedAt = max(m.reportedAt, at)
-	if v.Settled || m.confirmedAt == 0 {
+	if v.TokenConfirmed || m.confirmedAt == 0 {
 		m.confirmedAt = max(m.confirmedAt, at)
 	}
 	if m.state == Booting {
@@ -126,7 +126,7 @@
 		}
 	} else {
 		m.standbyUntil = 0
-		if m.state == Closing && m.why == "idle" && !v.Closed {
+		if m.state == Closing && m.why == "idle" && !v.ClosedToStarts {
 			t.setState(m, Up, "in use again")
 		}
 	}
@@ -259,7 +259,7 @@
 		m.closeAskedAt = now
 		t.node.Close(v.Host, peer.Close{Machine: m.name, Until: t.runner.Wall() + 12*loop.Second})
 	}
-	if v.Closed && empty(v) && now-m.confirmedAt < 2*loop.Seconds(t.cfg.Cluster.Workers.ReportS)+2*loop.Second {
+	if v.ClosedToStarts && empty(v) && now-m.confirmedAt < 2*loop.Seconds(t.cfg.Cluster.Workers.ReportS)+2*loop.Second {
 		t.setState(m, Deleting, m.why)
 	}
 }
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -52,8 +52,8 @@
 }
 
 // capacityOf returns the capacity of an empty machine of the type.
-func capacityOf(x wire.MachineType) agent.Room {
-	return agent.Room{CPUs: x.CPUs, GPUs: x.GPUs, MemoryGB: x.MemoryGB}
+func capacityOf(x wire.MachineType) agent.Capacity {
+	return agent.Capacity{CPUs: x.CPUs, GPUs: x.GPUs, MemoryGB: x.MemoryGB}
 }
 
 // allOffers lists every offer of the catalog: each type in each of its zones, as spot and as standard.
@@ -99,7 +99,7 @@
 		if m == nil || v == nil || m.state != Up {
 			return
 		}
-		if free, ok := t.workers.Room(v, t.byName[m.typ]); ok {
+		if free, ok := t.workers.FreeCapacity(v, t.byName[m.typ]); ok {
 			out = append(out, &expectedMachine{offer{m.typ, m.zone, m.spot}, free})
 		}
 	})
