--- a/internal/member/claims.go
+++ b/internal/member/claims.go
@@ -10,11 +10,11 @@
 )
 
 func (b *Member) drop(key string) {
-	was, ok := b.mine[key]
+	was, ok := b.owned[key]
 	if !ok {
 		return
 	}
-	delete(b.mine, key)
+	delete(b.owned, key)
 	b.log.Info("ownership claim lost or released; this controller stops acting as the owner", "key", key)
 	b.notify(key, false, was)
 }
@@ -32,7 +32,7 @@
 // claimRecord reads a claim and its revision from the mirror. A corrupt record is returned
 // as one that names no owner.
 func (b *Member) claimRecord(key string) (rec ownerRecord, version uint64, ok bool) {
-	e, ok := b.m.Get(key)
+	e, ok := b.mirror.Get(key)
 	if !ok {
 		return ownerRecord{}, 0, false
 	}
@@ -43,39 +43,39 @@
 	return rec, e.Mark, true
 }
 
-// owner reads the holder of a claim from the mirror.
-func (b *Member) owner(key string) (Owner, bool) {
+// claimOwner reads the holder of a claim from the mirror.
+func (b *Member) claimOwner(key string) (Owner, bool) {
 	rec, version, ok := b.claimRecord(key)
 	return Owner{rec.Node, rec.Epoch, version}, ok
 }
 
-// mostOthers bounds the set of teams that only other controllers know.
-const mostOthers = 1000
+// maxForeignTeams bounds the set of teams that only other controllers know.
+const maxForeignTeams = 1000
 
 // LearnTeams records the names of teams that other controllers know.
 func (b *Member) LearnTeams(teams []string) {
 	for _, team := range teams {
-		if !slices.Contains(b.Teams, team) && len(b.others) < mostOthers {
-			b.others[team] = true
+		if !slices.Contains(b.Teams, team) && len(b.foreignTeams) < maxForeignTeams {
+			b.foreignTeams[team] = true
 		}
 	}
 }
 
 // Foreign reports whether other controllers know or own a team that these settings do not
 // name, as happens while the settings are changed on one controller after another.
-func (b *Member) Foreign(team string) bool { return b.others[team] }
+func (b *Member) Foreign(team string) bool { return b.foreignTeams[team] }
 
-// review updates what this controller owns from a claim in the mirror.
-func (b *Member) review(key string) {
-	o, ok := b.owner(key)
-	mine := ok && b.state == Active && o.Node == b.Label && o.Epoch == b.inst
-	have, had := b.mine[key]
+// reviewClaim updates what this controller owns from a claim in the mirror.
+func (b *Member) reviewClaim(key string) {
+	o, ok := b.claimOwner(key)
+	mine := ok && b.state == Active && o.Node == b.Label && o.Epoch == b.incarnation
+	have, had := b.owned[key]
 	if had && (!mine || have.Revision != o.Revision) {
 		b.drop(key)
 		had = false
 	}
 	if mine && !had {
-		b.mine[key] = o
+		b.owned[key] = o
 		b.log.Info("ownership claim acquired", "key", key, "claim", o.Revision, "epoch", o.Epoch)
 		b.notify(key, true, o)
 	}
@@ -90,93 +90,93 @@
 	if b.state != Active || !b.LeaseValid() {
 		return
 	}
-	now := b.r.Now()
+	now := b.runner.Now()
 	isolated := b.Isolated != nil && len(b.nodes) > 1 && b.Isolated()
-	if isolated != b.alone || b.nodes[b.Label].Lease != b.lease {
+	if isolated != b.registeredIsolated || b.nodes[b.Label].Lease != b.lease {
 		b.register(b.lease, isolated)
 	}
-	gather := isolated && b.AllIsolated()
-	_, leads := b.mine[leaderKey]
-	if gather && !leads && len(b.mine) > 0 {
+	leaderOwnsAll := isolated && b.AllIsolated()
+	_, leads := b.owned[leaderKey]
+	if leaderOwnsAll && !leads && len(b.owned) > 0 {
 		// No controller reaches another. Several owners would each see a part of the
 		// machines only, so the leader takes all partitions over.
-		if _, ok := b.Leader(); ok && now-b.handed > 2*loop.Second {
-			b.handed = now
+		if _, ok := b.Leader(); ok && now-b.handedOverAt > 2*loop.Second {
+			b.handedOverAt = now
 			b.handOver("no peer is reachable")
 		}
 	}
-	if isolated && !gather && len(b.mine) > 0 && (b.handed == 0 || now-b.handed > 30*loop.Second) {
+	if isolated && !leaderOwnsAll && len(b.owned) > 0 && (b.handedOverAt == 0 || now-b.handedOverAt > 30*loop.Second) {
 		// The lease is valid, but nothing decided here reaches a machine that reports to
 		// another controller: controllers that reach each other should own it instead.
 		// What nobody else claims is claimed again below and kept for a while.
-		b.handed = now
+		b.handedOverAt = now
 		b.handOver("no peer is reachable")
 	}
 	broken := !isolated && b.PartlyDisconnected != nil && b.PartlyDisconnected()
-	if broken && len(b.mine) > 0 && (b.handed == 0 || now-b.handed > 30*loop.Second) && b.anyFit() {
+	if broken && len(b.owned) > 0 && (b.handedOverAt == 0 || now-b.handedOverAt > 30*loop.Second) && b.anyFit() {
 		// This owner neither gets the reports of machines at the unreachable controller nor
 		// sends them commands. A controller that reaches all the others should own instead.
-		b.handed = now
+		b.handedOverAt = now
 		b.handOver("a controller that others reach is unreachable from here")
 	}
 	b.decideLayout(now)
 	b.convertTeams()
-	b.share(now)
+	b.rebalance(now)
 	var delay loop.Micros // of all claims of this controller
-	if isolated && !gather || broken {
-		delay += aloneDelay
+	if isolated && !leaderOwnsAll || broken {
+		delay += isolatedDelay
 	}
-	b.claimFree(now, gather, leads, delay)
+	b.claimFree(now, leaderOwnsAll, leads, delay)
 }
 
-// aloneDelay is the additional delay of the claims of a controller that is isolated, or that
+// isolatedDelay is the additional delay of the claims of a controller that is isolated, or that
 // cannot reach a controller that others reach.
-const aloneDelay = 4 * loop.Second
+const isolatedDelay = 4 * loop.Second
 
 // claimFree claims the free keys whose delay has passed, in as few transactions as possible.
 // Where no controller reaches another, the leader claims everything and the others claim
 // only the leadership.
-func (b *Member) claimFree(now loop.Micros, gather, leads bool, delay loop.Micros) {
-	free := b.free(now)
+func (b *Member) claimFree(now loop.Micros, leaderOwnsAll, leads bool, delay loop.Micros) {
+	free := b.freeKeys(now)
 	if len(free) == 0 {
 		return
 	}
 	preferred := b.preferred(free)
-	owned := len(b.mine)
-	damped := loop.Micros(0)
+	owned := len(b.owned)
+	damping := loop.Micros(0)
 	if len(b.nodes) > 1 {
-		damped = b.damped(now)
+		damping = b.claimDamping(now)
 	}
 	var due []string
 	for _, key := range free {
 		wait := b.claimWait(owned, preferred[key]) + delay
 		switch {
-		case gather && leads:
+		case leaderOwnsAll && leads:
 			wait = 0
-		case gather && key != leaderKey:
+		case leaderOwnsAll && key != leaderKey:
 			continue
 		}
-		if now-b.freeAt[key] >= wait+damped {
+		if now-b.freeAt[key] >= wait+damping {
 			owned++
 			due = append(due, key)
 		}
 	}
-	together := 1 // single teams are few: with one claim each, a conflict on one affects no other
+	batch := 1 // single teams are few: with one claim each, a conflict on one affects no other
 	if b.layout.Numbered() {
-		together = b.c.MostChanges()
+		batch = b.client.MostChanges()
 	}
 	for len(due) > 0 {
-		n := min(len(due), together)
+		n := min(len(due), batch)
 		b.claim(due[:n])
 		due = due[n:]
 	}
 }
 
-// free lists, in order, the keys that nobody holds and that this controller is not claiming.
-func (b *Member) free(now loop.Micros) []string {
+// freeKeys lists, in order, the keys that nobody holds and that this controller is not claiming.
+func (b *Member) freeKeys(now loop.Micros) []string {
 	var free []string
-	for _, key := range b.keys() {
-		if _, taken := b.m.Get(key); taken || b.asking[key] {
+	for _, key := range b.claimKeys() {
+		if _, taken := b.mirror.Get(key); taken || b.claiming[key] {
 			continue
 		}
 		if _, known := b.freeAt[key]; !known {
@@ -192,8 +192,8 @@
 // they seldom claim the same key; where they do, one of their transactions fails.
 func (b *Member) preferred(free []string) map[string]string {
 	held := map[string]int{}
-	for _, key := range b.keys() {
-		if o, ok := b.owner(key); ok {
+	for _, key := range b.claimKeys() {
+		if o, ok := b.claimOwner(key); ok {
 			held[o.Node]++
 		}
 	}
@@ -216,10 +216,10 @@
 }
 
 const (
-	// claimStep is the delay of a claim for each key that the controller already holds, so
+	// claimDelayStep is the delay of a claim for each key that the controller already holds, so
 	// that controllers that start a little later get their share; claimMost bounds it.
-	claimStep = 250 * loop.Millisecond
-	claimMost = 1200 * loop.Millisecond
+	claimDelayStep = 250 * loop.Millisecond
+	maxClaimDelay  = 1200 * loop.Millisecond
 	// claimYield is how long a key is left to its preferred controller.
 	claimYield = 400 * loop.Millisecond
 )
@@ -231,10 +231,10 @@
 	if b.layout.Numbered() && mine && len(b.nodes) >= b.Controllers {
 		return 0 // all controllers are registered, so nobody else should get the key
 	}
-	fair := (len(b.keys()) - 1 + len(b.nodes)) / max(len(b.nodes), 1)
-	wait := loop.Micros(owned) * claimStep
+	fair := (len(b.claimKeys()) - 1 + len(b.nodes)) / max(len(b.nodes), 1)
+	wait := loop.Micros(owned) * claimDelayStep
 	if owned >= fair {
-		wait = claimMost
+		wait = maxClaimDelay
 	}
 	if !mine {
 		wait += claimYield
@@ -242,8 +242,8 @@
 	return wait
 }
 
-// keys returns the keys of all claims: those of the layout's partitions and the leadership.
-func (b *Member) keys() []string {
+// claimKeys returns the claimKeys of all claims: those of the layout's partitions and the leadership.
+func (b *Member) claimKeys() []string {
 	var keys []string
 	if b.layoutState != layoutUndecided {
 		for _, id := range b.layout.All(b.Teams) {
@@ -263,55 +263,55 @@
 	return len(b.nodes) > 1
 }
 
-// evictAgain is the least time between two evictions of the same controller.
-const evictAgain = 60 * loop.Second
+// evictInterval is the least time between two evictions of the same controller.
+const evictInterval = 60 * loop.Second
 
 // Evict ends the lease of a controller that refuses connections and sends no messages. This
 // does not prove that it failed, and need not: all it records is conditioned on its claims,
 // so one that still runs merely joins again.
 func (b *Member) Evict(label string) {
 	rec, ok := b.nodes[label]
-	now := b.r.Now()
+	now := b.runner.Now()
 	if !ok || label == b.Label || !b.LeaseValid() {
 		return
 	}
-	if at, was := b.evicted[label]; was && now-at < evictAgain {
+	if at, was := b.evicted[label]; was && now-at < evictInterval {
 		// It joined again and still refuses connections from here: a packet filter lies
 		// between. To end its lease again and again would leave its teams without an owner.
 		return
 	}
 	b.evicted[label] = now
 	b.log.Info("controller refuses connections; ending its lease so that others take over its partitions", "node", label, "lease", rec.Lease)
-	b.c.End(rec.Lease)
+	b.client.End(rec.Lease)
 }
 
-// claimAgain is the delay before a key is claimed again after another controller held it.
-const claimAgain = loop.Second
+// claimRetry is the delay before a key is claimed again after another controller held it.
+const claimRetry = loop.Second
 
 // claim claims keys in one transaction: all of them or none.
 func (b *Member) claim(keys []string) {
 	lease := b.lease
-	rec := ownerRecord{Node: b.Label, Epoch: b.inst}
+	rec := ownerRecord{Node: b.Label, Epoch: b.incarnation}
 	var txn wire.Txn
 	for _, key := range keys {
-		b.asking[key] = true
+		b.claiming[key] = true
 		txn.If = append(txn.If, wire.Cond{Key: key, Mark: 0})
 		txn.Then = append(txn.Then, wire.Change{Put: key, Value: rec, Lease: lease})
 	}
-	b.c.Txn(store.Leases, txn, func(r store.Result) {
+	b.client.Txn(store.Leases, txn, func(r store.Result) {
 		for _, key := range keys {
-			delete(b.asking, key)
+			delete(b.claiming, key)
 		}
 		switch {
 		case r.Outcome == store.NoLease && lease == b.lease:
-			b.lost()
+			b.leaseLost()
 		case r.Outcome == store.Conflict && len(keys) > 1:
 			for _, key := range r.Failed {
-				b.freeAt[key] = b.r.Now() + claimAgain
+				b.freeAt[key] = b.runner.Now() + claimRetry
 			}
 		case r.Outcome == store.Applied && lease == b.lease:
 			for _, key := range keys {
-				b.m.Apply(key, wire.Marshal(rec), r.Tally, false)
+				b.mirror.Apply(key, wire.Marshal(rec), r.Tally, false)
 			}
 		}
 	})
@@ -325,15 +325,15 @@
 			key = b.layout.Of(team).ClaimKey()
 		}
 	}
-	return b.owner(key)
+	return b.claimOwner(key)
 }
 
 // Leader returns the leader as far as this controller knows.
-func (b *Member) Leader() (Owner, bool) { return b.owner(leaderKey) }
+func (b *Member) Leader() (Owner, bool) { return b.claimOwner(leaderKey) }
 
 // Leads reports whether this controller leads, and its claim.
 func (b *Member) Leads() (Owner, bool) {
-	o, ok := b.mine[leaderKey]
+	o, ok := b.owned[leaderKey]
 	return o, ok
 }
 
--- a/internal/member/layout.go
+++ b/internal/member/layout.go
@@ -84,7 +84,7 @@
 	if b.olderSeen != 0 || b.teamClaimed() {
 		wait = upgradeWait
 	}
-	if len(b.nodes) >= b.Controllers || now-max(b.olderSeen, b.joined) >= wait {
+	if len(b.nodes) >= b.Controllers || now-max(b.olderSeen, b.leaseSince) >= wait {
 		b.storeLayout()
 	}
 }
@@ -110,15 +110,15 @@
 func (b *Member) storeLayout() {
 	b.storingLayout = true
 	l := partition.Layout{Count: partition.CountFor(b.Controllers)}
-	b.c.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: partition.LayoutKey, Mark: 0}},
+	b.client.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: partition.LayoutKey, Mark: 0}},
 		Then: []wire.Change{{Put: partition.LayoutKey, Value: l}}}, func(r store.Result) {
-		again := func() { b.storingLayout = false }
+		retry := func() { b.storingLayout = false }
 		if r.Outcome == store.Applied {
-			b.m.Apply(partition.LayoutKey, wire.Marshal(l), r.Tally, false)
-			again()
+			b.mirror.Apply(partition.LayoutKey, wire.Marshal(l), r.Tally, false)
+			retry()
 			return
 		}
-		b.r.After(claimAgain, again) // a layout stored by another controller arrives through the mirror
+		b.runner.After(claimRetry, retry) // a layout stored by another controller arrives through the mirror
 	})
 }
 
@@ -141,7 +141,7 @@
 		txn.If = append(txn.If, wire.Cond{Key: teamKeys + team, Mark: 0})
 		txn.Then = append(txn.Then, assignment(b.layout, team))
 	}
-	b.c.Txn(store.Answers, txn, func(r store.Result) {
+	b.client.Txn(store.Answers, txn, func(r store.Result) {
 		if r.Outcome == store.Applied {
 			b.applyAssignments(txn.Then, r.Tally)
 		}
@@ -157,8 +157,8 @@
 	}
 	var txn wire.Txn
 	for _, team := range b.Teams {
-		o, ok := b.mine[teamKeys+team]
-		if !ok || len(txn.Then) >= b.c.MostChanges() {
+		o, ok := b.owned[teamKeys+team]
+		if !ok || len(txn.Then) >= b.client.MostChanges() {
 			continue
 		}
 		txn.If = append(txn.If, wire.Cond{Key: teamKeys + team, Mark: o.Revision})
@@ -168,7 +168,7 @@
 		return
 	}
 	b.converting = true
-	b.c.Txn(store.Leases, txn, func(r store.Result) {
+	b.client.Txn(store.Leases, txn, func(r store.Result) {
 		b.converting = false
 		if r.Outcome == store.Applied {
 			b.applyAssignments(txn.Then, r.Tally)
@@ -179,7 +179,7 @@
 
 func (b *Member) applyAssignments(changes []wire.Change, tally uint64) {
 	for _, ch := range changes {
-		b.m.Apply(ch.Put, wire.Marshal(ch.Value), tally, false)
+		b.mirror.Apply(ch.Put, wire.Marshal(ch.Value), tally, false)
 	}
 }
 
--- a/internal/member/layout_test.go
+++ b/internal/member/layout_test.go
@@ -21,11 +21,11 @@
 	return teams
 }
 
-// sharing returns a controller of a cluster with the given numbers of controllers and teams;
+// startWithTeams returns a controller of a cluster with the given numbers of controllers and teams;
 // older makes it behave like a version that only knows claims of single teams.
-func sharing(s *standin.Stepped, state *standin.State, label string, controllers, teams int, older bool) *Member {
+func startWithTeams(s *standin.Stepped, state *standin.State, label string, controllers, teams int, older bool) *Member {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	x := &tap{state: state}
+	x := &stateConn{state: state}
 	c := store.NewClient(s, x, log, 1000, 1000, 1)
 	m := store.NewMirror(c, x, Prefix)
 	b := New(s, c, m, log, Settings{Label: label, Teams: manyTeams(teams), Controllers: controllers, LeaseTTL: 4 * loop.Second, TeamsOnly: older})
@@ -41,11 +41,11 @@
 	state := standin.NewState(func() loop.Micros { return s.Now() })
 	var all []*Member
 	for i := range 8 {
-		all = append(all, sharing(s, state, fmt.Sprint("n", i), 8, 300, false))
+		all = append(all, startWithTeams(s, state, fmt.Sprint("n", i), 8, 300, false))
 	}
 	s.Run(6 * loop.Second)
 	for _, b := range all {
-		if n := len(b.mine); n < 1 || n > 4 {
+		if n := len(b.owned); n < 1 || n > 4 {
 			t.Errorf("%s holds %d of 17 claims (16 partitions and the leadership), want 1 to 4", b.Label, n)
 		}
 	}
@@ -63,8 +63,8 @@
 func TestLayoutWaitsForOlderVersions(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
-	a := sharing(s, state, "a", 2, 12, false)
-	old := sharing(s, state, "b", 2, 12, true)
+	a := startWithTeams(s, state, "a", 2, 12, false)
+	old := startWithTeams(s, state, "b", 2, 12, true)
 	s.Run(90 * loop.Second)
 	if a.Layout().Numbered() || len(state.Keys(partition.ClaimPrefix)) > 0 {
 		t.Fatal("the layout became numbered while an older version is registered")
@@ -75,7 +75,7 @@
 	old.state = Starting // its process stops
 	state.Do("DELETE", fmt.Sprint("/holds/", old.lease), nil, 0)
 	old.lease = 0
-	b := sharing(s, state, "b", 2, 12, false)
+	b := startWithTeams(s, state, "b", 2, 12, false)
 	s.Run(20 * loop.Second)
 	if !a.Layout().Numbered() || a.Layout() != b.Layout() {
 		t.Fatalf("the layouts of a and b are %+v and %+v, want the same numbered one", a.Layout(), b.Layout())
@@ -95,11 +95,11 @@
 func TestHeldTeamsAreNotAssigned(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
-	a := sharing(s, state, "a", 1, 12, false)
+	a := startWithTeams(s, state, "a", 1, 12, false)
 	s.Run(6 * loop.Second)
 	team := a.Teams[4]
 	id := a.Layout().Of(team)
-	claim, mine := a.mine[id.ClaimKey()]
+	claim, mine := a.owned[id.ClaimKey()]
 	if !mine {
 		t.Fatal("a does not own the partition of the team")
 	}
@@ -137,7 +137,7 @@
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
 	state.Put(partition.LayoutKey, "nonsense")
-	a := sharing(s, state, "a", 1, 12, false)
+	a := startWithTeams(s, state, "a", 1, 12, false)
 	s.Run(20 * loop.Second)
 	if n := len(state.Keys(partition.ClaimPrefix)) + len(state.Keys(partition.TeamClaimPrefix)); n > 0 || a.Layout().Numbered() {
 		t.Errorf("%d partitions or teams are claimed, want none and no numbered layout", n)
--- a/internal/member/lease.go
+++ b/internal/member/lease.go
@@ -7,42 +7,42 @@
 )
 
 const (
-	// retryEpoch is the least delay before a controller that got no epoch tries again.
-	retryEpoch = 300 * loop.Millisecond
-	// spreadEvery is the number of controllers for which the retries are spread over one more
+	// minEpochRetry is the least delay before a controller that got no epoch tries again.
+	minEpochRetry = 300 * loop.Millisecond
+	// controllersPerSpread is the number of controllers for which the retries are spread over one more
 	// retryEpoch: of all that try at the same time, only one gets the next epoch.
-	spreadEvery = 4
+	controllersPerSpread = 4
 )
 
 // epochRetry returns the delay before this controller tries again to get an epoch.
 func (b *Member) epochRetry() loop.Micros {
-	spread := retryEpoch * loop.Micros(b.Controllers/spreadEvery)
+	spread := minEpochRetry * loop.Micros(b.Controllers/controllersPerSpread)
 	if spread == 0 {
-		return retryEpoch
+		return minEpochRetry
 	}
-	return retryEpoch + b.rand.Int64N(spread)
+	return minEpochRetry + b.rand.Int64N(spread)
 }
 
 func (b *Member) join() {
 	if b.state != Joining {
 		return
 	}
-	sent := b.r.Now()
-	b.c.Lease(b.LeaseTTL, func(id uint64) {
+	sent := b.runner.Now()
+	b.client.Lease(b.LeaseTTL, func(id uint64) {
 		if id == 0 {
-			b.r.After(400*loop.Millisecond, b.join)
+			b.runner.After(400*loop.Millisecond, b.join)
 			return
 		}
-		b.lease, b.until, b.joined = id, sent+b.LeaseTTL, b.r.Now()
+		b.lease, b.leaseUntil, b.leaseSince = id, sent+b.LeaseTTL, b.runner.Now()
 		b.setState(AwaitingEpoch)
-		b.number(id)
-		b.r.After(b.LeaseTTL/4, func() { b.renew(id) })
+		b.joinWithEpoch(id)
+		b.runner.After(b.LeaseTTL/4, func() { b.renew(id) })
 	})
 }
 
-// number takes the next epoch and registers the controller under it.
-func (b *Member) number(lease uint64) {
-	again := func() { b.r.After(b.epochRetry(), func() { b.number(lease) }) }
+// joinWithEpoch takes the next epoch and registers the controller under it.
+func (b *Member) joinWithEpoch(lease uint64) {
+	retry := func() { b.runner.After(b.epochRetry(), func() { b.joinWithEpoch(lease) }) }
 	if b.lease != lease {
 		return
 	}
@@ -51,10 +51,10 @@
 			return
 		}
 		if epoch == 0 {
-			again()
+			retry()
 			return
 		}
-		b.inst = epoch
+		b.incarnation = epoch
 		b.register(lease, false)
 	})
 }
@@ -64,55 +64,55 @@
 // incarnation may be applied late, replace this one and vanish with the earlier lease, which
 // would leave a running controller unregistered.
 func (b *Member) register(lease uint64, alone bool) {
-	if b.lease != lease || b.telling {
+	if b.lease != lease || b.registering {
 		return
 	}
-	b.telling = true
-	rec := nodeRecord{Epoch: b.inst, Lease: lease, Isolated: alone, Layouts: b.generation()}
-	b.c.Txn(store.Leases, wire.Txn{Then: []wire.Change{{Put: nodeKeys + b.Label, Value: rec, Lease: lease}}}, func(r store.Result) {
-		b.telling = false
+	b.registering = true
+	rec := nodeRecord{Epoch: b.incarnation, Lease: lease, Isolated: alone, Layouts: b.generation()}
+	b.client.Txn(store.Leases, wire.Txn{Then: []wire.Change{{Put: nodeKeys + b.Label, Value: rec, Lease: lease}}}, func(r store.Result) {
+		b.registering = false
 		switch {
 		case b.lease != lease:
 		case r.Outcome == store.NoLease:
-			b.lost()
+			b.leaseLost()
 		case r.Outcome == store.Applied:
-			b.alone = alone
-			b.m.Apply(nodeKeys+b.Label, wire.Marshal(rec), r.Tally, false)
+			b.registeredIsolated = alone
+			b.mirror.Apply(nodeKeys+b.Label, wire.Marshal(rec), r.Tally, false)
 			if b.state == AwaitingEpoch {
 				b.setState(Active)
 				b.tick()
 			}
 		case b.state == AwaitingEpoch:
-			b.r.After(300*loop.Millisecond, func() { b.register(lease, alone) })
+			b.runner.After(300*loop.Millisecond, func() { b.register(lease, alone) })
 		}
 	})
 }
 
 // takeEpoch increments the shared epoch counter. The callback gets the new epoch, or 0 if
 // none was obtained.
-func (b *Member) takeEpoch(cb func(uint64)) {
-	b.c.Get(store.Leases, epochKey, func(it wire.Item, found, ok bool) {
+func (b *Member) takeEpoch(callback func(uint64)) {
+	b.client.Get(store.Leases, epochKey, func(it wire.Item, found, ok bool) {
 		if !ok {
-			cb(0)
+			callback(0)
 			return
 		}
 		var rec epochRecord
 		if found && wire.Unmarshal(it.Value, &rec) != nil {
 			b.log.Error("corrupt epoch record; this controller cannot get an epoch", "key", epochKey)
-			cb(0)
+			callback(0)
 			return
 		}
 		next := rec.Epoch + 1
-		b.c.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: epochKey, Mark: it.Mark}},
+		b.client.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: epochKey, Mark: it.Mark}},
 			Then: []wire.Change{{Put: epochKey, Value: epochRecord{next}}}}, func(r store.Result) {
 			if r.Outcome != store.Applied {
 				// Without an answer the epoch may have been taken or not. It is never
 				// used, and the next attempt takes a later one.
-				cb(0)
+				callback(0)
 				return
 			}
 			b.epoch = max(b.epoch, next)
-			cb(next)
+			callback(next)
 		})
 	})
 }
@@ -120,13 +120,13 @@
 // RaiseEpoch takes a newer epoch, so that a machine that has seen a higher token accepts
 // this controller's commands again. done runs whether or not it succeeds.
 func (b *Member) RaiseEpoch(done func()) {
-	b.raise = append(b.raise, done)
-	if len(b.raise) > 1 {
+	b.epochWaiters = append(b.epochWaiters, done)
+	if len(b.epochWaiters) > 1 {
 		return
 	}
 	b.takeEpoch(func(uint64) {
-		all := b.raise
-		b.raise = nil
+		all := b.epochWaiters
+		b.epochWaiters = nil
 		for _, f := range all {
 			f()
 		}
@@ -137,15 +137,15 @@
 	if b.lease != id {
 		return
 	}
-	sent := b.r.Now()
-	next := func() { b.r.After(b.LeaseTTL/4, func() { b.renew(id) }) }
-	b.c.Extend(id, func(alive, ok bool) {
+	sent := b.runner.Now()
+	next := func() { b.runner.After(b.LeaseTTL/4, func() { b.renew(id) }) }
+	b.client.Extend(id, func(alive, ok bool) {
 		switch {
 		case b.lease != id:
 		case ok && !alive:
-			b.lost()
+			b.leaseLost()
 		case ok:
-			b.until = sent + b.LeaseTTL
+			b.leaseUntil = sent + b.LeaseTTL
 			next()
 		default:
 			next()
@@ -153,15 +153,15 @@
 	})
 }
 
-// lost drops all claims, because the lease has ended and the claims with it, and joins again.
-func (b *Member) lost() {
+// leaseLost drops all claims, because the lease has ended and the claims with it, and joins again.
+func (b *Member) leaseLost() {
 	b.log.Info("controller lease ended; all claims are lost and the controller joins again", "lease", b.lease)
-	if b.r.Now()-b.joined >= goodFor {
-		b.losses = 0
+	if b.runner.Now()-b.leaseSince >= stableAfter {
+		b.leaseLosses = 0
 	}
-	b.losses++
-	b.lease, b.until, b.alone = 0, 0, false
-	for key := range loop.Sorted(b.mine) {
+	b.leaseLosses++
+	b.lease, b.leaseUntil, b.registeredIsolated = 0, 0, false
+	for key := range loop.Sorted(b.owned) {
 		b.drop(key)
 	}
 	b.setState(Joining)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -81,19 +81,19 @@
 
 // Member is this controller's membership.
 type Member struct {
-	r   loop.Runner
-	c   *store.Client
-	m   *store.Mirror
-	log *slog.Logger
+	runner loop.Runner
+	client *store.Client
+	mirror *store.Mirror
+	log    *slog.Logger
 	Settings
-	state  State
-	lease  uint64
-	until  loop.Micros // the lease is certainly valid until then
-	inst   uint64      // the epoch that identifies this incarnation of the process
-	epoch  uint64      // the newest epoch, for tokens
-	freeAt map[string]loop.Micros
-	asking map[string]bool
-	raise  []func()
+	state        State
+	lease        uint64
+	leaseUntil   loop.Micros // the lease is certainly valid until then
+	incarnation  uint64      // the epoch that identifies this incarnation of the process
+	epoch        uint64      // the newest epoch, for tokens
+	freeAt       map[string]loop.Micros
+	claiming     map[string]bool
+	epochWaiters []func()
 	// OnOwned is called when this controller gains or loses a partition.
 	OnOwned func(id partition.ID, owned bool, claim Owner)
 	// OnAssigned is called when a team has been assigned to a numbered partition.
@@ -103,23 +103,23 @@
 	// OnLeader is called when this controller gains or loses the leadership.
 	OnLeader func(leads bool, claim Owner)
 	// Isolated reports whether no peer is reachable although the state service is.
-	Isolated func() bool
-	mine     map[string]Owner
-	nodes    map[string]nodeRecord
-	handed   loop.Micros // when owned keys were last handed over
-	alone    bool        // the isolation that is registered; the state service is the only way to publish it
-	telling  bool        // a registration is under way
-	evicted  map[string]loop.Micros
+	Isolated           func() bool
+	owned              map[string]Owner
+	nodes              map[string]nodeRecord
+	handedOverAt       loop.Micros // when owned keys were last handed over
+	registeredIsolated bool        // the isolation that is registered; the state service is the only way to publish it
+	registering        bool        // a registration is under way
+	evicted            map[string]loop.Micros
 	// Fit reports whether another controller may be given work, Broken whether the connection
 	// between this one and a controller that others reach is broken, and Weight returns how
 	// much work a partition brings. All may be nil.
 	Fit                func(node string) bool
 	PartlyDisconnected func() bool
 	Weight             func(id partition.ID) int
-	others             map[string]bool // teams known to other controllers that these settings do not name
-	joined             loop.Micros     // when the current lease was granted
-	losses             int             // consecutive leases that ended before goodFor
-	uneven             loop.Micros     // since when this controller owns more than its share; 0: it does not
+	foreignTeams       map[string]bool // teams known to other controllers that these settings do not name
+	leaseSince         loop.Micros     // when the current lease was granted
+	leaseLosses        int             // consecutive leases that ended before goodFor
+	unevenSince        loop.Micros     // since when this controller owns more than its share; 0: it does not
 	rand               *rand.Rand      // spreads the retries of controllers that start together
 
 	layout        partition.Layout
@@ -131,14 +131,14 @@
 
 // New returns a membership that does nothing until Start is called.
 func New(r loop.Runner, c *store.Client, m *store.Mirror, log *slog.Logger, settings Settings) *Member {
-	return &Member{r: r, c: c, m: m, log: log, Settings: settings, rand: loop.Rand(r),
-		freeAt: map[string]loop.Micros{}, asking: map[string]bool{}, mine: map[string]Owner{}, nodes: map[string]nodeRecord{}, evicted: map[string]loop.Micros{},
-		others: map[string]bool{}}
+	return &Member{runner: r, client: c, mirror: m, log: log, Settings: settings, rand: loop.Rand(r),
+		freeAt: map[string]loop.Micros{}, claiming: map[string]bool{}, owned: map[string]Owner{}, nodes: map[string]nodeRecord{}, evicted: map[string]loop.Micros{},
+		foreignTeams: map[string]bool{}}
 }
 
 // Start registers for changes of the mirror and joins the cluster once the mirror is loaded.
 func (b *Member) Start() {
-	b.m.On(nodeKeys, func(key string, e store.Entry) {
+	b.mirror.On(nodeKeys, func(key string, e store.Entry) {
 		var rec nodeRecord
 		name := strings.TrimPrefix(key, nodeKeys)
 		if e.Mark == 0 || wire.Unmarshal(e.Value, &rec) != nil {
@@ -147,24 +147,24 @@
 		}
 		b.nodes[name] = rec
 	})
-	b.m.On(teamKeys, func(key string, _ store.Entry) {
+	b.mirror.On(teamKeys, func(key string, _ store.Entry) {
 		b.LearnTeams([]string{strings.TrimPrefix(key, teamKeys)})
-		b.review(key)
+		b.reviewClaim(key)
 		b.reviewAssignment(key)
 	})
-	b.m.On(partition.ClaimPrefix, func(key string, _ store.Entry) { b.review(key) })
-	b.m.On(partition.LayoutKey, b.learnLayout)
-	b.m.On(leaderKey, func(key string, _ store.Entry) { b.review(key) })
-	b.m.OnReady(func() {
+	b.mirror.On(partition.ClaimPrefix, func(key string, _ store.Entry) { b.reviewClaim(key) })
+	b.mirror.On(partition.LayoutKey, b.learnLayout)
+	b.mirror.On(leaderKey, func(key string, _ store.Entry) { b.reviewClaim(key) })
+	b.mirror.OnReady(func() {
 		if old, ok := b.nodes[b.Label]; ok {
 			// An earlier incarnation of this controller crashed. Its lease only delays
 			// others that would take over what it owned.
-			b.c.End(old.Lease)
+			b.client.End(old.Lease)
 		}
 		b.setState(Joining)
 		b.join()
 	})
-	loop.Every(b.r, 300*loop.Millisecond, b.tick)
+	loop.Every(b.runner, 300*loop.Millisecond, b.tick)
 }
 
 func (b *Member) setState(s State) {
@@ -175,14 +175,14 @@
 }
 
 // LeaseValid reports whether this controller's lease is certainly valid.
-func (b *Member) LeaseValid() bool { return b.state == Active && b.r.Now() < b.until }
+func (b *Member) LeaseValid() bool { return b.state == Active && b.runner.Now() < b.leaseUntil }
 
 // Lease returns the lease that this controller holds as far as it knows, or 0.
 func (b *Member) Lease() uint64 { return b.lease }
 
 // Epoch returns the newest epoch, for tokens, or 0 while there is none.
 func (b *Member) Epoch() uint64 {
-	if b.inst == 0 {
+	if b.incarnation == 0 {
 		return 0
 	}
 	return b.epoch
@@ -197,4 +197,4 @@
 // RegisteredCount returns the number of registered controllers.
 func (b *Member) RegisteredCount() int { return len(b.nodes) }
 
-func (b *Member) String() string { return fmt.Sprintf("%s/%s/%d", b.Label, b.state, b.inst) }
+func (b *Member) String() string { return fmt.Sprintf("%s/%s/%d", b.Label, b.state, b.incarnation) }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -13,25 +13,25 @@
 	"cleatpick/internal/wire"
 )
 
-// tap is a connection to the state service that a test can turn off; it counts the leases
+// stateConn is a connection to the state service that a test can turn off; it counts the leases
 // that are ended explicitly.
-type tap struct {
-	state *standin.State
-	ends  int
-	off   bool
+type stateConn struct {
+	state     *standin.State
+	leaseEnds int
+	off       bool
 }
 
-func (x *tap) Do(method, path string, body []byte, d time.Duration) store.Response {
+func (x *stateConn) Do(method, path string, body []byte, d time.Duration) store.Response {
 	if x.off {
 		return store.Response{Status: 503}
 	}
 	if method == "DELETE" {
-		x.ends++
+		x.leaseEnds++
 	}
 	return x.state.Do(method, path, body, d)
 }
 
-func nodeOn(s *standin.Stepped, x *tap, label string) *Member {
+func startMember(s *standin.Stepped, x *stateConn, label string) *Member {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c := store.NewClient(s, x, log, 1000, 1000, 1)
 	m := store.NewMirror(c, x, Prefix)
@@ -53,13 +53,13 @@
 func TestRefusedNodeLosesItsTeams(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
-	xa, xb := &tap{state: state}, &tap{state: state}
-	a := nodeOn(s, xa, "a")
+	xa, xb := &stateConn{state: state}, &stateConn{state: state}
+	a := startMember(s, xa, "a")
 	s.Run(3 * loop.Second)
 	if r, u := owners(a); r != "a" || u != "a" {
 		t.Fatalf("the only controller a does not own both teams: red is owned by %q, blue by %q", r, u)
 	}
-	b := nodeOn(s, xb, "b")
+	b := startMember(s, xb, "b")
 	s.Run(2 * loop.Second)
 	xa.off = true
 	s.Run(10 * loop.Second)
@@ -71,7 +71,7 @@
 	}
 	xa.off = false
 	s.Run(10 * loop.Second)
-	if _, mine := a.mine[teamKeys+"red"]; mine || !a.Active() {
+	if _, mine := a.owned[teamKeys+"red"]; mine || !a.Active() {
 		t.Fatalf("a is active: %v, want true; a considers itself the owner of red: %v, want false", a.Active(), mine)
 	}
 }
@@ -82,16 +82,16 @@
 func TestEvictionIsNotRepeated(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
-	xa, xb := &tap{state: state}, &tap{state: state}
-	a := nodeOn(s, xa, "a")
-	b := nodeOn(s, xb, "b")
+	xa, xb := &stateConn{state: state}, &stateConn{state: state}
+	a := startMember(s, xa, "a")
+	b := startMember(s, xb, "b")
 	s.Run(3 * loop.Second)
 	for range 40 {
 		a.Evict("b")
 		s.Run(500 * loop.Millisecond)
 	}
-	if xa.ends != 1 {
-		t.Fatalf("the lease was ended %d times in 20 s, want once", xa.ends)
+	if xa.leaseEnds != 1 {
+		t.Fatalf("the lease was ended %d times in 20 s, want once", xa.leaseEnds)
 	}
 	if !b.Active() {
 		t.Fatal("the evicted controller did not join again")
@@ -102,9 +102,9 @@
 func TestHandOver(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
-	a := nodeOn(s, &tap{state: state}, "a")
+	a := startMember(s, &stateConn{state: state}, "a")
 	s.Run(3 * loop.Second)
-	b := nodeOn(s, &tap{state: state}, "b")
+	b := startMember(s, &stateConn{state: state}, "b")
 	s.Run(2 * loop.Second)
 	a.Isolated = func() bool { return true }
 	s.Run(3 * loop.Second)
@@ -120,7 +120,7 @@
 	state := standin.NewState(func() loop.Micros { return s.Now() })
 	var all []*Member
 	for _, label := range []string{"a", "b", "c"} {
-		all = append(all, nodeOn(s, &tap{state: state}, label))
+		all = append(all, startMember(s, &stateConn{state: state}, label))
 	}
 	s.Run(5 * loop.Second)
 	for _, b := range all {
@@ -146,12 +146,12 @@
 func TestReturnedNodeGetsATeam(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
-	a := nodeOn(s, &tap{state: state}, "a")
+	a := startMember(s, &stateConn{state: state}, "a")
 	a.Weight = func(id partition.ID) int { return map[partition.ID]int{"t/red": 9, "t/blue": 2}[id] }
 	fit := false
 	a.Fit = func(string) bool { return fit }
 	s.Run(3 * loop.Second)
-	b := nodeOn(s, &tap{state: state}, "b")
+	b := startMember(s, &stateConn{state: state}, "b")
 	b.Fit = func(string) bool { return true }
 	s.Run(20 * loop.Second)
 	if r, u := owners(b); r != "a" || u != "a" {
@@ -174,7 +174,7 @@
 func TestTeamOfOthers(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
-	a, b := nodeOn(s, &tap{state: state}, "a"), nodeOn(s, &tap{state: state}, "b")
+	a, b := startMember(s, &stateConn{state: state}, "a"), startMember(s, &stateConn{state: state}, "b")
 	b.Teams = append(b.Teams, "guest")
 	s.Run(5 * loop.Second)
 	if o, _ := a.TeamOwner("guest"); o.Node != "b" || !a.Foreign("guest") || a.Foreign("red") || b.Foreign("guest") {
@@ -188,8 +188,8 @@
 func TestRegistrationOfAnEarlierLife(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
-	b := nodeOn(s, &tap{state: state}, "b")
-	a := nodeOn(s, &tap{state: state}, "a")
+	b := startMember(s, &stateConn{state: state}, "b")
+	a := startMember(s, &stateConn{state: state}, "a")
 	s.Run(3 * loop.Second)
 	if b.RegisteredCount() != 2 {
 		t.Fatalf("%d controllers are registered, want 2", b.RegisteredCount())
--- a/internal/member/share.go
+++ b/internal/member/share.go
@@ -18,57 +18,57 @@
 
 const (
 	// A controller that lost its lease twice or more is likely to lose it again, so it claims
-	// later than others: by backward, doubled with each further loss up to mostBackward.
-	backward     = loop.Second
-	mostBackward = 8 * loop.Second
-	// goodFor is how long it must hold its lease before this delay ends.
-	goodFor = 60 * loop.Second
+	// later than others: by claimBackoff, doubled with each further loss up to mostBackward.
+	claimBackoff    = loop.Second
+	maxClaimBackoff = 8 * loop.Second
+	// stableAfter is how long it must hold its lease before this delay ends.
+	stableAfter = 60 * loop.Second
 )
 
-// damped returns how much later than others this controller claims free keys because of
+// claimDamping returns how much later than others this controller claims free keys because of
 // lost leases.
-func (b *Member) damped(now loop.Micros) loop.Micros {
-	if b.losses < 2 || now-b.joined >= goodFor {
+func (b *Member) claimDamping(now loop.Micros) loop.Micros {
+	if b.leaseLosses < 2 || now-b.leaseSince >= stableAfter {
 		return 0
 	}
-	return min(backward<<min(b.losses-2, 10), mostBackward)
+	return min(claimBackoff<<min(b.leaseLosses-2, 10), maxClaimBackoff)
 }
 
-// unevenFor is how long an uneven distribution of partitions must last before one is moved.
-const unevenFor = 8 * loop.Second
+// rebalanceAfter is how long an uneven distribution of partitions must last before one is moved.
+const rebalanceAfter = 8 * loop.Second
 
-// share releases a partition if another fit controller owns at least two keys fewer, as after
-// it has restarted. Each controller has a limited share of a core and of the state service's
+// rebalance releases a partition if another fit controller owns at least two keys fewer, as after
+// it has restarted. Each controller has a limited rebalance of a core and of the state service's
 // request rate, so the partitions should be spread evenly.
-func (b *Member) share(now loop.Micros) {
+func (b *Member) rebalance(now loop.Micros) {
 	counts := map[string]int{}
-	for _, key := range b.keys() {
-		if o, ok := b.owner(key); ok {
+	for _, key := range b.claimKeys() {
+		if o, ok := b.claimOwner(key); ok {
 			counts[o.Node]++
 		} else {
-			b.uneven = 0 // a free key may even out the distribution when it is claimed
+			b.unevenSince = 0 // a free key may even out the distribution when it is claimed
 			return
 		}
 	}
-	mine, poorer := len(b.mine), false
+	mine, poorer := len(b.owned), false
 	for node := range b.nodes {
 		if counts[node] > mine || (counts[node] == mine && node < b.Label) {
-			b.uneven = 0 // a controller that owns more releases first
+			b.unevenSince = 0 // a controller that owns more releases first
 			return
 		}
 		poorer = poorer || (counts[node]+2 <= mine && b.Fit != nil && b.Fit(node))
 	}
 	switch {
 	case !poorer:
-		b.uneven = 0
-	case b.uneven == 0:
-		b.uneven = now
-	case now-b.uneven >= unevenFor:
-		b.uneven = 0
+		b.unevenSince = 0
+	case b.unevenSince == 0:
+		b.unevenSince = now
+	case now-b.unevenSince >= rebalanceAfter:
+		b.unevenSince = 0
 		best, least := "", 0
 		for _, id := range b.layout.All(b.Teams) {
 			key := id.ClaimKey()
-			if _, ok := b.mine[key]; !ok {
+			if _, ok := b.owned[key]; !ok {
 				continue
 			}
 			w := 0
@@ -80,24 +80,24 @@
 			}
 		}
 		if best != "" {
-			b.giveBack(best, "another controller owns fewer partitions")
+			b.release(best, "another controller owns fewer partitions")
 		}
 	}
 }
 
 // handOver releases all claims, so that other controllers may take them.
 func (b *Member) handOver(why string) {
-	for key := range loop.Sorted(b.mine) {
-		b.giveBack(key, why)
+	for key := range loop.Sorted(b.owned) {
+		b.release(key, why)
 	}
 }
 
-// giveBack releases a claim of this controller.
-func (b *Member) giveBack(key, why string) {
+// release releases a claim of this controller.
+func (b *Member) release(key, why string) {
 	b.log.Info("releasing ownership claim so that another controller can take it", "key", key, "why", why)
-	b.c.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: key, Mark: b.mine[key].Revision}}, Then: []wire.Change{{Delete: key}}}, func(r store.Result) {
+	b.client.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: key, Mark: b.owned[key].Revision}}, Then: []wire.Change{{Delete: key}}}, func(r store.Result) {
 		if r.Outcome == store.Applied {
-			b.m.Apply(key, nil, r.Tally, true)
+			b.mirror.Apply(key, nil, r.Tally, true)
 		}
 	})
 }
