--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -50,7 +50,7 @@
 // A controller that alone cannot reach the state service must lose what it owns: when its
 // lease cannot be renewed it must not consider itself an owner, and after it has rejoined it
 // must not consider itself the owner of what another has claimed.
-func TestRefusedNodeLosesItsTeams(t *testing.T) {
+func TestControllerWithoutStateServiceLosesTeams(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
 	xa, xb := &stateConn{state: state}, &stateConn{state: state}
