--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -99,7 +99,7 @@
 }
 
 // A controller that reaches no peer must hand its partitions over to one that others reach.
-func TestHandOver(t *testing.T) {
+func TestIsolatedControllerHandsOver(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
 	a := startMember(s, &stateConn{state: state}, "a")
