--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -115,7 +115,7 @@
 
 // Where no controller reaches another, several owners would each see a part of the machines
 // only: the leader must become the owner of all teams.
-func TestLeaderGathersWhenAllAreAlone(t *testing.T) {
+func TestLeaderOwnsAllWhenAllAreIsolated(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
 	var all []*Member
