--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -143,7 +143,7 @@
 
 // A controller that joins while another owns everything must get a share, the team with less
 // work, but only once it is fit for work; after that, no team may move any more.
-func TestReturnedNodeGetsATeam(t *testing.T) {
+func TestRebalanceAfterJoin(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
 	a := startMember(s, &stateConn{state: state}, "a")
