--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -171,7 +171,7 @@
 
 // A team that only another controller's settings name, as while settings are being changed
 // on one after another, must become known as foreign once that controller owns it.
-func TestTeamOfOthers(t *testing.T) {
+func TestForeignTeam(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
 	a, b := startMember(s, &stateConn{state: state}, "a"), startMember(s, &stateConn{state: state}, "b")
