--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -185,7 +185,7 @@
 // A registration sent by an earlier incarnation may be applied after the new incarnation has
 // registered, and vanishes with the earlier lease. The controller must register again, or
 // the others would not count it though it runs.
-func TestRegistrationOfAnEarlierLife(t *testing.T) {
+func TestLateRegistrationOfEarlierIncarnation(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
 	b := startMember(s, &stateConn{state: state}, "b")
