--- a/internal/member/layout_test.go
+++ b/internal/member/layout_test.go
@@ -133,7 +133,7 @@
 
 // While the stored layout is corrupt, no controller may claim a partition or a team: it would
 // have to guess the layout in force.
-func TestLayoutThatCannotBeRead(t *testing.T) {
+func TestCorruptLayout(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
 	state.Put(partition.LayoutKey, "nonsense")
