--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -1,9 +1,11 @@
-// Package partition maps teams to partitions. A partition is what one controller owns by a
-// claim in the state service, hands over as a whole and recovers from one task log.
+// Package partition maps teams to partitions. A partition is the unit of ownership: one
+// controller owns it by a claim in the state service, hands it over as a whole and recovers
+// it from one task log.
 //
 // There are two layouts. In the team layout every team is a partition of its own. In the
-// numbered layout a fixed number of partitions, stored once for the life of the cluster,
-// shares all teams by a stable hash. The package holds no state and does no I/O.
+// numbered layout all teams are distributed by a stable hash over a fixed number of
+// partitions, which is stored once for the lifetime of the cluster. The package decides the
+// mapping and the keys in the state service; it holds no state and does no I/O.
 package partition
 
 import (
@@ -14,7 +16,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ID names a partition: "t/" and a team, or "p/" and a number.
+// ID identifies a partition: "t/" and a team, or "p/" and a number.
 type ID string
 
 const (
@@ -27,37 +29,38 @@
 const (
 	// ClaimPrefix is the prefix of the claims of numbered partitions.
 	ClaimPrefix = claimRoot + numberedKind
-	// TeamClaimPrefix is the prefix of the claims of teams.
+	// TeamClaimPrefix is the prefix of the claims of single teams.
 	TeamClaimPrefix = claimRoot + teamKind
-	// TeamLogs is the prefix of the logs of all teams.
+	// TeamLogs is the prefix of the task logs of all single teams.
 	TeamLogs = teamLogRoot
 	// LayoutKey is the key of the stored layout.
 	LayoutKey = claimRoot + "partitions"
 )
 
 // perController is the number of numbered partitions for each controller. Each partition
-// has a write of its own under way, so more of them take more of the state service's
-// changes; fewer leave a lost controller's work to fewer of the others.
+// writes to the state service on its own, so more partitions cost more of its write rate;
+// fewer partitions spread a failed controller's work over fewer of the others.
 const perController = 2
 
-// Layout tells which partition a team belongs to. The zero value is the team layout.
+// Layout maps teams to partitions. The zero value is the team layout.
 type Layout struct {
-	Count int `cbor:"n"` // numbered partitions; 0: the team layout
+	Count int `cbor:"n"` // number of numbered partitions; 0: the team layout
 }
 
-// CountFor is the number of numbered partitions for so many controllers.
+// CountFor returns the number of numbered partitions for a number of controllers.
 func CountFor(controllers int) int { return perController * max(controllers, 1) }
 
-// Needed tells whether so many teams are better served by numbered partitions.
+// Needed reports whether there are more teams than numbered partitions, so that sharing
+// partitions costs fewer writes than one partition for each team.
 func Needed(teams, controllers int) bool { return teams > CountFor(controllers) }
 
-// Numbered tells whether teams share numbered partitions.
+// Numbered reports whether teams share numbered partitions.
 func (l Layout) Numbered() bool { return l.Count > 0 }
 
-// ForTeam is the partition of a team in the team layout.
+// ForTeam returns the partition of a team in the team layout.
 func ForTeam(team string) ID { return ID(teamKind + team) }
 
-// Of is the partition of a team.
+// Of returns the partition of a team.
 func (l Layout) Of(team string) ID {
 	if !l.Numbered() {
 		return ForTeam(team)
@@ -67,7 +70,7 @@
 
 func numbered(no int) ID { return ID(fmt.Sprintf("%s%04d", numberedKind, no)) }
 
-// All lists the partitions of a layout, given all teams.
+// All returns all partitions of the layout, given all teams.
 func (l Layout) All(teams []string) []ID {
 	var all []ID
 	if !l.Numbered() {
@@ -82,7 +85,7 @@
 	return all
 }
 
-// Teams lists those of the given teams that belong to a partition.
+// Teams returns those of the given teams that belong to a partition.
 func (l Layout) Teams(id ID, teams []string) []string {
 	if team, ok := id.Team(); ok {
 		if slices.Contains(teams, team) {
@@ -99,16 +102,16 @@
 	return out
 }
 
-// Team is the only team of a partition of the team layout; ok is false for a numbered one.
+// Team returns the team of a partition of the team layout; ok is false for a numbered one.
 func (id ID) Team() (team string, ok bool) { return strings.CutPrefix(string(id), teamKind) }
 
-// ClaimKey is the key of the partition's claim.
+// ClaimKey returns the key of the partition's claim.
 func (id ID) ClaimKey() string { return claimRoot + string(id) }
 
-// FromClaimKey is the partition whose claim stands under a key.
+// FromClaimKey returns the partition whose claim is stored under a key.
 func FromClaimKey(key string) ID { return ID(strings.TrimPrefix(key, claimRoot)) }
 
-// LogPrefix is the prefix of the keys of the partition's task log.
+// LogPrefix returns the prefix of the keys of the partition's task log.
 func (id ID) LogPrefix() string {
 	if team, ok := id.Team(); ok {
 		return teamLogRoot + team + "/"
--- a/internal/partition/partition_test.go
+++ b/internal/partition/partition_test.go
@@ -14,7 +14,8 @@
 	return out
 }
 
-// Every team belongs to exactly one of a layout's partitions, and keys do not meet.
+// In each layout every team must belong to exactly one partition, and no two partitions may
+// share a claim key or a log prefix: their owners would overwrite each other's records.
 func TestEveryTeamHasOnePartition(t *testing.T) {
 	all := teams(300)
 	for _, l := range []Layout{{}, {Count: 2}, {Count: 16}} {
@@ -29,7 +30,7 @@
 				}
 			}
 			if FromClaimKey(id.ClaimKey()) != id || claims[id.ClaimKey()] || logs[id.LogPrefix()] {
-				t.Fatalf("%+v: the keys of %s are not its own", l, id)
+				t.Fatalf("%+v: the claim key or the log prefix of %s is not unique or does not map back to it", l, id)
 			}
 			claims[id.ClaimKey()], logs[id.LogPrefix()] = true, true
 		}
@@ -40,19 +41,21 @@
 	}
 }
 
-// Stored claims and logs are found by these keys for as long as the cluster lives.
+// Keys are stored for the lifetime of a cluster: a version that computed other keys or another
+// mapping of teams would not find the claims and task logs of the version before.
 func TestKeysStayAsTheyAre(t *testing.T) {
 	l := Layout{Count: 16}
 	got := []string{ForTeam("red").ClaimKey(), ForTeam("red").LogPrefix(), string(l.Of("red")), l.Of("red").ClaimKey(), l.Of("red").LogPrefix(), string(l.Of("blue")), LayoutKey}
 	want := []string{"c/t/red", "x/red/", "p/0010", "c/p/0010", "p/0010/", "p/0007", "c/partitions"}
 	if !slices.Equal(got, want) {
-		t.Fatalf("%q, want %q", got, want)
+		t.Fatalf("keys are %q, want %q", got, want)
 	}
 }
 
-// A deployment with few teams keeps the layout that it has.
+// Numbered partitions are needed only where there are more teams than partitions; a cluster
+// with few teams must keep the team layout.
 func TestFewTeamsNeedNoPartitions(t *testing.T) {
 	if Needed(5, 3) || Needed(6, 3) || !Needed(7, 3) || !Needed(300, 8) {
-		t.Fatal("wrong bound")
+		t.Fatal("Needed is wrong at or near its bound of two teams for each controller")
 	}
 }
