--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -31,8 +31,8 @@
 	ClaimPrefix = claimRoot + numberedKind
 	// TeamClaimPrefix is the prefix of the claims of single teams.
 	TeamClaimPrefix = claimRoot + teamKind
-	// TeamLogs is the prefix of the task logs of all single teams.
-	TeamLogs = teamLogRoot
+	// TeamLogPrefix is the prefix of the task logs of all single teams.
+	TeamLogPrefix = teamLogRoot
 	// LayoutKey is the key of the stored layout.
 	LayoutKey = claimRoot + "partitions"
 )
--- a/internal/placer/load.go
+++ b/internal/placer/load.go
@@ -67,7 +67,7 @@
 		return
 	}
 	again := func() { p.r.After(loadAgain, func() { p.loadTeamLogs(part, teams, segments) }) }
-	p.c.Exists(store.Placements, partition.TeamLogs, func(exists, ok bool) {
+	p.c.Exists(store.Placements, partition.TeamLogPrefix, func(exists, ok bool) {
 		switch {
 		case !p.owns(part):
 		case !ok:
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -94,7 +94,7 @@
 	if raw, ok := r.state.Value(partition.LayoutKey); ok {
 		wire.Unmarshal(raw, &layout)
 	}
-	out.Partitions, out.TeamSegments = layout.Count, len(r.state.Keys(partition.TeamLogs))
+	out.Partitions, out.TeamSegments = layout.Count, len(r.state.Keys(partition.TeamLogPrefix))
 	for _, id := range layout.All(nil) {
 		out.PartitionSegments += len(r.state.Keys(id.LogPrefix()))
 	}
