--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -20,27 +20,27 @@
 type ID string
 
 const (
-	teamKind     = "t/"
-	numberedKind = "p/"
-	claimRoot    = "c/"
-	teamLogRoot  = "x/"
+	teamPrefix     = "t/"
+	numberedPrefix = "p/"
+	claimRoot      = "c/"
+	teamLogRoot    = "x/"
 )
 
 const (
 	// ClaimPrefix is the prefix of the claims of numbered partitions.
-	ClaimPrefix = claimRoot + numberedKind
+	ClaimPrefix = claimRoot + numberedPrefix
 	// TeamClaimPrefix is the prefix of the claims of single teams.
-	TeamClaimPrefix = claimRoot + teamKind
+	TeamClaimPrefix = claimRoot + teamPrefix
 	// TeamLogPrefix is the prefix of the task logs of all single teams.
 	TeamLogPrefix = teamLogRoot
 	// LayoutKey is the key of the stored layout.
 	LayoutKey = claimRoot + "partitions"
 )
 
-// perController is the number of numbered partitions for each controller. Each partition
+// partitionsPerController is the number of numbered partitions for each controller. Each partition
 // writes to the state service on its own, so more partitions cost more of its write rate;
 // fewer partitions spread a failed controller's work over fewer of the others.
-const perController = 2
+const partitionsPerController = 2
 
 // Layout maps teams to partitions. The zero value is the team layout.
 type Layout struct {
@@ -48,7 +48,7 @@
 }
 
 // CountFor returns the number of numbered partitions for a number of controllers.
-func CountFor(controllers int) int { return perController * max(controllers, 1) }
+func CountFor(controllers int) int { return partitionsPerController * max(controllers, 1) }
 
 // Needed reports whether there are more teams than numbered partitions, so that sharing
 // partitions costs fewer writes than one partition for each team.
@@ -58,17 +58,17 @@
 func (l Layout) Numbered() bool { return l.Count > 0 }
 
 // ForTeam returns the partition of a team in the team layout.
-func ForTeam(team string) ID { return ID(teamKind + team) }
+func ForTeam(team string) ID { return ID(teamPrefix + team) }
 
 // Of returns the partition of a team.
 func (l Layout) Of(team string) ID {
 	if !l.Numbered() {
 		return ForTeam(team)
 	}
-	return numbered(int(xxhash.Sum64String(team) % uint64(l.Count)))
+	return numberedID(int(xxhash.Sum64String(team) % uint64(l.Count)))
 }
 
-func numbered(no int) ID { return ID(fmt.Sprintf("%s%04d", numberedKind, no)) }
+func numberedID(no int) ID { return ID(fmt.Sprintf("%s%04d", numberedPrefix, no)) }
 
 // All returns all partitions of the layout, given all teams.
 func (l Layout) All(teams []string) []ID {
@@ -80,7 +80,7 @@
 		return all
 	}
 	for no := range l.Count {
-		all = append(all, numbered(no))
+		all = append(all, numberedID(no))
 	}
 	return all
 }
@@ -103,7 +103,7 @@
 }
 
 // Team returns the team of a partition of the team layout; ok is false for a numbered one.
-func (id ID) Team() (team string, ok bool) { return strings.CutPrefix(string(id), teamKind) }
+func (id ID) Team() (team string, ok bool) { return strings.CutPrefix(string(id), teamPrefix) }
 
 // ClaimKey returns the key of the partition's claim.
 func (id ID) ClaimKey() string { return claimRoot + string(id) }
