--- a/internal/partition/partition_test.go
+++ b/internal/partition/partition_test.go
@@ -43,7 +43,7 @@
 
 // Keys are stored for the lifetime of a cluster: a version that computed other keys or another
 // mapping of teams would not find the claims and task logs of the version before.
-func TestKeysStayAsTheyAre(t *testing.T) {
+func TestStoredKeysAreStable(t *testing.T) {
 	l := Layout{Count: 16}
 	got := []string{ForTeam("red").ClaimKey(), ForTeam("red").LogPrefix(), string(l.Of("red")), l.Of("red").ClaimKey(), l.Of("red").LogPrefix(), string(l.Of("blue")), LayoutKey}
 	want := []string{"c/t/red", "x/red/", "p/0010", "c/p/0010", "p/0010/", "p/0007", "c/partitions"}
