--- a/internal/partition/partition_test.go
+++ b/internal/partition/partition_test.go
@@ -54,7 +54,7 @@
 
 // Numbered partitions are needed only where there are more teams than partitions; a cluster
 // with few teams must keep the team layout.
-func TestFewTeamsNeedNoPartitions(t *testing.T) {
+func TestFewTeamsNeedNoNumberedPartitions(t *testing.T) {
 	if Needed(5, 3) || Needed(6, 3) || !Needed(7, 3) || !Needed(300, 8) {
 		t.Fatal("Needed is wrong at or near its bound of two teams for each controller")
 	}
