--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -1,9 +1,10 @@
-// Package loss decides what became of machines that fell silent: whether they are dead,
-// hang, or are merely out of sight. It looks at all of them at once, since a hundred
-// machines that fall in one moment have one cause more often than a hundred.
+// Package loss is the failure detector for machines whose reports stopped. It decides which
+// of them have stopped, which hang and which are merely unreachable, from the reports, from
+// probes of the machines and from probes of their neighbours in the zone. It evaluates all
+// machines together, since many failures within a short time mostly have one common cause.
 //
-// A verdict of Lost proves nothing. It is advice to the leader to have the machine
-// deleted, and only the cloud's answer to that proves its tasks off.
+// A verdict of Lost proves nothing. It advises the leader to have the machine deleted; only
+// the cloud's confirmation of the deletion proves that its tasks are terminated.
 package loss
 
 import (
@@ -15,85 +16,88 @@
 	"cleatpick/internal/metric"
 )
 
-// State names where a machine stands.
+// State is the state of a machine.
 type State int
 
-// The states of a machine. One that is heard has no entry here.
+// The states of a machine. One whose reports arrive has no entry here.
 const (
-	Heard    State = iota // its reports come in
-	Late                  // it has missed reports; it is asked directly in its turn
-	Alive                 // it answers when asked, but its reports reach nobody that this node hears
-	Hung                  // it takes connections and answers nothing: it may go on within its lease
-	OutOfWay              // no connection comes about, and nothing tells it from a cut on the way
-	Dead                  // no connection comes about, while its neighbours answer
-	Lost                  // nothing on it can be saved any more
-	Deaf                  // its reports come in, and show nothing of what it was told
+	Heard    State = iota // its reports arrive
+	Late                  // it has missed reports and is waiting to be probed
+	Alive                 // it answers probes, but its reports reach no controller reachable from here
+	Hung                  // it accepts or refuses connections without an answer; it may resume within its lease
+	OutOfWay              // connections fail, which may be a network partition
+	Dead                  // connections fail although its neighbours answer probes
+	Lost                  // declared failed: nothing on it can be saved any more
+	Deaf                  // its reports arrive, but show that no answer or command reaches it
 )
 
 func (s State) String() string {
 	return [...]string{"heard", "late", "alive", "hung", "outOfWay", "dead", "lost", "deaf"}[s]
 }
 
-// Word is what came of asking a machine directly.
+// Word is the result of a probe of a machine.
 type Word int
 
-// The words of a probe.
+// The results of a probe.
 const (
-	None     Word = iota // not asked yet
-	Answered             // it answered
-	Mute                 // it took the connection, or refused it, and gave no answer
-	NoWay                // no connection came about
+	None     Word = iota // not probed yet
+	Answered             // the machine answered
+	Mute                 // the connection was accepted or refused, but there was no answer
+	NoWay                // no connection could be made
 )
 
 func (w Word) String() string { return [...]string{"none", "answered", "mute", "noWay"}[w] }
 
-// stray is for how long a machine may answer while its reports reach nobody, or report
-// while it is deaf: as long as one that is out of sight is left. A worker that nobody answers has found another node by
-// then, or ended its tasks; one that is answered has a host that is cut off from the rest,
-// and what runs there is neither seen nor stopped. After that it is given up, whatever
-// comes of it: a machine is neither used nor given up for no longer than this.
+// stray is how long a machine may answer probes while its reports reach nobody, or report
+// while it is unresponsive to commands: as long as an unreachable one is left alone. By then
+// a worker that gets no answers has found another controller or ended its tasks. One that
+// does get answers has a host controller that is cut off from the others, and its tasks can
+// neither be observed nor stopped. After this time the machine is declared failed, so that
+// no machine is unusable without a verdict for longer.
 func (r *Rules) stray() loop.Micros { return r.leaseOver() + r.Out }
 
-// Rules are the times by which is judged.
+// Rules holds the limits by which machines are evaluated.
 type Rules struct {
-	Report loop.Micros // between reports
-	Lease  loop.Micros // after which a worker without an answer ends its tasks
-	Out    loop.Micros // how much longer what is out of sight is left alone
-	Most   loop.Micros // silence after which a machine is lost in any case; 0: by the rest
-	Probes int         // that may be under way at once
+	Report loop.Micros // interval between reports
+	Lease  loop.Micros // time without an answer after which a worker ends its tasks
+	Out    loop.Micros // additional time for which an unreachable machine is left alone
+	Most   loop.Micros // silence after which a machine is declared failed in any case; 0: no such limit
+	Probes int         // largest number of probes in flight
 }
 
-// late is the silence after which a machine is asked: a report has been missed and a
-// moment has passed, but not yet two.
+// late is the silence after which a machine is probed: one report and a half are overdue,
+// and 2 s have passed for delays on the way.
 func (r *Rules) late() loop.Micros { return 3*r.Report/2 + 2*loop.Second }
 
-// leaseOver is the silence after which its worker has certainly ended its tasks, or will
-// before it does anything else, if nobody answered it meanwhile.
+// leaseOver is the silence after which the machine's worker has certainly ended its tasks,
+// or does so before anything else, if nobody answered it meanwhile.
 func (r *Rules) leaseOver() loop.Micros { return r.Lease + r.Lease/1000 + loop.Second }
 
-// Facts are what is known of a machine at a look.
+// Facts holds what is known of a machine at the time of an evaluation.
 type Facts struct {
 	Name, Zone, Addr string
-	// Heard is when a report of it last showed that it hears, Told when any came. One that
-	// only tells may be deaf, or gone: copies of its reports may come for long after it.
+	// Heard is the time of its last report that showed that answers reach it, Told that of
+	// its last report of any kind. A machine with newer reports of the second kind only may
+	// be unresponsive or stopped: delayed copies of its reports may arrive long afterwards.
 	Heard, Told loop.Micros
 	Failed      bool // the cloud lists it as failed
-	// Worth is for how much longer it is better left alone, since its zone is cut off or
-	// was until now: what it takes to have another in its place.
+	// Worth is the additional time for which it is left alone because its zone is, or was
+	// until recently, disconnected: the time that it takes to replace the machine.
 	Worth loop.Micros
 }
 
-// Scene is what is known of all.
+// Scene holds what is known of the cluster as a whole at the time of an evaluation.
 type Scene struct {
 	Now loop.Micros
-	// Blind tells that this node hears no peer: to it, everything looks silent.
+	// Blind says that no peer is reachable from this controller: to it, all machines look
+	// silent.
 	Blind bool
-	// Unheard tells whether a peer in the zone is not heard: it may go on answering
-	// workers that nobody else can see.
+	// Unheard reports whether a controller in the zone is unreachable: it may still answer
+	// workers whose reports no other controller gets.
 	Unheard func(zone string) bool
 }
 
-// Verdict is a machine that is lost.
+// Verdict names a machine that is declared failed, and why.
 type Verdict struct {
 	Name string
 	Why  string
@@ -103,31 +107,31 @@
 	Facts
 	state  State
 	word   Word
-	times  int // that the word came in a row
+	times  int // number of consecutive probes with this result
 	asking bool
 	asked  loop.Micros
-	before loop.Micros // when it was asked the time before
-	// answered is when it last answered. That proves that it lives, and not that it serves:
-	// taken for a report, it was called back every two seconds, fifty times over, while no
-	// owner saw what ran on it.
+	before loop.Micros // when the probe before the last one was sent
+	// answered is when it last answered a probe. That proves that it runs, not that it can be
+	// used: treated like a report, it would make the machine alternate between available and
+	// late while no owner gets the state of its tasks.
 	answered loop.Micros
 }
 
-// lives is when the machine was last known to live.
+// lives returns when the machine was last known to run.
 func (m *machine) lives() loop.Micros { return max(m.Heard, m.answered) }
 
-// zone is what is known of the way to a zone's machines.
+// zone is what is known of the network path to a zone's machines.
 type zone struct {
-	heard   int         // machines that are heard
-	some    []string    // addresses of a few of them
-	nearAt  loop.Micros // when one of these was last asked
-	open    loop.Micros // since when neighbours answer without a break; 0: they do not
+	heard   int         // number of machines whose reports arrive
+	some    []string    // addresses of a few of them, the neighbours to probe
+	nearAt  loop.Micros // when one of these was last probed
+	open    loop.Micros // since when neighbours have answered without interruption; 0: they do not
 	asking  bool
-	noWay   int // silent machines to which no connection came about since then
+	noWay   int // silent machines to which no connection could be made since then
 	unheard bool
 }
 
-// Judge follows the machines that are silent.
+// Judge evaluates the machines that are silent.
 type Judge struct {
 	r        Rules
 	log      *slog.Logger
@@ -139,31 +143,32 @@
 	moment   moment
 }
 
-// New makes a judge. probe asks a machine and calls done later, on the loop.
+// New returns a failure detector. probe probes a machine and calls done later, on the event
+// loop.
 func New(r Rules, log *slog.Logger, meter *metric.Meter, probe func(addr string, done func(Word))) *Judge {
 	return &Judge{r: r, log: log, meter: meter, probe: probe, machines: map[string]*machine{}, zones: map[string]*zone{}}
 }
 
-// setState is the one place where a machine's standing changes.
+// setState is the only place where a machine's state changes.
 func (j *Judge) setState(m *machine, s State, why string) {
 	if m.state == s {
 		return
 	}
-	j.log.Debug("silent machine", "machine", m.Name, "zone", m.Zone, "from", m.state.String(), "to", s.String(), "why", why)
+	j.log.Debug("state of a silent machine changed", "machine", m.Name, "zone", m.Zone, "from", m.state.String(), "to", s.String(), "why", why)
 	m.state = s
 }
 
-// Forget drops what is known of a machine that is gone.
+// Forget removes a deleted machine.
 func (j *Judge) Forget(name string) { delete(j.machines, name) }
 
-// Clear forgets everything, as when this node begins to lead.
+// Clear resets the detector, as when this controller becomes the leader.
 func (j *Judge) Clear() {
 	clear(j.machines)
 	clear(j.zones)
 	j.moment = moment{}
 }
 
-// Look judges all machines that each hands over, and tells which are lost.
+// Look evaluates all machines that each yields and returns those that are declared failed.
 func (j *Judge) Look(s Scene, each func(func(*Facts))) []Verdict {
 	for _, z := range j.zones {
 		z.heard, z.noWay, z.some = 0, 0, z.some[:0]
@@ -184,7 +189,7 @@
 				z.some = append(z.some, f.Addr)
 			}
 			if m != nil {
-				j.setState(m, Heard, "it reports")
+				j.setState(m, Heard, "its reports arrive again")
 				j.moment.back()
 				delete(j.machines, f.Name)
 			}
@@ -208,7 +213,8 @@
 	for name, z := range j.zones {
 		z.unheard = s.Unheard != nil && s.Unheard(name)
 	}
-	// The longest silent first, by name where that is the same: they were asked first.
+	// The machines that have been silent longest come first, since they were probed first;
+	// equal ones are ordered by name.
 	slices.SortFunc(silent, func(a, b *machine) int {
 		return cmp.Or(cmp.Compare(a.Heard, b.Heard), cmp.Compare(a.Name, b.Name))
 	})
@@ -225,24 +231,24 @@
 	return out
 }
 
-// judge tells why a machine is lost; empty while it may not be.
+// judge returns the reason why a machine is declared failed, or "" if it is not.
 func (j *Judge) judge(s Scene, m *machine) string {
 	if m.Failed {
-		return "failed" // the cloud's word, which needs no silence
+		return "failed" // the cloud's statement suffices, whether or not it is silent
 	}
 	if s.Blind {
 		return ""
 	}
 	silence := s.Now - m.lives()
-	// Whoever goes on just before its lease is over is found by a last question.
+	// A last probe after the lease finds a machine that resumed just before its lease ended.
 	last := m.Addr == "" || (!m.asking && m.asked >= m.lives()+j.r.Lease)
 	if j.r.Most > 0 && silence > j.r.Most {
 		return "silent"
 	}
 	if m.Told > m.Heard && s.Now-m.Told <= max(j.r.late(), unanswered) {
-		// Its worker's lease runs out, and what it runs ends with that, again and again. One
-		// that hears again before is as good as before; asking it would tell nothing.
-		j.setState(m, Deaf, "it reports, and shows nothing of what it was told")
+		// Its worker's lease expires, which ends its tasks, time and again. If answers reach
+		// it again before the limit it is available as before. A probe would show nothing new.
+		j.setState(m, Deaf, "it reports, but no answer or command reaches it")
 		if s.Now-m.Heard > j.r.stray()+m.Worth {
 			return "hears nobody"
 		}
@@ -260,18 +266,18 @@
 		}
 		return ""
 	case Mute:
-		// It has power. Should it go on within its lease, its tasks have lost nothing.
-		j.setState(m, Hung, "it takes connections")
+		// It is not powered off. If it resumes within its lease, its tasks have lost nothing.
+		j.setState(m, Hung, "it accepts or refuses connections without an answer")
 		if silence > over && last {
 			return "hung beyond its lease"
 		}
 		return ""
 	case NoWay:
 		if j.dead(s.Now, m, z) {
-			j.setState(m, Dead, "its neighbours answer")
+			j.setState(m, Dead, "connections fail while its neighbours answer")
 			return "dead"
 		}
-		j.setState(m, OutOfWay, "no way to it")
+		j.setState(m, OutOfWay, "connections fail")
 	}
 	if z.heard == 0 || z.unheard || m.word == NoWay {
 		over += j.r.Out
@@ -284,23 +290,24 @@
 }
 
 const (
-	// unanswered is the longest time between two reports of a worker that nobody answers: it
-	// waits 4 s, and tries the next node a second later. What is silent for less may be deaf,
-	// and is not called dead for not taking connections; nor is what was deaf when last heard of.
+	// unanswered is the longest time between two reports of a worker that gets no answers: it
+	// waits 4 s for an answer and tries the next controller a second later. A machine silent
+	// for less may be unresponsive to commands, and is not declared dead because connections
+	// fail; nor is one that was unresponsive when its last report arrived.
 	unanswered = 6 * loop.Second
-	// several is how many machines of a zone must have fallen together for one vain
-	// attempt at each to do: they bear each other out.
+	// several is the number of machines of a zone that must be unreachable together for one
+	// failed connection to each to suffice: they confirm each other.
 	several = 5
-	// nearFresh is for how long a neighbour's answer tells of the way to its zone.
+	// nearFresh is how long a neighbour's answer is evidence that its zone is reachable.
 	nearFresh = 5 * loop.Second
-	mostNear  = 3
-	again     = 1200 * loop.Millisecond
+	mostNear  = 3                       // neighbours of a zone that are probed in turn
+	again     = 1200 * loop.Millisecond // least time between two probes of one target
 )
 
-// dead tells whether a machine to which no connection came about has stopped: its zone
-// must be in sight, by the reports of others there and by one that answered just now; and
-// it must have been asked since the zone came into sight. What was asked in vain during a
-// cut says nothing once the cut is over.
+// dead reports whether a machine to which no connection can be made has stopped. Its zone
+// must be reachable, as shown by the reports of other machines there and by a neighbour that
+// has just answered a probe, and the machine must have been probed since the zone became
+// reachable: a connection that failed during a network partition is no evidence after it.
 func (j *Judge) dead(now loop.Micros, m *machine, z *zone) bool {
 	if z.heard == 0 || z.unheard || z.open == 0 || now-z.nearAt > nearFresh || m.asked < z.open || m.asking || now-m.Heard < unanswered || m.Told > m.Heard {
 		return false
@@ -308,8 +315,8 @@
 	return m.times >= 2 || z.noWay >= several
 }
 
-// ask sends probes: to silent machines, never more than a few at once, and to a
-// neighbour wherever a connection did not come about.
+// ask sends probes: to silent machines, with a bound on those in flight, and to a neighbour
+// wherever a connection failed.
 func (j *Judge) ask(s Scene, silent []*machine) {
 	if s.Blind {
 		return
@@ -322,10 +329,10 @@
 			j.askNear(s.Now, m.Zone)
 		}
 		if m.word == Mute && m.times >= 2 && (s.Now-m.lives() <= j.r.Lease || m.asked > m.lives()+j.r.Lease) && s.Now-m.asked < 5*loop.Second {
-			continue // it hangs, and reports by itself once it goes on
+			continue // it hangs, and reports on its own once it resumes
 		}
 		if m.word == Answered && s.Now-m.asked < j.r.Report {
-			continue // asked as often as it would report
+			continue // it is probed as often as it would report
 		}
 		if j.probing >= j.r.Probes {
 			return
@@ -340,7 +347,7 @@
 	}
 }
 
-// answer takes in what came of asking a machine.
+// answer records the result of a probe.
 func (j *Judge) answer(m *machine, w Word) {
 	if z := j.zones[m.Zone]; m.word == w && !(w == NoWay && z != nil && m.before < z.open) {
 		m.times++
@@ -350,17 +357,19 @@
 	j.meter.Probe(w.String())
 	if w == Answered {
 		m.answered = m.asked
-		j.setState(m, Alive, "it answers")
+		j.setState(m, Alive, "it answers probes")
 	}
 }
 
+// askNear probes one of a zone's machines whose reports arrive, to learn whether the zone is
+// reachable from this controller.
 func (j *Judge) askNear(now loop.Micros, name string) {
 	z := j.zones[name]
 	if z.asking || len(z.some) == 0 || now-z.nearAt < again {
 		return
 	}
 	if now-z.nearAt > nearFresh {
-		z.open = 0 // nothing is known of the time between
+		z.open = 0 // whether the zone was reachable in between is unknown
 	}
 	z.asking = true
 	addr := z.some[int(now/again)%len(z.some)]
--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -12,28 +12,28 @@
 	"pgregory.net/rapid"
 )
 
-// The verdict must be the same every time, so the generator's seed is fixed.
+// The result must be the same in every run, so the seed of the random inputs is fixed.
 func TestMain(m *testing.M) { fixed.Main(m) }
 
-// truth is what really is with a machine.
+// truth is the real condition of a simulated machine.
 type truth int
 
 const (
 	well truth = iota
 	hangs
 	stopped
-	deaf // it reports to one node after another, and nothing reaches it
+	deaf // it reports to one controller after another, and no answer or command reaches it
 )
 
 type real struct {
 	name, zone  string
 	is          truth
-	since, back loop.Micros // when it became so, and when it goes on; 0: never
+	since, back loop.Micros // when the condition began, and when it ends; 0: never
 	heard, told loop.Micros
-	wellAt      loop.Micros // when it went on
+	wellAt      loop.Micros // when the condition ended
 	lostAt      loop.Micros
 	why         string
-	inCut       bool        // its zone was cut off when it was lost
+	inCut       bool        // its zone was disconnected when it was declared failed
 	stray       loop.Micros // until when its reports reach nobody
 }
 
@@ -43,7 +43,8 @@
 	w    Word
 }
 
-// yard is a fleet of which the truth is known, seen by a judge under hand-driven time.
+// yard is a simulated set of machines whose real condition is known, observed by a failure
+// detector under hand-driven time.
 type yard struct {
 	now     loop.Micros
 	rules   Rules
@@ -52,8 +53,8 @@
 	byName  map[string]*real
 	answers []answer
 	blind   bool
-	cut     map[string]loop.Micros // zones that are cut off, and until when
-	cutOff  bool                   // this node reaches no machine, and hears of them by its peers
+	cut     map[string]loop.Micros // zones that are disconnected, and until when
+	cutOff  bool                   // this controller reaches no machine, but gets their reports through its peers
 	most    int
 	probes  int
 }
@@ -85,7 +86,7 @@
 	return y
 }
 
-// fall lets machines become so, until back.
+// fall puts machines that are well into a condition until back.
 func (y *yard) fall(is truth, back loop.Micros, names ...*real) {
 	for _, r := range names {
 		if r.is == well {
@@ -114,8 +115,8 @@
 			if r.is == well && r.lostAt == 0 && y.now >= y.cut[r.zone] && y.now >= r.stray && (y.now/step+loop.Micros(i))%(y.rules.Report/step) == 0 {
 				r.heard, r.told = y.now, y.now
 			}
-			// The first report that is not answered shows its host's token still; the next come
-			// 4 s and 1 s later, each at another host.
+			// The first report that gets no answer still shows its host controller's token. The
+			// next ones come 4 s and 1 s later, each at another controller.
 			if r.is == deaf && r.lostAt == 0 && y.now >= y.cut[r.zone] {
 				switch regular := (y.now/step+loop.Micros(i))%(y.rules.Report/step) == 0; {
 				case r.heard <= r.since && regular:
@@ -148,31 +149,32 @@
 	return n
 }
 
-// A hundred machines that stop in one moment are told from hung ones well before their
-// lease is over, and without a storm of questions.
+// When a hundred machines stop at the same time, they must be declared dead well before their
+// lease ends, as machines that stopped and not as hung ones, with a bounded number of probes.
 func TestManyDeaths(t *testing.T) {
 	y := newYard(2, 200)
 	y.run(10 * loop.Second)
 	y.fall(stopped, 0, y.all[:100]...)
 	y.run(y.rules.late() + 12*loop.Second)
 	if y.lost() != 100 {
-		t.Fatalf("%d of 100 dead machines are lost after %d us", y.lost(), y.rules.late()+12*loop.Second)
+		t.Fatalf("%d of 100 stopped machines are declared failed after %d us", y.lost(), y.rules.late()+12*loop.Second)
 	}
 	for _, r := range y.all[:100] {
 		if took := r.lostAt - r.since; r.why != "dead" || took >= y.rules.Lease {
-			t.Fatalf("%s is lost as %q after %d us", r.name, r.why, took)
+			t.Fatalf("stopped machine %s is declared failed as %q after %d us, want \"dead\" within its lease", r.name, r.why, took)
 		}
 	}
 	if y.most > y.rules.Probes+2 || y.probes > 350 {
-		t.Fatalf("%d probes, %d at once", y.probes, y.most)
+		t.Fatalf("%d probes were sent, %d in flight at once; want at most 350 and Probes+2", y.probes, y.most)
 	}
 	if y.j.moment.state != Calm || y.j.moment.lost != 100 {
-		t.Fatalf("the moment is %v with %d lost", y.j.moment.state, y.j.moment.lost)
+		t.Fatalf("the correlated failure is %v with %d machines declared failed, want calm with 100", y.j.moment.state, y.j.moment.lost)
 	}
 }
 
-// Half of a zone hangs and comes back within its lease: nothing is lost, and nothing may
-// be rented for it meanwhile.
+// Half of a zone hangs and comes back within its lease: no machine may be declared failed, and
+// until then all must be listed as likely to come back, so that nothing is rented for them.
+// Machines that hang for good must be declared failed soon after their lease.
 func TestHungMachinesComeBack(t *testing.T) {
 	y := newYard(2, 100)
 	y.run(10 * loop.Second)
@@ -181,21 +183,22 @@
 	n := 0
 	y.j.Doubtful(y.now, func(string) { n++ })
 	if n != 50 {
-		t.Fatalf("%d of 50 hung machines count as coming back", n)
+		t.Fatalf("%d of 50 hung machines are listed as likely to come back, want all", n)
 	}
 	y.run(60 * loop.Second)
 	if y.lost() != 0 {
-		t.Fatalf("%d machines are lost that hung for less than their lease", y.lost())
+		t.Fatalf("%d machines are declared failed that hung for less than their lease", y.lost())
 	}
 	y.fall(hangs, 0, y.all[:50]...)
 	y.run(y.rules.Lease + 4*loop.Second)
 	if y.lost() != 50 {
-		t.Fatalf("%d of 50 machines are lost that hang for good", y.lost())
+		t.Fatalf("%d of 50 machines that hang for good are declared failed, want all", y.lost())
 	}
 }
 
-// What this node cannot reach, although others there are heard, may be cut off from this
-// node alone: neighbours that do not answer either take the verdict of death away.
+// Machines that this controller cannot reach may be disconnected from it alone, though the
+// reports of their neighbours arrive through peers. If the neighbours do not answer probes
+// either, no machine may be declared dead.
 func TestOwnWayCut(t *testing.T) {
 	y := newYard(1, 60)
 	y.run(10 * loop.Second)
@@ -203,12 +206,14 @@
 	y.fall(hangs, y.now+24*loop.Second, y.all[:20]...)
 	y.run(40 * loop.Second)
 	if y.lost() != 0 {
-		t.Fatalf("%d machines are lost to a node that reaches none", y.lost())
+		t.Fatalf("%d machines are declared failed by a controller that reaches none", y.lost())
 	}
 }
 
-// The judge against the truth: machines of any number of zones fall in any way, alone
-// and together, and some come back.
+// The detector is checked against the real condition of simulated machines: any number of
+// them, in several zones, stop, hang, become unresponsive or are disconnected, alone and
+// together, and some come back. Each that is gone for good must be declared failed, and none
+// before the time that its condition allows.
 func TestJudgeAgainstTruth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones, each := rapid.IntRange(1, 6).Draw(t, "zones"), rapid.IntRange(1, 40).Draw(t, "each")
@@ -240,32 +245,33 @@
 			silence := r.lostAt - r.heard
 			switch {
 			case r.lostAt == 0 && r.is != well && r.back == 0:
-				t.Fatalf("%s is %v for good, and never lost", r.name, r.is)
+				t.Fatalf("%s is in condition %v for good and was never declared failed", r.name, r.is)
 			case r.lostAt == 0:
 			case r.is == well && silence > y.rules.Lease && r.lostAt-r.wellAt <= 2*loop.Second:
-				// It went on when its lease was over, just after it was asked for the last time.
+				// It resumed after its lease had ended, just after its last probe.
 			case r.is == well && r.inCut && silence > y.rules.Lease+y.rules.Out:
 			case r.is == well:
-				t.Fatalf("%s is well, and lost as %q: silent for %d us, well for %d us", r.name, r.why, silence, r.lostAt-r.wellAt)
+				t.Fatalf("%s is well and was declared failed as %q: silent for %d us, well for %d us", r.name, r.why, silence, r.lostAt-r.wellAt)
 			case r.is == deaf && silence <= y.rules.Lease:
-				t.Fatalf("%s is deaf, and is lost as %q after %d us", r.name, r.why, silence)
+				t.Fatalf("%s is unresponsive and was declared failed as %q after %d us, within its lease", r.name, r.why, silence)
 			case r.why == "hears nobody" && r.is != deaf:
-				t.Fatalf("%s is called deaf, and is %v", r.name, r.is)
+				t.Fatalf("%s was declared unresponsive and is in condition %v", r.name, r.is)
 			case r.is == hangs && silence <= y.rules.Lease:
-				t.Fatalf("%s hangs, and is lost as %q after %d us", r.name, r.why, silence)
+				t.Fatalf("%s hangs and was declared failed as %q after %d us, within its lease", r.name, r.why, silence)
 			case r.why == "dead" && r.is != stopped:
-				t.Fatalf("%s is called dead, and is %v", r.name, r.is)
+				t.Fatalf("%s was declared dead and is in condition %v", r.name, r.is)
 			}
 		}
 		if y.most > y.rules.Probes+zones {
-			t.Fatalf("%d probes at once", y.most)
+			t.Fatalf("%d probes were in flight at once, want at most Probes and one for each zone", y.most)
 		}
 	})
 }
 
-// Machines that live and whose reports reach nobody are in no doubt, back and in doubt
-// again: the moment is over once each has answered, nothing is lost that is heard again in
-// time, and none is left for longer than stated.
+// Machines that answer probes while their reports reach nobody must not alternate between
+// suspected and available: the correlated failure must start at most once and end when each
+// has answered. None whose reports arrive again in time may be declared failed, and the
+// others must be at the time that stray states.
 func TestReportsThatReachNobody(t *testing.T) {
 	y := newYard(2, 40)
 	y.run(10 * loop.Second)
@@ -276,7 +282,7 @@
 	for _, r := range y.all[20:30] {
 		r.stray = began + 500*loop.Second
 	}
-	for _, r := range y.all[30:35] { // answered by their host, they hang for less than a lease
+	for _, r := range y.all[30:35] { // their host controller still answers them; they hang for less than a lease
 		r.stray = began + 22*loop.Second
 	}
 	falls, was := 0, Calm
@@ -292,26 +298,27 @@
 		}
 	}
 	if falls > 1 || was != Calm {
-		t.Errorf("the moment began %d times and is %v", falls, was)
+		t.Errorf("the correlated failure began %d times and is %v, want at most once and calm", falls, was)
 	}
 	for i, r := range y.all {
 		switch took := r.lostAt - r.heard; {
 		case i >= 20 && i < 30:
 			if r.lostAt == 0 || took > y.rules.stray()+loop.Second || r.why != "its reports reach nobody" {
-				t.Errorf("%s is lost as %q after %d us", r.name, r.why, took)
+				t.Errorf("%s is declared failed as %q after %d us, want \"its reports reach nobody\" in time", r.name, r.why, took)
 			}
 		case r.lostAt != 0:
-			t.Errorf("%s is lost as %q after %d us", r.name, r.why, took)
+			t.Errorf("%s is declared failed as %q after %d us, want not at all", r.name, r.why, took)
 		}
 	}
 	if most := 30 * int(y.rules.stray()/y.rules.Report+3); y.probes > most {
-		t.Errorf("%d probes of 30 machines", y.probes)
+		t.Errorf("%d probes of 30 machines were sent, more often than they would report", y.probes)
 	}
 }
 
-// Machines that report and hear nothing are asked nothing, are not called dead, and are given
-// up when they have been deaf for as long as is stated; those that hear again before, and
-// those that were deaf for two seconds, are lost to nobody. A whole zone of them is no cut.
+// Machines that report while no answer or command reaches them must not be declared dead
+// because connections to them fail, but must be declared failed after the time that stray
+// states, even if a whole zone of them looks like a network partition. Those that recover
+// earlier must not be declared failed, and meanwhile all count as likely to come back.
 func TestDeafMachines(t *testing.T) {
 	for _, report := range []loop.Micros{loop.Second, 3 * loop.Second, 5 * loop.Second} {
 		y := newYard(2, 40)
@@ -325,23 +332,24 @@
 		n := 0
 		y.j.Doubtful(y.now, func(string) { n++ })
 		if n != 50 {
-			t.Errorf("reports each %d us: %d of 50 deaf machines count as coming back", report, n)
+			t.Errorf("reports every %d us: %d of 50 unresponsive machines are listed as likely to come back, want all", report, n)
 		}
 		y.run(40 * loop.Second)
 		for i, r := range y.all {
 			took := r.lostAt - r.heard
 			if i < 40 && r.lostAt != 0 {
-				t.Errorf("reports each %d us: %s is lost as %q after %d us", report, r.name, r.why, took)
+				t.Errorf("reports every %d us: %s is declared failed as %q after %d us, want not at all", report, r.name, r.why, took)
 			}
 			if i >= 40 && (r.why != "hears nobody" || took < y.rules.stray() || took > y.rules.stray()+loop.Second) {
-				t.Errorf("reports each %d us: %s is lost as %q after %d us", report, r.name, r.why, took)
+				t.Errorf("reports every %d us: %s is declared failed as %q after %d us, want \"hears nobody\" in time", report, r.name, r.why, took)
 			}
 		}
 	}
 }
 
-// A deaf machine takes no connection. Behind a cut that has just ended, before its next report
-// comes, it is not taken for a dead one.
+// Connections to an unresponsive machine fail like those to a stopped one. When a network
+// partition has just ended and the machine's next report has not arrived yet, it must not be
+// declared dead.
 func TestDeafBehindACut(t *testing.T) {
 	y := newYard(2, 40)
 	y.run(10 * loop.Second)
@@ -351,12 +359,13 @@
 	y.run(60 * loop.Second)
 	for _, r := range y.all[:10] {
 		if took := r.lostAt - r.heard; r.lostAt == 0 || took < y.rules.stray() {
-			t.Errorf("%s is lost as %q after %d us", r.name, r.why, took)
+			t.Errorf("%s is declared failed as %q after %d us, want not before the time that stray states", r.name, r.why, took)
 		}
 	}
 }
 
-// A node that hears nobody judges nobody.
+// To a controller that reaches no peer all machines look silent: it must declare none failed
+// and probe none.
 func TestBlind(t *testing.T) {
 	y := newYard(1, 10)
 	y.run(5 * loop.Second)
@@ -364,6 +373,6 @@
 	y.fall(stopped, 0, y.all...)
 	y.run(90 * loop.Second)
 	if y.lost() != 0 || y.probes != 0 {
-		t.Fatalf("%d lost, %d probes by a node that hears no peer", y.lost(), y.probes)
+		t.Fatalf("%d machines declared failed and %d probes sent by a controller that reaches no peer, want none", y.lost(), y.probes)
 	}
 }
--- a/internal/loss/moment.go
+++ b/internal/loss/moment.go
@@ -2,34 +2,35 @@
 
 import "cleatpick/internal/loop"
 
-// MomentState names where a fall of many machines stands.
+// MomentState is the state of a correlated failure.
 type MomentState int
 
-// The states of a moment.
+// The states of a correlated failure.
 const (
-	Calm    MomentState = iota // few machines are silent, if any
-	Falling                    // many are, and nobody can tell yet what becomes of them
-	Passing                    // each of them is back or lost
+	Calm    MomentState = iota // few machines are suspected, if any
+	Falling                    // many are suspected, and it is not known yet which have failed
+	Passing                    // all but a few of them are back or declared failed
 )
 
 func (s MomentState) String() string { return [...]string{"calm", "falling", "passing"}[s] }
 
-// A moment is a fall of many machines at once, from its first sign until all are back or
-// lost. While it lasts, nothing is rented for the room that may come back.
+// moment is a correlated failure: many machines are suspected within a short time. It lasts
+// from the first sign until all are back or declared failed. While it lasts, no machines are
+// rented for the capacity that may come back.
 type moment struct {
 	state    MomentState
 	began    loop.Micros
-	most     int // machines in doubt at once
+	most     int // largest number of machines suspected at the same time
 	lost     int
 	returned int
-	hung     int // of those lost: by what asking them brought back
+	hung     int // of those declared failed, by the result of the last probe
 	unseen   int
 	dead     int
-	longest  loop.Micros // silence of one that was lost
+	longest  loop.Micros // longest silence of a machine that was declared failed
 }
 
-// manyShare is the part of the fleet that must be silent for a moment; at least several
-// machines are.
+// manyShare is the part of all machines that must be suspected for a correlated failure, and
+// several their least number.
 const manyShare = 0.02
 
 func (j *Judge) setMoment(s MomentState, now loop.Micros) {
@@ -37,7 +38,7 @@
 	if o.state == s {
 		return
 	}
-	j.log.Info("machines in doubt", "from", o.state.String(), "to", s.String(), "most", o.most, "hung", o.hung, "out_of_way", o.unseen, "dead", o.dead, "lost", o.lost, "back", o.returned, "longest_us", o.longest, "since_us", now-o.began)
+	j.log.Info("correlated machine failure changed state; no capacity is rented for suspected machines while it is falling", "from", o.state.String(), "to", s.String(), "most", o.most, "hung", o.hung, "out_of_way", o.unseen, "dead", o.dead, "lost", o.lost, "back", o.returned, "longest_us", o.longest, "since_us", now-o.began)
 	o.state = s
 }
 
@@ -61,7 +62,7 @@
 	o.longest = max(o.longest, now-m.Heard)
 }
 
-// follow opens and closes moments.
+// follow starts and ends the tracking of a correlated failure.
 func (j *Judge) follow(now loop.Micros, fleet int) {
 	n := 0
 	for _, m := range j.machines {
@@ -78,7 +79,7 @@
 	case o.state == Falling && n > 0:
 		o.most = max(o.most, n)
 		if n < several && o.most >= 4*several {
-			j.setMoment(Passing, now) // stragglers do not hold the rest up
+			j.setMoment(Passing, now) // a few machines still suspected do not prolong it
 		}
 	case o.state == Falling:
 		j.setMoment(Passing, now)
@@ -93,8 +94,8 @@
 	return m.state == Late || m.state == Hung || m.state == OutOfWay || m.state == Dead || m.state == Deaf
 }
 
-// Doubtful calls f for the machines that may come back with all their room, while many
-// are in doubt at once; each for no longer than its lease.
+// Doubtful calls f, during a correlated failure, for each suspected machine that may come
+// back with its tasks and its capacity, for no longer than the machine's lease.
 func (j *Judge) Doubtful(now loop.Micros, f func(name string)) {
 	if j.moment.state != Falling {
 		return
