--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -35,18 +35,18 @@
 	return [...]string{"heard", "late", "alive", "hung", "outOfWay", "dead", "lost", "deaf"}[s]
 }
 
-// Word is the result of a probe of a machine.
-type Word int
+// ProbeResult is the result of a probe of a machine.
+type ProbeResult int
 
 // The results of a probe.
 const (
-	None     Word = iota // not probed yet
-	Answered             // the machine answered
-	Mute                 // the connection was accepted or refused, but there was no answer
-	NoWay                // no connection could be made
+	None     ProbeResult = iota // not probed yet
+	Answered                    // the machine answered
+	Mute                        // the connection was accepted or refused, but there was no answer
+	NoWay                       // no connection could be made
 )
 
-func (w Word) String() string { return [...]string{"none", "answered", "mute", "noWay"}[w] }
+func (w ProbeResult) String() string { return [...]string{"none", "answered", "mute", "noWay"}[w] }
 
 // stray is how long a machine may answer probes while its reports reach nobody, or report
 // while it is unresponsive to commands: as long as an unreachable one is left alone. By then
@@ -106,7 +106,7 @@
 type machine struct {
 	Facts
 	state  State
-	word   Word
+	word   ProbeResult
 	times  int // number of consecutive probes with this result
 	asking bool
 	asked  loop.Micros
@@ -136,7 +136,7 @@
 	r        Rules
 	log      *slog.Logger
 	meter    *metric.Meter
-	probe    func(addr string, done func(Word))
+	probe    func(addr string, done func(ProbeResult))
 	machines map[string]*machine
 	zones    map[string]*zone
 	probing  int
@@ -145,7 +145,7 @@
 
 // New returns a failure detector. probe probes a machine and calls done later, on the event
 // loop.
-func New(r Rules, log *slog.Logger, meter *metric.Meter, probe func(addr string, done func(Word))) *Judge {
+func New(r Rules, log *slog.Logger, meter *metric.Meter, probe func(addr string, done func(ProbeResult))) *Judge {
 	return &Judge{r: r, log: log, meter: meter, probe: probe, machines: map[string]*machine{}, zones: map[string]*zone{}}
 }
 
@@ -339,7 +339,7 @@
 		}
 		j.probing++
 		m.asking, m.before, m.asked = true, m.asked, s.Now
-		j.probe(m.Addr, func(w Word) {
+		j.probe(m.Addr, func(w ProbeResult) {
 			j.probing--
 			m.asking = false
 			j.answer(m, w)
@@ -348,7 +348,7 @@
 }
 
 // answer records the result of a probe.
-func (j *Judge) answer(m *machine, w Word) {
+func (j *Judge) answer(m *machine, w ProbeResult) {
 	if z := j.zones[m.Zone]; m.word == w && !(w == NoWay && z != nil && m.before < z.open) {
 		m.times++
 	} else {
@@ -373,7 +373,7 @@
 	}
 	z.asking = true
 	addr := z.some[int(now/again)%len(z.some)]
-	j.probe(addr, func(w Word) {
+	j.probe(addr, func(w ProbeResult) {
 		z.asking = false
 		z.nearAt = now
 		switch {
--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -39,8 +39,8 @@
 
 type answer struct {
 	at   loop.Micros
-	done func(Word)
-	w    Word
+	done func(ProbeResult)
+	w    ProbeResult
 }
 
 // yard is a simulated set of machines whose real condition is known, observed by a failure
@@ -71,7 +71,7 @@
 			y.byName[r.name] = r
 		}
 	}
-	y.j = New(y.rules, slog.New(slog.NewTextHandler(io.Discard, nil)), nil, func(addr string, done func(Word)) {
+	y.j = New(y.rules, slog.New(slog.NewTextHandler(io.Discard, nil)), nil, func(addr string, done func(ProbeResult)) {
 		y.probes++
 		a := answer{y.now + 5*loop.Millisecond, done, Answered}
 		switch r := y.byName[addr]; {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -64,7 +64,7 @@
 	Cloud   store.Doer
 	Workers func(addr, method, path string, body []byte, timeout time.Duration) store.Response
 	// Probe asks a silent worker whether it is there; it blocks.
-	Probe func(addr string) loss.Word
+	Probe func(addr string) loss.ProbeResult
 }
 
 // New wires a node to the real outside; Run works it.
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -20,7 +20,7 @@
 
 // probe asks a machine whether it is there, over a connection of its own: one that is
 // left from before cannot tell a machine without power from one that hangs.
-func probe(addr string) loss.Word {
+func probe(addr string) loss.ProbeResult {
 	conn, err := fasthttp.DialTimeout(addr, probeConnect)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
--- a/internal/node/world_machine_test.go
+++ b/internal/node/world_machine_test.go
@@ -13,7 +13,7 @@
 )
 
 // probe tells what a node finds that asks a worker. A machine that hangs takes connections.
-func (w *world) probe(from, addr string) loss.Word {
+func (w *world) probe(from, addr string) loss.ProbeResult {
 	x := w.workers[addr[len("worker:"):]]
 	switch {
 	case x == nil || x.gone || x.deaf || w.toWorker(from, x) != open:
--- a/internal/node/world_test.go
+++ b/internal/node/world_test.go
@@ -440,7 +440,7 @@
 		}},
 		Workers: func(addr, method, path string, body []byte, _ time.Duration) store.Response {
 			return outside(w, func() store.Response { return w.direct(label, addr, path, body) })
-		}, Probe: func(addr string) loss.Word { return w.probe(label, addr) }})
+		}, Probe: func(addr string) loss.ProbeResult { return w.probe(label, addr) }})
 	s.n.net.Deliver = func(to string, frame []byte) {
 		f := append([]byte(nil), frame...)
 		w.note(label+" to "+to, f)
--- a/internal/rental/machine.go
+++ b/internal/rental/machine.go
@@ -256,7 +256,7 @@
 }
 
 // probe asks a machine directly.
-func (t *Rental) probe(addr string, done func(loss.Word)) {
+func (t *Rental) probe(addr string, done func(loss.ProbeResult)) {
 	t.r.Go(func() {
 		w := t.n.Probe(addr)
 		t.r.Post(func() { done(w) })
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -86,7 +86,7 @@
 	// Faulty tells whether a machine fails tasks of several jobs.
 	Faulty func(machine string) bool
 	// Probe asks a worker for its report; it blocks, and runs off the loop.
-	Probe func(addr string) loss.Word
+	Probe func(addr string) loss.ProbeResult
 	Meter *metric.Meter // may be nil
 }
 
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -33,8 +33,8 @@
 	dark     string // a zone that is cut off
 	jobs     map[string]*job.Job
 	runs     []agent.Task // on every machine that is heard
-	word     loss.Word
-	words    map[string]loss.Word // by address, where it differs
+	word     loss.ProbeResult
+	words    map[string]loss.ProbeResult // by address, where it differs
 	ups      []wire.Listed
 	deleted  []string
 }
@@ -45,7 +45,7 @@
 }
 
 func newRig(t *testing.T, each int) *rig {
-	g := &rig{Stepped: standin.NewStepped(1000 * loop.Second), entitled: true, word: loss.NoWay, words: map[string]loss.Word{}}
+	g := &rig{Stepped: standin.NewStepped(1000 * loop.Second), entitled: true, word: loss.NoWay, words: map[string]loss.ProbeResult{}}
 	cfg := &config.Config{Operator: config.Defaults()}
 	cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.LeaseS = 1, 10
 	cfg.Cluster.Cloud.RPS, cfg.Cluster.Cloud.ListLagS = 5, 2
@@ -61,7 +61,7 @@
 	g.a = agent.New(g, log, agent.Host{Label: "a", Job: func(id string) *job.Job { return g.jobs[id] }, Changed: func(v *agent.View, _ *agent.Changes) { g.t.View(v) }}, nil)
 	g.t = New(g, log, cfg, c, m, g, g.a, Node{Close: func(string, peer.Close) {},
 		Unheard: func(z string) bool { return g.unheard || z == g.dark }, Entitled: func() bool { return g.entitled }, Isolated: func() bool { return g.isolated },
-		Faulty: func(string) bool { return false }, Probe: func(addr string) loss.Word { return cmp.Or(g.words[addr], g.word) }})
+		Faulty: func(string) bool { return false }, Probe: func(addr string) loss.ProbeResult { return cmp.Or(g.words[addr], g.word) }})
 	m.Start()
 	g.Run(loop.Second)
 	e, ok := m.Get("c/l")
@@ -235,7 +235,7 @@
 // come back, it would be a second fleet.
 func TestNothingIsRentedForMachinesInDoubt(t *testing.T) {
 	for _, c := range []struct {
-		word loss.Word
+		word loss.ProbeResult
 		want bool
 	}{{loss.Mute, false}, {loss.NoWay, true}} {
 		g := newRig(t, 40)
