--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -40,10 +40,10 @@
 
 // The results of a probe.
 const (
-	None     ProbeResult = iota // not probed yet
-	Answered                    // the machine answered
-	Mute                        // the connection was accepted or refused, but there was no answer
-	NoWay                       // no connection could be made
+	NotProbed ProbeResult = iota // not probed yet
+	Answered                     // the machine answered
+	Mute                         // the connection was accepted or refused, but there was no answer
+	NoWay                        // no connection could be made
 )
 
 func (w ProbeResult) String() string { return [...]string{"none", "answered", "mute", "noWay"}[w] }
@@ -322,7 +322,7 @@
 		return
 	}
 	for _, m := range silent {
-		if m.state == Lost || m.state == Deaf || m.asking || m.Addr == "" || s.Now-m.asked < again && m.word != None {
+		if m.state == Lost || m.state == Deaf || m.asking || m.Addr == "" || s.Now-m.asked < again && m.word != NotProbed {
 			continue
 		}
 		if m.word == NoWay {
