--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -42,7 +42,7 @@
 const (
 	NotProbed ProbeResult = iota // not probed yet
 	Answered                     // the machine answered
-	Mute                         // the connection was accepted or refused, but there was no answer
+	NoAnswer                     // the connection was accepted or refused, but there was no answer
 	NoWay                        // no connection could be made
 )
 
@@ -265,7 +265,7 @@
 			return "its reports reach nobody"
 		}
 		return ""
-	case Mute:
+	case NoAnswer:
 		// It is not powered off. If it resumes within its lease, its tasks have lost nothing.
 		j.setState(m, Hung, "it accepts or refuses connections without an answer")
 		if silence > over && last {
@@ -328,7 +328,7 @@
 		if m.word == NoWay {
 			j.askNear(s.Now, m.Zone)
 		}
-		if m.word == Mute && m.times >= 2 && (s.Now-m.lives() <= j.r.Lease || m.asked > m.lives()+j.r.Lease) && s.Now-m.asked < 5*loop.Second {
+		if m.word == NoAnswer && m.times >= 2 && (s.Now-m.lives() <= j.r.Lease || m.asked > m.lives()+j.r.Lease) && s.Now-m.asked < 5*loop.Second {
 			continue // it hangs, and reports on its own once it resumes
 		}
 		if m.word == Answered && s.Now-m.asked < j.r.Report {
--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -78,7 +78,7 @@
 		case y.cutOff || r.is == stopped || r.is == deaf || y.now < y.cut[r.zone]:
 			a.w, a.at = NoWay, y.now+loop.Second
 		case r.is == hangs:
-			a.w, a.at = Mute, y.now+loop.Second
+			a.w, a.at = NoAnswer, y.now+loop.Second
 		}
 		y.answers = append(y.answers, a)
 		y.most = max(y.most, len(y.answers))
--- a/internal/loss/moment.go
+++ b/internal/loss/moment.go
@@ -51,7 +51,7 @@
 func (o *moment) lose(m *machine, now loop.Micros, why string) {
 	o.lost++
 	switch m.word {
-	case Mute:
+	case NoAnswer:
 		o.hung++
 	case NoWay:
 		o.unseen++
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -24,7 +24,7 @@
 	conn, err := fasthttp.DialTimeout(addr, probeConnect)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return loss.Mute
+		return loss.NoAnswer
 	case err != nil:
 		return loss.NoWay
 	}
@@ -35,5 +35,5 @@
 	if r := store.Exchange(c, addr, "GET", "/inspect", nil, probeAnswer); r.Err == nil && r.Status == 200 {
 		return loss.Answered
 	}
-	return loss.Mute
+	return loss.NoAnswer
 }
--- a/internal/node/world_machine_test.go
+++ b/internal/node/world_machine_test.go
@@ -19,7 +19,7 @@
 	case x == nil || x.gone || x.deaf || w.toWorker(from, x) != open:
 		return loss.NoWay
 	case x.hanging:
-		return loss.Mute
+		return loss.NoAnswer
 	}
 	x.w.Report()
 	return loss.Answered
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -237,7 +237,7 @@
 	for _, c := range []struct {
 		word loss.ProbeResult
 		want bool
-	}{{loss.Mute, false}, {loss.NoWay, true}} {
+	}{{loss.NoAnswer, false}, {loss.NoWay, true}} {
 		g := newRig(t, 40)
 		g.word, g.t.cfg.Operator.OrdinaryStandbyMeanS = c.word, 1e6
 		g.Run(3 * loop.Second)
