--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -40,10 +40,10 @@
 
 // The results of a probe.
 const (
-	NotProbed ProbeResult = iota // not probed yet
-	Answered                     // the machine answered
-	NoAnswer                     // the connection was accepted or refused, but there was no answer
-	NoWay                        // no connection could be made
+	NotProbed    ProbeResult = iota // not probed yet
+	Answered                        // the machine answered
+	NoAnswer                        // the connection was accepted or refused, but there was no answer
+	NoConnection                    // no connection could be made
 )
 
 func (w ProbeResult) String() string { return [...]string{"none", "answered", "mute", "noWay"}[w] }
@@ -203,7 +203,7 @@
 		if m.state == Heard {
 			j.setState(m, Late, "no report")
 		}
-		if m.word == NoWay && z.open != 0 && m.asked >= z.open && !m.asking {
+		if m.word == NoConnection && z.open != 0 && m.asked >= z.open && !m.asking {
 			z.noWay++
 		}
 		if m.state != Lost {
@@ -272,14 +272,14 @@
 			return "hung beyond its lease"
 		}
 		return ""
-	case NoWay:
+	case NoConnection:
 		if j.dead(s.Now, m, z) {
 			j.setState(m, Dead, "connections fail while its neighbours answer")
 			return "dead"
 		}
 		j.setState(m, OutOfWay, "connections fail")
 	}
-	if z.heard == 0 || z.unheard || m.word == NoWay {
+	if z.heard == 0 || z.unheard || m.word == NoConnection {
 		over += j.r.Out
 	}
 	over += m.Worth
@@ -325,7 +325,7 @@
 		if m.state == Lost || m.state == Deaf || m.asking || m.Addr == "" || s.Now-m.asked < again && m.word != NotProbed {
 			continue
 		}
-		if m.word == NoWay {
+		if m.word == NoConnection {
 			j.askNear(s.Now, m.Zone)
 		}
 		if m.word == NoAnswer && m.times >= 2 && (s.Now-m.lives() <= j.r.Lease || m.asked > m.lives()+j.r.Lease) && s.Now-m.asked < 5*loop.Second {
@@ -349,7 +349,7 @@
 
 // answer records the result of a probe.
 func (j *Judge) answer(m *machine, w ProbeResult) {
-	if z := j.zones[m.Zone]; m.word == w && !(w == NoWay && z != nil && m.before < z.open) {
+	if z := j.zones[m.Zone]; m.word == w && !(w == NoConnection && z != nil && m.before < z.open) {
 		m.times++
 	} else {
 		m.word, m.times = w, 1
--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -76,7 +76,7 @@
 		a := answer{y.now + 5*loop.Millisecond, done, Answered}
 		switch r := y.byName[addr]; {
 		case y.cutOff || r.is == stopped || r.is == deaf || y.now < y.cut[r.zone]:
-			a.w, a.at = NoWay, y.now+loop.Second
+			a.w, a.at = NoConnection, y.now+loop.Second
 		case r.is == hangs:
 			a.w, a.at = NoAnswer, y.now+loop.Second
 		}
--- a/internal/loss/moment.go
+++ b/internal/loss/moment.go
@@ -53,7 +53,7 @@
 	switch m.word {
 	case NoAnswer:
 		o.hung++
-	case NoWay:
+	case NoConnection:
 		o.unseen++
 	}
 	if why == "dead" {
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -26,7 +26,7 @@
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return loss.NoAnswer
 	case err != nil:
-		return loss.NoWay
+		return loss.NoConnection
 	}
 	defer conn.Close()
 	c := &fasthttp.HostClient{Addr: addr, MaxConns: 1, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
--- a/internal/node/world_machine_test.go
+++ b/internal/node/world_machine_test.go
@@ -17,7 +17,7 @@
 	x := w.workers[addr[len("worker:"):]]
 	switch {
 	case x == nil || x.gone || x.deaf || w.toWorker(from, x) != open:
-		return loss.NoWay
+		return loss.NoConnection
 	case x.hanging:
 		return loss.NoAnswer
 	}
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -45,7 +45,7 @@
 }
 
 func newRig(t *testing.T, each int) *rig {
-	g := &rig{Stepped: standin.NewStepped(1000 * loop.Second), entitled: true, word: loss.NoWay, words: map[string]loss.ProbeResult{}}
+	g := &rig{Stepped: standin.NewStepped(1000 * loop.Second), entitled: true, word: loss.NoConnection, words: map[string]loss.ProbeResult{}}
 	cfg := &config.Config{Operator: config.Defaults()}
 	cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.LeaseS = 1, 10
 	cfg.Cluster.Cloud.RPS, cfg.Cluster.Cloud.ListLagS = 5, 2
@@ -237,7 +237,7 @@
 	for _, c := range []struct {
 		word loss.ProbeResult
 		want bool
-	}{{loss.NoAnswer, false}, {loss.NoWay, true}} {
+	}{{loss.NoAnswer, false}, {loss.NoConnection, true}} {
 		g := newRig(t, 40)
 		g.word, g.t.cfg.Operator.OrdinaryStandbyMeanS = c.word, 1e6
 		g.Run(3 * loop.Second)
