--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -21,14 +21,14 @@
 
 // The states of a machine. One whose reports arrive has no entry here.
 const (
-	Heard    State = iota // its reports arrive
-	Late                  // it has missed reports and is waiting to be probed
-	Alive                 // it answers probes, but its reports reach no controller reachable from here
-	Hung                  // it accepts or refuses connections without an answer; it may resume within its lease
-	OutOfWay              // connections fail, which may be a network partition
-	Dead                  // connections fail although its neighbours answer probes
-	Lost                  // declared failed: nothing on it can be saved any more
-	Deaf                  // its reports arrive, but show that no answer or command reaches it
+	Reporting State = iota // its reports arrive
+	Late                   // it has missed reports and is waiting to be probed
+	Alive                  // it answers probes, but its reports reach no controller reachable from here
+	Hung                   // it accepts or refuses connections without an answer; it may resume within its lease
+	OutOfWay               // connections fail, which may be a network partition
+	Dead                   // connections fail although its neighbours answer probes
+	Lost                   // declared failed: nothing on it can be saved any more
+	Deaf                   // its reports arrive, but show that no answer or command reaches it
 )
 
 func (s State) String() string {
@@ -189,18 +189,18 @@
 				z.some = append(z.some, f.Addr)
 			}
 			if m != nil {
-				j.setState(m, Heard, "its reports arrive again")
+				j.setState(m, Reporting, "its reports arrive again")
 				j.moment.back()
 				delete(j.machines, f.Name)
 			}
 			return
 		}
 		if m == nil {
-			m = &machine{state: Heard}
+			m = &machine{state: Reporting}
 			j.machines[f.Name] = m
 		}
 		m.Facts = *f
-		if m.state == Heard {
+		if m.state == Reporting {
 			j.setState(m, Late, "no report")
 		}
 		if m.word == NoConnection && z.open != 0 && m.asked >= z.open && !m.asking {
