--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -21,14 +21,14 @@
 
 // The states of a machine. One whose reports arrive has no entry here.
 const (
-	Reporting State = iota // its reports arrive
-	Late                   // it has missed reports and is waiting to be probed
-	Alive                  // it answers probes, but its reports reach no controller reachable from here
-	Hung                   // it accepts or refuses connections without an answer; it may resume within its lease
-	OutOfWay               // connections fail, which may be a network partition
-	Dead                   // connections fail although its neighbours answer probes
-	Lost                   // declared failed: nothing on it can be saved any more
-	Deaf                   // its reports arrive, but show that no answer or command reaches it
+	Reporting   State = iota // its reports arrive
+	Late                     // it has missed reports and is waiting to be probed
+	Alive                    // it answers probes, but its reports reach no controller reachable from here
+	Hung                     // it accepts or refuses connections without an answer; it may resume within its lease
+	Unreachable              // connections fail, which may be a network partition
+	Dead                     // connections fail although its neighbours answer probes
+	Lost                     // declared failed: nothing on it can be saved any more
+	Deaf                     // its reports arrive, but show that no answer or command reaches it
 )
 
 func (s State) String() string {
@@ -277,7 +277,7 @@
 			j.setState(m, Dead, "connections fail while its neighbours answer")
 			return "dead"
 		}
-		j.setState(m, OutOfWay, "connections fail")
+		j.setState(m, Unreachable, "connections fail")
 	}
 	if z.heard == 0 || z.unheard || m.word == NoConnection {
 		over += j.r.Out
