--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -21,14 +21,14 @@
 
 // The states of a machine. One whose reports arrive has no entry here.
 const (
-	Reporting   State = iota // its reports arrive
-	Late                     // it has missed reports and is waiting to be probed
-	Alive                    // it answers probes, but its reports reach no controller reachable from here
-	Hung                     // it accepts or refuses connections without an answer; it may resume within its lease
-	Unreachable              // connections fail, which may be a network partition
-	Dead                     // connections fail although its neighbours answer probes
-	Lost                     // declared failed: nothing on it can be saved any more
-	Deaf                     // its reports arrive, but show that no answer or command reaches it
+	Reporting      State = iota // its reports arrive
+	Late                        // it has missed reports and is waiting to be probed
+	Alive                       // it answers probes, but its reports reach no controller reachable from here
+	Hung                        // it accepts or refuses connections without an answer; it may resume within its lease
+	Unreachable                 // connections fail, which may be a network partition
+	Dead                        // connections fail although its neighbours answer probes
+	DeclaredFailed              // declared failed: nothing on it can be saved any more
+	Deaf                        // its reports arrive, but show that no answer or command reaches it
 )
 
 func (s State) String() string {
@@ -206,7 +206,7 @@
 		if m.word == NoConnection && z.open != 0 && m.asked >= z.open && !m.asking {
 			z.noWay++
 		}
-		if m.state != Lost {
+		if m.state != DeclaredFailed {
 			silent = append(silent, m)
 		}
 	})
@@ -221,7 +221,7 @@
 	var out []Verdict
 	for _, m := range silent {
 		if why := j.judge(s, m); why != "" {
-			j.setState(m, Lost, why)
+			j.setState(m, DeclaredFailed, why)
 			j.moment.lose(m, s.Now, why)
 			out = append(out, Verdict{m.Name, why})
 		}
@@ -322,7 +322,7 @@
 		return
 	}
 	for _, m := range silent {
-		if m.state == Lost || m.state == Deaf || m.asking || m.Addr == "" || s.Now-m.asked < again && m.word != NotProbed {
+		if m.state == DeclaredFailed || m.state == Deaf || m.asking || m.Addr == "" || s.Now-m.asked < again && m.word != NotProbed {
 			continue
 		}
 		if m.word == NoConnection {
