--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -28,7 +28,7 @@
 	Unreachable                 // connections fail, which may be a network partition
 	Dead                        // connections fail although its neighbours answer probes
 	DeclaredFailed              // declared failed: nothing on it can be saved any more
-	Deaf                        // its reports arrive, but show that no answer or command reaches it
+	Unresponsive                // its reports arrive, but show that no answer or command reaches it
 )
 
 func (s State) String() string {
@@ -248,13 +248,13 @@
 	if m.Told > m.Heard && s.Now-m.Told <= max(j.r.late(), unanswered) {
 		// Its worker's lease expires, which ends its tasks, time and again. If answers reach
 		// it again before the limit it is available as before. A probe would show nothing new.
-		j.setState(m, Deaf, "it reports, but no answer or command reaches it")
+		j.setState(m, Unresponsive, "it reports, but no answer or command reaches it")
 		if s.Now-m.Heard > j.r.stray()+m.Worth {
 			return "hears nobody"
 		}
 		return ""
 	}
-	if m.state == Deaf {
+	if m.state == Unresponsive {
 		j.setState(m, Late, "no report")
 	}
 	z := j.zones[m.Zone]
@@ -322,7 +322,7 @@
 		return
 	}
 	for _, m := range silent {
-		if m.state == DeclaredFailed || m.state == Deaf || m.asking || m.Addr == "" || s.Now-m.asked < again && m.word != NotProbed {
+		if m.state == DeclaredFailed || m.state == Unresponsive || m.asking || m.Addr == "" || s.Now-m.asked < again && m.word != NotProbed {
 			continue
 		}
 		if m.word == NoConnection {
--- a/internal/loss/moment.go
+++ b/internal/loss/moment.go
@@ -91,7 +91,7 @@
 }
 
 func (m *machine) doubtful() bool {
-	return m.state == Late || m.state == Hung || m.state == Unreachable || m.state == Dead || m.state == Deaf
+	return m.state == Late || m.state == Hung || m.state == Unreachable || m.state == Dead || m.state == Unresponsive
 }
 
 // Doubtful calls f, during a correlated failure, for each suspected machine that may come
