--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -58,16 +58,16 @@
 
 // Rules holds the limits by which machines are evaluated.
 type Rules struct {
-	Report loop.Micros // interval between reports
-	Lease  loop.Micros // time without an answer after which a worker ends its tasks
-	Out    loop.Micros // additional time for which an unreachable machine is left alone
-	Most   loop.Micros // silence after which a machine is declared failed in any case; 0: no such limit
-	Probes int         // largest number of probes in flight
+	ReportInterval loop.Micros // interval between reports
+	Lease          loop.Micros // time without an answer after which a worker ends its tasks
+	Out            loop.Micros // additional time for which an unreachable machine is left alone
+	Most           loop.Micros // silence after which a machine is declared failed in any case; 0: no such limit
+	Probes         int         // largest number of probes in flight
 }
 
 // late is the silence after which a machine is probed: one report and a half are overdue,
 // and 2 s have passed for delays on the way.
-func (r *Rules) late() loop.Micros { return 3*r.Report/2 + 2*loop.Second }
+func (r *Rules) late() loop.Micros { return 3*r.ReportInterval/2 + 2*loop.Second }
 
 // leaseOver is the silence after which the machine's worker has certainly ended its tasks,
 // or does so before anything else, if nobody answered it meanwhile.
@@ -331,7 +331,7 @@
 		if m.word == NoAnswer && m.times >= 2 && (s.Now-m.lives() <= j.r.Lease || m.asked > m.lives()+j.r.Lease) && s.Now-m.asked < 5*loop.Second {
 			continue // it hangs, and reports on its own once it resumes
 		}
-		if m.word == Answered && s.Now-m.asked < j.r.Report {
+		if m.word == Answered && s.Now-m.asked < j.r.ReportInterval {
 			continue // it is probed as often as it would report
 		}
 		if j.probing >= j.r.Probes {
--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -63,7 +63,7 @@
 
 func newYard(zones, each int) *yard {
 	y := &yard{now: 1000 * loop.Second, byName: map[string]*real{}, cut: map[string]loop.Micros{},
-		rules: Rules{Report: 3 * loop.Second, Lease: 18 * loop.Second, Out: 8 * loop.Second, Probes: 16}}
+		rules: Rules{ReportInterval: 3 * loop.Second, Lease: 18 * loop.Second, Out: 8 * loop.Second, Probes: 16}}
 	for z := range zones {
 		for i := range each {
 			r := &real{name: fmt.Sprintf("n-%d%04d", z, i), zone: fmt.Sprint("z", z), heard: y.now}
@@ -112,13 +112,13 @@
 			if r.back != 0 && y.now >= r.back && r.lostAt == 0 {
 				r.is, r.back, r.wellAt = well, 0, y.now
 			}
-			if r.is == well && r.lostAt == 0 && y.now >= y.cut[r.zone] && y.now >= r.stray && (y.now/step+loop.Micros(i))%(y.rules.Report/step) == 0 {
+			if r.is == well && r.lostAt == 0 && y.now >= y.cut[r.zone] && y.now >= r.stray && (y.now/step+loop.Micros(i))%(y.rules.ReportInterval/step) == 0 {
 				r.heard, r.told = y.now, y.now
 			}
 			// The first report that gets no answer still shows its host controller's token. The
 			// next ones come 4 s and 1 s later, each at another controller.
 			if r.is == deaf && r.lostAt == 0 && y.now >= y.cut[r.zone] {
-				switch regular := (y.now/step+loop.Micros(i))%(y.rules.Report/step) == 0; {
+				switch regular := (y.now/step+loop.Micros(i))%(y.rules.ReportInterval/step) == 0; {
 				case r.heard <= r.since && regular:
 					r.heard, r.told = y.now, y.now
 				case r.heard > r.since && (y.now-r.heard)%(5*loop.Second) < step:
@@ -134,7 +134,7 @@
 			}
 		}) {
 			r := y.byName[v.Name]
-			r.lostAt, r.why, r.inCut = y.now, v.Why, y.now < y.cut[r.zone]+y.rules.Report
+			r.lostAt, r.why, r.inCut = y.now, v.Why, y.now < y.cut[r.zone]+y.rules.ReportInterval
 			y.j.Forget(v.Name)
 		}
 	}
@@ -277,7 +277,7 @@
 	y.run(10 * loop.Second)
 	began := y.now
 	for _, r := range y.all[:20] {
-		r.stray = began + y.rules.stray() - 2*y.rules.Report - loop.Second
+		r.stray = began + y.rules.stray() - 2*y.rules.ReportInterval - loop.Second
 	}
 	for _, r := range y.all[20:30] {
 		r.stray = began + 500*loop.Second
@@ -310,7 +310,7 @@
 			t.Errorf("%s is declared failed as %q after %d us, want not at all", r.name, r.why, took)
 		}
 	}
-	if most := 30 * int(y.rules.stray()/y.rules.Report+3); y.probes > most {
+	if most := 30 * int(y.rules.stray()/y.rules.ReportInterval+3); y.probes > most {
 		t.Errorf("%d probes of 30 machines were sent, more often than they would report", y.probes)
 	}
 }
@@ -322,8 +322,8 @@
 func TestDeafMachines(t *testing.T) {
 	for _, report := range []loop.Micros{loop.Second, 3 * loop.Second, 5 * loop.Second} {
 		y := newYard(2, 40)
-		y.rules.Report = report
-		y.j.r.Report = report
+		y.rules.ReportInterval = report
+		y.j.r.ReportInterval = report
 		y.run(10 * loop.Second)
 		y.fall(deaf, y.now+2*loop.Second, y.all[:10]...)
 		y.fall(deaf, y.now+y.rules.stray()-2*report-loop.Second, y.all[10:20]...)
