--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -54,15 +54,15 @@
 // does get answers has a host controller that is cut off from the others, and its tasks can
 // neither be observed nor stopped. After this time the machine is declared failed, so that
 // no machine is unusable without a verdict for longer.
-func (r *Rules) stray() loop.Micros { return r.leaseOver() + r.Out }
+func (r *Rules) stray() loop.Micros { return r.leaseOver() + r.UnreachableGrace }
 
 // Rules holds the limits by which machines are evaluated.
 type Rules struct {
-	ReportInterval loop.Micros // interval between reports
-	Lease          loop.Micros // time without an answer after which a worker ends its tasks
-	Out            loop.Micros // additional time for which an unreachable machine is left alone
-	Most           loop.Micros // silence after which a machine is declared failed in any case; 0: no such limit
-	Probes         int         // largest number of probes in flight
+	ReportInterval   loop.Micros // interval between reports
+	Lease            loop.Micros // time without an answer after which a worker ends its tasks
+	UnreachableGrace loop.Micros // additional time for which an unreachable machine is left alone
+	Most             loop.Micros // silence after which a machine is declared failed in any case; 0: no such limit
+	Probes           int         // largest number of probes in flight
 }
 
 // late is the silence after which a machine is probed: one report and a half are overdue,
@@ -280,7 +280,7 @@
 		j.setState(m, Unreachable, "connections fail")
 	}
 	if z.heard == 0 || z.unheard || m.word == NoConnection {
-		over += j.r.Out
+		over += j.r.UnreachableGrace
 	}
 	over += m.Worth
 	if silence > over && last {
--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -63,7 +63,7 @@
 
 func newYard(zones, each int) *yard {
 	y := &yard{now: 1000 * loop.Second, byName: map[string]*real{}, cut: map[string]loop.Micros{},
-		rules: Rules{ReportInterval: 3 * loop.Second, Lease: 18 * loop.Second, Out: 8 * loop.Second, Probes: 16}}
+		rules: Rules{ReportInterval: 3 * loop.Second, Lease: 18 * loop.Second, UnreachableGrace: 8 * loop.Second, Probes: 16}}
 	for z := range zones {
 		for i := range each {
 			r := &real{name: fmt.Sprintf("n-%d%04d", z, i), zone: fmt.Sprint("z", z), heard: y.now}
@@ -249,7 +249,7 @@
 			case r.lostAt == 0:
 			case r.is == well && silence > y.rules.Lease && r.lostAt-r.wellAt <= 2*loop.Second:
 				// It resumed after its lease had ended, just after its last probe.
-			case r.is == well && r.inCut && silence > y.rules.Lease+y.rules.Out:
+			case r.is == well && r.inCut && silence > y.rules.Lease+y.rules.UnreachableGrace:
 			case r.is == well:
 				t.Fatalf("%s is well and was declared failed as %q: silent for %d us, well for %d us", r.name, r.why, silence, r.lostAt-r.wellAt)
 			case r.is == deaf && silence <= y.rules.Lease:
