--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -61,7 +61,7 @@
 	ReportInterval   loop.Micros // interval between reports
 	Lease            loop.Micros // time without an answer after which a worker ends its tasks
 	UnreachableGrace loop.Micros // additional time for which an unreachable machine is left alone
-	Most             loop.Micros // silence after which a machine is declared failed in any case; 0: no such limit
+	MaxSilence       loop.Micros // silence after which a machine is declared failed in any case; 0: no such limit
 	Probes           int         // largest number of probes in flight
 }
 
@@ -242,7 +242,7 @@
 	silence := s.Now - m.lives()
 	// A last probe after the lease finds a machine that resumed just before its lease ended.
 	last := m.Addr == "" || (!m.asking && m.asked >= m.lives()+j.r.Lease)
-	if j.r.Most > 0 && silence > j.r.Most {
+	if j.r.MaxSilence > 0 && silence > j.r.MaxSilence {
 		return "silent"
 	}
 	if m.Told > m.Heard && s.Now-m.Told <= max(j.r.late(), unanswered) {
