--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -62,7 +62,7 @@
 	Lease            loop.Micros // time without an answer after which a worker ends its tasks
 	UnreachableGrace loop.Micros // additional time for which an unreachable machine is left alone
 	MaxSilence       loop.Micros // silence after which a machine is declared failed in any case; 0: no such limit
-	Probes           int         // largest number of probes in flight
+	MaxProbes        int         // largest number of probes in flight
 }
 
 // late is the silence after which a machine is probed: one report and a half are overdue,
@@ -334,7 +334,7 @@
 		if m.word == Answered && s.Now-m.asked < j.r.ReportInterval {
 			continue // it is probed as often as it would report
 		}
-		if j.probing >= j.r.Probes {
+		if j.probing >= j.r.MaxProbes {
 			return
 		}
 		j.probing++
--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -63,7 +63,7 @@
 
 func newYard(zones, each int) *yard {
 	y := &yard{now: 1000 * loop.Second, byName: map[string]*real{}, cut: map[string]loop.Micros{},
-		rules: Rules{ReportInterval: 3 * loop.Second, Lease: 18 * loop.Second, UnreachableGrace: 8 * loop.Second, Probes: 16}}
+		rules: Rules{ReportInterval: 3 * loop.Second, Lease: 18 * loop.Second, UnreachableGrace: 8 * loop.Second, MaxProbes: 16}}
 	for z := range zones {
 		for i := range each {
 			r := &real{name: fmt.Sprintf("n-%d%04d", z, i), zone: fmt.Sprint("z", z), heard: y.now}
@@ -164,7 +164,7 @@
 			t.Fatalf("stopped machine %s is declared failed as %q after %d us, want \"dead\" within its lease", r.name, r.why, took)
 		}
 	}
-	if y.most > y.rules.Probes+2 || y.probes > 350 {
+	if y.most > y.rules.MaxProbes+2 || y.probes > 350 {
 		t.Fatalf("%d probes were sent, %d in flight at once; want at most 350 and Probes+2", y.probes, y.most)
 	}
 	if y.j.moment.state != Calm || y.j.moment.lost != 100 {
@@ -262,7 +262,7 @@
 				t.Fatalf("%s was declared dead and is in condition %v", r.name, r.is)
 			}
 		}
-		if y.most > y.rules.Probes+zones {
+		if y.most > y.rules.MaxProbes+zones {
 			t.Fatalf("%d probes were in flight at once, want at most Probes and one for each zone", y.most)
 		}
 	})
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -140,7 +140,7 @@
 		tallies: map[string]peer.Tally{}, darkAt: map[string]loop.Micros{}, tallyAt: map[string]loop.Micros{}, deleted: map[string][]string{}, boots: explain.NewDistribution()}
 	w := cfg.Cluster.Workers
 	t.losses = loss.New(loss.Rules{ReportInterval: loop.Seconds(w.ReportS), Lease: loop.Seconds(w.LeaseS), UnreachableGrace: outOfSight,
-		MaxSilence: loop.Seconds(cfg.Operator.SilentDeleteS), Probes: max(min(64, cfg.Cluster.Limits.MaxSockets/20), 4)}, log, n.Meter, t.probe)
+		MaxSilence: loop.Seconds(cfg.Operator.SilentDeleteS), MaxProbes: max(min(64, cfg.Cluster.Limits.MaxSockets/20), 4)}, log, n.Meter, t.probe)
 	m.On(CatalogKey, func(key string, e store.Entry) {
 		var rec catalogRecord
 		if e.Mark == 0 {
