--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -76,11 +76,11 @@
 // Facts holds what is known of a machine at the time of an evaluation.
 type Facts struct {
 	Name, Zone, Addr string
-	// Heard is the time of its last report that showed that answers reach it, Told that of
+	// LastConfirmed is the time of its last report that showed that answers reach it, Told that of
 	// its last report of any kind. A machine with newer reports of the second kind only may
 	// be unresponsive or stopped: delayed copies of its reports may arrive long afterwards.
-	Heard, Told loop.Micros
-	Failed      bool // the cloud lists it as failed
+	LastConfirmed, Told loop.Micros
+	Failed              bool // the cloud lists it as failed
 	// Worth is the additional time for which it is left alone because its zone is, or was
 	// until recently, disconnected: the time that it takes to replace the machine.
 	Worth loop.Micros
@@ -118,7 +118,7 @@
 }
 
 // lives returns when the machine was last known to run.
-func (m *machine) lives() loop.Micros { return max(m.Heard, m.answered) }
+func (m *machine) lives() loop.Micros { return max(m.LastConfirmed, m.answered) }
 
 // zone is what is known of the network path to a zone's machines.
 type zone struct {
@@ -183,7 +183,7 @@
 			j.zones[f.Zone] = z
 		}
 		m := j.machines[f.Name]
-		if s.Now-f.Heard <= j.r.late() && !f.Failed {
+		if s.Now-f.LastConfirmed <= j.r.late() && !f.Failed {
 			z.heard++
 			if len(z.some) < mostNear {
 				z.some = append(z.some, f.Addr)
@@ -216,7 +216,7 @@
 	// The machines that have been silent longest come first, since they were probed first;
 	// equal ones are ordered by name.
 	slices.SortFunc(silent, func(a, b *machine) int {
-		return cmp.Or(cmp.Compare(a.Heard, b.Heard), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(a.LastConfirmed, b.LastConfirmed), cmp.Compare(a.Name, b.Name))
 	})
 	var out []Verdict
 	for _, m := range silent {
@@ -245,11 +245,11 @@
 	if j.r.MaxSilence > 0 && silence > j.r.MaxSilence {
 		return "silent"
 	}
-	if m.Told > m.Heard && s.Now-m.Told <= max(j.r.late(), unanswered) {
+	if m.Told > m.LastConfirmed && s.Now-m.Told <= max(j.r.late(), unanswered) {
 		// Its worker's lease expires, which ends its tasks, time and again. If answers reach
 		// it again before the limit it is available as before. A probe would show nothing new.
 		j.setState(m, Unresponsive, "it reports, but no answer or command reaches it")
-		if s.Now-m.Heard > j.r.stray()+m.Worth {
+		if s.Now-m.LastConfirmed > j.r.stray()+m.Worth {
 			return "hears nobody"
 		}
 		return ""
@@ -261,7 +261,7 @@
 	over := j.r.leaseOver()
 	switch m.word {
 	case Answered:
-		if s.Now-m.Heard > j.r.stray()+m.Worth {
+		if s.Now-m.LastConfirmed > j.r.stray()+m.Worth {
 			return "its reports reach nobody"
 		}
 		return ""
@@ -309,7 +309,7 @@
 // has just answered a probe, and the machine must have been probed since the zone became
 // reachable: a connection that failed during a network partition is no evidence after it.
 func (j *Judge) dead(now loop.Micros, m *machine, z *zone) bool {
-	if z.heard == 0 || z.unheard || z.open == 0 || now-z.nearAt > nearFresh || m.asked < z.open || m.asking || now-m.Heard < unanswered || m.Told > m.Heard {
+	if z.heard == 0 || z.unheard || z.open == 0 || now-z.nearAt > nearFresh || m.asked < z.open || m.asking || now-m.LastConfirmed < unanswered || m.Told > m.LastConfirmed {
 		return false
 	}
 	return m.times >= 2 || z.noWay >= several
--- a/internal/loss/moment.go
+++ b/internal/loss/moment.go
@@ -59,7 +59,7 @@
 	if why == "dead" {
 		o.dead++
 	}
-	o.longest = max(o.longest, now-m.Heard)
+	o.longest = max(o.longest, now-m.LastConfirmed)
 }
 
 // follow starts and ends the tracking of a correlated failure.
