--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -81,9 +81,9 @@
 	// be unresponsive or stopped: delayed copies of its reports may arrive long afterwards.
 	LastConfirmed, Told loop.Micros
 	Failed              bool // the cloud lists it as failed
-	// Worth is the additional time for which it is left alone because its zone is, or was
+	// RetainFor is the additional time for which it is left alone because its zone is, or was
 	// until recently, disconnected: the time that it takes to replace the machine.
-	Worth loop.Micros
+	RetainFor loop.Micros
 }
 
 // Scene holds what is known of the cluster as a whole at the time of an evaluation.
@@ -249,7 +249,7 @@
 		// Its worker's lease expires, which ends its tasks, time and again. If answers reach
 		// it again before the limit it is available as before. A probe would show nothing new.
 		j.setState(m, Unresponsive, "it reports, but no answer or command reaches it")
-		if s.Now-m.LastConfirmed > j.r.stray()+m.Worth {
+		if s.Now-m.LastConfirmed > j.r.stray()+m.RetainFor {
 			return "hears nobody"
 		}
 		return ""
@@ -261,7 +261,7 @@
 	over := j.r.leaseOver()
 	switch m.word {
 	case Answered:
-		if s.Now-m.LastConfirmed > j.r.stray()+m.Worth {
+		if s.Now-m.LastConfirmed > j.r.stray()+m.RetainFor {
 			return "its reports reach nobody"
 		}
 		return ""
@@ -282,7 +282,7 @@
 	if z.heard == 0 || z.unheard || m.word == NoConnection {
 		over += j.r.UnreachableGrace
 	}
-	over += m.Worth
+	over += m.RetainFor
 	if silence > over && last {
 		return "silent beyond its lease"
 	}
