--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -86,8 +86,8 @@
 	RetainFor loop.Micros
 }
 
-// Scene holds what is known of the cluster as a whole at the time of an evaluation.
-type Scene struct {
+// ClusterFacts holds what is known of the cluster as a whole at the time of an evaluation.
+type ClusterFacts struct {
 	Now loop.Micros
 	// Blind says that no peer is reachable from this controller: to it, all machines look
 	// silent.
@@ -169,7 +169,7 @@
 }
 
 // Look evaluates all machines that each yields and returns those that are declared failed.
-func (j *Judge) Look(s Scene, each func(func(*Facts))) []Verdict {
+func (j *Judge) Look(s ClusterFacts, each func(func(*Facts))) []Verdict {
 	for _, z := range j.zones {
 		z.heard, z.noWay, z.some = 0, 0, z.some[:0]
 	}
@@ -232,7 +232,7 @@
 }
 
 // judge returns the reason why a machine is declared failed, or "" if it is not.
-func (j *Judge) judge(s Scene, m *machine) string {
+func (j *Judge) judge(s ClusterFacts, m *machine) string {
 	if m.Failed {
 		return "failed" // the cloud's statement suffices, whether or not it is silent
 	}
@@ -317,7 +317,7 @@
 
 // ask sends probes: to silent machines, with a bound on those in flight, and to a neighbour
 // wherever a connection failed.
-func (j *Judge) ask(s Scene, silent []*machine) {
+func (j *Judge) ask(s ClusterFacts, silent []*machine) {
 	if s.Blind {
 		return
 	}
