--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -89,9 +89,9 @@
 // ClusterFacts holds what is known of the cluster as a whole at the time of an evaluation.
 type ClusterFacts struct {
 	Now loop.Micros
-	// Blind says that no peer is reachable from this controller: to it, all machines look
+	// Isolated says that no peer is reachable from this controller: to it, all machines look
 	// silent.
-	Blind bool
+	Isolated bool
 	// Unheard reports whether a controller in the zone is unreachable: it may still answer
 	// workers whose reports no other controller gets.
 	Unheard func(zone string) bool
@@ -236,7 +236,7 @@
 	if m.Failed {
 		return "failed" // the cloud's statement suffices, whether or not it is silent
 	}
-	if s.Blind {
+	if s.Isolated {
 		return ""
 	}
 	silence := s.Now - m.lives()
@@ -318,7 +318,7 @@
 // ask sends probes: to silent machines, with a bound on those in flight, and to a neighbour
 // wherever a connection failed.
 func (j *Judge) ask(s ClusterFacts, silent []*machine) {
-	if s.Blind {
+	if s.Isolated {
 		return
 	}
 	for _, m := range silent {
