--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -92,9 +92,9 @@
 	// Isolated says that no peer is reachable from this controller: to it, all machines look
 	// silent.
 	Isolated bool
-	// Unheard reports whether a controller in the zone is unreachable: it may still answer
+	// PeerUnreachable reports whether a controller in the zone is unreachable: it may still answer
 	// workers whose reports no other controller gets.
-	Unheard func(zone string) bool
+	PeerUnreachable func(zone string) bool
 }
 
 // Verdict names a machine that is declared failed, and why.
@@ -211,7 +211,7 @@
 		}
 	})
 	for name, z := range j.zones {
-		z.unheard = s.Unheard != nil && s.Unheard(name)
+		z.unheard = s.PeerUnreachable != nil && s.PeerUnreachable(name)
 	}
 	// The machines that have been silent longest come first, since they were probed first;
 	// equal ones are ordered by name.
