--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -131,8 +131,8 @@
 	unheard bool
 }
 
-// Judge evaluates the machines that are silent.
-type Judge struct {
+// Detector evaluates the machines that are silent.
+type Detector struct {
 	r        Rules
 	log      *slog.Logger
 	meter    *metric.Meter
@@ -145,12 +145,12 @@
 
 // New returns a failure detector. probe probes a machine and calls done later, on the event
 // loop.
-func New(r Rules, log *slog.Logger, meter *metric.Meter, probe func(addr string, done func(ProbeResult))) *Judge {
-	return &Judge{r: r, log: log, meter: meter, probe: probe, machines: map[string]*machine{}, zones: map[string]*zone{}}
+func New(r Rules, log *slog.Logger, meter *metric.Meter, probe func(addr string, done func(ProbeResult))) *Detector {
+	return &Detector{r: r, log: log, meter: meter, probe: probe, machines: map[string]*machine{}, zones: map[string]*zone{}}
 }
 
 // setState is the only place where a machine's state changes.
-func (j *Judge) setState(m *machine, s State, why string) {
+func (j *Detector) setState(m *machine, s State, why string) {
 	if m.state == s {
 		return
 	}
@@ -159,17 +159,17 @@
 }
 
 // Forget removes a deleted machine.
-func (j *Judge) Forget(name string) { delete(j.machines, name) }
+func (j *Detector) Forget(name string) { delete(j.machines, name) }
 
 // Clear resets the detector, as when this controller becomes the leader.
-func (j *Judge) Clear() {
+func (j *Detector) Clear() {
 	clear(j.machines)
 	clear(j.zones)
 	j.moment = moment{}
 }
 
 // Look evaluates all machines that each yields and returns those that are declared failed.
-func (j *Judge) Look(s ClusterFacts, each func(func(*Facts))) []Verdict {
+func (j *Detector) Look(s ClusterFacts, each func(func(*Facts))) []Verdict {
 	for _, z := range j.zones {
 		z.heard, z.noWay, z.some = 0, 0, z.some[:0]
 	}
@@ -232,7 +232,7 @@
 }
 
 // judge returns the reason why a machine is declared failed, or "" if it is not.
-func (j *Judge) judge(s ClusterFacts, m *machine) string {
+func (j *Detector) judge(s ClusterFacts, m *machine) string {
 	if m.Failed {
 		return "failed" // the cloud's statement suffices, whether or not it is silent
 	}
@@ -308,7 +308,7 @@
 // must be reachable, as shown by the reports of other machines there and by a neighbour that
 // has just answered a probe, and the machine must have been probed since the zone became
 // reachable: a connection that failed during a network partition is no evidence after it.
-func (j *Judge) dead(now loop.Micros, m *machine, z *zone) bool {
+func (j *Detector) dead(now loop.Micros, m *machine, z *zone) bool {
 	if z.heard == 0 || z.unheard || z.open == 0 || now-z.nearAt > nearFresh || m.asked < z.open || m.asking || now-m.LastConfirmed < unanswered || m.Told > m.LastConfirmed {
 		return false
 	}
@@ -317,7 +317,7 @@
 
 // ask sends probes: to silent machines, with a bound on those in flight, and to a neighbour
 // wherever a connection failed.
-func (j *Judge) ask(s ClusterFacts, silent []*machine) {
+func (j *Detector) ask(s ClusterFacts, silent []*machine) {
 	if s.Isolated {
 		return
 	}
@@ -348,7 +348,7 @@
 }
 
 // answer records the result of a probe.
-func (j *Judge) answer(m *machine, w ProbeResult) {
+func (j *Detector) answer(m *machine, w ProbeResult) {
 	if z := j.zones[m.Zone]; m.word == w && !(w == NoConnection && z != nil && m.before < z.open) {
 		m.times++
 	} else {
@@ -363,7 +363,7 @@
 
 // askNear probes one of a zone's machines whose reports arrive, to learn whether the zone is
 // reachable from this controller.
-func (j *Judge) askNear(now loop.Micros, name string) {
+func (j *Detector) askNear(now loop.Micros, name string) {
 	z := j.zones[name]
 	if z.asking || len(z.some) == 0 || now-z.nearAt < again {
 		return
--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -48,7 +48,7 @@
 type yard struct {
 	now     loop.Micros
 	rules   Rules
-	j       *Judge
+	j       *Detector
 	all     []*real
 	byName  map[string]*real
 	answers []answer
--- a/internal/loss/moment.go
+++ b/internal/loss/moment.go
@@ -33,7 +33,7 @@
 // several their least number.
 const manyShare = 0.02
 
-func (j *Judge) setMoment(s MomentState, now loop.Micros) {
+func (j *Detector) setMoment(s MomentState, now loop.Micros) {
 	o := &j.moment
 	if o.state == s {
 		return
@@ -63,7 +63,7 @@
 }
 
 // follow starts and ends the tracking of a correlated failure.
-func (j *Judge) follow(now loop.Micros, fleet int) {
+func (j *Detector) follow(now loop.Micros, fleet int) {
 	n := 0
 	for _, m := range j.machines {
 		if m.doubtful() {
@@ -96,7 +96,7 @@
 
 // Doubtful calls f, during a correlated failure, for each suspected machine that may come
 // back with its tasks and its capacity, for no longer than the machine's lease.
-func (j *Judge) Doubtful(now loop.Micros, f func(name string)) {
+func (j *Detector) Doubtful(now loop.Micros, f func(name string)) {
 	if j.moment.state != Falling {
 		return
 	}
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -123,7 +123,7 @@
 	darkAt   map[string]loop.Micros // when a zone was last out of sight
 	sparing  bool                   // machines behind a cut are left alone for longer
 	planAt   loop.Micros            // misses are not looked at before
-	losses   *loss.Judge
+	losses   *loss.Detector
 	byOrder  []*machine // by name; nil: to be made anew
 	rand     *rand.Rand
 	deleting map[string]*machine   // those of machines that wait for their deletion
