--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -168,8 +168,8 @@
 	j.moment = moment{}
 }
 
-// Look evaluates all machines that each yields and returns those that are declared failed.
-func (j *Detector) Look(s ClusterFacts, each func(func(*Facts))) []Verdict {
+// Evaluate evaluates all machines that each yields and returns those that are declared failed.
+func (j *Detector) Evaluate(s ClusterFacts, each func(func(*Facts))) []Verdict {
 	for _, z := range j.zones {
 		z.heard, z.noWay, z.some = 0, 0, z.some[:0]
 	}
--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -126,7 +126,7 @@
 				}
 			}
 		}
-		for _, v := range y.j.Look(ClusterFacts{Now: y.now, Isolated: y.blind}, func(yield func(*Facts)) {
+		for _, v := range y.j.Evaluate(ClusterFacts{Now: y.now, Isolated: y.blind}, func(yield func(*Facts)) {
 			for _, r := range y.all {
 				if r.lostAt == 0 {
 					yield(&Facts{Name: r.name, Zone: r.zone, Addr: r.name, LastConfirmed: r.heard, Told: r.told})
--- a/internal/rental/machine.go
+++ b/internal/rental/machine.go
@@ -194,7 +194,7 @@
 // judgeSilent has all machines that were heard before judged at once.
 func (t *Rental) judgeSilent(now loop.Micros, worth func(*machine) loop.Micros) {
 	scene := loss.ClusterFacts{Now: now, Isolated: t.n.Isolated() || now-t.started < 2*loop.Second, PeerUnreachable: t.n.Unheard}
-	for _, x := range t.losses.Look(scene, func(yield func(*loss.Facts)) {
+	for _, x := range t.losses.Evaluate(scene, func(yield func(*loss.Facts)) {
 		for _, m := range t.sorted() {
 			if m.state != Up && m.state != Draining && m.state != Closing {
 				continue
