--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -181,7 +181,7 @@
 	y.fall(hangs, y.now+y.rules.Lease-4*loop.Second, y.all[:50]...)
 	y.run(y.rules.Lease - 5*loop.Second)
 	n := 0
-	y.j.Doubtful(y.now, func(string) { n++ })
+	y.j.EachSuspected(y.now, func(string) { n++ })
 	if n != 50 {
 		t.Fatalf("%d of 50 hung machines are listed as likely to come back, want all", n)
 	}
@@ -330,7 +330,7 @@
 		y.fall(deaf, 0, y.all[40:]...)
 		y.run(15 * loop.Second)
 		n := 0
-		y.j.Doubtful(y.now, func(string) { n++ })
+		y.j.EachSuspected(y.now, func(string) { n++ })
 		if n != 50 {
 			t.Errorf("reports every %d us: %d of 50 unresponsive machines are listed as likely to come back, want all", report, n)
 		}
--- a/internal/loss/moment.go
+++ b/internal/loss/moment.go
@@ -94,9 +94,9 @@
 	return m.state == Late || m.state == Hung || m.state == Unreachable || m.state == Dead || m.state == Unresponsive
 }
 
-// Doubtful calls f, during a correlated failure, for each suspected machine that may come
+// EachSuspected calls f, during a correlated failure, for each suspected machine that may come
 // back with its tasks and its capacity, for no longer than the machine's lease.
-func (j *Detector) Doubtful(now loop.Micros, f func(name string)) {
+func (j *Detector) EachSuspected(now loop.Micros, f func(name string)) {
 	if j.moment.state != Falling {
 		return
 	}
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -93,7 +93,7 @@
 	}
 	// What many silent machines have free comes back with them, or they are lost and what
 	// ran there misses: to rent for it before that is known is to rent a second fleet.
-	t.losses.Doubtful(now, func(name string) {
+	t.losses.EachSuspected(now, func(name string) {
 		m, v := t.machines[name], t.agent.View(name)
 		if m == nil || v == nil || m.state != Up {
 			return
