--- a/internal/loss/moment.go
+++ b/internal/loss/moment.go
@@ -2,23 +2,23 @@
 
 import "cleatpick/internal/loop"
 
-// MomentState is the state of a correlated failure.
-type MomentState int
+// CorrelationState is the state of a correlated failure.
+type CorrelationState int
 
 // The states of a correlated failure.
 const (
-	Calm    MomentState = iota // few machines are suspected, if any
-	Falling                    // many are suspected, and it is not known yet which have failed
-	Passing                    // all but a few of them are back or declared failed
+	Calm    CorrelationState = iota // few machines are suspected, if any
+	Falling                         // many are suspected, and it is not known yet which have failed
+	Passing                         // all but a few of them are back or declared failed
 )
 
-func (s MomentState) String() string { return [...]string{"calm", "falling", "passing"}[s] }
+func (s CorrelationState) String() string { return [...]string{"calm", "falling", "passing"}[s] }
 
 // moment is a correlated failure: many machines are suspected within a short time. It lasts
 // from the first sign until all are back or declared failed. While it lasts, no machines are
 // rented for the capacity that may come back.
 type moment struct {
-	state    MomentState
+	state    CorrelationState
 	began    loop.Micros
 	most     int // largest number of machines suspected at the same time
 	lost     int
@@ -33,7 +33,7 @@
 // several their least number.
 const manyShare = 0.02
 
-func (j *Detector) setMoment(s MomentState, now loop.Micros) {
+func (j *Detector) setMoment(s CorrelationState, now loop.Micros) {
 	o := &j.moment
 	if o.state == s {
 		return
