--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -292,7 +292,7 @@
 			y.fall(hangs, began+22*loop.Second, y.all[30:35]...)
 		}
 		if s := y.j.moment.state; s != was {
-			if was = s; s == Falling {
+			if was = s; s == Unresolved {
 				falls++
 			}
 		}
--- a/internal/loss/moment.go
+++ b/internal/loss/moment.go
@@ -7,9 +7,9 @@
 
 // The states of a correlated failure.
 const (
-	Calm    CorrelationState = iota // few machines are suspected, if any
-	Falling                         // many are suspected, and it is not known yet which have failed
-	Passing                         // all but a few of them are back or declared failed
+	Calm       CorrelationState = iota // few machines are suspected, if any
+	Unresolved                         // many are suspected, and it is not known yet which have failed
+	Passing                            // all but a few of them are back or declared failed
 )
 
 func (s CorrelationState) String() string { return [...]string{"calm", "falling", "passing"}[s] }
@@ -43,7 +43,7 @@
 }
 
 func (o *moment) back() {
-	if o.state == Falling {
+	if o.state == Unresolved {
 		o.returned++
 	}
 }
@@ -75,13 +75,13 @@
 	switch {
 	case o.state == Calm && n >= many:
 		*o = moment{began: now, most: n}
-		j.setMoment(Falling, now)
-	case o.state == Falling && n > 0:
+		j.setMoment(Unresolved, now)
+	case o.state == Unresolved && n > 0:
 		o.most = max(o.most, n)
 		if n < several && o.most >= 4*several {
 			j.setMoment(Passing, now) // a few machines still suspected do not prolong it
 		}
-	case o.state == Falling:
+	case o.state == Unresolved:
 		j.setMoment(Passing, now)
 	case o.state == Passing && n < many:
 		j.meter.Moment(o.most, o.lost)
@@ -97,7 +97,7 @@
 // EachSuspected calls f, during a correlated failure, for each suspected machine that may come
 // back with its tasks and its capacity, for no longer than the machine's lease.
 func (j *Detector) EachSuspected(now loop.Micros, f func(name string)) {
-	if j.moment.state != Falling {
+	if j.moment.state != Unresolved {
 		return
 	}
 	for name, m := range loop.Sorted(j.machines) {
