--- a/internal/loss/moment.go
+++ b/internal/loss/moment.go
@@ -9,7 +9,7 @@
 const (
 	Calm       CorrelationState = iota // few machines are suspected, if any
 	Unresolved                         // many are suspected, and it is not known yet which have failed
-	Passing                            // all but a few of them are back or declared failed
+	Resolved                           // all but a few of them are back or declared failed
 )
 
 func (s CorrelationState) String() string { return [...]string{"calm", "falling", "passing"}[s] }
@@ -79,11 +79,11 @@
 	case o.state == Unresolved && n > 0:
 		o.most = max(o.most, n)
 		if n < several && o.most >= 4*several {
-			j.setMoment(Passing, now) // a few machines still suspected do not prolong it
+			j.setMoment(Resolved, now) // a few machines still suspected do not prolong it
 		}
 	case o.state == Unresolved:
-		j.setMoment(Passing, now)
-	case o.state == Passing && n < many:
+		j.setMoment(Resolved, now)
+	case o.state == Resolved && n < many:
 		j.meter.Moment(o.most, o.lost)
 		j.setMoment(Calm, now)
 	}
