--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -48,13 +48,13 @@
 
 func (w ProbeResult) String() string { return [...]string{"none", "answered", "mute", "noWay"}[w] }
 
-// stray is how long a machine may answer probes while its reports reach nobody, or report
+// maxStray is how long a machine may answer probes while its reports reach nobody, or report
 // while it is unresponsive to commands: as long as an unreachable one is left alone. By then
 // a worker that gets no answers has found another controller or ended its tasks. One that
 // does get answers has a host controller that is cut off from the others, and its tasks can
 // neither be observed nor stopped. After this time the machine is declared failed, so that
 // no machine is unusable without a verdict for longer.
-func (r *Rules) stray() loop.Micros { return r.leaseOver() + r.UnreachableGrace }
+func (r *Rules) maxStray() loop.Micros { return r.leaseEnd() + r.UnreachableGrace }
 
 // Rules holds the limits by which machines are evaluated.
 type Rules struct {
@@ -65,13 +65,13 @@
 	MaxProbes        int         // largest number of probes in flight
 }
 
-// late is the silence after which a machine is probed: one report and a half are overdue,
+// lateAfter is the silence after which a machine is probed: one report and a half are overdue,
 // and 2 s have passed for delays on the way.
-func (r *Rules) late() loop.Micros { return 3*r.ReportInterval/2 + 2*loop.Second }
+func (r *Rules) lateAfter() loop.Micros { return 3*r.ReportInterval/2 + 2*loop.Second }
 
-// leaseOver is the silence after which the machine's worker has certainly ended its tasks,
+// leaseEnd is the silence after which the machine's worker has certainly ended its tasks,
 // or does so before anything else, if nobody answered it meanwhile.
-func (r *Rules) leaseOver() loop.Micros { return r.Lease + r.Lease/1000 + loop.Second }
+func (r *Rules) leaseEnd() loop.Micros { return r.Lease + r.Lease/1000 + loop.Second }
 
 // Facts holds what is known of a machine at the time of an evaluation.
 type Facts struct {
@@ -105,48 +105,48 @@
 
 type machine struct {
 	Facts
-	state  State
-	word   ProbeResult
-	times  int // number of consecutive probes with this result
-	asking bool
-	asked  loop.Micros
-	before loop.Micros // when the probe before the last one was sent
-	// answered is when it last answered a probe. That proves that it runs, not that it can be
+	state        State
+	result       ProbeResult
+	repeats      int // number of consecutive probes with this result
+	probing      bool
+	probedAt     loop.Micros
+	prevProbedAt loop.Micros // when the probe before the last one was sent
+	// answeredAt is when it last answeredAt a probe. That proves that it runs, not that it can be
 	// used: treated like a report, it would make the machine alternate between available and
 	// late while no owner gets the state of its tasks.
-	answered loop.Micros
+	answeredAt loop.Micros
 }
 
-// lives returns when the machine was last known to run.
-func (m *machine) lives() loop.Micros { return max(m.LastConfirmed, m.answered) }
+// lastAlive returns when the machine was last known to run.
+func (m *machine) lastAlive() loop.Micros { return max(m.LastConfirmed, m.answeredAt) }
 
 // zone is what is known of the network path to a zone's machines.
 type zone struct {
-	heard   int         // number of machines whose reports arrive
-	some    []string    // addresses of a few of them, the neighbours to probe
-	nearAt  loop.Micros // when one of these was last probed
-	open    loop.Micros // since when neighbours have answered without interruption; 0: they do not
-	asking  bool
-	noWay   int // silent machines to which no connection could be made since then
-	unheard bool
+	reporting        int         // number of machines whose reports arrive
+	neighbors        []string    // addresses of a few of them, the neighbours to probe
+	neighborProbedAt loop.Micros // when one of these was last probed
+	reachableSince   loop.Micros // since when neighbours have answered without interruption; 0: they do not
+	probing          bool
+	noConnection     int // silent machines to which no connection could be made since then
+	peerUnreachable  bool
 }
 
 // Detector evaluates the machines that are silent.
 type Detector struct {
-	r        Rules
-	log      *slog.Logger
-	meter    *metric.Meter
-	probe    func(addr string, done func(ProbeResult))
-	machines map[string]*machine
-	zones    map[string]*zone
-	probing  int
-	moment   moment
+	rules      Rules
+	log        *slog.Logger
+	meter      *metric.Meter
+	probe      func(addr string, done func(ProbeResult))
+	machines   map[string]*machine
+	zones      map[string]*zone
+	inFlight   int
+	correlated moment
 }
 
 // New returns a failure detector. probe probes a machine and calls done later, on the event
 // loop.
 func New(r Rules, log *slog.Logger, meter *metric.Meter, probe func(addr string, done func(ProbeResult))) *Detector {
-	return &Detector{r: r, log: log, meter: meter, probe: probe, machines: map[string]*machine{}, zones: map[string]*zone{}}
+	return &Detector{rules: r, log: log, meter: meter, probe: probe, machines: map[string]*machine{}, zones: map[string]*zone{}}
 }
 
 // setState is the only place where a machine's state changes.
@@ -165,13 +165,13 @@
 func (j *Detector) Clear() {
 	clear(j.machines)
 	clear(j.zones)
-	j.moment = moment{}
+	j.correlated = moment{}
 }
 
 // Evaluate evaluates all machines that each yields and returns those that are declared failed.
 func (j *Detector) Evaluate(s ClusterFacts, each func(func(*Facts))) []Verdict {
 	for _, z := range j.zones {
-		z.heard, z.noWay, z.some = 0, 0, z.some[:0]
+		z.reporting, z.noConnection, z.neighbors = 0, 0, z.neighbors[:0]
 	}
 	fleet := 0
 	var silent []*machine
@@ -183,14 +183,14 @@
 			j.zones[f.Zone] = z
 		}
 		m := j.machines[f.Name]
-		if s.Now-f.LastConfirmed <= j.r.late() && !f.Failed {
-			z.heard++
-			if len(z.some) < mostNear {
-				z.some = append(z.some, f.Addr)
+		if s.Now-f.LastConfirmed <= j.rules.lateAfter() && !f.Failed {
+			z.reporting++
+			if len(z.neighbors) < maxNeighbors {
+				z.neighbors = append(z.neighbors, f.Addr)
 			}
 			if m != nil {
 				j.setState(m, Reporting, "its reports arrive again")
-				j.moment.back()
+				j.correlated.back()
 				delete(j.machines, f.Name)
 			}
 			return
@@ -203,15 +203,15 @@
 		if m.state == Reporting {
 			j.setState(m, Late, "no report")
 		}
-		if m.word == NoConnection && z.open != 0 && m.asked >= z.open && !m.asking {
-			z.noWay++
+		if m.result == NoConnection && z.reachableSince != 0 && m.probedAt >= z.reachableSince && !m.probing {
+			z.noConnection++
 		}
 		if m.state != DeclaredFailed {
 			silent = append(silent, m)
 		}
 	})
 	for name, z := range j.zones {
-		z.unheard = s.PeerUnreachable != nil && s.PeerUnreachable(name)
+		z.peerUnreachable = s.PeerUnreachable != nil && s.PeerUnreachable(name)
 	}
 	// The machines that have been silent longest come first, since they were probed first;
 	// equal ones are ordered by name.
@@ -220,36 +220,36 @@
 	})
 	var out []Verdict
 	for _, m := range silent {
-		if why := j.judge(s, m); why != "" {
+		if why := j.evaluate(s, m); why != "" {
 			j.setState(m, DeclaredFailed, why)
-			j.moment.lose(m, s.Now, why)
+			j.correlated.lose(m, s.Now, why)
 			out = append(out, Verdict{m.Name, why})
 		}
 	}
-	j.ask(s, silent)
-	j.follow(s.Now, fleet)
+	j.sendProbes(s, silent)
+	j.trackCorrelated(s.Now, fleet)
 	return out
 }
 
-// judge returns the reason why a machine is declared failed, or "" if it is not.
-func (j *Detector) judge(s ClusterFacts, m *machine) string {
+// evaluate returns the reason why a machine is declared failed, or "" if it is not.
+func (j *Detector) evaluate(s ClusterFacts, m *machine) string {
 	if m.Failed {
 		return "failed" // the cloud's statement suffices, whether or not it is silent
 	}
 	if s.Isolated {
 		return ""
 	}
-	silence := s.Now - m.lives()
+	silence := s.Now - m.lastAlive()
 	// A last probe after the lease finds a machine that resumed just before its lease ended.
-	last := m.Addr == "" || (!m.asking && m.asked >= m.lives()+j.r.Lease)
-	if j.r.MaxSilence > 0 && silence > j.r.MaxSilence {
+	last := m.Addr == "" || (!m.probing && m.probedAt >= m.lastAlive()+j.rules.Lease)
+	if j.rules.MaxSilence > 0 && silence > j.rules.MaxSilence {
 		return "silent"
 	}
-	if m.Told > m.LastConfirmed && s.Now-m.Told <= max(j.r.late(), unanswered) {
+	if m.Told > m.LastConfirmed && s.Now-m.Told <= max(j.rules.lateAfter(), maxReportGap) {
 		// Its worker's lease expires, which ends its tasks, time and again. If answers reach
 		// it again before the limit it is available as before. A probe would show nothing new.
 		j.setState(m, Unresponsive, "it reports, but no answer or command reaches it")
-		if s.Now-m.LastConfirmed > j.r.stray()+m.RetainFor {
+		if s.Now-m.LastConfirmed > j.rules.maxStray()+m.RetainFor {
 			return "hears nobody"
 		}
 		return ""
@@ -258,10 +258,10 @@
 		j.setState(m, Late, "no report")
 	}
 	z := j.zones[m.Zone]
-	over := j.r.leaseOver()
-	switch m.word {
+	over := j.rules.leaseEnd()
+	switch m.result {
 	case Answered:
-		if s.Now-m.LastConfirmed > j.r.stray()+m.RetainFor {
+		if s.Now-m.LastConfirmed > j.rules.maxStray()+m.RetainFor {
 			return "its reports reach nobody"
 		}
 		return ""
@@ -279,8 +279,8 @@
 		}
 		j.setState(m, Unreachable, "connections fail")
 	}
-	if z.heard == 0 || z.unheard || m.word == NoConnection {
-		over += j.r.UnreachableGrace
+	if z.reporting == 0 || z.peerUnreachable || m.result == NoConnection {
+		over += j.rules.UnreachableGrace
 	}
 	over += m.RetainFor
 	if silence > over && last {
@@ -290,18 +290,18 @@
 }
 
 const (
-	// unanswered is the longest time between two reports of a worker that gets no answers: it
+	// maxReportGap is the longest time between two reports of a worker that gets no answers: it
 	// waits 4 s for an answer and tries the next controller a second later. A machine silent
 	// for less may be unresponsive to commands, and is not declared dead because connections
 	// fail; nor is one that was unresponsive when its last report arrived.
-	unanswered = 6 * loop.Second
-	// several is the number of machines of a zone that must be unreachable together for one
+	maxReportGap = 6 * loop.Second
+	// minCorrelated is the number of machines of a zone that must be unreachable together for one
 	// failed connection to each to suffice: they confirm each other.
-	several = 5
-	// nearFresh is how long a neighbour's answer is evidence that its zone is reachable.
-	nearFresh = 5 * loop.Second
-	mostNear  = 3                       // neighbours of a zone that are probed in turn
-	again     = 1200 * loop.Millisecond // least time between two probes of one target
+	minCorrelated = 5
+	// neighborEvidenceFor is how long a neighbour's answer is evidence that its zone is reachable.
+	neighborEvidenceFor = 5 * loop.Second
+	maxNeighbors        = 3                       // neighbours of a zone that are probed in turn
+	probeInterval       = 1200 * loop.Millisecond // least time between two probes of one target
 )
 
 // dead reports whether a machine to which no connection can be made has stopped. Its zone
@@ -309,78 +309,78 @@
 // has just answered a probe, and the machine must have been probed since the zone became
 // reachable: a connection that failed during a network partition is no evidence after it.
 func (j *Detector) dead(now loop.Micros, m *machine, z *zone) bool {
-	if z.heard == 0 || z.unheard || z.open == 0 || now-z.nearAt > nearFresh || m.asked < z.open || m.asking || now-m.LastConfirmed < unanswered || m.Told > m.LastConfirmed {
+	if z.reporting == 0 || z.peerUnreachable || z.reachableSince == 0 || now-z.neighborProbedAt > neighborEvidenceFor || m.probedAt < z.reachableSince || m.probing || now-m.LastConfirmed < maxReportGap || m.Told > m.LastConfirmed {
 		return false
 	}
-	return m.times >= 2 || z.noWay >= several
+	return m.repeats >= 2 || z.noConnection >= minCorrelated
 }
 
-// ask sends probes: to silent machines, with a bound on those in flight, and to a neighbour
+// sendProbes sends probes: to silent machines, with a bound on those in flight, and to a neighbour
 // wherever a connection failed.
-func (j *Detector) ask(s ClusterFacts, silent []*machine) {
+func (j *Detector) sendProbes(s ClusterFacts, silent []*machine) {
 	if s.Isolated {
 		return
 	}
 	for _, m := range silent {
-		if m.state == DeclaredFailed || m.state == Unresponsive || m.asking || m.Addr == "" || s.Now-m.asked < again && m.word != NotProbed {
+		if m.state == DeclaredFailed || m.state == Unresponsive || m.probing || m.Addr == "" || s.Now-m.probedAt < probeInterval && m.result != NotProbed {
 			continue
 		}
-		if m.word == NoConnection {
-			j.askNear(s.Now, m.Zone)
+		if m.result == NoConnection {
+			j.probeNeighbor(s.Now, m.Zone)
 		}
-		if m.word == NoAnswer && m.times >= 2 && (s.Now-m.lives() <= j.r.Lease || m.asked > m.lives()+j.r.Lease) && s.Now-m.asked < 5*loop.Second {
+		if m.result == NoAnswer && m.repeats >= 2 && (s.Now-m.lastAlive() <= j.rules.Lease || m.probedAt > m.lastAlive()+j.rules.Lease) && s.Now-m.probedAt < 5*loop.Second {
 			continue // it hangs, and reports on its own once it resumes
 		}
-		if m.word == Answered && s.Now-m.asked < j.r.ReportInterval {
+		if m.result == Answered && s.Now-m.probedAt < j.rules.ReportInterval {
 			continue // it is probed as often as it would report
 		}
-		if j.probing >= j.r.MaxProbes {
+		if j.inFlight >= j.rules.MaxProbes {
 			return
 		}
-		j.probing++
-		m.asking, m.before, m.asked = true, m.asked, s.Now
+		j.inFlight++
+		m.probing, m.prevProbedAt, m.probedAt = true, m.probedAt, s.Now
 		j.probe(m.Addr, func(w ProbeResult) {
-			j.probing--
-			m.asking = false
-			j.answer(m, w)
+			j.inFlight--
+			m.probing = false
+			j.recordResult(m, w)
 		})
 	}
 }
 
-// answer records the result of a probe.
-func (j *Detector) answer(m *machine, w ProbeResult) {
-	if z := j.zones[m.Zone]; m.word == w && !(w == NoConnection && z != nil && m.before < z.open) {
-		m.times++
+// recordResult records the result of a probe.
+func (j *Detector) recordResult(m *machine, w ProbeResult) {
+	if z := j.zones[m.Zone]; m.result == w && !(w == NoConnection && z != nil && m.prevProbedAt < z.reachableSince) {
+		m.repeats++
 	} else {
-		m.word, m.times = w, 1
+		m.result, m.repeats = w, 1
 	}
 	j.meter.Probe(w.String())
 	if w == Answered {
-		m.answered = m.asked
+		m.answeredAt = m.probedAt
 		j.setState(m, Alive, "it answers probes")
 	}
 }
 
-// askNear probes one of a zone's machines whose reports arrive, to learn whether the zone is
+// probeNeighbor probes one of a zone's machines whose reports arrive, to learn whether the zone is
 // reachable from this controller.
-func (j *Detector) askNear(now loop.Micros, name string) {
+func (j *Detector) probeNeighbor(now loop.Micros, name string) {
 	z := j.zones[name]
-	if z.asking || len(z.some) == 0 || now-z.nearAt < again {
+	if z.probing || len(z.neighbors) == 0 || now-z.neighborProbedAt < probeInterval {
 		return
 	}
-	if now-z.nearAt > nearFresh {
-		z.open = 0 // whether the zone was reachable in between is unknown
+	if now-z.neighborProbedAt > neighborEvidenceFor {
+		z.reachableSince = 0 // whether the zone was reachable in between is unknown
 	}
-	z.asking = true
-	addr := z.some[int(now/again)%len(z.some)]
+	z.probing = true
+	addr := z.neighbors[int(now/probeInterval)%len(z.neighbors)]
 	j.probe(addr, func(w ProbeResult) {
-		z.asking = false
-		z.nearAt = now
+		z.probing = false
+		z.neighborProbedAt = now
 		switch {
 		case w != Answered:
-			z.open = 0
-		case z.open == 0:
-			z.open = now
+			z.reachableSince = 0
+		case z.reachableSince == 0:
+			z.reachableSince = now
 		}
 	})
 }
--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -15,26 +15,26 @@
 // The result must be the same in every run, so the seed of the random inputs is fixed.
 func TestMain(m *testing.M) { fixed.Main(m) }
 
-// truth is the real condition of a simulated machine.
-type truth int
+// condition is the real condition of a simulated machine.
+type condition int
 
 const (
-	well truth = iota
+	well condition = iota
 	hangs
 	stopped
-	deaf // it reports to one controller after another, and no answer or command reaches it
+	unresponsive // it reports to one controller after another, and no answer or command reaches it
 )
 
-type real struct {
-	name, zone  string
-	is          truth
-	since, back loop.Micros // when the condition began, and when it ends; 0: never
-	heard, told loop.Micros
-	wellAt      loop.Micros // when the condition ended
-	lostAt      loop.Micros
-	why         string
-	inCut       bool        // its zone was disconnected when it was declared failed
-	stray       loop.Micros // until when its reports reach nobody
+type simMachine struct {
+	name, zone                string
+	condition                 condition
+	since, back               loop.Micros // when the condition began, and when it ends; 0: never
+	lastConfirmed, lastReport loop.Micros
+	wellAt                    loop.Micros // when the condition ended
+	failedAt                  loop.Micros
+	why                       string
+	inPartition               bool        // its zone was disconnected when it was declared failed
+	unheardUntil              loop.Micros // until when its reports reach nobody
 }
 
 type answer struct {
@@ -43,41 +43,41 @@
 	w    ProbeResult
 }
 
-// yard is a simulated set of machines whose real condition is known, observed by a failure
+// simulation is a simulated set of machines whose real condition is known, observed by a failure
 // detector under hand-driven time.
-type yard struct {
-	now     loop.Micros
-	rules   Rules
-	j       *Detector
-	all     []*real
-	byName  map[string]*real
-	answers []answer
-	blind   bool
-	cut     map[string]loop.Micros // zones that are disconnected, and until when
-	cutOff  bool                   // this controller reaches no machine, but gets their reports through its peers
-	most    int
-	probes  int
+type simulation struct {
+	now               loop.Micros
+	rules             Rules
+	detector          *Detector
+	all               []*simMachine
+	byName            map[string]*simMachine
+	answers           []answer
+	isolated          bool
+	disconnectedUntil map[string]loop.Micros // zones that are disconnected, and until when
+	selfDisconnected  bool                   // this controller reaches no machine, but gets their reports through its peers
+	most              int
+	probes            int
 }
 
 const step = 200 * loop.Millisecond
 
-func newYard(zones, each int) *yard {
-	y := &yard{now: 1000 * loop.Second, byName: map[string]*real{}, cut: map[string]loop.Micros{},
+func newSimulation(zones, each int) *simulation {
+	y := &simulation{now: 1000 * loop.Second, byName: map[string]*simMachine{}, disconnectedUntil: map[string]loop.Micros{},
 		rules: Rules{ReportInterval: 3 * loop.Second, Lease: 18 * loop.Second, UnreachableGrace: 8 * loop.Second, MaxProbes: 16}}
 	for z := range zones {
 		for i := range each {
-			r := &real{name: fmt.Sprintf("n-%d%04d", z, i), zone: fmt.Sprint("z", z), heard: y.now}
+			r := &simMachine{name: fmt.Sprintf("n-%d%04d", z, i), zone: fmt.Sprint("z", z), lastConfirmed: y.now}
 			y.all = append(y.all, r)
 			y.byName[r.name] = r
 		}
 	}
-	y.j = New(y.rules, slog.New(slog.NewTextHandler(io.Discard, nil)), nil, func(addr string, done func(ProbeResult)) {
+	y.detector = New(y.rules, slog.New(slog.NewTextHandler(io.Discard, nil)), nil, func(addr string, done func(ProbeResult)) {
 		y.probes++
 		a := answer{y.now + 5*loop.Millisecond, done, Answered}
 		switch r := y.byName[addr]; {
-		case y.cutOff || r.is == stopped || r.is == deaf || y.now < y.cut[r.zone]:
+		case y.selfDisconnected || r.condition == stopped || r.condition == unresponsive || y.now < y.disconnectedUntil[r.zone]:
 			a.w, a.at = NoConnection, y.now+loop.Second
-		case r.is == hangs:
+		case r.condition == hangs:
 			a.w, a.at = NoAnswer, y.now+loop.Second
 		}
 		y.answers = append(y.answers, a)
@@ -86,16 +86,16 @@
 	return y
 }
 
-// fall puts machines that are well into a condition until back.
-func (y *yard) fall(is truth, back loop.Micros, names ...*real) {
+// setCondition puts machines that are well into a condition until back.
+func (y *simulation) setCondition(is condition, back loop.Micros, names ...*simMachine) {
 	for _, r := range names {
-		if r.is == well {
-			r.is, r.since, r.back = is, y.now, back
+		if r.condition == well {
+			r.condition, r.since, r.back = is, y.now, back
 		}
 	}
 }
 
-func (y *yard) run(d loop.Micros) {
+func (y *simulation) run(d loop.Micros) {
 	for end := y.now + d; y.now < end; y.now += step {
 		kept := y.answers[:0:0]
 		due := y.answers
@@ -109,40 +109,40 @@
 		}
 		y.answers = append(kept, y.answers...)
 		for i, r := range y.all {
-			if r.back != 0 && y.now >= r.back && r.lostAt == 0 {
-				r.is, r.back, r.wellAt = well, 0, y.now
+			if r.back != 0 && y.now >= r.back && r.failedAt == 0 {
+				r.condition, r.back, r.wellAt = well, 0, y.now
 			}
-			if r.is == well && r.lostAt == 0 && y.now >= y.cut[r.zone] && y.now >= r.stray && (y.now/step+loop.Micros(i))%(y.rules.ReportInterval/step) == 0 {
-				r.heard, r.told = y.now, y.now
+			if r.condition == well && r.failedAt == 0 && y.now >= y.disconnectedUntil[r.zone] && y.now >= r.unheardUntil && (y.now/step+loop.Micros(i))%(y.rules.ReportInterval/step) == 0 {
+				r.lastConfirmed, r.lastReport = y.now, y.now
 			}
 			// The first report that gets no answer still shows its host controller's token. The
 			// next ones come 4 s and 1 s later, each at another controller.
-			if r.is == deaf && r.lostAt == 0 && y.now >= y.cut[r.zone] {
+			if r.condition == unresponsive && r.failedAt == 0 && y.now >= y.disconnectedUntil[r.zone] {
 				switch regular := (y.now/step+loop.Micros(i))%(y.rules.ReportInterval/step) == 0; {
-				case r.heard <= r.since && regular:
-					r.heard, r.told = y.now, y.now
-				case r.heard > r.since && (y.now-r.heard)%(5*loop.Second) < step:
-					r.told = y.now
+				case r.lastConfirmed <= r.since && regular:
+					r.lastConfirmed, r.lastReport = y.now, y.now
+				case r.lastConfirmed > r.since && (y.now-r.lastConfirmed)%(5*loop.Second) < step:
+					r.lastReport = y.now
 				}
 			}
 		}
-		for _, v := range y.j.Evaluate(ClusterFacts{Now: y.now, Isolated: y.blind}, func(yield func(*Facts)) {
+		for _, v := range y.detector.Evaluate(ClusterFacts{Now: y.now, Isolated: y.isolated}, func(yield func(*Facts)) {
 			for _, r := range y.all {
-				if r.lostAt == 0 {
-					yield(&Facts{Name: r.name, Zone: r.zone, Addr: r.name, LastConfirmed: r.heard, Told: r.told})
+				if r.failedAt == 0 {
+					yield(&Facts{Name: r.name, Zone: r.zone, Addr: r.name, LastConfirmed: r.lastConfirmed, Told: r.lastReport})
 				}
 			}
 		}) {
 			r := y.byName[v.Name]
-			r.lostAt, r.why, r.inCut = y.now, v.Why, y.now < y.cut[r.zone]+y.rules.ReportInterval
-			y.j.Forget(v.Name)
+			r.failedAt, r.why, r.inPartition = y.now, v.Why, y.now < y.disconnectedUntil[r.zone]+y.rules.ReportInterval
+			y.detector.Forget(v.Name)
 		}
 	}
 }
 
-func (y *yard) lost() (n int) {
+func (y *simulation) countFailed() (n int) {
 	for _, r := range y.all {
-		if r.lostAt != 0 {
+		if r.failedAt != 0 {
 			n++
 		}
 	}
@@ -152,23 +152,23 @@
 // When a hundred machines stop at the same time, they must be declared dead well before their
 // lease ends, as machines that stopped and not as hung ones, with a bounded number of probes.
 func TestManyDeaths(t *testing.T) {
-	y := newYard(2, 200)
+	y := newSimulation(2, 200)
 	y.run(10 * loop.Second)
-	y.fall(stopped, 0, y.all[:100]...)
-	y.run(y.rules.late() + 12*loop.Second)
-	if y.lost() != 100 {
-		t.Fatalf("%d of 100 stopped machines are declared failed after %d us", y.lost(), y.rules.late()+12*loop.Second)
+	y.setCondition(stopped, 0, y.all[:100]...)
+	y.run(y.rules.lateAfter() + 12*loop.Second)
+	if y.countFailed() != 100 {
+		t.Fatalf("%d of 100 stopped machines are declared failed after %d us", y.countFailed(), y.rules.lateAfter()+12*loop.Second)
 	}
 	for _, r := range y.all[:100] {
-		if took := r.lostAt - r.since; r.why != "dead" || took >= y.rules.Lease {
+		if took := r.failedAt - r.since; r.why != "dead" || took >= y.rules.Lease {
 			t.Fatalf("stopped machine %s is declared failed as %q after %d us, want \"dead\" within its lease", r.name, r.why, took)
 		}
 	}
 	if y.most > y.rules.MaxProbes+2 || y.probes > 350 {
 		t.Fatalf("%d probes were sent, %d in flight at once; want at most 350 and Probes+2", y.probes, y.most)
 	}
-	if y.j.moment.state != Calm || y.j.moment.lost != 100 {
-		t.Fatalf("the correlated failure is %v with %d machines declared failed, want calm with 100", y.j.moment.state, y.j.moment.lost)
+	if y.detector.correlated.state != Calm || y.detector.correlated.lost != 100 {
+		t.Fatalf("the correlated failure is %v with %d machines declared failed, want calm with 100", y.detector.correlated.state, y.detector.correlated.lost)
 	}
 }
 
@@ -176,23 +176,23 @@
 // until then all must be listed as likely to come back, so that nothing is rented for them.
 // Machines that hang for good must be declared failed soon after their lease.
 func TestHungMachinesComeBack(t *testing.T) {
-	y := newYard(2, 100)
+	y := newSimulation(2, 100)
 	y.run(10 * loop.Second)
-	y.fall(hangs, y.now+y.rules.Lease-4*loop.Second, y.all[:50]...)
+	y.setCondition(hangs, y.now+y.rules.Lease-4*loop.Second, y.all[:50]...)
 	y.run(y.rules.Lease - 5*loop.Second)
 	n := 0
-	y.j.EachSuspected(y.now, func(string) { n++ })
+	y.detector.EachSuspected(y.now, func(string) { n++ })
 	if n != 50 {
 		t.Fatalf("%d of 50 hung machines are listed as likely to come back, want all", n)
 	}
 	y.run(60 * loop.Second)
-	if y.lost() != 0 {
-		t.Fatalf("%d machines are declared failed that hung for less than their lease", y.lost())
+	if y.countFailed() != 0 {
+		t.Fatalf("%d machines are declared failed that hung for less than their lease", y.countFailed())
 	}
-	y.fall(hangs, 0, y.all[:50]...)
+	y.setCondition(hangs, 0, y.all[:50]...)
 	y.run(y.rules.Lease + 4*loop.Second)
-	if y.lost() != 50 {
-		t.Fatalf("%d of 50 machines that hang for good are declared failed, want all", y.lost())
+	if y.countFailed() != 50 {
+		t.Fatalf("%d of 50 machines that hang for good are declared failed, want all", y.countFailed())
 	}
 }
 
@@ -200,13 +200,13 @@
 // reports of their neighbours arrive through peers. If the neighbours do not answer probes
 // either, no machine may be declared dead.
 func TestOwnWayCut(t *testing.T) {
-	y := newYard(1, 60)
+	y := newSimulation(1, 60)
 	y.run(10 * loop.Second)
-	y.cutOff = true
-	y.fall(hangs, y.now+24*loop.Second, y.all[:20]...)
+	y.selfDisconnected = true
+	y.setCondition(hangs, y.now+24*loop.Second, y.all[:20]...)
 	y.run(40 * loop.Second)
-	if y.lost() != 0 {
-		t.Fatalf("%d machines are declared failed by a controller that reaches none", y.lost())
+	if y.countFailed() != 0 {
+		t.Fatalf("%d machines are declared failed by a controller that reaches none", y.countFailed())
 	}
 }
 
@@ -217,49 +217,49 @@
 func TestJudgeAgainstTruth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones, each := rapid.IntRange(1, 6).Draw(t, "zones"), rapid.IntRange(1, 40).Draw(t, "each")
-		y := newYard(zones, each)
+		y := newSimulation(zones, each)
 		y.run(5 * loop.Second)
 		for range rapid.IntRange(1, 5).Draw(t, "falls") {
 			var back loop.Micros
 			if rapid.Bool().Draw(t, "comes back") {
 				back = y.now + loop.Micros(rapid.IntRange(1, 40).Draw(t, "seconds"))*loop.Second
 			}
-			if is := truth(rapid.IntRange(0, 3).Draw(t, "is")); is == well {
-				y.cut[fmt.Sprint("z", rapid.IntRange(0, zones-1).Draw(t, "zone"))] = y.now + loop.Micros(rapid.IntRange(1, 60).Draw(t, "cut"))*loop.Second
+			if is := condition(rapid.IntRange(0, 3).Draw(t, "is")); is == well {
+				y.disconnectedUntil[fmt.Sprint("z", rapid.IntRange(0, zones-1).Draw(t, "zone"))] = y.now + loop.Micros(rapid.IntRange(1, 60).Draw(t, "cut"))*loop.Second
 			} else {
 				if is == stopped {
 					back = 0
 				}
 				for _, r := range y.all {
 					if rapid.IntRange(0, 3).Draw(t, "which") == 0 {
-						y.fall(is, back, r)
+						y.setCondition(is, back, r)
 					}
 				}
 			}
 			y.run(loop.Micros(rapid.IntRange(1, 30).Draw(t, "later")) * loop.Second)
 		}
 		y.run(60 * loop.Second)
-		clear(y.cut)
+		clear(y.disconnectedUntil)
 		y.run(60 * loop.Second)
 		for _, r := range y.all {
-			silence := r.lostAt - r.heard
+			silence := r.failedAt - r.lastConfirmed
 			switch {
-			case r.lostAt == 0 && r.is != well && r.back == 0:
-				t.Fatalf("%s is in condition %v for good and was never declared failed", r.name, r.is)
-			case r.lostAt == 0:
-			case r.is == well && silence > y.rules.Lease && r.lostAt-r.wellAt <= 2*loop.Second:
+			case r.failedAt == 0 && r.condition != well && r.back == 0:
+				t.Fatalf("%s is in condition %v for good and was never declared failed", r.name, r.condition)
+			case r.failedAt == 0:
+			case r.condition == well && silence > y.rules.Lease && r.failedAt-r.wellAt <= 2*loop.Second:
 				// It resumed after its lease had ended, just after its last probe.
-			case r.is == well && r.inCut && silence > y.rules.Lease+y.rules.UnreachableGrace:
-			case r.is == well:
-				t.Fatalf("%s is well and was declared failed as %q: silent for %d us, well for %d us", r.name, r.why, silence, r.lostAt-r.wellAt)
-			case r.is == deaf && silence <= y.rules.Lease:
+			case r.condition == well && r.inPartition && silence > y.rules.Lease+y.rules.UnreachableGrace:
+			case r.condition == well:
+				t.Fatalf("%s is well and was declared failed as %q: silent for %d us, well for %d us", r.name, r.why, silence, r.failedAt-r.wellAt)
+			case r.condition == unresponsive && silence <= y.rules.Lease:
 				t.Fatalf("%s is unresponsive and was declared failed as %q after %d us, within its lease", r.name, r.why, silence)
-			case r.why == "hears nobody" && r.is != deaf:
-				t.Fatalf("%s was declared unresponsive and is in condition %v", r.name, r.is)
-			case r.is == hangs && silence <= y.rules.Lease:
+			case r.why == "hears nobody" && r.condition != unresponsive:
+				t.Fatalf("%s was declared unresponsive and is in condition %v", r.name, r.condition)
+			case r.condition == hangs && silence <= y.rules.Lease:
 				t.Fatalf("%s hangs and was declared failed as %q after %d us, within its lease", r.name, r.why, silence)
-			case r.why == "dead" && r.is != stopped:
-				t.Fatalf("%s was declared dead and is in condition %v", r.name, r.is)
+			case r.why == "dead" && r.condition != stopped:
+				t.Fatalf("%s was declared dead and is in condition %v", r.name, r.condition)
 			}
 		}
 		if y.most > y.rules.MaxProbes+zones {
@@ -273,25 +273,25 @@
 // has answered. None whose reports arrive again in time may be declared failed, and the
 // others must be at the time that stray states.
 func TestReportsThatReachNobody(t *testing.T) {
-	y := newYard(2, 40)
+	y := newSimulation(2, 40)
 	y.run(10 * loop.Second)
 	began := y.now
 	for _, r := range y.all[:20] {
-		r.stray = began + y.rules.stray() - 2*y.rules.ReportInterval - loop.Second
+		r.unheardUntil = began + y.rules.maxStray() - 2*y.rules.ReportInterval - loop.Second
 	}
 	for _, r := range y.all[20:30] {
-		r.stray = began + 500*loop.Second
+		r.unheardUntil = began + 500*loop.Second
 	}
 	for _, r := range y.all[30:35] { // their host controller still answers them; they hang for less than a lease
-		r.stray = began + 22*loop.Second
+		r.unheardUntil = began + 22*loop.Second
 	}
 	falls, was := 0, Calm
 	for k := range 300 {
 		y.run(step)
 		if k == 40 {
-			y.fall(hangs, began+22*loop.Second, y.all[30:35]...)
+			y.setCondition(hangs, began+22*loop.Second, y.all[30:35]...)
 		}
-		if s := y.j.moment.state; s != was {
+		if s := y.detector.correlated.state; s != was {
 			if was = s; s == Unresolved {
 				falls++
 			}
@@ -301,16 +301,16 @@
 		t.Errorf("the correlated failure began %d times and is %v, want at most once and calm", falls, was)
 	}
 	for i, r := range y.all {
-		switch took := r.lostAt - r.heard; {
+		switch took := r.failedAt - r.lastConfirmed; {
 		case i >= 20 && i < 30:
-			if r.lostAt == 0 || took > y.rules.stray()+loop.Second || r.why != "its reports reach nobody" {
+			if r.failedAt == 0 || took > y.rules.maxStray()+loop.Second || r.why != "its reports reach nobody" {
 				t.Errorf("%s is declared failed as %q after %d us, want \"its reports reach nobody\" in time", r.name, r.why, took)
 			}
-		case r.lostAt != 0:
+		case r.failedAt != 0:
 			t.Errorf("%s is declared failed as %q after %d us, want not at all", r.name, r.why, took)
 		}
 	}
-	if most := 30 * int(y.rules.stray()/y.rules.ReportInterval+3); y.probes > most {
+	if most := 30 * int(y.rules.maxStray()/y.rules.ReportInterval+3); y.probes > most {
 		t.Errorf("%d probes of 30 machines were sent, more often than they would report", y.probes)
 	}
 }
@@ -321,26 +321,26 @@
 // earlier must not be declared failed, and meanwhile all count as likely to come back.
 func TestDeafMachines(t *testing.T) {
 	for _, report := range []loop.Micros{loop.Second, 3 * loop.Second, 5 * loop.Second} {
-		y := newYard(2, 40)
+		y := newSimulation(2, 40)
 		y.rules.ReportInterval = report
-		y.j.r.ReportInterval = report
+		y.detector.rules.ReportInterval = report
 		y.run(10 * loop.Second)
-		y.fall(deaf, y.now+2*loop.Second, y.all[:10]...)
-		y.fall(deaf, y.now+y.rules.stray()-2*report-loop.Second, y.all[10:20]...)
-		y.fall(deaf, 0, y.all[40:]...)
+		y.setCondition(unresponsive, y.now+2*loop.Second, y.all[:10]...)
+		y.setCondition(unresponsive, y.now+y.rules.maxStray()-2*report-loop.Second, y.all[10:20]...)
+		y.setCondition(unresponsive, 0, y.all[40:]...)
 		y.run(15 * loop.Second)
 		n := 0
-		y.j.EachSuspected(y.now, func(string) { n++ })
+		y.detector.EachSuspected(y.now, func(string) { n++ })
 		if n != 50 {
 			t.Errorf("reports every %d us: %d of 50 unresponsive machines are listed as likely to come back, want all", report, n)
 		}
 		y.run(40 * loop.Second)
 		for i, r := range y.all {
-			took := r.lostAt - r.heard
-			if i < 40 && r.lostAt != 0 {
+			took := r.failedAt - r.lastConfirmed
+			if i < 40 && r.failedAt != 0 {
 				t.Errorf("reports every %d us: %s is declared failed as %q after %d us, want not at all", report, r.name, r.why, took)
 			}
-			if i >= 40 && (r.why != "hears nobody" || took < y.rules.stray() || took > y.rules.stray()+loop.Second) {
+			if i >= 40 && (r.why != "hears nobody" || took < y.rules.maxStray() || took > y.rules.maxStray()+loop.Second) {
 				t.Errorf("reports every %d us: %s is declared failed as %q after %d us, want \"hears nobody\" in time", report, r.name, r.why, took)
 			}
 		}
@@ -351,14 +351,14 @@
 // partition has just ended and the machine's next report has not arrived yet, it must not be
 // declared dead.
 func TestDeafBehindACut(t *testing.T) {
-	y := newYard(2, 40)
+	y := newSimulation(2, 40)
 	y.run(10 * loop.Second)
-	y.fall(deaf, 0, y.all[:10]...)
+	y.setCondition(unresponsive, 0, y.all[:10]...)
 	y.run(12 * loop.Second)
-	y.cut["z0"] = y.now + 7500*loop.Millisecond
+	y.disconnectedUntil["z0"] = y.now + 7500*loop.Millisecond
 	y.run(60 * loop.Second)
 	for _, r := range y.all[:10] {
-		if took := r.lostAt - r.heard; r.lostAt == 0 || took < y.rules.stray() {
+		if took := r.failedAt - r.lastConfirmed; r.failedAt == 0 || took < y.rules.maxStray() {
 			t.Errorf("%s is declared failed as %q after %d us, want not before the time that stray states", r.name, r.why, took)
 		}
 	}
@@ -367,12 +367,12 @@
 // To a controller that reaches no peer all machines look silent: it must declare none failed
 // and probe none.
 func TestBlind(t *testing.T) {
-	y := newYard(1, 10)
+	y := newSimulation(1, 10)
 	y.run(5 * loop.Second)
-	y.blind = true
-	y.fall(stopped, 0, y.all...)
+	y.isolated = true
+	y.setCondition(stopped, 0, y.all...)
 	y.run(90 * loop.Second)
-	if y.lost() != 0 || y.probes != 0 {
-		t.Fatalf("%d machines declared failed and %d probes sent by a controller that reaches no peer, want none", y.lost(), y.probes)
+	if y.countFailed() != 0 || y.probes != 0 {
+		t.Fatalf("%d machines declared failed and %d probes sent by a controller that reaches no peer, want none", y.countFailed(), y.probes)
 	}
 }
--- a/internal/loss/moment.go
+++ b/internal/loss/moment.go
@@ -29,12 +29,12 @@
 	longest  loop.Micros // longest silence of a machine that was declared failed
 }
 
-// manyShare is the part of all machines that must be suspected for a correlated failure, and
+// correlatedShare is the part of all machines that must be suspected for a correlated failure, and
 // several their least number.
-const manyShare = 0.02
+const correlatedShare = 0.02
 
-func (j *Detector) setMoment(s CorrelationState, now loop.Micros) {
-	o := &j.moment
+func (j *Detector) setCorrelated(s CorrelationState, now loop.Micros) {
+	o := &j.correlated
 	if o.state == s {
 		return
 	}
@@ -50,7 +50,7 @@
 
 func (o *moment) lose(m *machine, now loop.Micros, why string) {
 	o.lost++
-	switch m.word {
+	switch m.result {
 	case NoAnswer:
 		o.hung++
 	case NoConnection:
@@ -62,46 +62,46 @@
 	o.longest = max(o.longest, now-m.LastConfirmed)
 }
 
-// follow starts and ends the tracking of a correlated failure.
-func (j *Detector) follow(now loop.Micros, fleet int) {
+// trackCorrelated starts and ends the tracking of a correlated failure.
+func (j *Detector) trackCorrelated(now loop.Micros, fleet int) {
 	n := 0
 	for _, m := range j.machines {
-		if m.doubtful() {
+		if m.suspected() {
 			n++
 		}
 	}
-	many := max(several, int(manyShare*float64(fleet)))
-	o := &j.moment
+	many := max(minCorrelated, int(correlatedShare*float64(fleet)))
+	o := &j.correlated
 	switch {
 	case o.state == Calm && n >= many:
 		*o = moment{began: now, most: n}
-		j.setMoment(Unresolved, now)
+		j.setCorrelated(Unresolved, now)
 	case o.state == Unresolved && n > 0:
 		o.most = max(o.most, n)
-		if n < several && o.most >= 4*several {
-			j.setMoment(Resolved, now) // a few machines still suspected do not prolong it
+		if n < minCorrelated && o.most >= 4*minCorrelated {
+			j.setCorrelated(Resolved, now) // a few machines still suspected do not prolong it
 		}
 	case o.state == Unresolved:
-		j.setMoment(Resolved, now)
+		j.setCorrelated(Resolved, now)
 	case o.state == Resolved && n < many:
 		j.meter.Moment(o.most, o.lost)
-		j.setMoment(Calm, now)
+		j.setCorrelated(Calm, now)
 	}
 	j.meter.Doubtful(n)
 }
 
-func (m *machine) doubtful() bool {
+func (m *machine) suspected() bool {
 	return m.state == Late || m.state == Hung || m.state == Unreachable || m.state == Dead || m.state == Unresponsive
 }
 
 // EachSuspected calls f, during a correlated failure, for each suspected machine that may come
 // back with its tasks and its capacity, for no longer than the machine's lease.
 func (j *Detector) EachSuspected(now loop.Micros, f func(name string)) {
-	if j.moment.state != Unresolved {
+	if j.correlated.state != Unresolved {
 		return
 	}
 	for name, m := range loop.Sorted(j.machines) {
-		if m.doubtful() && m.state != Dead && now-m.lives() <= j.r.Lease {
+		if m.suspected() && m.state != Dead && now-m.lastAlive() <= j.rules.Lease {
 			f(name)
 		}
 	}
