--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -151,7 +151,7 @@
 
 // When a hundred machines stop at the same time, they must be declared dead well before their
 // lease ends, as machines that stopped and not as hung ones, with a bounded number of probes.
-func TestManyDeaths(t *testing.T) {
+func TestManyMachinesStop(t *testing.T) {
 	y := newSimulation(2, 200)
 	y.run(10 * loop.Second)
 	y.setCondition(stopped, 0, y.all[:100]...)
