--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -199,7 +199,7 @@
 // Machines that this controller cannot reach may be disconnected from it alone, though the
 // reports of their neighbours arrive through peers. If the neighbours do not answer probes
 // either, no machine may be declared dead.
-func TestOwnWayCut(t *testing.T) {
+func TestDisconnectedControllerDeclaresNoneDead(t *testing.T) {
 	y := newSimulation(1, 60)
 	y.run(10 * loop.Second)
 	y.selfDisconnected = true
