--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -214,7 +214,7 @@
 // them, in several zones, stop, hang, become unresponsive or are disconnected, alone and
 // together, and some come back. Each that is gone for good must be declared failed, and none
 // before the time that its condition allows.
-func TestJudgeAgainstTruth(t *testing.T) {
+func TestDetectorAgainstSimulation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones, each := rapid.IntRange(1, 6).Draw(t, "zones"), rapid.IntRange(1, 40).Draw(t, "each")
 		y := newSimulation(zones, each)
