--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -319,7 +319,7 @@
 // because connections to them fail, but must be declared failed after the time that stray
 // states, even if a whole zone of them looks like a network partition. Those that recover
 // earlier must not be declared failed, and meanwhile all count as likely to come back.
-func TestDeafMachines(t *testing.T) {
+func TestUnresponsiveMachines(t *testing.T) {
 	for _, report := range []loop.Micros{loop.Second, 3 * loop.Second, 5 * loop.Second} {
 		y := newSimulation(2, 40)
 		y.rules.ReportInterval = report
