--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -350,7 +350,7 @@
 // Connections to an unresponsive machine fail like those to a stopped one. When a network
 // partition has just ended and the machine's next report has not arrived yet, it must not be
 // declared dead.
-func TestDeafBehindACut(t *testing.T) {
+func TestUnresponsiveMachineAfterPartition(t *testing.T) {
 	y := newSimulation(2, 40)
 	y.run(10 * loop.Second)
 	y.setCondition(unresponsive, 0, y.all[:10]...)
