--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -366,7 +366,7 @@
 
 // To a controller that reaches no peer all machines look silent: it must declare none failed
 // and probe none.
-func TestBlind(t *testing.T) {
+func TestIsolatedControllerDeclaresNoneFailed(t *testing.T) {
 	y := newSimulation(1, 10)
 	y.run(5 * loop.Second)
 	y.isolated = true
