--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -1,9 +1,11 @@
-// Package reach judges which controllers reach which, each way, once for all who ask in
-// this process: who may be given a team, whom workers are sent to, whether this node itself
-// is cut off. Two judges of one thing would drift apart.
+// Package reach tracks which controllers reach which, in each direction. All parts of the
+// process use the same result, so that they cannot contradict each other: which controller
+// may be given a team, to which one workers are redirected, and whether this controller
+// itself is isolated.
 //
-// The evidence is what peers say of themselves and whom they hear. A node that hears
-// another knows nothing of the way back but what that one says.
+// The evidence is what peers report in their messages: their own state and from whom they
+// receive messages. A controller that receives a peer's messages knows only from these
+// whether its own messages reach the peer. The package sends nothing itself.
 package reach
 
 import (
@@ -13,75 +15,75 @@
 	"cleatpick/internal/loop"
 )
 
-// State names how a peer is reached.
+// State is the reachability of a peer.
 type State int
 
 // The states of a peer.
 const (
-	Silent  State = iota // nothing fresh was heard of it
-	OneWay               // it is heard, and does not hear this node
-	Partial              // both hear each other, but it lacks the state service or a node that this one hears
-	Whole                // it reaches all that this node reaches
+	Silent  State = iota // no recent message of it has arrived
+	OneWay               // its messages arrive, but it does not receive those of this controller
+	Partial              // messages pass both ways, but it lacks the state service or a peer that this controller reaches
+	Whole                // it reaches all that this controller reaches
 )
 
 func (s State) String() string { return [...]string{"silent", "oneWay", "partial", "whole"}[s] }
 
 const (
-	// Fresh is how old a word may be.
+	// Fresh is the age up to which a message is evidence.
 	Fresh = 2500 * loop.Millisecond
-	// lateBy is how old it may be by the time of day, beside the bound on that: words that
-	// were held back on their way look new.
+	// lateBy is the age up to which it is evidence by the sender's wall clock, in addition to
+	// the bound on clock differences: messages that were delayed on their way arrive as new.
 	lateBy = 3 * loop.Second
-	// brokenFor is for how long what is known of this node itself must hold before it acts
-	// on it: a peer that began anew hears nobody for a moment.
+	// brokenFor is how long this controller must appear isolated before it acts on that: a
+	// peer that has just restarted receives nobody's messages for a short time.
 	brokenFor = 3 * loop.Second
-	// skew is by how much later than this node another may find a third one silent, or heard
-	// again. Without it, one node that went silent made all others flap.
+	// skew is how much later than this controller a peer may notice that a third one became
+	// silent or reachable. Without it, one silent controller makes all others flap.
 	skew = Fresh + 1500*loop.Millisecond
-	// A peer that was whole and is not any more has flapped. After the first time it is
-	// trusted as soon as it is whole again; after more, once it was whole for damping,
-	// doubled each time up to dampedTimes. Being whole for goodFor makes up for all.
+	// A peer that leaves the state Whole has flapped. After the first flap it is fit for work
+	// as soon as it is whole again; after more, only once it has been whole for damping,
+	// doubled with each flap up to dampedTimes times. Flaps are forgotten after goodFor.
 	damping     = 16 * loop.Second
 	dampedTimes = 1
 	goodFor     = 60 * loop.Second
 )
 
-// Word is what a peer said of itself.
+// Word is what a peer reports about itself in a message.
 type Word struct {
-	Wall    loop.Micros // its time of day
+	Wall    loop.Micros // its wall clock when it sent the message
 	Contact bool        // the state service answers it
-	Hears   []string    // nodes that it hears; nil: it does not say
+	Hears   []string    // controllers whose messages it receives; nil: not reported
 }
 
 type peer struct {
 	word  Word
-	heard loop.Micros // steady time; 0: never
+	heard loop.Micros // when the word arrived, by the monotonic clock; 0: never
 	state State
-	since loop.Micros // of the state
-	lacks loop.Micros // since when it does not hear a node that this one hears; 0: it hears all
+	since loop.Micros // when the state began
+	lacks loop.Micros // since when it does not receive a peer that this controller receives; 0: it receives all
 	flaps int
-	fell  loop.Micros // when the newest flap was counted
+	fell  loop.Micros // when the last flap was counted
 }
 
-// Judge follows all peers of one node.
+// Judge tracks the reachability of all peers of one controller.
 type Judge struct {
 	r     loop.Runner
 	log   *slog.Logger
 	self  string
-	off   loop.Micros // twice the bound on the time of day
+	off   loop.Micros // twice the bound on clock differences
 	began loop.Micros
 	peers map[string]*peer
-	// Since when this node hears no peer both ways, and since when a peer that others hear
-	// does not hear it, or is not heard; 0: not so.
+	// alone is since when messages pass both ways with no peer. broken is since when they do
+	// not pass both ways with some peer that others reach. 0: not so.
 	alone, broken loop.Micros
-	// Contact tells whether the state service answers this node: where it answers nobody,
-	// that is no peer's fault. It may be nil.
+	// Contact reports whether the state service answers this controller: during an outage
+	// of the state service, peers without contact are not at fault. It may be nil.
 	Contact func() bool
-	// Changed is called for every change of a peer's state; it may be nil.
+	// Changed is called for every change of a peer's state. It may be nil.
 	Changed func(peer string, to State, damped bool)
 }
 
-// New makes a judge that has heard nobody.
+// New returns a tracker that has received no messages.
 func New(r loop.Runner, log *slog.Logger, self string, peers []string, off loop.Micros) *Judge {
 	j := &Judge{r: r, log: log, self: self, off: off, began: r.Now(), peers: map[string]*peer{}}
 	for _, p := range peers {
@@ -90,26 +92,26 @@
 	return j
 }
 
-// setState is the one place where a peer's state changes.
+// setState is the only place where a peer's state changes.
 func (j *Judge) setState(label string, p *peer, s State, now loop.Micros) {
 	if p.state == s {
 		return
 	}
 	if p.state == Whole && now-p.fell >= skew && (s != Partial || j.Contact == nil || j.Contact()) {
-		// Once for a moment: to a node that stood still itself, what queued up meanwhile
-		// shows each peer come and go several times.
+		// Flaps within skew count once: after a pause of this process, the messages that
+		// queued up meanwhile show each peer leave and return several times.
 		p.flaps++
 		p.fell = now
 	}
 	from := p.state
 	p.state, p.since = s, now
-	j.log.Info("peer", "node", label, "from", from.String(), "to", s.String(), "flaps", p.flaps)
+	j.log.Info("reachability of a peer changed", "node", label, "from", from.String(), "to", s.String(), "flaps", p.flaps)
 	if j.Changed != nil {
 		j.Changed(label, s, p.wait() > 0)
 	}
 }
 
-// wait is for how long the peer must be whole before it is trusted.
+// wait returns how long the peer must be whole before it is fit for work.
 func (p *peer) wait() loop.Micros {
 	if p.flaps < 2 {
 		return 0
@@ -117,18 +119,18 @@
 	return damping << min(p.flaps-2, dampedTimes)
 }
 
-// Hear takes in a peer's word.
+// Hear records a peer's message.
 func (j *Judge) Hear(label string, w Word) {
 	p := j.peers[label]
 	if p == nil || p.heard != 0 && w.Wall <= p.word.Wall {
-		return // repeated, or overtaken on its way
+		return // a duplicate, or older than one that has arrived already
 	}
 	p.word, p.heard = w, j.r.Now()
 	j.Look()
 }
 
-// Look judges all peers by what was heard until now; it is to be called now and then,
-// since silence brings nothing that could be heard.
+// Look evaluates all peers by the messages received so far. It must be called periodically,
+// since a peer that becomes silent triggers no call of Hear.
 func (j *Judge) Look() {
 	now := j.r.Now()
 	alone, broken := true, false
@@ -173,7 +175,7 @@
 	return Whole
 }
 
-// compare notes since when a peer does not hear a node that this one hears.
+// compare records since when a peer does not receive a controller that this one receives.
 func (j *Judge) compare(label string, p *peer, now loop.Micros) {
 	lacks := false
 	for other, o := range j.peers {
@@ -186,8 +188,8 @@
 	}
 }
 
-// others tells whether a peer that hears this node hears that one too: then it lives, and
-// the way between it and this node is broken.
+// others reports whether some peer receives messages both of this controller and of the one
+// named: then that one runs, and the connection between it and this controller is broken.
 func (j *Judge) others(label string, now loop.Micros) bool {
 	for other, o := range j.peers {
 		if other != label && j.fresh(o, now) && slices.Contains(o.word.Hears, label) && slices.Contains(o.word.Hears, j.self) {
@@ -201,7 +203,7 @@
 	return p.heard != 0 && now-p.heard < Fresh && j.r.Wall()-p.word.Wall < lateBy+j.off
 }
 
-// State is how a peer is reached.
+// State returns the reachability of a peer.
 func (j *Judge) State(label string) State {
 	if p := j.peers[label]; p != nil {
 		return j.judge(label, p, j.r.Now())
@@ -209,21 +211,21 @@
 	return Silent
 }
 
-// Heard tells whether the peer was heard within a time, whatever it said.
+// Heard reports whether a message of the peer has arrived within a time, whatever it says.
 func (j *Judge) Heard(label string, within loop.Micros) bool {
 	p := j.peers[label]
 	return p != nil && p.heard != 0 && j.r.Now()-p.heard < within
 }
 
-// Fit tells whether the peer may be given work: it is whole, and has been for as long as
-// its flapping asks for.
+// Fit reports whether the peer may be given work: it is whole, and has been for as long as
+// its earlier flaps require.
 func (j *Judge) Fit(label string) bool {
 	p := j.peers[label]
 	return p != nil && j.State(label) == Whole && p.state == Whole && j.r.Now()-p.since >= p.wait()
 }
 
-// Damped tells for how much longer the peer is not trusted although it is whole; 0: it is
-// trusted, or not whole.
+// Damped returns for how much longer the peer is not fit for work although it is whole, or 0
+// if it is fit or not whole.
 func (j *Judge) Damped(label string) loop.Micros {
 	if p := j.peers[label]; p != nil && p.state == Whole {
 		return max(p.since+p.wait()-j.r.Now(), 0)
@@ -231,8 +233,8 @@
 	return 0
 }
 
-// Isolated tells whether this node and no peer hear each other: what is decided here
-// reaches nobody. Either way being lost is enough.
+// Isolated reports whether this controller exchanges messages with no peer, so that its
+// decisions reach nobody. The loss of either direction is enough.
 func (j *Judge) Isolated() bool {
 	now := j.r.Now()
 	if now-j.began < 5*loop.Second || len(j.peers) == 0 {
@@ -245,8 +247,9 @@
 	return silent || j.alone != 0 && now-j.alone >= brokenFor
 }
 
-// Broken tells whether the way between this node and one that others hear is broken, and
-// has been for a while: an owner then neither sees nor reaches what reports there.
+// Broken reports whether the connection between this controller and one that others reach
+// has been broken for a while: an owner then neither gets the reports of the machines at
+// that controller nor sends them commands.
 func (j *Judge) Broken() bool {
 	now := j.r.Now()
 	return j.broken != 0 && now-j.broken >= 2*brokenFor && now-j.began >= 5*loop.Second
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -10,8 +10,8 @@
 	"cleatpick/internal/standin"
 )
 
-// net is some nodes that tell each other every 700 ms what the code under test is given,
-// over ways that are open or not, each way by itself.
+// net is a simulated network of controllers, which send each other the messages of the code
+// under test every 700 ms. Each direction of each connection can be open or closed.
 type net struct {
 	*standin.Stepped
 	names   []string
@@ -54,7 +54,8 @@
 	return x
 }
 
-// Whatever ways are open, each judge comes to what the ways say.
+// For random sets of open connections and of controllers without the state service, each
+// tracker must derive the reachability that follows directly from these sets.
 func TestReachAgainstTheWays(t *testing.T) {
 	for seed := range uint64(120) {
 		r := rand.New(rand.NewPCG(seed, 5))
@@ -95,22 +96,23 @@
 					}
 					alone = alone && !both(a, b)
 					if got := j.State(b); got != want {
-						t.Fatalf("seed %d: to %s, %s is %v, want %v; %v", seed, a, b, got, want, x.open)
+						t.Fatalf("seed %d: controller %s finds peer %s %v, want %v; open connections: %v", seed, a, b, got, want, x.open)
 					}
 				}
 				if got := j.Isolated(); got != alone {
-					t.Fatalf("seed %d: %s is isolated: %v; %v", seed, a, got, x.open)
+					t.Fatalf("seed %d: Isolated of %s is wrongly %v; open connections: %v", seed, a, got, x.open)
 				}
 				if got := j.Broken(); got != broken {
-					t.Fatalf("seed %d: a way of %s is broken: %v; %v", seed, a, got, x.open)
+					t.Fatalf("seed %d: Broken of %s is wrongly %v; open connections: %v", seed, a, got, x.open)
 				}
 			}
 		}
 	}
 }
 
-// A node that comes and goes every few seconds is trusted ever later, at most as late as
-// stated; staying whole for a minute makes up for all of it.
+// A controller that becomes silent and returns every few seconds would be given teams each
+// time, only to lose them again. It must be fit for work later after each flap, up to the
+// stated bound, and at once again after it has been whole for goodFor.
 func TestFlappingIsDamped(t *testing.T) {
 	x := newNet(3)
 	j := x.judges["a"]
@@ -119,11 +121,11 @@
 			x.open["c>"+b], x.open[b+">c"] = !is, !is
 		}
 	}
-	trusted := func() loop.Micros { // how long after it is whole again it is fit
+	trusted := func() loop.Micros { // time from being whole again to being fit for work
 		cut(true)
 		x.Run(6 * loop.Second)
 		if j.Fit("c") {
-			t.Fatal("a silent node is fit for work")
+			t.Fatal("a silent peer is fit for work")
 		}
 		cut(false)
 		from := loop.Micros(0)
@@ -136,7 +138,7 @@
 				return x.Now() - from
 			}
 		}
-		t.Fatal("it is never trusted again")
+		t.Fatal("the peer is not fit for work two minutes after it became reachable again")
 		return 0
 	}
 	x.Run(5 * loop.Second)
@@ -146,15 +148,17 @@
 	}
 	x.Run(goodFor)
 	if j.Damped("c") != 0 {
-		t.Error("it is damped although it was good")
+		t.Error("the peer is still damped after it has been whole for goodFor")
 	}
 	waits = append(waits, fmt.Sprint((trusted()+300*loop.Millisecond)/loop.Second))
 	if got := fmt.Sprint(waits); got != "[0 16 32 32 32 32 0]" {
-		t.Errorf("it is trusted after %s s", got)
+		t.Errorf("after each flap the peer is fit for work after %s s, want [0 16 32 32 32 32 0]", got)
 	}
 }
 
-// A node that goes silent, and an outage of the state service, are no fault of the others.
+// A third controller that becomes silent, an outage of the state service, and messages that
+// queued up during a pause of this process must not count as flaps of the other peers: these
+// would not be given any work afterwards.
 func TestOthersDoNotFlap(t *testing.T) {
 	x := newNet(4)
 	x.judges["a"].Contact = func() bool { return x.contact["a"] }
@@ -170,24 +174,25 @@
 		}
 		x.Run(9 * loop.Second)
 	}
-	// A node that stood still finds old words of all lengths in its queue.
+	// After a pause of its process, a controller finds several older messages in its queue.
 	for _, hears := range [][]string{{}, {"a", "c", "d"}, {}, {"a", "c", "d"}} {
 		x.Run(10 * loop.Millisecond)
 		x.judges["a"].Hear("b", Word{Wall: x.Now(), Contact: true, Hears: hears})
 	}
 	x.Run(3 * loop.Second)
 	if n := x.judges["a"].peers["b"].flaps; n > 1 {
-		t.Errorf("%d flaps by what queued up", n)
+		t.Errorf("queued messages were counted as %d flaps, want at most one", n)
 	}
 	x.Run(goodFor)
 	for _, n := range []string{"b", "c"} {
 		if j := x.judges["a"]; !j.Fit(n) || j.peers[n].flaps > 0 {
-			t.Errorf("%s is fit: %v, after %d flaps", n, j.Fit(n), j.peers[n].flaps)
+			t.Errorf("peer %s is fit for work: %v, with %d flaps; want true and none", n, j.Fit(n), j.peers[n].flaps)
 		}
 	}
 }
 
-// A word that was held back on its way says nothing of now.
+// A message that was delayed on its way arrives as new but describes the past: it must not
+// make its sender reachable.
 func TestOldWordsAreNotFresh(t *testing.T) {
 	x := newNet(2)
 	x.Run(5 * loop.Second)
@@ -197,6 +202,6 @@
 	j := x.judges["a"]
 	j.Hear("b", late)
 	if j.State("b") != Silent || j.Fit("b") {
-		t.Errorf("by a word that is 10 s old b is %v", j.State("b"))
+		t.Errorf("after a message that is 10 s old the peer b is %v, want silent and unfit for work", j.State("b"))
 	}
 }
