--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -48,15 +48,15 @@
 	goodFor     = 60 * loop.Second
 )
 
-// Word is what a peer reports about itself in a message.
-type Word struct {
+// Message is what a peer reports about itself in a message.
+type Message struct {
 	Wall    loop.Micros // its wall clock when it sent the message
 	Contact bool        // the state service answers it
 	Hears   []string    // controllers whose messages it receives; nil: not reported
 }
 
 type peer struct {
-	word  Word
+	word  Message
 	heard loop.Micros // when the word arrived, by the monotonic clock; 0: never
 	state State
 	since loop.Micros // when the state began
@@ -120,7 +120,7 @@
 }
 
 // Hear records a peer's message.
-func (j *Judge) Hear(label string, w Word) {
+func (j *Judge) Hear(label string, w Message) {
 	p := j.peers[label]
 	if p == nil || p.heard != 0 && w.Wall <= p.word.Wall {
 		return // a duplicate, or older than one that has arrived already
