--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -50,9 +50,9 @@
 
 // Message is what a peer reports about itself in a message.
 type Message struct {
-	Wall    loop.Micros // its wall clock when it sent the message
-	Contact bool        // the state service answers it
-	Hears   []string    // controllers whose messages it receives; nil: not reported
+	Wall         loop.Micros // its wall clock when it sent the message
+	StateContact bool        // the state service answers it
+	Hears        []string    // controllers whose messages it receives; nil: not reported
 }
 
 type peer struct {
@@ -160,13 +160,13 @@
 	case !j.fresh(p, now):
 		return Silent
 	case p.word.Hears == nil:
-		if !p.word.Contact {
+		if !p.word.StateContact {
 			return Partial
 		}
 		return Whole
 	case !slices.Contains(p.word.Hears, j.self):
 		return OneWay
-	case !p.word.Contact:
+	case !p.word.StateContact:
 		return Partial
 	}
 	if p.lacks != 0 && now-p.lacks >= skew {
