--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -52,7 +52,7 @@
 type Message struct {
 	Wall         loop.Micros // its wall clock when it sent the message
 	StateContact bool        // the state service answers it
-	Hears        []string    // controllers whose messages it receives; nil: not reported
+	ReceivesFrom []string    // controllers whose messages it receives; nil: not reported
 }
 
 type peer struct {
@@ -159,12 +159,12 @@
 	switch {
 	case !j.fresh(p, now):
 		return Silent
-	case p.word.Hears == nil:
+	case p.word.ReceivesFrom == nil:
 		if !p.word.StateContact {
 			return Partial
 		}
 		return Whole
-	case !slices.Contains(p.word.Hears, j.self):
+	case !slices.Contains(p.word.ReceivesFrom, j.self):
 		return OneWay
 	case !p.word.StateContact:
 		return Partial
@@ -179,7 +179,7 @@
 func (j *Judge) compare(label string, p *peer, now loop.Micros) {
 	lacks := false
 	for other, o := range j.peers {
-		lacks = lacks || other != label && j.fresh(o, now) && p.word.Hears != nil && !slices.Contains(p.word.Hears, other)
+		lacks = lacks || other != label && j.fresh(o, now) && p.word.ReceivesFrom != nil && !slices.Contains(p.word.ReceivesFrom, other)
 	}
 	if !lacks {
 		p.lacks = 0
@@ -192,7 +192,7 @@
 // named: then that one runs, and the connection between it and this controller is broken.
 func (j *Judge) others(label string, now loop.Micros) bool {
 	for other, o := range j.peers {
-		if other != label && j.fresh(o, now) && slices.Contains(o.word.Hears, label) && slices.Contains(o.word.Hears, j.self) {
+		if other != label && j.fresh(o, now) && slices.Contains(o.word.ReceivesFrom, label) && slices.Contains(o.word.ReceivesFrom, j.self) {
 			return true
 		}
 	}
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -38,10 +38,10 @@
 		loop.Every(x, 700*loop.Millisecond, func() {
 			j := x.judges[a]
 			j.Look()
-			w := Message{Wall: x.Now(), StateContact: x.contact[a], Hears: []string{}}
+			w := Message{Wall: x.Now(), StateContact: x.contact[a], ReceivesFrom: []string{}}
 			for _, p := range peers {
 				if j.Heard(p, Fresh) {
-					w.Hears = append(w.Hears, p)
+					w.ReceivesFrom = append(w.ReceivesFrom, p)
 				}
 			}
 			for _, p := range peers {
@@ -177,7 +177,7 @@
 	// After a pause of its process, a controller finds several older messages in its queue.
 	for _, hears := range [][]string{{}, {"a", "c", "d"}, {}, {"a", "c", "d"}} {
 		x.Run(10 * loop.Millisecond)
-		x.judges["a"].Hear("b", Message{Wall: x.Now(), StateContact: true, Hears: hears})
+		x.judges["a"].Hear("b", Message{Wall: x.Now(), StateContact: true, ReceivesFrom: hears})
 	}
 	x.Run(3 * loop.Second)
 	if n := x.judges["a"].peers["b"].flaps; n > 1 {
@@ -196,7 +196,7 @@
 func TestOldWordsAreNotFresh(t *testing.T) {
 	x := newNet(2)
 	x.Run(5 * loop.Second)
-	late := Message{Wall: x.Now(), StateContact: true, Hears: []string{"a"}}
+	late := Message{Wall: x.Now(), StateContact: true, ReceivesFrom: []string{"a"}}
 	x.open["b>a"] = false
 	x.Run(10 * loop.Second)
 	j := x.judges["a"]
