--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -45,7 +45,7 @@
 	placer   *placer.Placer
 	rental   *rental.Rental
 	net      *peer.Net
-	reach    *reach.Judge
+	reach    *reach.Tracker
 	horizon  *horizon.Judge
 	front    *front.Front
 	out      Outside
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -65,8 +65,8 @@
 	fell  loop.Micros // when the last flap was counted
 }
 
-// Judge tracks the reachability of all peers of one controller.
-type Judge struct {
+// Tracker tracks the reachability of all peers of one controller.
+type Tracker struct {
 	r     loop.Runner
 	log   *slog.Logger
 	self  string
@@ -84,8 +84,8 @@
 }
 
 // New returns a tracker that has received no messages.
-func New(r loop.Runner, log *slog.Logger, self string, peers []string, off loop.Micros) *Judge {
-	j := &Judge{r: r, log: log, self: self, off: off, began: r.Now(), peers: map[string]*peer{}}
+func New(r loop.Runner, log *slog.Logger, self string, peers []string, off loop.Micros) *Tracker {
+	j := &Tracker{r: r, log: log, self: self, off: off, began: r.Now(), peers: map[string]*peer{}}
 	for _, p := range peers {
 		j.peers[p] = &peer{}
 	}
@@ -93,7 +93,7 @@
 }
 
 // setState is the only place where a peer's state changes.
-func (j *Judge) setState(label string, p *peer, s State, now loop.Micros) {
+func (j *Tracker) setState(label string, p *peer, s State, now loop.Micros) {
 	if p.state == s {
 		return
 	}
@@ -120,7 +120,7 @@
 }
 
 // Hear records a peer's message.
-func (j *Judge) Hear(label string, w Message) {
+func (j *Tracker) Hear(label string, w Message) {
 	p := j.peers[label]
 	if p == nil || p.heard != 0 && w.Wall <= p.word.Wall {
 		return // a duplicate, or older than one that has arrived already
@@ -131,7 +131,7 @@
 
 // Look evaluates all peers by the messages received so far. It must be called periodically,
 // since a peer that becomes silent triggers no call of Hear.
-func (j *Judge) Look() {
+func (j *Tracker) Look() {
 	now := j.r.Now()
 	alone, broken := true, false
 	for label, p := range loop.Sorted(j.peers) {
@@ -155,7 +155,7 @@
 	set(&j.broken, broken)
 }
 
-func (j *Judge) judge(label string, p *peer, now loop.Micros) State {
+func (j *Tracker) judge(label string, p *peer, now loop.Micros) State {
 	switch {
 	case !j.fresh(p, now):
 		return Silent
@@ -176,7 +176,7 @@
 }
 
 // compare records since when a peer does not receive a controller that this one receives.
-func (j *Judge) compare(label string, p *peer, now loop.Micros) {
+func (j *Tracker) compare(label string, p *peer, now loop.Micros) {
 	lacks := false
 	for other, o := range j.peers {
 		lacks = lacks || other != label && j.fresh(o, now) && p.word.ReceivesFrom != nil && !slices.Contains(p.word.ReceivesFrom, other)
@@ -190,7 +190,7 @@
 
 // others reports whether some peer receives messages both of this controller and of the one
 // named: then that one runs, and the connection between it and this controller is broken.
-func (j *Judge) others(label string, now loop.Micros) bool {
+func (j *Tracker) others(label string, now loop.Micros) bool {
 	for other, o := range j.peers {
 		if other != label && j.fresh(o, now) && slices.Contains(o.word.ReceivesFrom, label) && slices.Contains(o.word.ReceivesFrom, j.self) {
 			return true
@@ -199,12 +199,12 @@
 	return false
 }
 
-func (j *Judge) fresh(p *peer, now loop.Micros) bool {
+func (j *Tracker) fresh(p *peer, now loop.Micros) bool {
 	return p.heard != 0 && now-p.heard < Fresh && j.r.Wall()-p.word.Wall < lateBy+j.off
 }
 
 // State returns the reachability of a peer.
-func (j *Judge) State(label string) State {
+func (j *Tracker) State(label string) State {
 	if p := j.peers[label]; p != nil {
 		return j.judge(label, p, j.r.Now())
 	}
@@ -212,21 +212,21 @@
 }
 
 // Heard reports whether a message of the peer has arrived within a time, whatever it says.
-func (j *Judge) Heard(label string, within loop.Micros) bool {
+func (j *Tracker) Heard(label string, within loop.Micros) bool {
 	p := j.peers[label]
 	return p != nil && p.heard != 0 && j.r.Now()-p.heard < within
 }
 
 // Fit reports whether the peer may be given work: it is whole, and has been for as long as
 // its earlier flaps require.
-func (j *Judge) Fit(label string) bool {
+func (j *Tracker) Fit(label string) bool {
 	p := j.peers[label]
 	return p != nil && j.State(label) == Whole && p.state == Whole && j.r.Now()-p.since >= p.wait()
 }
 
 // Damped returns for how much longer the peer is not fit for work although it is whole, or 0
 // if it is fit or not whole.
-func (j *Judge) Damped(label string) loop.Micros {
+func (j *Tracker) Damped(label string) loop.Micros {
 	if p := j.peers[label]; p != nil && p.state == Whole {
 		return max(p.since+p.wait()-j.r.Now(), 0)
 	}
@@ -235,7 +235,7 @@
 
 // Isolated reports whether this controller exchanges messages with no peer, so that its
 // decisions reach nobody. The loss of either direction is enough.
-func (j *Judge) Isolated() bool {
+func (j *Tracker) Isolated() bool {
 	now := j.r.Now()
 	if now-j.began < 5*loop.Second || len(j.peers) == 0 {
 		return false
@@ -250,7 +250,7 @@
 // Broken reports whether the connection between this controller and one that others reach
 // has been broken for a while: an owner then neither gets the reports of the machines at
 // that controller nor sends them commands.
-func (j *Judge) Broken() bool {
+func (j *Tracker) Broken() bool {
 	now := j.r.Now()
 	return j.broken != 0 && now-j.broken >= 2*brokenFor && now-j.began >= 5*loop.Second
 }
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -17,11 +17,11 @@
 	names   []string
 	open    map[string]bool // "a>b"
 	contact map[string]bool
-	judges  map[string]*Judge
+	judges  map[string]*Tracker
 }
 
 func newNet(n int) *net {
-	x := &net{Stepped: standin.NewStepped(100 * loop.Second), open: map[string]bool{}, contact: map[string]bool{}, judges: map[string]*Judge{}}
+	x := &net{Stepped: standin.NewStepped(100 * loop.Second), open: map[string]bool{}, contact: map[string]bool{}, judges: map[string]*Tracker{}}
 	for i := range n {
 		x.names = append(x.names, string(rune('a'+i)))
 	}
