--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -23,7 +23,7 @@
 	Silent  State = iota // no recent message of it has arrived
 	OneWay               // its messages arrive, but it does not receive those of this controller
 	Partial              // messages pass both ways, but it lacks the state service or a peer that this controller reaches
-	Whole                // it reaches all that this controller reaches
+	Full                 // it reaches all that this controller reaches
 )
 
 func (s State) String() string { return [...]string{"silent", "oneWay", "partial", "whole"}[s] }
@@ -97,7 +97,7 @@
 	if p.state == s {
 		return
 	}
-	if p.state == Whole && now-p.fell >= skew && (s != Partial || j.Contact == nil || j.Contact()) {
+	if p.state == Full && now-p.fell >= skew && (s != Partial || j.Contact == nil || j.Contact()) {
 		// Flaps within skew count once: after a pause of this process, the messages that
 		// queued up meanwhile show each peer leave and return several times.
 		p.flaps++
@@ -138,7 +138,7 @@
 		j.compare(label, p, now)
 		s := j.judge(label, p, now)
 		j.setState(label, p, s, now)
-		if p.state == Whole && now-p.since >= goodFor {
+		if p.state == Full && now-p.since >= goodFor {
 			p.flaps = 0
 		}
 		alone = alone && s <= OneWay
@@ -163,7 +163,7 @@
 		if !p.word.StateContact {
 			return Partial
 		}
-		return Whole
+		return Full
 	case !slices.Contains(p.word.ReceivesFrom, j.self):
 		return OneWay
 	case !p.word.StateContact:
@@ -172,7 +172,7 @@
 	if p.lacks != 0 && now-p.lacks >= skew {
 		return Partial
 	}
-	return Whole
+	return Full
 }
 
 // compare records since when a peer does not receive a controller that this one receives.
@@ -221,13 +221,13 @@
 // its earlier flaps require.
 func (j *Tracker) Fit(label string) bool {
 	p := j.peers[label]
-	return p != nil && j.State(label) == Whole && p.state == Whole && j.r.Now()-p.since >= p.wait()
+	return p != nil && j.State(label) == Full && p.state == Full && j.r.Now()-p.since >= p.wait()
 }
 
 // Damped returns for how much longer the peer is not fit for work although it is whole, or 0
 // if it is fit or not whole.
 func (j *Tracker) Damped(label string) loop.Micros {
-	if p := j.peers[label]; p != nil && p.state == Whole {
+	if p := j.peers[label]; p != nil && p.state == Full {
 		return max(p.since+p.wait()-j.r.Now(), 0)
 	}
 	return 0
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -76,7 +76,7 @@
 					if a == b {
 						continue
 					}
-					want := Whole
+					want := Full
 					if !x.contact[b] {
 						want = Partial
 					}
@@ -131,7 +131,7 @@
 		from := loop.Micros(0)
 		for range 1200 {
 			x.Run(100 * loop.Millisecond)
-			if from == 0 && j.State("c") == Whole {
+			if from == 0 && j.State("c") == Full {
 				from = x.Now()
 			}
 			if j.Fit("c") {
