--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -296,7 +296,7 @@
 	}
 	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.contact() && n.member.LeaseValid(), Hosted: n.agent.Hosted(), Hears: []string{}}
 	for _, label := range n.net.Peers() {
-		if n.reach.Heard(label, reach.Fresh) {
+		if n.reach.Heard(label, reach.MaxAge) {
 			s.Hears = append(s.Hears, label)
 		}
 	}
--- a/internal/node/sendon.go
+++ b/internal/node/sendon.go
@@ -47,7 +47,7 @@
 	}
 	others := n.net.Peers()
 	if contact {
-		proof := loop.Seconds(n.cfg.Operator.NodeLeaseS) + loop.Second - reach.Fresh
+		proof := loop.Seconds(n.cfg.Operator.NodeLeaseS) + loop.Second - reach.MaxAge
 		if n.isolated == 0 || n.loop.Now()-n.isolated < proof {
 			return false, "", again
 		}
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -29,8 +29,8 @@
 func (s State) String() string { return [...]string{"silent", "oneWay", "partial", "whole"}[s] }
 
 const (
-	// Fresh is the age up to which a message is evidence.
-	Fresh = 2500 * loop.Millisecond
+	// MaxAge is the age up to which a message is evidence.
+	MaxAge = 2500 * loop.Millisecond
 	// lateBy is the age up to which it is evidence by the sender's wall clock, in addition to
 	// the bound on clock differences: messages that were delayed on their way arrive as new.
 	lateBy = 3 * loop.Second
@@ -39,7 +39,7 @@
 	brokenFor = 3 * loop.Second
 	// skew is how much later than this controller a peer may notice that a third one became
 	// silent or reachable. Without it, one silent controller makes all others flap.
-	skew = Fresh + 1500*loop.Millisecond
+	skew = MaxAge + 1500*loop.Millisecond
 	// A peer that leaves the state Whole has flapped. After the first flap it is fit for work
 	// as soon as it is whole again; after more, only once it has been whole for damping,
 	// doubled with each flap up to dampedTimes times. Flaps are forgotten after goodFor.
@@ -200,7 +200,7 @@
 }
 
 func (j *Tracker) fresh(p *peer, now loop.Micros) bool {
-	return p.heard != 0 && now-p.heard < Fresh && j.r.Wall()-p.word.Wall < lateBy+j.off
+	return p.heard != 0 && now-p.heard < MaxAge && j.r.Wall()-p.word.Wall < lateBy+j.off
 }
 
 // State returns the reachability of a peer.
@@ -242,7 +242,7 @@
 	}
 	silent := true
 	for _, p := range j.peers {
-		silent = silent && (p.heard == 0 || now-p.heard >= Fresh)
+		silent = silent && (p.heard == 0 || now-p.heard >= MaxAge)
 	}
 	return silent || j.alone != 0 && now-j.alone >= brokenFor
 }
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -40,7 +40,7 @@
 			j.Look()
 			w := Message{Wall: x.Now(), StateContact: x.contact[a], ReceivesFrom: []string{}}
 			for _, p := range peers {
-				if j.Heard(p, Fresh) {
+				if j.Heard(p, MaxAge) {
 					w.ReceivesFrom = append(w.ReceivesFrom, p)
 				}
 			}
