--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -76,9 +76,9 @@
 	// alone is since when messages pass both ways with no peer. broken is since when they do
 	// not pass both ways with some peer that others reach. 0: not so.
 	alone, broken loop.Micros
-	// Contact reports whether the state service answers this controller: during an outage
+	// StateContact reports whether the state service answers this controller: during an outage
 	// of the state service, peers without contact are not at fault. It may be nil.
-	Contact func() bool
+	StateContact func() bool
 	// Changed is called for every change of a peer's state. It may be nil.
 	Changed func(peer string, to State, damped bool)
 }
@@ -97,7 +97,7 @@
 	if p.state == s {
 		return
 	}
-	if p.state == Full && now-p.fell >= skew && (s != Partial || j.Contact == nil || j.Contact()) {
+	if p.state == Full && now-p.fell >= skew && (s != Partial || j.StateContact == nil || j.StateContact()) {
 		// Flaps within skew count once: after a pause of this process, the messages that
 		// queued up meanwhile show each peer leave and return several times.
 		p.flaps++
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -161,7 +161,7 @@
 // would not be given any work afterwards.
 func TestOthersDoNotFlap(t *testing.T) {
 	x := newNet(4)
-	x.judges["a"].Contact = func() bool { return x.contact["a"] }
+	x.judges["a"].StateContact = func() bool { return x.contact["a"] }
 	x.Run(5 * loop.Second)
 	for round := range 4 {
 		for way := range x.open {
