--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -124,7 +124,7 @@
 	n.net = peer.New(l, log, cfg.Label, cfg.Known)
 	n.reach = reach.New(l, log, cfg.Label, n.net.Peers(), cfg.ClockDifference())
 	n.reach.StateContact = n.contact
-	n.reach.Changed = func(_ string, to reach.State, damped bool) { n.meter.Peer(to.String(), damped) }
+	n.reach.OnChange = func(_ string, to reach.State, damped bool) { n.meter.Peer(to.String(), damped) }
 	n.net.Life, n.net.ClockTo = l.Wall(), cfg.ClockDifference()
 	n.net.Earlier = func(string) { n.meter.EarlierFrame() }
 	n.overlook()
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -79,8 +79,8 @@
 	// StateContact reports whether the state service answers this controller: during an outage
 	// of the state service, peers without contact are not at fault. It may be nil.
 	StateContact func() bool
-	// Changed is called for every change of a peer's state. It may be nil.
-	Changed func(peer string, to State, damped bool)
+	// OnChange is called for every change of a peer's state. It may be nil.
+	OnChange func(peer string, to State, damped bool)
 }
 
 // New returns a tracker that has received no messages.
@@ -106,8 +106,8 @@
 	from := p.state
 	p.state, p.since = s, now
 	j.log.Info("reachability of a peer changed", "node", label, "from", from.String(), "to", s.String(), "flaps", p.flaps)
-	if j.Changed != nil {
-		j.Changed(label, s, p.wait() > 0)
+	if j.OnChange != nil {
+		j.OnChange(label, s, p.wait() > 0)
 	}
 }
 
