--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -9,7 +9,7 @@
 // receive takes in a frame of a peer.
 func (n *Node) receive(e *peer.Envelope) {
 	if s := e.Status; s != nil {
-		n.reach.Hear(e.From, reach.Message{Wall: s.Wall, StateContact: s.Contact, ReceivesFrom: s.Hears})
+		n.reach.Receive(e.From, reach.Message{Wall: s.Wall, StateContact: s.Contact, ReceivesFrom: s.Hears})
 	}
 	n.horizon.Hear(e.From, e.Life, e.Horizon)
 	n.member.LearnTeams(e.Teams)
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -119,8 +119,8 @@
 	return damping << min(p.flaps-2, dampedTimes)
 }
 
-// Hear records a peer's message.
-func (j *Tracker) Hear(label string, w Message) {
+// Receive records a peer's message.
+func (j *Tracker) Receive(label string, w Message) {
 	p := j.peers[label]
 	if p == nil || p.heard != 0 && w.Wall <= p.word.Wall {
 		return // a duplicate, or older than one that has arrived already
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -46,7 +46,7 @@
 			}
 			for _, p := range peers {
 				if x.open[a+">"+p] {
-					x.After(2*loop.Millisecond, func() { x.judges[p].Hear(a, w) })
+					x.After(2*loop.Millisecond, func() { x.judges[p].Receive(a, w) })
 				}
 			}
 		})
@@ -177,7 +177,7 @@
 	// After a pause of its process, a controller finds several older messages in its queue.
 	for _, hears := range [][]string{{}, {"a", "c", "d"}, {}, {"a", "c", "d"}} {
 		x.Run(10 * loop.Millisecond)
-		x.judges["a"].Hear("b", Message{Wall: x.Now(), StateContact: true, ReceivesFrom: hears})
+		x.judges["a"].Receive("b", Message{Wall: x.Now(), StateContact: true, ReceivesFrom: hears})
 	}
 	x.Run(3 * loop.Second)
 	if n := x.judges["a"].peers["b"].flaps; n > 1 {
@@ -200,7 +200,7 @@
 	x.open["b>a"] = false
 	x.Run(10 * loop.Second)
 	j := x.judges["a"]
-	j.Hear("b", late)
+	j.Receive("b", late)
 	if j.State("b") != Silent || j.Fit("b") {
 		t.Errorf("after a message that is 10 s old the peer b is %v, want silent and unfit for work", j.State("b"))
 	}
