--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -289,7 +289,7 @@
 }
 
 func (n *Node) status() {
-	n.reach.Look()
+	n.reach.Update()
 	n.isolate()
 	if n.mirror.Ready() {
 		n.client.Use(admission.Part(n.member.RegisteredCount(), n.cfg.Cluster.Nodes, n.member.LeaseValid()))
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -126,12 +126,12 @@
 		return // a duplicate, or older than one that has arrived already
 	}
 	p.word, p.heard = w, j.r.Now()
-	j.Look()
+	j.Update()
 }
 
-// Look evaluates all peers by the messages received so far. It must be called periodically,
+// Update evaluates all peers by the messages received so far. It must be called periodically,
 // since a peer that becomes silent triggers no call of Hear.
-func (j *Tracker) Look() {
+func (j *Tracker) Update() {
 	now := j.r.Now()
 	alone, broken := true, false
 	for label, p := range loop.Sorted(j.peers) {
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -37,7 +37,7 @@
 		x.judges[a] = New(x, slog.New(slog.DiscardHandler), a, peers, 0)
 		loop.Every(x, 700*loop.Millisecond, func() {
 			j := x.judges[a]
-			j.Look()
+			j.Update()
 			w := Message{Wall: x.Now(), StateContact: x.contact[a], ReceivesFrom: []string{}}
 			for _, p := range peers {
 				if j.Heard(p, MaxAge) {
