--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -200,7 +200,7 @@
 		},
 		Unheard: func(zone string) bool {
 			for _, p := range cfg.Known {
-				if p.Site == zone && !n.reach.Heard(p.Label, 3*loop.Second) {
+				if p.Site == zone && !n.reach.ReceivedWithin(p.Label, 3*loop.Second) {
 					return true
 				}
 			}
@@ -296,7 +296,7 @@
 	}
 	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.contact() && n.member.LeaseValid(), Hosted: n.agent.Hosted(), Hears: []string{}}
 	for _, label := range n.net.Peers() {
-		if n.reach.Heard(label, reach.MaxAge) {
+		if n.reach.ReceivedWithin(label, reach.MaxAge) {
 			s.Hears = append(s.Hears, label)
 		}
 	}
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -211,8 +211,8 @@
 	return Silent
 }
 
-// Heard reports whether a message of the peer has arrived within a time, whatever it says.
-func (j *Tracker) Heard(label string, within loop.Micros) bool {
+// ReceivedWithin reports whether a message of the peer has arrived within a time, whatever it says.
+func (j *Tracker) ReceivedWithin(label string, within loop.Micros) bool {
 	p := j.peers[label]
 	return p != nil && p.heard != 0 && j.r.Now()-p.heard < within
 }
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -40,7 +40,7 @@
 			j.Update()
 			w := Message{Wall: x.Now(), StateContact: x.contact[a], ReceivesFrom: []string{}}
 			for _, p := range peers {
-				if j.Heard(p, MaxAge) {
+				if j.ReceivedWithin(p, MaxAge) {
 					w.ReceivesFrom = append(w.ReceivesFrom, p)
 				}
 			}
