--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -147,7 +147,7 @@
 func (n *Node) damped() string {
 	var out []string
 	for _, label := range n.net.Peers() {
-		if d := n.reach.Damped(label); d > 0 {
+		if d := n.reach.DampedFor(label); d > 0 {
 			out = append(out, fmt.Sprintf("%s gets no work for another %d s, since it came and went", label, (d+loop.Second-1)/loop.Second))
 		}
 	}
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -224,9 +224,9 @@
 	return p != nil && j.State(label) == Full && p.state == Full && j.r.Now()-p.since >= p.wait()
 }
 
-// Damped returns for how much longer the peer is not fit for work although it is whole, or 0
+// DampedFor returns for how much longer the peer is not fit for work although it is whole, or 0
 // if it is fit or not whole.
-func (j *Tracker) Damped(label string) loop.Micros {
+func (j *Tracker) DampedFor(label string) loop.Micros {
 	if p := j.peers[label]; p != nil && p.state == Full {
 		return max(p.since+p.wait()-j.r.Now(), 0)
 	}
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -147,7 +147,7 @@
 		waits = append(waits, fmt.Sprint((trusted()+300*loop.Millisecond)/loop.Second))
 	}
 	x.Run(goodFor)
-	if j.Damped("c") != 0 {
+	if j.DampedFor("c") != 0 {
 		t.Error("the peer is still damped after it has been whole for goodFor")
 	}
 	waits = append(waits, fmt.Sprint((trusted()+300*loop.Millisecond)/loop.Second))
