--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -230,7 +230,7 @@
 		n.placer.Job(j)
 	}
 	n.member.Isolated = n.reach.Isolated
-	n.member.Fit, n.member.PartlyDisconnected = n.reach.Fit, n.reach.Broken
+	n.member.Fit, n.member.PartlyDisconnected = n.reach.Fit, n.reach.PartlyDisconnected
 	n.member.Weight = n.placer.InUse
 	n.member.OnOwned = n.placer.Owned
 	n.member.OnAssigned = n.placer.Assigned
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -247,10 +247,10 @@
 	return silent || j.alone != 0 && now-j.alone >= brokenFor
 }
 
-// Broken reports whether the connection between this controller and one that others reach
+// PartlyDisconnected reports whether the connection between this controller and one that others reach
 // has been broken for a while: an owner then neither gets the reports of the machines at
 // that controller nor sends them commands.
-func (j *Tracker) Broken() bool {
+func (j *Tracker) PartlyDisconnected() bool {
 	now := j.r.Now()
 	return j.broken != 0 && now-j.broken >= 2*brokenFor && now-j.began >= 5*loop.Second
 }
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -102,7 +102,7 @@
 				if got := j.Isolated(); got != alone {
 					t.Fatalf("seed %d: Isolated of %s is wrongly %v; open connections: %v", seed, a, got, x.open)
 				}
-				if got := j.Broken(); got != broken {
+				if got := j.PartlyDisconnected(); got != broken {
 					t.Fatalf("seed %d: Broken of %s is wrongly %v; open connections: %v", seed, a, got, x.open)
 				}
 			}
