--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -31,21 +31,21 @@
 const (
 	// MaxAge is the age up to which a message is evidence.
 	MaxAge = 2500 * loop.Millisecond
-	// lateBy is the age up to which it is evidence by the sender's wall clock, in addition to
+	// maxWallAge is the age up to which it is evidence by the sender's wall clock, in addition to
 	// the bound on clock differences: messages that were delayed on their way arrive as new.
-	lateBy = 3 * loop.Second
-	// brokenFor is how long this controller must appear isolated before it acts on that: a
+	maxWallAge = 3 * loop.Second
+	// isolationDelay is how long this controller must appear isolated before it acts on that: a
 	// peer that has just restarted receives nobody's messages for a short time.
-	brokenFor = 3 * loop.Second
-	// skew is how much later than this controller a peer may notice that a third one became
+	isolationDelay = 3 * loop.Second
+	// detectionSkew is how much later than this controller a peer may notice that a third one became
 	// silent or reachable. Without it, one silent controller makes all others flap.
-	skew = MaxAge + 1500*loop.Millisecond
+	detectionSkew = MaxAge + 1500*loop.Millisecond
 	// A peer that leaves the state Whole has flapped. After the first flap it is fit for work
 	// as soon as it is whole again; after more, only once it has been whole for damping,
 	// doubled with each flap up to dampedTimes times. Flaps are forgotten after goodFor.
-	damping     = 16 * loop.Second
-	dampedTimes = 1
-	goodFor     = 60 * loop.Second
+	damping             = 16 * loop.Second
+	maxDampingDoublings = 1
+	stableAfter         = 60 * loop.Second
 )
 
 // Message is what a peer reports about itself in a message.
@@ -56,26 +56,26 @@
 }
 
 type peer struct {
-	word  Message
-	heard loop.Micros // when the word arrived, by the monotonic clock; 0: never
-	state State
-	since loop.Micros // when the state began
-	lacks loop.Micros // since when it does not receive a peer that this controller receives; 0: it receives all
-	flaps int
-	fell  loop.Micros // when the last flap was counted
+	message     Message
+	receivedAt  loop.Micros // when the word arrived, by the monotonic clock; 0: never
+	state       State
+	since       loop.Micros // when the state began
+	missesSince loop.Micros // since when it does not receive a peer that this controller receives; 0: it receives all
+	flaps       int
+	flappedAt   loop.Micros // when the last flap was counted
 }
 
 // Tracker tracks the reachability of all peers of one controller.
 type Tracker struct {
-	r     loop.Runner
-	log   *slog.Logger
-	self  string
-	off   loop.Micros // twice the bound on clock differences
-	began loop.Micros
-	peers map[string]*peer
-	// alone is since when messages pass both ways with no peer. broken is since when they do
+	runner     loop.Runner
+	log        *slog.Logger
+	self       string
+	clockBound loop.Micros // twice the bound on clock differences
+	began      loop.Micros
+	peers      map[string]*peer
+	// isolatedSince is since when messages pass both ways with no peer. disconnectedSince is since when they do
 	// not pass both ways with some peer that others reach. 0: not so.
-	alone, broken loop.Micros
+	isolatedSince, disconnectedSince loop.Micros
 	// StateContact reports whether the state service answers this controller: during an outage
 	// of the state service, peers without contact are not at fault. It may be nil.
 	StateContact func() bool
@@ -85,7 +85,7 @@
 
 // New returns a tracker that has received no messages.
 func New(r loop.Runner, log *slog.Logger, self string, peers []string, off loop.Micros) *Tracker {
-	j := &Tracker{r: r, log: log, self: self, off: off, began: r.Now(), peers: map[string]*peer{}}
+	j := &Tracker{runner: r, log: log, self: self, clockBound: off, began: r.Now(), peers: map[string]*peer{}}
 	for _, p := range peers {
 		j.peers[p] = &peer{}
 	}
@@ -97,52 +97,52 @@
 	if p.state == s {
 		return
 	}
-	if p.state == Full && now-p.fell >= skew && (s != Partial || j.StateContact == nil || j.StateContact()) {
+	if p.state == Full && now-p.flappedAt >= detectionSkew && (s != Partial || j.StateContact == nil || j.StateContact()) {
 		// Flaps within skew count once: after a pause of this process, the messages that
 		// queued up meanwhile show each peer leave and return several times.
 		p.flaps++
-		p.fell = now
+		p.flappedAt = now
 	}
 	from := p.state
 	p.state, p.since = s, now
 	j.log.Info("reachability of a peer changed", "node", label, "from", from.String(), "to", s.String(), "flaps", p.flaps)
 	if j.OnChange != nil {
-		j.OnChange(label, s, p.wait() > 0)
+		j.OnChange(label, s, p.dampingTime() > 0)
 	}
 }
 
-// wait returns how long the peer must be whole before it is fit for work.
-func (p *peer) wait() loop.Micros {
+// dampingTime returns how long the peer must be whole before it is fit for work.
+func (p *peer) dampingTime() loop.Micros {
 	if p.flaps < 2 {
 		return 0
 	}
-	return damping << min(p.flaps-2, dampedTimes)
+	return damping << min(p.flaps-2, maxDampingDoublings)
 }
 
 // Receive records a peer's message.
 func (j *Tracker) Receive(label string, w Message) {
 	p := j.peers[label]
-	if p == nil || p.heard != 0 && w.Wall <= p.word.Wall {
+	if p == nil || p.receivedAt != 0 && w.Wall <= p.message.Wall {
 		return // a duplicate, or older than one that has arrived already
 	}
-	p.word, p.heard = w, j.r.Now()
+	p.message, p.receivedAt = w, j.runner.Now()
 	j.Update()
 }
 
 // Update evaluates all peers by the messages received so far. It must be called periodically,
 // since a peer that becomes silent triggers no call of Hear.
 func (j *Tracker) Update() {
-	now := j.r.Now()
+	now := j.runner.Now()
 	alone, broken := true, false
 	for label, p := range loop.Sorted(j.peers) {
-		j.compare(label, p, now)
-		s := j.judge(label, p, now)
+		j.updateMisses(label, p, now)
+		s := j.evaluate(label, p, now)
 		j.setState(label, p, s, now)
-		if p.state == Full && now-p.since >= goodFor {
+		if p.state == Full && now-p.since >= stableAfter {
 			p.flaps = 0
 		}
 		alone = alone && s <= OneWay
-		broken = broken || s <= OneWay && j.others(label, now)
+		broken = broken || s <= OneWay && j.reachedByOthers(label, now)
 	}
 	set := func(at *loop.Micros, is bool) {
 		if !is {
@@ -151,48 +151,48 @@
 			*at = now
 		}
 	}
-	set(&j.alone, alone && len(j.peers) > 0)
-	set(&j.broken, broken)
+	set(&j.isolatedSince, alone && len(j.peers) > 0)
+	set(&j.disconnectedSince, broken)
 }
 
-func (j *Tracker) judge(label string, p *peer, now loop.Micros) State {
+func (j *Tracker) evaluate(label string, p *peer, now loop.Micros) State {
 	switch {
 	case !j.fresh(p, now):
 		return Silent
-	case p.word.ReceivesFrom == nil:
-		if !p.word.StateContact {
+	case p.message.ReceivesFrom == nil:
+		if !p.message.StateContact {
 			return Partial
 		}
 		return Full
-	case !slices.Contains(p.word.ReceivesFrom, j.self):
+	case !slices.Contains(p.message.ReceivesFrom, j.self):
 		return OneWay
-	case !p.word.StateContact:
+	case !p.message.StateContact:
 		return Partial
 	}
-	if p.lacks != 0 && now-p.lacks >= skew {
+	if p.missesSince != 0 && now-p.missesSince >= detectionSkew {
 		return Partial
 	}
 	return Full
 }
 
-// compare records since when a peer does not receive a controller that this one receives.
-func (j *Tracker) compare(label string, p *peer, now loop.Micros) {
+// updateMisses records since when a peer does not receive a controller that this one receives.
+func (j *Tracker) updateMisses(label string, p *peer, now loop.Micros) {
 	lacks := false
 	for other, o := range j.peers {
-		lacks = lacks || other != label && j.fresh(o, now) && p.word.ReceivesFrom != nil && !slices.Contains(p.word.ReceivesFrom, other)
+		lacks = lacks || other != label && j.fresh(o, now) && p.message.ReceivesFrom != nil && !slices.Contains(p.message.ReceivesFrom, other)
 	}
 	if !lacks {
-		p.lacks = 0
-	} else if p.lacks == 0 {
-		p.lacks = now
+		p.missesSince = 0
+	} else if p.missesSince == 0 {
+		p.missesSince = now
 	}
 }
 
-// others reports whether some peer receives messages both of this controller and of the one
+// reachedByOthers reports whether some peer receives messages both of this controller and of the one
 // named: then that one runs, and the connection between it and this controller is broken.
-func (j *Tracker) others(label string, now loop.Micros) bool {
+func (j *Tracker) reachedByOthers(label string, now loop.Micros) bool {
 	for other, o := range j.peers {
-		if other != label && j.fresh(o, now) && slices.Contains(o.word.ReceivesFrom, label) && slices.Contains(o.word.ReceivesFrom, j.self) {
+		if other != label && j.fresh(o, now) && slices.Contains(o.message.ReceivesFrom, label) && slices.Contains(o.message.ReceivesFrom, j.self) {
 			return true
 		}
 	}
@@ -200,13 +200,13 @@
 }
 
 func (j *Tracker) fresh(p *peer, now loop.Micros) bool {
-	return p.heard != 0 && now-p.heard < MaxAge && j.r.Wall()-p.word.Wall < lateBy+j.off
+	return p.receivedAt != 0 && now-p.receivedAt < MaxAge && j.runner.Wall()-p.message.Wall < maxWallAge+j.clockBound
 }
 
 // State returns the reachability of a peer.
 func (j *Tracker) State(label string) State {
 	if p := j.peers[label]; p != nil {
-		return j.judge(label, p, j.r.Now())
+		return j.evaluate(label, p, j.runner.Now())
 	}
 	return Silent
 }
@@ -214,21 +214,21 @@
 // ReceivedWithin reports whether a message of the peer has arrived within a time, whatever it says.
 func (j *Tracker) ReceivedWithin(label string, within loop.Micros) bool {
 	p := j.peers[label]
-	return p != nil && p.heard != 0 && j.r.Now()-p.heard < within
+	return p != nil && p.receivedAt != 0 && j.runner.Now()-p.receivedAt < within
 }
 
 // Fit reports whether the peer may be given work: it is whole, and has been for as long as
 // its earlier flaps require.
 func (j *Tracker) Fit(label string) bool {
 	p := j.peers[label]
-	return p != nil && j.State(label) == Full && p.state == Full && j.r.Now()-p.since >= p.wait()
+	return p != nil && j.State(label) == Full && p.state == Full && j.runner.Now()-p.since >= p.dampingTime()
 }
 
 // DampedFor returns for how much longer the peer is not fit for work although it is whole, or 0
 // if it is fit or not whole.
 func (j *Tracker) DampedFor(label string) loop.Micros {
 	if p := j.peers[label]; p != nil && p.state == Full {
-		return max(p.since+p.wait()-j.r.Now(), 0)
+		return max(p.since+p.dampingTime()-j.runner.Now(), 0)
 	}
 	return 0
 }
@@ -236,21 +236,21 @@
 // Isolated reports whether this controller exchanges messages with no peer, so that its
 // decisions reach nobody. The loss of either direction is enough.
 func (j *Tracker) Isolated() bool {
-	now := j.r.Now()
+	now := j.runner.Now()
 	if now-j.began < 5*loop.Second || len(j.peers) == 0 {
 		return false
 	}
 	silent := true
 	for _, p := range j.peers {
-		silent = silent && (p.heard == 0 || now-p.heard >= MaxAge)
+		silent = silent && (p.receivedAt == 0 || now-p.receivedAt >= MaxAge)
 	}
-	return silent || j.alone != 0 && now-j.alone >= brokenFor
+	return silent || j.isolatedSince != 0 && now-j.isolatedSince >= isolationDelay
 }
 
 // PartlyDisconnected reports whether the connection between this controller and one that others reach
 // has been broken for a while: an owner then neither gets the reports of the machines at
 // that controller nor sends them commands.
 func (j *Tracker) PartlyDisconnected() bool {
-	now := j.r.Now()
-	return j.broken != 0 && now-j.broken >= 2*brokenFor && now-j.began >= 5*loop.Second
+	now := j.runner.Now()
+	return j.disconnectedSince != 0 && now-j.disconnectedSince >= 2*isolationDelay && now-j.began >= 5*loop.Second
 }
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -10,18 +10,18 @@
 	"cleatpick/internal/standin"
 )
 
-// net is a simulated network of controllers, which send each other the messages of the code
+// network is a simulated network of controllers, which send each other the messages of the code
 // under test every 700 ms. Each direction of each connection can be open or closed.
-type net struct {
+type network struct {
 	*standin.Stepped
-	names   []string
-	open    map[string]bool // "a>b"
-	contact map[string]bool
-	judges  map[string]*Tracker
+	names    []string
+	open     map[string]bool // "a>b"
+	contact  map[string]bool
+	trackers map[string]*Tracker
 }
 
-func newNet(n int) *net {
-	x := &net{Stepped: standin.NewStepped(100 * loop.Second), open: map[string]bool{}, contact: map[string]bool{}, judges: map[string]*Tracker{}}
+func newNetwork(n int) *network {
+	x := &network{Stepped: standin.NewStepped(100 * loop.Second), open: map[string]bool{}, contact: map[string]bool{}, trackers: map[string]*Tracker{}}
 	for i := range n {
 		x.names = append(x.names, string(rune('a'+i)))
 	}
@@ -34,9 +34,9 @@
 			}
 		}
 		x.contact[a] = true
-		x.judges[a] = New(x, slog.New(slog.DiscardHandler), a, peers, 0)
+		x.trackers[a] = New(x, slog.New(slog.DiscardHandler), a, peers, 0)
 		loop.Every(x, 700*loop.Millisecond, func() {
-			j := x.judges[a]
+			j := x.trackers[a]
 			j.Update()
 			w := Message{Wall: x.Now(), StateContact: x.contact[a], ReceivesFrom: []string{}}
 			for _, p := range peers {
@@ -46,7 +46,7 @@
 			}
 			for _, p := range peers {
 				if x.open[a+">"+p] {
-					x.After(2*loop.Millisecond, func() { x.judges[p].Receive(a, w) })
+					x.After(2*loop.Millisecond, func() { x.trackers[p].Receive(a, w) })
 				}
 			}
 		})
@@ -59,7 +59,7 @@
 func TestReachAgainstTheWays(t *testing.T) {
 	for seed := range uint64(120) {
 		r := rand.New(rand.NewPCG(seed, 5))
-		x := newNet(1 + r.IntN(6))
+		x := newNetwork(1 + r.IntN(6))
 		for range 3 {
 			for way := range x.open {
 				x.open[way] = r.IntN(4) > 0
@@ -70,7 +70,7 @@
 			x.Run(15 * loop.Second)
 			both := func(a, b string) bool { return x.open[a+">"+b] && x.open[b+">"+a] }
 			for _, a := range x.names {
-				j := x.judges[a]
+				j := x.trackers[a]
 				alone, broken := len(x.names) > 1, false
 				for _, b := range x.names {
 					if a == b {
@@ -114,20 +114,20 @@
 // time, only to lose them again. It must be fit for work later after each flap, up to the
 // stated bound, and at once again after it has been whole for goodFor.
 func TestFlappingIsDamped(t *testing.T) {
-	x := newNet(3)
-	j := x.judges["a"]
-	cut := func(is bool) {
+	x := newNetwork(3)
+	j := x.trackers["a"]
+	disconnect := func(is bool) {
 		for _, b := range []string{"a", "b"} {
 			x.open["c>"+b], x.open[b+">c"] = !is, !is
 		}
 	}
-	trusted := func() loop.Micros { // time from being whole again to being fit for work
-		cut(true)
+	timeUntilFit := func() loop.Micros { // time from being whole again to being fit for work
+		disconnect(true)
 		x.Run(6 * loop.Second)
 		if j.Fit("c") {
 			t.Fatal("a silent peer is fit for work")
 		}
-		cut(false)
+		disconnect(false)
 		from := loop.Micros(0)
 		for range 1200 {
 			x.Run(100 * loop.Millisecond)
@@ -144,13 +144,13 @@
 	x.Run(5 * loop.Second)
 	var waits []string
 	for range 6 {
-		waits = append(waits, fmt.Sprint((trusted()+300*loop.Millisecond)/loop.Second))
+		waits = append(waits, fmt.Sprint((timeUntilFit()+300*loop.Millisecond)/loop.Second))
 	}
-	x.Run(goodFor)
+	x.Run(stableAfter)
 	if j.DampedFor("c") != 0 {
 		t.Error("the peer is still damped after it has been whole for goodFor")
 	}
-	waits = append(waits, fmt.Sprint((trusted()+300*loop.Millisecond)/loop.Second))
+	waits = append(waits, fmt.Sprint((timeUntilFit()+300*loop.Millisecond)/loop.Second))
 	if got := fmt.Sprint(waits); got != "[0 16 32 32 32 32 0]" {
 		t.Errorf("after each flap the peer is fit for work after %s s, want [0 16 32 32 32 32 0]", got)
 	}
@@ -160,8 +160,8 @@
 // queued up during a pause of this process must not count as flaps of the other peers: these
 // would not be given any work afterwards.
 func TestOthersDoNotFlap(t *testing.T) {
-	x := newNet(4)
-	x.judges["a"].StateContact = func() bool { return x.contact["a"] }
+	x := newNetwork(4)
+	x.trackers["a"].StateContact = func() bool { return x.contact["a"] }
 	x.Run(5 * loop.Second)
 	for round := range 4 {
 		for way := range x.open {
@@ -177,15 +177,15 @@
 	// After a pause of its process, a controller finds several older messages in its queue.
 	for _, hears := range [][]string{{}, {"a", "c", "d"}, {}, {"a", "c", "d"}} {
 		x.Run(10 * loop.Millisecond)
-		x.judges["a"].Receive("b", Message{Wall: x.Now(), StateContact: true, ReceivesFrom: hears})
+		x.trackers["a"].Receive("b", Message{Wall: x.Now(), StateContact: true, ReceivesFrom: hears})
 	}
 	x.Run(3 * loop.Second)
-	if n := x.judges["a"].peers["b"].flaps; n > 1 {
+	if n := x.trackers["a"].peers["b"].flaps; n > 1 {
 		t.Errorf("queued messages were counted as %d flaps, want at most one", n)
 	}
-	x.Run(goodFor)
+	x.Run(stableAfter)
 	for _, n := range []string{"b", "c"} {
-		if j := x.judges["a"]; !j.Fit(n) || j.peers[n].flaps > 0 {
+		if j := x.trackers["a"]; !j.Fit(n) || j.peers[n].flaps > 0 {
 			t.Errorf("peer %s is fit for work: %v, with %d flaps; want true and none", n, j.Fit(n), j.peers[n].flaps)
 		}
 	}
@@ -194,12 +194,12 @@
 // A message that was delayed on its way arrives as new but describes the past: it must not
 // make its sender reachable.
 func TestOldWordsAreNotFresh(t *testing.T) {
-	x := newNet(2)
+	x := newNetwork(2)
 	x.Run(5 * loop.Second)
 	late := Message{Wall: x.Now(), StateContact: true, ReceivesFrom: []string{"a"}}
 	x.open["b>a"] = false
 	x.Run(10 * loop.Second)
-	j := x.judges["a"]
+	j := x.trackers["a"]
 	j.Receive("b", late)
 	if j.State("b") != Silent || j.Fit("b") {
 		t.Errorf("after a message that is 10 s old the peer b is %v, want silent and unfit for work", j.State("b"))
