--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -56,7 +56,7 @@
 
 // For random sets of open connections and of controllers without the state service, each
 // tracker must derive the reachability that follows directly from these sets.
-func TestReachAgainstTheWays(t *testing.T) {
+func TestReachabilityAgainstConnections(t *testing.T) {
 	for seed := range uint64(120) {
 		r := rand.New(rand.NewPCG(seed, 5))
 		x := newNetwork(1 + r.IntN(6))
