--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -159,7 +159,7 @@
 // A third controller that becomes silent, an outage of the state service, and messages that
 // queued up during a pause of this process must not count as flaps of the other peers: these
 // would not be given any work afterwards.
-func TestOthersDoNotFlap(t *testing.T) {
+func TestFaultsOfOthersAreNoFlaps(t *testing.T) {
 	x := newNetwork(4)
 	x.trackers["a"].StateContact = func() bool { return x.contact["a"] }
 	x.Run(5 * loop.Second)
