--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -193,7 +193,7 @@
 
 // A message that was delayed on its way arrives as new but describes the past: it must not
 // make its sender reachable.
-func TestOldWordsAreNotFresh(t *testing.T) {
+func TestDelayedMessageIsNoEvidence(t *testing.T) {
 	x := newNetwork(2)
 	x.Run(5 * loop.Second)
 	late := Message{Wall: x.Now(), StateContact: true, ReceivesFrom: []string{"a"}}
