--- a/internal/health/blame.go
+++ b/internal/health/blame.go
@@ -1,5 +1,8 @@
-// Package health judges machines and jobs by what tasks show: which fail and where, which
-// are slow, and since when each task runs. Every node sees the same views and judges alike.
+// Package health evaluates machines and jobs by the states of their tasks: it attributes
+// failures to a machine or to a job, finds slow machines, records since when each task has
+// been running, and limits the retries of failing jobs. Every controller receives the same
+// views of the machines and so comes to the same results without talking to others. The
+// package only evaluates; where tasks are placed is decided by the scheduler.
 package health
 
 import (
@@ -8,53 +11,53 @@
 	"cleatpick/internal/wire"
 )
 
-// Blame tells machines that fail every task from jobs that were submitted with a mistake,
-// by who fails where: a machine is at fault when tasks of several jobs fail on it that do
-// not fail elsewhere, a job when its tasks fail on several machines that nobody else
-// speaks against. Every node sees the same views and judges alike.
-//
-// Once, two failures in a row put a machine to rest, whoever failed: a job with a mistake
-// rested every machine that it touched.
+// Blame attributes failures of tasks either to machines or to jobs that cannot succeed. A
+// machine is at fault when tasks of several jobs fail on it that do not fail elsewhere. A job
+// is at fault when its tasks fail on several machines against which no other job's failures
+// are evidence. A mere count of consecutive failures on a machine is not enough: a broken job
+// would make every machine rest on which it was tried.
 type Blame struct {
 	machines map[string]*accused
 	jobs     map[string]*accuser
 	live     func(id string) bool
-	// version rises with whatever may change what is known against any machine.
+	// version grows with every change that may affect the evidence against any machine.
 	version uint64
 }
 
-// The thresholds.
+// Weights and thresholds of the evidence.
 const (
-	// A job whose tasks failed there speaks against a machine by so much: one of which a
-	// task has completed somewhere, one of which nothing is known, or one of which a task
-	// that failed there has completed elsewhere, which proves it alone.
+	// Weight of a job's failures as evidence against the machine: of a job of which a task
+	// has completed somewhere, of a job of which none has, and of a job of which a task that
+	// failed there has completed elsewhere, which suffices alone.
 	soundWord, freshWord, proof = 2, 1, 6
-	// enough words put a machine at fault: three sound jobs, or six that are not known.
-	// Two were enough at first, and two jobs broken in some of their tasks do meet.
+	// enough is the weight at which a machine is at fault: three jobs that have completed
+	// tasks, or six that have not. The failures of two jobs are not enough, since two jobs
+	// with some broken tasks do meet on one machine.
 	enough = 6
-	// othersToo is on how many other machines a job must have failed since it last
-	// completed a task for its failures to say nothing of a machine.
+	// othersToo is the number of other machines on which a job must have failed since it last
+	// completed a task for its failures to be no evidence against any machine.
 	othersToo = 2
-	// BrokenOn is on how many machines that are not at fault a job must have failed,
-	// with no success since, to be called broken.
+	// BrokenOn is the number of machines not at fault on which a job must have failed,
+	// without a success since, to be considered broken.
 	BrokenOn = 3
-	// mostFailed bounds what is remembered of a job's failures.
+	// mostFailed bounds the failures that are kept of a job.
 	mostFailed = 256
 )
 
-// accused is what is known against a machine.
+// accused is the evidence against a machine.
 type accused struct {
 	counted map[string]uint64 // ended attempts that were counted
-	words   map[string]word   // by job, since the last success on it
-	until   loop.Micros       // nothing is placed before
-	rests   int               // in a row
-	// against is the sum of the words at a version: a placement pass asks for it time and again.
+	words   map[string]word   // by job, since the last success on the machine
+	until   loop.Micros       // nothing is placed before this time
+	rests   int               // consecutive rests
+	// against is the cached weight of the evidence as of version againstAt: a scheduling
+	// pass asks for it many times.
 	against   int
 	againstAt uint64
 }
 
-// word is what a job's failures say against a machine: the tasks that failed there and
-// nowhere else; true for one that completed elsewhere afterwards.
+// word is the evidence of one job's failures against a machine: the tasks that failed there
+// and nowhere else. The value is true for a task that completed elsewhere afterwards.
 type word map[string]bool
 
 func (w word) proves() bool {
@@ -69,20 +72,21 @@
 // accuser is what is known of a job's tasks.
 type accuser struct {
 	sound  bool                // a task of it has completed
-	on     map[string]struct{} // machines that it failed on since then
+	on     map[string]struct{} // machines on which it has failed since then
 	failed map[string]string   // machine on which each task failed last
-	// roams: a task of it failed on several machines. Some of the job's tasks cannot
-	// succeed, and which cannot be told from where they fail: it speaks against nobody.
+	// roams says that a task of the job failed on several machines. Then some tasks of the
+	// job cannot succeed, and it is unknown which: its failures are evidence against no machine.
 	roams bool
 }
 
-// NewBlame makes an empty judgement. live tells whether a job is known and not over: what
-// machines still show of others is not kept, or every job ever run would be.
+// NewBlame returns an empty failure attribution. live reports whether a job is known and
+// unfinished: tasks of other jobs that machines still report are ignored, so that memory does
+// not grow with every job ever run.
 func NewBlame(live func(id string) bool) *Blame {
 	return &Blame{machines: map[string]*accused{}, jobs: map[string]*accuser{}, live: live, version: 1}
 }
 
-// View takes in a machine's newer view.
+// View records the changes in a machine's newest view.
 func (b *Blame) View(now loop.Micros, v *agent.View, c *agent.Changes) {
 	if c.Still {
 		return
@@ -90,7 +94,7 @@
 	for i := range v.Tasks {
 		t := &v.Tasks[i]
 		if c.Kept(i) || t.Active() || (t.Why != wire.WhyDone && t.Why != wire.WhyError) {
-			continue // counted when it was new, or no word of its run
+			continue // counted before, or not an end that says anything about its run
 		}
 		m := b.machines[v.Name]
 		if m == nil {
@@ -101,7 +105,7 @@
 			continue
 		}
 		if len(m.counted) > 64+2*len(v.Tasks) {
-			m.forget(v) // a machine may live for long
+			m.forget(v) // bounds the memory for a machine that runs for long
 		}
 		m.counted[t.Task] = t.Attempt
 		if id, _, ok := agent.SplitTask(t.Task); ok && t.Why == wire.WhyDone {
@@ -112,7 +116,7 @@
 	}
 }
 
-// forget drops what the machine does not report any more.
+// forget removes the attempts that the machine does not report any more.
 func (m *accused) forget(v *agent.View) {
 	kept := map[string]uint64{}
 	for i := range v.Tasks {
@@ -132,8 +136,8 @@
 	return j
 }
 
-// completed takes in that a task has ended well: neither its machine nor its job fails
-// everything. A machine on which it failed before keeps that word against it.
+// completed records that a task has completed: neither its machine nor its job fails every
+// task. If it failed on another machine before, that stays as evidence against that machine.
 func (b *Blame) completed(machine, id, task string) {
 	if m := b.machines[machine]; m != nil {
 		if len(m.words) > 0 {
@@ -162,12 +166,12 @@
 	delete(j.failed, task)
 }
 
-// anywhere stands for the machine of a task that has failed on several.
+// anywhere replaces the machine's name for a task that has failed on several machines.
 const anywhere = "*"
 
-// failed takes in that a task has failed. A machine at fault rests for it, whether or not the
-// task itself speaks against it: a proven one was once offered the same task 166 times, since
-// that one had failed elsewhere too.
+// failed records that a task has failed. A machine at fault rests after it, even if this
+// task is no evidence against the machine: otherwise a task that has failed elsewhere, too,
+// would be started on the faulty machine again and again (166 times in one case).
 func (b *Blame) failed(now loop.Micros, machine, id, task string) {
 	if !b.live(id) {
 		return
@@ -180,7 +184,7 @@
 	}
 }
 
-// accuse takes a failure for a word against its machine, where it is one.
+// accuse records a failure as evidence against its machine if it is any.
 func (b *Blame) accuse(m *accused, machine, id, task string) {
 	b.version++
 	j := b.job(id)
@@ -189,7 +193,7 @@
 	}
 	was, before := j.failed[task]
 	if before && was != machine {
-		// It fails wherever it runs, and says nothing of any machine.
+		// The task fails on every machine and is evidence against none of them.
 		j.failed[task], j.roams = anywhere, true
 		b.takeBack(was, id, task)
 		return
@@ -205,7 +209,7 @@
 	w[task] = false
 }
 
-// takeBack drops a task's word against a machine.
+// takeBack removes a task's failure from the evidence against a machine.
 func (b *Blame) takeBack(machine, id, task string) {
 	m := b.machines[machine]
 	if m == nil {
@@ -217,7 +221,7 @@
 	}
 }
 
-// AtFault tells whether a machine fails tasks that others would not.
+// AtFault reports whether a machine fails tasks that other machines would not.
 func (b *Blame) AtFault(machine string) bool {
 	m := b.machines[machine]
 	if m == nil {
@@ -229,6 +233,7 @@
 	return m.against >= enough
 }
 
+// against returns the weight of the evidence against a machine.
 func (b *Blame) against(machine string, m *accused) (words int) {
 	for id, w := range m.words {
 		j := b.jobs[id]
@@ -253,8 +258,8 @@
 	return words
 }
 
-// Against is the number of machines that are not at fault themselves on which the job
-// has failed since a task of it last completed.
+// Against returns the number of machines, not at fault themselves, on which the job has
+// failed since a task of it last completed.
 func (b *Blame) Against(id string) int {
 	j := b.jobs[id]
 	if j == nil {
@@ -269,8 +274,8 @@
 	return n
 }
 
-// Shuns lists machines on which the job failed since a task of it last completed: its
-// next task had better go elsewhere. The map is the judge's own.
+// Shuns returns the machines on which the job has failed since a task of it last completed;
+// its next task should run elsewhere. The caller must not change the map.
 func (b *Blame) Shuns(id string) map[string]struct{} {
 	if j := b.jobs[id]; j != nil {
 		return j.on
@@ -278,7 +283,7 @@
 	return nil
 }
 
-// Gone forgets a machine that was deleted.
+// Gone removes a deleted machine.
 func (b *Blame) Gone(machine string) {
 	b.version++
 	delete(b.machines, machine)
@@ -287,7 +292,7 @@
 	}
 }
 
-// Over forgets a job that is over.
+// Over removes a finished job.
 func (b *Blame) Over(id string) {
 	j := b.jobs[id]
 	if j == nil {
@@ -302,7 +307,7 @@
 	b.version++
 }
 
-// Until is when something may be placed on the machine again.
+// Until returns the time from which tasks may be placed on the machine again.
 func (b *Blame) Until(machine string) loop.Micros {
 	if m := b.machines[machine]; m != nil {
 		return m.until
@@ -310,8 +315,8 @@
 	return 0
 }
 
-// Faulty tells whether a machine should be replaced: it is at fault, and by the tasks of
-// several jobs.
+// Faulty reports whether a machine should be replaced: it is at fault, by at least three
+// tasks of at least two jobs.
 func (b *Blame) Faulty(machine string) bool {
 	m := b.machines[machine]
 	if m == nil || len(m.words) < 2 || !b.AtFault(machine) {
--- a/internal/health/blame_test.go
+++ b/internal/health/blame_test.go
@@ -12,17 +12,18 @@
 	"pgregory.net/rapid"
 )
 
-// ending is a task's end as it was seen.
+// ending is the end of a task as a machine reported it.
 type ending struct {
 	at                 loop.Micros
 	machine, job, task string
 	ok                 bool
 }
 
-// plainBlame keeps all that ever happened, and works every verdict out from the first.
+// plainBlame is a model of the failure attribution that keeps the whole history and computes
+// every result from it.
 type plainBlame []ending
 
-// failedOn lists the machines on which the job failed since a task of it completed.
+// failedOn returns the machines on which the job has failed since a task of it completed.
 func (p plainBlame) failedOn(job string) (on []string, sound bool) {
 	for _, e := range p {
 		switch {
@@ -40,7 +41,7 @@
 	return slices.ContainsFunc(p, func(e ending) bool { return e.task == task && !e.ok && e.machine != machine })
 }
 
-// unclear tells whether any task of the job failed on several machines.
+// unclear reports whether any task of the job failed on several machines.
 func (p plainBlame) unclear(job string) bool {
 	return slices.ContainsFunc(p, func(e ending) bool { return e.job == job && !e.ok && p.roams(e.task, e.machine) })
 }
@@ -87,7 +88,8 @@
 
 func always(string) bool { return true }
 
-// What machines still show of jobs that are over is not kept.
+// Machines report tasks of finished jobs for a while. Nothing may be kept of them, or the
+// memory would grow with every job ever run.
 func TestNothingIsKeptOfJobsThatAreOver(t *testing.T) {
 	over := map[string]bool{}
 	b := NewBlame(func(id string) bool { return !over[id] })
@@ -99,11 +101,11 @@
 		show(b, ending{loop.Second, "b", id, id + "/1", k%2 == 0}, 1)
 	}
 	if len(b.jobs) != 0 || len(b.machines["b"].words) != 0 {
-		t.Errorf("%d jobs and %d words are kept", len(b.jobs), len(b.machines["b"].words))
+		t.Errorf("%d jobs and evidence of %d jobs against machine b are kept, want none", len(b.jobs), len(b.machines["b"].words))
 	}
 }
 
-// show lets a machine report one more ended attempt.
+// show has a machine report one more ended attempt.
 func show(b *Blame, e ending, attempt uint64) {
 	why := wire.WhyError
 	if e.ok {
@@ -112,7 +114,8 @@
 	b.View(e.at, &agent.View{Name: e.machine, Tasks: []agent.Task{{Task: e.task, Attempt: attempt, State: wire.TaskExited, Why: why}}}, &agent.Changes{All: true})
 }
 
-// Who is at fault, step by step against a judge that keeps everything.
+// After each of a random sequence of task ends, the failure attribution, which keeps a summary
+// only, must agree with the model that computes everything from the whole history.
 func TestBlameAgainstHistory(t *testing.T) {
 	verdicts := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -132,33 +135,34 @@
 			done[e.task] = e.ok
 			attempts[e.task]++
 			show(b, e, attempts[e.task])
-			show(b, e, attempts[e.task]) // a view is told again
+			show(b, e, attempts[e.task]) // the same end is reported twice
 			p = append(p, e)
 			for k := 1; k <= 6; k++ {
 				m, j := fmt.Sprint("n-", k), fmt.Sprint("job-", k)
 				want := p.atFault(m)
 				if got := b.AtFault(m); got != want {
-					t.Fatalf("%s is at fault: %v, by its history %v; %v", m, got, want, p)
+					t.Fatalf("machine %s is at fault: %v, want %v by its history; ends so far: %v", m, got, want, p)
 				}
 				if want {
 					verdicts++
 				}
 				if got, want := b.Against(j), p.against(j); got != want {
-					t.Fatalf("%d machines speak against %s, by its history %d; %v", got, j, want, p)
+					t.Fatalf("%d machines not at fault failed %s, want %d by its history; ends so far: %v", got, j, want, p)
 				}
 				if b.Until(m) > now && !want && b.Until(m) > now+120*loop.Second {
-					t.Fatalf("%s rests until %d", m, b.Until(m))
+					t.Fatalf("machine %s rests until %d, for longer than the bound of 120 s", m, b.Until(m))
 				}
 			}
 		}
 	})
 	if verdicts == 0 {
-		t.Error("no machine was ever at fault")
+		t.Error("no machine was ever at fault: the test covers nothing")
 	}
 }
 
-// Troubles as they come, each with its verdicts: a machine that is well never rests, and a
-// job that can succeed is never called broken.
+// Each case is a typical pattern of failures with the expected attribution: a healthy machine
+// must never rest because of broken jobs, and a job that can succeed must not be counted as
+// failing on machines that are at fault.
 func TestWhoFailsWhere(t *testing.T) {
 	const s = loop.Second
 	run := func(list ...ending) *Blame {
@@ -183,22 +187,22 @@
 	for _, c := range []struct {
 		name    string
 		ends    [][]ending
-		faulty  []string // machines that rest
-		against map[string]int
+		faulty  []string       // machines that rest
+		against map[string]int // machines not at fault on which each job has failed
 	}{
-		{"a broken job's whole width fails at once", [][]ending{fails(s, "a", "job-1", 0, 8), fails(s, "b", "job-1", 8, 8), fails(s, "c", "job-1", 16, 8), fails(s, "d", "job-1", 24, 8)},
+		{"all tasks of a broken job fail at once", [][]ending{fails(s, "a", "job-1", 0, 8), fails(s, "b", "job-1", 8, 8), fails(s, "c", "job-1", 16, 8), fails(s, "d", "job-1", 24, 8)},
 			nil, map[string]int{"job-1": 4}},
-		{"its probes go from machine to machine", [][]ending{fails(s, "a", "job-1", 0, 1), fails(4*s, "b", "job-1", 0, 1), fails(9*s, "c", "job-1", 0, 1), fails(19*s, "a", "job-1", 0, 1)},
+		{"a broken job's task fails on one machine after another", [][]ending{fails(s, "a", "job-1", 0, 1), fails(4*s, "b", "job-1", 0, 1), fails(9*s, "c", "job-1", 0, 1), fails(19*s, "a", "job-1", 0, 1)},
 			nil, map[string]int{"job-1": 3}},
-		{"three broken jobs on one machine that is well", [][]ending{fails(s, "a", "job-1", 0, 4), fails(s, "a", "job-2", 0, 4), fails(s, "a", "job-3", 0, 4)},
+		{"three broken jobs on one healthy machine", [][]ending{fails(s, "a", "job-1", 0, 4), fails(s, "a", "job-2", 0, 4), fails(s, "a", "job-3", 0, 4)},
 			nil, map[string]int{"job-1": 1, "job-2": 1, "job-3": 1}},
 		{"a machine fails every task", [][]ending{ok(s, "b", "job-1", 0), ok(s, "b", "job-2", 0), ok(s, "b", "job-3", 0), fails(2*s, "a", "job-1", 1, 4), fails(3*s, "a", "job-2", 1, 4), fails(4*s, "a", "job-3", 1, 4)},
 			[]string{"a"}, map[string]int{"job-1": 0, "job-2": 0, "job-3": 0}},
 		{"a task that failed there completes elsewhere", [][]ending{fails(2*s, "a", "job-1", 1, 8), ok(5*s, "b", "job-1", 1), fails(6*s, "a", "job-1", 10, 1)},
 			[]string{"a"}, map[string]int{"job-1": 0}},
-		{"a machine that is proven fails a task that failed elsewhere too", [][]ending{fails(2*s, "c", "job-1", 1, 1), fails(3*s, "a", "job-1", 2, 1), ok(4*s, "b", "job-1", 2), fails(5*s, "a", "job-1", 1, 1)},
+		{"a machine at fault fails a task that failed elsewhere, too", [][]ending{fails(2*s, "c", "job-1", 1, 1), fails(3*s, "a", "job-1", 2, 1), ok(4*s, "b", "job-1", 2), fails(5*s, "a", "job-1", 1, 1)},
 			[]string{"a"}, map[string]int{"job-1": 0}},
-		{"two jobs broken in some of their tasks", [][]ending{ok(s, "b", "job-1", 0), ok(s, "b", "job-2", 0), fails(2*s, "a", "job-1", 1, 3), fails(3*s, "a", "job-2", 1, 3), fails(9*s, "a", "job-1", 1, 3)},
+		{"two jobs with some broken tasks", [][]ending{ok(s, "b", "job-1", 0), ok(s, "b", "job-2", 0), fails(2*s, "a", "job-1", 1, 3), fails(3*s, "a", "job-2", 1, 3), fails(9*s, "a", "job-1", 1, 3)},
 			nil, map[string]int{"job-1": 1, "job-2": 1}},
 		{"a new job on three machines that fail everything", [][]ending{ok(s, "x", "job-7", 0), ok(s, "x", "job-8", 0),
 			ok(s, "x", "job-9", 0), fails(2*s, "a", "job-7", 1, 2), fails(2*s, "a", "job-8", 1, 2), fails(2*s, "a", "job-9", 1, 2), ok(3*s, "x", "job-7", 5), ok(3*s, "x", "job-8", 5), ok(3*s, "x", "job-9", 5),
@@ -206,26 +210,27 @@
 			fails(6*s, "c", "job-7", 20, 2), fails(6*s, "c", "job-8", 20, 2), fails(6*s, "c", "job-9", 20, 2),
 			fails(7*s, "a", "job-1", 0, 8), fails(7*s, "b", "job-1", 8, 8), fails(7*s, "c", "job-1", 16, 8)},
 			[]string{"a", "b", "c"}, map[string]int{"job-1": 0}},
-		{"a job broken in some of its tasks", [][]ending{ok(s, "a", "job-1", 0), fails(2*s, "a", "job-1", 1, 1), fails(4*s, "b", "job-1", 1, 1), ok(5*s, "b", "job-1", 2),
+		{"a job with some broken tasks", [][]ending{ok(s, "a", "job-1", 0), fails(2*s, "a", "job-1", 1, 1), fails(4*s, "b", "job-1", 1, 1), ok(5*s, "b", "job-1", 2),
 			fails(7*s, "c", "job-1", 1, 1), fails(12*s, "a", "job-1", 1, 1), fails(22*s, "b", "job-1", 1, 1)},
 			nil, map[string]int{"job-1": 3}},
 	} {
 		b := run(slices.Concat(c.ends...)...)
 		for _, m := range []string{"a", "b", "c", "d", "x"} {
 			if rests := b.Until(m) > 0; rests != slices.Contains(c.faulty, m) {
-				t.Errorf("%s: %s rests: %v", c.name, m, rests)
+				t.Errorf("%s: machine %s rests: %v, want the opposite", c.name, m, rests)
 			}
 		}
 		for job, want := range c.against {
 			if got := b.Against(job); got != want {
-				t.Errorf("%s: %d machines speak against %s, want %d", c.name, got, job, want)
+				t.Errorf("%s: %d machines not at fault failed %s, want %d", c.name, got, job, want)
 			}
 		}
 	}
 }
 
-// Failures of one moment count once, rests double from one moment to the next, and a job
-// is trusted with more only by what outlived its failures.
+// A burst of failures must count once, the back-off must double from one burst to the next up
+// to its bound, and only tasks that have run for longer than the failures took may allow a
+// job more tasks at once.
 func TestTrial(t *testing.T) {
 	const s = loop.Second
 	var tr Trial
@@ -236,36 +241,37 @@
 		tr.Fail(now+loop.Micros(i), 95*s, min(1+i/8, BrokenOn))
 	}
 	if tr.Moments != 1 || tr.RestTo != now+s || tr.State != Broken {
-		t.Fatalf("after one burst: %d moments, rest %d, %v", tr.Moments, tr.RestTo-now, tr.State)
+		t.Fatalf("after one burst: %d bursts are counted, back-off %d us, state %v; want 1, 1 s, broken", tr.Moments, tr.RestTo-now, tr.State)
 	}
 	for k, want := range []loop.Micros{2 * s, 4 * s, 8 * s, 16 * s, 32 * s, 32 * s, 32 * s} {
 		now += 60 * s
 		tr.Fail(now, now-50*s, 4) // a minute to fail
 		if got := tr.RestTo - now; got != want || tr.Moments != k+2 {
-			t.Errorf("moment %d: rests for %d, want %d", tr.Moments, got, want)
+			t.Errorf("burst %d: the back-off is %d us, want %d", tr.Moments, got, want)
 		}
 	}
 	if tr.Survives(now, now-52*s) || !tr.Survives(now, now-52*s-1) || Width(0) != 1 || Width(3) != 7 {
-		t.Error("what outlives a failure that took 50 s has run for more than 52 s")
+		t.Error("a task must survive a failure that took 50 s exactly when it has run for more than 52 s")
 	}
 	tr.Complete(false)
 	if tr.Moments != 0 || tr.RestTo != 0 || !tr.Trusted() {
-		t.Errorf("after a success: %d moments, %v", tr.Moments, tr.State)
+		t.Errorf("after a success: %d bursts, state %v; want none and a trusted job", tr.Moments, tr.State)
 	}
 	now += 60 * s
 	tr.Fail(now, now-s, 1)
 	tr.Fail(now+3*s, now+2*s, 1)
 	tr.Complete(false) // of a task that never failed
 	if tr.Moments != 2 || tr.State != Sound || tr.Late(8) != 2 || tr.Late(1) != 1 || tr.Late(0) != 0 {
-		t.Errorf("a sound job with failures: %d moments, %v, %d of 8 again", tr.Moments, tr.State, tr.Late(8))
+		t.Errorf("a sound job with failures: %d bursts, state %v, %d of 8 tasks are retried; want 2, sound, 2", tr.Moments, tr.State, tr.Late(8))
 	}
 	tr.Complete(true)
 	if tr.Moments != 0 || fmt.Sprint(states) != "[doubted broken sound]" {
-		t.Errorf("in the end %d moments, by %v", tr.Moments, states)
+		t.Errorf("in the end %d bursts are counted and the states were %v, want none and [doubted broken sound]", tr.Moments, states)
 	}
 }
 
-// What is kept of the words against a machine is what adding them up anew tells, whatever happened.
+// The weight of the evidence against a machine is cached. After any event, including deleted
+// machines and finished jobs, the cached weight must give the same result as a new sum.
 func TestWordsAgainstAreKeptCurrent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		over := map[string]bool{}
@@ -290,7 +296,7 @@
 			}
 			for name, m := range b.machines {
 				if got, want := b.AtFault(name), b.against(name, m) >= enough; got != want {
-					t.Fatalf("%s is at fault: %v, by adding up anew %v", name, got, want)
+					t.Fatalf("machine %s is at fault: %v by the cached weight, %v by a new sum", name, got, want)
 				}
 			}
 		}
--- a/internal/health/pace.go
+++ b/internal/health/pace.go
@@ -6,21 +6,21 @@
 	"cleatpick/internal/loop"
 )
 
-// A job is as late as its last task, so with many tasks one slow machine in twenty makes
-// most jobs late. How slow a machine is shows in its tasks beside those of the same jobs
-// on other machines: run times within a job differ by a third or so, those of a slow
-// machine by a factor. Every node sees all machines' views and so judges alike.
+// A job finishes with its last task, so with many tasks one slow machine in twenty delays
+// most jobs. A slow machine is found by comparing the run times of its tasks with those of
+// the same jobs on other machines: run times within a job differ by about a third, those on
+// a slow machine by a larger factor.
 
 const (
-	slowFactor = 1.6
-	paceTasks  = 4    // tasks of a job that must have completed before it tells a pace
-	paceWeight = 0.15 // of the newest task in a machine's judgement
-	paceCount  = 6    // tasks that must speak against a machine
-	// SlowRest is for how long a slow machine takes no starts.
+	slowFactor = 1.6  // mean ratio of run times above which a machine is slow
+	paceTasks  = 4    // tasks of a job that must have completed before others are compared with it
+	paceWeight = 0.15 // least weight of the newest task in a machine's mean
+	paceCount  = 6    // tasks that must have been compared before a machine is called slow
+	// SlowRest is how long a slow machine takes no starts.
 	SlowRest = 20 * loop.Second
 )
 
-// Pace is how long a job's tasks take, as the mean logarithm of their run times.
+// Pace is the usual run time of a job's tasks: the mean logarithm of their run times.
 type Pace struct {
 	n    int
 	mean float64
@@ -31,13 +31,15 @@
 	c.mean += (math.Log(float64(max(ran, 1))) - c.mean) / float64(c.n)
 }
 
-// tempo is what a machine's tasks say of it: the logarithm of how much longer they take.
+// tempo is the slowness of a machine: the mean logarithm of the ratio of its tasks' run times
+// to those of the same jobs elsewhere.
 type tempo struct {
 	n    int
 	mean float64
 }
 
-// hear takes in a task that ran for so long on the machine; tells whether it is slow.
+// hear adds a task that ran on the machine for the given time and reports whether the machine
+// is slow.
 func (m *tempo) hear(c *Pace, ran loop.Micros) bool {
 	if c == nil || c.n < paceTasks {
 		return false
--- a/internal/health/runs.go
+++ b/internal/health/runs.go
@@ -9,50 +9,51 @@
 	"cleatpick/internal/wire"
 )
 
-// run is what is known of a task that was seen running.
+// run is what is known of a task that was reported as running.
 type run struct {
 	since  loop.Micros // 0: it does not run
-	late   bool        // it has spoken against its machine
-	unsure bool        // it may have begun long before it was first seen
+	late   bool        // its long run time has been counted for its machine already
+	unsure bool        // it may have started long before it was first reported
 }
 
-// Runs are the tasks seen running on one machine, and what they tell of its speed.
+// Runs tracks the tasks that run on one machine, and the machine's speed.
 type Runs struct {
 	runs   []run // of the newest view's tasks, in their order
 	tempo  tempo
-	images map[string]struct{} // images seen in use
-	judged loop.Micros         // when tasks that still run were last looked at
+	images map[string]struct{} // images used by tasks of the machine
+	judged loop.Micros         // when running tasks were last checked for overdue ones
 }
 
-// lookAgain is how often tasks that still run are looked at for running too long.
+// lookAgain is the interval at which running tasks are checked for overdue ones.
 const lookAgain = 5 * loop.Second
 
-// NewRuns makes an empty memory of a machine's runs.
+// NewRuns returns the state of a machine on which no task is known.
 func NewRuns() *Runs { return &Runs{images: map[string]struct{}{}} }
 
-// HasImage tells whether the image was seen in use on the machine.
+// HasImage reports whether a task with this image has been reported on the machine.
 func (r *Runs) HasImage(image string) bool {
 	_, ok := r.images[image]
 	return ok
 }
 
-// Since is since when task i of the newest view was seen running; 0: it does not run.
+// Since returns the time since which task i of the newest view runs, or 0 if it does not.
 func (r *Runs) Since(i int) loop.Micros { return r.runs[i].since }
 
-// Paces are the paces of jobs, by id.
+// Paces holds the paces of jobs by job ID.
 type Paces map[string]*Pace
 
-// Told is what a view tells of its machine.
+// Told holds what a view shows about its machine.
 type Told struct {
-	Freed  float64 // CPUs that fell free by tasks that completed
+	Freed  float64 // CPUs freed by tasks that completed
 	Slow   bool
-	Factor float64 // how many times longer tasks take there
+	Factor float64 // how many times longer tasks run there; set if it is slow
 }
 
-// Follow takes in a view: since when its tasks run, by which is judged what a stop would
-// lose; which images they use; and by how long they have run, whether the machine is slow.
-// A task that runs for long beyond its job's usual time speaks against its machine before
-// it has completed. old are the tasks of the view before.
+// Follow records a machine's newest view: since when its tasks run, which determines what a
+// preemption would lose; which images they use; and, by the run times, whether the machine is
+// slow. A task that runs for much longer than is usual for its job counts before it has
+// completed. old are the tasks of the previous view; unsure says that tasks may have started
+// or ended long before now, because no report arrived for a while.
 func (r *Runs) Follow(v *agent.View, c *agent.Changes, old []agent.Task, jobs []*job.Job, paces Paces, now loop.Micros, unsure bool) (out Told) {
 	late := now-r.judged >= lookAgain
 	if late {
@@ -98,7 +99,7 @@
 	return out
 }
 
-// was is what was known of a task that now stands otherwise.
+// was returns what was known of a task whose state has changed.
 func (r *Runs) was(x *agent.Task, c *agent.Changes, old []agent.Task) run {
 	for _, g := range c.Gone {
 		if g < len(r.runs) && old[g].Attempt == x.Attempt && old[g].Task == x.Task {
@@ -108,7 +109,8 @@
 	return run{}
 }
 
-// overdue judges the machine by a task that still runs.
+// overdue counts a task that still runs if it has run for more than twice its job's usual
+// time, and reports whether the machine is slow.
 func (r *Runs) overdue(o *run, j *job.Job, paces Paces, now loop.Micros) bool {
 	if o.since == 0 || o.late || o.unsure || j == nil || j.Final() {
 		return false
@@ -121,7 +123,8 @@
 	return r.tempo.hear(pace, now-o.since)
 }
 
-// completed judges the machine by a task that has ended well, and adds to its job's pace.
+// completed counts a task that has completed, adds it to its job's pace, and reports whether
+// the machine is slow.
 func (r *Runs) completed(o *run, j *job.Job, paces Paces, now loop.Micros) (slow bool) {
 	if o.unsure || j.Final() {
 		return false
@@ -138,5 +141,5 @@
 	return slow
 }
 
-// Rest begins the judgement anew, by what the machine runs and will run.
+// Rest resets the machine's slowness, so that it is computed from present and later tasks.
 func (r *Runs) Rest() { r.tempo = tempo{} }
--- a/internal/health/runs_test.go
+++ b/internal/health/runs_test.go
@@ -18,13 +18,14 @@
 
 func TestMain(m *testing.M) { fixed.Main(m) }
 
-// seen is what the plain model keeps of a task, under the task's name and attempt.
+// seen is what the model keeps of a task, by the task's name and attempt.
 type seen struct {
 	since        loop.Micros
 	late, unsure bool
 }
 
-// plainRuns looks at every task of every view anew, and knows nothing of differences.
+// plainRuns is a model that examines every task of every view and does not use the
+// differences between views.
 type plainRuns struct {
 	runs   map[string]*seen
 	pace   map[string][]float64 // logarithms of the run times of a job's tasks
@@ -91,8 +92,8 @@
 	return freed, slow
 }
 
-// What a machine's tasks tell of it is followed by how its views differ; it must come to
-// what looking at every task of every view comes to.
+// Runs only examines the differences between a machine's views. It must come to the same run
+// times, images and slowness as a model that examines every task of every view.
 func TestRunsFollowViews(t *testing.T) {
 	spoke := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -105,9 +106,9 @@
 		pauses := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "pauses"), 0))
 		n := rapid.IntRange(5, 120).Draw(t, "views")
 		for k := range n {
-			now += 100_000 + loop.Micros(pauses.Int64N(3_900_000)) // drawn evenly: equal times would make limits a matter of rounding
+			now += 100_000 + loop.Micros(pauses.Int64N(3_900_000)) // uniform and not shrunk: equal times would make comparisons depend on rounding
 			if k > n/2 {
-				now += 8 * loop.Second // from here on it is slow
+				now += 8 * loop.Second // from here on the machine is slow
 			}
 			v := *old
 			v.Tasks = slices.Clone(old.Tasks)
@@ -122,7 +123,7 @@
 						x.State = wire.TaskRunning
 					case wire.TaskRunning:
 						if rapid.IntRange(0, 4).Draw(t, "saves") == 0 {
-							x.Saved = !x.Saved // it stands otherwise, and still runs
+							x.Saved = !x.Saved // its entry changes, and it still runs
 							break
 						}
 						x.State, x.Why = wire.TaskExited, wire.WhyDone
@@ -149,10 +150,10 @@
 			got := r.Follow(&v, &c, old.Tasks, jobs, paces, now, unsure)
 			freed, slow := p.view(&v, jobs, now, unsure)
 			if r.tempo.n != p.count || math.Abs(r.tempo.mean-p.mean) > 1e-9 {
-				t.Fatalf("%d tasks spoke, by %v; the plain model says %d, %v", r.tempo.n, r.tempo.mean, p.count, p.mean)
+				t.Fatalf("%d tasks were compared with mean %v, want %d and %v by the model", r.tempo.n, r.tempo.mean, p.count, p.mean)
 			}
 			if got.Freed != freed || got.Slow != slow {
-				t.Fatalf("freed %v slow %v, the plain model says %v %v", got.Freed, got.Slow, freed, slow)
+				t.Fatalf("freed CPUs %v, slow %v; want %v and %v by the model", got.Freed, got.Slow, freed, slow)
 			}
 			for i := range v.Tasks {
 				want := loop.Micros(0)
@@ -160,12 +161,12 @@
 					want = o.since
 				}
 				if r.Since(i) != want {
-					t.Fatalf("task %v runs since %d, the plain model says %d", v.Tasks[i], r.Since(i), want)
+					t.Fatalf("task %v runs since %d, want %d by the model", v.Tasks[i], r.Since(i), want)
 				}
 			}
 			for _, j := range specs {
 				if r.HasImage(j.Spec.Image) != images[j.Spec.Image] {
-					t.Fatalf("image %s: %v", j.Spec.Image, r.HasImage(j.Spec.Image))
+					t.Fatalf("HasImage(%s) is wrongly %v", j.Spec.Image, r.HasImage(j.Spec.Image))
 				}
 			}
 			if slow {
@@ -177,11 +178,12 @@
 		}
 	})
 	if spoke == 0 {
-		t.Error("no machine was ever found slow: the test shows nothing of that")
+		t.Error("no machine was ever found slow: the test does not cover that")
 	}
 }
 
-// A machine whose tasks all ended while it was not heard is not slow, however long that was.
+// When no reports of a machine arrive for a while, the tasks that ended meanwhile seem to have
+// run for the whole time. They must not make the machine slow.
 func TestSilenceIsNoSlowness(t *testing.T) {
 	const tasks = 12
 	j := &job.Job{ID: "job-1", Phase: job.Accepted, Spec: &job.Spec{CPUs: 1, Tasks: tasks}}
@@ -205,7 +207,7 @@
 		from := slices.Repeat([]int{-1}, tasks)
 		told := r.Follow(ended, &agent.Changes{From: from, Gone: gone}, running.Tasks, jobs, paces, at+40*loop.Second, unsure)
 		if told.Freed != tasks || told.Slow == unsure {
-			t.Errorf("unsure %v: %+v", unsure, told)
+			t.Errorf("unsure %v: Follow returns %+v, want all CPUs freed and slow only if not unsure", unsure, told)
 		}
 	}
 }
--- a/internal/health/trial.go
+++ b/internal/health/trial.go
@@ -2,14 +2,14 @@
 
 import "cleatpick/internal/loop"
 
-// TrialState names what is known of whether a job can succeed at all.
+// TrialState is what is known about whether a job can succeed at all.
 type TrialState uint8
 
-// The states of a job's trial.
+// The probation states of a job.
 const (
 	Untried TrialState = iota // no task has ended yet
-	Sound                     // a task has completed, and failures do not speak against the job
-	Doubted                   // tasks failed and none has completed
+	Sound                     // a task has completed, so failures do not mean that the job is broken
+	Doubted                   // tasks have failed and none has completed
 	Broken                    // it fails on several machines that are not at fault
 )
 
@@ -17,27 +17,27 @@
 	return [...]string{"untried", "sound", "doubted", "broken"}[s]
 }
 
-// Trial follows one job's failures at its owner. Failures of one moment count once,
-// however many tasks fell in it: each failure of a burst once doubled the rest, so that a
-// job was sent to rest for half a minute by a single millisecond.
+// Trial is the probation of one job at its owner: it limits the retries after failures. A
+// burst of failures counts once, however many tasks fail in it. If each failure doubled the
+// back-off, the simultaneous failure of many tasks would cause a back-off of half a minute.
 type Trial struct {
 	State   TrialState
-	Moments int         // in a row
-	RestTo  loop.Micros // tasks that failed, or all of a job that is not sound, wait until then
+	Moments int         // consecutive bursts of failures
+	RestTo  loop.Micros // tasks that failed, or all of a job that is not trusted, wait until then
 	took    loop.Micros // the longest time from the choice of a machine to a failure
-	since   loop.Micros // when the newest moment was counted
-	// Changed is called for every change of the state; it may be nil.
+	since   loop.Micros // when the newest burst was counted
+	// Changed is called for every change of the state. It may be nil.
 	Changed func(from, to TrialState)
 }
 
 const (
-	firstRest = loop.Second
-	// survived is for how much longer than failures took a task must have run for its job
-	// to be trusted with more at once.
+	firstRest = loop.Second // back-off after the first burst of failures
+	// survived is how much longer than the failures took a task must have run for the job to
+	// be allowed more tasks at once.
 	survived = 2 * loop.Second
 )
 
-// setState is the one place where a trial changes state.
+// setState is the only place where the state changes.
 func (t *Trial) setState(s TrialState) {
 	if t.State == s {
 		return
@@ -49,12 +49,12 @@
 	}
 }
 
-// RestFor is how long a job rests after so many moments of failure in a row.
+// RestFor returns the back-off of a job after a number of consecutive bursts of failures.
 func RestFor(moments int) loop.Micros { return firstRest << min(max(moments-1, 0), 5) }
 
-// Fail takes in a failure that speaks against the job: of an attempt whose machine was
-// chosen at a time, on one of so many machines that are not at fault. What was chosen
-// before the newest moment was counted belongs to it.
+// Fail records a failure that is attributed to the job. chosen is when the attempt's machine
+// was chosen, against the number of machines not at fault on which the job has failed. An
+// attempt whose machine was chosen before the newest burst was counted belongs to that burst.
 func (t *Trial) Fail(now, chosen loop.Micros, against int) {
 	if t.Moments == 0 || chosen >= t.since {
 		t.Moments++
@@ -71,8 +71,9 @@
 	}
 }
 
-// Complete takes in that a task has completed. One that failed before, or the first of a
-// job that was not trusted, ends the row; others of a sound job say nothing of those that fail.
+// Complete records that a task has completed. A task that failed before, or any task of a job
+// that was not sound, resets the back-off; other tasks of a sound job are no evidence that
+// those that fail can succeed.
 func (t *Trial) Complete(failedBefore bool) {
 	if failedBefore || t.State != Sound {
 		t.Moments, t.RestTo, t.took = 0, 0, 0
@@ -80,17 +81,17 @@
 	t.setState(Sound)
 }
 
-// Survives tells whether a task whose machine was chosen at a time, and which has not
-// failed, has run for longer than the failures took.
+// Survives reports whether a task that has not failed, and whose machine was chosen at the
+// given time, has run for longer than the failures took.
 func (t *Trial) Survives(now, chosen loop.Micros) bool { return now-chosen > t.took+survived }
 
-// Trusted tells whether as many tasks may be under way as there is room for.
+// Trusted reports whether the number of the job's running tasks is not limited.
 func (t *Trial) Trusted() bool { return t.State == Untried || t.State == Sound }
 
-// Width is how many tasks of a job that is not trusted may be under way, while so many
-// have survived: it grows from one that probes.
+// Width returns how many tasks of a job that is not trusted may run at once, given how many
+// of them have survived: it starts with a single canary task.
 func Width(survivors int) int { return 1 + 2*survivors }
 
-// Late is how many of a trusted job's waiting tasks that failed before may be tried at
-// once after a rest: half as many at each moment, but always one.
+// Late returns how many of a trusted job's waiting tasks that failed before may be retried at
+// once after the back-off: half as many after each burst of failures, but at least one.
 func (t *Trial) Late(waiting int) int { return max(min(waiting, 1), waiting>>min(t.Moments, 30)) }
