--- a/internal/health/blame.go
+++ b/internal/health/blame.go
@@ -11,12 +11,12 @@
 	"cleatpick/internal/wire"
 )
 
-// Blame attributes failures of tasks either to machines or to jobs that cannot succeed. A
+// Attribution attributes failures of tasks either to machines or to jobs that cannot succeed. A
 // machine is at fault when tasks of several jobs fail on it that do not fail elsewhere. A job
 // is at fault when its tasks fail on several machines against which no other job's failures
 // are evidence. A mere count of consecutive failures on a machine is not enough: a broken job
 // would make every machine rest on which it was tried.
-type Blame struct {
+type Attribution struct {
 	machines map[string]*accused
 	jobs     map[string]*accuser
 	live     func(id string) bool
@@ -82,12 +82,12 @@
 // NewBlame returns an empty failure attribution. live reports whether a job is known and
 // unfinished: tasks of other jobs that machines still report are ignored, so that memory does
 // not grow with every job ever run.
-func NewBlame(live func(id string) bool) *Blame {
-	return &Blame{machines: map[string]*accused{}, jobs: map[string]*accuser{}, live: live, version: 1}
+func NewBlame(live func(id string) bool) *Attribution {
+	return &Attribution{machines: map[string]*accused{}, jobs: map[string]*accuser{}, live: live, version: 1}
 }
 
 // View records the changes in a machine's newest view.
-func (b *Blame) View(now loop.Micros, v *agent.View, c *agent.Changes) {
+func (b *Attribution) View(now loop.Micros, v *agent.View, c *agent.Changes) {
 	if c.Still {
 		return
 	}
@@ -127,7 +127,7 @@
 	m.counted = kept
 }
 
-func (b *Blame) job(id string) *accuser {
+func (b *Attribution) job(id string) *accuser {
 	j := b.jobs[id]
 	if j == nil {
 		j = &accuser{on: map[string]struct{}{}, failed: map[string]string{}}
@@ -138,7 +138,7 @@
 
 // completed records that a task has completed: neither its machine nor its job fails every
 // task. If it failed on another machine before, that stays as evidence against that machine.
-func (b *Blame) completed(machine, id, task string) {
+func (b *Attribution) completed(machine, id, task string) {
 	if m := b.machines[machine]; m != nil {
 		if len(m.words) > 0 {
 			b.version++
@@ -172,7 +172,7 @@
 // failed records that a task has failed. A machine at fault rests after it, even if this
 // task is no evidence against the machine: otherwise a task that has failed elsewhere, too,
 // would be started on the faulty machine again and again (166 times in one case).
-func (b *Blame) failed(now loop.Micros, machine, id, task string) {
+func (b *Attribution) failed(now loop.Micros, machine, id, task string) {
 	if !b.live(id) {
 		return
 	}
@@ -185,7 +185,7 @@
 }
 
 // accuse records a failure as evidence against its machine if it is any.
-func (b *Blame) accuse(m *accused, machine, id, task string) {
+func (b *Attribution) accuse(m *accused, machine, id, task string) {
 	b.version++
 	j := b.job(id)
 	if len(j.on) < mostFailed {
@@ -210,7 +210,7 @@
 }
 
 // takeBack removes a task's failure from the evidence against a machine.
-func (b *Blame) takeBack(machine, id, task string) {
+func (b *Attribution) takeBack(machine, id, task string) {
 	m := b.machines[machine]
 	if m == nil {
 		return
@@ -222,7 +222,7 @@
 }
 
 // AtFault reports whether a machine fails tasks that other machines would not.
-func (b *Blame) AtFault(machine string) bool {
+func (b *Attribution) AtFault(machine string) bool {
 	m := b.machines[machine]
 	if m == nil {
 		return false
@@ -234,7 +234,7 @@
 }
 
 // against returns the weight of the evidence against a machine.
-func (b *Blame) against(machine string, m *accused) (words int) {
+func (b *Attribution) against(machine string, m *accused) (words int) {
 	for id, w := range m.words {
 		j := b.jobs[id]
 		if j == nil {
@@ -260,7 +260,7 @@
 
 // Against returns the number of machines, not at fault themselves, on which the job has
 // failed since a task of it last completed.
-func (b *Blame) Against(id string) int {
+func (b *Attribution) Against(id string) int {
 	j := b.jobs[id]
 	if j == nil {
 		return 0
@@ -276,7 +276,7 @@
 
 // Shuns returns the machines on which the job has failed since a task of it last completed;
 // its next task should run elsewhere. The caller must not change the map.
-func (b *Blame) Shuns(id string) map[string]struct{} {
+func (b *Attribution) Shuns(id string) map[string]struct{} {
 	if j := b.jobs[id]; j != nil {
 		return j.on
 	}
@@ -284,7 +284,7 @@
 }
 
 // Gone removes a deleted machine.
-func (b *Blame) Gone(machine string) {
+func (b *Attribution) Gone(machine string) {
 	b.version++
 	delete(b.machines, machine)
 	for _, j := range b.jobs {
@@ -293,7 +293,7 @@
 }
 
 // Over removes a finished job.
-func (b *Blame) Over(id string) {
+func (b *Attribution) Over(id string) {
 	j := b.jobs[id]
 	if j == nil {
 		return
@@ -308,7 +308,7 @@
 }
 
 // Until returns the time from which tasks may be placed on the machine again.
-func (b *Blame) Until(machine string) loop.Micros {
+func (b *Attribution) Until(machine string) loop.Micros {
 	if m := b.machines[machine]; m != nil {
 		return m.until
 	}
@@ -317,7 +317,7 @@
 
 // Faulty reports whether a machine should be replaced: it is at fault, by at least three
 // tasks of at least two jobs.
-func (b *Blame) Faulty(machine string) bool {
+func (b *Attribution) Faulty(machine string) bool {
 	m := b.machines[machine]
 	if m == nil || len(m.words) < 2 || !b.AtFault(machine) {
 		return false
--- a/internal/health/blame_test.go
+++ b/internal/health/blame_test.go
@@ -106,7 +106,7 @@
 }
 
 // show has a machine report one more ended attempt.
-func show(b *Blame, e ending, attempt uint64) {
+func show(b *Attribution, e ending, attempt uint64) {
 	why := wire.WhyError
 	if e.ok {
 		why = wire.WhyDone
@@ -165,7 +165,7 @@
 // failing on machines that are at fault.
 func TestWhoFailsWhere(t *testing.T) {
 	const s = loop.Second
-	run := func(list ...ending) *Blame {
+	run := func(list ...ending) *Attribution {
 		b := NewBlame(always)
 		attempts := map[string]uint64{}
 		for _, e := range list {
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -70,7 +70,7 @@
 	partitions map[partition.ID]*ownedPartition
 	teams      map[string]*team
 	on         map[string]*machineTasks // tasks in use by machine
-	blame      *health.Blame
+	blame      *health.Attribution
 	fleet      *fleet.Fleet
 	placing    bool
 	took       loop.Micros // how long the newest pass took
