--- a/internal/health/blame.go
+++ b/internal/health/blame.go
@@ -79,10 +79,10 @@
 	roams bool
 }
 
-// NewBlame returns an empty failure attribution. live reports whether a job is known and
+// NewAttribution returns an empty failure attribution. live reports whether a job is known and
 // unfinished: tasks of other jobs that machines still report are ignored, so that memory does
 // not grow with every job ever run.
-func NewBlame(live func(id string) bool) *Attribution {
+func NewAttribution(live func(id string) bool) *Attribution {
 	return &Attribution{machines: map[string]*accused{}, jobs: map[string]*accuser{}, live: live, version: 1}
 }
 
--- a/internal/health/blame_test.go
+++ b/internal/health/blame_test.go
@@ -92,7 +92,7 @@
 // memory would grow with every job ever run.
 func TestNothingIsKeptOfJobsThatAreOver(t *testing.T) {
 	over := map[string]bool{}
-	b := NewBlame(func(id string) bool { return !over[id] })
+	b := NewAttribution(func(id string) bool { return !over[id] })
 	for k := range 50 {
 		id := fmt.Sprint("job-", k)
 		show(b, ending{loop.Second, "a", id, id + "/0", k%2 == 0}, 1)
@@ -119,7 +119,7 @@
 func TestBlameAgainstHistory(t *testing.T) {
 	verdicts := 0
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBlame(always)
+		b := NewAttribution(always)
 		var p plainBlame
 		now := loop.Micros(loop.Second)
 		attempts := map[string]uint64{}
@@ -166,7 +166,7 @@
 func TestWhoFailsWhere(t *testing.T) {
 	const s = loop.Second
 	run := func(list ...ending) *Attribution {
-		b := NewBlame(always)
+		b := NewAttribution(always)
 		attempts := map[string]uint64{}
 		for _, e := range list {
 			e.task = e.job + "/" + e.task
@@ -275,7 +275,7 @@
 func TestWordsAgainstAreKeptCurrent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		over := map[string]bool{}
-		b := NewBlame(func(id string) bool { return !over[id] })
+		b := NewAttribution(func(id string) bool { return !over[id] })
 		job := func() string { return fmt.Sprintf("job-%06d", rapid.IntRange(0, 4).Draw(t, "job")) }
 		attempt, now := uint64(0), loop.Second
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -97,7 +97,7 @@
 	p := &Placer{r: r, cordons: cordons, c: c, log: log, cfg: cfg, n: n, registry: registry, agent: a, partitions: map[partition.ID]*ownedPartition{}, teams: map[string]*team{},
 		valueLimit: int(cfg.Cluster.State.ValueKB * 1024 * valuePart),
 		on:         map[string]*machineTasks{},
-		blame:      health.NewBlame(func(id string) bool { j := registry.Get(id); return j != nil && !j.Final() }), zoneMemo: map[string]string{}, nonce: loop.Rand(r).Uint64() >> 1, usage: map[string]peer.Usage{},
+		blame:      health.NewAttribution(func(id string) bool { j := registry.Get(id); return j != nil && !j.Final() }), zoneMemo: map[string]string{}, nonce: loop.Rand(r).Uint64() >> 1, usage: map[string]peer.Usage{},
 
 		checked: map[string]loop.Micros{}, paces: health.Paces{}, reserve: starvation.New()}
 	p.clock = delivery.NewClock(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifeS))
