--- a/internal/health/blame.go
+++ b/internal/health/blame.go
@@ -86,8 +86,8 @@
 	return &Attribution{machines: map[string]*accused{}, jobs: map[string]*accuser{}, live: live, version: 1}
 }
 
-// View records the changes in a machine's newest view.
-func (b *Attribution) View(now loop.Micros, v *agent.View, c *agent.Changes) {
+// Observe records the changes in a machine's newest view.
+func (b *Attribution) Observe(now loop.Micros, v *agent.View, c *agent.Changes) {
 	if c.Still {
 		return
 	}
--- a/internal/health/blame_test.go
+++ b/internal/health/blame_test.go
@@ -111,7 +111,7 @@
 	if e.ok {
 		why = wire.WhyDone
 	}
-	b.View(e.at, &agent.View{Name: e.machine, Tasks: []agent.Task{{Task: e.task, Attempt: attempt, State: wire.TaskExited, Why: why}}}, &agent.Changes{All: true})
+	b.Observe(e.at, &agent.View{Name: e.machine, Tasks: []agent.Task{{Task: e.task, Attempt: attempt, State: wire.TaskExited, Why: why}}}, &agent.Changes{All: true})
 }
 
 // After each of a random sequence of task ends, the failure attribution, which keeps a summary
@@ -292,7 +292,7 @@
 				attempt++
 				why := rapid.SampledFrom([]string{wire.WhyError, wire.WhyError, wire.WhyDone}).Draw(t, "why")
 				task := agent.Task{Task: agent.TaskName(job(), rapid.IntRange(0, 2).Draw(t, "task")), Attempt: attempt, State: wire.TaskExited, Why: why}
-				b.View(now, &agent.View{Name: machine, Tasks: []agent.Task{task}}, &agent.Changes{All: true})
+				b.Observe(now, &agent.View{Name: machine, Tasks: []agent.Task{task}}, &agent.Changes{All: true})
 			}
 			for name, m := range b.machines {
 				if got, want := b.AtFault(name), b.against(name, m) >= enough; got != want {
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -33,7 +33,7 @@
 	// Most views only say that a machine lives: nothing is free that was not.
 	quiet := old != nil && c.Still && len(v.Pending)+len(old.V.Pending) == 0 && v.Closed == old.V.Closed && v.NoticeAt == old.V.NoticeAt && !unsure
 	sl := p.fleet.View(v, now-v.Silence(p.r.Wall(), p.clockTo()), quiet)
-	p.blame.View(now, v, c)
+	p.blame.Observe(now, v, c)
 	if !c.Still {
 		sl.Rest(p.blame.Until(v.Name), "tasks fail on it")
 	}
