--- a/internal/health/blame.go
+++ b/internal/health/blame.go
@@ -258,9 +258,9 @@
 	return words
 }
 
-// Against returns the number of machines, not at fault themselves, on which the job has
+// FailedOnHealthy returns the number of machines, not at fault themselves, on which the job has
 // failed since a task of it last completed.
-func (b *Attribution) Against(id string) int {
+func (b *Attribution) FailedOnHealthy(id string) int {
 	j := b.jobs[id]
 	if j == nil {
 		return 0
--- a/internal/health/blame_test.go
+++ b/internal/health/blame_test.go
@@ -146,7 +146,7 @@
 				if want {
 					verdicts++
 				}
-				if got, want := b.Against(j), p.against(j); got != want {
+				if got, want := b.FailedOnHealthy(j), p.against(j); got != want {
 					t.Fatalf("%d machines not at fault failed %s, want %d by its history; ends so far: %v", got, j, want, p)
 				}
 				if b.Until(m) > now && !want && b.Until(m) > now+120*loop.Second {
@@ -221,7 +221,7 @@
 			}
 		}
 		for job, want := range c.against {
-			if got := b.Against(job); got != want {
+			if got := b.FailedOnHealthy(job); got != want {
 				t.Errorf("%s: %d machines not at fault failed %s, want %d", c.name, got, job, want)
 			}
 		}
--- a/internal/placer/trial.go
+++ b/internal/placer/trial.go
@@ -14,9 +14,9 @@
 		if from == health.Untried && to == health.Sound {
 			return // as nearly all
 		}
-		p.log.Info("job judged", "job", t.j.ID, "from", from.String(), "to", to.String(), "moments", t.trial.Moments, "machines", p.blame.Against(t.j.ID))
+		p.log.Info("job judged", "job", t.j.ID, "from", from.String(), "to", to.String(), "moments", t.trial.Moments, "machines", p.blame.FailedOnHealthy(t.j.ID))
 	}
-	if n := p.blame.Against(t.j.ID); n >= health.BrokenOn {
+	if n := p.blame.FailedOnHealthy(t.j.ID); n >= health.BrokenOn {
 		now := p.r.Now()
 		t.trial.Fail(now, now, n)
 	}
@@ -30,7 +30,7 @@
 		return
 	}
 	x.failed = true
-	t.trial.Fail(p.r.Now(), x.chosen, p.blame.Against(t.j.ID))
+	t.trial.Fail(p.r.Now(), x.chosen, p.blame.FailedOnHealthy(t.j.ID))
 }
 
 // succeeded takes in that a task of the job completed.
@@ -42,7 +42,7 @@
 
 // failing is what the gates are told of a job's failures.
 func (p *Placer) failing(t *table, now loop.Micros) gate.Failing {
-	f := gate.Failing{State: t.trial.State, Moments: t.trial.Moments, Machines: p.blame.Against(t.j.ID), RestTo: t.trial.RestTo,
+	f := gate.Failing{State: t.trial.State, Moments: t.trial.Moments, Machines: p.blame.FailedOnHealthy(t.j.ID), RestTo: t.trial.RestTo,
 		Late: len(t.late), LateNow: t.trial.Late(len(t.late))}
 	if !t.trial.Trusted() {
 		survivors := 0
