--- a/internal/health/blame.go
+++ b/internal/health/blame.go
@@ -274,9 +274,9 @@
 	return n
 }
 
-// Shuns returns the machines on which the job has failed since a task of it last completed;
+// AvoidedMachines returns the machines on which the job has failed since a task of it last completed;
 // its next task should run elsewhere. The caller must not change the map.
-func (b *Attribution) Shuns(id string) map[string]struct{} {
+func (b *Attribution) AvoidedMachines(id string) map[string]struct{} {
 	if j := b.jobs[id]; j != nil {
 		return j.on
 	}
--- a/internal/placer/trial.go
+++ b/internal/placer/trial.go
@@ -25,7 +25,7 @@
 // errored takes in that a task of the job failed. One on a machine that is at fault says
 // nothing of the job.
 func (p *Placer) errored(t *table, x *task) {
-	t.shun = p.blame.Shuns(t.j.ID)
+	t.shun = p.blame.AvoidedMachines(t.j.ID)
 	if p.blame.AtFault(x.machine) {
 		return
 	}
