--- a/internal/health/blame.go
+++ b/internal/health/blame.go
@@ -283,8 +283,8 @@
 	return nil
 }
 
-// Gone removes a deleted machine.
-func (b *Attribution) Gone(machine string) {
+// MachineDeleted removes a deleted machine.
+func (b *Attribution) MachineDeleted(machine string) {
 	b.version++
 	delete(b.machines, machine)
 	for _, j := range b.jobs {
--- a/internal/health/blame_test.go
+++ b/internal/health/blame_test.go
@@ -283,7 +283,7 @@
 			machine := fmt.Sprint("n-", rapid.IntRange(0, 3).Draw(t, "machine"))
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				b.Gone(machine)
+				b.MachineDeleted(machine)
 			case 1:
 				id := job()
 				over[id] = true
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -249,6 +249,6 @@
 	})
 	p.fleet.Gone(machine)
 	delete(p.checked, machine)
-	p.blame.Gone(machine)
+	p.blame.MachineDeleted(machine)
 	p.Kick()
 }
