--- a/internal/health/blame.go
+++ b/internal/health/blame.go
@@ -292,8 +292,8 @@
 	}
 }
 
-// Over removes a finished job.
-func (b *Attribution) Over(id string) {
+// JobFinished removes a finished job.
+func (b *Attribution) JobFinished(id string) {
 	j := b.jobs[id]
 	if j == nil {
 		return
--- a/internal/health/blame_test.go
+++ b/internal/health/blame_test.go
@@ -97,7 +97,7 @@
 		id := fmt.Sprint("job-", k)
 		show(b, ending{loop.Second, "a", id, id + "/0", k%2 == 0}, 1)
 		over[id] = true
-		b.Over(id)
+		b.JobFinished(id)
 		show(b, ending{loop.Second, "b", id, id + "/1", k%2 == 0}, 1)
 	}
 	if len(b.jobs) != 0 || len(b.machines["b"].words) != 0 {
@@ -287,7 +287,7 @@
 			case 1:
 				id := job()
 				over[id] = true
-				b.Over(id)
+				b.JobFinished(id)
 			default:
 				attempt++
 				why := rapid.SampledFrom([]string{wire.WhyError, wire.WhyError, wire.WhyDone}).Draw(t, "why")
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -146,7 +146,7 @@
 	if j.Final() {
 		delete(p.paces, j.ID)
 		p.fleet.Spare(j.ID, 0)
-		p.blame.Over(j.ID)
+		p.blame.JobFinished(j.ID)
 	}
 	if j.Spec == nil {
 		return
