--- a/internal/health/blame.go
+++ b/internal/health/blame.go
@@ -307,8 +307,8 @@
 	b.version++
 }
 
-// Until returns the time from which tasks may be placed on the machine again.
-func (b *Attribution) Until(machine string) loop.Micros {
+// RestUntil returns the time from which tasks may be placed on the machine again.
+func (b *Attribution) RestUntil(machine string) loop.Micros {
 	if m := b.machines[machine]; m != nil {
 		return m.until
 	}
--- a/internal/health/blame_test.go
+++ b/internal/health/blame_test.go
@@ -149,8 +149,8 @@
 				if got, want := b.FailedOnHealthy(j), p.against(j); got != want {
 					t.Fatalf("%d machines not at fault failed %s, want %d by its history; ends so far: %v", got, j, want, p)
 				}
-				if b.Until(m) > now && !want && b.Until(m) > now+120*loop.Second {
-					t.Fatalf("machine %s rests until %d, for longer than the bound of 120 s", m, b.Until(m))
+				if b.RestUntil(m) > now && !want && b.RestUntil(m) > now+120*loop.Second {
+					t.Fatalf("machine %s rests until %d, for longer than the bound of 120 s", m, b.RestUntil(m))
 				}
 			}
 		}
@@ -216,7 +216,7 @@
 	} {
 		b := run(slices.Concat(c.ends...)...)
 		for _, m := range []string{"a", "b", "c", "d", "x"} {
-			if rests := b.Until(m) > 0; rests != slices.Contains(c.faulty, m) {
+			if rests := b.RestUntil(m) > 0; rests != slices.Contains(c.faulty, m) {
 				t.Errorf("%s: machine %s rests: %v, want the opposite", c.name, m, rests)
 			}
 		}
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -35,7 +35,7 @@
 	sl := p.fleet.View(v, now-v.Silence(p.r.Wall(), p.clockTo()), quiet)
 	p.blame.Observe(now, v, c)
 	if !c.Still {
-		sl.Rest(p.blame.Until(v.Name), "tasks fail on it")
+		sl.Rest(p.blame.RestUntil(v.Name), "tasks fail on it")
 	}
 	sl.Jobs = p.agent.Jobs(v)
 	told := sl.Runs.Follow(v, c, before, sl.Jobs, p.paces, now, unsure)
