--- a/internal/health/blame.go
+++ b/internal/health/blame.go
@@ -315,9 +315,9 @@
 	return 0
 }
 
-// Faulty reports whether a machine should be replaced: it is at fault, by at least three
+// ShouldReplace reports whether a machine should be replaced: it is at fault, by at least three
 // tasks of at least two jobs.
-func (b *Attribution) Faulty(machine string) bool {
+func (b *Attribution) ShouldReplace(machine string) bool {
 	m := b.machines[machine]
 	if m == nil || len(m.words) < 2 || !b.AtFault(machine) {
 		return false
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -308,4 +308,4 @@
 }
 
 // Faulty tells whether a machine should be replaced for failing tasks.
-func (p *Placer) Faulty(machine string) bool { return p.blame.Faulty(machine) }
+func (p *Placer) Faulty(machine string) bool { return p.blame.ShouldReplace(machine) }
