--- a/internal/health/blame_test.go
+++ b/internal/health/blame_test.go
@@ -233,7 +233,7 @@
 // job more tasks at once.
 func TestTrial(t *testing.T) {
 	const s = loop.Second
-	var tr Trial
+	var tr Probation
 	var states []string
 	tr.Changed = func(_, to TrialState) { states = append(states, to.String()) }
 	now := 100 * s
--- a/internal/health/trial.go
+++ b/internal/health/trial.go
@@ -17,10 +17,10 @@
 	return [...]string{"untried", "sound", "doubted", "broken"}[s]
 }
 
-// Trial is the probation of one job at its owner: it limits the retries after failures. A
+// Probation is the probation of one job at its owner: it limits the retries after failures. A
 // burst of failures counts once, however many tasks fail in it. If each failure doubled the
 // back-off, the simultaneous failure of many tasks would cause a back-off of half a minute.
-type Trial struct {
+type Probation struct {
 	State   TrialState
 	Moments int         // consecutive bursts of failures
 	RestTo  loop.Micros // tasks that failed, or all of a job that is not trusted, wait until then
@@ -38,7 +38,7 @@
 )
 
 // setState is the only place where the state changes.
-func (t *Trial) setState(s TrialState) {
+func (t *Probation) setState(s TrialState) {
 	if t.State == s {
 		return
 	}
@@ -55,7 +55,7 @@
 // Fail records a failure that is attributed to the job. chosen is when the attempt's machine
 // was chosen, against the number of machines not at fault on which the job has failed. An
 // attempt whose machine was chosen before the newest burst was counted belongs to that burst.
-func (t *Trial) Fail(now, chosen loop.Micros, against int) {
+func (t *Probation) Fail(now, chosen loop.Micros, against int) {
 	if t.Moments == 0 || chosen >= t.since {
 		t.Moments++
 		t.since = now
@@ -74,7 +74,7 @@
 // Complete records that a task has completed. A task that failed before, or any task of a job
 // that was not sound, resets the back-off; other tasks of a sound job are no evidence that
 // those that fail can succeed.
-func (t *Trial) Complete(failedBefore bool) {
+func (t *Probation) Complete(failedBefore bool) {
 	if failedBefore || t.State != Sound {
 		t.Moments, t.RestTo, t.took = 0, 0, 0
 	}
@@ -83,10 +83,10 @@
 
 // Survives reports whether a task that has not failed, and whose machine was chosen at the
 // given time, has run for longer than the failures took.
-func (t *Trial) Survives(now, chosen loop.Micros) bool { return now-chosen > t.took+survived }
+func (t *Probation) Survives(now, chosen loop.Micros) bool { return now-chosen > t.took+survived }
 
 // Trusted reports whether the number of the job's running tasks is not limited.
-func (t *Trial) Trusted() bool { return t.State == Untried || t.State == Sound }
+func (t *Probation) Trusted() bool { return t.State == Untried || t.State == Sound }
 
 // Width returns how many tasks of a job that is not trusted may run at once, given how many
 // of them have survived: it starts with a single canary task.
@@ -94,4 +94,4 @@
 
 // Late returns how many of a trusted job's waiting tasks that failed before may be retried at
 // once after the back-off: half as many after each burst of failures, but at least one.
-func (t *Trial) Late(waiting int) int { return max(min(waiting, 1), waiting>>min(t.Moments, 30)) }
+func (t *Probation) Late(waiting int) int { return max(min(waiting, 1), waiting>>min(t.Moments, 30)) }
--- a/internal/placer/table.go
+++ b/internal/placer/table.go
@@ -70,7 +70,7 @@
 	zones     map[string]int // tasks in use by zone
 	closing   bool           // the job's completion is being stored
 	late      []int          // tasks that failed, to be placed again after all others
-	trial     health.Trial
+	trial     health.Probation
 	shun      map[string]struct{} // machines on which it failed lately
 	damaged   bool                // a record of its tasks cannot be read
 	amendAt   loop.Micros         // its record is not amended again before
