--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -110,7 +110,7 @@
 
 // Failing is what is known of a job's failures.
 type Failing struct {
-	State    health.TrialState
+	State    health.ProbationState
 	Moments  int // of failure, in a row
 	Machines int // on which it failed, not at fault themselves, since a task completed
 	RestTo   loop.Micros
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -81,7 +81,7 @@
 			j.Failing.RestTo = 100 + loop.Micros(num("rest", -1, 1))
 		}
 		if yes("fails") {
-			j.Failing.State, j.Failing.Moments, j.Failing.Width = health.TrialState(num("state", 0, 3)), num("moments", 0, 3), 1+2*num("survivors", 0, 2)
+			j.Failing.State, j.Failing.Moments, j.Failing.Width = health.ProbationState(num("state", 0, 3)), num("moments", 0, 3), 1+2*num("survivors", 0, 2)
 			j.Failing.Late = num("late", 0, j.Waiting)
 			j.Failing.LateNow = num("late now", 0, j.Failing.Late)
 		}
--- a/internal/health/trial.go
+++ b/internal/health/trial.go
@@ -2,18 +2,18 @@
 
 import "cleatpick/internal/loop"
 
-// TrialState is what is known about whether a job can succeed at all.
-type TrialState uint8
+// ProbationState is what is known about whether a job can succeed at all.
+type ProbationState uint8
 
 // The probation states of a job.
 const (
-	Untried TrialState = iota // no task has ended yet
-	Sound                     // a task has completed, so failures do not mean that the job is broken
-	Doubted                   // tasks have failed and none has completed
-	Broken                    // it fails on several machines that are not at fault
+	Untried ProbationState = iota // no task has ended yet
+	Sound                         // a task has completed, so failures do not mean that the job is broken
+	Doubted                       // tasks have failed and none has completed
+	Broken                        // it fails on several machines that are not at fault
 )
 
-func (s TrialState) String() string {
+func (s ProbationState) String() string {
 	return [...]string{"untried", "sound", "doubted", "broken"}[s]
 }
 
@@ -21,13 +21,13 @@
 // burst of failures counts once, however many tasks fail in it. If each failure doubled the
 // back-off, the simultaneous failure of many tasks would cause a back-off of half a minute.
 type Probation struct {
-	State   TrialState
+	State   ProbationState
 	Moments int         // consecutive bursts of failures
 	RestTo  loop.Micros // tasks that failed, or all of a job that is not trusted, wait until then
 	took    loop.Micros // the longest time from the choice of a machine to a failure
 	since   loop.Micros // when the newest burst was counted
 	// Changed is called for every change of the state. It may be nil.
-	Changed func(from, to TrialState)
+	Changed func(from, to ProbationState)
 }
 
 const (
@@ -38,7 +38,7 @@
 )
 
 // setState is the only place where the state changes.
-func (t *Probation) setState(s TrialState) {
+func (t *Probation) setState(s ProbationState) {
 	if t.State == s {
 		return
 	}
