--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -45,7 +45,7 @@
 		if f.Moments == 0 || j.Spec.Gang {
 			break
 		}
-		if f.State == health.Doubted || f.State == health.Broken {
+		if f.State == health.Suspected || f.State == health.Broken {
 			return max(f.Width-j.InUse, 0)
 		}
 		if never := j.Waiting - f.Late; never > 0 && f.RestTo > j.Now {
--- a/internal/health/trial.go
+++ b/internal/health/trial.go
@@ -7,10 +7,10 @@
 
 // The probation states of a job.
 const (
-	Untried ProbationState = iota // no task has ended yet
-	Sound                         // a task has completed, so failures do not mean that the job is broken
-	Doubted                       // tasks have failed and none has completed
-	Broken                        // it fails on several machines that are not at fault
+	Untried   ProbationState = iota // no task has ended yet
+	Sound                           // a task has completed, so failures do not mean that the job is broken
+	Suspected                       // tasks have failed and none has completed
+	Broken                          // it fails on several machines that are not at fault
 )
 
 func (s ProbationState) String() string {
@@ -67,7 +67,7 @@
 	case against >= BrokenOn:
 		t.setState(Broken)
 	case t.State == Untried:
-		t.setState(Doubted)
+		t.setState(Suspected)
 	}
 }
 
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -68,7 +68,7 @@
 		case 0:
 			g.amend(id, func(r *job.Record) { r.Terms = &job.Terms{Hold: job.Hold{State: job.HoldSet, Reason: "r"}} })
 		case 1:
-			g.table(id).trial = health.Probation{State: health.Doubted, Moments: 1, RestTo: g.Now() + 40*loop.Second}
+			g.table(id).trial = health.Probation{State: health.Suspected, Moments: 1, RestTo: g.Now() + 40*loop.Second}
 		case 2:
 			g.table(id).trial = health.Probation{State: health.Broken, Moments: 4}
 		case 3: // some of its tasks failed, and others completed
