--- a/internal/health/blame_test.go
+++ b/internal/health/blame_test.go
@@ -240,33 +240,33 @@
 	for i := range 33 { // one burst
 		tr.Fail(now+loop.Micros(i), 95*s, min(1+i/8, BrokenOn))
 	}
-	if tr.Moments != 1 || tr.RestTo != now+s || tr.State != Broken {
-		t.Fatalf("after one burst: %d bursts are counted, back-off %d us, state %v; want 1, 1 s, broken", tr.Moments, tr.RestTo-now, tr.State)
+	if tr.Bursts != 1 || tr.RestTo != now+s || tr.State != Broken {
+		t.Fatalf("after one burst: %d bursts are counted, back-off %d us, state %v; want 1, 1 s, broken", tr.Bursts, tr.RestTo-now, tr.State)
 	}
 	for k, want := range []loop.Micros{2 * s, 4 * s, 8 * s, 16 * s, 32 * s, 32 * s, 32 * s} {
 		now += 60 * s
 		tr.Fail(now, now-50*s, 4) // a minute to fail
-		if got := tr.RestTo - now; got != want || tr.Moments != k+2 {
-			t.Errorf("burst %d: the back-off is %d us, want %d", tr.Moments, got, want)
+		if got := tr.RestTo - now; got != want || tr.Bursts != k+2 {
+			t.Errorf("burst %d: the back-off is %d us, want %d", tr.Bursts, got, want)
 		}
 	}
 	if tr.Survives(now, now-52*s) || !tr.Survives(now, now-52*s-1) || Width(0) != 1 || Width(3) != 7 {
 		t.Error("a task must survive a failure that took 50 s exactly when it has run for more than 52 s")
 	}
 	tr.Complete(false)
-	if tr.Moments != 0 || tr.RestTo != 0 || !tr.Trusted() {
-		t.Errorf("after a success: %d bursts, state %v; want none and a trusted job", tr.Moments, tr.State)
+	if tr.Bursts != 0 || tr.RestTo != 0 || !tr.Trusted() {
+		t.Errorf("after a success: %d bursts, state %v; want none and a trusted job", tr.Bursts, tr.State)
 	}
 	now += 60 * s
 	tr.Fail(now, now-s, 1)
 	tr.Fail(now+3*s, now+2*s, 1)
 	tr.Complete(false) // of a task that never failed
-	if tr.Moments != 2 || tr.State != Sound || tr.Late(8) != 2 || tr.Late(1) != 1 || tr.Late(0) != 0 {
-		t.Errorf("a sound job with failures: %d bursts, state %v, %d of 8 tasks are retried; want 2, sound, 2", tr.Moments, tr.State, tr.Late(8))
+	if tr.Bursts != 2 || tr.State != Sound || tr.Late(8) != 2 || tr.Late(1) != 1 || tr.Late(0) != 0 {
+		t.Errorf("a sound job with failures: %d bursts, state %v, %d of 8 tasks are retried; want 2, sound, 2", tr.Bursts, tr.State, tr.Late(8))
 	}
 	tr.Complete(true)
-	if tr.Moments != 0 || fmt.Sprint(states) != "[doubted broken sound]" {
-		t.Errorf("in the end %d bursts are counted and the states were %v, want none and [doubted broken sound]", tr.Moments, states)
+	if tr.Bursts != 0 || fmt.Sprint(states) != "[doubted broken sound]" {
+		t.Errorf("in the end %d bursts are counted and the states were %v, want none and [doubted broken sound]", tr.Bursts, states)
 	}
 }
 
--- a/internal/health/trial.go
+++ b/internal/health/trial.go
@@ -21,11 +21,11 @@
 // burst of failures counts once, however many tasks fail in it. If each failure doubled the
 // back-off, the simultaneous failure of many tasks would cause a back-off of half a minute.
 type Probation struct {
-	State   ProbationState
-	Moments int         // consecutive bursts of failures
-	RestTo  loop.Micros // tasks that failed, or all of a job that is not trusted, wait until then
-	took    loop.Micros // the longest time from the choice of a machine to a failure
-	since   loop.Micros // when the newest burst was counted
+	State  ProbationState
+	Bursts int         // consecutive bursts of failures
+	RestTo loop.Micros // tasks that failed, or all of a job that is not trusted, wait until then
+	took   loop.Micros // the longest time from the choice of a machine to a failure
+	since  loop.Micros // when the newest burst was counted
 	// Changed is called for every change of the state. It may be nil.
 	Changed func(from, to ProbationState)
 }
@@ -56,10 +56,10 @@
 // was chosen, against the number of machines not at fault on which the job has failed. An
 // attempt whose machine was chosen before the newest burst was counted belongs to that burst.
 func (t *Probation) Fail(now, chosen loop.Micros, against int) {
-	if t.Moments == 0 || chosen >= t.since {
-		t.Moments++
+	if t.Bursts == 0 || chosen >= t.since {
+		t.Bursts++
 		t.since = now
-		t.RestTo = now + RestFor(t.Moments)
+		t.RestTo = now + RestFor(t.Bursts)
 		t.took = 0
 	}
 	t.took = max(t.took, now-chosen)
@@ -76,7 +76,7 @@
 // those that fail can succeed.
 func (t *Probation) Complete(failedBefore bool) {
 	if failedBefore || t.State != Sound {
-		t.Moments, t.RestTo, t.took = 0, 0, 0
+		t.Bursts, t.RestTo, t.took = 0, 0, 0
 	}
 	t.setState(Sound)
 }
@@ -94,4 +94,4 @@
 
 // Late returns how many of a trusted job's waiting tasks that failed before may be retried at
 // once after the back-off: half as many after each burst of failures, but at least one.
-func (t *Probation) Late(waiting int) int { return max(min(waiting, 1), waiting>>min(t.Moments, 30)) }
+func (t *Probation) Late(waiting int) int { return max(min(waiting, 1), waiting>>min(t.Bursts, 30)) }
--- a/internal/placer/trial.go
+++ b/internal/placer/trial.go
@@ -14,7 +14,7 @@
 		if from == health.Untried && to == health.Sound {
 			return // as nearly all
 		}
-		p.log.Info("job judged", "job", t.j.ID, "from", from.String(), "to", to.String(), "moments", t.trial.Moments, "machines", p.blame.FailedOnHealthy(t.j.ID))
+		p.log.Info("job judged", "job", t.j.ID, "from", from.String(), "to", to.String(), "moments", t.trial.Bursts, "machines", p.blame.FailedOnHealthy(t.j.ID))
 	}
 	if n := p.blame.FailedOnHealthy(t.j.ID); n >= health.BrokenOn {
 		now := p.r.Now()
@@ -42,7 +42,7 @@
 
 // failing is what the gates are told of a job's failures.
 func (p *Placer) failing(t *table, now loop.Micros) gate.Failing {
-	f := gate.Failing{State: t.trial.State, Moments: t.trial.Moments, Machines: p.blame.FailedOnHealthy(t.j.ID), RestTo: t.trial.RestTo,
+	f := gate.Failing{State: t.trial.State, Moments: t.trial.Bursts, Machines: p.blame.FailedOnHealthy(t.j.ID), RestTo: t.trial.RestTo,
 		Late: len(t.late), LateNow: t.trial.Late(len(t.late))}
 	if !t.trial.Trusted() {
 		survivors := 0
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -68,12 +68,12 @@
 		case 0:
 			g.amend(id, func(r *job.Record) { r.Terms = &job.Terms{Hold: job.Hold{State: job.HoldSet, Reason: "r"}} })
 		case 1:
-			g.table(id).trial = health.Probation{State: health.Suspected, Moments: 1, RestTo: g.Now() + 40*loop.Second}
+			g.table(id).trial = health.Probation{State: health.Suspected, Bursts: 1, RestTo: g.Now() + 40*loop.Second}
 		case 2:
-			g.table(id).trial = health.Probation{State: health.Broken, Moments: 4}
+			g.table(id).trial = health.Probation{State: health.Broken, Bursts: 4}
 		case 3: // some of its tasks failed, and others completed
 			t := g.table(id)
-			t.trial = health.Probation{State: health.Sound, Moments: 1 + g.rng.IntN(3)}
+			t.trial = health.Probation{State: health.Sound, Bursts: 1 + g.rng.IntN(3)}
 			if g.rng.IntN(2) == 0 {
 				t.trial.RestTo = g.Now() + 40*loop.Second
 			}
@@ -291,10 +291,10 @@
 		out["backOff"] = n
 	}
 	inUse := t.j.Tasks - n - t.completed
-	if x.Moments > 0 && !s.Gang {
+	if x.Bursts > 0 && !s.Gang {
 		var k int
 		if trusted {
-			k = late - min(late, max(1, late>>x.Moments))
+			k = late - min(late, max(1, late>>x.Bursts))
 			if x.RestTo > g.Now() && late < n {
 				k = late
 			}
@@ -370,7 +370,7 @@
 		if t.trial.State != health.Sound && t.trial.RestTo > g.Now() {
 			g.late(t, t.waiting())
 		}
-		t.trial.State, t.trial.Moments = health.Sound, 0
+		t.trial.State, t.trial.Bursts = health.Sound, 0
 	case "teamLimit":
 		t.team.cfg.CPUsMax, t.team.quota.CPUsMax = 0, config.LimitOf(0)
 	case "cordon":
