--- a/internal/health/blame_test.go
+++ b/internal/health/blame_test.go
@@ -240,13 +240,13 @@
 	for i := range 33 { // one burst
 		tr.Fail(now+loop.Micros(i), 95*s, min(1+i/8, BrokenOn))
 	}
-	if tr.Bursts != 1 || tr.RestTo != now+s || tr.State != Broken {
-		t.Fatalf("after one burst: %d bursts are counted, back-off %d us, state %v; want 1, 1 s, broken", tr.Bursts, tr.RestTo-now, tr.State)
+	if tr.Bursts != 1 || tr.RestUntil != now+s || tr.State != Broken {
+		t.Fatalf("after one burst: %d bursts are counted, back-off %d us, state %v; want 1, 1 s, broken", tr.Bursts, tr.RestUntil-now, tr.State)
 	}
 	for k, want := range []loop.Micros{2 * s, 4 * s, 8 * s, 16 * s, 32 * s, 32 * s, 32 * s} {
 		now += 60 * s
 		tr.Fail(now, now-50*s, 4) // a minute to fail
-		if got := tr.RestTo - now; got != want || tr.Bursts != k+2 {
+		if got := tr.RestUntil - now; got != want || tr.Bursts != k+2 {
 			t.Errorf("burst %d: the back-off is %d us, want %d", tr.Bursts, got, want)
 		}
 	}
@@ -254,7 +254,7 @@
 		t.Error("a task must survive a failure that took 50 s exactly when it has run for more than 52 s")
 	}
 	tr.Complete(false)
-	if tr.Bursts != 0 || tr.RestTo != 0 || !tr.Trusted() {
+	if tr.Bursts != 0 || tr.RestUntil != 0 || !tr.Trusted() {
 		t.Errorf("after a success: %d bursts, state %v; want none and a trusted job", tr.Bursts, tr.State)
 	}
 	now += 60 * s
--- a/internal/health/trial.go
+++ b/internal/health/trial.go
@@ -21,11 +21,11 @@
 // burst of failures counts once, however many tasks fail in it. If each failure doubled the
 // back-off, the simultaneous failure of many tasks would cause a back-off of half a minute.
 type Probation struct {
-	State  ProbationState
-	Bursts int         // consecutive bursts of failures
-	RestTo loop.Micros // tasks that failed, or all of a job that is not trusted, wait until then
-	took   loop.Micros // the longest time from the choice of a machine to a failure
-	since  loop.Micros // when the newest burst was counted
+	State     ProbationState
+	Bursts    int         // consecutive bursts of failures
+	RestUntil loop.Micros // tasks that failed, or all of a job that is not trusted, wait until then
+	took      loop.Micros // the longest time from the choice of a machine to a failure
+	since     loop.Micros // when the newest burst was counted
 	// Changed is called for every change of the state. It may be nil.
 	Changed func(from, to ProbationState)
 }
@@ -59,7 +59,7 @@
 	if t.Bursts == 0 || chosen >= t.since {
 		t.Bursts++
 		t.since = now
-		t.RestTo = now + RestFor(t.Bursts)
+		t.RestUntil = now + RestFor(t.Bursts)
 		t.took = 0
 	}
 	t.took = max(t.took, now-chosen)
@@ -76,7 +76,7 @@
 // those that fail can succeed.
 func (t *Probation) Complete(failedBefore bool) {
 	if failedBefore || t.State != Sound {
-		t.Bursts, t.RestTo, t.took = 0, 0, 0
+		t.Bursts, t.RestUntil, t.took = 0, 0, 0
 	}
 	t.setState(Sound)
 }
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -16,7 +16,7 @@
 		Used: agent.Room{CPUs: tm.cpus, GPUs: tm.gpus}, Quota: tm.quota,
 		ClockTo: p.cfg.ClockDifference()}
 	// The clocks are read only for the few jobs that ask for it: a pass goes through all.
-	if t.trial.Bursts != 0 || t.trial.RestTo != 0 {
+	if t.trial.Bursts != 0 || t.trial.RestUntil != 0 {
 		f.Now = p.r.Now()
 		f.Failing = p.failing(t, f.Now)
 	}
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -68,14 +68,14 @@
 		case 0:
 			g.amend(id, func(r *job.Record) { r.Terms = &job.Terms{Hold: job.Hold{State: job.HoldSet, Reason: "r"}} })
 		case 1:
-			g.table(id).trial = health.Probation{State: health.Suspected, Bursts: 1, RestTo: g.Now() + 40*loop.Second}
+			g.table(id).trial = health.Probation{State: health.Suspected, Bursts: 1, RestUntil: g.Now() + 40*loop.Second}
 		case 2:
 			g.table(id).trial = health.Probation{State: health.Broken, Bursts: 4}
 		case 3: // some of its tasks failed, and others completed
 			t := g.table(id)
 			t.trial = health.Probation{State: health.Sound, Bursts: 1 + g.rng.IntN(3)}
 			if g.rng.IntN(2) == 0 {
-				t.trial.RestTo = g.Now() + 40*loop.Second
+				t.trial.RestUntil = g.Now() + 40*loop.Second
 			}
 			g.late(t, g.rng.IntN(t.waiting()+1))
 		}
@@ -287,7 +287,7 @@
 	}
 	x := &t.trial
 	trusted, late := x.State == health.Untried || x.State == health.Sound, len(t.late)
-	if x.RestTo > g.Now() && (!trusted || s.Gang || late >= n) {
+	if x.RestUntil > g.Now() && (!trusted || s.Gang || late >= n) {
 		out["backOff"] = n
 	}
 	inUse := t.j.Tasks - n - t.completed
@@ -295,7 +295,7 @@
 		var k int
 		if trusted {
 			k = late - min(late, max(1, late>>x.Bursts))
-			if x.RestTo > g.Now() && late < n {
+			if x.RestUntil > g.Now() && late < n {
 				k = late
 			}
 		} else {
@@ -364,10 +364,10 @@
 			}
 		}
 	case "backOff":
-		t.trial.RestTo = 0
+		t.trial.RestUntil = 0
 	case "probe":
 		// A task completes; as long as the rest lasts, all others are taken to have failed.
-		if t.trial.State != health.Sound && t.trial.RestTo > g.Now() {
+		if t.trial.State != health.Sound && t.trial.RestUntil > g.Now() {
 			g.late(t, t.waiting())
 		}
 		t.trial.State, t.trial.Bursts = health.Sound, 0
