--- a/internal/health/blame_test.go
+++ b/internal/health/blame_test.go
@@ -235,7 +235,7 @@
 	const s = loop.Second
 	var tr Probation
 	var states []string
-	tr.Changed = func(_, to ProbationState) { states = append(states, to.String()) }
+	tr.OnChange = func(_, to ProbationState) { states = append(states, to.String()) }
 	now := 100 * s
 	for i := range 33 { // one burst
 		tr.Fail(now+loop.Micros(i), 95*s, min(1+i/8, BrokenOn))
--- a/internal/health/trial.go
+++ b/internal/health/trial.go
@@ -26,8 +26,8 @@
 	RestUntil loop.Micros // tasks that failed, or all of a job that is not trusted, wait until then
 	took      loop.Micros // the longest time from the choice of a machine to a failure
 	since     loop.Micros // when the newest burst was counted
-	// Changed is called for every change of the state. It may be nil.
-	Changed func(from, to ProbationState)
+	// OnChange is called for every change of the state. It may be nil.
+	OnChange func(from, to ProbationState)
 }
 
 const (
@@ -44,8 +44,8 @@
 	}
 	from := t.State
 	t.State = s
-	if t.Changed != nil {
-		t.Changed(from, s)
+	if t.OnChange != nil {
+		t.OnChange(from, s)
 	}
 }
 
--- a/internal/placer/trial.go
+++ b/internal/placer/trial.go
@@ -9,7 +9,7 @@
 // watch begins a job's trial. What all nodes saw of its failures outlives its owner: a job
 // known to be broken is not let loose once more by each.
 func (p *Placer) watch(t *table) {
-	t.trial.Changed = func(from, to health.ProbationState) {
+	t.trial.OnChange = func(from, to health.ProbationState) {
 		p.n.Meter.Trial(to.String())
 		if from == health.Untried && to == health.Sound {
 			return // as nearly all
