--- a/internal/health/blame_test.go
+++ b/internal/health/blame_test.go
@@ -261,8 +261,8 @@
 	tr.Fail(now, now-s, 1)
 	tr.Fail(now+3*s, now+2*s, 1)
 	tr.Complete(false) // of a task that never failed
-	if tr.Bursts != 2 || tr.State != Sound || tr.Late(8) != 2 || tr.Late(1) != 1 || tr.Late(0) != 0 {
-		t.Errorf("a sound job with failures: %d bursts, state %v, %d of 8 tasks are retried; want 2, sound, 2", tr.Bursts, tr.State, tr.Late(8))
+	if tr.Bursts != 2 || tr.State != Sound || tr.RetryWidth(8) != 2 || tr.RetryWidth(1) != 1 || tr.RetryWidth(0) != 0 {
+		t.Errorf("a sound job with failures: %d bursts, state %v, %d of 8 tasks are retried; want 2, sound, 2", tr.Bursts, tr.State, tr.RetryWidth(8))
 	}
 	tr.Complete(true)
 	if tr.Bursts != 0 || fmt.Sprint(states) != "[doubted broken sound]" {
--- a/internal/health/trial.go
+++ b/internal/health/trial.go
@@ -92,6 +92,8 @@
 // of them have survived: it starts with a single canary task.
 func Width(survivors int) int { return 1 + 2*survivors }
 
-// Late returns how many of a trusted job's waiting tasks that failed before may be retried at
+// RetryWidth returns how many of a trusted job's waiting tasks that failed before may be retried at
 // once after the back-off: half as many after each burst of failures, but at least one.
-func (t *Probation) Late(waiting int) int { return max(min(waiting, 1), waiting>>min(t.Bursts, 30)) }
+func (t *Probation) RetryWidth(waiting int) int {
+	return max(min(waiting, 1), waiting>>min(t.Bursts, 30))
+}
--- a/internal/placer/trial.go
+++ b/internal/placer/trial.go
@@ -43,7 +43,7 @@
 // failing is what the gates are told of a job's failures.
 func (p *Placer) failing(t *table, now loop.Micros) gate.Failing {
 	f := gate.Failing{State: t.trial.State, Moments: t.trial.Bursts, Machines: p.blame.FailedOnHealthy(t.j.ID), RestTo: t.trial.RestUntil,
-		Late: len(t.late), LateNow: t.trial.Late(len(t.late))}
+		Late: len(t.late), LateNow: t.trial.RetryWidth(len(t.late))}
 	if !t.trial.Trusted() {
 		survivors := 0
 		t.each(func(_ int, x *task) {
