--- a/internal/health/trial.go
+++ b/internal/health/trial.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// RestFor returns the back-off of a job after a number of consecutive bursts of failures.
-func RestFor(moments int) loop.Micros { return firstRest << min(max(moments-1, 0), 5) }
+// BackOff returns the back-off of a job after a number of consecutive bursts of failures.
+func BackOff(moments int) loop.Micros { return firstRest << min(max(moments-1, 0), 5) }
 
 // Fail records a failure that is attributed to the job. chosen is when the attempt's machine
 // was chosen, against the number of machines not at fault on which the job has failed. An
@@ -59,7 +59,7 @@
 	if t.Bursts == 0 || chosen >= t.since {
 		t.Bursts++
 		t.since = now
-		t.RestUntil = now + RestFor(t.Bursts)
+		t.RestUntil = now + BackOff(t.Bursts)
 		t.took = 0
 	}
 	t.took = max(t.took, now-chosen)
