--- a/internal/health/runs.go
+++ b/internal/health/runs.go
@@ -42,8 +42,8 @@
 // Paces holds the paces of jobs by job ID.
 type Paces map[string]*Pace
 
-// Told holds what a view shows about its machine.
-type Told struct {
+// Findings holds what a view shows about its machine.
+type Findings struct {
 	Freed  float64 // CPUs freed by tasks that completed
 	Slow   bool
 	Factor float64 // how many times longer tasks run there; set if it is slow
@@ -54,7 +54,7 @@
 // slow. A task that runs for much longer than is usual for its job counts before it has
 // completed. old are the tasks of the previous view; unsure says that tasks may have started
 // or ended long before now, because no report arrived for a while.
-func (r *Runs) Follow(v *agent.View, c *agent.Changes, old []agent.Task, jobs []*job.Job, paces Paces, now loop.Micros, unsure bool) (out Told) {
+func (r *Runs) Follow(v *agent.View, c *agent.Changes, old []agent.Task, jobs []*job.Job, paces Paces, now loop.Micros, unsure bool) (out Findings) {
 	late := now-r.judged >= lookAgain
 	if late {
 		r.judged = now
