--- a/internal/health/runs.go
+++ b/internal/health/runs.go
@@ -141,5 +141,5 @@
 	return slow
 }
 
-// Rest resets the machine's slowness, so that it is computed from present and later tasks.
-func (r *Runs) Rest() { r.tempo = tempo{} }
+// ResetSlowness resets the machine's slowness, so that it is computed from present and later tasks.
+func (r *Runs) ResetSlowness() { r.tempo = tempo{} }
--- a/internal/health/runs_test.go
+++ b/internal/health/runs_test.go
@@ -171,7 +171,7 @@
 			}
 			if slow {
 				spoke++
-				r.Rest()
+				r.ResetSlowness()
 				p.count, p.mean = 0, 0
 			}
 			old = &v
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -43,7 +43,7 @@
 	if told.Slow && now >= sl.Shut {
 		p.log.Debug("slow machine rests", "machine", v.Name, "times", told.Factor)
 		sl.Rest(now+health.SlowRest, "its tasks run slowly")
-		sl.Runs.Rest()
+		sl.Runs.ResetSlowness()
 	}
 	p.judgeAll(v, c, before, sl.Jobs, heard)
 	if v.Host != "" {
