--- a/internal/health/runs.go
+++ b/internal/health/runs.go
@@ -49,12 +49,12 @@
 	Factor float64 // how many times longer tasks run there; set if it is slow
 }
 
-// Follow records a machine's newest view: since when its tasks run, which determines what a
+// Update records a machine's newest view: since when its tasks run, which determines what a
 // preemption would lose; which images they use; and, by the run times, whether the machine is
 // slow. A task that runs for much longer than is usual for its job counts before it has
 // completed. old are the tasks of the previous view; unsure says that tasks may have started
 // or ended long before now, because no report arrived for a while.
-func (r *Runs) Follow(v *agent.View, c *agent.Changes, old []agent.Task, jobs []*job.Job, paces Paces, now loop.Micros, unsure bool) (out Findings) {
+func (r *Runs) Update(v *agent.View, c *agent.Changes, old []agent.Task, jobs []*job.Job, paces Paces, now loop.Micros, unsure bool) (out Findings) {
 	late := now-r.judged >= lookAgain
 	if late {
 		r.judged = now
--- a/internal/health/runs_test.go
+++ b/internal/health/runs_test.go
@@ -147,7 +147,7 @@
 			}
 			unsure := rapid.IntRange(0, 15).Draw(t, "unsure") == 0
 			c := v.Since(old)
-			got := r.Follow(&v, &c, old.Tasks, jobs, paces, now, unsure)
+			got := r.Update(&v, &c, old.Tasks, jobs, paces, now, unsure)
 			freed, slow := p.view(&v, jobs, now, unsure)
 			if r.tempo.n != p.count || math.Abs(r.tempo.mean-p.mean) > 1e-9 {
 				t.Fatalf("%d tasks were compared with mean %v, want %d and %v by the model", r.tempo.n, r.tempo.mean, p.count, p.mean)
@@ -199,13 +199,13 @@
 		jobs := slices.Repeat([]*job.Job{j}, tasks)
 		running, ended := view(wire.TaskRunning, ""), view(wire.TaskExited, wire.WhyDone)
 		at := 100 * loop.Second
-		r.Follow(running, &agent.Changes{All: true}, nil, jobs, paces, at, false)
+		r.Update(running, &agent.Changes{All: true}, nil, jobs, paces, at, false)
 		gone := make([]int, tasks)
 		for i := range gone {
 			gone[i] = i
 		}
 		from := slices.Repeat([]int{-1}, tasks)
-		told := r.Follow(ended, &agent.Changes{From: from, Gone: gone}, running.Tasks, jobs, paces, at+40*loop.Second, unsure)
+		told := r.Update(ended, &agent.Changes{From: from, Gone: gone}, running.Tasks, jobs, paces, at+40*loop.Second, unsure)
 		if told.Freed != tasks || told.Slow == unsure {
 			t.Errorf("unsure %v: Follow returns %+v, want all CPUs freed and slow only if not unsure", unsure, told)
 		}
--- a/internal/placer/proof.go
+++ b/internal/placer/proof.go
@@ -38,7 +38,7 @@
 		sl.Rest(p.blame.RestUntil(v.Name), "tasks fail on it")
 	}
 	sl.Jobs = p.agent.Jobs(v)
-	told := sl.Runs.Follow(v, c, before, sl.Jobs, p.paces, now, unsure)
+	told := sl.Runs.Update(v, c, before, sl.Jobs, p.paces, now, unsure)
 	p.turn.Free(told.Freed)
 	if told.Slow && now >= sl.Shut {
 		p.log.Debug("slow machine rests", "machine", v.Name, "times", told.Factor)
