--- a/internal/health/blame.go
+++ b/internal/health/blame.go
@@ -17,9 +17,9 @@
 // are evidence. A mere count of consecutive failures on a machine is not enough: a broken job
 // would make every machine rest on which it was tried.
 type Attribution struct {
-	machines map[string]*accused
-	jobs     map[string]*accuser
-	live     func(id string) bool
+	machines   map[string]*machineEvidence
+	jobs       map[string]*jobEvidence
+	unfinished func(id string) bool
 	// version grows with every change that may affect the evidence against any machine.
 	version uint64
 }
@@ -29,38 +29,38 @@
 	// Weight of a job's failures as evidence against the machine: of a job of which a task
 	// has completed somewhere, of a job of which none has, and of a job of which a task that
 	// failed there has completed elsewhere, which suffices alone.
-	soundWord, freshWord, proof = 2, 1, 6
-	// enough is the weight at which a machine is at fault: three jobs that have completed
-	// tasks, or six that have not. The failures of two jobs are not enough, since two jobs
+	soundWeight, freshWeight, conclusiveWeight = 2, 1, 6
+	// faultThreshold is the weight at which a machine is at fault: three jobs that have completed
+	// tasks, or six that have not. The failures of two jobs are not faultThreshold, since two jobs
 	// with some broken tasks do meet on one machine.
-	enough = 6
-	// othersToo is the number of other machines on which a job must have failed since it last
+	faultThreshold = 6
+	// maxOtherMachines is the number of other machines on which a job must have failed since it last
 	// completed a task for its failures to be no evidence against any machine.
-	othersToo = 2
+	maxOtherMachines = 2
 	// BrokenOn is the number of machines not at fault on which a job must have failed,
 	// without a success since, to be considered broken.
 	BrokenOn = 3
-	// mostFailed bounds the failures that are kept of a job.
-	mostFailed = 256
+	// maxFailures bounds the failures that are kept of a job.
+	maxFailures = 256
 )
 
-// accused is the evidence against a machine.
-type accused struct {
-	counted map[string]uint64 // ended attempts that were counted
-	words   map[string]word   // by job, since the last success on the machine
-	until   loop.Micros       // nothing is placed before this time
-	rests   int               // consecutive rests
-	// against is the cached weight of the evidence as of version againstAt: a scheduling
+// machineEvidence is the evidence against a machine.
+type machineEvidence struct {
+	counted   map[string]uint64   // ended attempts that were counted
+	byJob     map[string]evidence // by job, since the last success on the machine
+	restUntil loop.Micros         // nothing is placed before this time
+	rests     int                 // consecutive rests
+	// weight is the cached weight of the evidence as of version againstAt: a scheduling
 	// pass asks for it many times.
-	against   int
-	againstAt uint64
+	weight        int
+	weightVersion uint64
 }
 
-// word is the evidence of one job's failures against a machine: the tasks that failed there
+// evidence is the evidence of one job's failures against a machine: the tasks that failed there
 // and nowhere else. The value is true for a task that completed elsewhere afterwards.
-type word map[string]bool
+type evidence map[string]bool
 
-func (w word) proves() bool {
+func (w evidence) conclusive() bool {
 	for _, done := range w {
 		if done {
 			return true
@@ -69,21 +69,21 @@
 	return false
 }
 
-// accuser is what is known of a job's tasks.
-type accuser struct {
-	sound  bool                // a task of it has completed
-	on     map[string]struct{} // machines on which it has failed since then
-	failed map[string]string   // machine on which each task failed last
-	// roams says that a task of the job failed on several machines. Then some tasks of the
+// jobEvidence is what is known of a job's tasks.
+type jobEvidence struct {
+	sound       bool                // a task of it has completed
+	failedOn    map[string]struct{} // machines on which it has failed since then
+	failedTasks map[string]string   // machine on which each task failed last
+	// failsAnywhere says that a task of the job failed on several machines. Then some tasks of the
 	// job cannot succeed, and it is unknown which: its failures are evidence against no machine.
-	roams bool
+	failsAnywhere bool
 }
 
 // NewAttribution returns an empty failure attribution. live reports whether a job is known and
 // unfinished: tasks of other jobs that machines still report are ignored, so that memory does
 // not grow with every job ever run.
 func NewAttribution(live func(id string) bool) *Attribution {
-	return &Attribution{machines: map[string]*accused{}, jobs: map[string]*accuser{}, live: live, version: 1}
+	return &Attribution{machines: map[string]*machineEvidence{}, jobs: map[string]*jobEvidence{}, unfinished: live, version: 1}
 }
 
 // Observe records the changes in a machine's newest view.
@@ -98,14 +98,14 @@
 		}
 		m := b.machines[v.Name]
 		if m == nil {
-			m = &accused{counted: map[string]uint64{}, words: map[string]word{}}
+			m = &machineEvidence{counted: map[string]uint64{}, byJob: map[string]evidence{}}
 			b.machines[v.Name] = m
 		}
 		if m.counted[t.Task] >= t.Attempt {
 			continue
 		}
 		if len(m.counted) > 64+2*len(v.Tasks) {
-			m.forget(v) // bounds the memory for a machine that runs for long
+			m.forgetUnreported(v) // bounds the memory for a machine that runs for long
 		}
 		m.counted[t.Task] = t.Attempt
 		if id, _, ok := agent.SplitTask(t.Task); ok && t.Why == wire.WhyDone {
@@ -116,8 +116,8 @@
 	}
 }
 
-// forget removes the attempts that the machine does not report any more.
-func (m *accused) forget(v *agent.View) {
+// forgetUnreported removes the attempts that the machine does not report any more.
+func (m *machineEvidence) forgetUnreported(v *agent.View) {
 	kept := map[string]uint64{}
 	for i := range v.Tasks {
 		if n, ok := m.counted[v.Tasks[i].Task]; ok {
@@ -127,10 +127,10 @@
 	m.counted = kept
 }
 
-func (b *Attribution) job(id string) *accuser {
+func (b *Attribution) job(id string) *jobEvidence {
 	j := b.jobs[id]
 	if j == nil {
-		j = &accuser{on: map[string]struct{}{}, failed: map[string]string{}}
+		j = &jobEvidence{failedOn: map[string]struct{}{}, failedTasks: map[string]string{}}
 		b.jobs[id] = j
 	}
 	return j
@@ -140,84 +140,84 @@
 // task. If it failed on another machine before, that stays as evidence against that machine.
 func (b *Attribution) completed(machine, id, task string) {
 	if m := b.machines[machine]; m != nil {
-		if len(m.words) > 0 {
+		if len(m.byJob) > 0 {
 			b.version++
-			clear(m.words)
+			clear(m.byJob)
 		}
 		m.rests = 0
 	}
-	if !b.live(id) {
+	if !b.unfinished(id) {
 		return
 	}
 	j := b.job(id)
-	if !j.sound || len(j.on) > 0 {
+	if !j.sound || len(j.failedOn) > 0 {
 		b.version++
 		j.sound = true
-		clear(j.on)
+		clear(j.failedOn)
 	}
-	if was, ok := j.failed[task]; ok && was != machine {
-		if m := b.machines[was]; m != nil && m.words[id] != nil {
-			if _, stands := m.words[id][task]; stands {
+	if was, ok := j.failedTasks[task]; ok && was != machine {
+		if m := b.machines[was]; m != nil && m.byJob[id] != nil {
+			if _, stands := m.byJob[id][task]; stands {
 				b.version++
-				m.words[id][task] = true
+				m.byJob[id][task] = true
 			}
 		}
 	}
-	delete(j.failed, task)
+	delete(j.failedTasks, task)
 }
 
-// anywhere replaces the machine's name for a task that has failed on several machines.
-const anywhere = "*"
+// severalMachines replaces the machine's name for a task that has failed on several machines.
+const severalMachines = "*"
 
 // failed records that a task has failed. A machine at fault rests after it, even if this
 // task is no evidence against the machine: otherwise a task that has failed elsewhere, too,
 // would be started on the faulty machine again and again (166 times in one case).
 func (b *Attribution) failed(now loop.Micros, machine, id, task string) {
-	if !b.live(id) {
+	if !b.unfinished(id) {
 		return
 	}
 	m := b.machines[machine]
-	b.accuse(m, machine, id, task)
-	if now >= m.until && b.AtFault(machine) {
-		m.until = now + min(120*loop.Second, 15*loop.Second<<min(m.rests, 3))
+	b.addEvidence(m, machine, id, task)
+	if now >= m.restUntil && b.AtFault(machine) {
+		m.restUntil = now + min(120*loop.Second, 15*loop.Second<<min(m.rests, 3))
 		m.rests++
 	}
 }
 
-// accuse records a failure as evidence against its machine if it is any.
-func (b *Attribution) accuse(m *accused, machine, id, task string) {
+// addEvidence records a failure as evidence against its machine if it is any.
+func (b *Attribution) addEvidence(m *machineEvidence, machine, id, task string) {
 	b.version++
 	j := b.job(id)
-	if len(j.on) < mostFailed {
-		j.on[machine] = struct{}{}
+	if len(j.failedOn) < maxFailures {
+		j.failedOn[machine] = struct{}{}
 	}
-	was, before := j.failed[task]
+	was, before := j.failedTasks[task]
 	if before && was != machine {
 		// The task fails on every machine and is evidence against none of them.
-		j.failed[task], j.roams = anywhere, true
-		b.takeBack(was, id, task)
+		j.failedTasks[task], j.failsAnywhere = severalMachines, true
+		b.removeEvidence(was, id, task)
 		return
 	}
-	if len(j.failed) < mostFailed {
-		j.failed[task] = machine
+	if len(j.failedTasks) < maxFailures {
+		j.failedTasks[task] = machine
 	}
-	w := m.words[id]
+	w := m.byJob[id]
 	if w == nil {
-		w = word{}
-		m.words[id] = w
+		w = evidence{}
+		m.byJob[id] = w
 	}
 	w[task] = false
 }
 
-// takeBack removes a task's failure from the evidence against a machine.
-func (b *Attribution) takeBack(machine, id, task string) {
+// removeEvidence removes a task's failure from the evidence against a machine.
+func (b *Attribution) removeEvidence(machine, id, task string) {
 	m := b.machines[machine]
 	if m == nil {
 		return
 	}
-	delete(m.words[id], task)
-	if len(m.words[id]) == 0 {
-		delete(m.words, id)
+	delete(m.byJob[id], task)
+	if len(m.byJob[id]) == 0 {
+		delete(m.byJob, id)
 	}
 }
 
@@ -227,32 +227,32 @@
 	if m == nil {
 		return false
 	}
-	if m.againstAt != b.version {
-		m.against, m.againstAt = b.against(machine, m), b.version
+	if m.weightVersion != b.version {
+		m.weight, m.weightVersion = b.weigh(machine, m), b.version
 	}
-	return m.against >= enough
+	return m.weight >= faultThreshold
 }
 
-// against returns the weight of the evidence against a machine.
-func (b *Attribution) against(machine string, m *accused) (words int) {
-	for id, w := range m.words {
+// weigh returns the weight of the evidence weigh a machine.
+func (b *Attribution) weigh(machine string, m *machineEvidence) (words int) {
+	for id, w := range m.byJob {
 		j := b.jobs[id]
 		if j == nil {
-			words += freshWord
+			words += freshWeight
 			continue
 		}
-		others := len(j.on)
-		if _, here := j.on[machine]; here {
+		others := len(j.failedOn)
+		if _, here := j.failedOn[machine]; here {
 			others--
 		}
 		switch {
-		case w.proves():
-			words += proof
-		case others >= othersToo || j.roams:
+		case w.conclusive():
+			words += conclusiveWeight
+		case others >= maxOtherMachines || j.failsAnywhere:
 		case !j.sound:
-			words += freshWord
+			words += freshWeight
 		default:
-			words += soundWord
+			words += soundWeight
 		}
 	}
 	return words
@@ -266,7 +266,7 @@
 		return 0
 	}
 	n := 0
-	for machine := range j.on {
+	for machine := range j.failedOn {
 		if !b.AtFault(machine) {
 			n++
 		}
@@ -278,7 +278,7 @@
 // its next task should run elsewhere. The caller must not change the map.
 func (b *Attribution) AvoidedMachines(id string) map[string]struct{} {
 	if j := b.jobs[id]; j != nil {
-		return j.on
+		return j.failedOn
 	}
 	return nil
 }
@@ -288,7 +288,7 @@
 	b.version++
 	delete(b.machines, machine)
 	for _, j := range b.jobs {
-		delete(j.on, machine)
+		delete(j.failedOn, machine)
 	}
 }
 
@@ -298,9 +298,9 @@
 	if j == nil {
 		return
 	}
-	for machine := range j.on {
+	for machine := range j.failedOn {
 		if m := b.machines[machine]; m != nil {
-			delete(m.words, id)
+			delete(m.byJob, id)
 		}
 	}
 	delete(b.jobs, id)
@@ -310,7 +310,7 @@
 // RestUntil returns the time from which tasks may be placed on the machine again.
 func (b *Attribution) RestUntil(machine string) loop.Micros {
 	if m := b.machines[machine]; m != nil {
-		return m.until
+		return m.restUntil
 	}
 	return 0
 }
@@ -319,11 +319,11 @@
 // tasks of at least two jobs.
 func (b *Attribution) ShouldReplace(machine string) bool {
 	m := b.machines[machine]
-	if m == nil || len(m.words) < 2 || !b.AtFault(machine) {
+	if m == nil || len(m.byJob) < 2 || !b.AtFault(machine) {
 		return false
 	}
 	tasks := 0
-	for _, w := range m.words {
+	for _, w := range m.byJob {
 		tasks += len(w)
 	}
 	return tasks >= 3
--- a/internal/health/blame_test.go
+++ b/internal/health/blame_test.go
@@ -19,12 +19,12 @@
 	ok                 bool
 }
 
-// plainBlame is a model of the failure attribution that keeps the whole history and computes
+// historyModel is a model of the failure attribution that keeps the whole history and computes
 // every result from it.
-type plainBlame []ending
+type historyModel []ending
 
 // failedOn returns the machines on which the job has failed since a task of it completed.
-func (p plainBlame) failedOn(job string) (on []string, sound bool) {
+func (p historyModel) failedOn(job string) (on []string, sound bool) {
 	for _, e := range p {
 		switch {
 		case e.job != job:
@@ -37,16 +37,16 @@
 	return on, sound
 }
 
-func (p plainBlame) roams(task, machine string) bool {
+func (p historyModel) failedElsewhere(task, machine string) bool {
 	return slices.ContainsFunc(p, func(e ending) bool { return e.task == task && !e.ok && e.machine != machine })
 }
 
-// unclear reports whether any task of the job failed on several machines.
-func (p plainBlame) unclear(job string) bool {
-	return slices.ContainsFunc(p, func(e ending) bool { return e.job == job && !e.ok && p.roams(e.task, e.machine) })
+// failsAnywhere reports whether any task of the job failed on several machines.
+func (p historyModel) failsAnywhere(job string) bool {
+	return slices.ContainsFunc(p, func(e ending) bool { return e.job == job && !e.ok && p.failedElsewhere(e.task, e.machine) })
 }
 
-func (p plainBlame) atFault(machine string) bool {
+func (p historyModel) atFault(machine string) bool {
 	from := 0
 	for i, e := range p {
 		if e.machine == machine && e.ok {
@@ -55,7 +55,7 @@
 	}
 	proven := map[string]bool{} // jobs that failed there
 	for _, e := range p[from:] {
-		if e.machine == machine && !p.roams(e.task, machine) {
+		if e.machine == machine && !p.failedElsewhere(e.task, machine) {
 			proven[e.job] = proven[e.job] || slices.ContainsFunc(p, func(o ending) bool { return o.task == e.task && o.ok && o.machine != machine })
 		}
 	}
@@ -66,7 +66,7 @@
 		switch {
 		case proof:
 			words += 6
-		case others >= 2 || p.unclear(job):
+		case others >= 2 || p.failsAnywhere(job):
 		case !sound:
 			words++
 		default:
@@ -76,7 +76,7 @@
 	return words >= 6
 }
 
-func (p plainBlame) against(job string) (n int) {
+func (p historyModel) against(job string) (n int) {
 	on, _ := p.failedOn(job)
 	for _, m := range on {
 		if !p.atFault(m) {
@@ -95,18 +95,18 @@
 	b := NewAttribution(func(id string) bool { return !over[id] })
 	for k := range 50 {
 		id := fmt.Sprint("job-", k)
-		show(b, ending{loop.Second, "a", id, id + "/0", k%2 == 0}, 1)
+		report(b, ending{loop.Second, "a", id, id + "/0", k%2 == 0}, 1)
 		over[id] = true
 		b.JobFinished(id)
-		show(b, ending{loop.Second, "b", id, id + "/1", k%2 == 0}, 1)
+		report(b, ending{loop.Second, "b", id, id + "/1", k%2 == 0}, 1)
 	}
-	if len(b.jobs) != 0 || len(b.machines["b"].words) != 0 {
-		t.Errorf("%d jobs and evidence of %d jobs against machine b are kept, want none", len(b.jobs), len(b.machines["b"].words))
+	if len(b.jobs) != 0 || len(b.machines["b"].byJob) != 0 {
+		t.Errorf("%d jobs and evidence of %d jobs against machine b are kept, want none", len(b.jobs), len(b.machines["b"].byJob))
 	}
 }
 
-// show has a machine report one more ended attempt.
-func show(b *Attribution, e ending, attempt uint64) {
+// report has a machine report one more ended attempt.
+func report(b *Attribution, e ending, attempt uint64) {
 	why := wire.WhyError
 	if e.ok {
 		why = wire.WhyDone
@@ -120,7 +120,7 @@
 	verdicts := 0
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewAttribution(always)
-		var p plainBlame
+		var p historyModel
 		now := loop.Micros(loop.Second)
 		attempts := map[string]uint64{}
 		done := map[string]bool{}
@@ -134,8 +134,8 @@
 			}
 			done[e.task] = e.ok
 			attempts[e.task]++
-			show(b, e, attempts[e.task])
-			show(b, e, attempts[e.task]) // the same end is reported twice
+			report(b, e, attempts[e.task])
+			report(b, e, attempts[e.task]) // the same end is reported twice
 			p = append(p, e)
 			for k := 1; k <= 6; k++ {
 				m, j := fmt.Sprint("n-", k), fmt.Sprint("job-", k)
@@ -171,7 +171,7 @@
 		for _, e := range list {
 			e.task = e.job + "/" + e.task
 			attempts[e.task]++
-			show(b, e, attempts[e.task])
+			report(b, e, attempts[e.task])
 		}
 		return b
 	}
@@ -295,7 +295,7 @@
 				b.Observe(now, &agent.View{Name: machine, Tasks: []agent.Task{task}}, &agent.Changes{All: true})
 			}
 			for name, m := range b.machines {
-				if got, want := b.AtFault(name), b.against(name, m) >= enough; got != want {
+				if got, want := b.AtFault(name), b.weigh(name, m) >= faultThreshold; got != want {
 					t.Fatalf("machine %s is at fault: %v by the cached weight, %v by a new sum", name, got, want)
 				}
 			}
--- a/internal/health/pace.go
+++ b/internal/health/pace.go
@@ -12,10 +12,10 @@
 // a slow machine by a larger factor.
 
 const (
-	slowFactor = 1.6  // mean ratio of run times above which a machine is slow
-	paceTasks  = 4    // tasks of a job that must have completed before others are compared with it
-	paceWeight = 0.15 // least weight of the newest task in a machine's mean
-	paceCount  = 6    // tasks that must have been compared before a machine is called slow
+	slowFactor       = 1.6  // mean ratio of run times above which a machine is slow
+	minPaceTasks     = 4    // tasks of a job that must have completed before others are compared with it
+	paceWeight       = 0.15 // least weight of the newest task in a machine's mean
+	minComparedTasks = 6    // tasks that must have been compared before a machine is called slow
 	// SlowRest is how long a slow machine takes no starts.
 	SlowRest = 20 * loop.Second
 )
@@ -31,21 +31,21 @@
 	c.mean += (math.Log(float64(max(ran, 1))) - c.mean) / float64(c.n)
 }
 
-// tempo is the slowness of a machine: the mean logarithm of the ratio of its tasks' run times
+// slowness is the slowness of a machine: the mean logarithm of the ratio of its tasks' run times
 // to those of the same jobs elsewhere.
-type tempo struct {
+type slowness struct {
 	n    int
 	mean float64
 }
 
-// hear adds a task that ran on the machine for the given time and reports whether the machine
+// add adds a task that ran on the machine for the given time and reports whether the machine
 // is slow.
-func (m *tempo) hear(c *Pace, ran loop.Micros) bool {
-	if c == nil || c.n < paceTasks {
+func (m *slowness) add(c *Pace, ran loop.Micros) bool {
+	if c == nil || c.n < minPaceTasks {
 		return false
 	}
 	m.n++
 	w := max(paceWeight, 1/float64(m.n))
 	m.mean += w * (math.Log(float64(max(ran, 1))) - c.mean - m.mean)
-	return m.n >= paceCount && m.mean > math.Log(slowFactor)
+	return m.n >= minComparedTasks && m.mean > math.Log(slowFactor)
 }
--- a/internal/health/runs.go
+++ b/internal/health/runs.go
@@ -9,23 +9,23 @@
 	"cleatpick/internal/wire"
 )
 
-// run is what is known of a task that was reported as running.
-type run struct {
-	since  loop.Micros // 0: it does not run
-	late   bool        // its long run time has been counted for its machine already
-	unsure bool        // it may have started long before it was first reported
+// taskRun is what is known of a task that was reported as running.
+type taskRun struct {
+	since     loop.Micros // 0: it does not run
+	counted   bool        // its long run time has been counted for its machine already
+	uncertain bool        // it may have started long before it was first reported
 }
 
 // Runs tracks the tasks that run on one machine, and the machine's speed.
 type Runs struct {
-	runs   []run // of the newest view's tasks, in their order
-	tempo  tempo
-	images map[string]struct{} // images used by tasks of the machine
-	judged loop.Micros         // when running tasks were last checked for overdue ones
+	runs      []taskRun // of the newest view's tasks, in their order
+	slowness  slowness
+	images    map[string]struct{} // images used by tasks of the machine
+	checkedAt loop.Micros         // when running tasks were last checked for overdue ones
 }
 
-// lookAgain is the interval at which running tasks are checked for overdue ones.
-const lookAgain = 5 * loop.Second
+// overdueInterval is the interval at which running tasks are checked for overdue ones.
+const overdueInterval = 5 * loop.Second
 
 // NewRuns returns the state of a machine on which no task is known.
 func NewRuns() *Runs { return &Runs{images: map[string]struct{}{}} }
@@ -55,9 +55,9 @@
 // completed. old are the tasks of the previous view; unsure says that tasks may have started
 // or ended long before now, because no report arrived for a while.
 func (r *Runs) Update(v *agent.View, c *agent.Changes, old []agent.Task, jobs []*job.Job, paces Paces, now loop.Micros, unsure bool) (out Findings) {
-	late := now-r.judged >= lookAgain
+	late := now-r.checkedAt >= overdueInterval
 	if late {
-		r.judged = now
+		r.checkedAt = now
 	}
 	same := c.Still && len(r.runs) == len(v.Tasks)
 	if same && !late {
@@ -65,7 +65,7 @@
 	}
 	runs := r.runs
 	if !same {
-		runs = make([]run, len(v.Tasks))
+		runs = make([]taskRun, len(v.Tasks))
 	}
 	for i := range v.Tasks {
 		x, j := &v.Tasks[i], jobs[i]
@@ -74,13 +74,13 @@
 			out.Slow = late && r.overdue(&runs[i], j, paces, now) || out.Slow
 			continue
 		}
-		was := r.was(x, c, old)
+		was := r.previous(x, c, old)
 		if (x.State == wire.TaskRunning || x.State == wire.TaskSaving) && j != nil && j.Spec != nil {
 			r.images[j.Spec.Image] = struct{}{}
 		}
 		switch {
 		case x.State == wire.TaskRunning && was.since == 0:
-			runs[i] = run{since: now, unsure: unsure}
+			runs[i] = taskRun{since: now, uncertain: unsure}
 		case x.State == wire.TaskRunning:
 			out.Slow = late && r.overdue(&was, j, paces, now) || out.Slow
 			runs[i] = was
@@ -88,50 +88,50 @@
 			if j.Spec != nil {
 				out.Freed += j.Spec.CPUs
 			}
-			was.unsure = was.unsure || unsure
+			was.uncertain = was.uncertain || unsure
 			out.Slow = r.completed(&was, j, paces, now) || out.Slow
 		}
 	}
 	r.runs = runs
 	if out.Slow {
-		out.Factor = math.Exp(r.tempo.mean)
+		out.Factor = math.Exp(r.slowness.mean)
 	}
 	return out
 }
 
-// was returns what was known of a task whose state has changed.
-func (r *Runs) was(x *agent.Task, c *agent.Changes, old []agent.Task) run {
+// previous returns what previous known of a task whose state has changed.
+func (r *Runs) previous(x *agent.Task, c *agent.Changes, old []agent.Task) taskRun {
 	for _, g := range c.Gone {
 		if g < len(r.runs) && old[g].Attempt == x.Attempt && old[g].Task == x.Task {
 			return r.runs[g]
 		}
 	}
-	return run{}
+	return taskRun{}
 }
 
 // overdue counts a task that still runs if it has run for more than twice its job's usual
 // time, and reports whether the machine is slow.
-func (r *Runs) overdue(o *run, j *job.Job, paces Paces, now loop.Micros) bool {
-	if o.since == 0 || o.late || o.unsure || j == nil || j.Final() {
+func (r *Runs) overdue(o *taskRun, j *job.Job, paces Paces, now loop.Micros) bool {
+	if o.since == 0 || o.counted || o.uncertain || j == nil || j.Final() {
 		return false
 	}
 	pace := paces[j.ID]
-	if pace == nil || pace.n < paceTasks || float64(now-o.since) <= 2*math.Exp(pace.mean) {
+	if pace == nil || pace.n < minPaceTasks || float64(now-o.since) <= 2*math.Exp(pace.mean) {
 		return false
 	}
-	o.late = true
-	return r.tempo.hear(pace, now-o.since)
+	o.counted = true
+	return r.slowness.add(pace, now-o.since)
 }
 
 // completed counts a task that has completed, adds it to its job's pace, and reports whether
 // the machine is slow.
-func (r *Runs) completed(o *run, j *job.Job, paces Paces, now loop.Micros) (slow bool) {
-	if o.unsure || j.Final() {
+func (r *Runs) completed(o *taskRun, j *job.Job, paces Paces, now loop.Micros) (slow bool) {
+	if o.uncertain || j.Final() {
 		return false
 	}
 	pace := paces[j.ID]
-	if !o.late {
-		slow = r.tempo.hear(pace, now-o.since)
+	if !o.counted {
+		slow = r.slowness.add(pace, now-o.since)
 	}
 	if pace == nil {
 		pace = &Pace{}
@@ -142,4 +142,4 @@
 }
 
 // ResetSlowness resets the machine's slowness, so that it is computed from present and later tasks.
-func (r *Runs) ResetSlowness() { r.tempo = tempo{} }
+func (r *Runs) ResetSlowness() { r.slowness = slowness{} }
--- a/internal/health/runs_test.go
+++ b/internal/health/runs_test.go
@@ -18,25 +18,25 @@
 
 func TestMain(m *testing.M) { fixed.Main(m) }
 
-// seen is what the model keeps of a task, by the task's name and attempt.
-type seen struct {
+// modelRun is what the model keeps of a task, by the task's name and attempt.
+type modelRun struct {
 	since        loop.Micros
 	late, unsure bool
 }
 
-// plainRuns is a model that examines every task of every view and does not use the
+// runsModel is a model that examines every task of every view and does not use the
 // differences between views.
-type plainRuns struct {
-	runs   map[string]*seen
+type runsModel struct {
+	runs   map[string]*modelRun
 	pace   map[string][]float64 // logarithms of the run times of a job's tasks
 	count  int
 	mean   float64
 	looked loop.Micros
 }
 
-func (p *plainRuns) speak(id string, ran loop.Micros) bool {
+func (p *runsModel) compare(id string, ran loop.Micros) bool {
 	times := p.pace[id]
-	if len(times) < paceTasks {
+	if len(times) < minPaceTasks {
 		return false
 	}
 	sum := 0.0
@@ -46,11 +46,11 @@
 	p.count++
 	w := max(paceWeight, 1/float64(p.count))
 	p.mean += w * (math.Log(float64(ran)) - sum/float64(len(times)) - p.mean)
-	return p.count >= paceCount && p.mean > math.Log(slowFactor)
+	return p.count >= minComparedTasks && p.mean > math.Log(slowFactor)
 }
 
-func (p *plainRuns) view(v *agent.View, jobs []*job.Job, now loop.Micros, unsure bool) (freed float64, slow bool) {
-	look := now-p.looked >= lookAgain
+func (p *runsModel) view(v *agent.View, jobs []*job.Job, now loop.Micros, unsure bool) (freed float64, slow bool) {
+	look := now-p.looked >= overdueInterval
 	if look {
 		p.looked = now
 	}
@@ -63,22 +63,22 @@
 		case x.State == wire.TaskRunning:
 			still[k] = true
 			if o == nil {
-				p.runs[k] = &seen{since: now, unsure: unsure}
-			} else if times := p.pace[j.ID]; look && !o.late && !o.unsure && len(times) >= paceTasks {
+				p.runs[k] = &modelRun{since: now, unsure: unsure}
+			} else if times := p.pace[j.ID]; look && !o.late && !o.unsure && len(times) >= minPaceTasks {
 				sum := 0.0
 				for _, t := range times {
 					sum += t
 				}
 				if float64(now-o.since) > 2*math.Exp(sum/float64(len(times))) {
 					o.late = true
-					slow = p.speak(j.ID, now-o.since) || slow
+					slow = p.compare(j.ID, now-o.since) || slow
 				}
 			}
 		case x.State == wire.TaskExited && x.Why == wire.WhyDone && o != nil:
 			freed += j.Spec.CPUs
 			if !o.unsure && !unsure {
 				if !o.late {
-					slow = p.speak(j.ID, now-o.since) || slow
+					slow = p.compare(j.ID, now-o.since) || slow
 				}
 				p.pace[j.ID] = append(p.pace[j.ID], math.Log(float64(now-o.since)))
 			}
@@ -99,7 +99,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		specs := []*job.Job{{ID: "a", Phase: job.Accepted, Spec: &job.Spec{CPUs: 2, Image: "ia"}}, {ID: "b", Phase: job.Accepted, Spec: &job.Spec{CPUs: 3, Image: "ib"}}}
 		r, paces := NewRuns(), Paces{}
-		p := &plainRuns{runs: map[string]*seen{}, pace: map[string][]float64{}}
+		p := &runsModel{runs: map[string]*modelRun{}, pace: map[string][]float64{}}
 		old := &agent.View{Session: 1}
 		now, next := 10*loop.Second, 0
 		images := map[string]bool{}
@@ -149,8 +149,8 @@
 			c := v.Since(old)
 			got := r.Update(&v, &c, old.Tasks, jobs, paces, now, unsure)
 			freed, slow := p.view(&v, jobs, now, unsure)
-			if r.tempo.n != p.count || math.Abs(r.tempo.mean-p.mean) > 1e-9 {
-				t.Fatalf("%d tasks were compared with mean %v, want %d and %v by the model", r.tempo.n, r.tempo.mean, p.count, p.mean)
+			if r.slowness.n != p.count || math.Abs(r.slowness.mean-p.mean) > 1e-9 {
+				t.Fatalf("%d tasks were compared with mean %v, want %d and %v by the model", r.slowness.n, r.slowness.mean, p.count, p.mean)
 			}
 			if got.Freed != freed || got.Slow != slow {
 				t.Fatalf("freed CPUs %v, slow %v; want %v and %v by the model", got.Freed, got.Slow, freed, slow)
@@ -188,7 +188,7 @@
 	const tasks = 12
 	j := &job.Job{ID: "job-1", Phase: job.Accepted, Spec: &job.Spec{CPUs: 1, Tasks: tasks}}
 	for _, unsure := range []bool{true, false} {
-		r, paces := NewRuns(), Paces{"job-1": {n: paceTasks, mean: math.Log(float64(10 * loop.Second))}}
+		r, paces := NewRuns(), Paces{"job-1": {n: minPaceTasks, mean: math.Log(float64(10 * loop.Second))}}
 		view := func(state, why string) *agent.View {
 			v := &agent.View{Name: "n-1"}
 			for i := range tasks {
--- a/internal/health/trial.go
+++ b/internal/health/trial.go
@@ -21,20 +21,20 @@
 // burst of failures counts once, however many tasks fail in it. If each failure doubled the
 // back-off, the simultaneous failure of many tasks would cause a back-off of half a minute.
 type Probation struct {
-	State     ProbationState
-	Bursts    int         // consecutive bursts of failures
-	RestUntil loop.Micros // tasks that failed, or all of a job that is not trusted, wait until then
-	took      loop.Micros // the longest time from the choice of a machine to a failure
-	since     loop.Micros // when the newest burst was counted
+	State          ProbationState
+	Bursts         int         // consecutive bursts of failures
+	RestUntil      loop.Micros // tasks that failed, or all of a job that is not trusted, wait until then
+	longestFailure loop.Micros // the longest time from the choice of a machine to a failure
+	burstAt        loop.Micros // when the newest burst was counted
 	// OnChange is called for every change of the state. It may be nil.
 	OnChange func(from, to ProbationState)
 }
 
 const (
-	firstRest = loop.Second // back-off after the first burst of failures
-	// survived is how much longer than the failures took a task must have run for the job to
+	initialBackOff = loop.Second // back-off after the first burst of failures
+	// survivalMargin is how much longer than the failures took a task must have run for the job to
 	// be allowed more tasks at once.
-	survived = 2 * loop.Second
+	survivalMargin = 2 * loop.Second
 )
 
 // setState is the only place where the state changes.
@@ -50,19 +50,19 @@
 }
 
 // BackOff returns the back-off of a job after a number of consecutive bursts of failures.
-func BackOff(moments int) loop.Micros { return firstRest << min(max(moments-1, 0), 5) }
+func BackOff(moments int) loop.Micros { return initialBackOff << min(max(moments-1, 0), 5) }
 
 // Fail records a failure that is attributed to the job. chosen is when the attempt's machine
 // was chosen, against the number of machines not at fault on which the job has failed. An
 // attempt whose machine was chosen before the newest burst was counted belongs to that burst.
 func (t *Probation) Fail(now, chosen loop.Micros, against int) {
-	if t.Bursts == 0 || chosen >= t.since {
+	if t.Bursts == 0 || chosen >= t.burstAt {
 		t.Bursts++
-		t.since = now
+		t.burstAt = now
 		t.RestUntil = now + BackOff(t.Bursts)
-		t.took = 0
+		t.longestFailure = 0
 	}
-	t.took = max(t.took, now-chosen)
+	t.longestFailure = max(t.longestFailure, now-chosen)
 	switch {
 	case against >= BrokenOn:
 		t.setState(Broken)
@@ -76,14 +76,16 @@
 // those that fail can succeed.
 func (t *Probation) Complete(failedBefore bool) {
 	if failedBefore || t.State != Sound {
-		t.Bursts, t.RestUntil, t.took = 0, 0, 0
+		t.Bursts, t.RestUntil, t.longestFailure = 0, 0, 0
 	}
 	t.setState(Sound)
 }
 
 // Survives reports whether a task that has not failed, and whose machine was chosen at the
 // given time, has run for longer than the failures took.
-func (t *Probation) Survives(now, chosen loop.Micros) bool { return now-chosen > t.took+survived }
+func (t *Probation) Survives(now, chosen loop.Micros) bool {
+	return now-chosen > t.longestFailure+survivalMargin
+}
 
 // Trusted reports whether the number of the job's running tasks is not limited.
 func (t *Probation) Trusted() bool { return t.State == Untried || t.State == Sound }
