--- a/internal/health/blame_test.go
+++ b/internal/health/blame_test.go
@@ -90,7 +90,7 @@
 
 // Machines report tasks of finished jobs for a while. Nothing may be kept of them, or the
 // memory would grow with every job ever run.
-func TestNothingIsKeptOfJobsThatAreOver(t *testing.T) {
+func TestFinishedJobsAreForgotten(t *testing.T) {
 	over := map[string]bool{}
 	b := NewAttribution(func(id string) bool { return !over[id] })
 	for k := range 50 {
