--- a/internal/health/blame_test.go
+++ b/internal/health/blame_test.go
@@ -116,7 +116,7 @@
 
 // After each of a random sequence of task ends, the failure attribution, which keeps a summary
 // only, must agree with the model that computes everything from the whole history.
-func TestBlameAgainstHistory(t *testing.T) {
+func TestAttributionAgainstHistory(t *testing.T) {
 	verdicts := 0
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewAttribution(always)
