--- a/internal/health/blame_test.go
+++ b/internal/health/blame_test.go
@@ -163,7 +163,7 @@
 // Each case is a typical pattern of failures with the expected attribution: a healthy machine
 // must never rest because of broken jobs, and a job that can succeed must not be counted as
 // failing on machines that are at fault.
-func TestWhoFailsWhere(t *testing.T) {
+func TestAttributionByFailurePattern(t *testing.T) {
 	const s = loop.Second
 	run := func(list ...ending) *Attribution {
 		b := NewAttribution(always)
