--- a/internal/health/blame_test.go
+++ b/internal/health/blame_test.go
@@ -231,7 +231,7 @@
 // A burst of failures must count once, the back-off must double from one burst to the next up
 // to its bound, and only tasks that have run for longer than the failures took may allow a
 // job more tasks at once.
-func TestTrial(t *testing.T) {
+func TestProbation(t *testing.T) {
 	const s = loop.Second
 	var tr Probation
 	var states []string
