--- a/internal/health/blame_test.go
+++ b/internal/health/blame_test.go
@@ -272,7 +272,7 @@
 
 // The weight of the evidence against a machine is cached. After any event, including deleted
 // machines and finished jobs, the cached weight must give the same result as a new sum.
-func TestWordsAgainstAreKeptCurrent(t *testing.T) {
+func TestCachedWeightIsCurrent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		over := map[string]bool{}
 		b := NewAttribution(func(id string) bool { return !over[id] })
