--- a/internal/health/runs_test.go
+++ b/internal/health/runs_test.go
@@ -94,7 +94,7 @@
 
 // Runs only examines the differences between a machine's views. It must come to the same run
 // times, images and slowness as a model that examines every task of every view.
-func TestRunsFollowViews(t *testing.T) {
+func TestRunsAgainstModel(t *testing.T) {
 	spoke := 0
 	rapid.Check(t, func(t *rapid.T) {
 		specs := []*job.Job{{ID: "a", Phase: job.Accepted, Spec: &job.Spec{CPUs: 2, Image: "ia"}}, {ID: "b", Phase: job.Accepted, Spec: &job.Spec{CPUs: 3, Image: "ib"}}}
