--- a/internal/health/runs_test.go
+++ b/internal/health/runs_test.go
@@ -184,7 +184,7 @@
 
 // When no reports of a machine arrive for a while, the tasks that ended meanwhile seem to have
 // run for the whole time. They must not make the machine slow.
-func TestSilenceIsNoSlowness(t *testing.T) {
+func TestMissingReportsAreNoSlowness(t *testing.T) {
 	const tasks = 12
 	j := &job.Job{ID: "job-1", Phase: job.Accepted, Spec: &job.Spec{CPUs: 1, Tasks: tasks}}
 	for _, unsure := range []bool{true, false} {
