--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -1,7 +1,9 @@
-// Package cordon keeps the operators' cordons: which machines take no new starts, by
-// name, type, zone or kind. All stand in one record, whose version is a condition of
-// every start that is recorded anywhere: once a cordon is stored, no owner records a
-// start that it forbids, whether it has heard of the cordon or not.
+// Package cordon keeps the operators' cordons: rules that exclude machines from new task
+// starts by name, type, zone or kind. All cordons are in one record in the state service,
+// and its revision is a condition of every transaction that records a start: once a cordon
+// is stored, no owner records a start that it forbids, even if the owner does not know the
+// cordon yet. The package decides which places are cordoned; it leaves the checks before a
+// start to the scheduler, and running tasks alone.
 package cordon
 
 import (
@@ -14,17 +16,17 @@
 	"cleatpick/internal/wire"
 )
 
-// Key holds the record of all cordons.
+// Key is the key of the record of all cordons.
 const Key = "c/cordons"
 
-// Bounds on what operators may ask for.
+// Bounds on cordons.
 const (
-	Most    = 100 // cordons at a time
+	Most    = 100 // cordons in force at a time
 	MaxText = 200 // bytes of a reason
-	MaxName = 64
+	MaxName = 64  // bytes of a name
 )
 
-const format = 1
+const format = 1 // version of the record's encoding
 
 // The kinds of machines.
 const (
@@ -32,7 +34,8 @@
 	Ordinary = "ordinary"
 )
 
-// Cordon keeps starts off all machines that match every selector that is not empty.
+// Cordon excludes from new starts all machines that match each of its selectors Machine,
+// Type, Zone and Kind that is not empty.
 type Cordon struct {
 	Name    string `cbor:"n"`
 	Machine string `cbor:"m,omitempty"`
@@ -41,11 +44,11 @@
 	Kind    string `cbor:"k,omitempty"`
 	Reason  string `cbor:"r"`
 	By      string `cbor:"b,omitempty"`
-	At      int64  `cbor:"a"`           // time of day
-	Until   int64  `cbor:"u,omitempty"` // time of day at which it ends by itself; 0: never
+	At      int64  `cbor:"a"`           // wall clock at which it was stored
+	Until   int64  `cbor:"u,omitempty"` // wall clock at which it expires; 0: never
 }
 
-// ValidName tells whether a cordon may have this name.
+// ValidName reports whether a cordon may have this name.
 func ValidName(s string) bool {
 	for _, c := range s {
 		if (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && (c < '0' || c > '9') && c != '.' && c != '-' && c != '_' {
@@ -55,13 +58,14 @@
 	return s != "" && len(s) <= MaxName
 }
 
-// Place names where a task might go. Machine is empty for one that is not rented yet.
+// Place describes a machine on which a task could run. Machine is empty for one that is not
+// rented yet.
 type Place struct {
 	Machine, Type, Zone string
 	Spot                bool
 }
 
-// Bars tells whether the cordon keeps starts off the place.
+// Bars reports whether the cordon excludes the place from new starts.
 func (c *Cordon) Bars(p Place) bool {
 	kind := Ordinary
 	if p.Spot {
@@ -76,31 +80,32 @@
 	Cordons []Cordon `cbor:"c"`
 }
 
-// Outcome says what became of a change.
+// Outcome is the result of a change of the cordons.
 type Outcome int
 
 // The outcomes of a change.
 const (
 	Stored   Outcome = iota
-	Unstored         // the state service did not take it: ask again
-	TooMany          // Most are in force already
-	Absent           // there is none of that name
+	Unstored         // not stored in time, or refused by the state service: try again
+	TooMany          // Most cordons are in force already
+	Absent           // there is no cordon of that name
 )
 
-// Book holds the cordons as known here.
+// Book holds the cordons as far as this controller knows them.
 type Book struct {
 	r       loop.Runner
 	c       *store.Client
 	m       *store.Mirror
 	log     *slog.Logger
-	off     loop.Micros // twice the bound on the time of day
+	off     loop.Micros // twice the bound on clock differences
 	mark    uint64
 	all     []Cordon
 	damaged bool
 	version uint64
 }
 
-// NewBook makes the book; clockTo is twice the bound on the time of day.
+// NewBook returns the cordons that the mirror m holds and will receive; clockTo is twice the
+// bound on clock differences.
 func NewBook(r loop.Runner, c *store.Client, m *store.Mirror, log *slog.Logger, clockTo loop.Micros) *Book {
 	b := &Book{r: r, c: c, m: m, log: log, off: clockTo, version: 1}
 	m.On(Key, b.learn)
@@ -115,8 +120,8 @@
 	b.mark, b.damaged = e.Mark, false
 	if e.Mark != 0 {
 		if err := wire.Unmarshal(e.Value, &rec); err != nil || rec.Format != format {
-			// What was last read stays in force here; the next change replaces the record.
-			b.log.Error("corrupt record set aside", "key", key, "format", rec.Format, "err", err)
+			// The cordons read last stay in force here; the next change replaces the record.
+			b.log.Error("corrupt cordon record ignored; the cordons read before stay in force", "key", key, "format", rec.Format, "err", err)
 			b.damaged = true
 			return
 		}
@@ -124,7 +129,7 @@
 	b.setCordons(rec.Cordons)
 }
 
-// setCordons is the one place where the cordons in force change.
+// setCordons is the only place where the cordons in force change.
 func (b *Book) setCordons(all []Cordon) {
 	b.all = all
 	b.version++
@@ -138,9 +143,10 @@
 	}
 }
 
-// ended tells whether a cordon is over by every clock.
+// ended reports whether a cordon has expired by the clock of every controller.
 func (b *Book) ended(c *Cordon) bool { return c.Until != 0 && b.r.Wall() >= c.Until+b.off }
 
+// nextEnd returns the earliest time at which a cordon in force expires, or 0 if none does.
 func (b *Book) nextEnd() (next int64) {
 	for i := range b.all {
 		if c := &b.all[i]; c.Until != 0 && !b.ended(c) && (next == 0 || c.Until < next) {
@@ -150,19 +156,19 @@
 	return next
 }
 
-// Version rises whenever the cordons in force may have changed.
+// Version returns a number that grows whenever the cordons in force may have changed.
 func (b *Book) Version() uint64 { return b.version }
 
-// Any tells whether any cordon may be in force.
+// Any reports whether any cordon may be in force.
 func (b *Book) Any() bool { return len(b.all) > 0 }
 
-// Cond is the condition that no cordon has changed since.
+// Cond returns the condition that the stored cordons are still those known here.
 func (b *Book) Cond() wire.Cond { return wire.Cond{Key: Key, Mark: b.mark} }
 
-// Damaged tells whether the stored record cannot be read.
+// Damaged reports whether the stored record is corrupt.
 func (b *Book) Damaged() bool { return b.damaged }
 
-// Barred tells whether any cordon keeps starts off the place.
+// Barred reports whether any cordon excludes the place from new starts.
 func (b *Book) Barred(p Place) bool {
 	for i := range b.all {
 		if c := &b.all[i]; c.Bars(p) && !b.ended(c) {
@@ -172,7 +178,7 @@
 	return false
 }
 
-// Barring names the cordons that keep starts off the place.
+// Barring returns the names of the cordons that exclude the place from new starts.
 func (b *Book) Barring(p Place) (names []string) {
 	for i := range b.all {
 		if c := &b.all[i]; c.Bars(p) && !b.ended(c) {
@@ -182,7 +188,7 @@
 	return names
 }
 
-// All lists the cordons in force by name.
+// All returns the cordons in force, ordered by name.
 func (b *Book) All() []Cordon {
 	var out []Cordon
 	for i := range b.all {
@@ -194,7 +200,7 @@
 	return out
 }
 
-// Put stores a cordon under its name, in the place of an earlier one.
+// Put stores a cordon under its name and replaces an earlier one of that name.
 func (b *Book) Put(c Cordon, cb func(Outcome)) {
 	c.At = b.r.Wall()
 	b.change(func(all []Cordon) ([]Cordon, Outcome) {
@@ -205,7 +211,7 @@
 	}, c.Name, cb)
 }
 
-// Remove ends a cordon.
+// Remove removes a cordon.
 func (b *Book) Remove(name string, cb func(Outcome)) {
 	b.change(func(all []Cordon) ([]Cordon, Outcome) {
 		for i := range b.all {
@@ -219,8 +225,9 @@
 
 const patience = 1500 * loop.Millisecond
 
-// change replaces the record on the version that is known, and tries again from the
-// newer one when that has moved. edit gets what is in force, but for the name.
+// change replaces the record on condition of the revision known here, and tries again from
+// the newer record when the condition fails. edit gets the cordons in force except the one
+// of that name, and returns those to be stored.
 func (b *Book) change(edit func([]Cordon) ([]Cordon, Outcome), name string, cb func(Outcome)) {
 	dead := b.r.Now() + patience
 	again := func(f func()) {
@@ -240,7 +247,7 @@
 		}
 		all, out := edit(rest)
 		if out != Stored {
-			b.refresh(func(moved, ok bool) { // what is known here may be old
+			b.refresh(func(moved, ok bool) { // the record known here may be outdated
 				switch {
 				case !ok:
 					cb(Unstored)
@@ -276,7 +283,8 @@
 	try()
 }
 
-// Refresh reads the record again after a transaction showed that the copy here is old.
+// Refresh reads the record again, after a transaction has shown that the copy here is
+// outdated.
 func (b *Book) Refresh() { b.refresh(func(bool, bool) {}) }
 
 func (b *Book) refresh(cb func(moved, ok bool)) {
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -17,7 +17,7 @@
 
 const clockTo = 200 * loop.Millisecond
 
-// office is some books over one state service, each with its own mirror.
+// office is a set of controllers' cordons over one state service, each with its own mirror.
 type office struct {
 	*standin.Stepped
 	state   *standin.State
@@ -47,8 +47,9 @@
 	return out
 }
 
-// Operators change cordons at several nodes at once: no change that was told as stored
-// gets lost, and all nodes come to the same list, which a plain map of them knows too.
+// When operators change cordons at several controllers at once, no change that was reported
+// as stored may get lost by a concurrent write of the shared record, and all controllers must
+// come to the same list. The expected list is kept in a plain map.
 func TestBooksAgreeWithAPlainMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOffice(3)
@@ -61,7 +62,7 @@
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			b := o.books[rapid.IntRange(0, 2).Draw(t, "node")]
 			c := Cordon{Name: fmt.Sprint("c", rapid.IntRange(0, 4).Draw(t, "name")), Zone: "x", Reason: fmt.Sprint("r", rapid.IntRange(0, 99).Draw(t, "reason"))}
-			// Two changes of one name at once may come in either order: one at a time.
+			// Two concurrent changes of one name may be applied in either order, so they are made one after the other.
 			if slices.ContainsFunc(open, func(x change) bool { return x.c.Name == c.Name }) {
 				o.Run(2 * loop.Second)
 				open = nil
@@ -75,7 +76,7 @@
 				case out == Stored:
 					plain[x.c.Name] = x.c.Reason
 				case out == Absent && plain[x.c.Name] != "":
-					t.Fatalf("%s is called absent", x.c.Name)
+					t.Fatalf("removing %s returned Absent although it is stored", x.c.Name)
 				}
 			}
 			if x.drop {
@@ -92,14 +93,16 @@
 		}
 		for i, b := range o.books {
 			if got := names(b); !slices.Equal(got, want) {
-				t.Fatalf("node %d has %v, want %v", i, got, want)
+				t.Fatalf("controller %d has the cordons %v, want %v", i, got, want)
 			}
 		}
 	})
 }
 
-// A cordon bars what matches all that it names; it ends by itself only when every clock
-// agrees; a record that cannot be read leaves what was read before in force.
+// A cordon must exclude exactly the places that match all its selectors, expire only once the
+// clock of every controller is past its end, and stay in force when its record becomes
+// corrupt. The next change must repair the record, and during an outage of the state service
+// a change must be reported as not stored.
 func TestWhatACordonBars(t *testing.T) {
 	o := newOffice(1)
 	b := o.books[0]
@@ -112,7 +115,7 @@
 		{Cordon{Type: "m8", Zone: "y"}, false}, {Cordon{Type: "m8"}, true},
 	} {
 		if c.c.Bars(at) != c.bars {
-			t.Errorf("%+v bars %+v: %v", c.c, at, !c.bars)
+			t.Errorf("cordon %+v excludes %+v: %v, want the opposite", c.c, at, !c.bars)
 		}
 	}
 	until := o.Wall() + 10*loop.Second
@@ -121,11 +124,11 @@
 	before := b.Version()
 	o.Run(until - o.Wall() + clockTo - loop.Millisecond)
 	if !b.Barred(at) {
-		t.Fatal("the cordon has ended before every clock was past its end")
+		t.Fatal("the cordon has expired before every clock was past its end")
 	}
 	o.Run(10 * loop.Millisecond)
 	if b.Barred(at) || b.Version() == before {
-		t.Fatalf("the cordon has not ended: barred %v, version %d", b.Barred(at), b.Version())
+		t.Fatalf("the cordon has not expired: the place is excluded: %v, version %d", b.Barred(at), b.Version())
 	}
 	b.Put(Cordon{Name: "d", Zone: "x", Reason: "r"}, func(Outcome) {})
 	o.Run(loop.Second)
@@ -134,18 +137,18 @@
 	b.Refresh()
 	o.Run(2 * loop.Second)
 	if !b.Damaged() || !b.Barred(at) {
-		t.Fatalf("a record of another format: damaged %v, barred %v", b.Damaged(), b.Barred(at))
+		t.Fatalf("after a record of another format: damaged %v, place excluded %v; want true and true", b.Damaged(), b.Barred(at))
 	}
 	var out Outcome = -1
 	b.Put(Cordon{Name: "e", Zone: "y", Reason: "r"}, func(x Outcome) { out = x })
 	o.Run(2 * loop.Second)
 	if out != Stored || b.Damaged() || len(b.All()) != 2 {
-		t.Fatalf("the next change gives %v, damaged %v, %v", out, b.Damaged(), b.All())
+		t.Fatalf("the next change returns %v, damaged %v, cordons %v; want Stored, false and two", out, b.Damaged(), b.All())
 	}
 	o.state.SetDown(true)
 	b.Put(Cordon{Name: "f", Zone: "y", Reason: "r"}, func(x Outcome) { out = x })
 	o.Run(5 * loop.Second)
 	if out != Unstored {
-		t.Fatalf("in an outage a change gives %v", out)
+		t.Fatalf("during an outage a change returns %v, want Unstored", out)
 	}
 }
