--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -29,7 +29,7 @@
 	// nobody owns: what is told of them may be old.
 	Unheard func() []string
 	Jobs    *job.Registry
-	Cordons *cordon.Book
+	Cordons *cordon.Registry
 	// Unseen counts starts that were recorded earlier and may still begin where a cordon
 	// bars them; ok is false where an owner could not be asked.
 	Unseen func(name string, cb func(starts int, ok bool))
--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -91,8 +91,8 @@
 	Absent           // there is no cordon of that name
 )
 
-// Book holds the cordons as far as this controller knows them.
-type Book struct {
+// Registry holds the cordons as far as this controller knows them.
+type Registry struct {
 	r       loop.Runner
 	c       *store.Client
 	m       *store.Mirror
@@ -106,13 +106,13 @@
 
 // NewBook returns the cordons that the mirror m holds and will receive; clockTo is twice the
 // bound on clock differences.
-func NewBook(r loop.Runner, c *store.Client, m *store.Mirror, log *slog.Logger, clockTo loop.Micros) *Book {
-	b := &Book{r: r, c: c, m: m, log: log, off: clockTo, version: 1}
+func NewBook(r loop.Runner, c *store.Client, m *store.Mirror, log *slog.Logger, clockTo loop.Micros) *Registry {
+	b := &Registry{r: r, c: c, m: m, log: log, off: clockTo, version: 1}
 	m.On(Key, b.learn)
 	return b
 }
 
-func (b *Book) learn(key string, e store.Entry) {
+func (b *Registry) learn(key string, e store.Entry) {
 	if key != Key {
 		return
 	}
@@ -130,7 +130,7 @@
 }
 
 // setCordons is the only place where the cordons in force change.
-func (b *Book) setCordons(all []Cordon) {
+func (b *Registry) setCordons(all []Cordon) {
 	b.all = all
 	b.version++
 	version := b.version
@@ -144,10 +144,10 @@
 }
 
 // ended reports whether a cordon has expired by the clock of every controller.
-func (b *Book) ended(c *Cordon) bool { return c.Until != 0 && b.r.Wall() >= c.Until+b.off }
+func (b *Registry) ended(c *Cordon) bool { return c.Until != 0 && b.r.Wall() >= c.Until+b.off }
 
 // nextEnd returns the earliest time at which a cordon in force expires, or 0 if none does.
-func (b *Book) nextEnd() (next int64) {
+func (b *Registry) nextEnd() (next int64) {
 	for i := range b.all {
 		if c := &b.all[i]; c.Until != 0 && !b.ended(c) && (next == 0 || c.Until < next) {
 			next = c.Until
@@ -157,19 +157,19 @@
 }
 
 // Version returns a number that grows whenever the cordons in force may have changed.
-func (b *Book) Version() uint64 { return b.version }
+func (b *Registry) Version() uint64 { return b.version }
 
 // Any reports whether any cordon may be in force.
-func (b *Book) Any() bool { return len(b.all) > 0 }
+func (b *Registry) Any() bool { return len(b.all) > 0 }
 
 // Cond returns the condition that the stored cordons are still those known here.
-func (b *Book) Cond() wire.Cond { return wire.Cond{Key: Key, Mark: b.mark} }
+func (b *Registry) Cond() wire.Cond { return wire.Cond{Key: Key, Mark: b.mark} }
 
 // Damaged reports whether the stored record is corrupt.
-func (b *Book) Damaged() bool { return b.damaged }
+func (b *Registry) Damaged() bool { return b.damaged }
 
 // Barred reports whether any cordon excludes the place from new starts.
-func (b *Book) Barred(p Place) bool {
+func (b *Registry) Barred(p Place) bool {
 	for i := range b.all {
 		if c := &b.all[i]; c.Bars(p) && !b.ended(c) {
 			return true
@@ -179,7 +179,7 @@
 }
 
 // Barring returns the names of the cordons that exclude the place from new starts.
-func (b *Book) Barring(p Place) (names []string) {
+func (b *Registry) Barring(p Place) (names []string) {
 	for i := range b.all {
 		if c := &b.all[i]; c.Bars(p) && !b.ended(c) {
 			names = append(names, c.Name)
@@ -189,7 +189,7 @@
 }
 
 // All returns the cordons in force, ordered by name.
-func (b *Book) All() []Cordon {
+func (b *Registry) All() []Cordon {
 	var out []Cordon
 	for i := range b.all {
 		if !b.ended(&b.all[i]) {
@@ -201,7 +201,7 @@
 }
 
 // Put stores a cordon under its name and replaces an earlier one of that name.
-func (b *Book) Put(c Cordon, cb func(Outcome)) {
+func (b *Registry) Put(c Cordon, cb func(Outcome)) {
 	c.At = b.r.Wall()
 	b.change(func(all []Cordon) ([]Cordon, Outcome) {
 		if len(all) >= Most {
@@ -212,7 +212,7 @@
 }
 
 // Remove removes a cordon.
-func (b *Book) Remove(name string, cb func(Outcome)) {
+func (b *Registry) Remove(name string, cb func(Outcome)) {
 	b.change(func(all []Cordon) ([]Cordon, Outcome) {
 		for i := range b.all {
 			if b.all[i].Name == name {
@@ -228,7 +228,7 @@
 // change replaces the record on condition of the revision known here, and tries again from
 // the newer record when the condition fails. edit gets the cordons in force except the one
 // of that name, and returns those to be stored.
-func (b *Book) change(edit func([]Cordon) ([]Cordon, Outcome), name string, cb func(Outcome)) {
+func (b *Registry) change(edit func([]Cordon) ([]Cordon, Outcome), name string, cb func(Outcome)) {
 	dead := b.r.Now() + patience
 	again := func(f func()) {
 		if b.r.Now() >= dead {
@@ -285,9 +285,9 @@
 
 // Refresh reads the record again, after a transaction has shown that the copy here is
 // outdated.
-func (b *Book) Refresh() { b.refresh(func(bool, bool) {}) }
+func (b *Registry) Refresh() { b.refresh(func(bool, bool) {}) }
 
-func (b *Book) refresh(cb func(moved, ok bool)) {
+func (b *Registry) refresh(cb func(moved, ok bool)) {
 	b.c.Get(store.Answers, Key, func(it wire.Item, found, ok bool) {
 		before := b.mark
 		if ok && found {
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -21,7 +21,7 @@
 type office struct {
 	*standin.Stepped
 	state   *standin.State
-	books   []*Book
+	books   []*Registry
 	mirrors []*store.Mirror
 }
 
@@ -40,7 +40,7 @@
 	return o
 }
 
-func names(b *Book) (out []string) {
+func names(b *Registry) (out []string) {
 	for _, c := range b.All() {
 		out = append(out, c.Name+":"+c.Reason)
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -31,7 +31,7 @@
 	// that its view does not show yet.
 	Unshown func(v *agent.View, f func(*job.Spec))
 	Stop    func(host string, s agent.Stop)
-	Cordons *cordon.Book
+	Cordons *cordon.Registry
 	// StaleAfter is how long after its last word a machine takes no starts.
 	StaleAfter loop.Micros
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -40,7 +40,7 @@
 	mirror   *store.Mirror
 	member   *member.Member
 	jobs     *job.Registry
-	cordons  *cordon.Book
+	cordons  *cordon.Registry
 	agent    *agent.Agent
 	placer   *placer.Placer
 	rental   *rental.Rental
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -64,7 +64,7 @@
 	cfg      *config.Config
 	n        Node
 	registry *job.Registry
-	cordons  *cordon.Book
+	cordons  *cordon.Registry
 	agent    *agent.Agent
 	// partitions are those that this node owns, and teams what was assigned to them.
 	partitions map[partition.ID]*ownedPartition
@@ -93,7 +93,7 @@
 }
 
 // New makes the placer.
-func New(r loop.Runner, c *store.Client, log *slog.Logger, cfg *config.Config, n Node, registry *job.Registry, a *agent.Agent, cordons *cordon.Book) *Placer {
+func New(r loop.Runner, c *store.Client, log *slog.Logger, cfg *config.Config, n Node, registry *job.Registry, a *agent.Agent, cordons *cordon.Registry) *Placer {
 	p := &Placer{r: r, cordons: cordons, c: c, log: log, cfg: cfg, n: n, registry: registry, agent: a, partitions: map[partition.ID]*ownedPartition{}, teams: map[string]*team{},
 		valueLimit: int(cfg.Cluster.State.ValueKB * 1024 * valuePart),
 		on:         map[string]*machineTasks{},
