--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -58,7 +58,7 @@
 	c := store.NewClient(g.Stepped, g.state, log, 1e5, 1e5, 1)
 	m := store.NewMirror(c, g.state, "c/")
 	jobs := job.NewRegistry(g.Stepped, c, m, log)
-	cordons := cordon.NewBook(g.Stepped, c, m, log, 0)
+	cordons := cordon.NewRegistry(g.Stepped, c, m, log, 0)
 	meter := metric.New()
 	desk := explain.NewService(g.Stepped, explain.Dependencies{
 		Label: "a", Poll: jobs.Poll, Job: jobs.Get,
--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -104,9 +104,9 @@
 	version uint64
 }
 
-// NewBook returns the cordons that the mirror m holds and will receive; clockTo is twice the
+// NewRegistry returns the cordons that the mirror m holds and will receive; clockTo is twice the
 // bound on clock differences.
-func NewBook(r loop.Runner, c *store.Client, m *store.Mirror, log *slog.Logger, clockTo loop.Micros) *Registry {
+func NewRegistry(r loop.Runner, c *store.Client, m *store.Mirror, log *slog.Logger, clockTo loop.Micros) *Registry {
 	b := &Registry{r: r, c: c, m: m, log: log, off: clockTo, version: 1}
 	m.On(Key, b.learn)
 	return b
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -32,7 +32,7 @@
 	for range n {
 		c := store.NewClient(o, o.state, log, 1e4, 1e4, 1)
 		m := store.NewMirror(c, o.state, "c/")
-		o.books = append(o.books, NewBook(o, c, m, log, clockTo))
+		o.books = append(o.books, NewRegistry(o, c, m, log, clockTo))
 		o.mirrors = append(o.mirrors, m)
 		m.Start()
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -120,7 +120,7 @@
 		return cfg.Quota(t).Weight
 	}, cfg.Cluster.State.WriteRPS*0.45/float64(nodes))
 	n.jobs.MostAsking(cfg.Cluster.Limits.MaxSockets / 5)
-	n.cordons = cordon.NewBook(l, n.client, n.mirror, log, cfg.ClockDifference())
+	n.cordons = cordon.NewRegistry(l, n.client, n.mirror, log, cfg.ClockDifference())
 	n.net = peer.New(l, log, cfg.Label, cfg.Known)
 	n.reach = reach.New(l, log, cfg.Label, n.net.Peers(), cfg.ClockDifference())
 	n.reach.StateContact = n.contact
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -89,7 +89,7 @@
 		Tell:    func([]peer.Progress) {},
 		Usage:   func([]peer.Usage) {},
 		Claims:  func([]peer.Claim) {},
-	}, g.registry, g.a, cordon.NewBook(g, c, g.mirror, log, 0))
+	}, g.registry, g.a, cordon.NewRegistry(g, c, g.mirror, log, 0))
 	g.registry.OnJob = g.p.Job
 	for _, t := range teams {
 		mark := g.state.Put("c/t/"+t.Name, map[string]any{"n": "a", "e": 1})
