--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -249,7 +249,7 @@
 	step("DELETE", "/v1/cordons/racks", "", 200, nil)
 	step("GET", "/v1/cordons/racks", "", 404, nil)
 	step("GET", "/v1/queue", "", 200, map[string]any{"complete": true})
-	for i := range cordon.Most {
+	for i := range cordon.MaxCordons {
 		step("PUT", fmt.Sprintf("/v1/cordons/c%d", i), `{"machine":"n-1","reason":"r"}`, 200, nil)
 	}
 	step("PUT", "/v1/cordons/one-more", `{"machine":"n-1","reason":"r"}`, 409, nil)
--- a/internal/api/cluster.go
+++ b/internal/api/cluster.go
@@ -160,7 +160,7 @@
 	case cordon.Stored:
 		a.showCordon(name, done)
 	case cordon.TooMany:
-		done(fullCordon.with("at most %d", cordon.Most).outcome())
+		done(fullCordon.with("at most %d", cordon.MaxCordons).outcome())
 	case cordon.Absent:
 		done(noCordon.with("%.80q", name).outcome())
 	default:
--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -21,9 +21,9 @@
 
 // Bounds on cordons.
 const (
-	Most    = 100 // cordons in force at a time
-	MaxText = 200 // bytes of a reason
-	MaxName = 64  // bytes of a name
+	MaxCordons = 100 // cordons in force at a time
+	MaxText    = 200 // bytes of a reason
+	MaxName    = 64  // bytes of a name
 )
 
 const format = 1 // version of the record's encoding
@@ -204,7 +204,7 @@
 func (b *Registry) Put(c Cordon, cb func(Outcome)) {
 	c.At = b.r.Wall()
 	b.change(func(all []Cordon) ([]Cordon, Outcome) {
-		if len(all) >= Most {
+		if len(all) >= MaxCordons {
 			return nil, TooMany
 		}
 		return append(all, c), Stored
