--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -65,8 +65,8 @@
 	Spot                bool
 }
 
-// Bars reports whether the cordon excludes the place from new starts.
-func (c *Cordon) Bars(p Place) bool {
+// Matches reports whether the cordon excludes the place from new starts.
+func (c *Cordon) Matches(p Place) bool {
 	kind := Ordinary
 	if p.Spot {
 		kind = Spot
@@ -171,7 +171,7 @@
 // Barred reports whether any cordon excludes the place from new starts.
 func (b *Registry) Barred(p Place) bool {
 	for i := range b.all {
-		if c := &b.all[i]; c.Bars(p) && !b.ended(c) {
+		if c := &b.all[i]; c.Matches(p) && !b.ended(c) {
 			return true
 		}
 	}
@@ -181,7 +181,7 @@
 // Barring returns the names of the cordons that exclude the place from new starts.
 func (b *Registry) Barring(p Place) (names []string) {
 	for i := range b.all {
-		if c := &b.all[i]; c.Bars(p) && !b.ended(c) {
+		if c := &b.all[i]; c.Matches(p) && !b.ended(c) {
 			names = append(names, c.Name)
 		}
 	}
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -114,7 +114,7 @@
 		{Cordon{Machine: "n-1"}, true}, {Cordon{Machine: "n-2"}, false}, {Cordon{Zone: "x", Kind: Spot}, true}, {Cordon{Zone: "x", Kind: Ordinary}, false},
 		{Cordon{Type: "m8", Zone: "y"}, false}, {Cordon{Type: "m8"}, true},
 	} {
-		if c.c.Bars(at) != c.bars {
+		if c.c.Matches(at) != c.bars {
 			t.Errorf("cordon %+v excludes %+v: %v, want the opposite", c.c, at, !c.bars)
 		}
 	}
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -77,7 +77,7 @@
 		}
 	}
 	for name, c := range r.cordons {
-		if c.Bars(cordon.Place{Machine: x.w.Name, Type: x.w.Type, Zone: x.w.Zone, Spot: x.w.Spot}) {
+		if c.Matches(cordon.Place{Machine: x.w.Name, Type: x.w.Type, Zone: x.w.Zone, Spot: x.w.Spot}) {
 			if r.checked.cordons++; r.recorded[task] > r.since[name] {
 				r.w.fail("began_cordoned: %s begins on %s and was recorded after cordon %s was stored", task, x.w.Name, name)
 			}
