--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -168,8 +168,8 @@
 // Damaged reports whether the stored record is corrupt.
 func (b *Registry) Damaged() bool { return b.damaged }
 
-// Barred reports whether any cordon excludes the place from new starts.
-func (b *Registry) Barred(p Place) bool {
+// Blocked reports whether any cordon excludes the place from new starts.
+func (b *Registry) Blocked(p Place) bool {
 	for i := range b.all {
 		if c := &b.all[i]; c.Matches(p) && !b.ended(c) {
 			return true
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -123,12 +123,12 @@
 	o.Run(loop.Second)
 	before := b.Version()
 	o.Run(until - o.Wall() + clockTo - loop.Millisecond)
-	if !b.Barred(at) {
+	if !b.Blocked(at) {
 		t.Fatal("the cordon has expired before every clock was past its end")
 	}
 	o.Run(10 * loop.Millisecond)
-	if b.Barred(at) || b.Version() == before {
-		t.Fatalf("the cordon has not expired: the place is excluded: %v, version %d", b.Barred(at), b.Version())
+	if b.Blocked(at) || b.Version() == before {
+		t.Fatalf("the cordon has not expired: the place is excluded: %v, version %d", b.Blocked(at), b.Version())
 	}
 	b.Put(Cordon{Name: "d", Zone: "x", Reason: "r"}, func(Outcome) {})
 	o.Run(loop.Second)
@@ -136,8 +136,8 @@
 	o.Run(2 * loop.Second)
 	b.Refresh()
 	o.Run(2 * loop.Second)
-	if !b.Damaged() || !b.Barred(at) {
-		t.Fatalf("after a record of another format: damaged %v, place excluded %v; want true and true", b.Damaged(), b.Barred(at))
+	if !b.Damaged() || !b.Blocked(at) {
+		t.Fatalf("after a record of another format: damaged %v, place excluded %v; want true and true", b.Damaged(), b.Blocked(at))
 	}
 	var out Outcome = -1
 	b.Put(Cordon{Name: "e", Zone: "y", Reason: "r"}, func(x Outcome) { out = x })
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -171,7 +171,7 @@
 	if v := f.n.Cordons.Version(); v != f.cordons {
 		f.cordons = v
 		for _, sl := range f.order {
-			sl.Cordoned = f.n.Cordons.Barred(Where(sl.V))
+			sl.Cordoned = f.n.Cordons.Blocked(Where(sl.V))
 		}
 	}
 	due := f.stale
@@ -211,7 +211,7 @@
 	}
 	f.usedClaims(sl)
 	sl.Known = true
-	sl.Cordoned = f.n.Cordons.Barred(Where(v))
+	sl.Cordoned = f.n.Cordons.Blocked(Where(v))
 }
 
 // price compares the machines' prices, which change from time to time.
--- a/internal/node/fitness.go
+++ b/internal/node/fitness.go
@@ -32,7 +32,7 @@
 	switch {
 	case j.Terms.Hold.State != job.HoldNone && j.Terms.Hold.Shut(n.loop.Wall()):
 		return "held"
-	case n.cordons.Barred(fleet.Where(v)):
+	case n.cordons.Blocked(fleet.Where(v)):
 		return "cordoned"
 	}
 	return ""
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -211,7 +211,7 @@
 		Faulty:   n.placer.Faulty,
 		Meter:    n.meter,
 		Cordoned: func(typ, zone string, spot bool) bool {
-			return n.cordons.Barred(cordon.Place{Type: typ, Zone: zone, Spot: spot})
+			return n.cordons.Blocked(cordon.Place{Type: typ, Zone: zone, Spot: spot})
 		},
 		Probe: out.Probe,
 	})
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -57,7 +57,7 @@
 	if t.j.Terms.Hold.State != job.HoldNone && t.j.Terms.Hold.Shut(p.r.Wall()) {
 		return "held"
 	}
-	if sl := p.fleet.Slot(machine); sl != nil && p.cordons.Barred(fleet.Where(sl.V)) {
+	if sl := p.fleet.Slot(machine); sl != nil && p.cordons.Blocked(fleet.Where(sl.V)) {
 		return "cordoned"
 	}
 	return ""
--- a/internal/placer/rivals.go
+++ b/internal/placer/rivals.go
@@ -232,7 +232,7 @@
 		for _, zone := range typ.Zones {
 			for _, spot := range []bool{false, true} {
 				if o.AllowsPlace(typ.Name, zone, spot) && s.AllowsPlace(typ.Name, zone, spot) && fitsType(s, typ) &&
-					(lifted || !p.cordons.Barred(cordon.Place{Type: typ.Name, Zone: zone, Spot: spot})) {
+					(lifted || !p.cordons.Blocked(cordon.Place{Type: typ.Name, Zone: zone, Spot: spot})) {
 					return true
 				}
 			}
