--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -178,8 +178,8 @@
 	return false
 }
 
-// Barring returns the names of the cordons that exclude the place from new starts.
-func (b *Registry) Barring(p Place) (names []string) {
+// Blocking returns the names of the cordons that exclude the place from new starts.
+func (b *Registry) Blocking(p Place) (names []string) {
 	for i := range b.all {
 		if c := &b.all[i]; c.Matches(p) && !b.ended(c) {
 			names = append(names, c.Name)
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -184,7 +184,7 @@
 			at := explain.Time(v.NoticeAt)
 			m.LeavesAt = &at
 		}
-		m.Cordons = n.cordons.Barring(fleet.Where(v))
+		m.Cordons = n.cordons.Blocking(fleet.Where(v))
 		out = append(out, m)
 	})
 	slices.SortFunc(out, func(a, b api.Machine) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -68,7 +68,7 @@
 	}
 	seen := map[string]bool{}
 	note := func(at cordon.Place) bool {
-		by := p.cordons.Barring(at)
+		by := p.cordons.Blocking(at)
 		for _, n := range by {
 			seen[n] = true
 		}
@@ -282,7 +282,7 @@
 	n := 0
 	for machine, on := range p.on {
 		sl := p.fleet.Slot(machine)
-		if sl == nil || !slices.Contains(p.cordons.Barring(fleet.Where(sl.V)), name) {
+		if sl == nil || !slices.Contains(p.cordons.Blocking(fleet.Where(sl.V)), name) {
 			continue
 		}
 		for r := range on.all {
