--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -85,10 +85,10 @@
 
 // The outcomes of a change.
 const (
-	Stored   Outcome = iota
-	Unstored         // not stored in time, or refused by the state service: try again
-	TooMany          // Most cordons are in force already
-	Absent           // there is no cordon of that name
+	Stored    Outcome = iota
+	NotStored         // not stored in time, or refused by the state service: try again
+	TooMany           // Most cordons are in force already
+	Absent            // there is no cordon of that name
 )
 
 // Registry holds the cordons as far as this controller knows them.
@@ -232,7 +232,7 @@
 	dead := b.r.Now() + patience
 	again := func(f func()) {
 		if b.r.Now() >= dead {
-			cb(Unstored)
+			cb(NotStored)
 			return
 		}
 		f()
@@ -250,7 +250,7 @@
 			b.refresh(func(moved, ok bool) { // the record known here may be outdated
 				switch {
 				case !ok:
-					cb(Unstored)
+					cb(NotStored)
 				case moved:
 					again(try)
 				default:
@@ -268,13 +268,13 @@
 			case store.Conflict:
 				b.refresh(func(_, ok bool) {
 					if !ok {
-						cb(Unstored)
+						cb(NotStored)
 						return
 					}
 					again(try)
 				})
 			case store.Refused, store.Invalid:
-				cb(Unstored)
+				cb(NotStored)
 			default:
 				b.r.After(120*loop.Millisecond, func() { again(try) })
 			}
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -148,7 +148,7 @@
 	o.state.SetDown(true)
 	b.Put(Cordon{Name: "f", Zone: "y", Reason: "r"}, func(x Outcome) { out = x })
 	o.Run(5 * loop.Second)
-	if out != Unstored {
+	if out != NotStored {
 		t.Fatalf("during an outage a change returns %v, want Unstored", out)
 	}
 }
