--- a/internal/api/cluster.go
+++ b/internal/api/cluster.go
@@ -161,7 +161,7 @@
 		a.showCordon(name, done)
 	case cordon.TooMany:
 		done(fullCordon.with("at most %d", cordon.MaxCordons).outcome())
-	case cordon.Absent:
+	case cordon.NotFound:
 		done(noCordon.with("%.80q", name).outcome())
 	default:
 		done(noAnswer.outcome())
--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -88,7 +88,7 @@
 	Stored    Outcome = iota
 	NotStored         // not stored in time, or refused by the state service: try again
 	TooMany           // Most cordons are in force already
-	Absent            // there is no cordon of that name
+	NotFound          // there is no cordon of that name
 )
 
 // Registry holds the cordons as far as this controller knows them.
@@ -219,7 +219,7 @@
 				return all, Stored
 			}
 		}
-		return nil, Absent
+		return nil, NotFound
 	}, name, cb)
 }
 
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -75,7 +75,7 @@
 					delete(plain, x.c.Name)
 				case out == Stored:
 					plain[x.c.Name] = x.c.Reason
-				case out == Absent && plain[x.c.Name] != "":
+				case out == NotFound && plain[x.c.Name] != "":
 					t.Fatalf("removing %s returned Absent although it is stored", x.c.Name)
 				}
 			}
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -169,7 +169,7 @@
 	delete(r.cordons, name)
 	answered := false
 	if n := w.any(); n != nil {
-		n.cordons.Remove(name, func(o cordon.Outcome) { answered = o == cordon.Stored || o == cordon.Absent })
+		n.cordons.Remove(name, func(o cordon.Outcome) { answered = o == cordon.Stored || o == cordon.NotFound })
 	}
 	w.at(4*loop.Second, func() {
 		if !answered {
