--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -26,7 +26,7 @@
 	MaxName    = 64  // bytes of a name
 )
 
-const format = 1 // version of the record's encoding
+const recordFormat = 1 // version of the record's encoding
 
 // The kinds of machines.
 const (
@@ -93,33 +93,33 @@
 
 // Registry holds the cordons as far as this controller knows them.
 type Registry struct {
-	r       loop.Runner
-	c       *store.Client
-	m       *store.Mirror
-	log     *slog.Logger
-	off     loop.Micros // twice the bound on clock differences
-	mark    uint64
-	all     []Cordon
-	damaged bool
-	version uint64
+	runner     loop.Runner
+	client     *store.Client
+	mirror     *store.Mirror
+	log        *slog.Logger
+	clockBound loop.Micros // twice the bound on clock differences
+	revision   uint64
+	cordons    []Cordon
+	damaged    bool
+	version    uint64
 }
 
 // NewRegistry returns the cordons that the mirror m holds and will receive; clockTo is twice the
 // bound on clock differences.
 func NewRegistry(r loop.Runner, c *store.Client, m *store.Mirror, log *slog.Logger, clockTo loop.Micros) *Registry {
-	b := &Registry{r: r, c: c, m: m, log: log, off: clockTo, version: 1}
-	m.On(Key, b.learn)
+	b := &Registry{runner: r, client: c, mirror: m, log: log, clockBound: clockTo, version: 1}
+	m.On(Key, b.apply)
 	return b
 }
 
-func (b *Registry) learn(key string, e store.Entry) {
+func (b *Registry) apply(key string, e store.Entry) {
 	if key != Key {
 		return
 	}
 	var rec record
-	b.mark, b.damaged = e.Mark, false
+	b.revision, b.damaged = e.Mark, false
 	if e.Mark != 0 {
-		if err := wire.Unmarshal(e.Value, &rec); err != nil || rec.Format != format {
+		if err := wire.Unmarshal(e.Value, &rec); err != nil || rec.Format != recordFormat {
 			// The cordons read last stay in force here; the next change replaces the record.
 			b.log.Error("corrupt cordon record ignored; the cordons read before stay in force", "key", key, "format", rec.Format, "err", err)
 			b.damaged = true
@@ -131,25 +131,27 @@
 
 // setCordons is the only place where the cordons in force change.
 func (b *Registry) setCordons(all []Cordon) {
-	b.all = all
+	b.cordons = all
 	b.version++
 	version := b.version
-	if next := b.nextEnd(); next != 0 {
-		b.r.After(max(next+b.off-b.r.Wall(), 0)+loop.Millisecond, func() {
+	if next := b.nextExpiry(); next != 0 {
+		b.runner.After(max(next+b.clockBound-b.runner.Wall(), 0)+loop.Millisecond, func() {
 			if version == b.version {
-				b.setCordons(b.all)
+				b.setCordons(b.cordons)
 			}
 		})
 	}
 }
 
-// ended reports whether a cordon has expired by the clock of every controller.
-func (b *Registry) ended(c *Cordon) bool { return c.Until != 0 && b.r.Wall() >= c.Until+b.off }
+// expired reports whether a cordon has expired by the clock of every controller.
+func (b *Registry) expired(c *Cordon) bool {
+	return c.Until != 0 && b.runner.Wall() >= c.Until+b.clockBound
+}
 
-// nextEnd returns the earliest time at which a cordon in force expires, or 0 if none does.
-func (b *Registry) nextEnd() (next int64) {
-	for i := range b.all {
-		if c := &b.all[i]; c.Until != 0 && !b.ended(c) && (next == 0 || c.Until < next) {
+// nextExpiry returns the earliest time at which a cordon in force expires, or 0 if none does.
+func (b *Registry) nextExpiry() (next int64) {
+	for i := range b.cordons {
+		if c := &b.cordons[i]; c.Until != 0 && !b.expired(c) && (next == 0 || c.Until < next) {
 			next = c.Until
 		}
 	}
@@ -160,18 +162,18 @@
 func (b *Registry) Version() uint64 { return b.version }
 
 // Any reports whether any cordon may be in force.
-func (b *Registry) Any() bool { return len(b.all) > 0 }
+func (b *Registry) Any() bool { return len(b.cordons) > 0 }
 
 // Cond returns the condition that the stored cordons are still those known here.
-func (b *Registry) Cond() wire.Cond { return wire.Cond{Key: Key, Mark: b.mark} }
+func (b *Registry) Cond() wire.Cond { return wire.Cond{Key: Key, Mark: b.revision} }
 
 // Damaged reports whether the stored record is corrupt.
 func (b *Registry) Damaged() bool { return b.damaged }
 
 // Blocked reports whether any cordon excludes the place from new starts.
 func (b *Registry) Blocked(p Place) bool {
-	for i := range b.all {
-		if c := &b.all[i]; c.Matches(p) && !b.ended(c) {
+	for i := range b.cordons {
+		if c := &b.cordons[i]; c.Matches(p) && !b.expired(c) {
 			return true
 		}
 	}
@@ -180,8 +182,8 @@
 
 // Blocking returns the names of the cordons that exclude the place from new starts.
 func (b *Registry) Blocking(p Place) (names []string) {
-	for i := range b.all {
-		if c := &b.all[i]; c.Matches(p) && !b.ended(c) {
+	for i := range b.cordons {
+		if c := &b.cordons[i]; c.Matches(p) && !b.expired(c) {
 			names = append(names, c.Name)
 		}
 	}
@@ -191,9 +193,9 @@
 // All returns the cordons in force, ordered by name.
 func (b *Registry) All() []Cordon {
 	var out []Cordon
-	for i := range b.all {
-		if !b.ended(&b.all[i]) {
-			out = append(out, b.all[i])
+	for i := range b.cordons {
+		if !b.expired(&b.cordons[i]) {
+			out = append(out, b.cordons[i])
 		}
 	}
 	slices.SortFunc(out, func(x, y Cordon) int { return strings.Compare(x.Name, y.Name) })
@@ -201,38 +203,38 @@
 }
 
 // Put stores a cordon under its name and replaces an earlier one of that name.
-func (b *Registry) Put(c Cordon, cb func(Outcome)) {
-	c.At = b.r.Wall()
+func (b *Registry) Put(c Cordon, done func(Outcome)) {
+	c.At = b.runner.Wall()
 	b.change(func(all []Cordon) ([]Cordon, Outcome) {
 		if len(all) >= MaxCordons {
 			return nil, TooMany
 		}
 		return append(all, c), Stored
-	}, c.Name, cb)
+	}, c.Name, done)
 }
 
 // Remove removes a cordon.
-func (b *Registry) Remove(name string, cb func(Outcome)) {
+func (b *Registry) Remove(name string, done func(Outcome)) {
 	b.change(func(all []Cordon) ([]Cordon, Outcome) {
-		for i := range b.all {
-			if b.all[i].Name == name {
+		for i := range b.cordons {
+			if b.cordons[i].Name == name {
 				return all, Stored
 			}
 		}
 		return nil, NotFound
-	}, name, cb)
+	}, name, done)
 }
 
-const patience = 1500 * loop.Millisecond
+const changeTimeout = 1500 * loop.Millisecond
 
 // change replaces the record on condition of the revision known here, and tries again from
 // the newer record when the condition fails. edit gets the cordons in force except the one
 // of that name, and returns those to be stored.
-func (b *Registry) change(edit func([]Cordon) ([]Cordon, Outcome), name string, cb func(Outcome)) {
-	dead := b.r.Now() + patience
-	again := func(f func()) {
-		if b.r.Now() >= dead {
-			cb(NotStored)
+func (b *Registry) change(edit func([]Cordon) ([]Cordon, Outcome), name string, done func(Outcome)) {
+	deadline := b.runner.Now() + changeTimeout
+	retry := func(f func()) {
+		if b.runner.Now() >= deadline {
+			done(NotStored)
 			return
 		}
 		f()
@@ -250,33 +252,33 @@
 			b.refresh(func(moved, ok bool) { // the record known here may be outdated
 				switch {
 				case !ok:
-					cb(NotStored)
+					done(NotStored)
 				case moved:
-					again(try)
+					retry(try)
 				default:
-					cb(out)
+					done(out)
 				}
 			})
 			return
 		}
-		rec := record{Format: format, Cordons: all}
-		b.c.Txn(store.Answers, wire.Txn{If: []wire.Cond{b.Cond()}, Then: []wire.Change{{Put: Key, Value: rec}}}, func(r store.Result) {
+		rec := record{Format: recordFormat, Cordons: all}
+		b.client.Txn(store.Answers, wire.Txn{If: []wire.Cond{b.Cond()}, Then: []wire.Change{{Put: Key, Value: rec}}}, func(r store.Result) {
 			switch r.Outcome {
 			case store.Applied:
-				b.m.Apply(Key, wire.Marshal(rec), r.Tally, false)
-				cb(Stored)
+				b.mirror.Apply(Key, wire.Marshal(rec), r.Tally, false)
+				done(Stored)
 			case store.Conflict:
 				b.refresh(func(_, ok bool) {
 					if !ok {
-						cb(NotStored)
+						done(NotStored)
 						return
 					}
-					again(try)
+					retry(try)
 				})
 			case store.Refused, store.Invalid:
-				cb(NotStored)
+				done(NotStored)
 			default:
-				b.r.After(120*loop.Millisecond, func() { again(try) })
+				b.runner.After(120*loop.Millisecond, func() { retry(try) })
 			}
 		})
 	}
@@ -287,12 +289,12 @@
 // outdated.
 func (b *Registry) Refresh() { b.refresh(func(bool, bool) {}) }
 
-func (b *Registry) refresh(cb func(moved, ok bool)) {
-	b.c.Get(store.Answers, Key, func(it wire.Item, found, ok bool) {
-		before := b.mark
+func (b *Registry) refresh(done func(moved, ok bool)) {
+	b.client.Get(store.Answers, Key, func(it wire.Item, found, ok bool) {
+		before := b.revision
 		if ok && found {
-			b.m.Apply(it.Key, it.Value, it.Mark, false)
+			b.mirror.Apply(it.Key, it.Value, it.Mark, false)
 		}
-		cb(b.mark != before, ok)
+		done(b.revision != before, ok)
 	})
 }
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -17,22 +17,22 @@
 
 const clockTo = 200 * loop.Millisecond
 
-// office is a set of controllers' cordons over one state service, each with its own mirror.
-type office struct {
+// simulation is a set of controllers' cordons over one state service, each with its own mirror.
+type simulation struct {
 	*standin.Stepped
-	state   *standin.State
-	books   []*Registry
-	mirrors []*store.Mirror
+	state      *standin.State
+	registries []*Registry
+	mirrors    []*store.Mirror
 }
 
-func newOffice(n int) *office {
-	o := &office{Stepped: standin.NewStepped(1000 * loop.Second)}
+func newSimulation(n int) *simulation {
+	o := &simulation{Stepped: standin.NewStepped(1000 * loop.Second)}
 	o.state = standin.NewState(func() loop.Micros { return o.Now() })
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	for range n {
 		c := store.NewClient(o, o.state, log, 1e4, 1e4, 1)
 		m := store.NewMirror(c, o.state, "c/")
-		o.books = append(o.books, NewRegistry(o, c, m, log, clockTo))
+		o.registries = append(o.registries, NewRegistry(o, c, m, log, clockTo))
 		o.mirrors = append(o.mirrors, m)
 		m.Start()
 	}
@@ -52,46 +52,46 @@
 // come to the same list. The expected list is kept in a plain map.
 func TestBooksAgreeWithAPlainMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := newOffice(3)
+		o := newSimulation(3)
 		type change struct {
 			c    Cordon
 			drop bool
 		}
-		plain := map[string]string{}
-		var open []change
+		expected := map[string]string{}
+		var unsettled []change
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
-			b := o.books[rapid.IntRange(0, 2).Draw(t, "node")]
+			b := o.registries[rapid.IntRange(0, 2).Draw(t, "node")]
 			c := Cordon{Name: fmt.Sprint("c", rapid.IntRange(0, 4).Draw(t, "name")), Zone: "x", Reason: fmt.Sprint("r", rapid.IntRange(0, 99).Draw(t, "reason"))}
 			// Two concurrent changes of one name may be applied in either order, so they are made one after the other.
-			if slices.ContainsFunc(open, func(x change) bool { return x.c.Name == c.Name }) {
+			if slices.ContainsFunc(unsettled, func(x change) bool { return x.c.Name == c.Name }) {
 				o.Run(2 * loop.Second)
-				open = nil
+				unsettled = nil
 			}
 			x := change{c, rapid.IntRange(0, 2).Draw(t, "drop") == 0}
-			open = append(open, x)
-			told := func(out Outcome) {
+			unsettled = append(unsettled, x)
+			record := func(out Outcome) {
 				switch {
 				case out == Stored && x.drop:
-					delete(plain, x.c.Name)
+					delete(expected, x.c.Name)
 				case out == Stored:
-					plain[x.c.Name] = x.c.Reason
-				case out == NotFound && plain[x.c.Name] != "":
+					expected[x.c.Name] = x.c.Reason
+				case out == NotFound && expected[x.c.Name] != "":
 					t.Fatalf("removing %s returned Absent although it is stored", x.c.Name)
 				}
 			}
 			if x.drop {
-				b.Remove(c.Name, told)
+				b.Remove(c.Name, record)
 			} else {
-				b.Put(c, told)
+				b.Put(c, record)
 			}
 			o.Run(loop.Micros(rapid.IntRange(0, 40).Draw(t, "ms")) * loop.Millisecond)
 		}
 		o.Run(30 * loop.Second)
 		var want []string
-		for _, n := range slices.Sorted(maps.Keys(plain)) {
-			want = append(want, n+":"+plain[n])
+		for _, n := range slices.Sorted(maps.Keys(expected)) {
+			want = append(want, n+":"+expected[n])
 		}
-		for i, b := range o.books {
+		for i, b := range o.registries {
 			if got := names(b); !slices.Equal(got, want) {
 				t.Fatalf("controller %d has the cordons %v, want %v", i, got, want)
 			}
@@ -104,8 +104,8 @@
 // corrupt. The next change must repair the record, and during an outage of the state service
 // a change must be reported as not stored.
 func TestWhatACordonBars(t *testing.T) {
-	o := newOffice(1)
-	b := o.books[0]
+	o := newSimulation(1)
+	b := o.registries[0]
 	at := Place{Machine: "n-1", Type: "m8", Zone: "x", Spot: true}
 	for _, c := range []struct {
 		c    Cordon
