--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -50,7 +50,7 @@
 // When operators change cordons at several controllers at once, no change that was reported
 // as stored may get lost by a concurrent write of the shared record, and all controllers must
 // come to the same list. The expected list is kept in a plain map.
-func TestBooksAgreeWithAPlainMap(t *testing.T) {
+func TestConcurrentChangesAgreeWithMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newSimulation(3)
 		type change struct {
