--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -103,7 +103,7 @@
 // clock of every controller is past its end, and stay in force when its record becomes
 // corrupt. The next change must repair the record, and during an outage of the state service
 // a change must be reported as not stored.
-func TestWhatACordonBars(t *testing.T) {
+func TestWhatACordonBlocks(t *testing.T) {
 	o := newSimulation(1)
 	b := o.registries[0]
 	at := Place{Machine: "n-1", Type: "m8", Zone: "x", Spot: true}
