--- a/internal/explain/desk_test.go
+++ b/internal/explain/desk_test.go
@@ -132,7 +132,7 @@
 	o.why(t, "job-000002", 404)
 }
 
-// At most MostQuestions explanations may be in progress: the next request must be refused at
+// At most MaxOpenRequests explanations may be in progress: the next request must be refused at
 // once with 429, and be accepted again as soon as one of the others is answered.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	o := newSimulation()
@@ -158,7 +158,7 @@
 }
 
 // A timeline must stay bounded, keep its newest entries and count those that it drops. A
-// cause that is interrupted for less than flap must stay one entry. The timelines of finished
+// cause that is interrupted for less than maxInterruption must stay one entry. The timelines of finished
 // jobs are bounded, too.
 func TestTimelineIsBounded(t *testing.T) {
 	l := NewTimelines()
@@ -204,7 +204,7 @@
 		l.Finish(id, 2001*loop.Second, true)
 	}
 	if len(l.jobs) > maxFinished+2 || len(l.Get("k0").Intervals) != 0 || len(l.Get(fmt.Sprint("k", maxFinished)).Intervals) != 1 {
-		t.Errorf("%d timelines are kept, want at most mostOver of finished jobs and the newest of them", len(l.jobs))
+		t.Errorf("%d timelines are kept, want at most maxFinished of finished jobs and the newest of them", len(l.jobs))
 	}
 }
 
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -150,8 +150,8 @@
 		GPUs: f.Gate.Used.GPUs, GPUsMax: f.Gate.Quota.GPUsMax, WithinGuarantee: f.WithinGuarantee}
 }
 
-// addMachineReasons adds the reasons why the addMachineReasons do not take the waiting tasks that the job's
-// own predicates allow.
+// addMachineReasons adds the reasons why the machines do not take the waiting tasks that the
+// job's own predicates allow.
 func (f *Facts) addMachineReasons(add func(gate.Kind, int) *Reason) {
 	n, s := f.Gate.Waiting, f.Need.Spec
 	needs := &Needs{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, Zone: s.Zone, Spot: s.Spot}
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// begin opens an interval, or continues one that ended less than flap ago.
+// begin opens an interval, or continues one that ended less than maxInterruption ago.
 func (l *jobTimeline) begin(c gate.Cause, wall loop.Micros, open *int) {
 	s := interval{kind: c.Kind, from: wall, tasks: c.Tasks}
 	if c.Since != 0 && c.Since < wall {
