--- a/internal/member/claims.go
+++ b/internal/member/claims.go
@@ -217,7 +217,7 @@
 
 const (
 	// claimDelayStep is the delay of a claim for each key that the controller already holds, so
-	// that controllers that start a little later get their share; claimMost bounds it.
+	// that controllers that start a little later get their share; maxClaimDelay bounds it.
 	claimDelayStep = 250 * loop.Millisecond
 	maxClaimDelay  = 1200 * loop.Millisecond
 	// claimYield is how long a key is left to its preferred controller.
@@ -242,7 +242,7 @@
 	return wait
 }
 
-// claimKeys returns the claimKeys of all claims: those of the layout's partitions and the leadership.
+// claimKeys returns the keys of all claims: those of the layout's partitions and the leadership.
 func (b *Member) claimKeys() []string {
 	var keys []string
 	if b.layoutState != layoutUndecided {
--- a/internal/member/lease.go
+++ b/internal/member/lease.go
@@ -9,8 +9,8 @@
 const (
 	// minEpochRetry is the least delay before a controller that got no epoch tries again.
 	minEpochRetry = 300 * loop.Millisecond
-	// controllersPerSpread is the number of controllers for which the retries are spread over one more
-	// retryEpoch: of all that try at the same time, only one gets the next epoch.
+	// controllersPerSpread is the number of controllers for which the retries are spread over
+	// one more minEpochRetry: of all that try at the same time, only one gets the next epoch.
 	controllersPerSpread = 4
 )
 
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -110,15 +110,15 @@
 	registeredIsolated bool        // the isolation that is registered; the state service is the only way to publish it
 	registering        bool        // a registration is under way
 	evicted            map[string]loop.Micros
-	// Fit reports whether another controller may be given work, Broken whether the connection
-	// between this one and a controller that others reach is broken, and Weight returns how
-	// much work a partition brings. All may be nil.
+	// Fit reports whether another controller may be given work, PartlyDisconnected whether
+	// the connection between this one and a controller that others reach is broken, and
+	// Weight returns how much work a partition brings. All may be nil.
 	Fit                func(node string) bool
 	PartlyDisconnected func() bool
 	Weight             func(id partition.ID) int
 	foreignTeams       map[string]bool // teams known to other controllers that these settings do not name
 	leaseSince         loop.Micros     // when the current lease was granted
-	leaseLosses        int             // consecutive leases that ended before goodFor
+	leaseLosses        int             // consecutive leases that ended before stableAfter
 	unevenSince        loop.Micros     // since when this controller owns more than its share; 0: it does not
 	rand               *rand.Rand      // spreads the retries of controllers that start together
 
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -78,7 +78,7 @@
 
 // A packet filter refuses connections just as a stopped controller does. If every refusal
 // ended the lease of the controller behind it, its teams would never have an owner; its
-// lease must be ended only once within evictAgain.
+// lease must be ended only once within evictInterval.
 func TestEvictionIsNotRepeated(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
@@ -137,7 +137,7 @@
 	}
 	s.Run(3 * loop.Second)
 	if all[0].AllIsolated() {
-		t.Fatal("AllAlone is still true after the controllers reach each other again")
+		t.Fatal("AllIsolated is still true after the controllers reach each other again")
 	}
 }
 
--- a/internal/member/share.go
+++ b/internal/member/share.go
@@ -18,7 +18,7 @@
 
 const (
 	// A controller that lost its lease twice or more is likely to lose it again, so it claims
-	// later than others: by claimBackoff, doubled with each further loss up to mostBackward.
+	// later than others: by claimBackoff, doubled with each further loss up to maxClaimBackoff.
 	claimBackoff    = loop.Second
 	maxClaimBackoff = 8 * loop.Second
 	// stableAfter is how long it must hold its lease before this delay ends.
@@ -37,9 +37,9 @@
 // rebalanceAfter is how long an uneven distribution of partitions must last before one is moved.
 const rebalanceAfter = 8 * loop.Second
 
-// rebalance releases a partition if another fit controller owns at least two keys fewer, as after
-// it has restarted. Each controller has a limited rebalance of a core and of the state service's
-// request rate, so the partitions should be spread evenly.
+// rebalance releases a partition if another fit controller owns at least two keys fewer, as
+// after that one has restarted. Each controller has a limited share of a core and of the state
+// service's request rate, so the partitions should be spread evenly.
 func (b *Member) rebalance(now loop.Micros) {
 	counts := map[string]int{}
 	for _, key := range b.claimKeys() {
