--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -76,11 +76,11 @@
 // Facts holds what is known of a machine at the time of an evaluation.
 type Facts struct {
 	Name, Zone, Addr string
-	// LastConfirmed is the time of its last report that showed that answers reach it, Told that of
+	// LastConfirmed is the time of its last report that showed that answers reach it, LastReport that of
 	// its last report of any kind. A machine with newer reports of the second kind only may
 	// be unresponsive or stopped: delayed copies of its reports may arrive long afterwards.
-	LastConfirmed, Told loop.Micros
-	Failed              bool // the cloud lists it as failed
+	LastConfirmed, LastReport loop.Micros
+	Failed                    bool // the cloud lists it as failed
 	// RetainFor is the additional time for which it is left alone because its zone is, or was
 	// until recently, disconnected: the time that it takes to replace the machine.
 	RetainFor loop.Micros
@@ -245,7 +245,7 @@
 	if j.rules.MaxSilence > 0 && silence > j.rules.MaxSilence {
 		return "silent"
 	}
-	if m.Told > m.LastConfirmed && s.Now-m.Told <= max(j.rules.lateAfter(), maxReportGap) {
+	if m.LastReport > m.LastConfirmed && s.Now-m.LastReport <= max(j.rules.lateAfter(), maxReportGap) {
 		// Its worker's lease expires, which ends its tasks, time and again. If answers reach
 		// it again before the limit it is available as before. A probe would show nothing new.
 		j.setState(m, Unresponsive, "it reports, but no answer or command reaches it")
@@ -309,7 +309,7 @@
 // has just answered a probe, and the machine must have been probed since the zone became
 // reachable: a connection that failed during a network partition is no evidence after it.
 func (j *Detector) dead(now loop.Micros, m *machine, z *zone) bool {
-	if z.reporting == 0 || z.peerUnreachable || z.reachableSince == 0 || now-z.neighborProbedAt > neighborEvidenceFor || m.probedAt < z.reachableSince || m.probing || now-m.LastConfirmed < maxReportGap || m.Told > m.LastConfirmed {
+	if z.reporting == 0 || z.peerUnreachable || z.reachableSince == 0 || now-z.neighborProbedAt > neighborEvidenceFor || m.probedAt < z.reachableSince || m.probing || now-m.LastConfirmed < maxReportGap || m.LastReport > m.LastConfirmed {
 		return false
 	}
 	return m.repeats >= 2 || z.noConnection >= minCorrelated
--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -129,7 +129,7 @@
 		for _, v := range y.detector.Evaluate(ClusterFacts{Now: y.now, Isolated: y.isolated}, func(yield func(*Facts)) {
 			for _, r := range y.all {
 				if r.failedAt == 0 {
-					yield(&Facts{Name: r.name, Zone: r.zone, Addr: r.name, LastConfirmed: r.lastConfirmed, Told: r.lastReport})
+					yield(&Facts{Name: r.name, Zone: r.zone, Addr: r.name, LastConfirmed: r.lastConfirmed, LastReport: r.lastReport})
 				}
 			}
 		}) {
--- a/internal/rental/machine.go
+++ b/internal/rental/machine.go
@@ -199,7 +199,7 @@
 			if m.state != Up && m.state != Draining && m.state != Closing {
 				continue
 			}
-			f := loss.Facts{Name: m.name, Zone: m.zone, LastConfirmed: m.heard, Told: m.told, Failed: m.listed == "failed", RetainFor: worth(m)}
+			f := loss.Facts{Name: m.name, Zone: m.zone, LastConfirmed: m.heard, LastReport: m.told, Failed: m.listed == "failed", RetainFor: worth(m)}
 			if v := t.agent.View(m.name); v != nil {
 				f.Addr = v.Addr
 			}
