--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -122,13 +122,13 @@
 
 // zone is what is known of the network path to a zone's machines.
 type zone struct {
-	reporting        int         // number of machines whose reports arrive
-	neighbors        []string    // addresses of a few of them, the neighbours to probe
-	neighborProbedAt loop.Micros // when one of these was last probed
-	reachableSince   loop.Micros // since when neighbours have answered without interruption; 0: they do not
-	probing          bool
-	noConnection     int // silent machines to which no connection could be made since then
-	peerUnreachable  bool
+	reporting         int         // number of machines whose reports arrive
+	neighbours        []string    // addresses of a few of them, the neighbours to probe
+	neighbourProbedAt loop.Micros // when one of these was last probed
+	reachableSince    loop.Micros // since when neighbours have answered without interruption; 0: they do not
+	probing           bool
+	noConnection      int // silent machines to which no connection could be made since then
+	peerUnreachable   bool
 }
 
 // Detector evaluates the machines that are silent.
@@ -140,7 +140,7 @@
 	machines   map[string]*machine
 	zones      map[string]*zone
 	inFlight   int
-	correlated moment
+	correlated correlatedFailure
 }
 
 // New returns a failure detector. probe probes a machine and calls done later, on the event
@@ -165,13 +165,13 @@
 func (j *Detector) Clear() {
 	clear(j.machines)
 	clear(j.zones)
-	j.correlated = moment{}
+	j.correlated = correlatedFailure{}
 }
 
 // Evaluate evaluates all machines that each yields and returns those that are declared failed.
 func (j *Detector) Evaluate(s ClusterFacts, each func(func(*Facts))) []Verdict {
 	for _, z := range j.zones {
-		z.reporting, z.noConnection, z.neighbors = 0, 0, z.neighbors[:0]
+		z.reporting, z.noConnection, z.neighbours = 0, 0, z.neighbours[:0]
 	}
 	fleet := 0
 	var silent []*machine
@@ -185,12 +185,12 @@
 		m := j.machines[f.Name]
 		if s.Now-f.LastConfirmed <= j.rules.lateAfter() && !f.Failed {
 			z.reporting++
-			if len(z.neighbors) < maxNeighbors {
-				z.neighbors = append(z.neighbors, f.Addr)
+			if len(z.neighbours) < maxNeighbours {
+				z.neighbours = append(z.neighbours, f.Addr)
 			}
 			if m != nil {
 				j.setState(m, Reporting, "its reports arrive again")
-				j.correlated.back()
+				j.correlated.addReturned()
 				delete(j.machines, f.Name)
 			}
 			return
@@ -222,7 +222,7 @@
 	for _, m := range silent {
 		if why := j.evaluate(s, m); why != "" {
 			j.setState(m, DeclaredFailed, why)
-			j.correlated.lose(m, s.Now, why)
+			j.correlated.addFailed(m, s.Now, why)
 			out = append(out, Verdict{m.Name, why})
 		}
 	}
@@ -298,10 +298,10 @@
 	// minCorrelated is the number of machines of a zone that must be unreachable together for one
 	// failed connection to each to suffice: they confirm each other.
 	minCorrelated = 5
-	// neighborEvidenceFor is how long a neighbour's answer is evidence that its zone is reachable.
-	neighborEvidenceFor = 5 * loop.Second
-	maxNeighbors        = 3                       // neighbours of a zone that are probed in turn
-	probeInterval       = 1200 * loop.Millisecond // least time between two probes of one target
+	// neighbourEvidenceFor is how long a neighbour's answer is evidence that its zone is reachable.
+	neighbourEvidenceFor = 5 * loop.Second
+	maxNeighbours        = 3                       // neighbours of a zone that are probed in turn
+	probeInterval        = 1200 * loop.Millisecond // least time between two probes of one target
 )
 
 // dead reports whether a machine to which no connection can be made has stopped. Its zone
@@ -309,7 +309,7 @@
 // has just answered a probe, and the machine must have been probed since the zone became
 // reachable: a connection that failed during a network partition is no evidence after it.
 func (j *Detector) dead(now loop.Micros, m *machine, z *zone) bool {
-	if z.reporting == 0 || z.peerUnreachable || z.reachableSince == 0 || now-z.neighborProbedAt > neighborEvidenceFor || m.probedAt < z.reachableSince || m.probing || now-m.LastConfirmed < maxReportGap || m.LastReport > m.LastConfirmed {
+	if z.reporting == 0 || z.peerUnreachable || z.reachableSince == 0 || now-z.neighbourProbedAt > neighbourEvidenceFor || m.probedAt < z.reachableSince || m.probing || now-m.LastConfirmed < maxReportGap || m.LastReport > m.LastConfirmed {
 		return false
 	}
 	return m.repeats >= 2 || z.noConnection >= minCorrelated
@@ -326,7 +326,7 @@
 			continue
 		}
 		if m.result == NoConnection {
-			j.probeNeighbor(s.Now, m.Zone)
+			j.probeNeighbour(s.Now, m.Zone)
 		}
 		if m.result == NoAnswer && m.repeats >= 2 && (s.Now-m.lastAlive() <= j.rules.Lease || m.probedAt > m.lastAlive()+j.rules.Lease) && s.Now-m.probedAt < 5*loop.Second {
 			continue // it hangs, and reports on its own once it resumes
@@ -361,21 +361,21 @@
 	}
 }
 
-// probeNeighbor probes one of a zone's machines whose reports arrive, to learn whether the zone is
+// probeNeighbour probes one of a zone's machines whose reports arrive, to learn whether the zone is
 // reachable from this controller.
-func (j *Detector) probeNeighbor(now loop.Micros, name string) {
+func (j *Detector) probeNeighbour(now loop.Micros, name string) {
 	z := j.zones[name]
-	if z.probing || len(z.neighbors) == 0 || now-z.neighborProbedAt < probeInterval {
+	if z.probing || len(z.neighbours) == 0 || now-z.neighbourProbedAt < probeInterval {
 		return
 	}
-	if now-z.neighborProbedAt > neighborEvidenceFor {
+	if now-z.neighbourProbedAt > neighbourEvidenceFor {
 		z.reachableSince = 0 // whether the zone was reachable in between is unknown
 	}
 	z.probing = true
-	addr := z.neighbors[int(now/probeInterval)%len(z.neighbors)]
+	addr := z.neighbours[int(now/probeInterval)%len(z.neighbours)]
 	j.probe(addr, func(w ProbeResult) {
 		z.probing = false
-		z.neighborProbedAt = now
+		z.neighbourProbedAt = now
 		switch {
 		case w != Answered:
 			z.reachableSince = 0
--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -167,8 +167,8 @@
 	if y.most > y.rules.MaxProbes+2 || y.probes > 350 {
 		t.Fatalf("%d probes were sent, %d in flight at once; want at most 350 and Probes+2", y.probes, y.most)
 	}
-	if y.detector.correlated.state != Calm || y.detector.correlated.lost != 100 {
-		t.Fatalf("the correlated failure is %v with %d machines declared failed, want calm with 100", y.detector.correlated.state, y.detector.correlated.lost)
+	if y.detector.correlated.state != Calm || y.detector.correlated.declaredFailed != 100 {
+		t.Fatalf("the correlated failure is %v with %d machines declared failed, want calm with 100", y.detector.correlated.state, y.detector.correlated.declaredFailed)
 	}
 }
 
@@ -285,7 +285,7 @@
 	for _, r := range y.all[30:35] { // their host controller still answers them; they hang for less than a lease
 		r.unheardUntil = began + 22*loop.Second
 	}
-	falls, was := 0, Calm
+	begun, was := 0, Calm
 	for k := range 300 {
 		y.run(step)
 		if k == 40 {
@@ -293,12 +293,12 @@
 		}
 		if s := y.detector.correlated.state; s != was {
 			if was = s; s == Unresolved {
-				falls++
+				begun++
 			}
 		}
 	}
-	if falls > 1 || was != Calm {
-		t.Errorf("the correlated failure began %d times and is %v, want at most once and calm", falls, was)
+	if begun > 1 || was != Calm {
+		t.Errorf("the correlated failure began %d times and is %v, want at most once and calm", begun, was)
 	}
 	for i, r := range y.all {
 		switch took := r.failedAt - r.lastConfirmed; {
--- a/internal/loss/moment.go
+++ b/internal/loss/moment.go
@@ -14,19 +14,19 @@
 
 func (s CorrelationState) String() string { return [...]string{"calm", "falling", "passing"}[s] }
 
-// moment is a correlated failure: many machines are suspected within a short time. It lasts
+// correlatedFailure is a correlated failure: many machines are suspected within a short time. It lasts
 // from the first sign until all are back or declared failed. While it lasts, no machines are
 // rented for the capacity that may come back.
-type moment struct {
-	state    CorrelationState
-	began    loop.Micros
-	most     int // largest number of machines suspected at the same time
-	lost     int
-	returned int
-	hung     int // of those declared failed, by the result of the last probe
-	unseen   int
-	dead     int
-	longest  loop.Micros // longest silence of a machine that was declared failed
+type correlatedFailure struct {
+	state          CorrelationState
+	began          loop.Micros
+	mostSuspected  int // largest number of machines suspected at the same time
+	declaredFailed int
+	returned       int
+	hung           int // of those declared failed, by the result of the last probe
+	unreachable    int
+	dead           int
+	longestSilence loop.Micros // longest silence of a machine that was declared failed
 }
 
 // correlatedShare is the part of all machines that must be suspected for a correlated failure, and
@@ -38,28 +38,28 @@
 	if o.state == s {
 		return
 	}
-	j.log.Info("correlated machine failure changed state; no capacity is rented for suspected machines while it is falling", "from", o.state.String(), "to", s.String(), "most", o.most, "hung", o.hung, "out_of_way", o.unseen, "dead", o.dead, "lost", o.lost, "back", o.returned, "longest_us", o.longest, "since_us", now-o.began)
+	j.log.Info("correlated machine failure changed state; no capacity is rented for suspected machines while it is falling", "from", o.state.String(), "to", s.String(), "most", o.mostSuspected, "hung", o.hung, "out_of_way", o.unreachable, "dead", o.dead, "lost", o.declaredFailed, "back", o.returned, "longest_us", o.longestSilence, "since_us", now-o.began)
 	o.state = s
 }
 
-func (o *moment) back() {
+func (o *correlatedFailure) addReturned() {
 	if o.state == Unresolved {
 		o.returned++
 	}
 }
 
-func (o *moment) lose(m *machine, now loop.Micros, why string) {
-	o.lost++
+func (o *correlatedFailure) addFailed(m *machine, now loop.Micros, why string) {
+	o.declaredFailed++
 	switch m.result {
 	case NoAnswer:
 		o.hung++
 	case NoConnection:
-		o.unseen++
+		o.unreachable++
 	}
 	if why == "dead" {
 		o.dead++
 	}
-	o.longest = max(o.longest, now-m.LastConfirmed)
+	o.longestSilence = max(o.longestSilence, now-m.LastConfirmed)
 }
 
 // trackCorrelated starts and ends the tracking of a correlated failure.
@@ -74,17 +74,17 @@
 	o := &j.correlated
 	switch {
 	case o.state == Calm && n >= many:
-		*o = moment{began: now, most: n}
+		*o = correlatedFailure{began: now, mostSuspected: n}
 		j.setCorrelated(Unresolved, now)
 	case o.state == Unresolved && n > 0:
-		o.most = max(o.most, n)
-		if n < minCorrelated && o.most >= 4*minCorrelated {
+		o.mostSuspected = max(o.mostSuspected, n)
+		if n < minCorrelated && o.mostSuspected >= 4*minCorrelated {
 			j.setCorrelated(Resolved, now) // a few machines still suspected do not prolong it
 		}
 	case o.state == Unresolved:
 		j.setCorrelated(Resolved, now)
 	case o.state == Resolved && n < many:
-		j.meter.Moment(o.most, o.lost)
+		j.meter.Moment(o.mostSuspected, o.declaredFailed)
 		j.setCorrelated(Calm, now)
 	}
 	j.meter.Doubtful(n)
