--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -3,8 +3,8 @@
 // probes of the machines and from probes of their neighbours in the zone. It evaluates all
 // machines together, since many failures within a short time mostly have one common cause.
 //
-// A verdict of Lost proves nothing. It advises the leader to have the machine deleted; only
-// the cloud's confirmation of the deletion proves that its tasks are terminated.
+// A verdict proves nothing. It advises the leader to have the machine deleted; only the
+// cloud's confirmation of the deletion proves that its tasks are terminated.
 package loss
 
 import (
@@ -65,8 +65,8 @@
 	MaxProbes        int         // largest number of probes in flight
 }
 
-// lateAfter is the silence after which a machine is probed: one report and a half are overdue,
-// and 2 s have passed for delays on the way.
+// lateAfter is the silence after which a machine is probed: a report has been missed, and half
+// an interval and 2 s have passed to allow for delays.
 func (r *Rules) lateAfter() loop.Micros { return 3*r.ReportInterval/2 + 2*loop.Second }
 
 // leaseEnd is the silence after which the machine's worker has certainly ended its tasks,
@@ -111,7 +111,7 @@
 	probing      bool
 	probedAt     loop.Micros
 	prevProbedAt loop.Micros // when the probe before the last one was sent
-	// answeredAt is when it last answeredAt a probe. That proves that it runs, not that it can be
+	// answeredAt is when it last answered a probe. That proves that it runs, not that it can be
 	// used: treated like a report, it would make the machine alternate between available and
 	// late while no owner gets the state of its tasks.
 	answeredAt loop.Micros
--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -165,7 +165,7 @@
 		}
 	}
 	if y.most > y.rules.MaxProbes+2 || y.probes > 350 {
-		t.Fatalf("%d probes were sent, %d in flight at once; want at most 350 and Probes+2", y.probes, y.most)
+		t.Fatalf("%d probes were sent, %d in flight at once; want at most 350 and MaxProbes+2", y.probes, y.most)
 	}
 	if y.detector.correlated.state != Calm || y.detector.correlated.declaredFailed != 100 {
 		t.Fatalf("the correlated failure is %v with %d machines declared failed, want calm with 100", y.detector.correlated.state, y.detector.correlated.declaredFailed)
@@ -263,7 +263,7 @@
 			}
 		}
 		if y.most > y.rules.MaxProbes+zones {
-			t.Fatalf("%d probes were in flight at once, want at most Probes and one for each zone", y.most)
+			t.Fatalf("%d probes were in flight at once, want at most MaxProbes and one for each zone", y.most)
 		}
 	})
 }
@@ -271,7 +271,7 @@
 // Machines that answer probes while their reports reach nobody must not alternate between
 // suspected and available: the correlated failure must start at most once and end when each
 // has answered. None whose reports arrive again in time may be declared failed, and the
-// others must be at the time that stray states.
+// others must be at the time that maxStray states.
 func TestReportsThatReachNobody(t *testing.T) {
 	y := newSimulation(2, 40)
 	y.run(10 * loop.Second)
@@ -316,7 +316,7 @@
 }
 
 // Machines that report while no answer or command reaches them must not be declared dead
-// because connections to them fail, but must be declared failed after the time that stray
+// because connections to them fail, but must be declared failed after the time that maxStray
 // states, even if a whole zone of them looks like a network partition. Those that recover
 // earlier must not be declared failed, and meanwhile all count as likely to come back.
 func TestUnresponsiveMachines(t *testing.T) {
@@ -359,7 +359,7 @@
 	y.run(60 * loop.Second)
 	for _, r := range y.all[:10] {
 		if took := r.failedAt - r.lastConfirmed; r.failedAt == 0 || took < y.rules.maxStray() {
-			t.Errorf("%s is declared failed as %q after %d us, want not before the time that stray states", r.name, r.why, took)
+			t.Errorf("%s is declared failed as %q after %d us, want not before the time that maxStray states", r.name, r.why, took)
 		}
 	}
 }
--- a/internal/loss/moment.go
+++ b/internal/loss/moment.go
@@ -30,7 +30,7 @@
 }
 
 // correlatedShare is the part of all machines that must be suspected for a correlated failure, and
-// several their least number.
+// minCorrelated their least number.
 const correlatedShare = 0.02
 
 func (j *Detector) setCorrelated(s CorrelationState, now loop.Micros) {
