--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -84,8 +84,8 @@
 }
 
 // New returns a tracker that has received no messages.
-func New(r loop.Runner, log *slog.Logger, self string, peers []string, off loop.Micros) *Tracker {
-	j := &Tracker{runner: r, log: log, self: self, clockBound: off, began: r.Now(), peers: map[string]*peer{}}
+func New(r loop.Runner, log *slog.Logger, self string, peers []string, clockBound loop.Micros) *Tracker {
+	j := &Tracker{runner: r, log: log, self: self, clockBound: clockBound, began: r.Now(), peers: map[string]*peer{}}
 	for _, p := range peers {
 		j.peers[p] = &peer{}
 	}
@@ -133,7 +133,7 @@
 // since a peer that becomes silent triggers no call of Hear.
 func (j *Tracker) Update() {
 	now := j.runner.Now()
-	alone, broken := true, false
+	isolated, disconnected := true, false
 	for label, p := range loop.Sorted(j.peers) {
 		j.updateMisses(label, p, now)
 		s := j.evaluate(label, p, now)
@@ -141,8 +141,8 @@
 		if p.state == Full && now-p.since >= stableAfter {
 			p.flaps = 0
 		}
-		alone = alone && s <= OneWay
-		broken = broken || s <= OneWay && j.reachedByOthers(label, now)
+		isolated = isolated && s <= OneWay
+		disconnected = disconnected || s <= OneWay && j.reachedByOthers(label, now)
 	}
 	set := func(at *loop.Micros, is bool) {
 		if !is {
@@ -151,8 +151,8 @@
 			*at = now
 		}
 	}
-	set(&j.isolatedSince, alone && len(j.peers) > 0)
-	set(&j.disconnectedSince, broken)
+	set(&j.isolatedSince, isolated && len(j.peers) > 0)
+	set(&j.disconnectedSince, disconnected)
 }
 
 func (j *Tracker) evaluate(label string, p *peer, now loop.Micros) State {
@@ -177,11 +177,11 @@
 
 // updateMisses records since when a peer does not receive a controller that this one receives.
 func (j *Tracker) updateMisses(label string, p *peer, now loop.Micros) {
-	lacks := false
+	misses := false
 	for other, o := range j.peers {
-		lacks = lacks || other != label && j.fresh(o, now) && p.message.ReceivesFrom != nil && !slices.Contains(p.message.ReceivesFrom, other)
+		misses = misses || other != label && j.fresh(o, now) && p.message.ReceivesFrom != nil && !slices.Contains(p.message.ReceivesFrom, other)
 	}
-	if !lacks {
+	if !misses {
 		p.missesSince = 0
 	} else if p.missesSince == 0 {
 		p.missesSince = now
