--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -37,12 +37,13 @@
 	// isolationDelay is how long this controller must appear isolated before it acts on that: a
 	// peer that has just restarted receives nobody's messages for a short time.
 	isolationDelay = 3 * loop.Second
-	// detectionSkew is how much later than this controller a peer may notice that a third one became
-	// silent or reachable. Without it, one silent controller makes all others flap.
+	// detectionSkew is how much later than this controller a peer may notice that a third one
+	// became silent or reachable. Without it, one silent controller makes all others flap.
 	detectionSkew = MaxAge + 1500*loop.Millisecond
-	// A peer that leaves the state Whole has flapped. After the first flap it is fit for work
-	// as soon as it is whole again; after more, only once it has been whole for damping,
-	// doubled with each flap up to dampedTimes times. Flaps are forgotten after goodFor.
+	// A peer that leaves the state Full has flapped. After the first flap it is fit for work
+	// as soon as it is in state Full again; after more, only once it has been so for damping,
+	// doubled with each flap up to maxDampingDoublings times. Flaps are forgotten after
+	// stableAfter in state Full.
 	damping             = 16 * loop.Second
 	maxDampingDoublings = 1
 	stableAfter         = 60 * loop.Second
@@ -57,7 +58,7 @@
 
 type peer struct {
 	message     Message
-	receivedAt  loop.Micros // when the word arrived, by the monotonic clock; 0: never
+	receivedAt  loop.Micros // when the message arrived, by the monotonic clock; 0: never
 	state       State
 	since       loop.Micros // when the state began
 	missesSince loop.Micros // since when it does not receive a peer that this controller receives; 0: it receives all
@@ -73,8 +74,8 @@
 	clockBound loop.Micros // twice the bound on clock differences
 	began      loop.Micros
 	peers      map[string]*peer
-	// isolatedSince is since when messages pass both ways with no peer. disconnectedSince is since when they do
-	// not pass both ways with some peer that others reach. 0: not so.
+	// isolatedSince is since when messages pass both ways with no peer, and disconnectedSince
+	// since when they do not pass both ways with some peer that others reach. 0: not so.
 	isolatedSince, disconnectedSince loop.Micros
 	// StateContact reports whether the state service answers this controller: during an outage
 	// of the state service, peers without contact are not at fault. It may be nil.
@@ -98,7 +99,7 @@
 		return
 	}
 	if p.state == Full && now-p.flappedAt >= detectionSkew && (s != Partial || j.StateContact == nil || j.StateContact()) {
-		// Flaps within skew count once: after a pause of this process, the messages that
+		// Flaps within detectionSkew count once: after a pause of this process, the messages that
 		// queued up meanwhile show each peer leave and return several times.
 		p.flaps++
 		p.flappedAt = now
@@ -111,7 +112,7 @@
 	}
 }
 
-// dampingTime returns how long the peer must be whole before it is fit for work.
+// dampingTime returns how long the peer must be in state Full before it is fit for work.
 func (p *peer) dampingTime() loop.Micros {
 	if p.flaps < 2 {
 		return 0
@@ -130,7 +131,7 @@
 }
 
 // Update evaluates all peers by the messages received so far. It must be called periodically,
-// since a peer that becomes silent triggers no call of Hear.
+// since a peer that becomes silent triggers no call of Receive.
 func (j *Tracker) Update() {
 	now := j.runner.Now()
 	isolated, disconnected := true, false
@@ -188,8 +189,9 @@
 	}
 }
 
-// reachedByOthers reports whether some peer receives messages both of this controller and of the one
-// named: then that one runs, and the connection between it and this controller is broken.
+// reachedByOthers reports whether some peer receives messages both of this controller and of
+// the one named: then that one runs, and the connection between it and this controller is
+// broken.
 func (j *Tracker) reachedByOthers(label string, now loop.Micros) bool {
 	for other, o := range j.peers {
 		if other != label && j.fresh(o, now) && slices.Contains(o.message.ReceivesFrom, label) && slices.Contains(o.message.ReceivesFrom, j.self) {
@@ -217,15 +219,15 @@
 	return p != nil && p.receivedAt != 0 && j.runner.Now()-p.receivedAt < within
 }
 
-// Fit reports whether the peer may be given work: it is whole, and has been for as long as
-// its earlier flaps require.
+// Fit reports whether the peer may be given work: it is in state Full, and has been for as
+// long as its earlier flaps require.
 func (j *Tracker) Fit(label string) bool {
 	p := j.peers[label]
 	return p != nil && j.State(label) == Full && p.state == Full && j.runner.Now()-p.since >= p.dampingTime()
 }
 
-// DampedFor returns for how much longer the peer is not fit for work although it is whole, or 0
-// if it is fit or not whole.
+// DampedFor returns for how much longer the peer is not fit for work although it is in state
+// Full, or 0 if it is fit or in another state.
 func (j *Tracker) DampedFor(label string) loop.Micros {
 	if p := j.peers[label]; p != nil && p.state == Full {
 		return max(p.since+p.dampingTime()-j.runner.Now(), 0)
@@ -247,9 +249,9 @@
 	return silent || j.isolatedSince != 0 && now-j.isolatedSince >= isolationDelay
 }
 
-// PartlyDisconnected reports whether the connection between this controller and one that others reach
-// has been broken for a while: an owner then neither gets the reports of the machines at
-// that controller nor sends them commands.
+// PartlyDisconnected reports whether the connection between this controller and one that
+// others reach has been broken for a while: an owner then neither gets the reports of the
+// machines at that controller nor sends them commands.
 func (j *Tracker) PartlyDisconnected() bool {
 	now := j.runner.Now()
 	return j.disconnectedSince != 0 && now-j.disconnectedSince >= 2*isolationDelay && now-j.began >= 5*loop.Second
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -103,7 +103,7 @@
 					t.Fatalf("seed %d: Isolated of %s is wrongly %v; open connections: %v", seed, a, got, x.open)
 				}
 				if got := j.PartlyDisconnected(); got != broken {
-					t.Fatalf("seed %d: Broken of %s is wrongly %v; open connections: %v", seed, a, got, x.open)
+					t.Fatalf("seed %d: PartlyDisconnected of %s is wrongly %v; open connections: %v", seed, a, got, x.open)
 				}
 			}
 		}
@@ -112,7 +112,7 @@
 
 // A controller that becomes silent and returns every few seconds would be given teams each
 // time, only to lose them again. It must be fit for work later after each flap, up to the
-// stated bound, and at once again after it has been whole for goodFor.
+// stated bound, and at once again after it has been in state Full for stableAfter.
 func TestFlappingIsDamped(t *testing.T) {
 	x := newNetwork(3)
 	j := x.trackers["a"]
@@ -121,7 +121,7 @@
 			x.open["c>"+b], x.open[b+">c"] = !is, !is
 		}
 	}
-	timeUntilFit := func() loop.Micros { // time from being whole again to being fit for work
+	timeUntilFit := func() loop.Micros { // time from being in state Full again to being fit for work
 		disconnect(true)
 		x.Run(6 * loop.Second)
 		if j.Fit("c") {
@@ -148,7 +148,7 @@
 	}
 	x.Run(stableAfter)
 	if j.DampedFor("c") != 0 {
-		t.Error("the peer is still damped after it has been whole for goodFor")
+		t.Error("the peer is still damped after it has been in state Full for stableAfter")
 	}
 	waits = append(waits, fmt.Sprint((timeUntilFit()+300*loop.Millisecond)/loop.Second))
 	if got := fmt.Sprint(waits); got != "[0 16 32 32 32 32 0]" {
