--- a/internal/health/blame.go
+++ b/internal/health/blame.go
@@ -82,8 +82,8 @@
 // NewAttribution returns an empty failure attribution. live reports whether a job is known and
 // unfinished: tasks of other jobs that machines still report are ignored, so that memory does
 // not grow with every job ever run.
-func NewAttribution(live func(id string) bool) *Attribution {
-	return &Attribution{machines: map[string]*machineEvidence{}, jobs: map[string]*jobEvidence{}, unfinished: live, version: 1}
+func NewAttribution(unfinished func(id string) bool) *Attribution {
+	return &Attribution{machines: map[string]*machineEvidence{}, jobs: map[string]*jobEvidence{}, unfinished: unfinished, version: 1}
 }
 
 // Observe records the changes in a machine's newest view.
@@ -234,11 +234,11 @@
 }
 
 // weigh returns the weight of the evidence weigh a machine.
-func (b *Attribution) weigh(machine string, m *machineEvidence) (words int) {
+func (b *Attribution) weigh(machine string, m *machineEvidence) (weight int) {
 	for id, w := range m.byJob {
 		j := b.jobs[id]
 		if j == nil {
-			words += freshWeight
+			weight += freshWeight
 			continue
 		}
 		others := len(j.failedOn)
@@ -247,15 +247,15 @@
 		}
 		switch {
 		case w.conclusive():
-			words += conclusiveWeight
+			weight += conclusiveWeight
 		case others >= maxOtherMachines || j.failsAnywhere:
 		case !j.sound:
-			words += freshWeight
+			weight += freshWeight
 		default:
-			words += soundWeight
+			weight += soundWeight
 		}
 	}
-	return words
+	return weight
 }
 
 // FailedOnHealthy returns the number of machines, not at fault themselves, on which the job has
--- a/internal/health/blame_test.go
+++ b/internal/health/blame_test.go
@@ -59,24 +59,24 @@
 			proven[e.job] = proven[e.job] || slices.ContainsFunc(p, func(o ending) bool { return o.task == e.task && o.ok && o.machine != machine })
 		}
 	}
-	words := 0
+	weight := 0
 	for job, proof := range proven {
 		on, sound := p.failedOn(job)
 		others := len(slices.DeleteFunc(on, func(m string) bool { return m == machine }))
 		switch {
 		case proof:
-			words += 6
+			weight += 6
 		case others >= 2 || p.failsAnywhere(job):
 		case !sound:
-			words++
+			weight++
 		default:
-			words += 2
+			weight += 2
 		}
 	}
-	return words >= 6
+	return weight >= 6
 }
 
-func (p historyModel) against(job string) (n int) {
+func (p historyModel) failedOnHealthy(job string) (n int) {
 	on, _ := p.failedOn(job)
 	for _, m := range on {
 		if !p.atFault(m) {
@@ -146,7 +146,7 @@
 				if want {
 					verdicts++
 				}
-				if got, want := b.FailedOnHealthy(j), p.against(j); got != want {
+				if got, want := b.FailedOnHealthy(j), p.failedOnHealthy(j); got != want {
 					t.Fatalf("%d machines not at fault failed %s, want %d by its history; ends so far: %v", got, j, want, p)
 				}
 				if b.RestUntil(m) > now && !want && b.RestUntil(m) > now+120*loop.Second {
--- a/internal/health/runs.go
+++ b/internal/health/runs.go
@@ -54,7 +54,7 @@
 // slow. A task that runs for much longer than is usual for its job counts before it has
 // completed. old are the tasks of the previous view; unsure says that tasks may have started
 // or ended long before now, because no report arrived for a while.
-func (r *Runs) Update(v *agent.View, c *agent.Changes, old []agent.Task, jobs []*job.Job, paces Paces, now loop.Micros, unsure bool) (out Findings) {
+func (r *Runs) Update(v *agent.View, c *agent.Changes, old []agent.Task, jobs []*job.Job, paces Paces, now loop.Micros, uncertain bool) (out Findings) {
 	late := now-r.checkedAt >= overdueInterval
 	if late {
 		r.checkedAt = now
@@ -80,7 +80,7 @@
 		}
 		switch {
 		case x.State == wire.TaskRunning && was.since == 0:
-			runs[i] = taskRun{since: now, uncertain: unsure}
+			runs[i] = taskRun{since: now, uncertain: uncertain}
 		case x.State == wire.TaskRunning:
 			out.Slow = late && r.overdue(&was, j, paces, now) || out.Slow
 			runs[i] = was
@@ -88,7 +88,7 @@
 			if j.Spec != nil {
 				out.Freed += j.Spec.CPUs
 			}
-			was.uncertain = was.uncertain || unsure
+			was.uncertain = was.uncertain || uncertain
 			out.Slow = r.completed(&was, j, paces, now) || out.Slow
 		}
 	}
--- a/internal/health/runs_test.go
+++ b/internal/health/runs_test.go
@@ -205,9 +205,9 @@
 			gone[i] = i
 		}
 		from := slices.Repeat([]int{-1}, tasks)
-		told := r.Update(ended, &agent.Changes{From: from, Gone: gone}, running.Tasks, jobs, paces, at+40*loop.Second, unsure)
-		if told.Freed != tasks || told.Slow == unsure {
-			t.Errorf("unsure %v: Follow returns %+v, want all CPUs freed and slow only if not unsure", unsure, told)
+		findings := r.Update(ended, &agent.Changes{From: from, Gone: gone}, running.Tasks, jobs, paces, at+40*loop.Second, unsure)
+		if findings.Freed != tasks || findings.Slow == unsure {
+			t.Errorf("unsure %v: Follow returns %+v, want all CPUs freed and slow only if not unsure", unsure, findings)
 		}
 	}
 }
--- a/internal/health/trial.go
+++ b/internal/health/trial.go
@@ -50,12 +50,12 @@
 }
 
 // BackOff returns the back-off of a job after a number of consecutive bursts of failures.
-func BackOff(moments int) loop.Micros { return initialBackOff << min(max(moments-1, 0), 5) }
+func BackOff(bursts int) loop.Micros { return initialBackOff << min(max(bursts-1, 0), 5) }
 
 // Fail records a failure that is attributed to the job. chosen is when the attempt's machine
 // was chosen, against the number of machines not at fault on which the job has failed. An
 // attempt whose machine was chosen before the newest burst was counted belongs to that burst.
-func (t *Probation) Fail(now, chosen loop.Micros, against int) {
+func (t *Probation) Fail(now, chosen loop.Micros, healthyMachines int) {
 	if t.Bursts == 0 || chosen >= t.burstAt {
 		t.Bursts++
 		t.burstAt = now
@@ -64,7 +64,7 @@
 	}
 	t.longestFailure = max(t.longestFailure, now-chosen)
 	switch {
-	case against >= BrokenOn:
+	case healthyMachines >= BrokenOn:
 		t.setState(Broken)
 	case t.State == Untried:
 		t.setState(Suspected)
