--- a/internal/health/blame.go
+++ b/internal/health/blame.go
@@ -31,7 +31,7 @@
 	// failed there has completed elsewhere, which suffices alone.
 	soundWeight, freshWeight, conclusiveWeight = 2, 1, 6
 	// faultThreshold is the weight at which a machine is at fault: three jobs that have completed
-	// tasks, or six that have not. The failures of two jobs are not faultThreshold, since two jobs
+	// tasks, or six that have not. The failures of two jobs are not sufficient, since two jobs
 	// with some broken tasks do meet on one machine.
 	faultThreshold = 6
 	// maxOtherMachines is the number of other machines on which a job must have failed since it last
@@ -50,7 +50,7 @@
 	byJob     map[string]evidence // by job, since the last success on the machine
 	restUntil loop.Micros         // nothing is placed before this time
 	rests     int                 // consecutive rests
-	// weight is the cached weight of the evidence as of version againstAt: a scheduling
+	// weight is the cached weight of the evidence as of weightVersion: a scheduling
 	// pass asks for it many times.
 	weight        int
 	weightVersion uint64
@@ -79,7 +79,7 @@
 	failsAnywhere bool
 }
 
-// NewAttribution returns an empty failure attribution. live reports whether a job is known and
+// NewAttribution returns an empty failure attribution. unfinished reports whether a job is known and
 // unfinished: tasks of other jobs that machines still report are ignored, so that memory does
 // not grow with every job ever run.
 func NewAttribution(unfinished func(id string) bool) *Attribution {
@@ -233,7 +233,7 @@
 	return m.weight >= faultThreshold
 }
 
-// weigh returns the weight of the evidence weigh a machine.
+// weigh returns the weight of the evidence against a machine.
 func (b *Attribution) weigh(machine string, m *machineEvidence) (weight int) {
 	for id, w := range m.byJob {
 		j := b.jobs[id]
--- a/internal/health/runs.go
+++ b/internal/health/runs.go
@@ -52,7 +52,7 @@
 // Update records a machine's newest view: since when its tasks run, which determines what a
 // preemption would lose; which images they use; and, by the run times, whether the machine is
 // slow. A task that runs for much longer than is usual for its job counts before it has
-// completed. old are the tasks of the previous view; unsure says that tasks may have started
+// completed. old are the tasks of the previous view; uncertain says that tasks may have started
 // or ended long before now, because no report arrived for a while.
 func (r *Runs) Update(v *agent.View, c *agent.Changes, old []agent.Task, jobs []*job.Job, paces Paces, now loop.Micros, uncertain bool) (out Findings) {
 	late := now-r.checkedAt >= overdueInterval
@@ -99,7 +99,7 @@
 	return out
 }
 
-// previous returns what previous known of a task whose state has changed.
+// previous returns what was known of a task whose state has changed.
 func (r *Runs) previous(x *agent.Task, c *agent.Changes, old []agent.Task) taskRun {
 	for _, g := range c.Gone {
 		if g < len(r.runs) && old[g].Attempt == x.Attempt && old[g].Task == x.Task {
--- a/internal/health/runs_test.go
+++ b/internal/health/runs_test.go
@@ -207,7 +207,7 @@
 		from := slices.Repeat([]int{-1}, tasks)
 		findings := r.Update(ended, &agent.Changes{From: from, Gone: gone}, running.Tasks, jobs, paces, at+40*loop.Second, unsure)
 		if findings.Freed != tasks || findings.Slow == unsure {
-			t.Errorf("unsure %v: Follow returns %+v, want all CPUs freed and slow only if not unsure", unsure, findings)
+			t.Errorf("unsure %v: Update returns %+v, want all CPUs freed and slow only if not unsure", unsure, findings)
 		}
 	}
 }
--- a/internal/health/trial.go
+++ b/internal/health/trial.go
@@ -53,7 +53,7 @@
 func BackOff(bursts int) loop.Micros { return initialBackOff << min(max(bursts-1, 0), 5) }
 
 // Fail records a failure that is attributed to the job. chosen is when the attempt's machine
-// was chosen, against the number of machines not at fault on which the job has failed. An
+// was chosen, healthyMachines the number of machines not at fault on which the job has failed. An
 // attempt whose machine was chosen before the newest burst was counted belongs to that burst.
 func (t *Probation) Fail(now, chosen loop.Micros, healthyMachines int) {
 	if t.Bursts == 0 || chosen >= t.burstAt {
