--- a/internal/api/cluster.go
+++ b/internal/api/cluster.go
@@ -160,8 +160,8 @@
 	case cordon.Stored:
 		a.showCordon(name, done)
 	case cordon.TooMany:
-		done(fullCordon.with("at most %d", cordon.Most).outcome())
-	case cordon.Absent:
+		done(fullCordon.with("at most %d", cordon.MaxCordons).outcome())
+	case cordon.NotFound:
 		done(noCordon.with("%.80q", name).outcome())
 	default:
 		done(noAnswer.outcome())
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -34,7 +34,7 @@
 	// not include yet.
 	Unshown func(v *agent.View, f func(*job.Spec))
 	Stop    func(host string, s agent.Stop)
-	Cordons *cordon.Book
+	Cordons *cordon.Registry
 	// StaleAfter is the age of a machine's newest report from which on no tasks are started on it.
 	StaleAfter loop.Micros
 }
@@ -177,7 +177,7 @@
 	if v := f.node.Cordons.Version(); v != f.cordonVersion {
 		f.cordonVersion = v
 		for _, m := range f.order {
-			m.Cordoned = f.node.Cordons.Barred(CordonPlace(m.View))
+			m.Cordoned = f.node.Cordons.Blocked(CordonPlace(m.View))
 		}
 	}
 	due := f.stale
@@ -217,7 +217,7 @@
 	}
 	f.dropConsumedReservations(m)
 	m.Known = true
-	m.Cordoned = f.node.Cordons.Barred(CordonPlace(v))
+	m.Cordoned = f.node.Cordons.Blocked(CordonPlace(v))
 }
 
 // updatePrices compares the machines' prices per CPU with the cheapest.
--- a/internal/gate/job.go
+++ b/internal/gate/job.go
@@ -111,7 +111,7 @@
 
 // FailureState describes a job's recent failures.
 type FailureState struct {
-	State               health.TrialState
+	State               health.ProbationState
 	ConsecutiveFailures int // attempts placed before the newest counted failure do not count again
 	Machines            int // machines, not faulty themselves, on which it failed since a task last completed
 	BackOffUntil        loop.Micros
--- a/internal/health/runs_test.go
+++ b/internal/health/runs_test.go
@@ -18,24 +18,25 @@
 
 func TestMain(m *testing.M) { fixed.Main(m) }
 
-// seen is what the plain model keeps of a task, under the task's name and attempt.
-type seen struct {
+// modelRun is what the model keeps of a task, by the task's name and attempt.
+type modelRun struct {
 	since        loop.Micros
 	late, unsure bool
 }
 
-// plainRuns looks at every task of every view anew, and knows nothing of differences.
-type plainRuns struct {
-	runs   map[string]*seen
+// runsModel is a model that examines every task of every view and does not use the
+// differences between views.
+type runsModel struct {
+	runs   map[string]*modelRun
 	pace   map[string][]float64 // logarithms of the run times of a job's tasks
 	count  int
 	mean   float64
 	looked loop.Micros
 }
 
-func (p *plainRuns) speak(id string, ran loop.Micros) bool {
+func (p *runsModel) compare(id string, ran loop.Micros) bool {
 	times := p.pace[id]
-	if len(times) < paceTasks {
+	if len(times) < minPaceTasks {
 		return false
 	}
 	sum := 0.0
@@ -45,11 +46,11 @@
 	p.count++
 	w := max(paceWeight, 1/float64(p.count))
 	p.mean += w * (math.Log(float64(ran)) - sum/float64(len(times)) - p.mean)
-	return p.count >= paceCount && p.mean > math.Log(slowFactor)
+	return p.count >= minComparedTasks && p.mean > math.Log(slowFactor)
 }
 
-func (p *plainRuns) view(v *agent.View, jobs []*job.Job, now loop.Micros, unsure bool) (freed float64, slow bool) {
-	look := now-p.looked >= lookAgain
+func (p *runsModel) view(v *agent.View, jobs []*job.Job, now loop.Micros, unsure bool) (freed float64, slow bool) {
+	look := now-p.looked >= overdueInterval
 	if look {
 		p.looked = now
 	}
@@ -62,22 +63,22 @@
 		case x.State == wire.TaskRunning:
 			still[k] = true
 			if o == nil {
-				p.runs[k] = &seen{since: now, unsure: unsure}
-			} else if times := p.pace[j.ID]; look && !o.late && !o.unsure && len(times) >= paceTasks {
+				p.runs[k] = &modelRun{since: now, unsure: unsure}
+			} else if times := p.pace[j.ID]; look && !o.late && !o.unsure && len(times) >= minPaceTasks {
 				sum := 0.0
 				for _, t := range times {
 					sum += t
 				}
 				if float64(now-o.since) > 2*math.Exp(sum/float64(len(times))) {
 					o.late = true
-					slow = p.speak(j.ID, now-o.since) || slow
+					slow = p.compare(j.ID, now-o.since) || slow
 				}
 			}
 		case x.State == wire.TaskExited && x.Why == wire.WhyDone && o != nil:
 			freed += j.Spec.CPUs
 			if !o.unsure && !unsure {
 				if !o.late {
-					slow = p.speak(j.ID, now-o.since) || slow
+					slow = p.compare(j.ID, now-o.since) || slow
 				}
 				p.pace[j.ID] = append(p.pace[j.ID], math.Log(float64(now-o.since)))
 			}
@@ -91,23 +92,23 @@
 	return freed, slow
 }
 
-// What a machine's tasks tell of it is followed by how its views differ; it must come to
-// what looking at every task of every view comes to.
-func TestRunsFollowViews(t *testing.T) {
+// Runs only examines the differences between a machine's views. It must come to the same run
+// times, images and slowness as a model that examines every task of every view.
+func TestRunsAgainstModel(t *testing.T) {
 	spoke := 0
 	rapid.Check(t, func(t *rapid.T) {
 		specs := []*job.Job{{ID: "a", Phase: job.Accepted, Spec: &job.Spec{CPUs: 2, Image: "ia"}}, {ID: "b", Phase: job.Accepted, Spec: &job.Spec{CPUs: 3, Image: "ib"}}}
 		r, paces := NewRuns(), Paces{}
-		p := &plainRuns{runs: map[string]*seen{}, pace: map[string][]float64{}}
+		p := &runsModel{runs: map[string]*modelRun{}, pace: map[string][]float64{}}
 		old := &agent.View{Session: 1}
 		now, next := 10*loop.Second, 0
 		images := map[string]bool{}
 		pauses := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "pauses"), 0))
 		n := rapid.IntRange(5, 120).Draw(t, "views")
 		for k := range n {
-			now += 100_000 + loop.Micros(pauses.Int64N(3_900_000)) // drawn evenly: equal times would make limits a matter of rounding
+			now += 100_000 + loop.Micros(pauses.Int64N(3_900_000)) // uniform and not shrunk: equal times would make comparisons depend on rounding
 			if k > n/2 {
-				now += 8 * loop.Second // from here on it is slow
+				now += 8 * loop.Second // from here on the machine is slow
 			}
 			v := *old
 			v.Tasks = slices.Clone(old.Tasks)
@@ -122,7 +123,7 @@
 						x.State = wire.TaskRunning
 					case wire.TaskRunning:
 						if rapid.IntRange(0, 4).Draw(t, "saves") == 0 {
-							x.Saved = !x.Saved // it stands otherwise, and still runs
+							x.Saved = !x.Saved // its entry changes, and it still runs
 							break
 						}
 						x.State, x.Why = wire.TaskExited, wire.WhyDone
@@ -146,13 +147,13 @@
 			}
 			unsure := rapid.IntRange(0, 15).Draw(t, "unsure") == 0
 			c := v.ChangesSince(old)
-			got := r.Follow(&v, &c, old.Tasks, jobs, paces, now, unsure)
+			got := r.Update(&v, &c, old.Tasks, jobs, paces, now, unsure)
 			freed, slow := p.view(&v, jobs, now, unsure)
-			if r.tempo.n != p.count || math.Abs(r.tempo.mean-p.mean) > 1e-9 {
-				t.Fatalf("%d tasks spoke, by %v; the plain model says %d, %v", r.tempo.n, r.tempo.mean, p.count, p.mean)
+			if r.slowness.n != p.count || math.Abs(r.slowness.mean-p.mean) > 1e-9 {
+				t.Fatalf("%d tasks were compared with mean %v, want %d and %v by the model", r.slowness.n, r.slowness.mean, p.count, p.mean)
 			}
 			if got.Freed != freed || got.Slow != slow {
-				t.Fatalf("freed %v slow %v, the plain model says %v %v", got.Freed, got.Slow, freed, slow)
+				t.Fatalf("freed CPUs %v, slow %v; want %v and %v by the model", got.Freed, got.Slow, freed, slow)
 			}
 			for i := range v.Tasks {
 				want := loop.Micros(0)
@@ -160,33 +161,34 @@
 					want = o.since
 				}
 				if r.Since(i) != want {
-					t.Fatalf("task %v runs since %d, the plain model says %d", v.Tasks[i], r.Since(i), want)
+					t.Fatalf("task %v runs since %d, want %d by the model", v.Tasks[i], r.Since(i), want)
 				}
 			}
 			for _, j := range specs {
 				if r.HasImage(j.Spec.Image) != images[j.Spec.Image] {
-					t.Fatalf("image %s: %v", j.Spec.Image, r.HasImage(j.Spec.Image))
+					t.Fatalf("HasImage(%s) is wrongly %v", j.Spec.Image, r.HasImage(j.Spec.Image))
 				}
 			}
 			if slow {
 				spoke++
-				r.Rest()
+				r.ResetSlowness()
 				p.count, p.mean = 0, 0
 			}
 			old = &v
 		}
 	})
 	if spoke == 0 {
-		t.Error("no machine was ever found slow: the test shows nothing of that")
+		t.Error("no machine was ever found slow: the test does not cover that")
 	}
 }
 
-// A machine whose tasks all ended while it was not heard is not slow, however long that was.
-func TestSilenceIsNoSlowness(t *testing.T) {
+// When no reports of a machine arrive for a while, the tasks that ended meanwhile seem to have
+// run for the whole time. They must not make the machine slow.
+func TestMissingReportsAreNoSlowness(t *testing.T) {
 	const tasks = 12
 	j := &job.Job{ID: "job-1", Phase: job.Accepted, Spec: &job.Spec{CPUs: 1, Tasks: tasks}}
 	for _, unsure := range []bool{true, false} {
-		r, paces := NewRuns(), Paces{"job-1": {n: paceTasks, mean: math.Log(float64(10 * loop.Second))}}
+		r, paces := NewRuns(), Paces{"job-1": {n: minPaceTasks, mean: math.Log(float64(10 * loop.Second))}}
 		view := func(state, why string) *agent.View {
 			v := &agent.View{Name: "n-1"}
 			for i := range tasks {
@@ -197,15 +199,15 @@
 		jobs := slices.Repeat([]*job.Job{j}, tasks)
 		running, ended := view(wire.TaskRunning, ""), view(wire.TaskExited, wire.WhyDone)
 		at := 100 * loop.Second
-		r.Follow(running, &agent.Changes{All: true}, nil, jobs, paces, at, false)
+		r.Update(running, &agent.Changes{All: true}, nil, jobs, paces, at, false)
 		gone := make([]int, tasks)
 		for i := range gone {
 			gone[i] = i
 		}
 		from := slices.Repeat([]int{-1}, tasks)
-		told := r.Follow(ended, &agent.Changes{OldIndex: from, Removed: gone}, running.Tasks, jobs, paces, at+40*loop.Second, unsure)
-		if told.Freed != tasks || told.Slow == unsure {
-			t.Errorf("unsure %v: %+v", unsure, told)
+		findings := r.Update(ended, &agent.Changes{OldIndex: from, Removed: gone}, running.Tasks, jobs, paces, at+40*loop.Second, unsure)
+		if findings.Freed != tasks || findings.Slow == unsure {
+			t.Errorf("unsure %v: Update returns %+v, want all CPUs freed and slow only if not unsure", unsure, findings)
 		}
 	}
 }
--- /dev/null
+++ b/internal/loss/correlated.go
@@ -0,0 +1,108 @@
+package loss
+
+import "cleatpick/internal/loop"
+
+// CorrelationState is the state of a correlated failure.
+type CorrelationState int
+
+// The states of a correlated failure.
+const (
+	Calm       CorrelationState = iota // few machines are suspected, if any
+	Unresolved                         // many are suspected, and it is not known yet which have failed
+	Resolved                           // all but a few of them are back or declared failed
+)
+
+func (s CorrelationState) String() string { return [...]string{"calm", "falling", "passing"}[s] }
+
+// correlatedFailure is a correlated failure: many machines are suspected within a short time. It lasts
+// from the first sign until all are back or declared failed. While it lasts, no machines are
+// rented for the capacity that may come back.
+type correlatedFailure struct {
+	state          CorrelationState
+	began          loop.Micros
+	mostSuspected  int // largest number of machines suspected at the same time
+	declaredFailed int
+	returned       int
+	hung           int // of those declared failed, by the result of the last probe
+	unreachable    int
+	dead           int
+	longestSilence loop.Micros // longest silence of a machine that was declared failed
+}
+
+// correlatedShare is the part of all machines that must be suspected for a correlated failure, and
+// minCorrelated their least number.
+const correlatedShare = 0.02
+
+func (j *Detector) setCorrelated(s CorrelationState, now loop.Micros) {
+	o := &j.correlated
+	if o.state == s {
+		return
+	}
+	j.log.Info("correlated machine failure changed state; no capacity is rented for suspected machines while it is falling", "from", o.state.String(), "to", s.String(), "most", o.mostSuspected, "hung", o.hung, "out_of_way", o.unreachable, "dead", o.dead, "lost", o.declaredFailed, "back", o.returned, "longest_us", o.longestSilence, "since_us", now-o.began)
+	o.state = s
+}
+
+func (o *correlatedFailure) addReturned() {
+	if o.state == Unresolved {
+		o.returned++
+	}
+}
+
+func (o *correlatedFailure) addFailed(m *machine, now loop.Micros, why string) {
+	o.declaredFailed++
+	switch m.result {
+	case NoAnswer:
+		o.hung++
+	case NoConnection:
+		o.unreachable++
+	}
+	if why == "dead" {
+		o.dead++
+	}
+	o.longestSilence = max(o.longestSilence, now-m.LastConfirmed)
+}
+
+// trackCorrelated starts and ends the tracking of a correlated failure.
+func (j *Detector) trackCorrelated(now loop.Micros, fleet int) {
+	n := 0
+	for _, m := range j.machines {
+		if m.suspected() {
+			n++
+		}
+	}
+	many := max(minCorrelated, int(correlatedShare*float64(fleet)))
+	o := &j.correlated
+	switch {
+	case o.state == Calm && n >= many:
+		*o = correlatedFailure{began: now, mostSuspected: n}
+		j.setCorrelated(Unresolved, now)
+	case o.state == Unresolved && n > 0:
+		o.mostSuspected = max(o.mostSuspected, n)
+		if n < minCorrelated && o.mostSuspected >= 4*minCorrelated {
+			j.setCorrelated(Resolved, now) // a few machines still suspected do not prolong it
+		}
+	case o.state == Unresolved:
+		j.setCorrelated(Resolved, now)
+	case o.state == Resolved && n < many:
+		j.meter.Moment(o.mostSuspected, o.declaredFailed)
+		j.setCorrelated(Calm, now)
+	}
+	j.meter.Doubtful(n)
+}
+
+func (m *machine) suspected() bool {
+	return m.state == Late || m.state == Hung || m.state == Unreachable || m.state == Dead || m.state == Unresponsive
+}
+
+// EachSuspected calls f, during a correlated failure, for each suspected machine that may come
+// back with its tasks and its capacity, for no longer than the machine's lease.
+func (j *Detector) EachSuspected(now loop.Micros, f func(name string)) {
+	if j.correlated.state != Unresolved {
+		return
+	}
+	for name, m := range loop.Sorted(j.machines) {
+		if m.suspected() && m.state != Dead && now-m.lastAlive() <= j.rules.Lease {
+			f(name)
+		}
+	}
+}
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -13,25 +13,25 @@
 	"cleatpick/internal/wire"
 )
 
-// tap is a connection to the state service that a test can turn off; it counts the leases
+// stateConn is a connection to the state service that a test can turn off; it counts the leases
 // that are ended explicitly.
-type tap struct {
-	state *standin.State
-	ends  int
-	off   bool
+type stateConn struct {
+	state     *standin.State
+	leaseEnds int
+	off       bool
 }
 
-func (x *tap) Do(method, path string, body []byte, d time.Duration) store.Response {
+func (x *stateConn) Do(method, path string, body []byte, d time.Duration) store.Response {
 	if x.off {
 		return store.Response{Status: 503}
 	}
 	if method == "DELETE" {
-		x.ends++
+		x.leaseEnds++
 	}
 	return x.state.Do(method, path, body, d)
 }
 
-func nodeOn(s *standin.Stepped, x *tap, label string) *Member {
+func startMember(s *standin.Stepped, x *stateConn, label string) *Member {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c := store.NewClient(s, x, log, 1000, 1000, 1)
 	m := store.NewMirror(c, x, Prefix)
@@ -50,16 +50,16 @@
 // A controller that alone cannot reach the state service must lose what it owns: when its
 // lease cannot be renewed it must not consider itself an owner, and after it has rejoined it
 // must not consider itself the owner of what another has claimed.
-func TestRefusedNodeLosesItsTeams(t *testing.T) {
+func TestControllerWithoutStateServiceLosesTeams(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
-	xa, xb := &tap{state: state}, &tap{state: state}
-	a := nodeOn(s, xa, "a")
+	xa, xb := &stateConn{state: state}, &stateConn{state: state}
+	a := startMember(s, xa, "a")
 	s.Run(3 * loop.Second)
 	if r, u := owners(a); r != "a" || u != "a" {
 		t.Fatalf("the only controller a does not own both teams: red is owned by %q, blue by %q", r, u)
 	}
-	b := nodeOn(s, xb, "b")
+	b := startMember(s, xb, "b")
 	s.Run(2 * loop.Second)
 	xa.off = true
 	s.Run(10 * loop.Second)
@@ -71,27 +71,27 @@
 	}
 	xa.off = false
 	s.Run(10 * loop.Second)
-	if _, mine := a.mine[teamKeys+"red"]; mine || !a.Active() {
+	if _, mine := a.owned[teamKeys+"red"]; mine || !a.Active() {
 		t.Fatalf("a is active: %v, want true; a considers itself the owner of red: %v, want false", a.Active(), mine)
 	}
 }
 
 // A packet filter refuses connections just as a stopped controller does. If every refusal
 // ended the lease of the controller behind it, its teams would never have an owner; its
-// lease must be ended only once within evictAgain.
+// lease must be ended only once within evictInterval.
 func TestEvictionIsNotRepeated(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
-	xa, xb := &tap{state: state}, &tap{state: state}
-	a := nodeOn(s, xa, "a")
-	b := nodeOn(s, xb, "b")
+	xa, xb := &stateConn{state: state}, &stateConn{state: state}
+	a := startMember(s, xa, "a")
+	b := startMember(s, xb, "b")
 	s.Run(3 * loop.Second)
 	for range 40 {
 		a.Evict("b")
 		s.Run(500 * loop.Millisecond)
 	}
-	if xa.ends != 1 {
-		t.Fatalf("the lease was ended %d times in 20 s, want once", xa.ends)
+	if xa.leaseEnds != 1 {
+		t.Fatalf("the lease was ended %d times in 20 s, want once", xa.leaseEnds)
 	}
 	if !b.Active() {
 		t.Fatal("the evicted controller did not join again")
@@ -99,12 +99,12 @@
 }
 
 // A controller that reaches no peer must hand its partitions over to one that others reach.
-func TestHandOver(t *testing.T) {
+func TestIsolatedControllerHandsOver(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
-	a := nodeOn(s, &tap{state: state}, "a")
+	a := startMember(s, &stateConn{state: state}, "a")
 	s.Run(3 * loop.Second)
-	b := nodeOn(s, &tap{state: state}, "b")
+	b := startMember(s, &stateConn{state: state}, "b")
 	s.Run(2 * loop.Second)
 	a.Isolated = func() bool { return true }
 	s.Run(3 * loop.Second)
@@ -115,12 +115,12 @@
 
 // Where no controller reaches another, several owners would each see a part of the machines
 // only: the leader must become the owner of all teams.
-func TestLeaderGathersWhenAllAreAlone(t *testing.T) {
+func TestLeaderOwnsAllWhenAllAreIsolated(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
 	var all []*Member
 	for _, label := range []string{"a", "b", "c"} {
-		all = append(all, nodeOn(s, &tap{state: state}, label))
+		all = append(all, startMember(s, &stateConn{state: state}, label))
 	}
 	s.Run(5 * loop.Second)
 	for _, b := range all {
@@ -137,21 +137,21 @@
 	}
 	s.Run(3 * loop.Second)
 	if all[0].AllIsolated() {
-		t.Fatal("AllAlone is still true after the controllers reach each other again")
+		t.Fatal("AllIsolated is still true after the controllers reach each other again")
 	}
 }
 
 // A controller that joins while another owns everything must get a share, the team with less
 // work, but only once it is fit for work; after that, no team may move any more.
-func TestReturnedNodeGetsATeam(t *testing.T) {
+func TestRebalanceAfterJoin(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
-	a := nodeOn(s, &tap{state: state}, "a")
+	a := startMember(s, &stateConn{state: state}, "a")
 	a.Weight = func(id partition.ID) int { return map[partition.ID]int{"t/red": 9, "t/blue": 2}[id] }
 	fit := false
 	a.Fit = func(string) bool { return fit }
 	s.Run(3 * loop.Second)
-	b := nodeOn(s, &tap{state: state}, "b")
+	b := startMember(s, &stateConn{state: state}, "b")
 	b.Fit = func(string) bool { return true }
 	s.Run(20 * loop.Second)
 	if r, u := owners(b); r != "a" || u != "a" {
@@ -171,10 +171,10 @@
 
 // A team that only another controller's settings name, as while settings are being changed
 // on one after another, must become known as foreign once that controller owns it.
-func TestTeamOfOthers(t *testing.T) {
+func TestForeignTeam(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
-	a, b := nodeOn(s, &tap{state: state}, "a"), nodeOn(s, &tap{state: state}, "b")
+	a, b := startMember(s, &stateConn{state: state}, "a"), startMember(s, &stateConn{state: state}, "b")
 	b.Teams = append(b.Teams, "guest")
 	s.Run(5 * loop.Second)
 	if o, _ := a.TeamOwner("guest"); o.Node != "b" || !a.Foreign("guest") || a.Foreign("red") || b.Foreign("guest") {
@@ -185,11 +185,11 @@
 // A registration sent by an earlier incarnation may be applied after the new incarnation has
 // registered, and vanishes with the earlier lease. The controller must register again, or
 // the others would not count it though it runs.
-func TestRegistrationOfAnEarlierLife(t *testing.T) {
+func TestLateRegistrationOfEarlierIncarnation(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewState(func() loop.Micros { return s.Now() })
-	b := nodeOn(s, &tap{state: state}, "b")
-	a := nodeOn(s, &tap{state: state}, "a")
+	b := startMember(s, &stateConn{state: state}, "b")
+	a := startMember(s, &stateConn{state: state}, "a")
 	s.Run(3 * loop.Second)
 	if b.RegisteredCount() != 2 {
 		t.Fatalf("%d controllers are registered, want 2", b.RegisteredCount())
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -149,7 +149,7 @@
 func (n *Node) dampedPeers() string {
 	var out []string
 	for _, label := range n.net.Peers() {
-		if d := n.reach.Damped(label); d > 0 {
+		if d := n.reach.DampedFor(label); d > 0 {
 			out = append(out, fmt.Sprintf("%s gets no work for another %d s, because its connection flapped", label, (d+loop.Second-1)/loop.Second))
 		}
 	}
@@ -186,7 +186,7 @@
 			at := explain.Time(v.NoticeAt)
 			m.LeavesAt = &at
 		}
-		m.Cordons = n.cordons.Barring(fleet.CordonPlace(v))
+		m.Cordons = n.cordons.Blocking(fleet.CordonPlace(v))
 		out = append(out, m)
 	})
 	slices.SortFunc(out, func(a, b api.Machine) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/node/fitness.go
+++ b/internal/node/fitness.go
@@ -33,7 +33,7 @@
 	switch {
 	case j.Terms.Hold.State != job.HoldNone && j.Terms.Hold.Blocks(n.loop.Wall()):
 		return "held"
-	case n.cordons.Barred(fleet.CordonPlace(v)):
+	case n.cordons.Blocked(fleet.CordonPlace(v)):
 		return "cordoned"
 	}
 	return ""
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -44,12 +44,12 @@
 	mirror        *store.Mirror
 	member        *member.Member
 	jobs          *job.Registry
-	cordons       *cordon.Book
+	cordons       *cordon.Registry
 	agent         *agent.Registry
 	placer        *placer.Scheduler
 	rental        *rental.Autoscaler
 	net           *peer.Net
-	reach         *reach.Judge
+	reach         *reach.Tracker
 	watermark     *horizon.Tracker
 	front         *front.Front
 	deps          Dependencies
@@ -69,7 +69,7 @@
 	// Workers sends a request to a worker's address; it blocks until the answer or the timeout.
 	Workers func(addr, method, path string, body []byte, timeout time.Duration) store.Response
 	// Probe asks a worker whose reports stopped whether it is alive; it blocks.
-	Probe func(addr string) loss.Word
+	Probe func(addr string) loss.ProbeResult
 }
 
 // New returns a controller connected to the real services; Run runs it.
@@ -125,11 +125,11 @@
 		return cfg.Quota(t).Weight
 	}, cfg.Cluster.State.WriteRPS*0.45/float64(nodes))
 	n.jobs.SetMaxWaitingReads(cfg.Cluster.Limits.MaxSockets / 5)
-	n.cordons = cordon.NewBook(l, n.client, n.mirror, log, cfg.ClockDifference())
+	n.cordons = cordon.NewRegistry(l, n.client, n.mirror, log, cfg.ClockDifference())
 	n.net = peer.New(l, log, cfg.Label, cfg.Known)
 	n.reach = reach.New(l, log, cfg.Label, n.net.Peers(), cfg.ClockDifference())
-	n.reach.Contact = n.hasStateContact
-	n.reach.Changed = func(_ string, to reach.State, damped bool) { n.meter.Peer(to.String(), damped) }
+	n.reach.StateContact = n.hasStateContact
+	n.reach.OnChange = func(_ string, to reach.State, damped bool) { n.meter.Peer(to.String(), damped) }
 	n.net.Life, n.net.ClockTo = l.Wall(), cfg.ClockDifference()
 	n.net.Earlier = func(string) { n.meter.EarlierFrame() }
 	n.setUpWatermark()
@@ -205,7 +205,7 @@
 		},
 		PeerUnreachable: func(zone string) bool {
 			for _, p := range cfg.Known {
-				if p.Site == zone && !n.reach.Heard(p.Label, 3*loop.Second) {
+				if p.Site == zone && !n.reach.ReceivedWithin(p.Label, 3*loop.Second) {
 					return true
 				}
 			}
@@ -216,7 +216,7 @@
 		Faulty:     n.placer.Faulty,
 		Meter:      n.meter,
 		Cordoned: func(typ, zone string, spot bool) bool {
-			return n.cordons.Barred(cordon.Place{Type: typ, Zone: zone, Spot: spot})
+			return n.cordons.Blocked(cordon.Place{Type: typ, Zone: zone, Spot: spot})
 		},
 		Probe: out.Probe,
 	})
@@ -235,7 +235,7 @@
 		n.placer.JobChanged(j)
 	}
 	n.member.Isolated = n.reach.Isolated
-	n.member.Fit, n.member.PartlyDisconnected = n.reach.Fit, n.reach.Broken
+	n.member.Fit, n.member.PartlyDisconnected = n.reach.Fit, n.reach.PartlyDisconnected
 	n.member.Weight = n.placer.TasksInUse
 	n.member.OnOwned = n.placer.OwnershipChanged
 	n.member.OnAssigned = n.placer.TeamAssigned
@@ -294,14 +294,14 @@
 }
 
 func (n *Node) sendStatus() {
-	n.reach.Look()
+	n.reach.Update()
 	n.trackIsolation()
 	if n.mirror.Ready() {
 		n.client.Use(admission.RateFraction(n.member.RegisteredCount(), n.cfg.Cluster.Nodes, n.member.LeaseValid()))
 	}
 	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.hasStateContact() && n.member.LeaseValid(), Hosted: n.agent.HostedCount(), Hears: []string{}}
 	for _, label := range n.net.Peers() {
-		if n.reach.Heard(label, reach.Fresh) {
+		if n.reach.ReceivedWithin(label, reach.MaxAge) {
 			s.Hears = append(s.Hears, label)
 		}
 	}
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -20,13 +20,13 @@
 
 // probe asks a machine whether it is alive, over a new connection: an existing one cannot tell a machine without
 // power from one that hangs.
-func probe(addr string) loss.Word {
+func probe(addr string) loss.ProbeResult {
 	conn, err := fasthttp.DialTimeout(addr, probeConnect)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return loss.Mute
+		return loss.NoAnswer
 	case err != nil:
-		return loss.NoWay
+		return loss.NoConnection
 	}
 	defer conn.Close()
 	c := &fasthttp.HostClient{Addr: addr, MaxConns: 1, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
@@ -35,5 +35,5 @@
 	if r := store.Exchange(c, addr, "GET", "/inspect", nil, probeAnswer); r.Err == nil && r.Status == 200 {
 		return loss.Answered
 	}
-	return loss.Mute
+	return loss.NoAnswer
 }
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -9,7 +9,7 @@
 // receive applies a message of a peer.
 func (n *Node) receive(e *peer.Envelope) {
 	if s := e.Status; s != nil {
-		n.reach.Hear(e.From, reach.Word{Wall: s.Wall, Contact: s.Contact, Hears: s.Hears})
+		n.reach.Receive(e.From, reach.Message{Wall: s.Wall, StateContact: s.Contact, ReceivesFrom: s.Hears})
 	}
 	n.watermark.Receive(e.From, e.Life, e.Horizon)
 	n.member.LearnTeams(e.Teams)
--- a/internal/node/sendon.go
+++ b/internal/node/sendon.go
@@ -48,7 +48,7 @@
 	}
 	others := n.net.Peers()
 	if contact {
-		proof := loop.Seconds(n.cfg.Operator.NodeLeaseS) + loop.Second - reach.Fresh
+		proof := loop.Seconds(n.cfg.Operator.NodeLeaseS) + loop.Second - reach.MaxAge
 		if n.isolatedSince == 0 || n.loop.Now()-n.isolatedSince < proof {
 			return false, "", again
 		}
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -78,7 +78,7 @@
 		}
 	}
 	for name, c := range r.cordons {
-		if c.Bars(cordon.Place{Machine: x.w.Name, Type: x.w.Type, Zone: x.w.Zone, Spot: x.w.Spot}) {
+		if c.Matches(cordon.Place{Machine: x.w.Name, Type: x.w.Type, Zone: x.w.Zone, Spot: x.w.Spot}) {
 			if r.checked.cordons++; r.recorded[task] > r.since[name] {
 				r.w.fail("began_cordoned: %s starts on %s and was recorded after cordon %s was stored", task, x.w.Name, name)
 			}
@@ -172,7 +172,7 @@
 	delete(r.cordons, name)
 	answered := false
 	if n := w.any(); n != nil {
-		n.cordons.Remove(name, func(o cordon.Outcome) { answered = o == cordon.Stored || o == cordon.Absent })
+		n.cordons.Remove(name, func(o cordon.Outcome) { answered = o == cordon.Stored || o == cordon.NotFound })
 	}
 	w.at(4*loop.Second, func() {
 		if !answered {
--- a/internal/node/world_machine_test.go
+++ b/internal/node/world_machine_test.go
@@ -13,13 +13,13 @@
 )
 
 // probe returns what a controller finds that probes a worker. A machine that hangs accepts connections.
-func (w *world) probe(from, addr string) loss.Word {
+func (w *world) probe(from, addr string) loss.ProbeResult {
 	x := w.workers[addr[len("worker:"):]]
 	switch {
 	case x == nil || x.gone || x.deaf || w.toWorker(from, x) != open:
-		return loss.NoWay
+		return loss.NoConnection
 	case x.hanging:
-		return loss.Mute
+		return loss.NoAnswer
 	}
 	x.w.Report()
 	return loss.Answered
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -66,7 +66,7 @@
 	}
 	seen := map[string]bool{}
 	addBlocking := func(at cordon.Place) bool {
-		by := p.cordons.Barring(at)
+		by := p.cordons.Blocking(at)
 		for _, n := range by {
 			seen[n] = true
 		}
@@ -280,7 +280,7 @@
 	n := 0
 	for machine, on := range p.tasksByMachine {
 		sl := p.fleet.Machine(machine)
-		if sl == nil || !slices.Contains(p.cordons.Barring(fleet.CordonPlace(sl.View)), name) {
+		if sl == nil || !slices.Contains(p.cordons.Blocking(fleet.CordonPlace(sl.View)), name) {
 			continue
 		}
 		for r := range on.all {
--- a/internal/placer/explain_rank.go
+++ b/internal/placer/explain_rank.go
@@ -235,7 +235,7 @@
 		for _, zone := range typ.Zones {
 			for _, spot := range []bool{false, true} {
 				if o.AllowsPlace(typ.Name, zone, spot) && s.AllowsPlace(typ.Name, zone, spot) && fitsType(s, typ) &&
-					(ignoreCordons || !p.cordons.Barred(cordon.Place{Type: typ.Name, Zone: zone, Spot: spot})) {
+					(ignoreCordons || !p.cordons.Blocked(cordon.Place{Type: typ.Name, Zone: zone, Spot: spot})) {
 					return true
 				}
 			}
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -16,7 +16,7 @@
 		TeamUsage: agent.Capacity{CPUs: tm.cpus, GPUs: tm.gpus}, Quota: tm.quota,
 		ClockMargin: p.cfg.ClockDifference()}
 	// The clocks are read only for the few jobs that need them, since a pass calls this for all jobs.
-	if t.probation.Moments != 0 || t.probation.RestTo != 0 {
+	if t.probation.Bursts != 0 || t.probation.RestUntil != 0 {
 		f.Now = p.runner.Now()
 		f.Failing = p.failureFacts(t, f.Now)
 	}
@@ -57,7 +57,7 @@
 	if t.job.Terms.Hold.State != job.HoldNone && t.job.Terms.Hold.Blocks(p.runner.Wall()) {
 		return "held"
 	}
-	if sl := p.fleet.Machine(machine); sl != nil && p.cordons.Barred(fleet.CordonPlace(sl.View)) {
+	if sl := p.fleet.Machine(machine); sl != nil && p.cordons.Blocked(fleet.CordonPlace(sl.View)) {
 		return "cordoned"
 	}
 	return ""
--- a/internal/placer/failures.go
+++ b/internal/placer/failures.go
@@ -9,14 +9,14 @@
 // trackFailures starts tracking a job's failures. The failures that all controllers observed survive a change of
 // owner, so that a job known to be broken does not get a fresh start from each new one.
 func (p *Scheduler) trackFailures(t *jobTable) {
-	t.probation.Changed = func(from, to health.TrialState) {
+	t.probation.OnChange = func(from, to health.ProbationState) {
 		p.node.Meter.Trial(to.String())
 		if from == health.Untried && to == health.Sound {
 			return // the outcome for nearly all jobs
 		}
-		p.log.Info("failure state of a job changed", "job", t.job.ID, "from", from.String(), "to", to.String(), "moments", t.probation.Moments, "machines", p.attribution.Against(t.job.ID))
+		p.log.Info("failure state of a job changed", "job", t.job.ID, "from", from.String(), "to", to.String(), "moments", t.probation.Bursts, "machines", p.attribution.FailedOnHealthy(t.job.ID))
 	}
-	if n := p.attribution.Against(t.job.ID); n >= health.BrokenOn {
+	if n := p.attribution.FailedOnHealthy(t.job.ID); n >= health.BrokenOn {
 		now := p.runner.Now()
 		t.probation.Fail(now, now, n)
 	}
@@ -24,12 +24,12 @@
 
 // taskFailed records that a task of the job failed. A failure on a faulty machine does not count against the job.
 func (p *Scheduler) taskFailed(t *jobTable, x *task) {
-	t.avoid = p.attribution.Shuns(t.job.ID)
+	t.avoid = p.attribution.AvoidedMachines(t.job.ID)
 	if p.attribution.AtFault(x.machine) {
 		return
 	}
 	x.failed = true
-	t.probation.Fail(p.runner.Now(), x.chosenAt, p.attribution.Against(t.job.ID))
+	t.probation.Fail(p.runner.Now(), x.chosenAt, p.attribution.FailedOnHealthy(t.job.ID))
 }
 
 // taskSucceeded records that a task of the job completed.
@@ -41,8 +41,8 @@
 
 // failureFacts returns what the predicates need to know of a job's failures.
 func (p *Scheduler) failureFacts(t *jobTable, now loop.Micros) gate.FailureState {
-	f := gate.FailureState{State: t.probation.State, ConsecutiveFailures: t.probation.Moments, Machines: p.attribution.Against(t.job.ID), BackOffUntil: t.probation.RestTo,
-		FailedWaiting: len(t.failedTasks), RetryNow: t.probation.Late(len(t.failedTasks))}
+	f := gate.FailureState{State: t.probation.State, ConsecutiveFailures: t.probation.Bursts, Machines: p.attribution.FailedOnHealthy(t.job.ID), BackOffUntil: t.probation.RestUntil,
+		FailedWaiting: len(t.failedTasks), RetryNow: t.probation.RetryWidth(len(t.failedTasks))}
 	if !t.probation.Trusted() {
 		survivors := 0
 		t.each(func(_ int, x *task) {
--- a/internal/placer/jobtable.go
+++ b/internal/placer/jobtable.go
@@ -79,7 +79,7 @@
 	zones           map[string]int // tasks in use by zone
 	completing      bool           // the job's completion is being stored
 	failedTasks     []int          // failed tasks, to be placed again after all others
-	probation       health.Trial
+	probation       health.Probation
 	avoid           map[string]struct{} // machines on which it failed recently
 	damaged         bool                // a record of its tasks cannot be decoded
 	nextAmendAt     loop.Micros         // its record is not amended again before this time
--- a/internal/placer/load.go
+++ b/internal/placer/load.go
@@ -67,7 +67,7 @@
 		return
 	}
 	retry := func() { p.runner.After(loadRetryDelay, func() { p.loadTeamLogs(part, teams, segments) }) }
-	p.client.Exists(store.Placements, partition.TeamLogs, func(exists, ok bool) {
+	p.client.Exists(store.Placements, partition.TeamLogPrefix, func(exists, ok bool) {
 		switch {
 		case !p.ownsPartition(part):
 		case !ok:
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -309,4 +309,4 @@
 }
 
 // Faulty reports whether a machine should be replaced because tasks fail on it.
-func (p *Scheduler) Faulty(machine string) bool { return p.attribution.Faulty(machine) }
+func (p *Scheduler) Faulty(machine string) bool { return p.attribution.ShouldReplace(machine) }
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -89,7 +89,7 @@
 		SendProgress:     func([]peer.Progress) {},
 		SendUsage:        func([]peer.Usage) {},
 		SendReservations: func([]peer.Claim) {},
-	}, g.registry, g.workers, cordon.NewBook(g, c, g.mirror, log, 0))
+	}, g.registry, g.workers, cordon.NewRegistry(g, c, g.mirror, log, 0))
 	g.registry.OnJob = g.scheduler.JobChanged
 	for _, t := range teams {
 		mark := g.state.Put("c/t/"+t.Name, map[string]any{"n": "a", "e": 1})
--- a/internal/placer/scheduler.go
+++ b/internal/placer/scheduler.go
@@ -65,13 +65,13 @@
 	cfg      *config.Config
 	node     Node
 	registry *job.Registry
-	cordons  *cordon.Book
+	cordons  *cordon.Registry
 	agent    *agent.Registry
 	// partitions holds the partitions that this controller owns; teams holds the teams assigned to them, by name.
 	partitions     map[partition.ID]*ownedPartition
 	teams          map[string]*team
 	tasksByMachine map[string]*machineTasks // tasks in use by machine
-	attribution    *health.Blame
+	attribution    *health.Attribution
 	fleet          *fleet.Fleet
 	passScheduled  bool
 	lastPassTook   loop.Micros // duration of the newest pass
@@ -94,11 +94,11 @@
 }
 
 // New returns a scheduler that owns no partition yet and schedules its periodic work on r.
-func New(r loop.Runner, c *store.Client, log *slog.Logger, cfg *config.Config, n Node, registry *job.Registry, a *agent.Registry, cordons *cordon.Book) *Scheduler {
+func New(r loop.Runner, c *store.Client, log *slog.Logger, cfg *config.Config, n Node, registry *job.Registry, a *agent.Registry, cordons *cordon.Registry) *Scheduler {
 	p := &Scheduler{runner: r, cordons: cordons, client: c, log: log, cfg: cfg, node: n, registry: registry, agent: a, partitions: map[partition.ID]*ownedPartition{}, teams: map[string]*team{},
 		valueLimit:     int(cfg.Cluster.State.ValueKB * 1024 * valueFraction),
 		tasksByMachine: map[string]*machineTasks{},
-		attribution:    health.NewBlame(func(id string) bool { j := registry.Get(id); return j != nil && !j.Final() }), zoneByMachine: map[string]string{}, nonce: loop.Rand(r).Uint64() >> 1, usage: map[string]peer.Usage{},
+		attribution:    health.NewAttribution(func(id string) bool { j := registry.Get(id); return j != nil && !j.Final() }), zoneByMachine: map[string]string{}, nonce: loop.Rand(r).Uint64() >> 1, usage: map[string]peer.Usage{},
 
 		checkRequestedAt: map[string]loop.Micros{}, paces: health.Paces{}, starvation: starvation.New()}
 	p.clock = delivery.NewClock(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifeS))
@@ -149,7 +149,7 @@
 	if j.Final() {
 		delete(p.paces, j.ID)
 		p.fleet.TrimReservations(j.ID, 0)
-		p.attribution.Over(j.ID)
+		p.attribution.JobFinished(j.ID)
 	}
 	if j.Spec == nil {
 		return
--- a/internal/placer/views.go
+++ b/internal/placer/views.go
@@ -33,17 +33,17 @@
 	// Most views only confirm that the machine is alive: no capacity became free.
 	unchanged := old != nil && c.Unchanged && len(v.Pending)+len(old.View.Pending) == 0 && v.ClosedToStarts == old.View.ClosedToStarts && v.NoticeAt == old.View.NoticeAt && !startsUnknown
 	sl := p.fleet.UpdateView(v, now-v.Silence(p.runner.Wall(), p.clockBound()), unchanged)
-	p.attribution.View(now, v, c)
+	p.attribution.Observe(now, v, c)
 	if !c.Unchanged {
-		sl.BackOff(p.attribution.Until(v.Name), "tasks fail on it")
+		sl.BackOff(p.attribution.RestUntil(v.Name), "tasks fail on it")
 	}
 	sl.Jobs = p.agent.Jobs(v)
-	observed := sl.Runs.Follow(v, c, before, sl.Jobs, p.paces, now, startsUnknown)
+	observed := sl.Runs.Update(v, c, before, sl.Jobs, p.paces, now, startsUnknown)
 	p.turnover.AddFreed(observed.Freed)
 	if observed.Slow && now >= sl.BackOffUntil {
 		p.log.Debug("tasks run slowly on a machine; it receives no starts for a while", "machine", v.Name, "times", observed.Factor)
 		sl.BackOff(now+health.SlowRest, "its tasks run slowly")
-		sl.Runs.Rest()
+		sl.Runs.ResetSlowness()
 	}
 	p.updateTasks(v, c, before, sl.Jobs, lastReport)
 	if v.Host != "" {
@@ -246,6 +246,6 @@
 	})
 	p.fleet.Remove(machine)
 	delete(p.checkRequestedAt, machine)
-	p.attribution.Gone(machine)
+	p.attribution.MachineDeleted(machine)
 	p.RequestPass()
 }
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -1,9 +1,11 @@
-// Package reach judges which controllers reach which, each way, once for all who ask in
-// this process: who may be given a team, whom workers are sent to, whether this node itself
-// is cut off. Two judges of one thing would drift apart.
+// Package reach tracks which controllers reach which, in each direction. All parts of the
+// process use the same result, so that they cannot contradict each other: which controller
+// may be given a team, to which one workers are redirected, and whether this controller
+// itself is isolated.
 //
-// The evidence is what peers say of themselves and whom they hear. A node that hears
-// another knows nothing of the way back but what that one says.
+// The evidence is what peers report in their messages: their own state and from whom they
+// receive messages. A controller that receives a peer's messages knows only from these
+// whether its own messages reach the peer. The package sends nothing itself.
 package reach
 
 import (
@@ -13,134 +15,135 @@
 	"cleatpick/internal/loop"
 )
 
-// State names how a peer is reached.
+// State is the reachability of a peer.
 type State int
 
 // The states of a peer.
 const (
-	Silent  State = iota // nothing fresh was heard of it
-	OneWay               // it is heard, and does not hear this node
-	Partial              // both hear each other, but it lacks the state service or a node that this one hears
-	Whole                // it reaches all that this node reaches
+	Silent  State = iota // no recent message of it has arrived
+	OneWay               // its messages arrive, but it does not receive those of this controller
+	Partial              // messages pass both ways, but it lacks the state service or a peer that this controller reaches
+	Full                 // it reaches all that this controller reaches
 )
 
 func (s State) String() string { return [...]string{"silent", "oneWay", "partial", "whole"}[s] }
 
 const (
-	// Fresh is how old a word may be.
-	Fresh = 2500 * loop.Millisecond
-	// lateBy is how old it may be by the time of day, beside the bound on that: words that
-	// were held back on their way look new.
-	lateBy = 3 * loop.Second
-	// brokenFor is for how long what is known of this node itself must hold before it acts
-	// on it: a peer that began anew hears nobody for a moment.
-	brokenFor = 3 * loop.Second
-	// skew is by how much later than this node another may find a third one silent, or heard
-	// again. Without it, one node that went silent made all others flap.
-	skew = Fresh + 1500*loop.Millisecond
-	// A peer that was whole and is not any more has flapped. After the first time it is
-	// trusted as soon as it is whole again; after more, once it was whole for damping,
-	// doubled each time up to dampedTimes. Being whole for goodFor makes up for all.
-	damping     = 16 * loop.Second
-	dampedTimes = 1
-	goodFor     = 60 * loop.Second
+	// MaxAge is the age up to which a message is evidence.
+	MaxAge = 2500 * loop.Millisecond
+	// maxWallAge is the age up to which it is evidence by the sender's wall clock, in addition to
+	// the bound on clock differences: messages that were delayed on their way arrive as new.
+	maxWallAge = 3 * loop.Second
+	// isolationDelay is how long this controller must appear isolated before it acts on that: a
+	// peer that has just restarted receives nobody's messages for a short time.
+	isolationDelay = 3 * loop.Second
+	// detectionSkew is how much later than this controller a peer may notice that a third one
+	// became silent or reachable. Without it, one silent controller makes all others flap.
+	detectionSkew = MaxAge + 1500*loop.Millisecond
+	// A peer that leaves the state Full has flapped. After the first flap it is fit for work
+	// as soon as it is in state Full again; after more, only once it has been so for damping,
+	// doubled with each flap up to maxDampingDoublings times. Flaps are forgotten after
+	// stableAfter in state Full.
+	damping             = 16 * loop.Second
+	maxDampingDoublings = 1
+	stableAfter         = 60 * loop.Second
 )
 
-// Word is what a peer said of itself.
-type Word struct {
-	Wall    loop.Micros // its time of day
-	Contact bool        // the state service answers it
-	Hears   []string    // nodes that it hears; nil: it does not say
+// Message is what a peer reports about itself in a message.
+type Message struct {
+	Wall         loop.Micros // its wall clock when it sent the message
+	StateContact bool        // the state service answers it
+	ReceivesFrom []string    // controllers whose messages it receives; nil: not reported
 }
 
 type peer struct {
-	word  Word
-	heard loop.Micros // steady time; 0: never
-	state State
-	since loop.Micros // of the state
-	lacks loop.Micros // since when it does not hear a node that this one hears; 0: it hears all
-	flaps int
-	fell  loop.Micros // when the newest flap was counted
-}
-
-// Judge follows all peers of one node.
-type Judge struct {
-	r     loop.Runner
-	log   *slog.Logger
-	self  string
-	off   loop.Micros // twice the bound on the time of day
-	began loop.Micros
-	peers map[string]*peer
-	// Since when this node hears no peer both ways, and since when a peer that others hear
-	// does not hear it, or is not heard; 0: not so.
-	alone, broken loop.Micros
-	// Contact tells whether the state service answers this node: where it answers nobody,
-	// that is no peer's fault. It may be nil.
-	Contact func() bool
-	// Changed is called for every change of a peer's state; it may be nil.
-	Changed func(peer string, to State, damped bool)
-}
-
-// New makes a judge that has heard nobody.
-func New(r loop.Runner, log *slog.Logger, self string, peers []string, off loop.Micros) *Judge {
-	j := &Judge{r: r, log: log, self: self, off: off, began: r.Now(), peers: map[string]*peer{}}
+	message     Message
+	receivedAt  loop.Micros // when the message arrived, by the monotonic clock; 0: never
+	state       State
+	since       loop.Micros // when the state began
+	missesSince loop.Micros // since when it does not receive a peer that this controller receives; 0: it receives all
+	flaps       int
+	flappedAt   loop.Micros // when the last flap was counted
+}
+
+// Tracker tracks the reachability of all peers of one controller.
+type Tracker struct {
+	runner     loop.Runner
+	log        *slog.Logger
+	self       string
+	clockBound loop.Micros // twice the bound on clock differences
+	began      loop.Micros
+	peers      map[string]*peer
+	// isolatedSince is since when messages pass both ways with no peer, and disconnectedSince
+	// since when they do not pass both ways with some peer that others reach. 0: not so.
+	isolatedSince, disconnectedSince loop.Micros
+	// StateContact reports whether the state service answers this controller: during an outage
+	// of the state service, peers without contact are not at fault. It may be nil.
+	StateContact func() bool
+	// OnChange is called for every change of a peer's state. It may be nil.
+	OnChange func(peer string, to State, damped bool)
+}
+
+// New returns a tracker that has received no messages.
+func New(r loop.Runner, log *slog.Logger, self string, peers []string, clockBound loop.Micros) *Tracker {
+	j := &Tracker{runner: r, log: log, self: self, clockBound: clockBound, began: r.Now(), peers: map[string]*peer{}}
 	for _, p := range peers {
 		j.peers[p] = &peer{}
 	}
 	return j
 }
 
-// setState is the one place where a peer's state changes.
-func (j *Judge) setState(label string, p *peer, s State, now loop.Micros) {
+// setState is the only place where a peer's state changes.
+func (j *Tracker) setState(label string, p *peer, s State, now loop.Micros) {
 	if p.state == s {
 		return
 	}
-	if p.state == Whole && now-p.fell >= skew && (s != Partial || j.Contact == nil || j.Contact()) {
-		// Once for a moment: to a node that stood still itself, what queued up meanwhile
-		// shows each peer come and go several times.
+	if p.state == Full && now-p.flappedAt >= detectionSkew && (s != Partial || j.StateContact == nil || j.StateContact()) {
+		// Flaps within detectionSkew count once: after a pause of this process, the messages that
+		// queued up meanwhile show each peer leave and return several times.
 		p.flaps++
-		p.fell = now
+		p.flappedAt = now
 	}
 	from := p.state
 	p.state, p.since = s, now
-	j.log.Info("peer", "node", label, "from", from.String(), "to", s.String(), "flaps", p.flaps)
-	if j.Changed != nil {
-		j.Changed(label, s, p.wait() > 0)
+	j.log.Info("reachability of a peer changed", "node", label, "from", from.String(), "to", s.String(), "flaps", p.flaps)
+	if j.OnChange != nil {
+		j.OnChange(label, s, p.dampingTime() > 0)
 	}
 }
 
-// wait is for how long the peer must be whole before it is trusted.
-func (p *peer) wait() loop.Micros {
+// dampingTime returns how long the peer must be in state Full before it is fit for work.
+func (p *peer) dampingTime() loop.Micros {
 	if p.flaps < 2 {
 		return 0
 	}
-	return damping << min(p.flaps-2, dampedTimes)
+	return damping << min(p.flaps-2, maxDampingDoublings)
 }
 
-// Hear takes in a peer's word.
-func (j *Judge) Hear(label string, w Word) {
+// Receive records a peer's message.
+func (j *Tracker) Receive(label string, w Message) {
 	p := j.peers[label]
-	if p == nil || p.heard != 0 && w.Wall <= p.word.Wall {
-		return // repeated, or overtaken on its way
+	if p == nil || p.receivedAt != 0 && w.Wall <= p.message.Wall {
+		return // a duplicate, or older than one that has arrived already
 	}
-	p.word, p.heard = w, j.r.Now()
-	j.Look()
+	p.message, p.receivedAt = w, j.runner.Now()
+	j.Update()
 }
 
-// Look judges all peers by what was heard until now; it is to be called now and then,
-// since silence brings nothing that could be heard.
-func (j *Judge) Look() {
-	now := j.r.Now()
-	alone, broken := true, false
+// Update evaluates all peers by the messages received so far. It must be called periodically,
+// since a peer that becomes silent triggers no call of Receive.
+func (j *Tracker) Update() {
+	now := j.runner.Now()
+	isolated, disconnected := true, false
 	for label, p := range loop.Sorted(j.peers) {
-		j.compare(label, p, now)
-		s := j.judge(label, p, now)
+		j.updateMisses(label, p, now)
+		s := j.evaluate(label, p, now)
 		j.setState(label, p, s, now)
-		if p.state == Whole && now-p.since >= goodFor {
+		if p.state == Full && now-p.since >= stableAfter {
 			p.flaps = 0
 		}
-		alone = alone && s <= OneWay
-		broken = broken || s <= OneWay && j.others(label, now)
+		isolated = isolated && s <= OneWay
+		disconnected = disconnected || s <= OneWay && j.reachedByOthers(label, now)
 	}
 	set := func(at *loop.Micros, is bool) {
 		if !is {
@@ -149,105 +152,107 @@
 			*at = now
 		}
 	}
-	set(&j.alone, alone && len(j.peers) > 0)
-	set(&j.broken, broken)
+	set(&j.isolatedSince, isolated && len(j.peers) > 0)
+	set(&j.disconnectedSince, disconnected)
 }
 
-func (j *Judge) judge(label string, p *peer, now loop.Micros) State {
+func (j *Tracker) evaluate(label string, p *peer, now loop.Micros) State {
 	switch {
 	case !j.fresh(p, now):
 		return Silent
-	case p.word.Hears == nil:
-		if !p.word.Contact {
+	case p.message.ReceivesFrom == nil:
+		if !p.message.StateContact {
 			return Partial
 		}
-		return Whole
-	case !slices.Contains(p.word.Hears, j.self):
+		return Full
+	case !slices.Contains(p.message.ReceivesFrom, j.self):
 		return OneWay
-	case !p.word.Contact:
+	case !p.message.StateContact:
 		return Partial
 	}
-	if p.lacks != 0 && now-p.lacks >= skew {
+	if p.missesSince != 0 && now-p.missesSince >= detectionSkew {
 		return Partial
 	}
-	return Whole
+	return Full
 }
 
-// compare notes since when a peer does not hear a node that this one hears.
-func (j *Judge) compare(label string, p *peer, now loop.Micros) {
-	lacks := false
+// updateMisses records since when a peer does not receive a controller that this one receives.
+func (j *Tracker) updateMisses(label string, p *peer, now loop.Micros) {
+	misses := false
 	for other, o := range j.peers {
-		lacks = lacks || other != label && j.fresh(o, now) && p.word.Hears != nil && !slices.Contains(p.word.Hears, other)
+		misses = misses || other != label && j.fresh(o, now) && p.message.ReceivesFrom != nil && !slices.Contains(p.message.ReceivesFrom, other)
 	}
-	if !lacks {
-		p.lacks = 0
-	} else if p.lacks == 0 {
-		p.lacks = now
+	if !misses {
+		p.missesSince = 0
+	} else if p.missesSince == 0 {
+		p.missesSince = now
 	}
 }
 
-// others tells whether a peer that hears this node hears that one too: then it lives, and
-// the way between it and this node is broken.
-func (j *Judge) others(label string, now loop.Micros) bool {
+// reachedByOthers reports whether some peer receives messages both of this controller and of
+// the one named: then that one runs, and the connection between it and this controller is
+// broken.
+func (j *Tracker) reachedByOthers(label string, now loop.Micros) bool {
 	for other, o := range j.peers {
-		if other != label && j.fresh(o, now) && slices.Contains(o.word.Hears, label) && slices.Contains(o.word.Hears, j.self) {
+		if other != label && j.fresh(o, now) && slices.Contains(o.message.ReceivesFrom, label) && slices.Contains(o.message.ReceivesFrom, j.self) {
 			return true
 		}
 	}
 	return false
 }
 
-func (j *Judge) fresh(p *peer, now loop.Micros) bool {
-	return p.heard != 0 && now-p.heard < Fresh && j.r.Wall()-p.word.Wall < lateBy+j.off
+func (j *Tracker) fresh(p *peer, now loop.Micros) bool {
+	return p.receivedAt != 0 && now-p.receivedAt < MaxAge && j.runner.Wall()-p.message.Wall < maxWallAge+j.clockBound
 }
 
-// State is how a peer is reached.
-func (j *Judge) State(label string) State {
+// State returns the reachability of a peer.
+func (j *Tracker) State(label string) State {
 	if p := j.peers[label]; p != nil {
-		return j.judge(label, p, j.r.Now())
+		return j.evaluate(label, p, j.runner.Now())
 	}
 	return Silent
 }
 
-// Heard tells whether the peer was heard within a time, whatever it said.
-func (j *Judge) Heard(label string, within loop.Micros) bool {
+// ReceivedWithin reports whether a message of the peer has arrived within a time, whatever it says.
+func (j *Tracker) ReceivedWithin(label string, within loop.Micros) bool {
 	p := j.peers[label]
-	return p != nil && p.heard != 0 && j.r.Now()-p.heard < within
+	return p != nil && p.receivedAt != 0 && j.runner.Now()-p.receivedAt < within
 }
 
-// Fit tells whether the peer may be given work: it is whole, and has been for as long as
-// its flapping asks for.
-func (j *Judge) Fit(label string) bool {
+// Fit reports whether the peer may be given work: it is in state Full, and has been for as
+// long as its earlier flaps require.
+func (j *Tracker) Fit(label string) bool {
 	p := j.peers[label]
-	return p != nil && j.State(label) == Whole && p.state == Whole && j.r.Now()-p.since >= p.wait()
+	return p != nil && j.State(label) == Full && p.state == Full && j.runner.Now()-p.since >= p.dampingTime()
 }
 
-// Damped tells for how much longer the peer is not trusted although it is whole; 0: it is
-// trusted, or not whole.
-func (j *Judge) Damped(label string) loop.Micros {
-	if p := j.peers[label]; p != nil && p.state == Whole {
-		return max(p.since+p.wait()-j.r.Now(), 0)
+// DampedFor returns for how much longer the peer is not fit for work although it is in state
+// Full, or 0 if it is fit or in another state.
+func (j *Tracker) DampedFor(label string) loop.Micros {
+	if p := j.peers[label]; p != nil && p.state == Full {
+		return max(p.since+p.dampingTime()-j.runner.Now(), 0)
 	}
 	return 0
 }
 
-// Isolated tells whether this node and no peer hear each other: what is decided here
-// reaches nobody. Either way being lost is enough.
-func (j *Judge) Isolated() bool {
-	now := j.r.Now()
+// Isolated reports whether this controller exchanges messages with no peer, so that its
+// decisions reach nobody. The loss of either direction is enough.
+func (j *Tracker) Isolated() bool {
+	now := j.runner.Now()
 	if now-j.began < 5*loop.Second || len(j.peers) == 0 {
 		return false
 	}
 	silent := true
 	for _, p := range j.peers {
-		silent = silent && (p.heard == 0 || now-p.heard >= Fresh)
+		silent = silent && (p.receivedAt == 0 || now-p.receivedAt >= MaxAge)
 	}
-	return silent || j.alone != 0 && now-j.alone >= brokenFor
+	return silent || j.isolatedSince != 0 && now-j.isolatedSince >= isolationDelay
 }
 
-// Broken tells whether the way between this node and one that others hear is broken, and
-// has been for a while: an owner then neither sees nor reaches what reports there.
-func (j *Judge) Broken() bool {
-	now := j.r.Now()
-	return j.broken != 0 && now-j.broken >= 2*brokenFor && now-j.began >= 5*loop.Second
+// PartlyDisconnected reports whether the connection between this controller and one that
+// others reach has been broken for a while: an owner then neither gets the reports of the
+// machines at that controller nor sends them commands.
+func (j *Tracker) PartlyDisconnected() bool {
+	now := j.runner.Now()
+	return j.disconnectedSince != 0 && now-j.disconnectedSince >= 2*isolationDelay && now-j.began >= 5*loop.Second
 }
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -10,18 +10,18 @@
 	"cleatpick/internal/standin"
 )
 
-// net is some nodes that tell each other every 700 ms what the code under test is given,
-// over ways that are open or not, each way by itself.
-type net struct {
+// network is a simulated network of controllers, which send each other the messages of the code
+// under test every 700 ms. Each direction of each connection can be open or closed.
+type network struct {
 	*standin.Stepped
-	names   []string
-	open    map[string]bool // "a>b"
-	contact map[string]bool
-	judges  map[string]*Judge
+	names    []string
+	open     map[string]bool // "a>b"
+	contact  map[string]bool
+	trackers map[string]*Tracker
 }
 
-func newNet(n int) *net {
-	x := &net{Stepped: standin.NewStepped(100 * loop.Second), open: map[string]bool{}, contact: map[string]bool{}, judges: map[string]*Judge{}}
+func newNetwork(n int) *network {
+	x := &network{Stepped: standin.NewStepped(100 * loop.Second), open: map[string]bool{}, contact: map[string]bool{}, trackers: map[string]*Tracker{}}
 	for i := range n {
 		x.names = append(x.names, string(rune('a'+i)))
 	}
@@ -34,19 +34,19 @@
 			}
 		}
 		x.contact[a] = true
-		x.judges[a] = New(x, slog.New(slog.DiscardHandler), a, peers, 0)
+		x.trackers[a] = New(x, slog.New(slog.DiscardHandler), a, peers, 0)
 		loop.Every(x, 700*loop.Millisecond, func() {
-			j := x.judges[a]
-			j.Look()
-			w := Word{Wall: x.Now(), Contact: x.contact[a], Hears: []string{}}
+			j := x.trackers[a]
+			j.Update()
+			w := Message{Wall: x.Now(), StateContact: x.contact[a], ReceivesFrom: []string{}}
 			for _, p := range peers {
-				if j.Heard(p, Fresh) {
-					w.Hears = append(w.Hears, p)
+				if j.ReceivedWithin(p, MaxAge) {
+					w.ReceivesFrom = append(w.ReceivesFrom, p)
 				}
 			}
 			for _, p := range peers {
 				if x.open[a+">"+p] {
-					x.After(2*loop.Millisecond, func() { x.judges[p].Hear(a, w) })
+					x.After(2*loop.Millisecond, func() { x.trackers[p].Receive(a, w) })
 				}
 			}
 		})
@@ -54,11 +54,12 @@
 	return x
 }
 
-// Whatever ways are open, each judge comes to what the ways say.
-func TestReachAgainstTheWays(t *testing.T) {
+// For random sets of open connections and of controllers without the state service, each
+// tracker must derive the reachability that follows directly from these sets.
+func TestReachabilityAgainstConnections(t *testing.T) {
 	for seed := range uint64(120) {
 		r := rand.New(rand.NewPCG(seed, 5))
-		x := newNet(1 + r.IntN(6))
+		x := newNetwork(1 + r.IntN(6))
 		for range 3 {
 			for way := range x.open {
 				x.open[way] = r.IntN(4) > 0
@@ -69,13 +70,13 @@
 			x.Run(15 * loop.Second)
 			both := func(a, b string) bool { return x.open[a+">"+b] && x.open[b+">"+a] }
 			for _, a := range x.names {
-				j := x.judges[a]
+				j := x.trackers[a]
 				alone, broken := len(x.names) > 1, false
 				for _, b := range x.names {
 					if a == b {
 						continue
 					}
-					want := Whole
+					want := Full
 					if !x.contact[b] {
 						want = Partial
 					}
@@ -95,69 +96,72 @@
 					}
 					alone = alone && !both(a, b)
 					if got := j.State(b); got != want {
-						t.Fatalf("seed %d: to %s, %s is %v, want %v; %v", seed, a, b, got, want, x.open)
+						t.Fatalf("seed %d: controller %s finds peer %s %v, want %v; open connections: %v", seed, a, b, got, want, x.open)
 					}
 				}
 				if got := j.Isolated(); got != alone {
-					t.Fatalf("seed %d: %s is isolated: %v; %v", seed, a, got, x.open)
+					t.Fatalf("seed %d: Isolated of %s is wrongly %v; open connections: %v", seed, a, got, x.open)
 				}
-				if got := j.Broken(); got != broken {
-					t.Fatalf("seed %d: a way of %s is broken: %v; %v", seed, a, got, x.open)
+				if got := j.PartlyDisconnected(); got != broken {
+					t.Fatalf("seed %d: PartlyDisconnected of %s is wrongly %v; open connections: %v", seed, a, got, x.open)
 				}
 			}
 		}
 	}
 }
 
-// A node that comes and goes every few seconds is trusted ever later, at most as late as
-// stated; staying whole for a minute makes up for all of it.
+// A controller that becomes silent and returns every few seconds would be given teams each
+// time, only to lose them again. It must be fit for work later after each flap, up to the
+// stated bound, and at once again after it has been in state Full for stableAfter.
 func TestFlappingIsDamped(t *testing.T) {
-	x := newNet(3)
-	j := x.judges["a"]
-	cut := func(is bool) {
+	x := newNetwork(3)
+	j := x.trackers["a"]
+	disconnect := func(is bool) {
 		for _, b := range []string{"a", "b"} {
 			x.open["c>"+b], x.open[b+">c"] = !is, !is
 		}
 	}
-	trusted := func() loop.Micros { // how long after it is whole again it is fit
-		cut(true)
+	timeUntilFit := func() loop.Micros { // time from being in state Full again to being fit for work
+		disconnect(true)
 		x.Run(6 * loop.Second)
 		if j.Fit("c") {
-			t.Fatal("a silent node is fit for work")
+			t.Fatal("a silent peer is fit for work")
 		}
-		cut(false)
+		disconnect(false)
 		from := loop.Micros(0)
 		for range 1200 {
 			x.Run(100 * loop.Millisecond)
-			if from == 0 && j.State("c") == Whole {
+			if from == 0 && j.State("c") == Full {
 				from = x.Now()
 			}
 			if j.Fit("c") {
 				return x.Now() - from
 			}
 		}
-		t.Fatal("it is never trusted again")
+		t.Fatal("the peer is not fit for work two minutes after it became reachable again")
 		return 0
 	}
 	x.Run(5 * loop.Second)
 	var waits []string
 	for range 6 {
-		waits = append(waits, fmt.Sprint((trusted()+300*loop.Millisecond)/loop.Second))
+		waits = append(waits, fmt.Sprint((timeUntilFit()+300*loop.Millisecond)/loop.Second))
 	}
-	x.Run(goodFor)
-	if j.Damped("c") != 0 {
-		t.Error("it is damped although it was good")
+	x.Run(stableAfter)
+	if j.DampedFor("c") != 0 {
+		t.Error("the peer is still damped after it has been in state Full for stableAfter")
 	}
-	waits = append(waits, fmt.Sprint((trusted()+300*loop.Millisecond)/loop.Second))
+	waits = append(waits, fmt.Sprint((timeUntilFit()+300*loop.Millisecond)/loop.Second))
 	if got := fmt.Sprint(waits); got != "[0 16 32 32 32 32 0]" {
-		t.Errorf("it is trusted after %s s", got)
+		t.Errorf("after each flap the peer is fit for work after %s s, want [0 16 32 32 32 32 0]", got)
 	}
 }
 
-// A node that goes silent, and an outage of the state service, are no fault of the others.
-func TestOthersDoNotFlap(t *testing.T) {
-	x := newNet(4)
-	x.judges["a"].Contact = func() bool { return x.contact["a"] }
+// A third controller that becomes silent, an outage of the state service, and messages that
+// queued up during a pause of this process must not count as flaps of the other peers: these
+// would not be given any work afterwards.
+func TestFaultsOfOthersAreNoFlaps(t *testing.T) {
+	x := newNetwork(4)
+	x.trackers["a"].StateContact = func() bool { return x.contact["a"] }
 	x.Run(5 * loop.Second)
 	for round := range 4 {
 		for way := range x.open {
@@ -170,33 +174,34 @@
 		}
 		x.Run(9 * loop.Second)
 	}
-	// A node that stood still finds old words of all lengths in its queue.
+	// After a pause of its process, a controller finds several older messages in its queue.
 	for _, hears := range [][]string{{}, {"a", "c", "d"}, {}, {"a", "c", "d"}} {
 		x.Run(10 * loop.Millisecond)
-		x.judges["a"].Hear("b", Word{Wall: x.Now(), Contact: true, Hears: hears})
+		x.trackers["a"].Receive("b", Message{Wall: x.Now(), StateContact: true, ReceivesFrom: hears})
 	}
 	x.Run(3 * loop.Second)
-	if n := x.judges["a"].peers["b"].flaps; n > 1 {
-		t.Errorf("%d flaps by what queued up", n)
+	if n := x.trackers["a"].peers["b"].flaps; n > 1 {
+		t.Errorf("queued messages were counted as %d flaps, want at most one", n)
 	}
-	x.Run(goodFor)
+	x.Run(stableAfter)
 	for _, n := range []string{"b", "c"} {
-		if j := x.judges["a"]; !j.Fit(n) || j.peers[n].flaps > 0 {
-			t.Errorf("%s is fit: %v, after %d flaps", n, j.Fit(n), j.peers[n].flaps)
+		if j := x.trackers["a"]; !j.Fit(n) || j.peers[n].flaps > 0 {
+			t.Errorf("peer %s is fit for work: %v, with %d flaps; want true and none", n, j.Fit(n), j.peers[n].flaps)
 		}
 	}
 }
 
-// A word that was held back on its way says nothing of now.
-func TestOldWordsAreNotFresh(t *testing.T) {
-	x := newNet(2)
+// A message that was delayed on its way arrives as new but describes the past: it must not
+// make its sender reachable.
+func TestDelayedMessageIsNoEvidence(t *testing.T) {
+	x := newNetwork(2)
 	x.Run(5 * loop.Second)
-	late := Word{Wall: x.Now(), Contact: true, Hears: []string{"a"}}
+	late := Message{Wall: x.Now(), StateContact: true, ReceivesFrom: []string{"a"}}
 	x.open["b>a"] = false
 	x.Run(10 * loop.Second)
-	j := x.judges["a"]
-	j.Hear("b", late)
+	j := x.trackers["a"]
+	j.Receive("b", late)
 	if j.State("b") != Silent || j.Fit("b") {
-		t.Errorf("by a word that is 10 s old b is %v", j.State("b"))
+		t.Errorf("after a message that is 10 s old the peer b is %v, want silent and unfit for work", j.State("b"))
 	}
 }
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -94,7 +94,7 @@
 	}
 	// The free capacity of many silent machines comes back with them, or they have failed and their tasks are
 	// unplaced: renting for it before that is known would rent the capacity twice.
-	t.failures.Doubtful(now, func(name string) {
+	t.failures.EachSuspected(now, func(name string) {
 		m, v := t.machines[name], t.workers.View(name)
 		if m == nil || v == nil || m.state != Up {
 			return
