--- a/internal/node/addition_hand_test.go
+++ b/internal/node/addition_hand_test.go
@@ -12,18 +12,20 @@
 	"cleatpick/internal/wire"
 )
 
-// handWorld returns a simulation full of long tasks, after its first minute.
-func handWorld(t *testing.T, nodes int) *world { return handWorldOf(t, nodes, 1, 10, 30) }
+// busySimulation returns a simulation full of long tasks, after its first minute.
+func busySimulation(t *testing.T, nodes int) *simulation {
+	return busySimulationWith(t, nodes, 1, 10, 30)
+}
 
-// handWorldOf is handWorld with other report_s, lease_s and cancel_s, in seconds. Users cancel some jobs at random, and
-// with some seeds so many that the cluster is not full. Such a seed is passed over, because it would not show the
-// effects under test.
-func handWorldOf(t *testing.T, nodes int, report, lease, cancel float64) *world {
+// busySimulationWith is busySimulation with other report_s, lease_s and cancel_s, in seconds. Users cancel some jobs at
+// random, and with some seeds so many that the cluster is not full. Such a seed is passed over, because it would not
+// show the effects under test.
+func busySimulationWith(t *testing.T, nodes int, report, lease, cancel float64) *simulation {
 	const firstSeed, draws, full = 9, 4, 100
 	running := 0
 	for seed := uint64(firstSeed); seed < firstSeed+draws; seed++ {
-		w := drawHandWorld(t, seed, nodes, report, lease, cancel)
-		if running = len(w.active); running >= full {
+		w := busySimulationOfSeed(t, seed, nodes, report, lease, cancel)
+		if running = len(w.running); running >= full {
 			return w
 		}
 	}
@@ -31,22 +33,22 @@
 	return nil
 }
 
-// drawHandWorld returns the simulation of handWorldOf for one seed.
-func drawHandWorld(t *testing.T, seed uint64, nodes int, report, lease, cancel float64) *world {
-	w := newWorldOf(t, seed, size{nodes: nodes, zones: 2, each: 10}, func(c *config.Config) {
+// busySimulationOfSeed returns the simulation of busySimulationWith for one seed.
+func busySimulationOfSeed(t *testing.T, seed uint64, nodes int, report, lease, cancel float64) *simulation {
+	w := newSimulationOf(t, seed, clusterSize{nodes: nodes, zones: 2, each: 10}, func(c *config.Config) {
 		c.Cluster.Teams = []config.Team{{Name: "red", CPUs: 60}, {Name: "blue", CPUs: 40}}
 		c.Operator.StandbyMeanS, c.Operator.OrdinaryStandbyMeanS = 1e6, 1e6
 		c.Cluster.Workers.ReportS, c.Cluster.Workers.LeaseS, c.Cluster.Workers.CancelS = report, lease, cancel
 	})
 	for i := range 16 {
-		w.at(loop.Second, func() {
-			w.enter(&simJob{id: fmt.Sprintf("job-%06d", i), run: 150 * loop.Second, spec: &job.Spec{Class: "long", Team: []string{"red", "blue"}[i%2],
+		w.after(loop.Second, func() {
+			w.simulateUser(&simJob{id: fmt.Sprintf("job-%06d", i), run: 150 * loop.Second, spec: &job.Spec{Class: "long", Team: []string{"red", "blue"}[i%2],
 				Priority: job.Normal, Tasks: 8, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 150 * loop.Second}})
 		})
 	}
-	w.at(0, w.live)
-	w.at(0, w.checkCancelled)
-	w.at(0, w.checkBeliefs)
+	w.after(0, w.tickWorkers)
+	w.after(0, w.checkCancelled)
+	w.after(0, w.checkLeases)
 	w.run(3660 * loop.Second)
 	for _, x := range w.workers {
 		x.w.Faulty = false
@@ -55,38 +57,38 @@
 }
 
 // A controller that reaches only its workers can neither record nor report what it receives, and each of its answers
-// renews a lease. It redirects its workers, all of them within the stated time, and their tasks go on under a controller
-// that has contact to the state service. If no controller has contact, no task is lost for as long as cancellations
-// allow.
-func TestNodeWithItsWorkersOnly(t *testing.T) {
+// renews a lease. It redirects its workers, all of them within the stated time, and their tasks go on under a
+// controller that has contact to the state service. If no controller has contact, no task is lost for as long as
+// cancellations allow.
+func TestControllerReachingOnlyItsWorkers(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		of   func(w *world) []string
+		of   func(w *simulation) []string
 		d    loop.Micros
 	}{
-		{"the leader", func(w *world) []string { return []string{w.leader()} }, 60 * loop.Second},
-		{"another", func(w *world) []string {
+		{"the leader", func(w *simulation) []string { return []string{w.leader()} }, 60 * loop.Second},
+		{"another", func(w *simulation) []string {
 			l := w.leader()
 			return []string{w.labels[(slices.Index(w.labels, l)+1)%len(w.labels)]}
 		}, 60 * loop.Second},
-		{"all but one", func(w *world) []string {
+		{"all but one", func(w *simulation) []string {
 			return slices.DeleteFunc(slices.Clone(w.labels), func(l string) bool { return l == "b" })
 		}, 60 * loop.Second},
-		{"all", func(w *world) []string { return w.labels }, 23 * loop.Second},
+		{"all", func(w *simulation) []string { return w.labels }, 23 * loop.Second},
 	} {
-		for _, mode := range []cutMode{dropping, holding} {
+		for _, mode := range []linkMode{dropping, delaying} {
 			t.Run(fmt.Sprint(c.name, mode), func(t *testing.T) {
 				t.Parallel()
-				w := handWorld(t, 3)
+				w := busySimulation(t, 3)
 				cut := c.of(w)
 				for _, l := range cut {
-					w.cutFor(c.d, mode, w.workersOnly(l)...)
+					w.disconnectFor(c.d, mode, w.allButWorkers(l)...)
 				}
-				// The controller counts as isolated after 2.5 s, which is noticed within 0.7 s. Each worker is redirected with
-				// its next report, tries each disconnected controller for a second, and stays with the connected one when none
-				// of those answers: see docs/notes/addition.md.
+				// The controller counts as isolated after 2.5 s, which is noticed within 0.7 s. Each worker is
+				// redirected with its next report, tries each disconnected controller for a second, and stays with
+				// the connected one when none of those answers: see docs/notes/addition.md.
 				w.run(w.now + 16*loop.Second)
-				for _, name := range w.present() {
+				for _, name := range w.runningMachines() {
 					for _, l := range w.labels {
 						v := w.nodes[l].n.agent.View(name)
 						if len(cut) < len(w.labels) && !slices.Contains(cut, l) && (v == nil || slices.Contains(cut, v.Host) || w.now-w.workers[name].w.Answer() > 3*loop.Second) {
@@ -95,11 +97,11 @@
 					}
 				}
 				w.run(w.now + c.d + 60*loop.Second)
-				if w.whys["lease"] != 0 || w.whys["gone"] != 0 {
-					t.Errorf("tasks were lost; ended tasks by reason: %v", w.whys)
+				if w.endReasons["lease"] != 0 || w.endReasons["gone"] != 0 {
+					t.Errorf("tasks were lost; ended tasks by reason: %v", w.endReasons)
 				}
 				w.run(w.now + 400*loop.Second)
-				w.settled(100)
+				w.checkCompleted(100)
 			})
 		}
 	}
@@ -108,44 +110,44 @@
 // Workers reach only a controller that reaches nothing else. It stops answering them early enough that their leases
 // expire in time for cancellations that other controllers have confirmed meanwhile; the invariant checkers check every
 // second.
-func TestCancelledBehindANodeWithItsWorkersOnly(t *testing.T) {
-	w := handWorld(t, 3)
-	w.cutFor(90*loop.Second, dropping, slices.Concat(w.workersOnly("a"), []string{"b>workers", "c>workers"})...)
+func TestCancelledAtControllerReachingOnlyItsWorkers(t *testing.T) {
+	w := busySimulation(t, 3)
+	w.disconnectFor(90*loop.Second, dropping, slices.Concat(w.allButWorkers("a"), []string{"b>workers", "c>workers"})...)
 	for _, j := range loop.Sorted(w.jobs) {
-		w.at(5*loop.Second, func() { w.withdraw(j) })
+		w.after(5*loop.Second, func() { w.cancel(j) })
 	}
 	w.run(w.now + 80*loop.Second)
 	told := 0
 	for _, j := range w.jobs {
-		if j.withdrawn != 0 {
+		if j.cancelledAt != 0 {
 			told++
 		}
 	}
-	if told < len(w.jobs)-2 || w.whys["lease"] == 0 || len(w.active) != 0 {
-		t.Errorf("%d of %d jobs are cancelled; ended tasks by reason: %v; %d tasks still run", told, len(w.jobs), w.whys, len(w.active))
+	if told < len(w.jobs)-2 || w.endReasons["lease"] == 0 || len(w.running) != 0 {
+		t.Errorf("%d of %d jobs are cancelled; ended tasks by reason: %v; %d tasks still run", told, len(w.jobs), w.endReasons, len(w.running))
 	}
 }
 
 // All other controllers are unreachable for everybody. To the one that is left this looks as if it were disconnected
 // itself; if it redirected its workers, they would wait for each of the others in vain and lose their leases.
-func TestNodeThatIsLeftKeepsItsWorkers(t *testing.T) {
+func TestLastControllerKeepsItsWorkers(t *testing.T) {
 	for _, nodes := range []int{3, 5} {
-		w := handWorld(t, nodes)
+		w := busySimulation(t, nodes)
 		left := slices.MaxFunc(w.labels, func(a, b string) int { return w.nodes[a].n.agent.Hosted() - w.nodes[b].n.agent.Hosted() })
 		var mine []string
-		for _, name := range w.present() {
+		for _, name := range w.runningMachines() {
 			if v := w.nodes[left].n.agent.View(name); v != nil && v.Host == left {
 				mine = append(mine, name)
 			}
 		}
 		for _, l := range w.labels {
 			if l != left {
-				w.cutFor(60*loop.Second, dropping, w.ways(l)...)
+				w.disconnectFor(60*loop.Second, dropping, w.connections(l)...)
 			}
 		}
 		w.run(w.now + 100*loop.Second)
 		for _, name := range mine {
-			if x := w.workers[name]; x.gone || x.w.Report().Session != 1 {
+			if x := w.workers[name]; x.deleted || x.w.Report().Session != 1 {
 				t.Errorf("%d controllers: %s lost its lease at the controller that is left", nodes, name)
 			}
 		}
@@ -155,8 +157,8 @@
 	}
 }
 
-// owned reports whether every team has an owner that knows it is the owner, and there is a leader.
-func (w *world) owned() bool {
+// allOwned reports whether every team has an owner that knows it is the owner, and there is a leader.
+func (w *simulation) allOwned() bool {
 	leads, teams := false, map[string]bool{}
 	for _, l := range w.labels {
 		s := w.nodes[l]
@@ -173,31 +175,31 @@
 	return leads && len(teams) == len(w.cfg.Cluster.Teams) && !slices.Contains([]bool{teams["red"], teams["blue"]}, false)
 }
 
-// Processes restart before any peer notices, while their old leases, claims and connections still exist: the leader, an
-// owner, all of them, and three times within two seconds. They revoke their earlier leases themselves instead of waiting
-// for their expiry; no task is lost, and every team has an owner again within the stated time.
-func TestBackWithinAMoment(t *testing.T) {
+// Processes restart before any peer notices, while their old leases, claims and connections still exist: the leader,
+// an owner, all of them, and three times within two seconds. They revoke their earlier leases themselves instead of
+// waiting for their expiry; no task is lost, and every team has an owner again within the stated time.
+func TestQuickRestarts(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		nodes int
 		times int
-		who   func(w *world) []string
+		who   func(w *simulation) []string
 		most  loop.Micros
 	}{
-		{"the leader", 3, 1, func(w *world) []string { return []string{w.leader()} }, 2 * loop.Second},
-		{"the leader, three times", 3, 3, func(w *world) []string { return []string{w.leader()} }, 2 * loop.Second},
-		{"all", 3, 1, func(w *world) []string { return w.labels }, 2 * loop.Second},
-		{"all, three times", 3, 3, func(w *world) []string { return w.labels }, 2 * loop.Second},
-		{"all of five, three times", 5, 3, func(w *world) []string { return w.labels }, 2 * loop.Second},
-		{"the only one", 1, 1, func(w *world) []string { return w.labels }, 2 * loop.Second},
+		{"the leader", 3, 1, func(w *simulation) []string { return []string{w.leader()} }, 2 * loop.Second},
+		{"the leader, three times", 3, 3, func(w *simulation) []string { return []string{w.leader()} }, 2 * loop.Second},
+		{"all", 3, 1, func(w *simulation) []string { return w.labels }, 2 * loop.Second},
+		{"all, three times", 3, 3, func(w *simulation) []string { return w.labels }, 2 * loop.Second},
+		{"all of five, three times", 5, 3, func(w *simulation) []string { return w.labels }, 2 * loop.Second},
+		{"the only one", 1, 1, func(w *simulation) []string { return w.labels }, 2 * loop.Second},
 	} {
 		for _, sure := range []bool{true, false} {
 			t.Run(fmt.Sprint(c.name, ", nothing lost ", sure), func(t *testing.T) {
 				t.Parallel()
-				w := handWorld(t, c.nodes)
-				w.copies = 0.3
+				w := busySimulation(t, c.nodes)
+				w.duplicateShare = 0.3
 				most := c.most
-				if w.sure = sure; !sure {
+				if w.reliable = sure; !sure {
 					most += 2 * loop.Second // one request in eighty is lost or late, which may be a claim or a lease
 				}
 				claims := 0
@@ -207,7 +209,7 @@
 					}
 				}
 				for k := range c.times {
-					w.at(loop.Micros(k)*700*loop.Millisecond, func() {
+					w.after(loop.Micros(k)*700*loop.Millisecond, func() {
 						for _, l := range c.who(w) {
 							w.killFor(l, w.between(20*loop.Millisecond, 300*loop.Millisecond))
 						}
@@ -215,7 +217,7 @@
 				}
 				last := w.now + loop.Micros(c.times-1)*700*loop.Millisecond + 300*loop.Millisecond
 				w.run(last)
-				for !w.owned() && w.now < last+20*loop.Second {
+				for !w.allOwned() && w.now < last+20*loop.Second {
 					w.run(w.now + 50*loop.Millisecond)
 				}
 				if took := w.now - last; took > most || claims > 2*c.times {
@@ -223,11 +225,11 @@
 				}
 				t.Logf("all teams have owners %d us after the last restart", w.now-last)
 				w.run(w.now + 40*loop.Second)
-				if w.whys["lease"] != 0 || w.whys["gone"] != 0 {
-					t.Errorf("ended tasks by reason: %v", w.whys)
+				if w.endReasons["lease"] != 0 || w.endReasons["gone"] != 0 {
+					t.Errorf("ended tasks by reason: %v", w.endReasons)
 				}
 				w.run(w.now + 400*loop.Second)
-				w.settled(100)
+				w.checkCompleted(100)
 			})
 		}
 	}
--- a/internal/node/bound_test.go
+++ b/internal/node/bound_test.go
@@ -9,10 +9,10 @@
 	"cleatpick/internal/loop"
 )
 
-// Jobs whose own running tasks bind them to zones find no free capacity there, while the cloud has more machines in each
-// zone than they need. Machines must be created where these tasks may run. The fault: they were created wherever it was
-// cheapest, in the wrong zone, again and again, and the job waited.
-func TestRentedWhereBoundTasksMayRun(t *testing.T) {
+// Jobs whose own running tasks bind them to zones find no free capacity there, while the cloud has more machines in
+// each zone than they need. Machines must be created where these tasks may run. The fault: they were created wherever
+// it was cheapest, in the wrong zone, again and again, and the job waited.
+func TestMachinesCreatedWhereBoundTasksMayRun(t *testing.T) {
 	const second = loop.Second
 	for _, c := range []struct {
 		name  string
@@ -27,10 +27,10 @@
 		for _, bound := range []string{"x", "y"} {
 			t.Run(c.name+", bound to "+bound, func(t *testing.T) {
 				t.Parallel()
-				w := newWorldOf(t, 29, size{nodes: 3, zones: c.zones, each: 30}, func(cfg *config.Config) {
+				w := newSimulationOf(t, 29, clusterSize{nodes: 3, zones: c.zones, each: 30}, func(cfg *config.Config) {
 					cfg.Cluster.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
 				})
-				w.onBegan = func(x *simWorker, _ string) { x.w.Faulty = false }
+				w.onTaskStart = func(x *simWorker, _ string) { x.w.Faulty = false }
 				enter := func(id int, s job.Spec, run loop.Micros) *simJob {
 					s.Class, s.Team, s.Priority, s.MemoryGB, s.Image, s.AnyType, s.Estimate = "k", "red", job.Normal, 1, "i", true, run
 					j := &simJob{id: fmt.Sprintf("job-%06d", id), run: run, spec: &s}
@@ -40,19 +40,20 @@
 					return j
 				}
 				var j *simJob
-				// One machine in that zone, with free capacity for two or three tasks of the job, which bind the others.
-				w.at(second, func() { enter(1, job.Spec{Tasks: 1, CPUs: 2, Zone: bound}, 200*second) })
-				w.at(20*second, func() { s := c.spec; s.CPUs = 2; j = enter(2, s, 150*second) })
-				w.judged(30 * second)
+				// One machine in that zone, with free capacity for two or three tasks of the job, which bind the
+				// others.
+				w.after(second, func() { enter(1, job.Spec{Tasks: 1, CPUs: 2, Zone: bound}, 200*second) })
+				w.after(20*second, func() { s := c.spec; s.CPUs = 2; j = enter(2, s, 150*second) })
+				w.startChecks(30 * second)
 				w.run(3600*second + 80*second)
 				if j.starts < 20 {
-					t.Errorf("%d of 20 tasks have started a minute after the submission, on %d machines", j.starts, len(w.present()))
+					t.Errorf("%d of 20 tasks have started a minute after the submission, on %d machines", j.starts, len(w.runningMachines()))
 				}
 				if n := len(w.workers); n > 12 {
 					t.Errorf("%d machines were created for 42 CPUs, want 12 or fewer", n)
 				}
 				w.run(3600*second + 500*second)
-				w.settled(20)
+				w.checkCompleted(20)
 			})
 		}
 	}
--- a/internal/node/calibration_test.go
+++ b/internal/node/calibration_test.go
@@ -14,10 +14,10 @@
 	"cleatpick/internal/wire"
 )
 
-// asker asks random controllers why random jobs wait, and checks every answer against the state service's records and
-// against how long the waits lasted.
-type asker struct {
-	w         *world
+// explanationChecker asks random controllers why random jobs wait, and checks every answer against the state
+// service's records and against how long the waits lasted.
+type explanationChecker struct {
+	w         *simulation
 	ids       []string
 	asked     int
 	answered  int
@@ -33,15 +33,16 @@
 	e         explain.Estimate
 }
 
-// record reads a job's record directly from the fake state service.
-func (w *world) record(id string) (rec job.Record, ok bool) {
+// storedRecord reads a job's record directly from the fake state service.
+func (w *simulation) storedRecord(id string) (rec job.Record, ok bool) {
 	raw, ok := w.state.Value(job.Keys + id)
 	return rec, ok && wire.Unmarshal(raw, &rec) == nil
 }
 
-// settled reports whether the records that a job's waits depend on are old enough for every owner to have received them.
-func (a *asker) settled(id string) bool {
-	rec, ok := a.w.record(id)
+// recordsSettled reports whether the records that a job's waits depend on are old enough for every owner to have
+// received them.
+func (a *explanationChecker) recordsSettled(id string) bool {
+	rec, ok := a.w.storedRecord(id)
 	last := a.changed[id]
 	if ok && rec.Terms != nil {
 		for _, d := range rec.Terms.After {
@@ -52,13 +53,13 @@
 }
 
 // blocked reports, from the records alone, whether a job is held and whether it waits for other jobs.
-func (a *asker) blocked(id string) (held, waits bool) {
-	rec, ok := a.w.record(id)
+func (a *explanationChecker) blocked(id string) (held, waits bool) {
+	rec, ok := a.w.storedRecord(id)
 	if !ok || rec.Terms == nil {
 		return false, false
 	}
 	for _, d := range rec.Terms.After {
-		switch o, _ := a.w.record(d); {
+		switch o, _ := a.w.storedRecord(d); {
 		case o.Phase == job.Accepted:
 			waits = true
 		case o.Phase == job.Withdrawn && rec.Terms.OnWithdrawn != job.PolicyRelease && !rec.Terms.WaivedFrom(d):
@@ -69,15 +70,15 @@
 }
 
 // ask asks one question and schedules the next one.
-func (a *asker) ask() {
+func (a *explanationChecker) ask() {
 	w := a.w
-	w.at(w.between(200*loop.Millisecond, 700*loop.Millisecond), a.ask)
+	w.after(w.between(200*loop.Millisecond, 700*loop.Millisecond), a.ask)
 	n := w.any()
 	if n == nil || len(a.ids) == 0 {
 		return
 	}
 	id := a.ids[w.rng.IntN(len(a.ids))]
-	if w.stored(id) != job.Accepted {
+	if w.storedPhase(id) != job.Accepted {
 		return
 	}
 	held, waits := a.blocked(id)
@@ -92,7 +93,7 @@
 }
 
 // check checks an explanation; held and waits are what the records said when it was asked for.
-func (a *asker) check(id string, x *explain.Answer, held, waits bool) {
+func (a *explanationChecker) check(id string, x *explain.Answer, held, waits bool) {
 	w := a.w
 	if !x.Complete {
 		a.partial++
@@ -101,7 +102,7 @@
 		}
 		return
 	}
-	if w.stored(id) != job.Accepted || kindsOf(x)["stateContact"] {
+	if w.storedPhase(id) != job.Accepted || kindsOf(x)["stateContact"] {
 		return
 	}
 	if x.Waiting+x.Running+x.Done > x.Tasks {
@@ -119,7 +120,7 @@
 			a.estimates = append(a.estimates, estimate{id, r.Kind, loop.Micros(*r.Since), loop.Micros(x.AsOf), *r.Estimate})
 		}
 	}
-	if !a.settled(id) || x.Waiting == 0 {
+	if !a.recordsSettled(id) || x.Waiting == 0 {
 		return
 	}
 	// What was the same before and after the question must be explained accordingly.
@@ -142,7 +143,7 @@
 }
 
 // calibration counts the waits that ended within their estimates, by kind.
-func (a *asker) calibration(in, all map[string]int) {
+func (a *explanationChecker) calibration(in, all map[string]int) {
 	ends := map[string]loop.Micros{}
 	for _, label := range a.w.labels {
 		for _, id := range a.ids {
@@ -167,11 +168,11 @@
 	}
 }
 
-// playWhy runs one simulation in which random controllers are asked why random jobs wait.
-func playWhy(t *testing.T, seed uint64) *asker {
-	w := newWorldWith(t, seed, func(c *config.Config) { c.Operator.API.Enabled = true })
-	r := newTerms(w)
-	a := &asker{w: w, changed: map[string]loop.Micros{}}
+// simulateExplanations runs one simulation in which random controllers are asked why random jobs wait.
+func simulateExplanations(t *testing.T, seed uint64) *explanationChecker {
+	w := newSimulationWith(t, seed, func(c *config.Config) { c.Operator.API.Enabled = true })
+	r := newTermsChecker(w)
+	a := &explanationChecker{w: w, changed: map[string]loop.Micros{}}
 	w.state.Stored = func(key string, value wire.Raw) {
 		r.stored(key, value)
 		if id, ok := strings.CutPrefix(key, job.Keys); ok {
@@ -179,34 +180,34 @@
 		}
 	}
 	for i := range 160 {
-		w.at(w.between(loop.Second, 300*loop.Second), func() {
+		w.after(w.between(loop.Second, 300*loop.Second), func() {
 			j := w.makeJob(i)
 			if len(a.ids) > 0 && w.rng.IntN(5) == 0 {
 				if d := w.jobs[a.ids[w.rng.IntN(len(a.ids))]]; d.accepted && !d.broken {
 					j.terms = &job.Terms{After: []string{d.id}, OnWithdrawn: job.PolicyRelease}
 				}
 			}
-			w.enter(j)
+			w.simulateUser(j)
 			a.ids = append(a.ids, j.id)
 			if w.rng.IntN(6) == 0 {
-				w.at(w.between(0, 10*loop.Second), func() { r.hold(j.id) })
+				w.after(w.between(0, 10*loop.Second), func() { r.hold(j.id) })
 			}
 		})
 	}
 	if seed%2 == 0 {
-		w.at(60*loop.Second, w.trouble)
+		w.after(60*loop.Second, w.randomFault)
 	}
-	w.at(0, w.live)
-	w.at(0, w.checkCancelled)
-	w.at(5*loop.Second, a.ask)
+	w.after(0, w.tickWorkers)
+	w.after(0, w.checkCancelled)
+	w.after(5*loop.Second, a.ask)
 	w.run(3600*loop.Second + 360*loop.Second)
 	return a
 }
 
 // Explanations under crashes, network partitions, outages and delayed messages: each agrees with the records or says
 // which information is missing, and most waits end within their estimates.
-func TestWhyUnderTroubles(t *testing.T) {
-	from, to := seeds(t, 1, 24)
+func TestExplanationsUnderFaults(t *testing.T) {
+	from, to := seedRange(t, 1, 24)
 	in, all := map[string]int{}, map[string]int{}
 	var asked, answered, partial int
 	var mu sync.Mutex
@@ -214,7 +215,7 @@
 		for seed := from; seed <= to; seed++ {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				a := playWhy(t, seed)
+				a := simulateExplanations(t, seed)
 				mu.Lock()
 				defer mu.Unlock()
 				a.calibration(in, all)
--- a/internal/node/cost_test.go
+++ b/internal/node/cost_test.go
@@ -13,10 +13,10 @@
 	"cleatpick/internal/wire"
 )
 
-// crowd returns a simulation of a given size with a load that keeps four fifths of the machines busy: tasks of two CPUs
-// that run for one to two minutes, on machines of sixteen CPUs.
-func crowd(t testing.TB, nodes, machines int) *world {
-	w := newWorldOf(t, 1, size{nodes: nodes, zones: 2, each: machines / 2}, func(c *config.Config) {
+// loadedSimulation returns a simulation of a given size with a load that keeps four fifths of the machines busy:
+// tasks of two CPUs that run for one to two minutes, on machines of sixteen CPUs.
+func loadedSimulation(t testing.TB, nodes, machines int) *simulation {
+	w := newSimulationOf(t, 1, clusterSize{nodes: nodes, zones: 2, each: machines / 2}, func(c *config.Config) {
 		c.Cluster.Teams = nil
 		cpus := float64(machines * 16)
 		for i := range 4 {
@@ -29,7 +29,7 @@
 		c.Operator.StandbyMeanS, c.Operator.OrdinaryStandbyMeanS = 600, 600
 	})
 	w.cloud = standin.NewCloud(wire.MachineType{Name: "m16", CPUs: 16, MemoryGB: 32, CacheGB: 60, FetchGBs: 1, Price: 1, SpotPrice: 0.3, BootS: 5, Zones: w.zones}, machines/2)
-	w.cloud.Up = func(m wire.Listed) { w.at(w.between(2*loop.Second, 6*loop.Second), func() { w.boot(m) }) }
+	w.cloud.Up = func(m wire.Listed) { w.after(w.between(2*loop.Second, 6*loop.Second), func() { w.boot(m) }) }
 	w.cloud.Gone = w.destroy
 	for _, l := range w.labels {
 		w.nodes[l].alive = false
@@ -44,17 +44,17 @@
 		j := &simJob{id: fmt.Sprintf("job-%06d", no), spec: s, run: w.between(50*loop.Second, 110*loop.Second)}
 		w.jobs[j.id] = j
 		w.submit(j)
-		w.at(5*loop.Second, func() { w.poll(j) })
+		w.after(5*loop.Second, func() { w.poll(j) })
 	}
 	// A job has some 44 tasks, a task runs for 80 s, and eight tasks fill a machine.
 	jobs := float64(machines) * 8 * 0.8 / 44
 	for i := range int(jobs) {
-		w.at(2*loop.Second+loop.Micros(i)*20*loop.Second/loop.Micros(jobs+1), arrive)
+		w.after(2*loop.Second+loop.Micros(i)*20*loop.Second/loop.Micros(jobs+1), arrive)
 	}
 	for i := range int(jobs * 2) {
-		w.at(25*loop.Second+loop.Micros(float64(i)*80/jobs*1e6), arrive)
+		w.after(25*loop.Second+loop.Micros(float64(i)*80/jobs*1e6), arrive)
 	}
-	w.at(0, w.live)
+	w.after(0, w.tickWorkers)
 	return w
 }
 
@@ -66,7 +66,7 @@
 	for _, c := range []struct{ nodes, machines int }{{3, 200}, {3, 1000}, {3, 2000}, {3, 5000}, {5, 1000}, {15, 1000}} {
 		b.Run(fmt.Sprintf("nodes=%d/machines=%d", c.nodes, c.machines), func(b *testing.B) {
 			for range b.N {
-				w := crowd(b, c.nodes, c.machines)
+				w := loadedSimulation(b, c.nodes, c.machines)
 				w.run(3660 * loop.Second)
 				var before, after runtime.MemStats
 				runtime.GC()
@@ -76,8 +76,8 @@
 				const seconds = 40
 				w.run(3660*loop.Second + seconds*loop.Second)
 				runtime.ReadMemStats(&after)
-				up := float64(len(w.present()))
-				b.ReportMetric(float64((w.cost.own-from.own).Microseconds())/up/seconds, "us/machine/s")
+				up := float64(len(w.runningMachines()))
+				b.ReportMetric(float64((w.cost.spent-from.spent).Microseconds())/up/seconds, "us/machine/s")
 				b.ReportMetric(float64(w.cost.bytes-from.bytes)/up/seconds, "B/machine/s")
 				b.ReportMetric(float64(w.cost.frames-from.frames)/seconds, "frames/s")
 				b.ReportMetric(float64(w.starts-starts)/seconds, "starts/s")
@@ -88,15 +88,15 @@
 	}
 }
 
-// BenchmarkFirstPlacement crashes all controllers of a fleet under load, restarts them at the same time, and measures how
-// long it takes until a task starts again, and what that costs.
+// BenchmarkFirstPlacement crashes all controllers of a fleet under load, restarts them at the same time, and measures
+// how long it takes until a task starts again, and what that costs.
 //
 //	go test -run - -bench FirstPlacement -benchtime 1x ./internal/node
 func BenchmarkFirstPlacement(b *testing.B) {
 	for _, machines := range []int{1000, 5000} {
 		b.Run(fmt.Sprint("machines=", machines), func(b *testing.B) {
 			for range b.N {
-				w := crowd(b, 3, machines)
+				w := loadedSimulation(b, 3, machines)
 				now := 3660 * loop.Second
 				w.run(now)
 				for _, l := range w.labels {
@@ -109,7 +109,7 @@
 				}
 				began, from, starts := now, w.cost, w.starts
 				first := loop.Micros(0)
-				w.onBegan = func(*simWorker, string) {
+				w.onTaskStart = func(*simWorker, string) {
 					if first == 0 {
 						first = w.now
 					}
@@ -119,13 +119,13 @@
 					w.run(now)
 				}
 				b.ReportMetric(float64(first-began)/1e6, "s-to-first")
-				b.ReportMetric((w.cost.own - from.own).Seconds(), "own-s-to-first")
+				b.ReportMetric((w.cost.spent - from.spent).Seconds(), "own-s-to-first")
 				for w.starts < starts+machines/4 && now < began+120*loop.Second {
 					now += 50 * loop.Millisecond
 					w.run(now)
 				}
 				b.ReportMetric(float64(now-began)/1e6, "s-to-quarter")
-				b.ReportMetric(float64(len(w.present())), "machines")
+				b.ReportMetric(float64(len(w.runningMachines())), "machines")
 			}
 		})
 	}
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -193,8 +193,8 @@
 	return out
 }
 
-// pendingStarts asks every owner how many starts may still take effect on machines that the named cordon blocks. It calls
-// callback with the sum; ok is false if a team has no owner or an owner did not answer.
+// pendingStarts asks every owner how many starts may still take effect on machines that the named cordon blocks. It
+// calls callback with the sum; ok is false if a team has no owner or an owner did not answer.
 func (n *Node) pendingStarts(name string, callback func(starts int, ok bool)) {
 	owners := map[string]bool{}
 	sure := true
--- a/internal/node/fitness.go
+++ b/internal/node/fitness.go
@@ -28,7 +28,8 @@
 // controller may have confirmed a cancellation in the meantime.
 func (n *Node) mayStart() bool { return n.member.Entitled() && n.hasStateContact() }
 
-// startBlocked returns why a start that was already accepted must no longer be sent to its machine; empty: it may be sent.
+// startBlocked returns why a start that was already accepted must no longer be sent to its machine; empty: it may be
+// sent.
 func (n *Node) startBlocked(j *job.Job, v *agent.View) string {
 	switch {
 	case j.Terms.Hold.State != job.HoldNone && j.Terms.Hold.Shut(n.loop.Wall()):
@@ -56,9 +57,9 @@
 	return true, ""
 }
 
-// redirectTarget returns a peer that has contact to the state service, preferring one that reachability counts as stable, and
-// then the one with the fewest workers; empty: there is none. An unstable peer is only the last choice, because all
-// workers would move to it and back each time its connection flaps.
+// redirectTarget returns a peer that has contact to the state service, preferring one that reachability counts as
+// stable, and then the one with the fewest workers; empty: there is none. An unstable peer is only the last choice,
+// because all workers would move to it and back each time its connection flaps.
 func (n *Node) redirectTarget() string {
 	best, least, trusted := "", 0, false
 	for _, label := range n.net.Peers() {
--- a/internal/node/flood_test.go
+++ b/internal/node/flood_test.go
@@ -15,9 +15,9 @@
 	"github.com/valyala/fasthttp"
 )
 
-// When far more submissions arrive than the state service accepts, each is answered in time, with 201 or with Retry-After;
-// reports are still answered; and after the flood submissions are accepted as before.
-func TestFloodIsAnsweredAndPasses(t *testing.T) {
+// When far more submissions arrive than the state service accepts, each is answered in time, with 201 or with
+// Retry-After; reports are still answered; and after the flood submissions are accepted as before.
+func TestSubmissionFloodIsAnswered(t *testing.T) {
 	clock := loop.RealClock()
 	state := standin.NewState(clock.Now)
 	cloud := standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x"}}, 4)
--- a/internal/node/further_hand_test.go
+++ b/internal/node/further_hand_test.go
@@ -16,37 +16,37 @@
 		for _, out := range []loop.Micros{-100 * ms, 0, 5 * ms, 1000 * ms, 2000 * ms} {
 			t.Run(fmt.Sprintf("cancelled %d ms, down %d ms after the refusal", cancel/ms, out/ms), func(t *testing.T) {
 				t.Parallel()
-				w := fullWorld(t, 3)
+				w := slowReportSimulation(t, 3)
 				refusal := 400 * ms
-				w.at(refusal, func() { w.cutFor(14*loop.Second, refusing, w.owner("red")+">state") })
+				w.after(refusal, func() { w.disconnectFor(14*loop.Second, refusing, w.owner("red")+">state") })
 				w.outage(refusal+out, down)
 				for _, j := range loop.Sorted(w.jobs) {
-					w.at(refusal+cancel, func() { w.withdraw(j) })
+					w.after(refusal+cancel, func() { w.cancel(j) })
 				}
 				w.run(w.now + 12*loop.Second)
-				early, sure := w.cancelled(), out-cancel >= 300*ms
-				if n := w.onMachines(); n != 0 {
+				early, sure := w.cancelledJobs(), out-cancel >= 300*ms
+				if n := w.cancelledTasksRunning(); n != 0 {
 					t.Errorf("%d tasks of cancelled jobs still run, although all controllers reach each other", n)
 				}
 				if sure && early < 4 {
 					t.Errorf("%d jobs are cancelled before the outage, want 4 or more", early)
 				}
 				w.run(w.now + down + 25*loop.Second)
-				if w.whys["lease"] != 0 || w.whys["gone"] != 0 {
-					t.Errorf("all controllers reach each other, but tasks were lost; ended tasks by reason: %v", w.whys)
+				if w.endReasons["lease"] != 0 || w.endReasons["gone"] != 0 {
+					t.Errorf("all controllers reach each other, but tasks were lost; ended tasks by reason: %v", w.endReasons)
 				}
-				if n := w.cancelled(); n != len(w.jobs) || len(w.active) != 0 {
-					t.Errorf("at the end %d jobs are cancelled, %d tasks run", n, len(w.active))
+				if n := w.cancelledJobs(); n != len(w.jobs) || len(w.running) != 0 {
+					t.Errorf("at the end %d jobs are cancelled, %d tasks run", n, len(w.running))
 				}
 			})
 		}
 	}
 }
 
-// Machines hang, and tasks on them are cancelled before, while or after they begin to hang. They resume within their lease,
-// after it, or after cancel_s, with the answer to their last report and commands queued. A machine that hung for less than
-// its lease learns of the cancellation with its next report. One that hung for longer ends the task by its lease, lease_s
-// after the last answered report, which is before cancel_s.
+// Machines hang, and tasks on them are cancelled before, while or after they begin to hang. They resume within their
+// lease, after it, or after cancel_s, with the answer to their last report and commands queued. A machine that hung
+// for less than its lease learns of the cancellation with its next report. One that hung for longer ends the task by
+// its lease, lease_s after the last answered report, which is before cancel_s.
 func TestCancelledWhileItsMachineHangs(t *testing.T) {
 	const second = loop.Second
 	for _, times := range [][3]float64{{5, 26, 46}, {3, 17.5, 47.5}, {1, 10, 13}} {
@@ -59,23 +59,23 @@
 					}
 					t.Run(fmt.Sprintf("%v, cancelled %d ms after, hung for %d s %s", times, when/1000, long/second, more), func(t *testing.T) {
 						t.Parallel()
-						w := handWorldOf(t, 3, times[0], times[1], times[2])
-						w.copies = 0.2
-						half := w.present()
+						w := busySimulationWith(t, 3, times[0], times[1], times[2])
+						w.duplicateShare = 0.2
+						half := w.runningMachines()
 						half = half[:len(half)/2]
-						w.at(2*second, func() { w.hang(half, long) })
+						w.after(2*second, func() { w.hangMachines(half, long) })
 						for _, j := range loop.Sorted(w.jobs) {
-							w.at(2*second+when, func() { w.withdraw(j) })
+							w.after(2*second+when, func() { w.cancel(j) })
 						}
 						switch more {
 						case "its host ends":
-							w.at(2*second+when, func() { w.backAtOnce(w.labels[:1], 1) })
+							w.after(2*second+when, func() { w.restartQuickly(w.labels[:1], 1) })
 						case "the state service is out":
 							w.outage(2*second+when+20*loop.Millisecond, cancel)
 						}
 						w.run(w.now + 2*second + long + cancel + 30*second)
-						if n := w.cancelled(); n != len(w.jobs) || len(w.active) != 0 {
-							t.Errorf("%d jobs are cancelled, %d tasks run", n, len(w.active))
+						if n := w.cancelledJobs(); n != len(w.jobs) || len(w.running) != 0 {
+							t.Errorf("%d jobs are cancelled, %d tasks run", n, len(w.running))
 						}
 					})
 				}
--- a/internal/node/gap_test.go
+++ b/internal/node/gap_test.go
@@ -13,18 +13,20 @@
 	"cleatpick/internal/loop"
 )
 
-// The gap: first the state service refuses one controller alone, while another one confirms cancellations to users; then
-// it is down for all for longer than cancel_s, while workers go on reporting to the controller that was refused. Cancelled
-// tasks must end in time all the same.
+// The gap: first the state service refuses one controller alone, while another one confirms cancellations to users;
+// then it is down for all for longer than cancel_s, while workers go on reporting to the controller that was refused.
+// Cancelled tasks must end in time all the same.
 
-// fullWorld returns a simulation full of long tasks. Its workers report so rarely that some have not been redirected
-// when the state service goes down for all.
-func fullWorld(t *testing.T, nodes int) *world { return handWorldOf(t, nodes, 5, 26, 46) }
+// slowReportSimulation returns a simulation full of long tasks. Its workers report so rarely that some have not been
+// redirected when the state service goes down for all.
+func slowReportSimulation(t *testing.T, nodes int) *simulation {
+	return busySimulationWith(t, nodes, 5, 26, 46)
+}
 
 // owner returns the controller that owns a team, or the first one if none does.
-func (w *world) owner(team string) string {
+func (w *simulation) owner(team string) string {
 	for _, l := range w.labels {
-		if s := w.nodes[l]; s.alive && !s.frozen && s.n.placer.Owns(team) {
+		if s := w.nodes[l]; s.alive && !s.paused && s.n.placer.Owns(team) {
 			return l
 		}
 	}
@@ -32,24 +34,24 @@
 }
 
 // outage takes the state service down for a while.
-func (w *world) outage(after, d loop.Micros) {
-	w.at(after, func() { w.state.SetDown(true) })
-	w.at(after+d, func() { w.state.SetDown(false) })
+func (w *simulation) outage(after, d loop.Micros) {
+	w.after(after, func() { w.state.SetDown(true) })
+	w.after(after+d, func() { w.state.SetDown(false) })
 }
 
-// cancelAmong lets users cancel the jobs of a team one after the other within a time.
-func (w *world) cancelAmong(team string, d loop.Micros) {
+// cancelTeam lets users cancel the jobs of a team one after the other within a time.
+func (w *simulation) cancelTeam(team string, d loop.Micros) {
 	n := loop.Micros(0)
 	for _, j := range loop.Sorted(w.jobs) {
 		if j.spec.Team == team {
-			w.at(50*loop.Millisecond+n*d/9, func() { w.withdraw(j) })
+			w.after(50*loop.Millisecond+n*d/9, func() { w.cancel(j) })
 			n++
 		}
 	}
 }
 
-// cancelBesides is cancelAmong for users who reach every controller but one.
-func (w *world) cancelBesides(label, team string, d loop.Micros) {
+// cancelTeamElsewhere is cancelTeam for users who reach every controller but one.
+func (w *simulation) cancelTeamElsewhere(label, team string, d loop.Micros) {
 	others := slices.DeleteFunc(slices.Clone(w.labels), func(l string) bool { return l == label })
 	n := 0
 	for _, j := range loop.Sorted(w.jobs) {
@@ -57,29 +59,29 @@
 			continue
 		}
 		s := w.nodes[others[n%len(others)]]
-		w.at(50*loop.Millisecond+loop.Micros(n)*d/9, func() {
-			j.asked = true
-			s.enter(s.gen, func() { s.n.jobs.Withdraw(j.id, w.answer(j)) })
-			w.at(2*loop.Second, func() { w.withdraw(j) })
+		w.after(50*loop.Millisecond+loop.Micros(n)*d/9, func() {
+			j.cancelRequested = true
+			s.execute(s.incarnation, func() { s.n.jobs.Withdraw(j.id, w.answerChecker(j)) })
+			w.after(2*loop.Second, func() { w.cancel(j) })
 		})
 		n++
 	}
 }
 
-// cancelled returns the number of jobs whose user was told that they are cancelled.
-func (w *world) cancelled() (n int) {
+// cancelledJobs returns the number of jobs whose user was told that they are cancelled.
+func (w *simulation) cancelledJobs() (n int) {
 	for _, j := range w.jobs {
-		if j.withdrawn != 0 {
+		if j.cancelledAt != 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// onMachines returns the number of tasks that run although their user was told that the job is cancelled.
-func (w *world) onMachines() (n int) {
-	for task := range w.active {
-		if w.jobs[task[:len("job-000000")]].withdrawn != 0 {
+// cancelledTasksRunning returns the number of tasks that run although their user was told that the job is cancelled.
+func (w *simulation) cancelledTasksRunning() (n int) {
+	for task := range w.running {
+		if w.jobs[task[:len("job-000000")]].cancelledAt != 0 {
 			n++
 		}
 	}
@@ -88,7 +90,7 @@
 
 // The gap at several lengths and numbers of controllers. All controllers reach each other, so the one that was refused
 // learns of the cancellations from its peers: cancelled tasks end soon, and no other task is lost.
-func TestTheGap(t *testing.T) {
+func TestCancelledBeforeOutage(t *testing.T) {
 	const second, down = loop.Second, 60 * loop.Second // cancel_s is 46
 	for _, nodes := range []int{2, 3, 5, 15} {
 		for _, gap := range []loop.Micros{0, second / 2, second, 2 * second, 3 * second, 5 * second, 14 * second, 30 * second} {
@@ -98,23 +100,23 @@
 				}
 				t.Run(fmt.Sprintf("%d nodes, %d ms, refused for %d ms", nodes, gap/1000, refused/1000), func(t *testing.T) {
 					t.Parallel()
-					w := fullWorld(t, nodes)
+					w := slowReportSimulation(t, nodes)
 					began := w.now
 					for range 2 { // twice in a row: the second time the team may have another owner
-						w.cutFor(refused, refusing, w.owner("red")+">state")
+						w.disconnectFor(refused, refusing, w.owner("red")+">state")
 						w.outage(gap, down)
-						w.cancelAmong([]string{"red", "blue"}[min((w.now-began)/second, 1)], gap)
+						w.cancelTeam([]string{"red", "blue"}[min((w.now-began)/second, 1)], gap)
 						w.run(w.now + gap + 12*second)
-						if n := w.onMachines(); n != 0 {
+						if n := w.cancelledTasksRunning(); n != 0 {
 							t.Errorf("%d tasks of cancelled jobs still run, although all controllers reach each other", n)
 						}
 						w.run(w.now + down + 25*second)
 					}
-					if gap >= second && w.cancelled() < 4 {
-						t.Errorf("only %d jobs were cancelled, want 4 or more", w.cancelled())
+					if gap >= second && w.cancelledJobs() < 4 {
+						t.Errorf("only %d jobs were cancelled, want 4 or more", w.cancelledJobs())
 					}
-					if w.whys["lease"] != 0 || w.whys["gone"] != 0 {
-						t.Errorf("all controllers reach each other, but tasks were lost; ended tasks by reason: %v", w.whys)
+					if w.endReasons["lease"] != 0 || w.endReasons["gone"] != 0 {
+						t.Errorf("all controllers reach each other, but tasks were lost; ended tasks by reason: %v", w.endReasons)
 					}
 				})
 			}
@@ -123,12 +125,12 @@
 }
 
 // The gap where no peer can tell the refused controller of the cancellations, because the one that confirmed them has
-// crashed, is unreachable, or cannot read what its earlier incarnation confirmed. The refused controller stops answering
-// its workers early enough that their leases expire in time. The invariant checkers check every second that no cancelled
-// task runs for too long.
-func TestTheGapWhereNobodyTells(t *testing.T) {
+// crashed, is unreachable, or cannot read what its earlier incarnation confirmed. The refused controller stops
+// answering its workers early enough that their leases expire in time. The invariant checkers check every second that
+// no cancelled task runs for too long.
+func TestCancelledBeforeOutageWithoutPeers(t *testing.T) {
 	const second, down = loop.Second, 60 * loop.Second
-	back := func(w *world, l string, d loop.Micros) {
+	back := func(w *simulation, l string, d loop.Micros) {
 		for _, o := range w.labels {
 			if o != l {
 				w.killFor(o, d)
@@ -138,39 +140,39 @@
 	for _, c := range []struct {
 		name  string
 		nodes int
-		do    func(w *world, a string)
+		do    func(w *simulation, a string)
 		lost  string // whether tasks end because leases expire
 	}{
-		{"the others crash with the outage", 3, func(w *world, a string) { w.at(2*second, func() { back(w, a, 200*second) }) }, "yes"},
-		{"the others restart within a fraction of a second", 3, func(w *world, a string) { w.at(2*second, func() { back(w, a, 150*loop.Millisecond) }) }, "yes"},
-		{"the other restarts at once", 2, func(w *world, a string) { w.at(2*second, func() { back(w, a, 40*loop.Millisecond) }) }, "yes"},
-		{"it receives no messages", 3, func(w *world, a string) {
-			w.cutFor(100*second, dropping, w.labels[0]+">"+a, w.labels[1]+">"+a, w.labels[2]+">"+a)
+		{"the others crash with the outage", 3, func(w *simulation, a string) { w.after(2*second, func() { back(w, a, 200*second) }) }, "yes"},
+		{"the others restart within a fraction of a second", 3, func(w *simulation, a string) { w.after(2*second, func() { back(w, a, 150*loop.Millisecond) }) }, "yes"},
+		{"the other restarts at once", 2, func(w *simulation, a string) { w.after(2*second, func() { back(w, a, 40*loop.Millisecond) }) }, "yes"},
+		{"it receives no messages", 3, func(w *simulation, a string) {
+			w.disconnectFor(100*second, dropping, w.labels[0]+">"+a, w.labels[1]+">"+a, w.labels[2]+">"+a)
 		}, "yes"},
-		{"messages to it are delayed", 3, func(w *world, a string) {
-			w.cutFor(100*second, holding, w.labels[0]+">"+a, w.labels[1]+">"+a, w.labels[2]+">"+a)
+		{"messages to it are delayed", 3, func(w *simulation, a string) {
+			w.disconnectFor(100*second, delaying, w.labels[0]+">"+a, w.labels[1]+">"+a, w.labels[2]+">"+a)
 		}, "perhaps"},
-		{"one of the others is unreachable, and a third one tells it", 3, func(w *world, a string) {
+		{"one of the others is unreachable, and a third one tells it", 3, func(w *simulation, a string) {
 			o := w.labels[(slices.Index(w.labels, a)+1)%3]
-			w.cutFor(100*second, dropping, o+">"+a)
+			w.disconnectFor(100*second, dropping, o+">"+a)
 		}, "no"},
-		{"its machines report elsewhere", 3, func(w *world, a string) {
-			w.at(5*second, func() { w.cutFor(30*second, dropping, a+">workers") })
+		{"its machines report elsewhere", 3, func(w *simulation, a string) {
+			w.after(5*second, func() { w.disconnectFor(30*second, dropping, a+">workers") })
 		}, "no"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := fullWorld(t, c.nodes)
+			w := slowReportSimulation(t, c.nodes)
 			a := w.owner("red")
-			w.cutFor(14*second, refusing, a+">state")
+			w.disconnectFor(14*second, refusing, a+">state")
 			w.outage(2*second, down)
-			w.cancelBesides(a, "red", 2*second)
+			w.cancelTeamElsewhere(a, "red", 2*second)
 			c.do(w, a)
 			w.run(w.now + 2*second)
-			told := w.cancelled()
+			told := w.cancelledJobs()
 			w.run(w.now + down)
-			if told < 7 || c.lost != "perhaps" && (w.whys["lease"] != 0) != (c.lost == "yes") {
-				t.Errorf("%d jobs are cancelled; ended tasks by reason: %v", told, w.whys)
+			if told < 7 || c.lost != "perhaps" && (w.endReasons["lease"] != 0) != (c.lost == "yes") {
+				t.Errorf("%d jobs are cancelled; ended tasks by reason: %v", told, w.endReasons)
 			}
 		})
 	}
@@ -179,74 +181,74 @@
 // A watch that delivers nothing while transactions are answered hides cancellations although the controller has contact
 // to the state service. Peers tell it of them; if it receives no messages from peers, it redirects its workers or lets
 // their leases expire.
-func TestSilentWatch(t *testing.T) {
+func TestWatchDeliversNothing(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(w *world, a string)
+		do   func(w *simulation, a string)
 		lost bool
 	}{
-		{"all reach each other", func(*world, string) {}, false},
-		{"it receives no messages", func(w *world, a string) {
+		{"all reach each other", func(*simulation, string) {}, false},
+		{"it receives no messages", func(w *simulation, a string) {
 			for _, l := range w.labels {
-				w.cutFor(90*loop.Second, dropping, l+">"+a)
+				w.disconnectFor(90*loop.Second, dropping, l+">"+a)
 			}
 		}, false},
-		{"the others crash", func(w *world, a string) {
+		{"the others crash", func(w *simulation, a string) {
 			for _, l := range w.labels {
 				if l != a {
-					w.at(1100*loop.Millisecond, func() { w.killFor(l, 100*loop.Second) })
+					w.after(1100*loop.Millisecond, func() { w.killFor(l, 100*loop.Second) })
 				}
 			}
 		}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := fullWorld(t, 3)
+			w := slowReportSimulation(t, 3)
 			a := w.owner("red")
-			w.shunned = a // a question by a user would read the record that the watch hides
-			w.cutFor(90*loop.Second, dropping, a+">watch")
+			w.unreachableByUsers = a // a question by a user would read the record that the watch hides
+			w.disconnectFor(90*loop.Second, dropping, a+">watch")
 			c.do(w, a)
 			for _, j := range loop.Sorted(w.jobs) {
-				j.asked = true
+				j.cancelRequested = true
 				for _, l := range w.labels {
 					if l != a && j.spec.Team == "red" {
-						w.at(loop.Second, func() { w.nodes[l].n.jobs.Withdraw(j.id, w.answer(j)) })
+						w.after(loop.Second, func() { w.nodes[l].n.jobs.Withdraw(j.id, w.answerChecker(j)) })
 					}
 				}
 			}
 			w.run(w.now + 60*loop.Second)
-			if w.cancelled() < 6 || w.onMachines() != 0 || (w.whys["lease"] != 0) != c.lost {
-				t.Errorf("%d jobs are cancelled, %d of their tasks still run; ended tasks by reason: %v", w.cancelled(), w.onMachines(), w.whys)
+			if w.cancelledJobs() < 6 || w.cancelledTasksRunning() != 0 || (w.endReasons["lease"] != 0) != c.lost {
+				t.Errorf("%d jobs are cancelled, %d of their tasks still run; ended tasks by reason: %v", w.cancelledJobs(), w.cancelledTasksRunning(), w.endReasons)
 			}
 		})
 	}
 }
 
-// An outage of the state service for all controllers at once, however long, ends no task while all controllers reach each
-// other, whatever their number. If one of them has crashed, the cancellation watermark of the others stops: then all
-// workers' leases expire, but none before the time that the watermark leaves.
-func TestOutageForAll(t *testing.T) {
+// An outage of the state service for all controllers at once, however long, ends no task while all controllers reach
+// each other, whatever their number. If one of them has crashed, the cancellation watermark of the others stops: then
+// all workers' leases expire, but none before the time that the watermark leaves.
+func TestStateServiceOutageForAll(t *testing.T) {
 	for _, nodes := range []int{1, 2, 3, 5, 15} {
 		for _, dead := range []bool{false, true} {
 			t.Run(fmt.Sprint(nodes, " controllers, one crashed ", dead), func(t *testing.T) {
 				t.Parallel()
-				w := fullWorld(t, nodes)
+				w := slowReportSimulation(t, nodes)
 				if dead {
 					if nodes == 1 {
 						return
 					}
 					l := w.labels[(slices.Index(w.labels, w.owner("red"))+1)%nodes]
-					w.at(3*loop.Second, func() { w.killFor(l, 100*loop.Second) })
+					w.after(3*loop.Second, func() { w.killFor(l, 100*loop.Second) })
 				}
 				w.outage(2*loop.Second, 65*loop.Second)
 				// cancel_s - lease_s is 20 s, less a margin of 2 s and the lag of the watermark.
 				w.run(w.now + 15*loop.Second)
-				if w.whys["lease"] != 0 {
-					t.Errorf("tasks were lost too early; ended tasks by reason: %v", w.whys)
+				if w.endReasons["lease"] != 0 {
+					t.Errorf("tasks were lost too early; ended tasks by reason: %v", w.endReasons)
 				}
 				w.run(w.now + 50*loop.Second)
-				if (w.whys["lease"] != 0) != dead {
-					t.Errorf("ended tasks by reason: %v", w.whys)
+				if (w.endReasons["lease"] != 0) != dead {
+					t.Errorf("ended tasks by reason: %v", w.endReasons)
 				}
 			})
 		}
@@ -254,69 +256,69 @@
 }
 
 // Around gaps with random times and random other faults, no invariant is violated and all jobs complete.
-func TestRulesInTheGap(t *testing.T) {
-	from, to := seeds(t, 1, 12)
+func TestInvariantsAroundOutageGaps(t *testing.T) {
+	from, to := seedRange(t, 1, 12)
 	for seed := from; seed <= to; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := gapWorld(t, seed)
+			w := gapSimulation(t, seed)
 			w.run(3600*loop.Second + 1200*loop.Second)
-			w.settled(20)
+			w.checkCompleted(20)
 		})
 	}
 }
 
-// gapWorld returns a simulation in which the gap occurs again and again, together with another fault.
-func gapWorld(t testing.TB, seed uint64) *world {
+// gapSimulation returns a simulation in which the gap occurs again and again, together with another fault.
+func gapSimulation(t testing.TB, seed uint64) *simulation {
 	r := rand.New(rand.NewPCG(seed, 31))
-	w := newWorldOf(t, seed, size{nodes: []int{1, 2, 3, 3, 5, 15}[r.IntN(6)], zones: 2, each: 4 + r.IntN(6)}, func(*config.Config) {})
+	w := newSimulationOf(t, seed, clusterSize{nodes: []int{1, 2, 3, 3, 5, 15}[r.IntN(6)], zones: 2, each: 4 + r.IntN(6)}, func(*config.Config) {})
 	for i := range 40 {
-		w.at(w.between(loop.Second, 150*loop.Second), func() {
+		w.after(w.between(loop.Second, 150*loop.Second), func() {
 			j := w.makeJob(i)
 			j.run = w.between(loop.Second, 120*loop.Second)
-			w.enter(j)
+			w.simulateUser(j)
 		})
 	}
-	troubles := slices.Concat(added, together, met)
+	troubles := slices.Concat(isolationFaults, correlatedFaults, operatorFaults)
 	var strike func()
 	strike = func() {
 		a := w.owner([]string{"red", "blue"}[r.IntN(2)])
 		gap := w.between(0, 6*loop.Second)
 		down := w.between(20*loop.Second, 60*loop.Second)
-		w.cutFor(w.between(loop.Second, 20*loop.Second), refusing, a+">state")
+		w.disconnectFor(w.between(loop.Second, 20*loop.Second), refusing, a+">state")
 		w.outage(gap, down)
 		for _, j := range loop.Sorted(w.jobs) {
 			if r.IntN(3) == 0 {
-				w.at(w.between(0, gap+loop.Second), func() { w.withdraw(j) })
+				w.after(w.between(0, gap+loop.Second), func() { w.cancel(j) })
 			}
 		}
 		switch r.IntN(4) {
 		case 0:
-			w.at(w.between(0, gap+2*loop.Second), func() { w.backAtOnce(w.someLabels(), 1) })
+			w.after(w.between(0, gap+2*loop.Second), func() { w.restartQuickly(w.someControllers(), 1) })
 		case 1:
-			o := w.anyLabel()
-			w.cutFor(w.between(10*loop.Second, 60*loop.Second), w.lostMode(), o+">"+a, a+">watch")
+			o := w.anyController()
+			w.disconnectFor(w.between(10*loop.Second, 60*loop.Second), w.randomLossMode(), o+">"+a, a+">watch")
 		case 2:
 			x := troubles[r.IntN(len(troubles))]
-			w.at(w.between(0, gap+5*loop.Second), func() { x.do(w) })
+			w.after(w.between(0, gap+5*loop.Second), func() { x.do(w) })
 		}
 		if w.now < 3600*loop.Second+100*loop.Second {
-			w.at(gap+down+w.between(2*loop.Second, 20*loop.Second), strike)
+			w.after(gap+down+w.between(2*loop.Second, 20*loop.Second), strike)
 		}
 	}
-	w.at(15*loop.Second, strike)
-	w.judged(300 * loop.Second)
+	w.after(15*loop.Second, strike)
+	w.startChecks(300 * loop.Second)
 	return w
 }
 
-// A controller whose settings leave hardly any time for an outage still starts and serves, and logs one warning with both
-// settings and the time that is left.
-func TestHardlyAnyTimeIsLeft(t *testing.T) {
+// A controller whose settings leave hardly any time for an outage still starts and serves, and logs one warning with
+// both settings and the time that is left.
+func TestWarningAboutShortCancelTime(t *testing.T) {
 	for _, c := range []struct {
 		cancel float64
 		warns  int
 	}{{13, 1}, {30, 0}} {
-		w := handWorldOf(t, 1, 1, 10, c.cancel)
+		w := busySimulationWith(t, 1, 1, 10, c.cancel)
 		var out bytes.Buffer
 		cfg := w.cfg
 		cfg.Label = "z"
@@ -325,8 +327,8 @@
 			t.Errorf("cancel_s %v logs: %s", c.cancel, out.String())
 		}
 		w.run(w.now + 60*loop.Second)
-		if w.whys["lease"] != 0 {
-			t.Errorf("cancel_s %v: tasks were lost; ended tasks by reason: %v", c.cancel, w.whys)
+		if w.endReasons["lease"] != 0 {
+			t.Errorf("cancel_s %v: tasks were lost; ended tasks by reason: %v", c.cancel, w.endReasons)
 		}
 	}
 }
--- a/internal/node/last_end_test.go
+++ b/internal/node/last_end_test.go
@@ -11,25 +11,28 @@
 	"cleatpick/internal/wire"
 )
 
-// A cancellation, a question or a repeated submission races with the end of a job's last task. The user's request arrives
-// as the task ends, after the end of the task or of the job has been recorded but before the answer to that, and a little
-// after each of these; at the owner, at another controller and at both. Either the completion or the cancellation wins,
-// all users are told the same from then on, and "done" is told within the protocol's time.
-func TestWhatMeetsTheLastEnd(t *testing.T) {
+// A cancellation, a question or a repeated submission races with the end of a job's last task. The user's request
+// arrives as the task ends, after the end of the task or of the job has been recorded but before the answer to that,
+// and a little after each of these; at the owner, at another controller and at both. Either the completion or the
+// cancellation wins, all users are told the same from then on, and "done" is told within the protocol's time.
+func TestRequestsRacingWithCompletion(t *testing.T) {
 	const ms = loop.Millisecond
 	type ask struct {
 		name string
-		do   func(w *world, label string, j *simJob)
+		do   func(w *simulation, label string, j *simJob)
 	}
-	ask1 := func(f func(n *Node, w *world, j *simJob)) func(w *world, label string, j *simJob) {
-		return func(w *world, label string, j *simJob) {
+	ask1 := func(f func(n *Node, w *simulation, j *simJob)) func(w *simulation, label string, j *simJob) {
+		return func(w *simulation, label string, j *simJob) {
 			s := w.nodes[label]
-			s.enter(s.gen, func() { f(s.n, w, j) })
+			s.execute(s.incarnation, func() { f(s.n, w, j) })
 		}
 	}
-	cancel := ask{"cancels", ask1(func(n *Node, w *world, j *simJob) { j.asked = true; n.jobs.Withdraw(j.id, w.answer(j)) })}
-	poll := ask{"polls", ask1(func(n *Node, w *world, j *simJob) { n.jobs.Poll(j.id, w.answer(j)) })}
-	repeat := ask{"repeats", ask1(func(n *Node, w *world, j *simJob) { n.jobs.Submit(j.id, j.spec, w.answer(j)) })}
+	cancel := ask{"cancels", ask1(func(n *Node, w *simulation, j *simJob) {
+		j.cancelRequested = true
+		n.jobs.Withdraw(j.id, w.answerChecker(j))
+	})}
+	poll := ask{"polls", ask1(func(n *Node, w *simulation, j *simJob) { n.jobs.Poll(j.id, w.answerChecker(j)) })}
+	repeat := ask{"repeats", ask1(func(n *Node, w *simulation, j *simJob) { n.jobs.Submit(j.id, j.spec, w.answerChecker(j)) })}
 	wins, mu := map[string]int{}, sync.Mutex{}
 	t.Cleanup(func() {
 		if !t.Failed() && (wins["d"] < 50 || wins["w"] < 50) {
@@ -42,27 +45,27 @@
 				t.Parallel()
 				for at := range 3 { // which controller: the owner, another, both
 					for k, asks := range [][]ask{{cancel}, {poll}, {repeat}, {cancel, poll}, {poll, cancel}, {repeat, cancel}, {cancel, cancel, repeat}} {
-						w := newWorldOf(t, uint64(7+k+int(after/ms)), size{nodes: 3, zones: 2, each: 4}, nothing)
+						w := newSimulationOf(t, uint64(7+k+int(after/ms)), clusterSize{nodes: 3, zones: 2, each: 4}, defaultSettings)
 						j := &simJob{id: "job-000001", run: 6 * loop.Second, spec: &job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 2, CPUs: 1,
 							MemoryGB: 1, Image: "i", AnyType: true, Estimate: 6 * loop.Second}}
 						w.jobs[j.id] = j
-						w.at(10*loop.Second, func() { w.submit(j) })
-						w.at(0, w.live)
-						w.at(0, w.checkCancelled)
+						w.after(10*loop.Second, func() { w.submit(j) })
+						w.after(0, w.tickWorkers)
+						w.after(0, w.checkCancelled)
 						strike := func() {
-							w.at(after, func() {
+							w.after(after, func() {
 								owner := w.owner("red")
 								other := w.labels[(slices.Index(w.labels, owner)+1)%3]
 								third := w.labels[(slices.Index(w.labels, owner)+2)%3]
 								for k, a := range asks {
 									label := [][]string{{owner, owner}, {other, third}, {owner, other}}[at][k%2]
-									w.at(loop.Micros(k)*200, func() { a.do(w, label, j) })
+									w.after(loop.Micros(k)*200, func() { a.do(w, label, j) })
 								}
 							})
 						}
-						w.onBegan = func(x *simWorker, _ string) { x.w.Faulty = false }
+						w.onTaskStart = func(x *simWorker, _ string) { x.w.Faulty = false }
 						last := 0
-						w.onLeft = func(task, why string) {
+						w.onTaskEnd = func(task, why string) {
 							if why == wire.WhyDone {
 								last++
 							}
@@ -74,9 +77,9 @@
 							case "the task ends":
 								strike()
 							case "its end is recorded":
-								s.after("x/red", strike)
+								s.afterRequest("x/red", strike)
 							default:
-								s.after(job.Keys+j.id, strike)
+								s.afterRequest(job.Keys+j.id, strike)
 							}
 						}
 						w.run(3600*loop.Second + 35*loop.Second)
@@ -90,9 +93,9 @@
 						for _, a := range asks {
 							name += " " + a.name
 						}
-						stored := w.stored(j.id)
-						if last != 2 || j.done == (j.withdrawn != 0) || j.done != (stored == job.Done) || len(w.active) != 0 || len(w.vain) != 0 {
-							t.Errorf("%s: %d tasks completed; user told done %v, told cancelled %v, stored phase %q, %d tasks run, started after the cancellation %v", name, last, j.done, j.withdrawn != 0, stored, len(w.active), w.vain)
+						stored := w.storedPhase(j.id)
+						if last != 2 || j.done == (j.cancelledAt != 0) || j.done != (stored == job.Done) || len(w.running) != 0 || len(w.startsAfterCancel) != 0 {
+							t.Errorf("%s: %d tasks completed; user told done %v, told cancelled %v, stored phase %q, %d tasks run, started after the cancellation %v", name, last, j.done, j.cancelledAt != 0, stored, len(w.running), w.startsAfterCancel)
 						}
 						mu.Lock()
 						wins[string(stored)]++
--- a/internal/node/leaders_test.go
+++ b/internal/node/leaders_test.go
@@ -14,29 +14,29 @@
 	"cleatpick/internal/wire"
 )
 
-// The leader changes ten times in two minutes, because leaders crash, are refused by the state service or are paused, also
-// with an outage in between. Urgent jobs still start in time, no lease is lost, the numbers of machines and of recorded
-// orders do not grow with the changes, and 10 s after the last change all teams have owners.
+// The leader changes ten times in two minutes, because leaders crash, are refused by the state service or are paused,
+// also with an outage in between. Urgent jobs still start in time, no lease is lost, the numbers of machines and of
+// recorded orders do not grow with the changes, and 10 s after the last change all teams have owners.
 func TestLeadersChangeTenTimes(t *testing.T) {
 	const second = loop.Second
 	for _, c := range []struct {
 		name string
-		do   func(w *world, l string)
+		do   func(w *simulation, l string)
 		out  bool
 	}{
-		{"they crash", func(w *world, l string) { w.killFor(l, 5*second) }, false},
-		{"they restart at once", func(w *world, l string) { w.killFor(l, 200*loop.Millisecond) }, false},
-		{"they are refused", func(w *world, l string) { w.cutFor(7*second, refusing, l+">state") }, false},
-		{"they are paused", func(w *world, l string) { w.freeze(l, 7*second) }, false},
-		{"a random one of these", func(w *world, l string) {
-			[]func(){func() { w.killFor(l, 5*second) }, func() { w.cutFor(7*second, refusing, l+">state") }, func() { w.freeze(l, 7*second) }}[w.rng.IntN(3)]()
+		{"they crash", func(w *simulation, l string) { w.killFor(l, 5*second) }, false},
+		{"they restart at once", func(w *simulation, l string) { w.killFor(l, 200*loop.Millisecond) }, false},
+		{"they are refused", func(w *simulation, l string) { w.disconnectFor(7*second, refusing, l+">state") }, false},
+		{"they are paused", func(w *simulation, l string) { w.pause(l, 7*second) }, false},
+		{"a random one of these", func(w *simulation, l string) {
+			[]func(){func() { w.killFor(l, 5*second) }, func() { w.disconnectFor(7*second, refusing, l+">state") }, func() { w.pause(l, 7*second) }}[w.rng.IntN(3)]()
 		}, false},
-		{"they crash, also in an outage", func(w *world, l string) { w.killFor(l, 5*second) }, true},
-		{"they restart at once, also in an outage", func(w *world, l string) { w.killFor(l, 200*loop.Millisecond) }, true},
+		{"they crash, also in an outage", func(w *simulation, l string) { w.killFor(l, 5*second) }, true},
+		{"they restart at once, also in an outage", func(w *simulation, l string) { w.killFor(l, 200*loop.Millisecond) }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := fullWorld(t, 3)
+			w := slowReportSimulation(t, 3)
 			began, claims, last := w.now, 0, ""
 			w.state.Stored = func(key string, _ wire.Raw) {
 				if key == member.Prefix+"l" {
@@ -45,7 +45,7 @@
 			}
 			had, tally := len(w.workers), 0
 			for k := range 10 {
-				w.at(loop.Micros(k)*12*second, func() {
+				w.after(loop.Micros(k)*12*second, func() {
 					last = w.leader()
 					c.do(w, last)
 				})
@@ -54,13 +54,13 @@
 				w.outage(50*second, 15*second)
 			}
 			for k := range 24 {
-				w.at(loop.Micros(k)*5*second, func() {
-					w.enter(shortJob(k, []string{"red", "blue"}[k%2], 3, 2*second))
+				w.after(loop.Micros(k)*5*second, func() {
+					w.simulateUser(shortJob(k, []string{"red", "blue"}[k%2], 3, 2*second))
 					tally = max(tally, len(w.nodes[w.labels[0]].n.mirror.Under(rental.OrderKeys)))
 				})
 			}
 			w.run(began + 120*second)
-			for until := w.now + 20*second; !w.owned() && w.now < until; {
+			for until := w.now + 20*second; !w.allOwned() && w.now < until; {
 				w.run(w.now + second/2)
 			}
 			if took := w.now - began - 120*second; took > 10*second {
@@ -70,18 +70,18 @@
 			// A start that is lost with its host controller expires after 6 s, and is given up after another 4.4 s. Its
 			// machine finds a new host controller in 5 s and shows that one's token with its second report, 12 s later.
 			for k := range 24 {
-				if j := w.jobs[fmt.Sprintf("job-%06d", 100+k)]; !j.asked && (j.began == 0 || j.began > j.told+map[bool]loop.Micros{false: 30, true: 45}[c.out]*second) {
-					t.Errorf("%s started %d us after it was accepted", j.id, j.began-j.told)
+				if j := w.jobs[fmt.Sprintf("job-%06d", 100+k)]; !j.cancelRequested && (j.firstStartAt == 0 || j.firstStartAt > j.acceptedAt+map[bool]loop.Micros{false: 30, true: 45}[c.out]*second) {
+					t.Errorf("%s started %d us after it was accepted", j.id, j.firstStartAt-j.acceptedAt)
 				}
 			}
-			if w.whys["lease"] != 0 || w.whys["gone"] != 0 || claims < 5 {
-				t.Errorf("ended tasks by reason: %v; the leadership was claimed %d times", w.whys, claims)
+			if w.endReasons["lease"] != 0 || w.endReasons["gone"] != 0 || claims < 5 {
+				t.Errorf("ended tasks by reason: %v; the leadership was claimed %d times", w.endReasons, claims)
 			}
 			if n := len(w.workers) - had; n > 8 || tally > 12 {
 				t.Errorf("%d machines were created, and %d orders recorded at the same time", n, tally)
 			}
 			w.run(w.now + 400*second)
-			w.settled(100)
+			w.checkCompleted(100)
 		})
 	}
 }
@@ -93,47 +93,47 @@
 	const second, limit = loop.Second, 22.7
 	for _, c := range []struct {
 		name string
-		away func(w *world, names []string)
+		away func(w *simulation, names []string)
 	}{
-		{"they hang", func(w *world, names []string) { w.hang(names, 20*second) }},
-		{"they are unresponsive to commands", func(w *world, names []string) { w.deafen(names, 20*second) }},
-		{"they cannot report", func(w *world, names []string) { w.mute(names, 20*second) }},
-		{"they hang for long", func(w *world, names []string) { w.hang(names, 60*second) }},
-		{"they fail", (*world).die},
+		{"they hang", func(w *simulation, names []string) { w.hangMachines(names, 20*second) }},
+		{"they are unresponsive to commands", func(w *simulation, names []string) { w.ignoreCommands(names, 20*second) }},
+		{"they cannot report", func(w *simulation, names []string) { w.blockReports(names, 20*second) }},
+		{"they hang for long", func(w *simulation, names []string) { w.hangMachines(names, 60*second) }},
+		{"they fail", (*simulation).failMachines},
 	} {
 		for _, change := range []string{"it ends", "it is back at once", "it is refused", "it stands still", "all end"} {
 			t.Run(c.name+", "+change, func(t *testing.T) {
 				t.Parallel()
-				w := newWorldOf(t, 17, size{nodes: 3, zones: 2, each: 6}, func(cfg *config.Config) {
+				w := newSimulationOf(t, 17, clusterSize{nodes: 3, zones: 2, each: 6}, func(cfg *config.Config) {
 					cfg.Cluster.Teams = []config.Team{{Name: "red", CPUs: 10, CPUsMax: limit}, {Name: "blue", CPUs: 20}}
 					cfg.Operator.StandbyMeanS, cfg.Operator.OrdinaryStandbyMeanS = 1e6, 1e6
 				})
 				for i := range 90 { // thirty times the limit
-					w.at(loop.Second+loop.Micros(i)*200*loop.Millisecond, func() {
-						w.enter(&simJob{id: fmt.Sprintf("job-%06d", i), run: 12 * second, spec: &job.Spec{Class: "k", Team: "red",
+					w.after(loop.Second+loop.Micros(i)*200*loop.Millisecond, func() {
+						w.simulateUser(&simJob{id: fmt.Sprintf("job-%06d", i), run: 12 * second, spec: &job.Spec{Class: "k", Team: "red",
 							Priority: job.Normal, Tasks: 10, CPUs: 0.1 + 0.3*float64(i%4), MemoryGB: 0.5, Image: "i", AnyType: true, Estimate: 25 * second}})
 					})
 				}
-				w.judged(140 * second)
+				w.startChecks(140 * second)
 				w.run(3640 * second)
 				for _, x := range w.workers {
 					x.w.Faulty = false
 				}
-				if w.teams["red"] < limit-1.1 {
-					t.Fatalf("the team uses only %v CPUs before the change of owner", w.teams["red"])
+				if w.cpusInUse["red"] < limit-1.1 {
+					t.Fatalf("the team uses only %v CPUs before the change of owner", w.cpusInUse["red"])
 				}
 				owner := w.owner("red")
-				c.away(w, w.some(0.5))
-				w.at(second, func() {
+				c.away(w, w.someMachines(0.5))
+				w.after(second, func() {
 					switch change {
 					case "it ends":
 						w.killFor(owner, 8*second)
 					case "it is back at once":
 						w.killFor(owner, 150*loop.Millisecond)
 					case "it is refused":
-						w.cutFor(15*second, refusing, owner+">state")
+						w.disconnectFor(15*second, refusing, owner+">state")
 					case "it stands still":
-						w.freeze(owner, 12*second)
+						w.pause(owner, 12*second)
 					default:
 						for _, l := range w.labels {
 							w.kill(l)
@@ -141,46 +141,46 @@
 					}
 				})
 				w.cancelSome(0.9, 8*second)
-				// By then each machine is deleted or has recovered; one that hangs for 60 s is deleted a lease and some seconds
-				// after it began to hang.
+				// By then each machine is deleted or has recovered; one that hangs for 60 s is deleted a lease and
+				// some seconds after it began to hang.
 				most := 0.0
 				for w.run(3640*second + 50*second); w.now < 3640*second+65*second; w.run(w.now + second) {
-					most = max(most, w.teams["red"])
+					most = max(most, w.cpusInUse["red"])
 				}
 				if most < limit-1.1 {
 					t.Errorf("50 to 65 s after the change of owner the team uses %v of %v CPUs at most", most, limit)
 				}
 				w.run(3600*second + 900*second)
-				w.settled(200)
+				w.checkCompleted(200)
 			})
 		}
 	}
 }
 
-// Reports are delayed until a new leader has acted, and then arrive at any controller: reports of the same session or the
-// one before, with tasks that have ended since, that run elsewhere by now, or without tasks that started since; at
-// controllers that know newer reports, and at controllers that have just started.
-func TestReportHeldBackForANewLeader(t *testing.T) {
+// Reports are delayed until a new leader has acted, and then arrive at any controller: reports of the same session or
+// the one before, with tasks that have ended since, that run elsewhere by now, or without tasks that started since;
+// at controllers that know newer reports, and at controllers that have just started.
+func TestReportsDelayedPastLeaderChange(t *testing.T) {
 	const second = loop.Second
 	for _, c := range []struct {
 		name string
-		do   func(w *world, names []string)
+		do   func(w *simulation, names []string)
 	}{
-		{"nothing else", func(*world, []string) {}},
-		{"a next session", func(w *world, names []string) { w.rebirth(names) }},
-		{"hung for longer than the lease", func(w *world, names []string) { w.hang(names, 14*second) }},
-		{"unresponsive to commands for longer than the lease", func(w *world, names []string) { w.deafen(names, 14*second) }},
-		{"failed", (*world).die},
+		{"nothing else", func(*simulation, []string) {}},
+		{"a next session", func(w *simulation, names []string) { w.restartMachines(names) }},
+		{"hung for longer than the lease", func(w *simulation, names []string) { w.hangMachines(names, 14*second) }},
+		{"unresponsive to commands for longer than the lease", func(w *simulation, names []string) { w.ignoreCommands(names, 14*second) }},
+		{"failed", (*simulation).failMachines},
 	} {
 		for _, all := range []bool{false, true} {
 			t.Run(fmt.Sprint(c.name, ", all controllers restart ", all), func(t *testing.T) {
 				t.Parallel()
-				w := handWorld(t, 3)
-				names := w.present()
+				w := busySimulation(t, 3)
+				names := w.runningMachines()
 				var held []wire.Report
 				hold := func() {
 					for _, n := range names {
-						if x := w.workers[n]; !x.gone {
+						if x := w.workers[n]; !x.deleted {
 							held = append(held, x.w.Report())
 						}
 					}
@@ -188,53 +188,53 @@
 				arrive := func() {
 					for k := range held {
 						r := held[k]
-						s := w.nodes[w.anyLabel()]
-						s.enter(s.gen, func() { s.n.agent.Report(r, func(agent.Answer) {}) })
+						s := w.nodes[w.anyController()]
+						s.execute(s.incarnation, func() { s.n.agent.Report(r, func(agent.Answer) {}) })
 					}
 				}
 				hold()
 				for k := range 8 { // so that tasks start and end meanwhile
-					w.at(loop.Micros(k)*700*loop.Millisecond, func() {
-						w.enter(shortJob(k, "red", 6, 2*second))
+					w.after(loop.Micros(k)*700*loop.Millisecond, func() {
+						w.simulateUser(shortJob(k, "red", 6, 2*second))
 					})
 				}
-				w.at(3*second, hold)
-				w.at(3500*loop.Millisecond, func() { c.do(w, names[:len(names)/2]) })
-				w.at(4*second, func() {
+				w.after(3*second, hold)
+				w.after(3500*loop.Millisecond, func() { c.do(w, names[:len(names)/2]) })
+				w.after(4*second, func() {
 					for _, l := range w.labels {
 						if all || l == w.leader() {
 							w.killFor(l, 300*loop.Millisecond)
 						}
 					}
 				})
-				w.at(4*second, hold)
+				w.after(4*second, hold)
 				for _, d := range []loop.Micros{4500, 5000, 6000, 8000, 12000, 20000, 30000, 45000} {
-					w.at(d*loop.Millisecond, arrive)
+					w.after(d*loop.Millisecond, arrive)
 				}
-				w.judged(110 * second)
+				w.startChecks(110 * second)
 				w.run(w.now + 50*second)
 				for _, l := range w.labels {
-					for _, n := range w.present() {
+					for _, n := range w.runningMachines() {
 						v := w.nodes[l].n.agent.View(n)
 						if x := w.workers[n]; v != nil && v.Session < x.w.Report().Session {
 							t.Errorf("%s has an outdated view of %s, of session %d", l, n, v.Session)
 						}
 					}
 				}
-				if c.name == "nothing else" && w.whys["lease"]+w.whys["gone"]+w.redone != 0 {
-					t.Errorf("ended tasks by reason: %v; %d ran again after they had completed", w.whys, w.redone)
+				if c.name == "nothing else" && w.endReasons["lease"]+w.endReasons["gone"]+w.rerunCompleted != 0 {
+					t.Errorf("ended tasks by reason: %v; %d ran again after they had completed", w.endReasons, w.rerunCompleted)
 				}
 				w.run(w.now + 500*second)
-				w.settled(100)
+				w.checkCompleted(100)
 			})
 		}
 	}
 }
 
-// All controllers are down for longer than a worker's lease, and return together, one by one, or during an outage. No task
-// is started again before it is confirmed terminated. Then the tasks run again without any other delay, and each is started
-// only once for each time it was lost.
-func TestAllAwayForLongerThanALease(t *testing.T) {
+// All controllers are down for longer than a worker's lease, and return together, one by one, or during an outage. No
+// task is started again before it is confirmed terminated. Then the tasks run again without any other delay, and each
+// is started only once for each time it was lost.
+func TestAllControllersDownLongerThanALease(t *testing.T) {
 	const second = loop.Second
 	for _, c := range []struct {
 		name string
@@ -248,7 +248,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := fullWorld(t, 3)
+			w := slowReportSimulation(t, 3)
 			began, starts := w.now, w.starts
 			first := c.away[0]
 			for k, l := range w.labels {
@@ -260,30 +260,30 @@
 				first = 70 * second
 			}
 			// Blue uses 24 CPUs beyond its guarantee, which may be preempted once for red.
-			had := len(w.active)
-			stopped := w.whys["stopped"]
-			w.judged(140 * second)
+			had := len(w.running)
+			stopped := w.endReasons["stopped"]
+			w.startChecks(140 * second)
 			// A controller's lease, and then two reports until each machine has found a controller and shown its token.
-			for w.run(began + first); len(w.active) < had*9/10 && w.now < began+first+60*second; {
+			for w.run(began + first); len(w.running) < had*9/10 && w.now < began+first+60*second; {
 				w.run(w.now + second)
 			}
 			if took := w.now - began - first; took > 30*second {
-				t.Errorf("%d of %d tasks run %d us after the first controller was back", len(w.active), had, took)
+				t.Errorf("%d of %d tasks run %d us after the first controller was back", len(w.running), had, took)
 			}
 			w.run(w.now + 20*second)
-			if again := w.starts - starts; again > w.whys["lease"]+w.whys["gone"]+w.whys["error"]+w.whys["stopped"]-stopped || w.whys["stopped"]-stopped > 24 {
-				t.Errorf("%d starts; ended tasks by reason: %v", again, w.whys)
+			if again := w.starts - starts; again > w.endReasons["lease"]+w.endReasons["gone"]+w.endReasons["error"]+w.endReasons["stopped"]-stopped || w.endReasons["stopped"]-stopped > 24 {
+				t.Errorf("%d starts; ended tasks by reason: %v", again, w.endReasons)
 			}
-			t.Logf("%d starts, %d us; ended tasks by reason: %v", w.starts-starts, w.now-20*second-began-first, w.whys)
+			t.Logf("%d starts, %d us; ended tasks by reason: %v", w.starts-starts, w.now-20*second-began-first, w.endReasons)
 			w.run(w.now + 500*second)
-			w.settled(100)
+			w.checkCompleted(100)
 		})
 	}
 }
 
-// strandedBy returns, for each machine of a zone, whether it has accepted a token of a newer epoch than that of all
+// strandedIn returns, for each machine of a zone, whether it has accepted a token of a newer epoch than that of all
 // controllers in the zone.
-func (w *world) strandedBy(zone string) map[string]bool {
+func (w *simulation) strandedIn(zone string) map[string]bool {
 	newest := uint64(0)
 	for _, l := range w.labels {
 		if s := w.nodes[l]; s.alive && s.zone == zone {
@@ -291,29 +291,29 @@
 		}
 	}
 	stranded := map[string]bool{}
-	for _, name := range w.inZone(zone) {
+	for _, name := range w.machinesInZone(zone) {
 		stranded[name] = agent.EpochOf(w.workers[name].w.Token()) > newest
 	}
 	return stranded
 }
 
-// A zone with workers and a controller, which is the leader, an owner or neither, is disconnected for up to longer than a
-// lease, while users cancel jobs and tasks end inside. No task runs twice, cancelled tasks end, and a task that completed
-// inside does not run again if its report arrives before its machine is deleted.
+// A zone with workers and a controller, which is the leader, an owner or neither, is disconnected for up to longer
+// than a lease, while users cancel jobs and tasks end inside. No task runs twice, cancelled tasks end, and a task
+// that completed inside does not run again if its report arrives before its machine is deleted.
 //
-// A lease counts from when the last answered report was sent. So a partition certainly ends no lease if it is shorter than
-// the lease less the longest report interval, the timeout of an answer and the wait before the next controller is tried:
-// 26 - 6.25 - 4 - 1 s. A longer one that is still shorter than the lease ends only the leases of machines that have accepted
-// a token of a newer epoch than that of the controllers they still reach, which cannot get a newer epoch without the state
-// service.
-func TestZoneAwayForLongerThanALease(t *testing.T) {
+// A lease counts from when the last answered report was sent. So a partition certainly ends no lease if it is shorter
+// than the lease less the longest report interval, the timeout of an answer and the wait before the next controller
+// is tried: 26 - 6.25 - 4 - 1 s. A longer one that is still shorter than the lease ends only the leases of machines
+// that have accepted a token of a newer epoch than that of the controllers they still reach, which cannot get a newer
+// epoch without the state service.
+func TestZoneDisconnectedLongerThanALease(t *testing.T) {
 	const second = loop.Second
 	for _, who := range []string{"the leader", "an owner", "neither"} {
-		for _, mode := range []cutMode{dropping, holding} {
+		for _, mode := range []linkMode{dropping, delaying} {
 			for _, d := range []loop.Micros{14 * second, 20 * second, 30 * second, 55 * second} {
 				t.Run(fmt.Sprint(who, ", ", mode, " for ", d/second, " s"), func(t *testing.T) {
 					t.Parallel()
-					w := fullWorld(t, 3)
+					w := slowReportSimulation(t, 3)
 					zone := ""
 					for _, l := range w.labels {
 						is := who == "the leader" && l == w.leader() || who == "an owner" && l == w.owner("red") ||
@@ -326,37 +326,37 @@
 						zone = w.zones[0]
 					}
 					for k := range 10 { // jobs that end inside the zone
-						w.enter(shortJob(k, "blue", 3, 15*second))
+						w.simulateUser(shortJob(k, "blue", 3, 15*second))
 					}
 					w.run(w.now + 8*second)
-					stranded := w.strandedBy(zone)
-					w.onLease = func(x *simWorker, task string) {
+					stranded := w.strandedIn(zone)
+					w.onLeaseExpired = func(x *simWorker, task string) {
 						if d == 14*second || d == 20*second && !stranded[x.w.Name] {
 							t.Errorf("%s ends because the lease of %s expired, after a partition of %d s", task, x.w.Name, d/second)
 						}
 					}
-					w.cutZone(zone, mode, d)
+					w.disconnectZone(zone, mode, d)
 					w.cancelSome(0.6, d)
-					w.judged(w.now - 3600*second + d + 40*second)
+					w.startChecks(w.now - 3600*second + d + 40*second)
 					w.run(w.now + d + 60*second)
-					if !w.owned() {
+					if !w.allOwned() {
 						t.Error("not all teams have owners a minute after the partition")
 					}
-					if d <= 20*second && w.whys["gone"]+w.redone != 0 {
-						t.Errorf("a partition shorter than the lease; ended tasks by reason: %v; %d ran again after they had completed", w.whys, w.redone)
+					if d <= 20*second && w.endReasons["gone"]+w.rerunCompleted != 0 {
+						t.Errorf("a partition shorter than the lease; ended tasks by reason: %v; %d ran again after they had completed", w.endReasons, w.rerunCompleted)
 					}
-					w.onLease = nil
+					w.onLeaseExpired = nil
 					w.run(w.now + 600*second)
-					w.settled(100)
+					w.checkCompleted(100)
 				})
 			}
 		}
 	}
 }
 
-// Jobs that are bound to one zone, by name or by their other tasks, and jobs that may have only half of their tasks in one
-// zone, lose machines. Tasks that may still run bind the others as before; after they are confirmed terminated, the job goes
-// wherever there is capacity. Machines are created where its tasks may run.
+// Jobs that are bound to one zone, by name or by their other tasks, and jobs that may have only half of their tasks
+// in one zone, lose machines. Tasks that may still run bind the others as before; after they are confirmed
+// terminated, the job goes wherever there is capacity. Machines are created where its tasks may run.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
 	const second = loop.Second
 	for _, c := range []struct {
@@ -373,7 +373,7 @@
 			for _, full := range []bool{false, true} { // no new machines are available in the zone that lost them
 				t.Run(fmt.Sprint(c.name, ", they ", fall, ", full ", full), func(t *testing.T) {
 					t.Parallel()
-					w := newWorldOf(t, 23, size{nodes: 3, zones: 3, each: 8}, func(cfg *config.Config) {
+					w := newSimulationOf(t, 23, clusterSize{nodes: 3, zones: 3, each: 8}, func(cfg *config.Config) {
 						cfg.Cluster.Teams = []config.Team{{Name: "red", CPUs: 120}, {Name: "blue", CPUs: 60}}
 					})
 					var ids []string
@@ -382,17 +382,17 @@
 						s.Class, s.Team, s.Priority, s.CPUs, s.MemoryGB, s.Image, s.AnyType, s.Estimate = "bound", "red", job.Normal, 2, 1, "i", true, 30*second
 						j := &simJob{id: fmt.Sprintf("job-%06d", i), run: 30 * second, spec: &s}
 						ids = append(ids, j.id)
-						w.at(second, func() {
+						w.after(second, func() {
 							w.jobs[j.id] = j
 							w.submit(j)
 							w.poll(j)
 						})
 					}
-					w.onBegan = func(x *simWorker, _ string) { x.w.Faulty = false }
-					w.judged(110 * second)
+					w.onTaskStart = func(x *simWorker, _ string) { x.w.Faulty = false }
+					w.startChecks(110 * second)
 					w.run(3625 * second)
 					zone := "y"
-					for task, m := range w.active {
+					for task, m := range w.running {
 						if c.spec.Zone == "" && strings.HasPrefix(task, ids[0]+"/") {
 							zone = w.workers[m].w.Zone
 							break
@@ -402,21 +402,21 @@
 						kept := w.cloud.Left[zone]
 						w.cloud.Left[zone] = 0
 						if c.spec.Zone != "" {
-							w.at(60*second, func() { w.cloud.Left[zone] += kept })
+							w.after(60*second, func() { w.cloud.Left[zone] += kept })
 						}
 					}
-					switch in := w.inZone(zone); fall {
+					switch in := w.machinesInZone(zone); fall {
 					case "die":
-						w.die(in)
+						w.failMachines(in)
 					case "hang":
-						w.hang(in, 70*second)
+						w.hangMachines(in, 70*second)
 					default:
-						w.cutZone(zone, dropping, 50*second)
+						w.disconnectZone(zone, dropping, 50*second)
 					}
 					w.run(3600*second + 450*second)
 					for _, id := range ids {
 						if j := w.jobs[id]; !j.done {
-							t.Errorf("%s is not done; %d starts, %d machines; ended tasks by reason: %v", id, j.starts, len(w.present()), w.whys)
+							t.Errorf("%s is not done; %d starts, %d machines; ended tasks by reason: %v", id, j.starts, len(w.runningMachines()), w.endReasons)
 						}
 					}
 				})
--- a/internal/node/many_teams_test.go
+++ b/internal/node/many_teams_test.go
@@ -8,43 +8,43 @@
 	"cleatpick/internal/standin"
 )
 
-// crowded returns a simulation of eight controllers and 300 teams, whose state service accepts only the request rates that
-// a small cluster needs.
-func crowded(t testing.TB) *world {
+// manyTeamsSimulation returns a simulation of eight controllers and 300 teams, whose state service accepts only the
+// request rates that a small cluster needs.
+func manyTeamsSimulation(t testing.TB) *simulation {
 	const rps, writeRPS, valueKB, txnOps = 180, 70, 32, 16
-	w := newWorldOf(t, 3, size{nodes: 8, zones: 2, each: 40}, func(c *config.Config) {
-		c.Cluster.Teams = teamsOf(300, 320)
+	w := newSimulationOf(t, 3, clusterSize{nodes: 8, zones: 2, each: 40}, func(c *config.Config) {
+		c.Cluster.Teams = equalTeams(300, 320)
 		s := &c.Cluster.State
 		s.RPS, s.WriteRPS, s.ValueKB, s.TxnOps = rps, writeRPS, valueKB, txnOps
 	})
 	w.state.SetLimits(&standin.Limits{RPS: rps, WriteRPS: writeRPS, ValueBytes: valueKB << 10, TxnOps: txnOps})
-	w.sure = true
+	w.reliable = true
 	for i := range 200 {
 		at := loop.Second + loop.Micros(i)*40*loop.Millisecond
-		w.at(at, func() { w.sharedJob(i) })
+		w.after(at, func() { w.submitSharedJob(i) })
 	}
 	return w
 }
 
-// Claims, assignments and watches of many teams and controllers use only a bounded share of the state service's request
-// rate, so that tasks start soon and all users are answered. The fault: while each team had a claim and a log of its own,
-// the claims alone exceeded the limits again and again, no task started for minutes, and questions about accepted jobs were
-// not answered.
+// Claims, assignments and watches of many teams and controllers use only a bounded share of the state service's
+// request rate, so that tasks start soon and all users are answered. The fault: while each team had a claim and a log
+// of its own, the claims alone exceeded the limits again and again, no task started for minutes, and questions about
+// accepted jobs were not answered.
 func TestManyTeamsAndControllers(t *testing.T) {
 	const (
 		mostBeforeStart = 900 // requests until the first task starts
 		mostRefused     = 0.01
 		firstStart      = 15 * loop.Second
 	)
-	w := crowded(t)
+	w := manyTeamsSimulation(t)
 	first := loop.Micros(0)
 	var atFirst standin.Counts
-	w.onBegan = func(*simWorker, string) {
+	w.onTaskStart = func(*simWorker, string) {
 		if first == 0 {
 			first, atFirst = w.now-3600*loop.Second, w.state.Counts()
 		}
 	}
-	w.judged(5 * loop.Second)
+	w.startChecks(5 * loop.Second)
 	w.run(3600*loop.Second + 240*loop.Second)
 	all := w.state.Counts()
 	t.Logf("first start after %.1f s and %d requests, %d of them refused; %d of %d refused in all, %d writes, %d starts",
@@ -55,17 +55,17 @@
 	if float64(all.Refused) > mostRefused*float64(all.Requests) {
 		t.Errorf("%d of %d requests were refused", all.Refused, all.Requests)
 	}
-	w.settled(200)
+	w.checkCompleted(200)
 }
 
 // Without any jobs, the number of requests to the state service depends on the number of controllers and not on that of
 // teams.
-func TestRequestsAtRest(t *testing.T) {
+func TestRequestsWithoutJobs(t *testing.T) {
 	rest := func(nodes, teams int) int {
-		w := newWorldOf(t, 5, size{nodes: nodes, zones: 1, each: 1}, func(c *config.Config) {
-			c.Cluster.Teams = teamsOf(teams, 8)
+		w := newSimulationOf(t, 5, clusterSize{nodes: nodes, zones: 1, each: 1}, func(c *config.Config) {
+			c.Cluster.Teams = equalTeams(teams, 8)
 		})
-		w.sure = true
+		w.reliable = true
 		w.run(3600*loop.Second + 30*loop.Second)
 		before := w.state.Counts().Requests
 		w.run(3600*loop.Second + 90*loop.Second)
@@ -78,25 +78,25 @@
 	}
 }
 
-// A partition whose log is refused because a value is too large goes on in smaller segments and loses none of its tasks. So
-// does the next owner, which still assumes the larger limit.
-func TestValuesBecomeSmaller(t *testing.T) {
-	w := newWorldOf(t, 7, size{nodes: 3, zones: 2, each: 12}, func(c *config.Config) { c.Cluster.Teams = teamsOf(12, 96) })
+// A partition whose log is refused because a value is too large goes on in smaller segments and loses none of its
+// tasks. So does the next owner, which still assumes the larger limit.
+func TestStateValueLimitShrinks(t *testing.T) {
+	w := newSimulationOf(t, 7, clusterSize{nodes: 3, zones: 2, each: 12}, func(c *config.Config) { c.Cluster.Teams = equalTeams(12, 96) })
 	for i := range 30 {
-		w.at(w.between(loop.Second, 90*loop.Second), func() {
+		w.after(w.between(loop.Second, 90*loop.Second), func() {
 			j := w.makeJob(i)
 			j.spec.Team = w.cfg.Cluster.Teams[i%4].Name
 			j.spec.Tasks, j.spec.CPUs, j.spec.MemoryGB, j.broken = 60, 0.25, 0.1, false
-			w.enter(j)
+			w.simulateUser(j)
 		})
 	}
-	w.at(20*loop.Second, func() { w.state.SetLimits(&standin.Limits{ValueBytes: 2048, TxnOps: 5}) })
-	w.at(70*loop.Second, func() { w.kill(w.anyLabel()) })
-	w.judged(100 * loop.Second)
+	w.after(20*loop.Second, func() { w.state.SetLimits(&standin.Limits{ValueBytes: 2048, TxnOps: 5}) })
+	w.after(70*loop.Second, func() { w.kill(w.anyController()) })
+	w.startChecks(100 * loop.Second)
 	w.run(3600*loop.Second + 500*loop.Second)
 	t.Logf("%d transactions were refused as invalid, %d tasks started", w.state.Counts().Invalid, w.starts)
 	if w.state.Counts().Invalid == 0 {
 		t.Error("no record was too large, so the test covered nothing")
 	}
-	w.settled(20)
+	w.checkCompleted(20)
 }
--- a/internal/node/mute_test.go
+++ b/internal/node/mute_test.go
@@ -9,77 +9,78 @@
 	"cleatpick/internal/loop"
 )
 
-// mute makes machines unable to report for a while: they cannot connect to any controller, but commands reach them.
-func (w *world) mute(names []string, d loop.Micros) {
+// blockReports makes machines unable to report for a while: they cannot connect to any controller, but commands reach
+// them.
+func (w *simulation) blockReports(names []string, d loop.Micros) {
 	for _, name := range names {
 		x := w.workers[name]
-		x.mute = true
-		w.at(d, func() { x.mute = false })
+		x.cannotReport = true
+		w.after(d, func() { x.cannotReport = false })
 	}
 }
 
-// emptier returns the half of all machines that runs the fewest tasks, where new tasks are placed.
-func (w *world) emptier() []string {
-	names, on := w.present(), map[string]int{}
-	for _, m := range w.active {
+// emptierHalf returns the half of all machines that runs the fewest tasks, where new tasks are placed.
+func (w *simulation) emptierHalf() []string {
+	names, on := w.runningMachines(), map[string]int{}
+	for _, m := range w.running {
 		on[m]++
 	}
 	slices.SortStableFunc(names, func(a, b string) int { return on[a] - on[b] })
 	return names[:len(names)/2]
 }
 
-// A machine that cannot report answers commands and probes, and its lease expires all the same. The fault: it counted as
-// serving, was given tasks until its lease expired, lost them, and was given more in its next session, again and again.
-// It must get starts for no longer than any machine whose reports stopped; cancelled tasks on it are stopped at once; tasks
-// that its lease ends run again elsewhere; a machine that reports again in time has lost nothing; and the autoscaler does
-// not replace the whole fleet.
+// A machine that cannot report answers commands and probes, and its lease expires all the same. The fault: it counted
+// as serving, was given tasks until its lease expired, lost them, and was given more in its next session, again and
+// again. It must get starts for no longer than any machine whose reports stopped; cancelled tasks on it are stopped
+// at once; tasks that its lease ends run again elsewhere; a machine that reports again in time has lost nothing; and
+// the autoscaler does not replace the whole fleet.
 func TestMachinesThatCannotReport(t *testing.T) {
 	const second = loop.Second
 	for _, c := range []struct {
 		name string
 		d    loop.Micros
-		who  func(w *world) []string
-		more func(w *world)
+		who  func(w *simulation) []string
+		more func(w *simulation)
 		kept bool // all leases
 	}{
-		{"half of all for less than a lease", 18 * second, (*world).emptier, nil, true},
-		{"half of all for three leases", 75 * second, (*world).emptier, nil, false},
-		{"a zone for two leases", 50 * second, func(w *world) []string { return w.inZone("x") }, nil, false},
-		{"all for two leases", 50 * second, (*world).present, nil, false},
-		{"half, and the leader ends", 75 * second, (*world).emptier,
-			func(w *world) { w.kill(w.leader()) }, false},
-		{"half, and the owner is back at once", 75 * second, (*world).emptier,
-			func(w *world) { w.backAtOnce([]string{w.owner("red")}, 2) }, false},
+		{"half of all for less than a lease", 18 * second, (*simulation).emptierHalf, nil, true},
+		{"half of all for three leases", 75 * second, (*simulation).emptierHalf, nil, false},
+		{"a zone for two leases", 50 * second, func(w *simulation) []string { return w.machinesInZone("x") }, nil, false},
+		{"all for two leases", 50 * second, (*simulation).runningMachines, nil, false},
+		{"half, and the leader ends", 75 * second, (*simulation).emptierHalf,
+			func(w *simulation) { w.kill(w.leader()) }, false},
+		{"half, and the owner is back at once", 75 * second, (*simulation).emptierHalf,
+			func(w *simulation) { w.restartQuickly([]string{w.owner("red")}, 2) }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := handWorldOf(t, 3, 1, 26, 46)
+			w := busySimulationWith(t, 3, 1, 26, 46)
 			names := c.who(w)
 			began, late, had := w.now, 0, len(w.workers)
-			w.sure = true // otherwise a command that was sent before may be executed 20 s later
-			// A machine that has missed two reports gets no starts; one that was recorded before that may be in flight for
-			// 6 s more. The machine's lease of 26 s ends later.
+			w.reliable = true // otherwise a command that was sent before may be executed 20 s later
+			// A machine that has missed two reports gets no starts; one that was recorded before that may be in
+			// flight for 6 s more. The machine's lease of 26 s ends later.
 			deadline := began + 13*second
-			w.onBegan = func(x *simWorker, _ string) {
-				if x.mute && w.now > deadline && slices.Contains(names, x.w.Name) {
+			w.onTaskStart = func(x *simWorker, _ string) {
+				if x.cannotReport && w.now > deadline && slices.Contains(names, x.w.Name) {
 					late++
 				}
 			}
-			w.mute(names, c.d)
+			w.blockReports(names, c.d)
 			if c.more != nil {
-				w.at(3*second, func() { c.more(w) })
+				w.after(3*second, func() { c.more(w) })
 			}
 			short := int(c.d / (150 * loop.Millisecond)) // so many that each machine is given a task every few seconds
 			for k := range short {
-				w.at(loop.Micros(k)*150*loop.Millisecond, func() {
-					w.enter(&simJob{id: fmt.Sprintf("job-%06d", 100+k), run: 3 * second, spec: &job.Spec{Class: "short", Team: []string{"red", "blue"}[k%2],
+				w.after(loop.Micros(k)*150*loop.Millisecond, func() {
+					w.simulateUser(&simJob{id: fmt.Sprintf("job-%06d", 100+k), run: 3 * second, spec: &job.Spec{Class: "short", Team: []string{"red", "blue"}[k%2],
 						Priority: job.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 2 * loop.Second}})
 				})
 			}
 			gone := w.jobs["job-000003"]
-			w.at(second, func() { w.withdraw(gone) })
+			w.after(second, func() { w.cancel(gone) })
 			w.run(began + 6*second)
-			for task, m := range w.active {
+			for task, m := range w.running {
 				if task[:len(gone.id)] == gone.id && c.more == nil {
 					t.Errorf("%s of a cancelled job still runs on %s, which commands reach", task, m)
 				}
@@ -88,20 +89,20 @@
 			if late > 0 {
 				t.Errorf("%d tasks started on machines that had not reported for more than 13 s", late)
 			}
-			if c.kept != (w.whys["lease"] == 0) {
-				t.Errorf("ended tasks by reason: %v", w.whys)
+			if c.kept != (w.endReasons["lease"] == 0) {
+				t.Errorf("ended tasks by reason: %v", w.endReasons)
 			}
 			if n := len(w.workers) - had; n > len(names)+8 {
 				t.Errorf("%d machines were created while %d could not report", n, len(names))
 			}
 			for k := range short {
-				if j := w.jobs[fmt.Sprintf("job-%06d", 100+k)]; !j.asked && (j.began == 0 || j.began > j.first+60*second) {
-					t.Errorf("%s started %d us after it was submitted", j.id, j.began-j.first)
+				if j := w.jobs[fmt.Sprintf("job-%06d", 100+k)]; !j.cancelRequested && (j.firstStartAt == 0 || j.firstStartAt > j.submittedAt+60*second) {
+					t.Errorf("%s started %d us after it was submitted", j.id, j.firstStartAt-j.submittedAt)
 				}
 			}
 			w.run(w.now + 400*second)
-			w.settled(100)
-			t.Logf("%d late starts; ended tasks by reason: %v; %d machines created", late, w.whys, len(w.workers)-had)
+			w.checkCompleted(100)
+			t.Logf("%d late starts; ended tasks by reason: %v; %d machines created", late, w.endReasons, len(w.workers)-had)
 		})
 	}
 }
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -16,8 +16,8 @@
 // flap, partitions that affect only some of a controller's connections, far more polls than usual, a guest team without
 // a guarantee, and jobs that were submitted with a mistake.
 
-// ways lists all connections of a controller: to peers and back, to workers, state service and cloud.
-func (w *world) ways(label string) (out []string) {
+// connections lists all connections of a controller: to peers and back, to workers, state service and cloud.
+func (w *simulation) connections(label string) (out []string) {
 	for _, p := range w.labels {
 		if p != label {
 			out = append(out, label+">"+p, p+">"+label)
@@ -26,34 +26,34 @@
 	return append(out, label+">workers", label+">state", label+">cloud")
 }
 
-// cutFor puts connections into a fault mode for a while.
-func (w *world) cutFor(d loop.Micros, mode cutMode, ways ...string) {
+// disconnectFor puts connections into a fault mode for a while.
+func (w *simulation) disconnectFor(d loop.Micros, mode linkMode, ways ...string) {
 	for _, x := range ways {
-		w.cut[x] = mode
+		w.linkModes[x] = mode
 	}
-	w.at(d, func() {
+	w.after(d, func() {
 		for _, x := range ways {
-			delete(w.cut, x)
+			delete(w.linkModes, x)
 		}
 	})
 }
 
-func (w *world) anyLabel() string { return w.labels[w.rng.IntN(len(w.labels))] }
+func (w *simulation) anyController() string { return w.labels[w.rng.IntN(len(w.labels))] }
 
-// lostMode draws whether a disconnected connection drops or delays messages.
-func (w *world) lostMode() cutMode { return []cutMode{dropping, holding}[w.rng.IntN(2)] }
+// randomLossMode draws whether a disconnected connection drops or delays messages.
+func (w *simulation) randomLossMode() linkMode { return []linkMode{dropping, delaying}[w.rng.IntN(2)] }
 
 // flap disconnects a controller for some seconds again and again.
-func (w *world) flap(label string, until loop.Micros) {
+func (w *simulation) flap(label string, until loop.Micros) {
 	if w.now >= until {
 		return
 	}
-	w.cutFor(w.between(4*loop.Second, 7*loop.Second), dropping, w.ways(label)...)
-	w.at(w.between(12*loop.Second, 16*loop.Second), func() { w.flap(label, until) })
+	w.disconnectFor(w.between(4*loop.Second, 7*loop.Second), dropping, w.connections(label)...)
+	w.after(w.between(12*loop.Second, 16*loop.Second), func() { w.flap(label, until) })
 }
 
-// storm lets many users ask, each once, about known jobs or a single one, and about unknown jobs.
-func (w *world) storm(rate int, d loop.Micros) {
+// pollStorm lets many users ask, each once, about known jobs or a single one, and about unknown jobs.
+func (w *simulation) pollStorm(rate int, d loop.Micros) {
 	ids := make([]string, 0, len(w.jobs))
 	for id := range w.jobs {
 		ids = append(ids, id)
@@ -63,14 +63,14 @@
 		ids = ids[:1]
 	}
 	for k := range rate * int(d/loop.Second) {
-		w.at(loop.Micros(k)*loop.Second/loop.Micros(rate), func() {
-			s := w.door()
+		w.after(loop.Micros(k)*loop.Second/loop.Micros(rate), func() {
+			s := w.pickNode()
 			if s == nil {
 				return
 			}
 			if w.rng.IntN(4) == 0 || len(ids) == 0 {
 				id := fmt.Sprintf("job-9%05d", w.rng.IntN(1000))
-				s.enter(s.gen, func() {
+				s.execute(s.incarnation, func() {
 					s.n.jobs.Poll(id, func(a job.Answer) {
 						if a.Code == 200 || a.Code == 201 {
 							w.fail("invented: %s was never submitted and is called %q", id, a.Phase)
@@ -88,77 +88,77 @@
 	}
 }
 
-// guest lets the guest team submit jobs, with numbers from "from" on.
-func (w *world) guest(from, jobs, tasks int, every loop.Micros) {
+// submitGuestJobs lets the guest team submit jobs, with numbers from "from" on.
+func (w *simulation) submitGuestJobs(from, jobs, tasks int, every loop.Micros) {
 	for i := range jobs {
-		w.at(loop.Micros(i)*every, func() {
-			w.enter(&simJob{id: fmt.Sprintf("job-%06d", from+i), run: w.between(loop.Second, 4*loop.Second),
+		w.after(loop.Micros(i)*every, func() {
+			w.simulateUser(&simJob{id: fmt.Sprintf("job-%06d", from+i), run: w.between(loop.Second, 4*loop.Second),
 				spec: &job.Spec{Class: "visit", Team: "guest", Priority: job.Low, Tasks: tasks, CPUs: 0.25, MemoryGB: 0.45, Image: "v", ImageGB: 1, AnyType: true, Spot: true, Estimate: 3 * loop.Second}})
 		})
 	}
 }
 
-// mistaken submits jobs that fail wherever they run: at once or late, in all tasks or some.
-func (w *world) mistaken(from, n int) {
+// submitBrokenJobs submits jobs that fail wherever they run: at once or late, in all tasks or some.
+func (w *simulation) submitBrokenJobs(from, n int) {
 	for i := range n {
 		j := w.makeJob(from + i)
-		j.broken, j.failsIn = true, []loop.Micros{0, 0, w.between(2*loop.Second, 60*loop.Second)}[w.rng.IntN(3)]
+		j.broken, j.failsAfter = true, []loop.Micros{0, 0, w.between(2*loop.Second, 60*loop.Second)}[w.rng.IntN(3)]
 		if w.rng.IntN(3) == 0 {
-			j.every = 2 + w.rng.IntN(3)
+			j.failEvery = 2 + w.rng.IntN(3)
 		}
 		j.spec.Tasks = 1 + w.rng.IntN(33)
 		w.jobs[j.id] = j
 		w.submit(j)
-		w.at(3*loop.Second, func() { w.poll(j) })
-		w.at(w.between(10*loop.Second, 90*loop.Second), func() { w.withdraw(j) })
+		w.after(3*loop.Second, func() { w.poll(j) })
+		w.after(w.between(10*loop.Second, 90*loop.Second), func() { w.cancel(j) })
 	}
 }
 
-// met is the faults that operators have met.
-var met = []namedTrouble{
-	{"silence", func(w *world) {
+// operatorFaults is the faults that operators have met.
+var operatorFaults = []namedFault{
+	{"controllers unreachable for a minute", func(w *simulation) {
 		n := 1 + w.rng.IntN(max(len(w.labels)-1, 1))
 		for _, k := range w.rng.Perm(len(w.labels))[:n] {
-			w.cutFor(w.between(60*loop.Second, 80*loop.Second), w.lostMode(), w.ways(w.labels[k])...)
+			w.disconnectFor(w.between(60*loop.Second, 80*loop.Second), w.randomLossMode(), w.connections(w.labels[k])...)
 		}
 	}},
-	{"flapping", func(w *world) { w.flap(w.anyLabel(), w.now+w.between(40*loop.Second, 90*loop.Second)) }},
-	{"workers but not state", func(w *world) {
-		l := w.anyLabel()
-		w.cutFor(w.between(10*loop.Second, 50*loop.Second), w.lostMode(), l+">state")
+	{"flapping", func(w *simulation) { w.flap(w.anyController(), w.now+w.between(40*loop.Second, 90*loop.Second)) }},
+	{"no state service", func(w *simulation) {
+		l := w.anyController()
+		w.disconnectFor(w.between(10*loop.Second, 50*loop.Second), w.randomLossMode(), l+">state")
 	}},
-	{"state but not workers", func(w *world) {
-		l := w.anyLabel()
-		w.cutFor(w.between(10*loop.Second, 50*loop.Second), w.lostMode(), l+">workers")
+	{"no workers", func(w *simulation) {
+		l := w.anyController()
+		w.disconnectFor(w.between(10*loop.Second, 50*loop.Second), w.randomLossMode(), l+">workers")
 	}},
-	{"refused by state", func(w *world) {
-		w.cutFor(w.between(10*loop.Second, 50*loop.Second), refusing, w.anyLabel()+">state")
+	{"the state service refuses a controller", func(w *simulation) {
+		w.disconnectFor(w.between(10*loop.Second, 50*loop.Second), refusing, w.anyController()+">state")
 	}},
-	{"one way", func(w *world) {
-		l, ways := w.anyLabel(), []string{}
+	{"connections fail in one direction", func(w *simulation) {
+		l, ways := w.anyController(), []string{}
 		for _, p := range w.labels {
 			if p != l && w.rng.IntN(3) > 0 {
 				ways = append(ways, []string{l + ">" + p, p + ">" + l}[w.rng.IntN(2)])
 			}
 		}
-		w.cutFor(w.between(10*loop.Second, 60*loop.Second), w.lostMode(), ways...)
+		w.disconnectFor(w.between(10*loop.Second, 60*loop.Second), w.randomLossMode(), ways...)
 	}},
-	{"poll storm", func(w *world) { w.storm(40+w.rng.IntN(160), w.between(10*loop.Second, 30*loop.Second)) }},
-	{"storm at an outage's end", func(w *world) {
+	{"many polls", func(w *simulation) { w.pollStorm(40+w.rng.IntN(160), w.between(10*loop.Second, 30*loop.Second)) }},
+	{"many polls at the end of an outage", func(w *simulation) {
 		w.state.SetDown(true)
-		w.at(w.between(5*loop.Second, 15*loop.Second), func() {
+		w.after(w.between(5*loop.Second, 15*loop.Second), func() {
 			w.state.SetDown(false)
-			w.storm(200, 15*loop.Second)
+			w.pollStorm(200, 15*loop.Second)
 		})
 	}},
-	{"mistaken jobs", func(w *world) { w.mistaken(700000+w.seq%90000, 1+w.rng.IntN(4)) }},
+	{"broken jobs", func(w *simulation) { w.submitBrokenJobs(700000+w.seq%90000, 1+w.rng.IntN(4)) }},
 }
 
 // checkHealth fails if a healthy machine takes no starts because of tasks that failed on it.
-func (w *world) checkHealth() {
+func (w *simulation) checkHealth() {
 	for _, l := range w.labels {
 		s := w.nodes[l]
-		if !s.alive || s.frozen {
+		if !s.alive || s.paused {
 			continue
 		}
 		s.n.placer.Places(func(p *gate.Place, _ loop.Micros) {
@@ -167,16 +167,16 @@
 			}
 		})
 	}
-	w.at(loop.Second, w.checkHealth)
+	w.after(loop.Second, w.checkHealth)
 }
 
-// halfServed checks that every class and every team has at least half of its jobs done, not counting jobs that cannot
-// complete and jobs that their users cancelled.
-func (w *world) halfServed() {
+// checkHalfServed checks that every class and every team has at least half of its jobs done, not counting jobs that
+// cannot complete and jobs that their users cancelled.
+func (w *simulation) checkHalfServed() {
 	w.t.Helper()
 	all, done := map[string]int{}, map[string]int{}
 	for _, j := range w.jobs {
-		if j.asked || j.broken {
+		if j.cancelRequested || j.broken {
 			continue
 		}
 		for _, of := range []string{"class " + j.spec.Class, "team " + j.spec.Team} {
@@ -193,33 +193,33 @@
 	}
 }
 
-// metWorld returns a simulation with a guest team, and idle teams whose guarantees exceed the fleet.
-func metWorld(t testing.TB, seed uint64, z size, teams int) *world {
-	w := newWorldOf(t, seed, z, func(c *config.Config) {
+// operatorSimulation returns a simulation with a guest team, and idle teams whose guarantees exceed the fleet.
+func operatorSimulation(t testing.TB, seed uint64, z clusterSize, teams int) *simulation {
+	w := newSimulationOf(t, seed, z, func(c *config.Config) {
 		n := float64(z.zones * z.each * 8)
 		c.Cluster.Teams = []config.Team{{Name: "red", CPUs: n / 5, CPUsMax: max(n/3, 8)}, {Name: "blue", CPUs: n / 8, CPUsMax: max(n/2, 8)}, {Name: "guest"}}
 		for i := range teams {
 			c.Cluster.Teams = append(c.Cluster.Teams, config.Team{Name: fmt.Sprint("idle", i), CPUs: 3 * n, CPUsMax: 3 * n}) // more than the whole fleet
 		}
 	})
-	w.at(0, w.live)
-	w.at(0, w.checkCancelled)
-	w.at(0, w.checkBeliefs)
-	w.at(0, w.checkHealth)
+	w.after(0, w.tickWorkers)
+	w.after(0, w.checkCancelled)
+	w.after(0, w.checkLeases)
+	w.after(0, w.checkHealth)
 	return w
 }
 
 // Faults that operators have met, alone, in pairs, and together with correlated failures: no invariant is violated, all
 // jobs that can complete are done at the end, no class and no team has fewer than half of its jobs done, and no healthy
 // machine is kept from starts because of broken jobs.
-func TestRulesThatOperatorsMet(t *testing.T) {
-	from, to := seeds(t, 1, 10)
+func TestInvariantsUnderOperatorFaults(t *testing.T) {
+	from, to := seedRange(t, 1, 10)
 	for seed := from; seed <= to; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			r := rand.New(rand.NewPCG(seed, 17))
 			z := drawSize(r)
-			w := metWorld(t, seed, z, r.IntN(6))
+			w := operatorSimulation(t, seed, z, r.IntN(6))
 			if r.IntN(4) == 0 { // the guest team is added to the settings of one controller after the other
 				w.settings = func(label string, c *config.Config) {
 					if w.now < 3640*loop.Second && label != w.labels[0] {
@@ -227,34 +227,34 @@
 					}
 				}
 				for i, l := range w.labels[1:] {
-					w.at(45*loop.Second+loop.Micros(i)*6*loop.Second, func() { w.kill(l) })
+					w.after(45*loop.Second+loop.Micros(i)*6*loop.Second, func() { w.kill(l) })
 				}
 			}
 			for i := range 25 + z.zones*z.each/4 {
-				w.at(w.between(loop.Second, 120*loop.Second), func() { w.addJob(i) })
+				w.after(w.between(loop.Second, 120*loop.Second), func() { w.addJob(i) })
 			}
-			w.at(w.between(10*loop.Second, 60*loop.Second), func() {
+			w.after(w.between(10*loop.Second, 60*loop.Second), func() {
 				switch large := z.zones * z.each * 40; r.IntN(4) {
 				case 0:
-					w.guest(800000, 1, min(large, 25000), 0)
+					w.submitGuestJobs(800000, 1, min(large, 25000), 0)
 				case 1:
-					w.guest(800000, 100, 1, 100*loop.Millisecond)
+					w.submitGuestJobs(800000, 100, 1, 100*loop.Millisecond)
 				default:
-					w.guest(800000, 2, 20, loop.Second)
+					w.submitGuestJobs(800000, 2, 20, loop.Second)
 				}
 			})
-			w.at(5*loop.Second, func() { w.mistaken(600000, 1+r.IntN(3)) })
-			troubles := append(slices.Clone(met), together...)
-			w.strikeAgain(15*loop.Second, 10*loop.Second, 40*loop.Second, func() {
-				troubles[r.IntN(len(met))].do(w)
+			w.after(5*loop.Second, func() { w.submitBrokenJobs(600000, 1+r.IntN(3)) })
+			troubles := append(slices.Clone(operatorFaults), correlatedFaults...)
+			w.repeatFaults(15*loop.Second, 10*loop.Second, 40*loop.Second, func() {
+				troubles[r.IntN(len(operatorFaults))].do(w)
 				if r.IntN(2) == 0 {
 					second := troubles[r.IntN(len(troubles))]
-					w.at(w.between(0, 5*loop.Second), func() { second.do(w) })
+					w.after(w.between(0, 5*loop.Second), func() { second.do(w) })
 				}
 			})
 			w.run(3600*loop.Second + 700*loop.Second)
-			w.settled(20)
-			w.halfServed()
+			w.checkCompleted(20)
+			w.checkHalfServed()
 		})
 	}
 }
--- a/internal/node/overlook.go
+++ b/internal/node/overlook.go
@@ -6,9 +6,9 @@
 	"cleatpick/internal/store"
 )
 
-// setUpWatermark sets up the cancellation watermark, the latest time up to which this controller knows all cancellations,
-// and connects it to everything that advances it: the mirror of the state service, messages of peers, and every way
-// in which this controller learns of a cancellation.
+// setUpWatermark sets up the cancellation watermark, the latest time up to which this controller knows all
+// cancellations, and connects it to everything that advances it: the mirror of the state service, messages of peers,
+// and every way in which this controller learns of a cancellation.
 func (n *Node) setUpWatermark() {
 	w := &n.cfg.Cluster.Workers
 	grace := horizon.Grace(loop.Seconds(w.LeaseS), loop.Seconds(w.CancelS))
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -54,8 +54,8 @@
 	n.placer.LearnClaims(e.Claims)
 }
 
-// applyDeltas applies the incremental changes of machines that a peer sent, and requests the full view of each machine for
-// which this controller lacks the base. It also sends the full views that the peer requests.
+// applyDeltas applies the incremental changes of machines that a peer sent, and requests the full view of each
+// machine for which this controller lacks the base. It also sends the full views that the peer requests.
 func (n *Node) applyDeltas(e *peer.Envelope) {
 	var lost []string
 	for _, d := range e.Deltas {
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -10,71 +10,71 @@
 )
 
 // Each known hard case that operators have met, by itself and at a fixed size.
-func TestOperatorsHardCases(t *testing.T) {
+func TestOperatorFaultCases(t *testing.T) {
 	const second = loop.Second
-	usual := size{nodes: 3, zones: 2, each: 8}
+	usual := clusterSize{nodes: 3, zones: 2, each: 8}
 	for _, c := range []struct {
 		name  string
 		teams int
-		do    func(w *world)
+		do    func(w *simulation)
 	}{
-		{"two of three are unreachable for 70 s, and one of them returns without the state service", 0, func(w *world) {
-			w.cutFor(70*second, dropping, w.ways("a")...)
-			w.cutFor(70*second, dropping, w.ways("b")...)
-			w.at(70*second+1, func() { w.cutFor(40*second, dropping, "b>state") })
+		{"two of three are unreachable for 70 s, and one of them returns without the state service", 0, func(w *simulation) {
+			w.disconnectFor(70*second, dropping, w.connections("a")...)
+			w.disconnectFor(70*second, dropping, w.connections("b")...)
+			w.after(70*second+1, func() { w.disconnectFor(40*second, dropping, "b>state") })
 		}},
-		{"a controller is reachable again as its teams are claimed by others", 0, func(w *world) {
+		{"a controller is reachable again as its teams are claimed by others", 0, func(w *simulation) {
 			for _, l := range w.labels {
-				w.nodes[l].after("c/t/", func() {
+				w.nodes[l].afterRequest("c/t/", func() {
 					for _, o := range w.labels {
 						if o != l {
-							for _, x := range w.ways(o) {
-								delete(w.cut, x)
+							for _, x := range w.connections(o) {
+								delete(w.linkModes, x)
 							}
 						}
 					}
 				})
 			}
-			w.cutFor(70*second, holding, w.ways(w.leader())...)
+			w.disconnectFor(70*second, delaying, w.connections(w.leader())...)
 		}},
-		{"many polls arrive as an outage ends", 0, func(w *world) {
+		{"many polls arrive as an outage ends", 0, func(w *simulation) {
 			w.state.SetDown(true)
-			w.at(12*second, func() { w.state.SetDown(false); w.storm(250, 20*second) })
+			w.after(12*second, func() { w.state.SetDown(false); w.pollStorm(250, 20*second) })
 		}},
-		{"a guest's 3,000 tasks, and the owner crashes while it records them", 0, func(w *world) {
-			w.guest(800000, 1, 3000, 0)
-			w.at(2*second, func() {
+		{"a guest's 3,000 tasks, and the owner crashes while it records them", 0, func(w *simulation) {
+			w.submitGuestJobs(800000, 1, 3000, 0)
+			w.after(2*second, func() {
 				for _, l := range w.labels {
-					w.nodes[l].after("x/guest", func() { w.kill(l) })
+					w.nodes[l].afterRequest("x/guest", func() { w.kill(l) })
 				}
 			})
 		}},
-		{"more teams than controllers, and guarantees beyond the fleet", 7, func(w *world) { w.flap("b", w.now+60*second) }},
-		{"broken jobs, and machines that fail every task", 0, func(w *world) {
-			for _, name := range w.some(0.2) {
+		{"more teams than controllers, and guarantees beyond the fleet", 7, func(w *simulation) { w.flap("b", w.now+60*second) }},
+		{"broken jobs, and machines that fail every task", 0, func(w *simulation) {
+			for _, name := range w.someMachines(0.2) {
 				w.workers[name].w.Faulty = true
 			}
-			w.mistaken(600000, 5)
+			w.submitBrokenJobs(600000, 5)
 		}},
-		{"a broken job takes a minute to fail, and is cancelled while it is retried", 0, func(w *world) {
+		{"a broken job takes a minute to fail, and is cancelled while it is retried", 0, func(w *simulation) {
 			j := w.makeJob(600000)
-			j.broken, j.failsIn, j.spec.Tasks = true, 60*second, 12
+			j.broken, j.failsAfter, j.spec.Tasks = true, 60*second, 12
 			w.jobs[j.id] = j
 			w.submit(j)
-			w.at(65*second, func() { w.withdraw(j) })
+			w.after(65*second, func() { w.cancel(j) })
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := metWorld(t, 7, usual, c.teams)
+			w := operatorSimulation(t, 7, usual, c.teams)
 			for i := range 50 {
-				w.at(w.between(second, 100*second), func() { w.addJob(i) })
+				w.after(w.between(second, 100*second), func() { w.addJob(i) })
 			}
 			done := false
-			w.at(35*second, func() { c.do(w); done = true })
+			w.after(35*second, func() { c.do(w); done = true })
 			w.run(3600*second + 600*second)
-			w.settled(50)
-			w.halfServed()
+			w.checkCompleted(50)
+			w.checkHalfServed()
 			if !done {
 				t.Error("the fault was never injected")
 			}
@@ -84,22 +84,22 @@
 
 // A guest's job of 25,000 tasks, whose owner crashes again and again while it records them: each task runs, none twice
 // at the same time, and the jobs of the other teams complete meanwhile.
-func TestLargestVisitorAtOwnersThatDie(t *testing.T) {
+func TestLargestJobWithCrashingOwners(t *testing.T) {
 	const second = loop.Second
-	w := metWorld(t, 19, size{nodes: 3, zones: 2, each: 50}, 0)
+	w := operatorSimulation(t, 19, clusterSize{nodes: 3, zones: 2, each: 50}, 0)
 	for i := range 40 {
-		w.at(w.between(second, 60*second), func() { w.addJob(i) })
+		w.after(w.between(second, 60*second), func() { w.addJob(i) })
 	}
-	w.at(20*second, func() { w.guest(800000, 1, 25000, 0) })
+	w.after(20*second, func() { w.submitGuestJobs(800000, 1, 25000, 0) })
 	for k := range 4 {
-		w.at(loop.Micros(23+9*k)*second, func() {
+		w.after(loop.Micros(23+9*k)*second, func() {
 			for _, l := range w.labels {
-				w.nodes[l].after("x/guest", func() { w.kill(l) })
+				w.nodes[l].afterRequest("x/guest", func() { w.kill(l) })
 			}
 		})
 	}
 	w.run(3600*second + 400*second)
-	w.settled(25000)
+	w.checkCompleted(25000)
 	if w.starts > 25000*13/10 {
 		t.Errorf("%d starts: more tasks were repeated than four crashes explain", w.starts)
 	}
@@ -108,7 +108,7 @@
 // The teams and the workers of an unreachable controller move to others within the stated time. For teams that is its
 // lease, the delay of its expiry, the longest wait before a claim, and one check interval; a worker waits 4 s for an
 // answer and one second more for each controller that is unreachable.
-func TestSilenceByArithmetic(t *testing.T) {
+func TestTakeoverTimes(t *testing.T) {
 	const second = loop.Second
 	for _, c := range []struct {
 		name         string
@@ -116,32 +116,32 @@
 		teams, hosts loop.Micros // within which teams and workers move to others, beyond the lease
 	}{
 		{"off the network", false, 100*loop.Millisecond + 1200*loop.Millisecond + 600*loop.Millisecond, 5 * second},
-		// 2.5 s until its messages count as old, 0.7 s until it is told so, 3 s until it acts on that, one check interval,
-		// and a claim; then one report interval for its workers.
+		// 2.5 s until its messages count as old, 0.7 s until it is told so, 3 s until it acts on that, one check
+		// interval, and a claim; then one report interval for its workers.
 		{"its messages reach no peer", true, 4500 * loop.Millisecond, 3 * second},
 	} {
 		for seed := uint64(11); seed < 15; seed++ {
 			t.Run(fmt.Sprint(c.name, ", ", seed), func(t *testing.T) {
-				w := metWorld(t, seed, size{nodes: 3, zones: 2, each: 20}, 0)
-				w.sure = true // a request that is lost at random would take longer
+				w := operatorSimulation(t, seed, clusterSize{nodes: 3, zones: 2, each: 20}, 0)
+				w.reliable = true // a request that is lost at random would take longer
 				for i := range 60 {
-					w.at(w.between(second, 30*second), func() { w.addJob(i) })
+					w.after(w.between(second, 30*second), func() { w.addJob(i) })
 				}
 				w.run(3640 * second)
-				silent, had := w.leader(), w.present()
+				silent, had := w.leader(), w.runningMachines()
 				var mine []string
 				for _, x := range w.cfg.Cluster.Teams {
 					if o, _ := w.nodes[silent].n.member.TeamOwner(x.Name); o.Node == silent {
 						mine = append(mine, x.Name)
 					}
 				}
-				ways := w.ways(silent)
+				ways := w.connections(silent)
 				if c.out {
 					ways = slices.DeleteFunc(ways, func(x string) bool {
 						return !strings.HasPrefix(x, silent+">") || strings.HasSuffix(x, ">workers") || strings.HasSuffix(x, ">state") || strings.HasSuffix(x, ">cloud")
 					})
 				}
-				w.cutFor(70*second, dropping, ways...)
+				w.disconnectFor(70*second, dropping, ways...)
 				w.run(w.now + loop.Seconds(w.cfg.Operator.NodeLeaseS) + c.teams)
 				for _, l := range w.labels {
 					if l == silent {
@@ -159,7 +159,7 @@
 					other = w.labels[1]
 				}
 				for _, name := range had { // a machine that boots now has not found a host controller yet
-					if v := w.nodes[other].n.agent.View(name); !w.workers[name].gone && (v == nil || v.Host == silent) {
+					if v := w.nodes[other].n.agent.View(name); !w.workers[name].deleted && (v == nil || v.Host == silent) {
 						t.Errorf("%s still reports to %s, according to %s", name, silent, other)
 					}
 				}
@@ -175,7 +175,7 @@
 // for a while.
 func TestFlappingNodeDoesNotTakeItsTeamsEachTime(t *testing.T) {
 	const second = loop.Second
-	w := metWorld(t, 13, size{nodes: 3, zones: 2, each: 6}, 3)
+	w := operatorSimulation(t, 13, clusterSize{nodes: 3, zones: 2, each: 6}, 3)
 	owns := func() (n int) {
 		for _, x := range w.cfg.Cluster.Teams {
 			if o, _ := w.nodes["a"].n.member.TeamOwner(x.Name); o.Node == "c" {
@@ -186,7 +186,7 @@
 	}
 	w.run(3630 * second)
 	for round := range 8 {
-		w.cutFor(6*second, dropping, w.ways("c")...)
+		w.disconnectFor(6*second, dropping, w.connections("c")...)
 		w.run(w.now + 20*second) // unreachable for 6 s, reachable for 14 s
 		if n := owns(); round > 0 && n > 0 {
 			t.Errorf("round %d: c flaps, and owns %d teams", round, n)
@@ -199,9 +199,9 @@
 }
 
 // Operators are told which owner is unreachable and which controller gets no work yet, and why.
-func TestSilenceIsTold(t *testing.T) {
+func TestUnreachableOwnersAreDescribed(t *testing.T) {
 	const second = loop.Second
-	w := metWorld(t, 17, size{nodes: 3, zones: 2, each: 4}, 0)
+	w := operatorSimulation(t, 17, clusterSize{nodes: 3, zones: 2, each: 4}, 0)
 	w.run(3620 * second)
 	if told := w.nodes["a"].n.staleOwners(); len(told) > 0 {
 		t.Errorf("without a fault, owners are described as outdated: %q", told)
@@ -210,13 +210,13 @@
 	for _, x := range w.cfg.Cluster.Teams {
 		if o, _ := w.nodes["a"].n.member.TeamOwner(x.Name); o.Node != "a" {
 			team = x.Name
-			w.cutFor(40*second, dropping, w.ways(o.Node)...)
+			w.disconnectFor(40*second, dropping, w.connections(o.Node)...)
 			w.run(w.now + 3*second)
 			if told, want := w.nodes["a"].n.staleOwners(), "the owner "+o.Node+" of the team "+team+" is unreachable; other controllers take the team over when its lease expires"; !slices.Contains(told, want) {
 				t.Errorf("3 s later the descriptions are %q, want %q", told, want)
 			}
 			w.run(w.now + 50*second)
-			w.cutFor(6*second, dropping, w.ways(o.Node)...)
+			w.disconnectFor(6*second, dropping, w.connections(o.Node)...)
 			w.run(w.now + 9*second)
 			if got, want := w.nodes["a"].n.dampedPeers(), " ("+o.Node+" gets no work for another "; !strings.HasPrefix(got, want) {
 				t.Errorf("a controller that flapped is described as %q", got)
@@ -231,9 +231,9 @@
 
 // The others use the shares of the state service's request rate that unreachable controllers do not use, and give them
 // back when these return. While all know who is registered, the shares never exceed the whole.
-func TestPartsOfTheStateServiceFollowRegistration(t *testing.T) {
+func TestRequestSharesFollowRegistration(t *testing.T) {
 	const second = loop.Second
-	w := metWorld(t, 23, size{nodes: 3, zones: 2, each: 4}, 0)
+	w := operatorSimulation(t, 23, clusterSize{nodes: 3, zones: 2, each: 4}, 0)
 	parts := func() (out []float64) {
 		for _, l := range w.labels {
 			out = append(out, w.nodes[l].n.client.Part())
@@ -247,8 +247,8 @@
 	if got := parts(); !near(got, 0.3, 0.3, 0.3) {
 		t.Errorf("all are registered: shares %v", got)
 	}
-	w.cutFor(40*second, dropping, w.ways("b")...)
-	w.cutFor(40*second, dropping, w.ways("c")...)
+	w.disconnectFor(40*second, dropping, w.connections("b")...)
+	w.disconnectFor(40*second, dropping, w.connections("c")...)
 	w.run(w.now + loop.Seconds(w.cfg.Operator.NodeLeaseS) + 2*second)
 	if got := parts(); !near(got, 0.6, 0.075, 0.075) {
 		t.Errorf("b and c are unreachable: shares %v", got)
--- a/internal/node/sim_test.go
+++ b/internal/node/sim_test.go
@@ -8,24 +8,24 @@
 	"cleatpick/internal/loop"
 )
 
-// namedTrouble is a fault that can be injected into a simulation.
-type namedTrouble struct {
+// namedFault is a fault that can be injected into a simulation.
+type namedFault struct {
 	name string
-	do   func(w *world)
+	do   func(w *simulation)
 }
 
-// trouble injects one random fault, ends it some time later, and goes on with another one.
-func (w *world) trouble() {
+// randomFault injects one random fault, ends it some time later, and goes on with another one.
+func (w *simulation) randomFault() {
 	r := w.rng
 	label := w.labels[r.IntN(3)]
-	mode := []cutMode{dropping, holding}[r.IntN(2)]
+	mode := []linkMode{dropping, delaying}[r.IntN(2)]
 	cutAll := func(d loop.Micros, names ...string) {
 		for _, n := range names {
-			w.cut[n] = mode
+			w.linkModes[n] = mode
 		}
-		w.at(d, func() {
+		w.after(d, func() {
 			for _, n := range names {
-				delete(w.cut, n)
+				delete(w.linkModes, n)
 			}
 		})
 	}
@@ -55,10 +55,10 @@
 		cutAll(d, append(toPeers(), label+">workers", label+">state", label+">cloud")...)
 	case 6:
 		w.state.SetDown(true)
-		w.at(d, func() { w.state.SetDown(false) })
+		w.after(d, func() { w.state.SetDown(false) })
 	case 7: // the cloud takes many spot machines back at once, without notice
 		for name, x := range loop.Sorted(w.workers) {
-			if !x.gone && x.w.Spot && name[len(name)-1]%2 == 0 {
+			if !x.deleted && x.w.Spot && name[len(name)-1]%2 == 0 {
 				w.cloud.Lose(name)
 			}
 		}
@@ -70,41 +70,41 @@
 		}
 	case 8: // a machine hangs, and resumes
 		for _, x := range loop.Sorted(w.workers) {
-			if !x.gone {
+			if !x.deleted {
 				x.hanging = true
-				w.at(w.between(loop.Second, 14*loop.Second), func() { w.resume(x) })
+				w.after(w.between(loop.Second, 14*loop.Second), func() { w.resume(x) })
 				break
 			}
 		}
 	}
-	w.at(w.between(4*loop.Second, 18*loop.Second), func() {
+	w.after(w.between(4*loop.Second, 18*loop.Second), func() {
 		if w.now < 3600*loop.Second+150*loop.Second {
-			w.trouble()
+			w.randomFault()
 		}
 	})
 }
 
-// lastStrike is when the last fault of a simulation may begin.
-const lastStrike = 3600*loop.Second + 130*loop.Second
+// lastFaultStart is when the last fault of a simulation may begin.
+const lastFaultStart = 3600*loop.Second + 130*loop.Second
 
-// strikeAgain calls strike after a delay and then repeatedly, with intervals that are drawn from a range, until
-// lastStrike.
-func (w *world) strikeAgain(first, least, most loop.Micros, strike func()) {
+// repeatFaults calls strike after a delay and then repeatedly, with intervals that are drawn from a range, until
+// lastFaultStart.
+func (w *simulation) repeatFaults(first, least, most loop.Micros, strike func()) {
 	var again func()
 	again = func() {
 		strike()
-		w.at(w.between(least, most), func() {
-			if w.now < lastStrike {
+		w.after(w.between(least, most), func() {
+			if w.now < lastFaultStart {
 				again()
 			}
 		})
 	}
-	w.at(first, again)
+	w.after(first, again)
 }
 
-// seeds returns the range of seeds to simulate. CLEATPICK_SEEDS="from to" selects others, to search for violations;
-// CLEATPICK_TRACE=1 prints the controllers' logs.
-func seeds(t *testing.T, from, to uint64) (uint64, uint64) {
+// seedRange returns the range of seeds to simulate. CLEATPICK_SEEDS="from to" selects others, to search for
+// violations; CLEATPICK_TRACE=1 prints the controllers' logs.
+func seedRange(t *testing.T, from, to uint64) (uint64, uint64) {
 	if s := os.Getenv("CLEATPICK_SEEDS"); s != "" {
 		if _, err := fmt.Sscan(s, &from, &to); err != nil {
 			t.Fatal(err)
@@ -116,39 +116,39 @@
 // Real controllers run against simple models of workers, cloud and state service, with crashes, network partitions,
 // outages and delayed messages. The invariant checkers watch every start and every answer; after the last fault all
 // jobs must complete.
-func TestRulesUnderTroubles(t *testing.T) {
-	from, to := seeds(t, 1, 16)
+func TestInvariantsUnderFaults(t *testing.T) {
+	from, to := seedRange(t, 1, 16)
 	for seed := from; seed <= to; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, seed)
+			w := newSimulation(t, seed)
 			for i := range 45 {
-				w.at(w.between(loop.Second, 140*loop.Second), func() { w.addJob(i) })
+				w.after(w.between(loop.Second, 140*loop.Second), func() { w.addJob(i) })
 			}
-			w.at(12*loop.Second, w.trouble)
-			w.at(0, w.live)
-			w.at(0, w.checkCancelled)
+			w.after(12*loop.Second, w.randomFault)
+			w.after(0, w.tickWorkers)
+			w.after(0, w.checkCancelled)
 			w.run(3600*loop.Second + 600*loop.Second)
-			w.settled(50)
+			w.checkCompleted(50)
 		})
 	}
 }
 
-// settled checks that all jobs completed after the last fault, and that at least so many tasks were started.
-func (w *world) settled(starts int) {
+// checkCompleted checks that all jobs completed after the last fault, and that at least so many tasks were started.
+func (w *simulation) checkCompleted(starts int) {
 	w.t.Helper()
 	for _, j := range w.jobs {
 		if !j.accepted {
 			w.t.Errorf("%s was never accepted", j.id)
 		}
-		if !j.done && j.withdrawn == 0 && !j.broken {
+		if !j.done && j.cancelledAt == 0 && !j.broken {
 			w.t.Errorf("%s is not done at the end of the simulation", j.id)
 		}
 	}
 	if w.starts < starts {
 		w.t.Errorf("only %d tasks were started", w.starts)
 	}
-	if n := len(w.active); n > 0 {
+	if n := len(w.running); n > 0 {
 		w.t.Errorf("%d tasks still run on machines at the end", n)
 	}
 }
--- a/internal/node/soak_test.go
+++ b/internal/node/soak_test.go
@@ -20,40 +20,41 @@
 // soakBatch is how many simulations run in parallel.
 const soakBatch = 8
 
-// soakWorld returns a simulation in which all known faults occur, two or three at a time, while users poll intensely.
-func soakWorld(t testing.TB, seed uint64) *world {
+// soakSimulation returns a simulation in which all known faults occur, two or three at a time, while users poll
+// intensely.
+func soakSimulation(t testing.TB, seed uint64) *simulation {
 	r := rand.New(rand.NewPCG(seed, 4600))
-	w, jobs := drawnWorld(t, seed, r, func(c *config.Config) {
+	w, jobs := randomSimulation(t, seed, r, func(c *config.Config) {
 		if r.IntN(2) == 0 {
 			c.Cluster.Workers.ReportS, c.Cluster.Workers.LeaseS, c.Cluster.Workers.CancelS = 3, 18, 40
 		}
 	})
 	for i := range jobs {
-		w.at(w.between(loop.Second, 120*loop.Second), func() {
+		w.after(w.between(loop.Second, 120*loop.Second), func() {
 			j := w.makeJob(i)
-			j.spec.Image = closeImage
+			j.spec.Image = unfinishedImage
 			if r.IntN(3) == 0 {
-				j.spec.Tasks, j.later = 2+r.IntN(2), w.between(5*loop.Second, 40*loop.Second)
+				j.spec.Tasks, j.runTimeStep = 2+r.IntN(2), w.between(5*loop.Second, 40*loop.Second)
 			}
-			w.enter(j)
+			w.simulateUser(j)
 		})
 	}
 	if r.IntN(3) > 0 {
-		w.at(5*loop.Second, func() { w.closeLooks(w.between(20*loop.Second, 130*loop.Second)) })
+		w.after(5*loop.Second, func() { w.pollIntensely(w.between(20*loop.Second, 130*loop.Second)) })
 	}
-	troubles := slices.Concat(meetings, added, together, met, answerTroubles)
-	w.strikeAgain(12*loop.Second, 10*loop.Second, 35*loop.Second, func() {
+	troubles := slices.Concat(coincidingFaults, isolationFaults, correlatedFaults, operatorFaults, answerFaults)
+	w.repeatFaults(12*loop.Second, 10*loop.Second, 35*loop.Second, func() {
 		for range 2 + r.IntN(2) {
 			trouble := troubles[r.IntN(len(troubles))]
-			w.at(w.between(0, 5*loop.Second), func() { trouble.do(w) })
+			w.after(w.between(0, 5*loop.Second), func() { trouble.do(w) })
 		}
 	})
-	w.judged(260 * loop.Second)
+	w.startChecks(260 * loop.Second)
 	return w
 }
 
-// TestSoak runs simulations from a given seed on until its time is over. A simulation is the same whenever it runs; how many
-// run depends on the machine, and is logged.
+// TestSoak runs simulations from a given seed on until its time is over. A simulation is the same whenever it runs;
+// how many run depends on the machine, and is logged.
 func TestSoak(t *testing.T) {
 	if *soakFor == 0 {
 		t.Skip("started by -soak DURATION")
@@ -64,9 +65,9 @@
 			for seed := next; seed < next+soakBatch; seed++ {
 				t.Run(fmt.Sprint(seed), func(t *testing.T) {
 					t.Parallel()
-					w := soakWorld(t, seed)
+					w := soakSimulation(t, seed)
 					w.run(3600*loop.Second + 800*loop.Second)
-					w.settled(20)
+					w.checkCompleted(20)
 				})
 			}
 		})
--- a/internal/node/sockets_test.go
+++ b/internal/node/sockets_test.go
@@ -11,7 +11,7 @@
 
 // With 3,024 machines and one controller left, idle connections used up all 3,129 sockets, and users were refused. Idle
 // connections must be closed before that.
-func TestIdleConnectionsAreGivenUp(t *testing.T) {
+func TestIdleConnectionsAreClosed(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/stall_test.go
+++ b/internal/node/stall_test.go
@@ -7,17 +7,17 @@
 	"cleatpick/internal/loop"
 )
 
-// A user who was waiting for an answer when the controller's process was paused is deferred before any request that arrived
-// during the pause is handled, in whatever order those come.
-func TestStandstillIsNoticedFirst(t *testing.T) {
+// A user who was waiting for an answer when the controller's process was paused is deferred before any request that
+// arrived during the pause is handled, in whatever order those come.
+func TestPauseIsHandledFirst(t *testing.T) {
 	for seed := range uint64(20) {
-		w := newWorld(t, seed)
+		w := newSimulation(t, seed)
 		w.run(3620 * loop.Second)
 		s := w.nodes["a"]
 		var told []string
 		refused := 0
 		ask := func(name, id string) {
-			s.enter(s.gen, func() {
+			s.execute(s.incarnation, func() {
 				s.n.jobs.Poll(id, func(a job.Answer) {
 					told = append(told, name)
 					if name == "before" {
@@ -27,9 +27,9 @@
 			})
 		}
 		ask("before", "job-000001")
-		w.freeze("a", 5*loop.Second)
+		w.pause("a", 5*loop.Second)
 		for range 20 {
-			w.at(w.between(loop.Second, 4*loop.Second), func() { ask("meanwhile", "job-000002") })
+			w.after(w.between(loop.Second, 4*loop.Second), func() { ask("meanwhile", "job-000002") })
 		}
 		w.run(w.now + 8*loop.Second)
 		if len(told) != 21 || told[0] != "before" || refused != 503 {
--- a/internal/node/starve_test.go
+++ b/internal/node/starve_test.go
@@ -11,22 +11,22 @@
 	"cleatpick/internal/loop"
 )
 
-// beginWithin is how soon the largest jobs of a class must start, whatever the other load.
-const beginWithin = 240 * loop.Second
+// startWithin is how soon the largest jobs of a class must start, whatever the other load.
+const startWithin = 240 * loop.Second
 
-// largestBegan checks that the largest tenth of the jobs of each class, at least one job, has started in time, of those
-// that were submitted that long ago and that their users did not cancel. It also checks that half of the jobs of each
-// class and each team have, except for the groups in beyond, whose demand alone exceeds the fleet.
-func (w *world) largestBegan(beyond ...string) {
+// checkLargestStarted checks that the largest tenth of the jobs of each class, at least one job, has started in time,
+// of those that were submitted that long ago and that their users did not cancel. It also checks that half of the
+// jobs of each class and each team have, except for the groups in beyond, whose demand alone exceeds the fleet.
+func (w *simulation) checkLargestStarted(beyond ...string) {
 	w.t.Helper()
 	groups := map[string][]*simJob{}
 	for _, j := range loop.Sorted(w.jobs) {
-		if !j.asked && !j.broken && w.now-j.first >= beginWithin {
+		if !j.cancelRequested && !j.broken && w.now-j.submittedAt >= startWithin {
 			groups["class "+j.spec.Class] = append(groups["class "+j.spec.Class], j)
 			groups["team "+j.spec.Team] = append(groups["team "+j.spec.Team], j)
 		}
 	}
-	late := func(j *simJob) bool { return j.began == 0 || j.began-j.first > beginWithin }
+	late := func(j *simJob) bool { return j.firstStartAt == 0 || j.firstStartAt-j.submittedAt > startWithin }
 	for of, all := range loop.Sorted(groups) {
 		n := 0
 		for _, j := range all {
@@ -35,22 +35,23 @@
 			}
 		}
 		if 2*n > len(all) && !slices.Contains(beyond, of) {
-			w.t.Errorf("%s: %d of %d jobs did not start within %d s", of, n, len(all), beginWithin/loop.Second)
+			w.t.Errorf("%s: %d of %d jobs did not start within %d s", of, n, len(all), startWithin/loop.Second)
 		}
 		slices.SortStableFunc(all, func(a, b *simJob) int {
 			return cmp.Compare(float64(b.spec.Tasks)*b.spec.CPUs, float64(a.spec.Tasks)*a.spec.CPUs)
 		})
 		for _, j := range all[:(len(all)+9)/10] {
 			if of[0] == 'c' && late(j) {
-				w.t.Errorf("%s: %s of %d tasks of %v CPUs, one of the largest jobs, started after %d s (0: it did not start)", of, j.id, j.spec.Tasks, j.spec.CPUs, max(j.began-j.first, 0)/loop.Second)
+				w.t.Errorf("%s: %s of %d tasks of %v CPUs, one of the largest jobs, started after %d s (0: it did not start)", of, j.id, j.spec.Tasks, j.spec.CPUs, max(j.firstStartAt-j.submittedAt, 0)/loop.Second)
 			}
 		}
 	}
 }
 
-// A steady stream of small jobs within a guarantee, urgent jobs, and jobs that these could starve: arrays of thousands of
-// tasks, tasks as large as a machine, jobs of a single zone and jobs that are spread, gangs, and a team without a guarantee.
-// Without faults, or while controllers crash and restart, all jobs that can be served start in time.
+// A steady stream of small jobs within a guarantee, urgent jobs, and jobs that these could starve: arrays of
+// thousands of tasks, tasks as large as a machine, jobs of a single zone and jobs that are spread, gangs, and a team
+// without a guarantee. Without faults, or while controllers crash and restart, all jobs that can be served start in
+// time.
 func TestNothingStarves(t *testing.T) {
 	type load struct {
 		name     string
@@ -66,7 +67,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			const cpus, span = 8 * 2 * 8, 380
-			w := newWorldOf(t, c.seed, size{nodes: 3, zones: 2, each: 8}, func(cfg *config.Config) {
+			w := newSimulationOf(t, c.seed, clusterSize{nodes: 3, zones: 2, each: 8}, func(cfg *config.Config) {
 				cfg.Cluster.Teams = []config.Team{{Name: "red", CPUs: 0.6 * cpus}, {Name: "blue", CPUs: 0.3 * cpus}, {Name: "guest"}}
 			})
 			no := 0
@@ -77,7 +78,7 @@
 					more(s)
 				}
 				id := fmt.Sprintf("job-%06d", no)
-				w.at(at, func() { w.enter(&simJob{id: id, spec: s, run: run}) })
+				w.after(at, func() { w.simulateUser(&simJob{id: id, spec: s, run: run}) })
 			}
 			every := loop.Micros(4 * 8 * 1e6 / (c.load * cpus)) // each job is four tasks of one CPU for 8 s
 			for at := 5 * loop.Second; at < span*loop.Second; at += every {
@@ -96,16 +97,16 @@
 			}
 			if c.troubles {
 				for at := 30 * loop.Second; at < span*loop.Second; at += 45 * loop.Second {
-					w.at(at, func() { w.kill(w.anyLabel()) })
+					w.after(at, func() { w.kill(w.anyController()) })
 				}
 			}
-			w.at(0, w.live)
-			w.at(0, w.checkCancelled)
+			w.after(0, w.tickWorkers)
+			w.after(0, w.checkCancelled)
 			w.run(3600*loop.Second + span*loop.Second)
 			if c.load > 2 {
-				w.largestBegan("class small", "team red", "team blue")
+				w.checkLargestStarted("class small", "team red", "team blue")
 			} else {
-				w.largestBegan()
+				w.checkLargestStarted()
 			}
 		})
 	}
--- a/internal/node/starve_wider_test.go
+++ b/internal/node/starve_wider_test.go
@@ -9,12 +9,12 @@
 	"cleatpick/internal/loop"
 )
 
-// crowdedWorld returns a simulation in which the demand of small jobs is twice the capacity, with other jobs that these could
-// starve, while a controller crashes every 45 s. It is the same simulation as in the last cases of TestNothingStarves, down
-// to each message.
-func crowdedWorld(t *testing.T, seed uint64) *world {
+// starvationSimulation returns a simulation in which the demand of small jobs is twice the capacity, with other jobs
+// that these could starve, while a controller crashes every 45 s. It is the same simulation as in the last cases of
+// TestNothingStarves, down to each message.
+func starvationSimulation(t *testing.T, seed uint64) *simulation {
 	const cpus, span = 8 * 2 * 8, 380
-	w := newWorldOf(t, seed, size{nodes: 3, zones: 2, each: 8}, func(cfg *config.Config) {
+	w := newSimulationOf(t, seed, clusterSize{nodes: 3, zones: 2, each: 8}, func(cfg *config.Config) {
 		cfg.Cluster.Teams = []config.Team{{Name: "red", CPUs: 0.6 * cpus}, {Name: "blue", CPUs: 0.3 * cpus}, {Name: "guest"}}
 	})
 	number := 0
@@ -25,7 +25,7 @@
 			more(s)
 		}
 		id := fmt.Sprintf("job-%06d", number)
-		w.at(at, func() { w.enter(&simJob{id: id, spec: s, run: run}) })
+		w.after(at, func() { w.simulateUser(&simJob{id: id, spec: s, run: run}) })
 	}
 	every := loop.Micros(4 * 8 * 1e6 / (2 * cpus)) // each job is four tasks of one CPU for 8 s
 	for at := 5 * loop.Second; at < span*loop.Second; at += every {
@@ -43,23 +43,23 @@
 		add(at, "gang", "blue", job.Low, 4, 4, 5*loop.Second, func(s *job.Spec) { s.Gang = true })
 	}
 	for at := 30 * loop.Second; at < span*loop.Second; at += 45 * loop.Second {
-		w.at(at, func() { w.kill(w.anyLabel()) })
+		w.after(at, func() { w.kill(w.anyController()) })
 	}
-	w.at(0, w.live)
-	w.at(0, w.checkCancelled)
+	w.after(0, w.tickWorkers)
+	w.after(0, w.checkCancelled)
 	return w
 }
 
 // The simulations of TestNothingStarves with crashes of controllers, for seeds that it does not run.
 // CLEATPICK_SEEDS="FROM TO" selects others.
 func TestNothingStarvesWhereNodesEnd(t *testing.T) {
-	from, to := seeds(t, 49, 64)
+	from, to := seedRange(t, 49, 64)
 	for seed := from; seed <= to; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := crowdedWorld(t, seed)
+			w := starvationSimulation(t, seed)
 			w.run(3600*loop.Second + 380*loop.Second)
-			w.largestBegan()
+			w.checkLargestStarted()
 		})
 	}
 }
--- a/internal/node/terms_test.go
+++ b/internal/node/terms_test.go
@@ -11,29 +11,29 @@
 	"cleatpick/internal/wire"
 )
 
-// terms is the invariant checker of holds, dependencies and cordons. It uses only what users were told, what the state
-// service stored and which tasks workers started.
-type terms struct {
-	w        *world
-	held     map[string]bool        // users were told that the hold is set, and have not requested a release
-	released map[string]bool        // a release was requested
-	recorded map[string]loop.Micros // when the newest attempt of a task was recorded as placed
-	attempts map[string]uint64
-	cordons  map[string]cordon.Cordon
-	since    map[string]loop.Micros // when its user was told that the cordon is stored
-	checked  struct{ holds, deps, cordons, settled int }
+// termsChecker is the invariant checker of holds, dependencies and cordons. It uses only what users were told, what
+// the state service stored and which tasks workers started.
+type termsChecker struct {
+	w          *simulation
+	held       map[string]bool        // users were told that the hold is set, and have not requested a release
+	released   map[string]bool        // a release was requested
+	recorded   map[string]loop.Micros // when the newest attempt of a task was recorded as placed
+	attempts   map[string]uint64
+	cordons    map[string]cordon.Cordon
+	cordonedAt map[string]loop.Micros // when its user was told that the cordon is stored
+	checked    struct{ holds, deps, cordons, settled int }
 }
 
-func newTerms(w *world) *terms {
-	r := &terms{w: w, held: map[string]bool{}, released: map[string]bool{}, recorded: map[string]loop.Micros{}, attempts: map[string]uint64{},
-		cordons: map[string]cordon.Cordon{}, since: map[string]loop.Micros{}}
+func newTermsChecker(w *simulation) *termsChecker {
+	r := &termsChecker{w: w, held: map[string]bool{}, released: map[string]bool{}, recorded: map[string]loop.Micros{}, attempts: map[string]uint64{},
+		cordons: map[string]cordon.Cordon{}, cordonedAt: map[string]loop.Micros{}}
 	w.state.Stored = r.stored
-	w.onBegan = r.began
+	w.onTaskStart = r.taskStarted
 	return r
 }
 
 // stored follows the teams' logs as the state service stores them.
-func (r *terms) stored(key string, value wire.Raw) {
+func (r *termsChecker) stored(key string, value wire.Raw) {
 	var seg struct {
 		Jobs []struct {
 			_     struct{} `cbor:",toarray"`
@@ -61,8 +61,8 @@
 	}
 }
 
-// began checks a task that starts.
-func (r *terms) began(x *simWorker, task string) {
+// taskStarted checks a task that starts.
+func (r *termsChecker) taskStarted(x *simWorker, task string) {
 	id, _, _ := agent.SplitTask(task)
 	if r.held[id] {
 		r.w.fail("began_held: %s starts on %s after users were told that its hold is set", task, x.w.Name)
@@ -70,7 +70,7 @@
 	if j := r.w.jobs[id]; j.terms != nil {
 		for _, d := range j.terms.After {
 			r.checked.deps++
-			phase := r.w.stored(d)
+			phase := r.w.storedPhase(d)
 			if phase == job.Done || (phase == job.Withdrawn && (j.terms.OnWithdrawn == job.PolicyRelease || r.released[id])) {
 				continue
 			}
@@ -79,7 +79,7 @@
 	}
 	for name, c := range r.cordons {
 		if c.Bars(cordon.Place{Machine: x.w.Name, Type: x.w.Type, Zone: x.w.Zone, Spot: x.w.Spot}) {
-			if r.checked.cordons++; r.recorded[task] > r.since[name] {
+			if r.checked.cordons++; r.recorded[task] > r.cordonedAt[name] {
 				r.w.fail("began_cordoned: %s starts on %s and was recorded after cordon %s was stored", task, x.w.Name, name)
 			}
 		}
@@ -87,21 +87,21 @@
 }
 
 // hold requests a hold, asks until its user is told that it is set, and releases the job a while later.
-func (r *terms) hold(id string) {
+func (r *termsChecker) hold(id string) {
 	w := r.w
 	if n := w.any(); n != nil {
 		n.jobs.Hold(id, job.Hold{Reason: "r", By: "op"}, func(a job.Answer) {
 			if a.Code == 200 && a.Phase == job.Accepted {
 				r.checked.holds++
-				w.at(w.between(0, loop.Second), func() { r.untilSet(id) })
-				w.at(w.between(10*loop.Second, 50*loop.Second), func() { r.release(id) })
+				w.after(w.between(0, loop.Second), func() { r.untilSet(id) })
+				w.after(w.between(10*loop.Second, 50*loop.Second), func() { r.release(id) })
 			}
 		})
 	}
 }
 
 // untilSet asks about a job every second until its hold is set.
-func (r *terms) untilSet(id string) {
+func (r *termsChecker) untilSet(id string) {
 	w := r.w
 	if r.released[id] {
 		return
@@ -115,16 +115,16 @@
 		})
 	}
 	if !r.held[id] {
-		w.at(loop.Second, func() { r.untilSet(id) })
+		w.after(loop.Second, func() { r.untilSet(id) })
 	}
 }
 
 // release requests a release until it is confirmed.
-func (r *terms) release(id string) {
+func (r *termsChecker) release(id string) {
 	w := r.w
 	r.released[id] = true
 	delete(r.held, id)
-	again := func() { w.at(2*loop.Second, func() { r.release(id) }) }
+	again := func() { w.after(2*loop.Second, func() { r.release(id) }) }
 	n := w.any()
 	if n == nil {
 		again()
@@ -137,7 +137,7 @@
 			again()
 		}
 	})
-	w.at(5*loop.Second, func() {
+	w.after(5*loop.Second, func() {
 		if !answered {
 			r.release(id) // the controller crashed meanwhile
 		}
@@ -145,7 +145,7 @@
 }
 
 // cordon puts a random cordon and removes it a while later.
-func (r *terms) cordon(no int) {
+func (r *termsChecker) cordon(no int) {
 	w := r.w
 	c := cordon.Cordon{Name: fmt.Sprint("c", no), Reason: "r"}
 	switch w.rng.IntN(3) {
@@ -159,39 +159,39 @@
 	if n := w.any(); n != nil {
 		n.cordons.Put(c, func(o cordon.Outcome) {
 			if o == cordon.Stored {
-				r.cordons[c.Name], r.since[c.Name] = c, w.now
+				r.cordons[c.Name], r.cordonedAt[c.Name] = c, w.now
 			}
 		})
 	}
-	w.at(w.between(5*loop.Second, 25*loop.Second), func() { r.uncordon(c.Name) })
+	w.after(w.between(5*loop.Second, 25*loop.Second), func() { r.uncordon(c.Name) })
 }
 
 // uncordon removes a cordon until that is confirmed.
-func (r *terms) uncordon(name string) {
+func (r *termsChecker) uncordon(name string) {
 	w := r.w
 	delete(r.cordons, name)
 	answered := false
 	if n := w.any(); n != nil {
 		n.cordons.Remove(name, func(o cordon.Outcome) { answered = o == cordon.Stored || o == cordon.Absent })
 	}
-	w.at(4*loop.Second, func() {
+	w.after(4*loop.Second, func() {
 		if !answered {
 			r.uncordon(name)
 		}
 	})
 }
 
-// Holds, dependencies and cordons under crashes, network partitions, outages and late transactions: no task starts after
-// users were told that its hold is set, before the jobs that it waits for are done, or on a cordoned machine if its start
-// was recorded after the cordon. After the last fault all jobs complete.
-func TestTermsUnderTroubles(t *testing.T) {
-	from, to := seeds(t, 1, 8)
+// Holds, dependencies and cordons under crashes, network partitions, outages and late transactions: no task starts
+// after users were told that its hold is set, before the jobs that it waits for are done, or on a cordoned machine if
+// its start was recorded after the cordon. After the last fault all jobs complete.
+func TestHoldsDependenciesAndCordonsUnderFaults(t *testing.T) {
+	from, to := seedRange(t, 1, 8)
 	var holds, settled, deps, cordons int
 	for seed := from; seed <= to; seed++ {
-		w := newWorld(t, seed)
-		r := newTerms(w)
+		w := newSimulation(t, seed)
+		r := newTermsChecker(w)
 		for i := range 45 {
-			w.at(w.between(loop.Second, 140*loop.Second), func() {
+			w.after(w.between(loop.Second, 140*loop.Second), func() {
 				var known []string
 				for k := range i {
 					if j := w.jobs[fmt.Sprintf("job-%06d", k)]; j != nil && j.accepted && !j.broken {
@@ -205,23 +205,23 @@
 						j.terms.After = append(j.terms.After, known[w.rng.IntN(len(known))])
 					}
 				}
-				w.enter(j)
+				w.simulateUser(j)
 				if w.rng.IntN(3) == 0 {
-					w.at(w.between(0, 12*loop.Second), func() { r.hold(j.id) })
+					w.after(w.between(0, 12*loop.Second), func() { r.hold(j.id) })
 				}
 			})
 		}
 		for i := range 8 {
-			w.at(w.between(10*loop.Second, 140*loop.Second), func() { r.cordon(i) })
+			w.after(w.between(10*loop.Second, 140*loop.Second), func() { r.cordon(i) })
 		}
-		w.at(12*loop.Second, w.trouble)
-		w.at(0, w.live)
-		w.at(0, w.checkCancelled)
+		w.after(12*loop.Second, w.randomFault)
+		w.after(0, w.tickWorkers)
+		w.after(0, w.checkCancelled)
 		// Jobs that still wait for a cancelled job are released at the end.
 		for k := range 6 {
-			w.at(loop.Micros(240+40*k)*loop.Second, func() {
+			w.after(loop.Micros(240+40*k)*loop.Second, func() {
 				for i := range 45 {
-					if j := w.jobs[fmt.Sprintf("job-%06d", i)]; !j.done && j.withdrawn == 0 && w.stored(j.id) == job.Accepted {
+					if j := w.jobs[fmt.Sprintf("job-%06d", i)]; !j.done && j.cancelledAt == 0 && w.storedPhase(j.id) == job.Accepted {
 						r.release(j.id)
 					}
 				}
@@ -230,7 +230,7 @@
 		w.run(3600*loop.Second + 700*loop.Second)
 		for i := range 45 {
 			j := w.jobs[fmt.Sprintf("job-%06d", i)]
-			if !j.done && j.withdrawn == 0 && !j.broken {
+			if !j.done && j.cancelledAt == 0 && !j.broken {
 				t.Errorf("seed %d: %s is not done at the end of the simulation (terms %v)", seed, j.id, j.terms)
 			}
 		}
--- a/internal/node/waiting_test.go
+++ b/internal/node/waiting_test.go
@@ -8,27 +8,27 @@
 	"cleatpick/internal/loop"
 )
 
-// waitsBeside is for how long, after the last fault, a job may wait while the same machine has free capacity for one of its
-// tasks all the time and its team is under its limit.
-const waitsBeside = 90 * loop.Second
+// maxWaitWithCapacity is for how long, after the last fault, a job may wait while the same machine has free capacity
+// for one of its tasks all the time and its team is under its limit.
+const maxWaitWithCapacity = 90 * loop.Second
 
-// beside is the machines on which a job could have started a task all the time since a given one.
-type beside struct {
+// unusedCapacity is the machines on which a job could have started a task all the time since a given one.
+type unusedCapacity struct {
 	since    loop.Micros
 	starts   int // of the job, at that time
 	machines map[string]bool
 }
 
-// checkWaiting fails if a job waits although there is free capacity for it. It uses what actually runs on the machines, not
-// what any controller knows.
-func (w *world) checkWaiting() {
-	w.at(loop.Second, w.checkWaiting)
-	if w.calm == 0 || w.now <= w.calm {
+// checkWaiting fails if a job waits although there is free capacity for it. It uses what actually runs on the
+// machines, not what any controller knows.
+func (w *simulation) checkWaiting() {
+	w.after(loop.Second, w.checkWaiting)
+	if w.faultsEndAt == 0 || w.now <= w.faultsEndAt {
 		return
 	}
 	cpus, memory, on := map[string]float64{}, map[string]float64{}, map[string]int{}
 	zones := map[string]map[string]int{}
-	for task, m := range w.active {
+	for task, m := range w.running {
 		id, _, _ := agent.SplitTask(task)
 		s := w.jobs[id].spec
 		cpus[m] += s.CPUs
@@ -39,20 +39,20 @@
 		}
 		zones[id][w.workers[m].w.Zone]++
 	}
-	for task := range w.doneT {
-		if _, is := w.active[task]; !is {
+	for task := range w.completed {
+		if _, is := w.running[task]; !is {
 			id, _, _ := agent.SplitTask(task)
 			on[id]++
 		}
 	}
 	for _, j := range w.jobs {
-		if !j.accepted || j.done || j.asked || j.broken || j.spec.Gang || on[j.id] >= j.spec.Tasks || !w.underLimit(j) {
-			j.beside = nil
+		if !j.accepted || j.done || j.cancelRequested || j.broken || j.spec.Gang || on[j.id] >= j.spec.Tasks || !w.underLimit(j) {
+			j.unusedCapacity = nil
 			continue
 		}
 		fits := func(name string) bool {
 			x := w.workers[name]
-			if x.gone || x.hanging || x.deaf || x.mute || x.w.Faulty || !j.spec.AllowsPlace(x.w.Type, x.w.Zone, x.w.Spot) {
+			if x.deleted || x.hanging || x.unresponsive || x.cannotReport || x.w.Faulty || !j.spec.AllowsPlace(x.w.Type, x.w.Zone, x.w.Spot) {
 				return false
 			}
 			there := zones[j.id]
@@ -61,9 +61,9 @@
 			}
 			return cpus[name]+j.spec.CPUs <= x.w.CPUs+1e-9 && memory[name]+j.spec.MemoryGB <= x.w.MemoryGB+1e-9
 		}
-		b := j.beside
+		b := j.unusedCapacity
 		if b == nil || b.starts != j.starts {
-			b = &beside{since: w.now, starts: j.starts, machines: map[string]bool{}}
+			b = &unusedCapacity{since: w.now, starts: j.starts, machines: map[string]bool{}}
 			for name := range w.workers {
 				if fits(name) {
 					b.machines[name] = true
@@ -75,16 +75,16 @@
 				delete(b.machines, name)
 			}
 		}
-		if j.beside = b; len(b.machines) == 0 {
-			j.beside = nil
-		} else if w.now-b.since > waitsBeside {
+		if j.unusedCapacity = b; len(b.machines) == 0 {
+			j.unusedCapacity = nil
+		} else if w.now-b.since > maxWaitWithCapacity {
 			w.fail("waiting: %s, with %d of %d tasks running or done, waits although %v have had free capacity since %.3f s", j.id, on[j.id], j.spec.Tasks, slices.Sorted(maps.Keys(b.machines)), float64(b.since)/1e6-3600)
 		}
 	}
 }
 
 // underLimit reports whether the job's team may run one more task of it.
-func (w *world) underLimit(j *simJob) bool {
+func (w *simulation) underLimit(j *simJob) bool {
 	limit, _ := w.cfg.TeamNamed(j.spec.Team)
-	return limit.CPUsMax == 0 || w.teams[j.spec.Team]+j.spec.CPUs <= limit.CPUsMax+1e-9
+	return limit.CPUsMax == 0 || w.cpusInUse[j.spec.Team]+j.spec.CPUs <= limit.CPUsMax+1e-9
 }
--- a/internal/node/why_test.go
+++ b/internal/node/why_test.go
@@ -232,9 +232,9 @@
 	}
 }
 
-// Every cause of waiting that can be produced through the interfaces, on three real controllers over real connections, as
-// explained by a controller that does not own the job.
-func TestWhyOnLoopback(t *testing.T) {
+// Every cause of waiting that can be produced through the interfaces, on three real controllers over real
+// connections, as explained by a controller that does not own the job.
+func TestExplanationsOnLoopback(t *testing.T) {
 	c := newCluster(t)
 	defer c.stop()
 
--- a/internal/node/world_delivery_test.go
+++ b/internal/node/world_delivery_test.go
@@ -7,12 +7,12 @@
 	"cleatpick/internal/wire"
 )
 
-// answerPatience is how long a worker waits for the answer to its report.
-const answerPatience = 4 * loop.Second
+// reportTimeout is how long a worker waits for the answer to its report.
+const reportTimeout = 4 * loop.Second
 
-// flight is a message with starts that a host controller has sent and that has not reached its worker yet.
-type flight struct {
-	way     string // how it is sent, for failure messages
+// startsInFlight is a message with starts that a host controller has sent and that has not reached its worker yet.
+type startsInFlight struct {
+	route   string // how it is sent, for failure messages
 	token   uint64
 	session uint64
 	until   loop.Micros // the worker drops it after this time; 0: never
@@ -20,20 +20,21 @@
 }
 
 // canArrive reports whether the worker would still execute the message.
-func (d *flight) canArrive(now loop.Micros, x *simWorker) bool {
+func (d *startsInFlight) canArrive(now loop.Micros, x *simWorker) bool {
 	return d.token >= x.w.Token() && d.session == x.w.Session() && (d.until == 0 || now <= d.until)
 }
 
-// leaves records that a host controller sends commands to a worker, and checks them. It checks the precondition of a task
-// that runs twice and not the second run itself, which is thousands of times rarer: no forget may be sent while a start
-// of the same attempt can still reach the worker. It returns nil if there are no starts among the commands.
-func (w *world) leaves(x *simWorker, way string, c wire.Commands, session uint64, until loop.Micros) *flight {
-	for old := range x.flights {
+// commandsSent records that a host controller sends commands to a worker, and checks them. It checks the precondition
+// of a task that runs twice and not the second run itself, which is thousands of times rarer: no forget may be sent
+// while a start of the same attempt can still reach the worker. It returns nil if there are no starts among the
+// commands.
+func (w *simulation) commandsSent(x *simWorker, way string, c wire.Commands, session uint64, until loop.Micros) *startsInFlight {
+	for old := range x.inFlight {
 		if !old.canArrive(w.now, x) {
-			delete(x.flights, old)
+			delete(x.inFlight, old)
 		}
 	}
-	sent := &flight{way: way, token: c.Token, session: session, until: until}
+	sent := &startsInFlight{route: way, token: c.Token, session: session, until: until}
 	for _, command := range c.Commands {
 		switch {
 		case command.Op == wire.OpStart:
@@ -45,40 +46,40 @@
 	if len(sent.starts) == 0 {
 		return nil
 	}
-	x.flights[sent] = struct{}{}
+	x.inFlight[sent] = struct{}{}
 	return sent
 }
 
 // checkForget fails if a start of the attempt can still reach the worker.
-func (w *world) checkForget(x *simWorker, way string, forget wire.Command) {
-	w.forgets++
-	for d := range x.flights {
+func (w *simulation) checkForget(x *simWorker, way string, forget wire.Command) {
+	w.forgetsSent++
+	for d := range x.inFlight {
 		for _, start := range d.starts {
 			if start.Task == forget.Task && start.Attempt == forget.Attempt {
 				w.fail("forget of %s attempt %d is sent to %s in %s, while a start of it is in flight in %s",
-					forget.Task, forget.Attempt, x.w.Name, way, d.way)
+					forget.Task, forget.Attempt, x.w.Name, way, d.route)
 			}
 		}
 	}
 }
 
-// arrives records that a message has reached the worker, or never will.
-func (x *simWorker) arrives(d *flight) { delete(x.flights, d) }
+// commandsArrived records that a message has reached the worker, or never will.
+func (x *simWorker) commandsArrived(d *startsInFlight) { delete(x.inFlight, d) }
 
-// revived fails for a start that arrived after the forget of its attempt.
-func (w *world) revived(x *simWorker, task string, attempt uint64) {
+// startedAfterForget fails for a start that arrived after the forget of its attempt.
+func (w *simulation) startedAfterForget(x *simWorker, task string, attempt uint64) {
 	w.fail("%s starts attempt %d of %s again after it was told to forget it", x.w.Name, attempt, task)
 }
 
 // answerDelay draws how long the answer to a report takes. A slow answer stands for lost packets, which are sent again
 // after some 200 ms and then after increasing times.
-func (w *world) answerDelay() loop.Micros {
-	if w.slowAnswers > 0 && w.rng.Float64() < w.slowAnswers {
+func (w *simulation) answerDelay() loop.Micros {
+	if w.slowAnswerShare > 0 && w.rng.Float64() < w.slowAnswerShare {
 		return w.between(200*loop.Millisecond, 3500*loop.Millisecond)
 	}
 	return w.between(300, 2000)
 }
 
-func directWay(from string) string { return fmt.Sprint("a direct command of ", from) }
+func directRoute(from string) string { return fmt.Sprint("a direct command of ", from) }
 
-func answerWay(from string) string { return fmt.Sprint("an answer of ", from) }
+func answerRoute(from string) string { return fmt.Sprint("an answer of ", from) }
--- a/internal/node/world_late_test.go
+++ b/internal/node/world_late_test.go
@@ -9,14 +9,14 @@
 	"cleatpick/internal/wire"
 )
 
-// lateness is the injected delays of the state service.
-type lateness struct {
-	writes  float64        // the share of transactions that get no answer and are executed late
-	answers float64        // the share of requests that are executed at once and get no answer
-	slow    [2]loop.Micros // the range of how long answers take; 0: no delay
-	// kinds counts the late transactions by the kind of the first key that they change, and taken those of them that
-	// took effect.
-	kinds, taken map[string]int
+// stateServiceFaults is the injected delays of the state service.
+type stateServiceFaults struct {
+	lateWrites  float64        // the share of transactions that get no answer and are executed late
+	lostAnswers float64        // the share of requests that are executed at once and get no answer
+	answerDelay [2]loop.Micros // the range of how long answers take; 0: no delay
+	// kinds counts the late transactions by the kind of the first key that they change, and tookEffect those of them
+	// that took effect.
+	kinds, tookEffect map[string]int
 }
 
 // stateLink is a controller's connection to the state service, with the injected delays.
@@ -27,20 +27,20 @@
 
 func (l stateLink) Do(method, path string, body []byte, limit time.Duration) store.Response {
 	w := l.w
-	if path == "/multi" && w.late.writes > 0 && w.cut[l.name] == open && w.rng.Float64() < w.late.writes {
-		w.at(w.between(2*loop.Second, 12*loop.Second), func() { w.cameLate(body, l.do(method, path, body)) })
-		return store.Response{Err: errLost}
+	if path == "/multi" && w.stateFaults.lateWrites > 0 && w.linkModes[l.name] == connected && w.rng.Float64() < w.stateFaults.lateWrites {
+		w.after(w.between(2*loop.Second, 12*loop.Second), func() { w.cameLate(body, l.do(method, path, body)) })
+		return store.Response{Err: errNoAnswer}
 	}
 	resp := l.link.Do(method, path, body, limit)
-	if w.late.answers > 0 && w.rng.Float64() < w.late.answers {
-		return store.Response{Err: errLost}
+	if w.stateFaults.lostAnswers > 0 && w.rng.Float64() < w.stateFaults.lostAnswers {
+		return store.Response{Err: errNoAnswer}
 	}
-	if w.late.slow[1] > 0 {
-		d := w.between(w.late.slow[0], w.late.slow[1])
+	if w.stateFaults.answerDelay[1] > 0 {
+		d := w.between(w.stateFaults.answerDelay[0], w.stateFaults.answerDelay[1])
 		if most := loop.Micros(limit / time.Microsecond); d > most {
-			d, resp = most, store.Response{Err: errLost} // it was executed, but the caller no longer waits
+			d, resp = most, store.Response{Err: errNoAnswer} // it was executed, but the caller no longer waits
 		}
-		l.s.lag = d
+		l.s.answerLag = d
 	}
 	return resp
 }
@@ -55,7 +55,7 @@
 }
 
 // cameLate counts a transaction that was executed late.
-func (w *world) cameLate(body []byte, resp store.Response) {
+func (w *simulation) cameLate(body []byte, resp store.Response) {
 	var t struct {
 		Then []struct {
 			Put    string `cbor:"put"`
@@ -65,16 +65,16 @@
 	if wire.Unmarshal(body, &t) != nil || len(t.Then) == 0 {
 		return
 	}
-	if w.late.kinds == nil {
-		w.late.kinds, w.late.taken = map[string]int{}, map[string]int{}
+	if w.stateFaults.kinds == nil {
+		w.stateFaults.kinds, w.stateFaults.tookEffect = map[string]int{}, map[string]int{}
 	}
 	key := t.Then[0].Put
 	if key == "" {
 		key = "delete " + t.Then[0].Delete
 	}
 	kind := kindOf(key)
-	w.late.kinds[kind]++
+	w.stateFaults.kinds[kind]++
 	if resp.Status == 200 {
-		w.late.taken[kind]++
+		w.stateFaults.tookEffect[kind]++
 	}
 }
--- a/internal/node/world_machine_test.go
+++ b/internal/node/world_machine_test.go
@@ -13,10 +13,10 @@
 )
 
 // probe returns what a controller finds that probes a worker. A machine that hangs accepts connections.
-func (w *world) probe(from, addr string) loss.Word {
+func (w *simulation) probe(from, addr string) loss.Word {
 	x := w.workers[addr[len("worker:"):]]
 	switch {
-	case x == nil || x.gone || x.deaf || w.toWorker(from, x) != open:
+	case x == nil || x.deleted || x.unresponsive || w.workerLinkMode(from, x) != connected:
 		return loss.NoWay
 	case x.hanging:
 		return loss.Mute
@@ -26,35 +26,35 @@
 }
 
 // direct sends a command directly to a worker.
-func (w *world) direct(from, addr, path string, body []byte) store.Response {
+func (w *simulation) direct(from, addr, path string, body []byte) store.Response {
 	x := w.workers[addr[len("worker:"):]]
-	if x == nil || x.gone {
-		return store.Response{Err: errLost}
+	if x == nil || x.deleted {
+		return store.Response{Err: errNoAnswer}
 	}
-	sent := w.directLeaves(from, x, path, body)
-	if x.deaf {
-		return store.Response{Err: errLost}
+	sent := w.directCommandSent(from, x, path, body)
+	if x.unresponsive {
+		return store.Response{Err: errNoAnswer}
 	}
-	if x.hanging || w.heldUp > 0 && w.rng.Float64() < w.heldUp {
+	if x.hanging || w.delayedCommandShare > 0 && w.rng.Float64() < w.delayedCommandShare {
 		// It is executed all the same: when the machine resumes, or seconds later.
-		w.at(w.between(loop.Second, 10*loop.Second), func() {
-			w.awake(x, func() {
+		w.after(w.between(loop.Second, 10*loop.Second), func() {
+			w.whenResumed(x, func() {
 				x.w.Tick(w.now) // its lease may have expired
-				w.carryOut(from, x, path, body)
-				x.arrives(sent)
+				w.executeCommand(from, x, path, body)
+				x.commandsArrived(sent)
 			})
 		})
-		return store.Response{Err: errLost}
+		return store.Response{Err: errNoAnswer}
 	}
-	return w.crossBy(w.toWorker(from, x), func() store.Response {
-		resp := w.carryOut(from, x, path, body)
-		x.arrives(sent)
+	return w.requestVia(w.workerLinkMode(from, x), func() store.Response {
+		resp := w.executeCommand(from, x, path, body)
+		x.commandsArrived(sent)
 		return resp
 	})
 }
 
-// directLeaves records that a direct command is sent by its host controller; nil if it contains no starts.
-func (w *world) directLeaves(from string, x *simWorker, path string, body []byte) *flight {
+// directCommandSent records that a direct command is sent by its host controller; nil if it contains no starts.
+func (w *simulation) directCommandSent(from string, x *simWorker, path string, body []byte) *startsInFlight {
 	if path != "/commands" {
 		return nil
 	}
@@ -62,29 +62,29 @@
 	if err := wire.Unmarshal(body, &c); err != nil {
 		w.fail("a direct command cannot be decoded: %v", err)
 	}
-	return w.leaves(x, directWay(from), c, c.Session, 0)
+	return w.commandsSent(x, directRoute(from), c, c.Session, 0)
 }
 
-// asleep reports whether a machine hangs and its lease has expired.
-func (x *simWorker) asleep(now loop.Micros) bool { return x.hanging && x.w.LeaseOver(now) }
+// hungPastLease reports whether a machine hangs and its lease has expired.
+func (x *simWorker) hungPastLease(now loop.Micros) bool { return x.hanging && x.w.LeaseOver(now) }
 
-// awake calls f as soon as a machine does not hang, unless it is deleted before.
-func (w *world) awake(x *simWorker, f func()) {
+// whenResumed calls f as soon as a machine does not hang, unless it is deleted before.
+func (w *simulation) whenResumed(x *simWorker, f func()) {
 	switch {
-	case x.gone:
+	case x.deleted:
 	case x.hanging:
-		w.at(300*loop.Millisecond, func() { w.awake(x, f) })
+		w.after(300*loop.Millisecond, func() { w.whenResumed(x, f) })
 	default:
 		f()
 	}
 }
 
-// carryOut executes a command that has reached a machine.
-func (w *world) carryOut(from string, x *simWorker, path string, body []byte) store.Response {
-	if x.gone || x.hanging {
-		return store.Response{Err: errLost}
+// executeCommand executes a command that has reached a machine.
+func (w *simulation) executeCommand(from string, x *simWorker, path string, body []byte) store.Response {
+	if x.deleted || x.hanging {
+		return store.Response{Err: errNoAnswer}
 	}
-	w.note(from+" to "+x.w.Name+path, body)
+	w.addToTrace(from+" to "+x.w.Name+path, body)
 	if path == "/inspect" {
 		return store.Response{Status: 200, Body: wire.Marshal(x.w.Report())}
 	}
@@ -97,8 +97,8 @@
 }
 
 // boot starts the worker of a machine that the cloud created.
-func (w *world) boot(m wire.Listed) {
-	x := &simWorker{w: standin.NewWorker(w.now, loop.Seconds(w.cfg.Cluster.Workers.LeaseS)), at: w.rng.IntN(len(w.labels)), flights: map[*flight]struct{}{}}
+func (w *simulation) boot(m wire.Listed) {
+	x := &simWorker{w: standin.NewWorker(w.now, loop.Seconds(w.cfg.Cluster.Workers.LeaseS)), hostIndex: w.rng.IntN(len(w.labels)), inFlight: map[*startsInFlight]struct{}{}}
 	x.w.Name, x.w.Addr, x.w.Type, x.w.Zone, x.w.Spot = m.Name, m.Addr, m.Type, m.Zone, m.Spot
 	x.w.CPUs, x.w.MemoryGB = w.cloud.Types[0].CPUs, w.cloud.Types[0].MemoryGB
 	x.w.Job = func(id string) (standin.Job, bool) {
@@ -106,41 +106,41 @@
 		if j == nil {
 			return standin.Job{}, false
 		}
-		return standin.Job{CPUs: j.spec.CPUs, MemoryGB: j.spec.MemoryGB, Run: j.run, Tasks: j.spec.Tasks, Broken: j.broken, Every: j.every, FailsAfter: j.failsIn, Later: j.later}, true
+		return standin.Job{CPUs: j.spec.CPUs, MemoryGB: j.spec.MemoryGB, Run: j.run, Tasks: j.spec.Tasks, Broken: j.broken, Every: j.failEvery, FailsAfter: j.failsAfter, Later: j.runTimeStep}, true
 	}
-	x.w.Began = func(task, _ string) { w.began(x, task) }
+	x.w.Began = func(task, _ string) { w.taskStarted(x, task) }
 	x.w.Left = func(task, why string) {
-		if why == "lease" && w.onLease != nil {
-			w.onLease(x, task)
+		if why == "lease" && w.onLeaseExpired != nil {
+			w.onLeaseExpired(x, task)
 		}
-		w.left(task, why)
+		w.taskEnded(task, why)
 	}
-	x.w.Revived = func(task string, attempt uint64) { w.revived(x, task, attempt) }
+	x.w.Revived = func(task string, attempt uint64) { w.startedAfterForget(x, task, attempt) }
 	x.w.Faulty = w.rng.Float64() < 0.05
 	if _, gone := w.workers[m.Name]; gone {
 		return
 	}
 	w.workers[m.Name] = x
-	w.beat(x)
+	w.sendReports(x)
 }
 
 // destroy ends a machine that the cloud deleted.
-func (w *world) destroy(name string) {
+func (w *simulation) destroy(name string) {
 	x := w.workers[name]
 	if x == nil {
-		w.workers[name] = &simWorker{gone: true, w: standin.NewWorker(w.now, 1)}
+		w.workers[name] = &simWorker{deleted: true, w: standin.NewWorker(w.now, 1)}
 		return
 	}
-	x.gone = true
+	x.deleted = true
 	x.w.Destroy()
 }
 
-// beat sends a worker's reports, one in flight at a time.
-func (w *world) beat(x *simWorker) {
-	if x.gone {
+// sendReports sends a worker's reports, one in flight at a time.
+func (w *simulation) sendReports(x *simWorker) {
+	if x.deleted {
 		return
 	}
-	again := func(d loop.Micros) { w.at(d, func() { w.beat(x) }) }
+	again := func(d loop.Micros) { w.after(d, func() { w.sendReports(x) }) }
 	if x.hanging {
 		again(300 * loop.Millisecond)
 		return
@@ -148,38 +148,38 @@
 	x.w.Tick(w.now)
 	r := x.w.Report()
 	sent := w.now
-	label := w.labels[x.at]
+	label := w.labels[x.hostIndex]
 	s := w.nodes[label]
 	answered := false
 	next := func() {
-		x.at = (x.at + 1) % len(w.labels)
+		x.hostIndex = (x.hostIndex + 1) % len(w.labels)
 		again(loop.Second)
 	}
-	if x.mute {
+	if x.cannotReport {
 		next()
 		return
 	}
-	gen := s.gen
+	gen := s.incarnation
 	deliver := func() {
-		s.enter(gen, func() {
+		s.execute(gen, func() {
 			s.n.agent.Report(r, func(a agent.Answer) {
 				c, _ := a.Body.(wire.Commands)
-				starts := w.leaves(x, answerWay(label), c, r.Session, sent+answerPatience)
-				w.at(w.answerDelay(), func() {
-					if answered || x.gone || x.deaf || x.mute || w.toWorker(label, x) != open {
+				starts := w.commandsSent(x, answerRoute(label), c, r.Session, sent+reportTimeout)
+				w.after(w.answerDelay(), func() {
+					if answered || x.deleted || x.unresponsive || x.cannotReport || w.workerLinkMode(label, x) != connected {
 						return
 					}
 					answered = true
-					w.note(fmt.Sprint(label, " answers ", x.w.Name, a.Status), wire.Marshal(a.Body))
+					w.addToTrace(fmt.Sprint(label, " answers ", x.w.Name, a.Status), wire.Marshal(a.Body))
 					if a.Status == 200 {
 						c, ok := a.Body.(wire.Commands)
 						if !ok {
 							w.fail("a report is answered with a body of type %T, want wire.Commands", a.Body)
 						}
-						w.awake(x, func() { // what arrived while it hung is read when it resumes
+						w.whenResumed(x, func() { // what arrived while it hung is read when it resumes
 							x.w.Tick(w.now)
 							x.w.Answered(w.now, sent, r.Session, c)
-							x.arrives(starts)
+							x.commandsArrived(starts)
 						})
 						each := loop.Seconds(w.cfg.Cluster.Workers.ReportS)
 						again(w.between(each*3/4, each*5/4))
@@ -188,7 +188,7 @@
 					if to, ok := a.Body.(wire.ReportTo); ok && to.Node != "" && to.Node != label {
 						for i, l := range w.labels {
 							if l == to.Node {
-								x.at = i
+								x.hostIndex = i
 							}
 						}
 						again(w.between(0, 500*loop.Millisecond))
@@ -199,14 +199,14 @@
 			})
 		})
 	}
-	switch w.toWorker(label, x) {
-	case open:
-		w.at(w.between(300, 2000), deliver)
-		w.copyLate(r)
-	case holding:
-		w.at(w.between(5*loop.Second, 40*loop.Second), deliver) // a late report
+	switch w.workerLinkMode(label, x) {
+	case connected:
+		w.after(w.between(300, 2000), deliver)
+		w.deliverCopies(r)
+	case delaying:
+		w.after(w.between(5*loop.Second, 40*loop.Second), deliver) // a late report
 	}
-	w.at(4*loop.Second, func() {
+	w.after(4*loop.Second, func() {
 		if !answered {
 			answered = true
 			next()
@@ -214,41 +214,41 @@
 	})
 }
 
-// copyLate delivers copies of some reports again, to any controller and up to four leases later, and sometimes a copy
-// of the copy.
-func (w *world) copyLate(r wire.Report) {
-	if w.copies == 0 || w.rng.Float64() >= w.copies {
+// deliverCopies delivers copies of some reports again, to any controller and up to four leases later, and sometimes a
+// copy of the copy.
+func (w *simulation) deliverCopies(r wire.Report) {
+	if w.duplicateShare == 0 || w.rng.Float64() >= w.duplicateShare {
 		return
 	}
 	lease := loop.Seconds(w.cfg.Cluster.Workers.LeaseS)
-	w.at(w.between(loop.Second, [...]loop.Micros{5 * loop.Second, lease, 4 * lease}[w.rng.IntN(3)]), func() {
-		s := w.nodes[w.anyLabel()]
-		s.enter(s.gen, func() { s.n.agent.Report(r, func(agent.Answer) {}) })
-		w.copyLate(r)
+	w.after(w.between(loop.Second, [...]loop.Micros{5 * loop.Second, lease, 4 * lease}[w.rng.IntN(3)]), func() {
+		s := w.nodes[w.anyController()]
+		s.execute(s.incarnation, func() { s.n.agent.Report(r, func(agent.Answer) {}) })
+		w.deliverCopies(r)
 	})
 }
 
-// rebirth restarts machines at once under the same names, which ends all tasks on them. Their session numbers go on
-// from where they were: by the protocol, the larger of two is the newer.
-func (w *world) rebirth(names []string) {
+// restartMachines restarts machines at once under the same names, which ends all tasks on them. Their session numbers
+// go on from where they were: by the protocol, the larger of two is the newer.
+func (w *simulation) restartMachines(names []string) {
 	for _, name := range names {
-		if x := w.workers[name]; !x.gone {
+		if x := w.workers[name]; !x.deleted {
 			x.w.Restart(w.now)
 		}
 	}
 }
 
-// live advances the workers' own time between their reports.
-func (w *world) live() {
+// tickWorkers advances the workers' own time between their reports.
+func (w *simulation) tickWorkers() {
 	names := make([]string, 0, len(w.workers))
 	for name := range w.workers {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		if x := w.workers[name]; !x.gone && !x.hanging {
+		if x := w.workers[name]; !x.deleted && !x.hanging {
 			x.w.Tick(w.now)
 		}
 	}
-	w.at(250*loop.Millisecond, w.live)
+	w.after(250*loop.Millisecond, w.tickWorkers)
 }
--- a/internal/node/world_referee_test.go
+++ b/internal/node/world_referee_test.go
@@ -7,17 +7,17 @@
 	"cleatpick/internal/wire"
 )
 
-// began checks the invariants of a task that starts, and records it. Together with left it keeps the checkers' own
-// view of what runs on the machines.
-func (w *world) began(x *simWorker, task string) {
+// taskStarted checks the invariants of a task that starts, and records it. Together with left it keeps the checkers'
+// own view of what runs on the machines.
+func (w *simulation) taskStarted(x *simWorker, task string) {
 	w.starts++
 	id, i, _ := agent.SplitTask(task)
 	j := w.jobs[id]
 	j.starts++
-	if on, ok := w.active[task]; ok {
+	if on, ok := w.running[task]; ok {
 		w.fail("ran_twice: %s starts on %s while it runs on %s", task, x.w.Name, on)
 	}
-	if i >= j.spec.Tasks || !j.accepted && !j.asked && w.stored(id) == "" {
+	if i >= j.spec.Tasks || !j.accepted && !j.cancelRequested && w.storedPhase(id) == "" {
 		w.fail("%s starts, but its job was never submitted", task)
 	}
 	if !j.spec.AllowsPlace(x.w.Type, x.w.Zone, x.w.Spot) {
@@ -25,7 +25,7 @@
 	}
 	zones := map[string]int{x.w.Zone: 1}
 	if j.spec.OneZone || j.spec.Spread {
-		for t, m := range w.active {
+		for t, m := range w.running {
 			if o, _, _ := agent.SplitTask(t); o == id {
 				zones[w.workers[m].w.Zone]++
 			}
@@ -34,46 +34,46 @@
 	if j.spec.OneZone && len(zones) > 1 || j.spec.Spread && zones[x.w.Zone] > (j.spec.Tasks+1)/2 {
 		w.fail("wrong_place: %s starts in zone %s; tasks of its job by zone: %v", task, x.w.Zone, zones)
 	}
-	if j.withdrawn != 0 && w.now > j.withdrawn+loop.Seconds(w.cfg.Cluster.Workers.CancelS) {
+	if j.cancelledAt != 0 && w.now > j.cancelledAt+loop.Seconds(w.cfg.Cluster.Workers.CancelS) {
 		w.fail("ran_cancelled: %s starts more than cancel_s after its user was told of the cancellation", task)
 	}
-	if j.withdrawn != 0 {
-		w.vain = append(w.vain, w.now-j.withdrawn)
+	if j.cancelledAt != 0 {
+		w.startsAfterCancel = append(w.startsAfterCancel, w.now-j.cancelledAt)
 	}
-	if w.onBegan != nil {
-		w.onBegan(x, task)
+	if w.onTaskStart != nil {
+		w.onTaskStart(x, task)
 	}
-	if w.doneT[task] {
-		w.redone++
+	if w.completed[task] {
+		w.rerunCompleted++
 	}
-	if j.began == 0 {
-		j.began = w.now
+	if j.firstStartAt == 0 {
+		j.firstStartAt = w.now
 	}
-	w.active[task] = x.w.Name
-	w.teams[j.spec.Team] += j.spec.CPUs
+	w.running[task] = x.w.Name
+	w.cpusInUse[j.spec.Team] += j.spec.CPUs
 	limit, _ := w.cfg.TeamNamed(j.spec.Team)
-	if limit.CPUsMax != 0 && w.teams[j.spec.Team] > limit.CPUsMax+1e-9 {
-		w.fail("quota: team %s uses %v CPUs, its limit is %v", j.spec.Team, w.teams[j.spec.Team], limit.CPUsMax)
+	if limit.CPUsMax != 0 && w.cpusInUse[j.spec.Team] > limit.CPUsMax+1e-9 {
+		w.fail("quota: team %s uses %v CPUs, its limit is %v", j.spec.Team, w.cpusInUse[j.spec.Team], limit.CPUsMax)
 	}
 }
 
-// left records that a task has ended.
-func (w *world) left(task, why string) {
+// taskEnded records that a task has ended.
+func (w *simulation) taskEnded(task, why string) {
 	id, _, _ := agent.SplitTask(task)
-	delete(w.active, task)
-	w.whys[why]++
-	w.teams[w.jobs[id].spec.Team] -= w.jobs[id].spec.CPUs
+	delete(w.running, task)
+	w.endReasons[why]++
+	w.cpusInUse[w.jobs[id].spec.Team] -= w.jobs[id].spec.CPUs
 	if why == wire.WhyDone {
-		w.doneT[task] = true
-		w.jobs[id].ended = w.now
+		w.completed[task] = true
+		w.jobs[id].lastTaskEnd = w.now
 	}
-	if w.onLeft != nil {
-		w.onLeft(task, why)
+	if w.onTaskEnd != nil {
+		w.onTaskEnd(task, why)
 	}
 }
 
-// stored returns the phase in which the state service holds a job; empty: it holds none.
-func (w *world) stored(id string) job.Phase {
+// storedPhase returns the phase in which the state service holds a job; empty: it holds none.
+func (w *simulation) storedPhase(id string) job.Phase {
 	raw, ok := w.state.Value(job.Keys + id)
 	if !ok {
 		return ""
@@ -85,14 +85,14 @@
 	return rec.Phase
 }
 
-// told checks a user's answer against everything that the user had been told before asking. Of two requests in flight
-// at the same time, either may be answered first, so the answer is held against the time of its question: held against
-// the time of its arrival, it would have to know what was told while it was on its way.
-func (w *world) told(j *simJob, asked loop.Micros, a job.Answer) {
+// checkAnswer checks a user's answer against everything that the user had been told before asking. Of two
+// requests in flight at the same time, either may be answered first, so the answer is compared with the time of its
+// question: compared with the time of its arrival, it would have to know what had been told while it was on its way.
+func (w *simulation) checkAnswer(j *simJob, asked loop.Micros, a job.Answer) {
 	before := func(at loop.Micros) bool { return at != 0 && at < asked }
 	switch a.Code {
 	case 404:
-		if before(j.told) {
+		if before(j.acceptedAt) {
 			w.fail("forgotten: %s is unknown (404) although its user had been told that it is accepted", j.id)
 		}
 		return
@@ -100,44 +100,44 @@
 	default:
 		return
 	}
-	j.accepted, j.heard = true, w.now
-	if j.told == 0 {
-		j.told = w.now
-		w.lookClosely(j)
+	j.accepted, j.lastAnswerAt = true, w.now
+	if j.acceptedAt == 0 {
+		j.acceptedAt = w.now
+		w.pollEverywhere(j)
 	}
 	switch a.Phase {
 	case job.Done:
-		if j.withdrawn != 0 {
+		if j.cancelledAt != 0 {
 			w.fail("went_back: %s is called done after it was called cancelled", j.id)
 		}
 		for i := range j.spec.Tasks {
-			if !w.doneT[agent.TaskName(j.id, i)] {
+			if !w.completed[agent.TaskName(j.id, i)] {
 				w.fail("not_done: %s is called done before its task %d completed", j.id, i)
 			}
 		}
 		j.done = true
-		if j.over == 0 {
-			j.over = w.now
-			w.lookClosely(j)
-			w.slowest = max(w.slowest, w.now-j.ended)
+		if j.doneAt == 0 {
+			j.doneAt = w.now
+			w.pollEverywhere(j)
+			w.slowestDone = max(w.slowestDone, w.now-j.lastTaskEnd)
 		}
 	case job.Withdrawn:
-		if j.terms != nil && j.terms.OnWithdrawn == job.PolicyWithdraw && !j.asked {
+		if j.terms != nil && j.terms.OnWithdrawn == job.PolicyWithdraw && !j.cancelRequested {
 			gone := false
 			for _, d := range j.terms.After {
-				gone = gone || w.stored(d) == job.Withdrawn
+				gone = gone || w.storedPhase(d) == job.Withdrawn
 			}
-			j.asked = gone // its user requested that with the submission
+			j.cancelRequested = gone // its user requested that with the submission
 		}
-		if !j.asked || j.done {
-			w.fail("went_back: %s is called cancelled (cancellation requested %v, called done before %v)", j.id, j.asked, j.done)
+		if !j.cancelRequested || j.done {
+			w.fail("went_back: %s is called cancelled (cancellation requested %v, called done before %v)", j.id, j.cancelRequested, j.done)
 		}
-		if j.withdrawn == 0 {
-			j.withdrawn = w.now
-			w.lookClosely(j)
+		if j.cancelledAt == 0 {
+			j.cancelledAt = w.now
+			w.pollEverywhere(j)
 		}
 	default:
-		if before(j.over) || before(j.withdrawn) {
+		if before(j.doneAt) || before(j.cancelledAt) {
 			w.fail("went_back: %s is called %q after it was called done or cancelled", j.id, a.Phase)
 		}
 	}
@@ -145,51 +145,51 @@
 
 // checkCancelled fails if a task still runs more than cancel_s after its user was told that its job is cancelled. Tasks
 // on a machine that hangs beyond its lease do not count: its worker ends them before anything else when it resumes.
-func (w *world) checkCancelled() {
-	for t, m := range w.active {
+func (w *simulation) checkCancelled() {
+	for t, m := range w.running {
 		id, _, _ := agent.SplitTask(t)
-		if j := w.jobs[id]; j.withdrawn != 0 && w.now > j.withdrawn+loop.Seconds(w.cfg.Cluster.Workers.CancelS) && !w.workers[m].asleep(w.now) {
+		if j := w.jobs[id]; j.cancelledAt != 0 && w.now > j.cancelledAt+loop.Seconds(w.cfg.Cluster.Workers.CancelS) && !w.workers[m].hungPastLease(w.now) {
 			w.fail("ran_cancelled: %s still runs on %s more than cancel_s after its user was told of the cancellation", t, m)
 		}
 	}
-	w.at(loop.Second, w.checkCancelled)
+	w.after(loop.Second, w.checkCancelled)
 }
 
-// knownWithin is for how long, after the last fault, all questions about a job may go unanswered. After that the job
+// maxUnanswered is for how long, after the last fault, all questions about a job may go unanswered. After that the job
 // counts as forgotten, whatever is answered about other jobs.
-const knownWithin = 75 * loop.Second
+const maxUnanswered = 75 * loop.Second
 
-// checkKnown fails if a job is forgotten.
-func (w *world) checkKnown() {
-	if w.calm != 0 && w.now > w.calm {
+// checkForgotten fails if a job is forgotten.
+func (w *simulation) checkForgotten() {
+	if w.faultsEndAt != 0 && w.now > w.faultsEndAt {
 		for _, j := range w.jobs {
-			if j.accepted && w.now-max(j.heard, w.calm) > knownWithin {
-				w.fail("forgotten: no question about %s has been answered since %.3f s", j.id, float64(j.heard)/1e6-3600)
+			if j.accepted && w.now-max(j.lastAnswerAt, w.faultsEndAt) > maxUnanswered {
+				w.fail("forgotten: no question about %s has been answered since %.3f s", j.id, float64(j.lastAnswerAt)/1e6-3600)
 			}
 		}
 	}
-	w.at(loop.Second, w.checkKnown)
+	w.after(loop.Second, w.checkForgotten)
 }
 
-// judged starts the workers' time and all periodic invariant checks; calm is how long after the start of the simulation
-// the last fault ends.
-func (w *world) judged(calm loop.Micros) {
-	w.at(0, w.live)
-	w.at(0, w.checkCancelled)
-	w.at(0, w.checkBeliefs)
-	w.at(0, w.checkKnown)
-	w.at(0, w.checkOwing)
-	w.at(0, w.checkWaiting)
-	w.calm = 3600*loop.Second + calm
+// startChecks starts the workers' time and all periodic invariant checks; calm is how long after the start of the
+// simulation the last fault ends.
+func (w *simulation) startChecks(calm loop.Micros) {
+	w.after(0, w.tickWorkers)
+	w.after(0, w.checkCancelled)
+	w.after(0, w.checkLeases)
+	w.after(0, w.checkForgotten)
+	w.after(0, w.checkOpenQuestions)
+	w.after(0, w.checkWaiting)
+	w.faultsEndAt = 3600*loop.Second + calm
 }
 
-// checkBeliefs fails if a controller acts as if its lease were valid although it has expired. A lease that peers revoked
+// checkLeases fails if a controller acts as if its lease were valid although it has expired. A lease that peers revoked
 // does not count: everything that depends on it is fenced.
-func (w *world) checkBeliefs() {
+func (w *simulation) checkLeases() {
 	for _, l := range w.labels {
-		if s := w.nodes[l]; s.alive && !s.frozen && s.n.member.Entitled() && w.state.Lapsed(s.n.member.Lease()) {
+		if s := w.nodes[l]; s.alive && !s.paused && s.n.member.Entitled() && w.state.Lapsed(s.n.member.Lease()) {
 			w.fail("%s still acts under its lease %d, which has expired", l, s.n.member.Lease())
 		}
 	}
-	w.at(50*loop.Millisecond, w.checkBeliefs)
+	w.after(50*loop.Millisecond, w.checkLeases)
 }
