--- a/internal/node/world_test.go
+++ b/internal/node/world_test.go
@@ -31,199 +31,199 @@
 
 // event is a callback that is due at a time; events of the same time run in the order of seq.
 type event struct {
-	at  loop.Micros
-	seq int
-	f   func()
+	at       loop.Micros
+	seq      int
+	callback func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
 	if e[i].at != e[j].at {
 		return e[i].at < e[j].at
 	}
 	return e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
 	return x
 }
 
-// world is a simulated cluster.
-type world struct {
-	t       testing.TB
-	rng     *rand.Rand
-	now     loop.Micros
-	seq     int
-	queue   events
-	state   *standin.State
-	cloud   *standin.Cloud
-	labels  []string
-	nodes   map[string]*simNode
-	workers map[string]*simWorker
-	jobs    map[string]*simJob
-	cut     map[string]cutMode // by connection: "a>b", "a>state", "a>workers"
-	active  map[string]string  // the machine of each running task
-	doneT   map[string]bool    // tasks that have completed
-	teams   map[string]float64 // CPUs in use by team
-	cfg     config.Config
-	starts  int
-	onBegan func(x *simWorker, task string)
-	onLeft  func(task, why string)
-	onLease func(x *simWorker, task string) // called for each task that ends because its machine's lease expired
-	zones   []string                        // of the machines; controllers are spread over them in turn
-	zoneCut map[string]cutMode              // zones that are disconnected from all others
-	cost    cost
+// simulation is a simulated cluster.
+type simulation struct {
+	t              testing.TB
+	rng            *rand.Rand
+	now            loop.Micros
+	seq            int
+	queue          eventQueue
+	state          *standin.State
+	cloud          *standin.Cloud
+	labels         []string
+	nodes          map[string]*simNode
+	workers        map[string]*simWorker
+	jobs           map[string]*simJob
+	linkModes      map[string]linkMode // by connection: "a>b", "a>state", "a>workers"
+	running        map[string]string   // the machine of each running task
+	completed      map[string]bool     // tasks that have completed
+	cpusInUse      map[string]float64  // CPUs in use by team
+	cfg            config.Config
+	starts         int
+	onTaskStart    func(x *simWorker, task string)
+	onTaskEnd      func(task, why string)
+	onLeaseExpired func(x *simWorker, task string) // called for each task that ends because its machine's lease expired
+	zones          []string                        // of the machines; controllers are spread over them in turn
+	zoneModes      map[string]linkMode             // zones that are disconnected from all others
+	cost           cost
 	// settings changes the settings of one controller, as during a gradual change of settings; may be nil.
-	settings func(label string, c *config.Config)
-	whys     map[string]int // number of tasks that ended, by reason
-	copies   float64        // the share of reports of which a copy arrives late
-	seed     uint64
-	messages hash.Hash     // covers every message with its time; nil: disabled
-	late     lateness      // delays of the state service
-	heldUp   float64       // the share of direct commands that are executed seconds later
-	redone   int           // tasks that started again after they had completed
-	vain     []loop.Micros // for each task that started after its user had been told that the job is cancelled: how long after
-	slowest  loop.Micros   // the longest time from the end of a job's last task until its user was told
-	sure     bool          // a connection without a fault loses and delays nothing
-	shunned  string        // a controller that no user reaches
-	calm     loop.Micros   // from when on there are no faults; 0: checks that need this are off
-	// slowAnswers is the share of the answers to reports that arrive 0.2 to 3.5 s late.
-	slowAnswers float64
-	forgets     int // number sent to workers that would execute them
-	// closely is until when users poll intensely, see closeLooks.
-	closely loop.Micros
-	owing   map[unanswered]*owed   // questions that a controller has not answered
-	able    map[string]loop.Micros // since when each controller could answer; 0: it cannot
+	settings            func(label string, c *config.Config)
+	endReasons          map[string]int // number of tasks that ended, by reason
+	duplicateShare      float64        // the share of reports of which a copy arrives late
+	seed                uint64
+	trace               hash.Hash          // covers every message with its time; nil: disabled
+	stateFaults         stateServiceFaults // delays of the state service
+	delayedCommandShare float64            // the share of direct commands that are executed seconds later
+	rerunCompleted      int                // tasks that started again after they had completed
+	startsAfterCancel   []loop.Micros      // for each task that started after its user had been told that the job is cancelled: how long after
+	slowestDone         loop.Micros        // the longest time from the end of a job's last task until its user was told
+	reliable            bool               // a connection without a fault loses and delays nothing
+	unreachableByUsers  string             // a controller that no user reaches
+	faultsEndAt         loop.Micros        // from when on there are no faults; 0: checks that need this are off
+	// slowAnswerShare is the share of the answers to reports that arrive 0.2 to 3.5 s late.
+	slowAnswerShare float64
+	forgetsSent     int // number sent to workers that would execute them
+	// intensePollUntil is until when users poll intensely, see pollIntensely.
+	intensePollUntil loop.Micros
+	openQuestions    map[question]*openQuestion // questions that a controller has not answered
+	ableSince        map[string]loop.Micros     // since when each controller could answer; 0: it cannot
 }
 
 // cost is what the controllers' own code costs, without the simulation around it.
 type cost struct {
-	own    time.Duration // spent in the controllers, without the simulated services
+	spent  time.Duration // spent in the controllers, without the simulated services
 	frames int
 	bytes  int
 }
 
-// outside runs a simulated service on behalf of a controller and excludes it from the controllers' cost.
-func outside[T any](w *world, f func() T) T {
+// excludeFromCost runs a simulated service on behalf of a controller and excludes it from the controllers' cost.
+func excludeFromCost[T any](w *simulation, f func() T) T {
 	began := time.Now()
 	v := f()
-	w.cost.own -= time.Since(began)
+	w.cost.spent -= time.Since(began)
 	return v
 }
 
-// cutMode is how a connection behaves.
-type cutMode int
+// linkMode is how a connection behaves.
+type linkMode int
 
 const (
-	open cutMode = iota
+	connected linkMode = iota
 	dropping
-	holding  // delivered late; the sender gets no answer
+	delaying // delivered late; the sender gets no answer
 	refusing // answered 503 at once; only the state service does that
 )
 
 // simNode is a simulated host of a controller process.
 type simNode struct {
-	w      *world
-	label  string
-	stalls *loop.StallDetector // of this incarnation
-	n      *Node
-	alive  bool
-	gen    int         // the incarnation of the process
-	off    loop.Micros // of its wall clock
-	zone   string
-	// frozen: the process is paused while its clocks go on; held is what arrived meanwhile.
-	frozen bool
-	held   []func()
+	w           *simulation
+	label       string
+	stalls      *loop.StallDetector // of this incarnation
+	n           *Node
+	alive       bool
+	incarnation int         // the incarnation of the process
+	clockOffset loop.Micros // of its wall clock
+	zone        string
+	// paused: the process is paused while its clocks go on; queued is what arrived meanwhile.
+	paused bool
+	queued []func()
 	cost   *cost // of all controllers
-	// then is called once, after a request of this controller that contains words has been executed.
-	words string
-	then  func()
-	lag   loop.Micros // delay of the answer to the request being made
+	// trigger is called once, after a request of this controller that contains triggerText has been executed.
+	triggerText string
+	trigger     func()
+	answerLag   loop.Micros // delay of the answer to the request being made
 }
 
-// after calls f when the controller's next request that contains words has been executed and before the controller
-// gets the answer: the worst time for a fault.
-func (s *simNode) after(words string, f func()) { s.words, s.then = words, f }
+// afterRequest calls f when the controller's next request that contains words has been executed and before the
+// controller gets the answer: the worst time for a fault.
+func (s *simNode) afterRequest(words string, f func()) { s.triggerText, s.trigger = words, f }
 
-func (s *simNode) carried(path string, body []byte) {
-	if f := s.then; f != nil && (strings.Contains(path, s.words) || strings.Contains(string(body), s.words)) {
-		s.then = nil
+func (s *simNode) requestExecuted(path string, body []byte) {
+	if f := s.trigger; f != nil && (strings.Contains(path, s.triggerText) || strings.Contains(string(body), s.triggerText)) {
+		s.trigger = nil
 		f()
 	}
 }
 
 // simWorker is a simulated machine with its worker.
 type simWorker struct {
-	w       *standin.Worker
-	at      int // index of the controller it reports to
-	hanging bool
-	gone    bool
-	deaf    bool // its reports arrive; answers and commands do not reach it
-	mute    bool // it cannot connect to any controller; commands reach it and are answered
-	// flights are the messages with starts that are in flight to it.
-	flights map[*flight]struct{}
+	w            *standin.Worker
+	hostIndex    int // index of the controller it reports to
+	hanging      bool
+	deleted      bool
+	unresponsive bool // its reports arrive; answers and commands do not reach it
+	cannotReport bool // it cannot connect to any controller; commands reach it and are answered
+	// inFlight are the messages with starts that are in flight to it.
+	inFlight map[*startsInFlight]struct{}
 }
 
 // simJob is a job and what its user did and was told.
 type simJob struct {
-	id        string
-	spec      *job.Spec
-	run       loop.Micros
-	broken    bool
-	every     int // of a broken job, only every n-th task fails; 0: all fail
-	failsIn   loop.Micros
-	later     loop.Micros // added to the run time of each task, compared with the task before
-	accepted  bool
-	done      bool
-	withdrawn loop.Micros // when its user was first told that it is cancelled
-	asked     bool        // its user requested its cancellation
-	first     loop.Micros // when it was first submitted
-	told      loop.Micros // when its user was first told that it is accepted
-	ended     loop.Micros // when the newest of its tasks completed
-	over      loop.Micros // when its user was first told that it is done
-	heard     loop.Micros // when its user last got an answer about it
-	began     loop.Micros // when its first task started
-	terms     *job.Terms
-	starts    int     // number of starts of its tasks
-	beside    *beside // the free capacity that it could use; nil: none
-}
-
-// note adds a message to the simulation's trace.
-func (w *world) note(what string, body []byte) {
-	if w.messages != nil {
-		fmt.Fprintf(w.messages, "%d %s %d ", w.now, what, len(body))
-		w.messages.Write(body)
-	}
-}
-
-// at calls f after a delay.
-func (w *world) at(d loop.Micros, f func()) {
+	id              string
+	spec            *job.Spec
+	run             loop.Micros
+	broken          bool
+	failEvery       int // of a broken job, only every n-th task fails; 0: all fail
+	failsAfter      loop.Micros
+	runTimeStep     loop.Micros // added to the run time of each task, compared with the task before
+	accepted        bool
+	done            bool
+	cancelledAt     loop.Micros // when its user was first told that it is cancelled
+	cancelRequested bool        // its user requested its cancellation
+	submittedAt     loop.Micros // when it was first submitted
+	acceptedAt      loop.Micros // when its user was first told that it is accepted
+	lastTaskEnd     loop.Micros // when the newest of its tasks completed
+	doneAt          loop.Micros // when its user was first told that it is done
+	lastAnswerAt    loop.Micros // when its user last got an answer about it
+	firstStartAt    loop.Micros // when its first task started
+	terms           *job.Terms
+	starts          int             // number of starts of its tasks
+	unusedCapacity  *unusedCapacity // the free capacity that it could use; nil: none
+}
+
+// addToTrace adds a message to the simulation's trace.
+func (w *simulation) addToTrace(what string, body []byte) {
+	if w.trace != nil {
+		fmt.Fprintf(w.trace, "%d %s %d ", w.now, what, len(body))
+		w.trace.Write(body)
+	}
+}
+
+// after calls f after a delay.
+func (w *simulation) after(d loop.Micros, f func()) {
 	w.seq++
 	heap.Push(&w.queue, event{w.now + max(d, 0) + 1, w.seq, f})
 }
 
-func (w *world) fail(format string, args ...any) {
+func (w *simulation) fail(format string, args ...any) {
 	w.t.Helper()
 	w.t.Fatalf("at %.3f s: %s", float64(w.now)/1e6-3600, fmt.Sprintf(format, args...))
 }
 
 // runner is the event loop of one incarnation of a controller's process.
 type runner struct {
-	w     *world
-	s     *simNode
-	gen   int
-	label string
+	w           *simulation
+	s           *simNode
+	incarnation int
+	label       string
 }
 
 // Rand depends only on the simulation's seed, so that each incarnation behaves the same when it is repeated.
 func (r runner) Rand() *rand.Rand {
-	return rand.New(rand.NewPCG(uint64(r.gen), uint64(r.w.seed)<<16|uint64(slices.Index(r.w.labels, r.label))))
+	return rand.New(rand.NewPCG(uint64(r.incarnation), uint64(r.w.seed)<<16|uint64(slices.Index(r.w.labels, r.label))))
 }
 
 // Stalls returns the detector of this incarnation's process pauses.
@@ -235,61 +235,61 @@
 }
 
 func (r runner) Now() loop.Micros  { return r.w.now }
-func (r runner) Wall() loop.Micros { return 1_700_000_000_000_000 + r.w.now + r.s.off }
-func (r runner) Post(f func())     { r.After(r.s.lag, f) }
+func (r runner) Wall() loop.Micros { return 1_700_000_000_000_000 + r.w.now + r.s.clockOffset }
+func (r runner) Post(f func())     { r.After(r.s.answerLag, f) }
 func (r runner) After(d loop.Micros, f func()) {
-	r.w.at(d, func() { r.s.enter(r.gen, f) })
+	r.w.after(d, func() { r.s.execute(r.incarnation, f) })
 }
 
 // Go runs a request after a random delay. If the process is paused by then, the request either has been sent already
 // and is executed, with only its answer waiting, or it waits as well; either is drawn at random.
 func (r runner) Go(do func()) {
 	f := func() {
-		r.s.lag = 0
+		r.s.answerLag = 0
 		do()
-		r.s.lag = 0
+		r.s.answerLag = 0
 	}
-	r.w.at(r.w.between(loop.Millisecond, 8*loop.Millisecond), func() {
-		if r.s.frozen && r.s.alive && r.s.gen == r.gen && r.w.rng.IntN(2) == 0 {
+	r.w.after(r.w.between(loop.Millisecond, 8*loop.Millisecond), func() {
+		if r.s.paused && r.s.alive && r.s.incarnation == r.incarnation && r.w.rng.IntN(2) == 0 {
 			f()
 			return
 		}
-		r.s.enter(r.gen, f)
+		r.s.execute(r.incarnation, f)
 	})
 }
 
-// enter runs f in that incarnation of the process, or keeps it until the process resumes. It drops f if the
+// execute runs f in that incarnation of the process, or keeps it until the process resumes. It drops f if the
 // incarnation has ended.
-func (s *simNode) enter(gen int, f func()) {
+func (s *simNode) execute(gen int, f func()) {
 	switch {
-	case !s.alive || s.gen != gen:
-	case s.frozen:
-		s.held = append(s.held, func() { s.enter(gen, f) })
+	case !s.alive || s.incarnation != gen:
+	case s.paused:
+		s.queued = append(s.queued, func() { s.execute(gen, f) })
 	default:
 		began := time.Now()
 		if s.stalls != nil {
 			s.stalls.Turn(s.w.now)
 		}
 		f()
-		s.cost.own += time.Since(began)
+		s.cost.spent += time.Since(began)
 	}
 }
 
 // between draws a time from a range.
-func (w *world) between(a, b loop.Micros) loop.Micros { return a + w.rng.Int64N(b-a+1) }
+func (w *simulation) between(a, b loop.Micros) loop.Micros { return a + w.rng.Int64N(b-a+1) }
 
-var errLost = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
 // link is a connection to a service. It loses or delays requests according to its mode.
 type link struct {
-	w    *world
+	w    *simulation
 	name string
 	do   func(method, path string, body []byte) store.Response
 }
 
 func (l link) Do(method, path string, body []byte, _ time.Duration) store.Response {
-	return outside(l.w, func() store.Response {
-		return l.w.cross(l.name, func() store.Response { return l.do(method, path, body) })
+	return excludeFromCost(l.w, func() store.Response {
+		return l.w.request(l.name, func() store.Response { return l.do(method, path, body) })
 	})
 }
 
@@ -300,80 +300,80 @@
 }
 
 func (l watch) Do(method, path string, body []byte, d time.Duration) store.Response {
-	if mode := l.w.cut[l.by]; mode != open {
-		return outside(l.w, func() store.Response {
-			return l.w.crossBy(mode, func() store.Response { return l.do(method, path, body) })
+	if mode := l.w.linkModes[l.by]; mode != connected {
+		return excludeFromCost(l.w, func() store.Response {
+			return l.w.requestVia(mode, func() store.Response { return l.do(method, path, body) })
 		})
 	}
 	return l.stateLink.Do(method, path, body, d)
 }
 
-// cross executes a request over the named connection.
-func (w *world) cross(name string, f func() store.Response) store.Response {
-	return w.crossBy(w.cut[name], f)
+// request executes a request over the named connection.
+func (w *simulation) request(name string, f func() store.Response) store.Response {
+	return w.requestVia(w.linkModes[name], f)
 }
 
-// toWorker returns the mode of the connection between a controller and a machine.
-func (w *world) toWorker(label string, x *simWorker) cutMode {
-	if m := w.cut[label+">workers"]; m != open {
+// workerLinkMode returns the mode of the connection between a controller and a machine.
+func (w *simulation) workerLinkMode(label string, x *simWorker) linkMode {
+	if m := w.linkModes[label+">workers"]; m != connected {
 		return m
 	}
 	if z := w.nodes[label].zone; z != x.w.Zone {
-		return max(w.zoneCut[z], w.zoneCut[x.w.Zone])
+		return max(w.zoneModes[z], w.zoneModes[x.w.Zone])
 	}
-	return open
+	return connected
 }
 
-// crossBy executes a request over a connection of the given mode. One without a fault still loses or delays one
+// requestVia executes a request over a connection of the given mode. One without a fault still loses or delays one
 // request in eighty, unless that is off.
-func (w *world) crossBy(mode cutMode, f func() store.Response) store.Response {
+func (w *simulation) requestVia(mode linkMode, f func() store.Response) store.Response {
 	switch mode {
 	case dropping:
-		return store.Response{Err: errLost}
+		return store.Response{Err: errNoAnswer}
 	case refusing:
 		return store.Response{Status: 503}
-	case holding:
-		w.at(w.between(loop.Second, 40*loop.Second), func() { f() }) // executed late, when nobody waits for the answer
-		return store.Response{Err: errLost}
+	case delaying:
+		w.after(w.between(loop.Second, 40*loop.Second), func() { f() }) // executed late, when nobody waits for the answer
+		return store.Response{Err: errNoAnswer}
 	}
-	if w.sure {
+	if w.reliable {
 		return f()
 	}
 	switch p := w.rng.Float64(); {
 	case p < 0.004: // the request is lost
-		return store.Response{Err: errLost}
+		return store.Response{Err: errNoAnswer}
 	case p < 0.008: // the answer is lost
 		f()
-		return store.Response{Err: errLost}
+		return store.Response{Err: errNoAnswer}
 	case p < 0.012: // it is executed late
-		w.at(w.between(loop.Second, 20*loop.Second), func() { f() })
-		return store.Response{Err: errLost}
+		w.after(w.between(loop.Second, 20*loop.Second), func() { f() })
+		return store.Response{Err: errNoAnswer}
 	}
 	return f()
 }
 
-// nothing leaves the default settings unchanged.
-func nothing(*config.Config) {}
+// defaultSettings leaves the default settings unchanged.
+func defaultSettings(*config.Config) {}
 
-// newWorld returns a simulation with three controllers and twelve machines in two zones.
-func newWorld(t testing.TB, seed uint64) *world {
-	return newWorldWith(t, seed, func(*config.Config) {})
+// newSimulation returns a simulation with three controllers and twelve machines in two zones.
+func newSimulation(t testing.TB, seed uint64) *simulation {
+	return newSimulationWith(t, seed, func(*config.Config) {})
 }
 
-// newWorldWith is newWorld with changed settings.
-func newWorldWith(t testing.TB, seed uint64, settings func(*config.Config)) *world {
-	return newWorldOf(t, seed, size{nodes: 3, zones: 2, each: 6}, settings)
+// newSimulationWith is newSimulation with changed settings.
+func newSimulationWith(t testing.TB, seed uint64, settings func(*config.Config)) *simulation {
+	return newSimulationOf(t, seed, clusterSize{nodes: 3, zones: 2, each: 6}, settings)
 }
 
-// size is the size of a simulated cluster: each is the number of machines in each zone.
-type size struct{ nodes, zones, each int }
+// clusterSize is the size of a simulated cluster: each is the number of machines in each zone.
+type clusterSize struct{ nodes, zones, each int }
 
-// newWorldOf returns a simulation of a given size with changed settings. All its controllers have started.
-func newWorldOf(t testing.TB, seed uint64, z size, settings func(*config.Config)) *world {
-	w := &world{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), now: 3600 * loop.Second, zoneCut: map[string]cutMode{},
-		nodes: map[string]*simNode{}, workers: map[string]*simWorker{}, jobs: map[string]*simJob{}, cut: map[string]cutMode{},
-		owing: map[unanswered]*owed{}, able: map[string]loop.Micros{},
-		whys: map[string]int{}, active: map[string]string{}, doneT: map[string]bool{}, teams: map[string]float64{}}
+// newSimulationOf returns a simulation of a given size with changed settings. All its controllers have started.
+func newSimulationOf(t testing.TB, seed uint64, z clusterSize, settings func(*config.Config)) *simulation {
+	w := &simulation{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), now: 3600 * loop.Second, zoneModes: map[string]linkMode{},
+		nodes: map[string]*simNode{}, workers: map[string]*simWorker{}, jobs: map[string]*simJob{}, linkModes: map[string]linkMode{},
+		openQuestions: map[question]*openQuestion{}, ableSince: map[string]loop.Micros{},
+		endReasons: map[string]int{}, running: map[string]string{}, completed: map[string]bool{}, cpusInUse: map[string]float64{}}
 	for i := range z.nodes {
 		w.labels = append(w.labels, string(rune('a'+i)))
 	}
@@ -394,10 +394,10 @@
 	w.state = standin.NewState(func() loop.Micros { return w.now })
 	w.cloud = standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 20, FetchGBs: 1, Price: 1, SpotPrice: 0.3, BootS: 4, Zones: w.zones}, z.each)
 	w.cloud.Now = func() loop.Micros { return w.now }
-	w.cloud.Up = func(m wire.Listed) { w.at(w.between(2*loop.Second, 8*loop.Second), func() { w.boot(m) }) }
+	w.cloud.Up = func(m wire.Listed) { w.after(w.between(2*loop.Second, 8*loop.Second), func() { w.boot(m) }) }
 	w.cloud.Gone = w.destroy
 	for i, l := range w.labels {
-		w.nodes[l] = &simNode{w: w, label: l, cost: &w.cost, off: loop.Micros(i%3-1) * 90 * loop.Millisecond, zone: w.zones[i%len(w.zones)]}
+		w.nodes[l] = &simNode{w: w, label: l, cost: &w.cost, clockOffset: loop.Micros(i%3-1) * 90 * loop.Millisecond, zone: w.zones[i%len(w.zones)]}
 	}
 	for _, l := range w.labels {
 		w.startNode(l)
@@ -405,34 +405,34 @@
 	return w
 }
 
-// timed prefixes log lines with the simulated time and the controller.
-type timed struct {
-	w     *world
+// timedWriter prefixes log lines with the simulated time and the controller.
+type timedWriter struct {
+	w     *simulation
 	label string
 }
 
-func (l timed) Write(b []byte) (int, error) {
+func (l timedWriter) Write(b []byte) (int, error) {
 	fmt.Printf("%10.4f %s %s", float64(l.w.now)/1e6-3600, l.label, b)
 	return len(b), nil
 }
 
-// logs returns the log handler of a controller; it prints everything if CLEATPICK_TRACE is set.
-func (w *world) logs(label string) slog.Handler {
+// logHandler returns the log handler of a controller; it prints everything if CLEATPICK_TRACE is set.
+func (w *simulation) logHandler(label string) slog.Handler {
 	if os.Getenv("CLEATPICK_TRACE") == "" {
 		return slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError})
 	}
-	return slog.NewTextHandler(timed{w, label}, &slog.HandlerOptions{Level: slog.LevelDebug})
+	return slog.NewTextHandler(timedWriter{w, label}, &slog.HandlerOptions{Level: slog.LevelDebug})
 }
 
 // startNode starts a new incarnation of a controller, unless it runs.
-func (w *world) startNode(label string) {
+func (w *simulation) startNode(label string) {
 	s := w.nodes[label]
 	if s.alive {
 		return
 	}
 	s.alive = true
-	s.gen++
-	s.frozen, s.held, s.then = false, nil, nil
+	s.incarnation++
+	s.paused, s.queued, s.trigger = false, nil, nil
 	s.stalls = nil
 	cfg := w.cfg
 	cfg.Label = label
@@ -444,44 +444,44 @@
 	if w.settings != nil {
 		w.settings(label, &cfg)
 	}
-	r := runner{w, s, s.gen, label}
+	r := runner{w, s, s.incarnation, label}
 	state := stateLink{link{w, label + ">state", func(m, p string, b []byte) store.Response {
-		w.note(label+" asks the state service "+m+p, b)
+		w.addToTrace(label+" asks the state service "+m+p, b)
 		resp := w.state.Do(m, p, b, 0)
-		s.carried(p, b)
+		s.requestExecuted(p, b)
 		return resp
 	}}, s}
-	s.n = NewWith(&cfg, slog.New(w.logs(label)), Dependencies{Loop: r, State: state, Watch: watch{state, label + ">watch"},
+	s.n = NewWith(&cfg, slog.New(w.logHandler(label)), Dependencies{Loop: r, State: state, Watch: watch{state, label + ">watch"},
 		Cloud: link{w, label + ">cloud", func(m, p string, b []byte) store.Response {
-			w.note(label+" asks the cloud "+m+p, b)
+			w.addToTrace(label+" asks the cloud "+m+p, b)
 			resp := w.cloud.Do(m, p, b, 0)
-			s.carried(p, b)
+			s.requestExecuted(p, b)
 			return resp
 		}},
 		Workers: func(addr, method, path string, body []byte, _ time.Duration) store.Response {
-			return outside(w, func() store.Response { return w.direct(label, addr, path, body) })
+			return excludeFromCost(w, func() store.Response { return w.direct(label, addr, path, body) })
 		}, Probe: func(addr string) loss.Word { return w.probe(label, addr) }})
 	s.n.net.Deliver = func(to string, frame []byte) {
 		f := append([]byte(nil), frame...)
-		w.note(label+" to "+to, f)
+		w.addToTrace(label+" to "+to, f)
 		w.cost.frames++
 		w.cost.bytes += len(f)
 		d := w.between(300, 3000)
-		switch w.cut[label+">"+to] {
+		switch w.linkModes[label+">"+to] {
 		case dropping:
 			return
-		case holding:
+		case delaying:
 			d = w.between(loop.Second, 60*loop.Second)
 		}
-		w.at(d, func() { w.frame(to, f) })
+		w.after(d, func() { w.deliverFrame(to, f) })
 	}
 	r.Post(s.n.Start)
 }
 
-// frame delivers a message between controllers.
-func (w *world) frame(to string, f []byte) {
+// deliverFrame delivers a message between controllers.
+func (w *simulation) deliverFrame(to string, f []byte) {
 	s := w.nodes[to]
-	s.enter(s.gen, func() {
+	s.execute(s.incarnation, func() {
 		e := new(peer.Envelope)
 		if err := wire.Unmarshal(f, e); err != nil {
 			w.fail("a frame between controllers cannot be decoded: %v", err)
@@ -491,106 +491,106 @@
 }
 
 // kill crashes a controller, which is back after 2 to 8 s.
-func (w *world) kill(label string) { w.killFor(label, w.between(2*loop.Second, 8*loop.Second)) }
+func (w *simulation) kill(label string) { w.killFor(label, w.between(2*loop.Second, 8*loop.Second)) }
 
 // killFor crashes a controller, which is back after a delay.
-func (w *world) killFor(label string, d loop.Micros) {
+func (w *simulation) killFor(label string, d loop.Micros) {
 	s := w.nodes[label]
 	s.alive = false
-	gen := s.gen
-	w.at(d, func() {
-		if s.gen == gen {
+	gen := s.incarnation
+	w.after(d, func() {
+		if s.incarnation == gen {
 			w.startNode(label)
 		}
 	})
 }
 
 // any picks a controller that accepts requests; nil: the one that was drawn does not.
-func (w *world) any() *Node {
-	if s := w.door(); s != nil {
+func (w *simulation) any() *Node {
+	if s := w.pickNode(); s != nil {
 		return s.n
 	}
 	return nil
 }
 
-// door picks the controller that a user's request is sent to; nil: the one that was drawn does not accept it. A paused
-// controller accepts it, too, and handles it when it resumes.
-func (w *world) door() *simNode {
+// pickNode picks the controller that a user's request is sent to; nil: the one that was drawn does not accept it. A
+// paused controller accepts it, too, and handles it when it resumes.
+func (w *simulation) pickNode() *simNode {
 	l := w.labels[w.rng.IntN(len(w.labels))]
 	s := w.nodes[l]
-	if !s.alive || !s.n.ready() || l == w.shunned {
+	if !s.alive || !s.n.ready() || l == w.unreachableByUsers {
 		return nil
 	}
 	return s
 }
 
 // submit submits a job, again and again until it is accepted.
-func (w *world) submit(j *simJob) {
-	if j.first == 0 {
-		j.first = w.now
+func (w *simulation) submit(j *simJob) {
+	if j.submittedAt == 0 {
+		j.submittedAt = w.now
 	}
-	if s := w.door(); s != nil {
-		s.enter(s.gen, func() {
+	if s := w.pickNode(); s != nil {
+		s.execute(s.incarnation, func() {
 			if j.terms == nil {
-				s.n.jobs.Submit(j.id, j.spec, w.answer(j))
+				s.n.jobs.Submit(j.id, j.spec, w.answerChecker(j))
 			} else {
-				s.n.jobs.Propose(j.id, j.spec, j.terms, w.answer(j))
+				s.n.jobs.Propose(j.id, j.spec, j.terms, w.answerChecker(j))
 			}
 		})
 	}
-	w.at(w.between(2*loop.Second, 4*loop.Second), func() {
+	w.after(w.between(2*loop.Second, 4*loop.Second), func() {
 		if !j.accepted {
 			w.submit(j)
 		}
 	})
 }
 
-// answer returns a callback that checks the answer to a question that is asked now.
-func (w *world) answer(j *simJob) func(job.Answer) {
-	asked, held := w.now, said(w.stored(j.id))
+// answerChecker returns a callback that checks the answer to a question that is asked now.
+func (w *simulation) answerChecker(j *simJob) func(job.Answer) {
+	asked, held := w.now, phaseOrder(w.storedPhase(j.id))
 	return func(a job.Answer) {
-		w.notOutdated(j, held, a)
-		w.told(j, asked, a)
+		w.checkNotOutdated(j, held, a)
+		w.checkAnswer(j, asked, a)
 	}
 }
 
 // pollAt asks a controller about a job.
-func (w *world) pollAt(s *simNode, j *simJob) {
-	reply := w.answer(j)
-	key := unanswered{s.label, j.id}
-	w.asks(key)
-	s.enter(s.gen, func() {
+func (w *simulation) pollAt(s *simNode, j *simJob) {
+	reply := w.answerChecker(j)
+	key := question{s.label, j.id}
+	w.questionAsked(key)
+	s.execute(s.incarnation, func() {
 		s.n.jobs.Poll(j.id, func(a job.Answer) {
-			w.answered(key, a)
+			w.questionAnswered(key, a)
 			reply(a)
 		})
 	})
 }
 
 // poll asks about a job every 2 to 5 s.
-func (w *world) poll(j *simJob) {
-	if s := w.door(); s != nil {
+func (w *simulation) poll(j *simJob) {
+	if s := w.pickNode(); s != nil {
 		w.pollAt(s, j)
 	}
-	w.at(w.between(2*loop.Second, 5*loop.Second), func() { w.poll(j) })
+	w.after(w.between(2*loop.Second, 5*loop.Second), func() { w.poll(j) })
 }
 
-// withdraw cancels a job, again and again until its user is told that it is cancelled or done.
-func (w *world) withdraw(j *simJob) {
-	j.asked = true
-	if j.withdrawn != 0 || j.done {
+// cancel cancels a job, again and again until its user is told that it is cancelled or done.
+func (w *simulation) cancel(j *simJob) {
+	j.cancelRequested = true
+	if j.cancelledAt != 0 || j.done {
 		return
 	}
-	if s := w.door(); s != nil {
-		s.enter(s.gen, func() { s.n.jobs.Withdraw(j.id, w.answer(j)) })
+	if s := w.pickNode(); s != nil {
+		s.execute(s.incarnation, func() { s.n.jobs.Withdraw(j.id, w.answerChecker(j)) })
 	}
-	w.at(2*loop.Second, func() { w.withdraw(j) })
+	w.after(2*loop.Second, func() { w.cancel(j) })
 }
 
-func (w *world) addJob(i int) { w.enter(w.makeJob(i)) }
+func (w *simulation) addJob(i int) { w.simulateUser(w.makeJob(i)) }
 
 // makeJob draws a job.
-func (w *world) makeJob(i int) *simJob {
+func (w *simulation) makeJob(i int) *simJob {
 	r := w.rng
 	s := &job.Spec{Class: "k", Team: []string{"red", "blue"}[r.IntN(2)], Priority: job.Priority(r.IntN(3)), Tasks: 1 + r.IntN(8),
 		CPUs: float64(1 + r.IntN(3)), MemoryGB: 2, Image: "i", ImageGB: 1, AnyType: true, Spot: r.IntN(2) == 0, Estimate: 8 * loop.Second}
@@ -605,22 +605,22 @@
 	return &simJob{id: fmt.Sprintf("job-%06d", i), spec: s, run: w.between(loop.Second, 20*loop.Second), broken: r.IntN(25) == 0}
 }
 
-// enter simulates a job's user, who submits it, polls it and perhaps cancels it.
-func (w *world) enter(j *simJob) {
+// simulateUser simulates a job's user, who submits it, polls it and perhaps cancels it.
+func (w *simulation) simulateUser(j *simJob) {
 	w.jobs[j.id] = j
 	w.submit(j)
-	w.at(3*loop.Second, func() { w.poll(j) })
+	w.after(3*loop.Second, func() { w.poll(j) })
 	if j.broken || w.rng.IntN(8) == 0 {
-		w.at(w.between(2*loop.Second, 30*loop.Second), func() { w.withdraw(j) })
+		w.after(w.between(2*loop.Second, 30*loop.Second), func() { w.cancel(j) })
 	}
 }
 
 // run handles all events up to a time.
-func (w *world) run(until loop.Micros) {
+func (w *simulation) run(until loop.Micros) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
-		e.f()
+		e.callback()
 	}
 	w.now = until
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -28,9 +28,9 @@
 const (
 	maxFrame = 1 << 20
 	maxQueue = 64
-	// flushDelayPerPeer times the number of peers, but at most gatherMost, is for how long additions to a frame are collected.
-	// Each frame wakes up a process, and fifteen controllers have 210 connections. Up to the number of peers at which
-	// gatherMost applies, a controller sends at most 200 frames per second, however many peers it has.
+	// flushDelayPerPeer times the number of peers, but at most gatherMost, is for how long additions to a frame are
+	// collected. Each frame wakes up a process, and fifteen controllers have 210 connections. Up to the number of
+	// peers at which gatherMost applies, a controller sends at most 200 frames per second, however many peers it has.
 	flushDelayPerPeer = 5 * loop.Millisecond
 	maxFlushDelay     = 40 * loop.Millisecond
 )
@@ -64,8 +64,8 @@
 	Earlier func(label string)
 	// Receive is called on the event loop for every frame of a known peer.
 	Receive func(*Envelope)
-	// NewLife is called on the event loop after the first frame of a new incarnation of a peer, which knows nothing of what
-	// was sent to that peer before. It may be nil.
+	// NewLife is called on the event loop after the first frame of a new incarnation of a peer, which knows nothing
+	// of what was sent to that peer before. It may be nil.
 	NewLife func(label string)
 	// Refused is called on the event loop when a peer's machine refuses the connection, which it does while no process
 	// listens there.
@@ -178,8 +178,8 @@
 	}
 }
 
-// connect keeps a connection to a peer and writes queued frames. Frames that cannot be written in time are dropped together
-// with the connection.
+// connect keeps a connection to a peer and writes queued frames. Frames that cannot be written in time are dropped
+// together with the connection.
 func (n *Net) connect(ctx context.Context, l *link) {
 	for ctx.Err() == nil {
 		d := net.Dialer{Timeout: time.Second}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -11,8 +11,8 @@
 	"cleatpick/internal/standin"
 )
 
-// Frames that were delayed on their way arrive after the process that sent them has restarted. They are dropped and counted.
-// A frame of the newest incarnation is never dropped, also if the clock was behind when that started.
+// Frames that were delayed on their way arrive after the process that sent them has restarted. They are dropped and
+// counted. A frame of the newest incarnation is never dropped, also if the clock was behind when that started.
 func TestFramesOfEarlierIncarnationsAreDropped(t *testing.T) {
 	const s = loop.Second
 	n := New(standin.NewStepped(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
