--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -18,8 +18,8 @@
 	Hears  []string `cbor:"5,keyasint"` // peers whose messages arrive; nil from versions that do not send it
 }
 
-// Want is a group of alike tasks for which there is no free capacity, as part of an owner's demand.
-type Want struct {
+// Request is a group of alike tasks for which there is no free capacity, as part of an owner's demand.
+type Request struct {
 	CPUs     float64  `cbor:"1,keyasint"`
 	GPUs     float64  `cbor:"2,keyasint,omitempty"`
 	MemoryGB float64  `cbor:"3,keyasint"`
@@ -49,7 +49,7 @@
 // Tally is an owner's complete demand: all tasks for which there is no free capacity. Each one replaces the one before.
 type Tally struct {
 	Wall    loop.Micros `cbor:"1,keyasint"`
-	Wants   []Want      `cbor:"2,keyasint,omitempty"`
+	Wants   []Request   `cbor:"2,keyasint,omitempty"`
 	Suspect []string    `cbor:"3,keyasint,omitempty"` // machines that have tasks and whose reports do not arrive
 }
 
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -79,7 +79,7 @@
 	zoneMemo   map[string]string
 	nonce      uint64
 	valueLimit int // the most bytes of a segment, as estimated
-	lastWant   []peer.Want
+	lastWant   []peer.Request
 	usage      map[string]peer.Usage
 	pre        preemptor
 	turn       fleet.Turnover
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -20,8 +20,8 @@
 )
 
 // wants gathers the missed requests of all owners that were heard lately.
-func (t *Rental) wants() []peer.Want {
-	var all []peer.Want
+func (t *Rental) wants() []peer.Request {
+	var all []peer.Request
 	now := t.r.Now()
 	for from, y := range loop.Sorted(t.tallies) {
 		if now-t.tallyAt[from] < 4*loop.Second {
@@ -32,14 +32,14 @@
 	return all
 }
 
-func specOf(w *peer.Want) *job.Spec {
+func specOf(w *peer.Request) *job.Spec {
 	return &job.Spec{CPUs: w.CPUs, GPUs: w.GPUs, MemoryGB: w.MemoryGB, Types: w.Types, AnyType: w.AnyType, Zone: w.Zone, Spot: w.Spot,
 		OneZone: w.OneZone, Spread: w.Spread}
 }
 
 // needOf is what placement will ask of machines for a want. Rented anywhere, machines for a job that
 // is bound to a zone came up in another, again and again.
-func needOf(w *peer.Want) *gate.Need {
+func needOf(w *peer.Request) *gate.Need {
 	n := &gate.Need{Spec: specOf(w), Tasks: w.Tasks}
 	if w.OneZone || w.Spread {
 		n.Zones = map[string]int{}
--- a/internal/rental/worth_test.go
+++ b/internal/rental/worth_test.go
@@ -12,7 +12,7 @@
 )
 
 // crowd is more than a machine holds.
-var crowd = []peer.Want{{CPUs: 2, AnyType: true, Spot: true, Count: 8}}
+var crowd = []peer.Request{{CPUs: 2, AnyType: true, Spot: true, Count: 8}}
 
 // A leader once deleted 408 machines of a zone two seconds before its cut was over, while
 // all the rest of the cloud was rented and thousands of tasks waited: what that proved off
@@ -23,7 +23,7 @@
 	for _, c := range []struct {
 		name  string
 		each  int // machines that each offer has
-		wants []peer.Want
+		wants []peer.Request
 		cut   bool         // the zone is, by a peer that is not heard there
 		new   bool         // the leader began after the cut, and never heard these machines
 		runs  job.Priority // of what runs there
@@ -32,9 +32,9 @@
 		{"full, work waits", 6, crowd, true, false, job.Normal, boot},
 		{"full, work waits, a new leader", 6, crowd, true, true, job.Normal, boot},
 		{"full, urgent work is stuck there", 6, crowd, true, false, job.High, 0},
-		{"full, little waits", 6, []peer.Want{{CPUs: 2, AnyType: true, Spot: true, Count: 4}}, true, false, job.Normal, 0},
-		{"full, what waits fits nothing in sight", 6, []peer.Want{{CPUs: 2, AnyType: true, Zone: "y", Count: 80}}, true, false, job.Normal, 0},
-		{"full, what waits fits no machine", 6, []peer.Want{{CPUs: 9, AnyType: true, Spot: true, Count: 80}}, true, false, job.Normal, 0},
+		{"full, little waits", 6, []peer.Request{{CPUs: 2, AnyType: true, Spot: true, Count: 4}}, true, false, job.Normal, 0},
+		{"full, what waits fits nothing in sight", 6, []peer.Request{{CPUs: 2, AnyType: true, Zone: "y", Count: 80}}, true, false, job.Normal, 0},
+		{"full, what waits fits no machine", 6, []peer.Request{{CPUs: 9, AnyType: true, Spot: true, Count: 80}}, true, false, job.Normal, 0},
 		{"room elsewhere", 4000, crowd, true, false, job.Normal, 0},
 		{"no cut", 6, crowd, false, false, job.Normal, 0},
 	} {
@@ -44,7 +44,7 @@
 			g.jobs = map[string]*job.Job{"j": {ID: "j", Phase: job.Accepted, Spec: &job.Spec{CPUs: 1, Priority: c.runs}}}
 			g.runs = []agent.Task{{Task: "j/0", Attempt: 1, State: wire.TaskRunning}}
 			names := g.cloud.Fill(6) // in x, then in y
-			step := func(y bool, wants []peer.Want) {
+			step := func(y bool, wants []peer.Request) {
 				for i, name := range names {
 					if zone := []string{"x", "y"}[i/6]; zone == "x" || y {
 						g.hear(name, zone)
