--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -177,7 +177,7 @@
 		Stop: func(host string, s agent.Stop) {
 			n.dispatch(host, func() { n.agent.Stop(s) }, func(e *peer.Envelope) { e.Stops = append(e.Stops, s) })
 		},
-		Tally: func(t peer.Tally) {
+		Tally: func(t peer.Demand) {
 			o, ok := n.member.Leader()
 			if !ok {
 				return
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -46,8 +46,8 @@
 	Tasks int
 }
 
-// Tally is an owner's complete demand: all tasks for which there is no free capacity. Each one replaces the one before.
-type Tally struct {
+// Demand is an owner's complete demand: all tasks for which there is no free capacity. Each one replaces the one before.
+type Demand struct {
 	Wall    loop.Micros `cbor:"1,keyasint"`
 	Wants   []Request   `cbor:"2,keyasint,omitempty"`
 	Suspect []string    `cbor:"3,keyasint,omitempty"` // machines that have tasks and whose reports do not arrive
@@ -114,7 +114,7 @@
 	Starts    []agent.Start `cbor:"4,keyasint,omitempty"`
 	Stops     []agent.Stop  `cbor:"5,keyasint,omitempty"`
 	Drops     []agent.Drop  `cbor:"6,keyasint,omitempty"`
-	Tally     *Tally        `cbor:"7,keyasint,omitempty"`
+	Tally     *Demand       `cbor:"7,keyasint,omitempty"`
 	Closes    []Close       `cbor:"8,keyasint,omitempty"`
 	Progress  []Progress    `cbor:"9,keyasint,omitempty"`
 	Usage     []Usage       `cbor:"10,keyasint,omitempty"`
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -38,7 +38,7 @@
 	writes   int
 	txns     int
 	starts   []agent.Start
-	tally    peer.Tally
+	tally    peer.Demand
 	seq      uint64
 	onStop   func(agent.Stop) // may be nil
 }
@@ -85,7 +85,7 @@
 		},
 		Check:   func(string, string) {},
 		Reserve: func(string, agent.Start) {},
-		Tally:   func(t peer.Tally) { g.tally = t },
+		Tally:   func(t peer.Demand) { g.tally = t },
 		Tell:    func([]peer.Progress) {},
 		Usage:   func([]peer.Usage) {},
 		Claims:  func([]peer.Claim) {},
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -32,7 +32,7 @@
 	// Reserve tells the host of a choice that is still being recorded.
 	Reserve func(host string, s agent.Start)
 	// Tally hands the list of misses to the leader.
-	Tally func(peer.Tally)
+	Tally func(peer.Demand)
 	// Tell hands the counts of owned jobs to the peers.
 	Tell func([]peer.Progress)
 	// Usage hands the owned teams' use to the peers.
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -107,7 +107,7 @@
 	byName   map[string]wire.MachineType
 	machines map[string]*machine
 	orders   map[string]*order
-	tallies  map[string]peer.Tally
+	tallies  map[string]peer.Demand
 	tallyAt  map[string]loop.Micros
 	offers   map[offer]*backoff
 	seq      int
@@ -137,7 +137,7 @@
 // New makes the rental slice.
 func New(r loop.Runner, log *slog.Logger, cfg *config.Config, c *store.Client, m *store.Mirror, cloud store.Doer, a *agent.Agent, n Node) *Rental {
 	t := &Rental{r: r, log: log, cfg: cfg, c: c, m: m, cloud: cloud, agent: a, n: n, byName: map[string]wire.MachineType{}, rand: loop.Rand(r),
-		tallies: map[string]peer.Tally{}, darkAt: map[string]loop.Micros{}, tallyAt: map[string]loop.Micros{}, deleted: map[string][]string{}, boots: explain.NewDist()}
+		tallies: map[string]peer.Demand{}, darkAt: map[string]loop.Micros{}, tallyAt: map[string]loop.Micros{}, deleted: map[string][]string{}, boots: explain.NewDist()}
 	w := cfg.Cluster.Workers
 	t.losses = loss.New(loss.Rules{Report: loop.Seconds(w.ReportS), Lease: loop.Seconds(w.LeaseS), Out: outOfSight,
 		Most: loop.Seconds(cfg.Operator.SilentDeleteS), Probes: max(min(64, cfg.Cluster.Limits.MaxSockets/20), 4)}, log, n.Meter, t.probe)
@@ -225,7 +225,7 @@
 }
 
 // Tally takes in an owner's list of misses.
-func (t *Rental) Tally(from string, y peer.Tally) {
+func (t *Rental) Tally(from string, y peer.Demand) {
 	old := t.tallies[from]
 	off := t.cfg.ClockDifference() + 5*loop.Second
 	if y.Wall <= old.Wall || t.r.Wall()-y.Wall > off {
