--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -48,9 +48,9 @@
 
 // Demand is an owner's complete demand: all tasks for which there is no free capacity. Each one replaces the one before.
 type Demand struct {
-	Wall    loop.Micros `cbor:"1,keyasint"`
-	Wants   []Request   `cbor:"2,keyasint,omitempty"`
-	Suspect []string    `cbor:"3,keyasint,omitempty"` // machines that have tasks and whose reports do not arrive
+	Wall     loop.Micros `cbor:"1,keyasint"`
+	Requests []Request   `cbor:"2,keyasint,omitempty"`
+	Suspect  []string    `cbor:"3,keyasint,omitempty"` // machines that have tasks and whose reports do not arrive
 }
 
 // Progress is what an owner reports about a job, for display only.
--- a/internal/placer/image_test.go
+++ b/internal/placer/image_test.go
@@ -62,7 +62,7 @@
 			if c.claims > 0 && len(g.starts) > 0 {
 				t.Fatalf("%d tasks went elsewhere meanwhile", len(g.starts))
 			}
-			for _, w := range g.tally.Wants {
+			for _, w := range g.tally.Requests {
 				if w.Priority == int(job.High) {
 					t.Errorf("%d urgent tasks are told as missing room", w.Count)
 				}
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -146,7 +146,7 @@
 }
 
 func (p *Placer) sendTally() {
-	t := peer.Demand{Wall: p.r.Wall(), Wants: p.lastWant}
+	t := peer.Demand{Wall: p.r.Wall(), Requests: p.lastWant}
 	now := p.r.Now()
 	for m := range p.on {
 		if sl := p.fleet.Slot(m); sl == nil || now-sl.Heard > p.staleAfter() {
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -25,7 +25,7 @@
 	now := t.r.Now()
 	for from, y := range loop.Sorted(t.tallies) {
 		if now-t.tallyAt[from] < 4*loop.Second {
-			all = append(all, y.Wants...)
+			all = append(all, y.Requests...)
 		}
 	}
 	sort.SliceStable(all, func(i, j int) bool { return all[i].Priority > all[j].Priority })
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -130,7 +130,7 @@
 func TestStockoutBacksOffAndOrdersOnce(t *testing.T) {
 	g := newRig(t, 0)
 	tally := func() {
-		g.t.Tally("b", peer.Demand{Wall: g.Now(), Wants: []peer.Request{{CPUs: 2, MemoryGB: 1, AnyType: true, Spot: true, Count: 8}}})
+		g.t.Tally("b", peer.Demand{Wall: g.Now(), Requests: []peer.Request{{CPUs: 2, MemoryGB: 1, AnyType: true, Spot: true, Count: 8}}})
 	}
 	for range 60 {
 		tally()
@@ -257,7 +257,7 @@
 		}
 		for range 6 {
 			hear(10, 20)
-			g.t.Tally("b", peer.Demand{Wall: g.Now(), Wants: []peer.Request{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 10}}})
+			g.t.Tally("b", peer.Demand{Wall: g.Now(), Requests: []peer.Request{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 10}}})
 			g.Run(500 * loop.Millisecond)
 		}
 		if rented := len(g.ups) > 0; rented != c.want {
@@ -306,7 +306,7 @@
 		if k < 600 {
 			g.hear(name, "x") // for 60 s; until then there is nothing to rent beside it
 		}
-		g.t.Tally("b", peer.Demand{Wall: g.Now(), Wants: []peer.Request{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 1}}})
+		g.t.Tally("b", peer.Demand{Wall: g.Now(), Requests: []peer.Request{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 1}}})
 		g.Run(100 * loop.Millisecond)
 		if gone == 0 && len(g.deleted) > 0 {
 			gone = g.Now()
--- a/internal/rental/worth_test.go
+++ b/internal/rental/worth_test.go
@@ -50,7 +50,7 @@
 						g.hear(name, zone)
 					}
 				}
-				tally := peer.Demand{Wall: g.Now(), Wants: wants}
+				tally := peer.Demand{Wall: g.Now(), Requests: wants}
 				if c.new {
 					tally.Suspect = names[6:] // named by an owner before the cloud lists them
 				}
@@ -102,7 +102,7 @@
 		for i, name := range names[:n] {
 			g.hear(name, []string{"x", "y"}[i/6])
 		}
-		g.t.Tally("b", peer.Demand{Wall: g.Now(), Wants: crowd})
+		g.t.Tally("b", peer.Demand{Wall: g.Now(), Requests: crowd})
 		g.Run(200 * loop.Millisecond)
 	}
 	for range 100 {
