--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -32,15 +32,15 @@
 	Run      int64    `cbor:"10,keyasint"` // expected run time of one task
 	// OneZone and Spread bind the tasks to zones, as in the job's spec. Only if one of them is set, Tasks is the
 	// number of tasks of the job, and In how many of them may already be on machines of each zone.
-	OneZone bool     `cbor:"11,keyasint,omitempty"`
-	Spread  bool     `cbor:"12,keyasint,omitempty"`
-	Tasks   int      `cbor:"13,keyasint,omitempty"`
-	In      []InZone `cbor:"14,keyasint,omitempty"`
+	OneZone bool        `cbor:"11,keyasint,omitempty"`
+	Spread  bool        `cbor:"12,keyasint,omitempty"`
+	Tasks   int         `cbor:"13,keyasint,omitempty"`
+	In      []ZoneTasks `cbor:"14,keyasint,omitempty"`
 }
 
-// InZone is the number of tasks of a job that may be on machines of a zone. A list of these, sorted by zone, is used
+// ZoneTasks is the number of tasks of a job that may be on machines of a zone. A list of these, sorted by zone, is used
 // instead of a map so that the same message is always encoded to the same bytes.
-type InZone struct {
+type ZoneTasks struct {
 	_     struct{} `cbor:",toarray"`
 	Zone  string
 	Tasks int
