--- a/internal/fleet/claims.go
+++ b/internal/fleet/claims.go
@@ -16,7 +16,7 @@
 
 // AddClaim keeps room on a machine for a job. Where the machine was not heard yet, nothing is placed on
 // it, and the claim counts from when it is.
-func (f *Fleet) AddClaim(c peer.Claim) {
+func (f *Fleet) AddClaim(c peer.Reservation) {
 	sl := f.slots[c.Machine]
 	if sl == nil {
 		if len(f.early) < mostEarly {
@@ -32,8 +32,8 @@
 
 // claimEarly keeps the room on a machine for which claims came before it was heard.
 func (f *Fleet) claimEarly(machine string) {
-	var here []peer.Claim
-	f.early = slices.DeleteFunc(f.early, func(c peer.Claim) bool {
+	var here []peer.Reservation
+	f.early = slices.DeleteFunc(f.early, func(c peer.Reservation) bool {
 		if c.Machine == machine {
 			here = append(here, c)
 		}
@@ -47,15 +47,15 @@
 }
 
 // ClaimsOf lists the claims in force of the jobs for which own is true, for a peer that does not know them.
-func (f *Fleet) ClaimsOf(own func(job string) bool) (claims []peer.Claim) {
+func (f *Fleet) ClaimsOf(own func(job string) bool) (claims []peer.Reservation) {
 	for sl := range f.claimed {
 		for _, c := range sl.Claims {
 			if own(c.Job) {
-				claims = append(claims, peer.Claim{Machine: sl.V.Name, Job: c.Job, Priority: c.Priority, CPUs: c.Room.CPUs, GPUs: c.Room.GPUs, MemoryGB: c.Room.MemoryGB, Until: c.Until})
+				claims = append(claims, peer.Reservation{Machine: sl.V.Name, Job: c.Job, Priority: c.Priority, CPUs: c.Room.CPUs, GPUs: c.Room.GPUs, MemoryGB: c.Room.MemoryGB, Until: c.Until})
 			}
 		}
 	}
-	slices.SortStableFunc(claims, func(a, b peer.Claim) int {
+	slices.SortStableFunc(claims, func(a, b peer.Reservation) int {
 		return cmp.Or(strings.Compare(a.Machine, b.Machine), strings.Compare(a.Job, b.Job), cmp.Compare(a.Until, b.Until))
 	})
 	return claims
@@ -132,7 +132,7 @@
 // ExpireClaims ends the claims whose time is up.
 func (f *Fleet) ExpireClaims() {
 	wall := f.r.Wall()
-	f.early = slices.DeleteFunc(f.early, func(c peer.Claim) bool { return wall >= c.Until })
+	f.early = slices.DeleteFunc(f.early, func(c peer.Reservation) bool { return wall >= c.Until })
 	for sl := range f.claimed {
 		for i := len(sl.Claims) - 1; i >= 0; i-- {
 			if wall >= sl.Claims[i].Until {
--- a/internal/fleet/claims_test.go
+++ b/internal/fleet/claims_test.go
@@ -30,9 +30,9 @@
 	owner.View(machine("n-2"), clock.Now(), false)
 	until := clock.Wall() + 20*loop.Second
 	for _, name := range []string{"n-1", "n-2", "n-2"} {
-		owner.AddClaim(peer.Claim{Machine: name, Job: "job-1", Priority: 3, CPUs: 4, MemoryGB: 2, Until: until})
+		owner.AddClaim(peer.Reservation{Machine: name, Job: "job-1", Priority: 3, CPUs: 4, MemoryGB: 2, Until: until})
 	}
-	owner.AddClaim(peer.Claim{Machine: "n-1", Job: "job-2", Priority: 3, CPUs: 1, Until: until})
+	owner.AddClaim(peer.Reservation{Machine: "n-1", Job: "job-2", Priority: 3, CPUs: 1, Until: until})
 	owned := owner.ClaimsOf(func(job string) bool { return job == "job-1" })
 	if len(owned) != 3 {
 		t.Fatalf("%d claims of job-1 are told, want 3: %+v", len(owned), owned)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -65,7 +65,7 @@
 	cordons uint64             // the version by which the slots were judged
 	claimed map[*Slot]struct{} // machines with claims
 	held    map[string]int     // claims by job
-	early   []peer.Claim       // on machines that were not heard yet
+	early   []peer.Reservation // on machines that were not heard yet
 	scratch []victim
 	stops   teamCPUs // stopped for one task, by team
 	free    []*Slot
--- a/internal/fleet/hold.go
+++ b/internal/fleet/hold.go
@@ -20,7 +20,7 @@
 // else's tasks take it. What is kept on a machine already is left of it, and small claims share one:
 // each on a machine of its own, they once left none for tasks as large as a machine, nor for gangs.
 // For a gang all is held or nothing, since a part of it is of no use.
-func (f *Fleet) Hold(need *gate.Need, want int, life loop.Micros) (claims []peer.Claim) {
+func (f *Fleet) Hold(need *gate.Need, want int, life loop.Micros) (claims []peer.Reservation) {
 	n := *need
 	if n.Zones = maps.Clone(need.Zones); n.Zones == nil {
 		n.Zones = map[string]int{}
@@ -67,7 +67,7 @@
 		for len(claims) < want && room.Fits(s) && sl.Allowed(&n) {
 			room.Take(s)
 			n.Zones[sl.V.Zone]++
-			c := peer.Claim{Machine: sl.V.Name, Job: need.ID, Priority: int(job.Production), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Until: f.r.Wall() + life}
+			c := peer.Reservation{Machine: sl.V.Name, Job: need.ID, Priority: int(job.Production), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Until: f.r.Wall() + life}
 			claims = append(claims, c)
 		}
 		if len(claims) == want {
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -86,14 +86,14 @@
 
 // Preempt makes room for the waiting tasks of a job that found none, and tells where: a
 // claim for each.
-func (f *Fleet) Preempt(need *gate.Need, want int, by Right) (claims []peer.Claim) {
+func (f *Fleet) Preempt(need *gate.Need, want int, by Right) (claims []peer.Reservation) {
 	return f.preempt(need, want, &by, math.Inf(1), claimLife, func(*Slot) bool { return true })
 }
 
 // PreemptAtImage makes room for an urgent job's tasks on machines that have its image,
 // though others have room: there the tasks would wait for the fetch. It stops only work
 // of which it loses less than the fetch would cost, so that nothing is wasted by it.
-func (f *Fleet) PreemptAtImage(need *gate.Need, want int, by Right) []peer.Claim {
+func (f *Fleet) PreemptAtImage(need *gate.Need, want int, by Right) []peer.Reservation {
 	rate := math.Inf(1)
 	for _, sl := range f.order {
 		if sl.typ.FetchGBs > 0 {
@@ -126,7 +126,7 @@
 // preempt goes through the machines that are of use once, until there is enough to choose
 // from; only the one that was chosen is looked at again. Each claim costs at most so many
 // CPU seconds.
-func (f *Fleet) preempt(need *gate.Need, want int, by *Right, most float64, life loop.Micros, of func(*Slot) bool) (claims []peer.Claim) {
+func (f *Fleet) preempt(need *gate.Need, want int, by *Right, most float64, life loop.Micros, of func(*Slot) bool) (claims []peer.Reservation) {
 	s := need.Spec
 	now := f.r.Now()
 	after := now - f.n.StaleAfter
@@ -171,7 +171,7 @@
 		}
 		o.sl.Room.Take(s)
 		f.Touch(o.sl)
-		c := peer.Claim{Machine: o.sl.V.Name, Job: need.ID, Priority: int(claimPriority), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB,
+		c := peer.Reservation{Machine: o.sl.V.Name, Job: need.ID, Priority: int(claimPriority), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB,
 			Until: f.r.Wall() + wait + life}
 		for _, y := range o.set {
 			c.Victims = append(c.Victims, y.task.Task)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -195,7 +195,7 @@
 			n.placer.Learn(u)
 			n.net.All(func(e *peer.Envelope) { e.Usage = u })
 		},
-		Claims: func(c []peer.Claim) {
+		Claims: func(c []peer.Reservation) {
 			n.net.All(func(e *peer.Envelope) { e.Claims = append(e.Claims, c...) })
 		},
 	}, n.jobs, n.agent, n.cordons)
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -93,8 +93,8 @@
 	Until   loop.Micros `cbor:"2,keyasint"`
 }
 
-// Claim is a reservation: it keeps capacity on a machine for a job for which tasks were preempted.
-type Claim struct {
+// Reservation is a reservation: it keeps capacity on a machine for a job for which tasks were preempted.
+type Reservation struct {
 	Machine  string      `cbor:"1,keyasint"`
 	Job      string      `cbor:"2,keyasint"`
 	Priority int         `cbor:"3,keyasint"`
@@ -118,7 +118,7 @@
 	Closes    []Close       `cbor:"8,keyasint,omitempty"`
 	Progress  []Progress    `cbor:"9,keyasint,omitempty"`
 	Usage     []Usage       `cbor:"10,keyasint,omitempty"`
-	Claims    []Claim       `cbor:"11,keyasint,omitempty"`
+	Claims    []Reservation `cbor:"11,keyasint,omitempty"`
 	Reserves  []agent.Start `cbor:"12,keyasint,omitempty"`
 	Checks    []string      `cbor:"13,keyasint,omitempty"`
 	Questions []Question    `cbor:"14,keyasint,omitempty"`
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -298,7 +298,7 @@
 const mostStopped = 64
 
 // stoppedFor remembers for which job a task of this owner was stopped.
-func (p *Placer) stoppedFor(c peer.Claim) {
+func (p *Placer) stoppedFor(c peer.Reservation) {
 	for _, name := range c.Victims {
 		id, _, ok := agent.SplitTask(name)
 		j := p.registry.Get(id)
--- a/internal/placer/guarantee_test.go
+++ b/internal/placer/guarantee_test.go
@@ -157,7 +157,7 @@
 	g.show("n-001", "m8", "x", false)
 	g.Run(loop.Second)
 	for _, id := range []string{mine, theirs} {
-		g.p.fleet.AddClaim(peer.Claim{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
+		g.p.fleet.AddClaim(peer.Reservation{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
 	}
 	if got := g.p.ClaimsInForce(); len(got) != 1 || got[0].Job != mine || got[0].CPUs != 2 {
 		t.Errorf("claims %+v, want the one of %s", got, mine)
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -88,7 +88,7 @@
 		Tally:   func(t peer.Demand) { g.tally = t },
 		Tell:    func([]peer.Progress) {},
 		Usage:   func([]peer.Usage) {},
-		Claims:  func([]peer.Claim) {},
+		Claims:  func([]peer.Reservation) {},
 	}, g.registry, g.a, cordon.NewBook(g, c, g.mirror, log, 0))
 	g.registry.OnJob = g.p.Job
 	for _, t := range teams {
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -38,7 +38,7 @@
 	// Usage hands the owned teams' use to the peers.
 	Usage func([]peer.Usage)
 	// Claims hands the peers the room that is kept for preempting jobs.
-	Claims func([]peer.Claim)
+	Claims func([]peer.Reservation)
 	// Tells tells whether causes of waits are followed and told; Meter counts what is
 	// done, and may be nil.
 	Tells bool
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -13,7 +13,7 @@
 // preemptor remembers what was stopped for whom.
 type preemptor struct {
 	nextRun loop.Micros
-	news    []peer.Claim
+	news    []peer.Reservation
 }
 
 // withinPatience is how long work within a guarantee waits for turnover before others
@@ -25,7 +25,7 @@
 const rentPatience = 1.0
 
 // LearnClaims takes in what other owners stopped tasks for.
-func (p *Placer) LearnClaims(cs []peer.Claim) {
+func (p *Placer) LearnClaims(cs []peer.Reservation) {
 	for _, c := range cs {
 		p.fleet.AddClaim(c)
 		p.stoppedFor(c)
@@ -33,7 +33,7 @@
 }
 
 // ClaimsInForce are the claims of the jobs that are owned here, for a peer that does not know them.
-func (p *Placer) ClaimsInForce() []peer.Claim {
+func (p *Placer) ClaimsInForce() []peer.Reservation {
 	return p.fleet.ClaimsOf(func(id string) bool {
 		j := p.registry.Get(id)
 		if j == nil || j.Spec == nil {
@@ -45,7 +45,7 @@
 }
 
 // claimed keeps what room was made in mind, and has it told to the other owners.
-func (p *Placer) claimed(cs []peer.Claim) {
+func (p *Placer) claimed(cs []peer.Reservation) {
 	for i := range cs {
 		p.n.Meter.Preempted(len(cs[i].Victims))
 		if p.n.Tells {
--- a/internal/placer/preempt_test.go
+++ b/internal/placer/preempt_test.go
@@ -32,7 +32,7 @@
 	f := &stopFleet{rig: newRig(1000, teams...), t: t, teams: teams, specs: map[string]*job.Spec{}, machines: map[string][]agent.Task{},
 		stopped: map[string]int{}, turns: map[[2]string][]string{}}
 	f.p.n.Tells = true
-	f.p.n.Claims = func(claims []peer.Claim) {
+	f.p.n.Claims = func(claims []peer.Reservation) {
 		for i := range claims {
 			f.judge(&claims[i])
 		}
@@ -98,7 +98,7 @@
 }
 
 // judge applies the rules of preemption to what was stopped for one task, all of it together.
-func (f *stopFleet) judge(claim *peer.Claim) {
+func (f *stopFleet) judge(claim *peer.Reservation) {
 	claimant := f.specs[claim.Job]
 	uses := f.uses()
 	freed := map[string]float64{}
--- a/internal/placer/quota_test.go
+++ b/internal/placer/quota_test.go
@@ -75,8 +75,8 @@
 			}
 
 			g = newRig(100, red, blue)
-			var claims []peer.Claim
-			g.p.n.Claims = func(cs []peer.Claim) { claims = append(claims, cs...) }
+			var claims []peer.Reservation
+			g.p.n.Claims = func(cs []peer.Reservation) { claims = append(claims, cs...) }
 			g.showRunning(machines...)
 			other := spec
 			other.Team, other.Tasks = "blue", 48
--- a/internal/placer/starvation_test.go
+++ b/internal/placer/starvation_test.go
@@ -69,10 +69,10 @@
 		t.Errorf("begun %v after %d us, %d still held", began(), g.Now()-accepted, g.p.fleet.Held(whole))
 	}
 	// As at another owner: told of a claim, it sees the task come, or the job end.
-	claim := peer.Claim{Machine: "n-001", Job: small, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second}
+	claim := peer.Reservation{Machine: "n-001", Job: small, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second}
 	g.show("n-001", "m8", "x", false)
 	g.Run(loop.Second)
-	g.p.LearnClaims([]peer.Claim{claim, claim})
+	g.p.LearnClaims([]peer.Reservation{claim, claim})
 	g.show("n-001", "m8", "x", false, agent.Task{Task: small + "/8999", Attempt: 1, State: wire.TaskRunning})
 	g.p.fleet.Refresh()
 	if n := g.p.fleet.Held(small); n != 1 {
--- a/internal/placer/turns_test.go
+++ b/internal/placer/turns_test.go
@@ -143,6 +143,6 @@
 		if want := 8 - held; right.ShareTasks != want || right.RoomTasks != want || right.Share != (want > 0) {
 			t.Errorf("with room for %d tasks being made: share %v of %d, room of %d, want %d", held, right.Share, right.ShareTasks, right.RoomTasks, want)
 		}
-		g.p.fleet.AddClaim(peer.Claim{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
+		g.p.fleet.AddClaim(peer.Reservation{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
 	}
 }
