--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -200,7 +200,7 @@
 		},
 	}, n.jobs, n.agent, n.cordons)
 	n.rental = rental.New(l, log, cfg, n.client, n.mirror, out.Cloud, n.agent, rental.Node{
-		Close: func(host string, c peer.Close) {
+		Close: func(host string, c peer.StartBlock) {
 			n.dispatch(host, func() { n.agent.Close(c.Machine, c.Until) }, func(e *peer.Envelope) { e.Closes = append(e.Closes, c) })
 		},
 		Unheard: func(zone string) bool {
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -87,8 +87,8 @@
 	GPUs float64 `cbor:"3,keyasint"`
 }
 
-// Close asks a machine's host controller to start nothing on the machine until a wall clock time.
-type Close struct {
+// StartBlock asks a machine's host controller to start nothing on the machine until a wall clock time.
+type StartBlock struct {
 	Machine string      `cbor:"1,keyasint"`
 	Until   loop.Micros `cbor:"2,keyasint"`
 }
@@ -115,7 +115,7 @@
 	Stops     []agent.Stop  `cbor:"5,keyasint,omitempty"`
 	Drops     []agent.Drop  `cbor:"6,keyasint,omitempty"`
 	Tally     *Demand       `cbor:"7,keyasint,omitempty"`
-	Closes    []Close       `cbor:"8,keyasint,omitempty"`
+	Closes    []StartBlock  `cbor:"8,keyasint,omitempty"`
 	Progress  []Progress    `cbor:"9,keyasint,omitempty"`
 	Usage     []Usage       `cbor:"10,keyasint,omitempty"`
 	Claims    []Reservation `cbor:"11,keyasint,omitempty"`
--- a/internal/rental/machine.go
+++ b/internal/rental/machine.go
@@ -248,7 +248,7 @@
 	}
 	if now-m.asked > loop.Second {
 		m.asked = now
-		t.n.Close(v.Host, peer.Close{Machine: m.name, Until: t.r.Wall() + 12*loop.Second})
+		t.n.Close(v.Host, peer.StartBlock{Machine: m.name, Until: t.r.Wall() + 12*loop.Second})
 	}
 	if v.Closed && empty(v) && now-m.heard < 2*loop.Seconds(t.cfg.Cluster.Workers.ReportS)+2*loop.Second {
 		t.setState(m, Deleting, m.why)
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -73,7 +73,7 @@
 // Node is what this slice needs of the node around it.
 type Node struct {
 	// Close asks a machine's host to keep starts off it.
-	Close func(host string, c peer.Close)
+	Close func(host string, c peer.StartBlock)
 	// Unheard tells whether a peer in this zone was not heard lately: it may go on
 	// answering workers that nobody else can see.
 	Unheard func(zone string) bool
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -59,7 +59,7 @@
 	g.cloud.Up = func(l wire.Listed) { g.ups = append(g.ups, l) }
 	g.cloud.Gone = func(name string) { g.deleted = append(g.deleted, name) }
 	g.a = agent.New(g, log, agent.Host{Label: "a", Job: func(id string) *job.Job { return g.jobs[id] }, Changed: func(v *agent.View, _ *agent.Changes) { g.t.View(v) }}, nil)
-	g.t = New(g, log, cfg, c, m, g, g.a, Node{Close: func(string, peer.Close) {},
+	g.t = New(g, log, cfg, c, m, g, g.a, Node{Close: func(string, peer.StartBlock) {},
 		Unheard: func(z string) bool { return g.unheard || z == g.dark }, Entitled: func() bool { return g.entitled }, Isolated: func() bool { return g.isolated },
 		Faulty: func(string) bool { return false }, Probe: func(addr string) loss.Word { return cmp.Or(g.words[addr], g.word) }})
 	m.Start()
@@ -159,8 +159,8 @@
 // An empty machine goes back after its standby, and only after its host closed it.
 func TestIdleMachineIsClosedThenDeleted(t *testing.T) {
 	g := newRig(t, 4)
-	var closed []peer.Close
-	g.t.n.Close = func(_ string, c peer.Close) { closed = append(closed, c) }
+	var closed []peer.StartBlock
+	g.t.n.Close = func(_ string, c peer.StartBlock) { closed = append(closed, c) }
 	g.Run(3 * loop.Second)
 	seen := false
 	for range 4000 {
--- a/internal/rental/spare.go
+++ b/internal/rental/spare.go
@@ -76,7 +76,7 @@
 			free += x.free + x.used
 			x.m.spareTo = 0
 			t.setState(x.m, Up, "needed again")
-			t.n.Close(x.v.Host, peer.Close{Machine: x.m.name})
+			t.n.Close(x.v.Host, peer.StartBlock{Machine: x.m.name})
 		}
 	}
 	for _, x := range all {
