--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -182,7 +182,7 @@
 			if !ok {
 				return
 			}
-			n.dispatch(o.Node, func() { n.rental.Tally(cfg.Label, t) }, func(e *peer.Envelope) { e.Tally = &t })
+			n.dispatch(o.Node, func() { n.rental.Tally(cfg.Label, t) }, func(e *peer.Envelope) { e.Demand = &t })
 		},
 		Tells:      cfg.Operator.API.Enabled,
 		Meter:      n.meter,
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -37,8 +37,8 @@
 	for _, d := range e.Drops {
 		n.placer.Drop(e.From, d)
 	}
-	if e.Tally != nil {
-		n.rental.Tally(e.From, *e.Tally)
+	if e.Demand != nil {
+		n.rental.Tally(e.From, *e.Demand)
 	}
 	for _, p := range e.Progress {
 		if j := n.jobs.Get(p.Job); j == nil || !j.Final() {
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -114,7 +114,7 @@
 	Starts    []agent.Start `cbor:"4,keyasint,omitempty"`
 	Stops     []agent.Stop  `cbor:"5,keyasint,omitempty"`
 	Drops     []agent.Drop  `cbor:"6,keyasint,omitempty"`
-	Tally     *Demand       `cbor:"7,keyasint,omitempty"`
+	Demand    *Demand       `cbor:"7,keyasint,omitempty"`
 	Closes    []StartBlock  `cbor:"8,keyasint,omitempty"`
 	Progress  []Progress    `cbor:"9,keyasint,omitempty"`
 	Usage     []Usage       `cbor:"10,keyasint,omitempty"`
