--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -196,7 +196,7 @@
 			n.net.All(func(e *peer.Envelope) { e.Usage = u })
 		},
 		Claims: func(c []peer.Reservation) {
-			n.net.All(func(e *peer.Envelope) { e.Claims = append(e.Claims, c...) })
+			n.net.All(func(e *peer.Envelope) { e.Reservations = append(e.Reservations, c...) })
 		},
 	}, n.jobs, n.agent, n.cordons)
 	n.rental = rental.New(l, log, cfg, n.client, n.mirror, out.Cloud, n.agent, rental.Node{
@@ -244,7 +244,7 @@
 	n.net.Receive = n.receive
 	n.net.NewLife = func(label string) {
 		if claims := n.placer.ClaimsInForce(); len(claims) > 0 {
-			n.net.To(label, func(e *peer.Envelope) { e.Claims = append(e.Claims, claims...) })
+			n.net.To(label, func(e *peer.Envelope) { e.Reservations = append(e.Reservations, claims...) })
 		}
 	}
 	n.net.Up = func(label string) {
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -51,7 +51,7 @@
 	}
 	n.jobs.LearnPlaces(e.Places)
 	n.placer.Learn(e.Usage)
-	n.placer.LearnClaims(e.Claims)
+	n.placer.LearnClaims(e.Reservations)
 }
 
 // applyDeltas applies the incremental changes of machines that a peer sent, and requests the full view of each
