--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -201,7 +201,7 @@
 	}, n.jobs, n.agent, n.cordons)
 	n.rental = rental.New(l, log, cfg, n.client, n.mirror, out.Cloud, n.agent, rental.Node{
 		Close: func(host string, c peer.StartBlock) {
-			n.dispatch(host, func() { n.agent.Close(c.Machine, c.Until) }, func(e *peer.Envelope) { e.Closes = append(e.Closes, c) })
+			n.dispatch(host, func() { n.agent.Close(c.Machine, c.Until) }, func(e *peer.Envelope) { e.StartBlocks = append(e.StartBlocks, c) })
 		},
 		Unheard: func(zone string) bool {
 			for _, p := range cfg.Known {
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -19,7 +19,7 @@
 		}
 	}
 	n.applyDeltas(e)
-	for _, c := range e.Closes {
+	for _, c := range e.StartBlocks {
 		n.agent.Close(c.Machine, c.Until)
 	}
 	for _, s := range e.Stops {
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -115,7 +115,7 @@
 	Stops        []agent.Stop  `cbor:"5,keyasint,omitempty"`
 	Drops        []agent.Drop  `cbor:"6,keyasint,omitempty"`
 	Demand       *Demand       `cbor:"7,keyasint,omitempty"`
-	Closes       []StartBlock  `cbor:"8,keyasint,omitempty"`
+	StartBlocks  []StartBlock  `cbor:"8,keyasint,omitempty"`
 	Progress     []Progress    `cbor:"9,keyasint,omitempty"`
 	Usage        []Usage       `cbor:"10,keyasint,omitempty"`
 	Reservations []Reservation `cbor:"11,keyasint,omitempty"`
