--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -64,9 +64,9 @@
 		}
 	}
 	if len(lost) > 0 {
-		n.net.To(e.From, func(o *peer.Envelope) { o.Lost = append(o.Lost, lost...) })
+		n.net.To(e.From, func(o *peer.Envelope) { o.MissingViews = append(o.MissingViews, lost...) })
 	}
-	if views := n.agent.Full(e.Lost); len(views) > 0 {
+	if views := n.agent.Full(e.MissingViews); len(views) > 0 {
 		n.net.To(e.From, func(o *peer.Envelope) { o.Views = append(o.Views, views...) })
 	}
 }
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -125,8 +125,8 @@
 	Replies      []Reply       `cbor:"15,keyasint,omitempty"`
 	// Deltas are views of machines as differences from views that were sent before. Lost names machines of the receiver
 	// whose full views the sender needs because it cannot apply a delta.
-	Deltas []*agent.Delta `cbor:"16,keyasint,omitempty"`
-	Lost   []string       `cbor:"17,keyasint,omitempty"`
+	Deltas       []*agent.Delta `cbor:"16,keyasint,omitempty"`
+	MissingViews []string       `cbor:"17,keyasint,omitempty"`
 	// Places are the queue positions of users who were deferred, so that they keep them when they retry with any
 	// controller.
 	Places []admission.Place `cbor:"18,keyasint,omitempty"`
