--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -160,15 +160,15 @@
 	if k == nil {
 		return
 	}
-	if e.Life+n.ClockTo < k.incarnation {
+	if e.Incarnation+n.ClockTo < k.incarnation {
 		// The frame was delayed on its way. What that incarnation knew and requested ended with it.
 		if n.Earlier != nil {
 			n.Earlier(e.From)
 		}
 		return
 	}
-	isNew := e.Life > k.incarnation
-	k.incarnation = max(k.incarnation, e.Life)
+	isNew := e.Incarnation > k.incarnation
+	k.incarnation = max(k.incarnation, e.Incarnation)
 	if e.Status != nil && e.Status.Wall > k.Status.Wall {
 		k.Status, k.Heard = *e.Status, n.runner.Now()
 	}
@@ -244,7 +244,7 @@
 
 func (n *Net) flush(l *link) {
 	l.flushScheduled = false
-	l.next.From, l.next.Life = n.self, n.Life
+	l.next.From, l.next.Incarnation = n.self, n.Life
 	// Of several views of a machine only the newest is needed.
 	if len(l.next.Views) > 1 {
 		last := map[string]int{}
