--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -309,7 +309,7 @@
 	n.net.All(func(e *peer.Envelope) { e.Status, e.Places = s, places })
 	n.meter.Horizon(n.watermark.Look())
 	for _, label := range n.net.Peers() {
-		n.net.To(label, func(e *peer.Envelope) { e.Horizon = n.watermark.Word(label) })
+		n.net.To(label, func(e *peer.Envelope) { e.Watermark = n.watermark.Word(label) })
 	}
 }
 
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -11,7 +11,7 @@
 	if s := e.Status; s != nil {
 		n.reach.Hear(e.From, reach.Word{Wall: s.Wall, Contact: s.Contact, Hears: s.Hears})
 	}
-	n.watermark.Hear(e.From, e.Incarnation, e.Horizon)
+	n.watermark.Hear(e.From, e.Incarnation, e.Watermark)
 	n.member.LearnTeams(e.Teams)
 	for _, v := range e.Views {
 		if v != nil && v.Name != "" {
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -132,8 +132,8 @@
 	Places []admission.Place `cbor:"18,keyasint,omitempty"`
 	// Incarnation identifies the incarnation of the sender: the wall clock time at which its process started.
 	Incarnation loop.Micros `cbor:"19,keyasint,omitempty"`
-	// Horizon is what the sender asks and answers about cancellations, for the cancellation watermark.
-	Horizon *horizon.Word `cbor:"20,keyasint,omitempty"`
+	// Watermark is what the sender asks and answers about cancellations, for the cancellation watermark.
+	Watermark *horizon.Word `cbor:"20,keyasint,omitempty"`
 	// Teams are the teams in the sender's settings, sent to a peer after each new connection.
 	Teams []string `cbor:"21,keyasint,omitempty"`
 }
