--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -299,10 +299,10 @@
 	if n.mirror.Ready() {
 		n.client.Use(admission.Part(n.member.Nodes(), n.cfg.Cluster.Nodes, n.member.Entitled()))
 	}
-	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.hasStateContact() && n.member.Entitled(), Hosted: n.agent.Hosted(), Hears: []string{}}
+	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.hasStateContact() && n.member.Entitled(), Hosted: n.agent.Hosted(), Reachable: []string{}}
 	for _, label := range n.net.Peers() {
 		if n.reach.Heard(label, reach.Fresh) {
-			s.Hears = append(s.Hears, label)
+			s.Reachable = append(s.Reachable, label)
 		}
 	}
 	places := n.jobs.Places()
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -9,7 +9,7 @@
 // receive applies a message of a peer.
 func (n *Node) receive(e *peer.Envelope) {
 	if s := e.Status; s != nil {
-		n.reach.Hear(e.From, reach.Word{Wall: s.Wall, Contact: s.Contact, Hears: s.Hears})
+		n.reach.Hear(e.From, reach.Word{Wall: s.Wall, Contact: s.Contact, Hears: s.Reachable})
 	}
 	n.watermark.Hear(e.From, e.Incarnation, e.Watermark)
 	n.member.LearnTeams(e.Teams)
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -14,8 +14,8 @@
 	Wall    loop.Micros `cbor:"1,keyasint"`
 	Contact bool        `cbor:"2,keyasint"` // the state service answers this controller
 	// Key 3 was used before 0.7.0, for how long the state service had not answered.
-	Hosted int      `cbor:"4,keyasint"`
-	Hears  []string `cbor:"5,keyasint"` // peers whose messages arrive; nil from versions that do not send it
+	Hosted    int      `cbor:"4,keyasint"`
+	Reachable []string `cbor:"5,keyasint"` // peers whose messages arrive; nil from versions that do not send it
 }
 
 // Request is a group of alike tasks for which there is no free capacity, as part of an owner's demand.
