--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -94,7 +94,7 @@
 		return
 	}
 	for _, p := range all {
-		if j := n.jobs.Get(p.Job); p.Waits && j != nil && !j.Final() {
+		if j := n.jobs.Get(p.Job); p.HasCauses && j != nil && !j.Final() {
 			n.apiParts.explanations.Lines.Set(p.Job, p.Causes, p.At, own)
 			if own {
 				n.apiParts.explanations.Lines.Dated(p.Job, p.Causes) // the same values are sent to the peers next
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -60,8 +60,8 @@
 	Running int64  `cbor:"3,keyasint"`
 	// Causes is why the other tasks do not run; sent only if /v1/ is enabled.
 	Causes []gate.Cause `cbor:"4,keyasint,omitempty"`
-	// Waits is whether Causes was sent, since an empty list is a valid value.
-	Waits bool `cbor:"5,keyasint,omitempty"`
+	// HasCauses is whether Causes was sent, since an empty list is a valid value.
+	HasCauses bool `cbor:"5,keyasint,omitempty"`
 	// At is the wall clock time at which the causes were determined.
 	At loop.Micros `cbor:"6,keyasint,omitempty"`
 }
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -41,7 +41,7 @@
 				t.toldDone, t.toldRun = d, run
 				news := peer.Progress{Job: t.j.ID, Done: d, Running: run}
 				if p.n.Tells {
-					news.Causes, news.Waits, news.At = t.causes, true, wall
+					news.Causes, news.HasCauses, news.At = t.causes, true, wall
 				}
 				tell = append(tell, news)
 			}
--- a/internal/placer/why_test.go
+++ b/internal/placer/why_test.go
@@ -543,7 +543,7 @@
 	var told []gate.Cause
 	g.p.n.Tell = func(all []peer.Progress) {
 		for _, p := range all {
-			if p.Waits {
+			if p.HasCauses {
 				told = p.Causes
 			}
 		}
