--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -130,13 +130,13 @@
 	n.reach = reach.New(l, log, cfg.Label, n.net.Peers(), cfg.ClockDifference())
 	n.reach.Contact = n.hasStateContact
 	n.reach.Changed = func(_ string, to reach.State, damped bool) { n.meter.Peer(to.String(), damped) }
-	n.net.Life, n.net.ClockTo = l.Wall(), cfg.ClockDifference()
+	n.net.Incarnation, n.net.ClockTo = l.Wall(), cfg.ClockDifference()
 	n.net.Earlier = func(string) { n.meter.EarlierFrame() }
 	n.setUpWatermark()
 	n.watchPauses()
 	n.agent = agent.New(l, log, agent.Host{
 		Label:     cfg.Label,
-		Life:      n.net.Life,
+		Life:      n.net.Incarnation,
 		MayAnswer: n.mayAnswer,
 		MayStart:  n.mayStart,
 		SendOn:    n.redirect,
--- a/internal/node/overlook.go
+++ b/internal/node/overlook.go
@@ -13,7 +13,7 @@
 	w := &n.cfg.Cluster.Workers
 	grace := horizon.Grace(loop.Seconds(w.LeaseS), loop.Seconds(w.CancelS))
 	n.mirror.Wait = horizon.Wait(grace, n.cfg.Cluster.State.RPS*0.9/float64(max(n.cfg.Cluster.Nodes, 1)))
-	n.watermark = horizon.New(n.loop, n.log, n.net.Life, grace, n.net.Peers())
+	n.watermark = horizon.New(n.loop, n.log, n.net.Incarnation, grace, n.net.Peers())
 	n.mirror.OnSynced(func(s store.Synced) { n.watermark.Mirror(s.Sent, s.Reach) })
 	n.watermark.Take = func(o horizon.Over) bool { return n.jobs.LearnWithdrawn(o.Job, o.Mark) }
 	n.watermark.Dropped = func(string, string) { n.meter.HorizonWord() }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -57,9 +57,9 @@
 	self   string
 	links  map[string]*link
 	known  map[string]*Known
-	// Life is the wall clock time at which this process started, which identifies its incarnation. ClockTo is twice the
+	// Incarnation is the wall clock time at which this process started, which identifies its incarnation. ClockTo is twice the
 	// bound on the error of a wall clock: incarnations of a peer that are closer together than that are not ordered.
-	Life, ClockTo loop.Micros
+	Incarnation, ClockTo loop.Micros
 	// Earlier is called for each dropped frame of an earlier incarnation of a peer; it may be nil.
 	Earlier func(label string)
 	// Receive is called on the event loop for every frame of a known peer.
@@ -244,7 +244,7 @@
 
 func (n *Net) flush(l *link) {
 	l.flushScheduled = false
-	l.next.From, l.next.Incarnation = n.self, n.Life
+	l.next.From, l.next.Incarnation = n.self, n.Incarnation
 	// Of several views of a machine only the newest is needed.
 	if len(l.next.Views) > 1 {
 		last := map[string]int{}
