--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -130,7 +130,7 @@
 	n.reach = reach.New(l, log, cfg.Label, n.net.Peers(), cfg.ClockDifference())
 	n.reach.Contact = n.hasStateContact
 	n.reach.Changed = func(_ string, to reach.State, damped bool) { n.meter.Peer(to.String(), damped) }
-	n.net.Incarnation, n.net.ClockTo = l.Wall(), cfg.ClockDifference()
+	n.net.Incarnation, n.net.ClockDifference = l.Wall(), cfg.ClockDifference()
 	n.net.Earlier = func(string) { n.meter.EarlierFrame() }
 	n.setUpWatermark()
 	n.watchPauses()
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -57,9 +57,9 @@
 	self   string
 	links  map[string]*link
 	known  map[string]*Known
-	// Incarnation is the wall clock time at which this process started, which identifies its incarnation. ClockTo is twice the
+	// Incarnation is the wall clock time at which this process started, which identifies its incarnation. ClockDifference is twice the
 	// bound on the error of a wall clock: incarnations of a peer that are closer together than that are not ordered.
-	Incarnation, ClockTo loop.Micros
+	Incarnation, ClockDifference loop.Micros
 	// Earlier is called for each dropped frame of an earlier incarnation of a peer; it may be nil.
 	Earlier func(label string)
 	// Receive is called on the event loop for every frame of a known peer.
@@ -160,7 +160,7 @@
 	if k == nil {
 		return
 	}
-	if e.Incarnation+n.ClockTo < k.incarnation {
+	if e.Incarnation+n.ClockDifference < k.incarnation {
 		// The frame was delayed on its way. What that incarnation knew and requested ended with it.
 		if n.Earlier != nil {
 			n.Earlier(e.From)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -16,7 +16,7 @@
 func TestFramesOfEarlierIncarnationsAreDropped(t *testing.T) {
 	const s = loop.Second
 	n := New(standin.NewStepped(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
-	n.ClockTo = 200 * loop.Millisecond
+	n.ClockDifference = 200 * loop.Millisecond
 	var got []loop.Micros
 	dropped := 0
 	n.Receive = func(e *Envelope) { got = append(got, e.Incarnation) }
@@ -37,7 +37,7 @@
 func TestNewIncarnationsAreAnnounced(t *testing.T) {
 	const s = loop.Second
 	n := New(standin.NewStepped(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
-	n.ClockTo = 200 * loop.Millisecond
+	n.ClockDifference = 200 * loop.Millisecond
 	frames, announced := 0, []int{}
 	n.Receive = func(*Envelope) { frames++ }
 	n.NewLife = func(string) { announced = append(announced, frames) }
