--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -131,7 +131,7 @@
 	n.reach.Contact = n.hasStateContact
 	n.reach.Changed = func(_ string, to reach.State, damped bool) { n.meter.Peer(to.String(), damped) }
 	n.net.Incarnation, n.net.ClockDifference = l.Wall(), cfg.ClockDifference()
-	n.net.Earlier = func(string) { n.meter.EarlierFrame() }
+	n.net.OnEarlierFrame = func(string) { n.meter.EarlierFrame() }
 	n.setUpWatermark()
 	n.watchPauses()
 	n.agent = agent.New(l, log, agent.Host{
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -60,8 +60,8 @@
 	// Incarnation is the wall clock time at which this process started, which identifies its incarnation. ClockDifference is twice the
 	// bound on the error of a wall clock: incarnations of a peer that are closer together than that are not ordered.
 	Incarnation, ClockDifference loop.Micros
-	// Earlier is called for each dropped frame of an earlier incarnation of a peer; it may be nil.
-	Earlier func(label string)
+	// OnEarlierFrame is called for each dropped frame of an earlier incarnation of a peer; it may be nil.
+	OnEarlierFrame func(label string)
 	// Receive is called on the event loop for every frame of a known peer.
 	Receive func(*Envelope)
 	// NewLife is called on the event loop after the first frame of a new incarnation of a peer, which knows nothing
@@ -162,8 +162,8 @@
 	}
 	if e.Incarnation+n.ClockDifference < k.incarnation {
 		// The frame was delayed on its way. What that incarnation knew and requested ended with it.
-		if n.Earlier != nil {
-			n.Earlier(e.From)
+		if n.OnEarlierFrame != nil {
+			n.OnEarlierFrame(e.From)
 		}
 		return
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -20,7 +20,7 @@
 	var got []loop.Micros
 	dropped := 0
 	n.Receive = func(e *Envelope) { got = append(got, e.Incarnation) }
-	n.Earlier = func(string) { dropped++ }
+	n.OnEarlierFrame = func(string) { dropped++ }
 	for _, life := range []loop.Micros{10 * s, 10 * s, 20 * s, 10 * s, 20*s - 150*loop.Millisecond, 9 * s, 20 * s, 30 * s} {
 		n.Take(&Envelope{From: "b", Incarnation: life})
 	}
