--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -242,7 +242,7 @@
 	n.member.OnReleased = n.placer.Released
 	n.member.OnLeader = n.rental.Lead
 	n.net.Receive = n.receive
-	n.net.NewLife = func(label string) {
+	n.net.OnNewIncarnation = func(label string) {
 		if claims := n.placer.ClaimsInForce(); len(claims) > 0 {
 			n.net.To(label, func(e *peer.Envelope) { e.Reservations = append(e.Reservations, claims...) })
 		}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -64,9 +64,9 @@
 	OnEarlierFrame func(label string)
 	// Receive is called on the event loop for every frame of a known peer.
 	Receive func(*Envelope)
-	// NewLife is called on the event loop after the first frame of a new incarnation of a peer, which knows nothing
+	// OnNewIncarnation is called on the event loop after the first frame of a new incarnation of a peer, which knows nothing
 	// of what was sent to that peer before. It may be nil.
-	NewLife func(label string)
+	OnNewIncarnation func(label string)
 	// Refused is called on the event loop when a peer's machine refuses the connection, which it does while no process
 	// listens there.
 	Refused func(label string)
@@ -173,8 +173,8 @@
 		k.Status, k.Heard = *e.Status, n.runner.Now()
 	}
 	n.Receive(e)
-	if isNew && n.NewLife != nil {
-		n.NewLife(e.From)
+	if isNew && n.OnNewIncarnation != nil {
+		n.OnNewIncarnation(e.From)
 	}
 }
 
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -40,7 +40,7 @@
 	n.ClockDifference = 200 * loop.Millisecond
 	frames, announced := 0, []int{}
 	n.Receive = func(*Envelope) { frames++ }
-	n.NewLife = func(string) { announced = append(announced, frames) }
+	n.OnNewIncarnation = func(string) { announced = append(announced, frames) }
 	for _, life := range []loop.Micros{10 * s, 10 * s, 20 * s, 10 * s, 20 * s, 30 * s, 30 * s} {
 		n.Take(&Envelope{From: "b", Incarnation: life})
 	}
