--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -67,9 +67,9 @@
 	// OnNewIncarnation is called on the event loop after the first frame of a new incarnation of a peer, which knows nothing
 	// of what was sent to that peer before. It may be nil.
 	OnNewIncarnation func(label string)
-	// Refused is called on the event loop when a peer's machine refuses the connection, which it does while no process
+	// OnRefused is called on the event loop when a peer's machine refuses the connection, which it does while no process
 	// listens there.
-	Refused func(label string)
+	OnRefused func(label string)
 	// Deliver sends an encoded frame to a peer; tests replace it with a simulated network.
 	Deliver func(label string, frame []byte)
 	// Up is called on the event loop when a connection to a peer has been established.
@@ -186,7 +186,7 @@
 		c, err := d.DialContext(ctx, "tcp", l.peer.Endpoint)
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				n.runner.Post(func() { n.Refused(l.peer.Label) })
+				n.runner.Post(func() { n.OnRefused(l.peer.Label) })
 			}
 			n.drain(l)
 			select {
