--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -247,7 +247,7 @@
 			n.net.To(label, func(e *peer.Envelope) { e.Reservations = append(e.Reservations, claims...) })
 		}
 	}
-	n.net.Up = func(label string) {
+	n.net.OnConnected = func(label string) {
 		n.agent.Republish()
 		n.net.To(label, func(e *peer.Envelope) { e.Teams = cfg.TeamNames() })
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -72,8 +72,8 @@
 	OnRefused func(label string)
 	// Deliver sends an encoded frame to a peer; tests replace it with a simulated network.
 	Deliver func(label string, frame []byte)
-	// Up is called on the event loop when a connection to a peer has been established.
-	Up func(label string)
+	// OnConnected is called on the event loop when a connection to a peer has been established.
+	OnConnected func(label string)
 }
 
 // New returns a Net with a link to each peer; Run connects them.
@@ -197,7 +197,7 @@
 		}
 		n.drain(l)
 		n.log.Debug("connected to a peer", "peer", l.peer.Label)
-		n.runner.Post(func() { n.Up(l.peer.Label) })
+		n.runner.Post(func() { n.OnConnected(l.peer.Label) })
 		n.writeFrames(ctx, l, c)
 		c.Close()
 	}
