--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -43,8 +43,8 @@
 	frames         chan []byte
 }
 
-// Known is what was last received from a peer.
-type Known struct {
+// PeerState is what was last received from a peer.
+type PeerState struct {
 	Status      Status
 	Heard       loop.Micros // when the newest status arrived, by the monotonic clock
 	incarnation loop.Micros // the newest incarnation of its process that sent a frame
@@ -56,7 +56,7 @@
 	log    *slog.Logger
 	self   string
 	links  map[string]*link
-	known  map[string]*Known
+	known  map[string]*PeerState
 	// Incarnation is the wall clock time at which this process started, which identifies its incarnation. ClockDifference is twice the
 	// bound on the error of a wall clock: incarnations of a peer that are closer together than that are not ordered.
 	Incarnation, ClockDifference loop.Micros
@@ -78,11 +78,11 @@
 
 // New returns a Net with a link to each peer; Run connects them.
 func New(r loop.Runner, log *slog.Logger, self string, peers []config.Peer) *Net {
-	n := &Net{runner: r, log: log, self: self, links: map[string]*link{}, known: map[string]*Known{}}
+	n := &Net{runner: r, log: log, self: self, links: map[string]*link{}, known: map[string]*PeerState{}}
 	n.Deliver = n.enqueue
 	for _, p := range peers {
 		n.links[p.Label] = &link{peer: p, frames: make(chan []byte, maxQueue)}
-		n.known[p.Label] = &Known{}
+		n.known[p.Label] = &PeerState{}
 	}
 	return n
 }
@@ -289,9 +289,9 @@
 }
 
 // Known returns what was last received from a peer.
-func (n *Net) Known(label string) Known {
+func (n *Net) Known(label string) PeerState {
 	if k := n.known[label]; k != nil {
 		return *k
 	}
-	return Known{}
+	return PeerState{}
 }
