--- a/internal/node/fitness.go
+++ b/internal/node/fitness.go
@@ -17,7 +17,7 @@
 // freshStatus returns the newest status of a peer, and whether it is recent. A message that was delayed on its way is
 // detected by the wall clock time it carries.
 func (n *Node) freshStatus(label string) (peer.Status, bool) {
-	k := n.net.Known(label)
+	k := n.net.State(label)
 	age := n.loop.Now() - k.Heard
 	late := n.loop.Wall() - k.Status.Wall
 	off := n.cfg.ClockDifference()
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -288,8 +288,8 @@
 	return slices.Sorted(maps.Keys(n.links))
 }
 
-// Known returns what was last received from a peer.
-func (n *Net) Known(label string) PeerState {
+// State returns what was last received from a peer.
+func (n *Net) State(label string) PeerState {
 	if k := n.known[label]; k != nil {
 		return *k
 	}
