--- a/internal/node/world_test.go
+++ b/internal/node/world_test.go
@@ -486,7 +486,7 @@
 		if err := wire.Unmarshal(f, e); err != nil {
 			w.fail("a frame between controllers cannot be decoded: %v", err)
 		}
-		s.n.net.Take(e)
+		s.n.net.HandleFrame(e)
 	})
 }
 
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -150,12 +150,12 @@
 			n.log.Error("frame from a peer cannot be decoded; connection closed", "err", err)
 			return
 		}
-		n.runner.Post(func() { n.Take(e) })
+		n.runner.Post(func() { n.HandleFrame(e) })
 	}
 }
 
-// Take handles a peer's frame, on the event loop.
-func (n *Net) Take(e *Envelope) {
+// HandleFrame handles a peer's frame, on the event loop.
+func (n *Net) HandleFrame(e *Envelope) {
 	k := n.known[e.From]
 	if k == nil {
 		return
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -22,12 +22,12 @@
 	n.Receive = func(e *Envelope) { got = append(got, e.Incarnation) }
 	n.OnEarlierFrame = func(string) { dropped++ }
 	for _, life := range []loop.Micros{10 * s, 10 * s, 20 * s, 10 * s, 20*s - 150*loop.Millisecond, 9 * s, 20 * s, 30 * s} {
-		n.Take(&Envelope{From: "b", Incarnation: life})
+		n.HandleFrame(&Envelope{From: "b", Incarnation: life})
 	}
 	if len(got) != 6 || dropped != 2 {
 		t.Errorf("received frames of the incarnations %v and dropped %d, want 6 received and 2 dropped", got, dropped)
 	}
-	n.Take(&Envelope{From: "c", Incarnation: 40 * s})
+	n.HandleFrame(&Envelope{From: "c", Incarnation: 40 * s})
 	if len(got) != 6 {
 		t.Error("a frame of an unknown sender was received")
 	}
@@ -42,7 +42,7 @@
 	n.Receive = func(*Envelope) { frames++ }
 	n.OnNewIncarnation = func(string) { announced = append(announced, frames) }
 	for _, life := range []loop.Micros{10 * s, 10 * s, 20 * s, 10 * s, 20 * s, 30 * s, 30 * s} {
-		n.Take(&Envelope{From: "b", Incarnation: life})
+		n.HandleFrame(&Envelope{From: "b", Incarnation: life})
 	}
 	if !slices.Equal(announced, []int{1, 3, 5}) {
 		t.Errorf("new incarnations were announced after the received frames %v, want the first, the third and the fifth", announced)
