--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -36,7 +36,7 @@
 	l := n.loop
 	x := &apiParts{}
 	n.apiParts = x
-	x.questions = ask.New(l, n.cfg.Label, rand.Uint64()>>1, n.net.To, func(label string) bool { return slices.Contains(n.net.Peers(), label) })
+	x.questions = ask.New(l, n.cfg.Label, rand.Uint64()>>1, n.net.Send, func(label string) bool { return slices.Contains(n.net.Peers(), label) })
 	owner := func(team string) string {
 		o, _ := n.member.TeamOwner(team)
 		return o.Node
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -244,12 +244,12 @@
 	n.net.Receive = n.receive
 	n.net.OnNewIncarnation = func(label string) {
 		if claims := n.placer.ClaimsInForce(); len(claims) > 0 {
-			n.net.To(label, func(e *peer.Envelope) { e.Reservations = append(e.Reservations, claims...) })
+			n.net.Send(label, func(e *peer.Envelope) { e.Reservations = append(e.Reservations, claims...) })
 		}
 	}
 	n.net.OnConnected = func(label string) {
 		n.agent.Republish()
-		n.net.To(label, func(e *peer.Envelope) { e.Teams = cfg.TeamNames() })
+		n.net.Send(label, func(e *peer.Envelope) { e.Teams = cfg.TeamNames() })
 	}
 	n.net.OnRefused = func(label string) {
 		if l.Now()-n.net.State(label).Heard > 1200*loop.Millisecond && l.Now()-n.startedAt > 5*loop.Second {
@@ -286,7 +286,7 @@
 		local()
 		return
 	}
-	n.net.To(label, remote)
+	n.net.Send(label, remote)
 }
 
 func (n *Node) sendCommands(addr string, c wire.Commands, timeout time.Duration) store.Response {
@@ -309,7 +309,7 @@
 	n.net.All(func(e *peer.Envelope) { e.Status, e.Places = s, places })
 	n.meter.Horizon(n.watermark.Look())
 	for _, label := range n.net.Peers() {
-		n.net.To(label, func(e *peer.Envelope) { e.Watermark = n.watermark.Word(label) })
+		n.net.Send(label, func(e *peer.Envelope) { e.Watermark = n.watermark.Word(label) })
 	}
 }
 
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -64,9 +64,9 @@
 		}
 	}
 	if len(lost) > 0 {
-		n.net.To(e.From, func(o *peer.Envelope) { o.MissingViews = append(o.MissingViews, lost...) })
+		n.net.Send(e.From, func(o *peer.Envelope) { o.MissingViews = append(o.MissingViews, lost...) })
 	}
 	if views := n.agent.Full(e.MissingViews); len(views) > 0 {
-		n.net.To(e.From, func(o *peer.Envelope) { o.Views = append(o.Views, views...) })
+		n.net.Send(e.From, func(o *peer.Envelope) { o.Views = append(o.Views, views...) })
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -228,8 +228,8 @@
 	}
 }
 
-// To lets add change the next frame to a peer; several additions share a frame.
-func (n *Net) To(label string, add func(*Envelope)) {
+// Send lets add change the next frame to a peer; several additions share a frame.
+func (n *Net) Send(label string, add func(*Envelope)) {
 	l := n.links[label]
 	if l == nil {
 		return
@@ -279,7 +279,7 @@
 // All lets add change the next frame to every peer.
 func (n *Net) All(add func(*Envelope)) {
 	for label := range loop.Sorted(n.links) {
-		n.To(label, add)
+		n.Send(label, add)
 	}
 }
 
