--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -145,7 +145,7 @@
 		Type:      func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
 		Job:       n.jobs.Get,
 		Publish: func(news agent.News) {
-			n.net.All(func(e *peer.Envelope) {
+			n.net.SendAll(func(e *peer.Envelope) {
 				e.Views = append(e.Views, news.Views...)
 				e.Deltas = append(e.Deltas, news.Deltas...)
 			})
@@ -189,14 +189,14 @@
 		Membership: n.member,
 		Tell: func(p []peer.Progress) {
 			n.applyCauses(p, true)
-			n.net.All(func(e *peer.Envelope) { e.Progress = append(e.Progress, p...) })
+			n.net.SendAll(func(e *peer.Envelope) { e.Progress = append(e.Progress, p...) })
 		},
 		Usage: func(u []peer.Usage) {
 			n.placer.Learn(u)
-			n.net.All(func(e *peer.Envelope) { e.Usage = u })
+			n.net.SendAll(func(e *peer.Envelope) { e.Usage = u })
 		},
 		Claims: func(c []peer.Reservation) {
-			n.net.All(func(e *peer.Envelope) { e.Reservations = append(e.Reservations, c...) })
+			n.net.SendAll(func(e *peer.Envelope) { e.Reservations = append(e.Reservations, c...) })
 		},
 	}, n.jobs, n.agent, n.cordons)
 	n.rental = rental.New(l, log, cfg, n.client, n.mirror, out.Cloud, n.agent, rental.Node{
@@ -306,7 +306,7 @@
 		}
 	}
 	places := n.jobs.Places()
-	n.net.All(func(e *peer.Envelope) { e.Status, e.Places = s, places })
+	n.net.SendAll(func(e *peer.Envelope) { e.Status, e.Places = s, places })
 	n.meter.Horizon(n.watermark.Look())
 	for _, label := range n.net.Peers() {
 		n.net.Send(label, func(e *peer.Envelope) { e.Watermark = n.watermark.Word(label) })
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -276,8 +276,8 @@
 	}
 }
 
-// All lets add change the next frame to every peer.
-func (n *Net) All(add func(*Envelope)) {
+// SendAll lets add change the next frame to every peer.
+func (n *Net) SendAll(add func(*Envelope)) {
 	for label := range loop.Sorted(n.links) {
 		n.Send(label, add)
 	}
