--- a/internal/node/fitness.go
+++ b/internal/node/fitness.go
@@ -18,10 +18,10 @@
 // detected by the wall clock time it carries.
 func (n *Node) freshStatus(label string) (peer.Status, bool) {
 	k := n.net.State(label)
-	age := n.loop.Now() - k.Heard
+	age := n.loop.Now() - k.ReceivedAt
 	late := n.loop.Wall() - k.Status.Wall
 	off := n.cfg.ClockDifference()
-	return k.Status, k.Heard != 0 && age < 2500*loop.Millisecond && late < 3*loop.Second+off
+	return k.Status, k.ReceivedAt != 0 && age < 2500*loop.Millisecond && late < 3*loop.Second+off
 }
 
 // mayStart reports whether new tasks may be started. Without contact to the state service none are, since another
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -252,7 +252,7 @@
 		n.net.Send(label, func(e *peer.Envelope) { e.Teams = cfg.TeamNames() })
 	}
 	n.net.OnRefused = func(label string) {
-		if l.Now()-n.net.State(label).Heard > 1200*loop.Millisecond && l.Now()-n.startedAt > 5*loop.Second {
+		if l.Now()-n.net.State(label).ReceivedAt > 1200*loop.Millisecond && l.Now()-n.startedAt > 5*loop.Second {
 			n.member.Evict(label)
 		}
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -46,7 +46,7 @@
 // PeerState is what was last received from a peer.
 type PeerState struct {
 	Status      Status
-	Heard       loop.Micros // when the newest status arrived, by the monotonic clock
+	ReceivedAt  loop.Micros // when the newest status arrived, by the monotonic clock
 	incarnation loop.Micros // the newest incarnation of its process that sent a frame
 }
 
@@ -170,7 +170,7 @@
 	isNew := e.Incarnation > k.incarnation
 	k.incarnation = max(k.incarnation, e.Incarnation)
 	if e.Status != nil && e.Status.Wall > k.Status.Wall {
-		k.Status, k.Heard = *e.Status, n.runner.Now()
+		k.Status, k.ReceivedAt = *e.Status, n.runner.Now()
 	}
 	n.Receive(e)
 	if isNew && n.OnNewIncarnation != nil {
