--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -35,7 +35,7 @@
 	OneZone bool        `cbor:"11,keyasint,omitempty"`
 	Spread  bool        `cbor:"12,keyasint,omitempty"`
 	Tasks   int         `cbor:"13,keyasint,omitempty"`
-	In      []ZoneTasks `cbor:"14,keyasint,omitempty"`
+	ByZone  []ZoneTasks `cbor:"14,keyasint,omitempty"`
 }
 
 // ZoneTasks is the number of tasks of a job that may be on machines of a zone. A list of these, sorted by zone, is used
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -288,7 +288,7 @@
 	if s.OneZone || s.Spread {
 		w.Tasks = t.j.Tasks
 		for z, n := range loop.Sorted(t.zones) {
-			w.In = append(w.In, peer.ZoneTasks{Zone: z, Tasks: n})
+			w.ByZone = append(w.ByZone, peer.ZoneTasks{Zone: z, Tasks: n})
 		}
 	}
 	return w
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -43,7 +43,7 @@
 	n := &gate.Need{Spec: specOf(w), Tasks: w.Tasks}
 	if w.OneZone || w.Spread {
 		n.Zones = map[string]int{}
-		for _, x := range w.In {
+		for _, x := range w.ByZone {
 			n.Zones[x.Zone] += x.Tasks
 		}
 	}
