--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -29,7 +29,7 @@
 	Spot     bool     `cbor:"7,keyasint,omitempty"`
 	Priority int      `cbor:"8,keyasint"`
 	Count    int      `cbor:"9,keyasint"`  // number of tasks
-	Run      int64    `cbor:"10,keyasint"` // expected run time of one task
+	RunTime  int64    `cbor:"10,keyasint"` // expected run time of one task
 	// OneZone and Spread bind the tasks to zones, as in the job's spec. Only if one of them is set, Tasks is the
 	// number of tasks of the job, and In how many of them may already be on machines of each zone.
 	OneZone bool        `cbor:"11,keyasint,omitempty"`
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -284,7 +284,7 @@
 func (p *Placer) want(t *table, n int) peer.Request {
 	s := t.j.Spec
 	w := peer.Request{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, AnyType: s.AnyType,
-		Zone: s.Zone, Spot: s.Spot, Priority: int(s.Priority), Count: n, Run: s.Estimate, OneZone: s.OneZone, Spread: s.Spread}
+		Zone: s.Zone, Spot: s.Spot, Priority: int(s.Priority), Count: n, RunTime: s.Estimate, OneZone: s.OneZone, Spread: s.Spread}
 	if s.OneZone || s.Spread {
 		w.Tasks = t.j.Tasks
 		for z, n := range loop.Sorted(t.zones) {
