--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -31,7 +31,7 @@
 	Count    int      `cbor:"9,keyasint"`  // number of tasks
 	RunTime  int64    `cbor:"10,keyasint"` // expected run time of one task
 	// OneZone and Spread bind the tasks to zones, as in the job's spec. Only if one of them is set, Tasks is the
-	// number of tasks of the job, and In how many of them may already be on machines of each zone.
+	// number of tasks of the job, and ByZone how many of them may already be on machines of each zone.
 	OneZone bool        `cbor:"11,keyasint,omitempty"`
 	Spread  bool        `cbor:"12,keyasint,omitempty"`
 	Tasks   int         `cbor:"13,keyasint,omitempty"`
@@ -46,7 +46,8 @@
 	Tasks int
 }
 
-// Demand is an owner's complete demand: all tasks for which there is no free capacity. Each one replaces the one before.
+// Demand is an owner's complete demand: all tasks for which there is no free capacity. Each one replaces the one
+// before.
 type Demand struct {
 	Wall     loop.Micros `cbor:"1,keyasint"`
 	Requests []Request   `cbor:"2,keyasint,omitempty"`
@@ -93,7 +94,7 @@
 	Until   loop.Micros `cbor:"2,keyasint"`
 }
 
-// Reservation is a reservation: it keeps capacity on a machine for a job for which tasks were preempted.
+// Reservation keeps capacity on a machine for a job for which tasks were preempted there.
 type Reservation struct {
 	Machine  string      `cbor:"1,keyasint"`
 	Job      string      `cbor:"2,keyasint"`
@@ -123,8 +124,8 @@
 	Checks       []string      `cbor:"13,keyasint,omitempty"`
 	Questions    []Question    `cbor:"14,keyasint,omitempty"`
 	Replies      []Reply       `cbor:"15,keyasint,omitempty"`
-	// Deltas are views of machines as differences from views that were sent before. Lost names machines of the receiver
-	// whose full views the sender needs because it cannot apply a delta.
+	// Deltas are views of machines as differences from views that were sent before. MissingViews names machines of
+	// the receiver whose full views the sender needs because it cannot apply a delta.
 	Deltas       []*agent.Delta `cbor:"16,keyasint,omitempty"`
 	MissingViews []string       `cbor:"17,keyasint,omitempty"`
 	// Places are the queue positions of users who were deferred, so that they keep them when they retry with any
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -28,9 +28,10 @@
 const (
 	maxFrame = 1 << 20
 	maxQueue = 64
-	// flushDelayPerPeer times the number of peers, but at most gatherMost, is for how long additions to a frame are
-	// collected. Each frame wakes up a process, and fifteen controllers have 210 connections. Up to the number of
-	// peers at which gatherMost applies, a controller sends at most 200 frames per second, however many peers it has.
+	// flushDelayPerPeer times the number of peers, but at most maxFlushDelay, is for how long additions to a frame
+	// are collected. Each frame wakes up a process, and fifteen controllers have 210 connections. Up to the number of
+	// peers at which maxFlushDelay applies, a controller sends at most 200 frames per second, however many peers it
+	// has.
 	flushDelayPerPeer = 5 * loop.Millisecond
 	maxFlushDelay     = 40 * loop.Millisecond
 )
@@ -56,19 +57,20 @@
 	log    *slog.Logger
 	self   string
 	links  map[string]*link
-	known  map[string]*PeerState
-	// Incarnation is the wall clock time at which this process started, which identifies its incarnation. ClockDifference is twice the
-	// bound on the error of a wall clock: incarnations of a peer that are closer together than that are not ordered.
+	states  map[string]*PeerState
+	// Incarnation is the wall clock time at which this process started, which identifies its incarnation.
+	// ClockDifference is the largest difference between two wall clocks: incarnations of a peer that are closer
+	// together than that are not ordered.
 	Incarnation, ClockDifference loop.Micros
 	// OnEarlierFrame is called for each dropped frame of an earlier incarnation of a peer; it may be nil.
 	OnEarlierFrame func(label string)
 	// Receive is called on the event loop for every frame of a known peer.
 	Receive func(*Envelope)
-	// OnNewIncarnation is called on the event loop after the first frame of a new incarnation of a peer, which knows nothing
-	// of what was sent to that peer before. It may be nil.
+	// OnNewIncarnation is called on the event loop after the first frame of a new incarnation of a peer, which knows
+	// nothing of what was sent to that peer before. It may be nil.
 	OnNewIncarnation func(label string)
-	// OnRefused is called on the event loop when a peer's machine refuses the connection, which it does while no process
-	// listens there.
+	// OnRefused is called on the event loop when a peer's machine refuses the connection, which it does while no
+	// process listens there.
 	OnRefused func(label string)
 	// Deliver sends an encoded frame to a peer; tests replace it with a simulated network.
 	Deliver func(label string, frame []byte)
@@ -78,11 +80,11 @@
 
 // New returns a Net with a link to each peer; Run connects them.
 func New(r loop.Runner, log *slog.Logger, self string, peers []config.Peer) *Net {
-	n := &Net{runner: r, log: log, self: self, links: map[string]*link{}, known: map[string]*PeerState{}}
+	n := &Net{runner: r, log: log, self: self, links: map[string]*link{}, states: map[string]*PeerState{}}
 	n.Deliver = n.enqueue
 	for _, p := range peers {
 		n.links[p.Label] = &link{peer: p, frames: make(chan []byte, maxQueue)}
-		n.known[p.Label] = &PeerState{}
+		n.states[p.Label] = &PeerState{}
 	}
 	return n
 }
@@ -156,7 +158,7 @@
 
 // HandleFrame handles a peer's frame, on the event loop.
 func (n *Net) HandleFrame(e *Envelope) {
-	k := n.known[e.From]
+	k := n.states[e.From]
 	if k == nil {
 		return
 	}
@@ -290,7 +292,7 @@
 
 // State returns what was last received from a peer.
 func (n *Net) State(label string) PeerState {
-	if k := n.known[label]; k != nil {
+	if k := n.states[label]; k != nil {
 		return *k
 	}
 	return PeerState{}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -21,8 +21,8 @@
 	dropped := 0
 	n.Receive = func(e *Envelope) { got = append(got, e.Incarnation) }
 	n.OnEarlierFrame = func(string) { dropped++ }
-	for _, life := range []loop.Micros{10 * s, 10 * s, 20 * s, 10 * s, 20*s - 150*loop.Millisecond, 9 * s, 20 * s, 30 * s} {
-		n.HandleFrame(&Envelope{From: "b", Incarnation: life})
+	for _, incarnation := range []loop.Micros{10 * s, 10 * s, 20 * s, 10 * s, 20*s - 150*loop.Millisecond, 9 * s, 20 * s, 30 * s} {
+		n.HandleFrame(&Envelope{From: "b", Incarnation: incarnation})
 	}
 	if len(got) != 6 || dropped != 2 {
 		t.Errorf("received frames of the incarnations %v and dropped %d, want 6 received and 2 dropped", got, dropped)
@@ -41,8 +41,8 @@
 	frames, announced := 0, []int{}
 	n.Receive = func(*Envelope) { frames++ }
 	n.OnNewIncarnation = func(string) { announced = append(announced, frames) }
-	for _, life := range []loop.Micros{10 * s, 10 * s, 20 * s, 10 * s, 20 * s, 30 * s, 30 * s} {
-		n.HandleFrame(&Envelope{From: "b", Incarnation: life})
+	for _, incarnation := range []loop.Micros{10 * s, 10 * s, 20 * s, 10 * s, 20 * s, 30 * s, 30 * s} {
+		n.HandleFrame(&Envelope{From: "b", Incarnation: incarnation})
 	}
 	if !slices.Equal(announced, []int{1, 3, 5}) {
 		t.Errorf("new incarnations were announced after the received frames %v, want the first, the third and the fifth", announced)
