--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -241,7 +241,7 @@
 	n.member.OnAssigned = n.placer.Assigned
 	n.member.OnReleased = n.placer.Released
 	n.member.OnLeader = n.rental.Lead
-	n.net.Receive = n.receive
+	n.net.OnFrame = n.receive
 	n.net.OnNewIncarnation = func(label string) {
 		if claims := n.placer.ClaimsInForce(); len(claims) > 0 {
 			n.net.Send(label, func(e *peer.Envelope) { e.Reservations = append(e.Reservations, claims...) })
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -57,15 +57,15 @@
 	log    *slog.Logger
 	self   string
 	links  map[string]*link
-	states  map[string]*PeerState
+	states map[string]*PeerState
 	// Incarnation is the wall clock time at which this process started, which identifies its incarnation.
 	// ClockDifference is the largest difference between two wall clocks: incarnations of a peer that are closer
 	// together than that are not ordered.
 	Incarnation, ClockDifference loop.Micros
 	// OnEarlierFrame is called for each dropped frame of an earlier incarnation of a peer; it may be nil.
 	OnEarlierFrame func(label string)
-	// Receive is called on the event loop for every frame of a known peer.
-	Receive func(*Envelope)
+	// OnFrame is called on the event loop for every frame of a known peer.
+	OnFrame func(*Envelope)
 	// OnNewIncarnation is called on the event loop after the first frame of a new incarnation of a peer, which knows
 	// nothing of what was sent to that peer before. It may be nil.
 	OnNewIncarnation func(label string)
@@ -174,7 +174,7 @@
 	if e.Status != nil && e.Status.Wall > k.Status.Wall {
 		k.Status, k.ReceivedAt = *e.Status, n.runner.Now()
 	}
-	n.Receive(e)
+	n.OnFrame(e)
 	if isNew && n.OnNewIncarnation != nil {
 		n.OnNewIncarnation(e.From)
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -19,7 +19,7 @@
 	n.ClockDifference = 200 * loop.Millisecond
 	var got []loop.Micros
 	dropped := 0
-	n.Receive = func(e *Envelope) { got = append(got, e.Incarnation) }
+	n.OnFrame = func(e *Envelope) { got = append(got, e.Incarnation) }
 	n.OnEarlierFrame = func(string) { dropped++ }
 	for _, incarnation := range []loop.Micros{10 * s, 10 * s, 20 * s, 10 * s, 20*s - 150*loop.Millisecond, 9 * s, 20 * s, 30 * s} {
 		n.HandleFrame(&Envelope{From: "b", Incarnation: incarnation})
@@ -39,7 +39,7 @@
 	n := New(standin.NewStepped(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
 	n.ClockDifference = 200 * loop.Millisecond
 	frames, announced := 0, []int{}
-	n.Receive = func(*Envelope) { frames++ }
+	n.OnFrame = func(*Envelope) { frames++ }
 	n.OnNewIncarnation = func(string) { announced = append(announced, frames) }
 	for _, incarnation := range []loop.Micros{10 * s, 10 * s, 20 * s, 10 * s, 20 * s, 30 * s, 30 * s} {
 		n.HandleFrame(&Envelope{From: "b", Incarnation: incarnation})
