--- a/internal/node/cannot_report_test.go
+++ b/internal/node/cannot_report_test.go
@@ -47,9 +47,9 @@
 		{"half of all for three leases", 75 * second, (*simulation).emptierHalf, nil, false},
 		{"a zone for two leases", 50 * second, func(w *simulation) []string { return w.machinesInZone("x") }, nil, false},
 		{"all for two leases", 50 * second, (*simulation).runningMachines, nil, false},
-		{"half, and the leader ends", 75 * second, (*simulation).emptierHalf,
+		{"half, and the leader crashes", 75 * second, (*simulation).emptierHalf,
 			func(w *simulation) { w.kill(w.leader()) }, false},
-		{"half, and the owner is back at once", 75 * second, (*simulation).emptierHalf,
+		{"half, and the owner restarts at once", 75 * second, (*simulation).emptierHalf,
 			func(w *simulation) { w.restartQuickly([]string{w.owner("red")}, 2) }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/node/simulation_test.go
+++ b/internal/node/simulation_test.go
@@ -151,6 +151,7 @@
 // controller gets the answer: the worst time for a fault.
 func (s *simNode) afterRequest(words string, f func()) { s.triggerText, s.trigger = words, f }
 
+// requestExecuted calls the trigger if the request contains its text.
 func (s *simNode) requestExecuted(path string, body []byte) {
 	if f := s.trigger; f != nil && (strings.Contains(path, s.triggerText) || strings.Contains(string(body), s.triggerText)) {
 		s.trigger = nil
@@ -208,6 +209,7 @@
 	heap.Push(&w.queue, event{w.now + max(d, 0) + 1, w.seq, f})
 }
 
+// fail ends the test with a message that begins with the simulated time.
 func (w *simulation) fail(format string, args ...any) {
 	w.t.Helper()
 	w.t.Fatalf("at %.3f s: %s", float64(w.now)/1e6-3600, fmt.Sprintf(format, args...))
