--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -67,7 +67,7 @@
 	cordonVersion       uint64                // version of the cordons by which the machines were marked
 	reserved            map[*Machine]struct{} // machines with reservations
 	reservationCounts   map[string]int        // number of reservations by job
-	pendingReservations []peer.Claim          // reservations on machines that have not reported yet
+	pendingReservations []peer.Reservation    // reservations on machines that have not reported yet
 	scratch             []victim
 	preemptedCPUs       teamCPUs // CPUs preempted for one task, by team
 	free                []*Machine
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -88,14 +88,14 @@
 
 // Preempt stops tasks to make capacity for up to want tasks of a job that did not fit, and returns one
 // reservation for each task it made capacity for.
-func (f *Fleet) Preempt(need *gate.Need, want int, rights PreemptionRights) (reservations []peer.Claim) {
+func (f *Fleet) Preempt(need *gate.Need, want int, rights PreemptionRights) (reservations []peer.Reservation) {
 	return f.preempt(need, want, &rights, math.Inf(1), reservationLife, func(*Machine) bool { return true })
 }
 
 // PreemptForCachedImage makes capacity for an urgent job's tasks on machines that have its image cached, although
 // others have free capacity: there the tasks would wait for the fetch. It stops only tasks that lose less
 // than the fetch costs, so that the preemption is no net loss.
-func (f *Fleet) PreemptForCachedImage(need *gate.Need, want int, rights PreemptionRights) []peer.Claim {
+func (f *Fleet) PreemptForCachedImage(need *gate.Need, want int, rights PreemptionRights) []peer.Reservation {
 	rate := math.Inf(1)
 	for _, m := range f.order {
 		if m.typ.FetchGBs > 0 {
@@ -128,7 +128,7 @@
 // preempt computes candidates on the machines for which eligible returns true, once for each, until it has
 // enough to choose from. After that it recomputes only the chosen machine. Each task may cost at most maxCost
 // CPU seconds.
-func (f *Fleet) preempt(need *gate.Need, want int, rights *PreemptionRights, maxCost float64, life loop.Micros, eligible func(*Machine) bool) (reservations []peer.Claim) {
+func (f *Fleet) preempt(need *gate.Need, want int, rights *PreemptionRights, maxCost float64, life loop.Micros, eligible func(*Machine) bool) (reservations []peer.Reservation) {
 	s := need.Spec
 	now := f.runner.Now()
 	after := now - f.node.StaleAfter
@@ -173,7 +173,7 @@
 		}
 		o.m.Free.Subtract(s)
 		f.MarkStale(o.m)
-		c := peer.Claim{Machine: o.m.View.Name, Job: need.ID, Priority: int(reservationPriority), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB,
+		c := peer.Reservation{Machine: o.m.View.Name, Job: need.ID, Priority: int(reservationPriority), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB,
 			Until: f.runner.Wall() + wait + life}
 		for _, y := range o.victims {
 			c.Victims = append(c.Victims, y.task.Task)
--- a/internal/fleet/reservations.go
+++ b/internal/fleet/reservations.go
@@ -16,7 +16,7 @@
 
 // AddReservation records a reservation of capacity on a machine for a job. While no report of the machine has
 // arrived, nothing is placed on it; the reservation is kept aside and takes effect with the first report.
-func (f *Fleet) AddReservation(c peer.Claim) {
+func (f *Fleet) AddReservation(c peer.Reservation) {
 	m := f.machines[c.Machine]
 	if m == nil {
 		if len(f.pendingReservations) < maxPendingReservations {
@@ -33,8 +33,8 @@
 // applyPendingReservations applies the reservations that arrived before the machine's first report and have
 // not expired.
 func (f *Fleet) applyPendingReservations(machine string) {
-	var here []peer.Claim
-	f.pendingReservations = slices.DeleteFunc(f.pendingReservations, func(c peer.Claim) bool {
+	var here []peer.Reservation
+	f.pendingReservations = slices.DeleteFunc(f.pendingReservations, func(c peer.Reservation) bool {
 		if c.Machine == machine {
 			here = append(here, c)
 		}
@@ -49,15 +49,15 @@
 
 // ReservationsOf lists the unexpired reservations of the jobs for which own returns true, so that a peer that
 // does not know them can be sent them.
-func (f *Fleet) ReservationsOf(own func(job string) bool) (reservations []peer.Claim) {
+func (f *Fleet) ReservationsOf(own func(job string) bool) (reservations []peer.Reservation) {
 	for m := range f.reserved {
 		for _, c := range m.Reservations {
 			if own(c.Job) {
-				reservations = append(reservations, peer.Claim{Machine: m.View.Name, Job: c.Job, Priority: c.Priority, CPUs: c.Capacity.CPUs, GPUs: c.Capacity.GPUs, MemoryGB: c.Capacity.MemoryGB, Until: c.Until})
+				reservations = append(reservations, peer.Reservation{Machine: m.View.Name, Job: c.Job, Priority: c.Priority, CPUs: c.Capacity.CPUs, GPUs: c.Capacity.GPUs, MemoryGB: c.Capacity.MemoryGB, Until: c.Until})
 			}
 		}
 	}
-	slices.SortStableFunc(reservations, func(a, b peer.Claim) int {
+	slices.SortStableFunc(reservations, func(a, b peer.Reservation) int {
 		return cmp.Or(strings.Compare(a.Machine, b.Machine), strings.Compare(a.Job, b.Job), cmp.Compare(a.Until, b.Until))
 	})
 	return reservations
@@ -137,7 +137,7 @@
 // ExpireReservations drops the reservations whose time has passed.
 func (f *Fleet) ExpireReservations() {
 	wall := f.runner.Wall()
-	f.pendingReservations = slices.DeleteFunc(f.pendingReservations, func(c peer.Claim) bool { return wall >= c.Until })
+	f.pendingReservations = slices.DeleteFunc(f.pendingReservations, func(c peer.Reservation) bool { return wall >= c.Until })
 	for m := range f.reserved {
 		for i := len(m.Reservations) - 1; i >= 0; i-- {
 			if wall >= m.Reservations[i].Until {
--- a/internal/fleet/reserve.go
+++ b/internal/fleet/reserve.go
@@ -21,7 +21,7 @@
 // take it. Capacity that is reserved already is subtracted first, and small reservations share a machine:
 // when each had a machine of its own, none was left for gangs or for tasks as large as a machine. For a gang
 // it reserves everything or nothing, since a part of a gang cannot run.
-func (f *Fleet) Reserve(need *gate.Need, want int, life loop.Micros) (reservations []peer.Claim) {
+func (f *Fleet) Reserve(need *gate.Need, want int, life loop.Micros) (reservations []peer.Reservation) {
 	n := *need
 	if n.Zones = maps.Clone(need.Zones); n.Zones == nil {
 		n.Zones = map[string]int{}
@@ -68,7 +68,7 @@
 		for len(reservations) < want && free.Fits(s) && m.Allowed(&n) {
 			free.Subtract(s)
 			n.Zones[m.View.Zone]++
-			c := peer.Claim{Machine: m.View.Name, Job: need.ID, Priority: int(job.Production), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Until: f.runner.Wall() + life}
+			c := peer.Reservation{Machine: m.View.Name, Job: need.ID, Priority: int(job.Production), CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Until: f.runner.Wall() + life}
 			reservations = append(reservations, c)
 		}
 		if len(reservations) == want {
--- a/internal/node/fitness.go
+++ b/internal/node/availability.go
@@ -17,18 +17,19 @@
 // freshStatus returns the newest status of a peer, and whether it is recent. A message that was delayed on its way is
 // detected by the wall clock time it carries.
 func (n *Node) freshStatus(label string) (peer.Status, bool) {
-	k := n.net.Known(label)
-	age := n.loop.Now() - k.Heard
+	k := n.net.State(label)
+	age := n.loop.Now() - k.ReceivedAt
 	late := n.loop.Wall() - k.Status.Wall
 	off := n.cfg.ClockDifference()
-	return k.Status, k.Heard != 0 && age < 2500*loop.Millisecond && late < 3*loop.Second+off
+	return k.Status, k.ReceivedAt != 0 && age < 2500*loop.Millisecond && late < 3*loop.Second+off
 }
 
 // mayStart reports whether new tasks may be started. Without contact to the state service none are, since another
 // controller may have confirmed a cancellation in the meantime.
 func (n *Node) mayStart() bool { return n.member.LeaseValid() && n.hasStateContact() }
 
-// startBlocked returns why a start that was already accepted must no longer be sent to its machine; empty: it may be sent.
+// startBlocked returns why a start that was already accepted must no longer be sent to its machine; empty: it may be
+// sent.
 func (n *Node) startBlocked(j *job.Job, v *agent.View) string {
 	switch {
 	case j.Terms.Hold.State != job.HoldNone && j.Terms.Hold.Blocks(n.loop.Wall()):
@@ -56,9 +57,9 @@
 	return true, ""
 }
 
-// redirectTarget returns a peer that has contact to the state service, preferring one that reachability counts as stable, and
-// then the one with the fewest workers; empty: there is none. An unstable peer is only the last choice, because all
-// workers would move to it and back each time its connection flaps.
+// redirectTarget returns a peer that has contact to the state service, preferring one that reachability counts as
+// stable, and then the one with the fewest workers; empty: there is none. An unstable peer is only the last choice,
+// because all workers would move to it and back each time its connection flaps.
 func (n *Node) redirectTarget() string {
 	best, least, trusted := "", 0, false
 	for _, label := range n.net.Peers() {
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -36,7 +36,7 @@
 	l := n.loop
 	x := &apiParts{}
 	n.apiParts = x
-	x.questions = ask.New(l, n.cfg.Label, rand.Uint64()>>1, n.net.To, func(label string) bool { return slices.Contains(n.net.Peers(), label) })
+	x.questions = ask.New(l, n.cfg.Label, rand.Uint64()>>1, n.net.Send, func(label string) bool { return slices.Contains(n.net.Peers(), label) })
 	owner := func(team string) string {
 		o, _ := n.member.TeamOwner(team)
 		return o.Node
@@ -94,7 +94,7 @@
 		return
 	}
 	for _, p := range all {
-		if j := n.jobs.Get(p.Job); p.Waits && j != nil && !j.Final() {
+		if j := n.jobs.Get(p.Job); p.HasCauses && j != nil && !j.Final() {
 			n.apiParts.explanations.Timelines.Set(p.Job, p.Causes, p.At, own)
 			if own {
 				n.apiParts.explanations.Timelines.SetSince(p.Job, p.Causes) // the same values are sent to the peers next
@@ -193,14 +193,14 @@
 	return out
 }
 
-// pendingStarts asks every owner how many starts may still take effect on machines that the named cordon blocks. It calls
-// callback with the sum; ok is false if a team has no owner or an owner did not answer.
+// pendingStarts asks every owner how many starts may still take effect on machines that the named cordon blocks. It
+// calls callback with the sum; ok is false if a team has no owner or an owner did not answer.
 func (n *Node) pendingStarts(name string, callback func(starts int, ok bool)) {
 	owners := map[string]bool{}
-	sure := true
+	complete := true
 	for _, t := range n.cfg.Cluster.Teams {
 		o, ok := n.member.TeamOwner(t.Name)
-		if sure = sure && ok; ok {
+		if complete = complete && ok; ok {
 			owners[o.Node] = true
 		}
 	}
@@ -213,12 +213,12 @@
 		n.apiParts.questions.Ask(label, topicPendingStarts, name, pendingStartsTimeout, func(body wire.Raw, ok bool) {
 			var starts int
 			if !ok || wire.Unmarshal(body, &starts) != nil || starts < 0 {
-				sure = false
+				complete = false
 			} else {
 				sum += starts
 			}
 			if left--; left == 0 {
-				callback(sum, sure)
+				callback(sum, complete)
 			}
 		})
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -105,18 +105,18 @@
 }
 
 // NewWith returns a controller connected to the given services.
-func NewWith(cfg *config.Config, log *slog.Logger, out Dependencies) *Node {
-	n := &Node{cfg: cfg, log: log, loop: out.Loop, deps: out, progress: map[string]job.Counts{}}
+func NewWith(cfg *config.Config, log *slog.Logger, deps Dependencies) *Node {
+	n := &Node{cfg: cfg, log: log, loop: deps.Loop, deps: deps, progress: map[string]job.Counts{}}
 	l := n.loop
 	n.startedAt = l.Now()
 	if cfg.Operator.API.Enabled {
 		n.meter = metric.New()
 	}
 	nodes := max(cfg.Cluster.Nodes, 1)
-	n.client = store.NewClient(l, out.State, log, cfg.Cluster.State.RPS, cfg.Cluster.State.WriteRPS, nodes)
+	n.client = store.NewClient(l, deps.State, log, cfg.Cluster.State.RPS, cfg.Cluster.State.WriteRPS, nodes)
 	n.client.SetTxnOps(cfg.Cluster.State.TxnOps)
 	n.client.Meter = n.meter
-	n.mirror = store.NewMirror(n.client, out.Watch, member.Prefix)
+	n.mirror = store.NewMirror(n.client, deps.Watch, member.Prefix)
 	n.member = member.New(l, n.client, n.mirror, log, member.Settings{Label: cfg.Label, Teams: cfg.TeamNames(), Controllers: nodes,
 		LeaseTTL: loop.Seconds(cfg.Operator.NodeLeaseS), TeamsOnly: !cfg.Operator.NumberedPartitions})
 	n.jobs = job.NewRegistry(l, n.client, n.mirror, log)
@@ -130,13 +130,13 @@
 	n.reach = reach.New(l, log, cfg.Label, n.net.Peers(), cfg.ClockDifference())
 	n.reach.StateContact = n.hasStateContact
 	n.reach.OnChange = func(_ string, to reach.State, damped bool) { n.meter.Peer(to.String(), damped) }
-	n.net.Life, n.net.ClockTo = l.Wall(), cfg.ClockDifference()
-	n.net.Earlier = func(string) { n.meter.EarlierFrame() }
+	n.net.Incarnation, n.net.ClockDifference = l.Wall(), cfg.ClockDifference()
+	n.net.OnEarlierFrame = func(string) { n.meter.EarlierFrame() }
 	n.setUpWatermark()
 	n.watchPauses()
 	n.agent = agent.New(l, log, agent.Config{
 		Label:       cfg.Label,
-		Incarnation: n.net.Life,
+		Incarnation: n.net.Incarnation,
 		MayAnswer:   n.mayAnswer,
 		MayStart:    n.mayStart,
 		Redirect:    n.redirect,
@@ -145,7 +145,7 @@
 		MachineType: func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
 		FindJob:     n.jobs.Get,
 		Publish: func(news agent.ViewUpdate) {
-			n.net.All(func(e *peer.Envelope) {
+			n.net.SendAll(func(e *peer.Envelope) {
 				e.Views = append(e.Views, news.Views...)
 				e.Deltas = append(e.Deltas, news.Deltas...)
 			})
@@ -177,31 +177,31 @@
 		Stop: func(host string, s agent.Stop) {
 			n.dispatch(host, func() { n.agent.Stop(s) }, func(e *peer.Envelope) { e.Stops = append(e.Stops, s) })
 		},
-		SendDemand: func(t peer.Tally) {
+		SendDemand: func(t peer.Demand) {
 			o, ok := n.member.Leader()
 			if !ok {
 				return
 			}
-			n.dispatch(o.Node, func() { n.rental.UpdateDemand(cfg.Label, t) }, func(e *peer.Envelope) { e.Tally = &t })
+			n.dispatch(o.Node, func() { n.rental.UpdateDemand(cfg.Label, t) }, func(e *peer.Envelope) { e.Demand = &t })
 		},
 		ReportCauses: cfg.Operator.API.Enabled,
 		Meter:        n.meter,
 		Membership:   n.member,
 		SendProgress: func(p []peer.Progress) {
 			n.applyCauses(p, true)
-			n.net.All(func(e *peer.Envelope) { e.Progress = append(e.Progress, p...) })
+			n.net.SendAll(func(e *peer.Envelope) { e.Progress = append(e.Progress, p...) })
 		},
 		SendUsage: func(u []peer.Usage) {
 			n.placer.UsageReceived(u)
-			n.net.All(func(e *peer.Envelope) { e.Usage = u })
+			n.net.SendAll(func(e *peer.Envelope) { e.Usage = u })
 		},
-		SendReservations: func(c []peer.Claim) {
-			n.net.All(func(e *peer.Envelope) { e.Claims = append(e.Claims, c...) })
+		SendReservations: func(c []peer.Reservation) {
+			n.net.SendAll(func(e *peer.Envelope) { e.Reservations = append(e.Reservations, c...) })
 		},
 	}, n.jobs, n.agent, n.cordons)
-	n.rental = rental.New(l, log, cfg, n.client, n.mirror, out.Cloud, n.agent, rental.Node{
-		Close: func(host string, c peer.Close) {
-			n.dispatch(host, func() { n.agent.CloseToStarts(c.Machine, c.Until) }, func(e *peer.Envelope) { e.Closes = append(e.Closes, c) })
+	n.rental = rental.New(l, log, cfg, n.client, n.mirror, deps.Cloud, n.agent, rental.Node{
+		Close: func(host string, c peer.StartBlock) {
+			n.dispatch(host, func() { n.agent.CloseToStarts(c.Machine, c.Until) }, func(e *peer.Envelope) { e.StartBlocks = append(e.StartBlocks, c) })
 		},
 		PeerUnreachable: func(zone string) bool {
 			for _, p := range cfg.Known {
@@ -218,7 +218,7 @@
 		Cordoned: func(typ, zone string, spot bool) bool {
 			return n.cordons.Blocked(cordon.Place{Type: typ, Zone: zone, Spot: spot})
 		},
-		Probe: out.Probe,
+		Probe: deps.Probe,
 	})
 	n.rental.OnDeleted = n.placer.MachineDeleted
 	n.jobs.OnJob = func(j *job.Job) {
@@ -241,18 +241,18 @@
 	n.member.OnAssigned = n.placer.TeamAssigned
 	n.member.OnReleased = n.placer.TeamReleased
 	n.member.OnLeader = n.rental.SetLeader
-	n.net.Receive = n.receive
-	n.net.NewLife = func(label string) {
+	n.net.OnFrame = n.receive
+	n.net.OnNewIncarnation = func(label string) {
 		if claims := n.placer.OwnReservations(); len(claims) > 0 {
-			n.net.To(label, func(e *peer.Envelope) { e.Claims = append(e.Claims, claims...) })
+			n.net.Send(label, func(e *peer.Envelope) { e.Reservations = append(e.Reservations, claims...) })
 		}
 	}
-	n.net.Up = func(label string) {
+	n.net.OnConnected = func(label string) {
 		n.agent.Republish()
-		n.net.To(label, func(e *peer.Envelope) { e.Teams = cfg.TeamNames() })
+		n.net.Send(label, func(e *peer.Envelope) { e.Teams = cfg.TeamNames() })
 	}
-	n.net.Refused = func(label string) {
-		if l.Now()-n.net.Known(label).Heard > 1200*loop.Millisecond && l.Now()-n.startedAt > 5*loop.Second {
+	n.net.OnRefused = func(label string) {
+		if l.Now()-n.net.State(label).ReceivedAt > 1200*loop.Millisecond && l.Now()-n.startedAt > 5*loop.Second {
 			n.member.Evict(label)
 		}
 	}
@@ -286,7 +286,7 @@
 		local()
 		return
 	}
-	n.net.To(label, remote)
+	n.net.Send(label, remote)
 }
 
 func (n *Node) sendCommands(addr string, c wire.Commands, timeout time.Duration) store.Response {
@@ -299,17 +299,17 @@
 	if n.mirror.Ready() {
 		n.client.Use(admission.RateFraction(n.member.RegisteredCount(), n.cfg.Cluster.Nodes, n.member.LeaseValid()))
 	}
-	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.hasStateContact() && n.member.LeaseValid(), Hosted: n.agent.HostedCount(), Hears: []string{}}
+	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.hasStateContact() && n.member.LeaseValid(), Hosted: n.agent.HostedCount(), Reachable: []string{}}
 	for _, label := range n.net.Peers() {
 		if n.reach.ReceivedWithin(label, reach.MaxAge) {
-			s.Hears = append(s.Hears, label)
+			s.Reachable = append(s.Reachable, label)
 		}
 	}
 	places := n.jobs.TakeQueuePositions()
-	n.net.All(func(e *peer.Envelope) { e.Status, e.Places = s, places })
+	n.net.SendAll(func(e *peer.Envelope) { e.Status, e.Places = s, places })
 	n.meter.Horizon(n.watermark.UpdateState())
 	for _, label := range n.net.Peers() {
-		n.net.To(label, func(e *peer.Envelope) { e.Horizon = n.watermark.MessageFor(label) })
+		n.net.Send(label, func(e *peer.Envelope) { e.Watermark = n.watermark.MessageFor(label) })
 	}
 }
 
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -9,9 +9,9 @@
 // receive applies a message of a peer.
 func (n *Node) receive(e *peer.Envelope) {
 	if s := e.Status; s != nil {
-		n.reach.Receive(e.From, reach.Message{Wall: s.Wall, StateContact: s.Contact, ReceivesFrom: s.Hears})
+		n.reach.Receive(e.From, reach.Message{Wall: s.Wall, StateContact: s.Contact, ReceivesFrom: s.Reachable})
 	}
-	n.watermark.Receive(e.From, e.Life, e.Horizon)
+	n.watermark.Receive(e.From, e.Incarnation, e.Watermark)
 	n.member.LearnTeams(e.Teams)
 	for _, v := range e.Views {
 		if v != nil && v.Name != "" {
@@ -19,7 +19,7 @@
 		}
 	}
 	n.applyDeltas(e)
-	for _, c := range e.Closes {
+	for _, c := range e.StartBlocks {
 		n.agent.CloseToStarts(c.Machine, c.Until)
 	}
 	for _, s := range e.Stops {
@@ -37,8 +37,8 @@
 	for _, d := range e.Drops {
 		n.placer.StartDropped(e.From, d)
 	}
-	if e.Tally != nil {
-		n.rental.UpdateDemand(e.From, *e.Tally)
+	if e.Demand != nil {
+		n.rental.UpdateDemand(e.From, *e.Demand)
 	}
 	for _, p := range e.Progress {
 		if j := n.jobs.Get(p.Job); j == nil || !j.Final() {
@@ -51,11 +51,11 @@
 	}
 	n.jobs.ApplyQueuePositions(e.Places)
 	n.placer.UsageReceived(e.Usage)
-	n.placer.ReservationsReceived(e.Claims)
+	n.placer.ReservationsReceived(e.Reservations)
 }
 
-// applyDeltas applies the incremental changes of machines that a peer sent, and requests the full view of each machine for
-// which this controller lacks the base. It also sends the full views that the peer requests.
+// applyDeltas applies the incremental changes of machines that a peer sent, and requests the full view of each
+// machine for which this controller lacks the base. It also sends the full views that the peer requests.
 func (n *Node) applyDeltas(e *peer.Envelope) {
 	var lost []string
 	for _, d := range e.Deltas {
@@ -64,9 +64,9 @@
 		}
 	}
 	if len(lost) > 0 {
-		n.net.To(e.From, func(o *peer.Envelope) { o.Lost = append(o.Lost, lost...) })
+		n.net.Send(e.From, func(o *peer.Envelope) { o.MissingViews = append(o.MissingViews, lost...) })
 	}
-	if views := n.agent.FullViews(e.Lost); len(views) > 0 {
-		n.net.To(e.From, func(o *peer.Envelope) { o.Views = append(o.Views, views...) })
+	if views := n.agent.FullViews(e.MissingViews); len(views) > 0 {
+		n.net.Send(e.From, func(o *peer.Envelope) { o.Views = append(o.Views, views...) })
 	}
 }
--- a/internal/node/overlook.go
+++ b/internal/node/watermark.go
@@ -6,14 +6,14 @@
 	"cleatpick/internal/store"
 )
 
-// setUpWatermark sets up the cancellation watermark, the latest time up to which this controller knows all cancellations,
-// and connects it to everything that advances it: the mirror of the state service, messages of peers, and every way
-// in which this controller learns of a cancellation.
+// setUpWatermark sets up the cancellation watermark, the latest time up to which this controller knows all
+// cancellations, and connects it to everything that advances it: the mirror of the state service, messages of peers,
+// and every way in which this controller learns of a cancellation.
 func (n *Node) setUpWatermark() {
 	w := &n.cfg.Cluster.Workers
 	grace := horizon.Grace(loop.Seconds(w.LeaseS), loop.Seconds(w.CancelS))
 	n.mirror.Wait = horizon.WatchWait(grace, n.cfg.Cluster.State.RPS*0.9/float64(max(n.cfg.Cluster.Nodes, 1)))
-	n.watermark = horizon.New(n.loop, n.log, n.net.Life, grace, n.net.Peers())
+	n.watermark = horizon.New(n.loop, n.log, n.net.Incarnation, grace, n.net.Peers())
 	n.mirror.OnSynced(func(s store.Synced) { n.watermark.RecordSync(s.Sent, s.Reach) })
 	n.watermark.RecordFromPeer = func(o horizon.Cancellation) bool { return n.jobs.ApplyPeerCancellation(o.Job, o.Revision) }
 	n.watermark.Discarded = func(string, string) { n.meter.HorizonWord() }
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -14,12 +14,12 @@
 	Wall    loop.Micros `cbor:"1,keyasint"`
 	Contact bool        `cbor:"2,keyasint"` // the state service answers this controller
 	// Key 3 was used before 0.7.0, for how long the state service had not answered.
-	Hosted int      `cbor:"4,keyasint"`
-	Hears  []string `cbor:"5,keyasint"` // peers whose messages arrive; nil from versions that do not send it
+	Hosted    int      `cbor:"4,keyasint"`
+	Reachable []string `cbor:"5,keyasint"` // peers whose messages arrive; nil from versions that do not send it
 }
 
-// Want is a group of alike tasks for which there is no free capacity, as part of an owner's demand.
-type Want struct {
+// Request is a group of alike tasks for which there is no free capacity, as part of an owner's demand.
+type Request struct {
 	CPUs     float64  `cbor:"1,keyasint"`
 	GPUs     float64  `cbor:"2,keyasint,omitempty"`
 	MemoryGB float64  `cbor:"3,keyasint"`
@@ -29,28 +29,29 @@
 	Spot     bool     `cbor:"7,keyasint,omitempty"`
 	Priority int      `cbor:"8,keyasint"`
 	Count    int      `cbor:"9,keyasint"`  // number of tasks
-	Run      int64    `cbor:"10,keyasint"` // expected run time of one task
-	// OneZone and Spread bind the tasks to zones, as in the job's spec. Only if one of them is set, Tasks is the number of
-	// tasks of the job, and In how many of them may already be on machines of each zone.
-	OneZone bool     `cbor:"11,keyasint,omitempty"`
-	Spread  bool     `cbor:"12,keyasint,omitempty"`
-	Tasks   int      `cbor:"13,keyasint,omitempty"`
-	In      []InZone `cbor:"14,keyasint,omitempty"`
+	RunTime  int64    `cbor:"10,keyasint"` // expected run time of one task
+	// OneZone and Spread bind the tasks to zones, as in the job's spec. Only if one of them is set, Tasks is the
+	// number of tasks of the job, and ByZone how many of them may already be on machines of each zone.
+	OneZone bool        `cbor:"11,keyasint,omitempty"`
+	Spread  bool        `cbor:"12,keyasint,omitempty"`
+	Tasks   int         `cbor:"13,keyasint,omitempty"`
+	ByZone  []ZoneTasks `cbor:"14,keyasint,omitempty"`
 }
 
-// InZone is the number of tasks of a job that may be on machines of a zone. A list of these, sorted by zone, is used
+// ZoneTasks is the number of tasks of a job that may be on machines of a zone. A list of these, sorted by zone, is used
 // instead of a map so that the same message is always encoded to the same bytes.
-type InZone struct {
+type ZoneTasks struct {
 	_     struct{} `cbor:",toarray"`
 	Zone  string
 	Tasks int
 }
 
-// Tally is an owner's complete demand: all tasks for which there is no free capacity. Each one replaces the one before.
-type Tally struct {
-	Wall    loop.Micros `cbor:"1,keyasint"`
-	Wants   []Want      `cbor:"2,keyasint,omitempty"`
-	Suspect []string    `cbor:"3,keyasint,omitempty"` // machines that have tasks and whose reports do not arrive
+// Demand is an owner's complete demand: all tasks for which there is no free capacity. Each one replaces the one
+// before.
+type Demand struct {
+	Wall     loop.Micros `cbor:"1,keyasint"`
+	Requests []Request   `cbor:"2,keyasint,omitempty"`
+	Suspect  []string    `cbor:"3,keyasint,omitempty"` // machines that have tasks and whose reports do not arrive
 }
 
 // Progress is what an owner reports about a job, for display only.
@@ -60,8 +61,8 @@
 	Running int64  `cbor:"3,keyasint"`
 	// Causes is why the other tasks do not run; sent only if /v1/ is enabled.
 	Causes []gate.Cause `cbor:"4,keyasint,omitempty"`
-	// Waits is whether Causes was sent, since an empty list is a valid value.
-	Waits bool `cbor:"5,keyasint,omitempty"`
+	// HasCauses is whether Causes was sent, since an empty list is a valid value.
+	HasCauses bool `cbor:"5,keyasint,omitempty"`
 	// At is the wall clock time at which the causes were determined.
 	At loop.Micros `cbor:"6,keyasint,omitempty"`
 }
@@ -87,14 +88,14 @@
 	GPUs float64 `cbor:"3,keyasint"`
 }
 
-// Close asks a machine's host controller to start nothing on the machine until a wall clock time.
-type Close struct {
+// StartBlock asks a machine's host controller to start nothing on the machine until a wall clock time.
+type StartBlock struct {
 	Machine string      `cbor:"1,keyasint"`
 	Until   loop.Micros `cbor:"2,keyasint"`
 }
 
-// Claim is a reservation: it keeps capacity on a machine for a job for which tasks were preempted.
-type Claim struct {
+// Reservation keeps capacity on a machine for a job for which tasks were preempted there.
+type Reservation struct {
 	Machine  string      `cbor:"1,keyasint"`
 	Job      string      `cbor:"2,keyasint"`
 	Priority int         `cbor:"3,keyasint"`
@@ -108,32 +109,32 @@
 
 // Envelope is one message between controllers, sent as one frame. It combines everything that is due for a peer.
 type Envelope struct {
-	From      string            `cbor:"1,keyasint"`
-	Status    *Status           `cbor:"2,keyasint,omitempty"`
-	Views     []*agent.View     `cbor:"3,keyasint,omitempty"`
-	Starts    []agent.Start     `cbor:"4,keyasint,omitempty"`
-	Stops     []agent.Stop      `cbor:"5,keyasint,omitempty"`
-	Drops     []agent.Rejection `cbor:"6,keyasint,omitempty"`
-	Tally     *Tally            `cbor:"7,keyasint,omitempty"`
-	Closes    []Close           `cbor:"8,keyasint,omitempty"`
-	Progress  []Progress        `cbor:"9,keyasint,omitempty"`
-	Usage     []Usage           `cbor:"10,keyasint,omitempty"`
-	Claims    []Claim           `cbor:"11,keyasint,omitempty"`
-	Reserves  []agent.Start     `cbor:"12,keyasint,omitempty"`
-	Checks    []string          `cbor:"13,keyasint,omitempty"`
-	Questions []Question        `cbor:"14,keyasint,omitempty"`
-	Replies   []Reply           `cbor:"15,keyasint,omitempty"`
-	// Deltas are views of machines as differences from views that were sent before. Lost names machines of the receiver
-	// whose full views the sender needs because it cannot apply a delta.
-	Deltas []*agent.Delta `cbor:"16,keyasint,omitempty"`
-	Lost   []string       `cbor:"17,keyasint,omitempty"`
+	From         string            `cbor:"1,keyasint"`
+	Status       *Status           `cbor:"2,keyasint,omitempty"`
+	Views        []*agent.View     `cbor:"3,keyasint,omitempty"`
+	Starts       []agent.Start     `cbor:"4,keyasint,omitempty"`
+	Stops        []agent.Stop      `cbor:"5,keyasint,omitempty"`
+	Drops        []agent.Rejection `cbor:"6,keyasint,omitempty"`
+	Demand       *Demand           `cbor:"7,keyasint,omitempty"`
+	StartBlocks  []StartBlock      `cbor:"8,keyasint,omitempty"`
+	Progress     []Progress        `cbor:"9,keyasint,omitempty"`
+	Usage        []Usage           `cbor:"10,keyasint,omitempty"`
+	Reservations []Reservation     `cbor:"11,keyasint,omitempty"`
+	Reserves     []agent.Start     `cbor:"12,keyasint,omitempty"`
+	Checks       []string          `cbor:"13,keyasint,omitempty"`
+	Questions    []Question        `cbor:"14,keyasint,omitempty"`
+	Replies      []Reply           `cbor:"15,keyasint,omitempty"`
+	// Deltas are views of machines as differences from views that were sent before. MissingViews names machines of
+	// the receiver whose full views the sender needs because it cannot apply a delta.
+	Deltas       []*agent.Delta `cbor:"16,keyasint,omitempty"`
+	MissingViews []string       `cbor:"17,keyasint,omitempty"`
 	// Places are the queue positions of users who were deferred, so that they keep them when they retry with any
 	// controller.
 	Places []admission.Position `cbor:"18,keyasint,omitempty"`
-	// Life identifies the incarnation of the sender: the wall clock time at which its process started.
-	Life loop.Micros `cbor:"19,keyasint,omitempty"`
-	// Horizon is what the sender asks and answers about cancellations, for the cancellation watermark.
-	Horizon *horizon.Message `cbor:"20,keyasint,omitempty"`
+	// Incarnation identifies the incarnation of the sender: the wall clock time at which its process started.
+	Incarnation loop.Micros `cbor:"19,keyasint,omitempty"`
+	// Watermark is what the sender asks and answers about cancellations, for the cancellation watermark.
+	Watermark *horizon.Message `cbor:"20,keyasint,omitempty"`
 	// Teams are the teams in the sender's settings, sent to a peer after each new connection.
 	Teams []string `cbor:"21,keyasint,omitempty"`
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -28,9 +28,10 @@
 const (
 	maxFrame = 1 << 20
 	maxQueue = 64
-	// flushDelayPerPeer times the number of peers, but at most gatherMost, is for how long additions to a frame are collected.
-	// Each frame wakes up a process, and fifteen controllers have 210 connections. Up to the number of peers at which
-	// gatherMost applies, a controller sends at most 200 frames per second, however many peers it has.
+	// flushDelayPerPeer times the number of peers, but at most maxFlushDelay, is for how long additions to a frame
+	// are collected. Each frame wakes up a process, and fifteen controllers have 210 connections. Up to the number of
+	// peers at which maxFlushDelay applies, a controller sends at most 200 frames per second, however many peers it
+	// has.
 	flushDelayPerPeer = 5 * loop.Millisecond
 	maxFlushDelay     = 40 * loop.Millisecond
 )
@@ -43,10 +44,10 @@
 	frames         chan []byte
 }
 
-// Known is what was last received from a peer.
-type Known struct {
+// PeerState is what was last received from a peer.
+type PeerState struct {
 	Status      Status
-	Heard       loop.Micros // when the newest status arrived, by the monotonic clock
+	ReceivedAt  loop.Micros // when the newest status arrived, by the monotonic clock
 	incarnation loop.Micros // the newest incarnation of its process that sent a frame
 }
 
@@ -56,33 +57,34 @@
 	log    *slog.Logger
 	self   string
 	links  map[string]*link
-	known  map[string]*Known
-	// Life is the wall clock time at which this process started, which identifies its incarnation. ClockTo is twice the
-	// bound on the error of a wall clock: incarnations of a peer that are closer together than that are not ordered.
-	Life, ClockTo loop.Micros
-	// Earlier is called for each dropped frame of an earlier incarnation of a peer; it may be nil.
-	Earlier func(label string)
-	// Receive is called on the event loop for every frame of a known peer.
-	Receive func(*Envelope)
-	// NewLife is called on the event loop after the first frame of a new incarnation of a peer, which knows nothing of what
-	// was sent to that peer before. It may be nil.
-	NewLife func(label string)
-	// Refused is called on the event loop when a peer's machine refuses the connection, which it does while no process
-	// listens there.
-	Refused func(label string)
+	states map[string]*PeerState
+	// Incarnation is the wall clock time at which this process started, which identifies its incarnation.
+	// ClockDifference is the largest difference between two wall clocks: incarnations of a peer that are closer
+	// together than that are not ordered.
+	Incarnation, ClockDifference loop.Micros
+	// OnEarlierFrame is called for each dropped frame of an earlier incarnation of a peer; it may be nil.
+	OnEarlierFrame func(label string)
+	// OnFrame is called on the event loop for every frame of a known peer.
+	OnFrame func(*Envelope)
+	// OnNewIncarnation is called on the event loop after the first frame of a new incarnation of a peer, which knows
+	// nothing of what was sent to that peer before. It may be nil.
+	OnNewIncarnation func(label string)
+	// OnRefused is called on the event loop when a peer's machine refuses the connection, which it does while no
+	// process listens there.
+	OnRefused func(label string)
 	// Deliver sends an encoded frame to a peer; tests replace it with a simulated network.
 	Deliver func(label string, frame []byte)
-	// Up is called on the event loop when a connection to a peer has been established.
-	Up func(label string)
+	// OnConnected is called on the event loop when a connection to a peer has been established.
+	OnConnected func(label string)
 }
 
 // New returns a Net with a link to each peer; Run connects them.
 func New(r loop.Runner, log *slog.Logger, self string, peers []config.Peer) *Net {
-	n := &Net{runner: r, log: log, self: self, links: map[string]*link{}, known: map[string]*Known{}}
+	n := &Net{runner: r, log: log, self: self, links: map[string]*link{}, states: map[string]*PeerState{}}
 	n.Deliver = n.enqueue
 	for _, p := range peers {
 		n.links[p.Label] = &link{peer: p, frames: make(chan []byte, maxQueue)}
-		n.known[p.Label] = &Known{}
+		n.states[p.Label] = &PeerState{}
 	}
 	return n
 }
@@ -150,43 +152,43 @@
 			n.log.Error("frame from a peer cannot be decoded; connection closed", "err", err)
 			return
 		}
-		n.runner.Post(func() { n.Take(e) })
+		n.runner.Post(func() { n.HandleFrame(e) })
 	}
 }
 
-// Take handles a peer's frame, on the event loop.
-func (n *Net) Take(e *Envelope) {
-	k := n.known[e.From]
+// HandleFrame handles a peer's frame, on the event loop.
+func (n *Net) HandleFrame(e *Envelope) {
+	k := n.states[e.From]
 	if k == nil {
 		return
 	}
-	if e.Life+n.ClockTo < k.incarnation {
+	if e.Incarnation+n.ClockDifference < k.incarnation {
 		// The frame was delayed on its way. What that incarnation knew and requested ended with it.
-		if n.Earlier != nil {
-			n.Earlier(e.From)
+		if n.OnEarlierFrame != nil {
+			n.OnEarlierFrame(e.From)
 		}
 		return
 	}
-	isNew := e.Life > k.incarnation
-	k.incarnation = max(k.incarnation, e.Life)
+	isNew := e.Incarnation > k.incarnation
+	k.incarnation = max(k.incarnation, e.Incarnation)
 	if e.Status != nil && e.Status.Wall > k.Status.Wall {
-		k.Status, k.Heard = *e.Status, n.runner.Now()
+		k.Status, k.ReceivedAt = *e.Status, n.runner.Now()
 	}
-	n.Receive(e)
-	if isNew && n.NewLife != nil {
-		n.NewLife(e.From)
+	n.OnFrame(e)
+	if isNew && n.OnNewIncarnation != nil {
+		n.OnNewIncarnation(e.From)
 	}
 }
 
-// connect keeps a connection to a peer and writes queued frames. Frames that cannot be written in time are dropped together
-// with the connection.
+// connect keeps a connection to a peer and writes queued frames. Frames that cannot be written in time are dropped
+// together with the connection.
 func (n *Net) connect(ctx context.Context, l *link) {
 	for ctx.Err() == nil {
 		d := net.Dialer{Timeout: time.Second}
 		c, err := d.DialContext(ctx, "tcp", l.peer.Endpoint)
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				n.runner.Post(func() { n.Refused(l.peer.Label) })
+				n.runner.Post(func() { n.OnRefused(l.peer.Label) })
 			}
 			n.drain(l)
 			select {
@@ -197,7 +199,7 @@
 		}
 		n.drain(l)
 		n.log.Debug("connected to a peer", "peer", l.peer.Label)
-		n.runner.Post(func() { n.Up(l.peer.Label) })
+		n.runner.Post(func() { n.OnConnected(l.peer.Label) })
 		n.writeFrames(ctx, l, c)
 		c.Close()
 	}
@@ -228,8 +230,8 @@
 	}
 }
 
-// To lets add change the next frame to a peer; several additions share a frame.
-func (n *Net) To(label string, add func(*Envelope)) {
+// Send lets add change the next frame to a peer; several additions share a frame.
+func (n *Net) Send(label string, add func(*Envelope)) {
 	l := n.links[label]
 	if l == nil {
 		return
@@ -244,7 +246,7 @@
 
 func (n *Net) flush(l *link) {
 	l.flushScheduled = false
-	l.next.From, l.next.Life = n.self, n.Life
+	l.next.From, l.next.Incarnation = n.self, n.Incarnation
 	// Of several views of a machine only the newest is needed.
 	if len(l.next.Views) > 1 {
 		last := map[string]int{}
@@ -276,10 +278,10 @@
 	}
 }
 
-// All lets add change the next frame to every peer.
-func (n *Net) All(add func(*Envelope)) {
+// SendAll lets add change the next frame to every peer.
+func (n *Net) SendAll(add func(*Envelope)) {
 	for label := range loop.Sorted(n.links) {
-		n.To(label, add)
+		n.Send(label, add)
 	}
 }
 
@@ -288,10 +290,10 @@
 	return slices.Sorted(maps.Keys(n.links))
 }
 
-// Known returns what was last received from a peer.
-func (n *Net) Known(label string) Known {
-	if k := n.known[label]; k != nil {
+// State returns what was last received from a peer.
+func (n *Net) State(label string) PeerState {
+	if k := n.states[label]; k != nil {
 		return *k
 	}
-	return Known{}
+	return PeerState{}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -11,23 +11,23 @@
 	"cleatpick/internal/standin"
 )
 
-// Frames that were delayed on their way arrive after the process that sent them has restarted. They are dropped and counted.
-// A frame of the newest incarnation is never dropped, also if the clock was behind when that started.
+// Frames that were delayed on their way arrive after the process that sent them has restarted. They are dropped and
+// counted. A frame of the newest incarnation is never dropped, also if the clock was behind when that started.
 func TestFramesOfEarlierIncarnationsAreDropped(t *testing.T) {
 	const s = loop.Second
 	n := New(standin.NewStepped(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
-	n.ClockTo = 200 * loop.Millisecond
+	n.ClockDifference = 200 * loop.Millisecond
 	var got []loop.Micros
 	dropped := 0
-	n.Receive = func(e *Envelope) { got = append(got, e.Life) }
-	n.Earlier = func(string) { dropped++ }
-	for _, life := range []loop.Micros{10 * s, 10 * s, 20 * s, 10 * s, 20*s - 150*loop.Millisecond, 9 * s, 20 * s, 30 * s} {
-		n.Take(&Envelope{From: "b", Life: life})
+	n.OnFrame = func(e *Envelope) { got = append(got, e.Incarnation) }
+	n.OnEarlierFrame = func(string) { dropped++ }
+	for _, incarnation := range []loop.Micros{10 * s, 10 * s, 20 * s, 10 * s, 20*s - 150*loop.Millisecond, 9 * s, 20 * s, 30 * s} {
+		n.HandleFrame(&Envelope{From: "b", Incarnation: incarnation})
 	}
 	if len(got) != 6 || dropped != 2 {
 		t.Errorf("received frames of the incarnations %v and dropped %d, want 6 received and 2 dropped", got, dropped)
 	}
-	n.Take(&Envelope{From: "c", Life: 40 * s})
+	n.HandleFrame(&Envelope{From: "c", Incarnation: 40 * s})
 	if len(got) != 6 {
 		t.Error("a frame of an unknown sender was received")
 	}
@@ -37,12 +37,12 @@
 func TestNewIncarnationsAreAnnounced(t *testing.T) {
 	const s = loop.Second
 	n := New(standin.NewStepped(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
-	n.ClockTo = 200 * loop.Millisecond
+	n.ClockDifference = 200 * loop.Millisecond
 	frames, announced := 0, []int{}
-	n.Receive = func(*Envelope) { frames++ }
-	n.NewLife = func(string) { announced = append(announced, frames) }
-	for _, life := range []loop.Micros{10 * s, 10 * s, 20 * s, 10 * s, 20 * s, 30 * s, 30 * s} {
-		n.Take(&Envelope{From: "b", Life: life})
+	n.OnFrame = func(*Envelope) { frames++ }
+	n.OnNewIncarnation = func(string) { announced = append(announced, frames) }
+	for _, incarnation := range []loop.Micros{10 * s, 10 * s, 20 * s, 10 * s, 20 * s, 30 * s, 30 * s} {
+		n.HandleFrame(&Envelope{From: "b", Incarnation: incarnation})
 	}
 	if !slices.Equal(announced, []int{1, 3, 5}) {
 		t.Errorf("new incarnations were announced after the received frames %v, want the first, the third and the fifth", announced)
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -296,7 +296,7 @@
 const maxPreemptedFor = 64
 
 // recordPreempted records for which job tasks of this owner were preempted.
-func (p *Scheduler) recordPreempted(c peer.Claim) {
+func (p *Scheduler) recordPreempted(c peer.Reservation) {
 	for _, name := range c.Victims {
 		id, _, ok := agent.SplitTask(name)
 		j := p.registry.Get(id)
--- a/internal/placer/explain_test.go
+++ b/internal/placer/explain_test.go
@@ -542,7 +542,7 @@
 	var told []gate.Cause
 	g.scheduler.node.SendProgress = func(all []peer.Progress) {
 		for _, p := range all {
-			if p.Waits {
+			if p.HasCauses {
 				told = p.Causes
 			}
 		}
--- a/internal/placer/guarantee_test.go
+++ b/internal/placer/guarantee_test.go
@@ -158,7 +158,7 @@
 	g.deliverView("n-001", "m8", "x", false)
 	g.Run(loop.Second)
 	for _, id := range []string{mine, theirs} {
-		g.scheduler.fleet.AddReservation(peer.Claim{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
+		g.scheduler.fleet.AddReservation(peer.Reservation{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
 	}
 	if got := g.scheduler.OwnReservations(); len(got) != 1 || got[0].Job != mine || got[0].CPUs != 2 {
 		t.Errorf("got reservations %+v, want the one of %s", got, mine)
--- a/internal/placer/image_test.go
+++ b/internal/placer/image_test.go
@@ -33,8 +33,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(100, config.Team{Name: "red", CPUs: 64, CPUsMax: 64}, config.Team{Name: "blue", CPUs: 64, CPUsMax: 64})
-			var claims []peer.Claim
-			g.scheduler.node.SendReservations = func(cs []peer.Claim) { claims = append(claims, cs...) }
+			var claims []peer.Reservation
+			g.scheduler.node.SendReservations = func(cs []peer.Reservation) { claims = append(claims, cs...) }
 			low := g.acceptJob(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 8, CPUs: 2, MemoryGB: 2, Image: "i", AnyType: true, Estimate: 60 * s})
 			earlier := g.acceptJob(2, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 1, CPUs: 2, MemoryGB: 2, Image: "u", ImageGB: c.image, AnyType: true, Estimate: 60 * s})
 			g.deliverView("n-1", "m16", "x", false, agent.Task{Task: agent.TaskName(earlier, 0), Attempt: 1, State: wire.TaskRunning}) // the machine therefore has the image
@@ -62,7 +62,7 @@
 			if c.claims > 0 && len(g.starts) > 0 {
 				t.Fatalf("%d tasks were placed elsewhere before the preempted tasks stopped", len(g.starts))
 			}
-			for _, w := range g.demand.Wants {
+			for _, w := range g.demand.Requests {
 				if w.Priority == int(job.High) {
 					t.Errorf("%d urgent tasks are published as unplaced", w.Count)
 				}
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -283,14 +283,14 @@
 }
 
 // request describes n unplaced tasks of a job for the leader.
-func (p *Scheduler) request(t *jobTable, n int) peer.Want {
+func (p *Scheduler) request(t *jobTable, n int) peer.Request {
 	s := t.job.Spec
-	w := peer.Want{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, AnyType: s.AnyType,
-		Zone: s.Zone, Spot: s.Spot, Priority: int(s.Priority), Count: n, Run: s.Estimate, OneZone: s.OneZone, Spread: s.Spread}
+	w := peer.Request{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, AnyType: s.AnyType,
+		Zone: s.Zone, Spot: s.Spot, Priority: int(s.Priority), Count: n, RunTime: s.Estimate, OneZone: s.OneZone, Spread: s.Spread}
 	if s.OneZone || s.Spread {
 		w.Tasks = t.job.Tasks
 		for z, n := range loop.Sorted(t.zones) {
-			w.In = append(w.In, peer.InZone{Zone: z, Tasks: n})
+			w.ByZone = append(w.ByZone, peer.ZoneTasks{Zone: z, Tasks: n})
 		}
 	}
 	return w
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -38,7 +38,7 @@
 	writes    int
 	txns      int
 	starts    []agent.Start
-	demand    peer.Tally
+	demand    peer.Demand
 	seq       uint64
 	onStop    func(agent.Stop) // may be nil
 }
@@ -85,10 +85,10 @@
 		},
 		RequestTaskList:  func(string, string) {},
 		Reserve:          func(string, agent.Start) {},
-		SendDemand:       func(t peer.Tally) { g.demand = t },
+		SendDemand:       func(t peer.Demand) { g.demand = t },
 		SendProgress:     func([]peer.Progress) {},
 		SendUsage:        func([]peer.Usage) {},
-		SendReservations: func([]peer.Claim) {},
+		SendReservations: func([]peer.Reservation) {},
 	}, g.registry, g.workers, cordon.NewRegistry(g, c, g.mirror, log, 0))
 	g.registry.OnJob = g.scheduler.JobChanged
 	for _, t := range teams {
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -13,7 +13,7 @@
 // preemptionState holds the state of preemption between passes.
 type preemptionState struct {
 	nextRun         loop.Micros
-	newReservations []peer.Claim
+	newReservations []peer.Reservation
 }
 
 // guaranteeWait is how long work within a guarantee waits for completing tasks to free capacity before others are
@@ -25,7 +25,7 @@
 const turnoverSeconds = 1.0
 
 // ReservationsReceived adds reservations that other owners made, and records which tasks of this owner they preempted.
-func (p *Scheduler) ReservationsReceived(cs []peer.Claim) {
+func (p *Scheduler) ReservationsReceived(cs []peer.Reservation) {
 	for _, c := range cs {
 		p.fleet.AddReservation(c)
 		p.recordPreempted(c)
@@ -33,7 +33,7 @@
 }
 
 // OwnReservations returns the reservations of the jobs owned here, for a peer that does not know them.
-func (p *Scheduler) OwnReservations() []peer.Claim {
+func (p *Scheduler) OwnReservations() []peer.Reservation {
 	return p.fleet.ReservationsOf(func(id string) bool {
 		j := p.registry.Get(id)
 		if j == nil || j.Spec == nil {
@@ -45,7 +45,7 @@
 }
 
 // recordReservations records new reservations and queues them to be sent to the other owners.
-func (p *Scheduler) recordReservations(cs []peer.Claim) {
+func (p *Scheduler) recordReservations(cs []peer.Reservation) {
 	for i := range cs {
 		p.node.Meter.Preempted(len(cs[i].Victims))
 		if p.node.ReportCauses {
--- a/internal/placer/preempt_test.go
+++ b/internal/placer/preempt_test.go
@@ -32,7 +32,7 @@
 	f := &preemptionFleet{rig: newRig(1000, teams...), t: t, teams: teams, specs: map[string]*job.Spec{}, machines: map[string][]agent.Task{},
 		stopped: map[string]int{}, alternations: map[[2]string][]string{}}
 	f.scheduler.node.ReportCauses = true
-	f.scheduler.node.SendReservations = func(claims []peer.Claim) {
+	f.scheduler.node.SendReservations = func(claims []peer.Reservation) {
 		for i := range claims {
 			f.checkRules(&claims[i])
 		}
@@ -98,7 +98,7 @@
 }
 
 // checkRules applies the rules of preemption to all victims of one task together.
-func (f *preemptionFleet) checkRules(claim *peer.Claim) {
+func (f *preemptionFleet) checkRules(claim *peer.Reservation) {
 	claimant := f.specs[claim.Job]
 	uses := f.uses()
 	freed := map[string]float64{}
--- a/internal/placer/scheduler.go
+++ b/internal/placer/scheduler.go
@@ -33,13 +33,13 @@
 	// Reserve tells the host controller of a placement whose record is still being stored.
 	Reserve func(host string, s agent.Start)
 	// SendDemand sends the list of unplaced requests to the leader.
-	SendDemand func(peer.Tally)
+	SendDemand func(peer.Demand)
 	// SendProgress sends the task counts of owned jobs to the peers.
 	SendProgress func([]peer.Progress)
 	// SendUsage sends the resource use of the owned teams to the peers.
 	SendUsage func([]peer.Usage)
 	// SendReservations sends new reservations of capacity on machines to the peers.
-	SendReservations func([]peer.Claim)
+	SendReservations func([]peer.Reservation)
 	// ReportCauses reports whether the causes of waiting are tracked and sent to the peers. Meter counts events and
 	// may be nil.
 	ReportCauses bool
@@ -80,7 +80,7 @@
 	zoneByMachine    map[string]string
 	nonce            uint64
 	valueLimit       int // limit on the estimated size of a segment, in bytes
-	unplacedRequests []peer.Want
+	unplacedRequests []peer.Request
 	usage            map[string]peer.Usage
 	preemption       preemptionState
 	turnover         fleet.Turnover
--- a/internal/placer/starvation_accounting_test.go
+++ b/internal/placer/starvation_accounting_test.go
@@ -143,6 +143,6 @@
 		if want := 8 - held; right.InTeamShareTasks != want || right.TeamBelowGuaranteeTasks != want || right.InTeamShare != (want > 0) {
 			t.Errorf("with reservations for %d tasks: share %v of %d, room of %d, want %d", held, right.InTeamShare, right.InTeamShareTasks, right.TeamBelowGuaranteeTasks, want)
 		}
-		g.scheduler.fleet.AddReservation(peer.Claim{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
+		g.scheduler.fleet.AddReservation(peer.Reservation{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
 	}
 }
--- a/internal/placer/starvation_test.go
+++ b/internal/placer/starvation_test.go
@@ -69,10 +69,10 @@
 		t.Errorf("begun %v after %d us, capacity still reserved for %d tasks", began(), g.Now()-accepted, g.scheduler.fleet.ReservationCount(large))
 	}
 	// The view of another owner that received a reservation: the machine lists the task, or the job ends.
-	claim := peer.Claim{Machine: "n-001", Job: small, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second}
+	claim := peer.Reservation{Machine: "n-001", Job: small, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second}
 	g.deliverView("n-001", "m8", "x", false)
 	g.Run(loop.Second)
-	g.scheduler.ReservationsReceived([]peer.Claim{claim, claim})
+	g.scheduler.ReservationsReceived([]peer.Reservation{claim, claim})
 	g.deliverView("n-001", "m8", "x", false, agent.Task{Task: small + "/8999", Attempt: 1, State: wire.TaskRunning})
 	g.scheduler.fleet.Refresh()
 	if n := g.scheduler.fleet.ReservationCount(small); n != 1 {
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -41,7 +41,7 @@
 				t.sentDone, t.sentRunning = d, run
 				update := peer.Progress{Job: t.job.ID, Done: d, Running: run}
 				if p.node.ReportCauses {
-					update.Causes, update.Waits, update.At = t.causes, true, wall
+					update.Causes, update.HasCauses, update.At = t.causes, true, wall
 				}
 				progress = append(progress, update)
 			}
@@ -148,7 +148,7 @@
 
 // sendDemand sends the unplaced requests, and the machines with tasks whose reports are overdue, to the leader.
 func (p *Scheduler) sendDemand() {
-	t := peer.Tally{Wall: p.runner.Wall(), Wants: p.unplacedRequests}
+	t := peer.Demand{Wall: p.runner.Wall(), Requests: p.unplacedRequests}
 	now := p.runner.Now()
 	for m := range p.tasksByMachine {
 		if sl := p.fleet.Machine(m); sl == nil || now-sl.LastReport > p.staleAfter() {
--- a/internal/rental/autoscaler.go
+++ b/internal/rental/autoscaler.go
@@ -80,7 +80,7 @@
 // Node holds what the autoscaler needs of the controller that runs it.
 type Node struct {
 	// Close asks a machine's host controller to start nothing on it.
-	Close func(host string, c peer.Close)
+	Close func(host string, c peer.StartBlock)
 	// PeerUnreachable reports whether messages of a peer in this zone have stopped arriving: the peer may
 	// still be answering workers that no other controller can reach.
 	PeerUnreachable func(zone string) bool
@@ -114,7 +114,7 @@
 	byName         map[string]wire.MachineType
 	machines       map[string]*machine
 	orders         map[string]*order
-	demands        map[string]peer.Tally
+	demands        map[string]peer.Demand
 	demandAt       map[string]loop.Micros
 	offers         map[offer]*backoff
 	seq            int
@@ -145,7 +145,7 @@
 // controller.
 func New(r loop.Runner, log *slog.Logger, cfg *config.Config, c *store.Client, m *store.Mirror, cloud store.Doer, a *agent.Registry, n Node) *Autoscaler {
 	t := &Autoscaler{runner: r, log: log, cfg: cfg, client: c, mirror: m, cloud: cloud, workers: a, node: n, byName: map[string]wire.MachineType{}, rand: loop.Rand(r),
-		demands: map[string]peer.Tally{}, unreachableAt: map[string]loop.Micros{}, demandAt: map[string]loop.Micros{}, deleted: map[string][]string{}, bootTimes: explain.NewDistribution()}
+		demands: map[string]peer.Demand{}, unreachableAt: map[string]loop.Micros{}, demandAt: map[string]loop.Micros{}, deleted: map[string][]string{}, bootTimes: explain.NewDistribution()}
 	w := cfg.Cluster.Workers
 	t.failures = loss.New(loss.Rules{ReportInterval: loop.Seconds(w.ReportS), Lease: loop.Seconds(w.LeaseS), UnreachableGrace: partitionGrace,
 		MaxSilence: loop.Seconds(cfg.Operator.SilentDeleteS), MaxProbes: max(min(64, cfg.Cluster.Limits.MaxSockets/20), 4)}, log, n.Meter, t.probe)
@@ -233,7 +233,7 @@
 }
 
 // UpdateDemand records an owner's unplaced requests and suspect machines.
-func (t *Autoscaler) UpdateDemand(from string, demand peer.Tally) {
+func (t *Autoscaler) UpdateDemand(from string, demand peer.Demand) {
 	old := t.demands[from]
 	maxAge := t.cfg.ClockDifference() + 5*loop.Second
 	if demand.Wall <= old.Wall || t.runner.Wall()-demand.Wall > maxAge {
--- a/internal/rental/autoscaler_test.go
+++ b/internal/rental/autoscaler_test.go
@@ -61,7 +61,7 @@
 	g.cloud.Up = func(l wire.Listed) { g.booted = append(g.booted, l) }
 	g.cloud.Gone = func(name string) { g.deleted = append(g.deleted, name) }
 	g.workers = agent.New(g, log, agent.Config{Label: "a", FindJob: func(id string) *job.Job { return g.jobs[id] }, ViewChanged: func(v *agent.View, _ *agent.Changes) { g.scaler.UpdateView(v) }}, nil)
-	g.scaler = New(g, log, cfg, c, m, g, g.workers, Node{Close: func(string, peer.Close) {},
+	g.scaler = New(g, log, cfg, c, m, g, g.workers, Node{Close: func(string, peer.StartBlock) {},
 		PeerUnreachable: func(z string) bool { return g.peerUnreachable || z == g.partitionedZone }, LeaseValid: func() bool { return g.entitled }, Isolated: func() bool { return g.isolated },
 		Faulty: func(string) bool { return false }, Probe: func(addr string) loss.ProbeResult { return cmp.Or(g.probeAnswers[addr], g.probeAnswer) }})
 	m.Start()
@@ -134,7 +134,7 @@
 func TestRefusedOffersBackOffAndOrderOnce(t *testing.T) {
 	g := newRig(t, 0)
 	sendDemand := func() {
-		g.scaler.UpdateDemand("b", peer.Tally{Wall: g.Now(), Wants: []peer.Want{{CPUs: 2, MemoryGB: 1, AnyType: true, Spot: true, Count: 8}}})
+		g.scaler.UpdateDemand("b", peer.Demand{Wall: g.Now(), Requests: []peer.Request{{CPUs: 2, MemoryGB: 1, AnyType: true, Spot: true, Count: 8}}})
 	}
 	for range 60 {
 		sendDemand()
@@ -163,8 +163,8 @@
 // An empty machine is deleted after its standby time, and only after its host controller has closed it.
 func TestIdleMachineIsClosedThenDeleted(t *testing.T) {
 	g := newRig(t, 4)
-	var closed []peer.Close
-	g.scaler.node.Close = func(_ string, c peer.Close) { closed = append(closed, c) }
+	var closed []peer.StartBlock
+	g.scaler.node.Close = func(_ string, c peer.StartBlock) { closed = append(closed, c) }
 	g.Run(3 * loop.Second)
 	seen := false
 	for range 4000 {
@@ -197,7 +197,7 @@
 		t.Fatalf("%d deletion records are left, machine deleted: %v", n, g.workers.IsDeleted("n-900000"))
 	}
 	for range 80 {
-		g.scaler.UpdateDemand("b", peer.Tally{Wall: g.Now(), Suspect: []string{"n-900000"}})
+		g.scaler.UpdateDemand("b", peer.Demand{Wall: g.Now(), Suspect: []string{"n-900000"}})
 		g.Run(500 * loop.Millisecond)
 	}
 	if !g.workers.IsDeleted("n-900000") {
@@ -261,7 +261,7 @@
 		}
 		for range 6 {
 			reportAll(10, 20)
-			g.scaler.UpdateDemand("b", peer.Tally{Wall: g.Now(), Wants: []peer.Want{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 10}}})
+			g.scaler.UpdateDemand("b", peer.Demand{Wall: g.Now(), Requests: []peer.Request{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 10}}})
 			g.Run(500 * loop.Millisecond)
 		}
 		if rented := len(g.booted) > 0; rented != c.want {
@@ -310,7 +310,7 @@
 		if k < 600 {
 			g.report(name, "x") // for 60 s; until then there is no capacity beside it
 		}
-		g.scaler.UpdateDemand("b", peer.Tally{Wall: g.Now(), Wants: []peer.Want{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 1}}})
+		g.scaler.UpdateDemand("b", peer.Demand{Wall: g.Now(), Requests: []peer.Request{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 1}}})
 		g.Run(100 * loop.Millisecond)
 		if deletedAt == 0 && len(g.deleted) > 0 {
 			deletedAt = g.Now()
--- a/internal/rental/machine.go
+++ b/internal/rental/machine.go
@@ -257,7 +257,7 @@
 	}
 	if now-m.closeAskedAt > loop.Second {
 		m.closeAskedAt = now
-		t.node.Close(v.Host, peer.Close{Machine: m.name, Until: t.runner.Wall() + 12*loop.Second})
+		t.node.Close(v.Host, peer.StartBlock{Machine: m.name, Until: t.runner.Wall() + 12*loop.Second})
 	}
 	if v.ClosedToStarts && empty(v) && now-m.confirmedAt < 2*loop.Seconds(t.cfg.Cluster.Workers.ReportS)+2*loop.Second {
 		t.setState(m, Deleting, m.why)
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -20,12 +20,12 @@
 )
 
 // requests collects the unplaced requests of all owners whose demand arrived recently, highest priority first.
-func (t *Autoscaler) requests() []peer.Want {
-	var all []peer.Want
+func (t *Autoscaler) requests() []peer.Request {
+	var all []peer.Request
 	now := t.runner.Now()
 	for from, y := range loop.Sorted(t.demands) {
 		if now-t.demandAt[from] < 4*loop.Second {
-			all = append(all, y.Wants...)
+			all = append(all, y.Requests...)
 		}
 	}
 	sort.SliceStable(all, func(i, j int) bool { return all[i].Priority > all[j].Priority })
@@ -33,18 +33,18 @@
 }
 
 // specOf returns the part of a job's spec that a request carries.
-func specOf(w *peer.Want) *job.Spec {
+func specOf(w *peer.Request) *job.Spec {
 	return &job.Spec{CPUs: w.CPUs, GPUs: w.GPUs, MemoryGB: w.MemoryGB, Types: w.Types, AnyType: w.AnyType, Zone: w.Zone, Spot: w.Spot,
 		OneZone: w.OneZone, Spread: w.Spread}
 }
 
 // needOf returns what placement will ask of machines for a request. It includes the zones of the job's other
 // tasks: without them, machines for a job that is bound to one zone were rented in another, again and again.
-func needOf(w *peer.Want) *gate.Need {
+func needOf(w *peer.Request) *gate.Need {
 	n := &gate.Need{Spec: specOf(w), Tasks: w.Tasks}
 	if w.OneZone || w.Spread {
 		n.Zones = map[string]int{}
-		for _, x := range w.In {
+		for _, x := range w.ByZone {
 			n.Zones[x.Zone] += x.Tasks
 		}
 	}
--- a/internal/rental/retention_test.go
+++ b/internal/rental/retention_test.go
@@ -12,7 +12,7 @@
 )
 
 // highDemand is demand that exceeds one machine.
-var highDemand = []peer.Want{{CPUs: 2, AnyType: true, Spot: true, Count: 8}}
+var highDemand = []peer.Request{{CPUs: 2, AnyType: true, Spot: true, Count: 8}}
 
 // Machines behind a network partition are retained for a boot time longer, but only while nothing can be
 // rented elsewhere and more work waits than one machine holds. A leader once deleted 408 machines of a zone
@@ -24,7 +24,7 @@
 	for _, c := range []struct {
 		name      string
 		each      int // machines available of each offer
-		wants     []peer.Want
+		wants     []peer.Request
 		partition bool         // the zone is partitioned: a peer there is unreachable
 		new       bool         // the leader started after the partition began, and never received reports of these machines
 		runs      job.Priority // priority of the tasks on the machines
@@ -33,9 +33,9 @@
 		{"full, work waits", 6, highDemand, true, false, job.Normal, boot},
 		{"full, work waits, a new leader", 6, highDemand, true, true, job.Normal, boot},
 		{"full, urgent tasks run there", 6, highDemand, true, false, job.High, 0},
-		{"full, little waits", 6, []peer.Want{{CPUs: 2, AnyType: true, Spot: true, Count: 4}}, true, false, job.Normal, 0},
-		{"full, waiting work fits nothing in reachable zones", 6, []peer.Want{{CPUs: 2, AnyType: true, Zone: "y", Count: 80}}, true, false, job.Normal, 0},
-		{"full, waiting work fits no machine", 6, []peer.Want{{CPUs: 9, AnyType: true, Spot: true, Count: 80}}, true, false, job.Normal, 0},
+		{"full, little waits", 6, []peer.Request{{CPUs: 2, AnyType: true, Spot: true, Count: 4}}, true, false, job.Normal, 0},
+		{"full, waiting work fits nothing in reachable zones", 6, []peer.Request{{CPUs: 2, AnyType: true, Zone: "y", Count: 80}}, true, false, job.Normal, 0},
+		{"full, waiting work fits no machine", 6, []peer.Request{{CPUs: 9, AnyType: true, Spot: true, Count: 80}}, true, false, job.Normal, 0},
 		{"capacity elsewhere", 4000, highDemand, true, false, job.Normal, 0},
 		{"no partition", 6, highDemand, false, false, job.Normal, 0},
 	} {
@@ -45,13 +45,13 @@
 			g.jobs = map[string]*job.Job{"j": {ID: "j", Phase: job.Accepted, Spec: &job.Spec{CPUs: 1, Priority: c.runs}}}
 			g.runs = []agent.Task{{Task: "j/0", Attempt: 1, State: wire.TaskRunning}}
 			names := g.cloud.Fill(6) // half of them in x, the rest in y
-			step := func(y bool, wants []peer.Want) {
+			step := func(y bool, wants []peer.Request) {
 				for i, name := range names {
 					if zone := []string{"x", "y"}[i/6]; zone == "x" || y {
 						g.report(name, zone)
 					}
 				}
-				demand := peer.Tally{Wall: g.Now(), Wants: wants}
+				demand := peer.Demand{Wall: g.Now(), Requests: wants}
 				if c.new {
 					demand.Suspect = names[6:] // reported as suspect by an owner before the cloud lists them
 				}
@@ -103,7 +103,7 @@
 		for i, name := range names[:n] {
 			g.report(name, []string{"x", "y"}[i/6])
 		}
-		g.scaler.UpdateDemand("b", peer.Tally{Wall: g.Now(), Wants: highDemand})
+		g.scaler.UpdateDemand("b", peer.Demand{Wall: g.Now(), Requests: highDemand})
 		g.Run(200 * loop.Millisecond)
 	}
 	for range 100 {
