--- a/internal/store/fairness_test.go
+++ b/internal/store/fairness_test.go
@@ -17,8 +17,8 @@
 	floodSeconds = 60
 	// Users expect the answer to a submission within 200 ms, and work within a guarantee to begin within 5 s,
 	// of which a report, a placement decision, a record and a start each take a part.
-	readWithin  = 200 * loop.Millisecond
-	writeWithin = loop.Second
+	maxReadWait  = 200 * loop.Millisecond
+	maxWriteWait = loop.Second
 )
 
 // flood keeps submissions of ten times the share of changes waiting, in full transactions.
@@ -44,8 +44,8 @@
 	})
 }
 
-// waits measures how long the requests of one kind wait.
-type waits struct {
+// waitTimes measures how long the requests of one kind wait.
+type waitTimes struct {
 	name    string
 	within  loop.Micros
 	asked   int
@@ -53,7 +53,7 @@
 	longest loop.Micros
 }
 
-func (w *waits) ask(now func() loop.Micros) (answered func()) {
+func (w *waitTimes) ask(now func() loop.Micros) (answered func()) {
 	w.asked++
 	at := now()
 	return func() {
@@ -68,20 +68,20 @@
 // reads, which need no changes. With such a client, none of 61 reads in this test was answered within 60 s, nor
 // was any of 61 orders or records; in a run, a leader to which users also submitted rented its first machine
 // after 10 to 37 s, and reads waited 0.4 s each (docs/incidents/2026-12-02-went-back-and-forgotten.md).
-func TestNothingWaitsBehindSubmissions(t *testing.T) {
+func TestSubmissionsDelayNoOtherClass(t *testing.T) {
 	const rps, writeRPS, nodes = 180, 70, 3
 	clock := standin.NewStepped(1000 * loop.Second)
 	state := standin.NewState(clock.Now)
-	sent := &counted{state: state}
+	sent := &changeCounter{state: state}
 	client := store.NewClient(clock, sent, slog.New(slog.NewTextHandler(io.Discard, nil)), rps, writeRPS, nodes)
 	f := &flood{client: client}
 	for range 10 {
 		f.submit()
 	}
-	reads := &waits{name: "reads", within: readWithin}
-	orders := &waits{name: "orders for machines", within: writeWithin}
-	starts := &waits{name: "records of starts and ends", within: writeWithin}
-	tidying := &waits{name: "background deletions", within: 4 * writeWithin}
+	reads := &waitTimes{name: "reads", within: maxReadWait}
+	orders := &waitTimes{name: "orders for machines", within: maxWriteWait}
+	starts := &waitTimes{name: "records of starts and ends", within: maxWriteWait}
+	tidying := &waitTimes{name: "background deletions", within: 4 * maxWriteWait}
 	var every func()
 	every = func() {
 		read, order, record, tidied := reads.ask(clock.Now), orders.ask(clock.Now), starts.ask(clock.Now), tidying.ask(clock.Now)
@@ -92,7 +92,7 @@
 		clock.After(loop.Second, every)
 	}
 	every()
-	lease := &waits{name: "leases", within: 10 * loop.Millisecond}
+	lease := &waitTimes{name: "leases", within: 10 * loop.Millisecond}
 	var renew func()
 	renew = func() {
 		renewed := lease.ask(clock.Now)
@@ -101,7 +101,7 @@
 	}
 	renew()
 	clock.Run(floodSeconds * loop.Second)
-	for _, w := range []*waits{reads, orders, starts, tidying, lease} {
+	for _, w := range []*waitTimes{reads, orders, starts, tidying, lease} {
 		if w.asked-w.done > int(w.within/loop.Second)+1 || w.longest > w.within {
 			t.Errorf("%s: %d of %d answered, the slowest after %d ms, want at most %d ms", w.name, w.done, w.asked, w.longest/loop.Millisecond, w.within/loop.Millisecond)
 		}
@@ -116,13 +116,13 @@
 	}
 }
 
-// counted counts the changes that are sent to the state service.
-type counted struct {
+// changeCounter counts the changes that are sent to the state service.
+type changeCounter struct {
 	state   *standin.State
 	changes int
 }
 
-func (c *counted) Do(method, path string, body []byte, d time.Duration) store.Response {
+func (c *changeCounter) Do(method, path string, body []byte, d time.Duration) store.Response {
 	var txn wire.Txn
 	if path == "/multi" && wire.Unmarshal(body, &txn) == nil {
 		c.changes += len(txn.Then)
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -30,24 +30,24 @@
 // Mirror is a copy of all keys under one prefix, kept up to date by watches. It may lag behind; a caller that
 // needs certainty adds conditions to a transaction.
 type Mirror struct {
-	c       *Client
-	watch   Doer
-	prefix  string
-	state   MirrorState
-	since   uint64 // store revision up to which every change has been applied
-	known   bool   // the keys were read at least once
-	tries   int    // scans in a row that failed
-	entries map[string]Entry
-	removed []removal // of entries, in the order in which they were applied
-	subs    []sub
-	ready   []func()
-	rand    *rand.Rand
+	client      *Client
+	watchDoer   Doer
+	prefix      string
+	state       MirrorState
+	revision    uint64 // store revision up to which every change has been applied
+	loaded      bool   // the keys were read at least once
+	failedReads int    // scans in a row that failed
+	entries     map[string]Entry
+	removed     []removal // of entries, in the order in which they were applied
+	subs        []subscription
+	ready       []func()
+	rand        *rand.Rand
 	// Wait is for how long a watch stays open without changes.
-	Wait     loop.Micros
-	synced   []func(Synced)
-	scanning bool        // a scan of all keys is in flight
-	slack    loop.Micros // time beyond Wait after which a watch counts as lost
-	opened   loop.Micros // monotonic time at which the newest watch was opened
+	Wait          loop.Micros
+	synced        []func(Synced)
+	scanning      bool        // a scan of all keys is in flight
+	watchSlack    loop.Micros // time beyond Wait after which a watch counts as lost
+	watchOpenedAt loop.Micros // monotonic time at which the newest watch was opened
 }
 
 // Synced says that the copy holds everything that the state service held when a request was made.
@@ -58,26 +58,26 @@
 }
 
 const (
-	// watchGather is the least time between the answer of a watch and the next watch, in which changes are
-	// collected. watchPart is the part of this controller's requests that watches may take: each counts as a
+	// minWatchPause is the least time between the answer of a watch and the next watch, in which changes are
+	// collected. watchShare is the part of this controller's requests that watches may take: each counts as a
 	// request, and with many controllers they would leave none for anything else. A watch is not delayed by
-	// more than watchMost on that account, since jobs that others store and cancel must become known here.
-	watchGather = 60 * loop.Millisecond
-	watchMost   = 500 * loop.Millisecond
-	watchPart   = 0.3
+	// more than maxWatchPause on that account, since jobs that others store and cancel must become known here.
+	minWatchPause = 60 * loop.Millisecond
+	maxWatchPause = 500 * loop.Millisecond
+	watchShare    = 0.3
 )
 
 // watchPause returns the time from the answer of a watch until the next watch is opened.
 func (m *Mirror) watchPause() loop.Micros {
-	apart := loop.Micros(1e6 / (m.c.reads.rate * watchPart))
-	return max(watchGather, min(m.opened+apart-m.c.r.Now(), watchMost))
+	apart := loop.Micros(1e6 / (m.client.requestTokens.rate * watchShare))
+	return max(minWatchPause, min(m.watchOpenedAt+apart-m.client.runner.Now(), maxWatchPause))
 }
 
 const (
 	// A watch whose connection is dead is given up after its Wait and a slack. The slack doubles with each
 	// watch that gets no answer, so that a slow service is not asked in vain over and over.
-	leastSlack = 3 * loop.Second
-	mostSlack  = 24 * loop.Second
+	minWatchSlack = 3 * loop.Second
+	maxWatchSlack = 24 * loop.Second
 )
 
 // removal is a removed key. Its revision is kept for a while, so that a late message about an earlier revision
@@ -87,20 +87,20 @@
 	mark uint64
 }
 
-// sub is a subscription to the keys under a prefix.
-type sub struct {
+// subscription is a subscription to the keys under a prefix.
+type subscription struct {
 	prefix string
 	f      func(key string, e Entry)
 }
 
 // NewMirror makes an empty mirror; Start reads the keys and follows them.
 func NewMirror(c *Client, watch Doer, prefix string) *Mirror {
-	return &Mirror{c: c, watch: watch, prefix: prefix, entries: map[string]Entry{}, Wait: 20 * loop.Second, slack: leastSlack}
+	return &Mirror{client: c, watchDoer: watch, prefix: prefix, entries: map[string]Entry{}, Wait: 20 * loop.Second, watchSlack: minWatchSlack}
 }
 
 // On calls f for every change of a key under the prefix. The entry of a removed key has a Mark of 0.
 func (m *Mirror) On(prefix string, f func(key string, e Entry)) {
-	m.subs = append(m.subs, sub{prefix, f})
+	m.subs = append(m.subs, subscription{prefix, f})
 }
 
 // OnSynced calls f whenever an answer of the state service has been applied completely.
@@ -110,7 +110,7 @@
 func (m *Mirror) OnReady(f func()) { m.ready = append(m.ready, f) }
 
 // Ready reports whether the keys have been read.
-func (m *Mirror) Ready() bool { return m.known }
+func (m *Mirror) Ready() bool { return m.loaded }
 
 func (m *Mirror) setState(s MirrorState) { m.state = s }
 
@@ -161,7 +161,7 @@
 
 // Start reads all keys, and follows their changes from then on.
 func (m *Mirror) Start() {
-	m.rand = loop.Rand(m.c.r)
+	m.rand = loop.Rand(m.client.runner)
 	m.read()
 }
 
@@ -171,27 +171,27 @@
 	m.scan(func(ok bool) {
 		if !ok {
 			// The delay is random, so that controllers that start together do not retry together.
-			m.tries = min(m.tries+1, 4)
-			wait := 200 * loop.Millisecond << m.tries
-			m.c.log.Info("keys cannot be read from the state service; the read will be retried", "prefix", m.prefix, "again_in_us", wait)
-			m.c.r.After(wait/2+m.rand.Int64N(wait/2), m.read)
+			m.failedReads = min(m.failedReads+1, 4)
+			wait := 200 * loop.Millisecond << m.failedReads
+			m.client.log.Info("keys cannot be read from the state service; the read will be retried", "prefix", m.prefix, "again_in_us", wait)
+			m.client.runner.After(wait/2+m.rand.Int64N(wait/2), m.read)
 			return
 		}
-		m.tries = 0
+		m.failedReads = 0
 		m.setState(MirrorWatching)
-		m.follow()
+		m.openWatch()
 	})
 }
 
 // scan reads all keys once; done is told whether they were all applied. Only one scan is in flight at a time.
 func (m *Mirror) scan(done func(ok bool)) {
 	if m.scanning {
-		m.c.r.Post(func() { done(false) })
+		m.client.runner.Post(func() { done(false) })
 		return
 	}
 	m.scanning = true
-	sent, request := m.c.r.Now(), m.c.Next()
-	m.c.Scan(Answers, m.prefix, func(items []wire.Item, tally uint64, ok bool) {
+	sent, request := m.client.runner.Now(), m.client.Next()
+	m.client.Scan(Answers, m.prefix, func(items []wire.Item, tally uint64, ok bool) {
 		m.scanning = false
 		if !ok {
 			done(false)
@@ -200,9 +200,9 @@
 		m.replace(items, tally)
 		// An empty store has revision 0. It must not be taken for 1: the first change of all, at revision 1,
 		// would then be missed by every controller but the one that made it.
-		first := !m.known
-		m.known, m.since = true, max(m.since, tally)
-		m.tellSynced(sent, request)
+		first := !m.loaded
+		m.loaded, m.revision = true, max(m.revision, tally)
+		m.notifySynced(sent, request)
 		if first {
 			for _, f := range m.ready {
 				f()
@@ -233,69 +233,69 @@
 
 // changesPath returns the path of a watch for the changes that are not known here yet.
 func (m *Mirror) changesPath(wait loop.Micros) string {
-	return "/changes?under=" + m.prefix + "&since=" + strconv.FormatUint(m.since, 10) + "&waitMs=" + strconv.FormatInt(wait/loop.Millisecond, 10)
+	return "/changes?under=" + m.prefix + "&since=" + strconv.FormatUint(m.revision, 10) + "&waitMs=" + strconv.FormatInt(wait/loop.Millisecond, 10)
 }
 
 // Sync brings the copy up to date with what the state service holds now, by a watch that does not wait. The
 // functions set by OnSynced are called before done. done receives Applied, Refused (the state service certainly
 // did not answer the read) or Unknown.
 func (m *Mirror) Sync(p Prio, done func(Outcome)) {
-	sent, request := m.c.r.Now(), m.c.Next()
-	m.c.Send(p, 0, "GET", m.changesPath(0), nil, m.c.patience(), func(resp Response) {
-		m.c.noteAnswer(resp)
+	sent, request := m.client.runner.Now(), m.client.Next()
+	m.client.Send(p, 0, "GET", m.changesPath(0), nil, m.client.timeout(), func(resp Response) {
+		m.client.recordAnswer(resp)
 		var events wire.Events
 		switch {
-		case refusedUndone(resp):
+		case certainlyNotExecuted(resp):
 			done(Refused)
 		case resp.Err == nil && resp.Status == 410:
 			m.scan(func(ok bool) { done(map[bool]Outcome{true: Applied, false: Unknown}[ok]) })
 		case resp.Err != nil || resp.Status != 200 || wire.Unmarshal(resp.Body, &events) != nil:
 			done(Unknown)
 		default:
-			m.take(&events)
-			m.tellSynced(sent, request)
+			m.applyEvents(&events)
+			m.notifySynced(sent, request)
 			done(Applied)
 		}
 	})
 }
 
-// follow opens the next watch. It takes a request from the limits without waiting for it.
-func (m *Mirror) follow() {
-	now := m.c.r.Now()
-	m.opened = now
-	m.c.reads.have--
-	path, request := m.changesPath(m.Wait), m.c.Next()
-	timeout := loop.Duration(m.Wait + m.slack)
-	m.c.r.Go(func() {
-		resp := m.watch.Do("GET", path, nil, timeout)
-		m.c.r.Post(func() { m.followed(now, request, resp) })
+// openWatch opens the next watch. It takes a request from the limits without waiting for it.
+func (m *Mirror) openWatch() {
+	now := m.client.runner.Now()
+	m.watchOpenedAt = now
+	m.client.requestTokens.tokens--
+	path, request := m.changesPath(m.Wait), m.client.Next()
+	timeout := loop.Duration(m.Wait + m.watchSlack)
+	m.client.runner.Go(func() {
+		resp := m.watchDoer.Do("GET", path, nil, timeout)
+		m.client.runner.Post(func() { m.handleWatch(now, request, resp) })
 	})
 }
 
-// followed handles the answer of a watch and schedules the next one.
-func (m *Mirror) followed(sent loop.Micros, request Sequence, resp Response) {
+// handleWatch handles the answer of a watch and schedules the next one.
+func (m *Mirror) handleWatch(sent loop.Micros, request Sequence, resp Response) {
 	if resp.Err == nil && resp.Status == 410 {
 		m.read()
 		return
 	}
 	var ev wire.Events
 	if resp.Err != nil || resp.Status != 200 || wire.Unmarshal(resp.Body, &ev) != nil {
-		m.c.note(sent, resp)
+		m.client.recordContact(sent, resp)
 		if resp.Err != nil {
-			m.slack = min(2*m.slack, mostSlack)
+			m.watchSlack = min(2*m.watchSlack, maxWatchSlack)
 		}
-		m.c.r.After(200*loop.Millisecond, m.follow)
+		m.client.runner.After(200*loop.Millisecond, m.openWatch)
 		return
 	}
-	m.slack = leastSlack
-	m.take(&ev)
-	m.tellSynced(sent, request)
+	m.watchSlack = minWatchSlack
+	m.applyEvents(&ev)
+	m.notifySynced(sent, request)
 	m.forgetRemovals()
-	m.c.r.After(m.watchPause(), m.follow)
+	m.client.runner.After(m.watchPause(), m.openWatch)
 }
 
-// take applies the changes in an answer of the state service.
-func (m *Mirror) take(events *wire.Events) {
+// applyEvents applies the changes in an answer of the state service.
+func (m *Mirror) applyEvents(events *wire.Events) {
 	for _, e := range events.Events {
 		if e.Put != "" {
 			m.Apply(e.Put, e.Value, e.Mark, false)
@@ -303,15 +303,15 @@
 			m.Apply(e.Delete, nil, e.Mark, true)
 		}
 	}
-	m.since = max(m.since, events.Tally)
+	m.revision = max(m.revision, events.Tally)
 }
 
-// keptRemovals is the number of store revisions for which the revision of a removed key is kept.
-const keptRemovals = 5000
+// keptRemovalRevisions is the number of store revisions for which the revision of a removed key is kept.
+const keptRemovalRevisions = 5000
 
 // forgetRemovals drops the revisions of keys that were removed long ago.
 func (m *Mirror) forgetRemovals() {
-	for len(m.removed) > 0 && m.removed[0].mark+keptRemovals < m.since {
+	for len(m.removed) > 0 && m.removed[0].mark+keptRemovalRevisions < m.revision {
 		if x := m.removed[0]; m.entries[x.key].gone && m.entries[x.key].Mark == x.mark {
 			delete(m.entries, x.key)
 		}
@@ -319,9 +319,9 @@
 	}
 }
 
-// tellSynced calls the functions set by OnSynced.
-func (m *Mirror) tellSynced(sent loop.Micros, request Sequence) {
+// notifySynced calls the functions set by OnSynced.
+func (m *Mirror) notifySynced(sent loop.Micros, request Sequence) {
 	for _, f := range m.synced {
-		f(Synced{Sent: sent, Request: request, Reach: m.since})
+		f(Synced{Sent: sent, Request: request, Reach: m.revision})
 	}
 }
--- a/internal/store/queue.go
+++ b/internal/store/queue.go
@@ -3,15 +3,15 @@
 // weights are the parts of this controller's share that the classes of requests get while all of them have
 // requests waiting. What one class does not use goes to the others. Leases have no weight, since they never
 // wait.
-var weights = [prios]float64{Answers: 4, Inquiries: 4, Placements: 4, Results: 2, Background: 1}
+var weights = [numClasses]float64{Answers: 4, Inquiries: 4, Placements: 4, Results: 2, Background: 1}
 
 // maxQueue bounds the number of waiting requests of one class.
 const maxQueue = 1000
 
 // classQueue holds the waiting requests of one class, in the order of their arrival.
 type classQueue struct {
-	waiting []request
-	finish  float64 // finish tag of the newest request that was sent
+	waiting   []request
+	finishTag float64 // finish tag of the newest request that was sent
 }
 
 // fairQueue implements start-time fair queueing over the classes of requests. Each request has a start tag: the
@@ -20,16 +20,16 @@
 // gets its weight of what is sent, whatever the other classes ask for, and the others get what a class does not
 // use.
 type fairQueue struct {
-	classes [prios]classQueue
-	now     float64 // virtual time: the least start tag of the waiting requests when the newest request was sent
+	classes     [numClasses]classQueue
+	virtualTime float64 // the least start tag of the waiting requests when the newest request was sent
 }
 
-// start returns the start tag of the next request of a class.
-func (q *fairQueue) start(p Prio) float64 { return max(q.now, q.classes[p].finish) }
+// startTag returns the start tag of the next request of a class.
+func (q *fairQueue) startTag(p Prio) float64 { return max(q.virtualTime, q.classes[p].finishTag) }
 
 // add appends a request to its class.
 func (q *fairQueue) add(r request) {
-	q.classes[r.prio].waiting = append(q.classes[r.prio].waiting, r)
+	q.classes[r.class].waiting = append(q.classes[r.class].waiting, r)
 }
 
 // head returns the next request of a class, nil if none waits.
@@ -43,18 +43,18 @@
 // waiting returns the number of waiting requests of a class.
 func (q *fairQueue) waiting(p Prio) int { return len(q.classes[p].waiting) }
 
-// all returns the number of waiting requests of all classes.
-func (q *fairQueue) all() (n int) {
+// totalWaiting returns the number of waiting requests of all classes.
+func (q *fairQueue) totalWaiting() (n int) {
 	for p := range q.classes {
 		n += len(q.classes[p].waiting)
 	}
 	return n
 }
 
-// least returns the class with the least start tag among those whose head qualifies. Leases are left out.
-func (q *fairQueue) least(qualifies func(p Prio, head *request) bool) (class Prio, found bool) {
-	for p := Leases + 1; p < prios; p++ {
-		if head := q.head(p); head != nil && qualifies(p, head) && (!found || q.start(p) < q.start(class)) {
+// leastStartTag returns the class with the least start tag among those whose head qualifies. Leases are left out.
+func (q *fairQueue) leastStartTag(qualifies func(p Prio, head *request) bool) (class Prio, found bool) {
+	for p := Leases + 1; p < numClasses; p++ {
+		if head := q.head(p); head != nil && qualifies(p, head) && (!found || q.startTag(p) < q.startTag(class)) {
 			class, found = p, true
 		}
 	}
@@ -64,13 +64,13 @@
 // writer returns the class whose turn it is to send changes. No other class may, even if fewer changes would
 // suffice for it; otherwise a large transaction could wait for ever.
 func (q *fairQueue) writer() (class Prio, found bool) {
-	return q.least(func(_ Prio, head *request) bool { return head.writes > 0 })
+	return q.leastStartTag(func(_ Prio, head *request) bool { return head.writes > 0 })
 }
 
 // take removes the head of a class and charges the class for it; cost is measured in changes.
 func (q *fairQueue) take(p Prio, cost float64) request {
-	if first, waits := q.least(func(Prio, *request) bool { return true }); waits {
-		q.now = q.start(first)
+	if first, waits := q.leastStartTag(func(Prio, *request) bool { return true }); waits {
+		q.virtualTime = q.startTag(first)
 	}
 	c := &q.classes[p]
 	r := c.waiting[0]
@@ -78,6 +78,6 @@
 	if p == Leases {
 		return r
 	}
-	c.finish = q.start(p) + cost/weights[p]
+	c.finishTag = q.startTag(p) + cost/weights[p]
 	return r
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -19,29 +19,29 @@
 // The results must be the same in every run, so the seed of the property tests is fixed.
 func TestMain(m *testing.M) { fixed.Main(m) }
 
-// still is an event loop with a clock set by the test; delayed functions are collected and run by the test.
-type still struct {
+// manualLoop is an event loop with a clock set by the test; delayed functions are collected and run by the test.
+type manualLoop struct {
 	now   loop.Micros
 	after []func()
 }
 
-func (s *still) Now() loop.Micros              { return s.now }
-func (s *still) Wall() loop.Micros             { return s.now }
-func (s *still) Post(f func())                 { f() }
-func (s *still) After(_ loop.Micros, f func()) { s.after = append(s.after, f) }
-func (s *still) Go(f func())                   { f() }
+func (s *manualLoop) Now() loop.Micros              { return s.now }
+func (s *manualLoop) Wall() loop.Micros             { return s.now }
+func (s *manualLoop) Post(f func())                 { f() }
+func (s *manualLoop) After(_ loop.Micros, f func()) { s.after = append(s.after, f) }
+func (s *manualLoop) Go(f func())                   { f() }
 
-// counter counts the requests by path and answers each as an applied transaction.
-type counter struct{ sent map[string]int }
+// countingDoer counts the requests by path and answers each as an applied transaction.
+type countingDoer struct{ sent map[string]int }
 
-func (c *counter) Do(method, path string, _ []byte, _ time.Duration) Response {
+func (c *countingDoer) Do(method, path string, _ []byte, _ time.Duration) Response {
 	c.sent[path]++
 	return Response{Status: 200, Body: wire.Marshal(wire.TxnResult{Tally: 1})}
 }
 
 // Events, own writes and reads reach the mirror in any order and any number of times. It must end in the state
 // that a list of all revisions gives.
-func TestMirrorKeepsTheNewest(t *testing.T) {
+func TestMirrorKeepsNewestRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMirror(nil, nil, "c/")
 		seen := map[string]uint64{}
@@ -75,15 +75,15 @@
 	})
 }
 
-// late is a state service whose answers take some time.
-type late struct {
-	r     *still
+// slowService is a state service whose answers take some time.
+type slowService struct {
+	r     *manualLoop
 	takes loop.Micros
 	resp  func(path string) Response
 	asked []time.Duration // timeouts of the requests
 }
 
-func (l *late) Do(_, path string, _ []byte, limit time.Duration) Response {
+func (l *slowService) Do(_, path string, _ []byte, limit time.Duration) Response {
 	l.r.now += l.takes
 	l.asked = append(l.asked, limit)
 	return l.resp(path)
@@ -92,11 +92,11 @@
 // An answer proves the state of the service at the time of its request, not at the time of its arrival: a watch
 // may have been answered long before. A watch without an answer proves nothing, and the next one gets a longer
 // timeout, so that a slow service is not asked in vain for ever.
-func TestSyncedCountsFromTheRequest(t *testing.T) {
-	r := &still{now: 100 * loop.Second}
+func TestSyncedCountsFromRequest(t *testing.T) {
+	r := &manualLoop{now: 100 * loop.Second}
 	tally := uint64(7)
 	lost := false
-	l := &late{r: r, takes: loop.Second, resp: func(path string) Response {
+	l := &slowService{r: r, takes: loop.Second, resp: func(path string) Response {
 		switch {
 		case lost:
 			return Response{Err: io.EOF}
@@ -139,9 +139,9 @@
 }
 
 // Requests about leases are sent first and are never paced; all others keep to this controller's share.
-func TestPacingLetsLeasesThrough(t *testing.T) {
-	r := &still{now: loop.Second}
-	c := &counter{sent: map[string]int{}}
+func TestLeasesAreNotPaced(t *testing.T) {
+	r := &manualLoop{now: loop.Second}
+	c := &countingDoer{sent: map[string]int{}}
 	cl := NewClient(r, c, slog.New(slog.NewTextHandler(io.Discard, nil)), 30, 30, 3)
 	for range 100 {
 		cl.Send(Results, 1, "POST", "/multi", wire.Txn{}, loop.Second, func(Response) {})
@@ -172,7 +172,7 @@
 // The outcome of a transaction is Applied, Conflict or Refused only if the response proves it; otherwise it is
 // Unknown.
 func TestOutcomes(t *testing.T) {
-	cl := NewClient(&still{}, nil, slog.New(slog.NewTextHandler(io.Discard, nil)), 1, 1, 1)
+	cl := NewClient(&manualLoop{}, nil, slog.New(slog.NewTextHandler(io.Discard, nil)), 1, 1, 1)
 	body := func(r wire.TxnResult) []byte { return wire.Marshal(r) }
 	for _, c := range []struct {
 		resp Response
@@ -188,7 +188,7 @@
 		{Response{Status: 400, Body: body(wire.TxnResult{Error: "no such lease"})}, NoLease},
 		{Response{Status: 400, Body: body(wire.TxnResult{Error: "malformed"})}, Invalid},
 	} {
-		if got := cl.outcome(c.resp); got.Outcome != c.want {
+		if got := cl.resultOf(c.resp); got.Outcome != c.want {
 			t.Errorf("the outcome of response %+v is %d, want %d", c.resp, got.Outcome, c.want)
 		}
 	}
@@ -196,11 +196,11 @@
 
 // The caller of a transaction is blocked until its answer. So the client gives up on a lost answer soon, and
 // waits longer only while several answers in a row do not arrive, since the service is slow then.
-func TestLostAnswersAreGivenUpSoon(t *testing.T) {
-	r := &still{now: 100 * loop.Second}
+func TestLostAnswersTimeOutSoon(t *testing.T) {
+	r := &manualLoop{now: 100 * loop.Second}
 	lost := func(n int) bool { return n%3 != 0 } // two of three answers are lost
 	n := 0
-	l := &late{r: r, takes: 2 * loop.Second, resp: func(string) Response {
+	l := &slowService{r: r, takes: 2 * loop.Second, resp: func(string) Response {
 		if n++; lost(n) {
 			return Response{Err: io.EOF}
 		}
--- a/internal/store/sync_test.go
+++ b/internal/store/sync_test.go
@@ -33,9 +33,9 @@
 		{"an undecodable answer", Response{Status: 200, Body: []byte{0xff}}, Response{}, Unknown, 0, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := &still{now: 100 * loop.Second}
+			r := &manualLoop{now: 100 * loop.Second}
 			var path string
-			l := &late{r: r, takes: loop.Second, resp: func(p string) Response {
+			l := &slowService{r: r, takes: loop.Second, resp: func(p string) Response {
 				if strings.HasPrefix(p, "/changes") {
 					path = p
 					return c.changes
@@ -46,7 +46,7 @@
 			m := NewMirror(client, l, "c/")
 			m.Apply("c/a", wire.Marshal(0), 3, false)
 			m.Apply("c/b", wire.Marshal(0), 4, false)
-			m.since = 4
+			m.revision = 4
 			var told []Synced
 			m.OnSynced(func(s Synced) {
 				if e, _ := m.Get("c/a"); e.Mark != c.mark {
--- a/internal/store/txnlimit.go
+++ b/internal/store/txnlimit.go
@@ -3,12 +3,12 @@
 import "cleatpick/internal/wire"
 
 const (
-	// usualTxnOps is the largest number of changes in a transaction until SetTxnOps is called.
-	usualTxnOps = 16
-	// leastTxnOps and leastValue are the number of changes and the size of a value, in bytes, that every state
+	// defaultTxnOps is the largest number of changes in a transaction until SetTxnOps is called.
+	defaultTxnOps = 16
+	// minTxnOps and minValueBytes are the number of changes and the size of a value, in bytes, that every state
 	// service accepts.
-	leastTxnOps = 5
-	leastValue  = 2 << 10
+	minTxnOps     = 5
+	minValueBytes = 2 << 10
 	// condsPerOp is the number of conditions that a transaction may have for each change that it may have.
 	condsPerOp = 4
 )
@@ -22,16 +22,16 @@
 // MostConds returns the largest number of conditions in a transaction.
 func (c *Client) MostConds() int { return condsPerOp * c.txnOps }
 
-// refusedAsMalformed halves the size of later transactions after one was rejected as malformed: the state
+// handleMalformed halves the size of later transactions after one was rejected as malformed: the state
 // service may accept fewer changes than the settings say. It does nothing if the cause is a value that is too
 // large, which is left to the caller that made it.
-func (c *Client) refusedAsMalformed(t wire.Txn) {
+func (c *Client) handleMalformed(t wire.Txn) {
 	used := max(len(t.Then), (len(t.If)+condsPerOp-1)/condsPerOp)
-	if used <= leastTxnOps && largestValue(t) > leastValue {
+	if used <= minTxnOps && largestValue(t) > minValueBytes {
 		return // the value is too large
 	}
 	if fewer := max(min(c.txnOps, used)/2, 1); fewer < c.txnOps {
-		c.txnOps = max(fewer, min(leastTxnOps, c.txnOps))
+		c.txnOps = max(fewer, min(minTxnOps, c.txnOps))
 		c.log.Info("largest number of changes in a transaction reduced, since the state service rejected a transaction as malformed", "changes", c.txnOps)
 	}
 }
