--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -18,12 +18,12 @@
 	"cleatpick/internal/wire"
 )
 
-// Prio is the class of a request. The classes share what the limits allow by weights; see fairQueue.
-type Prio int
+// Class is the class of a request. The classes share what the limits allow by weights; see fairQueue.
+type Class int
 
 // The classes. Leases precede all others and are not weighted.
 const (
-	Leases Prio = iota
+	Leases Class = iota
 	Answers
 	Inquiries // reads for polls; limited to inquiryShare of the requests
 	Placements
@@ -54,7 +54,7 @@
 
 // request is a request that waits or is in flight.
 type request struct {
-	class    Prio
+	class    Class
 	writes   int // number of changes that it contains
 	method   string
 	path     string
@@ -124,7 +124,7 @@
 
 // Writable returns how many changes of a class could be sent at once. It is 0 if another class is next to send
 // changes, or if requests of this class wait already.
-func (c *Client) Writable(p Prio) int {
+func (c *Client) Writable(p Class) int {
 	now := c.runner.Now()
 	c.refill(now)
 	if !c.maySend(now) || c.queue.waiting(p) > 0 {
@@ -141,7 +141,7 @@
 
 // Send queues a request; cb is called with the response on the event loop. Except for leases, it fails at once
 // if too many requests of the class wait.
-func (c *Client) Send(p Prio, writes int, method, path string, body any, timeout loop.Micros, callback func(Response)) {
+func (c *Client) Send(p Class, writes int, method, path string, body any, timeout loop.Micros, callback func(Response)) {
 	if p != Leases && c.queue.waiting(p) >= maxQueue {
 		c.runner.Post(func() { callback(Response{Err: errQueue}) })
 		return
@@ -184,7 +184,7 @@
 
 // next returns the class whose request is to be sent now. A request with changes waits until enough of them
 // have accrued and it is its class's turn; requests without changes overtake it meanwhile.
-func (c *Client) next(now loop.Micros) (class Prio, found bool) {
+func (c *Client) next(now loop.Micros) (class Class, found bool) {
 	if c.queue.waiting(Leases) > 0 {
 		return Leases, true
 	}
@@ -192,7 +192,7 @@
 		return 0, false
 	}
 	writer, writes := c.queue.writer()
-	return c.queue.leastStartTag(func(p Prio, head *request) bool {
+	return c.queue.leastStartTag(func(p Class, head *request) bool {
 		if p == Inquiries && c.inquiryTokens.tokens < 1 {
 			return false
 		}
@@ -212,7 +212,7 @@
 }
 
 // send sends the next request of a class.
-func (c *Client) send(p Prio, now loop.Micros) {
+func (c *Client) send(p Class, now loop.Micros) {
 	req := c.queue.take(p, c.cost(c.queue.head(p)))
 	c.requestTokens.tokens--
 	if p == Inquiries {
@@ -293,7 +293,7 @@
 }
 
 // Txn executes a transaction and calls cb with its result.
-func (c *Client) Txn(p Prio, t wire.Txn, callback func(Result)) {
+func (c *Client) Txn(p Class, t wire.Txn, callback func(Result)) {
 	if t.If == nil {
 		t.If = []wire.Cond{}
 	}
@@ -341,7 +341,7 @@
 
 // Get reads a key. cb is called with found and ok if the key exists, with ok alone if it certainly does not,
 // and with neither if there was no answer.
-func (c *Client) Get(p Prio, key string, callback func(item wire.Item, found, ok bool)) {
+func (c *Client) Get(p Class, key string, callback func(item wire.Item, found, ok bool)) {
 	c.Send(p, 0, "GET", "/store/"+key, nil, 1500*loop.Millisecond, func(resp Response) {
 		var it wire.Item
 		switch {
@@ -356,7 +356,7 @@
 }
 
 // Exists determines whether there is any key under a prefix; ok is false if there was no answer.
-func (c *Client) Exists(p Prio, prefix string, callback func(exists, ok bool)) {
+func (c *Client) Exists(p Class, prefix string, callback func(exists, ok bool)) {
 	c.Send(p, 0, "GET", "/store?under="+prefix+"&limit=1", nil, 1500*loop.Millisecond, func(resp Response) {
 		var r wire.Range
 		ok := resp.Err == nil && resp.Status == 200 && wire.Unmarshal(resp.Body, &r) == nil
@@ -365,7 +365,7 @@
 }
 
 // Scan reads all keys under a prefix, page by page; tally is the store revision of the first page.
-func (c *Client) Scan(p Prio, prefix string, callback func(items []wire.Item, tally uint64, ok bool)) {
+func (c *Client) Scan(p Class, prefix string, callback func(items []wire.Item, tally uint64, ok bool)) {
 	var all []wire.Item
 	var first uint64
 	var page func(since string)
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -239,7 +239,7 @@
 // Sync brings the copy up to date with what the state service holds now, by a watch that does not wait. The
 // functions set by OnSynced are called before done. done receives Applied, Refused (the state service certainly
 // did not answer the read) or Unknown.
-func (m *Mirror) Sync(p Prio, done func(Outcome)) {
+func (m *Mirror) Sync(p Class, done func(Outcome)) {
 	sent, request := m.client.runner.Now(), m.client.Next()
 	m.client.Send(p, 0, "GET", m.changesPath(0), nil, m.client.timeout(), func(resp Response) {
 		m.client.recordAnswer(resp)
--- a/internal/store/queue.go
+++ b/internal/store/queue.go
@@ -25,7 +25,7 @@
 }
 
 // startTag returns the start tag of the next request of a class.
-func (q *fairQueue) startTag(p Prio) float64 { return max(q.virtualTime, q.classes[p].finishTag) }
+func (q *fairQueue) startTag(p Class) float64 { return max(q.virtualTime, q.classes[p].finishTag) }
 
 // add appends a request to its class.
 func (q *fairQueue) add(r request) {
@@ -33,7 +33,7 @@
 }
 
 // head returns the next request of a class, nil if none waits.
-func (q *fairQueue) head(p Prio) *request {
+func (q *fairQueue) head(p Class) *request {
 	if w := q.classes[p].waiting; len(w) > 0 {
 		return &w[0]
 	}
@@ -41,7 +41,7 @@
 }
 
 // waiting returns the number of waiting requests of a class.
-func (q *fairQueue) waiting(p Prio) int { return len(q.classes[p].waiting) }
+func (q *fairQueue) waiting(p Class) int { return len(q.classes[p].waiting) }
 
 // totalWaiting returns the number of waiting requests of all classes.
 func (q *fairQueue) totalWaiting() (n int) {
@@ -52,7 +52,7 @@
 }
 
 // leastStartTag returns the class with the least start tag among those whose head qualifies. Leases are left out.
-func (q *fairQueue) leastStartTag(qualifies func(p Prio, head *request) bool) (class Prio, found bool) {
+func (q *fairQueue) leastStartTag(qualifies func(p Class, head *request) bool) (class Class, found bool) {
 	for p := Leases + 1; p < numClasses; p++ {
 		if head := q.head(p); head != nil && qualifies(p, head) && (!found || q.startTag(p) < q.startTag(class)) {
 			class, found = p, true
@@ -63,13 +63,13 @@
 
 // writer returns the class whose turn it is to send changes. No other class may, even if fewer changes would
 // suffice for it; otherwise a large transaction could wait for ever.
-func (q *fairQueue) writer() (class Prio, found bool) {
-	return q.leastStartTag(func(_ Prio, head *request) bool { return head.writes > 0 })
+func (q *fairQueue) writer() (class Class, found bool) {
+	return q.leastStartTag(func(_ Class, head *request) bool { return head.writes > 0 })
 }
 
 // take removes the head of a class and charges the class for it; cost is measured in changes.
-func (q *fairQueue) take(p Prio, cost float64) request {
-	if first, waits := q.leastStartTag(func(Prio, *request) bool { return true }); waits {
+func (q *fairQueue) take(p Class, cost float64) request {
+	if first, waits := q.leastStartTag(func(Class, *request) bool { return true }); waits {
 		q.virtualTime = q.startTag(first)
 	}
 	c := &q.classes[p]
