--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -256,7 +256,7 @@
 		b.c.Txn(store.Answers, wire.Txn{If: []wire.Cond{b.Cond()}, Then: []wire.Change{{Put: Key, Value: rec}}}, func(r store.Result) {
 			switch r.Outcome {
 			case store.Applied:
-				b.m.Apply(Key, wire.Marshal(rec), r.Tally, false)
+				b.m.Apply(Key, wire.Marshal(rec), r.Revision, false)
 				cb(Stored)
 			case store.Conflict:
 				b.refresh(func(_, ok bool) {
--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -57,7 +57,7 @@
 	r.client.Txn(store.Answers, wire.Txn{If: []wire.Cond{RevisionCond(j)}, Then: []wire.Change{{Put: KeyPrefix + req.id, Value: *record}}}, func(result store.Result) {
 		switch result.Outcome {
 		case store.Applied:
-			r.mirror.Apply(KeyPrefix+req.id, wire.Marshal(*record), result.Tally, false)
+			r.mirror.Apply(KeyPrefix+req.id, wire.Marshal(*record), result.Revision, false)
 			r.deliver(req, r.current(req.id, 200, SourceStored, sequence))
 		case store.Conflict:
 			r.fetchAndAmend(req, edit, 503) // a record that existed is never removed
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -144,7 +144,7 @@
 		r.queue.Served(len(batch.turns), r.runner.Now(), r.queue.Waiting() > 0)
 		for _, turn := range batch.turns {
 			r.client.Meter.Submission("taken")
-			r.mirror.Apply(KeyPrefix+turn.ID, wire.Marshal(batch.records[turn.ID]), result.Tally, false)
+			r.mirror.Apply(KeyPrefix+turn.ID, wire.Marshal(batch.records[turn.ID]), result.Revision, false)
 			r.answerSubmitters(turn.ID, r.current(turn.ID, 201, SourceStored, sequence))
 		}
 	case store.Conflict:
--- a/internal/member/claims.go
+++ b/internal/member/claims.go
@@ -309,7 +309,7 @@
 			}
 		case r.Outcome == store.Applied && lease == b.lease:
 			for _, key := range keys {
-				b.m.Apply(key, wire.Marshal(rec), r.Tally, false)
+				b.m.Apply(key, wire.Marshal(rec), r.Revision, false)
 			}
 		}
 	})
--- a/internal/member/layout.go
+++ b/internal/member/layout.go
@@ -114,7 +114,7 @@
 		Then: []wire.Change{{Put: partition.LayoutKey, Value: l}}}, func(r store.Result) {
 		again := func() { b.storingLayout = false }
 		if r.Outcome == store.Applied {
-			b.m.Apply(partition.LayoutKey, wire.Marshal(l), r.Tally, false)
+			b.m.Apply(partition.LayoutKey, wire.Marshal(l), r.Revision, false)
 			again()
 			return
 		}
@@ -143,7 +143,7 @@
 	}
 	b.c.Txn(store.Answers, txn, func(r store.Result) {
 		if r.Outcome == store.Applied {
-			b.applyAssignments(txn.Then, r.Tally)
+			b.applyAssignments(txn.Then, r.Revision)
 		}
 		done(r.Outcome == store.Applied)
 	})
@@ -171,7 +171,7 @@
 	b.c.Txn(store.Leases, txn, func(r store.Result) {
 		b.converting = false
 		if r.Outcome == store.Applied {
-			b.applyAssignments(txn.Then, r.Tally)
+			b.applyAssignments(txn.Then, r.Revision)
 			b.convertTeams()
 		}
 	})
--- a/internal/member/lease.go
+++ b/internal/member/lease.go
@@ -77,7 +77,7 @@
 			b.lost()
 		case r.Outcome == store.Applied:
 			b.alone = alone
-			b.m.Apply(nodeKeys+b.Label, wire.Marshal(rec), r.Tally, false)
+			b.m.Apply(nodeKeys+b.Label, wire.Marshal(rec), r.Revision, false)
 			if b.state == Numbered {
 				b.setState(Active)
 				b.tick()
--- a/internal/member/share.go
+++ b/internal/member/share.go
@@ -95,7 +95,7 @@
 	b.log.Info("hands over", "key", key, "why", why)
 	b.c.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: key, Mark: b.mine[key].Mark}}, Then: []wire.Change{{Delete: key}}}, func(r store.Result) {
 		if r.Outcome == store.Applied {
-			b.m.Apply(key, nil, r.Tally, true)
+			b.m.Apply(key, nil, r.Revision, true)
 		}
 	})
 }
--- a/internal/placer/logwrite.go
+++ b/internal/placer/logwrite.go
@@ -36,7 +36,7 @@
 			"starts_wait", len(part.log.starts), "outcomes_wait", len(part.log.outcomes), "segments", len(part.log.closed)+1)
 		switch r.Outcome {
 		case store.Applied:
-			w.seg.mark = r.Tally
+			w.seg.mark = r.Revision
 			p.stored(part, w)
 		case store.Conflict:
 			for _, k := range r.Failed {
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -297,7 +297,7 @@
 		switch r.Outcome {
 		case store.Applied:
 			p.log.Debug("job done", "job", t.j.ID, "class", t.j.Spec.Class, "tasks", t.j.Tasks, "took_us", p.r.Wall()-t.j.AcceptedAt, "estimate_us", t.j.Spec.Estimate)
-			p.registry.ApplyStored(ch, r.Tally)
+			p.registry.ApplyStored(ch, r.Revision)
 			p.forgetTable(t)
 		case store.Conflict:
 			p.registry.Refresh(t.j.ID)
--- a/internal/rental/cloud.go
+++ b/internal/rental/cloud.go
@@ -70,7 +70,7 @@
 		ch := wire.Change{Put: CatalogKey, Value: catalogRecord{good}}
 		t.c.Txn(store.Background, wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}, Then: []wire.Change{ch}}, func(r store.Result) {
 			if r.Outcome == store.Applied {
-				t.m.Apply(CatalogKey, wire.Marshal(ch.Value), r.Tally, false)
+				t.m.Apply(CatalogKey, wire.Marshal(ch.Value), r.Revision, false)
 			}
 		})
 	})
--- a/internal/rental/deletion.go
+++ b/internal/rental/deletion.go
@@ -93,7 +93,7 @@
 	t.c.Txn(store.Background, txn, func(r store.Result) {
 		if r.Outcome == store.Applied {
 			for _, ch := range txn.Then {
-				t.m.Apply(ch.Delete, nil, r.Tally, true)
+				t.m.Apply(ch.Delete, nil, r.Revision, true)
 			}
 		}
 	})
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -246,7 +246,7 @@
 func (t *Rental) storeOrder(o *order, cond []wire.Cond, cb func(ok bool)) {
 	t.c.Txn(store.Placements, wire.Txn{If: cond, Then: []wire.Change{{Put: OrderKeys + o.name, Value: o.o}}}, func(r store.Result) {
 		if r.Outcome == store.Applied {
-			o.mark = r.Tally
+			o.mark = r.Revision
 		}
 		cb(r.Outcome == store.Applied)
 	})
@@ -327,7 +327,7 @@
 	delete(t.orders, o.name)
 	t.c.Txn(store.Background, wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}, Then: []wire.Change{{Delete: OrderKeys + o.name}}}, func(r store.Result) {
 		if r.Outcome == store.Applied {
-			t.m.Apply(OrderKeys+o.name, nil, r.Tally, true)
+			t.m.Apply(OrderKeys+o.name, nil, r.Revision, true)
 		}
 	})
 }
