--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -148,7 +148,7 @@
 			r.answerSubmitters(turn.ID, r.current(turn.ID, 201, SourceStored, sequence))
 		}
 	case store.Conflict:
-		r.handleConflict(batch, result.Failed)
+		r.handleConflict(batch, result.FailedKeys)
 	case store.Refused:
 		// The state service did not store the jobs. Their users are told to retry at once, rather than held
 		// until it recovers.
--- a/internal/member/claims.go
+++ b/internal/member/claims.go
@@ -304,7 +304,7 @@
 		case r.Outcome == store.NoLease && lease == b.lease:
 			b.lost()
 		case r.Outcome == store.Conflict && len(keys) > 1:
-			for _, key := range r.Failed {
+			for _, key := range r.FailedKeys {
 				b.freeAt[key] = b.r.Now() + claimAgain
 			}
 		case r.Outcome == store.Applied && lease == b.lease:
--- a/internal/placer/logwrite.go
+++ b/internal/placer/logwrite.go
@@ -39,7 +39,7 @@
 			w.seg.mark = r.Revision
 			p.stored(part, w)
 		case store.Conflict:
-			for _, k := range r.Failed {
+			for _, k := range r.FailedKeys {
 				if k == key {
 					p.reread(part, w)
 					return
@@ -48,7 +48,7 @@
 			// Versions only rise, so no earlier try of the same transaction can be
 			// carried out any more; and none was, since the segment is unchanged.
 			known := false
-			for _, k := range r.Failed {
+			for _, k := range r.FailedKeys {
 				if id, ok := strings.CutPrefix(k, job.KeyPrefix); ok {
 					known = true
 					p.registry.Refresh(id)
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -47,9 +47,9 @@
 
 // Result is the result of a transaction.
 type Result struct {
-	Outcome  Outcome
-	Revision uint64   // store revision at which it was executed or its conditions were checked
-	Failed   []string // keys whose conditions failed
+	Outcome    Outcome
+	Revision   uint64   // store revision at which it was executed or its conditions were checked
+	FailedKeys []string // keys whose conditions failed
 }
 
 // request is a request that waits or is in flight.
@@ -331,7 +331,7 @@
 	case resp.Status == 200:
 		return Result{Outcome: Applied, Revision: r.Tally}
 	case resp.Status == 409:
-		return Result{Outcome: Conflict, Failed: r.Failed, Revision: r.Tally}
+		return Result{Outcome: Conflict, FailedKeys: r.Failed, Revision: r.Tally}
 	case r.Error == "no such lease":
 		return Result{Outcome: NoLease}
 	}
