--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -236,7 +236,7 @@
 	w := metWorld(t, 23, size{nodes: 3, zones: 2, each: 4}, 0)
 	parts := func() (out []float64) {
 		for _, l := range w.labels {
-			out = append(out, w.nodes[l].n.client.Part())
+			out = append(out, w.nodes[l].n.client.Share())
 		}
 		return out
 	}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -110,8 +110,8 @@
 	return c
 }
 
-// Part returns the share of the service's limits that this controller uses.
-func (c *Client) Part() float64 { return c.share }
+// Share returns the share of the service's limits that this controller uses.
+func (c *Client) Share() float64 { return c.share }
 
 // Contact returns the time at which the newest successfully answered request was sent.
 func (c *Client) Contact() loop.Micros { return c.lastOK }
