--- a/internal/node/sendon.go
+++ b/internal/node/sendon.go
@@ -35,7 +35,7 @@
 func (n *Node) sendOn(machine string, before int) (on bool, to string, again loop.Micros) {
 	again = sendOnAgain
 	contact := n.contact()
-	switch lost := n.loop.Now() - n.client.Contact(); {
+	switch lost := n.loop.Now() - n.client.LastContact(); {
 	case contact:
 	case lost > sendOnAgain:
 		again = sendOnCut
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -113,8 +113,8 @@
 // Share returns the share of the service's limits that this controller uses.
 func (c *Client) Share() float64 { return c.share }
 
-// Contact returns the time at which the newest successfully answered request was sent.
-func (c *Client) Contact() loop.Micros { return c.lastOK }
+// LastContact returns the time at which the newest successfully answered request was sent.
+func (c *Client) LastContact() loop.Micros { return c.lastOK }
 
 // Healthy reports whether a request that was sent within the last d was answered successfully.
 func (c *Client) Healthy(d loop.Micros) bool { return c.lastOK != 0 && c.runner.Now()-c.lastOK < d }
