--- a/internal/placer/groupcommit.go
+++ b/internal/placer/groupcommit.go
@@ -72,7 +72,7 @@
 	if l.busy || !part.loaded {
 		return 0 // its end asks again
 	}
-	n := p.c.Writable(store.Placements)
+	n := p.c.AvailableChanges(store.Placements)
 	if n < 1 && len(l.starts)+len(l.outcomes) > 0 {
 		return writableSoon // before the lines are gone through, which may be long by then
 	}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -122,9 +122,9 @@
 // Waiting returns the number of requests queued here.
 func (c *Client) Waiting() int { return c.queue.totalWaiting() }
 
-// Writable returns how many changes of a class could be sent at once. It is 0 if another class is next to send
+// AvailableChanges returns how many changes of a class could be sent at once. It is 0 if another class is next to send
 // changes, or if requests of this class wait already.
-func (c *Client) Writable(p Class) int {
+func (c *Client) AvailableChanges(p Class) int {
 	now := c.runner.Now()
 	c.refill(now)
 	if !c.maySend(now) || c.queue.waiting(p) > 0 {
