--- a/internal/placer/groupcommit.go
+++ b/internal/placer/groupcommit.go
@@ -80,7 +80,7 @@
 	l.starts = p.unbarred(l.starts)
 	l.outcomes = p.due(l.outcomes, Ended)
 	if len(l.starts)+len(l.outcomes) == 0 {
-		if l.inherits() && 2*n > p.c.Burst() {
+		if l.inherits() && 2*n > p.c.MaxAvailableChanges() {
 			p.store(part, p.compose(part, n, 0))
 		}
 		return 0 // the sweep asks again for what is inherited
@@ -91,7 +91,7 @@
 	}
 	if ripe == 0 {
 		age := p.r.Now() - l.since
-		if len(l.outcomes) == 0 || (!(2*n > p.c.Burst() && age >= outcomeSoon) && age < outcomeLate) {
+		if len(l.outcomes) == 0 || (!(2*n > p.c.MaxAvailableChanges() && age >= outcomeSoon) && age < outcomeLate) {
 			if len(l.starts) > 0 {
 				return 8 * loop.Millisecond
 			}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -136,8 +136,8 @@
 	return int(c.changeTokens.tokens)
 }
 
-// Burst returns the largest value that Writable can return.
-func (c *Client) Burst() int { return int(c.changeTokens.burst) }
+// MaxAvailableChanges returns the largest value that Writable can return.
+func (c *Client) MaxAvailableChanges() int { return int(c.changeTokens.burst) }
 
 // Send queues a request; cb is called with the response on the event loop. Except for leases, it fails at once
 // if too many requests of the class wait.
