--- a/internal/member/lease.go
+++ b/internal/member/lease.go
@@ -28,7 +28,7 @@
 		return
 	}
 	sent := b.r.Now()
-	b.c.Lease(b.LeaseTTL, func(id uint64) {
+	b.c.OpenLease(b.LeaseTTL, func(id uint64) {
 		if id == 0 {
 			b.r.After(400*loop.Millisecond, b.join)
 			return
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -394,8 +394,8 @@
 	page("")
 }
 
-// Lease opens a lease; id 0 means that none was granted.
-func (c *Client) Lease(ttl loop.Micros, callback func(id uint64)) {
+// OpenLease opens a lease; id 0 means that none was granted.
+func (c *Client) OpenLease(ttl loop.Micros, callback func(id uint64)) {
 	c.Send(Leases, 0, "POST", "/holds", wire.Lease{TTLms: ttl / 1000}, 1500*loop.Millisecond, func(resp Response) {
 		var l wire.Lease
 		if resp.Err != nil || resp.Status != 200 || wire.Unmarshal(resp.Body, &l) != nil {
