--- a/internal/member/lease.go
+++ b/internal/member/lease.go
@@ -138,7 +138,7 @@
 	}
 	sent := b.r.Now()
 	next := func() { b.r.After(b.LeaseTTL/4, func() { b.renew(id) }) }
-	b.c.Extend(id, func(alive, ok bool) {
+	b.c.RenewLease(id, func(alive, ok bool) {
 		switch {
 		case b.lease != id:
 		case ok && !alive:
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -406,9 +406,9 @@
 	})
 }
 
-// Extend renews a lease. cb is called with alive and ok if it was renewed, with ok alone if it has ended, and
+// RenewLease renews a lease. cb is called with alive and ok if it was renewed, with ok alone if it has ended, and
 // with neither if there was no answer.
-func (c *Client) Extend(id uint64, callback func(alive, ok bool)) {
+func (c *Client) RenewLease(id uint64, callback func(alive, ok bool)) {
 	c.Send(Leases, 0, "POST", "/holds/"+strconv.FormatUint(id, 10)+"/extend", nil, 1200*loop.Millisecond, func(resp Response) {
 		switch {
 		case resp.Err == nil && resp.Status == 200:
--- a/internal/store/fairness_test.go
+++ b/internal/store/fairness_test.go
@@ -96,7 +96,7 @@
 	var renew func()
 	renew = func() {
 		renewed := lease.ask(clock.Now)
-		client.Extend(1, func(bool, bool) { renewed() })
+		client.RenewLease(1, func(bool, bool) { renewed() })
 		clock.After(700*loop.Millisecond, renew)
 	}
 	renew()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -151,7 +151,7 @@
 		t.Fatalf("%d of 100 requests were sent at once with a share of 9 per second", burst)
 	}
 	for range 5 {
-		cl.Extend(7, func(bool, bool) {})
+		cl.RenewLease(7, func(bool, bool) {})
 	}
 	if c.sent["/holds/7/extend"] != 5 {
 		t.Fatalf("%d of 5 lease renewals were sent at once", c.sent["/holds/7/extend"])
