--- a/internal/member/claims.go
+++ b/internal/member/claims.go
@@ -280,7 +280,7 @@
 	}
 	b.evicted[label] = now
 	b.log.Info("ends the lease of a node that refuses connections", "node", label, "lease", rec.Lease)
-	b.c.End(rec.Lease)
+	b.c.EndLease(rec.Lease)
 }
 
 // claimAgain is for how long a key is left alone after another node was found to hold it.
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -157,7 +157,7 @@
 		if old, ok := b.nodes[b.Label]; ok {
 			// An earlier life of this node ended without a word: its lease
 			// only keeps others from taking over.
-			b.c.End(old.Lease)
+			b.c.EndLease(old.Lease)
 		}
 		b.setState(Joining)
 		b.join()
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -421,7 +421,7 @@
 	})
 }
 
-// End ends a lease at once, if the service can be reached.
-func (c *Client) End(id uint64) {
+// EndLease ends a lease at once, if the service can be reached.
+func (c *Client) EndLease(id uint64) {
 	c.Send(Leases, 0, "DELETE", "/holds/"+strconv.FormatUint(id, 10), nil, 1500*loop.Millisecond, func(Response) {})
 }
