--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -53,7 +53,7 @@
 }
 
 func (r *Registry) storeAmendment(req *userRequest, edit Edit, j *Job, record *Record) {
-	sequence := r.client.Next()
+	sequence := r.client.NextSequence()
 	r.client.Txn(store.Answers, wire.Txn{If: []wire.Cond{RevisionCond(j)}, Then: []wire.Change{{Put: KeyPrefix + req.id, Value: *record}}}, func(result store.Result) {
 		switch result.Outcome {
 		case store.Applied:
--- a/internal/job/answer.go
+++ b/internal/job/answer.go
@@ -72,7 +72,7 @@
 // newUserRequest makes the entry of a user's request that came now.
 func (r *Registry) newUserRequest(id string, change bool, reply func(Answer)) *userRequest {
 	now := r.runner.Now()
-	return &userRequest{id: id, change: change, reply: reply, sequence: r.client.Next(), receivedAt: now, deadline: now + answerTimeout, unansweredSince: r.unanswered.since(id, now)}
+	return &userRequest{id: id, change: change, reply: reply, sequence: r.client.NextSequence(), receivedAt: now, deadline: now + answerTimeout, unansweredSince: r.unanswered.since(id, now)}
 }
 
 // current returns the answer that the copy of the records gives for a job; sequence is that of the request to the
--- a/internal/job/read.go
+++ b/internal/job/read.go
@@ -113,7 +113,7 @@
 		return
 	}
 	r.reads.syncing = true
-	before := r.client.Next()
+	before := r.client.NextSequence()
 	r.mirror.Sync(store.Inquiries, func(outcome store.Outcome) {
 		if outcome == store.Refused {
 			// The state service cannot be read now: users are told to retry at once.
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -131,7 +131,7 @@
 
 // fetch reads a job from the state service.
 func (r *Registry) fetch(id string, callback func(Answer)) {
-	sequence := r.client.Next()
+	sequence := r.client.NextSequence()
 	r.client.Get(store.Answers, KeyPrefix+id, func(it wire.Item, found, ok bool) {
 		switch {
 		case !ok:
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -130,7 +130,7 @@
 		return
 	}
 	r.storing = true
-	sequence := r.client.Next()
+	sequence := r.client.NextSequence()
 	r.client.Txn(store.Answers, batch.txn, func(result store.Result) {
 		r.storing = false
 		r.handleStored(&batch, result, sequence)
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -190,7 +190,7 @@
 		return
 	}
 	m.scanning = true
-	sent, request := m.client.runner.Now(), m.client.Next()
+	sent, request := m.client.runner.Now(), m.client.NextSequence()
 	m.client.Scan(Answers, m.prefix, func(items []wire.Item, tally uint64, ok bool) {
 		m.scanning = false
 		if !ok {
@@ -240,7 +240,7 @@
 // functions set by OnSynced are called before done. done receives Applied, Refused (the state service certainly
 // did not answer the read) or Unknown.
 func (m *Mirror) Sync(p Class, done func(Outcome)) {
-	sent, request := m.client.runner.Now(), m.client.Next()
+	sent, request := m.client.runner.Now(), m.client.NextSequence()
 	m.client.Send(p, 0, "GET", m.changesPath(0), nil, m.client.timeout(), func(resp Response) {
 		m.client.recordAnswer(resp)
 		var events wire.Events
@@ -264,7 +264,7 @@
 	now := m.client.runner.Now()
 	m.watchOpenedAt = now
 	m.client.requestTokens.tokens--
-	path, request := m.changesPath(m.Wait), m.client.Next()
+	path, request := m.changesPath(m.Wait), m.client.NextSequence()
 	timeout := loop.Duration(m.Wait + m.watchSlack)
 	m.client.runner.Go(func() {
 		resp := m.watchDoer.Do("GET", path, nil, timeout)
--- a/internal/store/sequence.go
+++ b/internal/store/sequence.go
@@ -6,8 +6,8 @@
 // have the same microsecond.
 type Sequence uint64
 
-// Next draws the next number.
-func (c *Client) Next() Sequence {
+// NextSequence draws the next number.
+func (c *Client) NextSequence() Sequence {
 	c.sequence++
 	return c.sequence
 }
--- a/internal/store/sync_test.go
+++ b/internal/store/sync_test.go
@@ -54,10 +54,10 @@
 				}
 				told = append(told, s)
 			})
-			before := client.Next()
+			before := client.NextSequence()
 			outcome := Outcome(-1)
 			m.Sync(Inquiries, func(o Outcome) { outcome = o })
-			after := client.Next()
+			after := client.NextSequence()
 			if outcome != c.want || path != "/changes?under=c/&since=4&waitMs=0" {
 				t.Errorf("the outcome is %v after a request for %q", outcome, path)
 			}
