--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -292,7 +292,7 @@
 	n.reach.Look()
 	n.isolate()
 	if n.mirror.Ready() {
-		n.client.Use(admission.Part(n.member.Nodes(), n.cfg.Cluster.Nodes, n.member.Entitled()))
+		n.client.SetShare(admission.Part(n.member.Nodes(), n.cfg.Cluster.Nodes, n.member.Entitled()))
 	}
 	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.contact() && n.member.Entitled(), Hosted: n.agent.HostedCount(), Hears: []string{}}
 	for _, label := range n.net.Peers() {
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -106,7 +106,7 @@
 // NewClient makes a client that uses at most 0.9/nodes of the limits.
 func NewClient(r loop.Runner, do Doer, log *slog.Logger, rps, writeRPS float64, nodes int) *Client {
 	c := &Client{runner: r, do: do, log: log, rps: rps, writeRPS: writeRPS, txnOps: defaultTxnOps, pace: 1}
-	c.Use(0.9 / float64(max(nodes, 1)))
+	c.SetShare(0.9 / float64(max(nodes, 1)))
 	return c
 }
 
--- a/internal/store/rate.go
+++ b/internal/store/rate.go
@@ -31,8 +31,8 @@
 	paceStep            = 0.05
 )
 
-// Use sets the share of the service's limits that this controller uses. It is called periodically.
-func (c *Client) Use(share float64) {
+// SetShare sets the share of the service's limits that this controller uses. It is called periodically.
+func (c *Client) SetShare(share float64) {
 	pace := c.pace
 	if pace < 1 && c.runner.Now()-c.slowedAt > loop.Second {
 		pace = min(pace+paceStep, 1)
