--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -109,7 +109,7 @@
 	}
 	nodes := max(cfg.Cluster.Nodes, 1)
 	n.client = store.NewClient(l, out.State, log, cfg.Cluster.State.RPS, cfg.Cluster.State.WriteRPS, nodes)
-	n.client.SetTxnOps(cfg.Cluster.State.TxnOps)
+	n.client.SetMaxChanges(cfg.Cluster.State.TxnOps)
 	n.client.Meter = n.meter
 	n.mirror = store.NewMirror(n.client, out.Watch, member.Prefix)
 	n.member = member.New(l, n.client, n.mirror, log, member.Settings{Label: cfg.Label, Teams: cfg.TeamNames(), Controllers: nodes,
--- a/internal/store/txnlimit.go
+++ b/internal/store/txnlimit.go
@@ -13,8 +13,8 @@
 	condsPerOp = 4
 )
 
-// SetTxnOps sets the largest number of changes in a transaction, as the settings name it.
-func (c *Client) SetTxnOps(n int) { c.txnOps = max(n, 1) }
+// SetMaxChanges sets the largest number of changes in a transaction, as the settings name it.
+func (c *Client) SetMaxChanges(n int) { c.txnOps = max(n, 1) }
 
 // MostChanges returns the largest number of changes in a transaction.
 func (c *Client) MostChanges() int { return c.txnOps }
