--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -100,7 +100,7 @@
 func (r *Registry) nextBatch() createBatch {
 	batch := createBatch{records: map[string]Record{}}
 	size := 0
-	for len(batch.records) < min(maxBatchRecords, r.client.MostChanges()) && size <= maxBatchBytes {
+	for len(batch.records) < min(maxBatchRecords, r.client.MaxChanges()) && size <= maxBatchBytes {
 		next := r.queue.Next(1)
 		if len(next) == 0 {
 			break
--- a/internal/member/claims.go
+++ b/internal/member/claims.go
@@ -161,7 +161,7 @@
 	}
 	together := 1 // the few claims of teams stand alone, so that one that is lost loses no other
 	if b.layout.Numbered() {
-		together = b.c.MostChanges()
+		together = b.c.MaxChanges()
 	}
 	for len(due) > 0 {
 		n := min(len(due), together)
--- a/internal/member/layout.go
+++ b/internal/member/layout.go
@@ -158,7 +158,7 @@
 	var txn wire.Txn
 	for _, team := range b.Teams {
 		o, ok := b.mine[teamKeys+team]
-		if !ok || len(txn.Then) >= b.c.MostChanges() {
+		if !ok || len(txn.Then) >= b.c.MaxChanges() {
 			continue
 		}
 		txn.If = append(txn.If, wire.Cond{Key: teamKeys + team, Mark: o.Mark})
--- a/internal/placer/groupcommit.go
+++ b/internal/placer/groupcommit.go
@@ -160,7 +160,7 @@
 	l.outcomes = put(l.outcomes, false)
 	// What is left of nearly empty segments, and of teams' own logs, moves on, so that they can go.
 	for _, s := range loop.Sorted(l.closed) {
-		if len(w.dead) >= min(writable-1, p.c.MostChanges()-1) {
+		if len(w.dead) >= min(writable-1, p.c.MaxChanges()-1) {
 			break
 		}
 		fits := w.seg.size+s.live*(entrySize+namesSize) < limit
--- a/internal/placer/partition.go
+++ b/internal/placer/partition.go
@@ -144,7 +144,7 @@
 			delete(part.unassigned, name)
 		case p.n.Membership.Assigned(name):
 			p.Assigned(name)
-		case len(names) < p.c.MostChanges():
+		case len(names) < p.c.MaxChanges():
 			names = append(names, name)
 		}
 	}
--- a/internal/rental/deletion.go
+++ b/internal/rental/deletion.go
@@ -83,7 +83,7 @@
 	for _, key := range t.m.Under(GoneKeys) {
 		var rec GoneRecord
 		if e, ok := t.m.Get(key); ok && wire.Unmarshal(e.Value, &rec) == nil && t.r.Wall()-rec.At > keepGone &&
-			len(txn.Then) < t.c.MostChanges() {
+			len(txn.Then) < t.c.MaxChanges() {
 			txn.Then = append(txn.Then, wire.Change{Delete: key})
 		}
 	}
--- a/internal/store/txnlimit.go
+++ b/internal/store/txnlimit.go
@@ -16,8 +16,8 @@
 // SetMaxChanges sets the largest number of changes in a transaction, as the settings name it.
 func (c *Client) SetMaxChanges(n int) { c.txnOps = max(n, 1) }
 
-// MostChanges returns the largest number of changes in a transaction.
-func (c *Client) MostChanges() int { return c.txnOps }
+// MaxChanges returns the largest number of changes in a transaction.
+func (c *Client) MaxChanges() int { return c.txnOps }
 
 // MostConds returns the largest number of conditions in a transaction.
 func (c *Client) MostConds() int { return condsPerOp * c.txnOps }
