--- a/internal/placer/groupcommit.go
+++ b/internal/placer/groupcommit.go
@@ -177,7 +177,7 @@
 
 // mostJobs is how many jobs' versions one transaction can compare, beside those of the
 // claim, the segment and the cordons.
-func (p *Placer) mostJobs() int { return p.c.MostConds() - 3 }
+func (p *Placer) mostJobs() int { return p.c.MaxConditions() - 3 }
 
 // move makes the written segment the place of a task's newest record.
 func (w *write) move(r ref) {
--- a/internal/store/txnlimit.go
+++ b/internal/store/txnlimit.go
@@ -19,8 +19,8 @@
 // MaxChanges returns the largest number of changes in a transaction.
 func (c *Client) MaxChanges() int { return c.txnOps }
 
-// MostConds returns the largest number of conditions in a transaction.
-func (c *Client) MostConds() int { return condsPerOp * c.txnOps }
+// MaxConditions returns the largest number of conditions in a transaction.
+func (c *Client) MaxConditions() int { return condsPerOp * c.txnOps }
 
 // handleMalformed halves the size of later transactions after one was rejected as malformed: the state
 // service may accept fewer changes than the settings say. It does nothing if the cause is a value that is too
