--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -112,8 +112,8 @@
 		return
 	}
 	var rec record
-	b.mark, b.damaged = e.Mark, false
-	if e.Mark != 0 {
+	b.mark, b.damaged = e.Revision, false
+	if e.Revision != 0 {
 		if err := wire.Unmarshal(e.Value, &rec); err != nil || rec.Format != format {
 			// What was last read stays in force here; the next change replaces the record.
 			b.log.Error("corrupt record set aside", "key", key, "format", rec.Format, "err", err)
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -54,7 +54,7 @@
 // applyRecord applies a record that the mirror received.
 func (r *Registry) applyRecord(key string, e store.Entry) {
 	id := strings.TrimPrefix(key, KeyPrefix)
-	if e.Mark == 0 {
+	if e.Revision == 0 {
 		return // job records are never removed
 	}
 	var rec Record
@@ -71,7 +71,7 @@
 		j = &Job{ID: id}
 		r.jobs[id] = j
 	}
-	j.Revision, j.Phase, j.AcceptedAt = e.Mark, rec.Phase, rec.AcceptedAt
+	j.Revision, j.Phase, j.AcceptedAt = e.Revision, rec.Phase, rec.AcceptedAt
 	r.applyPeerRevision(j)
 	if rec.Spec != nil {
 		j.Spec, j.Tasks = rec.Spec, rec.Spec.Tasks
--- a/internal/member/claims.go
+++ b/internal/member/claims.go
@@ -40,7 +40,7 @@
 		b.log.Error("corrupt record", "key", key, "err", err)
 		return ownerRecord{}, 0, true
 	}
-	return rec, e.Mark, true
+	return rec, e.Revision, true
 }
 
 // owner reads from the mirror who holds a claim.
--- a/internal/member/layout.go
+++ b/internal/member/layout.go
@@ -54,7 +54,7 @@
 
 // learnLayout takes in the stored layout. One that cannot be read changes nothing.
 func (b *Member) learnLayout(key string, e store.Entry) {
-	if e.Mark == 0 || key != partition.LayoutKey || b.TeamsOnly {
+	if e.Revision == 0 || key != partition.LayoutKey || b.TeamsOnly {
 		return
 	}
 	var l partition.Layout
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -139,7 +139,7 @@
 	b.m.On(nodeKeys, func(key string, e store.Entry) {
 		var rec nodeRecord
 		name := strings.TrimPrefix(key, nodeKeys)
-		if e.Mark == 0 || wire.Unmarshal(e.Value, &rec) != nil {
+		if e.Revision == 0 || wire.Unmarshal(e.Value, &rec) != nil {
 			delete(b.nodes, name)
 			return
 		}
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -143,7 +143,7 @@
 		Most: loop.Seconds(cfg.Operator.SilentDeleteS), Probes: max(min(64, cfg.Cluster.Limits.MaxSockets/20), 4)}, log, n.Meter, t.probe)
 	m.On(CatalogKey, func(key string, e store.Entry) {
 		var rec catalogRecord
-		if e.Mark == 0 {
+		if e.Revision == 0 {
 			return
 		}
 		if err := wire.Unmarshal(e.Value, &rec); err != nil {
@@ -154,7 +154,7 @@
 	})
 	m.On(GoneKeys, func(key string, e store.Entry) {
 		var rec GoneRecord
-		if e.Mark == 0 {
+		if e.Revision == 0 {
 			a.ForgetDeleted(t.deleted[key])
 			delete(t.deleted, key)
 			return
@@ -212,7 +212,7 @@
 			continue
 		}
 		name := strings.TrimPrefix(key, OrderKeys)
-		t.orders[name] = &order{name: name, o: o, mark: e.Mark, placed: true}
+		t.orders[name] = &order{name: name, o: o, mark: e.Revision, placed: true}
 		if o.Answered {
 			t.orders[name].finished = t.r.Now()
 			for _, m := range o.Machines {
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -68,7 +68,7 @@
 	if !ok {
 		t.Fatal("the claim is not mirrored")
 	}
-	g.t.Lead(true, member.Owner{Node: "a", Epoch: 1, Mark: e.Mark})
+	g.t.Lead(true, member.Owner{Node: "a", Epoch: 1, Mark: e.Revision})
 	return g
 }
 
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -12,9 +12,9 @@
 
 // Entry is a mirrored key. A Mark of 0 stands for an absent key.
 type Entry struct {
-	Value wire.Raw
-	Mark  uint64
-	gone  bool // removed; the entry only keeps the revision
+	Value    wire.Raw
+	Revision uint64
+	gone     bool // removed; the entry only keeps the revision
 }
 
 // MirrorState is the state of a mirror.
@@ -138,10 +138,10 @@
 // Apply applies a revision of a key learnt from any source; revisions not newer than the known one are ignored.
 func (m *Mirror) Apply(key string, value wire.Raw, mark uint64, removed bool) {
 	old, known := m.entries[key]
-	if known && old.Mark >= mark {
+	if known && old.Revision >= mark {
 		return
 	}
-	e := Entry{Value: value, Mark: mark, gone: removed}
+	e := Entry{Value: value, Revision: mark, gone: removed}
 	m.entries[key] = e
 	if removed {
 		m.removed = append(m.removed, removal{key, mark})
@@ -221,7 +221,7 @@
 	}
 	var gone []string // usually few, so sorting these is cheaper than sorting all keys
 	for k, e := range m.entries {
-		if !have[k] && !e.gone && e.Mark <= tally {
+		if !have[k] && !e.gone && e.Revision <= tally {
 			gone = append(gone, k)
 		}
 	}
@@ -312,7 +312,7 @@
 // forgetRemovals drops the revisions of keys that were removed long ago.
 func (m *Mirror) forgetRemovals() {
 	for len(m.removed) > 0 && m.removed[0].mark+keptRemovalRevisions < m.revision {
-		if x := m.removed[0]; m.entries[x.key].gone && m.entries[x.key].Mark == x.mark {
+		if x := m.removed[0]; m.entries[x.key].gone && m.entries[x.key].Revision == x.mark {
 			delete(m.entries, x.key)
 		}
 		m.removed = m.removed[1:]
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -46,10 +46,10 @@
 		m := NewMirror(nil, nil, "c/")
 		seen := map[string]uint64{}
 		m.On("c/", func(key string, e Entry) {
-			if e.Mark != 0 && e.Mark <= seen[key] {
-				t.Fatalf("the callback for %s goes back from revision %d to %d", key, seen[key], e.Mark)
+			if e.Revision != 0 && e.Revision <= seen[key] {
+				t.Fatalf("the callback for %s goes back from revision %d to %d", key, seen[key], e.Revision)
 			}
-			seen[key] = max(seen[key], e.Mark)
+			seen[key] = max(seen[key], e.Revision)
 		})
 		type version struct {
 			key  string
@@ -68,8 +68,8 @@
 		}
 		for key, i := range model {
 			e, ok := m.Get(key)
-			if ok == all[i].gone || (ok && e.Mark != uint64(i)) {
-				t.Fatalf("%s: found %v at revision %d, want revision %d (removed: %v)", key, ok, e.Mark, i, all[i].gone)
+			if ok == all[i].gone || (ok && e.Revision != uint64(i)) {
+				t.Fatalf("%s: found %v at revision %d, want revision %d (removed: %v)", key, ok, e.Revision, i, all[i].gone)
 			}
 		}
 	})
--- a/internal/store/sync_test.go
+++ b/internal/store/sync_test.go
@@ -49,7 +49,7 @@
 			m.revision = 4
 			var told []Synced
 			m.OnSynced(func(s Synced) {
-				if e, _ := m.Get("c/a"); e.Mark != c.mark {
+				if e, _ := m.Get("c/a"); e.Revision != c.mark {
 					t.Errorf("OnSynced was called before the changes were applied: c/a is %+v", e)
 				}
 				told = append(told, s)
@@ -61,7 +61,7 @@
 			if outcome != c.want || path != "/changes?under=c/&since=4&waitMs=0" {
 				t.Errorf("the outcome is %v after a request for %q", outcome, path)
 			}
-			if e, _ := m.Get("c/a"); e.Mark != c.mark {
+			if e, _ := m.Get("c/a"); e.Revision != c.mark {
 				t.Errorf("the copy holds c/a as %+v", e)
 			}
 			if _, there := m.Get("c/b"); there != (c.reach == 0) {
