--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -52,9 +52,9 @@
 
 // Synced says that the copy holds everything that the state service held when a request was made.
 type Synced struct {
-	Sent    loop.Micros // monotonic time at which the request was made
-	Request Sequence    // the request's sequence number
-	Reach   uint64      // the store revision up to which every change has been applied
+	Sent     loop.Micros // monotonic time at which the request was made
+	Request  Sequence    // the request's sequence number
+	Revision uint64      // the store revision up to which every change has been applied
 }
 
 const (
@@ -322,6 +322,6 @@
 // notifySynced calls the functions set by OnSynced.
 func (m *Mirror) notifySynced(sent loop.Micros, request Sequence) {
 	for _, f := range m.synced {
-		f(Synced{Sent: sent, Request: request, Reach: m.revision})
+		f(Synced{Sent: sent, Request: request, Revision: m.revision})
 	}
 }
