--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -52,7 +52,7 @@
 
 // Synced says that the copy holds everything that the state service held when a request was made.
 type Synced struct {
-	Sent     loop.Micros // monotonic time at which the request was made
+	SentAt   loop.Micros // monotonic time at which the request was made
 	Request  Sequence    // the request's sequence number
 	Revision uint64      // the store revision up to which every change has been applied
 }
@@ -322,6 +322,6 @@
 // notifySynced calls the functions set by OnSynced.
 func (m *Mirror) notifySynced(sent loop.Micros, request Sequence) {
 	for _, f := range m.synced {
-		f(Synced{Sent: sent, Request: request, Revision: m.revision})
+		f(Synced{SentAt: sent, Request: request, Revision: m.revision})
 	}
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -108,7 +108,7 @@
 	m := NewMirror(NewClient(r, l, slog.New(slog.NewTextHandler(io.Discard, nil)), 100, 100, 1), l, "c/")
 	m.Wait = 2 * loop.Second
 	var got [][2]loop.Micros
-	m.OnSynced(func(s Synced) { got = append(got, [2]loop.Micros{s.Sent, loop.Micros(s.Revision)}) })
+	m.OnSynced(func(s Synced) { got = append(got, [2]loop.Micros{s.SentAt, loop.Micros(s.Revision)}) })
 	m.Start()
 	next := func() {
 		f := r.after[len(r.after)-1]
--- a/internal/store/sync_test.go
+++ b/internal/store/sync_test.go
@@ -73,7 +73,7 @@
 				}
 				return
 			}
-			if len(told) != 1 || told[0].Revision != c.reach || told[0].Request <= before || told[0].Request >= after || told[0].Sent > r.now-loop.Second {
+			if len(told) != 1 || told[0].Revision != c.reach || told[0].Request <= before || told[0].Request >= after || told[0].SentAt > r.now-loop.Second {
 				t.Errorf("OnSynced was called with %+v, want one call with a request number between %d and %d", told, before, after)
 			}
 		})
