--- a/internal/node/overlook.go
+++ b/internal/node/overlook.go
@@ -11,7 +11,7 @@
 func (n *Node) overlook() {
 	w := &n.cfg.Cluster.Workers
 	grace := horizon.Grace(loop.Seconds(w.LeaseS), loop.Seconds(w.CancelS))
-	n.mirror.Wait = horizon.WatchWait(grace, n.cfg.Cluster.State.RPS*0.9/float64(max(n.cfg.Cluster.Nodes, 1)))
+	n.mirror.WatchWait = horizon.WatchWait(grace, n.cfg.Cluster.State.RPS*0.9/float64(max(n.cfg.Cluster.Nodes, 1)))
 	n.horizon = horizon.New(n.loop, n.log, n.net.Life, grace, n.net.Peers())
 	n.mirror.OnSynced(func(s store.Synced) { n.horizon.RecordSync(s.SentAt, s.Revision) })
 	n.horizon.RecordFromPeer = func(o horizon.Cancellation) bool { return n.jobs.ApplyPeerCancellation(o.Job, o.Revision) }
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -42,8 +42,8 @@
 	subs        []subscription
 	ready       []func()
 	rand        *rand.Rand
-	// Wait is for how long a watch stays open without changes.
-	Wait          loop.Micros
+	// WatchWait is for how long a watch stays open without changes.
+	WatchWait     loop.Micros
 	synced        []func(Synced)
 	scanning      bool        // a scan of all keys is in flight
 	watchSlack    loop.Micros // time beyond Wait after which a watch counts as lost
@@ -95,7 +95,7 @@
 
 // NewMirror makes an empty mirror; Start reads the keys and follows them.
 func NewMirror(c *Client, watch Doer, prefix string) *Mirror {
-	return &Mirror{client: c, watchDoer: watch, prefix: prefix, entries: map[string]Entry{}, Wait: 20 * loop.Second, watchSlack: minWatchSlack}
+	return &Mirror{client: c, watchDoer: watch, prefix: prefix, entries: map[string]Entry{}, WatchWait: 20 * loop.Second, watchSlack: minWatchSlack}
 }
 
 // On calls f for every change of a key under the prefix. The entry of a removed key has a Mark of 0.
@@ -264,8 +264,8 @@
 	now := m.client.runner.Now()
 	m.watchOpenedAt = now
 	m.client.requestTokens.tokens--
-	path, request := m.changesPath(m.Wait), m.client.NextSequence()
-	timeout := loop.Duration(m.Wait + m.watchSlack)
+	path, request := m.changesPath(m.WatchWait), m.client.NextSequence()
+	timeout := loop.Duration(m.WatchWait + m.watchSlack)
 	m.client.runner.Go(func() {
 		resp := m.watchDoer.Do("GET", path, nil, timeout)
 		m.client.runner.Post(func() { m.handleWatch(now, request, resp) })
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -106,7 +106,7 @@
 		return Response{Status: 200, Body: wire.Marshal(wire.Range{Tally: tally})}
 	}}
 	m := NewMirror(NewClient(r, l, slog.New(slog.NewTextHandler(io.Discard, nil)), 100, 100, 1), l, "c/")
-	m.Wait = 2 * loop.Second
+	m.WatchWait = 2 * loop.Second
 	var got [][2]loop.Micros
 	m.OnSynced(func(s Synced) { got = append(got, [2]loop.Micros{s.SentAt, loop.Micros(s.Revision)}) })
 	m.Start()
