--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -103,7 +103,7 @@
 // NewBook makes the book; clockTo is twice the bound on the time of day.
 func NewBook(r loop.Runner, c *store.Client, m *store.Mirror, log *slog.Logger, clockTo loop.Micros) *Book {
 	b := &Book{r: r, c: c, m: m, log: log, off: clockTo, version: 1}
-	m.On(Key, b.learn)
+	m.OnChange(Key, b.learn)
 	return b
 }
 
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -44,7 +44,7 @@
 func NewRegistry(runner loop.Runner, client *store.Client, mirror *store.Mirror, log *slog.Logger) *Registry {
 	registry := &Registry{runner: runner, client: client, mirror: mirror, log: log, jobs: map[string]*Job{}, damaged: map[string]bool{},
 		pending: map[string]*creation{}, reads: readQueue{maxWaiting: maxWaitingReads}, unanswered: unansweredJobs{}, refusals: admission.NewRefusals(log)}
-	mirror.On(KeyPrefix, registry.applyRecord)
+	mirror.OnChange(KeyPrefix, registry.applyRecord)
 	mirror.OnSynced(registry.synced)
 	registry.ConfigureAdmission(func(string) float64 { return 1 }, 40)
 	loop.Every(runner, expireInterval, registry.Expire)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -136,7 +136,7 @@
 
 // Start begins when the mirror has been read.
 func (b *Member) Start() {
-	b.m.On(nodeKeys, func(key string, e store.Entry) {
+	b.m.OnChange(nodeKeys, func(key string, e store.Entry) {
 		var rec nodeRecord
 		name := strings.TrimPrefix(key, nodeKeys)
 		if e.Revision == 0 || wire.Unmarshal(e.Value, &rec) != nil {
@@ -145,14 +145,14 @@
 		}
 		b.nodes[name] = rec
 	})
-	b.m.On(teamKeys, func(key string, _ store.Entry) {
+	b.m.OnChange(teamKeys, func(key string, _ store.Entry) {
 		b.LearnTeams([]string{strings.TrimPrefix(key, teamKeys)})
 		b.review(key)
 		b.reviewAssignment(key)
 	})
-	b.m.On(partition.ClaimPrefix, func(key string, _ store.Entry) { b.review(key) })
-	b.m.On(partition.LayoutKey, b.learnLayout)
-	b.m.On(leaderKey, func(key string, _ store.Entry) { b.review(key) })
+	b.m.OnChange(partition.ClaimPrefix, func(key string, _ store.Entry) { b.review(key) })
+	b.m.OnChange(partition.LayoutKey, b.learnLayout)
+	b.m.OnChange(leaderKey, func(key string, _ store.Entry) { b.review(key) })
 	b.m.OnReady(func() {
 		if old, ok := b.nodes[b.Label]; ok {
 			// An earlier life of this node ended without a word: its lease
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -141,7 +141,7 @@
 	w := cfg.Cluster.Workers
 	t.losses = loss.New(loss.Rules{Report: loop.Seconds(w.ReportS), Lease: loop.Seconds(w.LeaseS), Out: outOfSight,
 		Most: loop.Seconds(cfg.Operator.SilentDeleteS), Probes: max(min(64, cfg.Cluster.Limits.MaxSockets/20), 4)}, log, n.Meter, t.probe)
-	m.On(CatalogKey, func(key string, e store.Entry) {
+	m.OnChange(CatalogKey, func(key string, e store.Entry) {
 		var rec catalogRecord
 		if e.Revision == 0 {
 			return
@@ -152,7 +152,7 @@
 		}
 		t.setCatalog(rec.Types)
 	})
-	m.On(GoneKeys, func(key string, e store.Entry) {
+	m.OnChange(GoneKeys, func(key string, e store.Entry) {
 		var rec GoneRecord
 		if e.Revision == 0 {
 			a.ForgetDeleted(t.deleted[key])
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -98,8 +98,8 @@
 	return &Mirror{client: c, watchDoer: watch, prefix: prefix, entries: map[string]Entry{}, WatchWait: 20 * loop.Second, watchSlack: minWatchSlack}
 }
 
-// On calls f for every change of a key under the prefix. The entry of a removed key has a Mark of 0.
-func (m *Mirror) On(prefix string, f func(key string, e Entry)) {
+// OnChange calls f for every change of a key under the prefix. The entry of a removed key has a Mark of 0.
+func (m *Mirror) OnChange(prefix string, f func(key string, e Entry)) {
 	m.subs = append(m.subs, subscription{prefix, f})
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -45,7 +45,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMirror(nil, nil, "c/")
 		seen := map[string]uint64{}
-		m.On("c/", func(key string, e Entry) {
+		m.OnChange("c/", func(key string, e Entry) {
 			if e.Revision != 0 && e.Revision <= seen[key] {
 				t.Fatalf("the callback for %s goes back from revision %d to %d", key, seen[key], e.Revision)
 			}
