--- a/internal/node/leaders_test.go
+++ b/internal/node/leaders_test.go
@@ -56,7 +56,7 @@
 			for k := range 24 {
 				w.at(loop.Micros(k)*5*second, func() {
 					w.enter(shortJob(k, []string{"red", "blue"}[k%2], 3, 2*second))
-					tally = max(tally, len(w.nodes[w.labels[0]].n.mirror.Under(rental.OrderKeys)))
+					tally = max(tally, len(w.nodes[w.labels[0]].n.mirror.KeysUnder(rental.OrderKeys)))
 				})
 			}
 			w.run(began + 120*second)
--- a/internal/rental/deletion.go
+++ b/internal/rental/deletion.go
@@ -80,7 +80,7 @@
 		return
 	}
 	txn := wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}}
-	for _, key := range t.m.Under(GoneKeys) {
+	for _, key := range t.m.KeysUnder(GoneKeys) {
 		var rec GoneRecord
 		if e, ok := t.m.Get(key); ok && wire.Unmarshal(e.Value, &rec) == nil && t.r.Wall()-rec.At > keepGone &&
 			len(txn.Then) < t.c.MaxChanges() {
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -204,7 +204,7 @@
 	t.listAt, t.catAt, t.listed = 0, 0, false
 	t.seq = 0
 	t.losses.Clear()
-	for _, key := range t.m.Under(OrderKeys) {
+	for _, key := range t.m.KeysUnder(OrderKeys) {
 		e, _ := t.m.Get(key)
 		var o Order
 		if err := wire.Unmarshal(e.Value, &o); err != nil {
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -185,11 +185,11 @@
 	g.Run(3 * loop.Second)
 	g.hear("n-900000", "x")
 	g.Run(25 * loop.Second) // silent from now on
-	if !g.a.IsDeleted("n-900000") || len(g.t.m.Under(GoneKeys)) != 1 {
-		t.Fatalf("gone %v, records %v", g.a.IsDeleted("n-900000"), g.t.m.Under(GoneKeys))
+	if !g.a.IsDeleted("n-900000") || len(g.t.m.KeysUnder(GoneKeys)) != 1 {
+		t.Fatalf("gone %v, records %v", g.a.IsDeleted("n-900000"), g.t.m.KeysUnder(GoneKeys))
 	}
 	g.Run(keepGone + 120*loop.Second)
-	if n := len(g.t.m.Under(GoneKeys)); n != 0 || g.a.IsDeleted("n-900000") {
+	if n := len(g.t.m.KeysUnder(GoneKeys)); n != 0 || g.a.IsDeleted("n-900000") {
 		t.Fatalf("%d records are left, gone %v", n, g.a.IsDeleted("n-900000"))
 	}
 	for range 80 {
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -123,8 +123,8 @@
 	return e, true
 }
 
-// Under returns the known keys under a prefix, sorted.
-func (m *Mirror) Under(prefix string) []string {
+// KeysUnder returns the known keys under a prefix, sorted.
+func (m *Mirror) KeysUnder(prefix string) []string {
 	var keys []string
 	for k, e := range m.entries {
 		if !e.gone && strings.HasPrefix(k, prefix) {
