--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -122,9 +122,9 @@
 }
 
 // ConfirmHold marks a hold as effective, provided that the job's record still has this revision.
-func (r *Registry) ConfirmHold(id string, mark uint64, callback func(Answer)) {
+func (r *Registry) ConfirmHold(id string, revision uint64, callback func(Answer)) {
 	r.Amend(id, func(j *Job) *Record {
-		if j.Revision != mark || j.Terms.Hold.State != HoldPending {
+		if j.Revision != revision || j.Terms.Hold.State != HoldPending {
 			return nil
 		}
 		t := j.Terms
--- a/internal/job/peers_test.go
+++ b/internal/job/peers_test.go
@@ -24,8 +24,8 @@
 		}
 	}
 	spec := &Spec{Team: "red", Tasks: 3, CPUs: 1}
-	record := func(id string, p Phase, mark uint64) {
-		m.Apply(KeyPrefix+id, wire.Marshal(Record{Phase: p, Spec: spec}), mark, false)
+	record := func(id string, p Phase, revision uint64) {
+		m.Apply(KeyPrefix+id, wire.Marshal(Record{Phase: p, Spec: spec}), revision, false)
 	}
 	expectAnswer := func(id string, want Phase) {
 		t.Helper()
@@ -55,11 +55,11 @@
 	record("job-000003", Done, 6)
 	record("job-000004", Accepted, 12)
 	for _, x := range []struct {
-		id   string
-		mark uint64
+		id       string
+		revision uint64
 	}{{"job-000003", 9}, {"job-000004", 9}, {"nonsense", 9}, {"job-000005", 0}} {
-		if registry.ApplyPeerCancellation(x.id, x.mark) {
-			t.Errorf("a cancellation of %s at revision %d is applied", x.id, x.mark)
+		if registry.ApplyPeerCancellation(x.id, x.revision) {
+			t.Errorf("a cancellation of %s at revision %d is applied", x.id, x.revision)
 		}
 	}
 	expectAnswer("job-000003", Done)
--- a/internal/job/read_test.go
+++ b/internal/job/read_test.go
@@ -171,8 +171,8 @@
 			worst := loop.Micros(0)
 			for k := range jobs {
 				id := fmt.Sprintf("job-%d", k)
-				mark := n.state.Put(KeyPrefix+id, Record{Phase: Accepted, AcceptedAt: 1, Spec: spec})
-				registry.mirror.Apply(KeyPrefix+id, wire.Marshal(Record{Phase: Accepted, AcceptedAt: 1, Spec: spec}), mark, false)
+				revision := n.state.Put(KeyPrefix+id, Record{Phase: Accepted, AcceptedAt: 1, Spec: spec})
+				registry.mirror.Apply(KeyPrefix+id, wire.Marshal(Record{Phase: Accepted, AcceptedAt: 1, Spec: spec}), revision, false)
 				last[id] = n.Now()
 				n.After(loop.Micros(k)*every*loop.Second/jobs, func() { ask(id) })
 			}
@@ -224,8 +224,8 @@
 			spec := &Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true}
 			for k := range jobs {
 				id := fmt.Sprintf("job-%d", k)
-				mark := n.state.Put(KeyPrefix+id, Record{Phase: Accepted, AcceptedAt: 1, Spec: spec})
-				registry.mirror.Apply(KeyPrefix+id, wire.Marshal(Record{Phase: Accepted, AcceptedAt: 1, Spec: spec}), mark, false)
+				revision := n.state.Put(KeyPrefix+id, Record{Phase: Accepted, AcceptedAt: 1, Spec: spec})
+				registry.mirror.Apply(KeyPrefix+id, wire.Marshal(Record{Phase: Accepted, AcceptedAt: 1, Spec: spec}), revision, false)
 				if k >= jobs-c.changed {
 					n.state.Put(KeyPrefix+id, Record{Phase: Accepted, AcceptedAt: 2, Spec: spec})
 				}
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -188,8 +188,8 @@
 func RevisionCond(j *Job) wire.Cond { return wire.Cond{Key: KeyPrefix + j.ID, Mark: j.Revision} }
 
 // ApplyStored applies a record that a transaction of this controller has stored.
-func (r *Registry) ApplyStored(ch wire.Change, tally uint64) {
-	r.mirror.Apply(ch.Put, wire.Marshal(ch.Value), tally, false)
+func (r *Registry) ApplyStored(ch wire.Change, revision uint64) {
+	r.mirror.Apply(ch.Put, wire.Marshal(ch.Value), revision, false)
 }
 
 // Refresh reads a job again after a transaction showed that the copy here is out of date.
