--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -130,9 +130,9 @@
 }
 
 // RecordSync records that an answer of the state service to a request sent at a time has been applied completely,
-// so that every change up to the revision reach is known here.
-func (t *Tracker) RecordSync(sent loop.Micros, reach uint64) {
-	t.loaded, t.byStore, t.revision = true, max(t.byStore, sent), max(t.revision, reach)
+// so that every change up to this revision is known here.
+func (t *Tracker) RecordSync(sent loop.Micros, revision uint64) {
+	t.loaded, t.byStore, t.revision = true, max(t.byStore, sent), max(t.revision, revision)
 }
 
 // RecordCancellation records a cancellation known here from any source. It must be called before any user is told of the
@@ -198,8 +198,8 @@
 		// confirmed is known only once the records have been read.
 		return w
 	}
-	i, _ := slices.BinarySearchFunc(t.recent, p.revision, func(o Cancellation, reach uint64) int {
-		if o.Revision <= reach {
+	i, _ := slices.BinarySearchFunc(t.recent, p.revision, func(o Cancellation, revision uint64) int {
+		if o.Revision <= revision {
 			return -1
 		}
 		return 1
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -96,9 +96,9 @@
 }
 
 // learn records a cancellation at a controller.
-func (n *simController) learn(job string, mark uint64) {
-	n.known[job] = mark
-	n.tracker.RecordCancellation(Cancellation{job, mark})
+func (n *simController) learn(job string, revision uint64) {
+	n.known[job] = revision
+	n.tracker.RecordCancellation(Cancellation{job, revision})
 }
 
 // cancel stores a cancellation through a controller, which tells its user at once.
@@ -288,11 +288,11 @@
 		tracker.RecordCancellation(Cancellation{fmt.Sprint(k), uint64(1 + (k*7919)%5000)})
 	}
 	lowest := uint64(5000 - maxRecent)
-	for _, reach := range []uint64{0, lowest - 1, lowest, lowest + 1, 4999, 5000} {
-		tracker.Receive("b", 3, &Message{Version: 1, Timestamp: 5 + loop.Micros(reach), Revision: reach})
+	for _, revision := range []uint64{0, lowest - 1, lowest, lowest + 1, 4999, 5000} {
+		tracker.Receive("b", 3, &Message{Version: 1, Timestamp: 5 + loop.Micros(revision), Revision: revision})
 		w := tracker.MessageFor("b")
-		if answered := w.Echo != 0; answered != (reach >= lowest) || answered && len(w.Cancellations) != int(5000-reach) {
-			t.Errorf("peer at revision %d: %d of %d cancellations are sent, as an answer to question %d", reach, len(w.Cancellations), 5000-reach, w.Echo)
+		if answered := w.Echo != 0; answered != (revision >= lowest) || answered && len(w.Cancellations) != int(5000-revision) {
+			t.Errorf("peer at revision %d: %d of %d cancellations are sent, as an answer to question %d", revision, len(w.Cancellations), 5000-revision, w.Echo)
 		}
 	}
 }
