--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -136,7 +136,7 @@
 	return int(c.changeTokens.tokens)
 }
 
-// MaxAvailableChanges returns the largest value that Writable can return.
+// MaxAvailableChanges returns the largest value that AvailableChanges can return.
 func (c *Client) MaxAvailableChanges() int { return int(c.changeTokens.burst) }
 
 // Send queues a request; cb is called with the response on the event loop. Except for leases, it fails at once
@@ -364,8 +364,8 @@
 	})
 }
 
-// Scan reads all keys under a prefix, page by page; tally is the store revision of the first page.
-func (c *Client) Scan(p Class, prefix string, callback func(items []wire.Item, tally uint64, ok bool)) {
+// Scan reads all keys under a prefix, page by page; storeRevision is that of the first page.
+func (c *Client) Scan(p Class, prefix string, callback func(items []wire.Item, storeRevision uint64, ok bool)) {
 	var all []wire.Item
 	var first uint64
 	var page func(since string)
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -10,7 +10,7 @@
 	"cleatpick/internal/wire"
 )
 
-// Entry is a mirrored key. A Mark of 0 stands for an absent key.
+// Entry is a mirrored key. A Revision of 0 stands for an absent key.
 type Entry struct {
 	Value    wire.Raw
 	Revision uint64
@@ -46,7 +46,7 @@
 	WatchWait     loop.Micros
 	synced        []func(Synced)
 	scanning      bool        // a scan of all keys is in flight
-	watchSlack    loop.Micros // time beyond Wait after which a watch counts as lost
+	watchSlack    loop.Micros // time beyond WatchWait after which a watch counts as lost
 	watchOpenedAt loop.Micros // monotonic time at which the newest watch was opened
 }
 
@@ -74,7 +74,7 @@
 }
 
 const (
-	// A watch whose connection is dead is given up after its Wait and a slack. The slack doubles with each
+	// A watch whose connection is dead is given up after WatchWait and a slack. The slack doubles with each
 	// watch that gets no answer, so that a slow service is not asked in vain over and over.
 	minWatchSlack = 3 * loop.Second
 	maxWatchSlack = 24 * loop.Second
@@ -83,8 +83,8 @@
 // removal is a removed key. Its revision is kept for a while, so that a late message about an earlier revision
 // does not restore the key.
 type removal struct {
-	key  string
-	mark uint64
+	key      string
+	revision uint64
 }
 
 // subscription is a subscription to the keys under a prefix.
@@ -98,7 +98,7 @@
 	return &Mirror{client: c, watchDoer: watch, prefix: prefix, entries: map[string]Entry{}, WatchWait: 20 * loop.Second, watchSlack: minWatchSlack}
 }
 
-// OnChange calls f for every change of a key under the prefix. The entry of a removed key has a Mark of 0.
+// OnChange calls f for every change of a key under the prefix. The entry of a removed key has a Revision of 0.
 func (m *Mirror) OnChange(prefix string, f func(key string, e Entry)) {
 	m.subs = append(m.subs, subscription{prefix, f})
 }
@@ -136,15 +136,15 @@
 }
 
 // Apply applies a revision of a key learnt from any source; revisions not newer than the known one are ignored.
-func (m *Mirror) Apply(key string, value wire.Raw, mark uint64, removed bool) {
+func (m *Mirror) Apply(key string, value wire.Raw, revision uint64, removed bool) {
 	old, known := m.entries[key]
-	if known && old.Revision >= mark {
+	if known && old.Revision >= revision {
 		return
 	}
-	e := Entry{Value: value, Revision: mark, gone: removed}
+	e := Entry{Value: value, Revision: revision, gone: removed}
 	m.entries[key] = e
 	if removed {
-		m.removed = append(m.removed, removal{key, mark})
+		m.removed = append(m.removed, removal{key, revision})
 	}
 	if removed && (!known || old.gone) {
 		return
@@ -191,17 +191,17 @@
 	}
 	m.scanning = true
 	sent, request := m.client.runner.Now(), m.client.NextSequence()
-	m.client.Scan(Answers, m.prefix, func(items []wire.Item, tally uint64, ok bool) {
+	m.client.Scan(Answers, m.prefix, func(items []wire.Item, storeRevision uint64, ok bool) {
 		m.scanning = false
 		if !ok {
 			done(false)
 			return
 		}
-		m.replace(items, tally)
+		m.replace(items, storeRevision)
 		// An empty store has revision 0. It must not be taken for 1: the first change of all, at revision 1,
 		// would then be missed by every controller but the one that made it.
 		first := !m.loaded
-		m.loaded, m.revision = true, max(m.revision, tally)
+		m.loaded, m.revision = true, max(m.revision, storeRevision)
 		m.notifySynced(sent, request)
 		if first {
 			for _, f := range m.ready {
@@ -213,7 +213,7 @@
 }
 
 // replace applies the state of all keys at a revision or later; keys that are missing were removed.
-func (m *Mirror) replace(items []wire.Item, tally uint64) {
+func (m *Mirror) replace(items []wire.Item, storeRevision uint64) {
 	have := map[string]bool{}
 	for _, it := range items {
 		have[it.Key] = true
@@ -221,13 +221,13 @@
 	}
 	var gone []string // usually few, so sorting these is cheaper than sorting all keys
 	for k, e := range m.entries {
-		if !have[k] && !e.gone && e.Revision <= tally {
+		if !have[k] && !e.gone && e.Revision <= storeRevision {
 			gone = append(gone, k)
 		}
 	}
 	sort.Strings(gone)
 	for _, k := range gone {
-		m.Apply(k, nil, tally, true) // removed since the last read
+		m.Apply(k, nil, storeRevision, true) // removed since the last read
 	}
 }
 
@@ -311,8 +311,8 @@
 
 // forgetRemovals drops the revisions of keys that were removed long ago.
 func (m *Mirror) forgetRemovals() {
-	for len(m.removed) > 0 && m.removed[0].mark+keptRemovalRevisions < m.revision {
-		if x := m.removed[0]; m.entries[x.key].gone && m.entries[x.key].Revision == x.mark {
+	for len(m.removed) > 0 && m.removed[0].revision+keptRemovalRevisions < m.revision {
+		if x := m.removed[0]; m.entries[x.key].gone && m.entries[x.key].Revision == x.revision {
 			delete(m.entries, x.key)
 		}
 		m.removed = m.removed[1:]
--- a/internal/store/rate.go
+++ b/internal/store/rate.go
@@ -22,8 +22,7 @@
 const (
 	// A refusal by rate means that all controllers together send too many requests. Each controller that is
 	// refused multiplies its pace by paceFactor, at most once in minSlowDownInterval and down to minPace at
-	// most.
-	// The pace recovers by paceStep with each call of Use that comes more than a second after the last
+	// most. The pace recovers by paceStep with each call of SetShare that comes more than a second after the last
 	// slowdown.
 	paceFactor          = 0.7
 	minSlowDownInterval = 500 * loop.Millisecond
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -94,16 +94,16 @@
 // timeout, so that a slow service is not asked in vain for ever.
 func TestSyncedCountsFromRequest(t *testing.T) {
 	r := &manualLoop{now: 100 * loop.Second}
-	tally := uint64(7)
+	storeRevision := uint64(7)
 	lost := false
 	l := &slowService{r: r, takes: loop.Second, resp: func(path string) Response {
 		switch {
 		case lost:
 			return Response{Err: io.EOF}
 		case strings.HasPrefix(path, "/changes"):
-			return Response{Status: 200, Body: wire.Marshal(wire.Events{Tally: tally})}
+			return Response{Status: 200, Body: wire.Marshal(wire.Events{Tally: storeRevision})}
 		}
-		return Response{Status: 200, Body: wire.Marshal(wire.Range{Tally: tally})}
+		return Response{Status: 200, Body: wire.Marshal(wire.Range{Tally: storeRevision})}
 	}}
 	m := NewMirror(NewClient(r, l, slog.New(slog.NewTextHandler(io.Discard, nil)), 100, 100, 1), l, "c/")
 	m.WatchWait = 2 * loop.Second
@@ -115,13 +115,13 @@
 		r.after = nil
 		f()
 	}
-	tally = 9
+	storeRevision = 9
 	next()
 	lost = true
 	for range 6 {
 		next()
 	}
-	lost, tally = false, 12
+	lost, storeRevision = false, 12
 	next()
 	next()
 	s := loop.Second
--- a/internal/store/sync_test.go
+++ b/internal/store/sync_test.go
@@ -17,12 +17,12 @@
 	changes := wire.Events{Tally: 9, Events: []wire.Event{{Put: "c/a", Value: wire.Marshal(1), Mark: 8}, {Delete: "c/b", Mark: 9}}}
 	keys := wire.Range{Tally: 30, Items: []wire.Item{{Key: "c/a", Value: wire.Marshal(2), Mark: 20}}}
 	for _, c := range []struct {
-		name    string
-		changes Response
-		keys    Response
-		want    Outcome
-		reach   uint64 // revision that is reported; 0: nothing is
-		mark    uint64 // revision of c/a afterwards
+		name          string
+		changes       Response
+		keys          Response
+		want          Outcome
+		storeRevision uint64 // revision that is reported; 0: nothing is
+		revision      uint64 // revision of c/a afterwards
 	}{
 		{"changes", Response{Status: 200, Body: wire.Marshal(changes)}, Response{}, Applied, 9, 8},
 		{"changes no longer kept", Response{Status: 410}, Response{Status: 200, Body: wire.Marshal(keys)}, Applied, 30, 20},
@@ -47,12 +47,12 @@
 			m.Apply("c/a", wire.Marshal(0), 3, false)
 			m.Apply("c/b", wire.Marshal(0), 4, false)
 			m.revision = 4
-			var told []Synced
+			var reported []Synced
 			m.OnSynced(func(s Synced) {
-				if e, _ := m.Get("c/a"); e.Revision != c.mark {
+				if e, _ := m.Get("c/a"); e.Revision != c.revision {
 					t.Errorf("OnSynced was called before the changes were applied: c/a is %+v", e)
 				}
-				told = append(told, s)
+				reported = append(reported, s)
 			})
 			before := client.NextSequence()
 			outcome := Outcome(-1)
@@ -61,20 +61,20 @@
 			if outcome != c.want || path != "/changes?under=c/&since=4&waitMs=0" {
 				t.Errorf("the outcome is %v after a request for %q", outcome, path)
 			}
-			if e, _ := m.Get("c/a"); e.Revision != c.mark {
+			if e, _ := m.Get("c/a"); e.Revision != c.revision {
 				t.Errorf("the copy holds c/a as %+v", e)
 			}
-			if _, there := m.Get("c/b"); there != (c.reach == 0) {
+			if _, there := m.Get("c/b"); there != (c.storeRevision == 0) {
 				t.Errorf("the removed key c/b is in the copy: %v", there)
 			}
-			if c.reach == 0 {
-				if len(told) != 0 {
-					t.Errorf("OnSynced was called with %+v, want no call", told)
+			if c.storeRevision == 0 {
+				if len(reported) != 0 {
+					t.Errorf("OnSynced was called with %+v, want no call", reported)
 				}
 				return
 			}
-			if len(told) != 1 || told[0].Revision != c.reach || told[0].Request <= before || told[0].Request >= after || told[0].SentAt > r.now-loop.Second {
-				t.Errorf("OnSynced was called with %+v, want one call with a request number between %d and %d", told, before, after)
+			if len(reported) != 1 || reported[0].Revision != c.storeRevision || reported[0].Request <= before || reported[0].Request >= after || reported[0].SentAt > r.now-loop.Second {
+				t.Errorf("OnSynced was called with %+v, want one call with a request number between %d and %d", reported, before, after)
 			}
 		})
 	}
--- a/internal/store/txnlimit.go
+++ b/internal/store/txnlimit.go
@@ -3,7 +3,7 @@
 import "cleatpick/internal/wire"
 
 const (
-	// defaultTxnOps is the largest number of changes in a transaction until SetTxnOps is called.
+	// defaultTxnOps is the largest number of changes in a transaction until SetMaxChanges is called.
 	defaultTxnOps = 16
 	// minTxnOps and minValueBytes are the number of changes and the size of a value, in bytes, that every state
 	// service accepts.
