--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// confirmUnchanged confirms with the state service that a job needs no change, since the copy here may be out of date.
+// confirmUnchanged confirms with the state service that a job needs no change, since the copy here may be out of
+// date.
 func (r *Registry) confirmUnchanged(req *userRequest, edit Edit) {
 	confirm := *req
 	confirm.reply = func(a Answer) {
--- a/internal/job/read.go
+++ b/internal/job/read.go
@@ -40,8 +40,8 @@
 	refusals   int // number of refusals so far, by which Retry-After is spread
 }
 
-// compareRequests compares two requests by which keeps its place when not all can wait: changes come first, then polls
-// for known jobs, those unanswered longest first, then polls for jobs that are not known here.
+// compareRequests compares two requests by which keeps its place when not all can wait: changes come first, then
+// polls for known jobs, those unanswered longest first, then polls for jobs that are not known here.
 func compareRequests(a, b *userRequest) int {
 	return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.unansweredSince, b.unansweredSince), cmp.Compare(a.sequence, b.sequence))
 }
--- a/internal/job/read_test.go
+++ b/internal/job/read_test.go
@@ -108,13 +108,13 @@
 		for range polls {
 			n.After(loop.Micros(n.rng.IntN(10000))*loop.Millisecond, func() {
 				id := fmt.Sprintf("job-%d", n.rng.IntN(8))
-				asked, at, told := held[id], n.Now(), false
+				asked, at, answered := held[id], n.Now(), false
 				registry.Poll(id, func(a Answer) {
 					answers++
-					if told || n.Now()-at > answerTimeout+300*loop.Millisecond {
-						t.Fatalf("seed %d: answer for %s; answered before: %v; time since the request: %d us", seed, id, told, n.Now()-at)
+					if answered || n.Now()-at > answerTimeout+300*loop.Millisecond {
+						t.Fatalf("seed %d: answer for %s; answered before: %v; time since the request: %d us", seed, id, answered, n.Now()-at)
 					}
-					told = true
+					answered = true
 					if a.Code == 503 || a.Code == 429 {
 						return
 					}
@@ -319,18 +319,18 @@
 	for seed := range uint64(60) {
 		n, registry := newSlowRegistry(seed, 1000)
 		n.maxDelayMs = 400
-		accepted, told := false, 0
+		accepted, answered := false, 0
 		registry.mirror.Start()
 		n.Run(3 * loop.Second)
 		registry.Poll("job-000001", func(a Answer) {
-			if told++; accepted && a.Code == 404 {
+			if answered++; accepted && a.Code == 404 {
 				t.Errorf("seed %d: the poll is answered 404 after the job was accepted here", seed)
 			}
 		})
 		registry.Submit("job-000001", &Spec{Team: "red", Tasks: 1}, func(a Answer) { accepted = accepted || a.Code == 201 })
 		n.Run(4 * loop.Second)
-		if told != 1 || !accepted {
-			t.Errorf("seed %d: the poll is answered %d times, want once; job accepted: %v", seed, told, accepted)
+		if answered != 1 || !accepted {
+			t.Errorf("seed %d: the poll is answered %d times, want once; job accepted: %v", seed, answered, accepted)
 		}
 	}
 }
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -111,7 +111,8 @@
 	})
 }
 
-// TakeQueuePositions returns the queue positions of clients deferred since the previous call, to be sent to the peers.
+// TakeQueuePositions returns the queue positions of clients deferred since the previous call, to be sent to the
+// peers.
 func (r *Registry) TakeQueuePositions() []admission.Place { return r.queue.News() }
 
 // ApplyQueuePositions applies the queue positions that a peer sent.
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -34,8 +34,8 @@
 	r.SubmitWithTerms(id, spec, &Terms{}, callback)
 }
 
-// SubmitWithTerms is Submit for a job with a hold or dependencies. The caller must have found the jobs that it depends
-// on in the state service; records are never removed, so they continue to exist.
+// SubmitWithTerms is Submit for a job with a hold or dependencies. The caller must have found the jobs that it
+// depends on in the state service; records are never removed, so they continue to exist.
 func (r *Registry) SubmitWithTerms(id string, spec *Spec, terms *Terms, callback func(Answer)) {
 	req := r.newUserRequest(id, true, callback)
 	req.onAbsent = func() { r.enqueue(req, spec, terms) }
@@ -68,7 +68,8 @@
 	r.storeWaiting()
 }
 
-// deferSubmission tells those who submitted a job to retry later, since another submission takes its place in the queue.
+// deferSubmission tells those who submitted a job to retry later, since another submission takes its place in the
+// queue.
 func (r *Registry) deferSubmission(id string, after int) {
 	r.client.Meter.Submission("putOff")
 	r.answerSubmitters(id, Answer{Code: 429, ID: id, RetryAfter: after, source: RefusedDeferred})
