--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -166,15 +166,15 @@
 	g := newTestRegistry()
 	token := g.report(t, 1, 0).Token
 	g.report(t, 2, token, wire.ReportTask{Task: "job-1/8", Attempt: 1, State: wire.TaskRunning})
-	life := g.now + 6*loop.Second
-	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 1, Expiry: life, From: "a"}) // fits
-	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/1", Attempt: 1, Expiry: life, From: "a"}) // full
-	g.a.Start(Start{Machine: "n-1", Session: 2, Task: "job-1/2", Attempt: 1, Expiry: life, From: "a"})
+	expiry := g.now + 6*loop.Second
+	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 1, Expiry: expiry, From: "a"}) // fits
+	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/1", Attempt: 1, Expiry: expiry, From: "a"}) // full
+	g.a.Start(Start{Machine: "n-1", Session: 2, Task: "job-1/2", Attempt: 1, Expiry: expiry, From: "a"})
 	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/3", Attempt: 1, Expiry: g.now - 1, From: "a"})
 	if len(g.rejections) != 3 || g.rejections[0].Task != "job-1/1" {
 		t.Fatalf("rejected: %v, want three, the first of them job-1/1", g.rejections)
 	}
-	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/1", Attempt: 1, Expiry: life, From: "a"})
+	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/1", Attempt: 1, Expiry: expiry, From: "a"})
 	if len(g.rejections) != 4 || g.a.View("n-1").HasPending("job-1/1", 1) {
 		t.Fatal("a rejected start was accepted later")
 	}
--- a/internal/agent/delta.go
+++ b/internal/agent/delta.go
@@ -32,8 +32,8 @@
 	return c.OldIndex[i]
 }
 
-// ChangesSince compares a view with an earlier one. Workers report tasks in the order in which they began, so one pass
-// over both lists finds the unchanged ones; with lists in another order, more tasks merely count as changed.
+// ChangesSince compares a view with an earlier one. Workers report tasks in the order in which they began, so one
+// pass over both lists finds the unchanged ones; with lists in another order, more tasks merely count as changed.
 func (v *View) ChangesSince(old *View) Changes {
 	if old == nil || old.Session != v.Session {
 		return Changes{All: true}
@@ -163,15 +163,15 @@
 		return &v
 	}
 	v.Tasks = make([]Task, kept+len(d.Added))
-	gone, fresh, i := 0, 0, 0
+	removed, fresh, i := 0, 0, 0
 	for k := range v.Tasks {
 		if fresh < len(d.Added) && d.Added[fresh].Index == k {
 			v.Tasks[k] = d.Added[fresh].Task
 			fresh++
 			continue
 		}
-		for gone < len(d.Removed) && d.Removed[gone] == i {
-			gone++
+		for removed < len(d.Removed) && d.Removed[removed] == i {
+			removed++
 			i++
 		}
 		if i >= len(base.Tasks) {
@@ -180,7 +180,7 @@
 		v.Tasks[k] = base.Tasks[i]
 		i++
 	}
-	if fresh != len(d.Added) || len(base.Tasks)-i != len(d.Removed)-gone {
+	if fresh != len(d.Added) || len(base.Tasks)-i != len(d.Removed)-removed {
 		return nil
 	}
 	return &v
@@ -250,7 +250,7 @@
 		return false
 	}
 	old := a.views[d.Name]
-	if told := (View{Host: from, Session: d.Session, Seq: d.Seq, Rev: d.Rev}); !told.newerThan(old) {
+	if update := (View{Host: from, Session: d.Session, Seq: d.Seq, Rev: d.Rev}); !update.newerThan(old) {
 		return false // late: a view at least as new is known here
 	}
 	if old == nil || old.Host != from {
--- a/internal/agent/delta_test.go
+++ b/internal/agent/delta_test.go
@@ -46,7 +46,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		next := 0
 		host := &View{Name: "n-1", Addr: "x", Host: "b", Session: 1, Tasks: []Task{}}
-		var told *View // as published by the host
+		var published *View // as published by the host
 		a := newTestRegistry().a
 		var late [][]byte
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
@@ -65,8 +65,8 @@
 			if rapid.IntRange(0, 2).Draw(t, "gather") == 0 {
 				continue
 			}
-			d, ok := v.deltaTo(told)
-			told = host
+			d, ok := v.deltaTo(published)
+			published = host
 			if !ok {
 				if rapid.IntRange(0, 4).Draw(t, "lost full") != 0 {
 					c := v
--- a/internal/agent/forget_test.go
+++ b/internal/agent/forget_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// ended is a terminated attempt as a report lists it.
-func ended(number uint64) wire.ReportTask {
+// terminated is a terminated attempt as a report lists it.
+func terminated(number uint64) wire.ReportTask {
 	return wire.ReportTask{Task: "job-1/0", Attempt: number, State: wire.TaskExited, Why: wire.WhyStopped}
 }
 
@@ -90,44 +90,44 @@
 	}{
 		{"nothing", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
-			return []wire.Commands{g.report(t, 3, token, ended(1))}
+			return []wire.Commands{g.report(t, 3, token, terminated(1))}
 		}, 1},
 		{"another host may pass its start on", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += startLife + delivery.AnswerLife
-			return []wire.Commands{g.report(t, 3, token, ended(1))}
+			return []wire.Commands{g.report(t, 3, token, terminated(1))}
 		}, 0},
 		{"listed in another state before", func(g *testRegistry, token uint64) []wire.Commands {
 			g.report(t, 3, token, wire.ReportTask{Task: "job-1/0", Attempt: 2, State: wire.TaskRunning})
 			g.now += long
-			return []wire.Commands{g.report(t, 4, token, ended(2))}
+			return []wire.Commands{g.report(t, 4, token, terminated(2))}
 		}, 1},
 		{"listed beside an earlier attempt", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
-			return []wire.Commands{g.report(t, 3, token, ended(1), ended(2))}
+			return []wire.Commands{g.report(t, 3, token, terminated(1), terminated(2))}
 		}, 1},
 		{"a new session", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
 			g.session = 2
-			return []wire.Commands{g.report(t, 1, token, ended(1))}
+			return []wire.Commands{g.report(t, 1, token, terminated(1))}
 		}, 0},
 		{"the worker shows a lower token", func(g *testRegistry, token uint64) []wire.Commands {
 			g.resp = store.Response{Err: io.ErrUnexpectedEOF}
 			g.a.RequestTaskList("n-1")
 			g.runWork() // the outcome is unknown, so the token is raised
 			g.now += long
-			return []wire.Commands{g.report(t, 3, token, ended(1))}
+			return []wire.Commands{g.report(t, 3, token, terminated(1))}
 		}, 0},
 		{"the worker shows the raised token", func(g *testRegistry, token uint64) []wire.Commands {
 			g.resp = store.Response{Err: io.ErrUnexpectedEOF}
 			g.a.RequestTaskList("n-1")
 			g.runWork()
 			g.now += long
-			return []wire.Commands{g.report(t, 3, token+1, ended(1))}
+			return []wire.Commands{g.report(t, 3, token+1, terminated(1))}
 		}, 1},
 		{"a direct command is in flight", func(g *testRegistry, token uint64) (out []wire.Commands) {
 			g.now += long
-			g.answersDirect(4, token, ended(1))
-			g.duringDirect = func() { out = append(out, g.report(t, 3, token, ended(1))) }
+			g.answersDirect(4, token, terminated(1))
+			g.duringDirect = func() { out = append(out, g.report(t, 3, token, terminated(1))) }
 			g.a.RequestTaskList("n-1")
 			g.sent = nil
 			g.runWork()
@@ -136,16 +136,16 @@
 		{"a duplicate of an earlier report", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
 			g.hostedMachine().startsInAnswer[delivery.Attempt{Task: "job-1/0", Number: 1}] = struct{}{}
-			return []wire.Commands{g.report(t, 2, token, ended(1))}
+			return []wire.Commands{g.report(t, 2, token, terminated(1))}
 		}, 0},
 		{"its start is in an answer, and a direct answer has overtaken the next report", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
 			g.hostedMachine().startsInAnswer[delivery.Attempt{Task: "job-1/0", Number: 1}] = struct{}{}
-			g.answersDirect(5, token, ended(1))
+			g.answersDirect(5, token, terminated(1))
 			g.a.RequestTaskList("n-1")
 			g.runWork()
 			before := len(g.sent)
-			late := g.report(t, 4, token, ended(1)) // proves that the answer arrived
+			late := g.report(t, 4, token, terminated(1)) // proves that the answer arrived
 			return append(g.sent[:before:before], late)
 		}, -1},
 		{"its start is pending", func(g *testRegistry, token uint64) []wire.Commands {
@@ -158,7 +158,7 @@
 			t.Run(fmt.Sprintf("%s/job final %v", c.name, over), func(t *testing.T) {
 				g := newTestRegistry()
 				token := g.report(t, 1, 0).Token
-				g.report(t, 2, token, ended(1))
+				g.report(t, 2, token, terminated(1))
 				if over {
 					g.a.jobOf("job-1/0").Phase = job.Cancelled
 				} else {
--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -47,7 +47,7 @@
 		return why
 	}
 	m.view.resolved = false // this is not a published view and changes, so its capacity is computed anew
-	if room, ok := a.FreeCapacity(&m.view, typ); !ok || !room.Fits(j.Spec) {
+	if free, ok := a.FreeCapacity(&m.view, typ); !ok || !free.Fits(j.Spec) {
 		return "full"
 	}
 	return ""
