--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -114,7 +114,8 @@
 	droppedUpTo uint64
 	state       State
 	since       loop.Micros // monotonic time of the last change of state
-	// RecordFromPeer accepts a cancellation that a peer sent; it returns false if the cancellation cannot be recorded.
+	// RecordFromPeer accepts a cancellation that a peer sent; it returns false if the cancellation cannot be
+	// recorded.
 	RecordFromPeer func(Cancellation) bool
 	// Discarded is called for every message that is discarded; it may be nil.
 	Discarded func(peer, why string)
@@ -135,8 +136,8 @@
 	t.loaded, t.byStore, t.revision = true, max(t.byStore, sent), max(t.revision, revision)
 }
 
-// RecordCancellation records a cancellation known here from any source. It must be called before any user is told of the
-// cancellation, so that the next message to a peer includes it.
+// RecordCancellation records a cancellation known here from any source. It must be called before any user is told
+// of the cancellation, so that the next message to a peer includes it.
 func (t *Tracker) RecordCancellation(o Cancellation) {
 	if o.Revision <= t.droppedUpTo {
 		return
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -192,9 +192,9 @@
 				if at > n.clock.Now() {
 					t.Fatalf("seed %d: the watermark of %s is in the future", seed, n.label)
 				}
-				for job, told := range s.confirmedAt {
-					if told < at+n.clock.zero && n.known[job] == 0 {
-						t.Fatalf("seed %d: %s does not know the cancellation of %s, confirmed %d us before its watermark", seed, n.label, job, at+n.clock.zero-told)
+				for job, confirmed := range s.confirmedAt {
+					if confirmed < at+n.clock.zero && n.known[job] == 0 {
+						t.Fatalf("seed %d: %s does not know the cancellation of %s, confirmed %d us before its watermark", seed, n.label, job, at+n.clock.zero-confirmed)
 					}
 				}
 				if n.disconnected && at > n.tracker.byStore+5*loop.Second {
