--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -122,15 +122,15 @@
 // Waiting returns the number of requests queued here.
 func (c *Client) Waiting() int { return c.queue.totalWaiting() }
 
-// AvailableChanges returns how many changes of a class could be sent at once. It is 0 if another class is next to send
-// changes, or if requests of this class wait already.
-func (c *Client) AvailableChanges(p Class) int {
+// AvailableChanges returns how many changes of a class could be sent at once. It is 0 if another class is next to
+// send changes, or if requests of this class wait already.
+func (c *Client) AvailableChanges(class Class) int {
 	now := c.runner.Now()
 	c.refill(now)
-	if !c.maySend(now) || c.queue.waiting(p) > 0 {
+	if !c.maySend(now) || c.queue.waiting(class) > 0 {
 		return 0
 	}
-	if writer, waits := c.queue.writer(); waits && c.queue.startTag(writer) < c.queue.startTag(p) {
+	if writer, waits := c.queue.writer(); waits && c.queue.startTag(writer) < c.queue.startTag(class) {
 		return 0
 	}
 	return int(c.changeTokens.tokens)
@@ -139,10 +139,10 @@
 // MaxAvailableChanges returns the largest value that AvailableChanges can return.
 func (c *Client) MaxAvailableChanges() int { return int(c.changeTokens.burst) }
 
-// Send queues a request; cb is called with the response on the event loop. Except for leases, it fails at once
+// Send queues a request; callback is called with the response on the event loop. Except for leases, it fails at once
 // if too many requests of the class wait.
-func (c *Client) Send(p Class, writes int, method, path string, body any, timeout loop.Micros, callback func(Response)) {
-	if p != Leases && c.queue.waiting(p) >= maxQueue {
+func (c *Client) Send(class Class, writes int, method, path string, body any, timeout loop.Micros, callback func(Response)) {
+	if class != Leases && c.queue.waiting(class) >= maxQueue {
 		c.runner.Post(func() { callback(Response{Err: errQueue}) })
 		return
 	}
@@ -150,7 +150,7 @@
 	if body != nil {
 		raw = wire.Marshal(body)
 	}
-	c.queue.add(request{p, writes, method, path, raw, timeout, callback})
+	c.queue.add(request{class, writes, method, path, raw, timeout, callback})
 	c.pump()
 }
 
@@ -171,11 +171,11 @@
 	now := c.runner.Now()
 	c.refill(now)
 	for {
-		p, found := c.next(now)
+		class, found := c.next(now)
 		if !found {
 			break
 		}
-		c.send(p, now)
+		c.send(class, now)
 	}
 	if c.queue.totalWaiting() > 0 {
 		c.schedulePump()
@@ -192,14 +192,14 @@
 		return 0, false
 	}
 	writer, writes := c.queue.writer()
-	return c.queue.leastStartTag(func(p Class, head *request) bool {
-		if p == Inquiries && c.inquiryTokens.tokens < 1 {
+	return c.queue.leastStartTag(func(candidate Class, head *request) bool {
+		if candidate == Inquiries && c.inquiryTokens.tokens < 1 {
 			return false
 		}
 		if head.writes == 0 {
 			return true
 		}
-		return writes && p == writer && c.changeTokens.tokens >= min(float64(head.writes), c.changeTokens.burst)
+		return writes && candidate == writer && c.changeTokens.tokens >= min(float64(head.writes), c.changeTokens.burst)
 	})
 }
 
@@ -212,10 +212,10 @@
 }
 
 // send sends the next request of a class.
-func (c *Client) send(p Class, now loop.Micros) {
-	req := c.queue.take(p, c.cost(c.queue.head(p)))
+func (c *Client) send(class Class, now loop.Micros) {
+	req := c.queue.take(class, c.cost(c.queue.head(class)))
 	c.requestTokens.tokens--
-	if p == Inquiries {
+	if class == Inquiries {
 		c.inquiryTokens.tokens--
 	}
 	c.changeTokens.tokens -= float64(req.writes)
@@ -292,12 +292,12 @@
 	}
 }
 
-// Txn executes a transaction and calls cb with its result.
-func (c *Client) Txn(p Class, t wire.Txn, callback func(Result)) {
+// Txn executes a transaction and calls callback with its result.
+func (c *Client) Txn(class Class, t wire.Txn, callback func(Result)) {
 	if t.If == nil {
 		t.If = []wire.Cond{}
 	}
-	c.Send(p, len(t.Then), "POST", "/multi", t, c.timeout(), func(resp Response) {
+	c.Send(class, len(t.Then), "POST", "/multi", t, c.timeout(), func(resp Response) {
 		c.recordAnswer(resp)
 		result := c.resultOf(resp)
 		if result.Outcome == Invalid {
@@ -339,10 +339,10 @@
 	return Result{Outcome: Invalid}
 }
 
-// Get reads a key. cb is called with found and ok if the key exists, with ok alone if it certainly does not,
+// Get reads a key. callback is called with found and ok if the key exists, with ok alone if it certainly does not,
 // and with neither if there was no answer.
-func (c *Client) Get(p Class, key string, callback func(item wire.Item, found, ok bool)) {
-	c.Send(p, 0, "GET", "/store/"+key, nil, 1500*loop.Millisecond, func(resp Response) {
+func (c *Client) Get(class Class, key string, callback func(item wire.Item, found, ok bool)) {
+	c.Send(class, 0, "GET", "/store/"+key, nil, 1500*loop.Millisecond, func(resp Response) {
 		var it wire.Item
 		switch {
 		case resp.Err == nil && resp.Status == 404:
@@ -356,8 +356,8 @@
 }
 
 // Exists determines whether there is any key under a prefix; ok is false if there was no answer.
-func (c *Client) Exists(p Class, prefix string, callback func(exists, ok bool)) {
-	c.Send(p, 0, "GET", "/store?under="+prefix+"&limit=1", nil, 1500*loop.Millisecond, func(resp Response) {
+func (c *Client) Exists(class Class, prefix string, callback func(exists, ok bool)) {
+	c.Send(class, 0, "GET", "/store?under="+prefix+"&limit=1", nil, 1500*loop.Millisecond, func(resp Response) {
 		var r wire.Range
 		ok := resp.Err == nil && resp.Status == 200 && wire.Unmarshal(resp.Body, &r) == nil
 		callback(len(r.Items) > 0, ok)
@@ -365,7 +365,7 @@
 }
 
 // Scan reads all keys under a prefix, page by page; storeRevision is that of the first page.
-func (c *Client) Scan(p Class, prefix string, callback func(items []wire.Item, storeRevision uint64, ok bool)) {
+func (c *Client) Scan(class Class, prefix string, callback func(items []wire.Item, storeRevision uint64, ok bool)) {
 	var all []wire.Item
 	var first uint64
 	var page func(since string)
@@ -374,7 +374,7 @@
 		if since != "" {
 			path += "&since=" + since
 		}
-		c.Send(p, 0, "GET", path, nil, 3*loop.Second, func(resp Response) {
+		c.Send(class, 0, "GET", path, nil, 3*loop.Second, func(resp Response) {
 			var r wire.Range
 			if resp.Err != nil || resp.Status != 200 || wire.Unmarshal(resp.Body, &r) != nil {
 				callback(nil, 0, false)
@@ -406,8 +406,8 @@
 	})
 }
 
-// RenewLease renews a lease. cb is called with alive and ok if it was renewed, with ok alone if it has ended, and
-// with neither if there was no answer.
+// RenewLease renews a lease. callback is called with alive and ok if it was renewed, with ok alone if it has ended,
+// and with neither if there was no answer.
 func (c *Client) RenewLease(id uint64, callback func(alive, ok bool)) {
 	c.Send(Leases, 0, "POST", "/holds/"+strconv.FormatUint(id, 10)+"/extend", nil, 1200*loop.Millisecond, func(resp Response) {
 		switch {
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -14,7 +14,7 @@
 type Entry struct {
 	Value    wire.Raw
 	Revision uint64
-	gone     bool // removed; the entry only keeps the revision
+	removed  bool // the key was removed; the entry only keeps the revision
 }
 
 // MirrorState is the state of a mirror.
@@ -38,7 +38,7 @@
 	loaded      bool   // the keys were read at least once
 	failedReads int    // scans in a row that failed
 	entries     map[string]Entry
-	removed     []removal // of entries, in the order in which they were applied
+	removals    []removal // of entries, in the order in which they were applied
 	subs        []subscription
 	ready       []func()
 	rand        *rand.Rand
@@ -117,7 +117,7 @@
 // Get returns the newest known revision of a key.
 func (m *Mirror) Get(key string) (Entry, bool) {
 	e, ok := m.entries[key]
-	if !ok || e.gone {
+	if !ok || e.removed {
 		return Entry{}, false
 	}
 	return e, true
@@ -127,7 +127,7 @@
 func (m *Mirror) KeysUnder(prefix string) []string {
 	var keys []string
 	for k, e := range m.entries {
-		if !e.gone && strings.HasPrefix(k, prefix) {
+		if !e.removed && strings.HasPrefix(k, prefix) {
 			keys = append(keys, k)
 		}
 	}
@@ -141,12 +141,12 @@
 	if known && old.Revision >= revision {
 		return
 	}
-	e := Entry{Value: value, Revision: revision, gone: removed}
+	e := Entry{Value: value, Revision: revision, removed: removed}
 	m.entries[key] = e
 	if removed {
-		m.removed = append(m.removed, removal{key, revision})
+		m.removals = append(m.removals, removal{key, revision})
 	}
-	if removed && (!known || old.gone) {
+	if removed && (!known || old.removed) {
 		return
 	}
 	if removed {
@@ -219,14 +219,14 @@
 		have[it.Key] = true
 		m.Apply(it.Key, it.Value, it.Mark, false)
 	}
-	var gone []string // usually few, so sorting these is cheaper than sorting all keys
+	var missing []string // usually few, so sorting these is cheaper than sorting all keys
 	for k, e := range m.entries {
-		if !have[k] && !e.gone && e.Revision <= storeRevision {
-			gone = append(gone, k)
+		if !have[k] && !e.removed && e.Revision <= storeRevision {
+			missing = append(missing, k)
 		}
 	}
-	sort.Strings(gone)
-	for _, k := range gone {
+	sort.Strings(missing)
+	for _, k := range missing {
 		m.Apply(k, nil, storeRevision, true) // removed since the last read
 	}
 }
@@ -239,9 +239,9 @@
 // Sync brings the copy up to date with what the state service holds now, by a watch that does not wait. The
 // functions set by OnSynced are called before done. done receives Applied, Refused (the state service certainly
 // did not answer the read) or Unknown.
-func (m *Mirror) Sync(p Class, done func(Outcome)) {
+func (m *Mirror) Sync(class Class, done func(Outcome)) {
 	sent, request := m.client.runner.Now(), m.client.NextSequence()
-	m.client.Send(p, 0, "GET", m.changesPath(0), nil, m.client.timeout(), func(resp Response) {
+	m.client.Send(class, 0, "GET", m.changesPath(0), nil, m.client.timeout(), func(resp Response) {
 		m.client.recordAnswer(resp)
 		var events wire.Events
 		switch {
@@ -311,11 +311,11 @@
 
 // forgetRemovals drops the revisions of keys that were removed long ago.
 func (m *Mirror) forgetRemovals() {
-	for len(m.removed) > 0 && m.removed[0].revision+keptRemovalRevisions < m.revision {
-		if x := m.removed[0]; m.entries[x.key].gone && m.entries[x.key].Revision == x.revision {
+	for len(m.removals) > 0 && m.removals[0].revision+keptRemovalRevisions < m.revision {
+		if x := m.removals[0]; m.entries[x.key].removed && m.entries[x.key].Revision == x.revision {
 			delete(m.entries, x.key)
 		}
-		m.removed = m.removed[1:]
+		m.removals = m.removals[1:]
 	}
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -52,8 +52,8 @@
 			seen[key] = max(seen[key], e.Revision)
 		})
 		type version struct {
-			key  string
-			gone bool
+			key     string
+			removed bool
 		}
 		n := rapid.IntRange(1, 30).Draw(t, "versions")
 		all := make([]version, n+1)
@@ -63,13 +63,13 @@
 		model := map[string]int{}
 		for _, i := range rapid.SliceOfN(rapid.IntRange(1, n), 1, 60).Draw(t, "arrivals") {
 			v := all[i]
-			m.Apply(v.key, wire.Marshal(i), uint64(i), v.gone)
+			m.Apply(v.key, wire.Marshal(i), uint64(i), v.removed)
 			model[v.key] = max(model[v.key], i)
 		}
 		for key, i := range model {
 			e, ok := m.Get(key)
-			if ok == all[i].gone || (ok && e.Revision != uint64(i)) {
-				t.Fatalf("%s: found %v at revision %d, want revision %d (removed: %v)", key, ok, e.Revision, i, all[i].gone)
+			if ok == all[i].removed || (ok && e.Revision != uint64(i)) {
+				t.Fatalf("%s: found %v at revision %d, want revision %d (removed: %v)", key, ok, e.Revision, i, all[i].removed)
 			}
 		}
 	})
