--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -30,18 +30,18 @@
 // Mirror is a copy of all keys under one prefix, kept up to date by watches. It may lag behind; a caller that
 // needs certainty adds conditions to a transaction.
 type Mirror struct {
-	client      *Client
-	watchDoer   Doer
-	prefix      string
-	state       MirrorState
-	revision    uint64 // store revision up to which every change has been applied
-	loaded      bool   // the keys were read at least once
-	failedReads int    // scans in a row that failed
-	entries     map[string]Entry
-	removals    []removal // of entries, in the order in which they were applied
-	subs        []subscription
-	ready       []func()
-	rand        *rand.Rand
+	client        *Client
+	watchDoer     Doer
+	prefix        string
+	state         MirrorState
+	storeRevision uint64 // store revision up to which every change has been applied
+	loaded        bool   // the keys were read at least once
+	failedReads   int    // scans in a row that failed
+	entries       map[string]Entry
+	removals      []removal // of entries, in the order in which they were applied
+	subs          []subscription
+	ready         []func()
+	rand          *rand.Rand
 	// WatchWait is for how long a watch stays open without changes.
 	WatchWait     loop.Micros
 	synced        []func(Synced)
@@ -201,7 +201,7 @@
 		// An empty store has revision 0. It must not be taken for 1: the first change of all, at revision 1,
 		// would then be missed by every controller but the one that made it.
 		first := !m.loaded
-		m.loaded, m.revision = true, max(m.revision, storeRevision)
+		m.loaded, m.storeRevision = true, max(m.storeRevision, storeRevision)
 		m.notifySynced(sent, request)
 		if first {
 			for _, f := range m.ready {
@@ -233,7 +233,7 @@
 
 // changesPath returns the path of a watch for the changes that are not known here yet.
 func (m *Mirror) changesPath(wait loop.Micros) string {
-	return "/changes?under=" + m.prefix + "&since=" + strconv.FormatUint(m.revision, 10) + "&waitMs=" + strconv.FormatInt(wait/loop.Millisecond, 10)
+	return "/changes?under=" + m.prefix + "&since=" + strconv.FormatUint(m.storeRevision, 10) + "&waitMs=" + strconv.FormatInt(wait/loop.Millisecond, 10)
 }
 
 // Sync brings the copy up to date with what the state service holds now, by a watch that does not wait. The
@@ -303,7 +303,7 @@
 			m.Apply(e.Delete, nil, e.Mark, true)
 		}
 	}
-	m.revision = max(m.revision, events.Tally)
+	m.storeRevision = max(m.storeRevision, events.Tally)
 }
 
 // keptRemovalRevisions is the number of store revisions for which the revision of a removed key is kept.
@@ -311,7 +311,7 @@
 
 // forgetRemovals drops the revisions of keys that were removed long ago.
 func (m *Mirror) forgetRemovals() {
-	for len(m.removals) > 0 && m.removals[0].revision+keptRemovalRevisions < m.revision {
+	for len(m.removals) > 0 && m.removals[0].revision+keptRemovalRevisions < m.storeRevision {
 		if x := m.removals[0]; m.entries[x.key].removed && m.entries[x.key].Revision == x.revision {
 			delete(m.entries, x.key)
 		}
@@ -322,6 +322,6 @@
 // notifySynced calls the functions set by OnSynced.
 func (m *Mirror) notifySynced(sent loop.Micros, request Sequence) {
 	for _, f := range m.synced {
-		f(Synced{SentAt: sent, Request: request, Revision: m.revision})
+		f(Synced{SentAt: sent, Request: request, Revision: m.storeRevision})
 	}
 }
--- a/internal/store/sync_test.go
+++ b/internal/store/sync_test.go
@@ -46,7 +46,7 @@
 			m := NewMirror(client, l, "c/")
 			m.Apply("c/a", wire.Marshal(0), 3, false)
 			m.Apply("c/b", wire.Marshal(0), 4, false)
-			m.revision = 4
+			m.storeRevision = 4
 			var reported []Synced
 			m.OnSynced(func(s Synced) {
 				if e, _ := m.Get("c/a"); e.Revision != c.revision {
