--- a/internal/job/read.go
+++ b/internal/job/read.go
@@ -142,19 +142,19 @@
 
 // finishMatching removes the requests that match from those that wait, and calls end for each.
 func (r *Registry) finishMatching(which func(*userRequest) bool, end func(*userRequest)) {
-	var settled, rest []*userRequest
+	var matched, rest []*userRequest
 	for _, req := range r.reads.waiting {
 		if which(req) {
-			settled = append(settled, req)
+			matched = append(matched, req)
 		} else {
 			rest = append(rest, req)
 		}
 	}
-	if len(settled) == 0 {
+	if len(matched) == 0 {
 		return
 	}
 	r.reads.waiting = rest
-	for _, req := range settled {
+	for _, req := range matched {
 		end(req)
 	}
 }
