--- a/internal/agent/direct.go
+++ b/internal/agent/direct.go
@@ -10,12 +10,12 @@
 
 // sendCommandsSoon schedules sendCommands, so that commands that come together are sent together.
 func (a *Registry) sendCommandsSoon(m *machine) {
-	if m.flushScheduled {
+	if m.sendScheduled {
 		return
 	}
-	m.flushScheduled = true
+	m.sendScheduled = true
 	a.runner.After(4*loop.Millisecond, func() {
-		m.flushScheduled = false
+		m.sendScheduled = false
 		a.sendCommands(m)
 	})
 }
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -69,8 +69,8 @@
 	reservations     map[delivery.Attempt]loop.Micros
 	stops            map[delivery.Attempt]stopRequest
 	directInFlight   bool        // a direct command is in flight
-	flushScheduled   bool        // sendCommands is scheduled
-	refreshScheduled bool        // updateView is scheduled
+	sendScheduled    bool        // sendCommands is scheduled
+	updateScheduled  bool        // updateView is scheduled
 	closedUntil      loop.Micros // wall-clock time until which the machine accepts no starts
 	publishedAt      loop.Micros // monotonic time at which the view was last published
 	dirty            bool        // the view has changed in a way that peers must learn soon
--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -8,8 +8,7 @@
 
 // Reserve reserves capacity for a start while its owner records the attempt, and rejects at once what does not
 // fit. When many owners compete for the same capacity, every choice in vain would otherwise cost a record in
-// the state service. Whether the start is accepted is decided by
-// Start alone.
+// the state service. Whether the start is accepted is decided by Start alone.
 func (a *Registry) Reserve(s Start) {
 	m := a.hosted[s.Machine]
 	if m == nil {
@@ -64,12 +63,12 @@
 // updateViewSoon schedules updateView, once for several changes that come together: the starts of a large job reach a
 // machine one after another.
 func (a *Registry) updateViewSoon(m *machine) {
-	if m.refreshScheduled {
+	if m.updateScheduled {
 		return
 	}
-	m.refreshScheduled = true
+	m.updateScheduled = true
 	a.runner.After(3*loop.Millisecond, func() {
-		m.refreshScheduled = false
+		m.updateScheduled = false
 		if a.hosted[m.view.Name] == m {
 			a.updateView(m)
 		}
@@ -81,7 +80,7 @@
 	m := a.hosted[s.Machine]
 	k := delivery.Attempt{Task: s.Task, Number: s.Attempt}
 	wall := a.runner.Wall()
-	drop := func(why string) {
+	reject := func(why string) {
 		if m != nil {
 			m.rejected[k] = s.Expiry + a.config.ClockUncertainty
 		}
@@ -99,7 +98,7 @@
 		return
 	}
 	if _, was := m.rejected[k]; was {
-		drop("dropped before")
+		reject("dropped before")
 		return
 	}
 	j := a.jobOf(s.Task)
@@ -115,9 +114,9 @@
 	why := a.rejectionReason(m, s, j)
 	switch {
 	case wall >= s.Expiry:
-		drop("too old")
+		reject("too old")
 	case why != "":
-		drop(why)
+		reject(why)
 	default:
 		m.pending[k] = &pendingStart{start: s}
 		m.dirty = true
