--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -26,7 +26,7 @@
 	now         loop.Micros
 	rng         *rand.Rand
 	stored      []string // cancelled jobs; the revision of the first is 1
-	nodes       []*simController
+	controllers []*simController
 	confirmedAt map[string]loop.Micros // time at which the first user was told of each cancellation
 	inFlight    []message
 }
@@ -50,11 +50,11 @@
 	w           *Message
 }
 
-// newSim makes a deployment of n controllers.
-func newSim(seed uint64, n int) *simulation {
+// newSimulation makes a deployment of n controllers.
+func newSimulation(seed uint64, n int) *simulation {
 	s := &simulation{now: 1000 * loop.Second, rng: rand.New(rand.NewPCG(seed, 3)), confirmedAt: map[string]loop.Micros{}}
 	for i := range n {
-		s.nodes = append(s.nodes, &simController{label: string(rune('a' + i))})
+		s.controllers = append(s.controllers, &simController{label: string(rune('a' + i))})
 	}
 	for i := range n {
 		s.restart(i)
@@ -64,11 +64,11 @@
 
 // restart starts a new incarnation of a controller, which knows nothing of the previous one.
 func (s *simulation) restart(i int) {
-	n := s.nodes[i]
+	n := s.controllers[i]
 	n.clock = &manualClock{true: s.now, zero: s.now - loop.Second - s.rng.Int64N(int64(1000*loop.Second))}
 	n.incarnation, n.known, n.revision = s.now, map[string]uint64{}, 0
 	var peers []string
-	for k, o := range s.nodes {
+	for k, o := range s.controllers {
 		if k != i {
 			peers = append(peers, o.label)
 		}
@@ -84,7 +84,7 @@
 
 // deliverRead delivers the answer to a request that a controller sent some time ago.
 func (s *simulation) deliverRead(i int, sent loop.Micros) {
-	n := s.nodes[i]
+	n := s.controllers[i]
 	if n.disconnected {
 		return
 	}
@@ -103,7 +103,7 @@
 
 // cancel stores a cancellation through a controller, which tells its user at once.
 func (s *simulation) cancel(i int) {
-	n := s.nodes[i]
+	n := s.controllers[i]
 	if n.disconnected || !n.tracker.loaded {
 		return
 	}
@@ -115,7 +115,7 @@
 
 // confirm lets a controller confirm to a user a cancellation that it knows.
 func (s *simulation) confirm(i int, job string) {
-	if _, was := s.confirmedAt[job]; !was && s.nodes[i].known[job] != 0 {
+	if _, was := s.confirmedAt[job]; !was && s.controllers[i].known[job] != 0 {
 		s.confirmedAt[job] = s.now
 	}
 }
@@ -123,11 +123,11 @@
 // step advances the time and performs one random action; lossy adds long delays, disconnections and restarts.
 func (s *simulation) step(lossy bool) {
 	s.now += s.rng.Int64N(int64(300 * loop.Millisecond))
-	for _, n := range s.nodes {
+	for _, n := range s.controllers {
 		n.clock.true = s.now
 	}
-	i := s.rng.IntN(len(s.nodes))
-	n := s.nodes[i]
+	i := s.rng.IntN(len(s.controllers))
+	n := s.controllers[i]
 	switch s.rng.IntN(10) {
 	case 0, 1, 2:
 		s.deliverRead(i, s.now-s.rng.Int64N(int64(2*loop.Second)))
@@ -140,11 +140,11 @@
 			s.confirm(i, s.stored[s.rng.IntN(len(s.stored))])
 		}
 	case 5, 6, 7:
-		for k := range s.nodes {
+		for k := range s.controllers {
 			if k == i {
 				continue
 			}
-			w := n.tracker.MessageFor(s.nodes[k].label)
+			w := n.tracker.MessageFor(s.controllers[k].label)
 			for s.rng.IntN(5) > 0 { // the message is lost, delivered once or duplicated
 				d := s.rng.Int64N(int64(200 * loop.Millisecond))
 				if lossy && s.rng.IntN(6) == 0 {
@@ -171,7 +171,7 @@
 			left = append(left, f)
 			continue
 		}
-		s.nodes[f.to].tracker.Receive(s.nodes[f.from].label, f.incarnation, f.w)
+		s.controllers[f.to].tracker.Receive(s.controllers[f.from].label, f.incarnation, f.w)
 	}
 	s.inFlight = left
 }
@@ -181,10 +181,10 @@
 func TestAllCancellationsBeforeTheWatermarkAreKnown(t *testing.T) {
 	moved := 0
 	for seed := range uint64(400) {
-		s := newSim(seed, 1+int(seed%5))
+		s := newSimulation(seed, 1+int(seed%5))
 		for range 600 {
 			s.step(true)
-			for _, n := range s.nodes {
+			for _, n := range s.controllers {
 				at := n.tracker.Watermark()
 				if at == 0 {
 					continue
@@ -211,15 +211,15 @@
 // While all controllers reach each other, their watermarks advance without the state service.
 func TestPeersAdvanceTheWatermark(t *testing.T) {
 	for n := 1; n <= 15; n++ {
-		s := newSim(uint64(n), n)
-		for i := range s.nodes {
+		s := newSimulation(uint64(n), n)
+		for i := range s.controllers {
 			s.deliverRead(i, s.now)
-			s.nodes[i].disconnected = true
+			s.controllers[i].disconnected = true
 		}
 		for range 200 * n {
 			s.step(false)
 		}
-		for _, x := range s.nodes {
+		for _, x := range s.controllers {
 			if age := x.clock.Now() - x.tracker.Watermark(); age > loop.Micros(n)*8*loop.Second || !x.tracker.loaded || age > 0 && n == 1 {
 				t.Errorf("%d controllers: the watermark of %s is %d us old", n, x.label, age)
 			}
