--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -23,12 +23,12 @@
 
 // The classes. Leases precede all others and are not weighted.
 const (
-	Leases Class = iota
-	Answers
-	Inquiries // reads for polls; limited to inquiryShare of the requests
-	Placements
-	Results
-	Background
+	Leases     Class = iota
+	Answers          // requests for which a user waits
+	Inquiries        // reads for polls; limited to inquiryShare of the requests
+	Placements       // task logs and orders for machines
+	Results          // outcomes of tasks
+	Background       // clean-up for which nothing waits
 	numClasses
 )
 
