--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -32,7 +32,7 @@
 // testRegistry is a registry with one hosted machine, n-1, for whose worker the test acts.
 type testRegistry struct {
 	*manualLoop
-	a          *Registry
+	registry   *Registry
 	epoch      uint64
 	sent       []wire.Commands
 	resp       store.Response
@@ -43,14 +43,14 @@
 }
 
 // hostedMachine returns the entry of the hosted machine.
-func (g *testRegistry) hostedMachine() *machine { return g.a.hosted["n-1"] }
+func (g *testRegistry) hostedMachine() *machine { return g.registry.hosted["n-1"] }
 
 // newTestRegistry makes a registry that knows one job of nine tasks and machines with 4 CPUs.
 func newTestRegistry() *testRegistry {
 	g := &testRegistry{manualLoop: &manualLoop{now: 1000 * loop.Second}, epoch: 5}
 	spec := &job.Spec{Team: "t", Tasks: 9, CPUs: 2, MemoryGB: 1, AnyType: true}
 	j := &job.Job{ID: "job-1", Phase: job.Accepted, Spec: spec, Tasks: 9}
-	g.a = New(g, slog.New(slog.NewTextHandler(io.Discard, nil)), Config{
+	g.registry = New(g, slog.New(slog.NewTextHandler(io.Discard, nil)), Config{
 		Label: "a", MayAnswer: func() (bool, string) { return true, "" }, MayStart: func() bool { return true },
 		Redirect: func(string, int) (bool, string, loop.Micros) { return false, "", 0 }, Epoch: func() uint64 { return g.epoch },
 		RaiseEpoch:  func(done func()) { g.epoch += 2; done() },
@@ -78,7 +78,7 @@
 func (g *testRegistry) report(t *testing.T, seq, token uint64, tasks ...wire.ReportTask) wire.Commands {
 	t.Helper()
 	var c wire.Commands
-	g.a.Report(wire.Report{Machine: "n-1", Addr: "x:1", Type: "m", Zone: "z", Session: max(g.session, 1), Seq: seq, Token: token, Tasks: tasks}, func(a Answer) {
+	g.registry.Report(wire.Report{Machine: "n-1", Addr: "x:1", Type: "m", Zone: "z", Session: max(g.session, 1), Seq: seq, Token: token, Tasks: tasks}, func(a Answer) {
 		if a.Status != 200 {
 			t.Fatalf("report %d is answered %d", seq, a.Status)
 		}
@@ -105,14 +105,14 @@
 	g.report(t, 2, token)
 	g.now += 60 * loop.Second
 	g.report(t, 3, token) // may have been on its way all the time
-	if at := g.a.View("n-1").MadeAfter; at != given {
+	if at := g.registry.View("n-1").MadeAfter; at != given {
 		t.Fatalf("the list counts as made after %d, but its token was issued at %d", at, given)
 	}
 	g.resp = store.Response{Status: 200, Body: wire.Marshal(wire.Report{Machine: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 4, Token: token})}
 	asked := g.now
-	g.a.RequestTaskList("n-1")
+	g.registry.RequestTaskList("n-1")
 	g.runWork()
-	if at := g.a.View("n-1").MadeAfter; at != asked {
+	if at := g.registry.View("n-1").MadeAfter; at != asked {
 		t.Fatalf("a requested list counts as made after %d, want %d", at, asked)
 	}
 }
@@ -126,11 +126,11 @@
 		// The first new epoch is 7, which is still too low, so another must be obtained.
 		t.Fatalf("token %d is not above the worker's", c.Token)
 	}
-	if g.a.View("n-1").TokenConfirmed {
+	if g.registry.View("n-1").TokenConfirmed {
 		t.Fatal("the token is confirmed before the worker showed it")
 	}
 	g.report(t, 2, c.Token)
-	if !g.a.View("n-1").TokenConfirmed {
+	if !g.registry.View("n-1").TokenConfirmed {
 		t.Fatal("the token is not confirmed although the worker shows it")
 	}
 }
@@ -142,21 +142,21 @@
 	token := g.report(t, 1, 0).Token
 	g.report(t, 2, token)
 	g.resp = store.Response{Err: io.ErrUnexpectedEOF}
-	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*loop.Second, From: "a"})
+	g.registry.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*loop.Second, From: "a"})
 	g.runWork()
 	if len(g.sent) != 1 || len(g.sent[0].Commands) != 1 {
 		t.Fatalf("the start was not sent directly: %v", g.sent)
 	}
 	g.now += 30 * loop.Second // the start has long expired
 	c := g.report(t, 3, token)
-	if v := g.a.View("n-1"); v.TokenConfirmed || !v.HasPending("job-1/0", 1) {
+	if v := g.registry.View("n-1"); v.TokenConfirmed || !v.HasPending("job-1/0", 1) {
 		t.Fatalf("token confirmed: %v, start still pending: %v", v.TokenConfirmed, v.HasPending("job-1/0", 1))
 	}
 	if c.Token != token+1 {
 		t.Fatalf("token %d was not raised above %d", c.Token, token)
 	}
 	g.report(t, 4, c.Token)
-	if v := g.a.View("n-1"); !v.TokenConfirmed || v.HasPending("job-1/0", 1) {
+	if v := g.registry.View("n-1"); !v.TokenConfirmed || v.HasPending("job-1/0", 1) {
 		t.Fatalf("after the higher token was shown: token confirmed: %v, start still pending: %v", v.TokenConfirmed, v.HasPending("job-1/0", 1))
 	}
 }
@@ -167,15 +167,15 @@
 	token := g.report(t, 1, 0).Token
 	g.report(t, 2, token, wire.ReportTask{Task: "job-1/8", Attempt: 1, State: wire.TaskRunning})
 	expiry := g.now + 6*loop.Second
-	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 1, Expiry: expiry, From: "a"}) // fits
-	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/1", Attempt: 1, Expiry: expiry, From: "a"}) // full
-	g.a.Start(Start{Machine: "n-1", Session: 2, Task: "job-1/2", Attempt: 1, Expiry: expiry, From: "a"})
-	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/3", Attempt: 1, Expiry: g.now - 1, From: "a"})
+	g.registry.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 1, Expiry: expiry, From: "a"}) // fits
+	g.registry.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/1", Attempt: 1, Expiry: expiry, From: "a"}) // full
+	g.registry.Start(Start{Machine: "n-1", Session: 2, Task: "job-1/2", Attempt: 1, Expiry: expiry, From: "a"})
+	g.registry.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/3", Attempt: 1, Expiry: g.now - 1, From: "a"})
 	if len(g.rejections) != 3 || g.rejections[0].Task != "job-1/1" {
 		t.Fatalf("rejected: %v, want three, the first of them job-1/1", g.rejections)
 	}
-	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/1", Attempt: 1, Expiry: expiry, From: "a"})
-	if len(g.rejections) != 4 || g.a.View("n-1").HasPending("job-1/1", 1) {
+	g.registry.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/1", Attempt: 1, Expiry: expiry, From: "a"})
+	if len(g.rejections) != 4 || g.registry.View("n-1").HasPending("job-1/1", 1) {
 		t.Fatal("a rejected start was accepted later")
 	}
 }
@@ -184,16 +184,16 @@
 // reject them, since a rejection says that the start will never be carried out.
 func TestStartForAnEarlierIncarnation(t *testing.T) {
 	g := newTestRegistry()
-	g.a.config.Incarnation = 2
+	g.registry.config.Incarnation = 2
 	token := g.report(t, 1, 0).Token
 	g.report(t, 2, token)
 	start := Start{Machine: "n-1", Session: 9, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*loop.Second, From: "a", Incarnation: 1}
-	g.a.Start(start)
+	g.registry.Start(start)
 	if len(g.rejections) != 0 {
 		t.Fatalf("a start for another incarnation is rejected: %v", g.rejections)
 	}
 	start.Incarnation = 2
-	g.a.Start(start)
+	g.registry.Start(start)
 	if len(g.rejections) != 1 || g.rejections[0].Incarnation != 2 {
 		t.Fatalf("rejections of a start for another session: %v, want one by incarnation 2", g.rejections)
 	}
@@ -213,7 +213,7 @@
 	}
 	status := 0
 	take := func(g *testRegistry, r wire.Report) int {
-		g.a.Report(r, func(a Answer) { status = a.Status })
+		g.registry.Report(r, func(a Answer) { status = a.Status })
 		return status
 	}
 	// A host that knows the machine.
@@ -221,18 +221,18 @@
 	token := g.report(t, 1, 0).Token
 	g.report(t, 2, token, wire.ReportTask{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning})
 	g.report(t, 3, token)
-	before := *g.a.View("n-1")
+	before := *g.registry.View("n-1")
 	for _, r := range []wire.Report{report(1, 3, token), report(1, 2, token, "job-1/0"), report(1, 1, 0), report(1, 2, token, "job-1/0")} {
 		g.now += 20 * loop.Second
 		take(g, r)
-		if v := g.a.View("n-1"); v.Seq != 3 || v.Session != 1 || v.MadeAfter != before.MadeAfter || len(v.Tasks) != 0 {
+		if v := g.registry.View("n-1"); v.Seq != 3 || v.Session != 1 || v.MadeAfter != before.MadeAfter || len(v.Tasks) != 0 {
 			t.Fatalf("a duplicate of report %d changes the view to %+v", r.Seq, v)
 		}
 	}
 	// A duplicate from the previous session.
 	take(g, report(2, 1, token))
-	if take(g, report(1, 9, token, "job-1/0")); g.a.View("n-1").Session != 2 || len(g.a.View("n-1").Tasks) != 0 || status != 503 {
-		t.Fatalf("a duplicate from an earlier session is answered %d and changes the view to %+v", status, g.a.View("n-1"))
+	if take(g, report(1, 9, token, "job-1/0")); g.registry.View("n-1").Session != 2 || len(g.registry.View("n-1").Tasks) != 0 || status != 503 {
+		t.Fatalf("a duplicate from an earlier session is answered %d and changes the view to %+v", status, g.registry.View("n-1"))
 	}
 	// A host that has just restarted, with duplicates in any order, and then a host to which the machine does
 	// not report.
@@ -240,18 +240,18 @@
 	g.epoch = 9
 	for _, r := range []wire.Report{report(1, 7, token, "job-1/0"), report(1, 8, token), report(1, 7, token, "job-1/0"), report(1, 8, token)} {
 		take(g, r)
-		if v := g.a.View("n-1"); v.TokenConfirmed || v.MadeAfter != 0 {
+		if v := g.registry.View("n-1"); v.TokenConfirmed || v.MadeAfter != 0 {
 			t.Fatalf("after a duplicate of report %d: token confirmed: %v, list made after %d", r.Seq, v.TokenConfirmed, v.MadeAfter)
 		}
 	}
-	g.a.ApplyView(&View{Name: "n-1", Host: "b", Session: 1, Seq: 9, TokenConfirmed: true, MadeAfter: g.now})
-	if take(g, report(1, 8, token)); status != 503 || g.a.View("n-1").Host != "b" || g.a.HostedCount() != 0 {
-		t.Fatalf("a duplicate is answered %d, and the machine's host is %q", status, g.a.View("n-1").Host)
+	g.registry.ApplyView(&View{Name: "n-1", Host: "b", Session: 1, Seq: 9, TokenConfirmed: true, MadeAfter: g.now})
+	if take(g, report(1, 8, token)); status != 503 || g.registry.View("n-1").Host != "b" || g.registry.HostedCount() != 0 {
+		t.Fatalf("a duplicate is answered %d, and the machine's host is %q", status, g.registry.View("n-1").Host)
 	}
 	// After the machine was deleted.
-	g.a.MarkDeleted("n-1")
-	if take(g, report(1, 10, token)); status != 503 || g.a.View("n-1") != nil {
-		t.Fatalf("a duplicate makes a deleted machine known again: %+v", g.a.View("n-1"))
+	g.registry.MarkDeleted("n-1")
+	if take(g, report(1, 10, token)); status != 503 || g.registry.View("n-1") != nil {
+		t.Fatalf("a duplicate makes a deleted machine known again: %+v", g.registry.View("n-1"))
 	}
 }
 
@@ -264,12 +264,12 @@
 	token := g.report(t, 1, 0).Token
 	g.report(t, 2, token, run)
 	g.resp = store.Response{Status: 200, Body: wire.Marshal(wire.Report{Machine: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 4, Token: token, Tasks: []wire.ReportTask{run}})}
-	g.a.RequestTaskList("n-1")
+	g.registry.RequestTaskList("n-1")
 	g.runWork()
 	if c := g.report(t, 3, token, run); len(c.Commands) != 0 {
 		t.Fatalf("the overtaken report is answered with %v although the job is not final", c.Commands)
 	}
-	g.a.jobOf("job-1/0").Phase = job.Cancelled
+	g.registry.jobOf("job-1/0").Phase = job.Cancelled
 	if c := g.report(t, 3, token, run); len(c.Commands) != 1 || c.Commands[0].Op != wire.OpStop || *c.Commands[0].GraceS != 0 {
 		t.Fatalf("the overtaken report is answered with %v", c.Commands)
 	}
@@ -281,13 +281,13 @@
 	g := newTestRegistry()
 	token := g.report(t, 1, 0).Token
 	g.report(t, 2, token)
-	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*loop.Second, From: "a"})
-	if !g.a.View("n-1").HasPending("job-1/0", 1) && len(g.work) == 0 {
+	g.registry.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*loop.Second, From: "a"})
+	if !g.registry.View("n-1").HasPending("job-1/0", 1) && len(g.work) == 0 {
 		t.Fatal("the start was not accepted")
 	}
-	g.a.jobOf("job-1/0").Phase = job.Cancelled
+	g.registry.jobOf("job-1/0").Phase = job.Cancelled
 	g.resp = store.Response{Status: 200, Body: wire.Marshal(wire.Report{Machine: "n-1", Type: "m", Zone: "z", Session: 1, Seq: 3, Token: token})}
-	g.a.RequestTaskList("n-1")
+	g.registry.RequestTaskList("n-1")
 	g.runWork()
 	for _, c := range g.sent {
 		if len(c.Commands) != 0 {
--- a/internal/agent/delta_test.go
+++ b/internal/agent/delta_test.go
@@ -47,7 +47,7 @@
 		next := 0
 		host := &View{Name: "n-1", Addr: "x", Host: "b", Session: 1, Tasks: []Task{}}
 		var published *View // as published by the host
-		a := newTestRegistry().a
+		a := newTestRegistry().registry
 		var late [][]byte
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			v := *host
--- a/internal/agent/forget_test.go
+++ b/internal/agent/forget_test.go
@@ -36,7 +36,7 @@
 func TestForgetWaitsForAnswerInFlight(t *testing.T) {
 	g := newTestRegistry()
 	token := g.report(t, 1, 0).Token
-	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 5, Expiry: g.now + 6*loop.Second, From: "a"})
+	g.registry.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 5, Expiry: g.now + 6*loop.Second, From: "a"})
 	if c := g.report(t, 2, token); len(c.Commands) != 1 || c.Commands[0].Op != wire.OpStart {
 		t.Fatalf("the answer contains %v, want the start", c.Commands)
 	}
@@ -47,12 +47,12 @@
 	}
 	g.now += 45 * loop.Millisecond
 	g.answersDirect(4, token, wire.ReportTask{Task: "job-1/0", Attempt: 5, State: wire.TaskExited, Why: wire.WhyStopped})
-	g.a.Stop(Stop{Machine: "n-1", Task: "job-1/0", Attempt: 5})
+	g.registry.Stop(Stop{Machine: "n-1", Task: "job-1/0", Attempt: 5})
 	g.runWork()
 	forget := func(after loop.Micros) {
 		g.now += after
-		g.a.Stop(Stop{Machine: "n-1", Task: "job-1/0", Attempt: 5, Forget: true})
-		g.a.RequestTaskList("n-1")
+		g.registry.Stop(Stop{Machine: "n-1", Task: "job-1/0", Attempt: 5, Forget: true})
+		g.registry.RequestTaskList("n-1")
 		g.runWork()
 	}
 	forget(130 * loop.Millisecond)
@@ -65,7 +65,7 @@
 		t.Fatalf("%d forgets are sent while nothing proves that the answer has arrived", n)
 	}
 	g.now += loop.Second
-	g.a.Stop(Stop{Machine: "n-1", Task: "job-1/0", Attempt: 5, Forget: true})
+	g.registry.Stop(Stop{Machine: "n-1", Task: "job-1/0", Attempt: 5, Forget: true})
 	c := g.report(t, 9, token, wire.ReportTask{Task: "job-1/0", Attempt: 5, State: wire.TaskExited, Why: wire.WhyStopped})
 	if n := forgetsOf(c); n != 1 {
 		t.Fatalf("%d forgets after the worker has reported again and the start has expired, want one", n)
@@ -80,8 +80,8 @@
 // Each way in which a start of a terminated attempt can still arrive blocks its forget by itself, both when an
 // owner requests it and when the job is final; nothing else blocks it.
 func TestWhatBlocksAForget(t *testing.T) {
-	const startLife = 6 * loop.Second
-	long := startLife + delivery.AnswerLife + loop.Second
+	const startLifetime = 6 * loop.Second
+	long := startLifetime + delivery.AnswerLife + loop.Second
 	for _, c := range []struct {
 		name string
 		// messages brings the machine to the point at which the forget would be sent, and returns the messages.
@@ -93,7 +93,7 @@
 			return []wire.Commands{g.report(t, 3, token, terminated(1))}
 		}, 1},
 		{"another host may pass its start on", func(g *testRegistry, token uint64) []wire.Commands {
-			g.now += startLife + delivery.AnswerLife
+			g.now += startLifetime + delivery.AnswerLife
 			return []wire.Commands{g.report(t, 3, token, terminated(1))}
 		}, 0},
 		{"listed in another state before", func(g *testRegistry, token uint64) []wire.Commands {
@@ -112,14 +112,14 @@
 		}, 0},
 		{"the worker shows a lower token", func(g *testRegistry, token uint64) []wire.Commands {
 			g.resp = store.Response{Err: io.ErrUnexpectedEOF}
-			g.a.RequestTaskList("n-1")
+			g.registry.RequestTaskList("n-1")
 			g.runWork() // the outcome is unknown, so the token is raised
 			g.now += long
 			return []wire.Commands{g.report(t, 3, token, terminated(1))}
 		}, 0},
 		{"the worker shows the raised token", func(g *testRegistry, token uint64) []wire.Commands {
 			g.resp = store.Response{Err: io.ErrUnexpectedEOF}
-			g.a.RequestTaskList("n-1")
+			g.registry.RequestTaskList("n-1")
 			g.runWork()
 			g.now += long
 			return []wire.Commands{g.report(t, 3, token+1, terminated(1))}
@@ -128,7 +128,7 @@
 			g.now += long
 			g.answersDirect(4, token, terminated(1))
 			g.duringDirect = func() { out = append(out, g.report(t, 3, token, terminated(1))) }
-			g.a.RequestTaskList("n-1")
+			g.registry.RequestTaskList("n-1")
 			g.sent = nil
 			g.runWork()
 			return out // without the commands of the direct command itself
@@ -142,7 +142,7 @@
 			g.now += long
 			g.hostedMachine().startsInAnswer[delivery.Attempt{Task: "job-1/0", Number: 1}] = struct{}{}
 			g.answersDirect(5, token, terminated(1))
-			g.a.RequestTaskList("n-1")
+			g.registry.RequestTaskList("n-1")
 			g.runWork()
 			before := len(g.sent)
 			late := g.report(t, 4, token, terminated(1)) // proves that the answer arrived
@@ -151,16 +151,16 @@
 		{"its start is pending", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
 			g.hostedMachine().pending[delivery.Attempt{Task: "job-1/0", Number: 1}] = &pendingStart{untilToken: token}
-			return []wire.Commands{{Commands: g.a.commands(g.hostedMachine(), pathAnswer)}}
+			return []wire.Commands{{Commands: g.registry.commands(g.hostedMachine(), pathAnswer)}}
 		}, 0},
 	} {
-		for _, over := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s/job final %v", c.name, over), func(t *testing.T) {
+		for _, final := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s/job final %v", c.name, final), func(t *testing.T) {
 				g := newTestRegistry()
 				token := g.report(t, 1, 0).Token
 				g.report(t, 2, token, terminated(1))
-				if over {
-					g.a.jobOf("job-1/0").Phase = job.Cancelled
+				if final {
+					g.registry.jobOf("job-1/0").Phase = job.Cancelled
 				} else {
 					for number := range uint64(3) {
 						g.hostedMachine().stops[delivery.Attempt{Task: "job-1/0", Number: number}] = stopRequest{Stop{Forget: true}, g.now + 100*loop.Second}
@@ -169,7 +169,7 @@
 				want := c.want
 				if want < 0 { // only the answer to the late report may contain a forget, and only if the job is final
 					want = 0
-					if over {
+					if final {
 						want = 1
 					}
 				}
