--- a/internal/agent/forget_test.go
+++ b/internal/agent/forget_test.go
@@ -36,7 +36,7 @@
 func TestForgetWaitsForAnswerInFlight(t *testing.T) {
 	g := newTestRegistry()
 	token := g.report(t, 1, 0).Token
-	g.a.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 5, Expiry: g.now + 6*loop.Second, From: "a"})
+	g.registry.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 5, Expiry: g.now + 6*loop.Second, From: "a"})
 	if c := g.report(t, 2, token); len(c.Commands) != 1 || c.Commands[0].Op != wire.OpStart {
 		t.Fatalf("the answer contains %v, want the start", c.Commands)
 	}
@@ -47,12 +47,12 @@
 	}
 	g.now += 45 * loop.Millisecond
 	g.answersDirect(4, token, wire.ReportTask{Task: "job-1/0", Attempt: 5, State: wire.TaskExited, Why: wire.WhyStopped})
-	g.a.Stop(Stop{Machine: "n-1", Task: "job-1/0", Attempt: 5})
+	g.registry.Stop(Stop{Machine: "n-1", Task: "job-1/0", Attempt: 5})
 	g.runWork()
 	forget := func(after loop.Micros) {
 		g.now += after
-		g.a.Stop(Stop{Machine: "n-1", Task: "job-1/0", Attempt: 5, Forget: true})
-		g.a.RequestTaskList("n-1")
+		g.registry.Stop(Stop{Machine: "n-1", Task: "job-1/0", Attempt: 5, Forget: true})
+		g.registry.RequestTaskList("n-1")
 		g.runWork()
 	}
 	forget(130 * loop.Millisecond)
@@ -65,23 +65,23 @@
 		t.Fatalf("%d forgets are sent while nothing proves that the answer has arrived", n)
 	}
 	g.now += loop.Second
-	g.a.Stop(Stop{Machine: "n-1", Task: "job-1/0", Attempt: 5, Forget: true})
+	g.registry.Stop(Stop{Machine: "n-1", Task: "job-1/0", Attempt: 5, Forget: true})
 	c := g.report(t, 9, token, wire.ReportTask{Task: "job-1/0", Attempt: 5, State: wire.TaskExited, Why: wire.WhyStopped})
 	if n := forgetsOf(c); n != 1 {
 		t.Fatalf("%d forgets after the worker has reported again and the start has expired, want one", n)
 	}
 }
 
-// ended is a terminated attempt as a report lists it.
-func ended(number uint64) wire.ReportTask {
+// terminated is a terminated attempt as a report lists it.
+func terminated(number uint64) wire.ReportTask {
 	return wire.ReportTask{Task: "job-1/0", Attempt: number, State: wire.TaskExited, Why: wire.WhyStopped}
 }
 
 // Each way in which a start of a terminated attempt can still arrive blocks its forget by itself, both when an
 // owner requests it and when the job is final; nothing else blocks it.
 func TestWhatBlocksAForget(t *testing.T) {
-	const startLife = 6 * loop.Second
-	long := startLife + delivery.AnswerLife + loop.Second
+	const startLifetime = 6 * loop.Second
+	long := startLifetime + delivery.AnswerLife + loop.Second
 	for _, c := range []struct {
 		name string
 		// messages brings the machine to the point at which the forget would be sent, and returns the messages.
@@ -90,45 +90,45 @@
 	}{
 		{"nothing", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
-			return []wire.Commands{g.report(t, 3, token, ended(1))}
+			return []wire.Commands{g.report(t, 3, token, terminated(1))}
 		}, 1},
 		{"another host may pass its start on", func(g *testRegistry, token uint64) []wire.Commands {
-			g.now += startLife + delivery.AnswerLife
-			return []wire.Commands{g.report(t, 3, token, ended(1))}
+			g.now += startLifetime + delivery.AnswerLife
+			return []wire.Commands{g.report(t, 3, token, terminated(1))}
 		}, 0},
 		{"listed in another state before", func(g *testRegistry, token uint64) []wire.Commands {
 			g.report(t, 3, token, wire.ReportTask{Task: "job-1/0", Attempt: 2, State: wire.TaskRunning})
 			g.now += long
-			return []wire.Commands{g.report(t, 4, token, ended(2))}
+			return []wire.Commands{g.report(t, 4, token, terminated(2))}
 		}, 1},
 		{"listed beside an earlier attempt", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
-			return []wire.Commands{g.report(t, 3, token, ended(1), ended(2))}
+			return []wire.Commands{g.report(t, 3, token, terminated(1), terminated(2))}
 		}, 1},
 		{"a new session", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
 			g.session = 2
-			return []wire.Commands{g.report(t, 1, token, ended(1))}
+			return []wire.Commands{g.report(t, 1, token, terminated(1))}
 		}, 0},
 		{"the worker shows a lower token", func(g *testRegistry, token uint64) []wire.Commands {
 			g.resp = store.Response{Err: io.ErrUnexpectedEOF}
-			g.a.RequestTaskList("n-1")
+			g.registry.RequestTaskList("n-1")
 			g.runWork() // the outcome is unknown, so the token is raised
 			g.now += long
-			return []wire.Commands{g.report(t, 3, token, ended(1))}
+			return []wire.Commands{g.report(t, 3, token, terminated(1))}
 		}, 0},
 		{"the worker shows the raised token", func(g *testRegistry, token uint64) []wire.Commands {
 			g.resp = store.Response{Err: io.ErrUnexpectedEOF}
-			g.a.RequestTaskList("n-1")
+			g.registry.RequestTaskList("n-1")
 			g.runWork()
 			g.now += long
-			return []wire.Commands{g.report(t, 3, token+1, ended(1))}
+			return []wire.Commands{g.report(t, 3, token+1, terminated(1))}
 		}, 1},
 		{"a direct command is in flight", func(g *testRegistry, token uint64) (out []wire.Commands) {
 			g.now += long
-			g.answersDirect(4, token, ended(1))
-			g.duringDirect = func() { out = append(out, g.report(t, 3, token, ended(1))) }
-			g.a.RequestTaskList("n-1")
+			g.answersDirect(4, token, terminated(1))
+			g.duringDirect = func() { out = append(out, g.report(t, 3, token, terminated(1))) }
+			g.registry.RequestTaskList("n-1")
 			g.sent = nil
 			g.runWork()
 			return out // without the commands of the direct command itself
@@ -136,31 +136,31 @@
 		{"a duplicate of an earlier report", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
 			g.hostedMachine().startsInAnswer[delivery.Attempt{Task: "job-1/0", Number: 1}] = struct{}{}
-			return []wire.Commands{g.report(t, 2, token, ended(1))}
+			return []wire.Commands{g.report(t, 2, token, terminated(1))}
 		}, 0},
 		{"its start is in an answer, and a direct answer has overtaken the next report", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
 			g.hostedMachine().startsInAnswer[delivery.Attempt{Task: "job-1/0", Number: 1}] = struct{}{}
-			g.answersDirect(5, token, ended(1))
-			g.a.RequestTaskList("n-1")
+			g.answersDirect(5, token, terminated(1))
+			g.registry.RequestTaskList("n-1")
 			g.runWork()
 			before := len(g.sent)
-			late := g.report(t, 4, token, ended(1)) // proves that the answer arrived
+			late := g.report(t, 4, token, terminated(1)) // proves that the answer arrived
 			return append(g.sent[:before:before], late)
 		}, -1},
 		{"its start is pending", func(g *testRegistry, token uint64) []wire.Commands {
 			g.now += long
 			g.hostedMachine().pending[delivery.Attempt{Task: "job-1/0", Number: 1}] = &pendingStart{untilToken: token}
-			return []wire.Commands{{Commands: g.a.commands(g.hostedMachine(), pathAnswer)}}
+			return []wire.Commands{{Commands: g.registry.commands(g.hostedMachine(), pathAnswer)}}
 		}, 0},
 	} {
-		for _, over := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s/job final %v", c.name, over), func(t *testing.T) {
+		for _, final := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s/job final %v", c.name, final), func(t *testing.T) {
 				g := newTestRegistry()
 				token := g.report(t, 1, 0).Token
-				g.report(t, 2, token, ended(1))
-				if over {
-					g.a.jobOf("job-1/0").Phase = job.Cancelled
+				g.report(t, 2, token, terminated(1))
+				if final {
+					g.registry.jobOf("job-1/0").Phase = job.Cancelled
 				} else {
 					for number := range uint64(3) {
 						g.hostedMachine().stops[delivery.Attempt{Task: "job-1/0", Number: number}] = stopRequest{Stop{Forget: true}, g.now + 100*loop.Second}
@@ -169,7 +169,7 @@
 				want := c.want
 				if want < 0 { // only the answer to the late report may contain a forget, and only if the job is final
 					want = 0
-					if over {
+					if final {
 						want = 1
 					}
 				}
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -26,7 +26,7 @@
 	now         loop.Micros
 	rng         *rand.Rand
 	stored      []string // cancelled jobs; the revision of the first is 1
-	nodes       []*simController
+	controllers []*simController
 	confirmedAt map[string]loop.Micros // time at which the first user was told of each cancellation
 	inFlight    []message
 }
@@ -50,11 +50,11 @@
 	w           *Message
 }
 
-// newSim makes a deployment of n controllers.
-func newSim(seed uint64, n int) *simulation {
+// newSimulation makes a deployment of n controllers.
+func newSimulation(seed uint64, n int) *simulation {
 	s := &simulation{now: 1000 * loop.Second, rng: rand.New(rand.NewPCG(seed, 3)), confirmedAt: map[string]loop.Micros{}}
 	for i := range n {
-		s.nodes = append(s.nodes, &simController{label: string(rune('a' + i))})
+		s.controllers = append(s.controllers, &simController{label: string(rune('a' + i))})
 	}
 	for i := range n {
 		s.restart(i)
@@ -64,11 +64,11 @@
 
 // restart starts a new incarnation of a controller, which knows nothing of the previous one.
 func (s *simulation) restart(i int) {
-	n := s.nodes[i]
+	n := s.controllers[i]
 	n.clock = &manualClock{true: s.now, zero: s.now - loop.Second - s.rng.Int64N(int64(1000*loop.Second))}
 	n.incarnation, n.known, n.revision = s.now, map[string]uint64{}, 0
 	var peers []string
-	for k, o := range s.nodes {
+	for k, o := range s.controllers {
 		if k != i {
 			peers = append(peers, o.label)
 		}
@@ -84,7 +84,7 @@
 
 // deliverRead delivers the answer to a request that a controller sent some time ago.
 func (s *simulation) deliverRead(i int, sent loop.Micros) {
-	n := s.nodes[i]
+	n := s.controllers[i]
 	if n.disconnected {
 		return
 	}
@@ -96,14 +96,14 @@
 }
 
 // learn records a cancellation at a controller.
-func (n *simController) learn(job string, mark uint64) {
-	n.known[job] = mark
-	n.tracker.RecordCancellation(Cancellation{job, mark})
+func (n *simController) learn(job string, revision uint64) {
+	n.known[job] = revision
+	n.tracker.RecordCancellation(Cancellation{job, revision})
 }
 
 // cancel stores a cancellation through a controller, which tells its user at once.
 func (s *simulation) cancel(i int) {
-	n := s.nodes[i]
+	n := s.controllers[i]
 	if n.disconnected || !n.tracker.loaded {
 		return
 	}
@@ -115,7 +115,7 @@
 
 // confirm lets a controller confirm to a user a cancellation that it knows.
 func (s *simulation) confirm(i int, job string) {
-	if _, was := s.confirmedAt[job]; !was && s.nodes[i].known[job] != 0 {
+	if _, was := s.confirmedAt[job]; !was && s.controllers[i].known[job] != 0 {
 		s.confirmedAt[job] = s.now
 	}
 }
@@ -123,11 +123,11 @@
 // step advances the time and performs one random action; lossy adds long delays, disconnections and restarts.
 func (s *simulation) step(lossy bool) {
 	s.now += s.rng.Int64N(int64(300 * loop.Millisecond))
-	for _, n := range s.nodes {
+	for _, n := range s.controllers {
 		n.clock.true = s.now
 	}
-	i := s.rng.IntN(len(s.nodes))
-	n := s.nodes[i]
+	i := s.rng.IntN(len(s.controllers))
+	n := s.controllers[i]
 	switch s.rng.IntN(10) {
 	case 0, 1, 2:
 		s.deliverRead(i, s.now-s.rng.Int64N(int64(2*loop.Second)))
@@ -140,11 +140,11 @@
 			s.confirm(i, s.stored[s.rng.IntN(len(s.stored))])
 		}
 	case 5, 6, 7:
-		for k := range s.nodes {
+		for k := range s.controllers {
 			if k == i {
 				continue
 			}
-			w := n.tracker.MessageFor(s.nodes[k].label)
+			w := n.tracker.MessageFor(s.controllers[k].label)
 			for s.rng.IntN(5) > 0 { // the message is lost, delivered once or duplicated
 				d := s.rng.Int64N(int64(200 * loop.Millisecond))
 				if lossy && s.rng.IntN(6) == 0 {
@@ -171,7 +171,7 @@
 			left = append(left, f)
 			continue
 		}
-		s.nodes[f.to].tracker.Receive(s.nodes[f.from].label, f.incarnation, f.w)
+		s.controllers[f.to].tracker.Receive(s.controllers[f.from].label, f.incarnation, f.w)
 	}
 	s.inFlight = left
 }
@@ -181,10 +181,10 @@
 func TestAllCancellationsBeforeTheWatermarkAreKnown(t *testing.T) {
 	moved := 0
 	for seed := range uint64(400) {
-		s := newSim(seed, 1+int(seed%5))
+		s := newSimulation(seed, 1+int(seed%5))
 		for range 600 {
 			s.step(true)
-			for _, n := range s.nodes {
+			for _, n := range s.controllers {
 				at := n.tracker.Watermark()
 				if at == 0 {
 					continue
@@ -192,9 +192,9 @@
 				if at > n.clock.Now() {
 					t.Fatalf("seed %d: the watermark of %s is in the future", seed, n.label)
 				}
-				for job, told := range s.confirmedAt {
-					if told < at+n.clock.zero && n.known[job] == 0 {
-						t.Fatalf("seed %d: %s does not know the cancellation of %s, confirmed %d us before its watermark", seed, n.label, job, at+n.clock.zero-told)
+				for job, confirmed := range s.confirmedAt {
+					if confirmed < at+n.clock.zero && n.known[job] == 0 {
+						t.Fatalf("seed %d: %s does not know the cancellation of %s, confirmed %d us before its watermark", seed, n.label, job, at+n.clock.zero-confirmed)
 					}
 				}
 				if n.disconnected && at > n.tracker.byStore+5*loop.Second {
@@ -211,15 +211,15 @@
 // While all controllers reach each other, their watermarks advance without the state service.
 func TestPeersAdvanceTheWatermark(t *testing.T) {
 	for n := 1; n <= 15; n++ {
-		s := newSim(uint64(n), n)
-		for i := range s.nodes {
+		s := newSimulation(uint64(n), n)
+		for i := range s.controllers {
 			s.deliverRead(i, s.now)
-			s.nodes[i].disconnected = true
+			s.controllers[i].disconnected = true
 		}
 		for range 200 * n {
 			s.step(false)
 		}
-		for _, x := range s.nodes {
+		for _, x := range s.controllers {
 			if age := x.clock.Now() - x.tracker.Watermark(); age > loop.Micros(n)*8*loop.Second || !x.tracker.loaded || age > 0 && n == 1 {
 				t.Errorf("%d controllers: the watermark of %s is %d us old", n, x.label, age)
 			}
@@ -288,11 +288,11 @@
 		tracker.RecordCancellation(Cancellation{fmt.Sprint(k), uint64(1 + (k*7919)%5000)})
 	}
 	lowest := uint64(5000 - maxRecent)
-	for _, reach := range []uint64{0, lowest - 1, lowest, lowest + 1, 4999, 5000} {
-		tracker.Receive("b", 3, &Message{Version: 1, Timestamp: 5 + loop.Micros(reach), Revision: reach})
+	for _, revision := range []uint64{0, lowest - 1, lowest, lowest + 1, 4999, 5000} {
+		tracker.Receive("b", 3, &Message{Version: 1, Timestamp: 5 + loop.Micros(revision), Revision: revision})
 		w := tracker.MessageFor("b")
-		if answered := w.Echo != 0; answered != (reach >= lowest) || answered && len(w.Cancellations) != int(5000-reach) {
-			t.Errorf("peer at revision %d: %d of %d cancellations are sent, as an answer to question %d", reach, len(w.Cancellations), 5000-reach, w.Echo)
+		if answered := w.Echo != 0; answered != (revision >= lowest) || answered && len(w.Cancellations) != int(5000-revision) {
+			t.Errorf("peer at revision %d: %d of %d cancellations are sent, as an answer to question %d", revision, len(w.Cancellations), 5000-revision, w.Echo)
 		}
 	}
 }
--- a/internal/member/claims.go
+++ b/internal/member/claims.go
@@ -40,7 +40,7 @@
 		b.log.Error("corrupt ownership claim; treated as held by no known controller", "key", key, "err", err)
 		return ownerRecord{}, 0, true
 	}
-	return rec, e.Mark, true
+	return rec, e.Revision, true
 }
 
 // claimOwner reads the holder of a claim from the mirror.
@@ -163,7 +163,7 @@
 	}
 	batch := 1 // single teams are few: with one claim each, a conflict on one affects no other
 	if b.layout.Numbered() {
-		batch = b.client.MostChanges()
+		batch = b.client.MaxChanges()
 	}
 	for len(due) > 0 {
 		n := min(len(due), batch)
@@ -282,7 +282,7 @@
 	}
 	b.evicted[label] = now
 	b.log.Info("controller refuses connections; ending its lease so that others take over its partitions", "node", label, "lease", rec.Lease)
-	b.client.End(rec.Lease)
+	b.client.EndLease(rec.Lease)
 }
 
 // claimRetry is the delay before a key is claimed again after another controller held it.
@@ -306,12 +306,12 @@
 		case r.Outcome == store.NoLease && lease == b.lease:
 			b.leaseLost()
 		case r.Outcome == store.Conflict && len(keys) > 1:
-			for _, key := range r.Failed {
+			for _, key := range r.FailedKeys {
 				b.freeAt[key] = b.runner.Now() + claimRetry
 			}
 		case r.Outcome == store.Applied && lease == b.lease:
 			for _, key := range keys {
-				b.mirror.Apply(key, wire.Marshal(rec), r.Tally, false)
+				b.mirror.Apply(key, wire.Marshal(rec), r.Revision, false)
 			}
 		}
 	})
--- a/internal/member/layout.go
+++ b/internal/member/layout.go
@@ -54,7 +54,7 @@
 
 // learnLayout applies the stored layout. A corrupt record changes nothing.
 func (b *Member) learnLayout(key string, e store.Entry) {
-	if e.Mark == 0 || key != partition.LayoutKey || b.TeamsOnly {
+	if e.Revision == 0 || key != partition.LayoutKey || b.TeamsOnly {
 		return
 	}
 	var l partition.Layout
@@ -114,7 +114,7 @@
 		Then: []wire.Change{{Put: partition.LayoutKey, Value: l}}}, func(r store.Result) {
 		retry := func() { b.storingLayout = false }
 		if r.Outcome == store.Applied {
-			b.mirror.Apply(partition.LayoutKey, wire.Marshal(l), r.Tally, false)
+			b.mirror.Apply(partition.LayoutKey, wire.Marshal(l), r.Revision, false)
 			retry()
 			return
 		}
@@ -143,7 +143,7 @@
 	}
 	b.client.Txn(store.Answers, txn, func(r store.Result) {
 		if r.Outcome == store.Applied {
-			b.applyAssignments(txn.Then, r.Tally)
+			b.applyAssignments(txn.Then, r.Revision)
 		}
 		done(r.Outcome == store.Applied)
 	})
@@ -158,7 +158,7 @@
 	var txn wire.Txn
 	for _, team := range b.Teams {
 		o, ok := b.owned[teamKeys+team]
-		if !ok || len(txn.Then) >= b.client.MostChanges() {
+		if !ok || len(txn.Then) >= b.client.MaxChanges() {
 			continue
 		}
 		txn.If = append(txn.If, wire.Cond{Key: teamKeys + team, Mark: o.Revision})
@@ -171,7 +171,7 @@
 	b.client.Txn(store.Leases, txn, func(r store.Result) {
 		b.converting = false
 		if r.Outcome == store.Applied {
-			b.applyAssignments(txn.Then, r.Tally)
+			b.applyAssignments(txn.Then, r.Revision)
 			b.convertTeams()
 		}
 	})
--- a/internal/member/lease.go
+++ b/internal/member/lease.go
@@ -28,7 +28,7 @@
 		return
 	}
 	sent := b.runner.Now()
-	b.client.Lease(b.LeaseTTL, func(id uint64) {
+	b.client.OpenLease(b.LeaseTTL, func(id uint64) {
 		if id == 0 {
 			b.runner.After(400*loop.Millisecond, b.join)
 			return
@@ -77,7 +77,7 @@
 			b.leaseLost()
 		case r.Outcome == store.Applied:
 			b.registeredIsolated = alone
-			b.mirror.Apply(nodeKeys+b.Label, wire.Marshal(rec), r.Tally, false)
+			b.mirror.Apply(nodeKeys+b.Label, wire.Marshal(rec), r.Revision, false)
 			if b.state == AwaitingEpoch {
 				b.setState(Active)
 				b.tick()
@@ -139,7 +139,7 @@
 	}
 	sent := b.runner.Now()
 	next := func() { b.runner.After(b.LeaseTTL/4, func() { b.renew(id) }) }
-	b.client.Extend(id, func(alive, ok bool) {
+	b.client.RenewLease(id, func(alive, ok bool) {
 		switch {
 		case b.lease != id:
 		case ok && !alive:
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -138,28 +138,28 @@
 
 // Start registers for changes of the mirror and joins the cluster once the mirror is loaded.
 func (b *Member) Start() {
-	b.mirror.On(nodeKeys, func(key string, e store.Entry) {
+	b.mirror.OnChange(nodeKeys, func(key string, e store.Entry) {
 		var rec nodeRecord
 		name := strings.TrimPrefix(key, nodeKeys)
-		if e.Mark == 0 || wire.Unmarshal(e.Value, &rec) != nil {
+		if e.Revision == 0 || wire.Unmarshal(e.Value, &rec) != nil {
 			delete(b.nodes, name)
 			return
 		}
 		b.nodes[name] = rec
 	})
-	b.mirror.On(teamKeys, func(key string, _ store.Entry) {
+	b.mirror.OnChange(teamKeys, func(key string, _ store.Entry) {
 		b.LearnTeams([]string{strings.TrimPrefix(key, teamKeys)})
 		b.reviewClaim(key)
 		b.reviewAssignment(key)
 	})
-	b.mirror.On(partition.ClaimPrefix, func(key string, _ store.Entry) { b.reviewClaim(key) })
-	b.mirror.On(partition.LayoutKey, b.learnLayout)
-	b.mirror.On(leaderKey, func(key string, _ store.Entry) { b.reviewClaim(key) })
+	b.mirror.OnChange(partition.ClaimPrefix, func(key string, _ store.Entry) { b.reviewClaim(key) })
+	b.mirror.OnChange(partition.LayoutKey, b.learnLayout)
+	b.mirror.OnChange(leaderKey, func(key string, _ store.Entry) { b.reviewClaim(key) })
 	b.mirror.OnReady(func() {
 		if old, ok := b.nodes[b.Label]; ok {
 			// An earlier incarnation of this controller crashed. Its lease only delays
 			// others that would take over what it owned.
-			b.client.End(old.Lease)
+			b.client.EndLease(old.Lease)
 		}
 		b.setState(Joining)
 		b.join()
--- a/internal/node/watermark.go
+++ b/internal/node/watermark.go
@@ -12,9 +12,9 @@
 func (n *Node) setUpWatermark() {
 	w := &n.cfg.Cluster.Workers
 	grace := horizon.Grace(loop.Seconds(w.LeaseS), loop.Seconds(w.CancelS))
-	n.mirror.Wait = horizon.WatchWait(grace, n.cfg.Cluster.State.RPS*0.9/float64(max(n.cfg.Cluster.Nodes, 1)))
+	n.mirror.WatchWait = horizon.WatchWait(grace, n.cfg.Cluster.State.RPS*0.9/float64(max(n.cfg.Cluster.Nodes, 1)))
 	n.watermark = horizon.New(n.loop, n.log, n.net.Incarnation, grace, n.net.Peers())
-	n.mirror.OnSynced(func(s store.Synced) { n.watermark.RecordSync(s.Sent, s.Reach) })
+	n.mirror.OnSynced(func(s store.Synced) { n.watermark.RecordSync(s.SentAt, s.Revision) })
 	n.watermark.RecordFromPeer = func(o horizon.Cancellation) bool { return n.jobs.ApplyPeerCancellation(o.Job, o.Revision) }
 	n.watermark.Discarded = func(string, string) { n.meter.HorizonWord() }
 	if grace < 2*maxContactAge {
--- a/internal/placer/groupcommit.go
+++ b/internal/placer/groupcommit.go
@@ -73,7 +73,7 @@
 	if l.writing || !part.loaded {
 		return 0 // the end of the write schedules the next commit
 	}
-	n := p.client.Writable(store.Placements)
+	n := p.client.AvailableChanges(store.Placements)
 	if n < 1 && len(l.starts)+len(l.outcomes) > 0 {
 		return writableCheckInterval // before the queues are scanned, which may be long at this point
 	}
@@ -81,7 +81,7 @@
 	l.starts = p.dropBlockedStarts(l.starts)
 	l.outcomes = p.stillInState(l.outcomes, Ended)
 	if len(l.starts)+len(l.outcomes) == 0 {
-		if l.hasInherited() && 2*n > p.client.Burst() {
+		if l.hasInherited() && 2*n > p.client.MaxAvailableChanges() {
 			p.storeWrite(part, p.compose(part, n, 0))
 		}
 		return 0 // the sweep schedules what remains of inherited segments
@@ -92,7 +92,7 @@
 	}
 	if ready == 0 {
 		age := p.runner.Now() - l.outcomesSince
-		if len(l.outcomes) == 0 || (!(2*n > p.client.Burst() && age >= outcomeMinDelay) && age < outcomeMaxDelay) {
+		if len(l.outcomes) == 0 || (!(2*n > p.client.MaxAvailableChanges() && age >= outcomeMinDelay) && age < outcomeMaxDelay) {
 			if len(l.starts) > 0 {
 				return 8 * loop.Millisecond
 			}
@@ -162,7 +162,7 @@
 	// Live entries of nearly empty segments, and of teams' own logs, move to this segment so that the old ones can be
 	// deleted.
 	for _, s := range loop.Sorted(l.closed) {
-		if len(w.emptied) >= min(writable-1, p.client.MostChanges()-1) {
+		if len(w.emptied) >= min(writable-1, p.client.MaxChanges()-1) {
 			break
 		}
 		fits := w.segment.size+s.live*(entrySize+namesSize) < limit
@@ -179,7 +179,7 @@
 
 // maxJobs is the number of jobs whose revisions one transaction can check beside those of the claim, the segment and
 // the cordons.
-func (p *Scheduler) maxJobs() int { return p.client.MostConds() - 3 }
+func (p *Scheduler) maxJobs() int { return p.client.MaxConditions() - 3 }
 
 // move makes the written segment hold a task's newest record.
 func (w *write) move(r taskRef) {
--- a/internal/placer/logwrite.go
+++ b/internal/placer/logwrite.go
@@ -36,10 +36,10 @@
 			"starts_wait", len(part.log.starts), "outcomes_wait", len(part.log.outcomes), "segments", len(part.log.closed)+1)
 		switch r.Outcome {
 		case store.Applied:
-			w.segment.revision = r.Tally
+			w.segment.revision = r.Revision
 			p.writeStored(part, w)
 		case store.Conflict:
-			for _, k := range r.Failed {
+			for _, k := range r.FailedKeys {
 				if k == key {
 					p.checkStored(part, w)
 					return
@@ -48,7 +48,7 @@
 			// Revisions only increase, so no earlier attempt of the same transaction can be applied any more; and
 			// none was, since the segment is unchanged.
 			outdated := false
-			for _, k := range r.Failed {
+			for _, k := range r.FailedKeys {
 				if id, ok := strings.CutPrefix(k, job.KeyPrefix); ok {
 					outdated = true
 					p.registry.Refresh(id)
--- a/internal/placer/partition.go
+++ b/internal/placer/partition.go
@@ -146,7 +146,7 @@
 			delete(part.unassigned, name)
 		case p.node.Membership.Assigned(name):
 			p.TeamAssigned(name)
-		case len(names) < p.client.MostChanges():
+		case len(names) < p.client.MaxChanges():
 			names = append(names, name)
 		}
 	}
--- a/internal/rental/autoscaler_test.go
+++ b/internal/rental/autoscaler_test.go
@@ -70,7 +70,7 @@
 	if !ok {
 		t.Fatal("the leader's claim has not reached the mirror")
 	}
-	g.scaler.SetLeader(true, member.Owner{Node: "a", Epoch: 1, Revision: e.Mark})
+	g.scaler.SetLeader(true, member.Owner{Node: "a", Epoch: 1, Revision: e.Revision})
 	return g
 }
 
@@ -189,11 +189,11 @@
 	g.Run(3 * loop.Second)
 	g.report("n-900000", "x")
 	g.Run(25 * loop.Second) // no reports from now on
-	if !g.workers.IsDeleted("n-900000") || len(g.scaler.mirror.Under(DeletionKeys)) != 1 {
-		t.Fatalf("machine deleted: %v, deletion records %v", g.workers.IsDeleted("n-900000"), g.scaler.mirror.Under(DeletionKeys))
+	if !g.workers.IsDeleted("n-900000") || len(g.scaler.mirror.KeysUnder(DeletionKeys)) != 1 {
+		t.Fatalf("machine deleted: %v, deletion records %v", g.workers.IsDeleted("n-900000"), g.scaler.mirror.KeysUnder(DeletionKeys))
 	}
 	g.Run(deletionRetention + 120*loop.Second)
-	if n := len(g.scaler.mirror.Under(DeletionKeys)); n != 0 || g.workers.IsDeleted("n-900000") {
+	if n := len(g.scaler.mirror.KeysUnder(DeletionKeys)); n != 0 || g.workers.IsDeleted("n-900000") {
 		t.Fatalf("%d deletion records are left, machine deleted: %v", n, g.workers.IsDeleted("n-900000"))
 	}
 	for range 80 {
--- a/internal/rental/cloud.go
+++ b/internal/rental/cloud.go
@@ -72,7 +72,7 @@
 		ch := wire.Change{Put: CatalogKey, Value: catalogRecord{good}}
 		t.client.Txn(store.Background, wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}, Then: []wire.Change{ch}}, func(r store.Result) {
 			if r.Outcome == store.Applied {
-				t.mirror.Apply(CatalogKey, wire.Marshal(ch.Value), r.Tally, false)
+				t.mirror.Apply(CatalogKey, wire.Marshal(ch.Value), r.Revision, false)
 			}
 		})
 	})
--- a/internal/rental/deletion.go
+++ b/internal/rental/deletion.go
@@ -82,10 +82,10 @@
 		return
 	}
 	txn := wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}}
-	for _, key := range t.mirror.Under(DeletionKeys) {
+	for _, key := range t.mirror.KeysUnder(DeletionKeys) {
 		var rec DeletionRecord
 		if e, ok := t.mirror.Get(key); ok && wire.Unmarshal(e.Value, &rec) == nil && t.runner.Wall()-rec.At > deletionRetention &&
-			len(txn.Then) < t.client.MostChanges() {
+			len(txn.Then) < t.client.MaxChanges() {
 			txn.Then = append(txn.Then, wire.Change{Delete: key})
 		}
 	}
@@ -95,7 +95,7 @@
 	t.client.Txn(store.Background, txn, func(r store.Result) {
 		if r.Outcome == store.Applied {
 			for _, ch := range txn.Then {
-				t.mirror.Apply(ch.Delete, nil, r.Tally, true)
+				t.mirror.Apply(ch.Delete, nil, r.Revision, true)
 			}
 		}
 	})
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -247,7 +247,7 @@
 func (t *Autoscaler) storeOrder(o *order, cond []wire.Cond, done func(ok bool)) {
 	t.client.Txn(store.Placements, wire.Txn{If: cond, Then: []wire.Change{{Put: OrderKeys + o.name, Value: o.record}}}, func(r store.Result) {
 		if r.Outcome == store.Applied {
-			o.revision = r.Tally
+			o.revision = r.Revision
 		}
 		done(r.Outcome == store.Applied)
 	})
@@ -330,7 +330,7 @@
 	delete(t.orders, o.name)
 	t.client.Txn(store.Background, wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}, Then: []wire.Change{{Delete: OrderKeys + o.name}}}, func(r store.Result) {
 		if r.Outcome == store.Applied {
-			t.mirror.Apply(OrderKeys+o.name, nil, r.Tally, true)
+			t.mirror.Apply(OrderKeys+o.name, nil, r.Revision, true)
 		}
 	})
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -19,41 +19,41 @@
 // The results must be the same in every run, so the seed of the property tests is fixed.
 func TestMain(m *testing.M) { fixed.Main(m) }
 
-// still is an event loop with a clock set by the test; delayed functions are collected and run by the test.
-type still struct {
+// manualLoop is an event loop with a clock set by the test; delayed functions are collected and run by the test.
+type manualLoop struct {
 	now   loop.Micros
 	after []func()
 }
 
-func (s *still) Now() loop.Micros              { return s.now }
-func (s *still) Wall() loop.Micros             { return s.now }
-func (s *still) Post(f func())                 { f() }
-func (s *still) After(_ loop.Micros, f func()) { s.after = append(s.after, f) }
-func (s *still) Go(f func())                   { f() }
+func (s *manualLoop) Now() loop.Micros              { return s.now }
+func (s *manualLoop) Wall() loop.Micros             { return s.now }
+func (s *manualLoop) Post(f func())                 { f() }
+func (s *manualLoop) After(_ loop.Micros, f func()) { s.after = append(s.after, f) }
+func (s *manualLoop) Go(f func())                   { f() }
 
-// counter counts the requests by path and answers each as an applied transaction.
-type counter struct{ sent map[string]int }
+// countingDoer counts the requests by path and answers each as an applied transaction.
+type countingDoer struct{ sent map[string]int }
 
-func (c *counter) Do(method, path string, _ []byte, _ time.Duration) Response {
+func (c *countingDoer) Do(method, path string, _ []byte, _ time.Duration) Response {
 	c.sent[path]++
 	return Response{Status: 200, Body: wire.Marshal(wire.TxnResult{Tally: 1})}
 }
 
 // Events, own writes and reads reach the mirror in any order and any number of times. It must end in the state
 // that a list of all revisions gives.
-func TestMirrorKeepsTheNewest(t *testing.T) {
+func TestMirrorKeepsNewestRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMirror(nil, nil, "c/")
 		seen := map[string]uint64{}
-		m.On("c/", func(key string, e Entry) {
-			if e.Mark != 0 && e.Mark <= seen[key] {
-				t.Fatalf("the callback for %s goes back from revision %d to %d", key, seen[key], e.Mark)
+		m.OnChange("c/", func(key string, e Entry) {
+			if e.Revision != 0 && e.Revision <= seen[key] {
+				t.Fatalf("the callback for %s goes back from revision %d to %d", key, seen[key], e.Revision)
 			}
-			seen[key] = max(seen[key], e.Mark)
+			seen[key] = max(seen[key], e.Revision)
 		})
 		type version struct {
-			key  string
-			gone bool
+			key     string
+			removed bool
 		}
 		n := rapid.IntRange(1, 30).Draw(t, "versions")
 		all := make([]version, n+1)
@@ -63,27 +63,27 @@
 		model := map[string]int{}
 		for _, i := range rapid.SliceOfN(rapid.IntRange(1, n), 1, 60).Draw(t, "arrivals") {
 			v := all[i]
-			m.Apply(v.key, wire.Marshal(i), uint64(i), v.gone)
+			m.Apply(v.key, wire.Marshal(i), uint64(i), v.removed)
 			model[v.key] = max(model[v.key], i)
 		}
 		for key, i := range model {
 			e, ok := m.Get(key)
-			if ok == all[i].gone || (ok && e.Mark != uint64(i)) {
-				t.Fatalf("%s: found %v at revision %d, want revision %d (removed: %v)", key, ok, e.Mark, i, all[i].gone)
+			if ok == all[i].removed || (ok && e.Revision != uint64(i)) {
+				t.Fatalf("%s: found %v at revision %d, want revision %d (removed: %v)", key, ok, e.Revision, i, all[i].removed)
 			}
 		}
 	})
 }
 
-// late is a state service whose answers take some time.
-type late struct {
-	r     *still
+// slowService is a state service whose answers take some time.
+type slowService struct {
+	r     *manualLoop
 	takes loop.Micros
 	resp  func(path string) Response
 	asked []time.Duration // timeouts of the requests
 }
 
-func (l *late) Do(_, path string, _ []byte, limit time.Duration) Response {
+func (l *slowService) Do(_, path string, _ []byte, limit time.Duration) Response {
 	l.r.now += l.takes
 	l.asked = append(l.asked, limit)
 	return l.resp(path)
@@ -92,36 +92,36 @@
 // An answer proves the state of the service at the time of its request, not at the time of its arrival: a watch
 // may have been answered long before. A watch without an answer proves nothing, and the next one gets a longer
 // timeout, so that a slow service is not asked in vain for ever.
-func TestSyncedCountsFromTheRequest(t *testing.T) {
-	r := &still{now: 100 * loop.Second}
-	tally := uint64(7)
+func TestSyncedCountsFromRequest(t *testing.T) {
+	r := &manualLoop{now: 100 * loop.Second}
+	storeRevision := uint64(7)
 	lost := false
-	l := &late{r: r, takes: loop.Second, resp: func(path string) Response {
+	l := &slowService{r: r, takes: loop.Second, resp: func(path string) Response {
 		switch {
 		case lost:
 			return Response{Err: io.EOF}
 		case strings.HasPrefix(path, "/changes"):
-			return Response{Status: 200, Body: wire.Marshal(wire.Events{Tally: tally})}
+			return Response{Status: 200, Body: wire.Marshal(wire.Events{Tally: storeRevision})}
 		}
-		return Response{Status: 200, Body: wire.Marshal(wire.Range{Tally: tally})}
+		return Response{Status: 200, Body: wire.Marshal(wire.Range{Tally: storeRevision})}
 	}}
 	m := NewMirror(NewClient(r, l, slog.New(slog.NewTextHandler(io.Discard, nil)), 100, 100, 1), l, "c/")
-	m.Wait = 2 * loop.Second
+	m.WatchWait = 2 * loop.Second
 	var got [][2]loop.Micros
-	m.OnSynced(func(s Synced) { got = append(got, [2]loop.Micros{s.Sent, loop.Micros(s.Reach)}) })
+	m.OnSynced(func(s Synced) { got = append(got, [2]loop.Micros{s.SentAt, loop.Micros(s.Revision)}) })
 	m.Start()
 	next := func() {
 		f := r.after[len(r.after)-1]
 		r.after = nil
 		f()
 	}
-	tally = 9
+	storeRevision = 9
 	next()
 	lost = true
 	for range 6 {
 		next()
 	}
-	lost, tally = false, 12
+	lost, storeRevision = false, 12
 	next()
 	next()
 	s := loop.Second
@@ -139,9 +139,9 @@
 }
 
 // Requests about leases are sent first and are never paced; all others keep to this controller's share.
-func TestPacingLetsLeasesThrough(t *testing.T) {
-	r := &still{now: loop.Second}
-	c := &counter{sent: map[string]int{}}
+func TestLeasesAreNotPaced(t *testing.T) {
+	r := &manualLoop{now: loop.Second}
+	c := &countingDoer{sent: map[string]int{}}
 	cl := NewClient(r, c, slog.New(slog.NewTextHandler(io.Discard, nil)), 30, 30, 3)
 	for range 100 {
 		cl.Send(Results, 1, "POST", "/multi", wire.Txn{}, loop.Second, func(Response) {})
@@ -151,7 +151,7 @@
 		t.Fatalf("%d of 100 requests were sent at once with a share of 9 per second", burst)
 	}
 	for range 5 {
-		cl.Extend(7, func(bool, bool) {})
+		cl.RenewLease(7, func(bool, bool) {})
 	}
 	if c.sent["/holds/7/extend"] != 5 {
 		t.Fatalf("%d of 5 lease renewals were sent at once", c.sent["/holds/7/extend"])
@@ -172,7 +172,7 @@
 // The outcome of a transaction is Applied, Conflict or Refused only if the response proves it; otherwise it is
 // Unknown.
 func TestOutcomes(t *testing.T) {
-	cl := NewClient(&still{}, nil, slog.New(slog.NewTextHandler(io.Discard, nil)), 1, 1, 1)
+	cl := NewClient(&manualLoop{}, nil, slog.New(slog.NewTextHandler(io.Discard, nil)), 1, 1, 1)
 	body := func(r wire.TxnResult) []byte { return wire.Marshal(r) }
 	for _, c := range []struct {
 		resp Response
@@ -188,7 +188,7 @@
 		{Response{Status: 400, Body: body(wire.TxnResult{Error: "no such lease"})}, NoLease},
 		{Response{Status: 400, Body: body(wire.TxnResult{Error: "malformed"})}, Invalid},
 	} {
-		if got := cl.outcome(c.resp); got.Outcome != c.want {
+		if got := cl.resultOf(c.resp); got.Outcome != c.want {
 			t.Errorf("the outcome of response %+v is %d, want %d", c.resp, got.Outcome, c.want)
 		}
 	}
@@ -196,11 +196,11 @@
 
 // The caller of a transaction is blocked until its answer. So the client gives up on a lost answer soon, and
 // waits longer only while several answers in a row do not arrive, since the service is slow then.
-func TestLostAnswersAreGivenUpSoon(t *testing.T) {
-	r := &still{now: 100 * loop.Second}
+func TestLostAnswersTimeOutSoon(t *testing.T) {
+	r := &manualLoop{now: 100 * loop.Second}
 	lost := func(n int) bool { return n%3 != 0 } // two of three answers are lost
 	n := 0
-	l := &late{r: r, takes: 2 * loop.Second, resp: func(string) Response {
+	l := &slowService{r: r, takes: 2 * loop.Second, resp: func(string) Response {
 		if n++; lost(n) {
 			return Response{Err: io.EOF}
 		}
