--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -44,8 +44,8 @@
 	API fasthttp.RequestHandler
 }
 
-// Front is the HTTP server of a controller.
-type Front struct {
+// Server is the HTTP server of a controller.
+type Server struct {
 	r   loop.Runner
 	log *slog.Logger
 	cfg *config.Config
@@ -60,8 +60,8 @@
 }
 
 // New returns a server; Serve starts it.
-func New(r loop.Runner, log *slog.Logger, cfg *config.Config, n Node) *Front {
-	f := &Front{r: r, log: log, cfg: cfg, n: n}
+func New(r loop.Runner, log *slog.Logger, cfg *config.Config, n Node) *Server {
+	f := &Server{r: r, log: log, cfg: cfg, n: n}
 	f.srv = &fasthttp.Server{
 		Handler:                       f.handle,
 		MaxRequestBodySize:            maxBody,
@@ -95,13 +95,15 @@
 // quiet passes the messages of the HTTP library to the log at debug level.
 type quiet struct{ log *slog.Logger }
 
-func (q quiet) Printf(format string, args ...any) { q.log.Debug("HTTP server", "what", format, "args", args) }
+func (q quiet) Printf(format string, args ...any) {
+	q.log.Debug("HTTP server", "what", format, "args", args)
+}
 
 // Open returns the number of open incoming connections.
-func (f *Front) Open() int { return int(f.srv.GetOpenConnectionsCount()) }
+func (f *Server) Open() int { return int(f.srv.GetOpenConnectionsCount()) }
 
 // Serve accepts and serves connections until the listener is closed.
-func (f *Front) Serve(ln net.Listener) error { return f.srv.Serve(ln) }
+func (f *Server) Serve(ln net.Listener) error { return f.srv.Serve(ln) }
 
 func write(ctx *fasthttp.RequestCtx, status int, body any) {
 	ctx.SetStatusCode(status)
@@ -117,7 +119,7 @@
 	write(ctx, status, wire.Error{Error: why})
 }
 
-func (f *Front) handle(ctx *fasthttp.RequestCtx) {
+func (f *Server) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	post, get := ctx.IsPost(), ctx.IsGet()
 	switch {
@@ -154,14 +156,14 @@
 const patience = 3 * time.Second
 
 // ask calls run on the event loop and waits for its result. It returns nil if there is none in time.
-func ask[T any](f *Front, run func(done func(T))) *T {
+func ask[T any](f *Server, run func(done func(T))) *T {
 	if v, ok := loop.Ask(f.r, patience, run); ok {
 		return &v
 	}
 	return nil
 }
 
-func (f *Front) beat(ctx *fasthttp.RequestCtx) {
+func (f *Server) beat(ctx *fasthttp.RequestCtx) {
 	r, err := wire.ReadReport(ctx.PostBody())
 	if err != nil {
 		f.r.Post(func() { f.malformed(r.Machine, err) })
@@ -181,7 +183,7 @@
 
 // malformed logs a report that cannot be decoded, at most once per second because the worker sends its report again
 // and again.
-func (f *Front) malformed(machine string, err error) {
+func (f *Server) malformed(machine string, err error) {
 	f.bad++
 	if now := f.r.Now(); f.badAt == 0 || now-f.badAt >= loop.Second {
 		f.log.Error("worker's report is malformed; it was not applied and answered with status 400",
@@ -192,7 +194,7 @@
 
 // turnAway answers a request about a job with Retry-After before the job registry has seen it, and has the registry
 // count the refusal. why is also a metric label.
-func (f *Front) turnAway(done func(verdict), id, why string) {
+func (f *Server) turnAway(done func(verdict), id, why string) {
 	f.n.Jobs.RecordRefusal(id, why)
 	done(verdict{status: 503, why: why})
 }
@@ -205,7 +207,7 @@
 	counts job.Counts
 }
 
-func (f *Front) reply(ctx *fasthttp.RequestCtx, v *verdict) {
+func (f *Server) reply(ctx *fasthttp.RequestCtx, v *verdict) {
 	switch {
 	case v == nil:
 		later(ctx, 503, 1, "the controller did not answer in time")
@@ -241,7 +243,7 @@
 }
 
 // settle returns a callback for the job registry that adds the numbers of tasks to the answer.
-func (f *Front) settle(done func(verdict)) func(job.Answer) {
+func (f *Server) settle(done func(verdict)) func(job.Answer) {
 	return func(a job.Answer) {
 		v := verdict{a: a}
 		if j := f.n.Jobs.Get(a.ID); j != nil {
@@ -251,7 +253,7 @@
 	}
 }
 
-func (f *Front) submit(ctx *fasthttp.RequestCtx) {
+func (f *Server) submit(ctx *fasthttp.RequestCtx) {
 	id, spec, ok := job.Parse(ctx.PostBody())
 	if id == "" {
 		write(ctx, 400, wire.Error{Error: "malformed submission"})
@@ -299,7 +301,7 @@
 }
 
 // named passes a request about one job to the job registry and answers with its result.
-func (f *Front) named(ctx *fasthttp.RequestCtx, id string, request func(id string, cb func(job.Answer))) {
+func (f *Server) named(ctx *fasthttp.RequestCtx, id string, request func(id string, cb func(job.Answer))) {
 	if !job.ValidID(id) {
 		write(ctx, 404, wire.Error{Error: "no such job"})
 		return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -51,7 +51,7 @@
 	net           *peer.Net
 	reach         *reach.Tracker
 	watermark     *horizon.Tracker
-	front         *front.Front
+	front         *front.Server
 	deps          Dependencies
 	progress      map[string]job.Counts
 	meter         *metric.Meter // nil while /v1/ is off
