--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -51,9 +51,9 @@
 	cfg *config.Config
 	n   Node
 	srv *fasthttp.Server
-	// Crowded reports whether so many connections are open that a worker's connection is closed after its report is
+	// NearConnectionLimit reports whether so many connections are open that a worker's connection is closed after its report is
 	// answered. It may be nil.
-	Crowded func() bool
+	NearConnectionLimit func() bool
 	// bad counts the malformed reports since badAt, the time at which one was last logged.
 	bad   int
 	badAt loop.Micros
@@ -170,7 +170,7 @@
 		write(ctx, 400, wire.Error{Error: "malformed report: " + err.Error()})
 		return
 	}
-	if f.Crowded != nil && f.Crowded() {
+	if f.NearConnectionLimit != nil && f.NearConnectionLimit() {
 		ctx.SetConnectionClose()
 	}
 	a := ask(f, func(done func(agent.Answer)) { f.n.Agent.Report(r, done) })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -99,7 +99,7 @@
 		Probe: probe,
 	})
 	socks.incoming = n.front.Open
-	n.front.Crowded = func() bool { return socks.above(closeReportsAbove) }
+	n.front.NearConnectionLimit = func() bool { return socks.above(closeReportsAbove) }
 	socks.watch(n.loop, workers.CloseIdleConnections)
 	return n
 }
