--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -99,8 +99,8 @@
 	q.log.Debug("HTTP server", "what", format, "args", args)
 }
 
-// Open returns the number of open incoming connections.
-func (f *Server) Open() int { return int(f.srv.GetOpenConnectionsCount()) }
+// OpenConnections returns the number of open incoming connections.
+func (f *Server) OpenConnections() int { return int(f.srv.GetOpenConnectionsCount()) }
 
 // Serve accepts and serves connections until the listener is closed.
 func (f *Server) Serve(ln net.Listener) error { return f.srv.Serve(ln) }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -98,7 +98,7 @@
 		},
 		Probe: probe,
 	})
-	socks.incoming = n.front.Open
+	socks.incoming = n.front.OpenConnections
 	n.front.NearConnectionLimit = func() bool { return socks.above(closeReportsAbove) }
 	socks.watch(n.loop, workers.CloseIdleConnections)
 	return n
