--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,6 +1,9 @@
-// Package api serves `/v1/`, the interface for people and programs beside the protocol:
-// JSON over HTTP, with keys, roles and a published schema. It decides nothing about
-// jobs: what comes in here goes the same ways as what comes in by the protocol.
+// Package api serves /v1/, the JSON interface over HTTP for users, operators and their tools, and /metrics. Requests
+// are authenticated with bearer keys, each of which has a role, and request bodies are checked against a published JSON
+// schema. Errors have the form of RFC 9457.
+//
+// The package owns the routes, the keys and the JSON types. It decides nothing about jobs: submissions, holds and
+// cancellations go through the same job registry and the same checks as requests in the CBOR protocol.
 package api
 
 import (
@@ -19,21 +22,27 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Node is what this slice needs of the node around it. All is called on the loop.
+// Node holds what the API needs from the rest of the controller. Its functions and the methods of its registries are
+// called on the event loop.
 type Node struct {
-	Ready    func() bool
-	Types    func() []wire.MachineType
-	Counts   func(*job.Job) job.Counts
+	// Ready reports whether users' requests can be decided now.
+	Ready func() bool
+	// Types returns the known machine types, none before the catalog was read.
+	Types func() []wire.MachineType
+	// Counts returns the job's numbers of running and done tasks.
+	Counts func(*job.Job) job.Counts
+	// Machines returns the reachable machines, sorted by name.
 	Machines func() []Machine
-	// Unheard names the owners of teams that were not heard lately, and teams that
-	// nobody owns: what is told of them may be old.
+	// Unheard describes the owners that are unreachable and the teams without an owner; the causes of waiting that
+	// are known of their jobs may be outdated.
 	Unheard func() []string
 	Jobs    *job.Registry
 	Cordons *cordon.Registry
-	// Unseen counts starts that were recorded earlier and may still begin where a cordon
-	// bars them; ok is false where an owner could not be asked.
+	// Unseen counts the starts that were recorded before the named cordon and may still take effect on the machines
+	// that it blocks. ok is false if an owner did not answer.
 	Unseen func(name string, cb func(starts int, ok bool))
-	Desk   *explain.Service
+	// Desk explains why jobs wait.
+	Desk *explain.Service
 }
 
 // API answers requests under /v1/ and for /metrics.
@@ -47,28 +56,28 @@
 	meter  *metric.Meter
 }
 
-// New makes the interface. The meter may be nil; then /metrics is not there.
+// New returns the API. The meter may be nil; /metrics does not exist then.
 func New(r loop.Runner, log *slog.Logger, cfg *config.Config, n Node, m *metric.Meter) *API {
 	return &API{r: r, log: log, cfg: cfg, n: n, keys: readKeys(cfg.Operator.API.Keys), schema: loadSchema(), meter: m}
 }
 
-// patience is how long a request waits for the loop and for other nodes.
+// patience is how long a request waits for its result from the event loop, and from other controllers if they are asked.
 const patience = 4 * time.Second
 
-// route is what a path and method lead to.
+// route is the handler of a path and method, with the lowest role that may use it.
 type route struct {
 	role int
 	do   func(a *API, c *call)
 }
 
-// call is one request.
+// call is one authenticated request.
 type call struct {
 	ctx *fasthttp.RequestCtx
-	by  string // the key's name
+	by  string // name of the key that the request carries
 	arg string // the variable part of the path
 }
 
-// Handle answers one request, off the loop.
+// Handle answers one request. It runs outside the event loop.
 func (a *API) Handle(ctx *fasthttp.RequestCtx) {
 	defer func() { a.meter.Request(ctx.Response.StatusCode()) }()
 	if ctx.UserValue("broken") != nil {
@@ -87,19 +96,20 @@
 		ctx.Response.Header.Set("Allow", strings.Join(methods, ", "))
 		fail(ctx, badMethod)
 	case k.rank < r.role:
-		fail(ctx, badRole.with("the key %q may not do this", k.name))
+		fail(ctx, badRole.with("the key %q does not have the required role", k.name))
 	default:
 		r.do(a, &call{ctx, k.name, arg})
 	}
 }
 
+// The ranks of the roles, as config.RoleRank returns them. A role includes all roles of lower rank.
 const (
 	read    = 1
 	submit  = 2
 	operate = 3
 )
 
-// table holds all routes; {} stands for the variable part of a path.
+// table maps each path and method to its route; {} stands for the variable part of a path.
 var table = map[string]map[string]route{
 	"/v1/jobs":             {"POST": {submit, (*API).propose}, "GET": {read, (*API).list}},
 	"/v1/jobs/{}":          {"GET": {read, (*API).job}},
@@ -115,7 +125,8 @@
 	"/metrics":             {"GET": {read, (*API).metrics}},
 }
 
-// find looks a path up; methods are those that the path has.
+// find looks up the route of a request. arg is the variable part of the path, known reports whether the path exists, and
+// methods are those that it allows. r is nil if the path does not allow this method.
 func find(method, path string) (r *route, arg string, known bool, methods []string) {
 	key := path
 	parts := strings.Split(path, "/")
@@ -134,14 +145,15 @@
 	return r, arg, known, methods
 }
 
-// outcome is what the loop came to: a problem, or a body with its status.
+// outcome is the result of a request: a problem, or a body with its status.
 type outcome struct {
 	problem *problem
 	status  int
 	body    any
 }
 
-// onLoop lets f decide on the loop and writes what it came to.
+// onLoop calls f on the event loop, waits for its outcome and writes it. The response is an error if this controller is
+// not ready or if there is no outcome in time.
 func (a *API) onLoop(c *call, f func(done func(outcome))) {
 	o, ok := loop.Ask(a.r, patience, func(done func(outcome)) {
 		if !a.n.Ready() {
@@ -172,7 +184,7 @@
 	}
 	b, err := a.meter.Text()
 	if err != nil {
-		a.log.Error("metrics", "err", err)
+		a.log.Error("metrics could not be encoded; the request was answered with status 503", "err", err)
 		fail(c.ctx, noAnswer)
 		return
 	}
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -24,8 +24,8 @@
 	"github.com/valyala/fasthttp/fasthttputil"
 )
 
-// rig is the interface of one node over a stand-in state service. Time moves by hand in
-// a goroutine of its own, as fast as it can, so that nothing waits for a clock.
+// rig is the API of one controller with a fake state service. A goroutine advances the simulated time after each
+// request, so that no test waits for a real clock.
 type rig struct {
 	*standin.Stepped
 	state *standin.State
@@ -34,7 +34,7 @@
 	api   *API
 }
 
-// post runs what is handed to the loop from other goroutines.
+// post is a runner that passes functions posted by the HTTP server's goroutines to the goroutine that advances the time.
 type post struct {
 	*standin.Stepped
 	in chan func()
@@ -103,7 +103,8 @@
 	return g
 }
 
-// do makes one request and checks that an error has the form that is promised.
+// do makes one request and returns its status and body. It checks that an error has the form of RFC 9457, and that 429
+// and 503 come with Retry-After.
 func (g *rig) do(t testing.TB, key, method, path, body string) (int, map[string]any) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	req.SetRequestURI("http://a" + path)
@@ -121,17 +122,17 @@
 	code := resp.StatusCode()
 	if path != "/metrics" || code >= 300 {
 		if err := json.Unmarshal(resp.Body(), &out); err != nil {
-			t.Fatalf("%s %s gives %d and no JSON: %.200s", method, path, code, resp.Body())
+			t.Fatalf("%s %s: status %d and a body that is not JSON: %.200s", method, path, code, resp.Body())
 		}
 	}
 	if code >= 400 {
 		kind, _ := out["type"].(string)
 		if !strings.HasPrefix(kind, "urn:cleatpick:problem:") || out["title"] == "" || int(out["status"].(float64)) != code ||
 			string(resp.Header.ContentType()) != "application/problem+json" {
-			t.Errorf("%s %s gives %d with %v", method, path, code, out)
+			t.Errorf("%s %s: status %d, malformed problem %v", method, path, code, out)
 		}
 		if (code == 503 || code == 429) && len(resp.Header.Peek("Retry-After")) == 0 {
-			t.Errorf("%s %s gives %d without Retry-After", method, path, code)
+			t.Errorf("%s %s: status %d without Retry-After", method, path, code)
 		}
 	}
 	return code, out
@@ -143,7 +144,7 @@
 
 func with(fields string) string { return strings.TrimSuffix(good, "}") + "," + fields + "}" }
 
-// Bad input gets an error that names what is wrong, and nothing of it is stored.
+// An invalid request must be answered with an error that names the fault and the field, and must not store anything.
 func TestBadInput(t *testing.T) {
 	g := newRig(t)
 	var many []string
@@ -195,32 +196,33 @@
 		code, out := g.do(t, c.key, c.method, c.path, c.body)
 		field, _ := out["field"].(string)
 		if code != c.code || out["type"] != "urn:cleatpick:problem:"+c.kind || (c.field != "" && field != c.field) {
-			t.Errorf("%s %s %.80s gives %d %v at %q, want %d %s at %q", c.method, c.path, c.body, code, out["type"], field, c.code, c.kind, c.field)
+			t.Errorf("%s %s %.80s: status %d, type %v, field %q, want %d, %s, %q", c.method, c.path, c.body, code, out["type"], field, c.code, c.kind, c.field)
 		}
 	}
-	// Above 64 KiB the server reads no further; what it then hands over is answered.
+	// The server stops reading a body above 64 KiB and passes the request on with an error.
 	var ctx fasthttp.RequestCtx
 	ctx.Request.SetRequestURI("/v1/jobs")
 	ctx.SetUserValue("broken", fasthttp.ErrBodyTooLarge)
 	g.api.Handle(&ctx)
 	if ctx.Response.StatusCode() != 413 || !strings.Contains(string(ctx.Response.Body()), "too-large") {
-		t.Errorf("an oversized body gives %d %s", ctx.Response.StatusCode(), ctx.Response.Body())
+		t.Errorf("oversized body: status %d, body %s, want 413, too-large", ctx.Response.StatusCode(), ctx.Response.Body())
 	}
 	for _, key := range []string{"c/j/job-000001", "c/j/job-000077", cordon.Key} {
 		if _, ok := g.state.Value(key); ok {
-			t.Errorf("%s was stored by what was refused", key)
+			t.Errorf("a refused request stored the key %s", key)
 		}
 	}
 }
 
-// A job's life through the interface; the same ids mean the same jobs by the protocol.
+// Takes jobs and cordons through all their states: repeated submissions change nothing, holds, releases and cancellations
+// show up in the answers, the number of cordons is bounded, and the pages of the list of jobs are complete.
 func TestLifeOfAJob(t *testing.T) {
 	g := newRig(t)
 	step := func(method, path, body string, code int, want map[string]any) {
 		t.Helper()
 		got, out := g.do(t, g.keyOf("operate"), method, path, body)
 		if got != code {
-			t.Fatalf("%s %s gives %d, want %d: %v", method, path, got, code, out)
+			t.Fatalf("%s %s: status %d, want %d: %v", method, path, got, code, out)
 		}
 		for k, v := range want {
 			x := out[k]
@@ -228,7 +230,7 @@
 				x = m["state"]
 			}
 			if fmt.Sprint(x) != fmt.Sprint(v) {
-				t.Errorf("%s %s gives %s %v, want %v", method, path, k, x, v)
+				t.Errorf("%s %s: %s is %v, want %v", method, path, k, x, v)
 			}
 		}
 	}
@@ -254,7 +256,7 @@
 	}
 	step("PUT", "/v1/cordons/one-more", `{"machine":"n-1","reason":"r"}`, 409, nil)
 	step("PUT", "/v1/cordons/c7", `{"machine":"n-2","reason":"another"}`, 200, nil)
-	// Pages leave nothing out and repeat nothing.
+	// Each unfinished job is on exactly one page.
 	for i := range 7 {
 		step("POST", "/v1/jobs", strings.Replace(good, "job-000001", fmt.Sprintf("job-0001%02d", i), 1), 201, nil)
 	}
@@ -264,7 +266,7 @@
 		for _, j := range out["jobs"].([]any) {
 			id := j.(map[string]any)["id"].(string)
 			if seen[id] {
-				t.Errorf("%s stands on two pages", id)
+				t.Errorf("%s is on two pages", id)
 			}
 			seen[id] = true
 		}
@@ -275,11 +277,11 @@
 		after = next
 	}
 	if len(seen) != 8 || seen["job-000001"] {
-		t.Errorf("the pages hold %v", seen)
+		t.Errorf("the pages contain %v, want 8 jobs without job-000001", seen)
 	}
 }
 
-// Whatever comes in gets an answer in the form that is promised, and never a crash.
+// Any path and body must be answered in the documented form, without a crash and without status 500 or 503.
 func FuzzPaths(f *testing.F) {
 	g := newRig(f)
 	for _, path := range []string{"/v1/jobs", "/v1/jobs/job-000001", "/v1/jobs/job-000001/hold", "/v1/jobs/x/why", "/v1/cordons/c", "/v1/queue", "/v1/schema", "/v1//", "/v1/machines?limit=9&after=%00"} {
@@ -289,20 +291,21 @@
 		}
 	}
 	f.Fuzz(func(t *testing.T, method int, path, body string) {
-		// What no client can put into a request line does not arrive.
+		// Bytes that cannot be part of a path in a request line cannot reach the server.
 		odd := func(c rune) bool { return c <= ' ' || c > '~' || c == '#' }
 		if !strings.HasPrefix(path, "/v1/") || strings.ContainsFunc(path, odd) || len(path) > 500 {
 			return
 		}
 		m := []string{"GET", "POST", "PUT", "DELETE"}[method&3]
 		if code, out := g.do(t, g.keyOf("operate"), m, path, body); code == 500 || code == 503 {
-			t.Fatalf("%s %q gives %d %v", m, path, code, out)
+			t.Fatalf("%s %q: status %d, body %v", m, path, code, out)
 		}
 	})
 }
 
-// A list does not take back what another controller has told since, and a submission that is put
-// off is told when to come back, as under the protocol's paths.
+// A list must include changes that another controller made and answered before the list was requested, even if this
+// controller's copy of the records is older; if it cannot be brought up to date, the answer is 503. And a deferred
+// submission must be answered with the registry's Retry-After, as in the CBOR protocol.
 func TestListsAndRefusalsAreCurrent(t *testing.T) {
 	g := newRig(t)
 	g.do(t, g.keyOf("submit"), "POST", "/v1/jobs", good)
@@ -311,19 +314,19 @@
 		return len(out["jobs"].([]any))
 	}
 	if n := listed(); n != 1 {
-		t.Fatalf("%d jobs are listed", n)
+		t.Fatalf("%d jobs are listed, want 1", n)
 	}
 	g.state.Put(job.KeyPrefix+"job-000001", job.Record{Phase: job.Cancelled, AcceptedAt: 1})
 	if n := listed(); n != 0 {
-		t.Errorf("%d jobs are listed as not over, after another controller's cancellation", n)
+		t.Errorf("%d unfinished jobs are listed after another controller cancelled the only one, want 0", n)
 	}
 	g.state.SetDown(true)
 	if code, _ := g.do(t, g.keyOf("read"), "GET", "/v1/jobs", ""); code != 503 {
-		t.Errorf("a list that cannot be current is given with %d", code)
+		t.Errorf("list while the state service is down: status %d, want 503", code)
 	}
 	var told outcome
 	g.api.tell(job.Answer{Code: 429, ID: "job-000001", RetryAfter: 17}, func(o outcome) { told = o })
 	if told.problem == nil || told.problem.Status != 429 || told.problem.retry != 17 {
-		t.Errorf("put off for 17 s is told as %+v", told.problem)
+		t.Errorf("submission deferred for 17 s is answered with %+v, want status 429 and Retry-After 17", told.problem)
 	}
 }
--- a/internal/api/cluster.go
+++ b/internal/api/cluster.go
@@ -9,7 +9,7 @@
 	"cleatpick/internal/job"
 )
 
-// Machine is a machine as this node knows it.
+// Machine is a machine as this controller knows it.
 type Machine struct {
 	Name         string   `json:"name"`
 	Type         string   `json:"type"`
@@ -17,17 +17,17 @@
 	Kind         string   `json:"kind"`
 	ReportsTo    string   `json:"reportsTo"`
 	Tasks        int      `json:"tasks"`
-	CPUsFree     *float64 `json:"cpusFree,omitempty"` // absent while not known
+	CPUsFree     *float64 `json:"cpusFree,omitempty"` // absent while unknown
 	MemoryFreeGB *float64 `json:"memoryFreeGb,omitempty"`
-	// Shut is what keeps every task off it, by the names of the machine gates.
+	// Shut names the machine predicates that block the machine for every task.
 	Shut       []string      `json:"shut"`
 	RestsUntil *explain.Time `json:"restsUntil,omitempty"`
 	RestsSince string        `json:"restsBecause,omitempty"`
-	LeavesAt   *explain.Time `json:"leavesAt,omitempty"` // the cloud takes it then
+	LeavesAt   *explain.Time `json:"leavesAt,omitempty"` // time at which the cloud reclaims it
 	Cordons    []string      `json:"cordons,omitempty"`
 }
 
-// Machines is a page of machines.
+// Machines is a page of the list of machines. Next is the parameter after of the next page; it is empty on the last page.
 type Machines struct {
 	Machines []Machine `json:"machines"`
 	Next     string    `json:"next,omitempty"`
@@ -57,7 +57,7 @@
 	})
 }
 
-// Cordon is a cordon as it is put and shown.
+// Cordon is a cordon in requests and answers.
 type Cordon struct {
 	Name    string        `json:"name,omitempty"`
 	Machine string        `json:"machine,omitempty"`
@@ -68,8 +68,8 @@
 	By      string        `json:"by,omitempty"`
 	At      *explain.Time `json:"at,omitempty"`
 	Until   *explain.Time `json:"until,omitempty"`
-	// Unseen counts starts that were recorded before the cordon and may still begin;
-	// it is told where one cordon is asked for. Nothing recorded later begins.
+	// Unseen counts the starts that were recorded before the cordon and may still take effect; starts recorded later
+	// cannot. It is present only in answers about a single cordon, and absent if an owner did not answer.
 	Unseen *int `json:"unseenStarts,omitempty"`
 }
 
@@ -83,10 +83,10 @@
 	return out
 }
 
-// Cordons are all cordons in force.
+// Cordons lists all cordons in force.
 type Cordons struct {
 	Cordons []Cordon `json:"cordons"`
-	// Damaged tells that the stored record cannot be read; what was read last is shown.
+	// Damaged reports that the stored record cannot be decoded; the list shows the version that was read last.
 	Damaged bool `json:"damaged,omitempty"`
 }
 
@@ -128,7 +128,7 @@
 		return
 	}
 	if !cordon.ValidName(c.arg) {
-		fail(c.ctx, badQuery.with("a cordon's name has 1 to %d letters, digits, dots, dashes and underscores", cordon.MaxName))
+		fail(c.ctx, badQuery.with("a cordon's name consists of 1 to %d letters, digits, dots, dashes and underscores", cordon.MaxName))
 		return
 	}
 	a.onLoop(c, func(done func(outcome)) {
@@ -155,6 +155,7 @@
 	})
 }
 
+// cordoned answers a request that changed the cordons.
 func (a *API) cordoned(name string, o cordon.Outcome, done func(outcome)) {
 	switch o {
 	case cordon.Stored:
@@ -168,17 +169,17 @@
 	}
 }
 
-// Waiting sums up why tasks of one team and class wait.
+// Waiting summarizes why the tasks of one team, class and priority wait.
 type Waiting struct {
 	Team     string `json:"team"`
 	Class    string `json:"class"`
 	Priority string `json:"priority"`
-	Jobs     int    `json:"jobs"`    // unfinished
-	Waiting  int    `json:"waiting"` // jobs with any cause
+	Jobs     int    `json:"jobs"`    // unfinished jobs
+	Waiting  int    `json:"waiting"` // jobs with at least one cause of waiting
 	Causes   []Held `json:"causes"`
 }
 
-// Held sums up one cause.
+// Held summarizes one cause of waiting.
 type Held struct {
 	Kind    string           `json:"kind"`
 	Jobs    int              `json:"jobs"`
@@ -186,12 +187,12 @@
 	Longest explain.Duration `json:"longestS"`
 }
 
-// Queue is why everything waits, as the owners last told.
+// Queue summarizes why tasks wait, by the causes that the owners reported last.
 type Queue struct {
 	AsOf     explain.Time `json:"asOf"`
 	Queue    []Waiting    `json:"queue"`
 	Complete bool         `json:"complete"`
-	Missing  []string     `json:"missing,omitempty"` // what is old or not known
+	Missing  []string     `json:"missing,omitempty"` // why the summary may be outdated or incomplete
 }
 
 func (a *API) queue(c *call) {
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -9,7 +9,7 @@
 	"cleatpick/internal/wire"
 )
 
-// Proposal is the body of a submission.
+// Proposal is the body of a job submission. The schema has the allowed values and defaults.
 type Proposal struct {
 	ID          string        `json:"id"`
 	Class       string        `json:"class"`
@@ -38,11 +38,14 @@
 	HoldReason  string        `json:"holdReason,omitempty"`
 }
 
+// kinds maps the kinds of jobs in a submission to those of the protocol.
 var kinds = map[string]string{"": wire.KindArray, "array": wire.KindArray, "service": wire.KindService, "gang": wire.KindGang}
 
+// policies maps the values of onWithdrawn to what happens to a job when a job that it depends on is cancelled.
 var policies = map[string]job.Policy{"": job.PolicyHold, "hold": job.PolicyHold, "release": job.PolicyRelease, "withdraw": job.PolicyCancel}
 
-// spec is the proposal as the protocol would have brought it: the same checks apply.
+// spec returns the job's specification, and false if it is invalid. It encodes the submission as the CBOR protocol does,
+// so that the same checks apply.
 func (p *Proposal) spec() (*job.Spec, bool) {
 	kind, priority := kinds[p.Kind], p.Priority
 	if priority == "" {
@@ -55,10 +58,11 @@
 	return s, ok
 }
 
+// terms returns the job's dependencies and its hold, set by the named key.
 func (p *Proposal) terms(by string, wall loop.Micros) *job.Terms {
 	t := &job.Terms{Dependencies: p.After, OnCancelled: policies[p.OnWithdrawn]}
 	if p.Hold || p.HoldUntil != nil {
-		// Nothing of a job that is not stored yet can have begun.
+		// No task of a job that is not stored yet can have started, so the hold is effective at once.
 		t.Hold = job.Hold{State: job.HoldEffective, Reason: p.HoldReason, By: by, RequestedAt: wall}
 		if p.HoldUntil != nil {
 			t.Hold.Until = int64(*p.HoldUntil)
@@ -75,7 +79,7 @@
 	}
 	spec, ok := p.spec()
 	if !ok {
-		fail(c.ctx, badBody.with("the job is not valid"))
+		fail(c.ctx, badBody.with("the job's specification is not valid"))
 		return
 	}
 	if slices.Contains(p.After, p.ID) {
@@ -124,7 +128,8 @@
 	})
 }
 
-// findAll makes sure that jobs were accepted. A record that was found once stays.
+// findAll checks that all named jobs were accepted. cb receives 200, or the first job for which that is not the case and
+// the code 404 or 503. Records of jobs are never removed, so a job that was found still exists when the next is found.
 func (a *API) findAll(ids []string, cb func(missing string, code int)) {
 	if len(ids) == 0 {
 		cb("", 200)
@@ -139,7 +144,7 @@
 	})
 }
 
-// tell answers with a job as it stands.
+// tell turns the job registry's answer into an outcome; a success shows the job in its current state.
 func (a *API) tell(x job.Answer, done func(outcome)) {
 	j := a.n.Jobs.Get(x.ID)
 	switch {
@@ -154,7 +159,7 @@
 	}
 }
 
-// Job is a job as it is shown.
+// Job is a job in answers.
 type Job struct {
 	ID          string                 `json:"id"`
 	State       string                 `json:"state"` // pending, running, done or withdrawn
@@ -175,7 +180,8 @@
 	WaitingFor  []explain.CauseCount   `json:"waitingFor,omitempty"`
 }
 
-// Hold is a job's hold as it is shown. Once it is held, no task of the job begins.
+// Hold is a job's hold in answers. While the state is settling, tasks whose starts were recorded earlier may still start;
+// while it is held, no task of the job starts.
 type Hold struct {
 	State string `json:"state"` // none, settling or held
 	*explain.HoldDetail
@@ -236,12 +242,12 @@
 	return out
 }
 
-// named checks the id in the path.
+// named reports whether the id in the path has the form of a job's id, and answers with an error if not.
 func (c *call) named() bool {
 	if job.ValidID(c.arg) {
 		return true
 	}
-	fail(c.ctx, badID.with("%.80q is no job's id", c.arg))
+	fail(c.ctx, badID.with("%.80q is not a valid job id", c.arg))
 	return false
 }
 
@@ -291,6 +297,7 @@
 	}
 }
 
+// unlessOver returns a callback that answers a change of a job: with an error if the job is done or cancelled.
 func (a *API) unlessOver(done func(outcome)) func(job.Answer) {
 	return func(x job.Answer) {
 		if x.Code == 200 && x.Phase != job.Accepted {
--- a/internal/api/keys.go
+++ b/internal/api/keys.go
@@ -15,12 +15,14 @@
 	"github.com/valyala/fasthttp"
 )
 
+// key is an API key: only the hash of its token is known here.
 type key struct {
 	name string
 	rank int
 	hash [sha256.Size]byte
 }
 
+// readKeys reads the keys of the settings and skips those whose hash is malformed.
 func readKeys(all []config.Key) []key {
 	out := make([]key, 0, len(all))
 	for _, k := range all {
@@ -32,8 +34,8 @@
 	return out
 }
 
-// authenticate finds the key that a request shows. All keys are compared, each in
-// constant time, so that how long it takes tells nothing.
+// authenticate finds the key that a request carries as a bearer token. It compares with all keys, each in constant time,
+// so that the time taken reveals nothing about the keys.
 func (a *API) authenticate(ctx *fasthttp.RequestCtx) (key, bool) {
 	word, token, _ := strings.Cut(string(ctx.Request.Header.Peek("Authorization")), " ")
 	hash := sha256.Sum256([]byte(token))
@@ -47,20 +49,20 @@
 	return found, ok == 1 && strings.EqualFold(word, "Bearer")
 }
 
-// NewKey draws a key and its entry for the operators' file.
+// NewKey returns the random token of a new key, and the key's entry for the settings, which has only the token's hash.
 func NewKey(name, role string) (token string, k config.Key) {
 	var b [32]byte
-	rand.Read(b[:]) // never fails
+	rand.Read(b[:]) // documented never to return an error
 	token = base64.RawURLEncoding.EncodeToString(b[:])
 	hash := sha256.Sum256([]byte(token))
 	return token, config.Key{Name: name, Role: role, SHA256: hex.EncodeToString(hash[:])}
 }
 
-// NewJobID draws an id that no other job has.
+// NewJobID returns a random job id with 18 digits, so that two jobs practically never get the same id.
 func NewJobID() string {
 	n, err := rand.Int(rand.Reader, new(big.Int).Exp(big.NewInt(10), big.NewInt(18), nil))
 	if err != nil {
-		panic(err) // the system has no randomness
+		panic(err) // the system's source of random numbers failed
 	}
 	return fmt.Sprintf("job-%018d", n)
 }
--- a/internal/api/list.go
+++ b/internal/api/list.go
@@ -9,20 +9,20 @@
 	"cleatpick/internal/job"
 )
 
-// Bounds on a page.
+// Numbers of items on a page of a list.
 const (
-	usualPage = 100
-	mostPage  = 500
+	usualPage = 100 // without the parameter limit
+	mostPage  = 500 // the largest limit
 )
 
-// page reads the parameters that all lists have.
+// page reads the parameters after and limit of a list, and answers with an error if limit is out of range.
 func (c *call) page() (after string, limit int, ok bool) {
 	args := c.ctx.QueryArgs()
 	limit = usualPage
 	if raw := string(args.Peek("limit")); raw != "" {
 		n, err := strconv.Atoi(raw)
 		if err != nil || n < 1 || n > mostPage {
-			fail(c.ctx, badQuery.with("limit must lie between 1 and %d", mostPage).at("limit"))
+			fail(c.ctx, badQuery.with("limit must be an integer from 1 to %d", mostPage).at("limit"))
 			return "", 0, false
 		}
 		limit = n
@@ -30,14 +30,14 @@
 	return string(args.Peek("after")), limit, true
 }
 
-// Jobs is a page of jobs. Next is the after of the next page; empty: there is none.
+// Jobs is a page of the list of jobs. Next is the parameter after of the next page; it is empty on the last page.
 type Jobs struct {
 	Jobs []Job  `json:"jobs"`
 	Next string `json:"next,omitempty"`
 }
 
-// list shows jobs as this node knows them, which may lag by a second or two. Without a
-// state it lists those that are not over.
+// list lists the jobs that match the query. Without the parameter state it lists the unfinished jobs. Task counts and
+// causes of waiting of other owners' jobs may be a second or two old; the records of the jobs are current.
 func (a *API) list(c *call) {
 	after, limit, ok := c.page()
 	if !ok {
@@ -56,7 +56,8 @@
 		return
 	}
 	a.onLoop(c, func(done func(outcome)) {
-		// What another controller has told since is not taken back by a list either.
+		// The copy of the jobs' records is brought up to date first, so that the list does not contradict an answer that
+		// a user has already received from another controller, such as that of a cancellation.
 		a.n.Jobs.Sync(func(ok bool) {
 			if !ok {
 				done(noAnswer.outcome())
@@ -67,13 +68,13 @@
 	})
 }
 
-// filter says which jobs a list shows; what is empty selects all.
+// filter selects the jobs of a list. An empty field selects all, except that an empty state selects unfinished jobs.
 type filter struct {
 	team, class, state string
 	cause              gate.Kind
 }
 
-// jobsOf lists up to limit jobs behind an id.
+// jobsOf returns up to limit matching jobs with ids greater than after, sorted by id.
 func (a *API) jobsOf(f filter, after string, limit int) Jobs {
 	var ids []string
 	a.n.Jobs.Each(func(j *job.Job) {
@@ -93,7 +94,7 @@
 	return out
 }
 
-// selects tells whether a filter shows a job.
+// selects reports whether a job matches the filter.
 func (a *API) selects(f *filter, j *job.Job) bool {
 	switch f.state {
 	case "any":
--- a/internal/api/schema.go
+++ b/internal/api/schema.go
@@ -10,10 +10,12 @@
 	"github.com/santhosh-tekuri/jsonschema/v6/kind"
 )
 
+// schemaFile is the published schema, which GET /v1/schema returns.
+//
 //go:embed schema.json
 var schemaFile []byte
 
-// schema checks bodies.
+// schema checks request bodies; its map holds the compiled schema of each type of body.
 type schema struct {
 	by map[string]*jsonschema.Schema
 }
@@ -21,7 +23,7 @@
 func loadSchema() *schema {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaFile))
 	if err != nil {
-		panic(err) // it is part of the program
+		panic(err) // the schema is part of the program, and the tests load it
 	}
 	c := jsonschema.NewCompiler()
 	c.AssertFormat()
@@ -40,7 +42,7 @@
 	bad := func(p problem) *problem { return &p }
 	v, err := jsonschema.UnmarshalJSON(bytes.NewReader(body))
 	if err != nil {
-		return bad(badBody.with("it is no JSON: %v", err))
+		return bad(badBody.with("the body is not JSON: %v", err))
 	}
 	if err := s.by[name].Validate(v); err != nil {
 		field, why := deepest(err)
@@ -52,7 +54,8 @@
 	return nil
 }
 
-// deepest finds the innermost fault, which names the field best.
+// deepest returns the field and the text of the innermost validation error, which names the field at fault most
+// precisely.
 func deepest(err error) (field, why string) {
 	e, ok := err.(*jsonschema.ValidationError)
 	if !ok {
@@ -65,7 +68,7 @@
 	switch k := e.ErrorKind.(type) {
 	case *kind.AdditionalProperties:
 		at = append(at[:len(at):len(at)], k.Properties[0])
-		why = "there is no such field"
+		why = "unknown field"
 	case *kind.Required:
 		at = append(at[:len(at):len(at)], k.Missing[0])
 		why = "the field is missing"
