--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -33,11 +33,11 @@
 	Counts func(*job.Job) job.Counts
 	// Machines returns the reachable machines, sorted by name.
 	Machines func() []Machine
-	// Unheard describes the owners that are unreachable and the teams without an owner; the causes of waiting that
+	// StaleOwners describes the owners that are unreachable and the teams without an owner; the causes of waiting that
 	// are known of their jobs may be outdated.
-	Unheard func() []string
-	Jobs    *job.Registry
-	Cordons *cordon.Registry
+	StaleOwners func() []string
+	Jobs        *job.Registry
+	Cordons     *cordon.Registry
 	// Unseen counts the starts that were recorded before the named cordon and may still take effect on the machines
 	// that it blocks. ok is false if an owner did not answer.
 	Unseen func(name string, cb func(starts int, ok bool))
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -75,10 +75,10 @@
 		Types: func() []wire.MachineType {
 			return []wire.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 32, Zones: []string{"x"}}}
 		},
-		Counts:   func(*job.Job) job.Counts { return job.Counts{} },
-		Machines: func() []Machine { return nil },
-		Unheard:  func() []string { return nil },
-		Jobs:     jobs, Cordons: cordons, Desk: desk,
+		Counts:      func(*job.Job) job.Counts { return job.Counts{} },
+		Machines:    func() []Machine { return nil },
+		StaleOwners: func() []string { return nil },
+		Jobs:        jobs, Cordons: cordons, Desk: desk,
 		Unseen: func(_ string, cb func(int, bool)) { cb(0, true) },
 	}, meter)
 	m.Start()
--- a/internal/api/cluster.go
+++ b/internal/api/cluster.go
@@ -235,7 +235,7 @@
 				}
 			}
 		})
-		out := Queue{AsOf: explain.Time(wall), Queue: []Waiting{}, Missing: a.n.Unheard()}
+		out := Queue{AsOf: explain.Time(wall), Queue: []Waiting{}, Missing: a.n.StaleOwners()}
 		out.Complete = len(out.Missing) == 0
 		for _, s := range all {
 			for _, h := range s.by {
