--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -38,9 +38,9 @@
 	StaleOwners func() []string
 	Jobs        *job.Registry
 	Cordons     *cordon.Registry
-	// Unseen counts the starts that were recorded before the named cordon and may still take effect on the machines
+	// PendingStarts counts the starts that were recorded before the named cordon and may still take effect on the machines
 	// that it blocks. ok is false if an owner did not answer.
-	Unseen func(name string, cb func(starts int, ok bool))
+	PendingStarts func(name string, cb func(starts int, ok bool))
 	// Desk explains why jobs wait.
 	Desk *explain.Service
 }
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -79,7 +79,7 @@
 		Machines:    func() []Machine { return nil },
 		StaleOwners: func() []string { return nil },
 		Jobs:        jobs, Cordons: cordons, Desk: desk,
-		Unseen: func(_ string, cb func(int, bool)) { cb(0, true) },
+		PendingStarts: func(_ string, cb func(int, bool)) { cb(0, true) },
 	}, meter)
 	m.Start()
 	g.Run(loop.Second)
--- a/internal/api/cluster.go
+++ b/internal/api/cluster.go
@@ -110,7 +110,7 @@
 			continue
 		}
 		out := shown(x)
-		a.n.Unseen(name, func(starts int, ok bool) {
+		a.n.PendingStarts(name, func(starts int, ok bool) {
 			if ok {
 				out.Unseen = &starts
 			}
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -65,15 +65,15 @@
 		reply(n.placer.UnseenStarts(name))
 	})
 	x.api = api.New(l, n.log, n.cfg, api.Node{
-		Ready:       n.ready,
-		Types:       n.rental.Types,
-		Counts:      n.counts,
-		Machines:    n.machines,
-		StaleOwners: n.staleOwners,
-		Jobs:        n.jobs,
-		Cordons:     n.cordons,
-		Unseen:      n.pendingStarts,
-		Desk:        x.explanations,
+		Ready:         n.ready,
+		Types:         n.rental.Types,
+		Counts:        n.counts,
+		Machines:      n.machines,
+		StaleOwners:   n.staleOwners,
+		Jobs:          n.jobs,
+		Cordons:       n.cordons,
+		PendingStarts: n.pendingStarts,
+		Desk:          x.explanations,
 	}, n.meter)
 	n.meter.Watch(l)
 	loop.Every(l, loop.Second, n.recordUnowned)
