--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -41,8 +41,8 @@
 	// PendingStarts counts the starts that were recorded before the named cordon and may still take effect on the machines
 	// that it blocks. ok is false if an owner did not answer.
 	PendingStarts func(name string, cb func(starts int, ok bool))
-	// Desk explains why jobs wait.
-	Desk *explain.Service
+	// Explanations explains why jobs wait.
+	Explanations *explain.Service
 }
 
 // API answers requests under /v1/ and for /metrics.
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -78,7 +78,7 @@
 		Counts:      func(*job.Job) job.Counts { return job.Counts{} },
 		Machines:    func() []Machine { return nil },
 		StaleOwners: func() []string { return nil },
-		Jobs:        jobs, Cordons: cordons, Desk: desk,
+		Jobs:        jobs, Cordons: cordons, Explanations: desk,
 		PendingStarts: func(_ string, cb func(int, bool)) { cb(0, true) },
 	}, meter)
 	m.Start()
--- a/internal/api/cluster.go
+++ b/internal/api/cluster.go
@@ -218,7 +218,7 @@
 				all[k] = s
 			}
 			s.Jobs++
-			causes := a.n.Desk.Timelines.Causes(j.ID)
+			causes := a.n.Explanations.Timelines.Causes(j.ID)
 			if len(causes) > 0 {
 				s.Waiting.Waiting++
 			}
@@ -230,7 +230,7 @@
 				}
 				h.Jobs++
 				h.Tasks += x.Tasks
-				if since := a.n.Desk.Timelines.Since(j.ID, x.Kind); since != 0 {
+				if since := a.n.Explanations.Timelines.Since(j.ID, x.Kind); since != 0 {
 					h.Longest = max(h.Longest, explain.Duration(wall-since))
 				}
 			}
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -201,7 +201,7 @@
 		if out.Running > 0 {
 			out.State = "running"
 		}
-		causes := a.n.Desk.Timelines.Causes(j.ID)
+		causes := a.n.Explanations.Timelines.Causes(j.ID)
 		out.WaitingFor = explain.CauseCounts(causes)
 	}
 	if j.AcceptedAt != 0 {
@@ -311,7 +311,7 @@
 func (a *API) why(c *call) {
 	if c.named() {
 		a.onLoop(c, func(done func(outcome)) {
-			a.n.Desk.Why(c.arg, func(w *explain.Answer, code int) {
+			a.n.Explanations.Why(c.arg, func(w *explain.Answer, code int) {
 				switch code {
 				case 200:
 					done(outcome{status: 200, body: w})
--- a/internal/api/list.go
+++ b/internal/api/list.go
@@ -122,5 +122,5 @@
 }
 
 func (a *API) waitsFor(id string, k gate.Kind) bool {
-	return slices.ContainsFunc(a.n.Desk.Timelines.Causes(id), func(c gate.Cause) bool { return c.Kind == k })
+	return slices.ContainsFunc(a.n.Explanations.Timelines.Causes(id), func(c gate.Cause) bool { return c.Kind == k })
 }
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -73,7 +73,7 @@
 		Jobs:          n.jobs,
 		Cordons:       n.cordons,
 		PendingStarts: n.pendingStarts,
-		Desk:          x.explanations,
+		Explanations:  x.explanations,
 	}, n.meter)
 	n.meter.Watch(l)
 	loop.Every(l, loop.Second, n.recordUnowned)
