--- a/cmd/cleatpick/show.go
+++ b/cmd/cleatpick/show.go
@@ -98,7 +98,7 @@
 			if m.CPUsFree != nil {
 				free = fmt.Sprintf("%g", *m.CPUsFree)
 			}
-			shut := append([]string{}, m.Shut...)
+			shut := append([]string{}, m.BlockedBy...)
 			if m.RestsSince != "" {
 				shut = append(shut, "("+m.RestsSince+")")
 			}
--- a/internal/api/cluster.go
+++ b/internal/api/cluster.go
@@ -19,8 +19,8 @@
 	Tasks        int      `json:"tasks"`
 	CPUsFree     *float64 `json:"cpusFree,omitempty"` // absent while unknown
 	MemoryFreeGB *float64 `json:"memoryFreeGb,omitempty"`
-	// Shut names the machine predicates that block the machine for every task.
-	Shut       []string      `json:"shut"`
+	// BlockedBy names the machine predicates that block the machine for every task.
+	BlockedBy  []string      `json:"shut"`
 	RestsUntil *explain.Time `json:"restsUntil,omitempty"`
 	RestsSince string        `json:"restsBecause,omitempty"`
 	LeavesAt   *explain.Time `json:"leavesAt,omitempty"` // time at which the cloud reclaims it
@@ -44,7 +44,7 @@
 		out := Machines{Machines: []Machine{}}
 		for _, m := range a.n.Machines() {
 			if m.Name <= after || (zone != "" && m.Zone != zone) || (typ != "" && m.Type != typ) || (kind != "" && m.Kind != kind) ||
-				(shut != "" && !slices.Contains(m.Shut, shut)) {
+				(shut != "" && !slices.Contains(m.BlockedBy, shut)) {
 				continue
 			}
 			if len(out.Machines) == limit {
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -166,7 +166,7 @@
 	now, wall := n.loop.Now(), n.loop.Wall()
 	n.placer.EachPlace(func(p *gate.MachineFacts, after loop.Micros) {
 		v := p.View
-		m := api.Machine{Name: v.Name, Type: v.Type, Zone: v.Zone, Kind: explain.MachineKind(v.Spot), ReportsTo: v.Host, Shut: []string{}}
+		m := api.Machine{Name: v.Name, Type: v.Type, Zone: v.Zone, Kind: explain.MachineKind(v.Spot), ReportsTo: v.Host, BlockedBy: []string{}}
 		for i := range v.Tasks {
 			if v.Tasks[i].Active() {
 				m.Tasks++
@@ -177,7 +177,7 @@
 			m.CPUsFree, m.MemoryFreeGB = &cpus, &memory
 		}
 		lacks := p.Blocking(after, now)
-		m.Shut = append(m.Shut, lacks.Names()...)
+		m.BlockedBy = append(m.BlockedBy, lacks.Names()...)
 		if lacks&gate.LackBackOffOver != 0 {
 			until := explain.Time(wall + p.BackOffUntil - now)
 			m.RestsUntil, m.RestsSince = &until, p.BackOffReason
