--- a/cmd/cleatpick/show.go
+++ b/cmd/cleatpick/show.go
@@ -99,8 +99,8 @@
 				free = fmt.Sprintf("%g", *m.CPUsFree)
 			}
 			shut := append([]string{}, m.BlockedBy...)
-			if m.RestsSince != "" {
-				shut = append(shut, "("+m.RestsSince+")")
+			if m.BackOffReason != "" {
+				shut = append(shut, "("+m.BackOffReason+")")
 			}
 			if len(m.Cordons) > 0 {
 				shut = append(shut, "["+strings.Join(m.Cordons, " ")+"]")
--- a/internal/api/cluster.go
+++ b/internal/api/cluster.go
@@ -20,11 +20,11 @@
 	CPUsFree     *float64 `json:"cpusFree,omitempty"` // absent while unknown
 	MemoryFreeGB *float64 `json:"memoryFreeGb,omitempty"`
 	// BlockedBy names the machine predicates that block the machine for every task.
-	BlockedBy    []string      `json:"shut"`
-	BackOffUntil *explain.Time `json:"restsUntil,omitempty"`
-	RestsSince   string        `json:"restsBecause,omitempty"`
-	LeavesAt     *explain.Time `json:"leavesAt,omitempty"` // time at which the cloud reclaims it
-	Cordons      []string      `json:"cordons,omitempty"`
+	BlockedBy     []string      `json:"shut"`
+	BackOffUntil  *explain.Time `json:"restsUntil,omitempty"`
+	BackOffReason string        `json:"restsBecause,omitempty"`
+	LeavesAt      *explain.Time `json:"leavesAt,omitempty"` // time at which the cloud reclaims it
+	Cordons       []string      `json:"cordons,omitempty"`
 }
 
 // Machines is a page of the list of machines. Next is the parameter after of the next page; it is empty on the last page.
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -180,7 +180,7 @@
 		m.BlockedBy = append(m.BlockedBy, lacks.Names()...)
 		if lacks&gate.LackBackOffOver != 0 {
 			until := explain.Time(wall + p.BackOffUntil - now)
-			m.BackOffUntil, m.RestsSince = &until, p.BackOffReason
+			m.BackOffUntil, m.BackOffReason = &until, p.BackOffReason
 		}
 		if v.NoticeAt != 0 {
 			at := explain.Time(v.NoticeAt)
