--- a/internal/api/cluster.go
+++ b/internal/api/cluster.go
@@ -23,7 +23,7 @@
 	BlockedBy     []string      `json:"shut"`
 	BackOffUntil  *explain.Time `json:"restsUntil,omitempty"`
 	BackOffReason string        `json:"restsBecause,omitempty"`
-	LeavesAt      *explain.Time `json:"leavesAt,omitempty"` // time at which the cloud reclaims it
+	ReclaimedAt   *explain.Time `json:"leavesAt,omitempty"` // time at which the cloud reclaims it
 	Cordons       []string      `json:"cordons,omitempty"`
 }
 
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -184,7 +184,7 @@
 		}
 		if v.NoticeAt != 0 {
 			at := explain.Time(v.NoticeAt)
-			m.LeavesAt = &at
+			m.ReclaimedAt = &at
 		}
 		m.Cordons = n.cordons.Blocking(fleet.CordonPlace(v))
 		out = append(out, m)
