--- a/cmd/cleatpick/show.go
+++ b/cmd/cleatpick/show.go
@@ -126,10 +126,10 @@
 func showCordon(w io.Writer, c *api.Cordon) {
 	fmt.Fprintf(w, "%s: no new starts on %s (%s)\n", c.Name, selector(c), c.Reason)
 	switch {
-	case c.Unseen == nil:
+	case c.PendingStarts == nil:
 		fmt.Fprintln(w, "  not every owner could be asked for starts recorded earlier")
-	case *c.Unseen > 0:
-		fmt.Fprintf(w, "  %d starts recorded earlier may still begin\n", *c.Unseen)
+	case *c.PendingStarts > 0:
+		fmt.Fprintf(w, "  %d starts recorded earlier may still begin\n", *c.PendingStarts)
 	default:
 		fmt.Fprintln(w, "  nothing recorded earlier is left to begin")
 	}
--- a/internal/api/cluster.go
+++ b/internal/api/cluster.go
@@ -68,9 +68,9 @@
 	By      string        `json:"by,omitempty"`
 	At      *explain.Time `json:"at,omitempty"`
 	Until   *explain.Time `json:"until,omitempty"`
-	// Unseen counts the starts that were recorded before the cordon and may still take effect; starts recorded later
+	// PendingStarts counts the starts that were recorded before the cordon and may still take effect; starts recorded later
 	// cannot. It is present only in answers about a single cordon, and absent if an owner did not answer.
-	Unseen *int `json:"unseenStarts,omitempty"`
+	PendingStarts *int `json:"unseenStarts,omitempty"`
 }
 
 func shown(c cordon.Cordon) Cordon {
@@ -112,7 +112,7 @@
 		out := shown(x)
 		a.n.PendingStarts(name, func(starts int, ok bool) {
 			if ok {
-				out.Unseen = &starts
+				out.PendingStarts = &starts
 			}
 			done(outcome{status: 200, body: out})
 		})
