--- a/cmd/cleatpick/show.go
+++ b/cmd/cleatpick/show.go
@@ -75,11 +75,11 @@
 	rows(w, "TEAM CLASS PRIORITY JOBS WAITING CAUSE JOBS TASKS LONGEST", func(row func(...any)) {
 		for _, g := range v.Queue {
 			if len(g.Causes) == 0 {
-				row(g.Team, g.Class, g.Priority, g.Jobs, g.Waiting, "-", "-", "-", "-")
+				row(g.Team, g.Class, g.Priority, g.Jobs, g.WaitingJobs, "-", "-", "-", "-")
 			}
 			for i, c := range g.Causes {
 				if i == 0 {
-					row(g.Team, g.Class, g.Priority, g.Jobs, g.Waiting, c.Kind, c.Jobs, c.Tasks, span(c.Longest))
+					row(g.Team, g.Class, g.Priority, g.Jobs, g.WaitingJobs, c.Kind, c.Jobs, c.Tasks, span(c.Longest))
 				} else {
 					row("", "", "", "", "", c.Kind, c.Jobs, c.Tasks, span(c.Longest))
 				}
--- a/internal/api/cluster.go
+++ b/internal/api/cluster.go
@@ -171,12 +171,12 @@
 
 // Waiting summarizes why the tasks of one team, class and priority wait.
 type Waiting struct {
-	Team     string `json:"team"`
-	Class    string `json:"class"`
-	Priority string `json:"priority"`
-	Jobs     int    `json:"jobs"`    // unfinished jobs
-	Waiting  int    `json:"waiting"` // jobs with at least one cause of waiting
-	Causes   []Held `json:"causes"`
+	Team        string `json:"team"`
+	Class       string `json:"class"`
+	Priority    string `json:"priority"`
+	Jobs        int    `json:"jobs"`    // unfinished jobs
+	WaitingJobs int    `json:"waiting"` // jobs with at least one cause of waiting
+	Causes      []Held `json:"causes"`
 }
 
 // Held summarizes one cause of waiting.
@@ -220,7 +220,7 @@
 			s.Jobs++
 			causes := a.n.Explanations.Timelines.Causes(j.ID)
 			if len(causes) > 0 {
-				s.Waiting.Waiting++
+				s.Waiting.WaitingJobs++
 			}
 			for _, x := range causes {
 				h := s.by[x.Kind.String()]
