--- a/internal/api/cluster.go
+++ b/internal/api/cluster.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// Waiting summarizes why the tasks of one team, class and priority wait.
-type Waiting struct {
+// WaitSummary summarizes why the tasks of one team, class and priority wait.
+type WaitSummary struct {
 	Team        string `json:"team"`
 	Class       string `json:"class"`
 	Priority    string `json:"priority"`
@@ -189,10 +189,10 @@
 
 // Queue summarizes why tasks wait, by the causes that the owners reported last.
 type Queue struct {
-	AsOf     explain.Time `json:"asOf"`
-	Queue    []Waiting    `json:"queue"`
-	Complete bool         `json:"complete"`
-	Missing  []string     `json:"missing,omitempty"` // why the summary may be outdated or incomplete
+	AsOf     explain.Time  `json:"asOf"`
+	Queue    []WaitSummary `json:"queue"`
+	Complete bool          `json:"complete"`
+	Missing  []string      `json:"missing,omitempty"` // why the summary may be outdated or incomplete
 }
 
 func (a *API) queue(c *call) {
@@ -202,7 +202,7 @@
 			priority    job.Priority
 		}
 		type sum struct {
-			Waiting
+			WaitSummary
 			by map[string]*Held
 		}
 		all := map[key]*sum{}
@@ -214,13 +214,13 @@
 			k := key{j.Spec.Team, j.Spec.Class, j.Spec.Priority}
 			s := all[k]
 			if s == nil {
-				s = &sum{Waiting: Waiting{Team: k.team, Class: k.class, Priority: explain.PriorityName(k.priority), Causes: []Held{}}, by: map[string]*Held{}}
+				s = &sum{WaitSummary: WaitSummary{Team: k.team, Class: k.class, Priority: explain.PriorityName(k.priority), Causes: []Held{}}, by: map[string]*Held{}}
 				all[k] = s
 			}
 			s.Jobs++
 			causes := a.n.Explanations.Timelines.Causes(j.ID)
 			if len(causes) > 0 {
-				s.Waiting.WaitingJobs++
+				s.WaitSummary.WaitingJobs++
 			}
 			for _, x := range causes {
 				h := s.by[x.Kind.String()]
@@ -235,16 +235,16 @@
 				}
 			}
 		})
-		out := Queue{AsOf: explain.Time(wall), Queue: []Waiting{}, Missing: a.n.StaleOwners()}
+		out := Queue{AsOf: explain.Time(wall), Queue: []WaitSummary{}, Missing: a.n.StaleOwners()}
 		out.Complete = len(out.Missing) == 0
 		for _, s := range all {
 			for _, h := range s.by {
 				s.Causes = append(s.Causes, *h)
 			}
 			slices.SortFunc(s.Causes, func(x, y Held) int { return cmp.Or(cmp.Compare(y.Tasks, x.Tasks), cmp.Compare(x.Kind, y.Kind)) })
-			out.Queue = append(out.Queue, s.Waiting)
+			out.Queue = append(out.Queue, s.WaitSummary)
 		}
-		slices.SortFunc(out.Queue, func(x, y Waiting) int {
+		slices.SortFunc(out.Queue, func(x, y WaitSummary) int {
 			return cmp.Or(cmp.Compare(x.Team, y.Team), cmp.Compare(x.Class, y.Class), cmp.Compare(x.Priority, y.Priority))
 		})
 		done(outcome{status: 200, body: out})
