--- a/internal/api/cluster.go
+++ b/internal/api/cluster.go
@@ -171,16 +171,16 @@
 
 // WaitSummary summarizes why the tasks of one team, class and priority wait.
 type WaitSummary struct {
-	Team        string `json:"team"`
-	Class       string `json:"class"`
-	Priority    string `json:"priority"`
-	Jobs        int    `json:"jobs"`    // unfinished jobs
-	WaitingJobs int    `json:"waiting"` // jobs with at least one cause of waiting
-	Causes      []Held `json:"causes"`
+	Team        string         `json:"team"`
+	Class       string         `json:"class"`
+	Priority    string         `json:"priority"`
+	Jobs        int            `json:"jobs"`    // unfinished jobs
+	WaitingJobs int            `json:"waiting"` // jobs with at least one cause of waiting
+	Causes      []CauseSummary `json:"causes"`
 }
 
-// Held summarizes one cause of waiting.
-type Held struct {
+// CauseSummary summarizes one cause of waiting.
+type CauseSummary struct {
 	Kind    string           `json:"kind"`
 	Jobs    int              `json:"jobs"`
 	Tasks   int              `json:"tasks"`
@@ -203,7 +203,7 @@
 		}
 		type sum struct {
 			WaitSummary
-			by map[string]*Held
+			by map[string]*CauseSummary
 		}
 		all := map[key]*sum{}
 		wall := a.r.Wall()
@@ -214,7 +214,7 @@
 			k := key{j.Spec.Team, j.Spec.Class, j.Spec.Priority}
 			s := all[k]
 			if s == nil {
-				s = &sum{WaitSummary: WaitSummary{Team: k.team, Class: k.class, Priority: explain.PriorityName(k.priority), Causes: []Held{}}, by: map[string]*Held{}}
+				s = &sum{WaitSummary: WaitSummary{Team: k.team, Class: k.class, Priority: explain.PriorityName(k.priority), Causes: []CauseSummary{}}, by: map[string]*CauseSummary{}}
 				all[k] = s
 			}
 			s.Jobs++
@@ -225,7 +225,7 @@
 			for _, x := range causes {
 				h := s.by[x.Kind.String()]
 				if h == nil {
-					h = &Held{Kind: x.Kind.String()}
+					h = &CauseSummary{Kind: x.Kind.String()}
 					s.by[h.Kind] = h
 				}
 				h.Jobs++
@@ -241,7 +241,7 @@
 			for _, h := range s.by {
 				s.Causes = append(s.Causes, *h)
 			}
-			slices.SortFunc(s.Causes, func(x, y Held) int { return cmp.Or(cmp.Compare(y.Tasks, x.Tasks), cmp.Compare(x.Kind, y.Kind)) })
+			slices.SortFunc(s.Causes, func(x, y CauseSummary) int { return cmp.Or(cmp.Compare(y.Tasks, x.Tasks), cmp.Compare(x.Kind, y.Kind)) })
 			out.Queue = append(out.Queue, s.WaitSummary)
 		}
 		slices.SortFunc(out.Queue, func(x, y WaitSummary) int {
