--- a/cmd/cleatpick/jobs.go
+++ b/cmd/cleatpick/jobs.go
@@ -61,7 +61,7 @@
 
 // Run submits the job and prints it as accepted.
 func (s *submitCmd) Run() error {
-	var p api.Proposal
+	var p api.Submission
 	if s.File != "" {
 		in := io.Reader(os.Stdin)
 		if s.File != "-" {
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -9,8 +9,8 @@
 	"cleatpick/internal/wire"
 )
 
-// Proposal is the body of a job submission. The schema has the allowed values and defaults.
-type Proposal struct {
+// Submission is the body of a job submission. The schema has the allowed values and defaults.
+type Submission struct {
 	ID          string        `json:"id"`
 	Class       string        `json:"class"`
 	Team        string        `json:"team"`
@@ -46,7 +46,7 @@
 
 // spec returns the job's specification, and false if it is invalid. It encodes the submission as the CBOR protocol does,
 // so that the same checks apply.
-func (p *Proposal) spec() (*job.Spec, bool) {
+func (p *Submission) spec() (*job.Spec, bool) {
 	kind, priority := kinds[p.Kind], p.Priority
 	if priority == "" {
 		priority = "standard"
@@ -59,7 +59,7 @@
 }
 
 // terms returns the job's dependencies and its hold, set by the named key.
-func (p *Proposal) terms(by string, wall loop.Micros) *job.Terms {
+func (p *Submission) terms(by string, wall loop.Micros) *job.Terms {
 	t := &job.Terms{Dependencies: p.After, OnCancelled: policies[p.OnWithdrawn]}
 	if p.Hold || p.HoldUntil != nil {
 		// No task of a job that is not stored yet can have started, so the hold is effective at once.
@@ -72,7 +72,7 @@
 }
 
 func (a *API) propose(c *call) {
-	var p Proposal
+	var p Submission
 	if bad := a.schema.read("job", c.ctx.PostBody(), &p); bad != nil {
 		fail(c.ctx, *bad)
 		return
--- a/internal/node/explanations_loopback_test.go
+++ b/internal/node/explanations_loopback_test.go
@@ -179,8 +179,8 @@
 }
 
 // proposal returns a job whose tasks use 2 CPUs.
-func proposal(no int, team string, tasks int64) api.Proposal {
-	return api.Proposal{ID: fmt.Sprintf("job-%06d", no), Class: "k", Team: team, Tasks: tasks, CPUs: 2, MemoryGB: 1, Image: "i", ImageGB: 1, Spot: true, EstimateS: 1}
+func proposal(no int, team string, tasks int64) api.Submission {
+	return api.Submission{ID: fmt.Sprintf("job-%06d", no), Class: "k", Team: team, Tasks: tasks, CPUs: 2, MemoryGB: 1, Image: "i", ImageGB: 1, Spot: true, EstimateS: 1}
 }
 
 // why returns the explanation of a job by a controller that does not own it.
