--- a/cmd/cleatpick/jobs.go
+++ b/cmd/cleatpick/jobs.go
@@ -92,7 +92,7 @@
 	set(&p.Spot, s.Spot)
 	set(&p.Hold, s.Hold)
 	if len(s.After) > 0 {
-		p.After = s.After
+		p.Dependencies = s.After
 	}
 	if p.ID == "" {
 		p.ID = api.NewJobID()
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -11,31 +11,31 @@
 
 // Submission is the body of a job submission. The schema has the allowed values and defaults.
 type Submission struct {
-	ID          string        `json:"id"`
-	Class       string        `json:"class"`
-	Team        string        `json:"team"`
-	Kind        string        `json:"kind,omitempty"`
-	Priority    string        `json:"priority,omitempty"`
-	Tasks       int64         `json:"tasks"`
-	CPUs        float64       `json:"cpus"`
-	GPUs        float64       `json:"gpus,omitempty"`
-	MemoryGB    float64       `json:"memoryGb"`
-	Image       string        `json:"image"`
-	ImageGB     float64       `json:"imageGb,omitempty"`
-	Types       []string      `json:"types,omitempty"`
-	Zone        *string       `json:"zone,omitempty"`
-	OneZone     bool          `json:"oneZone,omitempty"`
-	Scatter     bool          `json:"scatter,omitempty"`
-	Spot        bool          `json:"spot,omitempty"`
-	EstimateS   float64       `json:"estimateS,omitempty"`
-	CheckpointS float64       `json:"checkpointS,omitempty"`
-	SaveS       float64       `json:"saveS,omitempty"`
-	DeadlineS   *float64      `json:"deadlineS,omitempty"`
-	After       []string      `json:"after,omitempty"`
-	OnWithdrawn string        `json:"onWithdrawn,omitempty"`
-	Hold        bool          `json:"hold,omitempty"`
-	HoldUntil   *explain.Time `json:"holdUntil,omitempty"`
-	HoldReason  string        `json:"holdReason,omitempty"`
+	ID           string        `json:"id"`
+	Class        string        `json:"class"`
+	Team         string        `json:"team"`
+	Kind         string        `json:"kind,omitempty"`
+	Priority     string        `json:"priority,omitempty"`
+	Tasks        int64         `json:"tasks"`
+	CPUs         float64       `json:"cpus"`
+	GPUs         float64       `json:"gpus,omitempty"`
+	MemoryGB     float64       `json:"memoryGb"`
+	Image        string        `json:"image"`
+	ImageGB      float64       `json:"imageGb,omitempty"`
+	Types        []string      `json:"types,omitempty"`
+	Zone         *string       `json:"zone,omitempty"`
+	OneZone      bool          `json:"oneZone,omitempty"`
+	Scatter      bool          `json:"scatter,omitempty"`
+	Spot         bool          `json:"spot,omitempty"`
+	EstimateS    float64       `json:"estimateS,omitempty"`
+	CheckpointS  float64       `json:"checkpointS,omitempty"`
+	SaveS        float64       `json:"saveS,omitempty"`
+	DeadlineS    *float64      `json:"deadlineS,omitempty"`
+	Dependencies []string      `json:"after,omitempty"`
+	OnWithdrawn  string        `json:"onWithdrawn,omitempty"`
+	Hold         bool          `json:"hold,omitempty"`
+	HoldUntil    *explain.Time `json:"holdUntil,omitempty"`
+	HoldReason   string        `json:"holdReason,omitempty"`
 }
 
 // kinds maps the kinds of jobs in a submission to those of the protocol.
@@ -60,7 +60,7 @@
 
 // terms returns the job's dependencies and its hold, set by the named key.
 func (p *Submission) terms(by string, wall loop.Micros) *job.Terms {
-	t := &job.Terms{Dependencies: p.After, OnCancelled: policies[p.OnWithdrawn]}
+	t := &job.Terms{Dependencies: p.Dependencies, OnCancelled: policies[p.OnWithdrawn]}
 	if p.Hold || p.HoldUntil != nil {
 		// No task of a job that is not stored yet can have started, so the hold is effective at once.
 		t.Hold = job.Hold{State: job.HoldEffective, Reason: p.HoldReason, By: by, RequestedAt: wall}
@@ -82,7 +82,7 @@
 		fail(c.ctx, badBody.with("the job's specification is not valid"))
 		return
 	}
-	if slices.Contains(p.After, p.ID) {
+	if slices.Contains(p.Dependencies, p.ID) {
 		fail(c.ctx, ownDep.at("/after"))
 		return
 	}
@@ -107,7 +107,7 @@
 				return
 			}
 		}
-		a.findAll(p.After, func(missing string, code int) {
+		a.findAll(p.Dependencies, func(missing string, code int) {
 			switch {
 			case code == 404:
 				done(unknownDep.with("%s was never accepted", missing).at("/after").outcome())
@@ -118,7 +118,7 @@
 			}
 			a.n.Jobs.SubmitWithTerms(p.ID, spec, terms, func(x job.Answer) {
 				j := a.n.Jobs.Get(p.ID)
-				if x.Code == 200 && j != nil && !j.Final() && len(p.After) > 0 && !slices.Equal(j.Terms.Dependencies, p.After) {
+				if x.Code == 200 && j != nil && !j.Final() && len(p.Dependencies) > 0 && !slices.Equal(j.Terms.Dependencies, p.Dependencies) {
 					done(otherwise.at("/after").outcome())
 					return
 				}
--- a/internal/node/explanations_loopback_test.go
+++ b/internal/node/explanations_loopback_test.go
@@ -278,7 +278,7 @@
 	})
 	// Blocked by five causes at the same time, which are then removed one after the other.
 	p := proposal(4, "red", 5)
-	p.After, p.Hold, p.HoldReason = []string{"job-000002"}, true, "an auditor looks at it"
+	p.Dependencies, p.Hold, p.HoldReason = []string{"job-000002"}, true, "an auditor looks at it"
 	c.must(201, 2, "POST", "/v1/jobs", p, nil)
 	all := c.reason("job-000004", "hold", func(_ *explain.Answer, r *explain.Reason) bool {
 		return r.State == "held" && r.Detail.Hold.Reason == p.HoldReason && r.Detail.Hold.By == "the operate key"
