--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -25,7 +25,7 @@
 	Types        []string      `json:"types,omitempty"`
 	Zone         *string       `json:"zone,omitempty"`
 	OneZone      bool          `json:"oneZone,omitempty"`
-	Scatter      bool          `json:"scatter,omitempty"`
+	Spread       bool          `json:"scatter,omitempty"`
 	Spot         bool          `json:"spot,omitempty"`
 	EstimateS    float64       `json:"estimateS,omitempty"`
 	CheckpointS  float64       `json:"checkpointS,omitempty"`
@@ -52,7 +52,7 @@
 		priority = "standard"
 	}
 	w := wire.Work{ID: &p.ID, Class: &p.Class, Team: &p.Team, Kind: &kind, Priority: &priority, Tasks: &p.Tasks, CPUs: &p.CPUs, GPUs: &p.GPUs,
-		MemoryGB: &p.MemoryGB, Image: &p.Image, ImageGB: &p.ImageGB, Types: p.Types, Zone: p.Zone, OneZone: &p.OneZone, Spread: &p.Scatter,
+		MemoryGB: &p.MemoryGB, Image: &p.Image, ImageGB: &p.ImageGB, Types: p.Types, Zone: p.Zone, OneZone: &p.OneZone, Spread: &p.Spread,
 		Spot: &p.Spot, EstimateS: &p.EstimateS, CheckpntS: &p.CheckpointS, SaveS: &p.SaveS, DeadlineS: p.DeadlineS}
 	_, s, ok := job.Parse(wire.Marshal(w))
 	return s, ok
