--- a/cmd/cleatpick/jobs.go
+++ b/cmd/cleatpick/jobs.go
@@ -87,7 +87,7 @@
 	set(&p.Image, s.Image)
 	set(&p.Priority, s.Priority)
 	set(&p.EstimateS, s.Estimate)
-	set(&p.OnWithdrawn, s.OnWithdrawn)
+	set(&p.OnCancelled, s.OnWithdrawn)
 	set(&p.HoldReason, s.Reason)
 	set(&p.Spot, s.Spot)
 	set(&p.Hold, s.Hold)
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -32,7 +32,7 @@
 	SaveS        float64       `json:"saveS,omitempty"`
 	DeadlineS    *float64      `json:"deadlineS,omitempty"`
 	Dependencies []string      `json:"after,omitempty"`
-	OnWithdrawn  string        `json:"onWithdrawn,omitempty"`
+	OnCancelled  string        `json:"onWithdrawn,omitempty"`
 	Hold         bool          `json:"hold,omitempty"`
 	HoldUntil    *explain.Time `json:"holdUntil,omitempty"`
 	HoldReason   string        `json:"holdReason,omitempty"`
@@ -60,7 +60,7 @@
 
 // terms returns the job's dependencies and its hold, set by the named key.
 func (p *Submission) terms(by string, wall loop.Micros) *job.Terms {
-	t := &job.Terms{Dependencies: p.Dependencies, OnCancelled: policies[p.OnWithdrawn]}
+	t := &job.Terms{Dependencies: p.Dependencies, OnCancelled: policies[p.OnCancelled]}
 	if p.Hold || p.HoldUntil != nil {
 		// No task of a job that is not stored yet can have started, so the hold is effective at once.
 		t.Hold = job.Hold{State: job.HoldEffective, Reason: p.HoldReason, By: by, RequestedAt: wall}
