--- a/cmd/cleatpick/show.go
+++ b/cmd/cleatpick/show.go
@@ -55,7 +55,7 @@
 	if h := j.Hold; h.State != "none" && h.HoldDetail != nil {
 		fmt.Fprintf(w, "  hold: %s (%s, by %s)\n", h.State, or(h.Reason, "no reason given"), or(h.By, "unknown"))
 	}
-	for _, d := range j.After {
+	for _, d := range j.Dependencies {
 		fmt.Fprintf(w, "  after %s: %s\n", d.Job, d.State)
 	}
 }
