--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -176,7 +176,7 @@
 	DeadlineAt   *explain.Time          `json:"deadlineAt,omitempty"`
 	Hold         Hold                   `json:"hold"`
 	Dependencies []explain.Prerequisite `json:"after,omitempty"`
-	OnWithdrawn  string                 `json:"onWithdrawn,omitempty"`
+	OnCancelled  string                 `json:"onWithdrawn,omitempty"`
 	WaitingFor   []explain.CauseCount   `json:"waitingFor,omitempty"`
 }
 
@@ -237,7 +237,7 @@
 		out.Dependencies = append(out.Dependencies, explain.Prerequisite{Job: id, State: explain.PhaseName(phase)})
 	}
 	if len(out.Dependencies) > 0 {
-		out.OnWithdrawn = explain.PolicyName(j.Terms.OnCancelled)
+		out.OnCancelled = explain.PolicyName(j.Terms.OnCancelled)
 	}
 	return out
 }
