--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -40,17 +40,17 @@
 	Cordons     *cordon.Registry
 	// PendingStarts counts the starts that were recorded before the named cordon and may still take effect on the machines
 	// that it blocks. ok is false if an owner did not answer.
-	PendingStarts func(name string, cb func(starts int, ok bool))
+	PendingStarts func(name string, callback func(starts int, ok bool))
 	// Explanations explains why jobs wait.
 	Explanations *explain.Service
 }
 
 // API answers requests under /v1/ and for /metrics.
 type API struct {
-	r      loop.Runner
+	runner loop.Runner
 	log    *slog.Logger
 	cfg    *config.Config
-	n      Node
+	node   Node
 	keys   []key
 	schema *schema
 	meter  *metric.Meter
@@ -58,76 +58,78 @@
 
 // New returns the API. The meter may be nil; /metrics does not exist then.
 func New(r loop.Runner, log *slog.Logger, cfg *config.Config, n Node, m *metric.Meter) *API {
-	return &API{r: r, log: log, cfg: cfg, n: n, keys: readKeys(cfg.Operator.API.Keys), schema: loadSchema(), meter: m}
+	return &API{runner: r, log: log, cfg: cfg, node: n, keys: readKeys(cfg.Operator.API.Keys), schema: loadSchema(), meter: m}
 }
 
-// patience is how long a request waits for its result from the event loop, and from other controllers if they are asked.
-const patience = 4 * time.Second
+// requestTimeout is how long a request waits for its result from the event loop, and from other controllers if they are
+// asked.
+const requestTimeout = 4 * time.Second
 
 // route is the handler of a path and method, with the lowest role that may use it.
 type route struct {
-	role int
-	do   func(a *API, c *call)
+	minRank int
+	handle  func(a *API, c *request)
 }
 
-// call is one authenticated request.
-type call struct {
-	ctx *fasthttp.RequestCtx
-	by  string // name of the key that the request carries
-	arg string // the variable part of the path
+// request is one authenticated request.
+type request struct {
+	ctx     *fasthttp.RequestCtx
+	keyName string // name of the key that the request carries
+	arg     string // the variable part of the path
 }
 
 // Handle answers one request. It runs outside the event loop.
 func (a *API) Handle(ctx *fasthttp.RequestCtx) {
 	defer func() { a.meter.Request(ctx.Response.StatusCode()) }()
 	if ctx.UserValue("broken") != nil {
-		fail(ctx, tooLarge)
+		writeProblem(ctx, tooLarge)
 		return
 	}
-	r, arg, known, methods := find(string(ctx.Method()), string(ctx.Path()))
+	r, arg, known, methods := findRoute(string(ctx.Method()), string(ctx.Path()))
 	k, ok := a.authenticate(ctx)
 	switch {
 	case !ok:
 		ctx.Response.Header.Set("WWW-Authenticate", "Bearer")
-		fail(ctx, badKey)
+		writeProblem(ctx, invalidKey)
 	case !known:
-		fail(ctx, noPath)
+		writeProblem(ctx, unknownPath)
 	case r == nil:
 		ctx.Response.Header.Set("Allow", strings.Join(methods, ", "))
-		fail(ctx, badMethod)
-	case k.rank < r.role:
-		fail(ctx, badRole.with("the key %q does not have the required role", k.name))
+		writeProblem(ctx, methodNotAllowed)
+	case k.rank < r.minRank:
+		writeProblem(ctx, forbidden.withDetail("the key %q does not have the required role", k.name))
 	default:
-		r.do(a, &call{ctx, k.name, arg})
+		r.handle(a, &request{ctx, k.name, arg})
 	}
 }
 
 // The ranks of the roles, as config.RoleRank returns them. A role includes all roles of lower rank.
 const (
-	read    = 1
-	submit  = 2
-	operate = 3
+	rankRead    = 1
+	rankSubmit  = 2
+	rankOperate = 3
 )
 
-// table maps each path and method to its route; {} stands for the variable part of a path.
-var table = map[string]map[string]route{
-	"/v1/jobs":             {"POST": {submit, (*API).propose}, "GET": {read, (*API).list}},
-	"/v1/jobs/{}":          {"GET": {read, (*API).job}},
-	"/v1/jobs/{}/hold":     {"POST": {operate, (*API).hold}},
-	"/v1/jobs/{}/release":  {"POST": {operate, (*API).release}},
-	"/v1/jobs/{}/withdraw": {"POST": {submit, (*API).withdraw}},
-	"/v1/jobs/{}/why":      {"GET": {read, (*API).why}},
-	"/v1/machines":         {"GET": {read, (*API).machines}},
-	"/v1/cordons":          {"GET": {read, (*API).cordons}},
-	"/v1/cordons/{}":       {"GET": {read, (*API).cordon}, "PUT": {operate, (*API).putCordon}, "DELETE": {operate, (*API).dropCordon}},
-	"/v1/queue":            {"GET": {read, (*API).queue}},
-	"/v1/schema":           {"GET": {read, (*API).showSchema}},
-	"/metrics":             {"GET": {read, (*API).metrics}},
+// routes maps each path and method to its route; {} stands for the variable part of a path.
+var routes = map[string]map[string]route{
+	"/v1/jobs":             {"POST": {rankSubmit, (*API).submitJob}, "GET": {rankRead, (*API).listJobs}},
+	"/v1/jobs/{}":          {"GET": {rankRead, (*API).showJob}},
+	"/v1/jobs/{}/hold":     {"POST": {rankOperate, (*API).holdJob}},
+	"/v1/jobs/{}/release":  {"POST": {rankOperate, (*API).releaseJob}},
+	"/v1/jobs/{}/withdraw": {"POST": {rankSubmit, (*API).cancelJob}},
+	"/v1/jobs/{}/why":      {"GET": {rankRead, (*API).explainJob}},
+	"/v1/machines":         {"GET": {rankRead, (*API).listMachines}},
+	"/v1/cordons":          {"GET": {rankRead, (*API).listCordons}},
+	"/v1/cordons/{}": {"GET": {rankRead, (*API).getCordon}, "PUT": {rankOperate, (*API).putCordon},
+		"DELETE": {rankOperate, (*API).removeCordon}},
+	"/v1/queue":  {"GET": {rankRead, (*API).showQueue}},
+	"/v1/schema": {"GET": {rankRead, (*API).showSchema}},
+	"/metrics":   {"GET": {rankRead, (*API).showMetrics}},
 }
 
-// find looks up the route of a request. arg is the variable part of the path, known reports whether the path exists, and
-// methods are those that it allows. r is nil if the path does not allow this method.
-func find(method, path string) (r *route, arg string, known bool, methods []string) {
+// findRoute looks up the route of a request. arg is the variable part of the path, known reports whether the path exists,
+// and methods are those that it allows. r is nil if the path does not allow this method.
+func findRoute(method, path string) (r *route, arg string, known bool, methods []string) {
 	key := path
 	parts := strings.Split(path, "/")
 	if len(parts) >= 4 && parts[3] != "" {
@@ -135,7 +137,7 @@
 		parts[3] = "{}"
 		key = strings.Join(parts, "/")
 	}
-	all, known := table[key]
+	all, known := routes[key]
 	for m, x := range all {
 		methods = append(methods, m)
 		if m == method {
@@ -154,9 +156,9 @@
 
 // onLoop calls f on the event loop, waits for its outcome and writes it. The response is an error if this controller is
 // not ready or if there is no outcome in time.
-func (a *API) onLoop(c *call, f func(done func(outcome))) {
-	o, ok := loop.Ask(a.r, patience, func(done func(outcome)) {
-		if !a.n.Ready() {
+func (a *API) onLoop(c *request, f func(done func(outcome))) {
+	o, ok := loop.Ask(a.runner, requestTimeout, func(done func(outcome)) {
+		if !a.node.Ready() {
 			done(outcome{problem: &notReady})
 			return
 		}
@@ -164,28 +166,28 @@
 	})
 	switch {
 	case !ok:
-		fail(c.ctx, noAnswer)
+		writeProblem(c.ctx, unavailable)
 	case o.problem != nil:
-		fail(c.ctx, *o.problem)
+		writeProblem(c.ctx, *o.problem)
 	default:
 		write(c.ctx, o.status, o.body)
 	}
 }
 
-func (a *API) showSchema(c *call) {
+func (a *API) showSchema(c *request) {
 	c.ctx.SetContentType("application/schema+json")
 	c.ctx.SetBody(schemaFile)
 }
 
-func (a *API) metrics(c *call) {
+func (a *API) showMetrics(c *request) {
 	if a.meter == nil {
-		fail(c.ctx, noPath)
+		writeProblem(c.ctx, unknownPath)
 		return
 	}
 	b, err := a.meter.Text()
 	if err != nil {
 		a.log.Error("metrics could not be encoded; the request was answered with status 503", "err", err)
-		fail(c.ctx, noAnswer)
+		writeProblem(c.ctx, unavailable)
 		return
 	}
 	c.ctx.SetContentType(metric.ContentType)
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -24,9 +24,9 @@
 	"github.com/valyala/fasthttp/fasthttputil"
 )
 
-// rig is the API of one controller with a fake state service. A goroutine advances the simulated time after each
+// testAPI is the API of one controller with a fake state service. A goroutine advances the simulated time after each
 // request, so that no test waits for a real clock.
-type rig struct {
+type testAPI struct {
 	*standin.Stepped
 	state *standin.State
 	keys  map[string]string
@@ -34,17 +34,18 @@
 	api   *API
 }
 
-// post is a runner that passes functions posted by the HTTP server's goroutines to the goroutine that advances the time.
-type post struct {
+// postingRunner is a runner that passes functions posted by the HTTP server's goroutines to the goroutine that advances
+// the time.
+type postingRunner struct {
 	*standin.Stepped
-	in chan func()
+	posted chan func()
 }
 
-func (p *post) Post(f func()) { p.in <- f }
+func (p *postingRunner) Post(f func()) { p.posted <- f }
 
-func newRig(t testing.TB) *rig {
-	g := &rig{Stepped: standin.NewStepped(1000 * loop.Second), keys: map[string]string{}}
-	p := &post{g.Stepped, make(chan func(), 256)}
+func newTestAPI(t testing.TB) *testAPI {
+	g := &testAPI{Stepped: standin.NewStepped(1000 * loop.Second), keys: map[string]string{}}
+	p := &postingRunner{g.Stepped, make(chan func(), 256)}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	cfg := &config.Config{Operator: config.Defaults()}
 	cfg.Cluster.Teams = []config.Team{{Name: "red", CPUs: 8, CPUsMax: 32}}
@@ -60,7 +61,7 @@
 	jobs := job.NewRegistry(g.Stepped, c, m, log)
 	cordons := cordon.NewRegistry(g.Stepped, c, m, log, 0)
 	meter := metric.New()
-	desk := explain.NewService(g.Stepped, explain.Dependencies{
+	explanations := explain.NewService(g.Stepped, explain.Dependencies{
 		Label: "a", Poll: jobs.Poll, Job: jobs.Get,
 		Owner: func(string) string { return "" }, Leader: func() string { return "" },
 		Facts:  func(string) (*explain.Facts, bool) { return nil, false },
@@ -78,7 +79,7 @@
 		Counts:      func(*job.Job) job.Counts { return job.Counts{} },
 		Machines:    func() []Machine { return nil },
 		StaleOwners: func() []string { return nil },
-		Jobs:        jobs, Cordons: cordons, Explanations: desk,
+		Jobs:        jobs, Cordons: cordons, Explanations: explanations,
 		PendingStarts: func(_ string, cb func(int, bool)) { cb(0, true) },
 	}, meter)
 	m.Start()
@@ -87,7 +88,7 @@
 	go func() {
 		for {
 			select {
-			case f := <-p.in:
+			case f := <-p.posted:
 				f()
 				g.Run(200 * loop.Millisecond)
 			case <-done:
@@ -105,7 +106,7 @@
 
 // do makes one request and returns its status and body. It checks that an error has the form of RFC 9457, and that 429
 // and 503 come with Retry-After.
-func (g *rig) do(t testing.TB, key, method, path, body string) (int, map[string]any) {
+func (g *testAPI) do(t testing.TB, key, method, path, body string) (int, map[string]any) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	req.SetRequestURI("http://a" + path)
 	req.Header.SetMethod(method)
@@ -138,18 +139,20 @@
 	return code, out
 }
 
-func (g *rig) keyOf(role string) string { return "Bearer " + g.keys[role] }
+func (g *testAPI) keyOf(role string) string { return "Bearer " + g.keys[role] }
 
-const good = `{"id":"job-000001","class":"k","team":"red","tasks":2,"cpus":1,"memoryGb":1,"image":"i"}`
+const validJob = `{"id":"job-000001","class":"k","team":"red","tasks":2,"cpus":1,"memoryGb":1,"image":"i"}`
 
-func with(fields string) string { return strings.TrimSuffix(good, "}") + "," + fields + "}" }
+func validJobWith(fields string) string {
+	return strings.TrimSuffix(validJob, "}") + "," + fields + "}"
+}
 
 // An invalid request must be answered with an error that names the fault and the field, and must not store anything.
-func TestBadInput(t *testing.T) {
-	g := newRig(t)
-	var many []string
+func TestInvalidRequests(t *testing.T) {
+	g := newTestAPI(t)
+	var manyIDs []string
 	for i := range 10000 { // some 120 KB
-		many = append(many, fmt.Sprintf(`"job-%06d"`, 100+i))
+		manyIDs = append(manyIDs, fmt.Sprintf(`"job-%06d"`, 100+i))
 	}
 	for _, c := range []struct {
 		key, method, path, body string
@@ -159,7 +162,7 @@
 		{"", "GET", "/v1/jobs", "", 401, "key", ""},
 		{"Bearer nonsense", "GET", "/v1/jobs", "", 401, "key", ""},
 		{"Basic " + g.keys["operate"], "GET", "/v1/jobs", "", 401, "key", ""},
-		{g.keyOf("read"), "POST", "/v1/jobs", good, 403, "role", ""},
+		{g.keyOf("read"), "POST", "/v1/jobs", validJob, 403, "role", ""},
 		{g.keyOf("submit"), "POST", "/v1/jobs/job-000001/hold", `{"reason":"r"}`, 403, "role", ""},
 		{g.keyOf("submit"), "PUT", "/v1/cordons/c", `{"zone":"x","reason":"r"}`, 403, "role", ""},
 		{g.keyOf("read"), "GET", "/v1/nothing", "", 404, "path", ""},
@@ -174,16 +177,16 @@
 		{g.keyOf("submit"), "POST", "/v1/jobs", `{`, 400, "body", ""},
 		{g.keyOf("submit"), "POST", "/v1/jobs", `[]`, 400, "body", "/"},
 		{g.keyOf("submit"), "POST", "/v1/jobs", `{"id":"job-000001"}`, 400, "body", "/class"},
-		{g.keyOf("submit"), "POST", "/v1/jobs", with(`"cpu":3`), 400, "body", "/cpu"},
-		{g.keyOf("submit"), "POST", "/v1/jobs", strings.Replace(good, `"tasks":2`, `"tasks":0`, 1), 400, "body", "/tasks"},
-		{g.keyOf("submit"), "POST", "/v1/jobs", strings.Replace(good, `"cpus":1`, `"cpus":-1`, 1), 400, "body", "/cpus"},
-		{g.keyOf("submit"), "POST", "/v1/jobs", strings.Replace(good, `job-000001`, `work-1`, 1), 400, "body", "/id"},
-		{g.keyOf("submit"), "POST", "/v1/jobs", with(`"after":[` + strings.Join(many, ",") + `]`), 400, "body", "/after"},
-		{g.keyOf("submit"), "POST", "/v1/jobs", with(`"after":["job-000001"]`), 422, "after-itself", "/after"},
-		{g.keyOf("submit"), "POST", "/v1/jobs", with(`"after":["job-000088"]`), 422, "unknown-after", "/after"},
-		{g.keyOf("submit"), "POST", "/v1/jobs", with(`"onWithdrawn":"perhaps"`), 400, "body", "/onWithdrawn"},
-		{g.keyOf("submit"), "POST", "/v1/jobs", strings.Replace(good, `"red"`, `"nobody"`, 1), 422, "cannot-run", ""},
-		{g.keyOf("submit"), "POST", "/v1/jobs", strings.Replace(good, `"cpus":1`, `"cpus":99`, 1), 422, "cannot-run", ""},
+		{g.keyOf("submit"), "POST", "/v1/jobs", validJobWith(`"cpu":3`), 400, "body", "/cpu"},
+		{g.keyOf("submit"), "POST", "/v1/jobs", strings.Replace(validJob, `"tasks":2`, `"tasks":0`, 1), 400, "body", "/tasks"},
+		{g.keyOf("submit"), "POST", "/v1/jobs", strings.Replace(validJob, `"cpus":1`, `"cpus":-1`, 1), 400, "body", "/cpus"},
+		{g.keyOf("submit"), "POST", "/v1/jobs", strings.Replace(validJob, `job-000001`, `work-1`, 1), 400, "body", "/id"},
+		{g.keyOf("submit"), "POST", "/v1/jobs", validJobWith(`"after":[` + strings.Join(manyIDs, ",") + `]`), 400, "body", "/after"},
+		{g.keyOf("submit"), "POST", "/v1/jobs", validJobWith(`"after":["job-000001"]`), 422, "after-itself", "/after"},
+		{g.keyOf("submit"), "POST", "/v1/jobs", validJobWith(`"after":["job-000088"]`), 422, "unknown-after", "/after"},
+		{g.keyOf("submit"), "POST", "/v1/jobs", validJobWith(`"onWithdrawn":"perhaps"`), 400, "body", "/onWithdrawn"},
+		{g.keyOf("submit"), "POST", "/v1/jobs", strings.Replace(validJob, `"red"`, `"nobody"`, 1), 422, "cannot-run", ""},
+		{g.keyOf("submit"), "POST", "/v1/jobs", strings.Replace(validJob, `"cpus":1`, `"cpus":99`, 1), 422, "cannot-run", ""},
 		{g.keyOf("operate"), "PUT", "/v1/cordons/c", `{"reason":"r"}`, 400, "body", ""},
 		{g.keyOf("operate"), "PUT", "/v1/cordons/c", `{"zone":"x","reason":"r","until":"1969-01-01T00:00:00Z"}`, 422, "past", "/until"},
 		{g.keyOf("operate"), "PUT", "/v1/cordons/" + strings.Repeat("c", 65), `{"zone":"x","reason":"r"}`, 400, "query", ""},
@@ -216,8 +219,8 @@
 
 // Takes jobs and cordons through all their states: repeated submissions change nothing, holds, releases and cancellations
 // show up in the answers, the number of cordons is bounded, and the pages of the list of jobs are complete.
-func TestLifeOfAJob(t *testing.T) {
-	g := newRig(t)
+func TestJobAndCordonLifecycle(t *testing.T) {
+	g := newTestAPI(t)
 	step := func(method, path, body string, code int, want map[string]any) {
 		t.Helper()
 		got, out := g.do(t, g.keyOf("operate"), method, path, body)
@@ -234,11 +237,11 @@
 			}
 		}
 	}
-	step("POST", "/v1/jobs", good, 201, map[string]any{"state": "pending", "hold": "none", "priority": "standard"})
-	step("POST", "/v1/jobs", good, 200, nil)
-	step("POST", "/v1/jobs", strings.Replace(with(`"after":["job-000001"],"hold":true,"holdReason":"r"`), "job-000001", "job-000002", 1), 201,
+	step("POST", "/v1/jobs", validJob, 201, map[string]any{"state": "pending", "hold": "none", "priority": "standard"})
+	step("POST", "/v1/jobs", validJob, 200, nil)
+	step("POST", "/v1/jobs", strings.Replace(validJobWith(`"after":["job-000001"],"hold":true,"holdReason":"r"`), "job-000001", "job-000002", 1), 201,
 		map[string]any{"hold": "held", "onWithdrawn": "hold"})
-	step("POST", "/v1/jobs", strings.Replace(good, "job-000001", "job-000002", 1), 200, map[string]any{"hold": "held"})
+	step("POST", "/v1/jobs", strings.Replace(validJob, "job-000001", "job-000002", 1), 200, map[string]any{"hold": "held"})
 	step("POST", "/v1/jobs/job-000001/hold", `{"reason":"an audit"}`, 200, map[string]any{"hold": "settling"})
 	step("POST", "/v1/jobs/job-000001/hold", `{"reason":"an audit"}`, 200, map[string]any{"hold": "settling"})
 	step("POST", "/v1/jobs/job-000001/release", "", 200, map[string]any{"hold": "none"})
@@ -258,7 +261,7 @@
 	step("PUT", "/v1/cordons/c7", `{"machine":"n-2","reason":"another"}`, 200, nil)
 	// Each unfinished job is on exactly one page.
 	for i := range 7 {
-		step("POST", "/v1/jobs", strings.Replace(good, "job-000001", fmt.Sprintf("job-0001%02d", i), 1), 201, nil)
+		step("POST", "/v1/jobs", strings.Replace(validJob, "job-000001", fmt.Sprintf("job-0001%02d", i), 1), 201, nil)
 	}
 	seen := map[string]bool{}
 	for after := ""; ; {
@@ -283,10 +286,10 @@
 
 // Any path and body must be answered in the documented form, without a crash and without status 500 or 503.
 func FuzzPaths(f *testing.F) {
-	g := newRig(f)
+	g := newTestAPI(f)
 	for _, path := range []string{"/v1/jobs", "/v1/jobs/job-000001", "/v1/jobs/job-000001/hold", "/v1/jobs/x/why", "/v1/cordons/c", "/v1/queue", "/v1/schema", "/v1//", "/v1/machines?limit=9&after=%00"} {
 		for m := range []string{"GET", "POST", "PUT", "DELETE"} {
-			f.Add(m, path, good)
+			f.Add(m, path, validJob)
 			f.Add(m, path, `{"reason":"r","zone":"x"}`)
 		}
 	}
@@ -306,9 +309,9 @@
 // A list must include changes that another controller made and answered before the list was requested, even if this
 // controller's copy of the records is older; if it cannot be brought up to date, the answer is 503. And a deferred
 // submission must be answered with the registry's Retry-After, as in the CBOR protocol.
-func TestListsAndRefusalsAreCurrent(t *testing.T) {
-	g := newRig(t)
-	g.do(t, g.keyOf("submit"), "POST", "/v1/jobs", good)
+func TestListIsCurrentAndDeferralNamesRetryAfter(t *testing.T) {
+	g := newTestAPI(t)
+	g.do(t, g.keyOf("submit"), "POST", "/v1/jobs", validJob)
 	listed := func() int {
 		_, out := g.do(t, g.keyOf("read"), "GET", "/v1/jobs", "")
 		return len(out["jobs"].([]any))
@@ -324,9 +327,9 @@
 	if code, _ := g.do(t, g.keyOf("read"), "GET", "/v1/jobs", ""); code != 503 {
 		t.Errorf("list while the state service is down: status %d, want 503", code)
 	}
-	var told outcome
-	g.api.tell(job.Answer{Code: 429, ID: "job-000001", RetryAfter: 17}, func(o outcome) { told = o })
-	if told.problem == nil || told.problem.Status != 429 || told.problem.retry != 17 {
-		t.Errorf("submission deferred for 17 s is answered with %+v, want status 429 and Retry-After 17", told.problem)
+	var got outcome
+	g.api.jobOutcome(job.Answer{Code: 429, ID: "job-000001", RetryAfter: 17}, func(o outcome) { got = o })
+	if got.problem == nil || got.problem.Status != 429 || got.problem.retryAfterS != 17 {
+		t.Errorf("submission deferred for 17 s is answered with %+v, want status 429 and Retry-After 17", got.problem)
 	}
 }
--- a/internal/api/cluster.go
+++ b/internal/api/cluster.go
@@ -33,8 +33,8 @@
 	Next     string    `json:"next,omitempty"`
 }
 
-func (a *API) machines(c *call) {
-	after, limit, ok := c.page()
+func (a *API) listMachines(c *request) {
+	after, limit, ok := c.pageParams()
 	if !ok {
 		return
 	}
@@ -42,7 +42,7 @@
 	zone, typ, kind, shut := string(args.Peek("zone")), string(args.Peek("type")), string(args.Peek("kind")), string(args.Peek("shut"))
 	a.onLoop(c, func(done func(outcome)) {
 		out := Machines{Machines: []Machine{}}
-		for _, m := range a.n.Machines() {
+		for _, m := range a.node.Machines() {
 			if m.Name <= after || (zone != "" && m.Zone != zone) || (typ != "" && m.Type != typ) || (kind != "" && m.Kind != kind) ||
 				(shut != "" && !slices.Contains(m.BlockedBy, shut)) {
 				continue
@@ -68,12 +68,12 @@
 	By      string        `json:"by,omitempty"`
 	At      *explain.Time `json:"at,omitempty"`
 	Until   *explain.Time `json:"until,omitempty"`
-	// PendingStarts counts the starts that were recorded before the cordon and may still take effect; starts recorded later
-	// cannot. It is present only in answers about a single cordon, and absent if an owner did not answer.
+	// PendingStarts counts the starts that were recorded before the cordon and may still take effect; starts recorded
+	// later cannot. It is present only in answers about a single cordon, and absent if an owner did not answer.
 	PendingStarts *int `json:"unseenStarts,omitempty"`
 }
 
-func shown(c cordon.Cordon) Cordon {
+func cordonView(c cordon.Cordon) Cordon {
 	at := explain.Time(c.At)
 	out := Cordon{Name: c.Name, Machine: c.Machine, Type: c.Type, Zone: c.Zone, Kind: c.Kind, Reason: c.Reason, By: c.By, At: &at}
 	if c.Until != 0 {
@@ -90,27 +90,27 @@
 	Damaged bool `json:"damaged,omitempty"`
 }
 
-func (a *API) cordons(c *call) {
+func (a *API) listCordons(c *request) {
 	a.onLoop(c, func(done func(outcome)) {
-		out := Cordons{Cordons: []Cordon{}, Damaged: a.n.Cordons.Damaged()}
-		for _, x := range a.n.Cordons.All() {
-			out.Cordons = append(out.Cordons, shown(x))
+		out := Cordons{Cordons: []Cordon{}, Damaged: a.node.Cordons.Damaged()}
+		for _, x := range a.node.Cordons.All() {
+			out.Cordons = append(out.Cordons, cordonView(x))
 		}
 		done(outcome{status: 200, body: out})
 	})
 }
 
-func (a *API) cordon(c *call) {
-	a.onLoop(c, func(done func(outcome)) { a.showCordon(c.arg, done) })
+func (a *API) getCordon(c *request) {
+	a.onLoop(c, func(done func(outcome)) { a.singleCordon(c.arg, done) })
 }
 
-func (a *API) showCordon(name string, done func(outcome)) {
-	for _, x := range a.n.Cordons.All() {
+func (a *API) singleCordon(name string, done func(outcome)) {
+	for _, x := range a.node.Cordons.All() {
 		if x.Name != name {
 			continue
 		}
-		out := shown(x)
-		a.n.PendingStarts(name, func(starts int, ok bool) {
+		out := cordonView(x)
+		a.node.PendingStarts(name, func(starts int, ok bool) {
 			if ok {
 				out.PendingStarts = &starts
 			}
@@ -118,54 +118,55 @@
 		})
 		return
 	}
-	done(noCordon.with("%.80q", name).outcome())
+	done(unknownCordon.withDetail("%.80q", name).outcome())
 }
 
-func (a *API) putCordon(c *call) {
+func (a *API) putCordon(c *request) {
 	var body Cordon
 	if bad := a.schema.read("cordon", c.ctx.PostBody(), &body); bad != nil {
-		fail(c.ctx, *bad)
+		writeProblem(c.ctx, *bad)
 		return
 	}
 	if !cordon.ValidName(c.arg) {
-		fail(c.ctx, badQuery.with("a cordon's name consists of 1 to %d letters, digits, dots, dashes and underscores", cordon.MaxName))
+		writeProblem(c.ctx, invalidParameter.withDetail(
+			"a cordon's name consists of 1 to %d letters, digits, dots, dashes and underscores", cordon.MaxName))
 		return
 	}
 	a.onLoop(c, func(done func(outcome)) {
-		x := cordon.Cordon{Name: c.arg, Machine: body.Machine, Type: body.Type, Zone: body.Zone, Kind: body.Kind, Reason: body.Reason, By: c.by}
+		x := cordon.Cordon{Name: c.arg, Machine: body.Machine, Type: body.Type, Zone: body.Zone, Kind: body.Kind, Reason: body.Reason, By: c.keyName}
 		if body.Until != nil {
-			if x.Until = int64(*body.Until); x.Until <= a.r.Wall() {
-				done(pastUntil.at("/until").outcome())
+			if x.Until = int64(*body.Until); x.Until <= a.runner.Wall() {
+				done(timeInPast.inField("/until").outcome())
 				return
 			}
 		}
-		a.n.Cordons.Put(x, func(o cordon.Outcome) { a.cordoned(c.arg, o, done) })
+		a.node.Cordons.Put(x, func(o cordon.Outcome) { a.cordonOutcome(c.arg, o, done) })
 	})
 }
 
-func (a *API) dropCordon(c *call) {
+func (a *API) removeCordon(c *request) {
 	a.onLoop(c, func(done func(outcome)) {
-		a.n.Cordons.Remove(c.arg, func(o cordon.Outcome) {
+		a.node.Cordons.Remove(c.arg, func(o cordon.Outcome) {
 			if o == cordon.Stored {
 				done(outcome{status: 200, body: map[string]string{"name": c.arg, "state": "lifted"}})
 				return
 			}
-			a.cordoned(c.arg, o, done)
+			a.cordonOutcome(c.arg, o, done)
 		})
 	})
 }
 
-// cordoned answers a request that changed the cordons.
-func (a *API) cordoned(name string, o cordon.Outcome, done func(outcome)) {
+// cordonOutcome answers a request that changed the cordons.
+func (a *API) cordonOutcome(name string, o cordon.Outcome, done func(outcome)) {
 	switch o {
 	case cordon.Stored:
-		a.showCordon(name, done)
+		a.singleCordon(name, done)
 	case cordon.TooMany:
-		done(fullCordon.with("at most %d", cordon.MaxCordons).outcome())
+		done(tooManyCordons.withDetail("at most %d", cordon.MaxCordons).outcome())
 	case cordon.NotFound:
-		done(noCordon.with("%.80q", name).outcome())
+		done(unknownCordon.withDetail("%.80q", name).outcome())
 	default:
-		done(noAnswer.outcome())
+		done(unavailable.outcome())
 	}
 }
 
@@ -195,50 +196,51 @@
 	Missing  []string      `json:"missing,omitempty"` // why the summary may be outdated or incomplete
 }
 
-func (a *API) queue(c *call) {
+func (a *API) showQueue(c *request) {
 	a.onLoop(c, func(done func(outcome)) {
 		type key struct {
 			team, class string
 			priority    job.Priority
 		}
-		type sum struct {
+		type summary struct {
 			WaitSummary
-			by map[string]*CauseSummary
+			byKind map[string]*CauseSummary
 		}
-		all := map[key]*sum{}
-		wall := a.r.Wall()
-		a.n.Jobs.Each(func(j *job.Job) {
+		all := map[key]*summary{}
+		wall := a.runner.Wall()
+		a.node.Jobs.Each(func(j *job.Job) {
 			if j.Final() || j.Spec == nil {
 				return
 			}
 			k := key{j.Spec.Team, j.Spec.Class, j.Spec.Priority}
 			s := all[k]
 			if s == nil {
-				s = &sum{WaitSummary: WaitSummary{Team: k.team, Class: k.class, Priority: explain.PriorityName(k.priority), Causes: []CauseSummary{}}, by: map[string]*CauseSummary{}}
+				s = &summary{WaitSummary: WaitSummary{Team: k.team, Class: k.class, Priority: explain.PriorityName(k.priority),
+					Causes: []CauseSummary{}}, byKind: map[string]*CauseSummary{}}
 				all[k] = s
 			}
 			s.Jobs++
-			causes := a.n.Explanations.Timelines.Causes(j.ID)
+			causes := a.node.Explanations.Timelines.Causes(j.ID)
 			if len(causes) > 0 {
 				s.WaitSummary.WaitingJobs++
 			}
 			for _, x := range causes {
-				h := s.by[x.Kind.String()]
+				h := s.byKind[x.Kind.String()]
 				if h == nil {
 					h = &CauseSummary{Kind: x.Kind.String()}
-					s.by[h.Kind] = h
+					s.byKind[h.Kind] = h
 				}
 				h.Jobs++
 				h.Tasks += x.Tasks
-				if since := a.n.Explanations.Timelines.Since(j.ID, x.Kind); since != 0 {
+				if since := a.node.Explanations.Timelines.Since(j.ID, x.Kind); since != 0 {
 					h.Longest = max(h.Longest, explain.Duration(wall-since))
 				}
 			}
 		})
-		out := Queue{AsOf: explain.Time(wall), Queue: []WaitSummary{}, Missing: a.n.StaleOwners()}
+		out := Queue{AsOf: explain.Time(wall), Queue: []WaitSummary{}, Missing: a.node.StaleOwners()}
 		out.Complete = len(out.Missing) == 0
 		for _, s := range all {
-			for _, h := range s.by {
+			for _, h := range s.byKind {
 				s.Causes = append(s.Causes, *h)
 			}
 			slices.SortFunc(s.Causes, func(x, y CauseSummary) int { return cmp.Or(cmp.Compare(y.Tasks, x.Tasks), cmp.Compare(x.Kind, y.Kind)) })
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -59,11 +59,11 @@
 }
 
 // terms returns the job's dependencies and its hold, set by the named key.
-func (p *Submission) terms(by string, wall loop.Micros) *job.Terms {
+func (p *Submission) terms(keyName string, wall loop.Micros) *job.Terms {
 	t := &job.Terms{Dependencies: p.Dependencies, OnCancelled: policies[p.OnCancelled]}
 	if p.Hold || p.HoldUntil != nil {
 		// No task of a job that is not stored yet can have started, so the hold is effective at once.
-		t.Hold = job.Hold{State: job.HoldEffective, Reason: p.HoldReason, By: by, RequestedAt: wall}
+		t.Hold = job.Hold{State: job.HoldEffective, Reason: p.HoldReason, By: keyName, RequestedAt: wall}
 		if p.HoldUntil != nil {
 			t.Hold.Until = int64(*p.HoldUntil)
 		}
@@ -71,91 +71,92 @@
 	return t
 }
 
-func (a *API) propose(c *call) {
+func (a *API) submitJob(c *request) {
 	var p Submission
 	if bad := a.schema.read("job", c.ctx.PostBody(), &p); bad != nil {
-		fail(c.ctx, *bad)
+		writeProblem(c.ctx, *bad)
 		return
 	}
 	spec, ok := p.spec()
 	if !ok {
-		fail(c.ctx, badBody.with("the job's specification is not valid"))
+		writeProblem(c.ctx, invalidBody.withDetail("the job's specification is not valid"))
 		return
 	}
 	if slices.Contains(p.Dependencies, p.ID) {
-		fail(c.ctx, ownDep.at("/after"))
+		writeProblem(c.ctx, dependsOnItself.inField("/after"))
 		return
 	}
 	a.onLoop(c, func(done func(outcome)) {
-		terms := p.terms(c.by, a.r.Wall())
-		if terms.Hold.Until != 0 && terms.Hold.Until <= a.r.Wall() {
-			done(pastUntil.at("/holdUntil").outcome())
+		terms := p.terms(c.keyName, a.runner.Wall())
+		if terms.Hold.Until != 0 && terms.Hold.Until <= a.runner.Wall() {
+			done(timeInPast.inField("/holdUntil").outcome())
 			return
 		}
-		if a.n.Jobs.Get(p.ID) == nil {
-			if types := a.n.Types(); len(types) == 0 {
-				done(notReady.with("the machine types are not known yet").outcome())
+		if a.node.Jobs.Get(p.ID) == nil {
+			if types := a.node.Types(); len(types) == 0 {
+				done(notReady.withDetail("the machine types are not known yet").outcome())
 				return
 			} else if !job.Runnable(spec, a.cfg, types) {
-				a.n.Jobs.Poll(p.ID, func(x job.Answer) {
+				a.node.Jobs.Poll(p.ID, func(x job.Answer) {
 					if x.Code == 404 {
 						done(cannotRun.outcome())
 						return
 					}
-					a.tell(x, done)
+					a.jobOutcome(x, done)
 				})
 				return
 			}
 		}
-		a.findAll(p.Dependencies, func(missing string, code int) {
+		a.checkAccepted(p.Dependencies, func(missing string, code int) {
 			switch {
 			case code == 404:
-				done(unknownDep.with("%s was never accepted", missing).at("/after").outcome())
+				done(unknownDependency.withDetail("%s was never accepted", missing).inField("/after").outcome())
 				return
 			case code != 200:
-				done(noAnswer.outcome())
+				done(unavailable.outcome())
 				return
 			}
-			a.n.Jobs.SubmitWithTerms(p.ID, spec, terms, func(x job.Answer) {
-				j := a.n.Jobs.Get(p.ID)
+			a.node.Jobs.SubmitWithTerms(p.ID, spec, terms, func(x job.Answer) {
+				j := a.node.Jobs.Get(p.ID)
 				if x.Code == 200 && j != nil && !j.Final() && len(p.Dependencies) > 0 && !slices.Equal(j.Terms.Dependencies, p.Dependencies) {
-					done(otherwise.at("/after").outcome())
+					done(otherDependencies.inField("/after").outcome())
 					return
 				}
-				a.tell(x, done)
+				a.jobOutcome(x, done)
 			})
 		})
 	})
 }
 
-// findAll checks that all named jobs were accepted. cb receives 200, or the first job for which that is not the case and
-// the code 404 or 503. Records of jobs are never removed, so a job that was found still exists when the next is found.
-func (a *API) findAll(ids []string, cb func(missing string, code int)) {
+// checkAccepted checks that all named jobs were accepted. done receives 200, or the first job for which that is not the
+// case and the code 404 or 503. Records of jobs are never removed, so a job that was found still exists when the next
+// one is found.
+func (a *API) checkAccepted(ids []string, done func(missing string, code int)) {
 	if len(ids) == 0 {
-		cb("", 200)
+		done("", 200)
 		return
 	}
-	a.n.Jobs.Exists(ids[0], func(code int) {
+	a.node.Jobs.Exists(ids[0], func(code int) {
 		if code != 200 {
-			cb(ids[0], code)
+			done(ids[0], code)
 			return
 		}
-		a.findAll(ids[1:], cb)
+		a.checkAccepted(ids[1:], done)
 	})
 }
 
-// tell turns the job registry's answer into an outcome; a success shows the job in its current state.
-func (a *API) tell(x job.Answer, done func(outcome)) {
-	j := a.n.Jobs.Get(x.ID)
+// jobOutcome turns the job registry's answer into an outcome; a success shows the job in its current state.
+func (a *API) jobOutcome(x job.Answer, done func(outcome)) {
+	j := a.node.Jobs.Get(x.ID)
 	switch {
 	case x.Code == 404:
-		done(unknownJob.with("%s", x.ID).outcome())
+		done(unknownJob.withDetail("%s", x.ID).outcome())
 	case x.Code == 429:
-		done(tooMany.after(max(x.RetryAfter, 1)).outcome())
+		done(tooManyRequests.retryAfter(max(x.RetryAfter, 1)).outcome())
 	case (x.Code == 200 || x.Code == 201) && j != nil:
-		done(outcome{status: x.Code, body: a.show(j)})
+		done(outcome{status: x.Code, body: a.jobView(j)})
 	default:
-		done(noAnswer.after(max(x.RetryAfter, 1)).outcome())
+		done(unavailable.retryAfter(max(x.RetryAfter, 1)).outcome())
 	}
 }
 
@@ -187,9 +188,9 @@
 	*explain.HoldDetail
 }
 
-func (a *API) show(j *job.Job) Job {
+func (a *API) jobView(j *job.Job) Job {
 	out := Job{ID: j.ID, Tasks: j.Tasks, Hold: Hold{State: "none"}}
-	counts := a.n.Counts(j)
+	counts := a.node.Counts(j)
 	out.Running, out.Done = int(counts.Running), int(counts.Done)
 	switch j.Phase {
 	case job.Done:
@@ -201,7 +202,7 @@
 		if out.Running > 0 {
 			out.State = "running"
 		}
-		causes := a.n.Explanations.Timelines.Causes(j.ID)
+		causes := a.node.Explanations.Timelines.Causes(j.ID)
 		out.WaitingFor = explain.CauseCounts(causes)
 	}
 	if j.AcceptedAt != 0 {
@@ -221,7 +222,7 @@
 	if j.Final() {
 		return out
 	}
-	if h := j.Terms.Hold; h.Blocks(a.r.Wall()) {
+	if h := j.Terms.Hold; h.Blocks(a.runner.Wall()) {
 		d := explain.HoldDetail{Reason: h.Reason, By: h.By, At: explain.Time(h.RequestedAt)}
 		if h.Until != 0 {
 			until := explain.Time(h.Until)
@@ -231,7 +232,7 @@
 	}
 	for _, id := range j.Terms.Dependencies {
 		phase := job.Phase("")
-		if o := a.n.Jobs.Get(id); o != nil {
+		if o := a.node.Jobs.Get(id); o != nil {
 			phase = o.Phase
 		}
 		out.Dependencies = append(out.Dependencies, explain.Prerequisite{Job: id, State: explain.PhaseName(phase)})
@@ -242,81 +243,81 @@
 	return out
 }
 
-// named reports whether the id in the path has the form of a job's id, and answers with an error if not.
-func (c *call) named() bool {
+// checkJobID reports whether the id in the path has the form of a job's id, and answers with an error if not.
+func (c *request) checkJobID() bool {
 	if job.ValidID(c.arg) {
 		return true
 	}
-	fail(c.ctx, badID.with("%.80q is not a valid job id", c.arg))
+	writeProblem(c.ctx, invalidJobID.withDetail("%.80q is not a valid job id", c.arg))
 	return false
 }
 
-func (a *API) job(c *call) {
-	if c.named() {
+func (a *API) showJob(c *request) {
+	if c.checkJobID() {
 		a.onLoop(c, func(done func(outcome)) {
-			a.n.Jobs.Poll(c.arg, func(x job.Answer) { a.tell(x, done) })
+			a.node.Jobs.Poll(c.arg, func(x job.Answer) { a.jobOutcome(x, done) })
 		})
 	}
 }
 
-func (a *API) hold(c *call) {
+func (a *API) holdJob(c *request) {
 	var body struct {
 		Reason string        `json:"reason"`
 		Until  *explain.Time `json:"until"`
 	}
-	if !c.named() {
+	if !c.checkJobID() {
 		return
 	}
 	if bad := a.schema.read("hold", c.ctx.PostBody(), &body); bad != nil {
-		fail(c.ctx, *bad)
+		writeProblem(c.ctx, *bad)
 		return
 	}
 	a.onLoop(c, func(done func(outcome)) {
-		h := job.Hold{Reason: body.Reason, By: c.by}
+		h := job.Hold{Reason: body.Reason, By: c.keyName}
 		if body.Until != nil {
-			if h.Until = int64(*body.Until); h.Until <= a.r.Wall() {
-				done(pastUntil.at("/until").outcome())
+			if h.Until = int64(*body.Until); h.Until <= a.runner.Wall() {
+				done(timeInPast.inField("/until").outcome())
 				return
 			}
 		}
-		a.n.Jobs.Hold(c.arg, h, a.unlessOver(done))
+		a.node.Jobs.Hold(c.arg, h, a.unlessFinished(done))
 	})
 }
 
-func (a *API) release(c *call) {
-	if c.named() {
-		a.onLoop(c, func(done func(outcome)) { a.n.Jobs.Release(c.arg, a.unlessOver(done)) })
+func (a *API) releaseJob(c *request) {
+	if c.checkJobID() {
+		a.onLoop(c, func(done func(outcome)) { a.node.Jobs.Release(c.arg, a.unlessFinished(done)) })
 	}
 }
 
-func (a *API) withdraw(c *call) {
-	if c.named() {
+func (a *API) cancelJob(c *request) {
+	if c.checkJobID() {
 		a.onLoop(c, func(done func(outcome)) {
-			a.n.Jobs.Cancel(c.arg, func(x job.Answer) { a.tell(x, done) })
+			a.node.Jobs.Cancel(c.arg, func(x job.Answer) { a.jobOutcome(x, done) })
 		})
 	}
 }
 
-// unlessOver returns a callback that answers a change of a job: with an error if the job is done or cancelled.
-func (a *API) unlessOver(done func(outcome)) func(job.Answer) {
+// unlessFinished returns a callback that answers a change of a job: with an error if the job is done or cancelled.
+func (a *API) unlessFinished(done func(outcome)) func(job.Answer) {
 	return func(x job.Answer) {
 		if x.Code == 200 && x.Phase != job.Accepted {
-			done(jobOver.with("%s is %s", x.ID, explain.PhaseName(x.Phase)).outcome())
+			done(jobFinished.withDetail("%s is %s", x.ID, explain.PhaseName(x.Phase)).outcome())
 			return
 		}
-		a.tell(x, done)
+		a.jobOutcome(x, done)
 	}
 }
 
-func (a *API) why(c *call) {
-	if c.named() {
+func (a *API) explainJob(c *request) {
+	if c.checkJobID() {
 		a.onLoop(c, func(done func(outcome)) {
-			a.n.Explanations.Why(c.arg, func(w *explain.Answer, code int) {
+			a.node.Explanations.Why(c.arg, func(w *explain.Answer, code int) {
 				switch code {
 				case 200:
 					done(outcome{status: 200, body: w})
 				default:
-					a.tell(job.Answer{Code: code, ID: c.arg}, done)
+					a.jobOutcome(job.Answer{Code: code, ID: c.arg}, done)
 				}
 			})
 		})
--- a/internal/api/keys.go
+++ b/internal/api/keys.go
@@ -37,7 +37,7 @@
 // authenticate finds the key that a request carries as a bearer token. It compares with all keys, each in constant time,
 // so that the time taken reveals nothing about the keys.
 func (a *API) authenticate(ctx *fasthttp.RequestCtx) (key, bool) {
-	word, token, _ := strings.Cut(string(ctx.Request.Header.Peek("Authorization")), " ")
+	scheme, token, _ := strings.Cut(string(ctx.Request.Header.Peek("Authorization")), " ")
 	hash := sha256.Sum256([]byte(token))
 	var found key
 	ok := 0
@@ -46,7 +46,7 @@
 			found, ok = a.keys[i], 1
 		}
 	}
-	return found, ok == 1 && strings.EqualFold(word, "Bearer")
+	return found, ok == 1 && strings.EqualFold(scheme, "Bearer")
 }
 
 // NewKey returns the random token of a new key, and the key's entry for the settings, which has only the token's hash.
--- a/internal/api/list.go
+++ b/internal/api/list.go
@@ -11,18 +11,18 @@
 
 // Numbers of items on a page of a list.
 const (
-	usualPage = 100 // without the parameter limit
-	mostPage  = 500 // the largest limit
+	defaultPageSize = 100 // without the parameter limit
+	maxPageSize     = 500 // the largest limit
 )
 
-// page reads the parameters after and limit of a list, and answers with an error if limit is out of range.
-func (c *call) page() (after string, limit int, ok bool) {
+// pageParams reads the parameters after and limit of a list, and answers with an error if limit is out of range.
+func (c *request) pageParams() (after string, limit int, ok bool) {
 	args := c.ctx.QueryArgs()
-	limit = usualPage
+	limit = defaultPageSize
 	if raw := string(args.Peek("limit")); raw != "" {
 		n, err := strconv.Atoi(raw)
-		if err != nil || n < 1 || n > mostPage {
-			fail(c.ctx, badQuery.with("limit must be an integer from 1 to %d", mostPage).at("limit"))
+		if err != nil || n < 1 || n > maxPageSize {
+			writeProblem(c.ctx, invalidParameter.withDetail("limit must be an integer from 1 to %d", maxPageSize).inField("limit"))
 			return "", 0, false
 		}
 		limit = n
@@ -36,34 +36,34 @@
 	Next string `json:"next,omitempty"`
 }
 
-// list lists the jobs that match the query. Without the parameter state it lists the unfinished jobs. Task counts and
+// listJobs lists the jobs that match the query. Without the parameter state it lists the unfinished jobs. Task counts and
 // causes of waiting of other owners' jobs may be a second or two old; the records of the jobs are current.
-func (a *API) list(c *call) {
-	after, limit, ok := c.page()
+func (a *API) listJobs(c *request) {
+	after, limit, ok := c.pageParams()
 	if !ok {
 		return
 	}
 	args := c.ctx.QueryArgs()
 	team, class := string(args.Peek("team")), string(args.Peek("class"))
-	state, waits := string(args.Peek("state")), string(args.Peek("waitingFor"))
+	state, waitingFor := string(args.Peek("state")), string(args.Peek("waitingFor"))
 	if !slices.Contains([]string{"", "pending", "running", "done", "withdrawn", "unfinished", "any"}, state) {
-		fail(c.ctx, badQuery.with("state must be pending, running, done, withdrawn, unfinished or any").at("state"))
+		writeProblem(c.ctx, invalidParameter.withDetail("state must be pending, running, done, withdrawn, unfinished or any").inField("state"))
 		return
 	}
-	cause := gate.KindByName(waits)
-	if waits != "" && cause == 0 {
-		fail(c.ctx, badQuery.with("waitingFor must be one of %s", strings.Join(gate.Names(), ", ")).at("waitingFor"))
+	cause := gate.KindByName(waitingFor)
+	if waitingFor != "" && cause == 0 {
+		writeProblem(c.ctx, invalidParameter.withDetail("waitingFor must be one of %s", strings.Join(gate.Names(), ", ")).inField("waitingFor"))
 		return
 	}
 	a.onLoop(c, func(done func(outcome)) {
 		// The copy of the jobs' records is brought up to date first, so that the list does not contradict an answer that
 		// a user has already received from another controller, such as that of a cancellation.
-		a.n.Jobs.Sync(func(ok bool) {
+		a.node.Jobs.Sync(func(ok bool) {
 			if !ok {
-				done(noAnswer.outcome())
+				done(unavailable.outcome())
 				return
 			}
-			done(outcome{status: 200, body: a.jobsOf(filter{team, class, state, cause}, after, limit)})
+			done(outcome{status: 200, body: a.jobPage(filter{team, class, state, cause}, after, limit)})
 		})
 	})
 }
@@ -74,11 +74,11 @@
 	cause              gate.Kind
 }
 
-// jobsOf returns up to limit matching jobs with ids greater than after, sorted by id.
-func (a *API) jobsOf(f filter, after string, limit int) Jobs {
+// jobPage returns up to limit matching jobs with ids greater than after, sorted by id.
+func (a *API) jobPage(f filter, after string, limit int) Jobs {
 	var ids []string
-	a.n.Jobs.Each(func(j *job.Job) {
-		if j.ID > after && a.selects(&f, j) {
+	a.node.Jobs.Each(func(j *job.Job) {
+		if j.ID > after && a.matches(&f, j) {
 			ids = append(ids, j.ID)
 		}
 	})
@@ -89,13 +89,13 @@
 		out.Next = ids[limit-1]
 	}
 	for _, id := range ids {
-		out.Jobs = append(out.Jobs, a.show(a.n.Jobs.Get(id)))
+		out.Jobs = append(out.Jobs, a.jobView(a.node.Jobs.Get(id)))
 	}
 	return out
 }
 
-// selects reports whether a job matches the filter.
-func (a *API) selects(f *filter, j *job.Job) bool {
+// matches reports whether a job matches the filter.
+func (a *API) matches(f *filter, j *job.Job) bool {
 	switch f.state {
 	case "any":
 	case "done":
@@ -117,10 +117,10 @@
 	if f.cause != 0 && !a.waitsFor(j.ID, f.cause) {
 		return false
 	}
-	runs := a.n.Counts(j).Running > 0
-	return !(f.state == "pending" && runs) && !(f.state == "running" && !runs)
+	running := a.node.Counts(j).Running > 0
+	return !(f.state == "pending" && running) && !(f.state == "running" && !running)
 }
 
 func (a *API) waitsFor(id string, k gate.Kind) bool {
-	return slices.ContainsFunc(a.n.Explanations.Timelines.Causes(id), func(c gate.Cause) bool { return c.Kind == k })
+	return slices.ContainsFunc(a.node.Explanations.Timelines.Causes(id), func(c gate.Cause) bool { return c.Kind == k })
 }
--- a/internal/api/schema.go
+++ b/internal/api/schema.go
@@ -17,7 +17,7 @@
 
 // schema checks request bodies; its map holds the compiled schema of each type of body.
 type schema struct {
-	by map[string]*jsonschema.Schema
+	byName map[string]*jsonschema.Schema
 }
 
 func loadSchema() *schema {
@@ -30,9 +30,9 @@
 	if err := c.AddResource("urn:cleatpick:v1", doc); err != nil {
 		panic(err)
 	}
-	s := &schema{by: map[string]*jsonschema.Schema{}}
+	s := &schema{byName: map[string]*jsonschema.Schema{}}
 	for _, name := range []string{"job", "hold", "cordon"} {
-		s.by[name] = c.MustCompile("urn:cleatpick:v1#/$defs/" + name)
+		s.byName[name] = c.MustCompile("urn:cleatpick:v1#/$defs/" + name)
 	}
 	return s
 }
@@ -42,21 +42,21 @@
 	bad := func(p problem) *problem { return &p }
 	v, err := jsonschema.UnmarshalJSON(bytes.NewReader(body))
 	if err != nil {
-		return bad(badBody.with("the body is not JSON: %v", err))
+		return bad(invalidBody.withDetail("the body is not JSON: %v", err))
 	}
-	if err := s.by[name].Validate(v); err != nil {
-		field, why := deepest(err)
-		return bad(badBody.with("%s", why).at(field))
+	if err := s.byName[name].Validate(v); err != nil {
+		field, why := innermostFault(err)
+		return bad(invalidBody.withDetail("%s", why).inField(field))
 	}
 	if err := json.Unmarshal(body, into); err != nil {
-		return bad(badBody.with("%v", err))
+		return bad(invalidBody.withDetail("%v", err))
 	}
 	return nil
 }
 
-// deepest returns the field and the text of the innermost validation error, which names the field at fault most
+// innermostFault returns the field and the text of the innermost validation error, which names the field at fault most
 // precisely.
-func deepest(err error) (field, why string) {
+func innermostFault(err error) (field, why string) {
 	e, ok := err.(*jsonschema.ValidationError)
 	if !ok {
 		return "", err.Error()
