--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,8 @@
-// Package config reads the platform's settings file and the operators' own,
-// checks both and fills in defaults.
+// Package config loads a controller's settings: the file that the platform provides, which describes the
+// cluster, and the operators' own file, which tunes the scheduler and is optional. It fills in the defaults of
+// the operators' settings, validates both files and reports every invalid setting at once. It also derives
+// each team's quota (guarantee, limits and weight) from the settings. Enforcing quotas, checking API keys and
+// all other use of the settings is left to the packages that read them.
 package config
 
 import (
@@ -21,7 +24,7 @@
 	Endpoint string `toml:"endpoint"`
 }
 
-// Team is a team's guarantee and limit.
+// Team is the guaranteed and the maximum CPUs and GPUs of a team. A maximum of 0 means that there is none.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -30,7 +33,7 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is an aim that the users state.
+// Objective is a service level objective that the users state.
 type Objective struct {
 	Kind     string  `toml:"kind"`
 	Class    string  `toml:"class"`
@@ -39,7 +42,7 @@
 	Share    float64 `toml:"share"`
 }
 
-// Platform is the file that the platform hands over. Unknown fields are ignored.
+// Platform is the settings file that the platform provides. Unknown fields are ignored.
 type Platform struct {
 	Label        string `toml:"label"`
 	Site         string `toml:"site"`
@@ -79,53 +82,54 @@
 	} `toml:"cluster"`
 }
 
-// Operator holds the operators' own settings. Every default here is ours.
+// Operator is the operators' own settings file. Defaults returns the values of settings that it does not set.
 type Operator struct {
-	// StandbyMeanS is the mean of the exponential standby of an empty spot machine.
+	// StandbyMeanS is the mean of the exponentially distributed time for which an empty spot machine is
+	// retained before it is deleted.
 	StandbyMeanS float64 `toml:"standby_mean_s"`
-	// OrdinaryStandbyMeanS is the same for an ordinary machine, which costs more.
+	// OrdinaryStandbyMeanS is the same mean for an ordinary machine, which costs more than a spot machine.
 	OrdinaryStandbyMeanS float64 `toml:"ordinary_standby_mean_s"`
-	// CloudCallS is the least time between two of the leader's cloud calls;
-	// 0 derives it from the cloud's limit.
+	// CloudCallS is the minimum interval between two cloud API calls of the leader; 0 derives it from the
+	// cloud's request limit.
 	CloudCallS float64 `toml:"cloud_call_s"`
-	// NodeLeaseS is the time after which a silent node's work is taken over.
+	// NodeLeaseS is the time without a heartbeat after which other controllers take over a controller's partitions.
 	NodeLeaseS float64 `toml:"node_lease_s"`
-	// StartLifeS is how long a recorded start may still be carried out.
+	// StartLifeS is the time after which a recorded start expires and may no longer be executed.
 	StartLifeS float64 `toml:"start_life_s"`
-	// SilentDeleteS is how long a machine may stay silent before the leader
-	// deletes it to free its tasks; 0 derives it from the workers' lease.
+	// SilentDeleteS is the time without a report after which the leader deletes a machine, so that its tasks
+	// can run elsewhere; 0 derives it from the workers' lease.
 	SilentDeleteS float64 `toml:"silent_delete_s"`
-	// BootStuckTimes is after how many nominal boot times a machine that
-	// did not come up is replaced.
+	// BootStuckTimes is the boot timeout of a machine as a multiple of its type's nominal boot time. A machine
+	// that has not reported by then is replaced.
 	BootStuckTimes float64 `toml:"boot_stuck_times"`
-	// NumberedPartitions lets many teams share partitions once all controllers allow it, which
-	// is for good. While one of them does not, all own teams one by one, as versions before
-	// 0.9.0 do.
+	// NumberedPartitions allows the layout of numbered partitions, each of which many teams share. The cluster
+	// changes to it once all controllers allow it, and cannot change back. While one controller does not
+	// allow it, each team is a partition of its own, as in versions before 0.9.0.
 	NumberedPartitions bool `toml:"numbered_partitions"`
-	// API is the interface for people and programs beside the protocol.
+	// API configures the HTTP interface under /v1/, which exists beside the protocol of users and workers.
 	API API `toml:"api"`
 }
 
-// Key opens the interface under /v1/. Only its hash is known here.
+// Key is an API key for the interface under /v1/. The settings hold only the hash of the key.
 type Key struct {
 	Name   string `toml:"name"`
 	Role   string `toml:"role"`   // read, submit or operate
-	SHA256 string `toml:"sha256"` // of the key, in hexadecimal
+	SHA256 string `toml:"sha256"` // hash of the key, in hexadecimal
 }
 
-// API is the section of the interface under /v1/; all of it is off unless enabled.
+// API is the settings section of the interface under /v1/, which is disabled by default.
 type API struct {
 	Enabled bool  `toml:"enabled"`
 	Keys    []Key `toml:"keys"`
 }
 
-// Config is everything a node needs to know at its start.
+// Config holds all settings of a controller.
 type Config struct {
 	Platform
 	Operator Operator
 }
 
-// Defaults are the operators' settings when their file does not say otherwise.
+// Defaults returns the operators' settings that apply where their file sets nothing.
 func Defaults() Operator {
 	return Operator{
 		StandbyMeanS:         60,
@@ -137,13 +141,13 @@
 	}
 }
 
-// Load reads and checks both files; operator may be empty. The error names
-// every fault on a line of its own.
+// Load reads and validates the platform's file and the operators' file. The operators' file name may be empty.
+// The error lists every invalid setting, one per line.
 func Load(platform, operator string) (*Config, error) {
 	c := &Config{Operator: Defaults()}
 	raw, err := os.ReadFile(platform)
 	if err != nil {
-		return nil, fmt.Errorf("config: %w", err)
+		return nil, fmt.Errorf("platform settings: %w", err)
 	}
 	if err := toml.Unmarshal(raw, &c.Platform); err != nil {
 		return nil, describe(platform, err)
@@ -151,7 +155,7 @@
 	if operator != "" {
 		raw, err := os.ReadFile(operator)
 		if err != nil {
-			return nil, fmt.Errorf("operator: %w", err)
+			return nil, fmt.Errorf("operator settings: %w", err)
 		}
 		if err := toml.Unmarshal(raw, &c.Operator); err != nil {
 			return nil, describe(operator, err)
@@ -163,6 +167,7 @@
 	return c, nil
 }
 
+// describe adds the file name, and the position and field if they are known, to a TOML decoding error.
 func describe(file string, err error) error {
 	var d *toml.DecodeError
 	if errors.As(err, &d) {
@@ -176,7 +181,7 @@
 	return fmt.Errorf("%s: %w", file, err)
 }
 
-// Check reports every setting that cannot be worked with.
+// Check validates the settings. The error lists every invalid setting, one per line.
 func (c *Config) Check() error {
 	var faults []error
 	bad := func(field, why string) { faults = append(faults, fmt.Errorf("%s: %s", field, why)) }
@@ -189,17 +194,17 @@
 		if v == "" {
 			bad(field, "is missing")
 		} else if _, _, err := net.SplitHostPort(v); err != nil {
-			bad(field, "is no address with a port: "+v)
+			bad(field, "must be HOST:PORT, got "+v)
 		}
 	}
 	positive := func(field string, v float64) {
 		if !(v > 0) || math.IsInf(v, 0) {
-			bad(field, fmt.Sprintf("must be above 0, is %v", v))
+			bad(field, fmt.Sprintf("must be finite and greater than 0, got %v", v))
 		}
 	}
 	notNegative := func(field string, v float64) {
 		if !(v >= 0) || math.IsInf(v, 0) {
-			bad(field, fmt.Sprintf("must be 0 or more, is %v", v))
+			bad(field, fmt.Sprintf("must be finite and 0 or greater, got %v", v))
 		}
 	}
 	text("label", c.Label)
@@ -213,7 +218,7 @@
 		text(f+"label", p.Label)
 		addr(f+"endpoint", p.Endpoint)
 		if seen[p.Label] {
-			bad(f+"label", "names a node twice: "+p.Label)
+			bad(f+"label", "duplicate node label: "+p.Label)
 		}
 		seen[p.Label] = true
 	}
@@ -225,7 +230,7 @@
 		f := fmt.Sprintf("cluster.teams[%d].", i)
 		text(f+"name", t.Name)
 		if teams[t.Name] {
-			bad(f+"name", "names a team twice: "+t.Name)
+			bad(f+"name", "duplicate team name: "+t.Name)
 		}
 		teams[t.Name] = true
 		notNegative(f+"cpus", t.CPUs)
@@ -238,19 +243,19 @@
 	positive("cluster.workers.lease_s", c.Cluster.Workers.LeaseS)
 	positive("cluster.workers.cancel_s", c.Cluster.Workers.CancelS)
 	if c.Cluster.Workers.CancelS <= c.Cluster.Workers.LeaseS {
-		bad("cluster.workers.cancel_s", "must be above lease_s, or a cancellation cannot be kept")
+		bad("cluster.workers.cancel_s", "must be greater than lease_s: a task on an unreachable machine stops only when its lease expires")
 	}
 	positive("cluster.state.rps", c.Cluster.State.RPS)
 	positive("cluster.state.write_rps", c.Cluster.State.WriteRPS)
 	positive("cluster.state.value_kb", c.Cluster.State.ValueKB)
 	if c.Cluster.State.TxnOps < 2 {
-		bad("cluster.state.txn_ops", "must be 2 or more")
+		bad("cluster.state.txn_ops", "must be 2 or greater")
 	}
 	positive("cluster.cloud.rps", c.Cluster.Cloud.RPS)
 	notNegative("cluster.cloud.list_lag_s", c.Cluster.Cloud.ListLagS)
 	positive("cluster.limits.ram_mb", c.Cluster.Limits.RAMMB)
 	if c.Cluster.Limits.MaxSockets < 32 {
-		bad("cluster.limits.max_sockets", "must be 32 or more")
+		bad("cluster.limits.max_sockets", "must be 32 or greater")
 	}
 	positive("operator standby_mean_s", c.Operator.StandbyMeanS)
 	positive("operator ordinary_standby_mean_s", c.Operator.OrdinaryStandbyMeanS)
@@ -259,16 +264,17 @@
 	notNegative("operator silent_delete_s", c.Operator.SilentDeleteS)
 	positive("operator boot_stuck_times", c.Operator.BootStuckTimes)
 	if c.Operator.NodeLeaseS < 0.5 || c.Operator.NodeLeaseS > 600 {
-		bad("operator node_lease_s", "must lie between 0.5 and 600")
+		bad("operator node_lease_s", "must be between 0.5 and 600")
 	}
 	c.Operator.API.check(bad)
 	return errors.Join(faults...)
 }
 
-// ClockDifference is the most by which the times of day of two processes differ.
+// ClockDifference returns the maximum difference between the wall clocks of two processes: each may be off by
+// clock_off_ms in either direction.
 func (c *Config) ClockDifference() loop.Micros { return loop.Micros(c.Cluster.ClockOffMS * 2000) }
 
-// TeamNames lists the teams in the order of the settings.
+// TeamNames returns the names of all teams in the order of the settings.
 func (c *Config) TeamNames() []string {
 	names := make([]string, 0, len(c.Cluster.Teams))
 	for _, t := range c.Cluster.Teams {
@@ -277,7 +283,7 @@
 	return names
 }
 
-// TeamNamed finds a team's settings.
+// TeamNamed returns the settings of a team and whether the team exists.
 func (c *Config) TeamNamed(name string) (Team, bool) {
 	for _, t := range c.Cluster.Teams {
 		if t.Name == name {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -61,29 +61,30 @@
 		t.Fatal(err)
 	}
 	if c.Label != "s-0" || c.Operator.StandbyMeanS != 120 || c.Operator.NodeLeaseS != Defaults().NodeLeaseS {
-		t.Fatalf("got %+v", c)
+		t.Fatalf("the settings are loaded as %+v", c)
 	}
 	for _, x := range []struct{ old, new, names string }{
 		{`label = "s-0"`, ``, "label: is missing"},
-		{`label = "s-1"`, `label = "s-0"`, "known[0].label: names a node twice"},
+		{`label = "s-1"`, `label = "s-0"`, "known[0].label: duplicate node label"},
 		{`cancel_s = 39.0`, `cancel_s = 9.0`, "cluster.workers.cancel_s"},
 		{`rps = 2.0`, `rps = -2.0`, "cluster.cloud.rps"},
 		{`rps = 2.0`, `rps = "two"`, "rps"},
-		{`state = "10.2.0.1:2379"`, `state = "10.2.0.1"`, "outside.state: is no address"},
+		{`state = "10.2.0.1:2379"`, `state = "10.2.0.1"`, "outside.state: must be HOST:PORT"},
 		{`cpus = 8.0`, `cpus = nan`, "cluster.teams[0].cpus"},
 		{`[outside]`, `[outside`, "settings.toml"},
 	} {
 		_, err := Load(write(t, strings.Replace(sound, x.old, x.new, 1)), "")
 		if err == nil || !strings.Contains(err.Error(), x.names) {
-			t.Errorf("%q for %q gives %v, want it to name %q", x.new, x.old, err, x.names)
+			t.Errorf("%q instead of %q: error %v, want it to contain %q", x.new, x.old, err, x.names)
 		}
 	}
 	if _, err := Load(write(t, sound), write(t, "node_lease_s = 0.1\n")); err == nil || !strings.Contains(err.Error(), "node_lease_s") {
-		t.Errorf("a lease of 0.1 s gives %v", err)
+		t.Errorf("node_lease_s = 0.1: error %v, want it to name node_lease_s", err)
 	}
 }
 
-// The files that the repository ships are sound, and a key's fault is named by its place.
+// The operators' files in the repository are valid and enable the API, and an invalid API key is reported with its
+// index and field.
 func TestAPISection(t *testing.T) {
 	for _, file := range []string{"operator.toml", "service-operator.toml"} {
 		c, err := Load(write(t, sound), filepath.Join("..", "..", "deploy", file))
@@ -103,7 +104,7 @@
 		{key("a", "read", "zz"+hash[2:]), "api.keys[0].sha256"},
 	} {
 		if _, err := Load(write(t, sound), write(t, x.file)); err == nil || !strings.Contains(err.Error(), x.names) {
-			t.Errorf("%q gives %v, want it to name %q", x.file, err, x.names)
+			t.Errorf("%q: error %v, want it to contain %q", x.file, err, x.names)
 		}
 	}
 }
--- a/internal/config/quota.go
+++ b/internal/config/quota.go
@@ -5,25 +5,25 @@
 	"strconv"
 )
 
-// Limit is the most that a team may use of a resource. The platform's file says 0 for a
-// team that has none: read as a limit of nothing, all that such a team submitted was
-// refused for good. So it is asked by its methods alone, and never compared.
+// Limit is the maximum amount of a resource that a team may use. The platform's file states 0 for a team
+// without a limit. Read as a limit of zero, it would permanently refuse all jobs of such a team. Therefore use
+// only the methods of Limit and do not compare its value.
 type Limit float64
 
-// LimitOf reads a limit as the platform's file states it.
+// LimitOf returns the limit that the platform's file states; 0 or less means no limit.
 func LimitOf(stated float64) Limit { return Limit(max(stated, 0)) }
 
-// slack is what sums of amounts may be off by.
+// slack is the tolerance for rounding errors in sums of resource amounts.
 const slack = 1e-9
 
-// Most is the limit; bounded is false where there is none.
+// Most returns the maximum amount; bounded is false if there is no limit.
 func (l Limit) Most() (most float64, bounded bool) { return float64(l), l > 0 }
 
-// Allows tells whether so much may be used.
+// Allows reports whether the given total use is within the limit.
 func (l Limit) Allows(use float64) bool { return l <= 0 || use <= float64(l)+slack }
 
-// Tasks is how many of n tasks that take each so much the limit allows beside what is
-// used already.
+// Tasks returns how many of n tasks, each of which uses the given amount, fit within the limit in addition to the
+// amount already used.
 func (l Limit) Tasks(n int, used, each float64) int {
 	if l <= 0 || each <= 0 {
 		return n
@@ -31,7 +31,7 @@
 	return max(min(n, int(min((float64(l)-used+slack)/each, math.MaxInt32))), 0)
 }
 
-// String is the limit for people.
+// String formats the limit for output to people.
 func (l Limit) String() string {
 	if l <= 0 {
 		return "no limit"
@@ -39,7 +39,7 @@
 	return strconv.FormatFloat(float64(l), 'g', -1, 64) + " at most"
 }
 
-// MarshalJSON writes the limit as a number, and null where there is none.
+// MarshalJSON encodes the limit as a number, or null if there is no limit.
 func (l Limit) MarshalJSON() ([]byte, error) {
 	if l <= 0 {
 		return []byte("null"), nil
@@ -47,7 +47,7 @@
 	return strconv.AppendFloat(nil, float64(l), 'g', -1, 64), nil
 }
 
-// UnmarshalJSON reads what MarshalJSON writes.
+// UnmarshalJSON decodes the encoding of MarshalJSON.
 func (l *Limit) UnmarshalJSON(b []byte) error {
 	if string(b) == "null" {
 		*l = 0
@@ -58,20 +58,20 @@
 	return err
 }
 
-// Quota is what the settings promise a team and what they bound it by.
+// Quota is a team's guarantee, limits and weight.
 type Quota struct {
-	CPUs, GPUs       float64 // guaranteed; 0: nothing is
+	CPUs, GPUs       float64 // guaranteed amounts; 0 means no guarantee
 	CPUsMax, GPUsMax Limit
-	// Weight is the part that the team's work has beside that of other teams: its
-	// guaranteed CPUs, or a floor for a team without a guarantee, which would otherwise
-	// come last for as long as anybody else wants anything.
+	// Weight is the team's weight in the fair order of service between teams: its guaranteed CPUs, but no less
+	// than a minimum, since a team without a guarantee would otherwise be served only when no other team has
+	// work waiting.
 	Weight float64
 }
 
-// floorPart is the part of all guarantees that a team without one counts for.
+// floorPart is the minimum weight of a team, as a fraction of the sum of all guaranteed CPUs.
 const floorPart = 0.05
 
-// Quota is what the settings say of a team.
+// Quota returns the quota of a team.
 func (c *Config) Quota(t Team) Quota {
 	all := 0.0
 	for _, o := range c.Cluster.Teams {
@@ -81,20 +81,21 @@
 		Weight: max(t.CPUs, floorPart*all, 1)}
 }
 
-// Guaranteed tells whether the team is guaranteed anything.
+// Guaranteed reports whether the team has a guarantee.
 func (q *Quota) Guaranteed() bool { return q.CPUs > 0 || q.GPUs > 0 }
 
-// Covers tells whether so much lies within the guarantee.
+// Covers reports whether the given total use is within the guarantee.
 func (q *Quota) Covers(cpus, gpus float64) bool {
 	return q.Guaranteed() && cpus <= q.CPUs+slack && gpus <= q.GPUs+slack
 }
 
-// Allows tells whether so much lies within the limits.
+// Allows reports whether the given total use is within the limits.
 func (q *Quota) Allows(cpus, gpus float64) bool {
 	return q.CPUsMax.Allows(cpus) && q.GPUsMax.Allows(gpus)
 }
 
-// Tasks is how many of n tasks the limits allow beside what is used already.
+// Tasks returns how many of n tasks, each of which uses the given CPUs and GPUs, fit within the limits in addition to
+// the amounts already used.
 func (q *Quota) Tasks(n int, cpusUsed, cpus, gpusUsed, gpus float64) int {
 	return q.GPUsMax.Tasks(q.CPUsMax.Tasks(n, cpusUsed, cpus), gpusUsed, gpus)
 }
--- a/internal/config/quota_test.go
+++ b/internal/config/quota_test.go
@@ -11,7 +11,7 @@
 
 func TestMain(m *testing.M) { fixed.Main(m) }
 
-// A limit against counting by hand: one task more at a time, as long as it may be.
+// Quotas agree with a model that adds one task at a time while the limits allow it.
 func TestLimitAgainstCounting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		amount := func(name string, to int) float64 { return float64(rapid.IntRange(0, to).Draw(t, name)) / 4 }
@@ -30,21 +30,21 @@
 			want++
 		}
 		if got := q.Tasks(n, cpus, cpu, gpus, gpu); got != want {
-			t.Fatalf("%d of %d tasks are let on, by hand %d", got, n, want)
+			t.Fatalf("%d of %d tasks fit within the limits, by counting %d", got, n, want)
 		}
 		if got, want := q.Allows(cpus, gpus), (team.CPUsMax == 0 || cpus <= team.CPUsMax) && (team.GPUsMax == 0 || gpus <= team.GPUsMax); got != want {
-			t.Fatalf("allowed: %v, by hand %v", got, want)
+			t.Fatalf("allowed: %v, by direct comparison %v", got, want)
 		}
 		if got, want := q.Covers(cpus, gpus), (team.CPUs > 0 || team.GPUs > 0) && cpus <= team.CPUs && gpus <= team.GPUs; got != want {
-			t.Fatalf("covered: %v, by hand %v", got, want)
+			t.Fatalf("covered by the guarantee: %v, by direct comparison %v", got, want)
 		}
 		if least := floorPart * (team.CPUs + 40); q.Weight < least || q.Weight < team.CPUs {
-			t.Fatalf("the team weighs %v", q.Weight)
+			t.Fatalf("the weight of the team is %v, below its guarantee or the minimum", q.Weight)
 		}
 		raw, err := json.Marshal(q.CPUsMax)
 		var back Limit
 		if _, bounded := q.CPUsMax.Most(); err != nil || (string(raw) == "null") == bounded || json.Unmarshal(raw, &back) != nil || back != q.CPUsMax {
-			t.Fatalf("%s is read as %v, was %v", raw, back, q.CPUsMax)
+			t.Fatalf("the JSON %s is decoded as %v, want %v", raw, back, q.CPUsMax)
 		}
 	})
 }
