--- a/internal/config/api.go
+++ b/internal/config/api.go
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// MostKeys is the maximum number of API keys in the operators' settings file.
-const MostKeys = 200
+// MaxKeys is the maximum number of API keys in the operators' settings file.
+const MaxKeys = 200
 
 // roles maps each role of an API key to its rank. A role includes the permissions of all roles of lower rank.
 var roles = map[string]int{"read": 1, "submit": 2, "operate": 3}
@@ -16,8 +16,8 @@
 func RoleRank(role string) int { return roles[role] }
 
 func (a *API) check(bad func(field, why string)) {
-	if len(a.Keys) > MostKeys {
-		bad("operator api.keys", fmt.Sprintf("has %d entries, at most %d are allowed", len(a.Keys), MostKeys))
+	if len(a.Keys) > MaxKeys {
+		bad("operator api.keys", fmt.Sprintf("has %d entries, at most %d are allowed", len(a.Keys), MaxKeys))
 	}
 	seen := map[string]bool{}
 	for i, k := range a.Keys {
