--- a/internal/config/quota.go
+++ b/internal/config/quota.go
@@ -10,8 +10,8 @@
 // only the methods of Limit and do not compare its value.
 type Limit float64
 
-// LimitOf returns the limit that the platform's file states; 0 or less means no limit.
-func LimitOf(stated float64) Limit { return Limit(max(stated, 0)) }
+// NewLimit returns the limit that the platform's file states; 0 or less means no limit.
+func NewLimit(stated float64) Limit { return Limit(max(stated, 0)) }
 
 // slack is the tolerance for rounding errors in sums of resource amounts.
 const slack = 1e-9
@@ -54,7 +54,7 @@
 		return nil
 	}
 	most, err := strconv.ParseFloat(string(b), 64)
-	*l = LimitOf(most)
+	*l = NewLimit(most)
 	return err
 }
 
@@ -77,7 +77,7 @@
 	for _, o := range c.Cluster.Teams {
 		all += o.CPUs
 	}
-	return Quota{CPUs: t.CPUs, GPUs: t.GPUs, CPUsMax: LimitOf(t.CPUsMax), GPUsMax: LimitOf(t.GPUsMax),
+	return Quota{CPUs: t.CPUs, GPUs: t.GPUs, CPUsMax: NewLimit(t.CPUsMax), GPUsMax: NewLimit(t.GPUsMax),
 		Weight: max(t.CPUs, floorPart*all, 1)}
 }
 
--- a/internal/explain/service_test.go
+++ b/internal/explain/service_test.go
@@ -32,7 +32,7 @@
 	spec := &job.Spec{Class: "k", Team: "red", Tasks: 6, CPUs: 2, MemoryGB: 1, AnyType: true}
 	j := &job.Job{ID: "job-000001", Phase: job.Accepted, Spec: spec, Tasks: 6}
 	o.facts = &Facts{Job: j, Team: config.Team{Name: "red"}, StateContact: true, AheadComplete: true, Exact: true, Now: o.Now(), Wall: o.Wall(),
-		Gate: gate.JobFacts{Spec: spec, Hold: &j.Terms.Hold, Waiting: 3, InUse: 3, Quota: config.Quota{CPUs: 4, CPUsMax: config.LimitOf(99)}},
+		Gate: gate.JobFacts{Spec: spec, Hold: &j.Terms.Hold, Waiting: 3, InUse: 3, Quota: config.Quota{CPUs: 4, CPUsMax: config.NewLimit(99)}},
 		Need: gate.Need{ID: j.ID, Spec: spec, Tasks: 6}, Fits: 0, FitsAll: 0, Running: 1, Done: 0}
 	o.supply = Supply{State: "booting", Booting: []Booting{{Offer: Offer{Type: "m", Count: 2}}}}
 	o.service = NewService(o, Dependencies{
--- a/internal/gate/predicate_test.go
+++ b/internal/gate/predicate_test.go
@@ -76,7 +76,7 @@
 			Hold: &job.Hold{}, Damaged: num("damaged", 0, 5) == 0, Waiting: num("waiting", 0, 9), InUse: num("in use", 0, 3),
 			Now: 100, Wall: 200, ClockMargin: loop.Micros(num("clock", 0, 3)),
 			TeamUsage:   agent.Capacity{CPUs: float64(num("used", 0, 20)), GPUs: float64(num("used gpus", 0, 3))},
-			Quota:       config.Quota{CPUsMax: config.LimitOf(float64(num("max", 0, 24))), GPUsMax: config.LimitOf(float64(num("max gpus", 0, 4)))},
+			Quota:       config.Quota{CPUsMax: config.NewLimit(float64(num("max", 0, 24))), GPUsMax: config.NewLimit(float64(num("max gpus", 0, 4)))},
 			OnWithdrawn: []job.Policy{job.PolicyHold, job.PolicyRelease, job.PolicyCancel}[num("policy", 0, 2)]}
 		if yes("rests") {
 			j.Failing.BackOffUntil = 100 + loop.Micros(num("rest", -1, 1))
--- a/internal/node/explanations_loopback_test.go
+++ b/internal/node/explanations_loopback_test.go
@@ -271,7 +271,7 @@
 	// Beyond the team's limit, and ranked behind the job before.
 	c.must(201, 1, "POST", "/v1/jobs", proposal(3, "red", 5), nil)
 	c.reason("job-000003", "teamLimit", func(_ *explain.Answer, r *explain.Reason) bool {
-		return r.Tasks == 2 && r.Detail.Team.CPUsMax == config.LimitOf(6)
+		return r.Tasks == 2 && r.Detail.Team.CPUsMax == config.NewLimit(6)
 	})
 	c.reason("job-000003", "rank", func(_ *explain.Answer, r *explain.Reason) bool {
 		return r.Tasks == 1 && slices.Equal(r.BlockedBy, []string{"job-000002"})
--- a/internal/placer/explain_test.go
+++ b/internal/placer/explain_test.go
@@ -371,7 +371,7 @@
 		}
 		t.probation.State, t.probation.Bursts = health.Sound, 0
 	case "teamLimit":
-		t.team.cfg.CPUsMax, t.team.quota.CPUsMax = 0, config.LimitOf(0)
+		t.team.cfg.CPUsMax, t.team.quota.CPUsMax = 0, config.NewLimit(0)
 	case "cordon":
 		g.putCordons([]cordon.Cordon{})
 	case "room", "gang":
