--- a/internal/config/quota.go
+++ b/internal/config/quota.go
@@ -16,8 +16,8 @@
 // slack is the tolerance for rounding errors in sums of resource amounts.
 const slack = 1e-9
 
-// Most returns the maximum amount; bounded is false if there is no limit.
-func (l Limit) Most() (most float64, bounded bool) { return float64(l), l > 0 }
+// Max returns the maximum amount; bounded is false if there is no limit.
+func (l Limit) Max() (most float64, bounded bool) { return float64(l), l > 0 }
 
 // Allows reports whether the given total use is within the limit.
 func (l Limit) Allows(use float64) bool { return l <= 0 || use <= float64(l)+slack }
--- a/internal/config/quota_test.go
+++ b/internal/config/quota_test.go
@@ -43,7 +43,7 @@
 		}
 		raw, err := json.Marshal(q.CPUsMax)
 		var back Limit
-		if _, bounded := q.CPUsMax.Most(); err != nil || (string(raw) == "null") == bounded || json.Unmarshal(raw, &back) != nil || back != q.CPUsMax {
+		if _, bounded := q.CPUsMax.Max(); err != nil || (string(raw) == "null") == bounded || json.Unmarshal(raw, &back) != nil || back != q.CPUsMax {
 			t.Fatalf("the JSON %s is decoded as %v, want %v", raw, back, q.CPUsMax)
 		}
 	})
--- a/internal/gate/predicate_test.go
+++ b/internal/gate/predicate_test.go
@@ -54,7 +54,7 @@
 		return j.Waiting - f.FailedWaiting + f.RetryNow
 	case Limit:
 		within := func(used, each float64, most config.Limit) bool {
-			m, bounded := most.Most()
+			m, bounded := most.Max()
 			return each == 0 || !bounded || used+each <= m+1e-6
 		}
 		n := 0
