--- a/internal/config/quota.go
+++ b/internal/config/quota.go
@@ -22,9 +22,9 @@
 // Allows reports whether the given total use is within the limit.
 func (l Limit) Allows(use float64) bool { return l <= 0 || use <= float64(l)+slack }
 
-// Tasks returns how many of n tasks, each of which uses the given amount, fit within the limit in addition to the
+// MaxTasks returns how many of n tasks, each of which uses the given amount, fit within the limit in addition to the
 // amount already used.
-func (l Limit) Tasks(n int, used, each float64) int {
+func (l Limit) MaxTasks(n int, used, each float64) int {
 	if l <= 0 || each <= 0 {
 		return n
 	}
@@ -97,5 +97,5 @@
 // Tasks returns how many of n tasks, each of which uses the given CPUs and GPUs, fit within the limits in addition to
 // the amounts already used.
 func (q *Quota) Tasks(n int, cpusUsed, cpus, gpusUsed, gpus float64) int {
-	return q.GPUsMax.Tasks(q.CPUsMax.Tasks(n, cpusUsed, cpus), gpusUsed, gpus)
+	return q.GPUsMax.MaxTasks(q.CPUsMax.MaxTasks(n, cpusUsed, cpus), gpusUsed, gpus)
 }
