--- a/internal/config/quota.go
+++ b/internal/config/quota.go
@@ -94,8 +94,8 @@
 	return q.CPUsMax.Allows(cpus) && q.GPUsMax.Allows(gpus)
 }
 
-// Tasks returns how many of n tasks, each of which uses the given CPUs and GPUs, fit within the limits in addition to
+// MaxTasks returns how many of n tasks, each of which uses the given CPUs and GPUs, fit within the limits in addition to
 // the amounts already used.
-func (q *Quota) Tasks(n int, cpusUsed, cpus, gpusUsed, gpus float64) int {
+func (q *Quota) MaxTasks(n int, cpusUsed, cpus, gpusUsed, gpus float64) int {
 	return q.GPUsMax.MaxTasks(q.CPUsMax.MaxTasks(n, cpusUsed, cpus), gpusUsed, gpus)
 }
--- a/internal/config/quota_test.go
+++ b/internal/config/quota_test.go
@@ -29,7 +29,7 @@
 		for want < n && fits(want+1) {
 			want++
 		}
-		if got := q.Tasks(n, cpus, cpu, gpus, gpu); got != want {
+		if got := q.MaxTasks(n, cpus, cpu, gpus, gpu); got != want {
 			t.Fatalf("%d of %d tasks fit within the limits, by counting %d", got, n, want)
 		}
 		if got, want := q.Allows(cpus, gpus), (team.CPUsMax == 0 || cpus <= team.CPUsMax) && (team.GPUsMax == 0 || gpus <= team.GPUsMax); got != want {
--- a/internal/gate/job.go
+++ b/internal/gate/job.go
@@ -198,7 +198,7 @@
 
 // limitTasks returns how many waiting tasks fit into the team's limit.
 func (j *JobFacts) limitTasks() int {
-	return j.Quota.Tasks(j.Waiting, j.TeamUsage.CPUs, j.Spec.CPUs, j.TeamUsage.GPUs, j.Spec.GPUs)
+	return j.Quota.MaxTasks(j.Waiting, j.TeamUsage.CPUs, j.Spec.CPUs, j.TeamUsage.GPUs, j.Spec.GPUs)
 }
 
 // dependencyUnmet reports whether a dependency is not met. Done and cancelled are final phases, so a start
