--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -283,8 +283,8 @@
 	return names
 }
 
-// TeamNamed returns the settings of a team and whether the team exists.
-func (c *Config) TeamNamed(name string) (Team, bool) {
+// FindTeam returns the settings of a team and whether the team exists.
+func (c *Config) FindTeam(name string) (Team, bool) {
 	for _, t := range c.Cluster.Teams {
 		if t.Name == name {
 			return t, true
--- a/internal/job/validate.go
+++ b/internal/job/validate.go
@@ -102,7 +102,7 @@
 // may pass. Neither is an image larger than a machine type's cache: the protocol does not rule out that it can
 // be fetched.
 func Runnable(s *Spec, c *config.Config, types []wire.MachineType) bool {
-	team, ok := c.TeamNamed(s.Team)
+	team, ok := c.FindTeam(s.Team)
 	if !ok {
 		return false
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -121,7 +121,7 @@
 		LeaseTTL: loop.Seconds(cfg.Operator.NodeLeaseS), TeamsOnly: !cfg.Operator.NumberedPartitions})
 	n.jobs = job.NewRegistry(l, n.client, n.mirror, log)
 	n.jobs.ConfigureAdmission(func(team string) float64 {
-		t, _ := cfg.TeamNamed(team)
+		t, _ := cfg.FindTeam(team)
 		return cfg.Quota(t).Weight
 	}, cfg.Cluster.State.WriteRPS*0.45/float64(nodes))
 	n.jobs.SetMaxWaitingReads(cfg.Cluster.Limits.MaxSockets / 5)
--- a/internal/node/simulation_invariants_test.go
+++ b/internal/node/simulation_invariants_test.go
@@ -51,7 +51,7 @@
 	}
 	w.running[task] = x.w.Name
 	w.cpusInUse[j.spec.Team] += j.spec.CPUs
-	limit, _ := w.cfg.TeamNamed(j.spec.Team)
+	limit, _ := w.cfg.FindTeam(j.spec.Team)
 	if limit.CPUsMax != 0 && w.cpusInUse[j.spec.Team] > limit.CPUsMax+1e-9 {
 		w.fail("quota: team %s uses %v CPUs, its limit is %v", j.spec.Team, w.cpusInUse[j.spec.Team], limit.CPUsMax)
 	}
--- a/internal/node/simulation_waiting_test.go
+++ b/internal/node/simulation_waiting_test.go
@@ -85,6 +85,6 @@
 
 // underLimit reports whether the job's team may run one more task of it.
 func (w *simulation) underLimit(j *simJob) bool {
-	limit, _ := w.cfg.TeamNamed(j.spec.Team)
+	limit, _ := w.cfg.FindTeam(j.spec.Team)
 	return limit.CPUsMax == 0 || w.cpusInUse[j.spec.Team]+j.spec.CPUs <= limit.CPUsMax+1e-9
 }
--- a/internal/placer/load.go
+++ b/internal/placer/load.go
@@ -159,7 +159,7 @@
 			if j == nil || j.Spec == nil || in[j.Spec.Team] {
 				continue
 			}
-			if _, ok := p.cfg.TeamNamed(j.Spec.Team); ok {
+			if _, ok := p.cfg.FindTeam(j.Spec.Team); ok {
 				return false
 			}
 		}
@@ -280,7 +280,7 @@
 	}
 	tm := part.teams[j.Spec.Team]
 	if tm == nil {
-		if _, named := p.cfg.TeamNamed(j.Spec.Team); !named {
+		if _, named := p.cfg.FindTeam(j.Spec.Team); !named {
 			seg.live++ // only other settings name its team: its record must be kept
 		}
 		return
--- a/internal/placer/partition.go
+++ b/internal/placer/partition.go
@@ -75,7 +75,7 @@
 
 // addTeam adds a team to a partition. The team counts as loaded only after its records have been read.
 func (p *Scheduler) addTeam(part *ownedPartition, name string) *team {
-	cfg, ok := p.cfg.TeamNamed(name)
+	cfg, ok := p.cfg.FindTeam(name)
 	if !ok {
 		return nil
 	}
@@ -116,7 +116,7 @@
 	if part == nil || part.unassigned[name] || p.teams[name] != nil {
 		return
 	}
-	if _, ok := p.cfg.TeamNamed(name); !ok {
+	if _, ok := p.cfg.FindTeam(name); !ok {
 		return
 	}
 	part.unassigned[name] = true
