--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -89,9 +89,9 @@
 	StandbyMeanS float64 `toml:"standby_mean_s"`
 	// OrdinaryStandbyMeanS is the same mean for an ordinary machine, which costs more than a spot machine.
 	OrdinaryStandbyMeanS float64 `toml:"ordinary_standby_mean_s"`
-	// CloudCallS is the minimum interval between two cloud API calls of the leader; 0 derives it from the
+	// CloudCallIntervalS is the minimum interval between two cloud API calls of the leader; 0 derives it from the
 	// cloud's request limit.
-	CloudCallS float64 `toml:"cloud_call_s"`
+	CloudCallIntervalS float64 `toml:"cloud_call_s"`
 	// NodeLeaseS is the time without a heartbeat after which other controllers take over a controller's partitions.
 	NodeLeaseS float64 `toml:"node_lease_s"`
 	// StartLifeS is the time after which a recorded start expires and may no longer be executed.
@@ -259,7 +259,7 @@
 	}
 	positive("operator standby_mean_s", c.Operator.StandbyMeanS)
 	positive("operator ordinary_standby_mean_s", c.Operator.OrdinaryStandbyMeanS)
-	notNegative("operator cloud_call_s", c.Operator.CloudCallS)
+	notNegative("operator cloud_call_s", c.Operator.CloudCallIntervalS)
 	positive("operator start_life_s", c.Operator.StartLifeS)
 	notNegative("operator silent_delete_s", c.Operator.SilentDeleteS)
 	positive("operator boot_stuck_times", c.Operator.BootStuckTimes)
--- a/internal/rental/cloud.go
+++ b/internal/rental/cloud.go
@@ -16,7 +16,7 @@
 // calls, which matter when many machines are rented at once.
 func (t *Autoscaler) mayCall(now loop.Micros) bool {
 	rate := 0.95 * t.cfg.Cluster.Cloud.RPS
-	if gap := t.cfg.Operator.CloudCallS; gap > 0 {
+	if gap := t.cfg.Operator.CloudCallIntervalS; gap > 0 {
 		rate = 1 / gap
 	}
 	if t.callBudgetAt != 0 {
