--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -94,8 +94,8 @@
 	CloudCallIntervalS float64 `toml:"cloud_call_s"`
 	// NodeLeaseS is the time without a heartbeat after which other controllers take over a controller's partitions.
 	NodeLeaseS float64 `toml:"node_lease_s"`
-	// StartLifeS is the time after which a recorded start expires and may no longer be executed.
-	StartLifeS float64 `toml:"start_life_s"`
+	// StartLifetimeS is the time after which a recorded start expires and may no longer be executed.
+	StartLifetimeS float64 `toml:"start_life_s"`
 	// SilentDeleteS is the time without a report after which the leader deletes a machine, so that its tasks
 	// can run elsewhere; 0 derives it from the workers' lease.
 	SilentDeleteS float64 `toml:"silent_delete_s"`
@@ -135,7 +135,7 @@
 		StandbyMeanS:         60,
 		OrdinaryStandbyMeanS: 15,
 		NodeLeaseS:           4,
-		StartLifeS:           6,
+		StartLifetimeS:           6,
 		BootStuckTimes:       3.5,
 		NumberedPartitions:   true,
 	}
@@ -260,7 +260,7 @@
 	positive("operator standby_mean_s", c.Operator.StandbyMeanS)
 	positive("operator ordinary_standby_mean_s", c.Operator.OrdinaryStandbyMeanS)
 	notNegative("operator cloud_call_s", c.Operator.CloudCallIntervalS)
-	positive("operator start_life_s", c.Operator.StartLifeS)
+	positive("operator start_life_s", c.Operator.StartLifetimeS)
 	notNegative("operator silent_delete_s", c.Operator.SilentDeleteS)
 	positive("operator boot_stuck_times", c.Operator.BootStuckTimes)
 	if c.Operator.NodeLeaseS < 0.5 || c.Operator.NodeLeaseS > 600 {
--- a/internal/placer/forget_test.go
+++ b/internal/placer/forget_test.go
@@ -103,7 +103,7 @@
 	g.state.Put(segmentKey("x/red/", 0), segmentRecord{Machines: []machineEntry{}, Jobs: []jobEntry{{ID: id, Tasks: []taskEntry{{Index: 0, State: storedTerminated, Attempt: 1}}}}})
 	mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
 	g.scheduler.OwnershipChanged(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Revision: mark})
-	latest := g.Now() + loop.Seconds(g.scheduler.cfg.Operator.StartLifeS)
+	latest := g.Now() + loop.Seconds(g.scheduler.cfg.Operator.StartLifetimeS)
 	g.showFor(20 * loop.Second)
 	g.checkAsked(t, latest)
 }
--- a/internal/placer/groupcommit.go
+++ b/internal/placer/groupcommit.go
@@ -215,7 +215,7 @@
 // from now.
 func (p *Scheduler) buildRecord(w *write) {
 	p.nonce++
-	expiry := p.runner.Wall() + loop.Seconds(p.cfg.Operator.StartLifeS)
+	expiry := p.runner.Wall() + loop.Seconds(p.cfg.Operator.StartLifetimeS)
 	w.rec = segmentRecord{Nonce: p.nonce, Machines: []machineEntry{}, Jobs: []jobEntry{}}
 	machines, jobs := map[string]int{}, map[*jobTable]int{}
 	kept := w.segment.refs[:0]
--- a/internal/placer/load.go
+++ b/internal/placer/load.go
@@ -327,7 +327,7 @@
 		x.machine, x.session, x.expiry = b.machine.Name, b.Session, b.Expiry
 		// Derived from the record. Left at 0, a failure seen now would count as one after an extremely long run, and
 		// no task would count as having survived that long.
-		x.chosenAt = p.runner.Now() - max(p.runner.Wall()+loop.Seconds(p.cfg.Operator.StartLifeS)-x.expiry, 0)
+		x.chosenAt = p.runner.Now() - max(p.runner.Wall()+loop.Seconds(p.cfg.Operator.StartLifetimeS)-x.expiry, 0)
 		p.setTask(r.table, r.index, Placed)
 	case storedDone:
 		p.setTask(r.table, r.index, Completed)
