--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -96,9 +96,9 @@
 	NodeLeaseS float64 `toml:"node_lease_s"`
 	// StartLifetimeS is the time after which a recorded start expires and may no longer be executed.
 	StartLifetimeS float64 `toml:"start_life_s"`
-	// SilentDeleteS is the time without a report after which the leader deletes a machine, so that its tasks
+	// SilentDeleteAfterS is the time without a report after which the leader deletes a machine, so that its tasks
 	// can run elsewhere; 0 derives it from the workers' lease.
-	SilentDeleteS float64 `toml:"silent_delete_s"`
+	SilentDeleteAfterS float64 `toml:"silent_delete_s"`
 	// BootStuckTimes is the boot timeout of a machine as a multiple of its type's nominal boot time. A machine
 	// that has not reported by then is replaced.
 	BootStuckTimes float64 `toml:"boot_stuck_times"`
@@ -261,7 +261,7 @@
 	positive("operator ordinary_standby_mean_s", c.Operator.OrdinaryStandbyMeanS)
 	notNegative("operator cloud_call_s", c.Operator.CloudCallIntervalS)
 	positive("operator start_life_s", c.Operator.StartLifetimeS)
-	notNegative("operator silent_delete_s", c.Operator.SilentDeleteS)
+	notNegative("operator silent_delete_s", c.Operator.SilentDeleteAfterS)
 	positive("operator boot_stuck_times", c.Operator.BootStuckTimes)
 	if c.Operator.NodeLeaseS < 0.5 || c.Operator.NodeLeaseS > 600 {
 		bad("operator node_lease_s", "must be between 0.5 and 600")
--- a/internal/rental/autoscaler.go
+++ b/internal/rental/autoscaler.go
@@ -148,7 +148,7 @@
 		demands: map[string]peer.Demand{}, unreachableAt: map[string]loop.Micros{}, demandAt: map[string]loop.Micros{}, deleted: map[string][]string{}, bootTimes: explain.NewDistribution()}
 	w := cfg.Cluster.Workers
 	t.failures = loss.New(loss.Rules{ReportInterval: loop.Seconds(w.ReportS), Lease: loop.Seconds(w.LeaseS), UnreachableGrace: partitionGrace,
-		MaxSilence: loop.Seconds(cfg.Operator.SilentDeleteS), MaxProbes: max(min(64, cfg.Cluster.Limits.MaxSockets/20), 4)}, log, n.Meter, t.probe)
+		MaxSilence: loop.Seconds(cfg.Operator.SilentDeleteAfterS), MaxProbes: max(min(64, cfg.Cluster.Limits.MaxSockets/20), 4)}, log, n.Meter, t.probe)
 	m.On(CatalogKey, func(key string, e store.Entry) {
 		var rec catalogRecord
 		if e.Mark == 0 {
