--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -99,9 +99,9 @@
 	// SilentDeleteAfterS is the time without a report after which the leader deletes a machine, so that its tasks
 	// can run elsewhere; 0 derives it from the workers' lease.
 	SilentDeleteAfterS float64 `toml:"silent_delete_s"`
-	// BootStuckTimes is the boot timeout of a machine as a multiple of its type's nominal boot time. A machine
+	// BootTimeoutFactor is the boot timeout of a machine as a multiple of its type's nominal boot time. A machine
 	// that has not reported by then is replaced.
-	BootStuckTimes float64 `toml:"boot_stuck_times"`
+	BootTimeoutFactor float64 `toml:"boot_stuck_times"`
 	// NumberedPartitions allows the layout of numbered partitions, each of which many teams share. The cluster
 	// changes to it once all controllers allow it, and cannot change back. While one controller does not
 	// allow it, each team is a partition of its own, as in versions before 0.9.0.
@@ -136,7 +136,7 @@
 		OrdinaryStandbyMeanS: 15,
 		NodeLeaseS:           4,
 		StartLifetimeS:           6,
-		BootStuckTimes:       3.5,
+		BootTimeoutFactor:       3.5,
 		NumberedPartitions:   true,
 	}
 }
@@ -262,7 +262,7 @@
 	notNegative("operator cloud_call_s", c.Operator.CloudCallIntervalS)
 	positive("operator start_life_s", c.Operator.StartLifetimeS)
 	notNegative("operator silent_delete_s", c.Operator.SilentDeleteAfterS)
-	positive("operator boot_stuck_times", c.Operator.BootStuckTimes)
+	positive("operator boot_stuck_times", c.Operator.BootTimeoutFactor)
 	if c.Operator.NodeLeaseS < 0.5 || c.Operator.NodeLeaseS > 600 {
 		bad("operator node_lease_s", "must be between 0.5 and 600")
 	}
--- a/internal/rental/machine.go
+++ b/internal/rental/machine.go
@@ -224,7 +224,7 @@
 	if !known {
 		boot = 60 * loop.Second
 	}
-	limit := loop.Micros(float64(boot)*t.cfg.Operator.BootStuckTimes) + 5*loop.Second
+	limit := loop.Micros(float64(boot)*t.cfg.Operator.BootTimeoutFactor) + 5*loop.Second
 	switch {
 	case m.listed == "failed":
 		t.markFailed(m, "failed")
