--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -135,8 +135,8 @@
 		StandbyMeanS:         60,
 		OrdinaryStandbyMeanS: 15,
 		NodeLeaseS:           4,
-		StartLifetimeS:           6,
-		BootTimeoutFactor:       3.5,
+		StartLifetimeS:       6,
+		BootTimeoutFactor:    3.5,
 		NumberedPartitions:   true,
 	}
 }
@@ -150,7 +150,7 @@
 		return nil, fmt.Errorf("platform settings: %w", err)
 	}
 	if err := toml.Unmarshal(raw, &c.Platform); err != nil {
-		return nil, describe(platform, err)
+		return nil, describeDecodeError(platform, err)
 	}
 	if operator != "" {
 		raw, err := os.ReadFile(operator)
@@ -158,7 +158,7 @@
 			return nil, fmt.Errorf("operator settings: %w", err)
 		}
 		if err := toml.Unmarshal(raw, &c.Operator); err != nil {
-			return nil, describe(operator, err)
+			return nil, describeDecodeError(operator, err)
 		}
 	}
 	if err := c.Check(); err != nil {
@@ -167,8 +167,8 @@
 	return c, nil
 }
 
-// describe adds the file name, and the position and field if they are known, to a TOML decoding error.
-func describe(file string, err error) error {
+// describeDecodeError adds the file name, and the position and field if they are known, to a TOML decoding error.
+func describeDecodeError(file string, err error) error {
 	var d *toml.DecodeError
 	if errors.As(err, &d) {
 		row, col := d.Position()
@@ -184,53 +184,53 @@
 // Check validates the settings. The error lists every invalid setting, one per line.
 func (c *Config) Check() error {
 	var faults []error
-	bad := func(field, why string) { faults = append(faults, fmt.Errorf("%s: %s", field, why)) }
-	text := func(field, v string) {
+	invalid := func(field, why string) { faults = append(faults, fmt.Errorf("%s: %s", field, why)) }
+	required := func(field, v string) {
 		if v == "" {
-			bad(field, "is missing")
+			invalid(field, "is missing")
 		}
 	}
-	addr := func(field, v string) {
+	address := func(field, v string) {
 		if v == "" {
-			bad(field, "is missing")
+			invalid(field, "is missing")
 		} else if _, _, err := net.SplitHostPort(v); err != nil {
-			bad(field, "must be HOST:PORT, got "+v)
+			invalid(field, "must be HOST:PORT, got "+v)
 		}
 	}
 	positive := func(field string, v float64) {
 		if !(v > 0) || math.IsInf(v, 0) {
-			bad(field, fmt.Sprintf("must be finite and greater than 0, got %v", v))
+			invalid(field, fmt.Sprintf("must be finite and greater than 0, got %v", v))
 		}
 	}
 	notNegative := func(field string, v float64) {
 		if !(v >= 0) || math.IsInf(v, 0) {
-			bad(field, fmt.Sprintf("must be finite and 0 or greater, got %v", v))
+			invalid(field, fmt.Sprintf("must be finite and 0 or greater, got %v", v))
 		}
 	}
-	text("label", c.Label)
-	addr("client_listen", c.ClientListen)
-	addr("peer_listen", c.PeerListen)
-	addr("outside.cloud", c.Outside.Cloud)
-	addr("outside.state", c.Outside.State)
+	required("label", c.Label)
+	address("client_listen", c.ClientListen)
+	address("peer_listen", c.PeerListen)
+	address("outside.cloud", c.Outside.Cloud)
+	address("outside.state", c.Outside.State)
 	seen := map[string]bool{c.Label: true}
 	for i, p := range c.Known {
 		f := fmt.Sprintf("known[%d].", i)
-		text(f+"label", p.Label)
-		addr(f+"endpoint", p.Endpoint)
+		required(f+"label", p.Label)
+		address(f+"endpoint", p.Endpoint)
 		if seen[p.Label] {
-			bad(f+"label", "duplicate node label: "+p.Label)
+			invalid(f+"label", "duplicate node label: "+p.Label)
 		}
 		seen[p.Label] = true
 	}
 	if len(c.Cluster.Teams) == 0 {
-		bad("cluster.teams", "is missing")
+		invalid("cluster.teams", "is missing")
 	}
 	teams := map[string]bool{}
 	for i, t := range c.Cluster.Teams {
 		f := fmt.Sprintf("cluster.teams[%d].", i)
-		text(f+"name", t.Name)
+		required(f+"name", t.Name)
 		if teams[t.Name] {
-			bad(f+"name", "duplicate team name: "+t.Name)
+			invalid(f+"name", "duplicate team name: "+t.Name)
 		}
 		teams[t.Name] = true
 		notNegative(f+"cpus", t.CPUs)
@@ -243,19 +243,19 @@
 	positive("cluster.workers.lease_s", c.Cluster.Workers.LeaseS)
 	positive("cluster.workers.cancel_s", c.Cluster.Workers.CancelS)
 	if c.Cluster.Workers.CancelS <= c.Cluster.Workers.LeaseS {
-		bad("cluster.workers.cancel_s", "must be greater than lease_s: a task on an unreachable machine stops only when its lease expires")
+		invalid("cluster.workers.cancel_s", "must be greater than lease_s: a task on an unreachable machine stops only when its lease expires")
 	}
 	positive("cluster.state.rps", c.Cluster.State.RPS)
 	positive("cluster.state.write_rps", c.Cluster.State.WriteRPS)
 	positive("cluster.state.value_kb", c.Cluster.State.ValueKB)
 	if c.Cluster.State.TxnOps < 2 {
-		bad("cluster.state.txn_ops", "must be 2 or greater")
+		invalid("cluster.state.txn_ops", "must be 2 or greater")
 	}
 	positive("cluster.cloud.rps", c.Cluster.Cloud.RPS)
 	notNegative("cluster.cloud.list_lag_s", c.Cluster.Cloud.ListLagS)
 	positive("cluster.limits.ram_mb", c.Cluster.Limits.RAMMB)
 	if c.Cluster.Limits.MaxSockets < 32 {
-		bad("cluster.limits.max_sockets", "must be 32 or greater")
+		invalid("cluster.limits.max_sockets", "must be 32 or greater")
 	}
 	positive("operator standby_mean_s", c.Operator.StandbyMeanS)
 	positive("operator ordinary_standby_mean_s", c.Operator.OrdinaryStandbyMeanS)
@@ -264,9 +264,9 @@
 	notNegative("operator silent_delete_s", c.Operator.SilentDeleteAfterS)
 	positive("operator boot_stuck_times", c.Operator.BootTimeoutFactor)
 	if c.Operator.NodeLeaseS < 0.5 || c.Operator.NodeLeaseS > 600 {
-		bad("operator node_lease_s", "must be between 0.5 and 600")
+		invalid("operator node_lease_s", "must be between 0.5 and 600")
 	}
-	c.Operator.API.check(bad)
+	c.Operator.API.check(invalid)
 	return errors.Join(faults...)
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const sound = `
+const validSettings = `
 label = "s-0"
 site = "x"
 client_listen = "10.0.0.1:8080"
@@ -46,7 +46,7 @@
 max_sockets = 1800
 `
 
-func write(t *testing.T, text string) string {
+func writeSettings(t *testing.T, text string) string {
 	t.Helper()
 	f := filepath.Join(t.TempDir(), "settings.toml")
 	if err := os.WriteFile(f, []byte(text), 0o600); err != nil {
@@ -56,7 +56,7 @@
 }
 
 func TestLoad(t *testing.T) {
-	c, err := Load(write(t, sound), write(t, "standby_mean_s = 120.0\n"))
+	c, err := Load(writeSettings(t, validSettings), writeSettings(t, "standby_mean_s = 120.0\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,12 +73,12 @@
 		{`cpus = 8.0`, `cpus = nan`, "cluster.teams[0].cpus"},
 		{`[outside]`, `[outside`, "settings.toml"},
 	} {
-		_, err := Load(write(t, strings.Replace(sound, x.old, x.new, 1)), "")
+		_, err := Load(writeSettings(t, strings.Replace(validSettings, x.old, x.new, 1)), "")
 		if err == nil || !strings.Contains(err.Error(), x.names) {
 			t.Errorf("%q instead of %q: error %v, want it to contain %q", x.new, x.old, err, x.names)
 		}
 	}
-	if _, err := Load(write(t, sound), write(t, "node_lease_s = 0.1\n")); err == nil || !strings.Contains(err.Error(), "node_lease_s") {
+	if _, err := Load(writeSettings(t, validSettings), writeSettings(t, "node_lease_s = 0.1\n")); err == nil || !strings.Contains(err.Error(), "node_lease_s") {
 		t.Errorf("node_lease_s = 0.1: error %v, want it to name node_lease_s", err)
 	}
 }
@@ -87,7 +87,7 @@
 // index and field.
 func TestAPISection(t *testing.T) {
 	for _, file := range []string{"operator.toml", "service-operator.toml"} {
-		c, err := Load(write(t, sound), filepath.Join("..", "..", "deploy", file))
+		c, err := Load(writeSettings(t, validSettings), filepath.Join("..", "..", "deploy", file))
 		if err != nil || !c.Operator.API.Enabled {
 			t.Errorf("%s: %v, enabled %v", file, err, c != nil && c.Operator.API.Enabled)
 		}
@@ -103,7 +103,7 @@
 		{key("a", "read", hash[1:]), "api.keys[0].sha256"},
 		{key("a", "read", "zz"+hash[2:]), "api.keys[0].sha256"},
 	} {
-		if _, err := Load(write(t, sound), write(t, x.file)); err == nil || !strings.Contains(err.Error(), x.names) {
+		if _, err := Load(writeSettings(t, validSettings), writeSettings(t, x.file)); err == nil || !strings.Contains(err.Error(), x.names) {
 			t.Errorf("%q: error %v, want it to contain %q", x.file, err, x.names)
 		}
 	}
--- a/internal/config/quota.go
+++ b/internal/config/quota.go
@@ -13,14 +13,14 @@
 // NewLimit returns the limit that the platform's file states; 0 or less means no limit.
 func NewLimit(stated float64) Limit { return Limit(max(stated, 0)) }
 
-// slack is the tolerance for rounding errors in sums of resource amounts.
-const slack = 1e-9
+// tolerance allows for rounding errors in sums of resource amounts.
+const tolerance = 1e-9
 
 // Max returns the maximum amount; bounded is false if there is no limit.
 func (l Limit) Max() (most float64, bounded bool) { return float64(l), l > 0 }
 
 // Allows reports whether the given total use is within the limit.
-func (l Limit) Allows(use float64) bool { return l <= 0 || use <= float64(l)+slack }
+func (l Limit) Allows(use float64) bool { return l <= 0 || use <= float64(l)+tolerance }
 
 // MaxTasks returns how many of n tasks, each of which uses the given amount, fit within the limit in addition to the
 // amount already used.
@@ -28,7 +28,7 @@
 	if l <= 0 || each <= 0 {
 		return n
 	}
-	return max(min(n, int(min((float64(l)-used+slack)/each, math.MaxInt32))), 0)
+	return max(min(n, int(min((float64(l)-used+tolerance)/each, math.MaxInt32))), 0)
 }
 
 // String formats the limit for output to people.
@@ -68,8 +68,8 @@
 	Weight float64
 }
 
-// floorPart is the minimum weight of a team, as a fraction of the sum of all guaranteed CPUs.
-const floorPart = 0.05
+// minWeightFraction is the minimum weight of a team, as a fraction of the sum of all guaranteed CPUs.
+const minWeightFraction = 0.05
 
 // Quota returns the quota of a team.
 func (c *Config) Quota(t Team) Quota {
@@ -78,7 +78,7 @@
 		all += o.CPUs
 	}
 	return Quota{CPUs: t.CPUs, GPUs: t.GPUs, CPUsMax: NewLimit(t.CPUsMax), GPUsMax: NewLimit(t.GPUsMax),
-		Weight: max(t.CPUs, floorPart*all, 1)}
+		Weight: max(t.CPUs, minWeightFraction*all, 1)}
 }
 
 // Guaranteed reports whether the team has a guarantee.
@@ -86,7 +86,7 @@
 
 // Covers reports whether the given total use is within the guarantee.
 func (q *Quota) Covers(cpus, gpus float64) bool {
-	return q.Guaranteed() && cpus <= q.CPUs+slack && gpus <= q.GPUs+slack
+	return q.Guaranteed() && cpus <= q.CPUs+tolerance && gpus <= q.GPUs+tolerance
 }
 
 // Allows reports whether the given total use is within the limits.
