--- a/internal/wire/check.go
+++ b/internal/wire/check.go
@@ -9,11 +9,12 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// taskWaiting is a task of a gang that waits for the others; only such jobs have it.
+// taskWaiting is the state of a gang task that waits for the other tasks of its gang. Only tasks of gangs can be
+// in it.
 const taskWaiting = "waiting"
 
-// ReadReport reads a worker's report. The error names the field that is missing, of a wrong
-// type or out of range, in the protocol's words.
+// ReadReport decodes and validates a worker's report. The error names the field that is missing, has a wrong type
+// or is out of range, by its name in the protocol.
 func ReadReport(body []byte) (r Report, err error) {
 	if !IsMap(body) {
 		return r, errors.New("not a map")
@@ -23,11 +24,12 @@
 		if errors.As(err, &wrong) && wrong.StructFieldName != "" {
 			return r, fmt.Errorf("%s is a %s", wrong.StructFieldName[strings.LastIndexByte(wrong.StructFieldName, '.')+1:], wrong.CBORType)
 		}
-		return r, errors.New("not CBOR, or not as a report is")
+		return r, errors.New("not valid CBOR, or not a report")
 	}
 	return r, r.check()
 }
 
+// check validates the values of the fields.
 func (r *Report) check() error {
 	for _, f := range [...]struct {
 		name  string
@@ -38,7 +40,7 @@
 		{"build is missing", r.Type == ""},
 		{"field is missing", r.Zone == ""},
 		{"shift is missing or 0", r.Session == 0},
-		{"recallS is no time", r.NoticeS != nil && !(*r.NoticeS >= 0 && *r.NoticeS <= math.MaxInt32)},
+		{"recallS is out of range", r.NoticeS != nil && !(*r.NoticeS >= 0 && *r.NoticeS <= math.MaxInt32)},
 	} {
 		if f.wrong {
 			return errors.New(f.name)
--- a/internal/wire/check_test.go
+++ b/internal/wire/check_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Whatever is wrong with a report is named by its field, and a report that is as the protocol
-// has it is taken, with fields that are not known here.
+// An invalid report is rejected with an error that names the field at fault. A valid report is accepted, also with
+// fields that this version does not know.
 func TestReportsThatMakeNoSense(t *testing.T) {
 	sound := func() map[string]any {
 		return map[string]any{"stall": "n-1", "address": "x:1", "build": "m8", "field": "x", "loaners": true, "shift": 2, "down": 88, "armband": 41, "recallS": nil, "later": 1,
@@ -29,7 +29,7 @@
 		{"shift is missing", func(m map[string]any) { m["shift"] = 0 }},
 		{"shift is a", func(m map[string]any) { m["shift"] = "two" }},
 		{"armband is a", func(m map[string]any) { m["armband"] = -1 }},
-		{"recallS is no time", func(m map[string]any) { m["recallS"] = -3.0 }},
+		{"recallS is out of range", func(m map[string]any) { m["recallS"] = -3.0 }},
 		{"snaps is a", func(m map[string]any) { m["snaps"] = 7 }},
 		{"snap is missing", task("snap", "")},
 		{"try is missing", task("try", 0)},
@@ -40,12 +40,12 @@
 		c.set(m)
 		_, err := ReadReport(Marshal(m))
 		if c.fault == "" && err != nil || c.fault != "" && (err == nil || !strings.Contains(err.Error(), c.fault)) {
-			t.Errorf("%v, want %q", err, c.fault)
+			t.Errorf("error %v, want %q", err, c.fault)
 		}
 	}
 	for _, body := range [][]byte{nil, []byte("no CBOR"), Marshal([]int{1}), Marshal(sound())[:20]} {
 		if _, err := ReadReport(body); err == nil {
-			t.Errorf("%q is taken for a report", body)
+			t.Errorf("%q is accepted as a report", body)
 		}
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,12 +1,15 @@
-// Package wire holds the messages of the protocol, with the protocol's own names.
-// Nothing outside the adapters uses those names.
+// Package wire defines the messages that a controller exchanges with users, workers, the cloud and the state
+// service, and their CBOR encoding. The struct tags and the constants hold the names of the protocol (a machine is
+// a "stall", a revision a "mark"), which differ from the terms of this code base; other packages do not use
+// them. The package also validates the reports of workers. Validation of submissions, and the transport of
+// messages, are left to the packages that receive and send them.
 package wire
 
 import (
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Raw is an encoded value that is kept as it came.
+// Raw is an encoded value that is kept undecoded.
 type Raw = cbor.RawMessage
 
 var dec = func() cbor.DecMode {
@@ -30,22 +33,22 @@
 	return m
 }()
 
-// Marshal encodes a message.
+// Marshal encodes a message. It panics if v cannot be encoded.
 func Marshal(v any) []byte {
 	b, err := enc.Marshal(v)
 	if err != nil {
-		panic(err) // only our own types are ever encoded
+		panic(err) // a programming error: all encoded types are defined in this module
 	}
 	return b
 }
 
-// Unmarshal decodes a message; field names are compared exactly.
+// Unmarshal decodes a message. Field names are case-sensitive.
 func Unmarshal(b []byte, v any) error { return dec.Unmarshal(b, v) }
 
-// IsMap tells whether the encoded value is a map.
+// IsMap reports whether the encoded value is a map.
 func IsMap(b []byte) bool { return len(b) > 0 && b[0]>>5 == 5 }
 
-// Work is a submission. Pointers tell an absent field from a zero.
+// Work is a job that a user submits. Its fields are pointers to tell an absent field from a zero value.
 type Work struct {
 	ID        *string  `cbor:"nameId"`
 	Class     *string  `cbor:"lineup"`
@@ -69,7 +72,7 @@
 	DeadlineS *float64 `cbor:"whistleS"`
 }
 
-// Standing answers a submission, a poll or a withdrawal.
+// Standing is the answer to a submission, a poll or a cancellation.
 type Standing struct {
 	ID      string `cbor:"nameId"`
 	State   string `cbor:"standing"`
@@ -77,12 +80,12 @@
 	Running int64  `cbor:"running"`
 }
 
-// Error is the body of a refusal.
+// Error is the body of an error response.
 type Error struct {
 	Error string `cbor:"error"`
 }
 
-// Report is a worker's account of its machine.
+// Report is the state of a machine and its tasks, which the machine's worker sends periodically.
 type Report struct {
 	Machine string       `cbor:"stall"`
 	Addr    string       `cbor:"address"`
@@ -96,7 +99,7 @@
 	Tasks   []ReportTask `cbor:"snaps"`
 }
 
-// ReportTask is a task on a machine.
+// ReportTask is the state of an attempt of a task on the reporting machine.
 type ReportTask struct {
 	Task    string `cbor:"snap"`
 	Attempt uint64 `cbor:"try"`
@@ -105,7 +108,7 @@
 	Saved   bool   `cbor:"saved,omitempty"`
 }
 
-// Command tells a worker to start, stop or forget a task.
+// Command instructs a worker to start, stop or forget an attempt of a task.
 type Command struct {
 	Op      string   `cbor:"signal"`
 	Task    string   `cbor:"snap"`
@@ -113,19 +116,19 @@
 	GraceS  *float64 `cbor:"stoppageS,omitempty"`
 }
 
-// Commands answers a report, or goes straight to a worker.
+// Commands is a list of commands. It is the answer to a report, or is sent to a worker directly.
 type Commands struct {
 	Token    uint64    `cbor:"armband"`
 	Session  uint64    `cbor:"shift,omitempty"`
 	Commands []Command `cbor:"signals"`
 }
 
-// ReportTo sends a worker to another node.
+// ReportTo redirects a worker to another controller.
 type ReportTo struct {
 	Node string `cbor:"coach,omitempty"`
 }
 
-// The words of the protocol.
+// The values of enumerations in the protocol.
 const (
 	OpStart, OpStop, OpForget = "start", "kill", "forget"
 
@@ -135,11 +138,11 @@
 
 	JobQueued, JobRunning, JobDone, JobCancelled = "pending", "running", "done", "withdrawn"
 
-	// KindGang is not in the protocol page; the workers know it all the same.
+	// KindGang is missing from the protocol's documentation, but workers support it.
 	KindArray, KindService, KindGang = "batch", "daemon", "group"
 )
 
-// MachineType is a row of the cloud's catalog.
+// MachineType is an entry of the cloud's catalog.
 type MachineType struct {
 	Name      string   `cbor:"label"`
 	CPUs      float64  `cbor:"cpus"`
@@ -153,12 +156,12 @@
 	Zones     []string `cbor:"fields"`
 }
 
-// Catalog lists what the cloud rents.
+// Catalog lists the machine types that the cloud offers.
 type Catalog struct {
 	Types []MachineType `cbor:"builds"`
 }
 
-// Rent asks the cloud for machines.
+// Rent is a request to the cloud for new machines.
 type Rent struct {
 	Request string `cbor:"draft"`
 	Type    string `cbor:"build"`
@@ -167,12 +170,12 @@
 	Count   int    `cbor:"count"`
 }
 
-// Names lists machines, rented or to be deleted.
+// Names is a list of machine names: those that the cloud has created, or those that it is to delete.
 type Names struct {
 	Machines []string `cbor:"stalls"`
 }
 
-// Listed is a machine as the cloud sees it.
+// Listed is a machine in the cloud's list of machines.
 type Listed struct {
 	Name  string  `cbor:"nameId"`
 	Addr  string  `cbor:"address"`
@@ -183,33 +186,33 @@
 	AgeS  float64 `cbor:"ageS"`
 }
 
-// Listing is a page of the cloud's machines.
+// Listing is a page of the cloud's list of machines.
 type Listing struct {
 	Machines []Listed `cbor:"stalls"`
 	More     bool     `cbor:"truncated"`
 }
 
-// Item is a key of the state service.
+// Item is a key of the state service with its value and revision.
 type Item struct {
 	Key   string `cbor:"k"`
 	Value Raw    `cbor:"data"`
 	Mark  uint64 `cbor:"mark"`
 }
 
-// Range is a page of keys.
+// Range is a page of a range of keys, with the store revision at which it was read.
 type Range struct {
 	Items []Item `cbor:"entries"`
 	More  bool   `cbor:"truncated"`
 	Tally uint64 `cbor:"tally"`
 }
 
-// Cond demands a version of a key.
+// Cond is a condition of a transaction: the key must be at this revision, where 0 means that it must not exist.
 type Cond struct {
 	Key  string `cbor:"k"`
 	Mark uint64 `cbor:"mark"`
 }
 
-// Change puts or deletes a key.
+// Change is an operation of a transaction that puts or deletes a key.
 type Change struct {
 	Put    string `cbor:"put,omitempty"`
 	Value  any    `cbor:"data,omitempty"`
@@ -217,20 +220,20 @@
 	Delete string `cbor:"remove,omitempty"`
 }
 
-// Txn is a transaction.
+// Txn is a transaction: its changes are applied together if all conditions hold.
 type Txn struct {
 	If   []Cond   `cbor:"when"`
 	Then []Change `cbor:"apply,omitempty"`
 }
 
-// TxnResult answers a transaction.
+// TxnResult is the answer to a transaction: the store revision, and the keys whose conditions failed.
 type TxnResult struct {
 	Tally  uint64   `cbor:"tally"`
 	Failed []string `cbor:"failed"`
 	Error  string   `cbor:"error"`
 }
 
-// Event is a change seen by a watch.
+// Event is a change of a key that a watch returns.
 type Event struct {
 	Put    string `cbor:"put"`
 	Value  Raw    `cbor:"data"`
@@ -238,7 +241,7 @@
 	Delete string `cbor:"remove"`
 }
 
-// Events is the answer of a watch.
+// Events is the answer to a watch.
 type Events struct {
 	Tally  uint64  `cbor:"tally"`
 	Events []Event `cbor:"events"`
