--- a/internal/job/validate.go
+++ b/internal/job/validate.go
@@ -35,7 +35,7 @@
 	if !wire.IsMap(body) {
 		return "", nil, false
 	}
-	var w wire.Work
+	var w wire.Submission
 	whole := wire.Unmarshal(body, &w) == nil
 	if !whole { // the id may be valid nevertheless
 		var named struct {
@@ -56,7 +56,7 @@
 }
 
 // specOf converts a decoded submission; ok is false if a field is missing or out of range.
-func specOf(w *wire.Work) (s *Spec, ok bool) {
+func specOf(w *wire.Submission) (s *Spec, ok bool) {
 	name := func(p *string) bool { return p != nil && *p != "" && len(*p) <= 100 }
 	num := func(p *float64) bool { return p != nil && *p >= 0 && *p <= 1e9 && !math.IsNaN(*p) }
 	optional := func(p *float64) bool { return p == nil || num(p) }
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -84,13 +84,13 @@
 		runS: l.RunS * (0.5 + r.Float64()), image: fmt.Sprintf("image-%02d", r.IntN(images))}
 }
 
-func (s *jobSpec) work() wire.Work {
+func (s *jobSpec) work() wire.Submission {
 	kind, priority, none, no, tasks, size := "batch", "standard", 0.0, false, int64(s.tasks), imageGB
 	if s.urgent {
 		priority = "high"
 	}
 	yes := true
-	return wire.Work{ID: &s.id, Class: &priority, Team: &s.team, Kind: &kind, Priority: &priority, Tasks: &tasks, CPUs: &s.cpus, GPUs: &none,
+	return wire.Submission{ID: &s.id, Class: &priority, Team: &s.team, Kind: &kind, Priority: &priority, Tasks: &tasks, CPUs: &s.cpus, GPUs: &none,
 		MemoryGB: &s.memoryGB, Image: &s.image, ImageGB: &size, OneZone: &no, Spread: &no, Spot: &yes, EstimateS: &s.runS, CheckpntS: &none, SaveS: &none}
 }
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -48,8 +48,8 @@
 // IsMap reports whether the encoded value is a map.
 func IsMap(b []byte) bool { return len(b) > 0 && b[0]>>5 == 5 }
 
-// Work is a job that a user submits. Its fields are pointers to tell an absent field from a zero value.
-type Work struct {
+// Submission is a job that a user submits. Its fields are pointers to tell an absent field from a zero value.
+type Submission struct {
 	ID        *string  `cbor:"nameId"`
 	Class     *string  `cbor:"lineup"`
 	Team      *string  `cbor:"squad"`
