--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -211,8 +211,8 @@
 	}
 }
 
-func standing(a job.Answer, c job.Counts) wire.Standing {
-	s := wire.Standing{ID: a.ID, Done: c.Done, Running: c.Running}
+func standing(a job.Answer, c job.Counts) wire.JobStatus {
+	s := wire.JobStatus{ID: a.ID, Done: c.Done, Running: c.Running}
 	switch a.Phase {
 	case job.Done:
 		s.State, s.Done, s.Running = wire.JobDone, int64(a.Tasks), 0
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -122,7 +122,7 @@
 			ctx.Request.SetBody(wire.Marshal(body))
 		}
 		f.handle(&ctx)
-		var got wire.Standing
+		var got wire.JobStatus
 		wire.Unmarshal(ctx.Response.Body(), &got)
 		if s := ctx.Response.StatusCode(); s != x.status || got.State != x.standing {
 			t.Errorf("%s: answered %d, %q, want %d, %q", x.name, s, got.State, x.status, x.standing)
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -118,14 +118,14 @@
 			New(c, slog.New(slog.DiscardHandler)).Run(nctx)
 		}()
 	}
-	ask := func(node, method, path string, body any) (int, wire.Standing) {
+	ask := func(node, method, path string, body any) (int, wire.JobStatus) {
 		req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 		req.SetRequestURI("http://" + node + path)
 		req.Header.SetMethod(method)
 		if body != nil {
 			req.SetBody(wire.Marshal(body))
 		}
-		var s wire.Standing
+		var s wire.JobStatus
 		if fasthttp.DoTimeout(req, resp, 4*time.Second) != nil {
 			return 0, s
 		}
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -136,7 +136,7 @@
 	u.mu.Lock()
 	u.statuses[status]++
 	u.mu.Unlock()
-	var answer wire.Standing
+	var answer wire.JobStatus
 	if status == 200 || status == 201 {
 		wire.Unmarshal(resp.Body(), &answer)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -72,8 +72,8 @@
 	DeadlineS *float64 `cbor:"whistleS"`
 }
 
-// Standing is the answer to a submission, a poll or a cancellation.
-type Standing struct {
+// JobStatus is the answer to a submission, a poll or a cancellation.
+type JobStatus struct {
 	ID      string `cbor:"nameId"`
 	State   string `cbor:"standing"`
 	Done    int64  `cbor:"done"`
