--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -14,13 +14,13 @@
 // Report handles a report that arrived at this controller. reply is called once, on the event loop.
 func (a *Registry) Report(r wire.Report, reply func(Answer)) {
 	if ok, controller := a.config.MayAnswer(); !ok {
-		reply(Answer{421, wire.ReportTo{Node: controller}})
+		reply(Answer{421, wire.Redirect{Node: controller}})
 		return
 	}
 	was := a.redirects[r.Machine]
 	if on, to, again := a.config.Redirect(r.Machine, was.times); on && a.runner.Now()-was.at > again {
 		a.redirects[r.Machine] = redirect{a.runner.Now(), was.times + 1}
-		reply(Answer{421, wire.ReportTo{Node: to}})
+		reply(Answer{421, wire.Redirect{Node: to}})
 		return
 	}
 	if a.deleted[r.Machine] {
--- a/internal/node/simulation_machine_test.go
+++ b/internal/node/simulation_machine_test.go
@@ -185,7 +185,7 @@
 						reportAfter(w.between(each*3/4, each*5/4))
 						return
 					}
-					if to, ok := a.Body.(wire.ReportTo); ok && to.Node != "" && to.Node != label {
+					if to, ok := a.Body.(wire.Redirect); ok && to.Node != "" && to.Node != label {
 						for i, l := range w.labels {
 							if l == to.Node {
 								x.hostIndex = i
--- a/internal/scale/workers.go
+++ b/internal/scale/workers.go
@@ -205,7 +205,7 @@
 	case a.silent[w.zone].Load():
 		return "", false
 	case status == 421:
-		var coach wire.ReportTo
+		var coach wire.Redirect
 		wire.Unmarshal(body, &coach)
 		return coach.Node, false
 	case status != 200:
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -123,8 +123,8 @@
 	Commands []Command `cbor:"signals"`
 }
 
-// ReportTo redirects a worker to another controller.
-type ReportTo struct {
+// Redirect redirects a worker to another controller.
+type Redirect struct {
 	Node string `cbor:"coach,omitempty"`
 }
 
