--- a/internal/rental/autoscaler_test.go
+++ b/internal/rental/autoscaler_test.go
@@ -276,7 +276,7 @@
 	for _, partitioned := range []bool{false, true} {
 		g := newRig(t, 4)
 		g.peerUnreachable = partitioned
-		var got wire.Names
+		var got wire.MachineNames
 		r := g.cloud.Do("POST", "/machines", wire.Marshal(wire.Rent{Request: "before", Type: "m8", Zone: "x", Count: 3}), 0)
 		if err := wire.Unmarshal(r.Body, &got); err != nil || len(got.Machines) != 3 {
 			t.Fatal("the cloud rented nothing")
@@ -299,7 +299,7 @@
 	delete(g.cloud.Left, "y")
 	g.runs = []agent.Task{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}
 	g.Run(3 * loop.Second)
-	var got wire.Names
+	var got wire.MachineNames
 	g.cloud.Left["x"] = 1
 	if r := g.cloud.Do("POST", "/machines", wire.Marshal(wire.Rent{Request: "before", Type: "m8", Zone: "x", Count: 1}), 0); wire.Unmarshal(r.Body, &got) != nil || len(got.Machines) != 1 {
 		t.Fatal("the cloud rented nothing")
--- a/internal/rental/deletion.go
+++ b/internal/rental/deletion.go
@@ -42,7 +42,7 @@
 
 // delete asks the cloud to delete machines, and records the confirmed deletion.
 func (t *Autoscaler) delete(names []string) {
-	t.call("POST", "/machines/delete", wire.Names{Machines: names}, 4*loop.Second, func(resp store.Response) {
+	t.call("POST", "/machines/delete", wire.MachineNames{Machines: names}, 4*loop.Second, func(resp store.Response) {
 		if resp.Err != nil || resp.Status != 200 {
 			return // retried later: deleting a deleted machine has no effect
 		}
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -280,7 +280,7 @@
 		if !t.leads || t.orders[o.name] != o {
 			return
 		}
-		var got wire.Names
+		var got wire.MachineNames
 		switch {
 		case resp.Err == nil && resp.Status == 200 && wire.Unmarshal(resp.Body, &got) == nil:
 			t.log.Info("machines rented", "order", o.name, "type", of.typ, "zone", of.zone, "spot", of.spot, "asked", o.record.Count, "got", len(got.Machines))
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -97,7 +97,7 @@
 	for _, z := range c.Types[0].Zones {
 		for n := each; n > 0; n -= 50 {
 			body := wire.Marshal(wire.Rent{Request: fmt.Sprint("fill-", z, n), Type: c.Types[0].Name, Zone: z, Count: min(n, 50)})
-			var got wire.Names
+			var got wire.MachineNames
 			if r := c.Do("POST", "/machines", body, 0); wire.Unmarshal(r.Body, &got) == nil {
 				names = append(names, got.Machines...)
 			}
@@ -153,21 +153,21 @@
 	case method == "GET" && strings.HasPrefix(path, "/machines"):
 		return reply(200, c.list())
 	case path == "/machines/delete":
-		var n wire.Names
+		var n wire.MachineNames
 		if wire.Unmarshal(body, &n) != nil {
 			return reply(400, wire.Error{Error: "malformed"})
 		}
 		for _, name := range n.Machines {
 			c.drop(name)
 		}
-		return reply(200, wire.Names{Machines: []string{}})
+		return reply(200, wire.MachineNames{Machines: []string{}})
 	case path == "/machines":
 		var r wire.Rent
 		if wire.Unmarshal(body, &r) != nil || r.Count < 1 {
 			return reply(400, wire.Error{Error: "malformed"})
 		}
 		if got, ok := c.requests[r.Request]; ok {
-			return reply(200, wire.Names{Machines: got})
+			return reply(200, wire.MachineNames{Machines: got})
 		}
 		n := min(r.Count, c.Left[r.Zone])
 		if n <= 0 {
@@ -188,7 +188,7 @@
 			c.Up(m)
 		}
 		c.requests[r.Request] = got
-		return reply(200, wire.Names{Machines: got})
+		return reply(200, wire.MachineNames{Machines: got})
 	}
 	return reply(400, wire.Error{Error: "unknown request"})
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -170,8 +170,8 @@
 	Count   int    `cbor:"count"`
 }
 
-// Names is a list of machine names: those that the cloud has created, or those that it is to delete.
-type Names struct {
+// MachineNames is a list of machine names: those that the cloud has created, or those that it is to delete.
+type MachineNames struct {
 	Machines []string `cbor:"stalls"`
 }
 
