--- a/internal/node/explanations_loopback_test.go
+++ b/internal/node/explanations_loopback_test.go
@@ -51,7 +51,7 @@
 	gone := sync.Map{}
 	cloud.Gone = func(name string) { gone.Store(name, true) }
 	c.bootBlocked.Store(true)
-	cloud.Up = func(l wire.Listed) {
+	cloud.Up = func(l wire.CloudMachine) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -97,7 +97,7 @@
 }
 
 // report runs a machine's worker, which reports until the machine is deleted.
-func report(ctx context.Context, clock loop.Clock, l wire.Listed, nodes []string, muted, gone func() bool) {
+func report(ctx context.Context, clock loop.Clock, l wire.CloudMachine, nodes []string, muted, gone func() bool) {
 	w := standin.NewWorker(clock.Now(), 10*loop.Second)
 	w.Name, w.Addr, w.Type, w.Zone, w.Spot, w.CPUs, w.MemoryGB = l.Name, "127.0.0.1:1", l.Type, l.Zone, l.Spot, 8, 32
 	w.Job = func(id string) (standin.Job, bool) {
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -79,7 +79,7 @@
 	var nodes []string
 	var wg sync.WaitGroup
 	cloud.Gone = func(string) {}
-	cloud.Up = func(l wire.Listed) {
+	cloud.Up = func(l wire.CloudMachine) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -181,7 +181,7 @@
 }
 
 // worker runs a simulated worker that reports over HTTP, and goes to the next controller as the protocol says.
-func worker(ctx context.Context, t *testing.T, clock loop.Clock, l wire.Listed, nodes []string, moved func(task, machine string)) {
+func worker(ctx context.Context, t *testing.T, clock loop.Clock, l wire.CloudMachine, nodes []string, moved func(task, machine string)) {
 	w := standin.NewWorker(clock.Now(), 10*loop.Second)
 	w.Name, w.Addr, w.Type, w.Zone, w.Spot, w.CPUs, w.MemoryGB = l.Name, "127.0.0.1:1", l.Type, l.Zone, l.Spot, 8, 32
 	w.Job = func(string) (standin.Job, bool) {
--- a/internal/node/simulation_machine_test.go
+++ b/internal/node/simulation_machine_test.go
@@ -97,7 +97,7 @@
 }
 
 // boot starts the worker of a machine that the cloud created.
-func (w *simulation) boot(m wire.Listed) {
+func (w *simulation) boot(m wire.CloudMachine) {
 	x := &simWorker{w: standin.NewWorker(w.now, loop.Seconds(w.cfg.Cluster.Workers.LeaseS)), hostIndex: w.rng.IntN(len(w.labels)), inFlight: map[*startsInFlight]struct{}{}}
 	x.w.Name, x.w.Addr, x.w.Type, x.w.Zone, x.w.Spot = m.Name, m.Addr, m.Type, m.Zone, m.Spot
 	x.w.CPUs, x.w.MemoryGB = w.cloud.Types[0].CPUs, w.cloud.Types[0].MemoryGB
--- a/internal/rental/cloud.go
+++ b/internal/rental/cloud.go
@@ -80,7 +80,7 @@
 
 // list reads the cloud's list of machines, page by page. The list lags behind, so that a machine missing from
 // it may exist; a machine on it does exist.
-func (t *Autoscaler) list(since string, all []wire.Listed) {
+func (t *Autoscaler) list(since string, all []wire.CloudMachine) {
 	path := "/machines?limit=500"
 	if since != "" {
 		path += "&since=" + url.QueryEscape(since)
--- a/internal/scale/workers.go
+++ b/internal/scale/workers.go
@@ -48,7 +48,7 @@
 
 // hollowWorker is a machine that runs nothing, and speaks as if it did.
 type hollowWorker struct {
-	listed wire.Listed
+	listed wire.CloudMachine
 	zone   int
 	stop   context.CancelFunc
 	server net.Listener
@@ -73,7 +73,7 @@
 }
 
 // up brings a machine up after its boot time.
-func (a *workers) up(m wire.Listed) {
+func (a *workers) up(m wire.CloudMachine) {
 	ctx, stop := context.WithCancel(a.ctx)
 	w := &hollowWorker{listed: m, stop: stop}
 	fmt.Sscanf(m.Zone, "zone-%d", &w.zone)
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -18,7 +18,7 @@
 	Types    []wire.MachineType
 	Left     map[string]int // by zone
 	requests map[string][]string
-	machines map[string]wire.Listed
+	machines map[string]wire.CloudMachine
 	next     int
 	// Now, if it is set, lets lists lag by Lag, and machines that died stay listed as
 	// running for half a minute.
@@ -28,7 +28,7 @@
 	died map[string]loop.Micros
 	left map[string]leftover // machines that are gone, as a list that lags still shows them
 	// Up and Gone tell the test to bring a machine up, or that it is deleted.
-	Up func(wire.Listed)
+	Up func(wire.CloudMachine)
 	// Addr gives a machine's address; nil: one that nobody answers at.
 	Addr func(name string) string
 	Gone func(name string)
@@ -36,7 +36,7 @@
 
 // NewCloud makes a cloud with so many machines of one type in each zone.
 func NewCloud(t wire.MachineType, each int) *Cloud {
-	c := &Cloud{born: map[string]loop.Micros{}, died: map[string]loop.Micros{}, left: map[string]leftover{}, Types: []wire.MachineType{t}, Left: map[string]int{}, requests: map[string][]string{}, machines: map[string]wire.Listed{}}
+	c := &Cloud{born: map[string]loop.Micros{}, died: map[string]loop.Micros{}, left: map[string]leftover{}, Types: []wire.MachineType{t}, Left: map[string]int{}, requests: map[string][]string{}, machines: map[string]wire.CloudMachine{}}
 	for _, z := range t.Zones {
 		c.Left[z] = each
 	}
@@ -62,7 +62,7 @@
 }
 
 type leftover struct {
-	m  wire.Listed
+	m  wire.CloudMachine
 	at loop.Micros
 }
 
@@ -119,8 +119,8 @@
 // list describes the machines as they were a while ago.
 func (c *Cloud) list() wire.Listing {
 	at := c.now() - c.Lag
-	l := wire.Listing{Machines: []wire.Listed{}}
-	add := func(m wire.Listed) {
+	l := wire.Listing{Machines: []wire.CloudMachine{}}
+	add := func(m wire.CloudMachine) {
 		if c.born[m.Name] > at {
 			return
 		}
@@ -176,7 +176,7 @@
 		var got []string
 		for range n {
 			c.next++
-			m := wire.Listed{Name: fmt.Sprintf("n-%06d", c.next), Type: r.Type, Zone: r.Zone, Spot: r.Spot, State: "running"}
+			m := wire.CloudMachine{Name: fmt.Sprintf("n-%06d", c.next), Type: r.Type, Zone: r.Zone, Spot: r.Spot, State: "running"}
 			m.Addr = "worker:" + m.Name
 			if c.Addr != nil {
 				m.Addr = c.Addr(m.Name)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -175,8 +175,8 @@
 	Machines []string `cbor:"stalls"`
 }
 
-// Listed is a machine in the cloud's list of machines.
-type Listed struct {
+// CloudMachine is a machine in the cloud's list of machines.
+type CloudMachine struct {
 	Name  string  `cbor:"nameId"`
 	Addr  string  `cbor:"address"`
 	Type  string  `cbor:"build"`
@@ -188,8 +188,8 @@
 
 // Listing is a page of the cloud's list of machines.
 type Listing struct {
-	Machines []Listed `cbor:"stalls"`
-	More     bool     `cbor:"truncated"`
+	Machines []CloudMachine `cbor:"stalls"`
+	More     bool           `cbor:"truncated"`
 }
 
 // Item is a key of the state service with its value and revision.
