--- a/internal/rental/cloud.go
+++ b/internal/rental/cloud.go
@@ -86,7 +86,7 @@
 		path += "&since=" + url.QueryEscape(since)
 	}
 	t.call("GET", path, nil, 4*loop.Second, func(resp store.Response) {
-		var l wire.Listing
+		var l wire.MachinePage
 		if !t.leads || resp.Err != nil || resp.Status != 200 || wire.Unmarshal(resp.Body, &l) != nil {
 			return
 		}
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -117,9 +117,9 @@
 const deadListed = 30 * loop.Second
 
 // list describes the machines as they were a while ago.
-func (c *Cloud) list() wire.Listing {
+func (c *Cloud) list() wire.MachinePage {
 	at := c.now() - c.Lag
-	l := wire.Listing{Machines: []wire.CloudMachine{}}
+	l := wire.MachinePage{Machines: []wire.CloudMachine{}}
 	add := func(m wire.CloudMachine) {
 		if c.born[m.Name] > at {
 			return
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -186,8 +186,8 @@
 	AgeS  float64 `cbor:"ageS"`
 }
 
-// Listing is a page of the cloud's list of machines.
-type Listing struct {
+// MachinePage is a page of the cloud's list of machines.
+type MachinePage struct {
 	Machines []CloudMachine `cbor:"stalls"`
 	More     bool           `cbor:"truncated"`
 }
