--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -290,7 +290,7 @@
 func (b *Registry) Refresh() { b.refresh(func(bool, bool) {}) }
 
 func (b *Registry) refresh(done func(moved, ok bool)) {
-	b.client.Get(store.Answers, Key, func(it wire.Item, found, ok bool) {
+	b.client.Get(store.Answers, Key, func(it wire.KeyValue, found, ok bool) {
 		before := b.revision
 		if ok && found {
 			b.mirror.Apply(it.Key, it.Value, it.Mark, false)
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -132,7 +132,7 @@
 // fetch reads a job from the state service.
 func (r *Registry) fetch(id string, callback func(Answer)) {
 	sequence := r.client.Next()
-	r.client.Get(store.Answers, KeyPrefix+id, func(it wire.Item, found, ok bool) {
+	r.client.Get(store.Answers, KeyPrefix+id, func(it wire.KeyValue, found, ok bool) {
 		switch {
 		case !ok:
 			callback(newRefusal(id, 503, RefusedState))
--- a/internal/member/lease.go
+++ b/internal/member/lease.go
@@ -91,7 +91,7 @@
 // takeEpoch increments the shared epoch counter. The callback gets the new epoch, or 0 if
 // none was obtained.
 func (b *Member) takeEpoch(callback func(uint64)) {
-	b.client.Get(store.Leases, epochKey, func(it wire.Item, found, ok bool) {
+	b.client.Get(store.Leases, epochKey, func(it wire.KeyValue, found, ok bool) {
 		if !ok {
 			callback(0)
 			return
--- a/internal/placer/load.go
+++ b/internal/placer/load.go
@@ -30,7 +30,7 @@
 	if !p.ownsPartition(part) {
 		return
 	}
-	p.client.Scan(store.Placements, part.log.prefix, func(items []wire.Item, _ uint64, ok bool) {
+	p.client.Scan(store.Placements, part.log.prefix, func(items []wire.KeyValue, _ uint64, ok bool) {
 		if !p.ownsPartition(part) {
 			return
 		}
@@ -95,7 +95,7 @@
 	retry := func() { p.runner.After(loadRetryDelay, func() { p.loadNextTeamLog(part, teams, left, segments) }) }
 	name := left[0].cfg.Name
 	prefix := partition.ForTeam(name).LogPrefix()
-	p.client.Scan(store.Placements, prefix, func(items []wire.Item, _ uint64, ok bool) {
+	p.client.Scan(store.Placements, prefix, func(items []wire.KeyValue, _ uint64, ok bool) {
 		if !p.ownsPartition(part) {
 			return
 		}
@@ -109,7 +109,7 @@
 }
 
 // decode decodes segment records. One that cannot be decoded is logged with its key and kept with a nil record.
-func (p *Scheduler) decode(items []wire.Item, prefix, team string) []storedSegment {
+func (p *Scheduler) decode(items []wire.KeyValue, prefix, team string) []storedSegment {
 	segments := make([]storedSegment, 0, len(items))
 	for _, it := range items {
 		rec := new(segmentRecord)
--- a/internal/placer/logwrite.go
+++ b/internal/placer/logwrite.go
@@ -97,7 +97,7 @@
 
 // checkStored finds out whether an unanswered write of this record was applied.
 func (p *Scheduler) checkStored(part *ownedPartition, w *write) {
-	p.client.Get(store.Placements, w.segment.key, func(it wire.Item, found, ok bool) {
+	p.client.Get(store.Placements, w.segment.key, func(it wire.KeyValue, found, ok bool) {
 		if !p.ownsPartition(part) {
 			return
 		}
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -230,7 +230,7 @@
 		if !ok {
 			return reply(404, map[string]uint64{"tally": s.tally})
 		}
-		return reply(200, wire.Item{Key: key, Value: k.value, Mark: k.mark})
+		return reply(200, wire.KeyValue{Key: key, Value: k.value, Mark: k.mark})
 	case method == "GET" && u.Path == "/store":
 		var keys []string
 		for k := range s.keys {
@@ -240,13 +240,13 @@
 		}
 		sort.Strings(keys)
 		limit, _ := strconv.Atoi(q.Get("limit"))
-		r := wire.Range{Items: []wire.Item{}, Tally: s.tally}
+		r := wire.Range{Items: []wire.KeyValue{}, Tally: s.tally}
 		for _, k := range keys {
 			if len(r.Items) == limit {
 				r.More = true
 				break
 			}
-			r.Items = append(r.Items, wire.Item{Key: k, Value: s.keys[k].value, Mark: s.keys[k].mark})
+			r.Items = append(r.Items, wire.KeyValue{Key: k, Value: s.keys[k].value, Mark: s.keys[k].mark})
 		}
 		return reply(200, r)
 	case method == "GET" && u.Path == "/changes":
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -339,9 +339,9 @@
 
 // Get reads a key. cb is called with found and ok if the key exists, with ok alone if it certainly does not,
 // and with neither if there was no answer.
-func (c *Client) Get(p Prio, key string, cb func(item wire.Item, found, ok bool)) {
+func (c *Client) Get(p Prio, key string, cb func(item wire.KeyValue, found, ok bool)) {
 	c.Send(p, 0, "GET", "/store/"+key, nil, 1500*loop.Millisecond, func(resp Response) {
-		var it wire.Item
+		var it wire.KeyValue
 		switch {
 		case resp.Err == nil && resp.Status == 404:
 			cb(it, false, true)
@@ -363,8 +363,8 @@
 }
 
 // Scan reads all keys under a prefix, page by page; tally is the store revision of the first page.
-func (c *Client) Scan(p Prio, prefix string, cb func(items []wire.Item, tally uint64, ok bool)) {
-	var all []wire.Item
+func (c *Client) Scan(p Prio, prefix string, cb func(items []wire.KeyValue, tally uint64, ok bool)) {
+	var all []wire.KeyValue
 	var first uint64
 	var page func(since string)
 	page = func(since string) {
--- a/internal/store/fairness_test.go
+++ b/internal/store/fairness_test.go
@@ -85,7 +85,7 @@
 	var every func()
 	every = func() {
 		read, order, record, tidied := reads.ask(clock.Now), orders.ask(clock.Now), starts.ask(clock.Now), tidying.ask(clock.Now)
-		client.Get(store.Placements, "c/x", func(wire.Item, bool, bool) { read() })
+		client.Get(store.Placements, "c/x", func(wire.KeyValue, bool, bool) { read() })
 		client.Txn(store.Placements, wire.Txn{Then: []wire.Change{{Put: "c/r/1", Value: 1}}}, func(store.Result) { order() })
 		client.Txn(store.Placements, wire.Txn{Then: []wire.Change{{Put: "x/t/1", Value: 1}, {Put: "x/t/2", Value: 1}}}, func(store.Result) { record() })
 		client.Txn(store.Background, wire.Txn{Then: []wire.Change{{Delete: "c/m/1"}}}, func(store.Result) { tidied() })
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -191,7 +191,7 @@
 	}
 	m.scanning = true
 	sent, request := m.c.r.Now(), m.c.Next()
-	m.c.Scan(Answers, m.prefix, func(items []wire.Item, tally uint64, ok bool) {
+	m.c.Scan(Answers, m.prefix, func(items []wire.KeyValue, tally uint64, ok bool) {
 		m.scanning = false
 		if !ok {
 			done(false)
@@ -213,7 +213,7 @@
 }
 
 // replace applies the state of all keys at a revision or later; keys that are missing were removed.
-func (m *Mirror) replace(items []wire.Item, tally uint64) {
+func (m *Mirror) replace(items []wire.KeyValue, tally uint64) {
 	have := map[string]bool{}
 	for _, it := range items {
 		have[it.Key] = true
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -192,8 +192,8 @@
 	More     bool           `cbor:"truncated"`
 }
 
-// Item is a key of the state service with its value and revision.
-type Item struct {
+// KeyValue is a key of the state service with its value and revision.
+type KeyValue struct {
 	Key   string `cbor:"k"`
 	Value Raw    `cbor:"data"`
 	Mark  uint64 `cbor:"mark"`
@@ -201,9 +201,9 @@
 
 // Range is a page of a range of keys, with the store revision at which it was read.
 type Range struct {
-	Items []Item `cbor:"entries"`
-	More  bool   `cbor:"truncated"`
-	Tally uint64 `cbor:"tally"`
+	Items []KeyValue `cbor:"entries"`
+	More  bool       `cbor:"truncated"`
+	Tally uint64     `cbor:"tally"`
 }
 
 // Cond is a condition of a transaction: the key must be at this revision, where 0 means that it must not exist.
