--- a/internal/rental/autoscaler_test.go
+++ b/internal/rental/autoscaler_test.go
@@ -277,7 +277,7 @@
 		g := newRig(t, 4)
 		g.peerUnreachable = partitioned
 		var got wire.MachineNames
-		r := g.cloud.Do("POST", "/machines", wire.Marshal(wire.Rent{Request: "before", Type: "m8", Zone: "x", Count: 3}), 0)
+		r := g.cloud.Do("POST", "/machines", wire.Marshal(wire.RentRequest{Request: "before", Type: "m8", Zone: "x", Count: 3}), 0)
 		if err := wire.Unmarshal(r.Body, &got); err != nil || len(got.Machines) != 3 {
 			t.Fatal("the cloud rented nothing")
 		}
@@ -301,7 +301,7 @@
 	g.Run(3 * loop.Second)
 	var got wire.MachineNames
 	g.cloud.Left["x"] = 1
-	if r := g.cloud.Do("POST", "/machines", wire.Marshal(wire.Rent{Request: "before", Type: "m8", Zone: "x", Count: 1}), 0); wire.Unmarshal(r.Body, &got) != nil || len(got.Machines) != 1 {
+	if r := g.cloud.Do("POST", "/machines", wire.Marshal(wire.RentRequest{Request: "before", Type: "m8", Zone: "x", Count: 1}), 0); wire.Unmarshal(r.Body, &got) != nil || len(got.Machines) != 1 {
 		t.Fatal("the cloud rented nothing")
 	}
 	name, deletedAt := got.Machines[0], loop.Micros(0)
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -275,7 +275,7 @@
 	o.busy = true
 	o.tries++
 	of := offer{o.record.Type, o.record.Zone, o.record.Spot}
-	t.call("POST", "/machines", wire.Rent{Request: o.name, Type: of.typ, Zone: of.zone, Spot: of.spot, Count: o.record.Count}, 5*loop.Second, func(resp store.Response) {
+	t.call("POST", "/machines", wire.RentRequest{Request: o.name, Type: of.typ, Zone: of.zone, Spot: of.spot, Count: o.record.Count}, 5*loop.Second, func(resp store.Response) {
 		o.busy = false
 		if !t.leads || t.orders[o.name] != o {
 			return
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -96,7 +96,7 @@
 func (c *Cloud) Fill(each int) (names []string) {
 	for _, z := range c.Types[0].Zones {
 		for n := each; n > 0; n -= 50 {
-			body := wire.Marshal(wire.Rent{Request: fmt.Sprint("fill-", z, n), Type: c.Types[0].Name, Zone: z, Count: min(n, 50)})
+			body := wire.Marshal(wire.RentRequest{Request: fmt.Sprint("fill-", z, n), Type: c.Types[0].Name, Zone: z, Count: min(n, 50)})
 			var got wire.MachineNames
 			if r := c.Do("POST", "/machines", body, 0); wire.Unmarshal(r.Body, &got) == nil {
 				names = append(names, got.Machines...)
@@ -162,7 +162,7 @@
 		}
 		return reply(200, wire.MachineNames{Machines: []string{}})
 	case path == "/machines":
-		var r wire.Rent
+		var r wire.RentRequest
 		if wire.Unmarshal(body, &r) != nil || r.Count < 1 {
 			return reply(400, wire.Error{Error: "malformed"})
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -161,8 +161,8 @@
 	Types []MachineType `cbor:"builds"`
 }
 
-// Rent is a request to the cloud for new machines.
-type Rent struct {
+// RentRequest is a request to the cloud for new machines.
+type RentRequest struct {
 	Request string `cbor:"draft"`
 	Type    string `cbor:"build"`
 	Zone    string `cbor:"field"`
