--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -50,7 +50,7 @@
 	}
 	w := wire.Submission{ID: &p.ID, Class: &p.Class, Team: &p.Team, Kind: &kind, Priority: &priority, Tasks: &p.Tasks, CPUs: &p.CPUs, GPUs: &p.GPUs,
 		MemoryGB: &p.MemoryGB, Image: &p.Image, ImageGB: &p.ImageGB, Types: p.Types, Zone: p.Zone, OneZone: &p.OneZone, Spread: &p.Scatter,
-		Spot: &p.Spot, EstimateS: &p.EstimateS, CheckpntS: &p.CheckpointS, SaveS: &p.SaveS, DeadlineS: p.DeadlineS}
+		Spot: &p.Spot, EstimateS: &p.EstimateS, CheckpointS: &p.CheckpointS, SaveS: &p.SaveS, DeadlineS: p.DeadlineS}
 	_, s, ok := job.Parse(wire.Marshal(w))
 	return s, ok
 }
--- a/internal/job/validate.go
+++ b/internal/job/validate.go
@@ -62,7 +62,7 @@
 	optional := func(p *float64) bool { return p == nil || num(p) }
 	if !name(w.Class) || !name(w.Team) || w.Kind == nil || w.Priority == nil ||
 		w.Tasks == nil || *w.Tasks < 1 || *w.Tasks > maxTasks || !num(w.CPUs) || !num(w.MemoryGB) || !num(w.GPUs) ||
-		!name(w.Image) || !num(w.ImageGB) || !num(w.EstimateS) || !num(w.CheckpntS) || !num(w.SaveS) ||
+		!name(w.Image) || !num(w.ImageGB) || !num(w.EstimateS) || !num(w.CheckpointS) || !num(w.SaveS) ||
 		!optional(w.DeadlineS) || w.OneZone == nil || w.Spread == nil || w.Spot == nil || len(w.Types) > 200 {
 		return nil, false
 	}
@@ -87,7 +87,7 @@
 	s = &Spec{Class: *w.Class, Team: *w.Team, Service: *w.Kind == wire.KindService, Gang: *w.Kind == wire.KindGang, Priority: p, Tasks: int(*w.Tasks),
 		CPUs: *w.CPUs, GPUs: *w.GPUs, MemoryGB: *w.MemoryGB, Image: *w.Image, ImageGB: *w.ImageGB,
 		Types: w.Types, AnyType: w.Types == nil, OneZone: *w.OneZone, Spread: *w.Spread, Spot: *w.Spot,
-		Estimate: loop.Seconds(*w.EstimateS), Checkpoint: loop.Seconds(*w.CheckpntS), Save: loop.Seconds(*w.SaveS),
+		Estimate: loop.Seconds(*w.EstimateS), Checkpoint: loop.Seconds(*w.CheckpointS), Save: loop.Seconds(*w.SaveS),
 		Deadline: loop.Seconds(opt(w.DeadlineS))}
 	if w.Zone != nil {
 		s.Zone = *w.Zone
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -91,7 +91,7 @@
 	}
 	yes := true
 	return wire.Submission{ID: &s.id, Class: &priority, Team: &s.team, Kind: &kind, Priority: &priority, Tasks: &tasks, CPUs: &s.cpus, GPUs: &none,
-		MemoryGB: &s.memoryGB, Image: &s.image, ImageGB: &size, OneZone: &no, Spread: &no, Spot: &yes, EstimateS: &s.runS, CheckpntS: &none, SaveS: &none}
+		MemoryGB: &s.memoryGB, Image: &s.image, ImageGB: &size, OneZone: &no, Spread: &no, Spot: &yes, EstimateS: &s.runS, CheckpointS: &none, SaveS: &none}
 }
 
 // follow is the life of a job's user.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -50,26 +50,26 @@
 
 // Submission is a job that a user submits. Its fields are pointers to tell an absent field from a zero value.
 type Submission struct {
-	ID        *string  `cbor:"nameId"`
-	Class     *string  `cbor:"lineup"`
-	Team      *string  `cbor:"squad"`
-	Kind      *string  `cbor:"play"`
-	Priority  *string  `cbor:"urgency"`
-	Tasks     *int64   `cbor:"snaps"`
-	CPUs      *float64 `cbor:"cpus"`
-	GPUs      *float64 `cbor:"cards"`
-	MemoryGB  *float64 `cbor:"ramGb"`
-	Image     *string  `cbor:"kit"`
-	ImageGB   *float64 `cbor:"sizeGb"`
-	Types     []string `cbor:"builds"`
-	Zone      *string  `cbor:"field"`
-	OneZone   *bool    `cbor:"oneZone"`
-	Spread    *bool    `cbor:"scatter"`
-	Spot      *bool    `cbor:"loaners"`
-	EstimateS *float64 `cbor:"expectS"`
-	CheckpntS *float64 `cbor:"timeoutS"`
-	SaveS     *float64 `cbor:"huddleS"`
-	DeadlineS *float64 `cbor:"whistleS"`
+	ID          *string  `cbor:"nameId"`
+	Class       *string  `cbor:"lineup"`
+	Team        *string  `cbor:"squad"`
+	Kind        *string  `cbor:"play"`
+	Priority    *string  `cbor:"urgency"`
+	Tasks       *int64   `cbor:"snaps"`
+	CPUs        *float64 `cbor:"cpus"`
+	GPUs        *float64 `cbor:"cards"`
+	MemoryGB    *float64 `cbor:"ramGb"`
+	Image       *string  `cbor:"kit"`
+	ImageGB     *float64 `cbor:"sizeGb"`
+	Types       []string `cbor:"builds"`
+	Zone        *string  `cbor:"field"`
+	OneZone     *bool    `cbor:"oneZone"`
+	Spread      *bool    `cbor:"scatter"`
+	Spot        *bool    `cbor:"loaners"`
+	EstimateS   *float64 `cbor:"expectS"`
+	CheckpointS *float64 `cbor:"timeoutS"`
+	SaveS       *float64 `cbor:"huddleS"`
+	DeadlineS   *float64 `cbor:"whistleS"`
 }
 
 // JobStatus is the answer to a submission, a poll or a cancellation.
