--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -98,8 +98,8 @@
 func (f *Fleet) PreemptForCachedImage(need *gate.Need, want int, rights PreemptionRights) []peer.Reservation {
 	rate := math.Inf(1)
 	for _, m := range f.order {
-		if m.typ.FetchGBs > 0 {
-			rate = min(rate, m.typ.FetchGBs)
+		if m.typ.FetchGBPerS > 0 {
+			rate = min(rate, m.typ.FetchGBPerS)
 		}
 	}
 	most := fetchCostFactor * need.Spec.ImageGB / rate * need.Spec.CPUs
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -59,7 +59,7 @@
 
 var types = map[string]wire.MachineType{
 	"m8":  {Name: "m8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.3, BootS: 4, Zones: []string{"x", "y"}},
-	"m16": {Name: "m16", CPUs: 16, MemoryGB: 32, FetchGBs: 1, Price: 2.2, SpotPrice: 0.5, BootS: 4, Zones: []string{"x", "y"}},
+	"m16": {Name: "m16", CPUs: 16, MemoryGB: 32, FetchGBPerS: 1, Price: 2.2, SpotPrice: 0.5, BootS: 4, Zones: []string{"x", "y"}},
 }
 
 func newRig(writeRPS float64, teams ...config.Team) *rig {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -86,7 +86,7 @@
 	for i := range s.Zones {
 		zones = append(zones, zoneName(i))
 	}
-	r.cloud = standin.NewCloud(wire.MachineType{Name: machineType, CPUs: s.MachineCPUs, MemoryGB: machineMemory, CacheGB: 60, FetchGBs: 1, Price: 1, SpotPrice: 0.3, BootS: s.BootS, Zones: zones},
+	r.cloud = standin.NewCloud(wire.MachineType{Name: machineType, CPUs: s.MachineCPUs, MemoryGB: machineMemory, CacheGB: 60, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: s.BootS, Zones: zones},
 		(s.Machines+s.Zones-1)/s.Zones)
 	r.cloud.Now, r.cloud.Lag, r.cloud.Addr = clock.Now, loop.Seconds(listLagS/2), address
 	r.workers = newWorkers(ctx, s, clock, r.referee)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -144,16 +144,16 @@
 
 // MachineType is an entry of the cloud's catalog.
 type MachineType struct {
-	Name      string   `cbor:"label"`
-	CPUs      float64  `cbor:"cpus"`
-	GPUs      float64  `cbor:"cards"`
-	MemoryGB  float64  `cbor:"ramGb"`
-	CacheGB   float64  `cbor:"cacheGb"`
-	FetchGBs  float64  `cbor:"fetchGbPerS"`
-	Price     float64  `cbor:"rate"`
-	SpotPrice float64  `cbor:"spotPrice"`
-	BootS     float64  `cbor:"bootS"`
-	Zones     []string `cbor:"fields"`
+	Name        string   `cbor:"label"`
+	CPUs        float64  `cbor:"cpus"`
+	GPUs        float64  `cbor:"cards"`
+	MemoryGB    float64  `cbor:"ramGb"`
+	CacheGB     float64  `cbor:"cacheGb"`
+	FetchGBPerS float64  `cbor:"fetchGbPerS"`
+	Price       float64  `cbor:"rate"`
+	SpotPrice   float64  `cbor:"spotPrice"`
+	BootS       float64  `cbor:"bootS"`
+	Zones       []string `cbor:"fields"`
 }
 
 // Catalog lists the machine types that the cloud offers.
