--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -254,7 +254,7 @@
 		}
 	}
 	if cpus < -1e-6 || mem < -1e-6 {
-		t.why = wire.WhyNoRoom
+		t.why = wire.WhyNoCapacity
 		return
 	}
 	t.state, t.until = wire.TaskFetching, now+loop.Second
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -134,7 +134,7 @@
 
 	TaskFetching, TaskRunning, TaskSaving, TaskExited = "pulling", "running", "saving", "ended"
 
-	WhyDone, WhyStopped, WhyError, WhyNoRoom, WhyBusy, WhyUnknown = "done", "stopped", "error", "full", "busy", "no_such"
+	WhyDone, WhyStopped, WhyError, WhyNoCapacity, WhyBusy, WhyUnknown = "done", "stopped", "error", "full", "busy", "no_such"
 
 	JobQueued, JobRunning, JobDone, JobCancelled = "pending", "running", "done", "withdrawn"
 
