--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -293,7 +293,7 @@
 	b.client.Get(store.Answers, Key, func(it wire.KeyValue, found, ok bool) {
 		before := b.revision
 		if ok && found {
-			b.mirror.Apply(it.Key, it.Value, it.Mark, false)
+			b.mirror.Apply(it.Key, it.Value, it.Revision, false)
 		}
 		done(b.revision != before, ok)
 	})
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -139,7 +139,7 @@
 		case !found:
 			callback(Answer{Code: 404, ID: id, source: SourceRead, basedOn: sequence})
 		default:
-			r.mirror.Apply(it.Key, it.Value, it.Mark, false)
+			r.mirror.Apply(it.Key, it.Value, it.Revision, false)
 			callback(r.current(id, 200, SourceRead, sequence))
 		}
 	})
--- a/internal/placer/load.go
+++ b/internal/placer/load.go
@@ -117,7 +117,7 @@
 			p.log.Error("corrupt task log record ignored; jobs accepted by its teams are not started", "key", it.Key)
 			rec = nil
 		}
-		segments = append(segments, storedSegment{it.Key, it.Mark, rec, team})
+		segments = append(segments, storedSegment{it.Key, it.Revision, rec, team})
 	}
 	return segments
 }
--- a/internal/placer/logwrite.go
+++ b/internal/placer/logwrite.go
@@ -106,10 +106,10 @@
 		case !ok || (found && wire.Unmarshal(it.Value, &have) != nil):
 			p.runner.After(200*loop.Millisecond, func() { p.checkStored(part, w) })
 		case found && have.Nonce == w.rec.Nonce:
-			w.segment.revision = it.Mark
+			w.segment.revision = it.Revision
 			p.writeStored(part, w)
 		default:
-			w.segment.revision = it.Mark // 0 if absent
+			w.segment.revision = it.Revision // 0 if absent
 			p.storeWrite(part, w)
 		}
 	})
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -230,7 +230,7 @@
 		if !ok {
 			return reply(404, map[string]uint64{"tally": s.tally})
 		}
-		return reply(200, wire.KeyValue{Key: key, Value: k.value, Mark: k.mark})
+		return reply(200, wire.KeyValue{Key: key, Value: k.value, Revision: k.mark})
 	case method == "GET" && u.Path == "/store":
 		var keys []string
 		for k := range s.keys {
@@ -246,7 +246,7 @@
 				r.More = true
 				break
 			}
-			r.Items = append(r.Items, wire.KeyValue{Key: k, Value: s.keys[k].value, Mark: s.keys[k].mark})
+			r.Items = append(r.Items, wire.KeyValue{Key: k, Value: s.keys[k].value, Revision: s.keys[k].mark})
 		}
 		return reply(200, r)
 	case method == "GET" && u.Path == "/changes":
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -217,7 +217,7 @@
 	have := map[string]bool{}
 	for _, it := range items {
 		have[it.Key] = true
-		m.Apply(it.Key, it.Value, it.Mark, false)
+		m.Apply(it.Key, it.Value, it.Revision, false)
 	}
 	var gone []string // usually few, so sorting these is cheaper than sorting all keys
 	for k, e := range m.entries {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -194,9 +194,9 @@
 
 // KeyValue is a key of the state service with its value and revision.
 type KeyValue struct {
-	Key   string `cbor:"k"`
-	Value Raw    `cbor:"data"`
-	Mark  uint64 `cbor:"mark"`
+	Key      string `cbor:"k"`
+	Value    Raw    `cbor:"data"`
+	Revision uint64 `cbor:"mark"`
 }
 
 // Range is a page of a range of keys, with the store revision at which it was read.
