--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -240,7 +240,7 @@
 		}
 		sort.Strings(keys)
 		limit, _ := strconv.Atoi(q.Get("limit"))
-		r := wire.Range{Items: []wire.KeyValue{}, Tally: s.tally}
+		r := wire.Range{Items: []wire.KeyValue{}, StoreRevision: s.tally}
 		for _, k := range keys {
 			if len(r.Items) == limit {
 				r.More = true
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -379,7 +379,7 @@
 				return
 			}
 			if since == "" {
-				first = r.Tally
+				first = r.StoreRevision
 			}
 			all = append(all, r.Items...)
 			if r.More && len(r.Items) > 0 {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -103,7 +103,7 @@
 		case strings.HasPrefix(path, "/changes"):
 			return Response{Status: 200, Body: wire.Marshal(wire.Events{Tally: tally})}
 		}
-		return Response{Status: 200, Body: wire.Marshal(wire.Range{Tally: tally})}
+		return Response{Status: 200, Body: wire.Marshal(wire.Range{StoreRevision: tally})}
 	}}
 	m := NewMirror(NewClient(r, l, slog.New(slog.NewTextHandler(io.Discard, nil)), 100, 100, 1), l, "c/")
 	m.Wait = 2 * loop.Second
--- a/internal/store/sync_test.go
+++ b/internal/store/sync_test.go
@@ -15,7 +15,7 @@
 // answer.
 func TestSync(t *testing.T) {
 	changes := wire.Events{Tally: 9, Events: []wire.Event{{Put: "c/a", Value: wire.Marshal(1), Mark: 8}, {Delete: "c/b", Mark: 9}}}
-	keys := wire.Range{Tally: 30, Items: []wire.KeyValue{{Key: "c/a", Value: wire.Marshal(2), Revision: 20}}}
+	keys := wire.Range{StoreRevision: 30, Items: []wire.KeyValue{{Key: "c/a", Value: wire.Marshal(2), Revision: 20}}}
 	for _, c := range []struct {
 		name    string
 		changes Response
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -201,9 +201,9 @@
 
 // Range is a page of a range of keys, with the store revision at which it was read.
 type Range struct {
-	Items []KeyValue `cbor:"entries"`
-	More  bool       `cbor:"truncated"`
-	Tally uint64     `cbor:"tally"`
+	Items         []KeyValue `cbor:"entries"`
+	More          bool       `cbor:"truncated"`
+	StoreRevision uint64     `cbor:"tally"`
 }
 
 // Cond is a condition of a transaction: the key must be at this revision, where 0 means that it must not exist.
