--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -165,7 +165,7 @@
 func (b *Registry) Any() bool { return len(b.cordons) > 0 }
 
 // Cond returns the condition that the stored cordons are still those known here.
-func (b *Registry) Cond() wire.Cond { return wire.Cond{Key: Key, Mark: b.revision} }
+func (b *Registry) Cond() wire.Cond { return wire.Cond{Key: Key, Revision: b.revision} }
 
 // Damaged reports whether the stored record is corrupt.
 func (b *Registry) Damaged() bool { return b.damaged }
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -185,7 +185,7 @@
 }
 
 // RevisionCond returns the condition that the job's record still has the revision known here.
-func RevisionCond(j *Job) wire.Cond { return wire.Cond{Key: KeyPrefix + j.ID, Mark: j.Revision} }
+func RevisionCond(j *Job) wire.Cond { return wire.Cond{Key: KeyPrefix + j.ID, Revision: j.Revision} }
 
 // ApplyStored applies a record that a transaction of this controller has stored.
 func (r *Registry) ApplyStored(ch wire.Change, tally uint64) {
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -114,7 +114,7 @@
 		size += recordOverheadBytes + len(wire.Marshal(record))
 		batch.turns = append(batch.turns, next[0])
 		batch.records[id] = record
-		batch.txn.If = append(batch.txn.If, wire.Cond{Key: KeyPrefix + id, Mark: 0})
+		batch.txn.If = append(batch.txn.If, wire.Cond{Key: KeyPrefix + id, Revision: 0})
 		batch.txn.Then = append(batch.txn.Then, wire.Change{Put: KeyPrefix + id, Value: record})
 	}
 	return batch
--- a/internal/member/claims.go
+++ b/internal/member/claims.go
@@ -295,7 +295,7 @@
 	var txn wire.Txn
 	for _, key := range keys {
 		b.claiming[key] = true
-		txn.If = append(txn.If, wire.Cond{Key: key, Mark: 0})
+		txn.If = append(txn.If, wire.Cond{Key: key, Revision: 0})
 		txn.Then = append(txn.Then, wire.Change{Put: key, Value: rec, Lease: lease})
 	}
 	b.client.Txn(store.Leases, txn, func(r store.Result) {
@@ -339,8 +339,8 @@
 
 // ClaimCond returns the condition that the partition is still owned under this claim.
 func ClaimCond(id partition.ID, claim Owner) wire.Cond {
-	return wire.Cond{Key: id.ClaimKey(), Mark: claim.Revision}
+	return wire.Cond{Key: id.ClaimKey(), Revision: claim.Revision}
 }
 
 // LeaderCond returns the condition that this claim still holds the leadership.
-func LeaderCond(claim Owner) wire.Cond { return wire.Cond{Key: leaderKey, Mark: claim.Revision} }
+func LeaderCond(claim Owner) wire.Cond { return wire.Cond{Key: leaderKey, Revision: claim.Revision} }
--- a/internal/member/layout.go
+++ b/internal/member/layout.go
@@ -110,7 +110,7 @@
 func (b *Member) storeLayout() {
 	b.storingLayout = true
 	l := partition.Layout{Count: partition.CountFor(b.Controllers)}
-	b.client.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: partition.LayoutKey, Mark: 0}},
+	b.client.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: partition.LayoutKey, Revision: 0}},
 		Then: []wire.Change{{Put: partition.LayoutKey, Value: l}}}, func(r store.Result) {
 		retry := func() { b.storingLayout = false }
 		if r.Outcome == store.Applied {
@@ -138,7 +138,7 @@
 func (b *Member) Assign(id partition.ID, claim Owner, teams []string, done func(ok bool)) {
 	txn := wire.Txn{If: []wire.Cond{ClaimCond(id, claim)}}
 	for _, team := range teams {
-		txn.If = append(txn.If, wire.Cond{Key: teamKeys + team, Mark: 0})
+		txn.If = append(txn.If, wire.Cond{Key: teamKeys + team, Revision: 0})
 		txn.Then = append(txn.Then, assignment(b.layout, team))
 	}
 	b.client.Txn(store.Answers, txn, func(r store.Result) {
@@ -161,7 +161,7 @@
 		if !ok || len(txn.Then) >= b.client.MostChanges() {
 			continue
 		}
-		txn.If = append(txn.If, wire.Cond{Key: teamKeys + team, Mark: o.Revision})
+		txn.If = append(txn.If, wire.Cond{Key: teamKeys + team, Revision: o.Revision})
 		txn.Then = append(txn.Then, assignment(b.layout, team))
 	}
 	if len(txn.Then) == 0 {
--- a/internal/member/lease.go
+++ b/internal/member/lease.go
@@ -103,7 +103,7 @@
 			return
 		}
 		next := rec.Epoch + 1
-		b.client.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: epochKey, Mark: it.Revision}},
+		b.client.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: epochKey, Revision: it.Revision}},
 			Then: []wire.Change{{Put: epochKey, Value: epochRecord{next}}}}, func(r store.Result) {
 			if r.Outcome != store.Applied {
 				// Without an answer the epoch may have been taken or not. It is never
--- a/internal/member/rebalance.go
+++ b/internal/member/rebalance.go
@@ -95,7 +95,7 @@
 // release releases a claim of this controller.
 func (b *Member) release(key, why string) {
 	b.log.Info("releasing ownership claim so that another controller can take it", "key", key, "why", why)
-	b.client.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: key, Mark: b.owned[key].Revision}}, Then: []wire.Change{{Delete: key}}}, func(r store.Result) {
+	b.client.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: key, Revision: b.owned[key].Revision}}, Then: []wire.Change{{Delete: key}}}, func(r store.Result) {
 		if r.Outcome == store.Applied {
 			b.mirror.Apply(key, nil, r.Tally, true)
 		}
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -231,7 +231,7 @@
 	name := fmt.Sprintf("r-%d-%d", t.claim.Epoch, t.seq)
 	o := &order{name: name, record: Order{Type: of.typ, Zone: of.zone, Spot: of.spot, Count: count, At: t.runner.Wall()}}
 	t.orders[name] = o
-	t.storeOrder(o, []wire.Cond{member.LeaderCond(t.claim), {Key: OrderKeys + name, Mark: 0}}, func(ok bool) {
+	t.storeOrder(o, []wire.Cond{member.LeaderCond(t.claim), {Key: OrderKeys + name, Revision: 0}}, func(ok bool) {
 		if ok {
 			o.recorded = true
 			if t.leads && t.orders[name] == o && t.mayCall(t.runner.Now()) {
@@ -295,7 +295,7 @@
 			} else {
 				delete(t.offers, of)
 			}
-			t.storeOrder(o, []wire.Cond{{Key: OrderKeys + o.name, Mark: o.revision}}, func(bool) {})
+			t.storeOrder(o, []wire.Cond{{Key: OrderKeys + o.name, Revision: o.revision}}, func(bool) {})
 		case resp.Err == nil && resp.Status == 503 && strings.Contains(string(resp.Body), "capacity"):
 			t.log.Info("cloud has no capacity for the order; the offer is left out for a while", "order", o.name, "type", of.typ, "zone", of.zone, "spot", of.spot)
 			t.backOffOffer(of)
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -302,7 +302,7 @@
 	}
 	failed := []string{}
 	for _, c := range t.If {
-		if s.keys[c.Key].mark != c.Mark {
+		if s.keys[c.Key].mark != c.Revision {
 			failed = append(failed, c.Key)
 		}
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -208,8 +208,8 @@
 
 // Cond is a condition of a transaction: the key must be at this revision, where 0 means that it must not exist.
 type Cond struct {
-	Key  string `cbor:"k"`
-	Mark uint64 `cbor:"mark"`
+	Key      string `cbor:"k"`
+	Revision uint64 `cbor:"mark"`
 }
 
 // Change is an operation of a transaction that puts or deletes a key.
