--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -307,7 +307,7 @@
 		}
 	}
 	if len(failed) > 0 {
-		return reply(409, wire.TxnResult{Failed: failed, Tally: s.tally})
+		return reply(409, wire.TxnResult{Failed: failed, StoreRevision: s.tally})
 	}
 	if len(t.Then) > 0 {
 		s.tally++
@@ -319,5 +319,5 @@
 			s.remove(c.Delete)
 		}
 	}
-	return reply(200, wire.TxnResult{Tally: s.tally})
+	return reply(200, wire.TxnResult{StoreRevision: s.tally})
 }
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -327,9 +327,9 @@
 	}
 	switch {
 	case resp.Status == 200:
-		return Result{Outcome: Applied, Tally: r.Tally}
+		return Result{Outcome: Applied, Tally: r.StoreRevision}
 	case resp.Status == 409:
-		return Result{Outcome: Conflict, Failed: r.Failed, Tally: r.Tally}
+		return Result{Outcome: Conflict, Failed: r.Failed, Tally: r.StoreRevision}
 	case r.Error == "no such lease":
 		return Result{Outcome: NoLease}
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -36,7 +36,7 @@
 
 func (c *counter) Do(method, path string, _ []byte, _ time.Duration) Response {
 	c.sent[path]++
-	return Response{Status: 200, Body: wire.Marshal(wire.TxnResult{Tally: 1})}
+	return Response{Status: 200, Body: wire.Marshal(wire.TxnResult{StoreRevision: 1})}
 }
 
 // Events, own writes and reads reach the mirror in any order and any number of times. It must end in the state
@@ -178,7 +178,7 @@
 		resp Response
 		want Outcome
 	}{
-		{Response{Status: 200, Body: body(wire.TxnResult{Tally: 4})}, Applied},
+		{Response{Status: 200, Body: body(wire.TxnResult{StoreRevision: 4})}, Applied},
 		{Response{Status: 409, Body: body(wire.TxnResult{Failed: []string{"a"}})}, Conflict},
 		{Response{Status: 503}, Refused},
 		{Response{Status: 429}, Refused},
@@ -204,7 +204,7 @@
 		if n++; lost(n) {
 			return Response{Err: io.EOF}
 		}
-		return Response{Status: 200, Body: wire.Marshal(wire.TxnResult{Tally: 1})}
+		return Response{Status: 200, Body: wire.Marshal(wire.TxnResult{StoreRevision: 1})}
 	}}
 	c := NewClient(r, l, slog.New(slog.NewTextHandler(io.Discard, nil)), 1000, 1000, 1)
 	waits := func(times int) (out []int) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -228,9 +228,9 @@
 
 // TxnResult is the answer to a transaction: the store revision, and the keys whose conditions failed.
 type TxnResult struct {
-	Tally  uint64   `cbor:"tally"`
-	Failed []string `cbor:"failed"`
-	Error  string   `cbor:"error"`
+	StoreRevision uint64   `cbor:"tally"`
+	Failed        []string `cbor:"failed"`
+	Error         string   `cbor:"error"`
 }
 
 // Event is a change of a key that a watch returns.
