--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -106,7 +106,7 @@
 func (s *State) record(e wire.Event) {
 	s.events = append(s.events, e)
 	if n := len(s.events) - keptChanges; n >= keptChanges {
-		s.lost = s.events[n-1].Mark
+		s.lost = s.events[n-1].Revision
 		s.events = append([]wire.Event(nil), s.events[n:]...)
 	}
 	if s.change != nil {
@@ -127,7 +127,7 @@
 
 func (s *State) put(key string, v wire.Raw, lease uint64) {
 	s.keys[key] = stateKey{v, s.tally, lease}
-	s.record(wire.Event{Put: key, Value: v, Mark: s.tally})
+	s.record(wire.Event{Put: key, Value: v, Revision: s.tally})
 	if s.Stored != nil {
 		s.Stored(key, v)
 	}
@@ -136,7 +136,7 @@
 func (s *State) remove(key string) {
 	if _, ok := s.keys[key]; ok {
 		delete(s.keys, key)
-		s.record(wire.Event{Delete: key, Mark: s.tally})
+		s.record(wire.Event{Delete: key, Revision: s.tally})
 	}
 }
 
@@ -255,7 +255,7 @@
 			return reply(410, wire.Error{Error: "too old"})
 		}
 		ev := wire.Events{Tally: s.tally, Events: []wire.Event{}}
-		from := sort.Search(len(s.events), func(i int) bool { return s.events[i].Mark > since })
+		from := sort.Search(len(s.events), func(i int) bool { return s.events[i].Revision > since })
 		for _, e := range s.events[from:] {
 			if strings.HasPrefix(e.Put+e.Delete, q.Get("under")) {
 				ev.Events = append(ev.Events, e)
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -298,9 +298,9 @@
 func (m *Mirror) take(events *wire.Events) {
 	for _, e := range events.Events {
 		if e.Put != "" {
-			m.Apply(e.Put, e.Value, e.Mark, false)
+			m.Apply(e.Put, e.Value, e.Revision, false)
 		} else if e.Delete != "" {
-			m.Apply(e.Delete, nil, e.Mark, true)
+			m.Apply(e.Delete, nil, e.Revision, true)
 		}
 	}
 	m.since = max(m.since, events.Tally)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -235,10 +235,10 @@
 
 // Event is a change of a key that a watch returns.
 type Event struct {
-	Put    string `cbor:"put"`
-	Value  Raw    `cbor:"data"`
-	Mark   uint64 `cbor:"mark"`
-	Delete string `cbor:"remove"`
+	Put      string `cbor:"put"`
+	Value    Raw    `cbor:"data"`
+	Revision uint64 `cbor:"mark"`
+	Delete   string `cbor:"remove"`
 }
 
 // Events is the answer to a watch.
