--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -254,7 +254,7 @@
 		if since < s.lost {
 			return reply(410, wire.Error{Error: "too old"})
 		}
-		ev := wire.Events{Tally: s.tally, Events: []wire.Event{}}
+		ev := wire.Events{StoreRevision: s.tally, Events: []wire.Event{}}
 		from := sort.Search(len(s.events), func(i int) bool { return s.events[i].Revision > since })
 		for _, e := range s.events[from:] {
 			if strings.HasPrefix(e.Put+e.Delete, q.Get("under")) {
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -303,7 +303,7 @@
 			m.Apply(e.Delete, nil, e.Revision, true)
 		}
 	}
-	m.since = max(m.since, events.Tally)
+	m.since = max(m.since, events.StoreRevision)
 }
 
 // keptRemovals is the number of store revisions for which the revision of a removed key is kept.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -101,7 +101,7 @@
 		case lost:
 			return Response{Err: io.EOF}
 		case strings.HasPrefix(path, "/changes"):
-			return Response{Status: 200, Body: wire.Marshal(wire.Events{Tally: tally})}
+			return Response{Status: 200, Body: wire.Marshal(wire.Events{StoreRevision: tally})}
 		}
 		return Response{Status: 200, Body: wire.Marshal(wire.Range{StoreRevision: tally})}
 	}}
--- a/internal/store/sync_test.go
+++ b/internal/store/sync_test.go
@@ -14,7 +14,7 @@
 // request, reads all keys if the changes are no longer kept by the service, and reports nothing without an
 // answer.
 func TestSync(t *testing.T) {
-	changes := wire.Events{Tally: 9, Events: []wire.Event{{Put: "c/a", Value: wire.Marshal(1), Revision: 8}, {Delete: "c/b", Revision: 9}}}
+	changes := wire.Events{StoreRevision: 9, Events: []wire.Event{{Put: "c/a", Value: wire.Marshal(1), Revision: 8}, {Delete: "c/b", Revision: 9}}}
 	keys := wire.Range{StoreRevision: 30, Items: []wire.KeyValue{{Key: "c/a", Value: wire.Marshal(2), Revision: 20}}}
 	for _, c := range []struct {
 		name    string
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -243,8 +243,8 @@
 
 // Events is the answer to a watch.
 type Events struct {
-	Tally  uint64  `cbor:"tally"`
-	Events []Event `cbor:"events"`
+	StoreRevision uint64  `cbor:"tally"`
+	Events        []Event `cbor:"events"`
 }
 
 // Lease is the answer to a request for a lease.
