--- a/internal/wire/check.go
+++ b/internal/wire/check.go
@@ -20,9 +20,9 @@
 		return r, errors.New("not a map")
 	}
 	if err := Unmarshal(body, &r); err != nil {
-		var wrong *cbor.UnmarshalTypeError
-		if errors.As(err, &wrong) && wrong.StructFieldName != "" {
-			return r, fmt.Errorf("%s is a %s", wrong.StructFieldName[strings.LastIndexByte(wrong.StructFieldName, '.')+1:], wrong.CBORType)
+		var typeErr *cbor.UnmarshalTypeError
+		if errors.As(err, &typeErr) && typeErr.StructFieldName != "" {
+			return r, fmt.Errorf("%s is a %s", typeErr.StructFieldName[strings.LastIndexByte(typeErr.StructFieldName, '.')+1:], typeErr.CBORType)
 		}
 		return r, errors.New("not valid CBOR, or not a report")
 	}
@@ -31,9 +31,9 @@
 
 // check validates the values of the fields.
 func (r *Report) check() error {
-	for _, f := range [...]struct {
-		name  string
-		wrong bool
+	for _, rule := range [...]struct {
+		message string
+		applies bool
 	}{
 		{"stall is missing", r.Machine == ""},
 		{"address is missing", r.Addr == ""},
@@ -42,8 +42,8 @@
 		{"shift is missing or 0", r.Session == 0},
 		{"recallS is out of range", r.NoticeS != nil && !(*r.NoticeS >= 0 && *r.NoticeS <= math.MaxInt32)},
 	} {
-		if f.wrong {
-			return errors.New(f.name)
+		if rule.applies {
+			return errors.New(rule.message)
 		}
 	}
 	for i := range r.Tasks {
--- a/internal/wire/check_test.go
+++ b/internal/wire/check_test.go
@@ -7,12 +7,12 @@
 
 // An invalid report is rejected with an error that names the field at fault. A valid report is accepted, also with
 // fields that this version does not know.
-func TestReportsThatMakeNoSense(t *testing.T) {
-	sound := func() map[string]any {
+func TestInvalidReports(t *testing.T) {
+	validReport := func() map[string]any {
 		return map[string]any{"stall": "n-1", "address": "x:1", "build": "m8", "field": "x", "loaners": true, "shift": 2, "down": 88, "armband": 41, "recallS": nil, "later": 1,
 			"snaps": []any{map[string]any{"snap": "job-1/0", "try": 1, "standing": "ended", "call": "done"}, map[string]any{"snap": "job-1/1", "try": 2, "standing": "waiting"}}}
 	}
-	task := func(key string, value any) func(map[string]any) {
+	setTaskField := func(key string, value any) func(map[string]any) {
 		return func(m map[string]any) { m["snaps"].([]any)[0].(map[string]any)[key] = value }
 	}
 	for _, c := range []struct {
@@ -31,19 +31,19 @@
 		{"armband is a", func(m map[string]any) { m["armband"] = -1 }},
 		{"recallS is out of range", func(m map[string]any) { m["recallS"] = -3.0 }},
 		{"snaps is a", func(m map[string]any) { m["snaps"] = 7 }},
-		{"snap is missing", task("snap", "")},
-		{"try is missing", task("try", 0)},
-		{"call is missing", task("call", "")},
-		{"standing \"asleep\" is unknown", task("standing", "asleep")},
+		{"snap is missing", setTaskField("snap", "")},
+		{"try is missing", setTaskField("try", 0)},
+		{"call is missing", setTaskField("call", "")},
+		{"standing \"asleep\" is unknown", setTaskField("standing", "asleep")},
 	} {
-		m := sound()
+		m := validReport()
 		c.set(m)
 		_, err := ReadReport(Marshal(m))
 		if c.fault == "" && err != nil || c.fault != "" && (err == nil || !strings.Contains(err.Error(), c.fault)) {
 			t.Errorf("error %v, want %q", err, c.fault)
 		}
 	}
-	for _, body := range [][]byte{nil, []byte("no CBOR"), Marshal([]int{1}), Marshal(sound())[:20]} {
+	for _, body := range [][]byte{nil, []byte("no CBOR"), Marshal([]int{1}), Marshal(validReport())[:20]} {
 		if _, err := ReadReport(body); err == nil {
 			t.Errorf("%q is accepted as a report", body)
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -12,7 +12,7 @@
 // Raw is an encoded value that is kept undecoded.
 type Raw = cbor.RawMessage
 
-var dec = func() cbor.DecMode {
+var decMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{
 		FieldNameMatching: cbor.FieldNameMatchingCaseSensitive,
 		DupMapKey:         cbor.DupMapKeyQuiet,
@@ -25,7 +25,7 @@
 	return m
 }()
 
-var enc = func() cbor.EncMode {
+var encMode = func() cbor.EncMode {
 	m, err := cbor.EncOptions{Sort: cbor.SortNone}.EncMode()
 	if err != nil {
 		panic(err)
@@ -35,7 +35,7 @@
 
 // Marshal encodes a message. It panics if v cannot be encoded.
 func Marshal(v any) []byte {
-	b, err := enc.Marshal(v)
+	b, err := encMode.Marshal(v)
 	if err != nil {
 		panic(err) // a programming error: all encoded types are defined in this module
 	}
@@ -43,12 +43,12 @@
 }
 
 // Unmarshal decodes a message. Field names are case-sensitive.
-func Unmarshal(b []byte, v any) error { return dec.Unmarshal(b, v) }
+func Unmarshal(b []byte, v any) error { return decMode.Unmarshal(b, v) }
 
 // IsMap reports whether the encoded value is a map.
 func IsMap(b []byte) bool { return len(b) > 0 && b[0]>>5 == 5 }
 
-// Submission is a job that a user submits. Its fields are pointers to tell an absent field from a zero value.
+// Submission is a job that a user submits. Its scalar fields are pointers to tell an absent field from a zero value.
 type Submission struct {
 	ID          *string  `cbor:"nameId"`
 	Class       *string  `cbor:"lineup"`
