--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,4 +1,6 @@
-// Package client calls `/v1/` of one of several controllers.
+// Package client sends requests to the HTTP interface of the controllers under /v1/. It owns the choice of the
+// endpoint, retries and the API key, and decodes error responses. Paths, bodies and the output of answers are left
+// to its callers, the commands of the command line.
 package client
 
 import (
@@ -14,18 +16,18 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Client tries its endpoints in turn. Any controller can answer anything.
+// Client sends requests to its endpoints in turn. Any controller can answer any request.
 type Client struct {
 	endpoints []string
 	key       string
 	http      *fasthttp.Client
-	// Patience is how long a call may take over all its tries.
+	// Patience limits the total time of a call with all its retries: no further retry begins after it.
 	Patience time.Duration
 	sleep    func(time.Duration)
 	now      func() time.Time
 }
 
-// Problem is an error that a controller answered with (RFC 9457).
+// Problem is an error response of a controller, as problem details (RFC 9457).
 type Problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
@@ -34,6 +36,7 @@
 	Field  string `json:"field"`
 }
 
+// Error formats the problem for output to people.
 func (p *Problem) Error() string {
 	s := p.Title
 	if p.Detail != "" {
@@ -45,7 +48,7 @@
 	return s
 }
 
-// New makes a client. Endpoints are HOST:PORT, separated by commas; the key may be empty.
+// New returns a client. The endpoints are a comma-separated list of HOST:PORT; the key may be empty.
 func New(endpoints, key string) (*Client, error) {
 	c := &Client{key: key, Patience: 15 * time.Second, sleep: time.Sleep, now: time.Now, http: &fasthttp.Client{
 		MaxIdemponentCallAttempts: 1,
@@ -64,12 +67,12 @@
 		c.endpoints = append(c.endpoints, e)
 	}
 	if len(c.endpoints) == 0 {
-		return nil, errors.New("no endpoint: give --endpoint HOST:PORT[,HOST:PORT...] or set CLEATPICK_ENDPOINT")
+		return nil, errors.New("no endpoint given: pass --endpoint HOST:PORT[,HOST:PORT...] or set CLEATPICK_ENDPOINT")
 	}
 	return c, nil
 }
 
-// ReadKey reads a key from a file, without the white space around it.
+// ReadKey reads an API key from a file and trims the white space around it.
 func ReadKey(file string) (string, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -78,10 +81,9 @@
 	return strings.TrimSpace(string(b)), nil
 }
 
-// Call makes one call and decodes its answer into out, which may be nil. An endpoint
-// that cannot be reached, or says that it cannot answer now, is left for the next; after
-// a round of them the longest Retry-After is waited for. All calls may be repeated:
-// each names what it wants to be the case.
+// Call sends a request and decodes the answer into out, which may be nil. If an endpoint is unreachable or answers
+// 503 or 429, the next one is tried. After all have been tried, Call waits for the longest Retry-After among their
+// answers and starts again. Retries are safe because every request is idempotent: it states the desired result.
 func (c *Client) Call(method, path string, body, out any) error {
 	var raw []byte
 	if body != nil {
@@ -109,7 +111,8 @@
 	}
 }
 
-// try makes one exchange; again tells whether another one may fare better.
+// try sends the request to one endpoint. again reports whether the request may be retried, and after is the minimum
+// wait before that.
 func (c *Client) try(endpoint, method, path string, body []byte, out any) (again bool, after time.Duration, err error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -14,7 +14,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// endpoint answers each request with the next of its answers, and the last for good.
+// endpoint starts a server that answers each request with the next of the answers, and repeats the last one. It returns
+// the server's address.
 func endpoint(t *testing.T, answers ...func(*fasthttp.RequestCtx)) string {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -29,9 +30,9 @@
 	return ln.Addr().String()
 }
 
-// closed is an address that refuses connections for as long as the test runs. A port that
-// was listened on and closed is free to be had by the next endpoint of this very test,
-// which then was asked once before its turn.
+// closed returns an address that refuses connections while the test runs: its port is bound, but nothing listens on
+// it. A port that a listener has closed would not do, since another endpoint of the same test could then get the same
+// port and receive a request too many.
 func closed(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -60,8 +61,8 @@
 	fmt.Fprintf(ctx, `{"auth":%q}`, ctx.Request.Header.Peek("Authorization"))
 }
 
-// Endpoints are tried in turn; after a round of refusals the longest Retry-After is
-// waited for; an answer that is a plain no is final.
+// Endpoints are tried in turn. When none of them can answer, the client waits for the longest Retry-After before it
+// retries. Other error responses are final.
 func TestEndpointsInTurn(t *testing.T) {
 	no := func(ctx *fasthttp.RequestCtx) {
 		ctx.SetStatusCode(404)
@@ -73,11 +74,11 @@
 		waits     string
 		fails     string
 	}{
-		{"the second answers", []string{closed(t), endpoint(t, fine)}, "[]", ""},
-		{"both are busy once", []string{endpoint(t, busy("2"), fine), endpoint(t, busy("3"), fine)}, "[3s]", ""},
-		{"a no is final", []string{endpoint(t, no), endpoint(t, fine)}, "[]", "no such job: job-9 (/id)"},
-		{"always busy", []string{endpoint(t, busy("400"))}, "[]", "busy"},
-		{"no /v1/ there", []string{endpoint(t, func(ctx *fasthttp.RequestCtx) { ctx.SetStatusCode(404); ctx.SetBodyString("\xa1") })}, "[]", "does not serve /v1/"},
+		{"the first endpoint is unreachable", []string{closed(t), endpoint(t, fine)}, "[]", ""},
+		{"both endpoints are busy once", []string{endpoint(t, busy("2"), fine), endpoint(t, busy("3"), fine)}, "[3s]", ""},
+		{"a 404 is final", []string{endpoint(t, no), endpoint(t, fine)}, "[]", "no such job: job-9 (/id)"},
+		{"the endpoint is always busy", []string{endpoint(t, busy("400"))}, "[]", "busy"},
+		{"the endpoint does not serve /v1/", []string{endpoint(t, func(ctx *fasthttp.RequestCtx) { ctx.SetStatusCode(404); ctx.SetBodyString("\xa1") })}, "[]", "does not serve /v1/"},
 	} {
 		cl, err := New(strings.Join(c.endpoints, ","), "secret")
 		if err != nil {
@@ -93,10 +94,10 @@
 		var out struct{ Auth string }
 		err = cl.Call("GET", "/v1/x", nil, &out)
 		if c.fails == "" && (err != nil || out.Auth != "Bearer secret") {
-			t.Errorf("%s: %v, %q", c.what, err, out.Auth)
+			t.Errorf("%s: error %v, authorization %q", c.what, err, out.Auth)
 		}
 		if c.fails != "" && (err == nil || !strings.Contains(err.Error(), c.fails)) {
-			t.Errorf("%s: %v, want %q", c.what, err, c.fails)
+			t.Errorf("%s: error %v, want %q", c.what, err, c.fails)
 		}
 		if fmt.Sprint(waits) != c.waits {
 			t.Errorf("%s: waited %v, want %s", c.what, waits, c.waits)
@@ -107,17 +108,17 @@
 func TestMisuse(t *testing.T) {
 	for _, list := range []string{"", " , ", "nowhere", "10.0.0.1"} {
 		if _, err := New(list, ""); err == nil {
-			t.Errorf("%q is taken for a list of endpoints", list)
+			t.Errorf("%q is accepted as a list of endpoints", list)
 		}
 	}
 	file := filepath.Join(t.TempDir(), "key")
 	if _, err := ReadKey(file); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a missing key file gives %v", err)
+		t.Errorf("a missing key file gives error %v, want os.ErrNotExist", err)
 	}
 	if err := os.WriteFile(file, []byte(" abc\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if key, err := ReadKey(file); key != "abc" || err != nil {
-		t.Errorf("the key is %q, %v", key, err)
+		t.Errorf("the key is read as %q, error %v, want \"abc\"", key, err)
 	}
 }
