--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -21,10 +21,10 @@
 	endpoints []string
 	key       string
 	http      *fasthttp.Client
-	// Patience limits the total time of a call with all its retries: no further retry begins after it.
-	Patience time.Duration
-	sleep    func(time.Duration)
-	now      func() time.Time
+	// Timeout limits the total time of a call with all its retries: no further retry begins after it.
+	Timeout time.Duration
+	sleep   func(time.Duration)
+	now     func() time.Time
 }
 
 // Problem is an error response of a controller, as problem details (RFC 9457).
@@ -50,7 +50,7 @@
 
 // New returns a client. The endpoints are a comma-separated list of HOST:PORT; the key may be empty.
 func New(endpoints, key string) (*Client, error) {
-	c := &Client{key: key, Patience: 15 * time.Second, sleep: time.Sleep, now: time.Now, http: &fasthttp.Client{
+	c := &Client{key: key, Timeout: 15 * time.Second, sleep: time.Sleep, now: time.Now, http: &fasthttp.Client{
 		MaxIdemponentCallAttempts: 1,
 		MaxResponseBodySize:       16 << 20,
 		NoDefaultUserAgentHeader:  true,
@@ -92,7 +92,7 @@
 			return err
 		}
 	}
-	end := c.now().Add(c.Patience)
+	end := c.now().Add(c.Timeout)
 	var last error
 	for {
 		wait := 500 * time.Millisecond
