--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -93,27 +93,27 @@
 		}
 	}
 	end := c.now().Add(c.Timeout)
-	var last error
+	var lastErr error
 	for {
 		wait := 500 * time.Millisecond
 		for _, e := range c.endpoints {
-			again, after, err := c.try(e, method, path, raw, out)
-			if !again {
+			retry, retryAfter, err := c.attempt(e, method, path, raw, out)
+			if !retry {
 				return err
 			}
-			last = err
-			wait = max(wait, after)
+			lastErr = err
+			wait = max(wait, retryAfter)
 		}
 		if c.now().Add(wait).After(end) {
-			return last
+			return lastErr
 		}
 		c.sleep(wait)
 	}
 }
 
-// try sends the request to one endpoint. again reports whether the request may be retried, and after is the minimum
-// wait before that.
-func (c *Client) try(endpoint, method, path string, body []byte, out any) (again bool, after time.Duration, err error) {
+// attempt sends the request to one endpoint. retry reports whether the request may be retried, and retryAfter is the
+// minimum wait before that.
+func (c *Client) attempt(endpoint, method, path string, body []byte, out any) (retry bool, retryAfter time.Duration, err error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -14,9 +14,9 @@
 	"github.com/valyala/fasthttp"
 )
 
-// endpoint starts a server that answers each request with the next of the answers, and repeats the last one. It returns
-// the server's address.
-func endpoint(t *testing.T, answers ...func(*fasthttp.RequestCtx)) string {
+// startEndpoint starts a server that answers each request with the next of the answers, and repeats the last one. It
+// returns the server's address.
+func startEndpoint(t *testing.T, answers ...func(*fasthttp.RequestCtx)) string {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -30,10 +30,10 @@
 	return ln.Addr().String()
 }
 
-// closed returns an address that refuses connections while the test runs: its port is bound, but nothing listens on
-// it. A port that a listener has closed would not do, since another endpoint of the same test could then get the same
-// port and receive a request too many.
-func closed(t *testing.T) string {
+// refusingAddress returns an address that refuses connections while the test runs: its port is bound, but nothing
+// listens on it. A port that a listener has closed would not do, since another endpoint of the same test could then get
+// the same port and receive a request too many.
+func refusingAddress(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +49,7 @@
 	return fmt.Sprint("127.0.0.1:", at.(*syscall.SockaddrInet4).Port)
 }
 
-func busy(after string) func(*fasthttp.RequestCtx) {
+func unavailable(after string) func(*fasthttp.RequestCtx) {
 	return func(ctx *fasthttp.RequestCtx) {
 		ctx.Response.Header.Set("Retry-After", after)
 		ctx.SetStatusCode(503)
@@ -57,14 +57,14 @@
 	}
 }
 
-func fine(ctx *fasthttp.RequestCtx) {
+func echoAuthorization(ctx *fasthttp.RequestCtx) {
 	fmt.Fprintf(ctx, `{"auth":%q}`, ctx.Request.Header.Peek("Authorization"))
 }
 
 // Endpoints are tried in turn. When none of them can answer, the client waits for the longest Retry-After before it
 // retries. Other error responses are final.
-func TestEndpointsInTurn(t *testing.T) {
-	no := func(ctx *fasthttp.RequestCtx) {
+func TestEndpointFailover(t *testing.T) {
+	notFound := func(ctx *fasthttp.RequestCtx) {
 		ctx.SetStatusCode(404)
 		ctx.SetBodyString(`{"type":"urn:x","title":"no such job","status":404,"detail":"job-9","field":"/id"}`)
 	}
@@ -74,11 +74,11 @@
 		waits     string
 		fails     string
 	}{
-		{"the first endpoint is unreachable", []string{closed(t), endpoint(t, fine)}, "[]", ""},
-		{"both endpoints are busy once", []string{endpoint(t, busy("2"), fine), endpoint(t, busy("3"), fine)}, "[3s]", ""},
-		{"a 404 is final", []string{endpoint(t, no), endpoint(t, fine)}, "[]", "no such job: job-9 (/id)"},
-		{"the endpoint is always busy", []string{endpoint(t, busy("400"))}, "[]", "busy"},
-		{"the endpoint does not serve /v1/", []string{endpoint(t, func(ctx *fasthttp.RequestCtx) { ctx.SetStatusCode(404); ctx.SetBodyString("\xa1") })}, "[]", "does not serve /v1/"},
+		{"the first endpoint is unreachable", []string{refusingAddress(t), startEndpoint(t, echoAuthorization)}, "[]", ""},
+		{"both endpoints are busy once", []string{startEndpoint(t, unavailable("2"), echoAuthorization), startEndpoint(t, unavailable("3"), echoAuthorization)}, "[3s]", ""},
+		{"a 404 is final", []string{startEndpoint(t, notFound), startEndpoint(t, echoAuthorization)}, "[]", "no such job: job-9 (/id)"},
+		{"the endpoint is always busy", []string{startEndpoint(t, unavailable("400"))}, "[]", "busy"},
+		{"the endpoint does not serve /v1/", []string{startEndpoint(t, func(ctx *fasthttp.RequestCtx) { ctx.SetStatusCode(404); ctx.SetBodyString("\xa1") })}, "[]", "does not serve /v1/"},
 	} {
 		cl, err := New(strings.Join(c.endpoints, ","), "secret")
 		if err != nil {
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestMisuse(t *testing.T) {
+func TestInvalidArguments(t *testing.T) {
 	for _, list := range []string{"", " , ", "nowhere", "10.0.0.1"} {
 		if _, err := New(list, ""); err == nil {
 			t.Errorf("%q is accepted as a list of endpoints", list)
