--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -92,7 +92,7 @@
 			return err
 		}
 	}
-	end := c.now().Add(c.Timeout)
+	deadline := c.now().Add(c.Timeout)
 	var lastErr error
 	for {
 		wait := 500 * time.Millisecond
@@ -104,7 +104,7 @@
 			lastErr = err
 			wait = max(wait, retryAfter)
 		}
-		if c.now().Add(wait).After(end) {
+		if c.now().Add(wait).After(deadline) {
 			return lastErr
 		}
 		c.sleep(wait)
