--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -1,5 +1,6 @@
-// Package metric counts what a controller does, in the published text format. A nil
-// meter counts nothing and costs nothing. All label sets are bounded by the code.
+// Package metric holds the Prometheus metrics of a controller and writes them in the Prometheus text format. It owns
+// the names, labels and buckets of all metrics; the packages that cause the events call its methods. A nil Meter
+// records nothing at no cost. The values of each label are a fixed set, so that the number of time series is bounded.
 package metric
 
 import (
@@ -14,7 +15,7 @@
 	"github.com/prometheus/common/expfmt"
 )
 
-// Meter holds one controller's figures.
+// Meter holds the metrics of one controller.
 type Meter struct {
 	reg       *prometheus.Registry
 	passes    prometheus.Histogram
@@ -51,13 +52,13 @@
 	takeovers prometheus.Histogram
 }
 
-// Seconds from a millisecond to an hour, and from a tenth of a millisecond to seconds.
+// Bucket bounds in seconds: from 10 ms to one hour, and from 0.1 ms to 2.5 s.
 var (
 	longBuckets  = []float64{.01, .05, .1, .25, .5, 1, 2, 5, 10, 20, 40, 60, 120, 300, 600, 1800, 3600}
 	shortBuckets = []float64{.0001, .00025, .0005, .001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5}
 )
 
-// New makes a meter.
+// New returns a meter with all metrics registered.
 func New() *Meter {
 	m := &Meter{reg: prometheus.NewRegistry()}
 	counter := func(name, help string) prometheus.Counter {
@@ -75,50 +76,51 @@
 		m.reg.MustRegister(h)
 		return h
 	}
-	m.passes = histogram("pass_seconds", "How long a placement pass took.", shortBuckets)
-	m.placed = counter("placed_total", "Tasks for which a pass chose a machine.")
-	m.starts = counter("starts_total", "Recorded starts handed to a machine's host.")
-	m.misses = counter("misses_total", "Times that a job's tasks began to find no room.")
-	m.refusals = counter("refusals_total", "Choices that a machine's host refused.")
+	m.passes = histogram("pass_seconds", "Duration of a placement pass.", shortBuckets)
+	m.placed = counter("placed_total", "Tasks for which a placement pass chose a machine.")
+	m.starts = counter("starts_total", "Recorded starts sent to a machine's host controller.")
+	m.misses = counter("misses_total", "Times that tasks of a job began to be unplaced for lack of free capacity.")
+	m.refusals = counter("refusals_total", "Placements that a machine's host controller rejected.")
 	m.waits = prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: "cleatpick", Name: "wait_seconds",
-		Help: "How long a cause kept tasks of a job from running, by cause.", Buckets: longBuckets}, []string{"cause"})
+		Help: "Time for which a cause kept tasks of a job from running, by cause.", Buckets: longBuckets}, []string{"cause"})
 	m.reg.MustRegister(m.waits)
 	m.state = counters("state_requests_total", "Requests to the state service by outcome.", "outcome")
-	m.stateLag = histogram("state_request_seconds", "How long answered requests to the state service took.", shortBuckets)
+	m.stateLag = histogram("state_request_seconds", "Duration of answered requests to the state service.", shortBuckets)
 	m.cloud = counters("cloud_requests_total", "Requests to the cloud by outcome.", "outcome")
-	m.lag = histogram("loop_lag_seconds", "How much later than asked a timer of the loop ran.", shortBuckets)
+	m.lag = histogram("loop_lag_seconds", "Delay of a timer of the event loop beyond its due time.", shortBuckets)
 	m.requests = counters("api_requests_total", "Requests under /v1/ by status class.", "status")
-	m.whys = histogram("why_seconds", "How long gathering one explanation held the loop.", shortBuckets)
-	m.answers = counters("answers_total", "Answers to users about one job: to polls or to changes (submissions, cancellations), by the way in which they were come by, or by why the user was told to come back.", "request", "way")
-	m.outdated = counter("outdated_answers_total", "Answers that were not given since they were older than their questions; the questions waited for newer ones.")
-	m.turnedOff = counters("requests_turned_away_total", "Users' requests that were told to come back before they reached any job, by reason.", "reason")
-	m.stalls = histogram("stall_seconds", "How long the process stood still while its clocks ran on.", longBuckets)
-	m.submits = counters("submissions_total", "Submissions whose record was stored here, and those told to come back.", "how")
-	m.admits = counters("admission_changes_total", "Changes of how crowded the line of submissions is, by the new state.", "state")
-	m.peers = counters("peer_changes_total", "Changes of how a peer is reached, by the new state; damped: it came and went, and is not given work for a while.", "state", "damped")
-	m.trials = counters("jobs_judged_total", "Jobs that came to be judged sound, doubted or broken by who fails where.", "state")
-	m.probes = counters("probes_total", "Silent machines that were asked directly, by what came of it.", "word")
-	m.doubtful = prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "cleatpick", Name: "machines_in_doubt", Help: "Silent machines of which nobody can tell yet whether they come back; told by the leader."})
+	m.whys = histogram("why_seconds", "Time for which gathering one explanation occupied the event loop.", shortBuckets)
+	m.answers = counters("answers_total", "Answers to users about one job: to polls or to changes (submissions, cancellations), by the source of the answer, or by the reason why the user was deferred.", "request", "way")
+	m.outdated = counter("outdated_answers_total", "Answers that were not given because they were older than their requests; the requests waited for newer answers.")
+	m.turnedOff = counters("requests_turned_away_total", "Users' requests that were deferred before they reached any job, by reason.", "reason")
+	m.stalls = histogram("stall_seconds", "Duration of pauses in which the process did not run while its clocks went on.", longBuckets)
+	m.submits = counters("submissions_total", "Submissions whose record this controller stored, and submissions that were deferred.", "how")
+	m.admits = counters("admission_changes_total", "Changes of the load state of the submission queue, by the new state.", "state")
+	m.peers = counters("peer_changes_total", "Changes of a peer's reachability, by the new state; damped: the reachability changes often, and the peer is given no work for a while.", "state", "damped")
+	m.trials = counters("jobs_judged_total", "Changes of a job's state in failure attribution (sound, doubted or broken), by the new state.", "state")
+	m.probes = counters("probes_total", "Direct probes of silent machines, by the result.", "word")
+	m.doubtful = prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "cleatpick", Name: "machines_in_doubt", Help: "Suspected machines of which it is not known yet whether they come back; set by the leader."})
 	m.moments = prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: "cleatpick", Name: "moment_machines",
-		Help: "Machines that fell silent together, and those of them that were lost.", Buckets: prometheus.ExponentialBuckets(5, 2, 11)}, []string{"what"})
+		Help: "Machines suspected at the same time in a correlated failure, and those declared failed in it.", Buckets: prometheus.ExponentialBuckets(5, 2, 11)}, []string{"what"})
 	m.reg.MustRegister(m.doubtful, m.moments)
-	m.reruns = histogram("rerun_seconds", "From the last word of a machine that was lost until a task of it ran again.", longBuckets)
-	m.earlier = counter("earlier_frames_total", "Frames dropped since an earlier life of a peer's process had sent them.")
-	m.horizon = prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "cleatpick", Name: "horizon_age_seconds", Help: "How old this node's knowledge of cancellations is; workers are let go when it is too old."})
+	m.reruns = histogram("rerun_seconds", "Time from the last report of a failed machine until a task of it ran again.", longBuckets)
+	m.earlier = counter("earlier_frames_total", "Frames dropped because an earlier incarnation of a peer sent them.")
+	m.horizon = prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "cleatpick", Name: "horizon_age_seconds", Help: "Age of this controller's cancellation watermark; when it is too old, workers are no longer answered, so that their leases expire."})
 	m.reg.MustRegister(m.horizon)
-	m.words = counter("horizon_words_dropped_total", "Peers' words on cancellations that made no sense, and proved nothing.")
-	m.commands = counters("commands_total", "Commands that left for workers, by operation and way.", "operation", "way")
-	m.forgets = counters("forgets_judged_total", "Judgements whether a worker may be told to forget an ended attempt: allowed, or why not yet.", "verdict")
-	m.stops = counter("preemptions_total", "Tasks that were asked to stop so that others have room.")
-	m.held = counter("held_total", "Tasks for which room was held, stopping nothing: the longest waiting, and those of a team that lacks its guarantee.")
-	m.takeovers = histogram("takeover_seconds", "From when a partition with work came to be owned here until a task of it was placed.", longBuckets)
+	m.words = counter("horizon_words_dropped_total", "Invalid messages of peers about cancellations, which were discarded and count as no evidence.")
+	m.commands = counters("commands_total", "Commands sent to workers, by operation and path.", "operation", "way")
+	m.forgets = counters("forgets_judged_total", "Decisions whether a worker may be told to forget an ended attempt, by verdict: allowed, or the reason why not yet.", "verdict")
+	m.stops = counter("preemptions_total", "Tasks preempted to free capacity for other jobs.")
+	m.held = counter("held_total", "Tasks for which capacity was reserved without preemption: those of the longest waiting jobs, and those of a team that does not have its guarantee.")
+	m.takeovers = histogram("takeover_seconds", "Time from when this controller became the owner of a partition with work until it placed a task of it.", longBuckets)
 	m.reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return m
 }
 
+// seconds converts a duration to the unit of the metrics.
 func seconds(d loop.Micros) float64 { return float64(d) / 1e6 }
 
-// Watch follows how late the loop's timers run.
+// Watch starts to measure periodically how late the event loop runs its timers.
 func (m *Meter) Watch(r loop.Runner) {
 	if m == nil {
 		return
@@ -132,7 +134,7 @@
 	})
 }
 
-// Pass counts a placement pass.
+// Pass records a placement pass and the number of tasks that it placed.
 func (m *Meter) Pass(took loop.Micros, placed int) {
 	if m != nil {
 		m.passes.Observe(seconds(took))
@@ -140,154 +142,156 @@
 	}
 }
 
-// Command counts a command that left for a worker.
+// Command counts a command sent to a worker.
 func (m *Meter) Command(operation, way string) {
 	if m != nil {
 		m.commands.WithLabelValues(operation, way).Inc()
 	}
 }
 
-// Forget counts a judgement whether a worker may be told to forget an attempt.
+// Forget counts a decision whether a worker may be told to forget an attempt.
 func (m *Meter) Forget(verdict string) {
 	if m != nil {
 		m.forgets.WithLabelValues(verdict).Inc()
 	}
 }
 
-// Preempted counts tasks that were asked to stop so that others have room.
+// Preempted counts tasks that are preempted to free capacity for other jobs.
 func (m *Meter) Preempted(tasks int) {
 	if m != nil {
 		m.stops.Add(float64(tasks))
 	}
 }
 
-// Held counts tasks for which room was held without stopping anything.
+// Held counts tasks for which capacity is reserved without preemption.
 func (m *Meter) Held(tasks int) {
 	if m != nil {
 		m.held.Add(float64(tasks))
 	}
 }
 
-// Takeover counts the time until the first placement under a new owner.
+// Takeover records the time from a change of a partition's owner until the first placement.
 func (m *Meter) Takeover(took loop.Micros) {
 	if m != nil {
 		m.takeovers.Observe(seconds(took))
 	}
 }
 
-// EarlierFrame counts a frame that an earlier life of a peer had sent.
+// EarlierFrame counts a dropped frame that an earlier incarnation of a peer sent.
 func (m *Meter) EarlierFrame() {
 	if m != nil {
 		m.earlier.Inc()
 	}
 }
 
-// Horizon sets how old the knowledge of cancellations is.
+// Horizon sets the age of the cancellation watermark.
 func (m *Meter) Horizon(age loop.Micros) {
 	if m != nil {
 		m.horizon.Set(seconds(age))
 	}
 }
 
-// HorizonWord counts a peer's word on cancellations that made no sense.
+// HorizonWord counts an invalid message of a peer about cancellations.
 func (m *Meter) HorizonWord() {
 	if m != nil {
 		m.words.Inc()
 	}
 }
 
-// Start counts a start that was handed on.
+// Start counts a recorded start that is sent to a host controller.
 func (m *Meter) Start() {
 	if m != nil {
 		m.starts.Inc()
 	}
 }
 
-// Miss counts a job whose tasks begin to find no room.
+// Miss counts a job whose tasks begin to be unplaced for lack of free capacity.
 func (m *Meter) Miss() {
 	if m != nil {
 		m.misses.Inc()
 	}
 }
 
-// Refusal counts a choice that a host refused.
+// Refusal counts a placement that a host controller rejected.
 func (m *Meter) Refusal() {
 	if m != nil {
 		m.refusals.Inc()
 	}
 }
 
-// Answer counts an answer to a user about one job; the ways are a fixed list.
+// Answer counts an answer to a user about one job. change is true for a submission or a cancellation and false for a
+// poll; way is one of a fixed list.
 func (m *Meter) Answer(change bool, way string) {
 	if m != nil {
 		m.answers.WithLabelValues(map[bool]string{true: "change", false: "poll"}[change], way).Inc()
 	}
 }
 
-// OutdatedAnswer counts an answer that was older than its question.
+// OutdatedAnswer counts an answer that is not given because it is older than its request.
 func (m *Meter) OutdatedAnswer() {
 	if m != nil {
 		m.outdated.Inc()
 	}
 }
 
-// TurnedAway counts a user's request that was told to come back; the reasons are a fixed list.
+// TurnedAway counts a user's request that is deferred before it reaches any job; the reason is one of a fixed list.
 func (m *Meter) TurnedAway(reason string) {
 	if m != nil {
 		m.turnedOff.WithLabelValues(reason).Inc()
 	}
 }
 
-// Stall counts a time in which the process stood still.
+// Stall records a pause in which the process did not run.
 func (m *Meter) Stall(took loop.Micros) {
 	if m != nil {
 		m.stalls.Observe(seconds(took))
 	}
 }
 
-// Submission counts a submission; how it went is a fixed list.
+// Submission counts a submission; its result is one of a fixed list.
 func (m *Meter) Submission(how string) {
 	if m != nil {
 		m.submits.WithLabelValues(how).Inc()
 	}
 }
 
-// Admission counts a change of how crowded the line of submissions is.
+// Admission counts a change of the load state of the submission queue.
 func (m *Meter) Admission(state string) {
 	if m != nil {
 		m.admits.WithLabelValues(state).Inc()
 	}
 }
 
-// Peer counts a change of how a peer is reached; the states are a fixed list.
+// Peer counts a change of a peer's reachability; the state is one of a fixed list.
 func (m *Meter) Peer(state string, damped bool) {
 	if m != nil {
 		m.peers.WithLabelValues(state, strconv.FormatBool(damped)).Inc()
 	}
 }
 
-// Trial counts a job that came to be judged; the states are a fixed list.
+// Trial counts a change of a job's state in failure attribution; the state is one of a fixed list.
 func (m *Meter) Trial(state string) {
 	if m != nil {
 		m.trials.WithLabelValues(state).Inc()
 	}
 }
 
-// Probe counts a silent machine that was asked directly; the words are a fixed list.
+// Probe counts a direct probe of a silent machine; the result is one of a fixed list.
 func (m *Meter) Probe(word string) {
 	if m != nil {
 		m.probes.WithLabelValues(word).Inc()
 	}
 }
 
-// Doubtful tells how many machines are in doubt now.
+// Doubtful sets the number of suspected machines that may still come back.
 func (m *Meter) Doubtful(n int) {
 	if m != nil {
 		m.doubtful.Set(float64(n))
 	}
 }
 
-// Moment counts a fall of many machines that is over.
+// Moment records a correlated failure that has ended: the largest number of machines suspected at the same time, and
+// the number of those declared failed.
 func (m *Meter) Moment(silent, lost int) {
 	if m != nil {
 		m.moments.WithLabelValues("silent").Observe(float64(silent))
@@ -295,21 +299,21 @@
 	}
 }
 
-// Rerun counts a task of a lost machine that runs again.
+// Rerun records that a task of a failed machine runs again.
 func (m *Meter) Rerun(took loop.Micros) {
 	if m != nil {
 		m.reruns.Observe(seconds(took))
 	}
 }
 
-// Wait counts a cause that has ended; the causes are a fixed list.
+// Wait records a cause that no longer keeps tasks from running; the cause is one of a fixed list.
 func (m *Meter) Wait(cause string, took loop.Micros) {
 	if m != nil {
 		m.waits.WithLabelValues(cause).Observe(seconds(took))
 	}
 }
 
-// Outcome sorts an exchange into one of a few words.
+// Outcome classifies a response for the label outcome.
 func Outcome(status int, err error) string {
 	switch {
 	case err != nil:
@@ -326,7 +330,7 @@
 	return "refused"
 }
 
-// State counts a request to the state service.
+// State records a request to the state service.
 func (m *Meter) State(outcome string, took loop.Micros) {
 	if m != nil {
 		m.state.WithLabelValues(outcome).Inc()
@@ -341,24 +345,24 @@
 	}
 }
 
-// Request counts an answer under /v1/.
+// Request counts a request under /v1/ by its status class.
 func (m *Meter) Request(status int) {
 	if m != nil {
 		m.requests.WithLabelValues(fmt.Sprintf("%dxx", status/100)).Inc()
 	}
 }
 
-// Why counts an explanation by the time that it held the loop.
+// Why records the time for which gathering an explanation occupied the event loop.
 func (m *Meter) Why(took loop.Micros) {
 	if m != nil {
 		m.whys.Observe(seconds(took))
 	}
 }
 
-// ContentType is the media type of Text.
+// ContentType is the media type of the result of Text.
 const ContentType = "text/plain; version=0.0.4; charset=utf-8"
 
-// Text is all figures in the published text format.
+// Text returns all metrics in the Prometheus text format.
 func (m *Meter) Text() ([]byte, error) {
 	all, err := m.reg.Gather()
 	if err != nil {
