--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -120,8 +120,8 @@
 // seconds converts a duration to the unit of the metrics.
 func seconds(d loop.Micros) float64 { return float64(d) / 1e6 }
 
-// Watch starts to measure periodically how late the event loop runs its timers.
-func (m *Meter) Watch(r loop.Runner) {
+// WatchLoopLag starts to measure periodically how late the event loop runs its timers.
+func (m *Meter) WatchLoopLag(r loop.Runner) {
 	if m == nil {
 		return
 	}
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -75,7 +75,7 @@
 		Unseen:   n.pendingStarts,
 		Desk:     x.explanations,
 	}, n.meter)
-	n.meter.Watch(l)
+	n.meter.WatchLoopLag(l)
 	loop.Every(l, loop.Second, n.recordUnowned)
 }
 
