--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -134,8 +134,8 @@
 	})
 }
 
-// Pass records a placement pass and the number of tasks that it placed.
-func (m *Meter) Pass(took loop.Micros, placed int) {
+// PlacementPass records a placement pass and the number of tasks that it placed.
+func (m *Meter) PlacementPass(took loop.Micros, placed int) {
 	if m != nil {
 		m.passes.Observe(seconds(took))
 		m.placed.Add(float64(placed))
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -155,7 +155,7 @@
 		p.preemption.newReservations = nil
 	}
 	p.lastPassTook = p.runner.Now() - began
-	p.node.Meter.Pass(p.lastPassTook, len(chosen))
+	p.node.Meter.PlacementPass(p.lastPassTook, len(chosen))
 	p.log.Debug("placement pass finished", "tasks", len(chosen), "jobs", len(q), "missed", len(p.unplacedRequests), "took_us", p.lastPassTook)
 }
 
