--- a/internal/agent/forget.go
+++ b/internal/agent/forget.go
@@ -54,7 +54,7 @@
 		return false
 	}
 	verdict := a.judgeForget(m, i)
-	a.config.Meter.Forget(string(verdict))
+	a.config.Meter.ForgetVerdict(string(verdict))
 	return verdict == forgetAllowed
 }
 
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// Forget counts a decision whether a worker may be told to forget an attempt.
-func (m *Meter) Forget(verdict string) {
+// ForgetVerdict counts a decision whether a worker may be told to forget an attempt.
+func (m *Meter) ForgetVerdict(verdict string) {
 	if m != nil {
 		m.forgets.WithLabelValues(verdict).Inc()
 	}
