--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -163,8 +163,8 @@
 	}
 }
 
-// Held counts tasks for which capacity is reserved without preemption.
-func (m *Meter) Held(tasks int) {
+// Reserved counts tasks for which capacity is reserved without preemption.
+func (m *Meter) Reserved(tasks int) {
 	if m != nil {
 		m.held.Add(float64(tasks))
 	}
