--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// EarlierFrame counts a dropped frame that an earlier incarnation of a peer sent.
-func (m *Meter) EarlierFrame() {
+// StaleFrame counts a dropped frame that an earlier incarnation of a peer sent.
+func (m *Meter) StaleFrame() {
 	if m != nil {
 		m.earlier.Inc()
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -131,7 +131,7 @@
 	n.reach.StateContact = n.hasStateContact
 	n.reach.OnChange = func(_ string, to reach.State, damped bool) { n.meter.Peer(to.String(), damped) }
 	n.net.Incarnation, n.net.ClockDifference = l.Wall(), cfg.ClockDifference()
-	n.net.OnEarlierFrame = func(string) { n.meter.EarlierFrame() }
+	n.net.OnEarlierFrame = func(string) { n.meter.StaleFrame() }
 	n.setUpWatermark()
 	n.watchPauses()
 	n.agent = agent.New(l, log, agent.Config{
