--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -123,7 +123,7 @@
 			ctx.Request.SetBody(wire.Marshal(body))
 		}
 		f.handle(&ctx)
-		var got wire.Standing
+		var got wire.JobStatus
 		wire.Unmarshal(ctx.Response.Body(), &got)
 		if s := ctx.Response.StatusCode(); s != x.status || got.State != x.wantState {
 			t.Errorf("%s: status %d, state %q, want %d, %q", x.name, s, got.State, x.status, x.wantState)
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -133,14 +133,14 @@
 // fetch reads a job from the state service.
 func (r *Registry) fetch(id string, callback func(Answer)) {
 	sequence := r.client.NextSequence()
-	r.client.Get(store.Answers, KeyPrefix+id, func(it wire.Item, found, ok bool) {
+	r.client.Get(store.Answers, KeyPrefix+id, func(it wire.KeyValue, found, ok bool) {
 		switch {
 		case !ok:
 			callback(newRefusal(id, 503, RefusedState))
 		case !found:
 			callback(Answer{Code: 404, ID: id, source: SourceRead, basedOn: sequence})
 		default:
-			r.mirror.Apply(it.Key, it.Value, it.Mark, false)
+			r.mirror.Apply(it.Key, it.Value, it.Revision, false)
 			callback(r.current(id, 200, SourceRead, sequence))
 		}
 	})
@@ -186,7 +186,7 @@
 }
 
 // RevisionCond returns the condition that the job's record still has the revision known here.
-func RevisionCond(j *Job) wire.Cond { return wire.Cond{Key: KeyPrefix + j.ID, Mark: j.Revision} }
+func RevisionCond(j *Job) wire.Cond { return wire.Cond{Key: KeyPrefix + j.ID, Revision: j.Revision} }
 
 // ApplyStored applies a record that a transaction of this controller has stored.
 func (r *Registry) ApplyStored(ch wire.Change, revision uint64) {
--- a/internal/member/lease.go
+++ b/internal/member/lease.go
@@ -91,7 +91,7 @@
 // takeEpoch increments the shared epoch counter. The callback gets the new epoch, or 0 if
 // none was obtained.
 func (b *Member) takeEpoch(callback func(uint64)) {
-	b.client.Get(store.Leases, epochKey, func(it wire.Item, found, ok bool) {
+	b.client.Get(store.Leases, epochKey, func(it wire.KeyValue, found, ok bool) {
 		if !ok {
 			callback(0)
 			return
@@ -103,7 +103,7 @@
 			return
 		}
 		next := rec.Epoch + 1
-		b.client.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: epochKey, Mark: it.Mark}},
+		b.client.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: epochKey, Revision: it.Revision}},
 			Then: []wire.Change{{Put: epochKey, Value: epochRecord{next}}}}, func(r store.Result) {
 			if r.Outcome != store.Applied {
 				// Without an answer the epoch may have been taken or not. It is never
--- a/internal/node/explanations_loopback_test.go
+++ b/internal/node/explanations_loopback_test.go
@@ -45,13 +45,13 @@
 	c := &cluster{t: t, keys: map[string]string{}}
 	clock := loop.RealClock()
 	state := standin.NewState(clock.Now)
-	cloud := standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 9, FetchGBs: 1, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x", "y"}}, 2)
+	cloud := standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 9, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x", "y"}}, 2)
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	gone := sync.Map{}
 	cloud.Gone = func(name string) { gone.Store(name, true) }
 	c.bootBlocked.Store(true)
-	cloud.Up = func(l wire.Listed) {
+	cloud.Up = func(l wire.CloudMachine) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -97,7 +97,7 @@
 }
 
 // report runs a machine's worker, which reports until the machine is deleted.
-func report(ctx context.Context, clock loop.Clock, l wire.Listed, nodes []string, muted, gone func() bool) {
+func report(ctx context.Context, clock loop.Clock, l wire.CloudMachine, nodes []string, muted, gone func() bool) {
 	w := standin.NewWorker(clock.Now(), 10*loop.Second)
 	w.Name, w.Addr, w.Type, w.Zone, w.Spot, w.CPUs, w.MemoryGB = l.Name, "127.0.0.1:1", l.Type, l.Zone, l.Spot, 8, 32
 	w.Job = func(id string) (standin.Job, bool) {
@@ -271,7 +271,7 @@
 	// Beyond the team's limit, and ranked behind the job before.
 	c.must(201, 1, "POST", "/v1/jobs", proposal(3, "red", 5), nil)
 	c.reason("job-000003", "teamLimit", func(_ *explain.Answer, r *explain.Reason) bool {
-		return r.Tasks == 2 && r.Detail.Team.CPUsMax == config.LimitOf(6)
+		return r.Tasks == 2 && r.Detail.Team.CPUsMax == config.NewLimit(6)
 	})
 	c.reason("job-000003", "rank", func(_ *explain.Answer, r *explain.Reason) bool {
 		return r.Tasks == 1 && slices.Equal(r.BlockedBy, []string{"job-000002"})
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -71,7 +71,7 @@
 func TestLoopbackWithControllerKill(t *testing.T) {
 	clock := loop.RealClock()
 	state := standin.NewState(clock.Now)
-	cloud := standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 9, FetchGBs: 1, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x"}}, 4)
+	cloud := standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 9, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x"}}, 4)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	var mu sync.Mutex
@@ -79,7 +79,7 @@
 	var nodes []string
 	var wg sync.WaitGroup
 	cloud.Gone = func(string) {}
-	cloud.Up = func(l wire.Listed) {
+	cloud.Up = func(l wire.CloudMachine) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -118,14 +118,14 @@
 			New(c, slog.New(slog.DiscardHandler)).Run(nctx)
 		}()
 	}
-	ask := func(node, method, path string, body any) (int, wire.Standing) {
+	ask := func(node, method, path string, body any) (int, wire.JobStatus) {
 		req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 		req.SetRequestURI("http://" + node + path)
 		req.Header.SetMethod(method)
 		if body != nil {
 			req.SetBody(wire.Marshal(body))
 		}
-		var s wire.Standing
+		var s wire.JobStatus
 		if fasthttp.DoTimeout(req, resp, 4*time.Second) != nil {
 			return 0, s
 		}
@@ -181,7 +181,7 @@
 }
 
 // worker runs a simulated worker that reports over HTTP, and goes to the next controller as the protocol says.
-func worker(ctx context.Context, t *testing.T, clock loop.Clock, l wire.Listed, nodes []string, moved func(task, machine string)) {
+func worker(ctx context.Context, t *testing.T, clock loop.Clock, l wire.CloudMachine, nodes []string, moved func(task, machine string)) {
 	w := standin.NewWorker(clock.Now(), 10*loop.Second)
 	w.Name, w.Addr, w.Type, w.Zone, w.Spot, w.CPUs, w.MemoryGB = l.Name, "127.0.0.1:1", l.Type, l.Zone, l.Spot, 8, 32
 	w.Job = func(string) (standin.Job, bool) {
--- a/internal/rental/cloud.go
+++ b/internal/rental/cloud.go
@@ -16,7 +16,7 @@
 // calls, which matter when many machines are rented at once.
 func (t *Autoscaler) mayCall(now loop.Micros) bool {
 	rate := 0.95 * t.cfg.Cluster.Cloud.RPS
-	if gap := t.cfg.Operator.CloudCallS; gap > 0 {
+	if gap := t.cfg.Operator.CloudCallIntervalS; gap > 0 {
 		rate = 1 / gap
 	}
 	if t.callBudgetAt != 0 {
@@ -80,13 +80,13 @@
 
 // list reads the cloud's list of machines, page by page. The list lags behind, so that a machine missing from
 // it may exist; a machine on it does exist.
-func (t *Autoscaler) list(since string, all []wire.Listed) {
+func (t *Autoscaler) list(since string, all []wire.CloudMachine) {
 	path := "/machines?limit=500"
 	if since != "" {
 		path += "&since=" + url.QueryEscape(since)
 	}
 	t.call("GET", path, nil, 4*loop.Second, func(resp store.Response) {
-		var l wire.Listing
+		var l wire.MachinePage
 		if !t.leads || resp.Err != nil || resp.Status != 200 || wire.Unmarshal(resp.Body, &l) != nil {
 			return
 		}
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -231,7 +231,7 @@
 	name := fmt.Sprintf("r-%d-%d", t.claim.Epoch, t.seq)
 	o := &order{name: name, record: Order{Type: of.typ, Zone: of.zone, Spot: of.spot, Count: count, At: t.runner.Wall()}}
 	t.orders[name] = o
-	t.storeOrder(o, []wire.Cond{member.LeaderCond(t.claim), {Key: OrderKeys + name, Mark: 0}}, func(ok bool) {
+	t.storeOrder(o, []wire.Cond{member.LeaderCond(t.claim), {Key: OrderKeys + name, Revision: 0}}, func(ok bool) {
 		if ok {
 			o.recorded = true
 			if t.leads && t.orders[name] == o && t.mayCall(t.runner.Now()) {
@@ -275,12 +275,12 @@
 	o.busy = true
 	o.tries++
 	of := offer{o.record.Type, o.record.Zone, o.record.Spot}
-	t.call("POST", "/machines", wire.Rent{Request: o.name, Type: of.typ, Zone: of.zone, Spot: of.spot, Count: o.record.Count}, 5*loop.Second, func(resp store.Response) {
+	t.call("POST", "/machines", wire.RentRequest{Request: o.name, Type: of.typ, Zone: of.zone, Spot: of.spot, Count: o.record.Count}, 5*loop.Second, func(resp store.Response) {
 		o.busy = false
 		if !t.leads || t.orders[o.name] != o {
 			return
 		}
-		var got wire.Names
+		var got wire.MachineNames
 		switch {
 		case resp.Err == nil && resp.Status == 200 && wire.Unmarshal(resp.Body, &got) == nil:
 			t.log.Info("machines rented", "order", o.name, "type", of.typ, "zone", of.zone, "spot", of.spot, "asked", o.record.Count, "got", len(got.Machines))
@@ -295,7 +295,7 @@
 			} else {
 				delete(t.offers, of)
 			}
-			t.storeOrder(o, []wire.Cond{{Key: OrderKeys + o.name, Mark: o.revision}}, func(bool) {})
+			t.storeOrder(o, []wire.Cond{{Key: OrderKeys + o.name, Revision: o.revision}}, func(bool) {})
 		case resp.Err == nil && resp.Status == 503 && strings.Contains(string(resp.Body), "capacity"):
 			t.log.Info("cloud has no capacity for the order; the offer is left out for a while", "order", o.name, "type", of.typ, "zone", of.zone, "spot", of.spot)
 			t.backOffOffer(of)
