--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -12,29 +12,31 @@
 	"cleatpick/internal/wire"
 )
 
-// Cloud rents machines out of a fixed number for each zone.
+// Cloud is a fake of the cloud provider's API. It rents out a fixed number of machines per zone and answers
+// requests synchronously.
 type Cloud struct {
 	mu       sync.Mutex
 	Types    []wire.MachineType
-	Left     map[string]int // by zone
+	Left     map[string]int // machines that can still be rented, by zone
 	requests map[string][]string
 	machines map[string]wire.Listed
 	next     int
-	// Now, if it is set, lets lists lag by Lag, and machines that died stay listed as
-	// running for half a minute.
+	// Now is the clock. If it is set, machine lists show the state of Lag ago, and failed machines stay listed
+	// as running for a while.
 	Now  func() loop.Micros
 	Lag  loop.Micros
 	born map[string]loop.Micros
 	died map[string]loop.Micros
-	left map[string]leftover // machines that are gone, as a list that lags still shows them
-	// Up and Gone tell the test to bring a machine up, or that it is deleted.
+	left map[string]leftover // deleted machines that a lagging list still shows
+	// Up is called for each machine that is rented; the test boots it.
 	Up func(wire.Listed)
-	// Addr gives a machine's address; nil: one that nobody answers at.
+	// Addr returns a machine's address. If it is nil, machines get an address at which nothing answers.
 	Addr func(name string) string
+	// Gone is called for each machine that is deleted.
 	Gone func(name string)
 }
 
-// NewCloud makes a cloud with so many machines of one type in each zone.
+// NewCloud returns a cloud that offers one machine type, with the given number of machines in each zone.
 func NewCloud(t wire.MachineType, each int) *Cloud {
 	c := &Cloud{born: map[string]loop.Micros{}, died: map[string]loop.Micros{}, left: map[string]leftover{}, Types: []wire.MachineType{t}, Left: map[string]int{}, requests: map[string][]string{}, machines: map[string]wire.Listed{}}
 	for _, z := range t.Zones {
@@ -43,13 +45,14 @@
 	return c
 }
 
-// Lose takes a machine back with no notice.
+// Lose deletes a machine without notice, as a cloud does that reclaims it.
 func (c *Cloud) Lose(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.drop(name)
 }
 
+// drop deletes a machine and makes its capacity available again. The caller holds the lock.
 func (c *Cloud) drop(name string) {
 	m, ok := c.machines[name]
 	if !ok {
@@ -61,6 +64,7 @@
 	c.Gone(name)
 }
 
+// leftover is a deleted machine and the time of its deletion.
 type leftover struct {
 	m  wire.Listed
 	at loop.Micros
@@ -73,7 +77,7 @@
 	return c.Now()
 }
 
-// Take takes all that is left to rent away and tells what it was; Give brings it back.
+// Take removes all capacity that is not rented, as in a shortage, and returns it by zone, for Give.
 func (c *Cloud) Take() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,7 +86,7 @@
 	return kept
 }
 
-// Give adds to what is left to rent.
+// Give adds capacity that can be rented, by zone.
 func (c *Cloud) Give(more map[string]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,8 +95,8 @@
 	}
 }
 
-// Fill rents so many machines in each zone at once, as if orders had been placed before,
-// and tells their names.
+// Fill rents the given number of machines in each zone, as if orders had been placed earlier, and returns
+// their names.
 func (c *Cloud) Fill(each int) (names []string) {
 	for _, z := range c.Types[0].Zones {
 		for n := each; n > 0; n -= 50 {
@@ -106,17 +110,17 @@
 	return names
 }
 
-// Die lets a machine stop by itself: it stays listed, and nobody is told.
+// Die makes a machine fail. It stays listed, first as running and later as failed, and no callback is called.
 func (c *Cloud) Die(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.died[name] = c.now()
 }
 
-// deadListed is how long a dead machine is still listed as running.
+// deadListed is how long a failed machine is still listed as running.
 const deadListed = 30 * loop.Second
 
-// list describes the machines as they were a while ago.
+// list returns the machines as they were one list lag ago.
 func (c *Cloud) list() wire.Listing {
 	at := c.now() - c.Lag
 	l := wire.Listing{Machines: []wire.Listed{}}
@@ -143,7 +147,7 @@
 	return l
 }
 
-// Do answers one request.
+// Do answers one request. It ignores the timeout.
 func (c *Cloud) Do(method, path string, body []byte, _ time.Duration) store.Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -1,5 +1,8 @@
-// Package standin holds plain stand-ins for the state service, the cloud and the
-// workers, written to the protocol, for tests.
+// Package standin holds simple in-memory fakes of the state service, the cloud and the workers, and a runner whose
+// time the test advances. The fakes follow the wire protocols independently of the product code.
+// Faults such as outages, machine failures and rate limits are injected by method calls or fields.
+// Tests and load runs connect the fakes to controllers; the package itself opens no sockets, and the invariant
+// checkers belong to its callers.
 package standin
 
 import (
@@ -15,41 +18,44 @@
 	"cleatpick/internal/wire"
 )
 
+// stateKey is the newest version of a key.
 type stateKey struct {
 	value wire.Raw
 	mark  uint64
-	lease uint64
+	lease uint64 // 0: none
 }
 
+// stateLease is a lease; its keys are deleted when it expires or is released.
 type stateLease struct {
 	ttl, until loop.Micros
 }
 
-// State is the state service, held in memory.
+// State is a fake of the state service that keeps its keys in memory.
 type State struct {
 	mu     sync.Mutex
 	now    func() loop.Micros
-	tally  uint64
+	tally  uint64 // revision of the newest change of the store
 	keys   map[string]stateKey
 	leases map[uint64]*stateLease
-	lapsed map[uint64]bool
-	events []wire.Event  // the newest, in order
-	lost   uint64        // the revision of the newest change that is no longer kept
-	change chan struct{} // closed at the next change
-	last   uint64
+	lapsed map[uint64]bool // leases that expired
+	events []wire.Event    // the newest, in order
+	lost   uint64          // the revision of the newest event that is no longer kept
+	change chan struct{}   // closed at the next change
+	last   uint64          // the newest lease ID
 	down   bool
 	limits *limiter
 	counts Counts
-	// Stored is told of every put as it is carried out; it may be nil.
+	// Stored is called for each put as it is applied; it may be nil.
 	Stored func(key string, value wire.Raw)
 }
 
-// NewState makes an empty state service on a clock.
+// NewState returns an empty state service that reads the time from now.
 func NewState(now func() loop.Micros) *State {
 	return &State{now: now, keys: map[string]stateKey{}, leases: map[uint64]*stateLease{}, lapsed: map[uint64]bool{}}
 }
 
-// SetDown begins or ends an outage; after it every lease has its full time again.
+// SetDown begins or ends an outage. Leases do not expire during an outage, and at its end each lease gets its
+// full duration again.
 func (s *State) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,14 +67,14 @@
 	s.down = down
 }
 
-// Down tells whether there is an outage.
+// Down reports whether an outage is in progress.
 func (s *State) Down() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.down
 }
 
-// Value reads a key past the protocol, for a referee.
+// Value returns the value of a key. It bypasses the protocol, for an invariant checker.
 func (s *State) Value(key string) (wire.Raw, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +82,7 @@
 	return k.value, ok
 }
 
-// Keys lists the keys under a prefix past the protocol, for a referee.
+// Keys lists the keys with a prefix. It bypasses the protocol, for an invariant checker.
 func (s *State) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +96,7 @@
 	return keys
 }
 
-// Put writes a key past the protocol, as damage would.
+// Put writes a key and returns its revision. It bypasses the protocol, for example to write a damaged record.
 func (s *State) Put(key string, value any) (mark uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,10 +105,10 @@
 	return s.tally
 }
 
-// keptChanges is how many changes watches can begin behind.
+// keptChanges is how many events are kept at least, for watches that start at an earlier revision.
 const keptChanges = 10000
 
-// record keeps a change for watches and wakes those that wait.
+// record stores an event for watches and wakes the waiting ones. The caller holds the lock.
 func (s *State) record(e wire.Event) {
 	s.events = append(s.events, e)
 	if n := len(s.events) - keptChanges; n >= keptChanges {
@@ -115,7 +121,7 @@
 	}
 }
 
-// Changed gives a channel that is closed at the next change.
+// Changed returns a channel that is closed at the next change.
 func (s *State) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,6 +131,7 @@
 	return s.change
 }
 
+// put writes a key at the present store revision. The caller holds the lock.
 func (s *State) put(key string, v wire.Raw, lease uint64) {
 	s.keys[key] = stateKey{v, s.tally, lease}
 	s.record(wire.Event{Put: key, Value: v, Mark: s.tally})
@@ -133,6 +140,7 @@
 	}
 }
 
+// remove deletes a key, if it exists, at the present store revision. The caller holds the lock.
 func (s *State) remove(key string) {
 	if _, ok := s.keys[key]; ok {
 		delete(s.keys, key)
@@ -140,6 +148,7 @@
 	}
 }
 
+// expire ends the leases whose time is over, except during an outage. The caller holds the lock.
 func (s *State) expire() {
 	if s.down {
 		return
@@ -152,7 +161,7 @@
 	}
 }
 
-// Lapsed tells whether a lease ended because nobody renewed it in time.
+// Lapsed reports whether a lease expired because it was not renewed in time.
 func (s *State) Lapsed(id uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,6 +169,7 @@
 	return s.lapsed[id]
 }
 
+// end deletes a lease and its keys. The caller holds the lock.
 func (s *State) end(id uint64) {
 	delete(s.leases, id)
 	s.tally++
@@ -175,15 +185,17 @@
 	}
 }
 
-// Do answers one request.
+// Do answers one request. It ignores the timeout, and a watch is answered at once, even without events.
 func (s *State) Do(method, path string, body []byte, timeout time.Duration) store.Response {
 	return s.do(method, path, body)
 }
 
+// reply encodes a response.
 func reply(status int, v any) store.Response {
 	return store.Response{Status: status, Body: wire.Marshal(v)}
 }
 
+// rawChange is a put or delete of a transaction, with the value still encoded.
 type rawChange struct {
 	Put    string   `cbor:"put"`
 	Value  wire.Raw `cbor:"data"`
@@ -191,11 +203,13 @@
 	Delete string   `cbor:"remove"`
 }
 
+// rawTxn is a transaction as it is received: its changes are applied if all conditions hold.
 type rawTxn struct {
 	If   []wire.Cond `cbor:"when"`
 	Then []rawChange `cbor:"apply"`
 }
 
+// do counts a request, applies the limits to it and answers it.
 func (s *State) do(method, path string, body []byte) store.Response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -209,7 +223,8 @@
 	return s.answer(method, path, body)
 }
 
-// Look answers a request that was counted before, as for a watch that has waited.
+// Look answers a request again that was already counted, for a watch that waited for a change. It neither counts
+// the request nor applies the limits to it.
 func (s *State) Look(method, path string) store.Response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -217,6 +232,7 @@
 	return s.answer(method, path, nil)
 }
 
+// answer carries out a request that was admitted. The caller holds the lock.
 func (s *State) answer(method, path string, body []byte) store.Response {
 	u, err := url.Parse(path)
 	if err != nil {
@@ -290,6 +306,7 @@
 	return reply(400, wire.Error{Error: "unknown request"})
 }
 
+// multi carries out a transaction. The caller holds the lock.
 func (s *State) multi(body []byte) store.Response {
 	var t rawTxn
 	if wire.Unmarshal(body, &t) != nil {
--- a/internal/standin/state_limits.go
+++ b/internal/standin/state_limits.go
@@ -8,25 +8,26 @@
 	"cleatpick/internal/wire"
 )
 
-// Limits are what the state service takes. Those that are 0 bound nothing.
+// Limits are the request limits of the state service. A limit of 0 means no limit.
 type Limits struct {
-	RPS        float64 // requests a second
-	WriteRPS   float64 // puts and deletes a second
+	RPS        float64 // requests per second
+	WriteRPS   float64 // puts and deletes per second
 	ValueBytes int     // the largest value
-	TxnOps     int     // the most puts and deletes of a transaction; four times as many conditions
+	TxnOps     int     // the most puts and deletes of a transaction; four times as many conditions are allowed
 }
 
-// Counts are what was asked of the state service.
+// Counts are the numbers of requests to the state service since its creation, and of the puts and deletes in them.
 type Counts struct {
 	Requests, Refused, Writes, Invalid int
 }
 
-// tokens is a bucket that holds one second's worth.
+// tokens is a token bucket whose burst is one second of its rate.
 type tokens struct {
 	rate, have float64
 	at         loop.Micros
 }
 
+// take refills the bucket up to now and removes n tokens. It reports false, and removes none, if there are fewer.
 func (b *tokens) take(n float64, now loop.Micros) bool {
 	b.have = min(b.have+float64(now-b.at)/1e6*b.rate, b.rate)
 	b.at = now
@@ -37,12 +38,13 @@
 	return true
 }
 
+// limiter is the limits with the state of their token buckets.
 type limiter struct {
 	Limits
 	requests, writes tokens
 }
 
-// SetLimits bounds what is taken from now on; nil bounds nothing.
+// SetLimits sets the limits for the requests from now on; nil removes them.
 func (s *State) SetLimits(l *Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,21 +55,21 @@
 	s.limits = &limiter{*l, tokens{l.RPS, l.RPS, s.now()}, tokens{l.WriteRPS, l.WriteRPS, s.now()}}
 }
 
-// Counts are what was asked until now.
+// Counts returns the counts of requests so far.
 func (s *State) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// admit refuses a request that is beyond the limits. Transactions whose conditions fail
-// count as well.
+// admit counts a request and returns the refusal if it exceeds a limit, or nil. A transaction counts
+// even if its conditions fail later. The caller holds the lock.
 func (s *State) admit(method, path string, body []byte) *store.Response {
 	s.counts.Requests++
 	var txn rawTxn
 	if method == "POST" && strings.HasPrefix(path, "/multi") {
 		if wire.Unmarshal(body, &txn) != nil {
-			return nil // answered as malformed
+			return nil // answered as malformed later
 		}
 	}
 	refuse := func(status int, why string) *store.Response {
--- a/internal/standin/stepped.go
+++ b/internal/standin/stepped.go
@@ -2,36 +2,38 @@
 
 import "cleatpick/internal/loop"
 
-// Stepped is time moved by hand: what is due runs when the test moves on.
+// Stepped is a loop.Runner whose time only moves when the test advances it. Functions that are due run during
+// the advance, on the test's goroutine, in order of time and then of registration.
 type Stepped struct {
 	now  loop.Micros
 	todo []due
 }
 
+// due is a function to be run at a time.
 type due struct {
 	at loop.Micros
 	f  func()
 }
 
-// NewStepped starts at a time.
+// NewStepped returns a runner whose time is now.
 func NewStepped(now loop.Micros) *Stepped { return &Stepped{now: now} }
 
-// Now is the steady time.
+// Now returns the time of the monotonic clock.
 func (s *Stepped) Now() loop.Micros { return s.now }
 
-// Wall is the time of day, which is the same here.
+// Wall returns the time of the wall clock, which equals the monotonic clock here.
 func (s *Stepped) Wall() loop.Micros { return s.now }
 
-// Post runs f as soon as time moves.
+// Post runs f at the present time, as soon as the test advances it.
 func (s *Stepped) Post(f func()) { s.After(0, f) }
 
-// Go runs blocking work a moment later.
+// Go runs f, which stands for blocking work, one microsecond later.
 func (s *Stepped) Go(f func()) { s.After(1, f) }
 
-// After runs f once d has passed.
+// After runs f after d.
 func (s *Stepped) After(d loop.Micros, f func()) { s.todo = append(s.todo, due{s.now + d, f}) }
 
-// Run moves time on by d, running what is due in order.
+// Run advances the time by d and runs the functions that become due, in order of time.
 func (s *Stepped) Run(d loop.Micros) {
 	for end := s.now + d; ; {
 		first := -1
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -8,67 +8,72 @@
 	"cleatpick/internal/wire"
 )
 
-// Job is what a worker fetches of a job's description by itself.
+// Job is the part of a job's description that a worker needs to simulate its tasks.
 type Job struct {
 	CPUs, MemoryGB float64
-	Run            loop.Micros
+	Run            loop.Micros // how long the first task runs
 	Tasks          int
-	Broken         bool // fails on every machine
-	Every          int  // of a broken job, only each so manieth task fails; 0: all do
-	FailsAfter     loop.Micros
-	Later          loop.Micros // by which each task runs longer than the one before it
+	Broken         bool        // fails on every machine
+	Every          int         // of a broken job, only the tasks whose index is a multiple of this fail; 0: all fail
+	FailsAfter     loop.Micros // run time of a task that fails
+	Later          loop.Micros // how much longer each task runs than the one before it
 }
 
-// takes is how long a task runs.
+// takes returns how long a task runs.
 func (j *Job) takes(task string) loop.Micros {
 	return j.Run + loop.Micros(number(task))*j.Later
 }
 
-// fails tells whether the task fails wherever it runs.
+// fails reports whether the task fails on every machine.
 func (j *Job) fails(task string) bool {
 	return j.Broken && (j.Every == 0 || number(task)%j.Every == 0)
 }
 
+// workerTask is an attempt of a task on the machine. Exited attempts stay until a forget command arrives.
 type workerTask struct {
 	task    string
 	attempt uint64
 	state   string
 	why     string
 	until   loop.Micros // when the present state ends
-	fails   bool        // it ends in an error then
+	fails   bool        // it then ends with an error
 }
 
+// attemptKey identifies an attempt of a task.
 type attemptKey struct {
 	task    string
 	attempt uint64
 }
 
-// Worker is one machine.
+// Worker is a fake of the worker of one machine. It has no sockets and no timers: the caller passes it messages and
+// the time. A worker is for one goroutine at a time.
 type Worker struct {
 	Name, Addr, Type, Zone string
 	Spot                   bool
 	CPUs, MemoryGB         float64
-	Faulty                 bool // fails every task
+	Faulty                 bool // the machine fails every task
 	Job                    func(id string) (Job, bool)
-	// Began and Left tell a referee when a task is on the machine and when it is off.
+	// Began and Left notify an invariant checker that a task occupies the machine, and that it no longer does.
 	Began, Left func(task string, why string)
-	// Revived tells a referee that a start came after the forget of its attempt: the worker, which
-	// does not know the attempt any more, starts it anew. It may be nil.
+	// Revived notifies an invariant checker that a start command arrived after the forget command of the same
+	// attempt. The worker no longer knows the attempt and starts it again. It may be nil.
 	Revived func(task string, attempt uint64)
 
-	// forgotten are the attempts that commands of this session removed; kept only where Revived is set.
+	// forgotten are the attempts that forget commands removed in this session; kept only if Revived is set.
 	forgotten           map[attemptKey]struct{}
 	session, seq, token uint64
 	tasks               []*workerTask
-	held                loop.Micros // when the last answered report was sent
+	held                loop.Micros // when the newest answered report was sent
 	lease               loop.Micros
 }
 
-// NewWorker brings a machine up.
+// NewWorker returns the worker of a machine that booted at now. If no report is answered for the duration of the
+// lease, the worker ends its tasks and begins a new session.
 func NewWorker(now, lease loop.Micros) *Worker {
 	return &Worker{session: 1, held: now, lease: lease}
 }
 
+// end marks a task as exited, unless it already is.
 func (w *Worker) end(t *workerTask, why string) {
 	if t.state == wire.TaskExited {
 		return
@@ -77,10 +82,11 @@
 	w.Left(t.task, why)
 }
 
-// LeaseOver tells whether the worker ends all its tasks as soon as it does anything.
+// LeaseOver reports whether the lease expired, so that the next Tick ends all tasks.
 func (w *Worker) LeaseOver(now loop.Micros) bool { return now-w.held > w.lease }
 
-// Tick lets time pass on the machine.
+// Tick updates the machine to the time now: an expired lease ends all tasks and the session, and tasks start to run,
+// finish or fail.
 func (w *Worker) Tick(now loop.Micros) {
 	if w.LeaseOver(now) {
 		for _, t := range w.tasks {
@@ -116,12 +122,13 @@
 	}
 }
 
-// number is which of its job's tasks a task is.
+// number returns the index of a task in its job.
 func number(task string) int {
 	no, _ := strconv.Atoi(task[len(jobOf(task))+1:])
 	return no
 }
 
+// jobOf returns the ID of a task's job.
 func jobOf(task string) string {
 	for i := len(task) - 1; i >= 0; i-- {
 		if task[i] == '/' {
@@ -131,7 +138,7 @@
 	return task
 }
 
-// Destroy ends the machine with everything on it.
+// Destroy ends all tasks, as the deletion of the machine does.
 func (w *Worker) Destroy() {
 	for _, t := range w.tasks {
 		w.end(t, "gone")
@@ -139,8 +146,7 @@
 	w.tasks = nil
 }
 
-// Restart ends everything on the machine and begins anew, in a next session that has seen no
-// token.
+// Restart ends all tasks and begins a new session, which has not seen any token.
 func (w *Worker) Restart(now loop.Micros) {
 	w.Destroy()
 	w.session++
@@ -148,16 +154,16 @@
 	w.forgotten = nil
 }
 
-// Session is the worker's present session.
+// Session returns the number of the present session.
 func (w *Worker) Session() uint64 { return w.session }
 
-// Token is the highest token that the worker has seen.
+// Token returns the highest token that the worker has seen.
 func (w *Worker) Token() uint64 { return w.token }
 
-// Answer is when the newest answered report was sent.
+// Answer returns when the newest answered report was sent.
 func (w *Worker) Answer() loop.Micros { return w.held }
 
-// Report describes the machine now.
+// Report returns the next report to send.
 func (w *Worker) Report() wire.Report {
 	w.seq++
 	r := wire.Report{Machine: w.Name, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot,
@@ -168,7 +174,8 @@
 	return r
 }
 
-// Answered takes in the 200 to a report that was sent at a time, in a session.
+// Answered applies the 200 answer to a report that was sent at the given time in the given session. An answer from
+// an earlier session, with a lower token than the highest seen, or more than 4 s after the report, is dropped.
 func (w *Worker) Answered(now, sent loop.Micros, session uint64, c wire.Commands) {
 	if session != w.session || c.Token < w.token || now-sent > 4*loop.Second {
 		return
@@ -177,7 +184,8 @@
 	w.run(now, c.Commands)
 }
 
-// Command takes in a direct command and answers with its status and the report.
+// Command applies direct commands and returns the HTTP status and a report. Commands with a lower token than the
+// highest seen, or for another session, are refused with 409.
 func (w *Worker) Command(now loop.Micros, c wire.Commands) (int, wire.Report) {
 	if c.Token < w.token || c.Session != w.session {
 		return 409, w.Report()
@@ -187,6 +195,7 @@
 	return 200, w.Report()
 }
 
+// find returns the attempt of a task, or nil.
 func (w *Worker) find(task string, attempt uint64) *workerTask {
 	for _, t := range w.tasks {
 		if t.task == task && t.attempt == attempt {
@@ -196,6 +205,7 @@
 	return nil
 }
 
+// run carries out commands in order.
 func (w *Worker) run(now loop.Micros, cs []wire.Command) {
 	for _, c := range cs {
 		t := w.find(c.Task, c.Attempt)
@@ -216,7 +226,7 @@
 	}
 }
 
-// forget removes an exited task from the reports.
+// forget removes an exited attempt, so that reports no longer list it.
 func (w *Worker) forget(t *workerTask) {
 	w.tasks = slices.DeleteFunc(w.tasks, func(x *workerTask) bool { return x == t })
 	if w.Revived == nil {
@@ -228,6 +238,8 @@
 	w.forgotten[attemptKey{t.task, t.attempt}] = struct{}{}
 }
 
+// start starts an attempt, or records it as exited if its job is unknown, another attempt of the task is active or
+// the machine lacks capacity.
 func (w *Worker) start(now loop.Micros, c wire.Command) {
 	if _, was := w.forgotten[attemptKey{c.Task, c.Attempt}]; was {
 		w.Revived(c.Task, c.Attempt)
