--- a/internal/node/random_faults_test.go
+++ b/internal/node/random_faults_test.go
@@ -59,7 +59,7 @@
 	case 7: // the cloud takes many spot machines back at once, without notice
 		for name, x := range loop.Sorted(w.workers) {
 			if !x.deleted && x.w.Spot && name[len(name)-1]%2 == 0 {
-				w.cloud.Lose(name)
+				w.cloud.Reclaim(name)
 			}
 		}
 	case 9: // no controller reaches another
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -45,8 +45,8 @@
 	return c
 }
 
-// Lose deletes a machine without notice, as a cloud does that reclaims it.
-func (c *Cloud) Lose(name string) {
+// Reclaim deletes a machine without notice, as a cloud does that reclaims it.
+func (c *Cloud) Reclaim(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.drop(name)
