--- a/internal/node/leader_change_test.go
+++ b/internal/node/leader_change_test.go
@@ -399,10 +399,10 @@
 						}
 					}
 					if full {
-						kept := w.cloud.Left[zone]
-						w.cloud.Left[zone] = 0
+						kept := w.cloud.Available[zone]
+						w.cloud.Available[zone] = 0
 						if c.spec.Zone != "" {
-							w.after(60*second, func() { w.cloud.Left[zone] += kept })
+							w.after(60*second, func() { w.cloud.Available[zone] += kept })
 						}
 					}
 					switch in := w.machinesInZone(zone); fall {
--- a/internal/rental/autoscaler_test.go
+++ b/internal/rental/autoscaler_test.go
@@ -143,7 +143,7 @@
 	if n := count(g.calls, "POST /machines"); n < 4 || n > 24 {
 		t.Fatalf("%d orders sent in 30 s without capacity, want 4 to 24", n)
 	}
-	g.cloud.Left["x"] = 10
+	g.cloud.Available["x"] = 10
 	for range 100 {
 		sendDemand() // no machine has reported yet: what was rented is expected
 		g.Run(100 * loop.Millisecond)
@@ -296,11 +296,11 @@
 // force, a deployment whose machines had all been deleted rented nothing for 40 s.
 func TestDeletionEndsRefusals(t *testing.T) {
 	g := newRig(t, 0)
-	delete(g.cloud.Left, "y")
+	delete(g.cloud.Available, "y")
 	g.runs = []agent.Task{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}
 	g.Run(3 * loop.Second)
 	var got wire.Names
-	g.cloud.Left["x"] = 1
+	g.cloud.Available["x"] = 1
 	if r := g.cloud.Do("POST", "/machines", wire.Marshal(wire.Rent{Request: "before", Type: "m8", Zone: "x", Count: 1}), 0); wire.Unmarshal(r.Body, &got) != nil || len(got.Machines) != 1 {
 		t.Fatal("the cloud rented nothing")
 	}
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -17,7 +17,7 @@
 type Cloud struct {
 	mu       sync.Mutex
 	Types    []wire.MachineType
-	Left     map[string]int // machines that can still be rented, by zone
+	Available     map[string]int // machines that can still be rented, by zone
 	requests map[string][]string
 	machines map[string]wire.Listed
 	next     int
@@ -38,9 +38,9 @@
 
 // NewCloud returns a cloud that offers one machine type, with the given number of machines in each zone.
 func NewCloud(t wire.MachineType, each int) *Cloud {
-	c := &Cloud{born: map[string]loop.Micros{}, died: map[string]loop.Micros{}, left: map[string]leftover{}, Types: []wire.MachineType{t}, Left: map[string]int{}, requests: map[string][]string{}, machines: map[string]wire.Listed{}}
+	c := &Cloud{born: map[string]loop.Micros{}, died: map[string]loop.Micros{}, left: map[string]leftover{}, Types: []wire.MachineType{t}, Available: map[string]int{}, requests: map[string][]string{}, machines: map[string]wire.Listed{}}
 	for _, z := range t.Zones {
-		c.Left[z] = each
+		c.Available[z] = each
 	}
 	return c
 }
@@ -59,7 +59,7 @@
 		return
 	}
 	delete(c.machines, name)
-	c.Left[m.Zone]++
+	c.Available[m.Zone]++
 	c.left[name] = leftover{m, c.now()}
 	c.Gone(name)
 }
@@ -81,8 +81,8 @@
 func (c *Cloud) Take() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	kept := c.Left
-	c.Left = map[string]int{}
+	kept := c.Available
+	c.Available = map[string]int{}
 	return kept
 }
 
@@ -91,7 +91,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for z, n := range more {
-		c.Left[z] += n
+		c.Available[z] += n
 	}
 }
 
@@ -173,7 +173,7 @@
 		if got, ok := c.requests[r.Request]; ok {
 			return reply(200, wire.Names{Machines: got})
 		}
-		n := min(r.Count, c.Left[r.Zone])
+		n := min(r.Count, c.Available[r.Zone])
 		if n <= 0 {
 			return reply(503, wire.Error{Error: "no capacity"})
 		}
@@ -187,7 +187,7 @@
 			}
 			c.machines[m.Name] = m
 			c.born[m.Name] = c.now()
-			c.Left[r.Zone]--
+			c.Available[r.Zone]--
 			got = append(got, m.Name)
 			c.Up(m)
 		}
