--- a/internal/node/correlated_faults_test.go
+++ b/internal/node/correlated_faults_test.go
@@ -196,7 +196,7 @@
 				n := float64(z.zones * z.each * 8)
 				c.Cluster.Teams = []config.Team{{Name: "red", CPUs: n / 5, CPUsMax: max(n/3, 8)}, {Name: "blue", CPUs: n / 8, CPUsMax: max(n/2, 8)}}
 			})
-			w.cloud.Lag = loop.Micros(r.IntN(3)) * loop.Second
+			w.cloud.ListLag = loop.Micros(r.IntN(3)) * loop.Second
 			jobs := 30 + z.zones*z.each/4
 			for i := range jobs {
 				w.after(w.between(loop.Second, 120*loop.Second), func() { w.addJob(i) })
@@ -283,7 +283,7 @@
 				n := float64(c.size.zones * c.size.each * 8)
 				cfg.Cluster.Teams = []config.Team{{Name: "red", CPUs: n / 5, CPUsMax: n / 3}, {Name: "blue", CPUs: n / 8, CPUsMax: n / 2}}
 			})
-			w.cloud.Lag = c.lag
+			w.cloud.ListLag = c.lag
 			for i := range 120 {
 				w.after(w.between(second, 90*second), func() { w.addJob(i) })
 			}
--- a/internal/node/isolation_faults_test.go
+++ b/internal/node/isolation_faults_test.go
@@ -99,7 +99,7 @@
 		c.Cluster.Teams = []config.Team{{Name: "red", CPUs: n / 5, CPUsMax: max(n/3, 8)}, {Name: "blue", CPUs: n / 8, CPUsMax: max(n/2, 8)}, {Name: "guest"}}
 		more(c)
 	})
-	w.cloud.Lag = loop.Micros(r.IntN(3)) * loop.Second
+	w.cloud.ListLag = loop.Micros(r.IntN(3)) * loop.Second
 	return w, 30 + z.zones*z.each/4
 }
 
--- a/internal/node/partitions_test.go
+++ b/internal/node/partitions_test.go
@@ -25,7 +25,7 @@
 	w := newSimulationOf(t, seed, z, func(c *config.Config) {
 		c.Cluster.Teams = equalTeams(teams, float64(z.zones*z.each*4))
 	})
-	w.cloud.Lag = loop.Micros(r.IntN(3)) * loop.Second
+	w.cloud.ListLag = loop.Micros(r.IntN(3)) * loop.Second
 	for i := range 40 + z.zones*z.each/4 {
 		w.after(w.between(loop.Second, 120*loop.Second), func() { w.submitSharedJob(i) })
 	}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -88,7 +88,7 @@
 	}
 	r.cloud = standin.NewCloud(wire.MachineType{Name: machineType, CPUs: s.MachineCPUs, MemoryGB: machineMemory, CacheGB: 60, FetchGBs: 1, Price: 1, SpotPrice: 0.3, BootS: s.BootS, Zones: zones},
 		(s.Machines+s.Zones-1)/s.Zones)
-	r.cloud.Now, r.cloud.Lag, r.cloud.Addr = clock.Now, loop.Seconds(listLagS/2), address
+	r.cloud.Now, r.cloud.ListLag, r.cloud.Addr = clock.Now, loop.Seconds(listLagS/2), address
 	r.workers = newWorkers(ctx, s, clock, r.referee)
 	r.cloud.Up, r.cloud.Gone = r.workers.up, r.workers.gone
 	state, err := r.serve(&r.stateT, func(m, p string, b []byte) store.Response { return stateRequest(r.state, m, p, b) })
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -24,7 +24,7 @@
 	// Now is the clock. If it is set, machine lists show the state of Lag ago, and failed machines stay listed
 	// as running for a while.
 	Now  func() loop.Micros
-	Lag  loop.Micros
+	ListLag  loop.Micros
 	born map[string]loop.Micros
 	died map[string]loop.Micros
 	left map[string]leftover // deleted machines that a lagging list still shows
@@ -122,7 +122,7 @@
 
 // list returns the machines as they were one list lag ago.
 func (c *Cloud) list() wire.Listing {
-	at := c.now() - c.Lag
+	at := c.now() - c.ListLag
 	l := wire.Listing{Machines: []wire.Listed{}}
 	add := func(m wire.Listed) {
 		if c.born[m.Name] > at {
