--- a/internal/node/explanations_loopback_test.go
+++ b/internal/node/explanations_loopback_test.go
@@ -51,7 +51,7 @@
 	gone := sync.Map{}
 	cloud.Gone = func(name string) { gone.Store(name, true) }
 	c.bootBlocked.Store(true)
-	cloud.Up = func(l wire.Listed) {
+	cloud.OnRented = func(l wire.Listed) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -79,7 +79,7 @@
 	var nodes []string
 	var wg sync.WaitGroup
 	cloud.Gone = func(string) {}
-	cloud.Up = func(l wire.Listed) {
+	cloud.OnRented = func(l wire.Listed) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -28,8 +28,8 @@
 	born map[string]loop.Micros
 	died map[string]loop.Micros
 	left map[string]leftover // deleted machines that a lagging list still shows
-	// Up is called for each machine that is rented; the test boots it.
-	Up func(wire.Listed)
+	// OnRented is called for each machine that is rented; the test boots it.
+	OnRented func(wire.Listed)
 	// Addr returns a machine's address. If it is nil, machines get an address at which nothing answers.
 	Addr func(name string) string
 	// Gone is called for each machine that is deleted.
@@ -189,7 +189,7 @@
 			c.born[m.Name] = c.now()
 			c.Available[r.Zone]--
 			got = append(got, m.Name)
-			c.Up(m)
+			c.OnRented(m)
 		}
 		c.requests[r.Request] = got
 		return reply(200, wire.Names{Machines: got})
