--- a/internal/node/cost_bench_test.go
+++ b/internal/node/cost_bench_test.go
@@ -30,7 +30,7 @@
 	})
 	w.cloud = standin.NewCloud(wire.MachineType{Name: "m16", CPUs: 16, MemoryGB: 32, CacheGB: 60, FetchGBs: 1, Price: 1, SpotPrice: 0.3, BootS: 5, Zones: w.zones}, machines/2)
 	w.cloud.OnRented = func(m wire.Listed) { w.after(w.between(2*loop.Second, 6*loop.Second), func() { w.boot(m) }) }
-	w.cloud.Gone = w.destroy
+	w.cloud.OnDeleted = w.destroy
 	for _, l := range w.labels {
 		w.nodes[l].alive = false
 		w.startNode(l)
--- a/internal/node/explanations_loopback_test.go
+++ b/internal/node/explanations_loopback_test.go
@@ -49,7 +49,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	gone := sync.Map{}
-	cloud.Gone = func(name string) { gone.Store(name, true) }
+	cloud.OnDeleted = func(name string) { gone.Store(name, true) }
 	c.bootBlocked.Store(true)
 	cloud.OnRented = func(l wire.Listed) {
 		wg.Add(1)
--- a/internal/node/flood_test.go
+++ b/internal/node/flood_test.go
@@ -21,7 +21,7 @@
 	clock := loop.RealClock()
 	state := standin.NewState(clock.Now)
 	cloud := standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x"}}, 4)
-	cloud.OnRented, cloud.Gone = func(wire.Listed) {}, func(string) {}
+	cloud.OnRented, cloud.OnDeleted = func(wire.Listed) {}, func(string) {}
 	c := onLoopback(t, "s-0", serve(t, requestsOf(state)), serve(t, requestsOf(cloud)), 1)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -78,7 +78,7 @@
 	on := map[string]string{}
 	var nodes []string
 	var wg sync.WaitGroup
-	cloud.Gone = func(string) {}
+	cloud.OnDeleted = func(string) {}
 	cloud.OnRented = func(l wire.Listed) {
 		wg.Add(1)
 		go func() {
--- a/internal/node/simulation_test.go
+++ b/internal/node/simulation_test.go
@@ -397,7 +397,7 @@
 	w.cloud = standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 20, FetchGBs: 1, Price: 1, SpotPrice: 0.3, BootS: 4, Zones: w.zones}, z.each)
 	w.cloud.Now = func() loop.Micros { return w.now }
 	w.cloud.OnRented = func(m wire.Listed) { w.after(w.between(2*loop.Second, 8*loop.Second), func() { w.boot(m) }) }
-	w.cloud.Gone = w.destroy
+	w.cloud.OnDeleted = w.destroy
 	for i, l := range w.labels {
 		w.nodes[l] = &simNode{w: w, label: l, cost: &w.cost, clockOffset: loop.Micros(i%3-1) * 90 * loop.Millisecond, zone: w.zones[i%len(w.zones)]}
 	}
--- a/internal/rental/autoscaler_test.go
+++ b/internal/rental/autoscaler_test.go
@@ -59,7 +59,7 @@
 	m := store.NewMirror(c, state, "c/")
 	g.cloud = standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.3, BootS: 4, Zones: []string{"x", "y"}}, each)
 	g.cloud.OnRented = func(l wire.Listed) { g.booted = append(g.booted, l) }
-	g.cloud.Gone = func(name string) { g.deleted = append(g.deleted, name) }
+	g.cloud.OnDeleted = func(name string) { g.deleted = append(g.deleted, name) }
 	g.workers = agent.New(g, log, agent.Config{Label: "a", FindJob: func(id string) *job.Job { return g.jobs[id] }, ViewChanged: func(v *agent.View, _ *agent.Changes) { g.scaler.UpdateView(v) }}, nil)
 	g.scaler = New(g, log, cfg, c, m, g, g.workers, Node{Close: func(string, peer.StartBlock) {},
 		PeerUnreachable: func(z string) bool { return g.peerUnreachable || z == g.partitionedZone }, LeaseValid: func() bool { return g.entitled }, Isolated: func() bool { return g.isolated },
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -90,7 +90,7 @@
 		(s.Machines+s.Zones-1)/s.Zones)
 	r.cloud.Now, r.cloud.ListLag, r.cloud.Addr = clock.Now, loop.Seconds(listLagS/2), address
 	r.workers = newWorkers(ctx, s, clock, r.referee)
-	r.cloud.OnRented, r.cloud.Gone = r.workers.up, r.workers.gone
+	r.cloud.OnRented, r.cloud.OnDeleted = r.workers.up, r.workers.gone
 	state, err := r.serve(&r.stateT, func(m, p string, b []byte) store.Response { return stateRequest(r.state, m, p, b) })
 	if err != nil {
 		return err
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -32,8 +32,8 @@
 	OnRented func(wire.Listed)
 	// Addr returns a machine's address. If it is nil, machines get an address at which nothing answers.
 	Addr func(name string) string
-	// Gone is called for each machine that is deleted.
-	Gone func(name string)
+	// OnDeleted is called for each machine that is deleted.
+	OnDeleted func(name string)
 }
 
 // NewCloud returns a cloud that offers one machine type, with the given number of machines in each zone.
@@ -61,7 +61,7 @@
 	delete(c.machines, name)
 	c.Available[m.Zone]++
 	c.left[name] = leftover{m, c.now()}
-	c.Gone(name)
+	c.OnDeleted(name)
 }
 
 // leftover is a deleted machine and the time of its deletion.
