--- a/internal/node/correlated_faults_test.go
+++ b/internal/node/correlated_faults_test.go
@@ -150,7 +150,7 @@
 		w.after(w.between(8*loop.Second, 40*loop.Second), func() { delete(w.linkModes, a+">"+b) })
 	}},
 	{"the cloud has no machines", func(w *simulation) {
-		kept := w.cloud.Take()
+		kept := w.cloud.TakeCapacity()
 		w.after(w.between(10*loop.Second, 40*loop.Second), func() { w.cloud.Give(kept) })
 	}},
 }
@@ -253,7 +253,7 @@
 			w.hangMachines(names, 20*second)
 		}},
 		{"many machines fail while the cloud is full", usual, 2 * second, func(w *simulation) {
-			kept := w.cloud.Take()
+			kept := w.cloud.TakeCapacity()
 			w.failMachines(w.someMachines(0.7))
 			w.after(40*second, func() { w.cloud.Give(kept) })
 		}},
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -77,8 +77,8 @@
 	return c.Now()
 }
 
-// Take removes all capacity that is not rented, as in a shortage, and returns it by zone, for Give.
-func (c *Cloud) Take() map[string]int {
+// TakeCapacity removes all capacity that is not rented, as in a shortage, and returns it by zone, for Give.
+func (c *Cloud) TakeCapacity() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	kept := c.Available
