--- a/internal/node/correlated_faults_test.go
+++ b/internal/node/correlated_faults_test.go
@@ -151,7 +151,7 @@
 	}},
 	{"the cloud has no machines", func(w *simulation) {
 		kept := w.cloud.TakeCapacity()
-		w.after(w.between(10*loop.Second, 40*loop.Second), func() { w.cloud.Give(kept) })
+		w.after(w.between(10*loop.Second, 40*loop.Second), func() { w.cloud.AddCapacity(kept) })
 	}},
 }
 
@@ -255,7 +255,7 @@
 		{"many machines fail while the cloud is full", usual, 2 * second, func(w *simulation) {
 			kept := w.cloud.TakeCapacity()
 			w.failMachines(w.someMachines(0.7))
-			w.after(40*second, func() { w.cloud.Give(kept) })
+			w.after(40*second, func() { w.cloud.AddCapacity(kept) })
 		}},
 		{"machines fail during an outage of the state service", usual, 0, func(w *simulation) {
 			w.state.SetDown(true)
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -86,8 +86,8 @@
 	return kept
 }
 
-// Give adds capacity that can be rented, by zone.
-func (c *Cloud) Give(more map[string]int) {
+// AddCapacity adds capacity that can be rented, by zone.
+func (c *Cloud) AddCapacity(more map[string]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for z, n := range more {
