--- a/internal/node/correlated_faults_test.go
+++ b/internal/node/correlated_faults_test.go
@@ -74,7 +74,7 @@
 		if x := w.workers[name]; !x.deleted {
 			x.deleted = true
 			x.w.Destroy()
-			w.cloud.Die(name)
+			w.cloud.Fail(name)
 		}
 	}
 }
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -110,8 +110,8 @@
 	return names
 }
 
-// Die makes a machine fail. It stays listed, first as running and later as failed, and no callback is called.
-func (c *Cloud) Die(name string) {
+// Fail makes a machine fail. It stays listed, first as running and later as failed, and no callback is called.
+func (c *Cloud) Fail(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.died[name] = c.now()
