--- a/internal/node/explanations_test.go
+++ b/internal/node/explanations_test.go
@@ -173,7 +173,7 @@
 	w := newSimulationWith(t, seed, func(c *config.Config) { c.Operator.API.Enabled = true })
 	r := newTermsChecker(w)
 	a := &explanationChecker{w: w, changed: map[string]loop.Micros{}}
-	w.state.Stored = func(key string, value wire.Raw) {
+	w.state.OnPut = func(key string, value wire.Raw) {
 		r.stored(key, value)
 		if id, ok := strings.CutPrefix(key, job.KeyPrefix); ok {
 			a.changed[id] = w.now
--- a/internal/node/holds_cordons_test.go
+++ b/internal/node/holds_cordons_test.go
@@ -27,7 +27,7 @@
 func newTermsChecker(w *simulation) *termsChecker {
 	r := &termsChecker{w: w, held: map[string]bool{}, released: map[string]bool{}, recorded: map[string]loop.Micros{}, attempts: map[string]uint64{},
 		cordons: map[string]cordon.Cordon{}, cordonedAt: map[string]loop.Micros{}}
-	w.state.Stored = r.stored
+	w.state.OnPut = r.stored
 	w.onTaskStart = r.taskStarted
 	return r
 }
--- a/internal/node/isolation_cases_test.go
+++ b/internal/node/isolation_cases_test.go
@@ -203,7 +203,7 @@
 					most += 2 * loop.Second // one request in eighty is lost or late, which may be a claim or a lease
 				}
 				claims := 0
-				w.state.Stored = func(key string, _ wire.Raw) {
+				w.state.OnPut = func(key string, _ wire.Raw) {
 					if key == member.Prefix+"l" {
 						claims++
 					}
--- a/internal/node/leader_change_test.go
+++ b/internal/node/leader_change_test.go
@@ -38,7 +38,7 @@
 			t.Parallel()
 			w := slowReportSimulation(t, 3)
 			began, claims, last := w.now, 0, ""
-			w.state.Stored = func(key string, _ wire.Raw) {
+			w.state.OnPut = func(key string, _ wire.Raw) {
 				if key == member.Prefix+"l" {
 					claims++
 				}
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -45,8 +45,8 @@
 	down   bool
 	limits *limiter
 	counts Counts
-	// Stored is called for each put as it is applied; it may be nil.
-	Stored func(key string, value wire.Raw)
+	// OnPut is called for each put as it is applied; it may be nil.
+	OnPut func(key string, value wire.Raw)
 }
 
 // NewState returns an empty state service that reads the time from now.
@@ -135,8 +135,8 @@
 func (s *State) put(key string, v wire.Raw, lease uint64) {
 	s.keys[key] = stateKey{v, s.tally, lease}
 	s.record(wire.Event{Put: key, Value: v, Mark: s.tally})
-	if s.Stored != nil {
-		s.Stored(key, v)
+	if s.OnPut != nil {
+		s.OnPut(key, v)
 	}
 }
 
