--- a/internal/node/simulation_invariants_test.go
+++ b/internal/node/simulation_invariants_test.go
@@ -187,7 +187,7 @@
 // does not count: everything that depends on it is fenced.
 func (w *simulation) checkLeases() {
 	for _, l := range w.labels {
-		if s := w.nodes[l]; s.alive && !s.paused && s.n.member.LeaseValid() && w.state.Lapsed(s.n.member.Lease()) {
+		if s := w.nodes[l]; s.alive && !s.paused && s.n.member.LeaseValid() && w.state.LeaseExpired(s.n.member.Lease()) {
 			w.fail("%s still acts under its lease %d, which has expired", l, s.n.member.Lease())
 		}
 	}
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// Lapsed reports whether a lease expired because it was not renewed in time.
-func (s *State) Lapsed(id uint64) bool {
+// LeaseExpired reports whether a lease expired because it was not renewed in time.
+func (s *State) LeaseExpired(id uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
