--- a/internal/scale/services.go
+++ b/internal/scale/services.go
@@ -59,7 +59,7 @@
 		case <-changed:
 		}
 		changed = s.Changed()
-		r = s.Look(method, path)
+		r = s.AnswerAgain(method, path)
 	}
 	return r
 }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -223,9 +223,9 @@
 	return s.answer(method, path, body)
 }
 
-// Look answers a request again that was already counted, for a watch that waited for a change. It neither counts
+// AnswerAgain answers a request again that was already counted, for a watch that waited for a change. It neither counts
 // the request nor applies the limits to it.
-func (s *State) Look(method, path string) store.Response {
+func (s *State) AnswerAgain(method, path string) store.Response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
