--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -28,7 +28,7 @@
 // a goroutine of its own, as fast as it can, so that nothing waits for a clock.
 type rig struct {
 	*standin.Stepped
-	state *standin.State
+	state *standin.StateService
 	keys  map[string]string
 	http  *fasthttp.Client
 	api   *API
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -20,7 +20,7 @@
 // simulation is a set of controllers' cordons over one state service, each with its own mirror.
 type simulation struct {
 	*standin.Stepped
-	state      *standin.State
+	state      *standin.StateService
 	registries []*Registry
 	mirrors    []*store.Mirror
 }
--- a/internal/job/read_test.go
+++ b/internal/job/read_test.go
@@ -18,7 +18,7 @@
 type slowNet struct {
 	*standin.Stepped
 	rng        *rand.Rand
-	state      *standin.State
+	state      *standin.StateService
 	sent       map[string]int // requests by path
 	answering  bool
 	lossRate   float64
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -16,7 +16,7 @@
 // stateConn is a connection to the state service that a test can turn off; it counts the leases
 // that are ended explicitly.
 type stateConn struct {
-	state     *standin.State
+	state     *standin.StateService
 	leaseEnds int
 	off       bool
 }
--- a/internal/node/simulation_test.go
+++ b/internal/node/simulation_test.go
@@ -61,7 +61,7 @@
 	now            loop.Micros
 	seq            int
 	queue          eventQueue
-	state          *standin.State
+	state          *standin.StateService
 	cloud          *standin.Cloud
 	labels         []string
 	nodes          map[string]*simNode
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -34,7 +34,7 @@
 	workers   *agent.Registry
 	registry  *job.Registry
 	mirror    *store.Mirror
-	state     *standin.State
+	state     *standin.StateService
 	writes    int
 	txns      int
 	starts    []agent.Start
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -27,7 +27,7 @@
 type run struct {
 	settings    *Settings
 	began       time.Time
-	state       *standin.State
+	state       *standin.StateService
 	cloud       *standin.Cloud
 	controllers []*controller
 	workers     *workers
--- a/internal/scale/services.go
+++ b/internal/scale/services.go
@@ -43,7 +43,7 @@
 
 // stateRequest answers a request to the state service; watches stay open until something
 // changes or their time is up.
-func stateRequest(s *standin.State, method, path string, body []byte) store.Response {
+func stateRequest(s *standin.StateService, method, path string, body []byte) store.Response {
 	wait := watchTime(path)
 	if wait == 0 {
 		return s.Do(method, path, body, 0)
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -30,8 +30,8 @@
 	ttl, until loop.Micros
 }
 
-// State is a fake of the state service that keeps its keys in memory.
-type State struct {
+// StateService is a fake of the state service that keeps its keys in memory.
+type StateService struct {
 	mu     sync.Mutex
 	now    func() loop.Micros
 	tally  uint64 // revision of the newest change of the store
@@ -50,13 +50,13 @@
 }
 
 // NewState returns an empty state service that reads the time from now.
-func NewState(now func() loop.Micros) *State {
-	return &State{now: now, keys: map[string]stateKey{}, leases: map[uint64]*stateLease{}, lapsed: map[uint64]bool{}}
+func NewState(now func() loop.Micros) *StateService {
+	return &StateService{now: now, keys: map[string]stateKey{}, leases: map[uint64]*stateLease{}, lapsed: map[uint64]bool{}}
 }
 
 // SetDown begins or ends an outage. Leases do not expire during an outage, and at its end each lease gets its
 // full duration again.
-func (s *State) SetDown(down bool) {
+func (s *StateService) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down && !down {
@@ -68,14 +68,14 @@
 }
 
 // Down reports whether an outage is in progress.
-func (s *State) Down() bool {
+func (s *StateService) Down() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.down
 }
 
 // Value returns the value of a key. It bypasses the protocol, for an invariant checker.
-func (s *State) Value(key string) (wire.Raw, bool) {
+func (s *StateService) Value(key string) (wire.Raw, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k, ok := s.keys[key]
@@ -83,7 +83,7 @@
 }
 
 // Keys lists the keys with a prefix. It bypasses the protocol, for an invariant checker.
-func (s *State) Keys(prefix string) []string {
+func (s *StateService) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var keys []string
@@ -97,7 +97,7 @@
 }
 
 // Put writes a key and returns its revision. It bypasses the protocol, for example to write a damaged record.
-func (s *State) Put(key string, value any) (mark uint64) {
+func (s *StateService) Put(key string, value any) (mark uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tally++
@@ -109,7 +109,7 @@
 const keptChanges = 10000
 
 // record stores an event for watches and wakes the waiting ones. The caller holds the lock.
-func (s *State) record(e wire.Event) {
+func (s *StateService) record(e wire.Event) {
 	s.events = append(s.events, e)
 	if n := len(s.events) - keptChanges; n >= keptChanges {
 		s.lost = s.events[n-1].Mark
@@ -122,7 +122,7 @@
 }
 
 // Changed returns a channel that is closed at the next change.
-func (s *State) Changed() <-chan struct{} {
+func (s *StateService) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.change == nil {
@@ -132,7 +132,7 @@
 }
 
 // put writes a key at the present store revision. The caller holds the lock.
-func (s *State) put(key string, v wire.Raw, lease uint64) {
+func (s *StateService) put(key string, v wire.Raw, lease uint64) {
 	s.keys[key] = stateKey{v, s.tally, lease}
 	s.record(wire.Event{Put: key, Value: v, Mark: s.tally})
 	if s.OnPut != nil {
@@ -141,7 +141,7 @@
 }
 
 // remove deletes a key, if it exists, at the present store revision. The caller holds the lock.
-func (s *State) remove(key string) {
+func (s *StateService) remove(key string) {
 	if _, ok := s.keys[key]; ok {
 		delete(s.keys, key)
 		s.record(wire.Event{Delete: key, Mark: s.tally})
@@ -149,7 +149,7 @@
 }
 
 // expire ends the leases whose time is over, except during an outage. The caller holds the lock.
-func (s *State) expire() {
+func (s *StateService) expire() {
 	if s.down {
 		return
 	}
@@ -162,7 +162,7 @@
 }
 
 // LeaseExpired reports whether a lease expired because it was not renewed in time.
-func (s *State) LeaseExpired(id uint64) bool {
+func (s *StateService) LeaseExpired(id uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -170,7 +170,7 @@
 }
 
 // end deletes a lease and its keys. The caller holds the lock.
-func (s *State) end(id uint64) {
+func (s *StateService) end(id uint64) {
 	delete(s.leases, id)
 	s.tally++
 	var keys []string
@@ -186,7 +186,7 @@
 }
 
 // Do answers one request. It ignores the timeout, and a watch is answered at once, even without events.
-func (s *State) Do(method, path string, body []byte, timeout time.Duration) store.Response {
+func (s *StateService) Do(method, path string, body []byte, timeout time.Duration) store.Response {
 	return s.do(method, path, body)
 }
 
@@ -210,7 +210,7 @@
 }
 
 // do counts a request, applies the limits to it and answers it.
-func (s *State) do(method, path string, body []byte) store.Response {
+func (s *StateService) do(method, path string, body []byte) store.Response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
@@ -225,7 +225,7 @@
 
 // AnswerAgain answers a request again that was already counted, for a watch that waited for a change. It neither counts
 // the request nor applies the limits to it.
-func (s *State) AnswerAgain(method, path string) store.Response {
+func (s *StateService) AnswerAgain(method, path string) store.Response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -233,7 +233,7 @@
 }
 
 // answer carries out a request that was admitted. The caller holds the lock.
-func (s *State) answer(method, path string, body []byte) store.Response {
+func (s *StateService) answer(method, path string, body []byte) store.Response {
 	u, err := url.Parse(path)
 	if err != nil {
 		return reply(400, wire.Error{Error: "path"})
@@ -307,7 +307,7 @@
 }
 
 // multi carries out a transaction. The caller holds the lock.
-func (s *State) multi(body []byte) store.Response {
+func (s *StateService) multi(body []byte) store.Response {
 	var t rawTxn
 	if wire.Unmarshal(body, &t) != nil {
 		return reply(400, wire.Error{Error: "malformed"})
--- a/internal/standin/state_limits.go
+++ b/internal/standin/state_limits.go
@@ -45,7 +45,7 @@
 }
 
 // SetLimits sets the limits for the requests from now on; nil removes them.
-func (s *State) SetLimits(l *Limits) {
+func (s *StateService) SetLimits(l *Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l == nil {
@@ -56,7 +56,7 @@
 }
 
 // Counts returns the counts of requests so far.
-func (s *State) Counts() Counts {
+func (s *StateService) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
@@ -64,7 +64,7 @@
 
 // admit counts a request and returns the refusal if it exceeds a limit, or nil. A transaction counts
 // even if its conditions fail later. The caller holds the lock.
-func (s *State) admit(method, path string, body []byte) *store.Response {
+func (s *StateService) admit(method, path string, body []byte) *store.Response {
 	s.counts.Requests++
 	var txn rawTxn
 	if method == "POST" && strings.HasPrefix(path, "/multi") {
--- a/internal/store/fairness_test.go
+++ b/internal/store/fairness_test.go
@@ -118,7 +118,7 @@
 
 // counted counts the changes that are sent to the state service.
 type counted struct {
-	state   *standin.State
+	state   *standin.StateService
 	changes int
 }
 
