--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -54,7 +54,7 @@
 		g.keys[role] = token
 		cfg.Operator.API.Keys = append(cfg.Operator.API.Keys, k)
 	}
-	g.state = standin.NewState(func() loop.Micros { return g.Now() })
+	g.state = standin.NewStateService(func() loop.Micros { return g.Now() })
 	c := store.NewClient(g.Stepped, g.state, log, 1e5, 1e5, 1)
 	m := store.NewMirror(c, g.state, "c/")
 	jobs := job.NewRegistry(g.Stepped, c, m, log)
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -27,7 +27,7 @@
 
 func newSimulation(n int) *simulation {
 	o := &simulation{Stepped: standin.NewStepped(1000 * loop.Second)}
-	o.state = standin.NewState(func() loop.Micros { return o.Now() })
+	o.state = standin.NewStateService(func() loop.Micros { return o.Now() })
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	for range n {
 		c := store.NewClient(o, o.state, log, 1e4, 1e4, 1)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -63,7 +63,7 @@
 // told of and never refused, what cannot run or makes no sense is accepted by nobody, a job that is
 // done stays done, and one that nobody submitted leaves nothing behind.
 func TestOddRequests(t *testing.T) {
-	state := standin.NewState(func() loop.Micros { return 1 })
+	state := standin.NewStateService(func() loop.Micros { return 1 })
 	whole := map[string]any{"lineup": "k", "squad": "red", "play": "batch", "urgency": "low", "snaps": 3,
 		"cpus": 1.0, "cards": 0.0, "ramGb": 1.0, "kit": "i", "sizeGb": 1.0, "builds": nil, "field": nil, "oneZone": false, "scatter": false,
 		"loaners": true, "expectS": 1.0, "timeoutS": 0.0, "huddleS": 0.0, "whistleS": nil}
--- a/internal/member/layout_test.go
+++ b/internal/member/layout_test.go
@@ -38,7 +38,7 @@
 // with few changes in the state service on the way.
 func TestPartitionsAreClaimedEvenly(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
-	state := standin.NewState(func() loop.Micros { return s.Now() })
+	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	var all []*Member
 	for i := range 8 {
 		all = append(all, startWithTeams(s, state, fmt.Sprint("n", i), 8, 300, false))
@@ -62,7 +62,7 @@
 // all controllers, and no team may remain claimed as a single team.
 func TestLayoutWaitsForOlderVersions(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
-	state := standin.NewState(func() loop.Micros { return s.Now() })
+	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	a := startWithTeams(s, state, "a", 2, 12, false)
 	old := startWithTeams(s, state, "b", 2, 12, true)
 	s.Run(90 * loop.Second)
@@ -94,7 +94,7 @@
 // one whose partition is not owned under the given claim any more.
 func TestHeldTeamsAreNotAssigned(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
-	state := standin.NewState(func() loop.Micros { return s.Now() })
+	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	a := startWithTeams(s, state, "a", 1, 12, false)
 	s.Run(6 * loop.Second)
 	team := a.Teams[4]
@@ -135,7 +135,7 @@
 // have to guess the layout in force.
 func TestCorruptLayout(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
-	state := standin.NewState(func() loop.Micros { return s.Now() })
+	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	state.Put(partition.LayoutKey, "nonsense")
 	a := startWithTeams(s, state, "a", 1, 12, false)
 	s.Run(20 * loop.Second)
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -52,7 +52,7 @@
 // must not consider itself the owner of what another has claimed.
 func TestControllerWithoutStateServiceLosesTeams(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
-	state := standin.NewState(func() loop.Micros { return s.Now() })
+	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	xa, xb := &stateConn{state: state}, &stateConn{state: state}
 	a := startMember(s, xa, "a")
 	s.Run(3 * loop.Second)
@@ -81,7 +81,7 @@
 // lease must be ended only once within evictInterval.
 func TestEvictionIsNotRepeated(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
-	state := standin.NewState(func() loop.Micros { return s.Now() })
+	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	xa, xb := &stateConn{state: state}, &stateConn{state: state}
 	a := startMember(s, xa, "a")
 	b := startMember(s, xb, "b")
@@ -101,7 +101,7 @@
 // A controller that reaches no peer must hand its partitions over to one that others reach.
 func TestIsolatedControllerHandsOver(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
-	state := standin.NewState(func() loop.Micros { return s.Now() })
+	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	a := startMember(s, &stateConn{state: state}, "a")
 	s.Run(3 * loop.Second)
 	b := startMember(s, &stateConn{state: state}, "b")
@@ -117,7 +117,7 @@
 // only: the leader must become the owner of all teams.
 func TestLeaderOwnsAllWhenAllAreIsolated(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
-	state := standin.NewState(func() loop.Micros { return s.Now() })
+	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	var all []*Member
 	for _, label := range []string{"a", "b", "c"} {
 		all = append(all, startMember(s, &stateConn{state: state}, label))
@@ -145,7 +145,7 @@
 // work, but only once it is fit for work; after that, no team may move any more.
 func TestRebalanceAfterJoin(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
-	state := standin.NewState(func() loop.Micros { return s.Now() })
+	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	a := startMember(s, &stateConn{state: state}, "a")
 	a.Weight = func(id partition.ID) int { return map[partition.ID]int{"t/red": 9, "t/blue": 2}[id] }
 	fit := false
@@ -173,7 +173,7 @@
 // on one after another, must become known as foreign once that controller owns it.
 func TestForeignTeam(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
-	state := standin.NewState(func() loop.Micros { return s.Now() })
+	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	a, b := startMember(s, &stateConn{state: state}, "a"), startMember(s, &stateConn{state: state}, "b")
 	b.Teams = append(b.Teams, "guest")
 	s.Run(5 * loop.Second)
@@ -187,7 +187,7 @@
 // the others would not count it though it runs.
 func TestLateRegistrationOfEarlierIncarnation(t *testing.T) {
 	s := standin.NewStepped(100 * loop.Second)
-	state := standin.NewState(func() loop.Micros { return s.Now() })
+	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	b := startMember(s, &stateConn{state: state}, "b")
 	a := startMember(s, &stateConn{state: state}, "a")
 	s.Run(3 * loop.Second)
--- a/internal/node/explanations_loopback_test.go
+++ b/internal/node/explanations_loopback_test.go
@@ -44,7 +44,7 @@
 func newCluster(t *testing.T) *cluster {
 	c := &cluster{t: t, keys: map[string]string{}}
 	clock := loop.RealClock()
-	state := standin.NewState(clock.Now)
+	state := standin.NewStateService(clock.Now)
 	cloud := standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 9, FetchGBs: 1, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x", "y"}}, 2)
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
--- a/internal/node/flood_test.go
+++ b/internal/node/flood_test.go
@@ -19,7 +19,7 @@
 // Retry-After; reports are still answered; and after the flood submissions are accepted as before.
 func TestSubmissionFloodIsAnswered(t *testing.T) {
 	clock := loop.RealClock()
-	state := standin.NewState(clock.Now)
+	state := standin.NewStateService(clock.Now)
 	cloud := standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x"}}, 4)
 	cloud.OnRented, cloud.OnDeleted = func(wire.Listed) {}, func(string) {}
 	c := onLoopback(t, "s-0", serve(t, requestsOf(state)), serve(t, requestsOf(cloud)), 1)
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -70,7 +70,7 @@
 // and the others complete the job and report it as done.
 func TestLoopbackWithControllerKill(t *testing.T) {
 	clock := loop.RealClock()
-	state := standin.NewState(clock.Now)
+	state := standin.NewStateService(clock.Now)
 	cloud := standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 9, FetchGBs: 1, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x"}}, 4)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
--- a/internal/node/simulation_test.go
+++ b/internal/node/simulation_test.go
@@ -393,7 +393,7 @@
 	c.Cluster.Cloud.RPS, c.Cluster.Cloud.ListLagS = 5, 2
 	c.Cluster.Limits.RAMMB, c.Cluster.Limits.MaxSockets = 100, 500
 	settings(c)
-	w.state = standin.NewState(func() loop.Micros { return w.now })
+	w.state = standin.NewStateService(func() loop.Micros { return w.now })
 	w.cloud = standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 20, FetchGBs: 1, Price: 1, SpotPrice: 0.3, BootS: 4, Zones: w.zones}, z.each)
 	w.cloud.Now = func() loop.Micros { return w.now }
 	w.cloud.OnRented = func(m wire.Listed) { w.after(w.between(2*loop.Second, 8*loop.Second), func() { w.boot(m) }) }
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -69,7 +69,7 @@
 	cfg.Cluster.State.TxnOps, cfg.Cluster.State.ValueKB = 16, 4 // small, so that segments fill up
 	cfg.Cluster.Teams = teams
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	g.state = standin.NewState(func() loop.Micros { return g.Now() })
+	g.state = standin.NewStateService(func() loop.Micros { return g.Now() })
 	c := store.NewClient(g, g, log, 100, writeRPS, 1)
 	g.mirror = store.NewMirror(c, g, "c/")
 	g.registry = job.NewRegistry(g, c, g.mirror, log)
--- a/internal/rental/autoscaler_test.go
+++ b/internal/rental/autoscaler_test.go
@@ -53,7 +53,7 @@
 	cfg.Cluster.Cloud.RPS, cfg.Cluster.Cloud.ListLagS = 5, 2
 	cfg.Cluster.State.TxnOps = 16
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	state := standin.NewState(func() loop.Micros { return g.Now() })
+	state := standin.NewStateService(func() loop.Micros { return g.Now() })
 	state.Put("c/l", map[string]any{"n": "a", "e": 1})
 	c := store.NewClient(g, state, log, 1000, 1000, 1)
 	m := store.NewMirror(c, state, "c/")
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -80,7 +80,7 @@
 // start brings up the services and the controllers.
 func (r *run) start(ctx context.Context, dir string) error {
 	s, clock := r.settings, loop.RealClock()
-	r.state = standin.NewState(clock.Now)
+	r.state = standin.NewStateService(clock.Now)
 	r.state.SetLimits(&standin.Limits{RPS: s.State.RPS, WriteRPS: s.State.WriteRPS, ValueBytes: s.State.ValueKB << 10, TxnOps: s.State.TxnOps})
 	var zones []string
 	for i := range s.Zones {
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -49,8 +49,8 @@
 	OnPut func(key string, value wire.Raw)
 }
 
-// NewState returns an empty state service that reads the time from now.
-func NewState(now func() loop.Micros) *StateService {
+// NewStateService returns an empty state service that reads the time from now.
+func NewStateService(now func() loop.Micros) *StateService {
 	return &StateService{now: now, keys: map[string]stateKey{}, leases: map[uint64]*stateLease{}, lapsed: map[uint64]bool{}}
 }
 
--- a/internal/store/fairness_test.go
+++ b/internal/store/fairness_test.go
@@ -71,7 +71,7 @@
 func TestNothingWaitsBehindSubmissions(t *testing.T) {
 	const rps, writeRPS, nodes = 180, 70, 3
 	clock := standin.NewStepped(1000 * loop.Second)
-	state := standin.NewState(clock.Now)
+	state := standin.NewStateService(clock.Now)
 	sent := &counted{state: state}
 	client := store.NewClient(clock, sent, slog.New(slog.NewTextHandler(io.Discard, nil)), rps, writeRPS, nodes)
 	f := &flood{client: client}
