--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -82,14 +82,14 @@
 		Unseen: func(_ string, cb func(int, bool)) { cb(0, true) },
 	}, meter)
 	m.Start()
-	g.Run(loop.Second)
+	g.Advance(loop.Second)
 	done := make(chan struct{})
 	go func() {
 		for {
 			select {
 			case f := <-p.in:
 				f()
-				g.Run(200 * loop.Millisecond)
+				g.Advance(200 * loop.Millisecond)
 			case <-done:
 				return
 			}
--- a/internal/ask/ask_test.go
+++ b/internal/ask/ask_test.go
@@ -76,7 +76,7 @@
 		{"lost", func(l *line, told *[]string) { l.ask("b", "double", 4, told); l.frames = nil }, "[0 false]"},
 		{"late", func(l *line, told *[]string) {
 			l.ask("b", "double", 4, told)
-			l.Run(2 * loop.Second)
+			l.Advance(2 * loop.Second)
 			l.deliver(1)
 		}, "[0 false]"},
 		{"no such topic", func(l *line, told *[]string) { l.ask("c", "double", 4, told); l.deliver(1) }, "[0 false]"},
@@ -95,7 +95,7 @@
 		l := newLine()
 		var told []string
 		c.play(l, &told)
-		l.Run(3 * loop.Second)
+		l.Advance(3 * loop.Second)
 		if fmt.Sprint(told) != c.want || l.desks["a"].Waiting() != 0 {
 			t.Errorf("%s: told %v with %d left, want %s", c.what, told, l.desks["a"].Waiting(), c.want)
 		}
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -36,7 +36,7 @@
 		o.mirrors = append(o.mirrors, m)
 		m.Start()
 	}
-	o.Run(loop.Second)
+	o.Advance(loop.Second)
 	return o
 }
 
@@ -64,7 +64,7 @@
 			c := Cordon{Name: fmt.Sprint("c", rapid.IntRange(0, 4).Draw(t, "name")), Zone: "x", Reason: fmt.Sprint("r", rapid.IntRange(0, 99).Draw(t, "reason"))}
 			// Two concurrent changes of one name may be applied in either order, so they are made one after the other.
 			if slices.ContainsFunc(unsettled, func(x change) bool { return x.c.Name == c.Name }) {
-				o.Run(2 * loop.Second)
+				o.Advance(2 * loop.Second)
 				unsettled = nil
 			}
 			x := change{c, rapid.IntRange(0, 2).Draw(t, "drop") == 0}
@@ -84,9 +84,9 @@
 			} else {
 				b.Put(c, record)
 			}
-			o.Run(loop.Micros(rapid.IntRange(0, 40).Draw(t, "ms")) * loop.Millisecond)
+			o.Advance(loop.Micros(rapid.IntRange(0, 40).Draw(t, "ms")) * loop.Millisecond)
 		}
-		o.Run(30 * loop.Second)
+		o.Advance(30 * loop.Second)
 		var want []string
 		for _, n := range slices.Sorted(maps.Keys(expected)) {
 			want = append(want, n+":"+expected[n])
@@ -120,34 +120,34 @@
 	}
 	until := o.Wall() + 10*loop.Second
 	b.Put(Cordon{Name: "c", Zone: "x", Reason: "r", Until: until}, func(Outcome) {})
-	o.Run(loop.Second)
+	o.Advance(loop.Second)
 	before := b.Version()
-	o.Run(until - o.Wall() + clockTo - loop.Millisecond)
+	o.Advance(until - o.Wall() + clockTo - loop.Millisecond)
 	if !b.Blocked(at) {
 		t.Fatal("the cordon has expired before every clock was past its end")
 	}
-	o.Run(10 * loop.Millisecond)
+	o.Advance(10 * loop.Millisecond)
 	if b.Blocked(at) || b.Version() == before {
 		t.Fatalf("the cordon has not expired: the place is excluded: %v, version %d", b.Blocked(at), b.Version())
 	}
 	b.Put(Cordon{Name: "d", Zone: "x", Reason: "r"}, func(Outcome) {})
-	o.Run(loop.Second)
+	o.Advance(loop.Second)
 	o.state.Put(Key, map[string]any{"f": 99, "c": []Cordon{}})
-	o.Run(2 * loop.Second)
+	o.Advance(2 * loop.Second)
 	b.Refresh()
-	o.Run(2 * loop.Second)
+	o.Advance(2 * loop.Second)
 	if !b.Damaged() || !b.Blocked(at) {
 		t.Fatalf("after a record of another format: damaged %v, place excluded %v; want true and true", b.Damaged(), b.Blocked(at))
 	}
 	var out Outcome = -1
 	b.Put(Cordon{Name: "e", Zone: "y", Reason: "r"}, func(x Outcome) { out = x })
-	o.Run(2 * loop.Second)
+	o.Advance(2 * loop.Second)
 	if out != Stored || b.Damaged() || len(b.All()) != 2 {
 		t.Fatalf("the next change returns %v, damaged %v, cordons %v; want Stored, false and two", out, b.Damaged(), b.All())
 	}
 	o.state.SetDown(true)
 	b.Put(Cordon{Name: "f", Zone: "y", Reason: "r"}, func(x Outcome) { out = x })
-	o.Run(5 * loop.Second)
+	o.Advance(5 * loop.Second)
 	if out != NotStored {
 		t.Fatalf("during an outage a change returns %v, want Unstored", out)
 	}
--- a/internal/fleet/reservations_test.go
+++ b/internal/fleet/reservations_test.go
@@ -53,7 +53,7 @@
 	for _, c := range owned {
 		last.AddReservation(c)
 	}
-	clock.Run(20 * loop.Second)
+	clock.Advance(20 * loop.Second)
 	last.ExpireReservations()
 	last.UpdateView(machine("n-2"), clock.Now(), false)
 	if got := last.ReservationCount("job-1"); got != 0 || len(last.pendingReservations) != 0 {
--- a/internal/job/read_bench_test.go
+++ b/internal/job/read_bench_test.go
@@ -25,7 +25,7 @@
 					record := Record{Phase: Accepted, AcceptedAt: 1, Spec: spec}
 					registry.mirror.Apply(KeyPrefix+id, wire.Marshal(record), net.state.Put(KeyPrefix+id, record), false)
 				}
-				net.Run(loop.Second)
+				net.Advance(loop.Second)
 				before := net.sent["/store"]
 				for k := range rate * seconds {
 					id := fmt.Sprintf("job-%d", k%jobs)
@@ -35,7 +35,7 @@
 						}
 					})
 					asked++
-					net.Run(loop.Second / loop.Micros(rate))
+					net.Advance(loop.Second / loop.Micros(rate))
 				}
 				requests += net.sent["/store"] - before
 			}
--- a/internal/job/read_test.go
+++ b/internal/job/read_test.go
@@ -125,7 +125,7 @@
 				})
 			})
 		}
-		n.Run(15 * loop.Second)
+		n.Advance(15 * loop.Second)
 		if answers != polls || good < polls*8/10 || registry.WaitingReads() != 0 || registry.reads.syncing {
 			t.Fatalf("seed %d: %d of %d polls are answered, %d with a state; %d still wait", seed, answers, polls, good, registry.WaitingReads())
 		}
@@ -180,7 +180,7 @@
 				for k := range 100 {
 					n.After(loop.Micros(k)*loop.Millisecond, func() { poll(c.id(n.rng)) })
 				}
-				n.Run(100 * loop.Millisecond)
+				n.Advance(100 * loop.Millisecond)
 				for _, at := range last {
 					worst = max(worst, n.Now()-at)
 				}
@@ -269,7 +269,7 @@
 					})
 				})
 			}
-			n.Run((span + 3) * loop.Second)
+			n.Advance((span + 3) * loop.Second)
 			if stored != span*5 || retried != span*5 || longest > 700*loop.Millisecond {
 				t.Errorf("of %d submissions, %d are stored and %d retries are answered, the slowest after %d us", span*5, stored, retried, longest)
 			}
@@ -301,7 +301,7 @@
 		var got []Answer
 		registry.Poll(id, func(a Answer) { got = append(got, a) })
 		registry.Submit(id, spec, func(a Answer) { got = append(got, a) })
-		n.Run(2 * loop.Second)
+		n.Advance(2 * loop.Second)
 		for _, a := range got {
 			if a.Code != 200 || a.Phase != want {
 				t.Errorf("%s is answered %d %q, want 200 %q", id, a.Code, a.Phase, want)
@@ -321,14 +321,14 @@
 		n.maxDelayMs = 400
 		accepted, told := false, 0
 		registry.mirror.Start()
-		n.Run(3 * loop.Second)
+		n.Advance(3 * loop.Second)
 		registry.Poll("job-000001", func(a Answer) {
 			if told++; accepted && a.Code == 404 {
 				t.Errorf("seed %d: the poll is answered 404 after the job was accepted here", seed)
 			}
 		})
 		registry.Submit("job-000001", &Spec{Team: "red", Tasks: 1}, func(a Answer) { accepted = accepted || a.Code == 201 })
-		n.Run(4 * loop.Second)
+		n.Advance(4 * loop.Second)
 		if told != 1 || !accepted {
 			t.Errorf("seed %d: the poll is answered %d times, want once; job accepted: %v", seed, told, accepted)
 		}
--- a/internal/job/stale_answer_test.go
+++ b/internal/job/stale_answer_test.go
@@ -56,7 +56,7 @@
 			}
 			net.After(begin, cancel)
 		}
-		net.Run(12 * loop.Second)
+		net.Advance(12 * loop.Second)
 		if answered != asked {
 			t.Errorf("seed %d: %d of %d submissions are answered", seed, answered, asked)
 		}
@@ -104,9 +104,9 @@
 					}
 				}
 			}
-			net.Run(quickAt + soon - net.Now())
+			net.Advance(quickAt + soon - net.Now())
 			expectAnswers(quickAt, "in the first seconds after the service recovered")
-			net.Run(20 * loop.Second)
+			net.Advance(20 * loop.Second)
 			expectAnswers(net.Now()-soon, "in the last seconds, long after the service recovered")
 		})
 	}
--- a/internal/member/layout_test.go
+++ b/internal/member/layout_test.go
@@ -43,7 +43,7 @@
 	for i := range 8 {
 		all = append(all, startWithTeams(s, state, fmt.Sprint("n", i), 8, 300, false))
 	}
-	s.Run(6 * loop.Second)
+	s.Advance(6 * loop.Second)
 	for _, b := range all {
 		if n := len(b.owned); n < 1 || n > 4 {
 			t.Errorf("%s holds %d of 17 claims (16 partitions and the leadership), want 1 to 4", b.Label, n)
@@ -65,7 +65,7 @@
 	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	a := startWithTeams(s, state, "a", 2, 12, false)
 	old := startWithTeams(s, state, "b", 2, 12, true)
-	s.Run(90 * loop.Second)
+	s.Advance(90 * loop.Second)
 	if a.Layout().Numbered() || len(state.Keys(partition.ClaimPrefix)) > 0 {
 		t.Fatal("the layout became numbered while an older version is registered")
 	}
@@ -76,7 +76,7 @@
 	state.Do("DELETE", fmt.Sprint("/holds/", old.lease), nil, 0)
 	old.lease = 0
 	b := startWithTeams(s, state, "b", 2, 12, false)
-	s.Run(20 * loop.Second)
+	s.Advance(20 * loop.Second)
 	if !a.Layout().Numbered() || a.Layout() != b.Layout() {
 		t.Fatalf("the layouts of a and b are %+v and %+v, want the same numbered one", a.Layout(), b.Layout())
 	}
@@ -96,7 +96,7 @@
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	a := startWithTeams(s, state, "a", 1, 12, false)
-	s.Run(6 * loop.Second)
+	s.Advance(6 * loop.Second)
 	team := a.Teams[4]
 	id := a.Layout().Of(team)
 	claim, mine := a.owned[id.ClaimKey()]
@@ -107,7 +107,7 @@
 	state.Put(teamKeys+team, held)
 	assign := func(claim Owner) (ok bool) {
 		a.Assign(id, claim, []string{team}, func(done bool) { ok = done })
-		s.Run(loop.Second)
+		s.Advance(loop.Second)
 		return ok
 	}
 	if assign(claim) {
@@ -125,7 +125,7 @@
 			t.Error("a team was assigned under a claim that is not held any more")
 		}
 	})
-	s.Run(loop.Second)
+	s.Advance(loop.Second)
 	if a.Assigned(other) {
 		t.Error("Assigned is true for a team whose assignment failed")
 	}
@@ -138,7 +138,7 @@
 	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	state.Put(partition.LayoutKey, "nonsense")
 	a := startWithTeams(s, state, "a", 1, 12, false)
-	s.Run(20 * loop.Second)
+	s.Advance(20 * loop.Second)
 	if n := len(state.Keys(partition.ClaimPrefix)) + len(state.Keys(partition.TeamClaimPrefix)); n > 0 || a.Layout().Numbered() {
 		t.Errorf("%d partitions or teams are claimed, want none and no numbered layout", n)
 	}
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -55,14 +55,14 @@
 	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	xa, xb := &stateConn{state: state}, &stateConn{state: state}
 	a := startMember(s, xa, "a")
-	s.Run(3 * loop.Second)
+	s.Advance(3 * loop.Second)
 	if r, u := owners(a); r != "a" || u != "a" {
 		t.Fatalf("the only controller a does not own both teams: red is owned by %q, blue by %q", r, u)
 	}
 	b := startMember(s, xb, "b")
-	s.Run(2 * loop.Second)
+	s.Advance(2 * loop.Second)
 	xa.off = true
-	s.Run(10 * loop.Second)
+	s.Advance(10 * loop.Second)
 	if r, u := owners(b); r != "b" || u != "b" {
 		t.Fatalf("b did not take the teams over: red is owned by %q, blue by %q", r, u)
 	}
@@ -70,7 +70,7 @@
 		t.Fatal("a considers its lease valid although it could not renew it")
 	}
 	xa.off = false
-	s.Run(10 * loop.Second)
+	s.Advance(10 * loop.Second)
 	if _, mine := a.owned[teamKeys+"red"]; mine || !a.Active() {
 		t.Fatalf("a is active: %v, want true; a considers itself the owner of red: %v, want false", a.Active(), mine)
 	}
@@ -85,10 +85,10 @@
 	xa, xb := &stateConn{state: state}, &stateConn{state: state}
 	a := startMember(s, xa, "a")
 	b := startMember(s, xb, "b")
-	s.Run(3 * loop.Second)
+	s.Advance(3 * loop.Second)
 	for range 40 {
 		a.Evict("b")
-		s.Run(500 * loop.Millisecond)
+		s.Advance(500 * loop.Millisecond)
 	}
 	if xa.leaseEnds != 1 {
 		t.Fatalf("the lease was ended %d times in 20 s, want once", xa.leaseEnds)
@@ -103,11 +103,11 @@
 	s := standin.NewStepped(100 * loop.Second)
 	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	a := startMember(s, &stateConn{state: state}, "a")
-	s.Run(3 * loop.Second)
+	s.Advance(3 * loop.Second)
 	b := startMember(s, &stateConn{state: state}, "b")
-	s.Run(2 * loop.Second)
+	s.Advance(2 * loop.Second)
 	a.Isolated = func() bool { return true }
-	s.Run(3 * loop.Second)
+	s.Advance(3 * loop.Second)
 	if r, u := owners(b); r != "b" || u != "b" {
 		t.Fatalf("the teams did not move to b: red is owned by %q, blue by %q", r, u)
 	}
@@ -122,11 +122,11 @@
 	for _, label := range []string{"a", "b", "c"} {
 		all = append(all, startMember(s, &stateConn{state: state}, label))
 	}
-	s.Run(5 * loop.Second)
+	s.Advance(5 * loop.Second)
 	for _, b := range all {
 		b.Isolated = func() bool { return true }
 	}
-	s.Run(12 * loop.Second)
+	s.Advance(12 * loop.Second)
 	o, ok := all[0].Leader()
 	red, blue := owners(all[0])
 	if !ok || red != o.Node || blue != o.Node {
@@ -135,7 +135,7 @@
 	for _, b := range all {
 		b.Isolated = func() bool { return false }
 	}
-	s.Run(3 * loop.Second)
+	s.Advance(3 * loop.Second)
 	if all[0].AllIsolated() {
 		t.Fatal("AllIsolated is still true after the controllers reach each other again")
 	}
@@ -150,20 +150,20 @@
 	a.Weight = func(id partition.ID) int { return map[partition.ID]int{"t/red": 9, "t/blue": 2}[id] }
 	fit := false
 	a.Fit = func(string) bool { return fit }
-	s.Run(3 * loop.Second)
+	s.Advance(3 * loop.Second)
 	b := startMember(s, &stateConn{state: state}, "b")
 	b.Fit = func(string) bool { return true }
-	s.Run(20 * loop.Second)
+	s.Advance(20 * loop.Second)
 	if r, u := owners(b); r != "a" || u != "a" {
 		t.Fatalf("teams moved to a controller that is not fit: red is owned by %q, blue by %q", r, u)
 	}
 	fit = true
-	s.Run(12 * loop.Second)
+	s.Advance(12 * loop.Second)
 	if r, u := owners(a); r != "a" || u != "b" {
 		t.Fatalf("red is owned by %q and blue by %q, want a and b", r, u)
 	}
 	before, _ := a.TeamOwner("blue")
-	s.Run(60 * loop.Second)
+	s.Advance(60 * loop.Second)
 	if now, _ := b.TeamOwner("blue"); now != before {
 		t.Fatalf("blue moved again: its owner is %+v, before %+v", now, before)
 	}
@@ -176,7 +176,7 @@
 	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	a, b := startMember(s, &stateConn{state: state}, "a"), startMember(s, &stateConn{state: state}, "b")
 	b.Teams = append(b.Teams, "guest")
-	s.Run(5 * loop.Second)
+	s.Advance(5 * loop.Second)
 	if o, _ := a.TeamOwner("guest"); o.Node != "b" || !a.Foreign("guest") || a.Foreign("red") || b.Foreign("guest") {
 		t.Fatalf("guest is owned by %q; foreign to a: %v", o.Node, a.Foreign("guest"))
 	}
@@ -190,7 +190,7 @@
 	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	b := startMember(s, &stateConn{state: state}, "b")
 	a := startMember(s, &stateConn{state: state}, "a")
-	s.Run(3 * loop.Second)
+	s.Advance(3 * loop.Second)
 	if b.RegisteredCount() != 2 {
 		t.Fatalf("%d controllers are registered, want 2", b.RegisteredCount())
 	}
@@ -203,7 +203,7 @@
 	if r := state.Do("POST", "/multi", wire.Marshal(late), 0); r.Status != 200 {
 		t.Fatalf("the late registration is answered with status %d, want 200", r.Status)
 	}
-	s.Run(8 * loop.Second)
+	s.Advance(8 * loop.Second)
 	if b.RegisteredCount() != 2 || b.nodes["a"].Lease != a.Lease() || !a.LeaseValid() {
 		t.Fatalf("%d controllers are registered, want 2; a is registered with lease %d and holds lease %d", b.RegisteredCount(), b.nodes["a"].Lease, a.Lease())
 	}
--- a/internal/placer/explain_test.go
+++ b/internal/placer/explain_test.go
@@ -58,7 +58,7 @@
 		case step < 9:
 			g.addRandomJob()
 		case step < 11:
-			g.Run(loop.Micros(g.rng.IntN(900)) * loop.Millisecond)
+			g.Advance(loop.Micros(g.rng.IntN(900)) * loop.Millisecond)
 		default:
 			g.addRandomCordon()
 		}
@@ -83,7 +83,7 @@
 	if g.rng.IntN(3) == 0 {
 		g.addRandomMachine()
 	}
-	g.Run(600 * loop.Millisecond)
+	g.Advance(600 * loop.Millisecond)
 	g.settleDown()
 	return g
 }
@@ -91,10 +91,10 @@
 // settleDown runs passes for long enough that started tasks are reported as running and nothing changes any more.
 func (g *scenario) settleDown() {
 	for range 3 {
-		g.Run(300 * loop.Millisecond)
+		g.Advance(300 * loop.Millisecond)
 		g.scheduler.place()
 	}
-	g.Run(300 * loop.Millisecond)
+	g.Advance(300 * loop.Millisecond)
 	g.scheduler.place()
 }
 
@@ -574,7 +574,7 @@
 			s := c.spec
 			s.Class, s.Team, s.MemoryGB, s.Image, s.AnyType, s.Estimate = "k", "red", 1, "i", true, loop.Second
 			g.rig.acceptJob(1, s)
-			g.Run(2 * loop.Second)
+			g.Advance(2 * loop.Second)
 			var kinds []gate.Kind
 			for _, x := range *told {
 				if x.Kind < gate.Recording {
@@ -610,12 +610,12 @@
 			g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
 			g.deliverView("n-001", "m8", "x", false)
 			id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
-			g.Run(300 * loop.Millisecond)
+			g.Advance(300 * loop.Millisecond)
 			if len(g.starts) != 1 {
 				t.Fatalf("got %d starts, want 1", len(g.starts))
 			}
 			c.show(g, agent.Task{Task: agent.TaskName(id, 0), Attempt: 1})
-			g.Run(c.wait + 50*loop.Millisecond)
+			g.Advance(c.wait + 50*loop.Millisecond)
 			f, _ := g.scheduler.Facts(id, nil, true)
 			switch {
 			case c.kind == 0 && len(f.InFlight) != 0:
@@ -632,13 +632,13 @@
 	g, told := newCausesScenario()
 	s := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
 	g.rig.acceptJob(1, s)
-	g.Run(1500 * loop.Millisecond)
+	g.Advance(1500 * loop.Millisecond)
 	if len(*told) != 1 || (*told)[0].Kind != gate.Capacity {
 		t.Fatalf("published %v for a job without a machine", *told)
 	}
 	g.putCordons([]cordon.Cordon{{Name: "c", Reason: "r", Machine: "n-001"}})
 	g.deliverView("n-001", "m8", "x", false)
-	g.Run(1500 * loop.Millisecond)
+	g.Advance(1500 * loop.Millisecond)
 	if len(*told) != 1 || (*told)[0].Kind != gate.Cordon {
 		t.Fatalf("published %v for a job that only a cordon blocks", *told)
 	}
--- a/internal/placer/forget_test.go
+++ b/internal/placer/forget_test.go
@@ -40,7 +40,7 @@
 func (g *forgetRig) showFor(d loop.Micros) {
 	for end := g.Now() + d; g.Now() < end; {
 		g.deliverView("n-001", "m8", "x", false, attemptOne(wire.TaskExited, wire.WhyStopped))
-		g.Run(5 * loop.Millisecond)
+		g.Advance(5 * loop.Millisecond)
 	}
 }
 
@@ -64,24 +64,24 @@
 	}{
 		{"the next attempt is being recorded", func(*forgetRig) {}},
 		{"the next attempt's reservation is refused", func(g *forgetRig) {
-			g.Run(90 * loop.Millisecond) // its machine is chosen, and it is not recorded yet
+			g.Advance(90 * loop.Millisecond) // its machine is chosen, and it is not recorded yet
 			g.scheduler.StartDropped("b", agent.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: 2, Why: "full", OnlyReservation: true})
 		}},
 		{"the next attempt's record is withdrawn", func(g *forgetRig) {
-			g.Run(90 * loop.Millisecond)
+			g.Advance(90 * loop.Millisecond)
 			g.scheduler.cordons.Put(cordon.Cordon{Name: "c", Machine: "n-001"}, func(cordon.Outcome) {})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newForgetRig()
 			g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
-			g.Run(500 * loop.Millisecond) // starts that no view shows by then are sent again
+			g.Advance(500 * loop.Millisecond) // starts that no view shows by then are sent again
 			if len(g.starts) != 1 {
 				t.Fatalf("got %d starts, want one", len(g.starts))
 			}
 			expiry := g.starts[0].Expiry
 			g.deliverView("n-001", "m8", "x", false, attemptOne(wire.TaskRunning, ""))
-			g.Run(20 * loop.Millisecond)
+			g.Advance(20 * loop.Millisecond)
 			g.deliverView("n-001", "m8", "x", false, attemptOne(wire.TaskExited, wire.WhyStopped))
 			c.next(g)
 			g.showFor(15 * loop.Second)
--- a/internal/placer/guarantee_test.go
+++ b/internal/placer/guarantee_test.go
@@ -45,7 +45,7 @@
 				on[name] = running[1:]
 			}
 		}
-		g.Run(400 * loop.Millisecond)
+		g.Advance(400 * loop.Millisecond)
 	}
 	for g.Now() < 1090*loop.Second { // the jobs have waited for 75 s, and the team has lacked its guarantee for 5 s
 		step()
@@ -87,7 +87,7 @@
 			}
 			g.acceptJob(9, job.Spec{Class: "k", Team: "green", Tasks: 8, CPUs: 1, MemoryGB: 1, AnyType: true})
 			g.deliverView("n-001", "m8", "x", false, full...)
-			g.Run(loop.Second)
+			g.Advance(loop.Second)
 			g.scheduler.fleet.Refresh()
 			tm := g.scheduler.teams["blue"]
 			tm.cpus, g.scheduler.teams["red"].cpus = c.used, c.usedByOther
@@ -128,9 +128,9 @@
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
 	begun := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	g.deliverView("n-001", "m8", "x", false)
-	g.Run(2 * loop.Second)
+	g.Advance(2 * loop.Second)
 	waiting := g.acceptJob(2, job.Spec{Class: "w", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	g.Run(2 * loop.Second)
+	g.Advance(2 * loop.Second)
 	tm := g.scheduler.teams["red"]
 	if n := tm.jobs[begun].inUse; n != 4 {
 		t.Fatalf("%d tasks are in use, want 4", n)
@@ -156,7 +156,7 @@
 	mine := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 100, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	theirs := g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Tasks: 1, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	g.deliverView("n-001", "m8", "x", false)
-	g.Run(loop.Second)
+	g.Advance(loop.Second)
 	for _, id := range []string{mine, theirs} {
 		g.scheduler.fleet.AddReservation(peer.Reservation{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
 	}
--- a/internal/placer/image_test.go
+++ b/internal/placer/image_test.go
@@ -46,7 +46,7 @@
 				for end := g.Now() + d; g.Now() < end; {
 					g.deliverView("n-1", "m16", "x", false, tasks...)
 					g.deliverView("n-2", "m16", "x", false)
-					g.Run(200 * loop.Millisecond)
+					g.Advance(200 * loop.Millisecond)
 				}
 			}
 			for _, id := range []string{low, earlier} { // owned by another controller; known here only from the views
@@ -55,7 +55,7 @@
 			deliverViews(c.ran, busy)
 			g.starts = nil
 			id := g.acceptJob(3, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 4, CPUs: 2, MemoryGB: 2, Image: "u", ImageGB: c.image, AnyType: true, Estimate: 60 * s})
-			g.Run(500 * loop.Millisecond)
+			g.Advance(500 * loop.Millisecond)
 			if len(claims) != c.claims {
 				t.Fatalf("%d reservations, want %d", len(claims), c.claims)
 			}
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -96,7 +96,7 @@
 		g.scheduler.OwnershipChanged(partition.ForTeam(t.Name), true, member.Owner{Node: "a", Epoch: 1, Revision: mark})
 	}
 	g.mirror.Start()
-	g.Run(loop.Second)
+	g.Advance(loop.Second)
 	return g
 }
 
@@ -297,7 +297,7 @@
 					g.deliverView(name, v.Type, v.Zone, v.Spot, slices.Clone(all)...)
 				}
 			default:
-				g.Run(loop.Micros(rapid.IntRange(1, 300).Draw(t, "ms")) * loop.Millisecond)
+				g.Advance(loop.Micros(rapid.IntRange(1, 300).Draw(t, "ms")) * loop.Millisecond)
 			}
 			want := g.plainPass()
 			before := map[string]bool{}
@@ -345,9 +345,9 @@
 	}
 	for i := range 40 {
 		g.acceptJob(i, job.Spec{Class: "k", Team: "red", Tasks: 12, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
-		g.Run(50 * loop.Millisecond)
+		g.Advance(50 * loop.Millisecond)
 	}
-	g.Run(4 * loop.Second)
+	g.Advance(4 * loop.Second)
 	placed := map[string]string{}
 	for no := range 100 {
 		raw, ok := g.state.Value(segmentKey("x/red/", no))
@@ -387,7 +387,7 @@
 	g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
 	x := func() *task { return g.scheduler.teams["red"].jobs["job-000001"].task(0) }
 	for x().state != Recording {
-		g.Run(loop.Millisecond)
+		g.Advance(loop.Millisecond)
 	}
 	refuse := func() {
 		g.scheduler.StartDropped("b", agent.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: x().attempt, Why: "full", OnlyReservation: true})
@@ -396,7 +396,7 @@
 	if x().state != Waiting {
 		t.Fatalf("the reservation was refused before the record: state %d, want waiting", x().state)
 	}
-	g.Run(loop.Second)
+	g.Advance(loop.Second)
 	if len(g.starts) == 0 || x().state != Placed {
 		t.Fatalf("the task was not placed again: state %d", x().state)
 	}
@@ -414,11 +414,11 @@
 	g.deliverView("n-001", "m8", "x", false)
 	spec := job.Spec{Class: "k", Team: "red", Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
 	id := g.acceptJob(1, spec)
-	g.Run(loop.Second)
+	g.Advance(loop.Second)
 	rec := job.Record{Phase: job.Cancelled, AcceptedAt: g.Now(), Spec: &spec}
 	g.mirror.Apply(job.KeyPrefix+id, wire.Marshal(rec), g.state.Put(job.KeyPrefix+id, rec), false)
 	g.acceptJob(2, spec)
-	g.Run(loop.Second)
+	g.Advance(loop.Second)
 	if use := g.scheduler.teams["red"].cpus; use != 4 {
 		t.Fatalf("%v CPUs are in use, want 4", use)
 	}
@@ -427,7 +427,7 @@
 	g.scheduler.OwnershipChanged(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Revision: mark})
 	g.acceptJob(3, spec)
 	g.starts = nil
-	g.Run(loop.Second)
+	g.Advance(loop.Second)
 	if use := g.scheduler.teams["red"].cpus; use != 4 {
 		t.Fatalf("the next owner counts %v CPUs in use, want 4", use)
 	}
@@ -458,7 +458,7 @@
 		for i := range 40 {
 			g.deliverView(fmt.Sprintf("n-1%02d", i), "m8", "x", false)
 		}
-		g.Run(loop.Second)
+		g.Advance(loop.Second)
 		started := map[string]bool{}
 		for _, s := range g.starts {
 			_, i, _ := agent.SplitTask(s.Task)
@@ -514,7 +514,7 @@
 				rested[name] = true
 			}
 		}
-		g.Run(50 * loop.Millisecond)
+		g.Advance(50 * loop.Millisecond)
 	}
 	if len(rested) != 1 || !rested["n-003"] {
 		t.Fatalf("machines %v received no starts for a while, want n-003 only", rested)
--- a/internal/placer/preempt_test.go
+++ b/internal/placer/preempt_test.go
@@ -56,7 +56,7 @@
 		for name, tasks := range loop.Sorted(f.machines) {
 			f.deliverView(name, "m16", "x", false, tasks...)
 		}
-		f.Run(50 * loop.Millisecond)
+		f.Advance(50 * loop.Millisecond)
 	}
 }
 
--- a/internal/placer/quota_test.go
+++ b/internal/placer/quota_test.go
@@ -58,7 +58,7 @@
 			g := newRig(100, red, blue)
 			g.showRunning(machines...)
 			id := g.acceptJob(1, spec)
-			g.Run(600 * loop.Millisecond) // starts that no view shows by then are sent again
+			g.Advance(600 * loop.Millisecond) // starts that no view shows by then are sent again
 			if len(g.starts) != c.placed {
 				t.Errorf("%d tasks are started, want %d", len(g.starts), c.placed)
 			}
@@ -80,7 +80,7 @@
 			other := spec
 			other.Team, other.Tasks = "blue", 48
 			g.acceptJob(1, other)
-			g.Run(600 * loop.Millisecond)
+			g.Advance(600 * loop.Millisecond)
 			g.showRunning(machines...)
 			if len(g.starts) != 48 {
 				t.Fatalf("%d tasks are started to fill the cluster, want 48", len(g.starts))
@@ -88,7 +88,7 @@
 			own := spec
 			own.Tasks = 4
 			id = g.acceptJob(2, own)
-			g.Run(6 * loop.Second) // capacity freed by completing tasks is awaited first
+			g.Advance(6 * loop.Second) // capacity freed by completing tasks is awaited first
 			if (len(claims) > 0) != c.preempts {
 				t.Errorf("%d tasks of others are preempted", len(claims))
 			}
--- a/internal/placer/starvation_accounting_test.go
+++ b/internal/placer/starvation_accounting_test.go
@@ -37,12 +37,12 @@
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
 	g.acceptJob(1, job.Spec{Class: "a", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	g.deliverView("n-001", "m8", "x", false)
-	g.Run(2 * loop.Second)
+	g.Advance(2 * loop.Second)
 	part := g.scheduler.teams["red"].partition
 	g.scheduler.starvation = starvation.New() // as at a controller that has just started
 	g.scheduler.OwnershipChanged(part.id, false, part.claim)
 	g.scheduler.OwnershipChanged(part.id, true, part.claim)
-	g.Run(2 * loop.Second)
+	g.Advance(2 * loop.Second)
 	if got, want := firstClass(g, "red\x00a", "red\x00b"), "red\x00b"; got != want {
 		t.Errorf("%q is served first, want %q", got, want)
 	}
@@ -56,7 +56,7 @@
 	}
 	g.acceptJob(1, job.Spec{Class: "a", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	g.deliverView("n-001", "m8", "x", false)
-	g.Run(loop.Second)
+	g.Advance(loop.Second)
 	if got := firstClass(g, "red\x00a", "red\x00b"); got != "red\x00b" {
 		t.Errorf("%q is served first after a start of class a", got)
 	}
@@ -66,7 +66,7 @@
 func TestUnplaceableGangDoesNotBlockOthers(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red"}, config.Team{Name: "blue", CPUs: 8})
 	busyMachine(g, "n-001")
-	g.Run(loop.Second)
+	g.Advance(loop.Second)
 	gang := g.acceptJob(1, job.Spec{Class: "a", Team: "red", Priority: job.Low, Tasks: 4, CPUs: 8, MemoryGB: 1, AnyType: true, Gang: true, Estimate: loop.Second})
 	large := g.acceptJob(2, job.Spec{Class: "b", Team: "red", Priority: job.Low, Tasks: 1, CPUs: 8, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	held := func() bool { return g.scheduler.fleet.ReservationCount(large) > 0 }
@@ -74,7 +74,7 @@
 		for end := g.Now() + d; g.Now() < end && !until(); {
 			g.scheduler.turnover.Rate = 5 // as in a small cluster that is always full: less is saved up than one task takes
 			busyMachine(g, "n-001")
-			g.Run(300 * loop.Millisecond)
+			g.Advance(300 * loop.Millisecond)
 		}
 		return until()
 	}
@@ -114,7 +114,7 @@
 	other := g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	busyMachine(g, "n-001")
 	busyMachine(g, "n-002")
-	g.Run(loop.Second)
+	g.Advance(loop.Second)
 	g.scheduler.fleet.Refresh()
 	need := g.scheduler.teams["blue"].jobs[other].need()
 	if n := len(g.scheduler.fleet.Reserve(&need, 4, reservationLife)); n != 4 {
@@ -135,7 +135,7 @@
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 100, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	busyMachine(g, "n-001")
-	g.Run(loop.Second)
+	g.Advance(loop.Second)
 	x := g.scheduler.teams["red"].jobs[id]
 	before := g.scheduler.fleet.ReservationCount(id)
 	for held := before; held <= 9; held++ {
--- a/internal/placer/starvation_test.go
+++ b/internal/placer/starvation_test.go
@@ -30,7 +30,7 @@
 				on[0].State, on[0].Why = wire.TaskExited, wire.WhyDone
 			}
 			g.deliverView("n-001", "m8", "x", false, on...)
-			g.Run(300 * loop.Millisecond)
+			g.Advance(300 * loop.Millisecond)
 			if len(on) > 0 && on[0].State == wire.TaskExited {
 				g.starts = g.starts[1:]
 			}
@@ -63,7 +63,7 @@
 			on = append(on, agent.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
 		}
 		g.deliverView("n-001", "m8", "x", false, on...)
-		g.Run(300 * loop.Millisecond)
+		g.Advance(300 * loop.Millisecond)
 	}
 	if !began() || g.Now()-accepted > 120*loop.Second || g.scheduler.fleet.ReservationCount(large) != 0 {
 		t.Errorf("begun %v after %d us, capacity still reserved for %d tasks", began(), g.Now()-accepted, g.scheduler.fleet.ReservationCount(large))
@@ -71,7 +71,7 @@
 	// The view of another owner that received a reservation: the machine lists the task, or the job ends.
 	claim := peer.Reservation{Machine: "n-001", Job: small, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second}
 	g.deliverView("n-001", "m8", "x", false)
-	g.Run(loop.Second)
+	g.Advance(loop.Second)
 	g.scheduler.ReservationsReceived([]peer.Reservation{claim, claim})
 	g.deliverView("n-001", "m8", "x", false, agent.Task{Task: small + "/8999", Attempt: 1, State: wire.TaskRunning})
 	g.scheduler.fleet.Refresh()
--- a/internal/placer/submission_flood_test.go
+++ b/internal/placer/submission_flood_test.go
@@ -35,13 +35,13 @@
 		g.After(100*loop.Millisecond, flood)
 	}
 	flood()
-	g.Run(3 * loop.Second)
+	g.Advance(3 * loop.Second)
 	late, longest := 0, loop.Micros(0)
 	for i := range jobs {
 		before, at := len(g.starts), g.Now()
 		g.acceptJob(i, job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 		for len(g.starts) == before && g.Now()-at < 10*loop.Second {
-			g.Run(10 * loop.Millisecond)
+			g.Advance(10 * loop.Millisecond)
 		}
 		longest = max(longest, g.Now()-at)
 		if g.Now()-at > loop.Second {
--- a/internal/placer/terms_test.go
+++ b/internal/placer/terms_test.go
@@ -27,35 +27,35 @@
 	g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
 	g.deliverView("n-001", "m8", "x", false)
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 3, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
-	g.Run(500 * loop.Millisecond)
+	g.Advance(500 * loop.Millisecond)
 	if len(g.starts) < 2 {
 		t.Fatalf("%d starts were sent, want 2", len(g.starts))
 	}
 	answers := 0
 	g.registry.Hold(id, job.Hold{Reason: "r"}, func(a job.Answer) { answers++ })
-	g.Run(20 * loop.Second)
+	g.Advance(20 * loop.Second)
 	if s := g.stored(id).Terms.Hold.State; s != job.HoldPending || answers != 1 {
 		t.Fatalf("the hold is %q after %d answers, while two starts may be in flight", s, answers)
 	}
 	// One task is fetching its image and must be confirmed terminated first. The other is running and continues.
 	run := agent.Task{Task: "job-000001/0", Attempt: 1, State: wire.TaskRunning}
 	g.deliverView("n-001", "m8", "x", false, run, agent.Task{Task: "job-000001/1", Attempt: 1, State: wire.TaskFetching})
-	g.Run(3 * loop.Second)
+	g.Advance(3 * loop.Second)
 	if s := g.stored(id).Terms.Hold.State; s != job.HoldPending {
 		t.Fatalf("the hold is %q while a task of the job fetches its image", s)
 	}
 	g.deliverView("n-001", "m8", "x", false, run, agent.Task{Task: "job-000001/1", Attempt: 1, State: wire.TaskExited, Why: wire.WhyStopped})
-	g.Run(3 * loop.Second)
+	g.Advance(3 * loop.Second)
 	if s := g.stored(id).Terms.Hold.State; s != job.HoldEffective {
 		t.Fatalf("the hold is %q although no task can begin any more", s)
 	}
 	g.starts = nil
-	g.Run(5 * loop.Second)
+	g.Advance(5 * loop.Second)
 	if len(g.starts) != 0 {
 		t.Fatalf("a held job started %v", g.starts)
 	}
 	g.registry.Release(id, func(job.Answer) {})
-	g.Run(2 * loop.Second)
+	g.Advance(2 * loop.Second)
 	if len(g.starts) == 0 || g.stored(id).Terms != nil {
 		t.Fatalf("after the release %d starts were sent, terms %v", len(g.starts), g.stored(id).Terms)
 	}
@@ -69,7 +69,7 @@
 		g.deliverView("n-001", "m8", "x", false)
 		id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
 		for g.scheduler.teams["red"].jobs[id].task(0).state != Recording {
-			g.Run(loop.Millisecond)
+			g.Advance(loop.Millisecond)
 		}
 		if what == "hold" {
 			rec := g.stored(id)
@@ -78,7 +78,7 @@
 		} else {
 			g.state.Put(cordon.Key, map[string]any{"f": 1, "c": []cordon.Cordon{{Name: "c", Zone: "x", Reason: "r"}}})
 		}
-		g.Run(10 * loop.Second)
+		g.Advance(10 * loop.Second)
 		if x := g.scheduler.teams["red"].jobs[id].task(0); len(g.starts) != 0 || x.state != Waiting {
 			t.Errorf("%s: %d starts were sent; the task is in state %d, want waiting", what, len(g.starts), x.state)
 		}
@@ -100,12 +100,12 @@
 		other.Team = "blue" // owned by another controller
 		first := g.acceptJob(1, other)
 		g.registry.SubmitWithTerms("job-000002", &spec, &job.Terms{Dependencies: []string{first}, OnCancelled: c.policy}, func(job.Answer) {})
-		g.Run(2 * loop.Second)
+		g.Advance(2 * loop.Second)
 		if len(g.starts) != 0 {
 			t.Fatalf("%q: %v were started before %s was done", c.policy, g.starts, first)
 		}
 		g.registry.Cancel(first, func(job.Answer) {})
-		g.Run(3 * loop.Second)
+		g.Advance(3 * loop.Second)
 		if got := g.stored("job-000002").Phase; (len(g.starts) > 0) != c.started || got != c.phase {
 			t.Errorf("%q: %d starts and phase %q, want started: %v and phase %q", c.policy, len(g.starts), got, c.started, c.phase)
 		}
@@ -113,7 +113,7 @@
 			continue
 		}
 		g.registry.Release("job-000002", func(job.Answer) {})
-		g.Run(2 * loop.Second)
+		g.Advance(2 * loop.Second)
 		if len(g.starts) == 0 {
 			t.Errorf("no start after the operator's release")
 		}
@@ -129,13 +129,13 @@
 	until := g.Wall() + 4*loop.Second
 	g.registry.SubmitWithTerms("job-000001", &spec, &job.Terms{Hold: job.Hold{State: job.HoldEffective, Until: until}}, func(job.Answer) {})
 	for g.Wall() < until+900*loop.Millisecond {
-		g.Run(100 * loop.Millisecond)
+		g.Advance(100 * loop.Millisecond)
 		g.deliverView("n-001", "m8", "x", false)
 	}
 	if len(g.starts) != 0 {
 		t.Fatalf("%v were started before the hold had ended by every clock", g.starts)
 	}
-	g.Run(1500 * loop.Millisecond)
+	g.Advance(1500 * loop.Millisecond)
 	if len(g.starts) == 0 {
 		t.Fatal("nothing started after the hold had ended")
 	}
@@ -148,16 +148,16 @@
 	g.deliverView("n-001", "m8", "x", false)
 	spec := job.Spec{Class: "k", Team: "red", Priority: job.Low, Tasks: 2, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second, Checkpoint: loop.Second, Save: 5 * loop.Second}
 	low := g.acceptJob(1, spec)
-	g.Run(500 * loop.Millisecond)
+	g.Advance(500 * loop.Millisecond)
 	var on []agent.Task
 	for i := range 2 {
 		on = append(on, agent.Task{Task: agent.TaskName(low, i), Attempt: 1, State: wire.TaskRunning})
 	}
 	g.deliverView("n-001", "m8", "x", false, on...)
-	g.Run(2 * loop.Second)
+	g.Advance(2 * loop.Second)
 	spec.Team, spec.Priority, spec.Tasks = "blue", job.High, 1
 	high := g.acceptJob(2, spec)
-	g.Run(500 * loop.Millisecond)
+	g.Advance(500 * loop.Millisecond)
 	for i := range on {
 		on[i].State = wire.TaskSaving
 	}
@@ -174,16 +174,16 @@
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 50})
 	g.deliverView("n-001", "m8", "x", false)
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
-	g.Run(500 * loop.Millisecond)
+	g.Advance(500 * loop.Millisecond)
 	name := agent.TaskName(id, 0)
 	busy := agent.Task{Task: name, Attempt: 1, State: wire.TaskExited, Why: wire.WhyBusy}
 	g.deliverView("n-001", "m8", "x", false, agent.Task{Task: name, Attempt: 7, State: wire.TaskRunning}, busy)
-	g.Run(500 * loop.Millisecond)
+	g.Advance(500 * loop.Millisecond)
 	if x := g.scheduler.teams["red"].jobs[id].task(0); x.state != Placed || x.attempt != 1 {
 		t.Fatalf("the task is freed while another attempt of it is on the machine (state %d, attempt %d)", x.state, x.attempt)
 	}
 	g.deliverView("n-001", "m8", "x", false, busy)
-	g.Run(500 * loop.Millisecond)
+	g.Advance(500 * loop.Millisecond)
 	if x := g.scheduler.teams["red"].jobs[id].task(0); x.attempt != 2 {
 		t.Fatalf("the task still waits (state %d, attempt %d)", x.state, x.attempt)
 	}
@@ -196,7 +196,7 @@
 		g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 50})
 		g.deliverView("n-001", "m8", "x", false)
 		g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
-		g.Run(500 * loop.Millisecond)
+		g.Advance(500 * loop.Millisecond)
 		if !known {
 			g.scheduler.fleet.Remove("n-001")
 		}
--- a/internal/placer/views_test.go
+++ b/internal/placer/views_test.go
@@ -34,13 +34,13 @@
 		g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})
 		g.deliverViewOf(1, 1, true)
 		g.acceptJob(1, job.Spec{Team: "red", Tasks: 1, CPUs: 2, AnyType: true, Estimate: loop.Second})
-		g.Run(500 * loop.Millisecond)
+		g.Advance(500 * loop.Millisecond)
 		if len(g.starts) != 1 || g.starts[0].Incarnation != 1 {
 			t.Fatalf("%s: started %+v, want one start for incarnation 1", c.name, g.starts)
 		}
 		if c.moved {
 			g.deliverViewOf(2, 1, true)
-			g.Run(1500 * loop.Millisecond)
+			g.Advance(1500 * loop.Millisecond)
 			if n := len(g.starts); n < 2 || g.starts[n-1].Incarnation != 2 {
 				t.Fatalf("%s: the start is not sent to the new incarnation: %+v", c.name, g.starts)
 			}
@@ -48,7 +48,7 @@
 		s := g.starts[0]
 		before := len(g.starts)
 		g.scheduler.StartDropped("b", agent.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Incarnation: c.refusedBy})
-		g.Run(2 * loop.Second)
+		g.Advance(2 * loop.Second)
 		freed := len(g.starts) > before && g.starts[len(g.starts)-1].Attempt > s.Attempt
 		if freed != c.frees {
 			t.Errorf("%s: placed again: %v, want %v", c.name, freed, c.frees)
@@ -62,34 +62,34 @@
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})
 	for range 4 { // it reports without effect to one controller after another
 		g.deliverViewOf(1, 1, false)
-		g.Run(loop.Second)
+		g.Advance(loop.Second)
 	}
 	g.acceptJob(1, job.Spec{Team: "red", Tasks: 2, CPUs: 2, AnyType: true, Estimate: loop.Second})
-	g.Run(2 * loop.Second)
+	g.Advance(2 * loop.Second)
 	if len(g.starts) != 0 {
 		t.Fatalf("%d starts are sent to a machine that is unresponsive to commands", len(g.starts))
 	}
 	g.deliverViewOf(1, 1, true)
-	g.Run(loop.Second)
+	g.Advance(loop.Second)
 	if len(g.starts) != 2 {
 		t.Fatalf("%d starts once the machine responds to commands, want 2", len(g.starts))
 	}
 	g.starts = nil
 	on := []agent.Task{{Task: "job-000001/0", Attempt: 1, State: "running"}, {Task: "job-000001/1", Attempt: 1, State: "running"}}
 	g.deliverViewOf(1, 1, true, on...)
-	g.Run(loop.Second)
+	g.Advance(loop.Second)
 	for range 10 {
 		g.deliverViewOf(1, 1, false, on...)
-		g.Run(loop.Second)
+		g.Advance(loop.Second)
 	}
 	g.deliverView("n-002", "m8", "x", false)
-	g.Run(loop.Second)
+	g.Advance(loop.Second)
 	if len(g.starts) != 0 {
 		t.Fatalf("tasks started again while the old session may last: %+v", g.starts)
 	}
 	g.seq = 1000
 	g.deliverViewOf(1, 2, false) // the lease of the old session expired
-	g.Run(loop.Second)
+	g.Advance(loop.Second)
 	if len(g.starts) != 2 || g.starts[0].Machine != "n-002" {
 		t.Fatalf("after the end of the session %+v, want both tasks on n-002", g.starts)
 	}
@@ -106,13 +106,13 @@
 		Jobs: []jobEntry{{ID: id, Tasks: []taskEntry{{Index: 0, State: storedPlaced, Attempt: 2, Machine: 1, Session: 1, Expiry: g.Now() - 60*loop.Second}}}}})
 	mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
 	g.scheduler.OwnershipChanged(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Revision: mark})
-	g.Run(loop.Second)
+	g.Advance(loop.Second)
 	heldBack := agent.Task{Task: agent.TaskName(id, 0), Attempt: 2, State: wire.TaskRunning}
 	g.deliverViewOf(1, 1, false, heldBack, other)
-	g.Run(loop.Second)
+	g.Advance(loop.Second)
 	for range 3 {
 		g.deliverViewOf(1, 1, true, other)
-		g.Run(loop.Second)
+		g.Advance(loop.Second)
 	}
 	if len(g.starts) == 0 || g.starts[0].Attempt != 3 {
 		t.Fatalf("started %+v, want attempt 3 of the task that is on no machine", g.starts)
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -67,7 +67,7 @@
 			for _, a := range x.names {
 				x.contact[a] = r.IntN(4) > 0
 			}
-			x.Run(15 * loop.Second)
+			x.Advance(15 * loop.Second)
 			both := func(a, b string) bool { return x.open[a+">"+b] && x.open[b+">"+a] }
 			for _, a := range x.names {
 				j := x.trackers[a]
@@ -123,14 +123,14 @@
 	}
 	timeUntilFit := func() loop.Micros { // time from being in state Full again to being fit for work
 		disconnect(true)
-		x.Run(6 * loop.Second)
+		x.Advance(6 * loop.Second)
 		if j.Fit("c") {
 			t.Fatal("a silent peer is fit for work")
 		}
 		disconnect(false)
 		from := loop.Micros(0)
 		for range 1200 {
-			x.Run(100 * loop.Millisecond)
+			x.Advance(100 * loop.Millisecond)
 			if from == 0 && j.State("c") == Full {
 				from = x.Now()
 			}
@@ -141,12 +141,12 @@
 		t.Fatal("the peer is not fit for work two minutes after it became reachable again")
 		return 0
 	}
-	x.Run(5 * loop.Second)
+	x.Advance(5 * loop.Second)
 	var waits []string
 	for range 6 {
 		waits = append(waits, fmt.Sprint((timeUntilFit()+300*loop.Millisecond)/loop.Second))
 	}
-	x.Run(stableAfter)
+	x.Advance(stableAfter)
 	if j.DampedFor("c") != 0 {
 		t.Error("the peer is still damped after it has been in state Full for stableAfter")
 	}
@@ -162,7 +162,7 @@
 func TestFaultsOfOthersAreNoFlaps(t *testing.T) {
 	x := newNetwork(4)
 	x.trackers["a"].StateContact = func() bool { return x.contact["a"] }
-	x.Run(5 * loop.Second)
+	x.Advance(5 * loop.Second)
 	for round := range 4 {
 		for way := range x.open {
 			if way[0] == 'd' || way[2] == 'd' {
@@ -172,18 +172,18 @@
 		for _, n := range x.names {
 			x.contact[n] = round%2 == 1
 		}
-		x.Run(9 * loop.Second)
+		x.Advance(9 * loop.Second)
 	}
 	// After a pause of its process, a controller finds several older messages in its queue.
 	for _, hears := range [][]string{{}, {"a", "c", "d"}, {}, {"a", "c", "d"}} {
-		x.Run(10 * loop.Millisecond)
+		x.Advance(10 * loop.Millisecond)
 		x.trackers["a"].Receive("b", Message{Wall: x.Now(), StateContact: true, ReceivesFrom: hears})
 	}
-	x.Run(3 * loop.Second)
+	x.Advance(3 * loop.Second)
 	if n := x.trackers["a"].peers["b"].flaps; n > 1 {
 		t.Errorf("queued messages were counted as %d flaps, want at most one", n)
 	}
-	x.Run(stableAfter)
+	x.Advance(stableAfter)
 	for _, n := range []string{"b", "c"} {
 		if j := x.trackers["a"]; !j.Fit(n) || j.peers[n].flaps > 0 {
 			t.Errorf("peer %s is fit for work: %v, with %d flaps; want true and none", n, j.Fit(n), j.peers[n].flaps)
@@ -195,10 +195,10 @@
 // make its sender reachable.
 func TestDelayedMessageIsNoEvidence(t *testing.T) {
 	x := newNetwork(2)
-	x.Run(5 * loop.Second)
+	x.Advance(5 * loop.Second)
 	late := Message{Wall: x.Now(), StateContact: true, ReceivesFrom: []string{"a"}}
 	x.open["b>a"] = false
-	x.Run(10 * loop.Second)
+	x.Advance(10 * loop.Second)
 	j := x.trackers["a"]
 	j.Receive("b", late)
 	if j.State("b") != Silent || j.Fit("b") {
--- a/internal/rental/autoscaler_test.go
+++ b/internal/rental/autoscaler_test.go
@@ -65,7 +65,7 @@
 		PeerUnreachable: func(z string) bool { return g.peerUnreachable || z == g.partitionedZone }, LeaseValid: func() bool { return g.entitled }, Isolated: func() bool { return g.isolated },
 		Faulty: func(string) bool { return false }, Probe: func(addr string) loss.ProbeResult { return cmp.Or(g.probeAnswers[addr], g.probeAnswer) }})
 	m.Start()
-	g.Run(loop.Second)
+	g.Advance(loop.Second)
 	e, ok := m.Get("c/l")
 	if !ok {
 		t.Fatal("the leader's claim has not reached the mirror")
@@ -99,12 +99,12 @@
 	}{{"lease lost", false, false, 0}, {"no peer reachable", true, true, 0}, {"in contact", true, false, 1}} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(t, 4)
-			g.Run(3 * loop.Second)
+			g.Advance(3 * loop.Second)
 			g.report("n-900000", "x")
-			g.Run(2 * loop.Second)
+			g.Advance(2 * loop.Second)
 			g.entitled, g.isolated = c.entitled, c.isolated
 			before := len(g.calls)
-			g.Run(25 * loop.Second)
+			g.Advance(25 * loop.Second)
 			if n := count(g.calls[before:], "/machines/delete"); (n > 0) != (c.want > 0) {
 				t.Fatalf("%d deletions requested, want %d (1 stands for any number)", n, c.want)
 			}
@@ -116,11 +116,11 @@
 // none of them confirms a message sent to the machine, it must be declared failed all the same.
 func TestFailedMachineIsDeletedDespiteReportCopies(t *testing.T) {
 	g := newRig(t, 4)
-	g.Run(3 * loop.Second)
+	g.Advance(3 * loop.Second)
 	g.report("n-900000", "x")
 	for k := range 60 {
 		g.report("n-900001", "x") // another machine of the zone is alive
-		if g.Run(500 * loop.Millisecond); k%3 == 0 {
+		if g.Advance(500 * loop.Millisecond); k%3 == 0 {
 			g.workers.ApplyView(&agent.View{Name: "n-900000", Addr: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), Tasks: g.runs})
 		}
 		if deleted := g.workers.IsDeleted("n-900000"); deleted && k < 20 || !deleted && k > 44 { // a lease of 10 s, 9 s more, and the call
@@ -138,7 +138,7 @@
 	}
 	for range 60 {
 		sendDemand()
-		g.Run(500 * loop.Millisecond)
+		g.Advance(500 * loop.Millisecond)
 	}
 	if n := count(g.calls, "POST /machines"); n < 4 || n > 24 {
 		t.Fatalf("%d orders sent in 30 s without capacity, want 4 to 24", n)
@@ -146,14 +146,14 @@
 	g.cloud.Available["x"] = 10
 	for range 100 {
 		sendDemand() // no machine has reported yet: what was rented is expected
-		g.Run(100 * loop.Millisecond)
+		g.Advance(100 * loop.Millisecond)
 		if len(g.booted) > 0 {
 			break
 		}
 	}
 	for range 30 {
 		sendDemand()
-		g.Run(100 * loop.Millisecond)
+		g.Advance(100 * loop.Millisecond)
 	}
 	if len(g.booted) != 2 {
 		t.Fatalf("%d machines of 8 CPUs rented for 8 tasks of 2 CPUs, want 2", len(g.booted))
@@ -165,14 +165,14 @@
 	g := newRig(t, 4)
 	var closed []peer.StartBlock
 	g.scaler.node.Close = func(_ string, c peer.StartBlock) { closed = append(closed, c) }
-	g.Run(3 * loop.Second)
+	g.Advance(3 * loop.Second)
 	seen := false
 	for range 4000 {
 		v := &agent.View{Name: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), TokenConfirmed: true, MadeAfter: g.Now()}
 		v.ClosedToStarts = len(closed) > 0 && seen
 		seen = len(closed) > 0
 		g.workers.ApplyView(v)
-		g.Run(500 * loop.Millisecond)
+		g.Advance(500 * loop.Millisecond)
 		if g.workers.IsDeleted("n-900000") {
 			break
 		}
@@ -186,19 +186,19 @@
 // its deletion confirmed again; otherwise the attempts recorded on it would never be resolved.
 func TestOldDeletionRecordsAreRemovedAndConfirmedAgain(t *testing.T) {
 	g := newRig(t, 4)
-	g.Run(3 * loop.Second)
+	g.Advance(3 * loop.Second)
 	g.report("n-900000", "x")
-	g.Run(25 * loop.Second) // no reports from now on
+	g.Advance(25 * loop.Second) // no reports from now on
 	if !g.workers.IsDeleted("n-900000") || len(g.scaler.mirror.Under(DeletionKeys)) != 1 {
 		t.Fatalf("machine deleted: %v, deletion records %v", g.workers.IsDeleted("n-900000"), g.scaler.mirror.Under(DeletionKeys))
 	}
-	g.Run(deletionRetention + 120*loop.Second)
+	g.Advance(deletionRetention + 120*loop.Second)
 	if n := len(g.scaler.mirror.Under(DeletionKeys)); n != 0 || g.workers.IsDeleted("n-900000") {
 		t.Fatalf("%d deletion records are left, machine deleted: %v", n, g.workers.IsDeleted("n-900000"))
 	}
 	for range 80 {
 		g.scaler.UpdateDemand("b", peer.Demand{Wall: g.Now(), Suspect: []string{"n-900000"}})
-		g.Run(500 * loop.Millisecond)
+		g.Advance(500 * loop.Millisecond)
 	}
 	if !g.workers.IsDeleted("n-900000") {
 		t.Fatal("the deletion of a suspect machine was not confirmed again")
@@ -244,7 +244,7 @@
 	}{{loss.NoAnswer, false}, {loss.NoConnection, true}} {
 		g := newRig(t, 40)
 		g.probeAnswer, g.scaler.cfg.Operator.OrdinaryStandbyMeanS = c.word, 1e6
-		g.Run(3 * loop.Second)
+		g.Advance(3 * loop.Second)
 		reportAll := func(from, to int) {
 			for i := from; i < to; i++ {
 				name := fmt.Sprintf("n-9%05d", i)
@@ -257,12 +257,12 @@
 		reportAll(0, 20)
 		for range 12 { // ten of them fall silent
 			reportAll(10, 20)
-			g.Run(500 * loop.Millisecond)
+			g.Advance(500 * loop.Millisecond)
 		}
 		for range 6 {
 			reportAll(10, 20)
 			g.scaler.UpdateDemand("b", peer.Demand{Wall: g.Now(), Requests: []peer.Request{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 10}}})
-			g.Run(500 * loop.Millisecond)
+			g.Advance(500 * loop.Millisecond)
 		}
 		if rented := len(g.booted) > 0; rented != c.want {
 			t.Errorf("probes answer %v: %d machines are rented for ten unplaced tasks", c.word, len(g.booted))
@@ -281,11 +281,11 @@
 		if err := wire.Unmarshal(r.Body, &got); err != nil || len(got.Machines) != 3 {
 			t.Fatal("the cloud rented nothing")
 		}
-		g.Run(17 * loop.Second) // the lease of 10 s, and 3 s
+		g.Advance(17 * loop.Second) // the lease of 10 s, and 3 s
 		if n := len(g.deleted); (n == 0) != partitioned {
 			t.Errorf("partition %v: %d of 3 machines are deleted after 17 s", partitioned, n)
 		}
-		g.Run(12 * loop.Second)
+		g.Advance(12 * loop.Second)
 		if n := len(g.deleted); n != 3 {
 			t.Errorf("partition %v: %d of 3 machines are deleted after 29 s", partitioned, n)
 		}
@@ -298,7 +298,7 @@
 	g := newRig(t, 0)
 	delete(g.cloud.Available, "y")
 	g.runs = []agent.Task{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}
-	g.Run(3 * loop.Second)
+	g.Advance(3 * loop.Second)
 	var got wire.Names
 	g.cloud.Available["x"] = 1
 	if r := g.cloud.Do("POST", "/machines", wire.Marshal(wire.Rent{Request: "before", Type: "m8", Zone: "x", Count: 1}), 0); wire.Unmarshal(r.Body, &got) != nil || len(got.Machines) != 1 {
@@ -311,7 +311,7 @@
 			g.report(name, "x") // for 60 s; until then there is no capacity beside it
 		}
 		g.scaler.UpdateDemand("b", peer.Demand{Wall: g.Now(), Requests: []peer.Request{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 1}}})
-		g.Run(100 * loop.Millisecond)
+		g.Advance(100 * loop.Millisecond)
 		if deletedAt == 0 && len(g.deleted) > 0 {
 			deletedAt = g.Now()
 		}
--- a/internal/rental/retention_test.go
+++ b/internal/rental/retention_test.go
@@ -56,7 +56,7 @@
 					demand.Suspect = names[6:] // reported as suspect by an owner before the cloud lists them
 				}
 				g.scaler.UpdateDemand("b", demand)
-				g.Run(200 * loop.Millisecond)
+				g.Advance(200 * loop.Millisecond)
 			}
 			for range 100 {
 				if !c.new {
@@ -104,7 +104,7 @@
 			g.report(name, []string{"x", "y"}[i/6])
 		}
 		g.scaler.UpdateDemand("b", peer.Demand{Wall: g.Now(), Requests: highDemand})
-		g.Run(200 * loop.Millisecond)
+		g.Advance(200 * loop.Millisecond)
 	}
 	for range 100 {
 		step(12)
--- a/internal/standin/stepped.go
+++ b/internal/standin/stepped.go
@@ -33,8 +33,8 @@
 // After runs f after d.
 func (s *Stepped) After(d loop.Micros, f func()) { s.todo = append(s.todo, due{s.now + d, f}) }
 
-// Run advances the time by d and runs the functions that become due, in order of time.
-func (s *Stepped) Run(d loop.Micros) {
+// Advance advances the time by d and runs the functions that become due, in order of time.
+func (s *Stepped) Advance(d loop.Micros) {
 	for end := s.now + d; ; {
 		first := -1
 		for i, x := range s.todo {
--- a/internal/store/fairness_test.go
+++ b/internal/store/fairness_test.go
@@ -100,7 +100,7 @@
 		clock.After(700*loop.Millisecond, renew)
 	}
 	renew()
-	clock.Run(floodSeconds * loop.Second)
+	clock.Advance(floodSeconds * loop.Second)
 	for _, w := range []*waits{reads, orders, starts, tidying, lease} {
 		if w.asked-w.done > int(w.within/loop.Second)+1 || w.longest > w.within {
 			t.Errorf("%s: %d of %d answered, the slowest after %d ms, want at most %d ms", w.name, w.done, w.asked, w.longest/loop.Millisecond, w.within/loop.Millisecond)
