--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -27,7 +27,7 @@
 // rig is the interface of one node over a stand-in state service. Time moves by hand in
 // a goroutine of its own, as fast as it can, so that nothing waits for a clock.
 type rig struct {
-	*standin.Stepped
+	*standin.Runner
 	state *standin.StateService
 	keys  map[string]string
 	http  *fasthttp.Client
@@ -36,15 +36,15 @@
 
 // post runs what is handed to the loop from other goroutines.
 type post struct {
-	*standin.Stepped
+	*standin.Runner
 	in chan func()
 }
 
 func (p *post) Post(f func()) { p.in <- f }
 
 func newRig(t testing.TB) *rig {
-	g := &rig{Stepped: standin.NewStepped(1000 * loop.Second), keys: map[string]string{}}
-	p := &post{g.Stepped, make(chan func(), 256)}
+	g := &rig{Runner: standin.NewStepped(1000 * loop.Second), keys: map[string]string{}}
+	p := &post{g.Runner, make(chan func(), 256)}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	cfg := &config.Config{Operator: config.Defaults()}
 	cfg.Cluster.Teams = []config.Team{{Name: "red", CPUs: 8, CPUsMax: 32}}
@@ -55,12 +55,12 @@
 		cfg.Operator.API.Keys = append(cfg.Operator.API.Keys, k)
 	}
 	g.state = standin.NewStateService(func() loop.Micros { return g.Now() })
-	c := store.NewClient(g.Stepped, g.state, log, 1e5, 1e5, 1)
+	c := store.NewClient(g.Runner, g.state, log, 1e5, 1e5, 1)
 	m := store.NewMirror(c, g.state, "c/")
-	jobs := job.NewRegistry(g.Stepped, c, m, log)
-	cordons := cordon.NewRegistry(g.Stepped, c, m, log, 0)
+	jobs := job.NewRegistry(g.Runner, c, m, log)
+	cordons := cordon.NewRegistry(g.Runner, c, m, log, 0)
 	meter := metric.New()
-	desk := explain.NewService(g.Stepped, explain.Dependencies{
+	desk := explain.NewService(g.Runner, explain.Dependencies{
 		Label: "a", Poll: jobs.Poll, Job: jobs.Get,
 		Owner: func(string) string { return "" }, Leader: func() string { return "" },
 		Facts:  func(string) (*explain.Facts, bool) { return nil, false },
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -19,14 +19,14 @@
 
 // simulation is a set of controllers' cordons over one state service, each with its own mirror.
 type simulation struct {
-	*standin.Stepped
+	*standin.Runner
 	state      *standin.StateService
 	registries []*Registry
 	mirrors    []*store.Mirror
 }
 
 func newSimulation(n int) *simulation {
-	o := &simulation{Stepped: standin.NewStepped(1000 * loop.Second)}
+	o := &simulation{Runner: standin.NewStepped(1000 * loop.Second)}
 	o.state = standin.NewStateService(func() loop.Micros { return o.Now() })
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	for range n {
--- a/internal/fleet/reserve_test.go
+++ b/internal/fleet/reserve_test.go
@@ -18,7 +18,7 @@
 
 // newFullFleet returns a fleet of machines of 8 CPUs with nothing free; teams names the team whose task each
 // machine runs.
-func newFullFleet(clock *standin.Stepped, teams ...string) *Fleet {
+func newFullFleet(clock *standin.Runner, teams ...string) *Fleet {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	client := store.NewClient(clock, nil, log, 100, 100, 1)
 	jobs := map[string]*job.Job{}
--- a/internal/job/read_test.go
+++ b/internal/job/read_test.go
@@ -16,7 +16,7 @@
 
 // slowNet delays every request to the state service and every answer by a random time.
 type slowNet struct {
-	*standin.Stepped
+	*standin.Runner
 	rng        *rand.Rand
 	state      *standin.StateService
 	sent       map[string]int // requests by path
@@ -40,7 +40,7 @@
 		n.After(d, f)
 		return
 	}
-	n.Stepped.Post(f)
+	n.Runner.Post(f)
 }
 
 func (n *slowNet) Go(f func()) {
@@ -64,7 +64,7 @@
 }
 
 func newSlowRegistry(seed uint64, rps float64) (*slowNet, *Registry) {
-	n := &slowNet{Stepped: standin.NewStepped(100 * loop.Second), rng: rand.New(rand.NewPCG(seed, 3)), sent: map[string]int{}, maxDelayMs: 120}
+	n := &slowNet{Runner: standin.NewStepped(100 * loop.Second), rng: rand.New(rand.NewPCG(seed, 3)), sent: map[string]int{}, maxDelayMs: 120}
 	n.state = standin.NewStateService(n.Now)
 	log := slog.New(slog.DiscardHandler)
 	c := store.NewClient(n, n, log, rps, rps, 1)
--- a/internal/member/layout_test.go
+++ b/internal/member/layout_test.go
@@ -23,7 +23,7 @@
 
 // startWithTeams returns a controller of a cluster with the given numbers of controllers and teams;
 // older makes it behave like a version that only knows claims of single teams.
-func startWithTeams(s *standin.Stepped, state *standin.StateService, label string, controllers, teams int, older bool) *Member {
+func startWithTeams(s *standin.Runner, state *standin.StateService, label string, controllers, teams int, older bool) *Member {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	x := &stateConn{state: state}
 	c := store.NewClient(s, x, log, 1000, 1000, 1)
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -31,7 +31,7 @@
 	return x.state.Do(method, path, body, d)
 }
 
-func startMember(s *standin.Stepped, x *stateConn, label string) *Member {
+func startMember(s *standin.Runner, x *stateConn, label string) *Member {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c := store.NewClient(s, x, log, 1000, 1000, 1)
 	m := store.NewMirror(c, x, Prefix)
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -29,7 +29,7 @@
 
 // rig is one owner on hand-driven time, with machines that exist only as views.
 type rig struct {
-	*standin.Stepped
+	*standin.Runner
 	scheduler *Scheduler
 	workers   *agent.Registry
 	registry  *job.Registry
@@ -63,7 +63,7 @@
 }
 
 func newRig(writeRPS float64, teams ...config.Team) *rig {
-	g := &rig{Stepped: standin.NewStepped(1000 * loop.Second)}
+	g := &rig{Runner: standin.NewStepped(1000 * loop.Second)}
 	cfg := &config.Config{Operator: config.Defaults()}
 	cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.CancelS = 3, 10, 30
 	cfg.Cluster.State.TxnOps, cfg.Cluster.State.ValueKB = 16, 4 // small, so that segments fill up
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -13,7 +13,7 @@
 // network is a simulated network of controllers, which send each other the messages of the code
 // under test every 700 ms. Each direction of each connection can be open or closed.
 type network struct {
-	*standin.Stepped
+	*standin.Runner
 	names    []string
 	open     map[string]bool // "a>b"
 	contact  map[string]bool
@@ -21,7 +21,7 @@
 }
 
 func newNetwork(n int) *network {
-	x := &network{Stepped: standin.NewStepped(100 * loop.Second), open: map[string]bool{}, contact: map[string]bool{}, trackers: map[string]*Tracker{}}
+	x := &network{Runner: standin.NewStepped(100 * loop.Second), open: map[string]bool{}, contact: map[string]bool{}, trackers: map[string]*Tracker{}}
 	for i := range n {
 		x.names = append(x.names, string(rune('a'+i)))
 	}
--- a/internal/rental/autoscaler_test.go
+++ b/internal/rental/autoscaler_test.go
@@ -24,7 +24,7 @@
 // rig is an autoscaler with a fake cloud, a fake state service and a hand-driven clock. It records the cloud
 // calls.
 type rig struct {
-	*standin.Stepped
+	*standin.Runner
 	scaler          *Autoscaler
 	workers         *agent.Registry
 	cloud           *standin.Cloud
@@ -47,7 +47,7 @@
 }
 
 func newRig(t *testing.T, each int) *rig {
-	g := &rig{Stepped: standin.NewStepped(1000 * loop.Second), entitled: true, probeAnswer: loss.NoConnection, probeAnswers: map[string]loss.ProbeResult{}}
+	g := &rig{Runner: standin.NewStepped(1000 * loop.Second), entitled: true, probeAnswer: loss.NoConnection, probeAnswers: map[string]loss.ProbeResult{}}
 	cfg := &config.Config{Operator: config.Defaults()}
 	cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.LeaseS = 1, 10
 	cfg.Cluster.Cloud.RPS, cfg.Cluster.Cloud.ListLagS = 5, 2
--- a/internal/standin/stepped.go
+++ b/internal/standin/stepped.go
@@ -2,9 +2,9 @@
 
 import "cleatpick/internal/loop"
 
-// Stepped is a loop.Runner whose time only moves when the test advances it. Functions that are due run during
+// Runner is a loop.Runner whose time only moves when the test advances it. Functions that are due run during
 // the advance, on the test's goroutine, in order of time and then of registration.
-type Stepped struct {
+type Runner struct {
 	now  loop.Micros
 	todo []due
 }
@@ -16,25 +16,25 @@
 }
 
 // NewStepped returns a runner whose time is now.
-func NewStepped(now loop.Micros) *Stepped { return &Stepped{now: now} }
+func NewStepped(now loop.Micros) *Runner { return &Runner{now: now} }
 
 // Now returns the time of the monotonic clock.
-func (s *Stepped) Now() loop.Micros { return s.now }
+func (s *Runner) Now() loop.Micros { return s.now }
 
 // Wall returns the time of the wall clock, which equals the monotonic clock here.
-func (s *Stepped) Wall() loop.Micros { return s.now }
+func (s *Runner) Wall() loop.Micros { return s.now }
 
 // Post runs f at the present time, as soon as the test advances it.
-func (s *Stepped) Post(f func()) { s.After(0, f) }
+func (s *Runner) Post(f func()) { s.After(0, f) }
 
 // Go runs f, which stands for blocking work, one microsecond later.
-func (s *Stepped) Go(f func()) { s.After(1, f) }
+func (s *Runner) Go(f func()) { s.After(1, f) }
 
 // After runs f after d.
-func (s *Stepped) After(d loop.Micros, f func()) { s.todo = append(s.todo, due{s.now + d, f}) }
+func (s *Runner) After(d loop.Micros, f func()) { s.todo = append(s.todo, due{s.now + d, f}) }
 
 // Advance advances the time by d and runs the functions that become due, in order of time.
-func (s *Stepped) Advance(d loop.Micros) {
+func (s *Runner) Advance(d loop.Micros) {
 	for end := s.now + d; ; {
 		first := -1
 		for i, x := range s.todo {
