--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -43,7 +43,7 @@
 func (p *post) Post(f func()) { p.in <- f }
 
 func newRig(t testing.TB) *rig {
-	g := &rig{Runner: standin.NewStepped(1000 * loop.Second), keys: map[string]string{}}
+	g := &rig{Runner: standin.NewRunner(1000 * loop.Second), keys: map[string]string{}}
 	p := &post{g.Runner, make(chan func(), 256)}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	cfg := &config.Config{Operator: config.Defaults()}
--- a/internal/ask/ask_test.go
+++ b/internal/ask/ask_test.go
@@ -24,7 +24,7 @@
 }
 
 func newLine() *line {
-	l := &line{Runner: standin.NewStepped(1000 * loop.Second), desks: map[string]*Desk{}}
+	l := &line{Runner: standin.NewRunner(1000 * loop.Second), desks: map[string]*Desk{}}
 	for _, self := range []string{"a", "b", "c"} {
 		l.desks[self] = New(l, self, 100, func(to string, f func(*peer.Envelope)) {
 			e := &peer.Envelope{From: self}
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -26,7 +26,7 @@
 }
 
 func newSimulation(n int) *simulation {
-	o := &simulation{Runner: standin.NewStepped(1000 * loop.Second)}
+	o := &simulation{Runner: standin.NewRunner(1000 * loop.Second)}
 	o.state = standin.NewStateService(func() loop.Micros { return o.Now() })
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	for range n {
--- a/internal/explain/service_test.go
+++ b/internal/explain/service_test.go
@@ -28,7 +28,7 @@
 }
 
 func newSimulation() *simulation {
-	o := &simulation{Runner: standin.NewStepped(1000 * loop.Second), owner: "b", leader: "c", topics: map[string]func(wire.Raw, func(any)){}, unanswered: map[string]bool{}}
+	o := &simulation{Runner: standin.NewRunner(1000 * loop.Second), owner: "b", leader: "c", topics: map[string]func(wire.Raw, func(any)){}, unanswered: map[string]bool{}}
 	spec := &job.Spec{Class: "k", Team: "red", Tasks: 6, CPUs: 2, MemoryGB: 1, AnyType: true}
 	j := &job.Job{ID: "job-000001", Phase: job.Accepted, Spec: spec, Tasks: 6}
 	o.facts = &Facts{Job: j, Team: config.Team{Name: "red"}, StateContact: true, AheadComplete: true, Exact: true, Now: o.Now(), Wall: o.Wall(),
--- a/internal/fleet/reserve_test.go
+++ b/internal/fleet/reserve_test.go
@@ -48,7 +48,7 @@
 // Small reservations share machines up to half of each, on machines that run other teams' work; a large task
 // gets a machine without reservations.
 func TestReserveSharesMachinesAmongSmallTasks(t *testing.T) {
-	clock := standin.NewStepped(1000 * loop.Second)
+	clock := standin.NewRunner(1000 * loop.Second)
 	f := newFullFleet(clock, "own", "other", "other", "own")
 	hold := func(id string, cpus float64, tasks int) (on []string) {
 		spec := &job.Spec{Team: "own", CPUs: cpus, MemoryGB: 1, AnyType: true}
--- a/internal/job/read_test.go
+++ b/internal/job/read_test.go
@@ -64,7 +64,7 @@
 }
 
 func newSlowRegistry(seed uint64, rps float64) (*slowNet, *Registry) {
-	n := &slowNet{Runner: standin.NewStepped(100 * loop.Second), rng: rand.New(rand.NewPCG(seed, 3)), sent: map[string]int{}, maxDelayMs: 120}
+	n := &slowNet{Runner: standin.NewRunner(100 * loop.Second), rng: rand.New(rand.NewPCG(seed, 3)), sent: map[string]int{}, maxDelayMs: 120}
 	n.state = standin.NewStateService(n.Now)
 	log := slog.New(slog.DiscardHandler)
 	c := store.NewClient(n, n, log, rps, rps, 1)
--- a/internal/member/layout_test.go
+++ b/internal/member/layout_test.go
@@ -37,7 +37,7 @@
 // Controllers that start together must end up with about the same number of partitions each,
 // with few changes in the state service on the way.
 func TestPartitionsAreClaimedEvenly(t *testing.T) {
-	s := standin.NewStepped(100 * loop.Second)
+	s := standin.NewRunner(100 * loop.Second)
 	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	var all []*Member
 	for i := range 8 {
@@ -61,7 +61,7 @@
 // that version knows nothing else. Once it is replaced the layout must become numbered on
 // all controllers, and no team may remain claimed as a single team.
 func TestLayoutWaitsForOlderVersions(t *testing.T) {
-	s := standin.NewStepped(100 * loop.Second)
+	s := standin.NewRunner(100 * loop.Second)
 	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	a := startWithTeams(s, state, "a", 2, 12, false)
 	old := startWithTeams(s, state, "b", 2, 12, true)
@@ -93,7 +93,7 @@
 // A team that a controller of an older version holds must not be assigned to a partition, nor
 // one whose partition is not owned under the given claim any more.
 func TestHeldTeamsAreNotAssigned(t *testing.T) {
-	s := standin.NewStepped(100 * loop.Second)
+	s := standin.NewRunner(100 * loop.Second)
 	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	a := startWithTeams(s, state, "a", 1, 12, false)
 	s.Advance(6 * loop.Second)
@@ -134,7 +134,7 @@
 // While the stored layout is corrupt, no controller may claim a partition or a team: it would
 // have to guess the layout in force.
 func TestCorruptLayout(t *testing.T) {
-	s := standin.NewStepped(100 * loop.Second)
+	s := standin.NewRunner(100 * loop.Second)
 	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	state.Put(partition.LayoutKey, "nonsense")
 	a := startWithTeams(s, state, "a", 1, 12, false)
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -51,7 +51,7 @@
 // lease cannot be renewed it must not consider itself an owner, and after it has rejoined it
 // must not consider itself the owner of what another has claimed.
 func TestControllerWithoutStateServiceLosesTeams(t *testing.T) {
-	s := standin.NewStepped(100 * loop.Second)
+	s := standin.NewRunner(100 * loop.Second)
 	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	xa, xb := &stateConn{state: state}, &stateConn{state: state}
 	a := startMember(s, xa, "a")
@@ -80,7 +80,7 @@
 // ended the lease of the controller behind it, its teams would never have an owner; its
 // lease must be ended only once within evictInterval.
 func TestEvictionIsNotRepeated(t *testing.T) {
-	s := standin.NewStepped(100 * loop.Second)
+	s := standin.NewRunner(100 * loop.Second)
 	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	xa, xb := &stateConn{state: state}, &stateConn{state: state}
 	a := startMember(s, xa, "a")
@@ -100,7 +100,7 @@
 
 // A controller that reaches no peer must hand its partitions over to one that others reach.
 func TestIsolatedControllerHandsOver(t *testing.T) {
-	s := standin.NewStepped(100 * loop.Second)
+	s := standin.NewRunner(100 * loop.Second)
 	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	a := startMember(s, &stateConn{state: state}, "a")
 	s.Advance(3 * loop.Second)
@@ -116,7 +116,7 @@
 // Where no controller reaches another, several owners would each see a part of the machines
 // only: the leader must become the owner of all teams.
 func TestLeaderOwnsAllWhenAllAreIsolated(t *testing.T) {
-	s := standin.NewStepped(100 * loop.Second)
+	s := standin.NewRunner(100 * loop.Second)
 	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	var all []*Member
 	for _, label := range []string{"a", "b", "c"} {
@@ -144,7 +144,7 @@
 // A controller that joins while another owns everything must get a share, the team with less
 // work, but only once it is fit for work; after that, no team may move any more.
 func TestRebalanceAfterJoin(t *testing.T) {
-	s := standin.NewStepped(100 * loop.Second)
+	s := standin.NewRunner(100 * loop.Second)
 	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	a := startMember(s, &stateConn{state: state}, "a")
 	a.Weight = func(id partition.ID) int { return map[partition.ID]int{"t/red": 9, "t/blue": 2}[id] }
@@ -172,7 +172,7 @@
 // A team that only another controller's settings name, as while settings are being changed
 // on one after another, must become known as foreign once that controller owns it.
 func TestForeignTeam(t *testing.T) {
-	s := standin.NewStepped(100 * loop.Second)
+	s := standin.NewRunner(100 * loop.Second)
 	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	a, b := startMember(s, &stateConn{state: state}, "a"), startMember(s, &stateConn{state: state}, "b")
 	b.Teams = append(b.Teams, "guest")
@@ -186,7 +186,7 @@
 // registered, and vanishes with the earlier lease. The controller must register again, or
 // the others would not count it though it runs.
 func TestLateRegistrationOfEarlierIncarnation(t *testing.T) {
-	s := standin.NewStepped(100 * loop.Second)
+	s := standin.NewRunner(100 * loop.Second)
 	state := standin.NewStateService(func() loop.Micros { return s.Now() })
 	b := startMember(s, &stateConn{state: state}, "b")
 	a := startMember(s, &stateConn{state: state}, "a")
--- a/internal/node/sockets_test.go
+++ b/internal/node/sockets_test.go
@@ -34,7 +34,7 @@
 	if !s.above(closeOutgoingAbove) || s.above(closeReportsAbove) {
 		t.Fatal("56 of 100 sockets: outgoing connections must be closed, those of workers not yet")
 	}
-	clock := standin.NewStepped(0)
+	clock := standin.NewRunner(0)
 	var closed atomic.Int32
 	s.watch(clock, func() {
 		closed.Add(1)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -15,7 +15,7 @@
 // counted. A frame of the newest incarnation is never dropped, also if the clock was behind when that started.
 func TestFramesOfEarlierIncarnationsAreDropped(t *testing.T) {
 	const s = loop.Second
-	n := New(standin.NewStepped(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
+	n := New(standin.NewRunner(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
 	n.ClockDifference = 200 * loop.Millisecond
 	var got []loop.Micros
 	dropped := 0
@@ -36,7 +36,7 @@
 // Each new incarnation of a peer is announced once, after its first frame has been received.
 func TestNewIncarnationsAreAnnounced(t *testing.T) {
 	const s = loop.Second
-	n := New(standin.NewStepped(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
+	n := New(standin.NewRunner(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
 	n.ClockDifference = 200 * loop.Millisecond
 	frames, announced := 0, []int{}
 	n.OnFrame = func(*Envelope) { frames++ }
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -63,7 +63,7 @@
 }
 
 func newRig(writeRPS float64, teams ...config.Team) *rig {
-	g := &rig{Runner: standin.NewStepped(1000 * loop.Second)}
+	g := &rig{Runner: standin.NewRunner(1000 * loop.Second)}
 	cfg := &config.Config{Operator: config.Defaults()}
 	cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.CancelS = 3, 10, 30
 	cfg.Cluster.State.TxnOps, cfg.Cluster.State.ValueKB = 16, 4 // small, so that segments fill up
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -21,7 +21,7 @@
 }
 
 func newNetwork(n int) *network {
-	x := &network{Runner: standin.NewStepped(100 * loop.Second), open: map[string]bool{}, contact: map[string]bool{}, trackers: map[string]*Tracker{}}
+	x := &network{Runner: standin.NewRunner(100 * loop.Second), open: map[string]bool{}, contact: map[string]bool{}, trackers: map[string]*Tracker{}}
 	for i := range n {
 		x.names = append(x.names, string(rune('a'+i)))
 	}
--- a/internal/rental/autoscaler_test.go
+++ b/internal/rental/autoscaler_test.go
@@ -47,7 +47,7 @@
 }
 
 func newRig(t *testing.T, each int) *rig {
-	g := &rig{Runner: standin.NewStepped(1000 * loop.Second), entitled: true, probeAnswer: loss.NoConnection, probeAnswers: map[string]loss.ProbeResult{}}
+	g := &rig{Runner: standin.NewRunner(1000 * loop.Second), entitled: true, probeAnswer: loss.NoConnection, probeAnswers: map[string]loss.ProbeResult{}}
 	cfg := &config.Config{Operator: config.Defaults()}
 	cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.LeaseS = 1, 10
 	cfg.Cluster.Cloud.RPS, cfg.Cluster.Cloud.ListLagS = 5, 2
--- a/internal/standin/stepped.go
+++ b/internal/standin/stepped.go
@@ -15,8 +15,8 @@
 	f  func()
 }
 
-// NewStepped returns a runner whose time is now.
-func NewStepped(now loop.Micros) *Runner { return &Runner{now: now} }
+// NewRunner returns a runner whose time is now.
+func NewRunner(now loop.Micros) *Runner { return &Runner{now: now} }
 
 // Now returns the time of the monotonic clock.
 func (s *Runner) Now() loop.Micros { return s.now }
--- a/internal/store/fairness_test.go
+++ b/internal/store/fairness_test.go
@@ -70,7 +70,7 @@
 // after 10 to 37 s, and reads waited 0.4 s each (docs/incidents/2026-12-02-went-back-and-forgotten.md).
 func TestNothingWaitsBehindSubmissions(t *testing.T) {
 	const rps, writeRPS, nodes = 180, 70, 3
-	clock := standin.NewStepped(1000 * loop.Second)
+	clock := standin.NewRunner(1000 * loop.Second)
 	state := standin.NewStateService(clock.Now)
 	sent := &counted{state: state}
 	client := store.NewClient(clock, sent, slog.New(slog.NewTextHandler(io.Discard, nil)), rps, writeRPS, nodes)
