--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -14,7 +14,7 @@
 	Run            loop.Micros // how long the first task runs
 	Tasks          int
 	Broken         bool        // fails on every machine
-	Every          int         // of a broken job, only the tasks whose index is a multiple of this fail; 0: all fail
+	FailsEvery          int         // of a broken job, only the tasks whose index is a multiple of this fail; 0: all fail
 	FailsAfter     loop.Micros // run time of a task that fails
 	Later          loop.Micros // how much longer each task runs than the one before it
 }
@@ -26,7 +26,7 @@
 
 // fails reports whether the task fails on every machine.
 func (j *Job) fails(task string) bool {
-	return j.Broken && (j.Every == 0 || number(task)%j.Every == 0)
+	return j.Broken && (j.FailsEvery == 0 || number(task)%j.FailsEvery == 0)
 }
 
 // workerTask is an attempt of a task on the machine. Exited attempts stay until a forget command arrives.
