--- a/internal/node/simulation_machine_test.go
+++ b/internal/node/simulation_machine_test.go
@@ -106,7 +106,7 @@
 		if j == nil {
 			return standin.Job{}, false
 		}
-		return standin.Job{CPUs: j.spec.CPUs, MemoryGB: j.spec.MemoryGB, Run: j.run, Tasks: j.spec.Tasks, Broken: j.broken, FailsEvery: j.failEvery, FailsAfter: j.failsAfter, Later: j.runTimeStep}, true
+		return standin.Job{CPUs: j.spec.CPUs, MemoryGB: j.spec.MemoryGB, Run: j.run, Tasks: j.spec.Tasks, Broken: j.broken, FailsEvery: j.failEvery, FailsAfter: j.failsAfter, RunIncrement: j.runTimeStep}, true
 	}
 	x.w.Began = func(task, _ string) { w.taskStarted(x, task) }
 	x.w.Left = func(task, why string) {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -16,12 +16,12 @@
 	Broken         bool        // fails on every machine
 	FailsEvery          int         // of a broken job, only the tasks whose index is a multiple of this fail; 0: all fail
 	FailsAfter     loop.Micros // run time of a task that fails
-	Later          loop.Micros // how much longer each task runs than the one before it
+	RunIncrement          loop.Micros // how much longer each task runs than the one before it
 }
 
 // takes returns how long a task runs.
 func (j *Job) takes(task string) loop.Micros {
-	return j.Run + loop.Micros(number(task))*j.Later
+	return j.Run + loop.Micros(number(task))*j.RunIncrement
 }
 
 // fails reports whether the task fails on every machine.
