--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -187,7 +187,7 @@
 	w.Job = func(string) (standin.Job, bool) {
 		return standin.Job{CPUs: 2, MemoryGB: 1, Run: loop.Second, Tasks: 6}, true
 	}
-	w.Began = func(task, _ string) { moved(task, l.Name) }
+	w.OnTaskStart = func(task, _ string) { moved(task, l.Name) }
 	w.Left = func(task, _ string) { moved(task, "") }
 	at := 0
 	for ctx.Err() == nil {
--- a/internal/scale/workers.go
+++ b/internal/scale/workers.go
@@ -140,7 +140,7 @@
 		spec, ok := a.referee.job(id)
 		return standin.Job{CPUs: spec.cpus, MemoryGB: spec.memoryGB, Run: loop.Seconds(spec.runS), Tasks: spec.tasks}, ok
 	}
-	x.Began = func(task, _ string) { w.changed = true; a.referee.began(task, x.Name, time.Now()) }
+	x.OnTaskStart = func(task, _ string) { w.changed = true; a.referee.began(task, x.Name, time.Now()) }
 	x.Left = func(task, _ string) { w.changed = true; a.referee.left(task, x.Name) }
 	w.w = x
 	a.running.Go(func() {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -53,8 +53,8 @@
 	CPUs, MemoryGB         float64
 	Faulty                 bool // the machine fails every task
 	Job                    func(id string) (Job, bool)
-	// Began and Left notify an invariant checker that a task occupies the machine, and that it no longer does.
-	Began, Left func(task string, why string)
+	// OnTaskStart and Left notify an invariant checker that a task occupies the machine, and that it no longer does.
+	OnTaskStart, Left func(task string, why string)
 	// Revived notifies an invariant checker that a start command arrived after the forget command of the same
 	// attempt. The worker no longer knows the attempt and starts it again. It may be nil.
 	Revived func(task string, attempt uint64)
@@ -270,5 +270,5 @@
 		return
 	}
 	t.state, t.until = wire.TaskFetching, now+loop.Second
-	w.Began(t.task, "")
+	w.OnTaskStart(t.task, "")
 }
