--- a/internal/node/explanations_loopback_test.go
+++ b/internal/node/explanations_loopback_test.go
@@ -106,7 +106,7 @@
 		}
 		return standin.Job{CPUs: 2, MemoryGB: 1, Run: loop.Second, Tasks: 100}, true
 	}
-	w.OnTaskStart, w.Left = func(string, string) {}, func(string, string) {}
+	w.OnTaskStart, w.OnTaskEnd = func(string, string) {}, func(string, string) {}
 	for at := 0; ctx.Err() == nil && !gone(); {
 		if !muted() {
 			w.Tick(clock.Now())
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -188,7 +188,7 @@
 		return standin.Job{CPUs: 2, MemoryGB: 1, Run: loop.Second, Tasks: 6}, true
 	}
 	w.OnTaskStart = func(task, _ string) { moved(task, l.Name) }
-	w.Left = func(task, _ string) { moved(task, "") }
+	w.OnTaskEnd = func(task, _ string) { moved(task, "") }
 	at := 0
 	for ctx.Err() == nil {
 		w.Tick(clock.Now())
--- a/internal/node/simulation_machine_test.go
+++ b/internal/node/simulation_machine_test.go
@@ -109,7 +109,7 @@
 		return standin.Job{CPUs: j.spec.CPUs, MemoryGB: j.spec.MemoryGB, Run: j.run, Tasks: j.spec.Tasks, Broken: j.broken, FailsEvery: j.failEvery, FailsAfter: j.failsAfter, RunIncrement: j.runTimeStep}, true
 	}
 	x.w.OnTaskStart = func(task, _ string) { w.taskStarted(x, task) }
-	x.w.Left = func(task, why string) {
+	x.w.OnTaskEnd = func(task, why string) {
 		if why == "lease" && w.onLeaseExpired != nil {
 			w.onLeaseExpired(x, task)
 		}
--- a/internal/scale/workers.go
+++ b/internal/scale/workers.go
@@ -141,7 +141,7 @@
 		return standin.Job{CPUs: spec.cpus, MemoryGB: spec.memoryGB, Run: loop.Seconds(spec.runS), Tasks: spec.tasks}, ok
 	}
 	x.OnTaskStart = func(task, _ string) { w.changed = true; a.referee.began(task, x.Name, time.Now()) }
-	x.Left = func(task, _ string) { w.changed = true; a.referee.left(task, x.Name) }
+	x.OnTaskEnd = func(task, _ string) { w.changed = true; a.referee.left(task, x.Name) }
 	w.w = x
 	a.running.Go(func() {
 		serveOn(ln, &a.commands, func(m, p string, b []byte) store.Response { return a.command(w, m, p, b) })
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -53,8 +53,8 @@
 	CPUs, MemoryGB         float64
 	Faulty                 bool // the machine fails every task
 	Job                    func(id string) (Job, bool)
-	// OnTaskStart and Left notify an invariant checker that a task occupies the machine, and that it no longer does.
-	OnTaskStart, Left func(task string, why string)
+	// OnTaskStart and OnTaskEnd notify an invariant checker that a task occupies the machine, and that it no longer does.
+	OnTaskStart, OnTaskEnd func(task string, why string)
 	// Revived notifies an invariant checker that a start command arrived after the forget command of the same
 	// attempt. The worker no longer knows the attempt and starts it again. It may be nil.
 	Revived func(task string, attempt uint64)
@@ -79,7 +79,7 @@
 		return
 	}
 	t.state, t.why = wire.TaskExited, why
-	w.Left(t.task, why)
+	w.OnTaskEnd(t.task, why)
 }
 
 // LeaseOver reports whether the lease expired, so that the next Tick ends all tasks.
