--- a/internal/node/simulation_machine_test.go
+++ b/internal/node/simulation_machine_test.go
@@ -115,7 +115,7 @@
 		}
 		w.taskEnded(task, why)
 	}
-	x.w.Revived = func(task string, attempt uint64) { w.startedAfterForget(x, task, attempt) }
+	x.w.OnForgottenStart = func(task string, attempt uint64) { w.startedAfterForget(x, task, attempt) }
 	x.w.Faulty = w.rng.Float64() < 0.05
 	if _, gone := w.workers[m.Name]; gone {
 		return
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -55,9 +55,9 @@
 	Job                    func(id string) (Job, bool)
 	// OnTaskStart and OnTaskEnd notify an invariant checker that a task occupies the machine, and that it no longer does.
 	OnTaskStart, OnTaskEnd func(task string, why string)
-	// Revived notifies an invariant checker that a start command arrived after the forget command of the same
+	// OnForgottenStart notifies an invariant checker that a start command arrived after the forget command of the same
 	// attempt. The worker no longer knows the attempt and starts it again. It may be nil.
-	Revived func(task string, attempt uint64)
+	OnForgottenStart func(task string, attempt uint64)
 
 	// forgotten are the attempts that forget commands removed in this session; kept only if Revived is set.
 	forgotten           map[attemptKey]struct{}
@@ -229,7 +229,7 @@
 // forget removes an exited attempt, so that reports no longer list it.
 func (w *Worker) forget(t *workerTask) {
 	w.tasks = slices.DeleteFunc(w.tasks, func(x *workerTask) bool { return x == t })
-	if w.Revived == nil {
+	if w.OnForgottenStart == nil {
 		return
 	}
 	if w.forgotten == nil {
@@ -242,7 +242,7 @@
 // the machine lacks capacity.
 func (w *Worker) start(now loop.Micros, c wire.Command) {
 	if _, was := w.forgotten[attemptKey{c.Task, c.Attempt}]; was {
-		w.Revived(c.Task, c.Attempt)
+		w.OnForgottenStart(c.Task, c.Attempt)
 	}
 	t := &workerTask{task: c.Task, attempt: c.Attempt, state: wire.TaskExited}
 	w.tasks = append(w.tasks, t)
