--- a/internal/node/simulation_machine_test.go
+++ b/internal/node/simulation_machine_test.go
@@ -66,7 +66,7 @@
 }
 
 // hungPastLease reports whether a machine hangs and its lease has expired.
-func (x *simWorker) hungPastLease(now loop.Micros) bool { return x.hanging && x.w.LeaseOver(now) }
+func (x *simWorker) hungPastLease(now loop.Micros) bool { return x.hanging && x.w.LeaseExpired(now) }
 
 // whenResumed calls f as soon as a machine does not hang, unless it is deleted before.
 func (w *simulation) whenResumed(x *simWorker, f func()) {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -82,13 +82,13 @@
 	w.OnTaskEnd(t.task, why)
 }
 
-// LeaseOver reports whether the lease expired, so that the next Tick ends all tasks.
-func (w *Worker) LeaseOver(now loop.Micros) bool { return now-w.held > w.lease }
+// LeaseExpired reports whether the lease expired, so that the next Tick ends all tasks.
+func (w *Worker) LeaseExpired(now loop.Micros) bool { return now-w.held > w.lease }
 
 // Tick updates the machine to the time now: an expired lease ends all tasks and the session, and tasks start to run,
 // finish or fail.
 func (w *Worker) Tick(now loop.Micros) {
-	if w.LeaseOver(now) {
+	if w.LeaseExpired(now) {
 		for _, t := range w.tasks {
 			w.end(t, "lease")
 		}
