--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -215,6 +215,6 @@
 	if fasthttp.DoTimeout(req, resp, 4*time.Second) != nil || resp.StatusCode() != 200 || wire.Unmarshal(resp.Body(), &c) != nil {
 		return false
 	}
-	w.Answered(clock.Now(), sent, r.Session, c)
+	w.HandleAnswer(clock.Now(), sent, r.Session, c)
 	return true
 }
--- a/internal/node/simulation_machine_test.go
+++ b/internal/node/simulation_machine_test.go
@@ -178,7 +178,7 @@
 						}
 						w.whenResumed(x, func() { // what arrived while it hung is read when it resumes
 							x.w.Tick(w.now)
-							x.w.Answered(w.now, sent, r.Session, c)
+							x.w.HandleAnswer(w.now, sent, r.Session, c)
 							x.commandsArrived(starts)
 						})
 						each := loop.Seconds(w.cfg.Cluster.Workers.ReportS)
--- a/internal/scale/workers.go
+++ b/internal/scale/workers.go
@@ -217,7 +217,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.w.Answered(a.clock.Now(), sent, report.Session, answer)
+	w.w.HandleAnswer(a.clock.Now(), sent, report.Session, answer)
 	return "", true
 }
 
