--- a/internal/node/simulation_machine_test.go
+++ b/internal/node/simulation_machine_test.go
@@ -92,7 +92,7 @@
 	if err := wire.Unmarshal(body, &c); err != nil {
 		w.fail("a direct command cannot be decoded: %v", err)
 	}
-	status, r := x.w.Command(w.now, c)
+	status, r := x.w.HandleCommands(w.now, c)
 	return store.Response{Status: status, Body: wire.Marshal(r)}
 }
 
--- a/internal/scale/workers.go
+++ b/internal/scale/workers.go
@@ -252,7 +252,7 @@
 	if wire.Unmarshal(body, &c) != nil {
 		return store.Response{Status: 400}
 	}
-	status, report := w.w.Command(a.clock.Now(), c)
+	status, report := w.w.HandleCommands(a.clock.Now(), c)
 	return store.Response{Status: status, Body: wire.Marshal(report)}
 }
 
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -184,9 +184,9 @@
 	w.run(now, c.Commands)
 }
 
-// Command applies direct commands and returns the HTTP status and a report. Commands with a lower token than the
+// HandleCommands applies direct commands and returns the HTTP status and a report. Commands with a lower token than the
 // highest seen, or for another session, are refused with 409.
-func (w *Worker) Command(now loop.Micros, c wire.Commands) (int, wire.Report) {
+func (w *Worker) HandleCommands(now loop.Micros, c wire.Commands) (int, wire.Report) {
 	if c.Token < w.token || c.Session != w.session {
 		return 409, w.Report()
 	}
