--- a/internal/node/isolation_cases_test.go
+++ b/internal/node/isolation_cases_test.go
@@ -91,7 +91,7 @@
 				for _, name := range w.runningMachines() {
 					for _, l := range w.labels {
 						v := w.nodes[l].n.agent.View(name)
-						if len(disconnected) < len(w.labels) && !slices.Contains(disconnected, l) && (v == nil || slices.Contains(disconnected, v.Host) || w.now-w.workers[name].w.Answer() > 3*loop.Second) {
+						if len(disconnected) < len(w.labels) && !slices.Contains(disconnected, l) && (v == nil || slices.Contains(disconnected, v.Host) || w.now-w.workers[name].w.LastAnswered() > 3*loop.Second) {
 							t.Errorf("to %s, %s still reports to a controller that reaches only its workers, or has no recent answer: %v", l, name, v)
 						}
 					}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -160,8 +160,8 @@
 // Token returns the highest token that the worker has seen.
 func (w *Worker) Token() uint64 { return w.token }
 
-// Answer returns when the newest answered report was sent.
-func (w *Worker) Answer() loop.Micros { return w.held }
+// LastAnswered returns when the newest answered report was sent.
+func (w *Worker) LastAnswered() loop.Micros { return w.held }
 
 // Report returns the next report to send.
 func (w *Worker) Report() wire.Report {
