--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -15,19 +15,19 @@
 // Cloud is a fake of the cloud provider's API. It rents out a fixed number of machines per zone and answers
 // requests synchronously.
 type Cloud struct {
-	mu       sync.Mutex
-	Types    []wire.MachineType
-	Available     map[string]int // machines that can still be rented, by zone
-	requests map[string][]string
-	machines map[string]wire.Listed
-	next     int
-	// Now is the clock. If it is set, machine lists show the state of Lag ago, and failed machines stay listed
+	mu        sync.Mutex
+	Types     []wire.MachineType
+	Available map[string]int // machines that can still be rented, by zone
+	requests  map[string][]string
+	machines  map[string]wire.Listed
+	next      int
+	// Now is the clock. If it is set, machine lists show the state of ListLag ago, and failed machines stay listed
 	// as running for a while.
-	Now  func() loop.Micros
-	ListLag  loop.Micros
-	born map[string]loop.Micros
-	died map[string]loop.Micros
-	left map[string]leftover // deleted machines that a lagging list still shows
+	Now       func() loop.Micros
+	ListLag   loop.Micros
+	createdAt map[string]loop.Micros
+	failedAt  map[string]loop.Micros
+	deleted   map[string]deletedMachine // deleted machines that a lagging list still shows
 	// OnRented is called for each machine that is rented; the test boots it.
 	OnRented func(wire.Listed)
 	// Addr returns a machine's address. If it is nil, machines get an address at which nothing answers.
@@ -37,10 +37,10 @@
 }
 
 // NewCloud returns a cloud that offers one machine type, with the given number of machines in each zone.
-func NewCloud(t wire.MachineType, each int) *Cloud {
-	c := &Cloud{born: map[string]loop.Micros{}, died: map[string]loop.Micros{}, left: map[string]leftover{}, Types: []wire.MachineType{t}, Available: map[string]int{}, requests: map[string][]string{}, machines: map[string]wire.Listed{}}
+func NewCloud(t wire.MachineType, perZone int) *Cloud {
+	c := &Cloud{createdAt: map[string]loop.Micros{}, failedAt: map[string]loop.Micros{}, deleted: map[string]deletedMachine{}, Types: []wire.MachineType{t}, Available: map[string]int{}, requests: map[string][]string{}, machines: map[string]wire.Listed{}}
 	for _, z := range t.Zones {
-		c.Available[z] = each
+		c.Available[z] = perZone
 	}
 	return c
 }
@@ -49,23 +49,23 @@
 func (c *Cloud) Reclaim(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.drop(name)
+	c.remove(name)
 }
 
-// drop deletes a machine and makes its capacity available again. The caller holds the lock.
-func (c *Cloud) drop(name string) {
+// remove deletes a machine and makes its capacity available again. The caller holds the lock.
+func (c *Cloud) remove(name string) {
 	m, ok := c.machines[name]
 	if !ok {
 		return
 	}
 	delete(c.machines, name)
 	c.Available[m.Zone]++
-	c.left[name] = leftover{m, c.now()}
+	c.deleted[name] = deletedMachine{m, c.now()}
 	c.OnDeleted(name)
 }
 
-// leftover is a deleted machine and the time of its deletion.
-type leftover struct {
+// deletedMachine is a deleted machine and the time of its deletion.
+type deletedMachine struct {
 	m  wire.Listed
 	at loop.Micros
 }
@@ -77,7 +77,7 @@
 	return c.Now()
 }
 
-// TakeCapacity removes all capacity that is not rented, as in a shortage, and returns it by zone, for Give.
+// TakeCapacity removes all capacity that is not rented, as in a shortage, and returns it by zone, for AddCapacity.
 func (c *Cloud) TakeCapacity() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,19 +87,19 @@
 }
 
 // AddCapacity adds capacity that can be rented, by zone.
-func (c *Cloud) AddCapacity(more map[string]int) {
+func (c *Cloud) AddCapacity(capacity map[string]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for z, n := range more {
+	for z, n := range capacity {
 		c.Available[z] += n
 	}
 }
 
 // Fill rents the given number of machines in each zone, as if orders had been placed earlier, and returns
 // their names.
-func (c *Cloud) Fill(each int) (names []string) {
+func (c *Cloud) Fill(perZone int) (names []string) {
 	for _, z := range c.Types[0].Zones {
-		for n := each; n > 0; n -= 50 {
+		for n := perZone; n > 0; n -= 50 {
 			body := wire.Marshal(wire.Rent{Request: fmt.Sprint("fill-", z, n), Type: c.Types[0].Name, Zone: z, Count: min(n, 50)})
 			var got wire.Names
 			if r := c.Do("POST", "/machines", body, 0); wire.Unmarshal(r.Body, &got) == nil {
@@ -114,21 +114,21 @@
 func (c *Cloud) Fail(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.died[name] = c.now()
+	c.failedAt[name] = c.now()
 }
 
-// deadListed is how long a failed machine is still listed as running.
-const deadListed = 30 * loop.Second
+// failureListLag is how long a failed machine is still listed as running.
+const failureListLag = 30 * loop.Second
 
 // list returns the machines as they were one list lag ago.
 func (c *Cloud) list() wire.Listing {
 	at := c.now() - c.ListLag
 	l := wire.Listing{Machines: []wire.Listed{}}
 	add := func(m wire.Listed) {
-		if c.born[m.Name] > at {
+		if c.createdAt[m.Name] > at {
 			return
 		}
-		if d, ok := c.died[m.Name]; ok && at > d+deadListed {
+		if d, ok := c.failedAt[m.Name]; ok && at > d+failureListLag {
 			m.State = "failed"
 		}
 		l.Machines = append(l.Machines, m)
@@ -136,9 +136,9 @@
 	for _, m := range c.machines {
 		add(m)
 	}
-	for name, x := range c.left {
+	for name, x := range c.deleted {
 		if x.at <= at {
-			delete(c.left, name)
+			delete(c.deleted, name)
 		} else {
 			add(x.m)
 		}
@@ -162,7 +162,7 @@
 			return reply(400, wire.Error{Error: "malformed"})
 		}
 		for _, name := range n.Machines {
-			c.drop(name)
+			c.remove(name)
 		}
 		return reply(200, wire.Names{Machines: []string{}})
 	case path == "/machines":
@@ -186,7 +186,7 @@
 				m.Addr = c.Addr(m.Name)
 			}
 			c.machines[m.Name] = m
-			c.born[m.Name] = c.now()
+			c.createdAt[m.Name] = c.now()
 			c.Available[r.Zone]--
 			got = append(got, m.Name)
 			c.OnRented(m)
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -20,9 +20,9 @@
 
 // stateKey is the newest version of a key.
 type stateKey struct {
-	value wire.Raw
-	mark  uint64
-	lease uint64 // 0: none
+	value    wire.Raw
+	revision uint64
+	lease    uint64 // 0: none
 }
 
 // stateLease is a lease; its keys are deleted when it expires or is released.
@@ -32,26 +32,26 @@
 
 // StateService is a fake of the state service that keeps its keys in memory.
 type StateService struct {
-	mu     sync.Mutex
-	now    func() loop.Micros
-	tally  uint64 // revision of the newest change of the store
-	keys   map[string]stateKey
-	leases map[uint64]*stateLease
-	lapsed map[uint64]bool // leases that expired
-	events []wire.Event    // the newest, in order
-	lost   uint64          // the revision of the newest event that is no longer kept
-	change chan struct{}   // closed at the next change
-	last   uint64          // the newest lease ID
-	down   bool
-	limits *limiter
-	counts Counts
+	mu                sync.Mutex
+	now               func() loop.Micros
+	storeRevision     uint64 // revision of the newest change of the store
+	keys              map[string]stateKey
+	leases            map[uint64]*stateLease
+	expired           map[uint64]bool // leases that expired
+	events            []wire.Event    // the newest, in order
+	compactedRevision uint64          // the revision of the newest event that is no longer kept
+	change            chan struct{}   // closed at the next change
+	lastLease         uint64          // the newest lease ID
+	down              bool
+	limits            *limiter
+	counts            Counts
 	// OnPut is called for each put as it is applied; it may be nil.
 	OnPut func(key string, value wire.Raw)
 }
 
 // NewStateService returns an empty state service that reads the time from now.
 func NewStateService(now func() loop.Micros) *StateService {
-	return &StateService{now: now, keys: map[string]stateKey{}, leases: map[uint64]*stateLease{}, lapsed: map[uint64]bool{}}
+	return &StateService{now: now, keys: map[string]stateKey{}, leases: map[uint64]*stateLease{}, expired: map[uint64]bool{}}
 }
 
 // SetDown begins or ends an outage. Leases do not expire during an outage, and at its end each lease gets its
@@ -100,19 +100,19 @@
 func (s *StateService) Put(key string, value any) (mark uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tally++
+	s.storeRevision++
 	s.put(key, wire.Marshal(value), 0)
-	return s.tally
+	return s.storeRevision
 }
 
-// keptChanges is how many events are kept at least, for watches that start at an earlier revision.
-const keptChanges = 10000
+// minRetainedEvents is how many events are kept at least, for watches that start at an earlier revision.
+const minRetainedEvents = 10000
 
 // record stores an event for watches and wakes the waiting ones. The caller holds the lock.
 func (s *StateService) record(e wire.Event) {
 	s.events = append(s.events, e)
-	if n := len(s.events) - keptChanges; n >= keptChanges {
-		s.lost = s.events[n-1].Mark
+	if n := len(s.events) - minRetainedEvents; n >= minRetainedEvents {
+		s.compactedRevision = s.events[n-1].Mark
 		s.events = append([]wire.Event(nil), s.events[n:]...)
 	}
 	if s.change != nil {
@@ -133,8 +133,8 @@
 
 // put writes a key at the present store revision. The caller holds the lock.
 func (s *StateService) put(key string, v wire.Raw, lease uint64) {
-	s.keys[key] = stateKey{v, s.tally, lease}
-	s.record(wire.Event{Put: key, Value: v, Mark: s.tally})
+	s.keys[key] = stateKey{v, s.storeRevision, lease}
+	s.record(wire.Event{Put: key, Value: v, Mark: s.storeRevision})
 	if s.OnPut != nil {
 		s.OnPut(key, v)
 	}
@@ -144,7 +144,7 @@
 func (s *StateService) remove(key string) {
 	if _, ok := s.keys[key]; ok {
 		delete(s.keys, key)
-		s.record(wire.Event{Delete: key, Mark: s.tally})
+		s.record(wire.Event{Delete: key, Mark: s.storeRevision})
 	}
 }
 
@@ -155,8 +155,8 @@
 	}
 	for id, l := range s.leases {
 		if s.now() >= l.until {
-			s.lapsed[id] = true
-			s.end(id)
+			s.expired[id] = true
+			s.endLease(id)
 		}
 	}
 }
@@ -166,13 +166,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	return s.lapsed[id]
+	return s.expired[id]
 }
 
-// end deletes a lease and its keys. The caller holds the lock.
-func (s *StateService) end(id uint64) {
+// endLease deletes a lease and its keys. The caller holds the lock.
+func (s *StateService) endLease(id uint64) {
 	delete(s.leases, id)
-	s.tally++
+	s.storeRevision++
 	var keys []string
 	for k, v := range s.keys {
 		if v.lease == id {
@@ -244,9 +244,9 @@
 		key := strings.TrimPrefix(u.Path, "/store/")
 		k, ok := s.keys[key]
 		if !ok {
-			return reply(404, map[string]uint64{"tally": s.tally})
+			return reply(404, map[string]uint64{"tally": s.storeRevision})
 		}
-		return reply(200, wire.Item{Key: key, Value: k.value, Mark: k.mark})
+		return reply(200, wire.Item{Key: key, Value: k.value, Mark: k.revision})
 	case method == "GET" && u.Path == "/store":
 		var keys []string
 		for k := range s.keys {
@@ -256,21 +256,21 @@
 		}
 		sort.Strings(keys)
 		limit, _ := strconv.Atoi(q.Get("limit"))
-		r := wire.Range{Items: []wire.Item{}, Tally: s.tally}
+		r := wire.Range{Items: []wire.Item{}, Tally: s.storeRevision}
 		for _, k := range keys {
 			if len(r.Items) == limit {
 				r.More = true
 				break
 			}
-			r.Items = append(r.Items, wire.Item{Key: k, Value: s.keys[k].value, Mark: s.keys[k].mark})
+			r.Items = append(r.Items, wire.Item{Key: k, Value: s.keys[k].value, Mark: s.keys[k].revision})
 		}
 		return reply(200, r)
 	case method == "GET" && u.Path == "/changes":
 		since, _ := strconv.ParseUint(q.Get("since"), 10, 64)
-		if since < s.lost {
+		if since < s.compactedRevision {
 			return reply(410, wire.Error{Error: "too old"})
 		}
-		ev := wire.Events{Tally: s.tally, Events: []wire.Event{}}
+		ev := wire.Events{Tally: s.storeRevision, Events: []wire.Event{}}
 		from := sort.Search(len(s.events), func(i int) bool { return s.events[i].Mark > since })
 		for _, e := range s.events[from:] {
 			if strings.HasPrefix(e.Put+e.Delete, q.Get("under")) {
@@ -285,10 +285,10 @@
 		if wire.Unmarshal(body, &l) != nil || l.TTLms < 100 {
 			return reply(400, wire.Error{Error: "ttl"})
 		}
-		s.last++
+		s.lastLease++
 		ttl := l.TTLms * loop.Millisecond
-		s.leases[s.last] = &stateLease{ttl, s.now() + ttl}
-		return reply(200, wire.Lease{ID: s.last})
+		s.leases[s.lastLease] = &stateLease{ttl, s.now() + ttl}
+		return reply(200, wire.Lease{ID: s.lastLease})
 	case strings.HasPrefix(u.Path, "/holds/"):
 		rest := strings.TrimSuffix(strings.TrimPrefix(u.Path, "/holds/"), "/extend")
 		id, _ := strconv.ParseUint(rest, 10, 64)
@@ -297,7 +297,7 @@
 			return reply(404, wire.Error{Error: "no such lease"})
 		}
 		if method == "DELETE" {
-			s.end(id)
+			s.endLease(id)
 		} else {
 			l.until = s.now() + l.ttl
 		}
@@ -319,15 +319,15 @@
 	}
 	failed := []string{}
 	for _, c := range t.If {
-		if s.keys[c.Key].mark != c.Mark {
+		if s.keys[c.Key].revision != c.Mark {
 			failed = append(failed, c.Key)
 		}
 	}
 	if len(failed) > 0 {
-		return reply(409, wire.TxnResult{Failed: failed, Tally: s.tally})
+		return reply(409, wire.TxnResult{Failed: failed, Tally: s.storeRevision})
 	}
 	if len(t.Then) > 0 {
-		s.tally++
+		s.storeRevision++
 	}
 	for _, c := range t.Then {
 		if c.Put != "" {
@@ -336,5 +336,5 @@
 			s.remove(c.Delete)
 		}
 	}
-	return reply(200, wire.TxnResult{Tally: s.tally})
+	return reply(200, wire.TxnResult{Tally: s.storeRevision})
 }
--- a/internal/standin/state_limits.go
+++ b/internal/standin/state_limits.go
@@ -21,27 +21,27 @@
 	Requests, Refused, Writes, Invalid int
 }
 
-// tokens is a token bucket whose burst is one second of its rate.
-type tokens struct {
-	rate, have float64
-	at         loop.Micros
+// tokenBucket is a token bucket whose burst is one second of its rate.
+type tokenBucket struct {
+	rate, available float64
+	at              loop.Micros
 }
 
 // take refills the bucket up to now and removes n tokens. It reports false, and removes none, if there are fewer.
-func (b *tokens) take(n float64, now loop.Micros) bool {
-	b.have = min(b.have+float64(now-b.at)/1e6*b.rate, b.rate)
+func (b *tokenBucket) take(n float64, now loop.Micros) bool {
+	b.available = min(b.available+float64(now-b.at)/1e6*b.rate, b.rate)
 	b.at = now
-	if b.have < n {
+	if b.available < n {
 		return false
 	}
-	b.have -= n
+	b.available -= n
 	return true
 }
 
 // limiter is the limits with the state of their token buckets.
 type limiter struct {
 	Limits
-	requests, writes tokens
+	requests, writes tokenBucket
 }
 
 // SetLimits sets the limits for the requests from now on; nil removes them.
@@ -52,7 +52,7 @@
 		s.limits = nil
 		return
 	}
-	s.limits = &limiter{*l, tokens{l.RPS, l.RPS, s.now()}, tokens{l.WriteRPS, l.WriteRPS, s.now()}}
+	s.limits = &limiter{*l, tokenBucket{l.RPS, l.RPS, s.now()}, tokenBucket{l.WriteRPS, l.WriteRPS, s.now()}}
 }
 
 // Counts returns the counts of requests so far.
--- a/internal/standin/stepped.go
+++ b/internal/standin/stepped.go
@@ -5,50 +5,50 @@
 // Runner is a loop.Runner whose time only moves when the test advances it. Functions that are due run during
 // the advance, on the test's goroutine, in order of time and then of registration.
 type Runner struct {
-	now  loop.Micros
-	todo []due
+	now    loop.Micros
+	timers []timer
 }
 
-// due is a function to be run at a time.
-type due struct {
-	at loop.Micros
-	f  func()
+// timer is a function to be run at a time.
+type timer struct {
+	at  loop.Micros
+	run func()
 }
 
 // NewRunner returns a runner whose time is now.
 func NewRunner(now loop.Micros) *Runner { return &Runner{now: now} }
 
 // Now returns the time of the monotonic clock.
-func (s *Runner) Now() loop.Micros { return s.now }
+func (r *Runner) Now() loop.Micros { return r.now }
 
 // Wall returns the time of the wall clock, which equals the monotonic clock here.
-func (s *Runner) Wall() loop.Micros { return s.now }
+func (r *Runner) Wall() loop.Micros { return r.now }
 
 // Post runs f at the present time, as soon as the test advances it.
-func (s *Runner) Post(f func()) { s.After(0, f) }
+func (r *Runner) Post(f func()) { r.After(0, f) }
 
 // Go runs f, which stands for blocking work, one microsecond later.
-func (s *Runner) Go(f func()) { s.After(1, f) }
+func (r *Runner) Go(f func()) { r.After(1, f) }
 
 // After runs f after d.
-func (s *Runner) After(d loop.Micros, f func()) { s.todo = append(s.todo, due{s.now + d, f}) }
+func (r *Runner) After(d loop.Micros, f func()) { r.timers = append(r.timers, timer{r.now + d, f}) }
 
 // Advance advances the time by d and runs the functions that become due, in order of time.
-func (s *Runner) Advance(d loop.Micros) {
-	for end := s.now + d; ; {
+func (r *Runner) Advance(d loop.Micros) {
+	for end := r.now + d; ; {
 		first := -1
-		for i, x := range s.todo {
-			if x.at <= end && (first < 0 || x.at < s.todo[first].at) {
+		for i, t := range r.timers {
+			if t.at <= end && (first < 0 || t.at < r.timers[first].at) {
 				first = i
 			}
 		}
 		if first < 0 {
-			s.now = end
+			r.now = end
 			return
 		}
-		x := s.todo[first]
-		s.todo = append(s.todo[:first], s.todo[first+1:]...)
-		s.now = max(s.now, x.at)
-		x.f()
+		t := r.timers[first]
+		r.timers = append(r.timers[:first], r.timers[first+1:]...)
+		r.now = max(r.now, t.at)
+		t.run()
 	}
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -14,19 +14,19 @@
 	Run            loop.Micros // how long the first task runs
 	Tasks          int
 	Broken         bool        // fails on every machine
-	FailsEvery          int         // of a broken job, only the tasks whose index is a multiple of this fail; 0: all fail
+	FailsEvery     int         // of a broken job, only the tasks whose index is a multiple of this fail; 0: all fail
 	FailsAfter     loop.Micros // run time of a task that fails
-	RunIncrement          loop.Micros // how much longer each task runs than the one before it
+	RunIncrement   loop.Micros // how much longer each task runs than the one before it
 }
 
-// takes returns how long a task runs.
-func (j *Job) takes(task string) loop.Micros {
-	return j.Run + loop.Micros(number(task))*j.RunIncrement
+// duration returns how long a task runs.
+func (j *Job) duration(task string) loop.Micros {
+	return j.Run + loop.Micros(taskIndex(task))*j.RunIncrement
 }
 
 // fails reports whether the task fails on every machine.
 func (j *Job) fails(task string) bool {
-	return j.Broken && (j.FailsEvery == 0 || number(task)%j.FailsEvery == 0)
+	return j.Broken && (j.FailsEvery == 0 || taskIndex(task)%j.FailsEvery == 0)
 }
 
 // workerTask is an attempt of a task on the machine. Exited attempts stay until a forget command arrives.
@@ -59,22 +59,22 @@
 	// attempt. The worker no longer knows the attempt and starts it again. It may be nil.
 	OnForgottenStart func(task string, attempt uint64)
 
-	// forgotten are the attempts that forget commands removed in this session; kept only if Revived is set.
+	// forgotten are the attempts that forget commands removed in this session; kept only if OnForgottenStart is set.
 	forgotten           map[attemptKey]struct{}
 	session, seq, token uint64
 	tasks               []*workerTask
-	held                loop.Micros // when the newest answered report was sent
+	lastAnswered        loop.Micros // when the newest answered report was sent
 	lease               loop.Micros
 }
 
 // NewWorker returns the worker of a machine that booted at now. If no report is answered for the duration of the
 // lease, the worker ends its tasks and begins a new session.
 func NewWorker(now, lease loop.Micros) *Worker {
-	return &Worker{session: 1, held: now, lease: lease}
+	return &Worker{session: 1, lastAnswered: now, lease: lease}
 }
 
-// end marks a task as exited, unless it already is.
-func (w *Worker) end(t *workerTask, why string) {
+// endTask marks a task as exited, unless it already is.
+func (w *Worker) endTask(t *workerTask, why string) {
 	if t.state == wire.TaskExited {
 		return
 	}
@@ -83,16 +83,16 @@
 }
 
 // LeaseExpired reports whether the lease expired, so that the next Tick ends all tasks.
-func (w *Worker) LeaseExpired(now loop.Micros) bool { return now-w.held > w.lease }
+func (w *Worker) LeaseExpired(now loop.Micros) bool { return now-w.lastAnswered > w.lease }
 
 // Tick updates the machine to the time now: an expired lease ends all tasks and the session, and tasks start to run,
 // finish or fail.
 func (w *Worker) Tick(now loop.Micros) {
 	if w.LeaseExpired(now) {
 		for _, t := range w.tasks {
-			w.end(t, "lease")
+			w.endTask(t, "lease")
 		}
-		w.tasks, w.held = nil, now
+		w.tasks, w.lastAnswered = nil, now
 		w.session++
 		w.seq = 0
 		w.forgotten = nil
@@ -102,8 +102,8 @@
 			continue
 		}
 		if t.state == wire.TaskFetching {
-			j, _ := w.Job(jobOf(t.task))
-			t.state, t.until = wire.TaskRunning, now+j.takes(t.task)
+			j, _ := w.Job(jobID(t.task))
+			t.state, t.until = wire.TaskRunning, now+j.duration(t.task)
 			if w.Faulty || j.fails(t.task) {
 				t.fails, t.until = true, now
 				if !w.Faulty {
@@ -115,21 +115,21 @@
 			}
 		}
 		if t.fails {
-			w.end(t, wire.WhyError)
+			w.endTask(t, wire.WhyError)
 			continue
 		}
-		w.end(t, wire.WhyDone)
+		w.endTask(t, wire.WhyDone)
 	}
 }
 
-// number returns the index of a task in its job.
-func number(task string) int {
-	no, _ := strconv.Atoi(task[len(jobOf(task))+1:])
+// taskIndex returns the index of a task in its job.
+func taskIndex(task string) int {
+	no, _ := strconv.Atoi(task[len(jobID(task))+1:])
 	return no
 }
 
-// jobOf returns the ID of a task's job.
-func jobOf(task string) string {
+// jobID returns the ID of a task's job.
+func jobID(task string) string {
 	for i := len(task) - 1; i >= 0; i-- {
 		if task[i] == '/' {
 			return task[:i]
@@ -141,7 +141,7 @@
 // Destroy ends all tasks, as the deletion of the machine does.
 func (w *Worker) Destroy() {
 	for _, t := range w.tasks {
-		w.end(t, "gone")
+		w.endTask(t, "gone")
 	}
 	w.tasks = nil
 }
@@ -150,7 +150,7 @@
 func (w *Worker) Restart(now loop.Micros) {
 	w.Destroy()
 	w.session++
-	w.seq, w.token, w.held = 0, 0, now
+	w.seq, w.token, w.lastAnswered = 0, 0, now
 	w.forgotten = nil
 }
 
@@ -161,7 +161,7 @@
 func (w *Worker) Token() uint64 { return w.token }
 
 // LastAnswered returns when the newest answered report was sent.
-func (w *Worker) LastAnswered() loop.Micros { return w.held }
+func (w *Worker) LastAnswered() loop.Micros { return w.lastAnswered }
 
 // Report returns the next report to send.
 func (w *Worker) Report() wire.Report {
@@ -180,7 +180,7 @@
 	if session != w.session || c.Token < w.token || now-sent > 4*loop.Second {
 		return
 	}
-	w.token, w.held = c.Token, sent
+	w.token, w.lastAnswered = c.Token, sent
 	w.run(now, c.Commands)
 }
 
@@ -216,7 +216,7 @@
 			}
 		case wire.OpStop:
 			if t != nil {
-				w.end(t, wire.WhyStopped)
+				w.endTask(t, wire.WhyStopped)
 			}
 		case wire.OpForget:
 			if t != nil && t.state == wire.TaskExited {
@@ -246,7 +246,7 @@
 	}
 	t := &workerTask{task: c.Task, attempt: c.Attempt, state: wire.TaskExited}
 	w.tasks = append(w.tasks, t)
-	j, ok := w.Job(jobOf(c.Task))
+	j, ok := w.Job(jobID(c.Task))
 	if !ok {
 		t.why = wire.WhyUnknown
 		return
@@ -260,7 +260,7 @@
 			t.why = wire.WhyBusy
 			return
 		}
-		if o, ok := w.Job(jobOf(x.task)); ok {
+		if o, ok := w.Job(jobID(x.task)); ok {
 			cpus -= o.CPUs
 			mem -= o.MemoryGB
 		}
