--- a/internal/scale/controllers.go
+++ b/internal/scale/controllers.go
@@ -16,29 +16,30 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// controller is a controller's process, begun anew after each end.
+// controller is a controller that can be started and killed several times. At most one process of it runs at a time.
 type controller struct {
 	label    string
-	users    string // where it takes requests
-	peers    string
-	settings string
+	users    string // address for users and workers
+	peers    string // address for other controllers
+	settings string // path of the settings file
 	logFile  *os.File
 
 	mu      sync.Mutex
 	process *exec.Cmd
-	ended   chan struct{}
-	ends    int // ends that nobody asked for
+	ended   chan struct{} // closed when the process has exited
+	ends    int           // exits that the load run did not cause
 	used    Usage
 }
 
-// Usage is what processes have used.
+// Usage is the resources that the processes of a controller used.
 type Usage struct {
 	CPUSeconds float64
 	PeakMB     float64
-	ReadBytes  int64 // by system calls, sockets included
-	WroteBytes int64
+	ReadBytes  int64 // by system calls, including on sockets
+	WroteBytes int64 // likewise
 }
 
+// freeAddress returns a loopback address whose port is free at present.
 func freeAddress() (string, error) {
 	ln, err := listen()
 	if err != nil {
@@ -48,7 +49,7 @@
 	return ln.Addr().String(), nil
 }
 
-// newControllers prepares so many controllers; begin starts each.
+// newControllers prepares the controllers of a run and writes their settings to dir. It does not start them.
 func newControllers(s *Settings, dir, state, cloud string) ([]*controller, error) {
 	var all []*controller
 	for i := range s.Controllers {
@@ -78,7 +79,7 @@
 	return all, nil
 }
 
-// begin starts the process unless it runs.
+// begin starts a process of the given binary, unless one is running.
 func (c *controller) begin(binary string) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// wait takes in that the process has ended.
+// wait waits for the process to exit and counts the exit as unexpected unless kill caused it.
 func (c *controller) wait(p *exec.Cmd, ended chan struct{}) {
 	p.Wait()
 	c.mu.Lock()
@@ -108,7 +109,7 @@
 	close(ended)
 }
 
-// kill ends the process at once and waits until it is gone.
+// kill kills the process, waits for its exit and adds up the processor time that it used.
 func (c *controller) kill() {
 	c.measure()
 	c.mu.Lock()
@@ -127,7 +128,7 @@
 	}
 }
 
-// measure takes in what the running process shows of itself.
+// measure updates the usage from the files of the running process in /proc.
 func (c *controller) measure() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,7 +144,7 @@
 	}
 }
 
-// field reads the number behind a name in one of the process's files.
+// field returns the number that follows a name at the start of a line of a /proc file, or 0.
 func field(file []byte, name string) int64 {
 	for line := range bytes.Lines(file) {
 		if rest, ok := strings.CutPrefix(string(line), name); ok {
@@ -154,12 +155,12 @@
 	return 0
 }
 
-// answers tells whether the controller takes requests within a time.
+// answers waits until the controller accepts connections, and returns an error if it does not within the given time.
 func (c *controller) answers(within time.Duration) error {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if conn, err := net.DialTimeout("tcp4", c.users, time.Second); err == nil {
 			return conn.Close()
 		}
 	}
-	return errors.New(c.label + " takes no connections")
+	return errors.New(c.label + " does not accept connections")
 }
--- a/internal/scale/platform.go
+++ b/internal/scale/platform.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	limitFactor   = 4.0 // a team's limit beside its guarantee
-	leastJobs     = 3.0 // average jobs that each team's limit has room for
-	guaranteed    = 0.6 // of all CPUs, by all teams
+	limitFactor   = 4.0 // ratio of a team's limit to its guarantee
+	leastJobs     = 3.0 // a team's limit is at least the CPUs of this many average jobs
+	guaranteed    = 0.6 // share of all CPUs that is guaranteed to the teams
 	maxSockets    = 8000
 	clockOffMS    = 50
 	listLagS      = 2.0
-	coresOfOne    = 1.0
+	coresOfOne    = 1.0 // core limit in each controller's settings
 	teamNameWidth = 3
 )
 
-// teamName names a team by its number.
+// teamName returns the name of a team.
 func teamName(i int) string { return fmt.Sprintf("team-%0*d", teamNameWidth, i) }
 
-// teamParts are the teams' parts of all work.
+// teamParts returns the teams' shares of all work. They fall with the team's number by a power law, whose
+// exponent is the skew in the settings, and add up to 1.
 func teamParts(s *Settings) []float64 {
 	parts, sum := make([]float64, s.Teams), 0.0
 	for i := range parts {
@@ -34,7 +35,7 @@
 	return parts
 }
 
-// platformSettings are the settings file of one of the controllers.
+// platformSettings returns the contents of the settings file of the controller with index self.
 func platformSettings(s *Settings, all []*controller, self int, state, cloud string) config.Platform {
 	var p config.Platform
 	p.Label, p.Site = all[self].label, zoneName(self%s.Zones)
--- a/internal/scale/referee.go
+++ b/internal/scale/referee.go
@@ -11,48 +11,50 @@
 )
 
 const (
-	longestStart = 600_000 // ms
-	digits       = 3
-	mostBreaks   = 20 // broken rules that are kept word for word
+	longestStart = 600_000 // ms; longer times to start are recorded as this
+	digits       = 3       // significant digits of the histograms
+	mostBreaks   = 20      // violations whose text is kept
 )
 
-// jobState is what the users and machines know of a job.
+// jobState is what the simulated users and workers have observed of a job.
 type jobState struct {
 	spec      jobSpec
 	submitted time.Time
 	accepted  time.Time
-	cancelled time.Time // when its user was told so
+	cancelled time.Time // when its user was first told that it is cancelled
 	done      bool
-	started   map[int]bool
+	started   map[int]bool // by index of the task
 }
 
-// referee judges by the rules that can be seen from outside, and measures starts.
+// referee checks the invariants that are observable to users and workers, independently of the controllers, and
+// measures the times to start. Its methods may be called from any goroutine.
 type referee struct {
-	cancelWithin time.Duration
-	timedFrom    time.Time // jobs submitted before are not timed
+	cancelWithin time.Duration // how long after its cancellation a job's tasks may still run
+	timedFrom    time.Time     // the tasks of jobs submitted earlier are not timed
 
 	mu       sync.Mutex
 	jobs     map[string]*jobState
-	on       map[string]string // task: machine
-	starts   map[int64]int     // by second
-	total    int
+	on       map[string]string // machine of each running task
+	starts   map[int64]int     // by Unix second
+	total    int               // starts
 	running  int
-	most     int
+	most     int                     // the most tasks that ran at a time
 	urgent   *hdrhistogram.Histogram // ms from submission to start
 	other    *hdrhistogram.Histogram
-	broken   []string
-	breaks   int
-	accepted int
-	polls    int
-	unknown  int // polls of accepted jobs that were not answered 200
+	broken   []string // texts of the first violations
+	breaks   int      // number of violations
+	accepted int      // jobs
+	polls    int      // of accepted jobs
+	unknown  int      // polls that were not answered 200
 }
 
+// newReferee returns a checker that allows tasks to run for cancelWithin after the cancellation of their job.
 func newReferee(cancelWithin time.Duration) *referee {
 	return &referee{cancelWithin: cancelWithin, jobs: map[string]*jobState{}, on: map[string]string{}, starts: map[int64]int{},
 		urgent: hdrhistogram.New(1, longestStart, digits), other: hdrhistogram.New(1, longestStart, digits)}
 }
 
-// violated takes in a broken rule; the lock is held.
+// violated records a violation. The text begins with the name of the rule. The caller holds the lock.
 func (r *referee) violated(format string, args ...any) {
 	r.breaks++
 	if len(r.broken) < mostBreaks {
@@ -60,12 +62,13 @@
 	}
 }
 
-// began takes in that a task is on a machine.
+// began records that a task started on a machine. It checks that the task runs on no other machine, that its job was
+// submitted and that the job was not cancelled too long ago.
 func (r *referee) began(task, machine string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if was, ok := r.on[task]; ok && was != machine {
-		r.violated("ran_twice: %s begins on %s while it is on %s", task, machine, was)
+		r.violated("ran_twice: %s started on %s while it runs on %s", task, machine, was)
 	}
 	r.on[task] = machine
 	r.total++
@@ -75,11 +78,11 @@
 	id, index, _ := agent.SplitTask(task)
 	j := r.jobs[id]
 	if j == nil {
-		r.violated("invented: %s begins, and nobody submitted its job", task)
+		r.violated("invented: %s started, but its job was never submitted", task)
 		return
 	}
 	if !j.cancelled.IsZero() && now.Sub(j.cancelled) > r.cancelWithin {
-		r.violated("ran_cancelled: %s begins %v after its cancellation", task, now.Sub(j.cancelled))
+		r.violated("ran_cancelled: %s started %v after the cancellation of its job", task, now.Sub(j.cancelled))
 	}
 	if j.started[index] {
 		return
@@ -96,7 +99,7 @@
 	}
 }
 
-// left takes in that a task is off its machine.
+// left records that a task ended on a machine.
 func (r *referee) left(task, machine string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,14 +109,14 @@
 	r.running--
 }
 
-// submitting takes in that a job's user asks for the first time.
+// submitting records that a user is about to submit a job for the first time.
 func (r *referee) submitting(spec jobSpec, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.jobs[spec.id] = &jobState{spec: spec, submitted: now, started: map[int]bool{}}
 }
 
-// job is what a worker fetches of a job by itself.
+// job returns the description of a submitted job, which simulated workers need to run its tasks.
 func (r *referee) job(id string) (jobSpec, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -124,13 +127,14 @@
 	return j.spec, true
 }
 
-// told takes in what a user was told of its job.
+// told records a controller's answer to the user of a job. It checks that an accepted job stays known and that a
+// finished or cancelled job does not change its state again.
 func (r *referee) told(id string, status int, state string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.jobs[id]
 	if status == 404 && !j.accepted.IsZero() {
-		r.violated("forgotten: %s was accepted and is answered 404", id)
+		r.violated("forgotten: %s was accepted but is now answered with 404", id)
 	}
 	if status != 200 && status != 201 {
 		return
@@ -142,24 +146,24 @@
 	switch state {
 	case "withdrawn":
 		if j.done {
-			r.violated("went_back: %s was done and is withdrawn", id)
+			r.violated("went_back: %s was done but is now withdrawn", id)
 		}
 		if j.cancelled.IsZero() {
 			j.cancelled = now
 		}
 	case "done":
 		if !j.cancelled.IsZero() {
-			r.violated("went_back: %s was withdrawn and is done", id)
+			r.violated("went_back: %s was withdrawn but is now done", id)
 		}
 		j.done = true
 	default:
 		if j.done || !j.cancelled.IsZero() {
-			r.violated("went_back: %s was over and is %s", id, state)
+			r.violated("went_back: %s was done or withdrawn but is now %s", id, state)
 		}
 	}
 }
 
-// polled counts the answer to a poll of an accepted job.
+// polled counts the answer to a poll of an accepted job. The status is 0 if there was no answer.
 func (r *referee) polled(status int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -169,14 +173,14 @@
 	}
 }
 
-// stillCancelled counts tasks of cancelled jobs that are on machines for too long.
+// stillCancelled records a violation for each task that still runs too long after the cancellation of its job.
 func (r *referee) stillCancelled(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for task, machine := range r.on {
 		id, _, _ := agent.SplitTask(task)
 		if j := r.jobs[id]; j != nil && !j.cancelled.IsZero() && now.Sub(j.cancelled) > r.cancelWithin {
-			r.violated("ran_cancelled: %s is on %s %v after its cancellation", task, machine, now.Sub(j.cancelled))
+			r.violated("ran_cancelled: %s still runs on %s %v after the cancellation of its job", task, machine, now.Sub(j.cancelled))
 		}
 	}
 }
--- a/internal/scale/referee_test.go
+++ b/internal/scale/referee_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Each rule that can be seen from outside is broken on purpose, and seen.
+// Guards against a checker that misses a violation or reports one in a correct run: each rule that is observable
+// to users and workers is violated once and must be reported once, and a correct run must pass.
 func TestRefereeSeesBrokenRules(t *testing.T) {
 	at := time.Unix(1000, 0)
 	later := func(s int) time.Time { return at.Add(time.Duration(s) * time.Second) }
@@ -60,17 +61,18 @@
 		c.do(r)
 		if c.rule == "" {
 			if r.breaks != 0 {
-				t.Errorf("a run that breaks nothing: %q", r.broken)
+				t.Errorf("correct run: got violations %q, want none", r.broken)
 			}
 			continue
 		}
 		if r.breaks != 1 || !strings.HasPrefix(r.broken[0], c.rule+":") {
-			t.Errorf("%s: %d broken rules, %q", c.rule, r.breaks, r.broken)
+			t.Errorf("%s: got %d violations %q, want one of this rule", c.rule, r.breaks, r.broken)
 		}
 	}
 }
 
-// Starts are measured once for each task, from the submission.
+// Guards against wrong times to start: a task is timed from the submission of its job to its first start only, even if
+// it is started again later. The peak rate is the highest average over consecutive seconds.
 func TestStartsAreMeasured(t *testing.T) {
 	r := newReferee(time.Minute)
 	at := time.Unix(1000, 0)
@@ -80,14 +82,15 @@
 		r.left("job-000001/0", "a")
 	}
 	if r.urgent.TotalCount() != 1 || r.urgent.Max() < 1490 || r.urgent.Max() > 1510 || r.total != 2 || r.running != 0 {
-		t.Errorf("%d measured, at most %d ms; %d starts, %d running", r.urgent.TotalCount(), r.urgent.Max(), r.total, r.running)
+		t.Errorf("got %d timed tasks with at most %d ms, %d starts, %d running; want 1 with about 1500 ms, 2 starts, 0 running", r.urgent.TotalCount(), r.urgent.Max(), r.total, r.running)
 	}
 	if p := peakOver(map[int64]int{1: 10, 2: 30, 5: 25}, 2); p != 20 {
-		t.Errorf("the best two seconds have %v starts a second, want 20", p)
+		t.Errorf("peak rate over two seconds: got %v starts per second, want 20", p)
 	}
 }
 
-// Settings that cannot be played are named, all of them.
+// Guards against invalid settings that pass the check or hide behind the first one found: each invalid setting is
+// named in the error, and the settings files of the repository are valid.
 func TestSettingsAreChecked(t *testing.T) {
 	for _, file := range []string{"small", "target"} {
 		if _, err := Load("../../deploy/scale/" + file + ".toml"); err != nil {
@@ -98,7 +101,7 @@
 	err := s.check()
 	for _, name := range []string{"duration_s", "controllers", "machines", "load.tasks", "state.txn_ops", "workers.cancel_s", "binary", "faults[0].kind", "faults[1].zone", "earlier_binary"} {
 		if err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("nothing is said of %s: %v", name, err)
+			t.Errorf("error does not name %s: %v", name, err)
 		}
 	}
 }
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -15,18 +15,19 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Latency is the distribution of times, in milliseconds.
+// Latency summarizes a distribution of times in milliseconds.
 type Latency struct {
 	Count         int64
 	P50, P95, P99 int64
 	Max           int64
 }
 
+// latency summarizes a histogram.
 func latency(h *hdrhistogram.Histogram) Latency {
 	return Latency{h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(95), h.ValueAtQuantile(99), h.Max()}
 }
 
-// Role is what a role was sent and answered.
+// Role summarizes the requests to one service and its answers, in bytes of bodies. BytesIn counts the requests.
 type Role struct {
 	Requests  int64
 	PerSecond float64
@@ -34,20 +35,20 @@
 	BytesOut  int64
 }
 
-// ControllerUsage is what one controller has used.
+// ControllerUsage is the resources that one controller used.
 type ControllerUsage struct {
 	Label string
 	Usage
 	Cores float64 // on average
-	Ends  int     // ends that nobody asked for
+	Ends  int     // exits that the load run did not cause
 }
 
-// Report is what a run measured.
+// Report is the measurements of a load run.
 type Report struct {
 	Seconds                                     float64
 	Starts                                      int
 	StartsPerSecond                             float64
-	PeakStarts10s                               float64 // a second, over the best ten seconds
+	PeakStarts10s                               float64 // per second, over the busiest ten seconds
 	MostRunning                                 int
 	Urgent, Other                               Latency
 	Jobs, Accepted                              int
@@ -58,19 +59,20 @@
 	State, Cloud, Reports, Commands, UserRole   Role
 	StateWrites, StateRefused, StateInvalid     int
 	ChangesPerStart, RequestsPerStart           float64
-	Partitions                                  int     // of the stored layout; 0: each team is one
-	PartitionSegments, TeamSegments             int     // of task logs, at the end
-	ReportBytesPerWorkerS, AnswerBytesPerWorker float64 // a second
+	Partitions                                  int     // of the stored layout; 0: each team is a partition
+	PartitionSegments, TeamSegments             int     // segments of task logs at the end
+	ReportBytesPerWorkerS, AnswerBytesPerWorker float64 // per second
 	Workers                                     int64
 	Controllers                                 []ControllerUsage
 	OwnCPUSeconds, OwnMB                        float64
 }
 
+// role summarizes the traffic of a service over the given number of seconds.
 func role(t *Traffic, seconds float64) Role {
 	return Role{t.Requests.Load(), float64(t.Requests.Load()) / seconds, t.BytesIn.Load(), t.BytesOut.Load()}
 }
 
-// peakOver is how many starts a second there were in the best seconds in a row.
+// peakOver returns the highest average of starts per second over the given number of consecutive seconds.
 func peakOver(starts map[int64]int, seconds int64) float64 {
 	best := 0
 	for at := range starts {
@@ -83,7 +85,7 @@
 	return float64(best) / float64(seconds)
 }
 
-// report gathers what was measured; everything still runs.
+// report collects the measurements while the services still run. It stops the controllers.
 func (r *run) report() *Report {
 	seconds := time.Since(r.began).Seconds()
 	counts := r.state.Counts()
@@ -123,7 +125,7 @@
 	return out
 }
 
-// usage ends the controllers and takes in what they used.
+// usage stops the controllers and adds their usage and that of this process to the report.
 func (out *Report) usage(all []*controller, seconds float64) {
 	for _, c := range all {
 		c.kill()
@@ -138,7 +140,7 @@
 	out.OwnMB = float64(mem.Sys) / (1 << 20)
 }
 
-// Print writes the report for people.
+// Print writes the report as text.
 func (out *Report) Print(w io.Writer) {
 	line := func(format string, args ...any) { fmt.Fprintf(w, format+"\n", args...) }
 	line("%.0f s, %d workers at the most, %d jobs, %d accepted", out.Seconds, out.Workers, out.Jobs, out.Accepted)
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -20,10 +20,10 @@
 	machineType   = "m"
 	readyWithin   = 30 * time.Second
 	measureEvery  = time.Second
-	memoryWarning = "the run uses more memory than it may"
+	memoryWarning = "load run stopped: controllers and load run use more memory than most_memory allows"
 )
 
-// run is all that a run has started.
+// run is a load run in progress, with everything that it started.
 type run struct {
 	settings    *Settings
 	began       time.Time
@@ -39,12 +39,14 @@
 	background  sync.WaitGroup
 	mu          sync.Mutex // guards err
 	err         error
-	// workerSeconds is how long all workers were up, and mostWorkers how many at a time.
+	// workerSeconds is the sum of the times that the workers were up, and mostWorkers the most that were up at a time.
 	workerSeconds float64
 	mostWorkers   int64
 }
 
-// Run plays the settings to their end, or until the context ends, and tells what it measured.
+// Run executes a load run for the duration in the settings, or until the context ends, and returns its measurements.
+// It returns an error, possibly beside the report, if the run could not start, stopped early for lack of memory, could
+// not restart a controller or found broken rules.
 func Run(ctx context.Context, s *Settings) (*Report, error) {
 	dir, err := os.MkdirTemp("", "scalerun-")
 	if err != nil {
@@ -72,12 +74,13 @@
 		return report, r.err
 	}
 	if report.BrokenRules > 0 {
-		return report, fmt.Errorf("%d broken rules", report.BrokenRules)
+		return report, fmt.Errorf("load run found %d broken rules", report.BrokenRules)
 	}
 	return report, nil
 }
 
-// start brings up the services and the controllers.
+// start starts the fake services, the simulated workers and users and the controllers, and waits until the
+// controllers accept connections.
 func (r *run) start(ctx context.Context, dir string) error {
 	s, clock := r.settings, loop.RealClock()
 	r.state = standin.NewStateService(clock.Now)
@@ -121,6 +124,7 @@
 	return nil
 }
 
+// serve starts a fake service on a loopback address and returns the address.
 func (r *run) serve(t *Traffic, do func(method, path string, body []byte) store.Response) (string, error) {
 	ln, err := listen()
 	if err != nil {
@@ -131,7 +135,7 @@
 	return ln.Addr().String(), nil
 }
 
-// fault lets something go wrong at its time.
+// fault injects a fault at its time and ends it after its duration.
 func (r *run) fault(ctx context.Context, f Fault) {
 	if !sleep(ctx, time.Duration(f.AtS*float64(time.Second))) {
 		return
@@ -163,7 +167,7 @@
 	}
 }
 
-// note keeps the first error of what runs beside.
+// note records an error of a background goroutine, unless there was one before or err is nil.
 func (r *run) note(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -172,7 +176,8 @@
 	}
 }
 
-// watch measures the processes until the run ends, and ends it where it takes too much memory.
+// watch measures the processes and checks invariants periodically until the run ends. It stops the run if the
+// processes use too much memory.
 func (r *run) watch(ctx context.Context, stop context.CancelFunc) {
 	for sleep(ctx, measureEvery) {
 		var own runtime.MemStats
@@ -195,7 +200,7 @@
 	}
 }
 
-// close ends everything that was started.
+// close stops the controllers, services and workers.
 func (r *run) close() {
 	for _, c := range r.controllers {
 		c.kill()
--- a/internal/scale/services.go
+++ b/internal/scale/services.go
@@ -14,20 +14,21 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Traffic is what a role was sent and answered, in requests and bytes of bodies.
+// Traffic counts the requests to one service and the bytes of the bodies of requests (in) and answers (out).
 type Traffic struct {
 	Requests atomic.Int64
 	BytesIn  atomic.Int64
 	BytesOut atomic.Int64
 }
 
+// count adds one request and its answer.
 func (t *Traffic) count(in, out int) {
 	t.Requests.Add(1)
 	t.BytesIn.Add(int64(in))
 	t.BytesOut.Add(int64(out))
 }
 
-// serveOn answers the requests of a listener until it is closed.
+// serveOn answers the HTTP requests of a listener by do until the listener is closed.
 func serveOn(ln net.Listener, t *Traffic, do func(method, path string, body []byte) store.Response) {
 	s := &fasthttp.Server{NoDefaultServerHeader: true, NoDefaultDate: true, Handler: func(ctx *fasthttp.RequestCtx) {
 		body := append([]byte(nil), ctx.PostBody()...)
@@ -36,13 +37,14 @@
 		ctx.SetBody(r.Body)
 		t.count(len(body), len(r.Body))
 	}}
-	s.Serve(ln) // it ends when the listener is closed
+	s.Serve(ln) // returns when the listener is closed
 }
 
+// listen opens a listener on a free loopback port.
 func listen() (net.Listener, error) { return net.Listen("tcp4", "127.0.0.1:0") }
 
-// stateRequest answers a request to the state service; watches stay open until something
-// changes or their time is up.
+// stateRequest answers a request to the state service. A watch stays open until there is an event for it or its
+// time is over.
 func stateRequest(s *standin.StateService, method, path string, body []byte) store.Response {
 	wait := watchTime(path)
 	if wait == 0 {
@@ -64,7 +66,7 @@
 	return r
 }
 
-// watchTime is for how long a request may wait; 0 where it is no watch.
+// watchTime returns for how long a watch may stay open, or 0 if the request is not a watch.
 func watchTime(path string) time.Duration {
 	u, err := url.Parse(path)
 	if err != nil || u.Path != "/changes" {
@@ -74,6 +76,7 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
+// noEvents reports whether the answer to a watch has no events.
 func noEvents(body []byte) bool {
 	var e wire.Events
 	return wire.Unmarshal(body, &e) == nil && len(e.Events) == 0
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -1,9 +1,10 @@
-// Package scale runs real controllers as processes beside stand-ins of everything else, on
-// loopback: thousands of hollow workers that speak the real protocol and run no task, hollow
-// users, a state service and a cloud with the rates that they are given. It measures what
-// each role sends, takes and uses, and checks the rules that can be seen from outside.
+// Package scale executes load runs: it runs real controllers as processes and simulates everything else in its own
+// process, on loopback addresses. It simulates thousands of workers that speak the real protocol but run no tasks, users
+// that submit, poll and cancel jobs, and a state service and a cloud. The state service enforces the rate limits
+// in the settings. A run injects faults, measures the traffic and resource usage of each part, and checks the
+// invariants that are observable to users and workers.
 //
-// It is a tool of the repository and no part of the service. It ends everything it started.
+// It is a tool for developers and not part of the service. A run stops everything that it started.
 package scale
 
 import (
@@ -14,48 +15,48 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// FaultKind names what goes wrong.
+// FaultKind is a kind of injected fault.
 type FaultKind string
 
-// The kinds of faults.
+// The kinds of faults; for_s is the duration in the settings.
 const (
-	KillController FaultKind = "kill_controller" // one ends at once, and is back after for_s
-	SilenceZone    FaultKind = "silence_zone"    // the workers of a zone neither report nor answer for for_s
-	PauseState     FaultKind = "pause_state"     // the state service answers 503 for for_s
-	ReplaceAll     FaultKind = "replace_all"     // controllers of the earlier binary are replaced one after the other, every for_s
+	KillController FaultKind = "kill_controller" // the first controller is killed and restarted after for_s
+	SilenceZone    FaultKind = "silence_zone"    // for for_s, the workers of a zone neither report nor answer
+	PauseState     FaultKind = "pause_state"     // for for_s, the state service answers 503
+	ReplaceAll     FaultKind = "replace_all"     // controllers of the earlier binary are replaced one by one, for_s apart
 )
 
-// Fault is something that goes wrong at a time.
+// Fault is a fault and the time at which it begins, counted from when all controllers accept connections.
 type Fault struct {
 	AtS  float64   `toml:"at_s"`
 	ForS float64   `toml:"for_s"`
 	Kind FaultKind `toml:"kind"`
-	Zone int       `toml:"zone"`
+	Zone int       `toml:"zone"` // for SilenceZone: number of the zone, from 0
 }
 
-// Settings are the sizes, rates and faults of a run.
+// Settings are the settings of a load run: its size, load, limits and faults. Times are in seconds.
 type Settings struct {
 	Seed        uint64  `toml:"seed"`
 	DurationS   float64 `toml:"duration_s"`
-	WarmupS     float64 `toml:"warmup_s"` // starts of jobs submitted before are not timed
+	WarmupS     float64 `toml:"warmup_s"` // tasks of jobs submitted during the warm-up are not timed
 	Controllers int     `toml:"controllers"`
 	Teams       int     `toml:"teams"`
 	Machines    int     `toml:"machines"`
 	Zones       int     `toml:"zones"`
 	MachineCPUs float64 `toml:"machine_cpus"`
 	BootS       float64 `toml:"boot_s"`
-	// Binary is the controllers' program, and EarlierBinary the one that they begin with
-	// where one is named.
+	// Binary is the path of the controllers' program. If EarlierBinary is set, the controllers are first started from
+	// that path.
 	Binary        string `toml:"binary"`
 	EarlierBinary string `toml:"earlier_binary"`
 	Load          struct {
 		JobsPerS    float64 `toml:"jobs_per_s"`
-		Tasks       int     `toml:"tasks"` // of a job, on average
+		Tasks       int     `toml:"tasks"` // average number of tasks of a job
 		TaskCPUs    float64 `toml:"task_cpus"`
 		RunS        float64 `toml:"run_s"`
 		UrgentShare float64 `toml:"urgent_share"`
-		Cancelled   float64 `toml:"cancelled"` // part of the jobs that their users cancel
-		Skew        float64 `toml:"skew"`      // exponent of the teams' parts of the work
+		Cancelled   float64 `toml:"cancelled"` // share of the jobs that their users cancel
+		Skew        float64 `toml:"skew"`      // exponent of the power law of the teams' shares of the work; 0: equal shares
 		PollS       float64 `toml:"poll_s"`
 	} `toml:"load"`
 	Workers struct {
@@ -70,12 +71,12 @@
 		TxnOps   int     `toml:"txn_ops"`
 	} `toml:"state"`
 	CloudRPS   float64 `toml:"cloud_rps"`
-	MemoryMB   float64 `toml:"memory_mb"`   // of each controller, as it is told
-	MostMemory float64 `toml:"most_memory"` // GiB, of all that the run starts; beyond it the run ends
+	MemoryMB   float64 `toml:"memory_mb"`   // memory limit in each controller's settings
+	MostMemory float64 `toml:"most_memory"` // GiB, of the controllers and the load run together; the run stops if they use more
 	Faults     []Fault `toml:"faults"`
 }
 
-// Load reads and checks a settings file.
+// Load reads and checks a settings file. A missing most_memory is 11 GiB.
 func Load(file string) (*Settings, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -95,11 +96,12 @@
 	mostMemoryGiB   = 11.5
 )
 
+// check returns an error that names every invalid setting, or nil.
 func (s *Settings) check() error {
 	var faults []error
 	within := func(field string, v, least, most float64) {
 		if !(v >= least && v <= most) {
-			faults = append(faults, fmt.Errorf("%s: must lie between %v and %v, is %v", field, least, most, v))
+			faults = append(faults, fmt.Errorf("%s: must be between %v and %v, is %v", field, least, most, v))
 		}
 	}
 	within("duration_s", s.DurationS, 5, mostDurationS)
@@ -129,23 +131,23 @@
 	within("memory_mb", s.MemoryMB, 32, 4096)
 	within("most_memory", s.MostMemory, 0.1, mostMemoryGiB)
 	if s.Binary == "" {
-		faults = append(faults, errors.New("binary: is missing"))
+		faults = append(faults, errors.New("binary: must name the controllers' program, is empty"))
 	}
 	for i, f := range s.Faults {
 		switch f.Kind {
 		case KillController, SilenceZone, PauseState, ReplaceAll:
 		default:
-			faults = append(faults, fmt.Errorf("faults[%d].kind: no such fault: %q", i, f.Kind))
+			faults = append(faults, fmt.Errorf("faults[%d].kind: unknown kind %q; must be kill_controller, silence_zone, pause_state or replace_all", i, f.Kind))
 		}
 		if f.Zone < 0 || f.Zone >= max(s.Zones, 1) {
-			faults = append(faults, fmt.Errorf("faults[%d].zone: there is no zone %d", i, f.Zone))
+			faults = append(faults, fmt.Errorf("faults[%d].zone: must be from 0 to less than zones, is %d", i, f.Zone))
 		}
 		if f.Kind == ReplaceAll && s.EarlierBinary == "" {
-			faults = append(faults, fmt.Errorf("faults[%d]: earlier_binary is missing", i))
+			faults = append(faults, fmt.Errorf("faults[%d]: replace_all needs earlier_binary, which is empty", i))
 		}
 	}
 	return errors.Join(faults...)
 }
 
-// zoneName names a zone by its number.
+// zoneName returns the name of a zone.
 func zoneName(i int) string { return fmt.Sprintf("zone-%02d", i) }
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	userSockets  = 1000
+	userSockets  = 1000 // most connections to each controller
 	submitWithin = 5 * time.Second
 	pollWithin   = 2 * time.Second
 	userRetry    = time.Second
-	memoryPerCPU = 2.0
+	memoryPerCPU = 2.0 // GB
 	imageGB      = 0.5
-	images       = 20
+	images       = 20 // number of different images
 )
 
-// jobSpec is a job as its user asks for it.
+// jobSpec is the description of a job.
 type jobSpec struct {
 	id       string
 	team     string
@@ -34,7 +34,7 @@
 	image    string
 }
 
-// users submit, poll and cancel.
+// users are the simulated users. There is one user per job, who submits it, polls its state and perhaps cancels it.
 type users struct {
 	ctx      context.Context
 	settings *Settings
@@ -45,15 +45,16 @@
 	running  sync.WaitGroup
 
 	mu       sync.Mutex
-	statuses map[int]int
+	statuses map[int]int // answers by HTTP status; 0: no answer
 }
 
+// newUsers returns users that submit no jobs yet.
 func newUsers(ctx context.Context, s *Settings, r *referee, nodes []*controller) *users {
 	return &users{ctx: ctx, settings: s, referee: r, nodes: nodes, statuses: map[int]int{},
 		client: &fasthttp.Client{MaxConnsPerHost: userSockets, MaxIdleConnDuration: 10 * time.Second, NoDefaultUserAgentHeader: true, MaxIdemponentCallAttempts: 1}}
 }
 
-// arrive submits jobs at the settings' rate until the context ends.
+// arrive submits jobs at the rate in the settings, as a Poisson process, until the context ends.
 func (u *users) arrive(seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	parts := teamParts(u.settings)
@@ -71,7 +72,7 @@
 	}
 }
 
-// draw makes a job: its number of tasks lies between half and three halves of the average.
+// draw returns a random job. Its number of tasks and its run time are between 0.5 and 1.5 times their averages.
 func (u *users) draw(r *rand.Rand, parts []float64, no int) jobSpec {
 	l := &u.settings.Load
 	team, at := 0, r.Float64()
@@ -84,6 +85,7 @@
 		runS: l.RunS * (0.5 + r.Float64()), image: fmt.Sprintf("image-%02d", r.IntN(images))}
 }
 
+// work returns the submission of the job.
 func (s *jobSpec) work() wire.Work {
 	kind, priority, none, no, tasks, size := "batch", "standard", 0.0, false, int64(s.tasks), imageGB
 	if s.urgent {
@@ -94,7 +96,8 @@
 		MemoryGB: &s.memoryGB, Image: &s.image, ImageGB: &size, OneZone: &no, Spread: &no, Spot: &yes, EstimateS: &s.runS, CheckpntS: &none, SaveS: &none}
 }
 
-// follow is the life of a job's user.
+// follow acts as the user of a job: it submits the job, again after a failure other than 400 and 422, and then
+// polls it until it is done or cancelled. If cancelAfter is not 0, it requests the cancellation from then on.
 func (u *users) follow(spec jobSpec, cancelAfter time.Duration) {
 	u.referee.submitting(spec, time.Now())
 	body := wire.Marshal(spec.work())
@@ -121,7 +124,8 @@
 	}
 }
 
-// ask sends a request to any controller and hands its answer to the referee.
+// ask sends a request to a random controller and passes the answer to the invariant checker. The status is 0 if there
+// is no answer within the given time.
 func (u *users) ask(id, method, path string, body []byte, within time.Duration) (status int, state string) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
--- a/internal/scale/workers.go
+++ b/internal/scale/workers.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	workerPort    = 19000
+	workerPort    = 19000 // of every machine; their IP addresses differ
 	tickEvery     = 200 * time.Millisecond
-	changeGap     = 500 * time.Millisecond // between two reports that something changed
+	changeGap     = 500 * time.Millisecond // least time from a report to one that is sent because a task changed
 	answerWithin  = 4 * time.Second
-	retryNode     = time.Second
-	workerSockets = 4000
-	machineMemory = 256.0
+	retryNode     = time.Second // from a report without a usable answer to the next one
+	workerSockets = 4000        // most connections to each controller
+	machineMemory = 256.0       // GB
 )
 
-// workers are all hollow workers; they share this process.
+// workers are the simulated workers of all machines. They run in this process.
 type workers struct {
 	ctx      context.Context
 	settings *Settings
@@ -36,17 +36,17 @@
 	nodes    []*controller
 	client   *fasthttp.Client
 	running  sync.WaitGroup
-	reports  Traffic // as sent by the workers
-	commands Traffic // as answered by them
-	failed   atomic.Int64
-	alive    atomic.Int64
-	silent   []atomic.Bool // by zone
+	reports  Traffic       // as sent by the workers
+	commands Traffic       // as answered by them
+	failed   atomic.Int64  // workers that could not listen on their address
+	alive    atomic.Int64  // workers that report
+	silent   []atomic.Bool // by zone: whether its workers neither report nor answer
 
 	mu  sync.Mutex
-	all map[string]*hollowWorker
+	all map[string]*hollowWorker // by name of the machine
 }
 
-// hollowWorker is a machine that runs nothing, and speaks as if it did.
+// hollowWorker is the simulated worker of one machine. It speaks the real protocol but runs no tasks.
 type hollowWorker struct {
 	listed wire.Listed
 	zone   int
@@ -54,10 +54,11 @@
 	server net.Listener
 
 	mu      sync.Mutex
-	w       *standin.Worker
-	changed bool
+	w       *standin.Worker // nil until the machine has booted
+	changed bool            // a task started or ended since the last report
 }
 
+// newWorkers returns workers without any machine.
 func newWorkers(ctx context.Context, s *Settings, clock loop.Clock, r *referee) *workers {
 	return &workers{ctx: ctx, settings: s, clock: clock, referee: r, silent: make([]atomic.Bool, s.Zones), all: map[string]*hollowWorker{},
 		client: &fasthttp.Client{MaxConnsPerHost: workerSockets, MaxIdleConnDuration: time.Minute, NoDefaultUserAgentHeader: true,
@@ -65,14 +66,15 @@
 			RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false }}}
 }
 
-// address is a machine's address: each has one of its own in the loopback range.
+// address returns a machine's address. Each machine has its own IP address in the loopback range 127.0.0.0/8.
 func address(name string) string {
 	var no int
 	fmt.Sscanf(name, "n-%d", &no)
 	return fmt.Sprintf("127.%d.%d.%d:%d", 1+no/62500, no/250%250, 1+no%250, workerPort)
 }
 
-// up brings a machine up after its boot time.
+// up boots a rented machine. Its worker starts after a random boot time, which is
+// between 0.6 and 1.5 times the one in the settings.
 func (a *workers) up(m wire.Listed) {
 	ctx, stop := context.WithCancel(a.ctx)
 	w := &hollowWorker{listed: m, stop: stop}
@@ -88,7 +90,7 @@
 	})
 }
 
-// gone ends a machine with all that is on it.
+// gone deletes a machine and ends the tasks on it.
 func (a *workers) gone(name string) {
 	a.mu.Lock()
 	w := a.all[name]
@@ -108,7 +110,7 @@
 	}
 }
 
-// sleep waits; false: the context ended before.
+// sleep waits for d. It reports false if the context ended earlier.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -120,7 +122,7 @@
 	}
 }
 
-// begin makes the machine's worker and its listener.
+// begin opens the listener of a machine and starts its worker.
 func (a *workers) begin(ctx context.Context, w *hollowWorker) error {
 	ln, err := net.Listen("tcp4", w.listed.Addr)
 	if err != nil {
@@ -149,7 +151,8 @@
 	return nil
 }
 
-// work reports until the machine ends.
+// work runs the worker of a machine until the machine is deleted. It reports to one controller at a time,
+// periodically and soon after a task changed.
 func (a *workers) work(ctx context.Context, w *hollowWorker) {
 	if err := a.begin(ctx, w); err != nil {
 		a.failed.Add(1)
@@ -181,7 +184,8 @@
 	}
 }
 
-// nextNode is where a worker goes that was sent on or got no answer.
+// nextNode returns the index of the controller to which a worker reports next: the one named by a redirect, or else
+// the next in order.
 func (a *workers) nextNode(node int, to string) int {
 	for i, c := range a.nodes {
 		if c.label == to {
@@ -191,7 +195,8 @@
 	return (node + 1) % len(a.nodes)
 }
 
-// report sends one report and takes its answer in; to names the node to go to, if any.
+// report sends one report and applies the answer. If the controller redirects the worker, to is the label of the
+// controller to report to.
 func (a *workers) report(w *hollowWorker, c *controller) (to string, ok bool) {
 	if a.silent[w.zone].Load() {
 		return "", false
@@ -221,6 +226,7 @@
 	return "", true
 }
 
+// exchange sends an encoded report and returns the answer. The status is 0 if there is no answer in time.
 func (a *workers) exchange(addr string, body []byte) (status int, answer []byte) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -237,7 +243,8 @@
 	return resp.StatusCode(), answer
 }
 
-// command answers a direct command.
+// command answers a request to a worker: direct commands, or a GET for its report. In a silent zone, the request is
+// answered with 503 after a delay.
 func (a *workers) command(w *hollowWorker, method, path string, body []byte) store.Response {
 	if a.silent[w.zone].Load() {
 		time.Sleep(answerWithin)
@@ -256,7 +263,7 @@
 	return store.Response{Status: status, Body: wire.Marshal(report)}
 }
 
-// close ends all machines and waits for them.
+// close deletes all machines and waits until their goroutines have ended.
 func (a *workers) close() {
 	a.mu.Lock()
 	var names []string
