--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -27,8 +27,8 @@
 	return Latency{h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(95), h.ValueAtQuantile(99), h.Max()}
 }
 
-// Role summarizes the requests to one service and its answers, in bytes of bodies. BytesIn counts the requests.
-type Role struct {
+// TrafficSummary summarizes the requests to one service and its answers, in bytes of bodies. BytesIn counts the requests.
+type TrafficSummary struct {
 	Requests  int64
 	PerSecond float64
 	BytesIn   int64
@@ -56,7 +56,7 @@
 	UserStatuses                                map[string]int
 	BrokenRules                                 int
 	Broken                                      []string
-	State, Cloud, Reports, Commands, UserRole   Role
+	State, Cloud, Reports, Commands, UserRole   TrafficSummary
 	StateWrites, StateRefused, StateInvalid     int
 	ChangesPerStart, RequestsPerStart           float64
 	Partitions                                  int     // of the stored layout; 0: each team is a partition
@@ -68,8 +68,8 @@
 }
 
 // role summarizes the traffic of a service over the given number of seconds.
-func role(t *Traffic, seconds float64) Role {
-	return Role{t.Requests.Load(), float64(t.Requests.Load()) / seconds, t.BytesIn.Load(), t.BytesOut.Load()}
+func role(t *Traffic, seconds float64) TrafficSummary {
+	return TrafficSummary{t.Requests.Load(), float64(t.Requests.Load()) / seconds, t.BytesIn.Load(), t.BytesOut.Load()}
 }
 
 // peakOver returns the highest average of starts per second over the given number of consecutive seconds.
@@ -153,7 +153,7 @@
 	}
 	for _, x := range []struct {
 		name string
-		r    Role
+		r    TrafficSummary
 	}{{"state service", out.State}, {"cloud", out.Cloud}, {"reports", out.Reports}, {"direct commands", out.Commands}, {"users", out.UserRole}} {
 		line("%s: %d requests, %.1f a second, %d bytes in, %d out", x.name, x.r.Requests, x.r.PerSecond, x.r.BytesIn, x.r.BytesOut)
 	}
