--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -55,7 +55,7 @@
 		TaskCPUs    float64 `toml:"task_cpus"`
 		RunS        float64 `toml:"run_s"`
 		UrgentShare float64 `toml:"urgent_share"`
-		Cancelled   float64 `toml:"cancelled"` // share of the jobs that their users cancel
+		CancelledShare   float64 `toml:"cancelled"` // share of the jobs that their users cancel
 		Skew        float64 `toml:"skew"`      // exponent of the power law of the teams' shares of the work; 0: equal shares
 		PollS       float64 `toml:"poll_s"`
 	} `toml:"load"`
@@ -117,7 +117,7 @@
 	within("load.task_cpus", s.Load.TaskCPUs, 0.01, s.MachineCPUs)
 	within("load.run_s", s.Load.RunS, 0.1, 3600)
 	within("load.urgent_share", s.Load.UrgentShare, 0, 1)
-	within("load.cancelled", s.Load.Cancelled, 0, 1)
+	within("load.cancelled", s.Load.CancelledShare, 0, 1)
 	within("load.skew", s.Load.Skew, 0, 3)
 	within("load.poll_s", s.Load.PollS, 0.5, 60)
 	within("workers.report_s", s.Workers.ReportS, 0.5, 60)
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -65,7 +65,7 @@
 		}
 		spec := u.draw(r, parts, no)
 		cancelAfter := time.Duration(0)
-		if r.Float64() < u.settings.Load.Cancelled {
+		if r.Float64() < u.settings.Load.CancelledShare {
 			cancelAfter = time.Duration((1 + 2*r.Float64()*u.settings.Load.RunS) * float64(time.Second))
 		}
 		u.running.Go(func() { u.follow(spec, cancelAfter) })
