--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -189,7 +189,7 @@
 			all += c.used.PeakMB
 			c.mu.Unlock()
 		}
-		if all > r.settings.MostMemory*1024 {
+		if all > r.settings.MaxMemoryGiB*1024 {
 			r.note(errors.New(memoryWarning))
 			stop()
 		}
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -72,7 +72,7 @@
 	} `toml:"state"`
 	CloudRPS   float64 `toml:"cloud_rps"`
 	MemoryMB   float64 `toml:"memory_mb"`   // memory limit in each controller's settings
-	MostMemory float64 `toml:"most_memory"` // GiB, of the controllers and the load run together; the run stops if they use more
+	MaxMemoryGiB float64 `toml:"most_memory"` // GiB, of the controllers and the load run together; the run stops if they use more
 	Faults     []Fault `toml:"faults"`
 }
 
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	s := &Settings{MostMemory: 11}
+	s := &Settings{MaxMemoryGiB: 11}
 	if err := toml.Unmarshal(raw, s); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
@@ -129,7 +129,7 @@
 	within("state.txn_ops", float64(s.State.TxnOps), 5, 1000)
 	within("cloud_rps", s.CloudRPS, 0.1, 1000)
 	within("memory_mb", s.MemoryMB, 32, 4096)
-	within("most_memory", s.MostMemory, 0.1, mostMemoryGiB)
+	within("most_memory", s.MaxMemoryGiB, 0.1, mostMemoryGiB)
 	if s.Binary == "" {
 		faults = append(faults, errors.New("binary: must name the controllers' program, is empty"))
 	}
