--- a/internal/scale/platform.go
+++ b/internal/scale/platform.go
@@ -60,6 +60,6 @@
 	c.State.RPS, c.State.WriteRPS = s.State.RPS, s.State.WriteRPS
 	c.State.ValueKB, c.State.TxnOps = float64(s.State.ValueKB), s.State.TxnOps
 	c.Cloud.RPS, c.Cloud.ListLagS = s.CloudRPS, listLagS
-	c.Limits.Cores, c.Limits.RAMMB, c.Limits.MaxSockets = coresOfOne, s.MemoryMB, maxSockets
+	c.Limits.Cores, c.Limits.RAMMB, c.Limits.MaxSockets = coresOfOne, s.ControllerMemoryMB, maxSockets
 	return p
 }
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -71,7 +71,7 @@
 		TxnOps   int     `toml:"txn_ops"`
 	} `toml:"state"`
 	CloudRPS   float64 `toml:"cloud_rps"`
-	MemoryMB   float64 `toml:"memory_mb"`   // memory limit in each controller's settings
+	ControllerMemoryMB   float64 `toml:"memory_mb"`   // memory limit in each controller's settings
 	MaxMemoryGiB float64 `toml:"most_memory"` // GiB, of the controllers and the load run together; the run stops if they use more
 	Faults     []Fault `toml:"faults"`
 }
@@ -128,7 +128,7 @@
 	within("state.value_kb", float64(s.State.ValueKB), 2, 1024)
 	within("state.txn_ops", float64(s.State.TxnOps), 5, 1000)
 	within("cloud_rps", s.CloudRPS, 0.1, 1000)
-	within("memory_mb", s.MemoryMB, 32, 4096)
+	within("memory_mb", s.ControllerMemoryMB, 32, 4096)
 	within("most_memory", s.MaxMemoryGiB, 0.1, mostMemoryGiB)
 	if s.Binary == "" {
 		faults = append(faults, errors.New("binary: must name the controllers' program, is empty"))
