--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -50,14 +50,14 @@
 	Binary        string `toml:"binary"`
 	EarlierBinary string `toml:"earlier_binary"`
 	Load          struct {
-		JobsPerS    float64 `toml:"jobs_per_s"`
-		Tasks       int     `toml:"tasks"` // average number of tasks of a job
-		TaskCPUs    float64 `toml:"task_cpus"`
-		RunS        float64 `toml:"run_s"`
-		UrgentShare float64 `toml:"urgent_share"`
-		CancelledShare   float64 `toml:"cancelled"` // share of the jobs that their users cancel
-		Skew        float64 `toml:"skew"`      // exponent of the power law of the teams' shares of the work; 0: equal shares
-		PollS       float64 `toml:"poll_s"`
+		JobsPerS       float64 `toml:"jobs_per_s"`
+		Tasks          int     `toml:"tasks"` // average number of tasks of a job
+		TaskCPUs       float64 `toml:"task_cpus"`
+		RunS           float64 `toml:"run_s"`
+		UrgentShare    float64 `toml:"urgent_share"`
+		CancelledShare float64 `toml:"cancelled"` // share of the jobs that their users cancel
+		Skew           float64 `toml:"skew"`      // exponent of the power law of the teams' shares of the work; 0: equal shares
+		PollS          float64 `toml:"poll_s"`
 	} `toml:"load"`
 	Workers struct {
 		ReportS float64 `toml:"report_s"`
@@ -70,10 +70,10 @@
 		ValueKB  int     `toml:"value_kb"`
 		TxnOps   int     `toml:"txn_ops"`
 	} `toml:"state"`
-	CloudRPS   float64 `toml:"cloud_rps"`
-	ControllerMemoryMB   float64 `toml:"memory_mb"`   // memory limit in each controller's settings
-	MaxMemoryGiB float64 `toml:"most_memory"` // GiB, of the controllers and the load run together; the run stops if they use more
-	Faults     []Fault `toml:"faults"`
+	CloudRPS           float64 `toml:"cloud_rps"`
+	ControllerMemoryMB float64 `toml:"memory_mb"`   // memory limit in each controller's settings
+	MaxMemoryGiB       float64 `toml:"most_memory"` // GiB, of the controllers and the load run together; the run stops if they use more
+	Faults             []Fault `toml:"faults"`
 }
 
 // Load reads and checks a settings file. A missing most_memory is 11 GiB.
@@ -131,7 +131,7 @@
 	within("memory_mb", s.ControllerMemoryMB, 32, 4096)
 	within("most_memory", s.MaxMemoryGiB, 0.1, mostMemoryGiB)
 	if s.Binary == "" {
-		faults = append(faults, errors.New("binary: must name the controllers' program, is empty"))
+		faults = append(faults, errors.New("binary: must name a program, is empty"))
 	}
 	for i, f := range s.Faults {
 		switch f.Kind {
