--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -27,8 +27,8 @@
 // testAPI is the API of one controller with a fake state service. A goroutine advances the simulated time after each
 // request, so that no test waits for a real clock.
 type testAPI struct {
-	*standin.Stepped
-	state *standin.State
+	*standin.Runner
+	state *standin.StateService
 	keys  map[string]string
 	http  *fasthttp.Client
 	api   *API
@@ -37,15 +37,15 @@
 // postingRunner is a runner that passes functions posted by the HTTP server's goroutines to the goroutine that advances
 // the time.
 type postingRunner struct {
-	*standin.Stepped
+	*standin.Runner
 	posted chan func()
 }
 
 func (p *postingRunner) Post(f func()) { p.posted <- f }
 
 func newTestAPI(t testing.TB) *testAPI {
-	g := &testAPI{Stepped: standin.NewStepped(1000 * loop.Second), keys: map[string]string{}}
-	p := &postingRunner{g.Stepped, make(chan func(), 256)}
+	g := &testAPI{Runner: standin.NewRunner(1000 * loop.Second), keys: map[string]string{}}
+	p := &postingRunner{g.Runner, make(chan func(), 256)}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	cfg := &config.Config{Operator: config.Defaults()}
 	cfg.Cluster.Teams = []config.Team{{Name: "red", CPUs: 8, CPUsMax: 32}}
@@ -55,13 +55,13 @@
 		g.keys[role] = token
 		cfg.Operator.API.Keys = append(cfg.Operator.API.Keys, k)
 	}
-	g.state = standin.NewState(func() loop.Micros { return g.Now() })
-	c := store.NewClient(g.Stepped, g.state, log, 1e5, 1e5, 1)
+	g.state = standin.NewStateService(func() loop.Micros { return g.Now() })
+	c := store.NewClient(g.Runner, g.state, log, 1e5, 1e5, 1)
 	m := store.NewMirror(c, g.state, "c/")
-	jobs := job.NewRegistry(g.Stepped, c, m, log)
-	cordons := cordon.NewRegistry(g.Stepped, c, m, log, 0)
+	jobs := job.NewRegistry(g.Runner, c, m, log)
+	cordons := cordon.NewRegistry(g.Runner, c, m, log, 0)
 	meter := metric.New()
-	explanations := explain.NewService(g.Stepped, explain.Dependencies{
+	explanations := explain.NewService(g.Runner, explain.Dependencies{
 		Label: "a", Poll: jobs.Poll, Job: jobs.Get,
 		Owner: func(string) string { return "" }, Leader: func() string { return "" },
 		Facts:  func(string) (*explain.Facts, bool) { return nil, false },
@@ -83,14 +83,14 @@
 		PendingStarts: func(_ string, cb func(int, bool)) { cb(0, true) },
 	}, meter)
 	m.Start()
-	g.Run(loop.Second)
+	g.Advance(loop.Second)
 	done := make(chan struct{})
 	go func() {
 		for {
 			select {
 			case f := <-p.posted:
 				f()
-				g.Run(200 * loop.Millisecond)
+				g.Advance(200 * loop.Millisecond)
 			case <-done:
 				return
 			}
--- a/internal/node/correlated_faults_test.go
+++ b/internal/node/correlated_faults_test.go
@@ -74,7 +74,7 @@
 		if x := w.workers[name]; !x.deleted {
 			x.deleted = true
 			x.w.Destroy()
-			w.cloud.Die(name)
+			w.cloud.Fail(name)
 		}
 	}
 }
@@ -150,8 +150,8 @@
 		w.after(w.between(8*loop.Second, 40*loop.Second), func() { delete(w.linkModes, a+">"+b) })
 	}},
 	{"the cloud has no machines", func(w *simulation) {
-		kept := w.cloud.Take()
-		w.after(w.between(10*loop.Second, 40*loop.Second), func() { w.cloud.Give(kept) })
+		kept := w.cloud.TakeCapacity()
+		w.after(w.between(10*loop.Second, 40*loop.Second), func() { w.cloud.AddCapacity(kept) })
 	}},
 }
 
@@ -196,7 +196,7 @@
 				n := float64(z.zones * z.each * 8)
 				c.Cluster.Teams = []config.Team{{Name: "red", CPUs: n / 5, CPUsMax: max(n/3, 8)}, {Name: "blue", CPUs: n / 8, CPUsMax: max(n/2, 8)}}
 			})
-			w.cloud.Lag = loop.Micros(r.IntN(3)) * loop.Second
+			w.cloud.ListLag = loop.Micros(r.IntN(3)) * loop.Second
 			jobs := 30 + z.zones*z.each/4
 			for i := range jobs {
 				w.after(w.between(loop.Second, 120*loop.Second), func() { w.addJob(i) })
@@ -253,9 +253,9 @@
 			w.hangMachines(names, 20*second)
 		}},
 		{"many machines fail while the cloud is full", usual, 2 * second, func(w *simulation) {
-			kept := w.cloud.Take()
+			kept := w.cloud.TakeCapacity()
 			w.failMachines(w.someMachines(0.7))
-			w.after(40*second, func() { w.cloud.Give(kept) })
+			w.after(40*second, func() { w.cloud.AddCapacity(kept) })
 		}},
 		{"machines fail during an outage of the state service", usual, 0, func(w *simulation) {
 			w.state.SetDown(true)
@@ -283,7 +283,7 @@
 				n := float64(c.size.zones * c.size.each * 8)
 				cfg.Cluster.Teams = []config.Team{{Name: "red", CPUs: n / 5, CPUsMax: n / 3}, {Name: "blue", CPUs: n / 8, CPUsMax: n / 2}}
 			})
-			w.cloud.Lag = c.lag
+			w.cloud.ListLag = c.lag
 			for i := range 120 {
 				w.after(w.between(second, 90*second), func() { w.addJob(i) })
 			}
--- a/internal/node/explanations_loopback_test.go
+++ b/internal/node/explanations_loopback_test.go
@@ -44,14 +44,14 @@
 func newCluster(t *testing.T) *cluster {
 	c := &cluster{t: t, keys: map[string]string{}}
 	clock := loop.RealClock()
-	state := standin.NewState(clock.Now)
+	state := standin.NewStateService(clock.Now)
 	cloud := standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 9, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x", "y"}}, 2)
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	gone := sync.Map{}
-	cloud.Gone = func(name string) { gone.Store(name, true) }
+	cloud.OnDeleted = func(name string) { gone.Store(name, true) }
 	c.bootBlocked.Store(true)
-	cloud.Up = func(l wire.CloudMachine) {
+	cloud.OnRented = func(l wire.CloudMachine) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -106,7 +106,7 @@
 		}
 		return standin.Job{CPUs: 2, MemoryGB: 1, Run: loop.Second, Tasks: 100}, true
 	}
-	w.Began, w.Left = func(string, string) {}, func(string, string) {}
+	w.OnTaskStart, w.OnTaskEnd = func(string, string) {}, func(string, string) {}
 	for at := 0; ctx.Err() == nil && !gone(); {
 		if !muted() {
 			w.Tick(clock.Now())
--- a/internal/node/isolation_cases_test.go
+++ b/internal/node/isolation_cases_test.go
@@ -91,7 +91,7 @@
 				for _, name := range w.runningMachines() {
 					for _, l := range w.labels {
 						v := w.nodes[l].n.agent.View(name)
-						if len(disconnected) < len(w.labels) && !slices.Contains(disconnected, l) && (v == nil || slices.Contains(disconnected, v.Host) || w.now-w.workers[name].w.Answer() > 3*loop.Second) {
+						if len(disconnected) < len(w.labels) && !slices.Contains(disconnected, l) && (v == nil || slices.Contains(disconnected, v.Host) || w.now-w.workers[name].w.LastAnswered() > 3*loop.Second) {
 							t.Errorf("to %s, %s still reports to a controller that reaches only its workers, or has no recent answer: %v", l, name, v)
 						}
 					}
@@ -203,7 +203,7 @@
 					most += 2 * loop.Second // one request in eighty is lost or late, which may be a claim or a lease
 				}
 				claims := 0
-				w.state.Stored = func(key string, _ wire.Raw) {
+				w.state.OnPut = func(key string, _ wire.Raw) {
 					if key == member.Prefix+"l" {
 						claims++
 					}
--- a/internal/node/leader_change_test.go
+++ b/internal/node/leader_change_test.go
@@ -38,7 +38,7 @@
 			t.Parallel()
 			w := slowReportSimulation(t, 3)
 			began, claims, last := w.now, 0, ""
-			w.state.Stored = func(key string, _ wire.Raw) {
+			w.state.OnPut = func(key string, _ wire.Raw) {
 				if key == member.Prefix+"l" {
 					claims++
 				}
@@ -399,10 +399,10 @@
 						}
 					}
 					if full {
-						kept := w.cloud.Left[zone]
-						w.cloud.Left[zone] = 0
+						kept := w.cloud.Available[zone]
+						w.cloud.Available[zone] = 0
 						if c.spec.Zone != "" {
-							w.after(60*second, func() { w.cloud.Left[zone] += kept })
+							w.after(60*second, func() { w.cloud.Available[zone] += kept })
 						}
 					}
 					switch in := w.machinesInZone(zone); fall {
--- a/internal/scale/platform.go
+++ b/internal/scale/platform.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	limitFactor   = 4.0 // a team's limit beside its guarantee
-	leastJobs     = 3.0 // average jobs that each team's limit has room for
-	guaranteed    = 0.6 // of all CPUs, by all teams
+	limitFactor   = 4.0 // ratio of a team's limit to its guarantee
+	leastJobs     = 3.0 // a team's limit is at least the CPUs of this many average jobs
+	guaranteed    = 0.6 // share of all CPUs that is guaranteed to the teams
 	maxSockets    = 8000
 	clockOffMS    = 50
 	listLagS      = 2.0
-	coresOfOne    = 1.0
+	coresOfOne    = 1.0 // core limit in each controller's settings
 	teamNameWidth = 3
 )
 
-// teamName names a team by its number.
+// teamName returns the name of a team.
 func teamName(i int) string { return fmt.Sprintf("team-%0*d", teamNameWidth, i) }
 
-// teamParts are the teams' parts of all work.
+// teamParts returns the teams' shares of all work. They fall with the team's number by a power law, whose
+// exponent is the skew in the settings, and add up to 1.
 func teamParts(s *Settings) []float64 {
 	parts, sum := make([]float64, s.Teams), 0.0
 	for i := range parts {
@@ -34,7 +35,7 @@
 	return parts
 }
 
-// platformSettings are the settings file of one of the controllers.
+// platformSettings returns the contents of the settings file of the controller with index self.
 func platformSettings(s *Settings, all []*controller, self int, state, cloud string) config.Platform {
 	var p config.Platform
 	p.Label, p.Site = all[self].label, zoneName(self%s.Zones)
@@ -59,6 +60,6 @@
 	c.State.RPS, c.State.WriteRPS = s.State.RPS, s.State.WriteRPS
 	c.State.ValueKB, c.State.TxnOps = float64(s.State.ValueKB), s.State.TxnOps
 	c.Cloud.RPS, c.Cloud.ListLagS = s.CloudRPS, listLagS
-	c.Limits.Cores, c.Limits.RAMMB, c.Limits.MaxSockets = coresOfOne, s.MemoryMB, maxSockets
+	c.Limits.Cores, c.Limits.RAMMB, c.Limits.MaxSockets = coresOfOne, s.ControllerMemoryMB, maxSockets
 	return p
 }
