--- a/internal/scale/controllers.go
+++ b/internal/scale/controllers.go
@@ -18,17 +18,17 @@
 
 // controller is a controller that can be started and killed several times. At most one process of it runs at a time.
 type controller struct {
-	label    string
-	users    string // address for users and workers
-	peers    string // address for other controllers
-	settings string // path of the settings file
-	logFile  *os.File
+	label        string
+	clientAddr   string // address for users and workers
+	peerAddr     string // address for other controllers
+	settingsFile string // path of the settings file
+	logFile      *os.File
 
-	mu      sync.Mutex
-	process *exec.Cmd
-	ended   chan struct{} // closed when the process has exited
-	ends    int           // exits that the load run did not cause
-	used    Usage
+	mu              sync.Mutex
+	process         *exec.Cmd
+	exited          chan struct{} // closed when the process has exited
+	unexpectedExits int           // exits that the load run did not cause
+	usage           Usage
 }
 
 // Usage is the resources that the processes of a controller used.
@@ -39,8 +39,8 @@
 	WroteBytes int64 // likewise
 }
 
-// freeAddress returns a loopback address whose port is free at present.
-func freeAddress() (string, error) {
+// freeLoopbackAddress returns a loopback address whose port is free at present.
+func freeLoopbackAddress() (string, error) {
 	ln, err := listen()
 	if err != nil {
 		return "", err
@@ -53,23 +53,23 @@
 func newControllers(s *Settings, dir, state, cloud string) ([]*controller, error) {
 	var all []*controller
 	for i := range s.Controllers {
-		users, err := freeAddress()
+		users, err := freeLoopbackAddress()
 		if err != nil {
 			return nil, err
 		}
-		peers, err := freeAddress()
+		peers, err := freeLoopbackAddress()
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, &controller{label: fmt.Sprintf("controller-%d", i), users: users, peers: peers})
+		all = append(all, &controller{label: fmt.Sprintf("controller-%d", i), clientAddr: users, peerAddr: peers})
 	}
 	for i, c := range all {
-		raw, err := toml.Marshal(platformSettings(s, all, i, state, cloud))
+		raw, err := toml.Marshal(controllerSettings(s, all, i, state, cloud))
 		if err != nil {
 			return nil, err
 		}
-		c.settings = filepath.Join(dir, c.label+".toml")
-		if err := os.WriteFile(c.settings, raw, 0o600); err != nil {
+		c.settingsFile = filepath.Join(dir, c.label+".toml")
+		if err := os.WriteFile(c.settingsFile, raw, 0o600); err != nil {
 			return nil, err
 		}
 		if c.logFile, err = os.Create(filepath.Join(dir, c.label+".log")); err != nil {
@@ -79,21 +79,21 @@
 	return all, nil
 }
 
-// begin starts a process of the given binary, unless one is running.
-func (c *controller) begin(binary string) error {
+// start starts a process of the given binary, unless one is running.
+func (c *controller) start(binary string) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.process != nil {
 		return nil
 	}
-	p := exec.Command(binary, "--config", c.settings)
+	p := exec.Command(binary, "--config", c.settingsFile)
 	p.Stderr = c.logFile
 	p.Env = append(os.Environ(), "LOG_LEVEL=info")
 	if err := p.Start(); err != nil {
 		return fmt.Errorf("%s: %w", c.label, err)
 	}
-	c.process, c.ended = p, make(chan struct{})
-	go c.wait(p, c.ended)
+	c.process, c.exited = p, make(chan struct{})
+	go c.wait(p, c.exited)
 	return nil
 }
 
@@ -104,7 +104,7 @@
 	defer c.mu.Unlock()
 	if c.process == p {
 		c.process = nil
-		c.ends++
+		c.unexpectedExits++
 	}
 	close(ended)
 }
@@ -113,7 +113,7 @@
 func (c *controller) kill() {
 	c.measure()
 	c.mu.Lock()
-	p, ended := c.process, c.ended
+	p, ended := c.process, c.exited
 	c.process = nil
 	c.mu.Unlock()
 	if p == nil {
@@ -124,7 +124,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t := p.ProcessState; t != nil {
-		c.used.CPUSeconds += (t.UserTime() + t.SystemTime()).Seconds()
+		c.usage.CPUSeconds += (t.UserTime() + t.SystemTime()).Seconds()
 	}
 }
 
@@ -137,15 +137,15 @@
 	}
 	dir := fmt.Sprintf("/proc/%d/", c.process.Process.Pid)
 	if status, err := os.ReadFile(dir + "status"); err == nil {
-		c.used.PeakMB = max(c.used.PeakMB, float64(field(status, "VmHWM:"))/1024)
+		c.usage.PeakMB = max(c.usage.PeakMB, float64(procField(status, "VmHWM:"))/1024)
 	}
 	if io, err := os.ReadFile(dir + "io"); err == nil {
-		c.used.ReadBytes, c.used.WroteBytes = field(io, "rchar:"), field(io, "wchar:")
+		c.usage.ReadBytes, c.usage.WroteBytes = procField(io, "rchar:"), procField(io, "wchar:")
 	}
 }
 
-// field returns the number that follows a name at the start of a line of a /proc file, or 0.
-func field(file []byte, name string) int64 {
+// procField returns the number that follows a name at the start of a line of a /proc file, or 0.
+func procField(file []byte, name string) int64 {
 	for line := range bytes.Lines(file) {
 		if rest, ok := strings.CutPrefix(string(line), name); ok {
 			n, _ := strconv.ParseInt(strings.Fields(rest)[0], 10, 64)
@@ -155,10 +155,10 @@
 	return 0
 }
 
-// answers waits until the controller accepts connections, and returns an error if it does not within the given time.
-func (c *controller) answers(within time.Duration) error {
+// waitReady waits until the controller accepts connections, and returns an error if it does not within the given time.
+func (c *controller) waitReady(within time.Duration) error {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		if conn, err := net.DialTimeout("tcp4", c.users, time.Second); err == nil {
+		if conn, err := net.DialTimeout("tcp4", c.clientAddr, time.Second); err == nil {
 			return conn.Close()
 		}
 	}
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -22,8 +22,8 @@
 	Max           int64
 }
 
-// latency summarizes a histogram.
-func latency(h *hdrhistogram.Histogram) Latency {
+// summarizeLatency summarizes a histogram.
+func summarizeLatency(h *hdrhistogram.Histogram) Latency {
 	return Latency{h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(95), h.ValueAtQuantile(99), h.Max()}
 }
 
@@ -67,13 +67,13 @@
 	OwnCPUSeconds, OwnMB                        float64
 }
 
-// role summarizes the traffic of a service over the given number of seconds.
-func role(t *Traffic, seconds float64) TrafficSummary {
+// summarizeTraffic summarizes the traffic of a service over the given number of seconds.
+func summarizeTraffic(t *Traffic, seconds float64) TrafficSummary {
 	return TrafficSummary{t.Requests.Load(), float64(t.Requests.Load()) / seconds, t.BytesIn.Load(), t.BytesOut.Load()}
 }
 
-// peakOver returns the highest average of starts per second over the given number of consecutive seconds.
-func peakOver(starts map[int64]int, seconds int64) float64 {
+// peakRate returns the highest average of starts per second over the given number of consecutive seconds.
+func peakRate(starts map[int64]int, seconds int64) float64 {
 	best := 0
 	for at := range starts {
 		n := 0
@@ -87,11 +87,11 @@
 
 // report collects the measurements while the services still run. It stops the controllers.
 func (r *run) report() *Report {
-	seconds := time.Since(r.began).Seconds()
+	seconds := time.Since(r.startedAt).Seconds()
 	counts := r.state.Counts()
 	out := &Report{Seconds: seconds, StateWrites: counts.Writes, StateRefused: counts.Refused, StateInvalid: counts.Invalid, UserStatuses: map[string]int{},
-		State: role(&r.stateT, seconds), Cloud: role(&r.cloudT, seconds), Reports: role(&r.workers.reports, seconds),
-		Commands: role(&r.workers.commands, seconds), UserRole: role(&r.users.traffic, seconds), Workers: r.mostWorkers}
+		State: summarizeTraffic(&r.stateTraffic, seconds), Cloud: summarizeTraffic(&r.cloudTraffic, seconds), Reports: summarizeTraffic(&r.workers.reports, seconds),
+		Commands: summarizeTraffic(&r.workers.commands, seconds), UserRole: summarizeTraffic(&r.users.traffic, seconds), Workers: r.maxWorkers}
 	var layout partition.Layout
 	if raw, ok := r.state.Value(partition.LayoutKey); ok {
 		wire.Unmarshal(raw, &layout)
@@ -105,31 +105,31 @@
 		out.UserStatuses[fmt.Sprint(status)] = n
 	}
 	r.users.mu.Unlock()
-	f := r.referee
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	out.Starts, out.StartsPerSecond, out.MostRunning = f.total, float64(f.total)/seconds, f.most
-	out.PeakStarts10s = peakOver(f.starts, 10)
-	out.Urgent, out.Other = latency(f.urgent), latency(f.other)
-	out.Jobs, out.Accepted, out.Polls, out.PollsUnanswered = len(f.jobs), f.accepted, f.polls, f.unknown
-	out.BrokenRules, out.Broken = f.breaks, slices.Clone(f.broken)
-	if f.total > 0 {
-		out.ChangesPerStart = float64(counts.Writes) / float64(f.total)
-		out.RequestsPerStart = float64(counts.Requests) / float64(f.total)
+	checker := r.checker
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	out.Starts, out.StartsPerSecond, out.MostRunning = checker.starts, float64(checker.starts)/seconds, checker.maxRunning
+	out.PeakStarts10s = peakRate(checker.startsBySecond, 10)
+	out.Urgent, out.Other = summarizeLatency(checker.urgent), summarizeLatency(checker.other)
+	out.Jobs, out.Accepted, out.Polls, out.PollsUnanswered = len(checker.jobs), checker.accepted, checker.polls, checker.failedPolls
+	out.BrokenRules, out.Broken = checker.violations, slices.Clone(checker.violationTexts)
+	if checker.starts > 0 {
+		out.ChangesPerStart = float64(counts.Writes) / float64(checker.starts)
+		out.RequestsPerStart = float64(counts.Requests) / float64(checker.starts)
 	}
 	if n := r.workerSeconds; n > 0 {
 		out.ReportBytesPerWorkerS = float64(out.Reports.BytesIn) / n
 		out.AnswerBytesPerWorker = float64(out.Reports.BytesOut) / n
 	}
-	out.usage(r.controllers, seconds)
+	out.stopAndAddUsage(r.controllers, seconds)
 	return out
 }
 
-// usage stops the controllers and adds their usage and that of this process to the report.
-func (out *Report) usage(all []*controller, seconds float64) {
+// stopAndAddUsage stops the controllers and adds their usage and that of this process to the report.
+func (out *Report) stopAndAddUsage(all []*controller, seconds float64) {
 	for _, c := range all {
 		c.kill()
-		out.Controllers = append(out.Controllers, ControllerUsage{Label: c.label, Usage: c.used, Cores: c.used.CPUSeconds / seconds, Ends: c.ends})
+		out.Controllers = append(out.Controllers, ControllerUsage{Label: c.label, Usage: c.usage, Cores: c.usage.CPUSeconds / seconds, Ends: c.unexpectedExits})
 	}
 	var own syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &own) == nil {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -17,31 +17,31 @@
 )
 
 const (
-	machineType   = "m"
-	readyWithin   = 30 * time.Second
-	measureEvery  = time.Second
-	memoryWarning = "load run stopped: controllers and load run use more memory than most_memory allows"
+	machineType     = "m"
+	readyTimeout    = 30 * time.Second
+	measureInterval = time.Second
+	memoryExceeded  = "load run stopped: controllers and load run use more memory than most_memory allows"
 )
 
 // run is a load run in progress, with everything that it started.
 type run struct {
-	settings    *Settings
-	began       time.Time
-	state       *standin.StateService
-	cloud       *standin.Cloud
-	controllers []*controller
-	workers     *workers
-	users       *users
-	referee     *referee
-	listeners   []net.Listener
-	stateT      Traffic
-	cloudT      Traffic
-	background  sync.WaitGroup
-	mu          sync.Mutex // guards err
-	err         error
+	settings     *Settings
+	startedAt    time.Time
+	state        *standin.StateService
+	cloud        *standin.Cloud
+	controllers  []*controller
+	workers      *simulatedWorkers
+	users        *users
+	checker      *invariantChecker
+	listeners    []net.Listener
+	stateTraffic Traffic
+	cloudTraffic Traffic
+	background   sync.WaitGroup
+	mu           sync.Mutex // guards err
+	err          error
 	// workerSeconds is the sum of the times that the workers were up, and mostWorkers the most that were up at a time.
 	workerSeconds float64
-	mostWorkers   int64
+	maxWorkers    int64
 }
 
 // Run executes a load run for the duration in the settings, or until the context ends, and returns its measurements.
@@ -55,20 +55,20 @@
 	defer os.RemoveAll(dir)
 	ctx, stop := context.WithTimeout(ctx, time.Duration(s.DurationS*float64(time.Second)))
 	defer stop()
-	r := &run{settings: s, began: time.Now(), referee: newReferee(time.Duration(s.Workers.CancelS * float64(time.Second)))}
-	r.referee.timedFrom = r.began.Add(time.Duration(s.WarmupS * float64(time.Second)))
+	r := &run{settings: s, startedAt: time.Now(), checker: newInvariantChecker(time.Duration(s.Workers.CancelS * float64(time.Second)))}
+	r.checker.measureFrom = r.startedAt.Add(time.Duration(s.WarmupS * float64(time.Second)))
 	defer r.close()
 	if err := r.start(ctx, dir); err != nil {
 		return nil, err
 	}
-	r.background.Go(func() { r.users.arrive(s.Seed) })
+	r.background.Go(func() { r.users.submitJobs(s.Seed) })
 	for _, f := range s.Faults {
-		r.background.Go(func() { r.fault(ctx, f) })
+		r.background.Go(func() { r.injectFault(ctx, f) })
 	}
-	r.watch(ctx, stop)
+	r.monitor(ctx, stop)
 	stop()
 	r.background.Wait()
-	r.users.running.Wait()
+	r.users.goroutines.Wait()
 	report := r.report()
 	if r.err != nil {
 		return report, r.err
@@ -89,35 +89,35 @@
 	for i := range s.Zones {
 		zones = append(zones, zoneName(i))
 	}
-	r.cloud = standin.NewCloud(wire.MachineType{Name: machineType, CPUs: s.MachineCPUs, MemoryGB: machineMemory, CacheGB: 60, FetchGBs: 1, Price: 1, SpotPrice: 0.3, BootS: s.BootS, Zones: zones},
+	r.cloud = standin.NewCloud(wire.MachineType{Name: machineType, CPUs: s.MachineCPUs, MemoryGB: machineMemoryGB, CacheGB: 60, FetchGBs: 1, Price: 1, SpotPrice: 0.3, BootS: s.BootS, Zones: zones},
 		(s.Machines+s.Zones-1)/s.Zones)
-	r.cloud.Now, r.cloud.ListLag, r.cloud.Addr = clock.Now, loop.Seconds(listLagS/2), address
-	r.workers = newWorkers(ctx, s, clock, r.referee)
-	r.cloud.OnRented, r.cloud.OnDeleted = r.workers.up, r.workers.gone
-	state, err := r.serve(&r.stateT, func(m, p string, b []byte) store.Response { return stateRequest(r.state, m, p, b) })
+	r.cloud.Now, r.cloud.ListLag, r.cloud.Addr = clock.Now, loop.Seconds(listLagS/2), machineAddress
+	r.workers = newSimulatedWorkers(ctx, s, clock, r.checker)
+	r.cloud.OnRented, r.cloud.OnDeleted = r.workers.boot, r.workers.remove
+	state, err := r.serve(&r.stateTraffic, func(m, p string, b []byte) store.Response { return answerStateRequest(r.state, m, p, b) })
 	if err != nil {
 		return err
 	}
-	cloud, err := r.serve(&r.cloudT, func(m, p string, b []byte) store.Response { return r.cloud.Do(m, p, b, 0) })
+	cloud, err := r.serve(&r.cloudTraffic, func(m, p string, b []byte) store.Response { return r.cloud.Do(m, p, b, 0) })
 	if err != nil {
 		return err
 	}
 	if r.controllers, err = newControllers(s, dir, state, cloud); err != nil {
 		return err
 	}
-	r.workers.nodes = r.controllers
-	r.users = newUsers(ctx, s, r.referee, r.controllers)
+	r.workers.controllers = r.controllers
+	r.users = newUsers(ctx, s, r.checker, r.controllers)
 	first := s.Binary
 	if s.EarlierBinary != "" {
 		first = s.EarlierBinary
 	}
 	for _, c := range r.controllers {
-		if err := c.begin(first); err != nil {
+		if err := c.start(first); err != nil {
 			return err
 		}
 	}
 	for _, c := range r.controllers {
-		if err := c.answers(readyWithin); err != nil {
+		if err := c.waitReady(readyTimeout); err != nil {
 			return err
 		}
 	}
@@ -135,8 +135,8 @@
 	return ln.Addr().String(), nil
 }
 
-// fault injects a fault at its time and ends it after its duration.
-func (r *run) fault(ctx context.Context, f Fault) {
+// injectFault injects a fault at its time and ends it after its duration.
+func (r *run) injectFault(ctx context.Context, f Fault) {
 	if !sleep(ctx, time.Duration(f.AtS*float64(time.Second))) {
 		return
 	}
@@ -146,12 +146,12 @@
 		c := r.controllers[0]
 		c.kill()
 		if sleep(ctx, lasts) {
-			r.note(c.begin(r.settings.Binary))
+			r.recordError(c.start(r.settings.Binary))
 		}
 	case SilenceZone:
-		r.workers.silent[f.Zone].Store(true)
+		r.workers.silentZones[f.Zone].Store(true)
 		sleep(ctx, lasts)
-		r.workers.silent[f.Zone].Store(false)
+		r.workers.silentZones[f.Zone].Store(false)
 	case PauseState:
 		r.state.SetDown(true)
 		sleep(ctx, lasts)
@@ -159,7 +159,7 @@
 	case ReplaceAll:
 		for _, c := range r.controllers {
 			c.kill()
-			r.note(c.begin(r.settings.Binary))
+			r.recordError(c.start(r.settings.Binary))
 			if !sleep(ctx, lasts) {
 				return
 			}
@@ -167,8 +167,8 @@
 	}
 }
 
-// note records an error of a background goroutine, unless there was one before or err is nil.
-func (r *run) note(err error) {
+// recordError records an error of a background goroutine, unless there was one before or err is nil.
+func (r *run) recordError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil && r.err == nil {
@@ -176,27 +176,27 @@
 	}
 }
 
-// watch measures the processes and checks invariants periodically until the run ends. It stops the run if the
+// monitor measures the processes and checks invariants periodically until the run ends. It stops the run if the
 // processes use too much memory.
-func (r *run) watch(ctx context.Context, stop context.CancelFunc) {
-	for sleep(ctx, measureEvery) {
+func (r *run) monitor(ctx context.Context, stop context.CancelFunc) {
+	for sleep(ctx, measureInterval) {
 		var own runtime.MemStats
 		runtime.ReadMemStats(&own)
 		all := float64(own.Sys) / (1 << 20)
 		for _, c := range r.controllers {
 			c.measure()
 			c.mu.Lock()
-			all += c.used.PeakMB
+			all += c.usage.PeakMB
 			c.mu.Unlock()
 		}
 		if all > r.settings.MaxMemoryGiB*1024 {
-			r.note(errors.New(memoryWarning))
+			r.recordError(errors.New(memoryExceeded))
 			stop()
 		}
-		r.referee.stillCancelled(time.Now())
+		r.checker.checkCancelled(time.Now())
 		alive := r.workers.alive.Load()
-		r.workerSeconds += float64(alive) * measureEvery.Seconds()
-		r.mostWorkers = max(r.mostWorkers, alive)
+		r.workerSeconds += float64(alive) * measureInterval.Seconds()
+		r.maxWorkers = max(r.maxWorkers, alive)
 	}
 }
 
--- a/internal/scale/services.go
+++ b/internal/scale/services.go
@@ -43,10 +43,10 @@
 // listen opens a listener on a free loopback port.
 func listen() (net.Listener, error) { return net.Listen("tcp4", "127.0.0.1:0") }
 
-// stateRequest answers a request to the state service. A watch stays open until there is an event for it or its
+// answerStateRequest answers a request to the state service. A watch stays open until there is an event for it or its
 // time is over.
-func stateRequest(s *standin.StateService, method, path string, body []byte) store.Response {
-	wait := watchTime(path)
+func answerStateRequest(s *standin.StateService, method, path string, body []byte) store.Response {
+	wait := watchTimeout(path)
 	if wait == 0 {
 		return s.Do(method, path, body, 0)
 	}
@@ -54,7 +54,7 @@
 	defer deadline.Stop()
 	changed := s.Changed()
 	r := s.Do(method, path, body, 0)
-	for r.Status == 200 && noEvents(r.Body) {
+	for r.Status == 200 && hasNoEvents(r.Body) {
 		select {
 		case <-deadline.C:
 			return r
@@ -66,8 +66,8 @@
 	return r
 }
 
-// watchTime returns for how long a watch may stay open, or 0 if the request is not a watch.
-func watchTime(path string) time.Duration {
+// watchTimeout returns for how long a watch may stay open, or 0 if the request is not a watch.
+func watchTimeout(path string) time.Duration {
 	u, err := url.Parse(path)
 	if err != nil || u.Path != "/changes" {
 		return 0
@@ -76,8 +76,8 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// noEvents reports whether the answer to a watch has no events.
-func noEvents(body []byte) bool {
+// hasNoEvents reports whether the answer to a watch has no events.
+func hasNoEvents(body []byte) bool {
 	var e wire.Events
 	return wire.Unmarshal(body, &e) == nil && len(e.Events) == 0
 }
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -72,7 +72,7 @@
 	} `toml:"state"`
 	CloudRPS           float64 `toml:"cloud_rps"`
 	ControllerMemoryMB float64 `toml:"memory_mb"`   // memory limit in each controller's settings
-	MaxMemoryGiB       float64 `toml:"most_memory"` // GiB, of the controllers and the load run together; the run stops if they use more
+	MaxMemoryGiB       float64 `toml:"most_memory"` // of the controllers and the load run together; the run stops beyond it
 	Faults             []Fault `toml:"faults"`
 }
 
@@ -90,63 +90,63 @@
 }
 
 const (
-	mostControllers = 40
-	mostMachines    = 5000
-	mostDurationS   = 900
-	mostMemoryGiB   = 11.5
+	maxControllers = 40
+	maxMachines    = 5000
+	maxDurationS   = 900
+	maxMemoryGiB   = 11.5
 )
 
 // check returns an error that names every invalid setting, or nil.
 func (s *Settings) check() error {
-	var faults []error
-	within := func(field string, v, least, most float64) {
+	var errs []error
+	checkRange := func(field string, v, least, most float64) {
 		if !(v >= least && v <= most) {
-			faults = append(faults, fmt.Errorf("%s: must be between %v and %v, is %v", field, least, most, v))
+			errs = append(errs, fmt.Errorf("%s: must be between %v and %v, is %v", field, least, most, v))
 		}
 	}
-	within("duration_s", s.DurationS, 5, mostDurationS)
-	within("warmup_s", s.WarmupS, 0, s.DurationS)
-	within("controllers", float64(s.Controllers), 1, mostControllers)
-	within("teams", float64(s.Teams), 1, 1000)
-	within("machines", float64(s.Machines), 1, mostMachines)
-	within("zones", float64(s.Zones), 1, 20)
-	within("machine_cpus", s.MachineCPUs, 1, 1000)
-	within("boot_s", s.BootS, 0, 120)
-	within("load.jobs_per_s", s.Load.JobsPerS, 0.01, 1000)
-	within("load.tasks", float64(s.Load.Tasks), 1, 10000)
-	within("load.task_cpus", s.Load.TaskCPUs, 0.01, s.MachineCPUs)
-	within("load.run_s", s.Load.RunS, 0.1, 3600)
-	within("load.urgent_share", s.Load.UrgentShare, 0, 1)
-	within("load.cancelled", s.Load.CancelledShare, 0, 1)
-	within("load.skew", s.Load.Skew, 0, 3)
-	within("load.poll_s", s.Load.PollS, 0.5, 60)
-	within("workers.report_s", s.Workers.ReportS, 0.5, 60)
-	within("workers.lease_s", s.Workers.LeaseS, 2, 600)
-	within("workers.cancel_s", s.Workers.CancelS, s.Workers.LeaseS+1, 900)
-	within("state.rps", s.State.RPS, 1, 1e6)
-	within("state.write_rps", s.State.WriteRPS, 1, 1e6)
-	within("state.value_kb", float64(s.State.ValueKB), 2, 1024)
-	within("state.txn_ops", float64(s.State.TxnOps), 5, 1000)
-	within("cloud_rps", s.CloudRPS, 0.1, 1000)
-	within("memory_mb", s.ControllerMemoryMB, 32, 4096)
-	within("most_memory", s.MaxMemoryGiB, 0.1, mostMemoryGiB)
+	checkRange("duration_s", s.DurationS, 5, maxDurationS)
+	checkRange("warmup_s", s.WarmupS, 0, s.DurationS)
+	checkRange("controllers", float64(s.Controllers), 1, maxControllers)
+	checkRange("teams", float64(s.Teams), 1, 1000)
+	checkRange("machines", float64(s.Machines), 1, maxMachines)
+	checkRange("zones", float64(s.Zones), 1, 20)
+	checkRange("machine_cpus", s.MachineCPUs, 1, 1000)
+	checkRange("boot_s", s.BootS, 0, 120)
+	checkRange("load.jobs_per_s", s.Load.JobsPerS, 0.01, 1000)
+	checkRange("load.tasks", float64(s.Load.Tasks), 1, 10000)
+	checkRange("load.task_cpus", s.Load.TaskCPUs, 0.01, s.MachineCPUs)
+	checkRange("load.run_s", s.Load.RunS, 0.1, 3600)
+	checkRange("load.urgent_share", s.Load.UrgentShare, 0, 1)
+	checkRange("load.cancelled", s.Load.CancelledShare, 0, 1)
+	checkRange("load.skew", s.Load.Skew, 0, 3)
+	checkRange("load.poll_s", s.Load.PollS, 0.5, 60)
+	checkRange("workers.report_s", s.Workers.ReportS, 0.5, 60)
+	checkRange("workers.lease_s", s.Workers.LeaseS, 2, 600)
+	checkRange("workers.cancel_s", s.Workers.CancelS, s.Workers.LeaseS+1, 900)
+	checkRange("state.rps", s.State.RPS, 1, 1e6)
+	checkRange("state.write_rps", s.State.WriteRPS, 1, 1e6)
+	checkRange("state.value_kb", float64(s.State.ValueKB), 2, 1024)
+	checkRange("state.txn_ops", float64(s.State.TxnOps), 5, 1000)
+	checkRange("cloud_rps", s.CloudRPS, 0.1, 1000)
+	checkRange("memory_mb", s.ControllerMemoryMB, 32, 4096)
+	checkRange("most_memory", s.MaxMemoryGiB, 0.1, maxMemoryGiB)
 	if s.Binary == "" {
-		faults = append(faults, errors.New("binary: must name a program, is empty"))
+		errs = append(errs, errors.New("binary: must name a program, is empty"))
 	}
 	for i, f := range s.Faults {
 		switch f.Kind {
 		case KillController, SilenceZone, PauseState, ReplaceAll:
 		default:
-			faults = append(faults, fmt.Errorf("faults[%d].kind: unknown kind %q; must be kill_controller, silence_zone, pause_state or replace_all", i, f.Kind))
+			errs = append(errs, fmt.Errorf("faults[%d].kind: unknown kind %q; must be kill_controller, silence_zone, pause_state or replace_all", i, f.Kind))
 		}
 		if f.Zone < 0 || f.Zone >= max(s.Zones, 1) {
-			faults = append(faults, fmt.Errorf("faults[%d].zone: must be from 0 to less than zones, is %d", i, f.Zone))
+			errs = append(errs, fmt.Errorf("faults[%d].zone: must be from 0 to less than zones, is %d", i, f.Zone))
 		}
 		if f.Kind == ReplaceAll && s.EarlierBinary == "" {
-			faults = append(faults, fmt.Errorf("faults[%d]: replace_all needs earlier_binary, which is empty", i))
+			errs = append(errs, fmt.Errorf("faults[%d]: replace_all needs earlier_binary, which is empty", i))
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 // zoneName returns the name of a zone.
--- a/internal/scale/workers.go
+++ b/internal/scale/workers.go
@@ -18,95 +18,95 @@
 )
 
 const (
-	workerPort    = 19000 // of every machine; their IP addresses differ
-	tickEvery     = 200 * time.Millisecond
-	changeGap     = 500 * time.Millisecond // least time from a report to one that is sent because a task changed
-	answerWithin  = 4 * time.Second
-	retryNode     = time.Second // from a report without a usable answer to the next one
-	workerSockets = 4000        // most connections to each controller
-	machineMemory = 256.0       // GB
+	workerPort              = 19000 // of every machine; their IP addresses differ
+	tickInterval            = 200 * time.Millisecond
+	minChangeReportInterval = 500 * time.Millisecond // least time from a report to one that is sent because a task changed
+	reportTimeout           = 4 * time.Second
+	reportRetryDelay        = time.Second // from a report without a usable answer to the next one
+	maxWorkerConns          = 4000        // most connections to each controller
+	machineMemoryGB         = 256.0       // GB
 )
 
-// workers are the simulated workers of all machines. They run in this process.
-type workers struct {
-	ctx      context.Context
-	settings *Settings
-	clock    loop.Clock
-	referee  *referee
-	nodes    []*controller
-	client   *fasthttp.Client
-	running  sync.WaitGroup
-	reports  Traffic       // as sent by the workers
-	commands Traffic       // as answered by them
-	failed   atomic.Int64  // workers that could not listen on their address
-	alive    atomic.Int64  // workers that report
-	silent   []atomic.Bool // by zone: whether its workers neither report nor answer
+// simulatedWorkers are the simulated workers of all machines. They run in this process.
+type simulatedWorkers struct {
+	ctx          context.Context
+	settings     *Settings
+	clock        loop.Clock
+	checker      *invariantChecker
+	controllers  []*controller
+	client       *fasthttp.Client
+	goroutines   sync.WaitGroup
+	reports      Traffic       // as sent by the workers
+	commands     Traffic       // as answered by them
+	failedStarts atomic.Int64  // workers that could not listen on their address
+	alive        atomic.Int64  // workers that report
+	silentZones  []atomic.Bool // by zone: whether its workers neither report nor answer
 
-	mu  sync.Mutex
-	all map[string]*hollowWorker // by name of the machine
+	mu        sync.Mutex
+	byMachine map[string]*simulatedWorker // by name of the machine
 }
 
-// hollowWorker is the simulated worker of one machine. It speaks the real protocol but runs no tasks.
-type hollowWorker struct {
-	listed wire.Listed
-	zone   int
-	stop   context.CancelFunc
-	server net.Listener
+// simulatedWorker is the simulated worker of one machine. It speaks the real protocol but runs no tasks.
+type simulatedWorker struct {
+	machine  wire.Listed
+	zone     int
+	cancel   context.CancelFunc
+	listener net.Listener
 
 	mu      sync.Mutex
-	w       *standin.Worker // nil until the machine has booted
+	fake    *standin.Worker // nil until the machine has booted
 	changed bool            // a task started or ended since the last report
 }
 
-// newWorkers returns workers without any machine.
-func newWorkers(ctx context.Context, s *Settings, clock loop.Clock, r *referee) *workers {
-	return &workers{ctx: ctx, settings: s, clock: clock, referee: r, silent: make([]atomic.Bool, s.Zones), all: map[string]*hollowWorker{},
-		client: &fasthttp.Client{MaxConnsPerHost: workerSockets, MaxIdleConnDuration: time.Minute, NoDefaultUserAgentHeader: true,
+// newSimulatedWorkers returns workers without any machine.
+func newSimulatedWorkers(ctx context.Context, s *Settings, clock loop.Clock, checker *invariantChecker) *simulatedWorkers {
+	return &simulatedWorkers{ctx: ctx, settings: s, clock: clock, checker: checker, silentZones: make([]atomic.Bool, s.Zones), byMachine: map[string]*simulatedWorker{},
+		client: &fasthttp.Client{MaxConnsPerHost: maxWorkerConns, MaxIdleConnDuration: time.Minute, NoDefaultUserAgentHeader: true,
 			MaxIdemponentCallAttempts: 1, ReadBufferSize: 4096, WriteBufferSize: 4096,
 			RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false }}}
 }
 
-// address returns a machine's address. Each machine has its own IP address in the loopback range 127.0.0.0/8.
-func address(name string) string {
+// machineAddress returns a machine's address. Each machine has its own IP address in the loopback range 127.0.0.0/8.
+func machineAddress(name string) string {
 	var no int
 	fmt.Sscanf(name, "n-%d", &no)
 	return fmt.Sprintf("127.%d.%d.%d:%d", 1+no/62500, no/250%250, 1+no%250, workerPort)
 }
 
-// up boots a rented machine. Its worker starts after a random boot time, which is
-// between 0.6 and 1.5 times the one in the settings.
-func (a *workers) up(m wire.Listed) {
-	ctx, stop := context.WithCancel(a.ctx)
-	w := &hollowWorker{listed: m, stop: stop}
+// boot boots a rented machine. Its worker starts after a random boot time, between 0.6 and 1.5 times the
+// one in the settings.
+func (s *simulatedWorkers) boot(m wire.Listed) {
+	ctx, stop := context.WithCancel(s.ctx)
+	w := &simulatedWorker{machine: m, cancel: stop}
 	fmt.Sscanf(m.Zone, "zone-%d", &w.zone)
-	a.mu.Lock()
-	a.all[m.Name] = w
-	a.mu.Unlock()
-	a.running.Go(func() {
-		boot := time.Duration(a.settings.BootS * (0.6 + 0.9*rand.Float64()) * float64(time.Second))
-		if sleep(ctx, boot) {
-			a.work(ctx, w)
+	s.mu.Lock()
+	s.byMachine[m.Name] = w
+	s.mu.Unlock()
+	s.goroutines.Go(func() {
+		bootTime := time.Duration(s.settings.BootS * (0.6 + 0.9*rand.Float64()) * float64(time.Second))
+		if sleep(ctx, bootTime) {
+			s.runWorker(ctx, w)
 		}
 	})
 }
 
-// gone deletes a machine and ends the tasks on it.
-func (a *workers) gone(name string) {
-	a.mu.Lock()
-	w := a.all[name]
-	delete(a.all, name)
-	a.mu.Unlock()
+// remove deletes a machine and ends the tasks on it.
+func (s *simulatedWorkers) remove(name string) {
+	s.mu.Lock()
+	w := s.byMachine[name]
+	delete(s.byMachine, name)
+	s.mu.Unlock()
 	if w == nil {
 		return
 	}
-	w.stop()
+	w.cancel()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.server != nil {
-		w.server.Close()
+	if w.listener != nil {
+		w.listener.Close()
 	}
-	if w.w != nil {
-		w.w.Destroy()
+	if w.fake != nil {
+		w.fake.Destroy()
 	}
 }
 
@@ -122,9 +122,9 @@
 	}
 }
 
-// begin opens the listener of a machine and starts its worker.
-func (a *workers) begin(ctx context.Context, w *hollowWorker) error {
-	ln, err := net.Listen("tcp4", w.listed.Addr)
+// listenAndStart opens the listener of a machine and starts its worker.
+func (s *simulatedWorkers) listenAndStart(ctx context.Context, w *simulatedWorker) error {
+	ln, err := net.Listen("tcp4", w.machine.Addr)
 	if err != nil {
 		return err
 	}
@@ -134,49 +134,49 @@
 		ln.Close()
 		return ctx.Err()
 	}
-	w.server = ln
-	x := standin.NewWorker(a.clock.Now(), loop.Seconds(a.settings.Workers.LeaseS))
-	x.Name, x.Addr, x.Type, x.Zone, x.Spot = w.listed.Name, w.listed.Addr, w.listed.Type, w.listed.Zone, w.listed.Spot
-	x.CPUs, x.MemoryGB = a.settings.MachineCPUs, machineMemory
-	x.Job = func(id string) (standin.Job, bool) {
-		spec, ok := a.referee.job(id)
+	w.listener = ln
+	worker := standin.NewWorker(s.clock.Now(), loop.Seconds(s.settings.Workers.LeaseS))
+	worker.Name, worker.Addr, worker.Type, worker.Zone, worker.Spot = w.machine.Name, w.machine.Addr, w.machine.Type, w.machine.Zone, w.machine.Spot
+	worker.CPUs, worker.MemoryGB = s.settings.MachineCPUs, machineMemoryGB
+	worker.Job = func(id string) (standin.Job, bool) {
+		spec, ok := s.checker.job(id)
 		return standin.Job{CPUs: spec.cpus, MemoryGB: spec.memoryGB, Run: loop.Seconds(spec.runS), Tasks: spec.tasks}, ok
 	}
-	x.OnTaskStart = func(task, _ string) { w.changed = true; a.referee.began(task, x.Name, time.Now()) }
-	x.OnTaskEnd = func(task, _ string) { w.changed = true; a.referee.left(task, x.Name) }
-	w.w = x
-	a.running.Go(func() {
-		serveOn(ln, &a.commands, func(m, p string, b []byte) store.Response { return a.command(w, m, p, b) })
+	worker.OnTaskStart = func(task, _ string) { w.changed = true; s.checker.taskStarted(task, worker.Name, time.Now()) }
+	worker.OnTaskEnd = func(task, _ string) { w.changed = true; s.checker.taskEnded(task, worker.Name) }
+	w.fake = worker
+	s.goroutines.Go(func() {
+		serveOn(ln, &s.commands, func(m, p string, b []byte) store.Response { return s.handleRequest(w, m, p, b) })
 	})
 	return nil
 }
 
-// work runs the worker of a machine until the machine is deleted. It reports to one controller at a time,
+// runWorker runs the worker of a machine until the machine is deleted. It reports to one controller at a time,
 // periodically and soon after a task changed.
-func (a *workers) work(ctx context.Context, w *hollowWorker) {
-	if err := a.begin(ctx, w); err != nil {
-		a.failed.Add(1)
+func (s *simulatedWorkers) runWorker(ctx context.Context, w *simulatedWorker) {
+	if err := s.listenAndStart(ctx, w); err != nil {
+		s.failedStarts.Add(1)
 		return
 	}
-	a.alive.Add(1)
-	defer a.alive.Add(-1)
-	node := rand.IntN(len(a.nodes))
+	s.alive.Add(1)
+	defer s.alive.Add(-1)
+	current := rand.IntN(len(s.controllers))
 	next, last := time.Now(), time.Time{}
-	for sleep(ctx, tickEvery-time.Duration(rand.Int64N(int64(tickEvery/4)))) {
+	for sleep(ctx, tickInterval-time.Duration(rand.Int64N(int64(tickInterval/4)))) {
 		now := time.Now()
 		w.mu.Lock()
-		w.w.Tick(a.clock.Now())
-		due := now.After(next) || w.changed && now.Sub(last) >= changeGap
+		w.fake.Tick(s.clock.Now())
+		due := now.After(next) || w.changed && now.Sub(last) >= minChangeReportInterval
 		w.mu.Unlock()
 		if !due {
 			continue
 		}
 		last = now
-		next = now.Add(time.Duration(a.settings.Workers.ReportS * (0.75 + 0.5*rand.Float64()) * float64(time.Second)))
-		if to, ok := a.report(w, a.nodes[node]); !ok {
-			node = a.nextNode(node, to)
+		next = now.Add(time.Duration(s.settings.Workers.ReportS * (0.75 + 0.5*rand.Float64()) * float64(time.Second)))
+		if to, ok := s.sendReport(w, s.controllers[current]); !ok {
+			current = s.nextController(current, to)
 			if to == "" {
-				next = now.Add(retryNode)
+				next = now.Add(reportRetryDelay)
 			} else {
 				next = now
 			}
@@ -184,35 +184,35 @@
 	}
 }
 
-// nextNode returns the index of the controller to which a worker reports next: the one named by a redirect, or else
-// the next in order.
-func (a *workers) nextNode(node int, to string) int {
-	for i, c := range a.nodes {
+// nextController returns the index of the controller to which a worker reports next: the one named by a redirect, or
+// else the next in order.
+func (s *simulatedWorkers) nextController(current int, to string) int {
+	for i, c := range s.controllers {
 		if c.label == to {
 			return i
 		}
 	}
-	return (node + 1) % len(a.nodes)
+	return (current + 1) % len(s.controllers)
 }
 
-// report sends one report and applies the answer. If the controller redirects the worker, to is the label of the
-// controller to report to.
-func (a *workers) report(w *hollowWorker, c *controller) (to string, ok bool) {
-	if a.silent[w.zone].Load() {
+// sendReport sends one report and applies the answer. If the controller redirects the worker, to is the label of
+// the controller to report to.
+func (s *simulatedWorkers) sendReport(w *simulatedWorker, c *controller) (to string, ok bool) {
+	if s.silentZones[w.zone].Load() {
 		return "", false
 	}
 	w.mu.Lock()
-	sent, report := a.clock.Now(), w.w.Report()
+	sent, report := s.clock.Now(), w.fake.Report()
 	w.changed = false
 	w.mu.Unlock()
-	status, body := a.exchange(c.users, wire.Marshal(report))
+	status, body := s.exchange(c.clientAddr, wire.Marshal(report))
 	switch {
-	case a.silent[w.zone].Load():
+	case s.silentZones[w.zone].Load():
 		return "", false
 	case status == 421:
-		var coach wire.ReportTo
-		wire.Unmarshal(body, &coach)
-		return coach.Node, false
+		var redirect wire.ReportTo
+		wire.Unmarshal(body, &redirect)
+		return redirect.Node, false
 	case status != 200:
 		return "", false
 	}
@@ -222,58 +222,58 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.w.HandleAnswer(a.clock.Now(), sent, report.Session, answer)
+	w.fake.HandleAnswer(s.clock.Now(), sent, report.Session, answer)
 	return "", true
 }
 
 // exchange sends an encoded report and returns the answer. The status is 0 if there is no answer in time.
-func (a *workers) exchange(addr string, body []byte) (status int, answer []byte) {
+func (s *simulatedWorkers) exchange(addr string, body []byte) (status int, answer []byte) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI("http://" + addr + "/agent/beat")
 	req.Header.SetMethod("POST")
 	req.SetBodyRaw(body)
-	if a.client.DoTimeout(req, resp, answerWithin) != nil {
-		a.reports.count(len(body), 0)
+	if s.client.DoTimeout(req, resp, reportTimeout) != nil {
+		s.reports.count(len(body), 0)
 		return 0, nil
 	}
 	answer = append([]byte(nil), resp.Body()...)
-	a.reports.count(len(body), len(answer))
+	s.reports.count(len(body), len(answer))
 	return resp.StatusCode(), answer
 }
 
-// command answers a request to a worker: direct commands, or a GET for its report. In a silent zone, the request is
-// answered with 503 after a delay.
-func (a *workers) command(w *hollowWorker, method, path string, body []byte) store.Response {
-	if a.silent[w.zone].Load() {
-		time.Sleep(answerWithin)
+// handleRequest answers a request to a worker: direct commands, or a GET for its report. In a silent zone, the request
+// is answered with 503 after a delay.
+func (s *simulatedWorkers) handleRequest(w *simulatedWorker, method, path string, body []byte) store.Response {
+	if s.silentZones[w.zone].Load() {
+		time.Sleep(reportTimeout)
 		return store.Response{Status: 503}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if method == "GET" {
-		return store.Response{Status: 200, Body: wire.Marshal(w.w.Report())}
+		return store.Response{Status: 200, Body: wire.Marshal(w.fake.Report())}
 	}
 	var c wire.Commands
 	if wire.Unmarshal(body, &c) != nil {
 		return store.Response{Status: 400}
 	}
-	status, report := w.w.HandleCommands(a.clock.Now(), c)
+	status, report := w.fake.HandleCommands(s.clock.Now(), c)
 	return store.Response{Status: status, Body: wire.Marshal(report)}
 }
 
 // close deletes all machines and waits until their goroutines have ended.
-func (a *workers) close() {
-	a.mu.Lock()
+func (s *simulatedWorkers) close() {
+	s.mu.Lock()
 	var names []string
-	for name := range a.all {
+	for name := range s.byMachine {
 		names = append(names, name)
 	}
-	a.mu.Unlock()
+	s.mu.Unlock()
 	for _, name := range names {
-		a.gone(name)
+		s.remove(name)
 	}
-	a.client.CloseIdleConnections()
-	a.running.Wait()
+	s.client.CloseIdleConnections()
+	s.goroutines.Wait()
 }
