--- a/internal/scale/controllers.go
+++ b/internal/scale/controllers.go
@@ -33,9 +33,9 @@
 
 // Usage is the resources that the processes of a controller used.
 type Usage struct {
-	CPUSeconds float64
+	CPUSeconds float64 // of the processes that the load run killed
 	PeakMB     float64
-	ReadBytes  int64 // by system calls, including on sockets
+	ReadBytes  int64 // of the newest process, by system calls, including on sockets
 	WroteBytes int64 // likewise
 }
 
@@ -53,15 +53,15 @@
 func newControllers(s *Settings, dir, state, cloud string) ([]*controller, error) {
 	var all []*controller
 	for i := range s.Controllers {
-		users, err := freeLoopbackAddress()
+		clientAddr, err := freeLoopbackAddress()
 		if err != nil {
 			return nil, err
 		}
-		peers, err := freeLoopbackAddress()
+		peerAddr, err := freeLoopbackAddress()
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, &controller{label: fmt.Sprintf("controller-%d", i), clientAddr: users, peerAddr: peers})
+		all = append(all, &controller{label: fmt.Sprintf("controller-%d", i), clientAddr: clientAddr, peerAddr: peerAddr})
 	}
 	for i, c := range all {
 		raw, err := toml.Marshal(controllerSettings(s, all, i, state, cloud))
@@ -98,7 +98,7 @@
 }
 
 // wait waits for the process to exit and counts the exit as unexpected unless kill caused it.
-func (c *controller) wait(p *exec.Cmd, ended chan struct{}) {
+func (c *controller) wait(p *exec.Cmd, exited chan struct{}) {
 	p.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,21 +106,21 @@
 		c.process = nil
 		c.unexpectedExits++
 	}
-	close(ended)
+	close(exited)
 }
 
 // kill kills the process, waits for its exit and adds up the processor time that it used.
 func (c *controller) kill() {
 	c.measure()
 	c.mu.Lock()
-	p, ended := c.process, c.exited
+	p, exited := c.process, c.exited
 	c.process = nil
 	c.mu.Unlock()
 	if p == nil {
 		return
 	}
 	p.Process.Kill()
-	<-ended
+	<-exited
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t := p.ProcessState; t != nil {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -27,7 +27,8 @@
 	return Latency{h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(95), h.ValueAtQuantile(99), h.Max()}
 }
 
-// TrafficSummary summarizes the requests to one service and its answers, in bytes of bodies. BytesIn counts the requests.
+// TrafficSummary summarizes the requests to one service and its answers, with the bytes of
+// the bodies of requests (BytesIn) and answers (BytesOut).
 type TrafficSummary struct {
 	Requests  int64
 	PerSecond float64
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -39,7 +39,7 @@
 	background   sync.WaitGroup
 	mu           sync.Mutex // guards err
 	err          error
-	// workerSeconds is the sum of the times that the workers were up, and mostWorkers the most that were up at a time.
+	// workerSeconds is the sum of the times that the workers were up, and maxWorkers the most that were up at a time.
 	workerSeconds float64
 	maxWorkers    int64
 }
@@ -140,27 +140,27 @@
 	if !sleep(ctx, time.Duration(f.AtS*float64(time.Second))) {
 		return
 	}
-	lasts := time.Duration(f.ForS * float64(time.Second))
+	duration := time.Duration(f.ForS * float64(time.Second))
 	switch f.Kind {
 	case KillController:
 		c := r.controllers[0]
 		c.kill()
-		if sleep(ctx, lasts) {
+		if sleep(ctx, duration) {
 			r.recordError(c.start(r.settings.Binary))
 		}
 	case SilenceZone:
 		r.workers.silentZones[f.Zone].Store(true)
-		sleep(ctx, lasts)
+		sleep(ctx, duration)
 		r.workers.silentZones[f.Zone].Store(false)
 	case PauseState:
 		r.state.SetDown(true)
-		sleep(ctx, lasts)
+		sleep(ctx, duration)
 		r.state.SetDown(false)
 	case ReplaceAll:
 		for _, c := range r.controllers {
 			c.kill()
 			r.recordError(c.start(r.settings.Binary))
-			if !sleep(ctx, lasts) {
+			if !sleep(ctx, duration) {
 				return
 			}
 		}
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -15,12 +15,12 @@
 // Cloud is a fake of the cloud provider's API. It rents out a fixed number of machines per zone and answers
 // requests synchronously.
 type Cloud struct {
-	mu        sync.Mutex
-	Types     []wire.MachineType
-	Available map[string]int // machines that can still be rented, by zone
-	requests  map[string][]string
-	machines  map[string]wire.Listed
-	next      int
+	mu           sync.Mutex
+	Types        []wire.MachineType
+	Available    map[string]int // machines that can still be rented, by zone
+	requests     map[string][]string
+	machines     map[string]wire.Listed
+	machineCount int
 	// Now is the clock. If it is set, machine lists show the state of ListLag ago, and failed machines stay listed
 	// as running for a while.
 	Now       func() loop.Micros
@@ -66,8 +66,8 @@
 
 // deletedMachine is a deleted machine and the time of its deletion.
 type deletedMachine struct {
-	m  wire.Listed
-	at loop.Micros
+	machine wire.Listed
+	at      loop.Micros
 }
 
 func (c *Cloud) now() loop.Micros {
@@ -140,7 +140,7 @@
 		if x.at <= at {
 			delete(c.deleted, name)
 		} else {
-			add(x.m)
+			add(x.machine)
 		}
 	}
 	sort.Slice(l.Machines, func(i, j int) bool { return l.Machines[i].Name < l.Machines[j].Name })
@@ -179,8 +179,8 @@
 		}
 		var got []string
 		for range n {
-			c.next++
-			m := wire.Listed{Name: fmt.Sprintf("n-%06d", c.next), Type: r.Type, Zone: r.Zone, Spot: r.Spot, State: "running"}
+			c.machineCount++
+			m := wire.Listed{Name: fmt.Sprintf("n-%06d", c.machineCount), Type: r.Type, Zone: r.Zone, Spot: r.Spot, State: "running"}
 			m.Addr = "worker:" + m.Name
 			if c.Addr != nil {
 				m.Addr = c.Addr(m.Name)
