--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -20,7 +20,7 @@
 	Available    map[string]int // machines that can still be rented, by zone
 	requests     map[string][]string
 	machines     map[string]wire.Listed
-	machineCount int
+	machineCount int // machines ever rented; numbers their names
 	// Now is the clock. If it is set, machine lists show the state of ListLag ago, and failed machines stay listed
 	// as running for a while.
 	Now       func() loop.Micros
