--- a/internal/node/explanations_test.go
+++ b/internal/node/explanations_test.go
@@ -211,7 +211,7 @@
 	in, all := map[string]int{}, map[string]int{}
 	var asked, answered, partial int
 	var mu sync.Mutex
-	t.Run("worlds", func(t *testing.T) {
+	t.Run("simulations", func(t *testing.T) {
 		for seed := from; seed <= to; seed++ {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
