--- a/internal/ask/ask.go
+++ b/internal/ask/ask.go
@@ -1,6 +1,8 @@
-// Package ask lets a controller ask another one, over the frames that they exchange. A
-// question may be lost like any frame, so each has a time after which it counts as
-// unanswered; who asks says so in what it tells.
+// Package ask provides remote procedure calls between controllers, carried by the messages that they exchange anyway.
+//
+// It matches replies to requests, bounds the number and size of requests, and dispatches incoming requests to the handler
+// of their topic. A message may be lost, so each request has a timeout after which it counts as unanswered. There are no
+// retries: callers report what is missing from their result. The transport is left to package peer.
 package ask
 
 import (
@@ -9,18 +11,19 @@
 	"cleatpick/internal/wire"
 )
 
-// Most bounds the questions of this node that wait for an answer.
+// Most is the largest number of requests of this controller that may be pending at a time.
 const Most = 256
 
-// maxBody bounds a question and an answer, so that frames stay within their limit.
+// maxBody is the largest body in bytes of a request and of a reply; it keeps messages within their size limit.
 const maxBody = 64 << 10
 
+// waiting is a request that waits for its reply.
 type waiting struct {
 	to string
 	cb func(body wire.Raw, ok bool)
 }
 
-// Desk asks and answers for one node. All of it runs on the loop.
+// Desk sends the requests of one controller and answers those of its peers. All methods must be called on the event loop.
 type Desk struct {
 	r       loop.Runner
 	self    string
@@ -31,21 +34,22 @@
 	topics  map[string]func(body wire.Raw, reply func(any))
 }
 
-// New makes the desk. send adds to what goes to a peer next; known tells who is a peer.
-// first must differ between the lives of a process, so that no late answer to an earlier
-// life is taken for one to this.
+// New returns a Desk for the controller named self. send calls a function that adds to the next message to a peer; known
+// reports whether a label names a peer. The ids of requests follow first, which must differ between the incarnations of a
+// process: otherwise a late reply to a request of an earlier incarnation could be matched to one of this incarnation.
 func New(r loop.Runner, self string, first uint64, send func(string, func(*peer.Envelope)), known func(string) bool) *Desk {
 	return &Desk{r: r, self: self, next: first, send: send, known: known, waiting: map[uint64]waiting{}, topics: map[string]func(wire.Raw, func(any)){}}
 }
 
-// Handle answers the questions of a topic; reply may be called at once or later, once.
+// Handle sets the handler of the requests of a topic. The handler must call reply at most once, at once or later.
 func (d *Desk) Handle(topic string, f func(body wire.Raw, reply func(any))) { d.topics[topic] = f }
 
-// Waiting is the number of questions that wait for an answer.
+// Waiting returns the number of requests that wait for their reply.
 func (d *Desk) Waiting() int { return len(d.waiting) }
 
-// Ask puts a question to a node, which may be this one. cb is called once: with ok
-// false when nobody answered in time, or when too much is being asked already.
+// Ask sends a request to a controller, which may be this one. cb is called once, with ok false if there was no reply in
+// time, if the receiver has no handler for the topic, or if the request was not sent: to an unknown controller, too large,
+// or beyond the limit of pending requests. A request to this controller itself has no timeout.
 func (d *Desk) Ask(to, topic string, body any, timeout loop.Micros, cb func(body wire.Raw, ok bool)) {
 	raw := wire.Raw(wire.Marshal(body))
 	if to == d.self {
@@ -65,15 +69,18 @@
 	d.r.After(timeout, func() { d.settle(to, id, nil, false) })
 }
 
+// settle completes a request with its reply, or with ok false.
 func (d *Desk) settle(from string, id uint64, body wire.Raw, ok bool) {
 	w, waits := d.waiting[id]
 	if !waits || w.to != from {
-		return // late, or repeated
+		return // a late or repeated reply, or one by another peer
 	}
 	delete(d.waiting, id)
 	w.cb(body, ok)
 }
 
+// answer calls the handler of a topic. cb receives the encoded reply, or ok false if there is no handler or the reply is
+// too large.
 func (d *Desk) answer(topic string, body wire.Raw, cb func(wire.Raw, bool)) {
 	f := d.topics[topic]
 	if f == nil {
@@ -90,7 +97,7 @@
 	})
 }
 
-// Take takes in the questions and answers of a peer's frame.
+// Take processes the requests and replies in a peer's message.
 func (d *Desk) Take(e *peer.Envelope) {
 	for _, q := range e.Questions {
 		d.answer(q.Topic, q.Body, func(body wire.Raw, ok bool) {
--- a/internal/ask/ask_test.go
+++ b/internal/ask/ask_test.go
@@ -11,13 +11,14 @@
 	"cleatpick/internal/wire"
 )
 
-// line is two desks whose frames the test delivers, loses and repeats.
+// line is three endpoints with a network between them in which the test delivers, loses and repeats messages.
 type line struct {
 	*standin.Stepped
 	desks  map[string]*Desk
 	frames []frame
 }
 
+// frame is a message on its way to a controller.
 type frame struct {
 	to string
 	e  *peer.Envelope
@@ -42,7 +43,7 @@
 	return l
 }
 
-// deliver hands all frames on, each so many times.
+// deliver delivers all messages on their way, and those sent meanwhile, each the given number of times.
 func (l *line) deliver(times int) {
 	for len(l.frames) > 0 {
 		f := l.frames[0]
@@ -63,8 +64,8 @@
 	})
 }
 
-// Every question is settled once: by its answer, or by its time. Lost, late and repeated
-// frames, and answers by somebody else, do no harm.
+// Each request must complete exactly once, by its reply or by its timeout. A lost, late or repeated message, or a reply
+// with the right id from another controller, must neither complete it a second time nor with a wrong result.
 func TestQuestionsAreSettledOnce(t *testing.T) {
 	for _, c := range []struct {
 		what string
@@ -74,20 +75,20 @@
 		{"answered", func(l *line, told *[]string) { l.ask("b", "double", 4, told); l.deliver(1) }, "[8 true]"},
 		{"repeated", func(l *line, told *[]string) { l.ask("b", "double", 4, told); l.deliver(3) }, "[8 true]"},
 		{"lost", func(l *line, told *[]string) { l.ask("b", "double", 4, told); l.frames = nil }, "[0 false]"},
-		{"late", func(l *line, told *[]string) {
+		{"late reply", func(l *line, told *[]string) {
 			l.ask("b", "double", 4, told)
 			l.Run(2 * loop.Second)
 			l.deliver(1)
 		}, "[0 false]"},
-		{"no such topic", func(l *line, told *[]string) { l.ask("c", "double", 4, told); l.deliver(1) }, "[0 false]"},
-		{"no such node", func(l *line, told *[]string) { l.ask("z", "double", 4, told) }, "[0 false]"},
-		{"too large an answer", func(l *line, told *[]string) { l.ask("b", "large", 4, told); l.deliver(1) }, "[0 false]"},
-		{"answered by another", func(l *line, told *[]string) {
+		{"no handler for the topic", func(l *line, told *[]string) { l.ask("c", "double", 4, told); l.deliver(1) }, "[0 false]"},
+		{"unknown controller", func(l *line, told *[]string) { l.ask("z", "double", 4, told) }, "[0 false]"},
+		{"reply too large", func(l *line, told *[]string) { l.ask("b", "large", 4, told); l.deliver(1) }, "[0 false]"},
+		{"reply by another controller", func(l *line, told *[]string) {
 			l.ask("b", "double", 4, told)
 			l.desks["a"].Take(&peer.Envelope{From: "c", Replies: []peer.Reply{{ID: 101, OK: true, Body: wire.Marshal(7)}}})
 			l.deliver(1)
 		}, "[8 true]"},
-		{"asked of itself", func(l *line, told *[]string) {
+		{"request to itself", func(l *line, told *[]string) {
 			l.desks["a"].Handle("double", func(_ wire.Raw, reply func(any)) { reply(5) })
 			l.ask("a", "double", 4, told)
 		}, "[5 true]"},
@@ -97,7 +98,7 @@
 		c.play(l, &told)
 		l.Run(3 * loop.Second)
 		if fmt.Sprint(told) != c.want || l.desks["a"].Waiting() != 0 {
-			t.Errorf("%s: told %v with %d left, want %s", c.what, told, l.desks["a"].Waiting(), c.want)
+			t.Errorf("%s: results %v with %d requests pending, want %s with 0", c.what, told, l.desks["a"].Waiting(), c.want)
 		}
 	}
 	l := newLine()
@@ -106,6 +107,6 @@
 		l.ask("b", "double", 1, &told)
 	}
 	if len(told) != 5 || l.desks["a"].Waiting() != Most {
-		t.Errorf("%d questions wait and %d were refused, want %d and 5", l.desks["a"].Waiting(), len(told), Most)
+		t.Errorf("%d requests are pending and %d were refused, want %d and 5", l.desks["a"].Waiting(), len(told), Most)
 	}
 }
