--- a/internal/ask/ask.go
+++ b/internal/ask/ask.go
@@ -23,8 +23,8 @@
 	cb func(body wire.Raw, ok bool)
 }
 
-// Desk sends the requests of one controller and answers those of its peers. All methods must be called on the event loop.
-type Desk struct {
+// Endpoint sends the requests of one controller and answers those of its peers. All methods must be called on the event loop.
+type Endpoint struct {
 	r       loop.Runner
 	self    string
 	send    func(label string, f func(*peer.Envelope))
@@ -37,20 +37,20 @@
 // New returns a Desk for the controller named self. send calls a function that adds to the next message to a peer; known
 // reports whether a label names a peer. The ids of requests follow first, which must differ between the incarnations of a
 // process: otherwise a late reply to a request of an earlier incarnation could be matched to one of this incarnation.
-func New(r loop.Runner, self string, first uint64, send func(string, func(*peer.Envelope)), known func(string) bool) *Desk {
-	return &Desk{r: r, self: self, next: first, send: send, known: known, waiting: map[uint64]waiting{}, topics: map[string]func(wire.Raw, func(any)){}}
+func New(r loop.Runner, self string, first uint64, send func(string, func(*peer.Envelope)), known func(string) bool) *Endpoint {
+	return &Endpoint{r: r, self: self, next: first, send: send, known: known, waiting: map[uint64]waiting{}, topics: map[string]func(wire.Raw, func(any)){}}
 }
 
 // Handle sets the handler of the requests of a topic. The handler must call reply at most once, at once or later.
-func (d *Desk) Handle(topic string, f func(body wire.Raw, reply func(any))) { d.topics[topic] = f }
+func (d *Endpoint) Handle(topic string, f func(body wire.Raw, reply func(any))) { d.topics[topic] = f }
 
 // Waiting returns the number of requests that wait for their reply.
-func (d *Desk) Waiting() int { return len(d.waiting) }
+func (d *Endpoint) Waiting() int { return len(d.waiting) }
 
 // Ask sends a request to a controller, which may be this one. cb is called once, with ok false if there was no reply in
 // time, if the receiver has no handler for the topic, or if the request was not sent: to an unknown controller, too large,
 // or beyond the limit of pending requests. A request to this controller itself has no timeout.
-func (d *Desk) Ask(to, topic string, body any, timeout loop.Micros, cb func(body wire.Raw, ok bool)) {
+func (d *Endpoint) Ask(to, topic string, body any, timeout loop.Micros, cb func(body wire.Raw, ok bool)) {
 	raw := wire.Raw(wire.Marshal(body))
 	if to == d.self {
 		d.answer(topic, raw, func(b wire.Raw, ok bool) { cb(b, ok) })
@@ -70,7 +70,7 @@
 }
 
 // settle completes a request with its reply, or with ok false.
-func (d *Desk) settle(from string, id uint64, body wire.Raw, ok bool) {
+func (d *Endpoint) settle(from string, id uint64, body wire.Raw, ok bool) {
 	w, waits := d.waiting[id]
 	if !waits || w.to != from {
 		return // a late or repeated reply, or one by another peer
@@ -81,7 +81,7 @@
 
 // answer calls the handler of a topic. cb receives the encoded reply, or ok false if there is no handler or the reply is
 // too large.
-func (d *Desk) answer(topic string, body wire.Raw, cb func(wire.Raw, bool)) {
+func (d *Endpoint) answer(topic string, body wire.Raw, cb func(wire.Raw, bool)) {
 	f := d.topics[topic]
 	if f == nil {
 		cb(nil, false)
@@ -98,7 +98,7 @@
 }
 
 // Take processes the requests and replies in a peer's message.
-func (d *Desk) Take(e *peer.Envelope) {
+func (d *Endpoint) Take(e *peer.Envelope) {
 	for _, q := range e.Questions {
 		d.answer(q.Topic, q.Body, func(body wire.Raw, ok bool) {
 			d.send(e.From, func(o *peer.Envelope) {
--- a/internal/ask/ask_test.go
+++ b/internal/ask/ask_test.go
@@ -14,7 +14,7 @@
 // line is three endpoints with a network between them in which the test delivers, loses and repeats messages.
 type line struct {
 	*standin.Stepped
-	desks  map[string]*Desk
+	desks  map[string]*Endpoint
 	frames []frame
 }
 
@@ -25,7 +25,7 @@
 }
 
 func newLine() *line {
-	l := &line{Stepped: standin.NewStepped(1000 * loop.Second), desks: map[string]*Desk{}}
+	l := &line{Stepped: standin.NewStepped(1000 * loop.Second), desks: map[string]*Endpoint{}}
 	for _, self := range []string{"a", "b", "c"} {
 		l.desks[self] = New(l, self, 100, func(to string, f func(*peer.Envelope)) {
 			e := &peer.Envelope{From: self}
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -20,7 +20,7 @@
 
 // apiParts holds what a controller needs for /v1/; it exists only if the operators' settings enable /v1/.
 type apiParts struct {
-	questions    *ask.Desk
+	questions    *ask.Endpoint
 	explanations *explain.Service
 	api          *api.API
 }
