--- a/internal/ask/ask.go
+++ b/internal/ask/ask.go
@@ -11,8 +11,8 @@
 	"cleatpick/internal/wire"
 )
 
-// Most is the largest number of requests of this controller that may be pending at a time.
-const Most = 256
+// MaxPending is the largest number of requests of this controller that may be pending at a time.
+const MaxPending = 256
 
 // maxBody is the largest body in bytes of a request and of a reply; it keeps messages within their size limit.
 const maxBody = 64 << 10
@@ -56,7 +56,7 @@
 		d.answer(topic, raw, func(b wire.Raw, ok bool) { cb(b, ok) })
 		return
 	}
-	if !d.known(to) || len(d.waiting) >= Most || len(raw) > maxBody {
+	if !d.known(to) || len(d.waiting) >= MaxPending || len(raw) > maxBody {
 		cb(nil, false)
 		return
 	}
--- a/internal/ask/ask_test.go
+++ b/internal/ask/ask_test.go
@@ -103,10 +103,10 @@
 	}
 	l := newLine()
 	var told []string
-	for range Most + 5 {
+	for range MaxPending + 5 {
 		l.ask("b", "double", 1, &told)
 	}
-	if len(told) != 5 || l.desks["a"].Waiting() != Most {
-		t.Errorf("%d requests are pending and %d were refused, want %d and 5", l.desks["a"].Waiting(), len(told), Most)
+	if len(told) != 5 || l.desks["a"].Waiting() != MaxPending {
+		t.Errorf("%d requests are pending and %d were refused, want %d and 5", l.desks["a"].Waiting(), len(told), MaxPending)
 	}
 }
