--- a/internal/ask/ask.go
+++ b/internal/ask/ask.go
@@ -44,8 +44,8 @@
 // Handle sets the handler of the requests of a topic. The handler must call reply at most once, at once or later.
 func (d *Endpoint) Handle(topic string, f func(body wire.Raw, reply func(any))) { d.topics[topic] = f }
 
-// Waiting returns the number of requests that wait for their reply.
-func (d *Endpoint) Waiting() int { return len(d.waiting) }
+// Pending returns the number of requests that wait for their reply.
+func (d *Endpoint) Pending() int { return len(d.waiting) }
 
 // Ask sends a request to a controller, which may be this one. cb is called once, with ok false if there was no reply in
 // time, if the receiver has no handler for the topic, or if the request was not sent: to an unknown controller, too large,
--- a/internal/ask/ask_test.go
+++ b/internal/ask/ask_test.go
@@ -97,8 +97,8 @@
 		var told []string
 		c.play(l, &told)
 		l.Run(3 * loop.Second)
-		if fmt.Sprint(told) != c.want || l.desks["a"].Waiting() != 0 {
-			t.Errorf("%s: results %v with %d requests pending, want %s with 0", c.what, told, l.desks["a"].Waiting(), c.want)
+		if fmt.Sprint(told) != c.want || l.desks["a"].Pending() != 0 {
+			t.Errorf("%s: results %v with %d requests pending, want %s with 0", c.what, told, l.desks["a"].Pending(), c.want)
 		}
 	}
 	l := newLine()
@@ -106,7 +106,7 @@
 	for range MaxPending + 5 {
 		l.ask("b", "double", 1, &told)
 	}
-	if len(told) != 5 || l.desks["a"].Waiting() != MaxPending {
-		t.Errorf("%d requests are pending and %d were refused, want %d and 5", l.desks["a"].Waiting(), len(told), MaxPending)
+	if len(told) != 5 || l.desks["a"].Pending() != MaxPending {
+		t.Errorf("%d requests are pending and %d were refused, want %d and 5", l.desks["a"].Pending(), len(told), MaxPending)
 	}
 }
