--- a/internal/ask/ask.go
+++ b/internal/ask/ask.go
@@ -47,10 +47,10 @@
 // Pending returns the number of requests that wait for their reply.
 func (d *Endpoint) Pending() int { return len(d.waiting) }
 
-// Ask sends a request to a controller, which may be this one. cb is called once, with ok false if there was no reply in
+// Call sends a request to a controller, which may be this one. cb is called once, with ok false if there was no reply in
 // time, if the receiver has no handler for the topic, or if the request was not sent: to an unknown controller, too large,
 // or beyond the limit of pending requests. A request to this controller itself has no timeout.
-func (d *Endpoint) Ask(to, topic string, body any, timeout loop.Micros, cb func(body wire.Raw, ok bool)) {
+func (d *Endpoint) Call(to, topic string, body any, timeout loop.Micros, cb func(body wire.Raw, ok bool)) {
 	raw := wire.Raw(wire.Marshal(body))
 	if to == d.self {
 		d.answer(topic, raw, func(b wire.Raw, ok bool) { cb(b, ok) })
--- a/internal/ask/ask_test.go
+++ b/internal/ask/ask_test.go
@@ -55,7 +55,7 @@
 }
 
 func (l *line) ask(to, topic string, n int, told *[]string) {
-	l.desks["a"].Ask(to, topic, n, loop.Second, func(body wire.Raw, ok bool) {
+	l.desks["a"].Call(to, topic, n, loop.Second, func(body wire.Raw, ok bool) {
 		var got int
 		if ok && wire.Unmarshal(body, &got) != nil {
 			got = -1
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -53,7 +53,7 @@
 		Facts:  func(id string) (*explain.Facts, bool) { return n.placer.Facts(id, n.rental.Types(), n.mayStart()) },
 		Supply: n.rental.Supply,
 		Counts: n.counts,
-		Ask:    x.questions.Ask,
+		Ask:    x.questions.Call,
 		Handle: x.questions.Handle,
 		Meter:  n.meter,
 	})
@@ -210,7 +210,7 @@
 		return
 	}
 	for label := range owners {
-		n.apiParts.questions.Ask(label, topicPendingStarts, name, pendingStartsTimeout, func(body wire.Raw, ok bool) {
+		n.apiParts.questions.Call(label, topicPendingStarts, name, pendingStartsTimeout, func(body wire.Raw, ok bool) {
 			var starts int
 			if !ok || wire.Unmarshal(body, &starts) != nil || starts < 0 {
 				complete = false
