--- a/internal/ask/ask.go
+++ b/internal/ask/ask.go
@@ -97,8 +97,8 @@
 	})
 }
 
-// Take processes the requests and replies in a peer's message.
-func (d *Endpoint) Take(e *peer.Envelope) {
+// Receive processes the requests and replies in a peer's message.
+func (d *Endpoint) Receive(e *peer.Envelope) {
 	for _, q := range e.Questions {
 		d.answer(q.Topic, q.Body, func(body wire.Raw, ok bool) {
 			d.send(e.From, func(o *peer.Envelope) {
--- a/internal/ask/ask_test.go
+++ b/internal/ask/ask_test.go
@@ -49,7 +49,7 @@
 		f := l.frames[0]
 		l.frames = l.frames[1:]
 		for range times {
-			l.desks[f.to].Take(f.e)
+			l.desks[f.to].Receive(f.e)
 		}
 	}
 }
@@ -85,7 +85,7 @@
 		{"reply too large", func(l *line, told *[]string) { l.ask("b", "large", 4, told); l.deliver(1) }, "[0 false]"},
 		{"reply by another controller", func(l *line, told *[]string) {
 			l.ask("b", "double", 4, told)
-			l.desks["a"].Take(&peer.Envelope{From: "c", Replies: []peer.Reply{{ID: 101, OK: true, Body: wire.Marshal(7)}}})
+			l.desks["a"].Receive(&peer.Envelope{From: "c", Replies: []peer.Reply{{ID: 101, OK: true, Body: wire.Marshal(7)}}})
 			l.deliver(1)
 		}, "[8 true]"},
 		{"request to itself", func(l *line, told *[]string) {
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -47,7 +47,7 @@
 	}
 	n.applyCauses(e.Progress, false)
 	if n.apiParts != nil {
-		n.apiParts.questions.Take(e)
+		n.apiParts.questions.Receive(e)
 	}
 	n.jobs.ApplyQueuePositions(e.Places)
 	n.placer.UsageReceived(e.Usage)
