--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -1,54 +1,55 @@
-// Package delivery judges whether a start of an attempt can still reach a worker. A worker that
-// was told to forget an attempt starts it anew when such a start comes, so nobody may be told to
-// forget one while that is possible.
+// Package delivery computes until when a start command for an attempt of a task can still reach a worker. A worker that
+// has forgotten an attempt starts it again when such a command arrives, so no worker may be asked to forget an attempt
+// while that is possible.
 //
-// The judgement belongs to the attempt: what is known of an earlier or a later attempt of the same
-// task, of its expiry above all, says nothing of this one. Clock does the arithmetic of times of
-// day, and Expiries keeps what an owner knows of the attempts that it recorded. Which messages are
-// under way to a worker is known to its host alone, which has the last word (agent.mayForget).
+// Each attempt is treated on its own: the expiry of an earlier or later attempt of the same task implies nothing about
+// this one. Clock compares wall clock times of different controllers, and Expiries holds the expiry of each attempt that
+// an owner recorded. Which commands are in flight to a worker is known only to the worker's host controller, which makes
+// the final decision whether the worker may forget an attempt.
 package delivery
 
 import "cleatpick/internal/loop"
 
-// AnswerLife is how long a worker waits for the answer to its report, and so how long a start in
-// such an answer can be under way.
+// AnswerLife is how long a worker waits for the answer to its report, and thus the longest time for which a start command
+// in such an answer can be in flight.
 const AnswerLife = 4200 * loop.Millisecond
 
-// Attempt names one attempt of a task.
+// Attempt identifies one attempt of a task.
 type Attempt struct {
 	Task   string
 	Number uint64
 }
 
-// Clock tells how the times of day of two controllers compare.
+// Clock holds what is needed to compare wall clock times of different controllers.
 type Clock struct {
-	// Difference is the most by which they differ.
+	// Difference is the upper bound on the difference between the wall clocks of two controllers.
 	Difference loop.Micros
-	// StartLife is how long after its record begins a start may be passed on to its worker. It is
-	// the same at all controllers.
+	// StartLife is how long after the owner begins to record a start a host controller may pass it on to the worker.
+	// It is the same at all controllers.
 	StartLife loop.Micros
 }
 
-// slack is what is added to the bound on clocks, for times that are read a moment after they count.
+// slack is added to the bound on the clocks' difference, because a time may be read slightly after the event that it
+// stands for.
 const slack = 200 * loop.Millisecond
 
-// NewClock makes a clock from the bound on the difference of two times of day, and the life of a
+// NewClock returns a Clock for the given bound on the difference between two wall clocks and the given lifetime of a
 // start.
 func NewClock(difference, startLife loop.Micros) Clock {
 	return Clock{Difference: difference + slack, StartLife: startLife}
 }
 
-// LatestArrival is the time of day after which no start can arrive that expires at a time of day
-// which any controller named: until then by its own clock a host may pass it on, and the answer
-// that carries it is under way for as long as a worker waits.
+// LatestArrival returns the wall clock time, by the clock of any controller, after which a start with the given expiry
+// cannot arrive at a worker. The expiry was determined by the clock of any controller. A host controller passes the start
+// on until the expiry by its own clock, and the answer that carries it can be in flight for AnswerLife.
 func (c Clock) LatestArrival(expiry loop.Micros) loop.Micros {
 	return expiry + c.Difference + AnswerLife
 }
 
-// LatestArrivalOfRecorded is the same for an attempt of which only this is known: its record had
-// begun by a time of day. Its expiry was named by another controller's clock, and a third one's
-// judges it; but those two differ by no more than the difference, and what has passed since is
-// told by the clock that asks.
+// LatestArrivalOfRecorded returns the same for an attempt whose expiry is unknown, given a time by the caller's clock at
+// which the owner had already begun to record the start. The expiry was set by the owner's clock and is checked by a host
+// controller's clock, which are both different from the caller's; but only those two have to be compared, by Difference,
+// and the time since recorded is measured by the caller's clock alone.
 func (c Clock) LatestArrivalOfRecorded(recorded loop.Micros) loop.Micros {
 	return c.LatestArrival(recorded + c.StartLife)
 }
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -7,14 +7,16 @@
 	"cleatpick/internal/loop"
 )
 
-// controller is a plain model of one: its time of day is off by a constant.
+// controller is a model of a controller: its wall clock differs from the real time by a constant.
 type controller struct{ off loop.Micros }
 
 func (c controller) wall(real loop.Micros) loop.Micros { return real + c.off }
 
-// An owner records an attempt, a host lists it, another host passes its start on at the last
-// moment in an answer that is under way for as long as its worker waits. Whatever the clocks
-// show within their bound, it has arrived before owner and host take it for over.
+// Guards against a start that arrives after the owner or a host controller considers that impossible: the worker might
+// then have been asked to forget the attempt, and would run it a second time. An owner records an attempt, a host
+// controller lists it, and another host controller passes its start on just before the expiry, in an answer that is in
+// flight almost as long as the worker waits. The clocks differ by random amounts within their bound. The last check shows
+// that the bound is not looser than needed.
 func TestNothingArrivesAfterTheLatestArrival(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	const bound = 300 * loop.Millisecond
@@ -32,48 +34,49 @@
 		recorded := 1000*loop.Second + draw(loop.Second)
 		expiry := owner.wall(recorded) + clock.StartLife
 		listed := recorded + draw(clock.StartLife)*rng.Int64N(2)
-		passed := expiry - other.off - 1 // the last moment at which the other host passes it on
+		passed := expiry - other.off - 1 // the last time at which the other host controller passes it on
 		arrives := passed + 4*loop.Second
 		expiries := NewExpiries(clock)
 		expiries.Record(Attempt{"job-1/0", 1}, expiry)
 		if !expiries.CanArrive(Attempt{"job-1/0", 1}, owner.wall(arrives)) {
-			t.Fatalf("its owner takes a start for over before it arrives at %d", arrives)
+			t.Fatalf("the owner considers the start expired before it arrives at %d us", arrives)
 		}
 		latest := clock.LatestArrivalOfRecorded(host.wall(listed))
 		if host.wall(arrives) > latest {
-			t.Fatalf("a host takes a start for over before it arrives at %d", arrives)
+			t.Fatalf("a host controller considers the start expired before it arrives at %d us", arrives)
 		}
 		tight = min(tight, latest-host.wall(arrives))
 	}
 	if tight > 250*loop.Millisecond {
-		t.Errorf("no case comes closer than %d us to the bound", tight)
+		t.Errorf("the closest arrival is %d us before the bound, want at most 250 ms", tight)
 	}
 }
 
-// Each attempt is judged by its own expiry, and kept for no longer than that matters.
+// Each attempt must be judged by its own expiry, even if a later attempt of the same task has a later one. An attempt
+// recorded again with an earlier expiry keeps the later one, and Prune removes attempts only after their latest arrival.
 func TestExpiriesOfAttempts(t *testing.T) {
 	clock := Clock{Difference: loop.Second, StartLife: 6 * loop.Second}
 	e := NewExpiries(clock)
 	first, second := Attempt{"job-1/0", 1}, Attempt{"job-1/0", 2}
 	e.Record(first, 10*loop.Second)
 	e.Record(second, 20*loop.Second)
-	e.Record(first, 8*loop.Second) // never sooner
+	e.Record(first, 8*loop.Second) // an earlier expiry changes nothing
 	if e.CanArrive(Attempt{"job-1/0", 3}, 0) {
-		t.Error("a start of an attempt that was never recorded can arrive")
+		t.Error("CanArrive is true for an attempt that was never recorded")
 	}
 	for _, c := range []struct {
 		wall          loop.Micros
 		first, second bool
 	}{{15200 * loop.Millisecond, true, true}, {15201 * loop.Millisecond, false, true}, {25200 * loop.Millisecond, false, true}, {25201 * loop.Millisecond, false, false}} {
 		if a, b := e.CanArrive(first, c.wall), e.CanArrive(second, c.wall); a != c.first || b != c.second {
-			t.Errorf("at %d they can arrive: %v, %v", c.wall, a, b)
+			t.Errorf("at %d us: CanArrive is %v for the first attempt and %v for the second", c.wall, a, b)
 		}
 		e.Prune(c.wall)
 		if a, b := e.CanArrive(first, c.wall), e.CanArrive(second, c.wall); a != c.first || b != c.second {
-			t.Errorf("at %d, pruned, they can arrive: %v, %v", c.wall, a, b)
+			t.Errorf("at %d us, after Prune: CanArrive is %v for the first attempt and %v for the second", c.wall, a, b)
 		}
 	}
 	if e.Len() != 0 {
-		t.Errorf("%d attempts are kept", e.Len())
+		t.Errorf("the set has %d attempts after the last Prune, want 0", e.Len())
 	}
 }
