--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -8,34 +8,34 @@
 )
 
 // controller is a model of a controller: its wall clock differs from the real time by a constant.
-type controller struct{ off loop.Micros }
+type controller struct{ offset loop.Micros }
 
-func (c controller) wall(real loop.Micros) loop.Micros { return real + c.off }
+func (c controller) wall(real loop.Micros) loop.Micros { return real + c.offset }
 
 // Guards against a start that arrives after the owner or a host controller considers that impossible: the worker might
 // then have been asked to forget the attempt, and would run it a second time. An owner records an attempt, a host
 // controller lists it, and another host controller passes its start on just before the expiry, in an answer that is in
 // flight almost as long as the worker waits. The clocks differ by random amounts within their bound. The last check shows
 // that the bound is not looser than needed.
-func TestNothingArrivesAfterTheLatestArrival(t *testing.T) {
+func TestNoStartArrivesAfterLatestArrival(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	const bound = 300 * loop.Millisecond
 	clock := Clock{Difference: 2 * bound, StartLife: 6 * loop.Second}
 	draw := func(most loop.Micros) loop.Micros { return rng.Int64N(most + 1) }
-	tight := loop.Micros(1 << 62)
+	smallestMargin := loop.Micros(1 << 62)
 	for range 20_000 {
-		off := func() loop.Micros {
+		drawOffset := func() loop.Micros {
 			if rng.IntN(2) == 0 {
 				return []loop.Micros{-bound, bound}[rng.IntN(2)]
 			}
 			return draw(2*bound) - bound
 		}
-		owner, host, other := controller{off()}, controller{off()}, controller{off()}
+		owner, host, otherHost := controller{drawOffset()}, controller{drawOffset()}, controller{drawOffset()}
 		recorded := 1000*loop.Second + draw(loop.Second)
 		expiry := owner.wall(recorded) + clock.StartLife
 		listed := recorded + draw(clock.StartLife)*rng.Int64N(2)
-		passed := expiry - other.off - 1 // the last time at which the other host controller passes it on
-		arrives := passed + 4*loop.Second
+		passedOn := expiry - otherHost.offset - 1 // the last time at which the other host controller passes it on
+		arrives := passedOn + 4*loop.Second
 		expiries := NewExpiries(clock)
 		expiries.Record(Attempt{"job-1/0", 1}, expiry)
 		if !expiries.CanArrive(Attempt{"job-1/0", 1}, owner.wall(arrives)) {
@@ -45,10 +45,10 @@
 		if host.wall(arrives) > latest {
 			t.Fatalf("a host controller considers the start expired before it arrives at %d us", arrives)
 		}
-		tight = min(tight, latest-host.wall(arrives))
+		smallestMargin = min(smallestMargin, latest-host.wall(arrives))
 	}
-	if tight > 250*loop.Millisecond {
-		t.Errorf("the closest arrival is %d us before the bound, want at most 250 ms", tight)
+	if smallestMargin > 250*loop.Millisecond {
+		t.Errorf("the closest arrival is %d us before the bound, want at most 250 ms", smallestMargin)
 	}
 }
 
