--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -51,7 +51,7 @@
 	// ClockUncertainty is twice the bound on the error of a wall clock.
 	ClockUncertainty loop.Micros
 	// Clock determines until when a start can still arrive.
-	Clock delivery.Clock
+	Clock delivery.ClockBounds
 	// Meter counts commands and decisions about forgetting attempts; it may be nil.
 	Meter *metric.Meter
 }
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -20,8 +20,8 @@
 	Number uint64
 }
 
-// Clock holds what is needed to compare wall clock times of different controllers.
-type Clock struct {
+// ClockBounds holds what is needed to compare wall clock times of different controllers.
+type ClockBounds struct {
 	// Difference is the upper bound on the difference between the wall clocks of two controllers.
 	Difference loop.Micros
 	// StartLife is how long after the owner begins to record a start a host controller may pass it on to the worker.
@@ -35,14 +35,14 @@
 
 // NewClock returns a Clock for the given bound on the difference between two wall clocks and the given lifetime of a
 // start.
-func NewClock(difference, startLife loop.Micros) Clock {
-	return Clock{Difference: difference + slack, StartLife: startLife}
+func NewClock(difference, startLife loop.Micros) ClockBounds {
+	return ClockBounds{Difference: difference + slack, StartLife: startLife}
 }
 
 // LatestArrival returns the wall clock time, by the clock of any controller, after which a start with the given expiry
 // cannot arrive at a worker. The expiry was determined by the clock of any controller. A host controller passes the start
 // on until the expiry by its own clock, and the answer that carries it can be in flight for AnswerLife.
-func (c Clock) LatestArrival(expiry loop.Micros) loop.Micros {
+func (c ClockBounds) LatestArrival(expiry loop.Micros) loop.Micros {
 	return expiry + c.Difference + AnswerLife
 }
 
@@ -50,6 +50,6 @@
 // which the owner had already begun to record the start. The expiry was set by the owner's clock and is checked by a host
 // controller's clock, which are both different from the caller's; but only those two have to be compared, by Difference,
 // and the time since recorded is measured by the caller's clock alone.
-func (c Clock) LatestArrivalOfRecorded(recorded loop.Micros) loop.Micros {
+func (c ClockBounds) LatestArrivalOfRecorded(recorded loop.Micros) loop.Micros {
 	return c.LatestArrival(recorded + c.StartLife)
 }
--- a/internal/delivery/expiries.go
+++ b/internal/delivery/expiries.go
@@ -6,12 +6,12 @@
 // can no longer arrive, so the size is bounded by the number of attempts recorded while a start can arrive, plus those
 // recorded between two calls of Prune.
 type Expiries struct {
-	clock  Clock
+	clock  ClockBounds
 	expiry map[Attempt]loop.Micros
 }
 
 // NewExpiries returns an empty set.
-func NewExpiries(clock Clock) *Expiries {
+func NewExpiries(clock ClockBounds) *Expiries {
 	return &Expiries{clock: clock, expiry: map[Attempt]loop.Micros{}}
 }
 
--- a/internal/placer/scheduler.go
+++ b/internal/placer/scheduler.go
@@ -89,7 +89,7 @@
 	checkRequestedAt map[string]loop.Micros
 	reruns           reruns
 	nextSweepAt      loop.Micros // when all tasks in use are checked next
-	clock            delivery.Clock
+	clock            delivery.ClockBounds
 	expiries         *delivery.Expiries // expiry of each attempt that this owner recorded
 }
 
