--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -62,7 +62,7 @@
 			return nil
 		},
 		Publish: func(ViewUpdate) {}, ViewChanged: func(*View, *Changes) {}, SendRejection: func(_ string, d Rejection) { g.rejections = append(g.rejections, d) },
-		Clock: delivery.NewClock(0, 6*loop.Second),
+		Clock: delivery.NewClockBounds(0, 6*loop.Second),
 	}, func(_ string, c wire.Commands, _ time.Duration) store.Response {
 		g.sent = append(g.sent, c)
 		if g.duringDirect != nil {
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -33,9 +33,9 @@
 // stands for.
 const slack = 200 * loop.Millisecond
 
-// NewClock returns a Clock for the given bound on the difference between two wall clocks and the given lifetime of a
+// NewClockBounds returns a Clock for the given bound on the difference between two wall clocks and the given lifetime of a
 // start.
-func NewClock(difference, startLife loop.Micros) ClockBounds {
+func NewClockBounds(difference, startLife loop.Micros) ClockBounds {
 	return ClockBounds{Difference: difference + slack, StartLife: startLife}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -159,7 +159,7 @@
 		},
 		StartBlocked:     n.startBlocked,
 		ClockUncertainty: cfg.ClockDifference(),
-		Clock:            delivery.NewClock(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifeS)),
+		Clock:            delivery.NewClockBounds(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifeS)),
 		Meter:            n.meter,
 	}, n.sendCommands)
 	n.placer = placer.New(l, n.client, log, cfg, placer.Node{
--- a/internal/placer/scheduler.go
+++ b/internal/placer/scheduler.go
@@ -101,7 +101,7 @@
 		attribution:    health.NewAttribution(func(id string) bool { j := registry.Get(id); return j != nil && !j.Final() }), zoneByMachine: map[string]string{}, nonce: loop.Rand(r).Uint64() >> 1, usage: map[string]peer.Usage{},
 
 		checkRequestedAt: map[string]loop.Micros{}, paces: health.Paces{}, starvation: starvation.New()}
-	p.clock = delivery.NewClock(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifeS))
+	p.clock = delivery.NewClockBounds(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifeS))
 	p.expiries = delivery.NewExpiries(p.clock)
 	p.fleet = fleet.New(r, log, fleet.Node{Label: n.Label, Type: n.Type, Room: a.FreeCapacity, Jobs: a.Jobs, Unshown: p.eachUnlisted, Stop: n.Stop,
 		Cordons: cordons, StaleAfter: p.staleAfter()})
