--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -22,8 +22,8 @@
 
 // ClockBounds holds what is needed to compare wall clock times of different controllers.
 type ClockBounds struct {
-	// Difference is the upper bound on the difference between the wall clocks of two controllers.
-	Difference loop.Micros
+	// MaxDifference is the upper bound on the difference between the wall clocks of two controllers.
+	MaxDifference loop.Micros
 	// StartLife is how long after the owner begins to record a start a host controller may pass it on to the worker.
 	// It is the same at all controllers.
 	StartLife loop.Micros
@@ -36,14 +36,14 @@
 // NewClockBounds returns a Clock for the given bound on the difference between two wall clocks and the given lifetime of a
 // start.
 func NewClockBounds(difference, startLife loop.Micros) ClockBounds {
-	return ClockBounds{Difference: difference + slack, StartLife: startLife}
+	return ClockBounds{MaxDifference: difference + slack, StartLife: startLife}
 }
 
 // LatestArrival returns the wall clock time, by the clock of any controller, after which a start with the given expiry
 // cannot arrive at a worker. The expiry was determined by the clock of any controller. A host controller passes the start
 // on until the expiry by its own clock, and the answer that carries it can be in flight for AnswerLife.
 func (c ClockBounds) LatestArrival(expiry loop.Micros) loop.Micros {
-	return expiry + c.Difference + AnswerLife
+	return expiry + c.MaxDifference + AnswerLife
 }
 
 // LatestArrivalOfRecorded returns the same for an attempt whose expiry is unknown, given a time by the caller's clock at
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -20,7 +20,7 @@
 func TestNoStartArrivesAfterLatestArrival(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	const bound = 300 * loop.Millisecond
-	clock := ClockBounds{Difference: 2 * bound, StartLife: 6 * loop.Second}
+	clock := ClockBounds{MaxDifference: 2 * bound, StartLife: 6 * loop.Second}
 	draw := func(most loop.Micros) loop.Micros { return rng.Int64N(most + 1) }
 	smallestMargin := loop.Micros(1 << 62)
 	for range 20_000 {
@@ -55,7 +55,7 @@
 // Each attempt must be judged by its own expiry, even if a later attempt of the same task has a later one. An attempt
 // recorded again with an earlier expiry keeps the later one, and Prune removes attempts only after their latest arrival.
 func TestExpiriesOfAttempts(t *testing.T) {
-	clock := ClockBounds{Difference: loop.Second, StartLife: 6 * loop.Second}
+	clock := ClockBounds{MaxDifference: loop.Second, StartLife: 6 * loop.Second}
 	e := NewExpiries(clock)
 	first, second := Attempt{"job-1/0", 1}, Attempt{"job-1/0", 2}
 	e.Record(first, 10*loop.Second)
--- a/internal/placer/views.go
+++ b/internal/placer/views.go
@@ -187,7 +187,7 @@
 }
 
 // clockBound returns the bound on the difference of two wall clocks, plus a margin.
-func (p *Scheduler) clockBound() loop.Micros { return p.clock.Difference }
+func (p *Scheduler) clockBound() loop.Micros { return p.clock.MaxDifference }
 
 // startCanArrive reports whether a start of an attempt can still reach a worker, by the expiry recorded for that very
 // attempt. Attempts that this owner did not record were recorded by others before it read their team's records.
