--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -3,9 +3,9 @@
 // while that is possible.
 //
 // Each attempt is treated on its own: the expiry of an earlier or later attempt of the same task implies nothing about
-// this one. Clock compares wall clock times of different controllers, and Expiries holds the expiry of each attempt that
-// an owner recorded. Which commands are in flight to a worker is known only to the worker's host controller, which makes
-// the final decision whether the worker may forget an attempt.
+// this one. ClockBounds compares wall clock times of different controllers, and Expiries holds the expiry of each attempt
+// that an owner recorded. Which commands are in flight to a worker is known only to the worker's host controller, which
+// makes the final decision whether the worker may forget an attempt.
 package delivery
 
 import "cleatpick/internal/loop"
@@ -33,7 +33,7 @@
 // stands for.
 const slack = 200 * loop.Millisecond
 
-// NewClockBounds returns a Clock for the given bound on the difference between two wall clocks and the given lifetime of a
+// NewClockBounds returns the bounds for the given maximal difference between two wall clocks and the given lifetime of a
 // start.
 func NewClockBounds(difference, startLife loop.Micros) ClockBounds {
 	return ClockBounds{MaxDifference: difference + slack, StartLife: startLife}
@@ -42,14 +42,14 @@
 // LatestArrival returns the wall clock time, by the clock of any controller, after which a start with the given expiry
 // cannot arrive at a worker. The expiry was determined by the clock of any controller. A host controller passes the start
 // on until the expiry by its own clock, and the answer that carries it can be in flight for AnswerLife.
-func (c ClockBounds) LatestArrival(expiry loop.Micros) loop.Micros {
-	return expiry + c.MaxDifference + AnswerLife
+func (b ClockBounds) LatestArrival(expiry loop.Micros) loop.Micros {
+	return expiry + b.MaxDifference + AnswerLife
 }
 
 // LatestArrivalOfRecorded returns the same for an attempt whose expiry is unknown, given a time by the caller's clock at
 // which the owner had already begun to record the start. The expiry was set by the owner's clock and is checked by a host
-// controller's clock, which are both different from the caller's; but only those two have to be compared, by Difference,
-// and the time since recorded is measured by the caller's clock alone.
-func (c ClockBounds) LatestArrivalOfRecorded(recorded loop.Micros) loop.Micros {
-	return c.LatestArrival(recorded + c.StartLife)
+// controller's clock, which are both different from the caller's; but only those two have to be compared, by
+// MaxDifference, and the time since recorded is measured by the caller's clock alone.
+func (b ClockBounds) LatestArrivalOfRecorded(recorded loop.Micros) loop.Micros {
+	return b.LatestArrival(recorded + b.StartLife)
 }
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -19,29 +19,29 @@
 // that the bound is not looser than needed.
 func TestNoStartArrivesAfterLatestArrival(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	const bound = 300 * loop.Millisecond
-	clock := ClockBounds{MaxDifference: 2 * bound, StartLife: 6 * loop.Second}
+	const maxOffset = 300 * loop.Millisecond
+	bounds := ClockBounds{MaxDifference: 2 * maxOffset, StartLife: 6 * loop.Second}
 	draw := func(most loop.Micros) loop.Micros { return rng.Int64N(most + 1) }
 	smallestMargin := loop.Micros(1 << 62)
 	for range 20_000 {
 		drawOffset := func() loop.Micros {
 			if rng.IntN(2) == 0 {
-				return []loop.Micros{-bound, bound}[rng.IntN(2)]
+				return []loop.Micros{-maxOffset, maxOffset}[rng.IntN(2)]
 			}
-			return draw(2*bound) - bound
+			return draw(2*maxOffset) - maxOffset
 		}
 		owner, host, otherHost := controller{drawOffset()}, controller{drawOffset()}, controller{drawOffset()}
 		recorded := 1000*loop.Second + draw(loop.Second)
-		expiry := owner.wall(recorded) + clock.StartLife
-		listed := recorded + draw(clock.StartLife)*rng.Int64N(2)
+		expiry := owner.wall(recorded) + bounds.StartLife
+		listed := recorded + draw(bounds.StartLife)*rng.Int64N(2)
 		passedOn := expiry - otherHost.offset - 1 // the last time at which the other host controller passes it on
 		arrives := passedOn + 4*loop.Second
-		expiries := NewExpiries(clock)
+		expiries := NewExpiries(bounds)
 		expiries.Record(Attempt{"job-1/0", 1}, expiry)
 		if !expiries.CanArrive(Attempt{"job-1/0", 1}, owner.wall(arrives)) {
 			t.Fatalf("the owner considers the start expired before it arrives at %d us", arrives)
 		}
-		latest := clock.LatestArrivalOfRecorded(host.wall(listed))
+		latest := bounds.LatestArrivalOfRecorded(host.wall(listed))
 		if host.wall(arrives) > latest {
 			t.Fatalf("a host controller considers the start expired before it arrives at %d us", arrives)
 		}
@@ -55,8 +55,8 @@
 // Each attempt must be judged by its own expiry, even if a later attempt of the same task has a later one. An attempt
 // recorded again with an earlier expiry keeps the later one, and Prune removes attempts only after their latest arrival.
 func TestExpiriesOfAttempts(t *testing.T) {
-	clock := ClockBounds{MaxDifference: loop.Second, StartLife: 6 * loop.Second}
-	e := NewExpiries(clock)
+	bounds := ClockBounds{MaxDifference: loop.Second, StartLife: 6 * loop.Second}
+	e := NewExpiries(bounds)
 	first, second := Attempt{"job-1/0", 1}, Attempt{"job-1/0", 2}
 	e.Record(first, 10*loop.Second)
 	e.Record(second, 20*loop.Second)
--- a/internal/delivery/expiries.go
+++ b/internal/delivery/expiries.go
@@ -6,13 +6,13 @@
 // can no longer arrive, so the size is bounded by the number of attempts recorded while a start can arrive, plus those
 // recorded between two calls of Prune.
 type Expiries struct {
-	clock  ClockBounds
+	bounds ClockBounds
 	expiry map[Attempt]loop.Micros
 }
 
 // NewExpiries returns an empty set.
-func NewExpiries(clock ClockBounds) *Expiries {
-	return &Expiries{clock: clock, expiry: map[Attempt]loop.Micros{}}
+func NewExpiries(bounds ClockBounds) *Expiries {
+	return &Expiries{bounds: bounds, expiry: map[Attempt]loop.Micros{}}
 }
 
 // Record adds an attempt whose start is being recorded with the given expiry, a wall clock time. If the attempt is
@@ -24,13 +24,13 @@
 // CanArrive reports whether a start of the attempt that was recorded here can still arrive at a worker.
 func (e *Expiries) CanArrive(attempt Attempt, wall loop.Micros) bool {
 	expiry, recorded := e.expiry[attempt]
-	return recorded && wall <= e.clock.LatestArrival(expiry)
+	return recorded && wall <= e.bounds.LatestArrival(expiry)
 }
 
 // Prune removes the attempts whose starts can no longer arrive.
 func (e *Expiries) Prune(wall loop.Micros) {
 	for attempt, expiry := range e.expiry {
-		if wall > e.clock.LatestArrival(expiry) {
+		if wall > e.bounds.LatestArrival(expiry) {
 			delete(e.expiry, attempt)
 		}
 	}
