--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,5 +1,9 @@
-// Package loop is the single thread on which a node's slices change state.
-// Input and output run in goroutines of their own and post their results here.
+// Package loop provides the event loop of a controller: all state of the controller is changed by functions that run on
+// it one after another, so that the state needs no locks.
+//
+// The package owns the queue of functions to run, the timers, the clocks and the detection of process pauses. Blocking
+// input and output run in goroutines of their own, which post their results to the loop. Tests replace the loop by a
+// Runner whose time they advance themselves.
 package loop
 
 import (
@@ -13,24 +17,25 @@
 	"time"
 )
 
-// Micros is a time or a duration in whole microseconds.
+// Micros is a point in time or a duration in whole microseconds.
 type Micros = int64
 
+// Durations in microseconds.
 const (
 	Millisecond Micros = 1000
 	Second      Micros = 1000 * 1000
 )
 
-// Seconds turns a decimal number of seconds into whole microseconds.
+// Seconds converts a number of seconds into whole microseconds.
 func Seconds(s float64) Micros { return Micros(s * 1e6) }
 
-// Duration turns microseconds into the standard library's form.
+// Duration converts microseconds into a time.Duration.
 func Duration(d Micros) time.Duration { return time.Duration(d) * time.Microsecond }
 
-// Clock tells the steady time and the time of day.
+// Clock reads the monotonic clock and the wall clock.
 type Clock interface {
-	Now() Micros
-	Wall() Micros
+	Now() Micros  // time of the monotonic clock
+	Wall() Micros // wall clock time since the Unix epoch
 }
 
 type realClock struct{ start time.Time }
@@ -38,20 +43,20 @@
 func (c realClock) Now() Micros  { return int64(time.Since(c.start) / time.Microsecond) }
 func (c realClock) Wall() Micros { return time.Now().UnixMicro() }
 
-// RealClock reads the process's clocks. Steady time starts at one hour, so that
-// zero always means "long ago".
+// RealClock returns the process's clocks. The monotonic clock starts at one hour, so that a time of zero always means
+// "long ago".
 func RealClock() Clock { return realClock{time.Now().Add(-time.Hour)} }
 
-// Runner is what slices need of the loop; tests replace it by hand-driven time.
+// Runner is the part of the event loop that other packages use. Tests implement it with simulated time.
 type Runner interface {
 	Clock
-	Post(func())
-	After(Micros, func())
-	Go(func())
+	Post(func())          // runs a function on the loop
+	After(Micros, func()) // runs a function on the loop after a duration
+	Go(func())            // runs a blocking function outside the loop
 }
 
-// Rand is where a slice draws from. A runner may bring its own, so that a test plays the same
-// each time; it is to be used on the loop alone.
+// Rand returns a source of random numbers, for use on the loop only. A runner may have its own source, so that a test
+// can be repeated exactly.
 func Rand(r Runner) *rand.Rand {
 	if own, ok := r.(interface{ Rand() *rand.Rand }); ok {
 		return own.Rand()
@@ -59,8 +64,8 @@
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
 
-// Sorted goes through a map by its keys. What a slice decides or sends must not hang on the
-// order of Go's maps: a failure that is seen once could not be played again.
+// Sorted iterates over a map in the order of its keys. Nothing that is decided or sent may depend on Go's random order of
+// maps, because a failed test could not be repeated then. Entries that the loop's body deletes are skipped.
 func Sorted[K cmp.Ordered, V any](m map[K]V) iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for _, k := range slices.Sorted(maps.Keys(m)) {
@@ -71,7 +76,7 @@
 	}
 }
 
-// Loop runs posted functions one after another.
+// Loop is the event loop: it runs posted functions one after another.
 type Loop struct {
 	Clock
 	mu     sync.Mutex
@@ -80,11 +85,11 @@
 	stalls StallDetector
 }
 
-// New makes a loop on the process's clocks.
+// New returns a loop that uses the process's clocks.
 func New() *Loop { return &Loop{Clock: RealClock(), wake: make(chan struct{}, 1)} }
 
-// Post hands a function to the loop; it never blocks. What is posted is bounded
-// by the callers' own limits on connections and requests in flight.
+// Post adds a function to the loop's queue; it never blocks. The queue has no limit of its own: it is bounded by the
+// callers' limits on connections and requests in flight.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.queue = append(l.queue, f)
@@ -95,16 +100,16 @@
 	}
 }
 
-// After posts f once d has passed.
+// After posts f after d.
 func (l *Loop) After(d Micros, f func()) { time.AfterFunc(Duration(d), func() { l.Post(f) }) }
 
-// Go runs blocking work off the loop.
+// Go runs a blocking function outside the loop, in a goroutine of its own.
 func (l *Loop) Go(f func()) { go f() }
 
-// Stalls are the standstills of this process.
+// Stalls returns the detector of this process's pauses.
 func (l *Loop) Stalls() *StallDetector { return &l.stalls }
 
-// Run works until the context ends.
+// Run runs posted functions until the context is done.
 func (l *Loop) Run(ctx context.Context) error {
 	Every(l, stallBeat, func() {})
 	for {
@@ -127,7 +132,7 @@
 	}
 }
 
-// Every runs f on the loop each d, starting after d.
+// Every runs f on the loop periodically, for the first time after d and then d after the end of each run.
 func Every(r Runner, d Micros, f func()) {
 	var tick func()
 	tick = func() {
@@ -137,8 +142,8 @@
 	r.After(d, tick)
 }
 
-// Ask runs f on the loop and waits for its answer, off the loop; ok is false when none
-// came in time.
+// Ask runs f on the loop and waits until f, or a function that runs later, calls done with the answer. It must be called
+// outside the loop. ok is false if there was no answer in time.
 func Ask[T any](r Runner, patience time.Duration, f func(done func(T))) (answer T, ok bool) {
 	ch := make(chan T, 1)
 	r.Post(func() {
--- a/internal/loop/stall.go
+++ b/internal/loop/stall.go
@@ -1,29 +1,29 @@
 package loop
 
 const (
-	// stallAfter is the time between two turns of a loop from which on its process counts as
-	// having stood still, and stallBeat how often a loop turns at least when it does not.
+	// stallAfter is the shortest time between two functions on the loop that counts as a pause of the process. stallBeat
+	// is the interval of an empty periodic function, so that an idle loop does not look like a pause.
 	stallAfter = Second
 	stallBeat  = Second / 4
 )
 
-// Stall is a time in which the process stood still while its clocks ran on.
+// Stall is a pause of the process: a time in which it did not run although its clocks went on.
 type Stall struct{ From, To Micros }
 
-// StallDetector notices that a process stood still: a turn of its loop that comes far later than
-// the one before. Those who ask for it are told before that turn, so that what must not be late,
-// and measures that a standstill falsifies, are seen to before what queued meanwhile.
+// StallDetector detects pauses of the process: two functions on the loop run far apart. Its handlers run before the second
+// one. They can thus correct measurements that the pause distorted, and answer what must not be late, before the loop runs
+// what was queued during the pause.
 //
-// It is for the loop's thread alone.
+// It must be used on the loop only.
 type StallDetector struct {
 	last     Micros
 	handlers []func(Stall)
 }
 
-// OnStall calls f for every standstill.
+// OnStall registers a handler of pauses.
 func (d *StallDetector) OnStall(f func(Stall)) { d.handlers = append(d.handlers, f) }
 
-// Turn is to be called before everything that runs on the loop.
+// Turn must be called before each function that runs on the loop.
 func (d *StallDetector) Turn(now Micros) {
 	last := d.last
 	d.last = now
@@ -35,7 +35,8 @@
 	}
 }
 
-// Stalls are the standstills of a runner's process; where it does not tell of them, none are.
+// Stalls returns the detector of pauses of the runner's process. If the runner has none, it returns a detector that never
+// reports a pause.
 func Stalls(r Runner) *StallDetector {
 	if own, ok := r.(interface{ Stalls() *StallDetector }); ok {
 		return own.Stalls()
--- a/internal/loop/stall_test.go
+++ b/internal/loop/stall_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A standstill is told once, before the turn that ends it; turns in time and long idle times
-// between beats tell of none.
+// A pause must be reported exactly once, with its first and last time. The periodic function of an idle loop, and
+// intervals just below the threshold, must not be reported as pauses.
 func TestStallDetector(t *testing.T) {
 	var d StallDetector
 	var got []Stall
@@ -23,6 +23,6 @@
 	d.Turn(at)
 	d.Turn(at + stallAfter - 1)
 	if want := []Stall{{from, at}}; !slices.Equal(got, want) {
-		t.Errorf("told of %v, not of %v", got, want)
+		t.Errorf("reported pauses %v, want %v", got, want)
 	}
 }
