--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -157,7 +157,7 @@
 // onLoop calls f on the event loop, waits for its outcome and writes it. The response is an error if this controller is
 // not ready or if there is no outcome in time.
 func (a *API) onLoop(c *request, f func(done func(outcome))) {
-	o, ok := loop.Ask(a.runner, requestTimeout, func(done func(outcome)) {
+	o, ok := loop.Call(a.runner, requestTimeout, func(done func(outcome)) {
 		if !a.node.Ready() {
 			done(outcome{problem: &notReady})
 			return
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -157,7 +157,7 @@
 
 // onLoop calls run on the event loop and waits for its result. It returns nil if there is none in time.
 func onLoop[T any](s *Server, run func(done func(T))) *T {
-	if v, ok := loop.Ask(s.runner, requestTimeout, run); ok {
+	if v, ok := loop.Call(s.runner, requestTimeout, run); ok {
 		return &v
 	}
 	return nil
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -142,9 +142,9 @@
 	r.After(d, tick)
 }
 
-// Ask runs f on the loop and waits until f, or a function that runs later, calls done with the answer. It must be called
+// Call runs f on the loop and waits until f, or a function that runs later, calls done with the answer. It must be called
 // outside the loop. ok is false if there was no answer in time.
-func Ask[T any](r Runner, patience time.Duration, f func(done func(T))) (answer T, ok bool) {
+func Call[T any](r Runner, patience time.Duration, f func(done func(T))) (answer T, ok bool) {
 	ch := make(chan T, 1)
 	r.Post(func() {
 		f(func(v T) {
