--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -82,7 +82,7 @@
 	mu     sync.Mutex
 	queue  []func()
 	wake   chan struct{}
-	stalls StallDetector
+	stalls PauseDetector
 }
 
 // New returns a loop that uses the process's clocks.
@@ -107,7 +107,7 @@
 func (l *Loop) Go(f func()) { go f() }
 
 // Stalls returns the detector of this process's pauses.
-func (l *Loop) Stalls() *StallDetector { return &l.stalls }
+func (l *Loop) Stalls() *PauseDetector { return &l.stalls }
 
 // Run runs posted functions until the context is done.
 func (l *Loop) Run(ctx context.Context) error {
--- a/internal/loop/stall.go
+++ b/internal/loop/stall.go
@@ -10,21 +10,21 @@
 // Stall is a pause of the process: a time in which it did not run although its clocks went on.
 type Stall struct{ From, To Micros }
 
-// StallDetector detects pauses of the process: two functions on the loop run far apart. Its handlers run before the second
+// PauseDetector detects pauses of the process: two functions on the loop run far apart. Its handlers run before the second
 // one. They can thus correct measurements that the pause distorted, and answer what must not be late, before the loop runs
 // what was queued during the pause.
 //
 // It must be used on the loop only.
-type StallDetector struct {
+type PauseDetector struct {
 	last     Micros
 	handlers []func(Stall)
 }
 
 // OnStall registers a handler of pauses.
-func (d *StallDetector) OnStall(f func(Stall)) { d.handlers = append(d.handlers, f) }
+func (d *PauseDetector) OnStall(f func(Stall)) { d.handlers = append(d.handlers, f) }
 
 // Turn must be called before each function that runs on the loop.
-func (d *StallDetector) Turn(now Micros) {
+func (d *PauseDetector) Turn(now Micros) {
 	last := d.last
 	d.last = now
 	if last == 0 || now-last < stallAfter {
@@ -37,9 +37,9 @@
 
 // Stalls returns the detector of pauses of the runner's process. If the runner has none, it returns a detector that never
 // reports a pause.
-func Stalls(r Runner) *StallDetector {
-	if own, ok := r.(interface{ Stalls() *StallDetector }); ok {
+func Stalls(r Runner) *PauseDetector {
+	if own, ok := r.(interface{ Stalls() *PauseDetector }); ok {
 		return own.Stalls()
 	}
-	return &StallDetector{}
+	return &PauseDetector{}
 }
--- a/internal/loop/stall_test.go
+++ b/internal/loop/stall_test.go
@@ -8,7 +8,7 @@
 // A pause must be reported exactly once, with its first and last time. The periodic function of an idle loop, and
 // intervals just below the threshold, must not be reported as pauses.
 func TestStallDetector(t *testing.T) {
-	var d StallDetector
+	var d PauseDetector
 	var got []Stall
 	d.OnStall(func(s Stall) { got = append(got, s) })
 	at := 3600 * Second
--- a/internal/node/simulation_test.go
+++ b/internal/node/simulation_test.go
@@ -131,7 +131,7 @@
 type simNode struct {
 	w           *simulation
 	label       string
-	stalls      *loop.StallDetector // of this incarnation
+	stalls      *loop.PauseDetector // of this incarnation
 	n           *Node
 	alive       bool
 	incarnation int         // the incarnation of the process
@@ -229,9 +229,9 @@
 }
 
 // Stalls returns the detector of this incarnation's process pauses.
-func (r runner) Stalls() *loop.StallDetector {
+func (r runner) Stalls() *loop.PauseDetector {
 	if r.s.stalls == nil {
-		r.s.stalls = &loop.StallDetector{}
+		r.s.stalls = &loop.PauseDetector{}
 	}
 	return r.s.stalls
 }
