--- a/internal/loop/stall.go
+++ b/internal/loop/stall.go
@@ -7,8 +7,8 @@
 	stallBeat  = Second / 4
 )
 
-// Stall is a pause of the process: a time in which it did not run although its clocks went on.
-type Stall struct{ From, To Micros }
+// Pause is a pause of the process: a time in which it did not run although its clocks went on.
+type Pause struct{ From, To Micros }
 
 // PauseDetector detects pauses of the process: two functions on the loop run far apart. Its handlers run before the second
 // one. They can thus correct measurements that the pause distorted, and answer what must not be late, before the loop runs
@@ -17,11 +17,11 @@
 // It must be used on the loop only.
 type PauseDetector struct {
 	last     Micros
-	handlers []func(Stall)
+	handlers []func(Pause)
 }
 
 // OnStall registers a handler of pauses.
-func (d *PauseDetector) OnStall(f func(Stall)) { d.handlers = append(d.handlers, f) }
+func (d *PauseDetector) OnStall(f func(Pause)) { d.handlers = append(d.handlers, f) }
 
 // Turn must be called before each function that runs on the loop.
 func (d *PauseDetector) Turn(now Micros) {
@@ -31,7 +31,7 @@
 		return
 	}
 	for _, f := range d.handlers {
-		f(Stall{From: last, To: now})
+		f(Pause{From: last, To: now})
 	}
 }
 
--- a/internal/loop/stall_test.go
+++ b/internal/loop/stall_test.go
@@ -9,8 +9,8 @@
 // intervals just below the threshold, must not be reported as pauses.
 func TestStallDetector(t *testing.T) {
 	var d PauseDetector
-	var got []Stall
-	d.OnStall(func(s Stall) { got = append(got, s) })
+	var got []Pause
+	d.OnStall(func(s Pause) { got = append(got, s) })
 	at := 3600 * Second
 	d.Turn(at)
 	for range 20 {
@@ -22,7 +22,7 @@
 	d.Turn(at)
 	d.Turn(at)
 	d.Turn(at + stallAfter - 1)
-	if want := []Stall{{from, at}}; !slices.Equal(got, want) {
+	if want := []Pause{{from, at}}; !slices.Equal(got, want) {
 		t.Errorf("reported pauses %v, want %v", got, want)
 	}
 }
