--- a/internal/loop/stall.go
+++ b/internal/loop/stall.go
@@ -20,8 +20,8 @@
 	handlers []func(Pause)
 }
 
-// OnStall registers a handler of pauses.
-func (d *PauseDetector) OnStall(f func(Pause)) { d.handlers = append(d.handlers, f) }
+// OnPause registers a handler of pauses.
+func (d *PauseDetector) OnPause(f func(Pause)) { d.handlers = append(d.handlers, f) }
 
 // Turn must be called before each function that runs on the loop.
 func (d *PauseDetector) Turn(now Micros) {
--- a/internal/loop/stall_test.go
+++ b/internal/loop/stall_test.go
@@ -10,7 +10,7 @@
 func TestStallDetector(t *testing.T) {
 	var d PauseDetector
 	var got []Pause
-	d.OnStall(func(s Pause) { got = append(got, s) })
+	d.OnPause(func(s Pause) { got = append(got, s) })
 	at := 3600 * Second
 	d.Turn(at)
 	for range 20 {
