--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -118,7 +118,7 @@
 		l.queue = nil
 		l.mu.Unlock()
 		for _, f := range batch {
-			l.stalls.Turn(l.Now())
+			l.stalls.Observe(l.Now())
 			f()
 		}
 		if len(batch) > 0 {
--- a/internal/loop/stall.go
+++ b/internal/loop/stall.go
@@ -23,8 +23,8 @@
 // OnPause registers a handler of pauses.
 func (d *PauseDetector) OnPause(f func(Pause)) { d.handlers = append(d.handlers, f) }
 
-// Turn must be called before each function that runs on the loop.
-func (d *PauseDetector) Turn(now Micros) {
+// Observe must be called before each function that runs on the loop.
+func (d *PauseDetector) Observe(now Micros) {
 	last := d.last
 	d.last = now
 	if last == 0 || now-last < stallAfter {
--- a/internal/loop/stall_test.go
+++ b/internal/loop/stall_test.go
@@ -12,16 +12,16 @@
 	var got []Pause
 	d.OnPause(func(s Pause) { got = append(got, s) })
 	at := 3600 * Second
-	d.Turn(at)
+	d.Observe(at)
 	for range 20 {
 		at += stallBeat
-		d.Turn(at)
+		d.Observe(at)
 	}
 	from := at
 	at += 12 * Second
-	d.Turn(at)
-	d.Turn(at)
-	d.Turn(at + stallAfter - 1)
+	d.Observe(at)
+	d.Observe(at)
+	d.Observe(at + stallAfter - 1)
 	if want := []Pause{{from, at}}; !slices.Equal(got, want) {
 		t.Errorf("reported pauses %v, want %v", got, want)
 	}
--- a/internal/node/simulation_test.go
+++ b/internal/node/simulation_test.go
@@ -270,7 +270,7 @@
 	default:
 		began := time.Now()
 		if s.stalls != nil {
-			s.stalls.Turn(s.w.now)
+			s.stalls.Observe(s.w.now)
 		}
 		f()
 		s.cost.spent += time.Since(began)
