--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -106,8 +106,8 @@
 // Go runs a blocking function outside the loop, in a goroutine of its own.
 func (l *Loop) Go(f func()) { go f() }
 
-// Stalls returns the detector of this process's pauses.
-func (l *Loop) Stalls() *PauseDetector { return &l.stalls }
+// Pauses returns the detector of this process's pauses.
+func (l *Loop) Pauses() *PauseDetector { return &l.stalls }
 
 // Run runs posted functions until the context is done.
 func (l *Loop) Run(ctx context.Context) error {
--- a/internal/loop/stall.go
+++ b/internal/loop/stall.go
@@ -35,11 +35,11 @@
 	}
 }
 
-// Stalls returns the detector of pauses of the runner's process. If the runner has none, it returns a detector that never
+// Pauses returns the detector of pauses of the runner's process. If the runner has none, it returns a detector that never
 // reports a pause.
-func Stalls(r Runner) *PauseDetector {
-	if own, ok := r.(interface{ Stalls() *PauseDetector }); ok {
-		return own.Stalls()
+func Pauses(r Runner) *PauseDetector {
+	if own, ok := r.(interface{ Pauses() *PauseDetector }); ok {
+		return own.Pauses()
 	}
 	return &PauseDetector{}
 }
--- a/internal/node/simulation_test.go
+++ b/internal/node/simulation_test.go
@@ -228,8 +228,8 @@
 	return rand.New(rand.NewPCG(uint64(r.incarnation), uint64(r.w.seed)<<16|uint64(slices.Index(r.w.labels, r.label))))
 }
 
-// Stalls returns the detector of this incarnation's process pauses.
-func (r runner) Stalls() *loop.PauseDetector {
+// Pauses returns the detector of this incarnation's process pauses.
+func (r runner) Pauses() *loop.PauseDetector {
 	if r.s.stalls == nil {
 		r.s.stalls = &loop.PauseDetector{}
 	}
