--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -33,8 +33,8 @@
 // stands for.
 const slack = 200 * loop.Millisecond
 
-// NewClockBounds returns the bounds for the given maximal difference between two wall clocks and the given lifetime of a
-// start.
+// NewClockBounds returns the bounds for the given maximal difference between two wall clocks and the given lifetime of
+// a start.
 func NewClockBounds(difference, startLife loop.Micros) ClockBounds {
 	return ClockBounds{MaxDifference: difference + slack, StartLife: startLife}
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -82,7 +82,7 @@
 	mu     sync.Mutex
 	queue  []func()
 	wake   chan struct{}
-	stalls PauseDetector
+	pauses PauseDetector
 }
 
 // New returns a loop that uses the process's clocks.
@@ -107,18 +107,18 @@
 func (l *Loop) Go(f func()) { go f() }
 
 // Pauses returns the detector of this process's pauses.
-func (l *Loop) Pauses() *PauseDetector { return &l.stalls }
+func (l *Loop) Pauses() *PauseDetector { return &l.pauses }
 
 // Run runs posted functions until the context is done.
 func (l *Loop) Run(ctx context.Context) error {
-	Every(l, stallBeat, func() {})
+	Every(l, idleInterval, func() {})
 	for {
 		l.mu.Lock()
 		batch := l.queue
 		l.queue = nil
 		l.mu.Unlock()
 		for _, f := range batch {
-			l.stalls.Observe(l.Now())
+			l.pauses.Observe(l.Now())
 			f()
 		}
 		if len(batch) > 0 {
@@ -144,7 +144,7 @@
 
 // Call runs f on the loop and waits until f, or a function that runs later, calls done with the answer. It must be called
 // outside the loop. ok is false if there was no answer in time.
-func Call[T any](r Runner, patience time.Duration, f func(done func(T))) (answer T, ok bool) {
+func Call[T any](r Runner, timeout time.Duration, f func(done func(T))) (answer T, ok bool) {
 	ch := make(chan T, 1)
 	r.Post(func() {
 		f(func(v T) {
@@ -154,7 +154,7 @@
 			}
 		})
 	})
-	t := time.NewTimer(patience)
+	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
 	case v := <-ch:
--- a/internal/loop/stall.go
+++ b/internal/loop/stall.go
@@ -1,18 +1,18 @@
 package loop
 
 const (
-	// stallAfter is the shortest time between two functions on the loop that counts as a pause of the process. stallBeat
-	// is the interval of an empty periodic function, so that an idle loop does not look like a pause.
-	stallAfter = Second
-	stallBeat  = Second / 4
+	// pauseThreshold is the shortest time between two functions on the loop that counts as a pause of the process.
+	// idleInterval is the interval of an empty periodic function, so that an idle loop does not look like a pause.
+	pauseThreshold = Second
+	idleInterval   = Second / 4
 )
 
 // Pause is a pause of the process: a time in which it did not run although its clocks went on.
 type Pause struct{ From, To Micros }
 
-// PauseDetector detects pauses of the process: two functions on the loop run far apart. Its handlers run before the second
-// one. They can thus correct measurements that the pause distorted, and answer what must not be late, before the loop runs
-// what was queued during the pause.
+// PauseDetector detects pauses of the process: two functions on the loop run far apart. Its handlers run before the
+// second one. They can thus correct measurements that the pause distorted, and answer what must not be late, before the
+// loop runs what was queued during the pause.
 //
 // It must be used on the loop only.
 type PauseDetector struct {
@@ -27,7 +27,7 @@
 func (d *PauseDetector) Observe(now Micros) {
 	last := d.last
 	d.last = now
-	if last == 0 || now-last < stallAfter {
+	if last == 0 || now-last < pauseThreshold {
 		return
 	}
 	for _, f := range d.handlers {
@@ -35,8 +35,8 @@
 	}
 }
 
-// Pauses returns the detector of pauses of the runner's process. If the runner has none, it returns a detector that never
-// reports a pause.
+// Pauses returns the detector of pauses of the runner's process. If the runner has none, it returns a detector that
+// never reports a pause.
 func Pauses(r Runner) *PauseDetector {
 	if own, ok := r.(interface{ Pauses() *PauseDetector }); ok {
 		return own.Pauses()
