--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -37,9 +37,9 @@
 	// Foreign reports whether a team that is missing from this controller's settings is served by other controllers.
 	Foreign func(team string) bool
 	// Counts returns the job's numbers of running and done tasks.
-	Counts func(*job.Job) job.Counts
-	Jobs   *job.Registry
-	Agent  *agent.Registry
+	Counts  func(*job.Job) job.Counts
+	Jobs    *job.Registry
+	Workers *agent.Registry
 	// API serves the paths under /v1/ and /metrics; if nil, these paths do not exist.
 	API fasthttp.RequestHandler
 }
@@ -173,7 +173,7 @@
 	if s.NearConnectionLimit != nil && s.NearConnectionLimit() {
 		ctx.SetConnectionClose()
 	}
-	a := onLoop(s, func(done func(agent.Answer)) { s.node.Agent.Report(r, done) })
+	a := onLoop(s, func(done func(agent.Answer)) { s.node.Workers.Report(r, done) })
 	if a == nil {
 		writeRetryAfter(ctx, 503, 1, "the controller did not answer in time")
 		return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -266,7 +266,7 @@
 		Types:   n.rental.Types,
 		Foreign: n.member.Foreign,
 		Jobs:    n.jobs,
-		Agent:   n.agent,
+		Workers: n.agent,
 		Counts:  n.counts,
 	})
 	return n
