--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -184,8 +184,8 @@
 	}
 }
 
-// Horizon sets the age of the cancellation watermark.
-func (m *Meter) Horizon(age loop.Micros) {
+// WatermarkAge sets the age of the cancellation watermark.
+func (m *Meter) WatermarkAge(age loop.Micros) {
 	if m != nil {
 		m.horizon.Set(seconds(age))
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -307,7 +307,7 @@
 	}
 	places := n.jobs.TakeQueuePositions()
 	n.net.SendAll(func(e *peer.Envelope) { e.Status, e.Places = s, places })
-	n.meter.Horizon(n.watermark.UpdateState())
+	n.meter.WatermarkAge(n.watermark.UpdateState())
 	for _, label := range n.net.Peers() {
 		n.net.Send(label, func(e *peer.Envelope) { e.Watermark = n.watermark.MessageFor(label) })
 	}
