--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -191,8 +191,8 @@
 	}
 }
 
-// HorizonWord counts an invalid message of a peer about cancellations.
-func (m *Meter) HorizonWord() {
+// InvalidWatermark counts an invalid message of a peer about cancellations.
+func (m *Meter) InvalidWatermark() {
 	if m != nil {
 		m.words.Inc()
 	}
--- a/internal/node/watermark.go
+++ b/internal/node/watermark.go
@@ -16,7 +16,7 @@
 	n.watermark = horizon.New(n.loop, n.log, n.net.Incarnation, grace, n.net.Peers())
 	n.mirror.OnSynced(func(s store.Synced) { n.watermark.RecordSync(s.Sent, s.Reach) })
 	n.watermark.RecordFromPeer = func(o horizon.Cancellation) bool { return n.jobs.ApplyPeerCancellation(o.Job, o.Revision) }
-	n.watermark.Discarded = func(string, string) { n.meter.HorizonWord() }
+	n.watermark.Discarded = func(string, string) { n.meter.InvalidWatermark() }
 	if grace < 2*maxContactAge {
 		n.log.Warn("cluster.workers.cancel_s barely exceeds cluster.workers.lease_s; running tasks survive only very short outages of the state service",
 			"cancel_s", w.CancelS, "lease_s", w.LeaseS, "left_us", grace)
