--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -205,8 +205,8 @@
 	}
 }
 
-// Miss counts a job whose tasks begin to be unplaced for lack of free capacity.
-func (m *Meter) Miss() {
+// Unplaced counts a job whose tasks begin to be unplaced for lack of free capacity.
+func (m *Meter) Unplaced() {
 	if m != nil {
 		m.misses.Inc()
 	}
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -129,7 +129,7 @@
 		}
 		if t.unplacedSince == 0 {
 			t.unplacedSince = now
-			p.node.Meter.Miss()
+			p.node.Meter.Unplaced()
 		}
 		if mayPreempt {
 			p.preemptFor(&e, unplaced, &b)
