--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -212,8 +212,8 @@
 	}
 }
 
-// Refusal counts a placement that a host controller rejected.
-func (m *Meter) Refusal() {
+// Rejection counts a placement that a host controller rejected.
+func (m *Meter) Rejection() {
 	if m != nil {
 		m.refusals.Inc()
 	}
--- a/internal/placer/scheduler.go
+++ b/internal/placer/scheduler.go
@@ -233,7 +233,7 @@
 		// attempted. Afterwards it is no evidence: the start may be in flight, and freeing the task then would let it
 		// run twice.
 		if x.state == Recording && x.expiry == 0 {
-			p.node.Meter.Refusal()
+			p.node.Meter.Rejection()
 			p.excludeBriefly(d.Machine)
 			p.confirmTerminated(t, i, "reservation refused: "+d.Why)
 			p.RequestPass()
