--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -169,7 +169,7 @@
 // reason is one of a fixed list.
 func (r *Registry) RecordRefusal(id, reason string) {
 	now := r.runner.Now()
-	r.client.Meter.TurnedAway(reason)
+	r.client.Meter.Deferred(reason)
 	r.refusals.Record(reason, now)
 	since := r.unanswered.since(id, now)
 	if j := r.jobs[id]; j != nil && !j.Final() {
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -234,8 +234,8 @@
 	}
 }
 
-// TurnedAway counts a user's request that is deferred before it reaches any job; the reason is one of a fixed list.
-func (m *Meter) TurnedAway(reason string) {
+// Deferred counts a user's request that is deferred before it reaches any job; the reason is one of a fixed list.
+func (m *Meter) Deferred(reason string) {
 	if m != nil {
 		m.turnedOff.WithLabelValues(reason).Inc()
 	}
