--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -241,8 +241,8 @@
 	}
 }
 
-// Stall records a pause in which the process did not run.
-func (m *Meter) Stall(took loop.Micros) {
+// Pause records a pause in which the process did not run.
+func (m *Meter) Pause(took loop.Micros) {
 	if m != nil {
 		m.stalls.Observe(seconds(took))
 	}
--- a/internal/node/pause.go
+++ b/internal/node/pause.go
@@ -7,7 +7,7 @@
 func (n *Node) watchPauses() {
 	loop.Stalls(n.loop).OnStall(func(s loop.Stall) {
 		n.log.Warn("process was paused; requests that timed out meanwhile are refused", "from_us", s.From, "took_us", s.To-s.From)
-		n.meter.Stall(s.To - s.From)
+		n.meter.Pause(s.To - s.From)
 		n.jobs.Expire()
 	})
 }
