--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -106,7 +106,7 @@
 func (r *Registry) ConfigureAdmission(weight func(team string) float64, rate float64) {
 	r.queue = admission.NewQueue(weight, rate)
 	r.queue.OnStateChange(func(from, to admission.State) {
-		r.client.Meter.Admission(to.String())
+		r.client.Meter.QueueState(to.String())
 		r.log.Info("load state of the submission queue changed", "from", from.String(), "to", to.String(), "waiting", r.queue.Waiting())
 	})
 }
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -255,8 +255,8 @@
 	}
 }
 
-// Admission counts a change of the load state of the submission queue.
-func (m *Meter) Admission(state string) {
+// QueueState counts a change of the load state of the submission queue.
+func (m *Meter) QueueState(state string) {
 	if m != nil {
 		m.admits.WithLabelValues(state).Inc()
 	}
