--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -262,8 +262,8 @@
 	}
 }
 
-// Peer counts a change of a peer's reachability; the state is one of a fixed list.
-func (m *Meter) Peer(state string, damped bool) {
+// PeerState counts a change of a peer's reachability; the state is one of a fixed list.
+func (m *Meter) PeerState(state string, damped bool) {
 	if m != nil {
 		m.peers.WithLabelValues(state, strconv.FormatBool(damped)).Inc()
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -129,7 +129,7 @@
 	n.net = peer.New(l, log, cfg.Label, cfg.Known)
 	n.reach = reach.New(l, log, cfg.Label, n.net.Peers(), cfg.ClockDifference())
 	n.reach.StateContact = n.hasStateContact
-	n.reach.OnChange = func(_ string, to reach.State, damped bool) { n.meter.Peer(to.String(), damped) }
+	n.reach.OnChange = func(_ string, to reach.State, damped bool) { n.meter.PeerState(to.String(), damped) }
 	n.net.Incarnation, n.net.ClockDifference = l.Wall(), cfg.ClockDifference()
 	n.net.OnEarlierFrame = func(string) { n.meter.StaleFrame() }
 	n.setUpWatermark()
