--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -269,8 +269,8 @@
 	}
 }
 
-// Trial counts a change of a job's state in failure attribution; the state is one of a fixed list.
-func (m *Meter) Trial(state string) {
+// AttributionState counts a change of a job's state in failure attribution; the state is one of a fixed list.
+func (m *Meter) AttributionState(state string) {
 	if m != nil {
 		m.trials.WithLabelValues(state).Inc()
 	}
