--- a/internal/loss/correlated.go
+++ b/internal/loss/correlated.go
@@ -87,7 +87,7 @@
 		j.meter.Moment(o.mostSuspected, o.declaredFailed)
 		j.setCorrelated(Calm, now)
 	}
-	j.meter.Doubtful(n)
+	j.meter.Suspected(n)
 }
 
 func (m *machine) suspected() bool {
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -283,8 +283,8 @@
 	}
 }
 
-// Doubtful sets the number of suspected machines that may still come back.
-func (m *Meter) Doubtful(n int) {
+// Suspected sets the number of suspected machines that may still come back.
+func (m *Meter) Suspected(n int) {
 	if m != nil {
 		m.doubtful.Set(float64(n))
 	}
