--- a/internal/loss/correlated.go
+++ b/internal/loss/correlated.go
@@ -84,7 +84,7 @@
 	case o.state == Unresolved:
 		j.setCorrelated(Resolved, now)
 	case o.state == Resolved && n < many:
-		j.meter.Moment(o.mostSuspected, o.declaredFailed)
+		j.meter.CorrelatedFailure(o.mostSuspected, o.declaredFailed)
 		j.setCorrelated(Calm, now)
 	}
 	j.meter.Suspected(n)
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -290,9 +290,9 @@
 	}
 }
 
-// Moment records a correlated failure that has ended: the largest number of machines suspected at the same time, and
+// CorrelatedFailure records a correlated failure that has ended: the largest number of machines suspected at the same time, and
 // the number of those declared failed.
-func (m *Meter) Moment(silent, lost int) {
+func (m *Meter) CorrelatedFailure(silent, lost int) {
 	if m != nil {
 		m.moments.WithLabelValues("silent").Observe(float64(silent))
 		m.moments.WithLabelValues("lost").Observe(float64(lost))
