--- a/internal/explain/service.go
+++ b/internal/explain/service.go
@@ -97,7 +97,7 @@
 // its metrics.
 func (d *Service) recordWait(id string, k gate.Kind, took loop.Micros, own bool) {
 	if own {
-		d.deps.Meter.Wait(k.String(), took)
+		d.deps.Meter.WaitCause(k.String(), took)
 	}
 	d.waits.Add(k, urgent(d.deps.Job(id)), took)
 }
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -306,8 +306,8 @@
 	}
 }
 
-// Wait records a cause that no longer keeps tasks from running; the cause is one of a fixed list.
-func (m *Meter) Wait(cause string, took loop.Micros) {
+// WaitCause records a cause that no longer keeps tasks from running; the cause is one of a fixed list.
+func (m *Meter) WaitCause(cause string, took loop.Micros) {
 	if m != nil {
 		m.waits.WithLabelValues(cause).Observe(seconds(took))
 	}
