--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -330,8 +330,8 @@
 	return "refused"
 }
 
-// State records a request to the state service.
-func (m *Meter) State(outcome string, took loop.Micros) {
+// StateRequest records a request to the state service.
+func (m *Meter) StateRequest(outcome string, took loop.Micros) {
 	if m != nil {
 		m.state.WithLabelValues(outcome).Inc()
 		m.stateLag.Observe(seconds(took))
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -243,7 +243,7 @@
 	c.inFlight--
 	c.note(sent, resp)
 	took := c.r.Now() - sent
-	c.Meter.State(metric.Outcome(resp.Status, resp.Err), took)
+	c.Meter.StateRequest(metric.Outcome(resp.Status, resp.Err), took)
 	if c.log.Enabled(context.Background(), slog.LevelDebug) {
 		c.log.Debug("state service answered a request or the request failed", "method", q.method, "path", q.path, "sent_us", sent, "took_us", took, "status", resp.Status, "err", resp.Err)
 	}
