--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -338,8 +338,8 @@
 	}
 }
 
-// Cloud counts a request to the cloud.
-func (m *Meter) Cloud(outcome string) {
+// CloudRequest counts a request to the cloud.
+func (m *Meter) CloudRequest(outcome string) {
 	if m != nil {
 		m.cloud.WithLabelValues(outcome).Inc()
 	}
