--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -70,7 +70,7 @@
 
 // Handle answers one request, off the loop.
 func (a *API) Handle(ctx *fasthttp.RequestCtx) {
-	defer func() { a.meter.Request(ctx.Response.StatusCode()) }()
+	defer func() { a.meter.APIRequest(ctx.Response.StatusCode()) }()
 	if ctx.UserValue("broken") != nil {
 		fail(ctx, tooLarge)
 		return
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -345,8 +345,8 @@
 	}
 }
 
-// Request counts a request under /v1/ by its status class.
-func (m *Meter) Request(status int) {
+// APIRequest counts a request under /v1/ by its status class.
+func (m *Meter) APIRequest(status int) {
 	if m != nil {
 		m.requests.WithLabelValues(fmt.Sprintf("%dxx", status/100)).Inc()
 	}
