--- a/internal/explain/service.go
+++ b/internal/explain/service.go
@@ -123,7 +123,7 @@
 		}
 	}
 	out.Timeline = d.Timelines.Get(id)
-	d.deps.Meter.Why(d.runner.Now() - began)
+	d.deps.Meter.Explanation(d.runner.Now() - began)
 	return out
 }
 
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -352,8 +352,8 @@
 	}
 }
 
-// Why records the time for which gathering an explanation occupied the event loop.
-func (m *Meter) Why(took loop.Micros) {
+// Explanation records the time for which gathering an explanation occupied the event loop.
+func (m *Meter) Explanation(took loop.Micros) {
 	if m != nil {
 		m.whys.Observe(seconds(took))
 	}
