--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -17,39 +17,39 @@
 
 // Meter holds the metrics of one controller.
 type Meter struct {
-	reg       *prometheus.Registry
-	passes    prometheus.Histogram
-	placed    prometheus.Counter
-	starts    prometheus.Counter
-	misses    prometheus.Counter
-	refusals  prometheus.Counter
-	waits     *prometheus.HistogramVec
-	state     *prometheus.CounterVec
-	stateLag  prometheus.Histogram
-	cloud     *prometheus.CounterVec
-	lag       prometheus.Histogram
-	requests  *prometheus.CounterVec
-	whys      prometheus.Histogram
-	answers   *prometheus.CounterVec
-	outdated  prometheus.Counter
-	turnedOff *prometheus.CounterVec
-	stalls    prometheus.Histogram
-	peers     *prometheus.CounterVec
-	submits   *prometheus.CounterVec
-	admits    *prometheus.CounterVec
-	trials    *prometheus.CounterVec
-	probes    *prometheus.CounterVec
-	doubtful  prometheus.Gauge
-	moments   *prometheus.HistogramVec
-	reruns    prometheus.Histogram
-	earlier   prometheus.Counter
-	horizon   prometheus.Gauge
-	words     prometheus.Counter
-	commands  *prometheus.CounterVec
-	forgets   *prometheus.CounterVec
-	stops     prometheus.Counter
-	held      prometheus.Counter
-	takeovers prometheus.Histogram
+	registry           *prometheus.Registry
+	passes             prometheus.Histogram
+	placed             prometheus.Counter
+	starts             prometheus.Counter
+	unplaced           prometheus.Counter
+	rejections         prometheus.Counter
+	waits              *prometheus.HistogramVec
+	stateRequests      *prometheus.CounterVec
+	stateLatency       prometheus.Histogram
+	cloudRequests      *prometheus.CounterVec
+	loopLag            prometheus.Histogram
+	apiRequests        *prometheus.CounterVec
+	explanations       prometheus.Histogram
+	answers            *prometheus.CounterVec
+	outdatedAnswers    prometheus.Counter
+	deferred           *prometheus.CounterVec
+	pauses             prometheus.Histogram
+	peerStates         *prometheus.CounterVec
+	submissions        *prometheus.CounterVec
+	queueStates        *prometheus.CounterVec
+	attributionStates  *prometheus.CounterVec
+	probes             *prometheus.CounterVec
+	suspected          prometheus.Gauge
+	correlatedFailures *prometheus.HistogramVec
+	reruns             prometheus.Histogram
+	staleFrames        prometheus.Counter
+	watermarkAge       prometheus.Gauge
+	invalidWatermarks  prometheus.Counter
+	commands           *prometheus.CounterVec
+	forgetVerdicts     *prometheus.CounterVec
+	preempted          prometheus.Counter
+	reserved           prometheus.Counter
+	takeovers          prometheus.Histogram
 }
 
 // Bucket bounds in seconds: from 10 ms to one hour, and from 0.1 ms to 2.5 s.
@@ -60,60 +60,60 @@
 
 // New returns a meter with all metrics registered.
 func New() *Meter {
-	m := &Meter{reg: prometheus.NewRegistry()}
+	m := &Meter{registry: prometheus.NewRegistry()}
 	counter := func(name, help string) prometheus.Counter {
 		c := prometheus.NewCounter(prometheus.CounterOpts{Namespace: "cleatpick", Name: name, Help: help})
-		m.reg.MustRegister(c)
+		m.registry.MustRegister(c)
 		return c
 	}
 	counters := func(name, help string, labels ...string) *prometheus.CounterVec {
 		c := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cleatpick", Name: name, Help: help}, labels)
-		m.reg.MustRegister(c)
+		m.registry.MustRegister(c)
 		return c
 	}
 	histogram := func(name, help string, buckets []float64) prometheus.Histogram {
 		h := prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cleatpick", Name: name, Help: help, Buckets: buckets})
-		m.reg.MustRegister(h)
+		m.registry.MustRegister(h)
 		return h
 	}
 	m.passes = histogram("pass_seconds", "Duration of a placement pass.", shortBuckets)
 	m.placed = counter("placed_total", "Tasks for which a placement pass chose a machine.")
 	m.starts = counter("starts_total", "Recorded starts sent to a machine's host controller.")
-	m.misses = counter("misses_total", "Times that tasks of a job began to be unplaced for lack of free capacity.")
-	m.refusals = counter("refusals_total", "Placements that a machine's host controller rejected.")
+	m.unplaced = counter("misses_total", "Times that tasks of a job began to be unplaced for lack of free capacity.")
+	m.rejections = counter("refusals_total", "Placements that a machine's host controller rejected.")
 	m.waits = prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: "cleatpick", Name: "wait_seconds",
 		Help: "Time for which a cause kept tasks of a job from running, by cause.", Buckets: longBuckets}, []string{"cause"})
-	m.reg.MustRegister(m.waits)
-	m.state = counters("state_requests_total", "Requests to the state service by outcome.", "outcome")
-	m.stateLag = histogram("state_request_seconds", "Duration of answered requests to the state service.", shortBuckets)
-	m.cloud = counters("cloud_requests_total", "Requests to the cloud by outcome.", "outcome")
-	m.lag = histogram("loop_lag_seconds", "Delay of a timer of the event loop beyond its due time.", shortBuckets)
-	m.requests = counters("api_requests_total", "Requests under /v1/ by status class.", "status")
-	m.whys = histogram("why_seconds", "Time for which gathering one explanation occupied the event loop.", shortBuckets)
+	m.registry.MustRegister(m.waits)
+	m.stateRequests = counters("state_requests_total", "Requests to the state service by outcome.", "outcome")
+	m.stateLatency = histogram("state_request_seconds", "Duration of answered requests to the state service.", shortBuckets)
+	m.cloudRequests = counters("cloud_requests_total", "Requests to the cloud by outcome.", "outcome")
+	m.loopLag = histogram("loop_lag_seconds", "Delay of a timer of the event loop beyond its due time.", shortBuckets)
+	m.apiRequests = counters("api_requests_total", "Requests under /v1/ by status class.", "status")
+	m.explanations = histogram("why_seconds", "Time for which gathering one explanation occupied the event loop.", shortBuckets)
 	m.answers = counters("answers_total", "Answers to users about one job: to polls or to changes (submissions, cancellations), by the source of the answer, or by the reason why the user was deferred.", "request", "way")
-	m.outdated = counter("outdated_answers_total", "Answers that were not given because they were older than their requests; the requests waited for newer answers.")
-	m.turnedOff = counters("requests_turned_away_total", "Users' requests that were deferred before they reached any job, by reason.", "reason")
-	m.stalls = histogram("stall_seconds", "Duration of pauses in which the process did not run while its clocks went on.", longBuckets)
-	m.submits = counters("submissions_total", "Submissions whose record this controller stored, and submissions that were deferred.", "how")
-	m.admits = counters("admission_changes_total", "Changes of the load state of the submission queue, by the new state.", "state")
-	m.peers = counters("peer_changes_total", "Changes of a peer's reachability, by the new state; damped: the reachability changes often, and the peer is given no work for a while.", "state", "damped")
-	m.trials = counters("jobs_judged_total", "Changes of a job's state in failure attribution (sound, doubted or broken), by the new state.", "state")
+	m.outdatedAnswers = counter("outdated_answers_total", "Answers that were not given because they were older than their requests; the requests waited for newer answers.")
+	m.deferred = counters("requests_turned_away_total", "Users' requests that were deferred before they reached any job, by reason.", "reason")
+	m.pauses = histogram("stall_seconds", "Duration of pauses in which the process did not run while its clocks went on.", longBuckets)
+	m.submissions = counters("submissions_total", "Submissions whose record this controller stored, and submissions that were deferred.", "how")
+	m.queueStates = counters("admission_changes_total", "Changes of the load state of the submission queue, by the new state.", "state")
+	m.peerStates = counters("peer_changes_total", "Changes of a peer's reachability, by the new state; damped: the reachability changes often, and the peer is given no work for a while.", "state", "damped")
+	m.attributionStates = counters("jobs_judged_total", "Changes of a job's state in failure attribution (sound, doubted or broken), by the new state.", "state")
 	m.probes = counters("probes_total", "Direct probes of silent machines, by the result.", "word")
-	m.doubtful = prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "cleatpick", Name: "machines_in_doubt", Help: "Suspected machines of which it is not known yet whether they come back; set by the leader."})
-	m.moments = prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: "cleatpick", Name: "moment_machines",
+	m.suspected = prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "cleatpick", Name: "machines_in_doubt", Help: "Suspected machines of which it is not known yet whether they come back; set by the leader."})
+	m.correlatedFailures = prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: "cleatpick", Name: "moment_machines",
 		Help: "Machines suspected at the same time in a correlated failure, and those declared failed in it.", Buckets: prometheus.ExponentialBuckets(5, 2, 11)}, []string{"what"})
-	m.reg.MustRegister(m.doubtful, m.moments)
+	m.registry.MustRegister(m.suspected, m.correlatedFailures)
 	m.reruns = histogram("rerun_seconds", "Time from the last report of a failed machine until a task of it ran again.", longBuckets)
-	m.earlier = counter("earlier_frames_total", "Frames dropped because an earlier incarnation of a peer sent them.")
-	m.horizon = prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "cleatpick", Name: "horizon_age_seconds", Help: "Age of this controller's cancellation watermark; when it is too old, workers are no longer answered, so that their leases expire."})
-	m.reg.MustRegister(m.horizon)
-	m.words = counter("horizon_words_dropped_total", "Invalid messages of peers about cancellations, which were discarded and count as no evidence.")
+	m.staleFrames = counter("earlier_frames_total", "Frames dropped because an earlier incarnation of a peer sent them.")
+	m.watermarkAge = prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "cleatpick", Name: "horizon_age_seconds", Help: "Age of this controller's cancellation watermark; when it is too old, workers are no longer answered, so that their leases expire."})
+	m.registry.MustRegister(m.watermarkAge)
+	m.invalidWatermarks = counter("horizon_words_dropped_total", "Invalid messages of peers about cancellations, which were discarded and count as no evidence.")
 	m.commands = counters("commands_total", "Commands sent to workers, by operation and path.", "operation", "way")
-	m.forgets = counters("forgets_judged_total", "Decisions whether a worker may be told to forget an ended attempt, by verdict: allowed, or the reason why not yet.", "verdict")
-	m.stops = counter("preemptions_total", "Tasks preempted to free capacity for other jobs.")
-	m.held = counter("held_total", "Tasks for which capacity was reserved without preemption: those of the longest waiting jobs, and those of a team that does not have its guarantee.")
+	m.forgetVerdicts = counters("forgets_judged_total", "Decisions whether a worker may be told to forget an ended attempt, by verdict: allowed, or the reason why not yet.", "verdict")
+	m.preempted = counter("preemptions_total", "Tasks preempted to free capacity for other jobs.")
+	m.reserved = counter("held_total", "Tasks for which capacity was reserved without preemption: those of the longest waiting jobs, and those of a team that does not have its guarantee.")
 	m.takeovers = histogram("takeover_seconds", "Time from when this controller became the owner of a partition with work until it placed a task of it.", longBuckets)
-	m.reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	m.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return m
 }
 
@@ -121,16 +121,16 @@
 func seconds(d loop.Micros) float64 { return float64(d) / 1e6 }
 
 // WatchLoopLag starts to measure periodically how late the event loop runs its timers.
-func (m *Meter) WatchLoopLag(r loop.Runner) {
+func (m *Meter) WatchLoopLag(runner loop.Runner) {
 	if m == nil {
 		return
 	}
-	const every = 250 * loop.Millisecond
-	due := r.Now() + every
-	loop.Every(r, every, func() {
-		now := r.Now()
-		m.lag.Observe(seconds(max(now-due, 0)))
-		due = now + every
+	const interval = 250 * loop.Millisecond
+	due := runner.Now() + interval
+	loop.Every(runner, interval, func() {
+		now := runner.Now()
+		m.loopLag.Observe(seconds(max(now-due, 0)))
+		due = now + interval
 	})
 }
 
@@ -143,30 +143,30 @@
 }
 
 // Command counts a command sent to a worker.
-func (m *Meter) Command(operation, way string) {
+func (m *Meter) Command(operation, path string) {
 	if m != nil {
-		m.commands.WithLabelValues(operation, way).Inc()
+		m.commands.WithLabelValues(operation, path).Inc()
 	}
 }
 
 // ForgetVerdict counts a decision whether a worker may be told to forget an attempt.
 func (m *Meter) ForgetVerdict(verdict string) {
 	if m != nil {
-		m.forgets.WithLabelValues(verdict).Inc()
+		m.forgetVerdicts.WithLabelValues(verdict).Inc()
 	}
 }
 
 // Preempted counts tasks that are preempted to free capacity for other jobs.
 func (m *Meter) Preempted(tasks int) {
 	if m != nil {
-		m.stops.Add(float64(tasks))
+		m.preempted.Add(float64(tasks))
 	}
 }
 
 // Reserved counts tasks for which capacity is reserved without preemption.
 func (m *Meter) Reserved(tasks int) {
 	if m != nil {
-		m.held.Add(float64(tasks))
+		m.reserved.Add(float64(tasks))
 	}
 }
 
@@ -180,21 +180,21 @@
 // StaleFrame counts a dropped frame that an earlier incarnation of a peer sent.
 func (m *Meter) StaleFrame() {
 	if m != nil {
-		m.earlier.Inc()
+		m.staleFrames.Inc()
 	}
 }
 
 // WatermarkAge sets the age of the cancellation watermark.
 func (m *Meter) WatermarkAge(age loop.Micros) {
 	if m != nil {
-		m.horizon.Set(seconds(age))
+		m.watermarkAge.Set(seconds(age))
 	}
 }
 
-// InvalidWatermark counts an invalid message of a peer about cancellations.
+// InvalidWatermark counts an invalid message of a peer about its cancellation watermark.
 func (m *Meter) InvalidWatermark() {
 	if m != nil {
-		m.words.Inc()
+		m.invalidWatermarks.Inc()
 	}
 }
 
@@ -208,71 +208,71 @@
 // Unplaced counts a job whose tasks begin to be unplaced for lack of free capacity.
 func (m *Meter) Unplaced() {
 	if m != nil {
-		m.misses.Inc()
+		m.unplaced.Inc()
 	}
 }
 
 // Rejection counts a placement that a host controller rejected.
 func (m *Meter) Rejection() {
 	if m != nil {
-		m.refusals.Inc()
+		m.rejections.Inc()
 	}
 }
 
 // Answer counts an answer to a user about one job. change is true for a submission or a cancellation and false for a
-// poll; way is one of a fixed list.
-func (m *Meter) Answer(change bool, way string) {
+// poll; source is one of a fixed list.
+func (m *Meter) Answer(change bool, source string) {
 	if m != nil {
-		m.answers.WithLabelValues(map[bool]string{true: "change", false: "poll"}[change], way).Inc()
+		m.answers.WithLabelValues(map[bool]string{true: "change", false: "poll"}[change], source).Inc()
 	}
 }
 
 // OutdatedAnswer counts an answer that is not given because it is older than its request.
 func (m *Meter) OutdatedAnswer() {
 	if m != nil {
-		m.outdated.Inc()
+		m.outdatedAnswers.Inc()
 	}
 }
 
 // Deferred counts a user's request that is deferred before it reaches any job; the reason is one of a fixed list.
 func (m *Meter) Deferred(reason string) {
 	if m != nil {
-		m.turnedOff.WithLabelValues(reason).Inc()
+		m.deferred.WithLabelValues(reason).Inc()
 	}
 }
 
 // Pause records a pause in which the process did not run.
 func (m *Meter) Pause(took loop.Micros) {
 	if m != nil {
-		m.stalls.Observe(seconds(took))
+		m.pauses.Observe(seconds(took))
 	}
 }
 
 // Submission counts a submission; its result is one of a fixed list.
-func (m *Meter) Submission(how string) {
+func (m *Meter) Submission(result string) {
 	if m != nil {
-		m.submits.WithLabelValues(how).Inc()
+		m.submissions.WithLabelValues(result).Inc()
 	}
 }
 
 // QueueState counts a change of the load state of the submission queue.
 func (m *Meter) QueueState(state string) {
 	if m != nil {
-		m.admits.WithLabelValues(state).Inc()
+		m.queueStates.WithLabelValues(state).Inc()
 	}
 }
 
 // PeerState counts a change of a peer's reachability; the state is one of a fixed list.
 func (m *Meter) PeerState(state string, damped bool) {
 	if m != nil {
-		m.peers.WithLabelValues(state, strconv.FormatBool(damped)).Inc()
+		m.peerStates.WithLabelValues(state, strconv.FormatBool(damped)).Inc()
 	}
 }
 
 // AttributionState counts a change of a job's state in failure attribution; the state is one of a fixed list.
 func (m *Meter) AttributionState(state string) {
 	if m != nil {
-		m.trials.WithLabelValues(state).Inc()
+		m.attributionStates.WithLabelValues(state).Inc()
 	}
 }
 
@@ -284,18 +284,18 @@
 }
 
 // Suspected sets the number of suspected machines that may still come back.
-func (m *Meter) Suspected(n int) {
+func (m *Meter) Suspected(machines int) {
 	if m != nil {
-		m.doubtful.Set(float64(n))
+		m.suspected.Set(float64(machines))
 	}
 }
 
-// CorrelatedFailure records a correlated failure that has ended: the largest number of machines suspected at the same time, and
-// the number of those declared failed.
-func (m *Meter) CorrelatedFailure(silent, lost int) {
+// CorrelatedFailure records a correlated failure that has ended: the largest number of machines suspected at the same
+// time, and the number of those declared failed.
+func (m *Meter) CorrelatedFailure(mostSuspected, failed int) {
 	if m != nil {
-		m.moments.WithLabelValues("silent").Observe(float64(silent))
-		m.moments.WithLabelValues("lost").Observe(float64(lost))
+		m.correlatedFailures.WithLabelValues("silent").Observe(float64(mostSuspected))
+		m.correlatedFailures.WithLabelValues("lost").Observe(float64(failed))
 	}
 }
 
@@ -333,29 +333,29 @@
 // StateRequest records a request to the state service.
 func (m *Meter) StateRequest(outcome string, took loop.Micros) {
 	if m != nil {
-		m.state.WithLabelValues(outcome).Inc()
-		m.stateLag.Observe(seconds(took))
+		m.stateRequests.WithLabelValues(outcome).Inc()
+		m.stateLatency.Observe(seconds(took))
 	}
 }
 
 // CloudRequest counts a request to the cloud.
 func (m *Meter) CloudRequest(outcome string) {
 	if m != nil {
-		m.cloud.WithLabelValues(outcome).Inc()
+		m.cloudRequests.WithLabelValues(outcome).Inc()
 	}
 }
 
 // APIRequest counts a request under /v1/ by its status class.
 func (m *Meter) APIRequest(status int) {
 	if m != nil {
-		m.requests.WithLabelValues(fmt.Sprintf("%dxx", status/100)).Inc()
+		m.apiRequests.WithLabelValues(fmt.Sprintf("%dxx", status/100)).Inc()
 	}
 }
 
 // Explanation records the time for which gathering an explanation occupied the event loop.
 func (m *Meter) Explanation(took loop.Micros) {
 	if m != nil {
-		m.whys.Observe(seconds(took))
+		m.explanations.Observe(seconds(took))
 	}
 }
 
@@ -364,14 +364,14 @@
 
 // Text returns all metrics in the Prometheus text format.
 func (m *Meter) Text() ([]byte, error) {
-	all, err := m.reg.Gather()
+	families, err := m.registry.Gather()
 	if err != nil {
 		return nil, err
 	}
 	var b bytes.Buffer
 	enc := expfmt.NewEncoder(&b, expfmt.NewFormat(expfmt.TypeTextPlain))
-	for _, f := range all {
-		if err := enc.Encode(f); err != nil {
+	for _, family := range families {
+		if err := enc.Encode(family); err != nil {
 			return nil, err
 		}
 	}
