--- a/cmd/cleatpick/jobs.go
+++ b/cmd/cleatpick/jobs.go
@@ -14,7 +14,7 @@
 	"cleatpick/internal/explain"
 )
 
-// call makes one call and prints its answer, as JSON or by show.
+// call sends one request and prints the answer, as JSON or with show.
 func call[T any](r *remote, method, path string, body any, show func(w io.Writer, v *T)) error {
 	c, err := r.client()
 	if err != nil {
@@ -27,6 +27,7 @@
 	return print(r, raw, show)
 }
 
+// print prints an answer, as JSON or with show.
 func print[T any](r *remote, raw json.RawMessage, show func(w io.Writer, v *T)) error {
 	if r.JSON {
 		fmt.Println(string(raw))
@@ -34,7 +35,7 @@
 	}
 	v := new(T)
 	if err := json.Unmarshal(raw, v); err != nil {
-		return fmt.Errorf("the answer cannot be read: %w", err)
+		return fmt.Errorf("cannot decode the answer: %w", err)
 	}
 	show(os.Stdout, v)
 	return nil
@@ -42,24 +43,24 @@
 
 type submitCmd struct {
 	remote
-	File        string   `arg:"" optional:"" help:"A file with the job in JSON, as POST /v1/jobs takes it; - for standard input. Flags go before it."`
-	ID          string   `help:"The job's id; absent: one is drawn." placeholder:"JOB"`
-	Team        string   `help:"Its team."`
-	Class       string   `help:"Its class."`
-	Tasks       int64    `help:"How many tasks."`
+	File        string   `arg:"" optional:"" help:"File with the job in JSON, as for POST /v1/jobs; - for standard input. Flags override its fields."`
+	ID          string   `help:"The job's id; generated if absent." placeholder:"JOB"`
+	Team        string   `help:"The job's team."`
+	Class       string   `help:"The job's class."`
+	Tasks       int64    `help:"Number of tasks."`
 	CPUs        float64  `name:"cpus" help:"CPUs of each task."`
 	Memory      float64  `help:"Memory of each task in GB."`
-	Image       string   `help:"The image that its machines need."`
-	Priority    string   `help:"critical, high, standard or low."`
-	Spot        bool     `help:"It may run on spot machines."`
-	Estimate    float64  `help:"Run time expected of a task, in seconds."`
-	After       []string `help:"Jobs that must be done first." placeholder:"JOB"`
-	OnWithdrawn string   `help:"hold, release or withdraw: what happens when one of those is withdrawn."`
-	Hold        bool     `help:"Submit it held."`
-	Reason      string   `help:"Why it is held."`
+	Image       string   `help:"The image that the tasks need on their machine."`
+	Priority    string   `help:"The job's priority: critical, high, standard or low."`
+	Spot        bool     `help:"Allow spot machines."`
+	Estimate    float64  `help:"Expected run time of a task, in seconds."`
+	After       []string `help:"Jobs that must be done before this one starts." placeholder:"JOB"`
+	OnWithdrawn string   `help:"What happens when one of those jobs is cancelled: hold, release or withdraw."`
+	Hold        bool     `help:"Submit the job on hold."`
+	Reason      string   `help:"Reason of the hold."`
 }
 
-// Run submits the job and prints it as accepted.
+// Run submits the job and prints it as the controller accepted it.
 func (s *submitCmd) Run() error {
 	var p api.Proposal
 	if s.File != "" {
@@ -100,7 +101,7 @@
 	return call(&s.remote, "POST", "/v1/jobs", p, showJob)
 }
 
-// set takes a flag that was given in the place of what a file says.
+// set replaces a value read from the file by that of a flag, if the flag is given.
 func set[T comparable](to *T, flag T) {
 	var none T
 	if flag != none {
@@ -110,12 +111,12 @@
 
 type jobsCmd struct {
 	remote
-	Team       string `help:"Only of this team."`
-	Class      string `help:"Only of this class."`
-	State      string `help:"pending, running, done, withdrawn, unfinished or any." default:"unfinished"`
-	WaitingFor string `help:"Only those that wait for this cause, such as room or hold."`
-	After      string `help:"Only those behind this id." placeholder:"JOB"`
-	Limit      int    `help:"At most so many." default:"100"`
+	Team       string `help:"Only jobs of this team."`
+	Class      string `help:"Only jobs of this class."`
+	State      string `help:"Only jobs in this state: pending, running, done, withdrawn, unfinished or any." default:"unfinished"`
+	WaitingFor string `help:"Only jobs with tasks that wait for this cause, such as room or hold."`
+	After      string `help:"Only jobs with an id after this one." placeholder:"JOB"`
+	Limit      int    `help:"Maximum number of jobs to list." default:"100"`
 }
 
 // Run lists jobs.
@@ -124,6 +125,7 @@
 	return call(&s.remote, "GET", "/v1/jobs?"+query(q), nil, showJobs)
 }
 
+// query encodes the parameters that are not empty.
 func query(q url.Values) string {
 	for k, v := range q {
 		if v[0] == "" {
@@ -133,21 +135,23 @@
 	return q.Encode()
 }
 
+// one holds the flags of the commands that take one job.
 type one struct {
 	remote
 	Job string `arg:"" help:"The job's id."`
 }
 
+// path returns the path of the job under /v1/, followed by rest.
 func (o *one) path(rest string) string { return "/v1/jobs/" + url.PathEscape(o.Job) + rest }
 
 type holdCmd struct {
 	one
-	Reason string `help:"Why, for those who ask." required:""`
-	Until  string `help:"When it ends by itself: a time (RFC 3339), or a duration such as 90m." placeholder:"TIME"`
-	Wait   bool   `help:"Wait until it is held: until no task of the job can begin any more."`
+	Reason string `help:"Reason, shown to users who ask." required:""`
+	Until  string `help:"When the hold ends by itself: a time (RFC 3339) or a duration such as 90m." placeholder:"TIME"`
+	Wait   bool   `help:"Wait until the hold is in force: until no further task of the job can start."`
 }
 
-// until reads a time, or a duration from now.
+// until parses a time, or a duration from now.
 func until(s string) (*explain.Time, error) {
 	if s == "" {
 		return nil, nil
@@ -157,7 +161,7 @@
 		t, err = time.Now().Add(d), nil
 	}
 	if err != nil {
-		return nil, usage{fmt.Errorf("--until: %q is neither a time nor a duration", s)}
+		return nil, usage{fmt.Errorf("--until: must be a time (RFC 3339) or a duration, got %q", s)}
 	}
 	x := explain.Time(t.UnixMicro())
 	return &x, nil
@@ -200,12 +204,12 @@
 
 type withdrawCmd struct{ one }
 
-// Run withdraws the job.
+// Run cancels the job.
 func (s *withdrawCmd) Run() error { return call(&s.remote, "POST", s.path("/withdraw"), nil, showJob) }
 
 type explainCmd struct {
 	one
-	Watch bool `help:"Go on, and print each change of the causes."`
+	Watch bool `help:"Keep running and print each change of the reasons."`
 }
 
 // Run explains the job.
@@ -225,7 +229,7 @@
 		}
 		var a explain.Answer
 		if err := json.Unmarshal(raw, &a); err != nil {
-			return fmt.Errorf("the answer cannot be read: %w", err)
+			return fmt.Errorf("cannot decode the answer: %w", err)
 		}
 		var now strings.Builder
 		fmt.Fprint(&now, a.Status, a.Running, a.Done)
@@ -247,5 +251,5 @@
 
 type queueCmd struct{ remote }
 
-// Run tells why work waits.
+// Run shows why tasks wait.
 func (s *queueCmd) Run() error { return call(&s.remote, "GET", "/v1/queue", nil, showQueue) }
--- a/cmd/cleatpick/machines.go
+++ b/cmd/cleatpick/machines.go
@@ -13,12 +13,12 @@
 
 type machinesCmd struct {
 	remote
-	Zone  string `help:"Only in this zone."`
-	Type  string `help:"Only of this type."`
-	Kind  string `help:"spot or ordinary."`
-	Shut  string `help:"Only those shut by this, such as cordon, rested or heard."`
-	After string `help:"Only those behind this name." placeholder:"NAME"`
-	Limit int    `help:"At most so many." default:"100"`
+	Zone  string `help:"Only machines in this zone."`
+	Type  string `help:"Only machines of this type."`
+	Kind  string `help:"Only machines of this kind: spot or ordinary."`
+	Shut  string `help:"Only machines blocked by this predicate, such as cordon, rested or heard."`
+	After string `help:"Only machines with a name after this one." placeholder:"NAME"`
+	Limit int    `help:"Maximum number of machines to list." default:"100"`
 }
 
 // Run lists machines.
@@ -30,12 +30,12 @@
 type cordonCmd struct {
 	remote
 	Name    string `arg:"" help:"The cordon's name."`
-	Machine string `help:"Keep starts off this machine."`
-	Type    string `help:"Off this type."`
-	Zone    string `help:"Off this zone."`
-	Kind    string `help:"Off spot or ordinary machines."`
-	Reason  string `help:"Why, for those who ask." required:""`
-	Until   string `help:"When it ends by itself: a time (RFC 3339), or a duration such as 90m." placeholder:"TIME"`
+	Machine string `help:"Cordon this machine."`
+	Type    string `help:"Cordon machines of this type."`
+	Zone    string `help:"Cordon machines in this zone."`
+	Kind    string `help:"Cordon machines of this kind: spot or ordinary."`
+	Reason  string `help:"Reason, shown to users who ask." required:""`
+	Until   string `help:"When the cordon ends by itself: a time (RFC 3339) or a duration such as 90m." placeholder:"TIME"`
 }
 
 // Run stores the cordon.
@@ -53,7 +53,7 @@
 	Name string `arg:"" help:"The cordon's name."`
 }
 
-// Run lifts the cordon.
+// Run removes the cordon.
 func (s *uncordonCmd) Run() error {
 	return call(&s.remote, "DELETE", "/v1/cordons/"+url.PathEscape(s.Name), nil, showLifted)
 }
@@ -64,18 +64,18 @@
 func (s *cordonsCmd) Run() error { return call(&s.remote, "GET", "/v1/cordons", nil, showCordons) }
 
 type keyCmd struct {
-	Name string `arg:"" help:"Whose key it is."`
-	Role string `help:"read, submit or operate." default:"read" enum:"read,submit,operate"`
+	Name string `arg:"" help:"Name of the key's holder."`
+	Role string `help:"Role of the key: read, submit or operate." default:"read" enum:"read,submit,operate"`
 }
 
-// Run prints the key on standard output and its entry on standard error.
+// Run generates a key. It prints the key on standard output and the entry for the settings file on standard error.
 func (s *keyCmd) Run() error {
 	token, k := api.NewKey(s.Name, s.Role)
 	entry, err := toml.Marshal(k)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(os.Stderr, "# add this to the operators' file of every controller:\n[[api.keys]]\n%s# the key, which is not shown again:\n", entry)
+	fmt.Fprintf(os.Stderr, "# add this to the operators' settings file of every controller:\n[[api.keys]]\n%s# the key, which is not shown again:\n", entry)
 	fmt.Println(token)
 	return nil
 }
--- a/cmd/cleatpick/main.go
+++ b/cmd/cleatpick/main.go
@@ -1,5 +1,6 @@
-// Command cleatpick is a controller of the cluster scheduler, and the command line for
-// its users and operators.
+// Command cleatpick runs a controller of the cluster scheduler, and is the command line for its users and operators.
+// The package parses flags, sends requests to the controllers' HTTP interface under /v1/ and prints the answers, as
+// tables or as JSON. Everything that a controller decides is left to package node and the packages below it.
 package main
 
 import (
@@ -13,36 +14,37 @@
 	"github.com/alecthomas/kong"
 )
 
-// version is what --version prints.
+// version is the version that --version prints.
 const version = "0.9.3"
 
 type cli struct {
-	Serve    serveCmd         `cmd:"" default:"withargs" help:"Run a controller (what happens without a command)."`
+	Serve    serveCmd         `cmd:"" default:"withargs" help:"Run a controller (the default command)."`
 	Submit   submitCmd        `cmd:"" help:"Submit a job."`
-	Explain  explainCmd       `cmd:"" help:"Tell every reason why a job's tasks do not run."`
+	Explain  explainCmd       `cmd:"" help:"Explain why a job's tasks do not run."`
 	Jobs     jobsCmd          `cmd:"" help:"List jobs."`
-	Queue    queueCmd         `cmd:"" help:"Tell why work waits, by team and class."`
-	Hold     holdCmd          `cmd:"" help:"Keep a job's tasks from being started."`
+	Queue    queueCmd         `cmd:"" help:"Show why tasks wait, by team and class."`
+	Hold     holdCmd          `cmd:"" help:"Hold a job: start none of its tasks."`
 	Release  releaseCmd       `cmd:"" help:"End a job's hold."`
 	Withdraw withdrawCmd      `cmd:"" help:"Cancel a job."`
-	Machines machinesCmd      `cmd:"" help:"List machines, and what keeps work off them."`
-	Cordon   cordonCmd        `cmd:"" help:"Keep new starts off machines."`
-	Uncordon uncordonCmd      `cmd:"" help:"Lift a cordon."`
+	Machines machinesCmd      `cmd:"" help:"List machines and what blocks starts on them."`
+	Cordon   cordonCmd        `cmd:"" help:"Cordon machines: allow no new starts on them."`
+	Uncordon uncordonCmd      `cmd:"" help:"Remove a cordon."`
 	Cordons  cordonsCmd       `cmd:"" help:"List the cordons in force."`
-	Key      keyCmd           `cmd:"" help:"Draw a key for /v1/ and print its entry for the operators' file."`
-	Version  kong.VersionFlag `help:"Print the version and end."`
+	Key      keyCmd           `cmd:"" help:"Generate an API key for /v1/ and print its entry for the operators' settings file."`
+	Version  kong.VersionFlag `help:"Print the version and exit."`
 }
 
-// remote are the flags of all commands that ask a controller.
+// remote holds the flags of all commands that send requests to a controller.
 type remote struct {
-	Endpoint string `help:"Controllers to ask, tried in turn: HOST:PORT,..." env:"CLEATPICK_ENDPOINT" placeholder:"LIST"`
-	KeyFile  string `help:"File that holds the key." env:"CLEATPICK_KEY_FILE" placeholder:"FILE"`
-	JSON     bool   `name:"json" help:"Print JSON for programs."`
+	Endpoint string `help:"Controllers, tried in turn: HOST:PORT,..." env:"CLEATPICK_ENDPOINT" placeholder:"LIST"`
+	KeyFile  string `help:"File that holds the API key." env:"CLEATPICK_KEY_FILE" placeholder:"FILE"`
+	JSON     bool   `name:"json" help:"Print the answer as JSON."`
 }
 
-// usage is an error of the caller's: exit code 2.
+// usage is an error in the arguments, the environment or a file given by the caller. The exit code is then 2.
 type usage struct{ error }
 
+// client returns a client for the given endpoints and key.
 func (r *remote) client() (*client.Client, error) {
 	key := os.Getenv("CLEATPICK_KEY")
 	if r.KeyFile != "" {
@@ -60,10 +62,11 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run gives the exit code: 0; 1 when the answer is no, or the other end failed; 2 for misuse.
+// run executes the command line and returns the exit code: 0 on success, 1 if a controller refused the request or no
+// controller could answer it, 2 for a usage error.
 func run(args []string) int {
 	var c cli
-	parser := kong.Must(&c, kong.Name("cleatpick"), kong.Description("A cluster scheduler that rents machines by its misses."),
+	parser := kong.Must(&c, kong.Name("cleatpick"), kong.Description("A cluster scheduler that rents cloud machines for tasks that do not fit on its machines."),
 		kong.Vars{"version": "cleatpick " + version})
 	ctx, err := parser.Parse(args)
 	if err == nil {
--- a/cmd/cleatpick/serve.go
+++ b/cmd/cleatpick/serve.go
@@ -16,10 +16,10 @@
 type serveCmd struct {
 	Config   string `help:"The platform's settings file (TOML)." placeholder:"FILE" required:""`
 	Operator string `help:"The operators' own settings file (TOML)." placeholder:"FILE"`
-	Check    bool   `help:"Check the settings and end."`
+	Check    bool   `help:"Check the settings and exit."`
 }
 
-// Run works as a controller until it is ended.
+// Run runs a controller until it is interrupted.
 func (s *serveCmd) Run() error {
 	cfg, err := config.Load(s.Config, s.Operator)
 	if err != nil {
@@ -30,23 +30,25 @@
 		return usage{err}
 	}
 	if s.Check {
-		fmt.Println("settings are sound")
+		fmt.Println("settings are valid")
 		return nil
 	}
-	// The machines are small: the collector is told how much there is.
-	// Well below that it may take its time, since the core is small too.
+	// Controllers run with little memory: the limit makes the garbage collector work harder before the process reaches
+	// the platform's RAM limit. Far below it the collector runs less often than by default, which saves CPU time, since
+	// the CPU limit is low too.
 	debug.SetGCPercent(200)
 	debug.SetMemoryLimit(int64(cfg.Cluster.Limits.RAMMB * 0.6 * (1 << 20)))
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	if err := node.New(cfg, log).Run(ctx); err != nil && ctx.Err() == nil {
-		log.Error("ended", "err", err)
-		return errors.New("ended by an error, which the log tells")
+		log.Error("controller stopped after an error; other controllers take over its partitions once its lease expires", "err", err)
+		return errors.New("controller stopped after an error; see the log")
 	}
 	return nil
 }
 
+// logLevel parses the value of LOG_LEVEL; the default is info.
 func logLevel(s string) (slog.Level, error) {
 	switch s {
 	case "error":
@@ -56,5 +58,5 @@
 	case "debug":
 		return slog.LevelDebug, nil
 	}
-	return 0, fmt.Errorf("LOG_LEVEL: must be error, info or debug, is %q", s)
+	return 0, fmt.Errorf("LOG_LEVEL: must be error, info or debug, got %q", s)
 }
--- a/cmd/cleatpick/show.go
+++ b/cmd/cleatpick/show.go
@@ -13,7 +13,7 @@
 	"cleatpick/internal/explain"
 )
 
-// rows prints a table.
+// rows prints a table. head holds the titles of the columns, separated by spaces; print calls row for each row.
 func rows(w io.Writer, head string, print func(row func(cells ...any))) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, strings.ReplaceAll(head, " ", "\t"))
@@ -35,6 +35,7 @@
 	return (time.Duration(s) * time.Microsecond).Round(100 * time.Millisecond).String()
 }
 
+// or returns s, or none if s is empty.
 func or(s, none string) string {
 	if s == "" {
 		return none
@@ -42,6 +43,7 @@
 	return s
 }
 
+// sums lists causes with the number of tasks that wait for each.
 func sums(all []explain.CauseCount) string {
 	var out []string
 	for _, s := range all {
@@ -87,7 +89,7 @@
 		}
 	})
 	for _, m := range v.Missing {
-		fmt.Fprintln(w, "not complete:", m)
+		fmt.Fprintln(w, "incomplete:", m)
 	}
 }
 
@@ -113,6 +115,7 @@
 	}
 }
 
+// selector describes the machines that a cordon covers.
 func selector(c *api.Cordon) string {
 	var out []string
 	for _, x := range [][2]string{{"machine", c.Machine}, {"type", c.Type}, {"zone", c.Zone}, {"kind", c.Kind}} {
@@ -127,16 +130,16 @@
 	fmt.Fprintf(w, "%s: no new starts on %s (%s)\n", c.Name, selector(c), c.Reason)
 	switch {
 	case c.Unseen == nil:
-		fmt.Fprintln(w, "  not every owner could be asked for starts recorded earlier")
+		fmt.Fprintln(w, "  starts recorded earlier are unknown, since not every owner could be asked")
 	case *c.Unseen > 0:
-		fmt.Fprintf(w, "  %d starts recorded earlier may still begin\n", *c.Unseen)
+		fmt.Fprintf(w, "  %d starts recorded earlier are pending and may still begin\n", *c.Unseen)
 	default:
-		fmt.Fprintln(w, "  nothing recorded earlier is left to begin")
+		fmt.Fprintln(w, "  no start recorded earlier is pending")
 	}
 }
 
 func showCordons(w io.Writer, v *api.Cordons) {
-	rows(w, "CORDON OFF UNTIL BY REASON", func(row func(...any)) {
+	rows(w, "CORDON MACHINES UNTIL BY REASON", func(row func(...any)) {
 		for i := range v.Cordons {
 			c := &v.Cordons[i]
 			until := "-"
@@ -147,11 +150,11 @@
 		}
 	})
 	if v.Damaged {
-		fmt.Fprintln(w, "the stored record cannot be read: shown is what was read last")
+		fmt.Fprintln(w, "the stored record cannot be decoded; the list shows the cordons of the last valid record")
 	}
 }
 
-func showLifted(w io.Writer, v *map[string]string) { fmt.Fprintf(w, "%s: lifted\n", (*v)["name"]) }
+func showLifted(w io.Writer, v *map[string]string) { fmt.Fprintf(w, "%s: removed\n", (*v)["name"]) }
 
 func showWhy(w io.Writer, a *explain.Answer) {
 	fmt.Fprintf(w, "%s  %s: %s, %d of %d tasks done, %d running, %d waiting\n", clock(a.AsOf), a.Job, a.Status, a.Done, a.Tasks, a.Running, a.Waiting)
@@ -159,9 +162,9 @@
 		showReason(w, &a.Reasons[i])
 	}
 	if len(a.Timeline) > 0 {
-		fmt.Fprintln(w, "  before:")
+		fmt.Fprintln(w, "  earlier causes:")
 		if a.TimelineDropped > 0 {
-			fmt.Fprintf(w, "    (%d older causes are not kept)\n", a.TimelineDropped)
+			fmt.Fprintf(w, "    (%d older causes were discarded)\n", a.TimelineDropped)
 		}
 		for _, s := range a.Timeline {
 			end := "now"
@@ -172,11 +175,11 @@
 		}
 	}
 	for _, m := range a.Missing {
-		fmt.Fprintln(w, "  not complete:", m)
+		fmt.Fprintln(w, "  incomplete:", m)
 	}
 }
 
-// needs says in words what a task asks of its machine.
+// needs describes what a task requires of its machine.
 func needs(n *explain.Needs) string {
 	out := fmt.Sprintf("%g CPUs, %g GB", n.CPUs, n.MemoryGB)
 	if n.GPUs > 0 {
@@ -217,7 +220,7 @@
 		fmt.Fprintf(w, "    each task needs %s\n", needs(d.Needs))
 	}
 	if m := d.Machines; m != nil {
-		fmt.Fprintf(w, "    %d machines looked at\n", m.Examined)
+		fmt.Fprintf(w, "    %d machines examined\n", m.Examined)
 		for _, g := range m.Groups {
 			var lacks []string
 			for _, k := range slices.Sorted(maps.Keys(g.Lacks)) {
@@ -229,7 +232,7 @@
 	if s := d.Renting; s != nil {
 		fmt.Fprintf(w, "    renting: %s\n", s.State)
 		for _, b := range s.Booting {
-			fmt.Fprintf(w, "      %d x %s %s %s boot, the oldest for %s (nominal %s)\n", b.Count, b.Type, b.Zone, b.Kind, span(b.Age), span(b.Nominal))
+			fmt.Fprintf(w, "      %d x %s %s %s booting, the oldest for %s (nominal boot time %s)\n", b.Count, b.Type, b.Zone, b.Kind, span(b.Age), span(b.Nominal))
 		}
 		for _, o := range s.Refused {
 			fmt.Fprintf(w, "      %s %s %s refused until %s\n", o.Type, o.Zone, o.Kind, clock(*o.Until))
@@ -238,15 +241,15 @@
 	for _, o := range d.On {
 		fmt.Fprintf(w, "    %d on %s: %s", o.Tasks, o.Machine, o.State)
 		if o.PreemptedFor != "" {
-			fmt.Fprintf(w, ", stopped for %s", o.PreemptedFor)
+			fmt.Fprintf(w, ", preempted for %s", o.PreemptedFor)
 		}
 		if o.ConfirmedBy != "" {
-			fmt.Fprintf(w, "; settled by %s", o.ConfirmedBy)
+			fmt.Fprintf(w, "; termination would be confirmed by %s", o.ConfirmedBy)
 		}
 		fmt.Fprintln(w)
 	}
 	fmt.Fprintf(w, "    released when: %s\n", r.Release)
 	if e := r.Estimate; e != nil {
-		fmt.Fprintf(w, "    in about %s, between %s and %s\n", span(e.Likely), span(e.Low), span(e.High))
+		fmt.Fprintf(w, "    expected in about %s, probably between %s and %s\n", span(e.Likely), span(e.Low), span(e.High))
 	}
 }
