--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -1,6 +1,7 @@
-// Command scalerun plays a fleet on this machine: real controllers beside hollow workers,
-// hollow users and stand-ins of the state service and the cloud. It is a tool of the
-// repository and no part of the service.
+// Command scalerun runs a load test of a whole cluster on one machine: real controllers with simulated workers and
+// users and with fakes of the state service and the cloud. It parses flags, runs the test that a settings file
+// describes, prints the report and can write it as JSON. Package scale implements the test. The command is a
+// development tool and no part of the service.
 package main
 
 import (
@@ -16,21 +17,23 @@
 	"github.com/alecthomas/kong"
 )
 
+// arguments are the command line's arguments and flags.
 type arguments struct {
 	Settings string `arg:"" help:"Settings file (TOML)." type:"existingfile"`
 	JSON     string `name:"json" help:"Write the report to this file as JSON." placeholder:"FILE"`
-	Check    bool   `help:"Check the settings and end."`
+	Check    bool   `help:"Check the settings and exit."`
 }
 
 func main() {
 	var a arguments
-	kong.Parse(&a, kong.Name("scalerun"), kong.Description("Plays a fleet on this machine and measures it."))
+	kong.Parse(&a, kong.Name("scalerun"), kong.Description("Runs a simulated cluster on this machine and measures the controllers."))
 	if err := a.run(); err != nil {
 		fmt.Fprintln(os.Stderr, "scalerun:", err)
 		os.Exit(1)
 	}
 }
 
+// run runs the load test and writes the report. A report is also written for a run that failed.
 func (a *arguments) run() error {
 	settings, err := scale.Load(a.Settings)
 	if err != nil || a.Check {
