--- a/cmd/knownred/main.go
+++ b/cmd/knownred/main.go
@@ -1,6 +1,7 @@
-// Command knownred prints the pattern of the tests that KNOWN-RED.txt names, for `go test -skip`, and
-// tells of each on standard error. It prints nothing where there is no such file. A list with a
-// mistake, or one that names a test or a subtest that does not exist, is an error.
+// Command knownred prints a pattern for `go test -skip` that matches the tests listed in KNOWN-RED.txt, those that are
+// known to fail. It runs each listed test once, and reports its entry and the outcome on standard error. It prints
+// nothing if the file does not exist. It fails if the list is malformed, or if a listed test or subtest does not exist,
+// since such an entry would skip nothing.
 package main
 
 import (
@@ -20,7 +21,7 @@
 const listName = "KNOWN-RED.txt"
 
 func main() {
-	root := flag.String("root", ".", "the `directory` of the module")
+	root := flag.String("root", ".", "root `directory` of the module")
 	flag.Parse()
 	pattern, err := run(*root)
 	if err != nil {
@@ -32,6 +33,7 @@
 	}
 }
 
+// run returns the pattern for the list in the module's root directory, or an empty pattern if there is no list.
 func run(root string) (pattern string, err error) {
 	list, err := os.ReadFile(filepath.Join(root, listName))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -54,14 +56,14 @@
 		if err != nil {
 			return "", fmt.Errorf("line %d: test: %w", e.Line, err)
 		}
-		fmt.Fprintf(os.Stderr, "known red, passed over: %s (issue %s): %s; to see it: %s; now: %s\n", e.Name(), e.Issue, e.Seen, e.Command, outcome)
+		fmt.Fprintf(os.Stderr, "known failure, skipped: %s (issue %s): %s; reproduce with: %s; outcome now: %s\n", e.Name(), e.Issue, e.Seen, e.Command, outcome)
 	}
 	return knownred.SkipPattern(entries), nil
 }
 
 var testFunction = regexp.MustCompile(`(?m)^func (Test[A-Za-z0-9_]+)\(`)
 
-// testFunctions lists the directory of each test function of the module.
+// testFunctions maps the name of each test function of the module to its directory.
 func testFunctions(root string) (map[string]string, error) {
 	directories := map[string]string{}
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -80,8 +82,8 @@
 	return directories, err
 }
 
-// play runs the entry's test and tells its outcome, which does not count. That it ran shows that
-// there is such a subtest, which no search in the sources can.
+// play runs the entry's test and returns its outcome, which is only reported. The run shows whether the subtest
+// exists, which a search in the sources cannot, since names of subtests may be computed.
 func play(root, directory string, e *knownred.Entry) (outcome string, err error) {
 	relative, err := filepath.Rel(root, directory)
 	if err != nil {
@@ -91,7 +93,7 @@
 	command.Dir = root
 	output, failure := command.CombinedOutput()
 	if !strings.Contains(string(output), "=== RUN   "+e.Name()+"\n") {
-		return "", fmt.Errorf("%s did not run: there is no such subtest, or it does not build", e.Name())
+		return "", fmt.Errorf("%s did not run: the subtest does not exist, or the package does not build", e.Name())
 	}
 	if failure != nil {
 		return "fails", nil
--- a/cmd/knownred/main_test.go
+++ b/cmd/knownred/main_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// module makes a module with one test of two subtests, and with that list.
+// module creates a module that has the given list and one test with two subtests, of which one fails. It returns the
+// root directory.
 func module(t *testing.T, list string) string {
 	t.Helper()
 	root := t.TempDir()
@@ -32,6 +33,7 @@
 	return root
 }
 
+// The pattern for a listed subtest that fails matches this subtest alone.
 func TestListedSubtestIsPassedOver(t *testing.T) {
 	pattern, err := run(module(t, "TestOne/red_one | go test | red | issue 1\n"))
 	if want := "^TestOne$/^red_one$"; err != nil || pattern != want {
@@ -39,10 +41,11 @@
 	}
 }
 
+// A list that names a test or a subtest that does not exist, or that is empty, is an error.
 func TestListsThatAreRefused(t *testing.T) {
 	cases := []struct{ name, list, want string }{
 		{"unknown subtest", "TestOne/blue | go test | red | issue 1\n", "line 1: test: TestOne/blue did not run"},
-		{"unknown test", "TestTwo | go test | red | issue 1\n", "line 1: test: no test is named TestTwo"},
+		{"unknown test", "TestTwo | go test | red | issue 1\n", "line 1: test: no test function is named TestTwo"},
 		{"empty file", "", "names no test"},
 	}
 	for _, c := range cases {
@@ -54,6 +57,7 @@
 	}
 }
 
+// Without a list nothing is skipped.
 func TestNoList(t *testing.T) {
 	if pattern, err := run(t.TempDir()); pattern != "" || err != nil {
 		t.Errorf("pattern %q, error %v", pattern, err)
--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -1,11 +1,12 @@
-// Package knownred reads the list of tests that are known to fail, KNOWN-RED.txt, and makes the
-// pattern by which the test run passes over just these.
+// Package knownred parses KNOWN-RED.txt, the list of tests that are known to fail, and builds the pattern for
+// `go test -skip` that skips exactly these tests. Finding the test functions and running them is left to the command
+// knownred.
 //
-// Each line of the list is one entry of four fields:
+// Each line of the list is an entry with four fields:
 //
 //	TestName/subtest | command with its seed | what was seen | issue 22
 //
-// The subtest may be left out where the test has none.
+// The subtest is optional.
 package knownred
 
 import (
@@ -17,15 +18,15 @@
 
 // Entry is one test that is known to fail.
 type Entry struct {
-	Line    int    // in the list, from 1
+	Line    int    // line number in the list, from 1
 	Test    string // the name of the test function
-	Subtest string // as `go test -v` prints it; empty: the whole test
-	Command string // how to see it fail
-	Seen    string // what it showed
-	Issue   string // the number of the open issue
+	Subtest string // as `go test -v` prints it; empty for the whole test
+	Command string // command that reproduces the failure, with its seed
+	Seen    string // how the test failed
+	Issue   string // number of the open issue
 }
 
-// Name is the full name of the entry's test.
+// Name returns the full name of the entry's test.
 func (e *Entry) Name() string {
 	if e.Subtest == "" {
 		return e.Test
@@ -33,7 +34,7 @@
 	return e.Test + "/" + e.Subtest
 }
 
-// Pattern matches the entry's test, and no other, in `go test -run` and `-skip`.
+// Pattern returns a pattern for `go test -run` and `-skip` that matches only the entry's test.
 func (e *Entry) Pattern() string {
 	levels := strings.Split(e.Name(), "/")
 	for i, level := range levels {
@@ -42,9 +43,10 @@
 	return strings.Join(levels, "/")
 }
 
-// ErrEmpty tells that a list names no test: the file is to be removed instead.
+// ErrEmpty is returned for a list that names no test. The file must be removed instead.
 var ErrEmpty = errors.New("names no test; remove the file")
 
+// fieldCount is the number of fields of an entry.
 const fieldCount = 4
 
 var (
@@ -52,8 +54,8 @@
 	issueNumber = regexp.MustCompile(`^issue ([0-9]+)$`)
 )
 
-// Parse reads a list. exists tells whether there is a test function of that name. An error names
-// the line and the field at fault.
+// Parse parses a list. exists reports whether a test function of a given name exists. The error names the line and the
+// field at fault.
 func Parse(list string, exists func(test string) bool) ([]Entry, error) {
 	var entries []Entry
 	seen := map[string]int{}
@@ -67,10 +69,10 @@
 		}
 		entry.Line = i + 1
 		if !exists(entry.Test) {
-			return nil, fmt.Errorf("line %d: test: no test is named %s", entry.Line, entry.Test)
+			return nil, fmt.Errorf("line %d: test: no test function is named %s", entry.Line, entry.Test)
 		}
 		if before, twice := seen[entry.Name()]; twice {
-			return nil, fmt.Errorf("line %d: test: %s is listed in line %d already", entry.Line, entry.Name(), before)
+			return nil, fmt.Errorf("line %d: test: %s is already listed in line %d", entry.Line, entry.Name(), before)
 		}
 		seen[entry.Name()] = entry.Line
 		entries = append(entries, entry)
@@ -81,6 +83,7 @@
 	return entries, nil
 }
 
+// parseLine parses one entry. Parse sets its line number.
 func parseLine(line string) (Entry, error) {
 	fields := strings.Split(line, "|")
 	if len(fields) != fieldCount {
@@ -91,7 +94,7 @@
 	}
 	name := testName.FindStringSubmatch(fields[0])
 	if name == nil {
-		return Entry{}, fmt.Errorf("test: %q is no test's name", fields[0])
+		return Entry{}, fmt.Errorf("test: %q is not the name of a test, want TestName or TestName/subtest", fields[0])
 	}
 	if fields[1] == "" {
 		return Entry{}, errors.New("command and seed: missing")
@@ -106,7 +109,7 @@
 	return Entry{Test: name[1], Subtest: name[2], Command: fields[1], Seen: fields[2], Issue: issue[1]}, nil
 }
 
-// SkipPattern is the pattern for `go test -skip` that passes over the entries' tests alone.
+// SkipPattern returns the pattern for `go test -skip` that skips only the entries' tests.
 func SkipPattern(entries []Entry) string {
 	patterns := make([]string, len(entries))
 	for i := range entries {
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -11,6 +11,7 @@
 
 const good = `TestOne/sub_1 | SEEDS="1 1" go test -run One ./x | 3 of 5 are late | issue 22`
 
+// The fields of valid entries are parsed, with and without a subtest, and the skip pattern covers all entries.
 func TestEntries(t *testing.T) {
 	entries, err := Parse(good+"\nTestTwo | go test ./x | red | issue 7\n", known)
 	if err != nil {
@@ -27,22 +28,22 @@
 	}
 }
 
-// Each kind of mistake is refused, and the error tells where it is.
+// Each kind of malformed list is rejected, with an error that names the line and the field.
 func TestMistakesAreRefused(t *testing.T) {
 	cases := []struct{ name, list, want string }{
 		{"too few fields", "TestOne | go test | red", "line 1: 3 fields, want 4"},
 		{"too many fields", "TestOne | go test | red | issue 1 | more", "line 1: 5 fields, want 4"},
-		{"the older form", "TestOne: red: issue 22", "line 1: 1 fields, want 4"},
-		{"an empty line between", good + "\n\nTestTwo | go test | red | issue 1", "line 2: 1 fields"},
-		{"unknown test", good + "\nTestThree | go test | red | issue 1", "line 2: test: no test is named TestThree"},
-		{"no test's name", "Other | go test | red | issue 1", `line 1: test: "Other"`},
-		{"a pattern for a name", "TestOne.* | go test | red | issue 1", `line 1: test: "TestOne.*"`},
+		{"the older format", "TestOne: red: issue 22", "line 1: 1 fields, want 4"},
+		{"an empty line between entries", good + "\n\nTestTwo | go test | red | issue 1", "line 2: 1 fields"},
+		{"unknown test", good + "\nTestThree | go test | red | issue 1", "line 2: test: no test function is named TestThree"},
+		{"not the name of a test", "Other | go test | red | issue 1", `line 1: test: "Other"`},
+		{"a pattern instead of a name", "TestOne.* | go test | red | issue 1", `line 1: test: "TestOne.*"`},
 		{"missing subtest", "TestOne/ | go test | red | issue 1", `line 1: test: "TestOne/"`},
 		{"missing command", "TestOne |  | red | issue 1", "line 1: command and seed: missing"},
-		{"missing sight", "TestOne | go test | | issue 1", "line 1: what was seen: missing"},
+		{"missing observation", "TestOne | go test | | issue 1", "line 1: what was seen: missing"},
 		{"missing issue", "TestOne | go test | red | ", `line 1: issue: ""`},
 		{"an issue without a number", "TestOne | go test | red | issue x", `line 1: issue: "issue x"`},
-		{"listed twice", good + "\n" + good, "line 2: test: TestOne/sub_1 is listed in line 1 already"},
+		{"listed twice", good + "\n" + good, "line 2: test: TestOne/sub_1 is already listed in line 1"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -53,20 +54,19 @@
 		})
 	}
 	if _, err := Parse("", known); !errors.Is(err, ErrEmpty) {
-		t.Errorf("an empty list: %v", err)
+		t.Errorf("an empty list: error %v, want ErrEmpty", err)
 	}
 }
 
-// A pattern matches its own test alone, also where the name has characters that mean something in
-// a pattern.
+// A pattern matches only its own test, even if the name contains metacharacters of regular expressions.
 func TestPatternMatchesOneTest(t *testing.T) {
 	entry := Entry{Test: "TestOne", Subtest: "a.b+c"}
 	levels := strings.Split(entry.Pattern(), "/")
 	if len(levels) != 2 {
-		t.Fatalf("pattern %s", entry.Pattern())
+		t.Fatalf("pattern %s for TestOne/a.b+c", entry.Pattern())
 	}
 	sub := regexp.MustCompile(levels[1])
 	if !sub.MatchString("a.b+c") || sub.MatchString("axb+c") || sub.MatchString("a.b+c2") {
-		t.Errorf("pattern %s", entry.Pattern())
+		t.Errorf("pattern %s for TestOne/a.b+c", entry.Pattern())
 	}
 }
