--- a/internal/fixed/fixed.go
+++ b/internal/fixed/fixed.go
@@ -1,4 +1,5 @@
-// Package fixed lets tests come to the same verdict every time.
+// Package fixed makes property tests deterministic: it fixes the seed of the generator of package rapid. Packages with
+// such tests call Main from their TestMain. A test run with another seed passes the flag -rapid.seed.
 package fixed
 
 import (
@@ -7,7 +8,7 @@
 	"testing"
 )
 
-// Main runs a package's tests with the generator's seed fixed, unless the caller names one.
+// Main runs the tests of a package with a fixed seed of the generator, unless the flag -rapid.seed sets one, and exits.
 func Main(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
