--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -25,9 +25,9 @@
 }
 
 func main() {
-	var a arguments
-	kong.Parse(&a, kong.Name("scalerun"), kong.Description("Runs a simulated cluster on this machine and measures the controllers."))
-	if err := a.run(); err != nil {
+	var args arguments
+	kong.Parse(&args, kong.Name("scalerun"), kong.Description("Runs a simulated cluster on this machine and measures the controllers."))
+	if err := args.run(); err != nil {
 		fmt.Fprintln(os.Stderr, "scalerun:", err)
 		os.Exit(1)
 	}
@@ -41,9 +41,9 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	report, failure := scale.Run(ctx, settings)
+	report, runErr := scale.Run(ctx, settings)
 	if report == nil {
-		return failure
+		return runErr
 	}
 	report.Print(os.Stdout)
 	if a.JSON != "" {
@@ -55,5 +55,5 @@
 			return err
 		}
 	}
-	return failure
+	return runErr
 }
