--- a/cmd/knownred/main.go
+++ b/cmd/knownred/main.go
@@ -42,17 +42,17 @@
 	if err != nil {
 		return "", err
 	}
-	packages, err := testFunctions(root)
+	directories, err := testFunctions(root)
 	if err != nil {
 		return "", err
 	}
-	entries, err := knownred.Parse(string(list), func(test string) bool { return packages[test] != "" })
+	entries, err := knownred.Parse(string(list), func(test string) bool { return directories[test] != "" })
 	if err != nil {
 		return "", err
 	}
 	for i := range entries {
 		e := &entries[i]
-		outcome, err := play(root, packages[e.Test], e)
+		outcome, err := runTest(root, directories[e.Test], e)
 		if err != nil {
 			return "", fmt.Errorf("line %d: test: %w", e.Line, err)
 		}
@@ -82,20 +82,20 @@
 	return directories, err
 }
 
-// play runs the entry's test and returns its outcome, which is only reported. The run shows whether the subtest
+// runTest runs the entry's test and returns its outcome, which is only reported. The run shows whether the subtest
 // exists, which a search in the sources cannot, since names of subtests may be computed.
-func play(root, directory string, e *knownred.Entry) (outcome string, err error) {
+func runTest(root, directory string, e *knownred.Entry) (outcome string, err error) {
 	relative, err := filepath.Rel(root, directory)
 	if err != nil {
 		return "", err
 	}
 	command := exec.Command("go", "test", "-count=1", "-v", "-run", e.Pattern(), "./"+filepath.ToSlash(relative))
 	command.Dir = root
-	output, failure := command.CombinedOutput()
+	output, testErr := command.CombinedOutput()
 	if !strings.Contains(string(output), "=== RUN   "+e.Name()+"\n") {
 		return "", fmt.Errorf("%s did not run: the subtest does not exist, or the package does not build", e.Name())
 	}
-	if failure != nil {
+	if testErr != nil {
 		return "fails", nil
 	}
 	return "passes", nil
--- a/cmd/knownred/main_test.go
+++ b/cmd/knownred/main_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// module creates a module that has the given list and one test with two subtests, of which one fails. It returns the
-// root directory.
-func module(t *testing.T, list string) string {
+// createModule creates a module that has the given list and one test with two subtests, of which one fails. It returns
+// its root directory.
+func createModule(t *testing.T, list string) string {
 	t.Helper()
 	root := t.TempDir()
 	files := map[string]string{
@@ -34,15 +34,15 @@
 }
 
 // The pattern for a listed subtest that fails matches this subtest alone.
-func TestListedSubtestIsPassedOver(t *testing.T) {
-	pattern, err := run(module(t, "TestOne/red_one | go test | red | issue 1\n"))
+func TestListedSubtestIsSkipped(t *testing.T) {
+	pattern, err := run(createModule(t, "TestOne/red_one | go test | red | issue 1\n"))
 	if want := "^TestOne$/^red_one$"; err != nil || pattern != want {
 		t.Errorf("pattern %q, error %v, want %q", pattern, err, want)
 	}
 }
 
 // A list that names a test or a subtest that does not exist, or that is empty, is an error.
-func TestListsThatAreRefused(t *testing.T) {
+func TestListOfUnknownTestsFails(t *testing.T) {
 	cases := []struct{ name, list, want string }{
 		{"unknown subtest", "TestOne/blue | go test | red | issue 1\n", "line 1: test: TestOne/blue did not run"},
 		{"unknown test", "TestTwo | go test | red | issue 1\n", "line 1: test: no test function is named TestTwo"},
@@ -50,7 +50,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if _, err := run(module(t, c.list)); err == nil || !strings.Contains(err.Error(), c.want) {
+			if _, err := run(createModule(t, c.list)); err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("error %v, want %q", err, c.want)
 			}
 		})
