--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -71,8 +71,8 @@
 		if !exists(entry.Test) {
 			return nil, fmt.Errorf("line %d: test: no test function is named %s", entry.Line, entry.Test)
 		}
-		if before, twice := seen[entry.Name()]; twice {
-			return nil, fmt.Errorf("line %d: test: %s is already listed in line %d", entry.Line, entry.Name(), before)
+		if firstLine, duplicate := seen[entry.Name()]; duplicate {
+			return nil, fmt.Errorf("line %d: test: %s is already listed in line %d", entry.Line, entry.Name(), firstLine)
 		}
 		seen[entry.Name()] = entry.Line
 		entries = append(entries, entry)
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-func known(test string) bool { return test == "TestOne" || test == "TestTwo" }
+func testExists(test string) bool { return test == "TestOne" || test == "TestTwo" }
 
-const good = `TestOne/sub_1 | SEEDS="1 1" go test -run One ./x | 3 of 5 are late | issue 22`
+const validEntry = `TestOne/sub_1 | SEEDS="1 1" go test -run One ./x | 3 of 5 are late | issue 22`
 
 // The fields of valid entries are parsed, with and without a subtest, and the skip pattern covers all entries.
-func TestEntries(t *testing.T) {
-	entries, err := Parse(good+"\nTestTwo | go test ./x | red | issue 7\n", known)
+func TestValidEntries(t *testing.T) {
+	entries, err := Parse(validEntry+"\nTestTwo | go test ./x | red | issue 7\n", testExists)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,13 +29,13 @@
 }
 
 // Each kind of malformed list is rejected, with an error that names the line and the field.
-func TestMistakesAreRefused(t *testing.T) {
+func TestInvalidEntries(t *testing.T) {
 	cases := []struct{ name, list, want string }{
 		{"too few fields", "TestOne | go test | red", "line 1: 3 fields, want 4"},
 		{"too many fields", "TestOne | go test | red | issue 1 | more", "line 1: 5 fields, want 4"},
 		{"the older format", "TestOne: red: issue 22", "line 1: 1 fields, want 4"},
-		{"an empty line between entries", good + "\n\nTestTwo | go test | red | issue 1", "line 2: 1 fields"},
-		{"unknown test", good + "\nTestThree | go test | red | issue 1", "line 2: test: no test function is named TestThree"},
+		{"an empty line between entries", validEntry + "\n\nTestTwo | go test | red | issue 1", "line 2: 1 fields"},
+		{"unknown test", validEntry + "\nTestThree | go test | red | issue 1", "line 2: test: no test function is named TestThree"},
 		{"not the name of a test", "Other | go test | red | issue 1", `line 1: test: "Other"`},
 		{"a pattern instead of a name", "TestOne.* | go test | red | issue 1", `line 1: test: "TestOne.*"`},
 		{"missing subtest", "TestOne/ | go test | red | issue 1", `line 1: test: "TestOne/"`},
@@ -43,17 +43,17 @@
 		{"missing observation", "TestOne | go test | | issue 1", "line 1: what was seen: missing"},
 		{"missing issue", "TestOne | go test | red | ", `line 1: issue: ""`},
 		{"an issue without a number", "TestOne | go test | red | issue x", `line 1: issue: "issue x"`},
-		{"listed twice", good + "\n" + good, "line 2: test: TestOne/sub_1 is already listed in line 1"},
+		{"listed twice", validEntry + "\n" + validEntry, "line 2: test: TestOne/sub_1 is already listed in line 1"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse(c.list, known)
+			_, err := Parse(c.list, testExists)
 			if err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("error %v, want %q", err, c.want)
 			}
 		})
 	}
-	if _, err := Parse("", known); !errors.Is(err, ErrEmpty) {
+	if _, err := Parse("", testExists); !errors.Is(err, ErrEmpty) {
 		t.Errorf("an empty list: error %v, want ErrEmpty", err)
 	}
 }
