--- a/internal/fixed/fixed.go
+++ b/internal/fixed/fixed.go
@@ -11,8 +11,8 @@
 // Main runs the tests of a package with a fixed seed of the generator, unless the flag -rapid.seed sets one, and exits.
 func Main(m *testing.M) {
 	flag.Parse()
-	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
-		if err := f.Value.Set("20261201"); err != nil {
+	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
+		if err := seed.Value.Set("20261201"); err != nil {
 			panic(err)
 		}
 	}
