--- a/cmd/cleatpick/jobs.go
+++ b/cmd/cleatpick/jobs.go
@@ -14,8 +14,8 @@
 	"cleatpick/internal/explain"
 )
 
-// call makes one call and prints its answer, as JSON or by show.
-func call[T any](r *remote, method, path string, body any, show func(w io.Writer, v *T)) error {
+// send sends one request and prints the answer, as JSON or with show.
+func send[T any](r *apiFlags, method, path string, body any, show func(w io.Writer, v *T)) error {
 	c, err := r.client()
 	if err != nil {
 		return err
@@ -27,39 +27,40 @@
 	return print(r, raw, show)
 }
 
-func print[T any](r *remote, raw json.RawMessage, show func(w io.Writer, v *T)) error {
+// print prints an answer, as JSON or with show.
+func print[T any](r *apiFlags, raw json.RawMessage, show func(w io.Writer, v *T)) error {
 	if r.JSON {
 		fmt.Println(string(raw))
 		return nil
 	}
 	v := new(T)
 	if err := json.Unmarshal(raw, v); err != nil {
-		return fmt.Errorf("the answer cannot be read: %w", err)
+		return fmt.Errorf("cannot decode the answer: %w", err)
 	}
 	show(os.Stdout, v)
 	return nil
 }
 
 type submitCmd struct {
-	remote
-	File        string   `arg:"" optional:"" help:"A file with the job in JSON, as POST /v1/jobs takes it; - for standard input. Flags go before it."`
-	ID          string   `help:"The job's id; absent: one is drawn." placeholder:"JOB"`
-	Team        string   `help:"Its team."`
-	Class       string   `help:"Its class."`
-	Tasks       int64    `help:"How many tasks."`
+	apiFlags
+	File        string   `arg:"" optional:"" help:"File with the job in JSON, as for POST /v1/jobs; - for standard input. Flags override its fields."`
+	ID          string   `help:"The job's id; generated if absent." placeholder:"JOB"`
+	Team        string   `help:"The job's team."`
+	Class       string   `help:"The job's class."`
+	Tasks       int64    `help:"Number of tasks."`
 	CPUs        float64  `name:"cpus" help:"CPUs of each task."`
 	Memory      float64  `help:"Memory of each task in GB."`
-	Image       string   `help:"The image that its machines need."`
-	Priority    string   `help:"critical, high, standard or low."`
-	Spot        bool     `help:"It may run on spot machines."`
-	Estimate    float64  `help:"Run time expected of a task, in seconds."`
-	After       []string `help:"Jobs that must be done first." placeholder:"JOB"`
-	OnWithdrawn string   `help:"hold, release or withdraw: what happens when one of those is withdrawn."`
-	Hold        bool     `help:"Submit it held."`
-	Reason      string   `help:"Why it is held."`
+	Image       string   `help:"The image that the tasks need on their machine."`
+	Priority    string   `help:"The job's priority: critical, high, standard or low."`
+	Spot        bool     `help:"Allow spot machines."`
+	Estimate    float64  `help:"Expected run time of a task, in seconds."`
+	After       []string `help:"Jobs that must be done before this one starts." placeholder:"JOB"`
+	OnWithdrawn string   `help:"What happens when one of those jobs is cancelled: hold, release or withdraw."`
+	Hold        bool     `help:"Submit the job on hold."`
+	Reason      string   `help:"Reason of the hold."`
 }
 
-// Run submits the job and prints it as accepted.
+// Run submits the job and prints it as the controller accepted it.
 func (s *submitCmd) Run() error {
 	var p api.Submission
 	if s.File != "" {
@@ -67,7 +68,7 @@
 		if s.File != "-" {
 			f, err := os.Open(s.File)
 			if err != nil {
-				return usage{err}
+				return usageError{err}
 			}
 			defer f.Close()
 			in = f
@@ -75,56 +76,57 @@
 		d := json.NewDecoder(in)
 		d.DisallowUnknownFields()
 		if err := d.Decode(&p); err != nil {
-			return usage{fmt.Errorf("%s: %w", s.File, err)}
+			return usageError{fmt.Errorf("%s: %w", s.File, err)}
 		}
 	}
-	set(&p.ID, s.ID)
-	set(&p.Team, s.Team)
-	set(&p.Class, s.Class)
-	set(&p.Tasks, s.Tasks)
-	set(&p.CPUs, s.CPUs)
-	set(&p.MemoryGB, s.Memory)
-	set(&p.Image, s.Image)
-	set(&p.Priority, s.Priority)
-	set(&p.EstimateS, s.Estimate)
-	set(&p.OnCancelled, s.OnWithdrawn)
-	set(&p.HoldReason, s.Reason)
-	set(&p.Spot, s.Spot)
-	set(&p.Hold, s.Hold)
+	override(&p.ID, s.ID)
+	override(&p.Team, s.Team)
+	override(&p.Class, s.Class)
+	override(&p.Tasks, s.Tasks)
+	override(&p.CPUs, s.CPUs)
+	override(&p.MemoryGB, s.Memory)
+	override(&p.Image, s.Image)
+	override(&p.Priority, s.Priority)
+	override(&p.EstimateS, s.Estimate)
+	override(&p.OnCancelled, s.OnWithdrawn)
+	override(&p.HoldReason, s.Reason)
+	override(&p.Spot, s.Spot)
+	override(&p.Hold, s.Hold)
 	if len(s.After) > 0 {
 		p.Dependencies = s.After
 	}
 	if p.ID == "" {
 		p.ID = api.NewJobID()
 	}
-	return call(&s.remote, "POST", "/v1/jobs", p, showJob)
+	return send(&s.apiFlags, "POST", "/v1/jobs", p, showJob)
 }
 
-// set takes a flag that was given in the place of what a file says.
-func set[T comparable](to *T, flag T) {
-	var none T
-	if flag != none {
-		*to = flag
+// override replaces a value read from the file by that of a flag, if the flag is given.
+func override[T comparable](value *T, flag T) {
+	var zero T
+	if flag != zero {
+		*value = flag
 	}
 }
 
 type jobsCmd struct {
-	remote
-	Team       string `help:"Only of this team."`
-	Class      string `help:"Only of this class."`
-	State      string `help:"pending, running, done, withdrawn, unfinished or any." default:"unfinished"`
-	WaitingFor string `help:"Only those that wait for this cause, such as room or hold."`
-	After      string `help:"Only those behind this id." placeholder:"JOB"`
-	Limit      int    `help:"At most so many." default:"100"`
+	apiFlags
+	Team       string `help:"Only jobs of this team."`
+	Class      string `help:"Only jobs of this class."`
+	State      string `help:"Only jobs in this state: pending, running, done, withdrawn, unfinished or any." default:"unfinished"`
+	WaitingFor string `help:"Only jobs with tasks that wait for this cause, such as room or hold."`
+	After      string `help:"Only jobs with an id after this one." placeholder:"JOB"`
+	Limit      int    `help:"Maximum number of jobs to list." default:"100"`
 }
 
 // Run lists jobs.
 func (s *jobsCmd) Run() error {
 	q := url.Values{"team": {s.Team}, "class": {s.Class}, "state": {s.State}, "waitingFor": {s.WaitingFor}, "after": {s.After}, "limit": {strconv.Itoa(s.Limit)}}
-	return call(&s.remote, "GET", "/v1/jobs?"+query(q), nil, showJobs)
+	return send(&s.apiFlags, "GET", "/v1/jobs?"+encodeQuery(q), nil, showJobs)
 }
 
-func query(q url.Values) string {
+// encodeQuery encodes the parameters that are not empty.
+func encodeQuery(q url.Values) string {
 	for k, v := range q {
 		if v[0] == "" {
 			delete(q, k)
@@ -133,22 +135,24 @@
 	return q.Encode()
 }
 
-type one struct {
-	remote
+// jobArgument holds the flags of the commands that take one job.
+type jobArgument struct {
+	apiFlags
 	Job string `arg:"" help:"The job's id."`
 }
 
-func (o *one) path(rest string) string { return "/v1/jobs/" + url.PathEscape(o.Job) + rest }
+// path returns the path of the job under /v1/, followed by rest.
+func (o *jobArgument) path(rest string) string { return "/v1/jobs/" + url.PathEscape(o.Job) + rest }
 
 type holdCmd struct {
-	one
-	Reason string `help:"Why, for those who ask." required:""`
-	Until  string `help:"When it ends by itself: a time (RFC 3339), or a duration such as 90m." placeholder:"TIME"`
-	Wait   bool   `help:"Wait until it is held: until no task of the job can begin any more."`
+	jobArgument
+	Reason string `help:"Reason, shown to users who ask." required:""`
+	Until  string `help:"When the hold ends by itself: a time (RFC 3339) or a duration such as 90m." placeholder:"TIME"`
+	Wait   bool   `help:"Wait until the hold is in force: until no further task of the job can start."`
 }
 
-// until reads a time, or a duration from now.
-func until(s string) (*explain.Time, error) {
+// parseUntil parses a time, or a duration from now.
+func parseUntil(s string) (*explain.Time, error) {
 	if s == "" {
 		return nil, nil
 	}
@@ -157,7 +161,7 @@
 		t, err = time.Now().Add(d), nil
 	}
 	if err != nil {
-		return nil, usage{fmt.Errorf("--until: %q is neither a time nor a duration", s)}
+		return nil, usageError{fmt.Errorf("--until: must be a time (RFC 3339) or a duration, got %q", s)}
 	}
 	x := explain.Time(t.UnixMicro())
 	return &x, nil
@@ -165,7 +169,7 @@
 
 // Run holds the job.
 func (s *holdCmd) Run() error {
-	end, err := until(s.Until)
+	end, err := parseUntil(s.Until)
 	if err != nil {
 		return err
 	}
@@ -173,7 +177,7 @@
 	if end != nil {
 		body["until"] = end
 	}
-	if err := call(&s.remote, "POST", s.path("/hold"), body, showJob); err != nil || !s.Wait {
+	if err := send(&s.apiFlags, "POST", s.path("/hold"), body, showJob); err != nil || !s.Wait {
 		return err
 	}
 	c, err := s.client()
@@ -193,25 +197,27 @@
 	}
 }
 
-type releaseCmd struct{ one }
+type releaseCmd struct{ jobArgument }
 
 // Run releases the job.
-func (s *releaseCmd) Run() error { return call(&s.remote, "POST", s.path("/release"), nil, showJob) }
+func (s *releaseCmd) Run() error { return send(&s.apiFlags, "POST", s.path("/release"), nil, showJob) }
 
-type withdrawCmd struct{ one }
+type withdrawCmd struct{ jobArgument }
 
-// Run withdraws the job.
-func (s *withdrawCmd) Run() error { return call(&s.remote, "POST", s.path("/withdraw"), nil, showJob) }
+// Run cancels the job.
+func (s *withdrawCmd) Run() error {
+	return send(&s.apiFlags, "POST", s.path("/withdraw"), nil, showJob)
+}
 
 type explainCmd struct {
-	one
-	Watch bool `help:"Go on, and print each change of the causes."`
+	jobArgument
+	Watch bool `help:"Keep running and print each change of the reasons."`
 }
 
 // Run explains the job.
 func (s *explainCmd) Run() error {
 	if !s.Watch {
-		return call(&s.remote, "GET", s.path("/why"), nil, showWhy)
+		return send(&s.apiFlags, "GET", s.path("/why"), nil, showWhy)
 	}
 	c, err := s.client()
 	if err != nil {
@@ -225,7 +231,7 @@
 		}
 		var a explain.Answer
 		if err := json.Unmarshal(raw, &a); err != nil {
-			return fmt.Errorf("the answer cannot be read: %w", err)
+			return fmt.Errorf("cannot decode the answer: %w", err)
 		}
 		var now strings.Builder
 		fmt.Fprint(&now, a.Status, a.Running, a.Done)
@@ -234,7 +240,7 @@
 		}
 		if now.String() != last {
 			last = now.String()
-			if err := print(&s.remote, raw, showWhy); err != nil {
+			if err := print(&s.apiFlags, raw, showWhy); err != nil {
 				return err
 			}
 		}
@@ -245,7 +251,7 @@
 	}
 }
 
-type queueCmd struct{ remote }
+type queueCmd struct{ apiFlags }
 
-// Run tells why work waits.
-func (s *queueCmd) Run() error { return call(&s.remote, "GET", "/v1/queue", nil, showQueue) }
+// Run shows why tasks wait.
+func (s *queueCmd) Run() error { return send(&s.apiFlags, "GET", "/v1/queue", nil, showQueue) }
--- a/cmd/knownred/main_test.go
+++ b/cmd/knownred/main_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// module makes a module with one test of two subtests, and with that list.
-func module(t *testing.T, list string) string {
+// createModule creates a module that has the given list and one test with two subtests, of which one fails. It returns
+// its root directory.
+func createModule(t *testing.T, list string) string {
 	t.Helper()
 	root := t.TempDir()
 	files := map[string]string{
@@ -32,28 +33,31 @@
 	return root
 }
 
-func TestListedSubtestIsPassedOver(t *testing.T) {
-	pattern, err := run(module(t, "TestOne/red_one | go test | red | issue 1\n"))
+// The pattern for a listed subtest that fails matches this subtest alone.
+func TestListedSubtestIsSkipped(t *testing.T) {
+	pattern, err := run(createModule(t, "TestOne/red_one | go test | red | issue 1\n"))
 	if want := "^TestOne$/^red_one$"; err != nil || pattern != want {
 		t.Errorf("pattern %q, error %v, want %q", pattern, err, want)
 	}
 }
 
-func TestListsThatAreRefused(t *testing.T) {
+// A list that names a test or a subtest that does not exist, or that is empty, is an error.
+func TestListOfUnknownTestsFails(t *testing.T) {
 	cases := []struct{ name, list, want string }{
 		{"unknown subtest", "TestOne/blue | go test | red | issue 1\n", "line 1: test: TestOne/blue did not run"},
-		{"unknown test", "TestTwo | go test | red | issue 1\n", "line 1: test: no test is named TestTwo"},
+		{"unknown test", "TestTwo | go test | red | issue 1\n", "line 1: test: no test function is named TestTwo"},
 		{"empty file", "", "names no test"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if _, err := run(module(t, c.list)); err == nil || !strings.Contains(err.Error(), c.want) {
+			if _, err := run(createModule(t, c.list)); err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("error %v, want %q", err, c.want)
 			}
 		})
 	}
 }
 
+// Without a list nothing is skipped.
 func TestNoList(t *testing.T) {
 	if pattern, err := run(t.TempDir()); pattern != "" || err != nil {
 		t.Errorf("pattern %q, error %v", pattern, err)
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -80,7 +80,7 @@
 
 // Handle answers one request. It runs outside the event loop.
 func (a *API) Handle(ctx *fasthttp.RequestCtx) {
-	defer func() { a.meter.Request(ctx.Response.StatusCode()) }()
+	defer func() { a.meter.APIRequest(ctx.Response.StatusCode()) }()
 	if ctx.UserValue("broken") != nil {
 		writeProblem(ctx, tooLarge)
 		return
--- a/internal/explain/service.go
+++ b/internal/explain/service.go
@@ -97,7 +97,7 @@
 // its metrics.
 func (d *Service) recordWait(id string, k gate.Kind, took loop.Micros, own bool) {
 	if own {
-		d.deps.Meter.Wait(k.String(), took)
+		d.deps.Meter.WaitCause(k.String(), took)
 	}
 	d.waits.Add(k, urgent(d.deps.Job(id)), took)
 }
@@ -123,7 +123,7 @@
 		}
 	}
 	out.Timeline = d.Timelines.Get(id)
-	d.deps.Meter.Why(d.runner.Now() - began)
+	d.deps.Meter.Explanation(d.runner.Now() - began)
 	return out
 }
 
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -106,7 +106,7 @@
 func (r *Registry) ConfigureAdmission(weight func(team string) float64, rate float64) {
 	r.queue = admission.NewQueue(weight, rate)
 	r.queue.OnStateChange(func(from, to admission.State) {
-		r.client.Meter.Admission(to.String())
+		r.client.Meter.QueueState(to.String())
 		r.log.Info("load state of the submission queue changed", "from", from.String(), "to", to.String(), "waiting", r.queue.Waiting())
 	})
 }
@@ -170,7 +170,7 @@
 // reason is one of a fixed list.
 func (r *Registry) RecordRefusal(id, reason string) {
 	now := r.runner.Now()
-	r.client.Meter.TurnedAway(reason)
+	r.client.Meter.Deferred(reason)
 	r.refusals.Record(reason, now)
 	since := r.unanswered.since(id, now)
 	if j := r.jobs[id]; j != nil && !j.Final() {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -129,7 +129,7 @@
 	n.net = peer.New(l, log, cfg.Label, cfg.Known)
 	n.reach = reach.New(l, log, cfg.Label, n.net.Peers(), cfg.ClockDifference())
 	n.reach.StateContact = n.hasStateContact
-	n.reach.OnChange = func(_ string, to reach.State, damped bool) { n.meter.Peer(to.String(), damped) }
+	n.reach.OnChange = func(_ string, to reach.State, damped bool) { n.meter.PeerState(to.String(), damped) }
 	n.net.Incarnation, n.net.ClockDifference = l.Wall(), cfg.ClockDifference()
 	n.net.OnEarlierFrame = func(string) { n.meter.StaleFrame() }
 	n.setUpWatermark()
@@ -307,7 +307,7 @@
 	}
 	places := n.jobs.TakeQueuePositions()
 	n.net.SendAll(func(e *peer.Envelope) { e.Status, e.Places = s, places })
-	n.meter.Horizon(n.watermark.UpdateState())
+	n.meter.WatermarkAge(n.watermark.UpdateState())
 	for _, label := range n.net.Peers() {
 		n.net.Send(label, func(e *peer.Envelope) { e.Watermark = n.watermark.MessageFor(label) })
 	}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -243,7 +243,7 @@
 	c.inFlight--
 	c.recordContact(sent, resp)
 	took := c.runner.Now() - sent
-	c.Meter.State(metric.Outcome(resp.Status, resp.Err), took)
+	c.Meter.StateRequest(metric.Outcome(resp.Status, resp.Err), took)
 	if c.log.Enabled(context.Background(), slog.LevelDebug) {
 		c.log.Debug("state service answered a request or the request failed", "method", req.method, "path", req.path, "sent_us", sent, "took_us", took, "status", resp.Status, "err", resp.Err)
 	}
