--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,9 +25,9 @@
 	"cleatpick/internal/member"
 	"cleatpick/internal/metric"
 	"cleatpick/internal/peer"
-	"cleatpick/internal/placer"
 	"cleatpick/internal/reach"
 	"cleatpick/internal/rental"
+	"cleatpick/internal/scheduler"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 
@@ -46,7 +46,7 @@
 	jobs          *job.Registry
 	cordons       *cordon.Registry
 	agent         *agent.Registry
-	placer        *placer.Scheduler
+	placer        *scheduler.Scheduler
 	rental        *rental.Autoscaler
 	net           *peer.Net
 	reach         *reach.Tracker
@@ -162,7 +162,7 @@
 		Clock:            delivery.NewClockBounds(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifetimeS)),
 		Meter:            n.meter,
 	}, n.sendCommands)
-	n.placer = placer.New(l, n.client, log, cfg, placer.Node{
+	n.placer = scheduler.New(l, n.client, log, cfg, scheduler.Node{
 		Label: cfg.Label,
 		Type:  func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
 		Start: func(host string, s agent.Start) {
--- a/internal/placer/jobtable.go
+++ b/internal/scheduler/jobtable.go
@@ -1,4 +1,4 @@
-// Package placer schedules the tasks of the teams that this controller owns. It decides the order in which jobs are
+// Package scheduler schedules the tasks of the teams that this controller owns. It decides the order in which jobs are
 // served, chooses machines, decides which tasks are preempted, and reserves capacity for tasks that do not fit
 // anywhere yet.
 //
@@ -8,7 +8,7 @@
 //
 // Sending commands to workers, storing job records, renting machines and electing owners are left to other packages;
 // package fleet holds free capacity and the choice of a machine.
-package placer
+package scheduler
 
 import (
 	"cmp"
--- a/internal/placer/partition_test.go
+++ b/internal/scheduler/partition_test.go
@@ -1,4 +1,4 @@
-package placer
+package scheduler
 
 import (
 	"fmt"
