--- a/internal/rental/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,10 +1,10 @@
-// Package rental is the autoscaler, run by the leading controller. It decides which machines to rent from the
+// Package autoscaler is the autoscaler, run by the leading controller. It decides which machines to rent from the
 // cloud for unplaced requests, which idle machines to delete after a random standby time, and when an
 // unreachable machine has failed and is deleted, which is the only proof that its tasks are terminated.
 //
 // It owns the records of orders, of deletions and of the catalog in the state service, and all cloud calls.
 // Placement of tasks is left to the scheduler, and the choice of the leader to membership.
-package rental
+package autoscaler
 
 import (
 	"log/slog"
--- a/internal/rental/drain.go
+++ b/internal/autoscaler/drain.go
@@ -1,4 +1,4 @@
-package rental
+package autoscaler
 
 import (
 	"sort"
--- a/internal/node/leader_change_test.go
+++ b/internal/node/leader_change_test.go
@@ -6,11 +6,11 @@
 	"testing"
 
 	"cleatpick/internal/agent"
+	"cleatpick/internal/autoscaler"
 	"cleatpick/internal/config"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/member"
-	"cleatpick/internal/rental"
 	"cleatpick/internal/wire"
 )
 
@@ -56,7 +56,7 @@
 			for k := range 24 {
 				w.after(loop.Micros(k)*5*second, func() {
 					w.simulateUser(shortJob(k, []string{"red", "blue"}[k%2], 3, 2*second))
-					tally = max(tally, len(w.nodes[w.labels[0]].n.mirror.KeysUnder(rental.OrderKeys)))
+					tally = max(tally, len(w.nodes[w.labels[0]].n.mirror.KeysUnder(autoscaler.OrderKeys)))
 				})
 			}
 			w.run(began + 120*second)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,6 +14,7 @@
 
 	"cleatpick/internal/admission"
 	"cleatpick/internal/agent"
+	"cleatpick/internal/autoscaler"
 	"cleatpick/internal/config"
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/delivery"
@@ -26,7 +27,6 @@
 	"cleatpick/internal/metric"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/reach"
-	"cleatpick/internal/rental"
 	"cleatpick/internal/scheduler"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
@@ -47,7 +47,7 @@
 	cordons       *cordon.Registry
 	agent         *agent.Registry
 	placer        *scheduler.Scheduler
-	rental        *rental.Autoscaler
+	rental        *autoscaler.Autoscaler
 	net           *peer.Net
 	reach         *reach.Tracker
 	watermark     *horizon.Tracker
@@ -199,7 +199,7 @@
 			n.net.SendAll(func(e *peer.Envelope) { e.Reservations = append(e.Reservations, c...) })
 		},
 	}, n.jobs, n.agent, n.cordons)
-	n.rental = rental.New(l, log, cfg, n.client, n.mirror, deps.Cloud, n.agent, rental.Node{
+	n.rental = autoscaler.New(l, log, cfg, n.client, n.mirror, deps.Cloud, n.agent, autoscaler.Node{
 		Close: func(host string, c peer.StartBlock) {
 			n.dispatch(host, func() { n.agent.CloseToStarts(c.Machine, c.Until) }, func(e *peer.Envelope) { e.StartBlocks = append(e.StartBlocks, c) })
 		},
