--- a/internal/api/list.go
+++ b/internal/api/list.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"strings"
 
-	"cleatpick/internal/gate"
 	"cleatpick/internal/job"
+	"cleatpick/internal/predicate"
 )
 
 // Numbers of items on a page of a list.
@@ -50,9 +50,9 @@
 		writeProblem(c.ctx, invalidParameter.withDetail("state must be pending, running, done, withdrawn, unfinished or any").inField("state"))
 		return
 	}
-	cause := gate.KindByName(waitingFor)
+	cause := predicate.KindByName(waitingFor)
 	if waitingFor != "" && cause == 0 {
-		writeProblem(c.ctx, invalidParameter.withDetail("waitingFor must be one of %s", strings.Join(gate.Names(), ", ")).inField("waitingFor"))
+		writeProblem(c.ctx, invalidParameter.withDetail("waitingFor must be one of %s", strings.Join(predicate.Names(), ", ")).inField("waitingFor"))
 		return
 	}
 	a.onLoop(c, func(done func(outcome)) {
@@ -71,7 +71,7 @@
 // filter selects the jobs of a list. An empty field selects all, except that an empty state selects unfinished jobs.
 type filter struct {
 	team, class, state string
-	cause              gate.Kind
+	cause              predicate.Kind
 }
 
 // jobPage returns up to limit matching jobs with ids greater than after, sorted by id.
@@ -121,6 +121,6 @@
 	return !(f.state == "pending" && running) && !(f.state == "running" && !running)
 }
 
-func (a *API) waitsFor(id string, k gate.Kind) bool {
-	return slices.ContainsFunc(a.node.Explanations.Timelines.Causes(id), func(c gate.Cause) bool { return c.Kind == k })
+func (a *API) waitsFor(id string, k predicate.Kind) bool {
+	return slices.ContainsFunc(a.node.Explanations.Timelines.Causes(id), func(c predicate.Cause) bool { return c.Kind == k })
 }
--- a/internal/autoscaler/expected.go
+++ b/internal/autoscaler/expected.go
@@ -3,8 +3,8 @@
 import (
 	"cleatpick/internal/agent"
 	"cleatpick/internal/fleet"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/job"
+	"cleatpick/internal/predicate"
 )
 
 // expectedMachine is a machine that is expected soon, with the capacity that no request has been assigned yet.
@@ -14,7 +14,7 @@
 }
 
 // place assigns up to n tasks of a request to the machine, and returns how many fit.
-func (c *expectedMachine) place(need *gate.Need, n int) int {
+func (c *expectedMachine) place(need *predicate.Need, n int) int {
 	took := c.placeIgnoringZones(need.Spec, need.MaxInZone(c.offer.zone, n))
 	if need.Zones != nil {
 		need.Zones[c.offer.zone] += took
@@ -46,7 +46,7 @@
 }
 
 // place assigns up to n tasks of a request to the machines, and returns how many are left over.
-func (s *expectedCapacity) place(need *gate.Need, n int) (left int) {
+func (s *expectedCapacity) place(need *predicate.Need, n int) (left int) {
 	shape, anywhere := fleet.ShapeOf(need.Spec)
 	at := 0
 	if anywhere {
--- a/internal/autoscaler/expected_test.go
+++ b/internal/autoscaler/expected_test.go
@@ -6,8 +6,8 @@
 
 	"cleatpick/internal/agent"
 	"cleatpick/internal/fleet"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/job"
+	"cleatpick/internal/predicate"
 
 	"pgregory.net/rapid"
 )
@@ -31,7 +31,7 @@
 			spec := &job.Spec{Tasks: 20, CPUs: float64(rapid.IntRange(1, 3).Draw(t, "each")), MemoryGB: float64(rapid.IntRange(1, 2).Draw(t, "memory")), AnyType: true,
 				Spot: rapid.Bool().Draw(t, "may be spot"), Zone: rapid.SampledFrom([]string{"", "x"}).Draw(t, "only zone"), Spread: rapid.Bool().Draw(t, "spread")}
 			count := rapid.IntRange(0, 6).Draw(t, "tasks")
-			one, two := &gate.Need{Spec: spec, Tasks: 20, Zones: map[string]int{}}, &gate.Need{Spec: spec, Tasks: 20, Zones: map[string]int{}}
+			one, two := &predicate.Need{Spec: spec, Tasks: 20, Zones: map[string]int{}}, &predicate.Need{Spec: spec, Tasks: 20, Zones: map[string]int{}}
 			left := count
 			for _, c := range plain {
 				left -= c.place(one, left)
--- a/internal/autoscaler/order.go
+++ b/internal/autoscaler/order.go
@@ -10,11 +10,11 @@
 
 	"cleatpick/internal/agent"
 	"cleatpick/internal/fleet"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/member"
 	"cleatpick/internal/peer"
+	"cleatpick/internal/predicate"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
@@ -40,8 +40,8 @@
 
 // needOf returns what placement will ask of machines for a request. It includes the zones of the job's other
 // tasks: without them, machines for a job that is bound to one zone were rented in another, again and again.
-func needOf(w *peer.Request) *gate.Need {
-	n := &gate.Need{Spec: specOf(w), Tasks: w.Tasks}
+func needOf(w *peer.Request) *predicate.Need {
+	n := &predicate.Need{Spec: specOf(w), Tasks: w.Tasks}
 	if w.OneZone || w.Spread {
 		n.Zones = map[string]int{}
 		for _, x := range w.ByZone {
@@ -179,7 +179,7 @@
 
 // cheapestOffer chooses the offer to rent for tasks of this shape: the lowest current price for each task served,
 // leaving out offers that were refused recently, that are cordoned, or that the job's rules forbid.
-func (t *Autoscaler) cheapestOffer(n *gate.Need, left int, now loop.Micros, need map[offer]int) (offer, int, bool) {
+func (t *Autoscaler) cheapestOffer(n *predicate.Need, left int, now loop.Micros, need map[offer]int) (offer, int, bool) {
 	s := n.Spec
 	var best offer
 	bestCost, bestPer := math.Inf(1), 0
--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"cleatpick/internal/config"
-	"cleatpick/internal/gate"
+	"cleatpick/internal/predicate"
 )
 
 // Time is a wall clock time in microseconds, written as RFC 3339 in JSON.
@@ -258,7 +258,7 @@
 }
 
 // CauseCounts converts causes to their printed form.
-func CauseCounts(causes []gate.Cause) []CauseCount {
+func CauseCounts(causes []predicate.Cause) []CauseCount {
 	out := make([]CauseCount, 0, len(causes))
 	for _, c := range causes {
 		out = append(out, CauseCount{c.Kind.String(), c.Tasks})
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -4,22 +4,22 @@
 	"slices"
 
 	"cleatpick/internal/config"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/health"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
+	"cleatpick/internal/predicate"
 )
 
 // Facts holds what a job's owner knows about why its tasks do not run. The scheduler
 // gathers them; they contain no decision that it does not make itself.
 type Facts struct {
 	Job             *job.Job
-	Gate            gate.JobFacts
-	Need            gate.Need
+	Gate            predicate.JobFacts
+	Need            predicate.Need
 	Team            config.Team
 	WithinGuarantee bool // the job is within its team's guarantee
 	StateContact    bool // the owner has contact with the state service
-	Places          []*gate.MachineFacts
+	Places          []*predicate.MachineFacts
 	ReportedAfter   loop.Micros // a machine's last report must be newer than this
 	Now             loop.Micros // monotonic clock
 	Wall            loop.Micros
@@ -40,7 +40,7 @@
 
 // InFlight is a group of tasks on one machine that are neither waiting nor running.
 type InFlight struct {
-	Kind         gate.Kind
+	Kind         predicate.Kind
 	State        string
 	Machine      string
 	Tasks        int
@@ -60,13 +60,13 @@
 // predicates.
 func Reasons(f *Facts) []Reason {
 	var out []Reason
-	add := func(k gate.Kind, tasks int) *Reason {
+	add := func(k predicate.Kind, tasks int) *Reason {
 		out = append(out, Reason{Kind: k.String(), Tasks: tasks, BlockedBy: []string{}})
 		return &out[len(out)-1]
 	}
 	n := f.Gate.Waiting
 	if n > 0 && !f.StateContact {
-		r := add(gate.StateContact, n)
+		r := add(predicate.StateContact, n)
 		r.State, r.Release = "lost", "the owner regains contact with the state service, or another controller takes the team over"
 	}
 	for _, c := range f.Gate.Causes(nil) {
@@ -80,11 +80,11 @@
 }
 
 // addPredicateDetail fills in the particulars of a predicate on the job itself that blocks it.
-func (f *Facts) addPredicateDetail(k gate.Kind, r *Reason) {
+func (f *Facts) addPredicateDetail(k predicate.Kind, r *Reason) {
 	switch k {
-	case gate.Damaged:
+	case predicate.Damaged:
 		r.State, r.Release = "setAside", "the damaged record of the job's tasks is repaired; the owner's log names its key"
-	case gate.Hold:
+	case predicate.Hold:
 		h := f.Gate.Hold
 		d := &HoldDetail{Reason: h.Reason, By: h.By, At: Time(h.RequestedAt)}
 		r.Detail.Hold, r.State = d, HoldName(h.State)
@@ -96,7 +96,7 @@
 			r.Estimate = &Estimate{Low: left, Likely: left, High: left + Duration(loop.Second)}
 			r.Release = "the hold ends by itself, or an operator releases the job"
 		}
-	case gate.Dependency:
+	case predicate.Dependency:
 		r.State, r.Release = "waiting", "every job named is done"
 		withdrawn := false
 		for i := range f.Gate.After {
@@ -118,14 +118,14 @@
 				r.State, r.Release = "withdrawing", "nothing: the job is being withdrawn, as its onWithdrawn policy says"
 			}
 		}
-	case gate.BackOff:
+	case predicate.BackOff:
 		until := Time(f.Wall + f.Gate.Failing.BackOffUntil - f.Now)
 		left := Duration(f.Gate.Failing.BackOffUntil - f.Now)
 		r.State, r.Until = "resting", &until
 		r.Estimate = &Estimate{Low: left, Likely: left, High: left + Duration(loop.Second)}
 		r.Detail.Failures = f.failures()
 		r.Release = "its back-off ends; then a few of its tasks are tried again"
-	case gate.Probation:
+	case predicate.Probation:
 		r.State, r.Release = "oneAtATime", "a task of the job completes; others follow once it has run for longer than those that failed"
 		switch x := &f.Gate.Failing; {
 		case x.State == health.Sound || x.State == health.Untried:
@@ -134,7 +134,7 @@
 			r.State = "growing"
 		}
 		r.Detail.Failures = f.failures()
-	case gate.Limit:
+	case predicate.Limit:
 		r.State, r.Release = "full", "tasks of the team "+f.Team.Name+" end, or its limit is raised"
 		r.Detail.Team = f.teamUse()
 	}
@@ -152,7 +152,7 @@
 
 // addMachineReasons adds the reasons why the machines do not take the waiting tasks that the
 // job's own predicates allow.
-func (f *Facts) addMachineReasons(add func(gate.Kind, int) *Reason) {
+func (f *Facts) addMachineReasons(add func(predicate.Kind, int) *Reason) {
 	n, s := f.Gate.Waiting, f.Need.Spec
 	needs := &Needs{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, Zone: s.Zone, Spot: s.Spot}
 	cordoned := f.FitsAll - f.Fits
@@ -166,14 +166,14 @@
 		}
 	}
 	if cordoned > 0 {
-		r := add(gate.Cordon, cordoned)
+		r := add(predicate.Cordon, cordoned)
 		r.State, r.Release = "cordoned", "an operator lifts the cordon"
 		r.Detail.Cordons, r.Detail.Needs = f.Cordons, needs
 		r.BlockedBy = append(r.BlockedBy, f.Cordons...)
 	}
-	short, kind := n-f.FitsAll, gate.Capacity
+	short, kind := n-f.FitsAll, predicate.Capacity
 	if s.Gang {
-		kind = gate.Gang
+		kind = predicate.Gang
 		if short > 0 || f.Gate.InUse > 0 {
 			short = n
 		}
@@ -189,7 +189,7 @@
 				r.Release = "tasks end, or a machine that allows the job comes up, beyond what is guaranteed to others"
 			}
 		}
-		if kind == gate.Gang {
+		if kind == predicate.Gang {
 			r.State, r.Release = "notAllAtOnce", "there is free capacity for all of its tasks at once"
 			if f.Gate.InUse > 0 {
 				r.State, r.Release = "leftOver", "the tasks of its earlier start have terminated"
@@ -208,7 +208,7 @@
 		if s.Gang {
 			tasks = n
 		}
-		r := add(gate.Rank, tasks)
+		r := add(predicate.Rank, tasks)
 		r.State = "behind"
 		if !f.Exact {
 			r.State = "mayBeBehind"
@@ -219,7 +219,7 @@
 			r.BlockedBy = append(r.BlockedBy, a.Job)
 		}
 	} else if cordoned <= 0 && short <= 0 && f.StateContact && f.Gate.Unblocked() && f.Gate.MinAllowedTasks() > 0 {
-		r := add(gate.NextPass, min(n, f.Gate.MinAllowedTasks()))
+		r := add(predicate.NextPass, min(n, f.Gate.MinAllowedTasks()))
 		r.State, r.Release = "due", "nothing: the next scheduling pass places it"
 		r.Estimate = &Estimate{Low: 0, Likely: Duration(50 * loop.Millisecond), High: Duration(loop.Second)}
 	}
@@ -250,7 +250,7 @@
 		g.Machines++
 		l := p.Lacks(&f.Need, f.ReportedAfter, f.Now)
 		l.Each(func(name string) { g.Lacks[name]++ })
-		if l&gate.LackBackOffOver != 0 {
+		if l&predicate.LackBackOffOver != 0 {
 			if g.Resting == nil {
 				g.Resting = map[string]int{}
 			}
@@ -261,8 +261,8 @@
 }
 
 // addInFlight adds the reasons of tasks that are neither waiting nor running.
-func (f *Facts) addInFlight(add func(gate.Kind, int) *Reason) {
-	for _, k := range []gate.Kind{gate.Recording, gate.Starting, gate.Fetching, gate.Saving, gate.Unconfirmed} {
+func (f *Facts) addInFlight(add func(predicate.Kind, int) *Reason) {
+	for _, k := range []predicate.Kind{predicate.Recording, predicate.Starting, predicate.Fetching, predicate.Saving, predicate.Unconfirmed} {
 		var r *Reason
 		for i := range f.InFlight {
 			x := &f.InFlight[i]
@@ -287,12 +287,12 @@
 	}
 }
 
-var inFlightRelease = map[gate.Kind]string{
-	gate.Recording:   "the attempt is stored in the state service",
-	gate.Starting:    "the machine reports the task",
-	gate.Fetching:    "the machine has fetched the image",
-	gate.Saving:      "the task has saved its checkpoint; then it is placed again",
-	gate.Unconfirmed: "the task is confirmed terminated, or reports of the machine named arrive again",
+var inFlightRelease = map[predicate.Kind]string{
+	predicate.Recording:   "the attempt is stored in the state service",
+	predicate.Starting:    "the machine reports the task",
+	predicate.Fetching:    "the machine has fetched the image",
+	predicate.Saving:      "the task has saved its checkpoint; then it is placed again",
+	predicate.Unconfirmed: "the task is confirmed terminated, or reports of the machine named arrive again",
 }
 
 // HoldName returns the printed form of a hold's state.
--- a/internal/explain/service.go
+++ b/internal/explain/service.go
@@ -1,10 +1,10 @@
 package explain
 
 import (
-	"cleatpick/internal/gate"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/metric"
+	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
 )
 
@@ -95,7 +95,7 @@
 // recordWait records a wait that is over. Every controller records the waits of all owners, so
 // that one that takes a team over can estimate at once; only the owner counts the wait in
 // its metrics.
-func (d *Service) recordWait(id string, k gate.Kind, took loop.Micros, own bool) {
+func (d *Service) recordWait(id string, k predicate.Kind, took loop.Micros, own bool) {
 	if own {
 		d.deps.Meter.WaitCause(k.String(), took)
 	}
@@ -112,7 +112,7 @@
 	out := whyReply{Loaded: true, Waiting: f.Gate.Waiting, Running: f.Running, Done: f.Done, Reasons: Reasons(f), AheadComplete: f.AheadComplete}
 	for i := range out.Reasons {
 		r := &out.Reasons[i]
-		k := gate.KindByName(r.Kind)
+		k := predicate.KindByName(r.Kind)
 		since := d.Timelines.Since(id, k)
 		if since != 0 {
 			t := Time(since)
@@ -167,7 +167,7 @@
 func (d *Service) askOwner(a *Answer, j *job.Job, done func()) {
 	a.Owner = d.deps.Owner(j.Spec.Team)
 	// Without an answer from the owner, only the counts that it sent last are known.
-	fillFromCounts := func(k gate.Kind, state, release string) {
+	fillFromCounts := func(k predicate.Kind, state, release string) {
 		c := d.deps.Counts(j)
 		a.Done, a.Running = int(c.Done), int(c.Running)
 		a.Waiting = max(a.Tasks-a.Done-a.Running, 0)
@@ -184,7 +184,7 @@
 		a.Complete = false
 	}
 	if a.Owner == "" {
-		fillFromCounts(gate.NoOwner, "unowned", "a controller takes the team over, usually within seconds")
+		fillFromCounts(predicate.NoOwner, "unowned", "a controller takes the team over, usually within seconds")
 		a.Missing = append(a.Missing, "the team has no owner at present")
 		done()
 		return
@@ -198,7 +198,7 @@
 			return
 		}
 		if !w.Loaded {
-			fillFromCounts(gate.Loading, "reading", "the owner finishes loading the team's records")
+			fillFromCounts(predicate.Loading, "reading", "the owner finishes loading the team's records")
 			a.Missing = append(a.Missing, "the owner "+a.Owner+" has not loaded the team's records yet")
 			done()
 			return
@@ -221,7 +221,7 @@
 func (d *Service) askLeader(a *Answer, j *job.Job, done func()) {
 	var short []*Reason
 	for i := range a.Reasons {
-		if k := gate.KindByName(a.Reasons[i].Kind); k == gate.Capacity || k == gate.Gang {
+		if k := predicate.KindByName(a.Reasons[i].Kind); k == predicate.Capacity || k == predicate.Gang {
 			short = append(short, &a.Reasons[i])
 		}
 	}
--- a/internal/explain/service_test.go
+++ b/internal/explain/service_test.go
@@ -6,9 +6,9 @@
 	"testing"
 
 	"cleatpick/internal/config"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
+	"cleatpick/internal/predicate"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/wire"
 )
@@ -32,8 +32,8 @@
 	spec := &job.Spec{Class: "k", Team: "red", Tasks: 6, CPUs: 2, MemoryGB: 1, AnyType: true}
 	j := &job.Job{ID: "job-000001", Phase: job.Accepted, Spec: spec, Tasks: 6}
 	o.facts = &Facts{Job: j, Team: config.Team{Name: "red"}, StateContact: true, AheadComplete: true, Exact: true, Now: o.Now(), Wall: o.Wall(),
-		Gate: gate.JobFacts{Spec: spec, Hold: &j.Terms.Hold, Waiting: 3, InUse: 3, Quota: config.Quota{CPUs: 4, CPUsMax: config.NewLimit(99)}},
-		Need: gate.Need{ID: j.ID, Spec: spec, Tasks: 6}, Fits: 0, FitsAll: 0, Running: 1, Done: 0}
+		Gate: predicate.JobFacts{Spec: spec, Hold: &j.Terms.Hold, Waiting: 3, InUse: 3, Quota: config.Quota{CPUs: 4, CPUsMax: config.NewLimit(99)}},
+		Need: predicate.Need{ID: j.ID, Spec: spec, Tasks: 6}, Fits: 0, FitsAll: 0, Running: 1, Done: 0}
 	o.supply = Supply{State: "booting", Booting: []Booting{{Offer: Offer{Type: "m", Count: 2}}}}
 	o.service = NewService(o, Dependencies{
 		Label: "a",
@@ -109,8 +109,8 @@
 		{"free capacity for all", func(o *simulation) { o.facts.Fits, o.facts.FitsAll = 3, 3 }, "nextPass/due:3 true 0"},
 		{"in flight", func(o *simulation) {
 			o.facts.Gate.Waiting = 0
-			o.facts.InFlight = []InFlight{{Kind: gate.Recording, State: "recording", Machine: "n-1", Tasks: 1}, {Kind: gate.Saving, State: "saving", Machine: "n-2", Tasks: 2, PreemptedFor: "job-000009"},
-				{Kind: gate.Unconfirmed, State: "absent", Machine: "n-3", Tasks: 1, ConfirmedBy: "a list"}, {Kind: gate.Unconfirmed, State: "silent", Machine: "n-4", Tasks: 1}}
+			o.facts.InFlight = []InFlight{{Kind: predicate.Recording, State: "recording", Machine: "n-1", Tasks: 1}, {Kind: predicate.Saving, State: "saving", Machine: "n-2", Tasks: 2, PreemptedFor: "job-000009"},
+				{Kind: predicate.Unconfirmed, State: "absent", Machine: "n-3", Tasks: 1, ConfirmedBy: "a list"}, {Kind: predicate.Unconfirmed, State: "silent", Machine: "n-4", Tasks: 1}}
 		}, "recording/recording:1 saving/saving:2 unproven/several:2 true 0"},
 	} {
 		o := newSimulation()
@@ -162,26 +162,26 @@
 // jobs are bounded, too.
 func TestTimelineIsBounded(t *testing.T) {
 	l := NewTimelines()
-	ended := map[gate.Kind]int{}
-	l.OnIntervalEnd = func(_ string, k gate.Kind, took loop.Micros, own bool) {
+	ended := map[predicate.Kind]int{}
+	l.OnIntervalEnd = func(_ string, k predicate.Kind, took loop.Micros, own bool) {
 		if !own || took <= 0 {
 			t.Errorf("%v ended after %d us with own %v, want a positive time and own", k, took, own)
 		}
 		ended[k]++
 	}
-	set := func(at loop.Micros, causes ...gate.Cause) { l.Set("j", causes, at*loop.Second, true) }
-	room, limit := gate.Cause{Kind: gate.Capacity, Tasks: 3}, gate.Cause{Kind: gate.Limit, Tasks: 2}
+	set := func(at loop.Micros, causes ...predicate.Cause) { l.Set("j", causes, at*loop.Second, true) }
+	room, limit := predicate.Cause{Kind: predicate.Capacity, Tasks: 3}, predicate.Cause{Kind: predicate.Limit, Tasks: 2}
 	set(10, room)
 	set(20, room, limit)
 	set(30, limit)
-	set(31, limit, gate.Cause{Kind: gate.Capacity, Tasks: 5}) // one second later: the interval continues
+	set(31, limit, predicate.Cause{Kind: predicate.Capacity, Tasks: 5}) // one second later: the interval continues
 	of := l.Get("j").Intervals
 	if len(of) != 2 || of[1].Kind != "room" || of[1].From != Time(10*loop.Second) || of[1].Tasks != 5 || of[1].To != nil {
 		t.Fatalf("after a short interruption of a cause the timeline is %+v", of)
 	}
 	// A controller that receives a cause late takes its start time from the message.
-	l.Set("late", []gate.Cause{{Kind: gate.Hold, Tasks: 1, Since: 40 * loop.Second}}, 50*loop.Second, false)
-	if since := l.Since("late", gate.Hold); since != 40*loop.Second {
+	l.Set("late", []predicate.Cause{{Kind: predicate.Hold, Tasks: 1, Since: 40 * loop.Second}}, 50*loop.Second, false)
+	if since := l.Since("late", predicate.Hold); since != 40*loop.Second {
 		t.Errorf("a cause received late holds since %d, want 40 s", since)
 	}
 	for i := range loop.Micros(60) {
@@ -195,12 +195,12 @@
 	if last := all.Intervals[len(all.Intervals)-1]; last.Kind != "teamLimit" || last.To != nil {
 		t.Errorf("the newest entry is %+v, want a teamLimit that still holds", last)
 	}
-	if ended[gate.Capacity] == 0 || ended[gate.Limit] == 0 {
+	if ended[predicate.Capacity] == 0 || ended[predicate.Limit] == 0 {
 		t.Errorf("ended intervals by kind are %v, want some of room and of teamLimit", ended)
 	}
 	for i := range maxFinished + 10 {
 		id := fmt.Sprint("k", i)
-		l.Set(id, []gate.Cause{room}, 2000*loop.Second, true)
+		l.Set(id, []predicate.Cause{room}, 2000*loop.Second, true)
 		l.Finish(id, 2001*loop.Second, true)
 	}
 	if len(l.jobs) > maxFinished+2 || len(l.Get("k0").Intervals) != 0 || len(l.Get(fmt.Sprint("k", maxFinished)).Intervals) != 1 {
@@ -212,13 +212,13 @@
 // as long, not from all of them; with too few of these there must be no estimate.
 func TestEstimatesAreConditional(t *testing.T) {
 	w := NewWaits()
-	if w.Remaining(gate.Capacity, false, 0) != nil {
+	if w.Remaining(predicate.Capacity, false, 0) != nil {
 		t.Fatal("got an estimate without any recorded wait, want none")
 	}
 	for i := range loop.Micros(200) {
-		w.Add(gate.Capacity, false, (1+i%10)*loop.Second) // one to ten seconds
+		w.Add(predicate.Capacity, false, (1+i%10)*loop.Second) // one to ten seconds
 	}
-	young, old := w.Remaining(gate.Capacity, false, 0), w.Remaining(gate.Capacity, false, 8500*loop.Millisecond)
+	young, old := w.Remaining(predicate.Capacity, false, 0), w.Remaining(predicate.Capacity, false, 8500*loop.Millisecond)
 	if young == nil || old == nil {
 		t.Fatal("got no estimate from 200 recorded waits")
 	}
@@ -228,7 +228,7 @@
 	if s := loop.Micros(old.Likely); s > 2*loop.Second || old.Samples >= young.Samples {
 		t.Errorf("after 8.5 of at most 10 s the likely rest is %d us from %d of %d samples", s, old.Samples, young.Samples)
 	}
-	if w.Remaining(gate.Capacity, false, 11*loop.Second) != nil || w.Remaining(gate.Capacity, true, 0) != nil {
+	if w.Remaining(predicate.Capacity, false, 11*loop.Second) != nil || w.Remaining(predicate.Capacity, true, 0) != nil {
 		t.Error("got an estimate though no recorded wait lasted as long, or none was urgent")
 	}
 }
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -1,8 +1,8 @@
 package explain
 
 import (
-	"cleatpick/internal/gate"
 	"cleatpick/internal/loop"
+	"cleatpick/internal/predicate"
 )
 
 // Bounds on the timelines.
@@ -15,7 +15,7 @@
 const maxInterruption = 1500 * loop.Millisecond
 
 type interval struct {
-	kind     gate.Kind
+	kind     predicate.Kind
 	from, to loop.Micros // wall clock; to is 0 while the cause holds
 	tasks    int         // the largest number of tasks that it blocked at a time
 }
@@ -25,7 +25,7 @@
 	intervals []interval // ended ones first, then those that still hold
 	dropped   int
 	from      loop.Micros
-	causes    []gate.Cause
+	causes    []predicate.Cause
 	finished  bool
 }
 
@@ -37,7 +37,7 @@
 	finished []string
 	// OnIntervalEnd is called for every interval that ends; own reports whether this controller owns
 	// the job.
-	OnIntervalEnd func(job string, k gate.Kind, took loop.Micros, own bool)
+	OnIntervalEnd func(job string, k predicate.Kind, took loop.Micros, own bool)
 }
 
 // NewTimelines returns an empty set of timelines.
@@ -45,7 +45,7 @@
 
 // Set records the causes that hold now; own says whether this controller owns the job. It
 // reports whether their kinds differ from those before.
-func (t *Timelines) Set(id string, causes []gate.Cause, wall loop.Micros, own bool) (changed bool) {
+func (t *Timelines) Set(id string, causes []predicate.Cause, wall loop.Micros, own bool) (changed bool) {
 	l := t.jobs[id]
 	if l == nil {
 		if len(causes) == 0 {
@@ -87,7 +87,7 @@
 	return changed
 }
 
-func holds(causes []gate.Cause, k gate.Kind) bool {
+func holds(causes []predicate.Cause, k predicate.Kind) bool {
 	for _, c := range causes {
 		if c.Kind == k && c.Tasks > 0 {
 			return true
@@ -105,7 +105,7 @@
 	return i
 }
 
-func (l *jobTimeline) find(k gate.Kind, open int) *interval {
+func (l *jobTimeline) find(k predicate.Kind, open int) *interval {
 	for i := open; i < len(l.intervals); i++ {
 		if l.intervals[i].kind == k {
 			return &l.intervals[i]
@@ -115,7 +115,7 @@
 }
 
 // begin opens an interval, or continues one that ended less than maxInterruption ago.
-func (l *jobTimeline) begin(c gate.Cause, wall loop.Micros, open *int) {
+func (l *jobTimeline) begin(c predicate.Cause, wall loop.Micros, open *int) {
 	s := interval{kind: c.Kind, from: wall, tasks: c.Tasks}
 	if c.Since != 0 && c.Since < wall {
 		s.from = c.Since // the owner has known the cause for longer than this controller
@@ -156,7 +156,7 @@
 
 // Since returns the time since which a cause holds, or 0 if it does not hold as far as this
 // controller knows.
-func (t *Timelines) Since(id string, k gate.Kind) loop.Micros {
+func (t *Timelines) Since(id string, k predicate.Kind) loop.Micros {
 	if l := t.jobs[id]; l != nil {
 		if s := l.find(k, l.open()); s != nil {
 			return s.from
@@ -166,7 +166,7 @@
 }
 
 // SetSince sets the start times of causes, for controllers that receive them later.
-func (t *Timelines) SetSince(id string, causes []gate.Cause) []gate.Cause {
+func (t *Timelines) SetSince(id string, causes []predicate.Cause) []predicate.Cause {
 	for i := range causes {
 		causes[i].Since = t.Since(id, causes[i].Kind)
 	}
@@ -174,7 +174,7 @@
 }
 
 // Causes returns the causes last recorded for a job.
-func (t *Timelines) Causes(id string) []gate.Cause {
+func (t *Timelines) Causes(id string) []predicate.Cause {
 	if l := t.jobs[id]; l != nil {
 		return l.causes
 	}
--- a/internal/explain/waits.go
+++ b/internal/explain/waits.go
@@ -3,8 +3,8 @@
 import (
 	"math"
 
-	"cleatpick/internal/gate"
 	"cleatpick/internal/loop"
+	"cleatpick/internal/predicate"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -39,7 +39,7 @@
 }
 
 type waitKey struct {
-	kind   gate.Kind
+	kind   predicate.Kind
 	urgent bool
 }
 
@@ -70,7 +70,7 @@
 }
 
 // Add records a wait of the given kind and urgency that has ended.
-func (w *Waits) Add(k gate.Kind, urgent bool, took loop.Micros) {
+func (w *Waits) Add(k predicate.Kind, urgent bool, took loop.Micros) {
 	key := waitKey{k, urgent}
 	d := w.by[key]
 	if d == nil {
@@ -82,7 +82,7 @@
 
 // Remaining estimates the remaining time of a wait that has lasted for elapsed, from the waits of
 // the same kind and urgency that lasted at least as long. It is nil when they are too few.
-func (w *Waits) Remaining(k gate.Kind, urgent bool, elapsed loop.Micros) *Estimate {
+func (w *Waits) Remaining(k predicate.Kind, urgent bool, elapsed loop.Micros) *Estimate {
 	d := w.by[waitKey{k, urgent}]
 	if d == nil {
 		return nil
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -14,11 +14,11 @@
 
 	"cleatpick/internal/agent"
 	"cleatpick/internal/cordon"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/health"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
+	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
 )
 
@@ -41,7 +41,7 @@
 
 // Machine is one machine with what placement derives from its newest view.
 type Machine struct {
-	gate.MachineFacts
+	predicate.MachineFacts
 	Runs           *health.Runs
 	Jobs           []*job.Job // of the view's tasks
 	typ            wire.MachineType
@@ -283,7 +283,7 @@
 // Ranked lists those of the given machines that may take a task of the job, the best first. A machine that
 // takes a task becomes fuller and so stays the best until it is full: the list need not be computed anew for
 // every task.
-func (f *Fleet) Ranked(need *gate.Need, machines []*Machine) []*Machine {
+func (f *Fleet) Ranked(need *predicate.Need, machines []*Machine) []*Machine {
 	now := f.runner.Now()
 	after := now - f.node.StaleAfter
 	type scored struct {
@@ -309,7 +309,7 @@
 }
 
 // CountFitting counts how many of n more tasks of the job fit now, without placing any.
-func (f *Fleet) CountFitting(need gate.Need, n int, machines []*Machine) int {
+func (f *Fleet) CountFitting(need predicate.Need, n int, machines []*Machine) int {
 	return placeOnRanked(need, n, copyMachines(f.Ranked(&need, machines)))
 }
 
@@ -334,13 +334,13 @@
 }
 
 // PlaceOnCopies places up to n tasks of the job on the given copies, and returns how many fit.
-func (f *Fleet) PlaceOnCopies(need gate.Need, n int, machines []*Machine) int {
+func (f *Fleet) PlaceOnCopies(need predicate.Need, n int, machines []*Machine) int {
 	return placeOnRanked(need, n, f.Ranked(&need, machines))
 }
 
 // placeOnRanked places up to n tasks on the machines in their order, changing the machines, and returns how
 // many fit.
-func placeOnRanked(need gate.Need, n int, machines []*Machine) int {
+func placeOnRanked(need predicate.Need, n int, machines []*Machine) int {
 	need.Zones = maps.Clone(need.Zones)
 	if need.Zones == nil {
 		need.Zones = map[string]int{}
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -6,10 +6,10 @@
 
 	"cleatpick/internal/agent"
 	"cleatpick/internal/delivery"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
+	"cleatpick/internal/predicate"
 )
 
 // candidate is a set of preemptions on one machine that make capacity for one task, with their cost in CPU
@@ -21,7 +21,7 @@
 }
 
 // candidateOn finds the cheapest preemptions on a machine that make capacity for a task of the job.
-func (f *Fleet) candidateOn(need *gate.Need, m *Machine, now loop.Micros, rights *PreemptionRights) (candidate, bool) {
+func (f *Fleet) candidateOn(need *predicate.Need, m *Machine, now loop.Micros, rights *PreemptionRights) (candidate, bool) {
 	s := need.Spec
 	o := candidate{m: m}
 	if !m.Allowed(need) {
@@ -88,14 +88,14 @@
 
 // Preempt stops tasks to make capacity for up to want tasks of a job that did not fit, and returns one
 // reservation for each task it made capacity for.
-func (f *Fleet) Preempt(need *gate.Need, want int, rights PreemptionRights) (reservations []peer.Reservation) {
+func (f *Fleet) Preempt(need *predicate.Need, want int, rights PreemptionRights) (reservations []peer.Reservation) {
 	return f.preempt(need, want, &rights, math.Inf(1), reservationLife, func(*Machine) bool { return true })
 }
 
 // PreemptForCachedImage makes capacity for an urgent job's tasks on machines that have its image cached, although
 // others have free capacity: there the tasks would wait for the fetch. It stops only tasks that lose less
 // than the fetch costs, so that the preemption is no net loss.
-func (f *Fleet) PreemptForCachedImage(need *gate.Need, want int, rights PreemptionRights) []peer.Reservation {
+func (f *Fleet) PreemptForCachedImage(need *predicate.Need, want int, rights PreemptionRights) []peer.Reservation {
 	rate := math.Inf(1)
 	for _, m := range f.order {
 		if m.typ.FetchGBPerS > 0 {
@@ -112,7 +112,7 @@
 const fetchCostFactor = 3
 
 // CountFittingWithImage counts how many of n tasks of the job fit on machines that have its image cached.
-func (f *Fleet) CountFittingWithImage(need gate.Need, n int, machines []*Machine) int {
+func (f *Fleet) CountFittingWithImage(need predicate.Need, n int, machines []*Machine) int {
 	var there []*Machine
 	for _, m := range machines {
 		if m.Runs.HasImage(need.Spec.Image) {
@@ -128,7 +128,7 @@
 // preempt computes candidates on the machines for which eligible returns true, once for each, until it has
 // enough to choose from. After that it recomputes only the chosen machine. Each task may cost at most maxCost
 // CPU seconds.
-func (f *Fleet) preempt(need *gate.Need, want int, rights *PreemptionRights, maxCost float64, life loop.Micros, eligible func(*Machine) bool) (reservations []peer.Reservation) {
+func (f *Fleet) preempt(need *predicate.Need, want int, rights *PreemptionRights, maxCost float64, life loop.Micros, eligible func(*Machine) bool) (reservations []peer.Reservation) {
 	s := need.Spec
 	now := f.runner.Now()
 	after := now - f.node.StaleAfter
--- a/internal/fleet/reservations.go
+++ b/internal/fleet/reservations.go
@@ -6,8 +6,8 @@
 	"strings"
 
 	"cleatpick/internal/agent"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/peer"
+	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
 )
 
@@ -24,7 +24,7 @@
 		}
 		return
 	}
-	m.Reservations = append(m.Reservations, gate.Reservation{Job: c.Job, Priority: c.Priority, Until: c.Until, KnownTasks: m.taskCount(c.Job),
+	m.Reservations = append(m.Reservations, predicate.Reservation{Job: c.Job, Priority: c.Priority, Until: c.Until, KnownTasks: m.taskCount(c.Job),
 		Capacity: agent.Capacity{CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB}})
 	f.reserved[m] = struct{}{}
 	f.reservationCounts[c.Job]++
@@ -156,5 +156,5 @@
 
 // HasReservation reports whether capacity on the machine is reserved for the job.
 func (m *Machine) HasReservation(id string) bool {
-	return slices.ContainsFunc(m.Reservations, func(c gate.Reservation) bool { return c.Job == id })
+	return slices.ContainsFunc(m.Reservations, func(c predicate.Reservation) bool { return c.Job == id })
 }
--- a/internal/fleet/reserve.go
+++ b/internal/fleet/reserve.go
@@ -6,10 +6,10 @@
 	"slices"
 
 	"cleatpick/internal/agent"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
+	"cleatpick/internal/predicate"
 )
 
 // smallTaskDivisor is the divisor that separates small tasks from large ones: a task of up to a
@@ -21,7 +21,7 @@
 // take it. Capacity that is reserved already is subtracted first, and small reservations share a machine:
 // when each had a machine of its own, none was left for gangs or for tasks as large as a machine. For a gang
 // it reserves everything or nothing, since a part of a gang cannot run.
-func (f *Fleet) Reserve(need *gate.Need, want int, life loop.Micros) (reservations []peer.Reservation) {
+func (f *Fleet) Reserve(need *predicate.Need, want int, life loop.Micros) (reservations []peer.Reservation) {
 	n := *need
 	if n.Zones = maps.Clone(need.Zones); n.Zones == nil {
 		n.Zones = map[string]int{}
@@ -55,7 +55,7 @@
 		switch {
 		case smallTaskDivisor*s.CPUs > x.m.typ.CPUs:
 			return len(reservations)
-		case 2*x.left.CPUs <= x.m.typ.CPUs, slices.ContainsFunc(reservations, func(c gate.Reservation) bool { return smallTaskDivisor*c.Capacity.CPUs > x.m.typ.CPUs }):
+		case 2*x.left.CPUs <= x.m.typ.CPUs, slices.ContainsFunc(reservations, func(c predicate.Reservation) bool { return smallTaskDivisor*c.Capacity.CPUs > x.m.typ.CPUs }):
 			return 1
 		}
 		return -len(reservations)
--- a/internal/fleet/reserve_test.go
+++ b/internal/fleet/reserve_test.go
@@ -8,9 +8,9 @@
 
 	"cleatpick/internal/agent"
 	"cleatpick/internal/cordon"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
+	"cleatpick/internal/predicate"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
@@ -52,7 +52,7 @@
 	f := newFullFleet(clock, "own", "other", "other", "own")
 	hold := func(id string, cpus float64, tasks int) (on []string) {
 		spec := &job.Spec{Team: "own", CPUs: cpus, MemoryGB: 1, AnyType: true}
-		for _, c := range f.Reserve(&gate.Need{ID: id, Spec: spec, Tasks: tasks}, tasks, 20*loop.Second) {
+		for _, c := range f.Reserve(&predicate.Need{ID: id, Spec: spec, Tasks: tasks}, tasks, 20*loop.Second) {
 			on = append(on, c.Machine)
 		}
 		return on
--- a/internal/fleet/victims.go
+++ b/internal/fleet/victims.go
@@ -6,9 +6,9 @@
 
 	"cleatpick/internal/agent"
 	"cleatpick/internal/delivery"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
+	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
 )
 
@@ -42,7 +42,7 @@
 
 // appendVictims appends the tasks on a machine that may be preempted, each considered by itself: those of lower
 // priority first, then the others, and within each group the least loss first.
-func (f *Fleet) appendVictims(out []victim, need *gate.Need, m *Machine, now loop.Micros, rights *PreemptionRights) []victim {
+func (f *Fleet) appendVictims(out []victim, need *predicate.Need, m *Machine, now loop.Micros, rights *PreemptionRights) []victim {
 	urgent := need.Spec.Priority >= job.High
 	for i := range m.View.Tasks {
 		x := &m.View.Tasks[i]
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -10,10 +10,10 @@
 	"cleatpick/internal/ask"
 	"cleatpick/internal/explain"
 	"cleatpick/internal/fleet"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
+	"cleatpick/internal/predicate"
 	"cleatpick/internal/reach"
 	"cleatpick/internal/wire"
 )
@@ -120,8 +120,8 @@
 			c := n.progress[j.ID]
 			// The causes that were reported last are kept: the next owner continues from them.
 			last := n.apiParts.explanations.Timelines.Causes(j.ID)
-			causes := slices.DeleteFunc(slices.Clone(last), func(c gate.Cause) bool { return c.Kind == gate.NoOwner })
-			causes = append(causes, gate.Cause{Kind: gate.NoOwner, Tasks: j.Tasks - int(c.Done+c.Running)})
+			causes := slices.DeleteFunc(slices.Clone(last), func(c predicate.Cause) bool { return c.Kind == predicate.NoOwner })
+			causes = append(causes, predicate.Cause{Kind: predicate.NoOwner, Tasks: j.Tasks - int(c.Done+c.Running)})
 			n.apiParts.explanations.Timelines.Set(j.ID, causes, wall, false)
 		}
 	})
@@ -164,7 +164,7 @@
 func (n *Node) machines() []api.Machine {
 	var out []api.Machine
 	now, wall := n.loop.Now(), n.loop.Wall()
-	n.placer.EachPlace(func(p *gate.MachineFacts, after loop.Micros) {
+	n.placer.EachPlace(func(p *predicate.MachineFacts, after loop.Micros) {
 		v := p.View
 		m := api.Machine{Name: v.Name, Type: v.Type, Zone: v.Zone, Kind: explain.MachineKind(v.Spot), ReportsTo: v.Host, BlockedBy: []string{}}
 		for i := range v.Tasks {
@@ -178,7 +178,7 @@
 		}
 		lacks := p.Blocking(after, now)
 		m.BlockedBy = append(m.BlockedBy, lacks.Names()...)
-		if lacks&gate.LackBackOffOver != 0 {
+		if lacks&predicate.LackBackOffOver != 0 {
 			until := explain.Time(wall + p.BackOffUntil - now)
 			m.BackOffUntil, m.BackOffReason = &until, p.BackOffReason
 		}
--- a/internal/node/explanations_test.go
+++ b/internal/node/explanations_test.go
@@ -8,9 +8,9 @@
 
 	"cleatpick/internal/config"
 	"cleatpick/internal/explain"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
+	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
 )
 
@@ -116,7 +116,7 @@
 		if r.Tasks <= 0 || r.Release == "" || r.State == "" {
 			w.fail("the explanation of %s has an incomplete reason %+v", id, r)
 		}
-		if r.Since != nil && r.Estimate != nil && r.Estimate.Samples > 0 && gate.KindByName(r.Kind) != gate.Rank {
+		if r.Since != nil && r.Estimate != nil && r.Estimate.Samples > 0 && predicate.KindByName(r.Kind) != predicate.Rank {
 			a.estimates = append(a.estimates, estimate{id, r.Kind, loop.Micros(*r.Since), loop.Micros(x.AsOf), *r.Estimate})
 		}
 	}
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -3,9 +3,9 @@
 import (
 	"cleatpick/internal/admission"
 	"cleatpick/internal/agent"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/horizon"
 	"cleatpick/internal/loop"
+	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
 )
 
@@ -60,7 +60,7 @@
 	Done    int64  `cbor:"2,keyasint"`
 	Running int64  `cbor:"3,keyasint"`
 	// Causes is why the other tasks do not run; sent only if /v1/ is enabled.
-	Causes []gate.Cause `cbor:"4,keyasint,omitempty"`
+	Causes []predicate.Cause `cbor:"4,keyasint,omitempty"`
 	// HasCauses is whether Causes was sent, since an empty list is a valid value.
 	HasCauses bool `cbor:"5,keyasint,omitempty"`
 	// At is the wall clock time at which the causes were determined.
--- a/internal/gate/job.go
+++ b/internal/predicate/job.go
@@ -1,9 +1,9 @@
-// Package gate holds the scheduling predicates: the conditions that can keep a job's tasks from being placed
+// Package predicate holds the scheduling predicates: the conditions that can keep a job's tasks from being placed
 // or run. A job predicate returns how many waiting tasks it allows; a machine predicate returns what a
 // machine lacks for a task. The predicates only look at facts that their callers collect. The scheduler
 // enforces the results, and explanations of waiting jobs evaluate the same predicates, so that the two always
 // agree. The package also owns the names of the causes of waiting, which users see.
-package gate
+package predicate
 
 import (
 	"cleatpick/internal/agent"
--- a/internal/gate/machine.go
+++ b/internal/predicate/machine.go
@@ -1,4 +1,4 @@
-package gate
+package predicate
 
 import (
 	"cleatpick/internal/agent"
--- a/internal/scheduler/explain.go
+++ b/internal/scheduler/explain.go
@@ -9,10 +9,10 @@
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/explain"
 	"cleatpick/internal/fleet"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
+	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
 )
 
@@ -29,7 +29,7 @@
 	now := p.runner.Now()
 	t := tm.jobs[id]
 	if t == nil { // it is over, or was received only just now
-		return &explain.Facts{Job: j, Gate: gate.JobFacts{Spec: j.Spec, Hold: &j.Terms.Hold}, Need: gate.Need{ID: id, Spec: j.Spec, Tasks: j.Tasks}, Team: tm.cfg, StateContact: contact, AheadComplete: true,
+		return &explain.Facts{Job: j, Gate: predicate.JobFacts{Spec: j.Spec, Hold: &j.Terms.Hold}, Need: predicate.Need{ID: id, Spec: j.Spec, Tasks: j.Tasks}, Team: tm.cfg, StateContact: contact, AheadComplete: true,
 			Now: now, Wall: p.runner.Wall()}, true
 	}
 	p.fleet.Refresh()
@@ -37,7 +37,7 @@
 		ReportedAfter: now - p.staleAfter(), Running: t.running, Done: t.completed}
 	f.Gate.Now, f.Gate.Wall = f.Now, f.Wall
 	if n := f.Gate.Waiting; n > 0 && !j.Final() {
-		f.Places = make([]*gate.MachineFacts, len(p.fleet.All()))
+		f.Places = make([]*predicate.MachineFacts, len(p.fleet.All()))
 		for i, sl := range p.fleet.All() {
 			f.Places[i] = &sl.MachineFacts
 		}
@@ -102,7 +102,7 @@
 // tasksInFlight groups the tasks that are neither waiting nor running by machine and state.
 func (p *Scheduler) tasksInFlight(t *jobTable, after loop.Micros) []explain.InFlight {
 	type key struct {
-		kind    gate.Kind
+		kind    predicate.Kind
 		state   string
 		machine string
 	}
@@ -121,12 +121,12 @@
 		if g == nil {
 			g = &explain.InFlight{Kind: k, State: state, Machine: x.machine}
 			switch {
-			case k == gate.Saving:
+			case k == predicate.Saving:
 				g.PreemptedFor = t.preemptedFor[x.machine]
 			case state == "absent":
 				left := loop.Duration(max(p.clock.LatestArrival(x.expiry)-wall, 0))
 				g.ConfirmedBy = fmt.Sprintf("a new session of its worker, the machine's deletion, or a task list made more than %v from now that its host controller confirms", left)
-			case k == gate.Unconfirmed:
+			case k == predicate.Unconfirmed:
 				g.ConfirmedBy = "a report of the machine, or its deletion by the cloud"
 			}
 			groups[at] = g
@@ -149,56 +149,56 @@
 }
 
 // taskInFlight returns what a task in use is doing; kind 0 means that it runs.
-func (p *Scheduler) taskInFlight(t *jobTable, i int, x *task, after, wall loop.Micros) (k gate.Kind, state string, since loop.Micros) {
+func (p *Scheduler) taskInFlight(t *jobTable, i int, x *task, after, wall loop.Micros) (k predicate.Kind, state string, since loop.Micros) {
 	if x.state == Recording {
-		return gate.Recording, "recording", x.chosenAt
+		return predicate.Recording, "recording", x.chosenAt
 	}
 	v, sl := p.agent.View(x.machine), p.fleet.Machine(x.machine)
 	switch {
 	case v == nil || sl == nil:
-		return gate.Unconfirmed, "neverHeard", 0
+		return predicate.Unconfirmed, "neverHeard", 0
 	case sl.LastReport < after:
-		return gate.Unconfirmed, "silent", sl.LastReport
+		return predicate.Unconfirmed, "silent", sl.LastReport
 	case x.running:
 		return 0, "", 0
 	}
 	e := v.Find(t.taskName(i), x.attempt)
 	switch {
 	case e == nil && v.HasPending(t.taskName(i), x.attempt):
-		return gate.Starting, "atItsHost", x.sentAt
+		return predicate.Starting, "atItsHost", x.sentAt
 	case e == nil && !x.listed && wall < p.clock.LatestArrival(x.expiry):
-		return gate.Starting, "sent", x.sentAt
+		return predicate.Starting, "sent", x.sentAt
 	case e == nil:
-		return gate.Unconfirmed, "absent", x.sentAt
+		return predicate.Unconfirmed, "absent", x.sentAt
 	case e.State == wire.TaskFetching:
-		return gate.Fetching, "fetching", x.sentAt
+		return predicate.Fetching, "fetching", x.sentAt
 	case e.State == wire.TaskSaving:
-		return gate.Saving, "saving", x.stopSentAt
+		return predicate.Saving, "saving", x.stopSentAt
 	}
 	return 0, "", 0
 }
 
 // causes appends the causes that hold for a job now. It relies on the newest pass and the views and does not scan the
 // machines.
-func (p *Scheduler) causes(t *jobTable, out []gate.Cause, after, wall loop.Micros) []gate.Cause {
+func (p *Scheduler) causes(t *jobTable, out []predicate.Cause, after, wall loop.Micros) []predicate.Cause {
 	f := p.facts(t)
 	out = f.Causes(out)
 	if f.Waiting > 0 && t.unplacedCause != 0 && f.Unblocked() {
-		out = append(out, gate.Cause{Kind: t.unplacedCause, Tasks: f.Waiting})
+		out = append(out, predicate.Cause{Kind: t.unplacedCause, Tasks: f.Waiting})
 	}
 	if t.inUse <= t.running {
 		return out
 	}
-	var n [gate.NextPass]int
+	var n [predicate.NextPass]int
 	t.each(func(i int, x *task) {
 		if x.inUse() && !x.running {
 			k, _, _ := p.taskInFlight(t, i, x, after, wall)
 			n[k]++
 		}
 	})
-	for _, k := range []gate.Kind{gate.Recording, gate.Starting, gate.Fetching, gate.Saving, gate.Unconfirmed} {
+	for _, k := range []predicate.Kind{predicate.Recording, predicate.Starting, predicate.Fetching, predicate.Saving, predicate.Unconfirmed} {
 		if n[k] > 0 {
-			out = append(out, gate.Cause{Kind: k, Tasks: n[k]})
+			out = append(out, predicate.Cause{Kind: k, Tasks: n[k]})
 		}
 	}
 	return out
@@ -215,7 +215,7 @@
 // updateCauses updates a job's causes. It reports whether to send them: they differ in kind or by half in number from
 // those last sent, or a repeat is due.
 func (p *Scheduler) updateCauses(t *jobTable, after, wall loop.Micros) bool {
-	var buffer [gate.NextPass]gate.Cause
+	var buffer [predicate.NextPass]predicate.Cause
 	now := p.causes(t, buffer[:0], after, wall)
 	same := len(now) == len(t.causes)
 	for i := 0; same && i < len(now); i++ {
@@ -248,17 +248,17 @@
 	case !unplaced:
 		t.unplacedCause = 0
 	case t.job.Spec.Gang:
-		t.unplacedCause = gate.Gang
+		t.unplacedCause = predicate.Gang
 	case p.cordons.Any():
 		// Another scan of the fleet for each job is expensive, so it is done at most once per second.
 		if t.unplacedCause == 0 || now-t.unplacedCauseAt > loop.Second {
-			t.unplacedCause, t.unplacedCauseAt = gate.Capacity, now
+			t.unplacedCause, t.unplacedCauseAt = predicate.Capacity, now
 			if p.fitsUncordoned(t, 1) > 0 {
-				t.unplacedCause = gate.Cordon
+				t.unplacedCause = predicate.Cordon
 			}
 		}
 	default:
-		t.unplacedCause = gate.Capacity
+		t.unplacedCause = predicate.Capacity
 	}
 }
 
@@ -266,7 +266,7 @@
 func (p *Scheduler) OwnsTeam(team string) bool { return p.teams[team] != nil && p.teams[team].loaded }
 
 // EachPlace calls f for every known machine. Machines whose last report is older than after receive no starts.
-func (p *Scheduler) EachPlace(f func(pl *gate.MachineFacts, after loop.Micros)) {
+func (p *Scheduler) EachPlace(f func(pl *predicate.MachineFacts, after loop.Micros)) {
 	p.fleet.Refresh()
 	after := p.runner.Now() - p.staleAfter()
 	for _, sl := range p.fleet.All() {
--- a/internal/scheduler/explain_rank.go
+++ b/internal/scheduler/explain_rank.go
@@ -7,8 +7,8 @@
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/explain"
 	"cleatpick/internal/fleet"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/job"
+	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
 )
 
@@ -57,7 +57,7 @@
 			g := p.facts(o)
 			g.TeamUsage.CPUs += usedByTeam[o.team].CPUs
 			g.TeamUsage.GPUs += usedByTeam[o.team].GPUs
-			r.tasks = min(r.tasks, g.AllowedTasks(gate.Limit))
+			r.tasks = min(r.tasks, g.AllowedTasks(predicate.Limit))
 		}
 		if r.maxTasks <= 0 {
 			continue
@@ -89,7 +89,7 @@
 // other predicates, and how many of its tasks would wait for that reason alone.
 func (p *Scheduler) jobsAhead(f *explain.Facts, t *jobTable, types []wire.MachineType) {
 	n := f.Gate.Waiting
-	limited := f.Gate.AllowedTasks(gate.Limit) < n
+	limited := f.Gate.AllowedTasks(predicate.Limit) < n
 	lacking := n - f.FitsAll                                             // single-task units of capacity that must become free
 	ignoreCordons := f.FitsAll > f.Fits || (f.AllCordoned && f.Fits < n) // one of its reasons is a cordon
 	q, within := p.competitors(t)
@@ -181,7 +181,7 @@
 	for i := range most {
 		g.TeamUsage = agent.Capacity{CPUs: f.Gate.TeamUsage.CPUs + by[i].CPUs, GPUs: f.Gate.TeamUsage.GPUs + by[i].GPUs}
 		if most[i] = n; !limited {
-			most[i] = g.AllowedTasks(gate.Limit)
+			most[i] = g.AllowedTasks(predicate.Limit)
 		}
 	}
 	a = n - min(p.fleet.CountFitting(t.need(), n, freeFirst)+max(lacking-futureLeft, 0), most[0])
@@ -219,7 +219,7 @@
 // probeLimit returns how many waiting tasks the job's failures allow to start.
 func (p *Scheduler) probeLimit(t *jobTable) int {
 	f := p.facts(t)
-	return f.AllowedTasks(gate.Probation)
+	return f.AllowedTasks(predicate.Probation)
 }
 
 // fitsWherever reports whether a task of o fits wherever a task of s does.
--- a/internal/scheduler/explain_test.go
+++ b/internal/scheduler/explain_test.go
@@ -13,11 +13,11 @@
 	"cleatpick/internal/config"
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/explain"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/health"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
+	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
 )
 
@@ -455,7 +455,7 @@
 			want := plainModel{g}.reasons(id)
 			got := map[string]int{}
 			for _, r := range reasons {
-				if r.Kind != "rank" && gate.KindByName(r.Kind) <= gate.Rank {
+				if r.Kind != "rank" && predicate.KindByName(r.Kind) <= predicate.Rank {
 					got[r.Kind] = r.Tasks
 				}
 			}
@@ -483,7 +483,7 @@
 			}
 		}
 		for i := -1; i < len(reasons); i++ {
-			if i >= 0 && gate.KindByName(reasons[i].Kind) > gate.Rank {
+			if i >= 0 && predicate.KindByName(reasons[i].Kind) > predicate.Rank {
 				continue // in flight
 			}
 			h := newScenario(seed)
@@ -535,11 +535,11 @@
 }
 
 // newCausesScenario returns a scenario with one team that publishes causes, and the causes published last.
-func newCausesScenario() (*scenario, *[]gate.Cause) {
+func newCausesScenario() (*scenario, *[]predicate.Cause) {
 	g := &scenario{rig: newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 90})}
 	g.scheduler.node.ReportCauses = true
 	g.scheduler.preemption.nextRun = 1 << 62 // preemption is not checked here
-	var told []gate.Cause
+	var told []predicate.Cause
 	g.scheduler.node.SendProgress = func(all []peer.Progress) {
 		for _, p := range all {
 			if p.HasCauses {
@@ -557,13 +557,13 @@
 		name   string
 		cordon bool
 		spec   job.Spec
-		want   []gate.Kind
+		want   []predicate.Kind
 	}{
-		{"no room", false, job.Spec{Tasks: 3, CPUs: 8}, []gate.Kind{gate.Capacity}},
-		{"no room behind a cordon of others", true, job.Spec{Tasks: 1, CPUs: 64}, []gate.Kind{gate.Capacity}},
-		{"a cordon", true, job.Spec{Tasks: 1, CPUs: 8}, []gate.Kind{gate.Cordon}},
-		{"a gang", false, job.Spec{Tasks: 3, CPUs: 8, Gang: true}, []gate.Kind{gate.Gang}},
-		{"a limit", false, job.Spec{Tasks: 3, CPUs: 40}, []gate.Kind{gate.Limit, gate.Capacity}},
+		{"no room", false, job.Spec{Tasks: 3, CPUs: 8}, []predicate.Kind{predicate.Capacity}},
+		{"no room behind a cordon of others", true, job.Spec{Tasks: 1, CPUs: 64}, []predicate.Kind{predicate.Capacity}},
+		{"a cordon", true, job.Spec{Tasks: 1, CPUs: 8}, []predicate.Kind{predicate.Cordon}},
+		{"a gang", false, job.Spec{Tasks: 3, CPUs: 8, Gang: true}, []predicate.Kind{predicate.Gang}},
+		{"a limit", false, job.Spec{Tasks: 3, CPUs: 40}, []predicate.Kind{predicate.Limit, predicate.Capacity}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g, told := newCausesScenario()
@@ -575,9 +575,9 @@
 			s.Class, s.Team, s.MemoryGB, s.Image, s.AnyType, s.Estimate = "k", "red", 1, "i", true, loop.Second
 			g.rig.acceptJob(1, s)
 			g.Advance(2 * loop.Second)
-			var kinds []gate.Kind
+			var kinds []predicate.Kind
 			for _, x := range *told {
-				if x.Kind < gate.Recording {
+				if x.Kind < predicate.Recording {
 					kinds = append(kinds, x.Kind)
 				}
 			}
@@ -594,17 +594,17 @@
 		name  string
 		show  func(g *rig, task agent.Task)
 		wait  loop.Micros
-		kind  gate.Kind
+		kind  predicate.Kind
 		state string
 	}{
-		{"sent", func(*rig, agent.Task) {}, 0, gate.Starting, "sent"},
+		{"sent", func(*rig, agent.Task) {}, 0, predicate.Starting, "sent"},
 		{"at its host", func(g *rig, x agent.Task) {
 			g.workers.ApplyView(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: 99, TokenConfirmed: true, MadeAfter: g.Now(), Pending: []agent.Task{x}})
-		}, 0, gate.Starting, "atItsHost"},
-		{"fetching", func(g *rig, x agent.Task) { x.State = wire.TaskFetching; g.deliverView("n-001", "m8", "x", false, x) }, 0, gate.Fetching, "fetching"},
-		{"saving", func(g *rig, x agent.Task) { x.State = wire.TaskSaving; g.deliverView("n-001", "m8", "x", false, x) }, 0, gate.Saving, "saving"},
+		}, 0, predicate.Starting, "atItsHost"},
+		{"fetching", func(g *rig, x agent.Task) { x.State = wire.TaskFetching; g.deliverView("n-001", "m8", "x", false, x) }, 0, predicate.Fetching, "fetching"},
+		{"saving", func(g *rig, x agent.Task) { x.State = wire.TaskSaving; g.deliverView("n-001", "m8", "x", false, x) }, 0, predicate.Saving, "saving"},
 		{"running", func(g *rig, x agent.Task) { x.State = wire.TaskRunning; g.deliverView("n-001", "m8", "x", false, x) }, 0, 0, ""},
-		{"silent", func(*rig, agent.Task) {}, 12 * loop.Second, gate.Unconfirmed, "silent"},
+		{"silent", func(*rig, agent.Task) {}, 12 * loop.Second, predicate.Unconfirmed, "silent"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
@@ -633,13 +633,13 @@
 	s := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
 	g.rig.acceptJob(1, s)
 	g.Advance(1500 * loop.Millisecond)
-	if len(*told) != 1 || (*told)[0].Kind != gate.Capacity {
+	if len(*told) != 1 || (*told)[0].Kind != predicate.Capacity {
 		t.Fatalf("published %v for a job without a machine", *told)
 	}
 	g.putCordons([]cordon.Cordon{{Name: "c", Reason: "r", Machine: "n-001"}})
 	g.deliverView("n-001", "m8", "x", false)
 	g.Advance(1500 * loop.Millisecond)
-	if len(*told) != 1 || (*told)[0].Kind != gate.Cordon {
+	if len(*told) != 1 || (*told)[0].Kind != predicate.Cordon {
 		t.Fatalf("published %v for a job that only a cordon blocks", *told)
 	}
 }
--- a/internal/scheduler/facts.go
+++ b/internal/scheduler/facts.go
@@ -3,15 +3,15 @@
 import (
 	"cleatpick/internal/agent"
 	"cleatpick/internal/fleet"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
+	"cleatpick/internal/predicate"
 )
 
 // facts collects the state of a job that its own predicates evaluate.
-func (p *Scheduler) facts(t *jobTable) gate.JobFacts {
+func (p *Scheduler) facts(t *jobTable) predicate.JobFacts {
 	tm := t.team
-	f := gate.JobFacts{Spec: t.job.Spec, Hold: &t.job.Terms.Hold, After: p.dependencies(t.job), OnWithdrawn: t.job.Terms.OnCancelled, Damaged: t.damaged,
+	f := predicate.JobFacts{Spec: t.job.Spec, Hold: &t.job.Terms.Hold, After: p.dependencies(t.job), OnWithdrawn: t.job.Terms.OnCancelled, Damaged: t.damaged,
 		Waiting: t.waiting(), InUse: t.inUse,
 		TeamUsage: agent.Capacity{CPUs: tm.cpus, GPUs: tm.gpus}, Quota: tm.quota,
 		ClockMargin: p.cfg.ClockDifference()}
@@ -27,13 +27,13 @@
 }
 
 // dependencies lists the jobs that this job waits for, each with its phase.
-func (p *Scheduler) dependencies(j *job.Job) []gate.Dep {
+func (p *Scheduler) dependencies(j *job.Job) []predicate.Dep {
 	if len(j.Terms.Dependencies) == 0 {
 		return nil
 	}
-	out := make([]gate.Dep, len(j.Terms.Dependencies))
+	out := make([]predicate.Dep, len(j.Terms.Dependencies))
 	for i, id := range j.Terms.Dependencies {
-		out[i] = gate.Dep{ID: id, Waived: j.Terms.WaivedFrom(id)}
+		out[i] = predicate.Dep{ID: id, Waived: j.Terms.WaivedFrom(id)}
 		if o := p.registry.Get(id); o != nil {
 			out[i].Phase = o.Phase
 		}
@@ -47,7 +47,7 @@
 		return false
 	}
 	f := p.facts(t)
-	return f.AllowedTasks(gate.Hold) == 0 || f.AllowedTasks(gate.Dependency) == 0
+	return f.AllowedTasks(predicate.Hold) == 0 || f.AllowedTasks(predicate.Dependency) == 0
 }
 
 // startBlockedBy returns why no start of the job on this machine may be recorded or sent, or "" if it may: a hold or
@@ -104,8 +104,8 @@
 }
 
 // need returns what a task of the job requires of a machine.
-func (t *jobTable) need() gate.Need {
-	return gate.Need{ID: t.job.ID, Spec: t.job.Spec, Tasks: t.job.Tasks, Zones: t.zones, Avoid: t.avoid}
+func (t *jobTable) need() predicate.Need {
+	return predicate.Need{ID: t.job.ID, Spec: t.job.Spec, Tasks: t.job.Tasks, Zones: t.zones, Avoid: t.avoid}
 }
 
 // staleAfter is how long after its last report a machine still receives starts.
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -1,9 +1,9 @@
 package scheduler
 
 import (
-	"cleatpick/internal/gate"
 	"cleatpick/internal/health"
 	"cleatpick/internal/loop"
+	"cleatpick/internal/predicate"
 )
 
 // trackFailures starts tracking a job's failures. The failures that all controllers observed survive a change of
@@ -40,8 +40,8 @@
 }
 
 // failureFacts returns what the predicates need to know of a job's failures.
-func (p *Scheduler) failureFacts(t *jobTable, now loop.Micros) gate.FailureState {
-	f := gate.FailureState{State: t.probation.State, ConsecutiveFailures: t.probation.Bursts, Machines: p.attribution.FailedOnHealthy(t.job.ID), BackOffUntil: t.probation.RestUntil,
+func (p *Scheduler) failureFacts(t *jobTable, now loop.Micros) predicate.FailureState {
+	f := predicate.FailureState{State: t.probation.State, ConsecutiveFailures: t.probation.Bursts, Machines: p.attribution.FailedOnHealthy(t.job.ID), BackOffUntil: t.probation.RestUntil,
 		FailedWaiting: len(t.failedTasks), RetryNow: t.probation.RetryWidth(len(t.failedTasks))}
 	if !t.probation.Trusted() {
 		survivors := 0
--- a/internal/scheduler/jobtable.go
+++ b/internal/scheduler/jobtable.go
@@ -17,10 +17,10 @@
 
 	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/health"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
+	"cleatpick/internal/predicate"
 )
 
 // TaskState is the state of a task in its owner's table.
@@ -83,10 +83,10 @@
 	avoid           map[string]struct{} // machines on which it failed recently
 	damaged         bool                // a record of its tasks cannot be decoded
 	nextAmendAt     loop.Micros         // its record is not amended again before this time
-	unplacedCause   gate.Kind           // machine predicate that left its tasks unplaced in the newest pass; 0: none
+	unplacedCause   predicate.Kind      // machine predicate that left its tasks unplaced in the newest pass; 0: none
 	unplacedCauseAt loop.Micros
 	preemptedFor    map[string]string // by machine: the job for which tasks of this job were preempted there
-	causes          []gate.Cause      // as last sent to the peers
+	causes          []predicate.Cause // as last sent to the peers
 	causesSentAt    loop.Micros       // wall-clock time at which they were sent; 0: never by this owner
 	causesSentTimes int               // how often they were sent since they last changed
 	acceptedAt      loop.Micros       // when it was accepted, by the monotonic clock
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -6,10 +6,10 @@
 
 	"cleatpick/internal/agent"
 	"cleatpick/internal/fleet"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
+	"cleatpick/internal/predicate"
 )
 
 // hostStart is a start with the host controller of its machine.
@@ -102,13 +102,13 @@
 		t := e.table
 		s := t.job.Spec
 		facts := p.facts(t)
-		allowed := facts.AllowedTasks(gate.Probation)
+		allowed := facts.AllowedTasks(predicate.Probation)
 		if s.Gang && !p.gangFits(t) {
 			allowed = 0
 			p.unplacedRequests = append(p.unplacedRequests, p.request(t, t.waiting()))
 		}
 		sh, unconstrained := fleet.ShapeOf(s)
-		if n := min(allowed, facts.AllowedTasks(gate.Limit)); n > 0 && (!full[sh] || p.fleet.ReservationCount(t.job.ID) > 0) {
+		if n := min(allowed, facts.AllowedTasks(predicate.Limit)); n > 0 && (!full[sh] || p.fleet.ReservationCount(t.job.ID) > 0) {
 			if mayPreempt && !full[sh] && s.Priority >= job.High && !s.Gang {
 				p.preemptAtImage(&e, n, freeSlots, &b)
 			}
@@ -305,7 +305,7 @@
 // waitingForCapacity returns how many tasks of a job wait for capacity rather than for their team's limit.
 func (p *Scheduler) waitingForCapacity(t *jobTable) int {
 	f := p.facts(t)
-	return f.AllowedTasks(gate.Limit)
+	return f.AllowedTasks(predicate.Limit)
 }
 
 // Faulty reports whether a machine should be replaced because tasks fail on it.
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -5,9 +5,9 @@
 	"slices"
 
 	"cleatpick/internal/fleet"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
+	"cleatpick/internal/predicate"
 )
 
 // preemptionState holds the state of preemption between passes.
@@ -100,7 +100,7 @@
 	case part < each:
 		return 0
 	case each <= 0:
-		return gate.Unlimited
+		return predicate.Unlimited
 	}
 	return int(part / each)
 }
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -2,9 +2,9 @@
 
 import (
 	"cleatpick/internal/fleet"
-	"cleatpick/internal/gate"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
+	"cleatpick/internal/predicate"
 	"cleatpick/internal/starvation"
 )
 
@@ -42,7 +42,7 @@
 		}
 		p.refundReserved(t)
 		f := p.facts(t)
-		if n := min(f.AllowedTasks(gate.Probation), f.AllowedTasks(gate.Limit), t.waiting()); n > 0 {
+		if n := min(f.AllowedTasks(predicate.Probation), f.AllowedTasks(predicate.Limit), t.waiting()); n > 0 {
 			tables = append(tables, t)
 			waiters = append(waiters, starvation.Waiter{ID: t.job.ID, Class: t.reserveClass(), AcceptedAt: t.acceptedAt, LastServedAt: t.servedEarlyAt, Tasks: n, CPUs: t.job.Spec.CPUs})
 		}
@@ -54,9 +54,9 @@
 func (p *Scheduler) serveOutOfOrder(t *jobTable, w *starvation.Waiter, tasks int, freeSlots []*fleet.Machine, chosen *[]hostStart) {
 	// A job served before it may have used the rest of their team's limit.
 	f := p.facts(t)
-	n := min(tasks, f.AllowedTasks(gate.Limit))
+	n := min(tasks, f.AllowedTasks(predicate.Limit))
 	if t.job.Spec.Gang {
-		n = min(t.waiting(), f.AllowedTasks(gate.Limit))
+		n = min(t.waiting(), f.AllowedTasks(predicate.Limit))
 	}
 	if n <= 0 {
 		return
