--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -19,7 +19,6 @@
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/delivery"
 	"cleatpick/internal/front"
-	"cleatpick/internal/horizon"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/loss"
@@ -29,6 +28,7 @@
 	"cleatpick/internal/reach"
 	"cleatpick/internal/scheduler"
 	"cleatpick/internal/store"
+	"cleatpick/internal/watermark"
 	"cleatpick/internal/wire"
 
 	"github.com/valyala/fasthttp"
@@ -50,7 +50,7 @@
 	rental        *autoscaler.Autoscaler
 	net           *peer.Net
 	reach         *reach.Tracker
-	watermark     *horizon.Tracker
+	watermark     *watermark.Tracker
 	front         *front.Server
 	deps          Dependencies
 	progress      map[string]job.Counts
@@ -223,7 +223,7 @@
 	n.rental.OnDeleted = n.placer.MachineDeleted
 	n.jobs.OnJob = func(j *job.Job) {
 		if j.Phase == job.Cancelled {
-			n.watermark.RecordCancellation(horizon.Cancellation{Job: j.ID, Revision: j.CancelledRevision()})
+			n.watermark.RecordCancellation(watermark.Cancellation{Job: j.ID, Revision: j.CancelledRevision()})
 		}
 		if j.Final() {
 			delete(n.progress, j.ID)
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -3,9 +3,9 @@
 import (
 	"cleatpick/internal/admission"
 	"cleatpick/internal/agent"
-	"cleatpick/internal/horizon"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/predicate"
+	"cleatpick/internal/watermark"
 	"cleatpick/internal/wire"
 )
 
@@ -134,7 +134,7 @@
 	// Incarnation identifies the incarnation of the sender: the wall clock time at which its process started.
 	Incarnation loop.Micros `cbor:"19,keyasint,omitempty"`
 	// Watermark is what the sender asks and answers about cancellations, for the cancellation watermark.
-	Watermark *horizon.Message `cbor:"20,keyasint,omitempty"`
+	Watermark *watermark.Message `cbor:"20,keyasint,omitempty"`
 	// Teams are the teams in the sender's settings, sent to a peer after each new connection.
 	Teams []string `cbor:"21,keyasint,omitempty"`
 }
--- a/internal/horizon/horizon.go
+++ b/internal/watermark/watermark.go
@@ -1,4 +1,4 @@
-// Package horizon decides how recent a controller's knowledge of cancellations is, and so whether it may answer
+// Package watermark decides how recent a controller's knowledge of cancellations is, and so whether it may answer
 // the reports of workers. A controller's cancellation watermark is the latest time on its own monotonic clock
 // such that it knows every cancellation that any controller confirmed to a user before that time.
 //
@@ -9,7 +9,7 @@
 //
 // The package owns the watermark and the messages that advance it. Reading the state service, sending messages
 // and answering reports are left to others.
-package horizon
+package watermark
 
 import (
 	"cmp"
--- a/internal/horizon/horizon_test.go
+++ b/internal/watermark/watermark_test.go
@@ -1,4 +1,4 @@
-package horizon
+package watermark
 
 import (
 	"fmt"
