--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -14,8 +14,8 @@
 	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/explain"
+	"cleatpick/internal/failuredetector"
 	"cleatpick/internal/loop"
-	"cleatpick/internal/loss"
 	"cleatpick/internal/member"
 	"cleatpick/internal/metric"
 	"cleatpick/internal/peer"
@@ -93,7 +93,7 @@
 	// Faulty reports whether a machine fails tasks of several jobs.
 	Faulty func(machine string) bool
 	// Probe asks a worker for its report. It blocks, and must not be called on the event loop.
-	Probe func(addr string) loss.ProbeResult
+	Probe func(addr string) failuredetector.ProbeResult
 	Meter *metric.Meter // may be nil
 }
 
@@ -130,7 +130,7 @@
 	unreachableAt  map[string]loop.Micros // when a zone was last seen unreachable
 	retaining      bool                   // machines in unreachable zones are retained for longer
 	planAt         loop.Micros            // earliest time of the next plan
-	failures       *loss.Detector
+	failures       *failuredetector.Detector
 	sortedMachines []*machine // by name; nil: to be rebuilt
 	rand           *rand.Rand
 	deleting       map[string]*machine   // the machines in state Deleting
@@ -147,7 +147,7 @@
 	t := &Autoscaler{runner: r, log: log, cfg: cfg, client: c, mirror: m, cloud: cloud, workers: a, node: n, byName: map[string]wire.MachineType{}, rand: loop.Rand(r),
 		demands: map[string]peer.Demand{}, unreachableAt: map[string]loop.Micros{}, demandAt: map[string]loop.Micros{}, deleted: map[string][]string{}, bootTimes: explain.NewDistribution()}
 	w := cfg.Cluster.Workers
-	t.failures = loss.New(loss.Rules{ReportInterval: loop.Seconds(w.ReportS), Lease: loop.Seconds(w.LeaseS), UnreachableGrace: partitionGrace,
+	t.failures = failuredetector.New(failuredetector.Rules{ReportInterval: loop.Seconds(w.ReportS), Lease: loop.Seconds(w.LeaseS), UnreachableGrace: partitionGrace,
 		MaxSilence: loop.Seconds(cfg.Operator.SilentDeleteAfterS), MaxProbes: max(min(64, cfg.Cluster.Limits.MaxSockets/20), 4)}, log, n.Meter, t.probe)
 	m.OnChange(CatalogKey, func(key string, e store.Entry) {
 		var rec catalogRecord
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -11,9 +11,9 @@
 
 	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
+	"cleatpick/internal/failuredetector"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
-	"cleatpick/internal/loss"
 	"cleatpick/internal/member"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/standin"
@@ -35,8 +35,8 @@
 	partitionedZone string // a zone behind a network partition
 	jobs            map[string]*job.Job
 	runs            []agent.Task // tasks in the report of every machine
-	probeAnswer     loss.ProbeResult
-	probeAnswers    map[string]loss.ProbeResult // probe results by address, where they differ from probeAnswer
+	probeAnswer     failuredetector.ProbeResult
+	probeAnswers    map[string]failuredetector.ProbeResult // probe results by address, where they differ from probeAnswer
 	booted          []wire.CloudMachine
 	deleted         []string
 }
@@ -47,7 +47,7 @@
 }
 
 func newRig(t *testing.T, each int) *rig {
-	g := &rig{Runner: standin.NewRunner(1000 * loop.Second), entitled: true, probeAnswer: loss.NoConnection, probeAnswers: map[string]loss.ProbeResult{}}
+	g := &rig{Runner: standin.NewRunner(1000 * loop.Second), entitled: true, probeAnswer: failuredetector.NoConnection, probeAnswers: map[string]failuredetector.ProbeResult{}}
 	cfg := &config.Config{Operator: config.Defaults()}
 	cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.LeaseS = 1, 10
 	cfg.Cluster.Cloud.RPS, cfg.Cluster.Cloud.ListLagS = 5, 2
@@ -63,7 +63,7 @@
 	g.workers = agent.New(g, log, agent.Config{Label: "a", FindJob: func(id string) *job.Job { return g.jobs[id] }, ViewChanged: func(v *agent.View, _ *agent.Changes) { g.scaler.UpdateView(v) }}, nil)
 	g.scaler = New(g, log, cfg, c, m, g, g.workers, Node{Close: func(string, peer.StartBlock) {},
 		PeerUnreachable: func(z string) bool { return g.peerUnreachable || z == g.partitionedZone }, LeaseValid: func() bool { return g.entitled }, Isolated: func() bool { return g.isolated },
-		Faulty: func(string) bool { return false }, Probe: func(addr string) loss.ProbeResult { return cmp.Or(g.probeAnswers[addr], g.probeAnswer) }})
+		Faulty: func(string) bool { return false }, Probe: func(addr string) failuredetector.ProbeResult { return cmp.Or(g.probeAnswers[addr], g.probeAnswer) }})
 	m.Start()
 	g.Advance(loop.Second)
 	e, ok := m.Get("c/l")
@@ -239,9 +239,9 @@
 // exist twice once they come back.
 func TestNothingIsRentedForSuspectedMachines(t *testing.T) {
 	for _, c := range []struct {
-		word loss.ProbeResult
+		word failuredetector.ProbeResult
 		want bool
-	}{{loss.NoAnswer, false}, {loss.NoConnection, true}} {
+	}{{failuredetector.NoAnswer, false}, {failuredetector.NoConnection, true}} {
 		g := newRig(t, 40)
 		g.probeAnswer, g.scaler.cfg.Operator.OrdinaryStandbyMeanS = c.word, 1e6
 		g.Advance(3 * loop.Second)
@@ -250,7 +250,7 @@
 				name := fmt.Sprintf("n-9%05d", i)
 				g.report(name, "x")
 				if i >= 10 {
-					g.probeAnswers[name] = loss.Answered
+					g.probeAnswers[name] = failuredetector.Answered
 				}
 			}
 		}
--- a/internal/autoscaler/machine.go
+++ b/internal/autoscaler/machine.go
@@ -2,8 +2,8 @@
 
 import (
 	"cleatpick/internal/agent"
+	"cleatpick/internal/failuredetector"
 	"cleatpick/internal/loop"
-	"cleatpick/internal/loss"
 	"cleatpick/internal/peer"
 	"maps"
 	"slices"
@@ -198,13 +198,13 @@
 // detectFailures runs failure detection over all machines that have reported before, and queues the failed ones
 // for deletion.
 func (t *Autoscaler) detectFailures(now loop.Micros, retention func(*machine) loop.Micros) {
-	scene := loss.ClusterFacts{Now: now, Isolated: t.node.Isolated() || now-t.started < 2*loop.Second, PeerUnreachable: t.node.PeerUnreachable}
-	for _, x := range t.failures.Evaluate(scene, func(yield func(*loss.Facts)) {
+	scene := failuredetector.ClusterFacts{Now: now, Isolated: t.node.Isolated() || now-t.started < 2*loop.Second, PeerUnreachable: t.node.PeerUnreachable}
+	for _, x := range t.failures.Evaluate(scene, func(yield func(*failuredetector.Facts)) {
 		for _, m := range t.sorted() {
 			if m.state != Up && m.state != Draining && m.state != Closing {
 				continue
 			}
-			f := loss.Facts{Name: m.name, Zone: m.zone, LastConfirmed: m.confirmedAt, LastReport: m.reportedAt, Failed: m.listed == "failed", RetainFor: retention(m)}
+			f := failuredetector.Facts{Name: m.name, Zone: m.zone, LastConfirmed: m.confirmedAt, LastReport: m.reportedAt, Failed: m.listed == "failed", RetainFor: retention(m)}
 			if v := t.workers.View(m.name); v != nil {
 				f.Addr = v.Addr
 			}
@@ -265,7 +265,7 @@
 }
 
 // probe asks a machine's worker directly, and calls done on the event loop.
-func (t *Autoscaler) probe(addr string, done func(loss.ProbeResult)) {
+func (t *Autoscaler) probe(addr string, done func(failuredetector.ProbeResult)) {
 	t.runner.Go(func() {
 		w := t.node.Probe(addr)
 		t.runner.Post(func() { done(w) })
--- a/internal/loss/detector.go
+++ b/internal/failuredetector/detector.go
@@ -1,11 +1,11 @@
-// Package loss is the failure detector for machines whose reports stopped. It decides which
+// Package failuredetector is the failure detector for machines whose reports stopped. It decides which
 // of them have stopped, which hang and which are merely unreachable, from the reports, from
 // probes of the machines and from probes of their neighbours in the zone. It evaluates all
 // machines together, since many failures within a short time mostly have one common cause.
 //
 // A verdict proves nothing. It advises the leader to have the machine deleted; only the
 // cloud's confirmation of the deletion proves that its tasks are terminated.
-package loss
+package failuredetector
 
 import (
 	"cmp"
--- a/internal/loss/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -1,4 +1,4 @@
-package loss
+package failuredetector
 
 import (
 	"fmt"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -18,10 +18,10 @@
 	"cleatpick/internal/config"
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/delivery"
+	"cleatpick/internal/failuredetector"
 	"cleatpick/internal/front"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
-	"cleatpick/internal/loss"
 	"cleatpick/internal/member"
 	"cleatpick/internal/metric"
 	"cleatpick/internal/peer"
@@ -69,7 +69,7 @@
 	// Workers sends a request to a worker's address; it blocks until the answer or the timeout.
 	Workers func(addr, method, path string, body []byte, timeout time.Duration) store.Response
 	// Probe asks a worker whose reports stopped whether it is alive; it blocks.
-	Probe func(addr string) loss.ProbeResult
+	Probe func(addr string) failuredetector.ProbeResult
 }
 
 // New returns a controller connected to the real services; Run runs it.
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"cleatpick/internal/loss"
+	"cleatpick/internal/failuredetector"
 	"cleatpick/internal/store"
 
 	"github.com/valyala/fasthttp"
@@ -20,20 +20,20 @@
 
 // probe asks a machine whether it is alive, over a new connection: an existing one cannot tell a machine without
 // power from one that hangs.
-func probe(addr string) loss.ProbeResult {
+func probe(addr string) failuredetector.ProbeResult {
 	conn, err := fasthttp.DialTimeout(addr, probeConnect)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return loss.NoAnswer
+		return failuredetector.NoAnswer
 	case err != nil:
-		return loss.NoConnection
+		return failuredetector.NoConnection
 	}
 	defer conn.Close()
 	c := &fasthttp.HostClient{Addr: addr, MaxConns: 1, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
 		MaxResponseBodySize: 256 << 10, Dial: func(string) (net.Conn, error) { return conn, nil }}
 	defer c.CloseIdleConnections()
 	if r := store.Exchange(c, addr, "GET", "/inspect", nil, probeAnswer); r.Err == nil && r.Status == 200 {
-		return loss.Answered
+		return failuredetector.Answered
 	}
-	return loss.NoAnswer
+	return failuredetector.NoAnswer
 }
--- a/internal/node/simulation_machine_test.go
+++ b/internal/node/simulation_machine_test.go
@@ -5,24 +5,24 @@
 	"sort"
 
 	"cleatpick/internal/agent"
+	"cleatpick/internal/failuredetector"
 	"cleatpick/internal/loop"
-	"cleatpick/internal/loss"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
 
 // probe returns what a controller finds that probes a worker. A machine that hangs accepts connections.
-func (w *simulation) probe(from, addr string) loss.ProbeResult {
+func (w *simulation) probe(from, addr string) failuredetector.ProbeResult {
 	x := w.workers[addr[len("worker:"):]]
 	switch {
 	case x == nil || x.deleted || x.unresponsive || w.workerLinkMode(from, x) != connected:
-		return loss.NoConnection
+		return failuredetector.NoConnection
 	case x.hanging:
-		return loss.NoAnswer
+		return failuredetector.NoAnswer
 	}
 	x.w.Report()
-	return loss.Answered
+	return failuredetector.Answered
 }
 
 // direct sends a command directly to a worker.
--- a/internal/node/simulation_test.go
+++ b/internal/node/simulation_test.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/failuredetector"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
-	"cleatpick/internal/loss"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
@@ -462,7 +462,7 @@
 		}},
 		Workers: func(addr, method, path string, body []byte, _ time.Duration) store.Response {
 			return excludeFromCost(w, func() store.Response { return w.direct(label, addr, path, body) })
-		}, Probe: func(addr string) loss.ProbeResult { return w.probe(label, addr) }})
+		}, Probe: func(addr string) failuredetector.ProbeResult { return w.probe(label, addr) }})
 	s.n.net.Deliver = func(to string, frame []byte) {
 		f := append([]byte(nil), frame...)
 		w.addToTrace(label+" to "+to, f)
