--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -14,7 +14,7 @@
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/predicate"
-	"cleatpick/internal/reach"
+	"cleatpick/internal/reachability"
 	"cleatpick/internal/wire"
 )
 
@@ -135,9 +135,9 @@
 			out = append(out, "the team "+t.Name+" has no owner"+n.dampedPeers())
 		} else if o.Node != n.cfg.Label {
 			switch n.reach.State(o.Node) {
-			case reach.Silent:
+			case reachability.Silent:
 				out = append(out, "the owner "+o.Node+" of the team "+t.Name+" is unreachable; other controllers take the team over when its lease expires")
-			case reach.OneWay:
+			case reachability.OneWay:
 				out = append(out, "the owner "+o.Node+" of the team "+t.Name+" receives no messages from this controller")
 			}
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,7 +25,7 @@
 	"cleatpick/internal/member"
 	"cleatpick/internal/metric"
 	"cleatpick/internal/peer"
-	"cleatpick/internal/reach"
+	"cleatpick/internal/reachability"
 	"cleatpick/internal/scheduler"
 	"cleatpick/internal/store"
 	"cleatpick/internal/watermark"
@@ -49,7 +49,7 @@
 	placer        *scheduler.Scheduler
 	rental        *autoscaler.Autoscaler
 	net           *peer.Net
-	reach         *reach.Tracker
+	reach         *reachability.Tracker
 	watermark     *watermark.Tracker
 	front         *front.Server
 	deps          Dependencies
@@ -127,9 +127,9 @@
 	n.jobs.SetMaxWaitingReads(cfg.Cluster.Limits.MaxSockets / 5)
 	n.cordons = cordon.NewRegistry(l, n.client, n.mirror, log, cfg.ClockDifference())
 	n.net = peer.New(l, log, cfg.Label, cfg.Known)
-	n.reach = reach.New(l, log, cfg.Label, n.net.Peers(), cfg.ClockDifference())
+	n.reach = reachability.New(l, log, cfg.Label, n.net.Peers(), cfg.ClockDifference())
 	n.reach.StateContact = n.hasStateContact
-	n.reach.OnChange = func(_ string, to reach.State, damped bool) { n.meter.PeerState(to.String(), damped) }
+	n.reach.OnChange = func(_ string, to reachability.State, damped bool) { n.meter.PeerState(to.String(), damped) }
 	n.net.Incarnation, n.net.ClockDifference = l.Wall(), cfg.ClockDifference()
 	n.net.OnEarlierFrame = func(string) { n.meter.StaleFrame() }
 	n.setUpWatermark()
@@ -301,7 +301,7 @@
 	}
 	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.hasStateContact() && n.member.LeaseValid(), Hosted: n.agent.HostedCount(), Reachable: []string{}}
 	for _, label := range n.net.Peers() {
-		if n.reach.ReceivedWithin(label, reach.MaxAge) {
+		if n.reach.ReceivedWithin(label, reachability.MaxAge) {
 			s.Reachable = append(s.Reachable, label)
 		}
 	}
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -3,13 +3,13 @@
 import (
 	"cleatpick/internal/job"
 	"cleatpick/internal/peer"
-	"cleatpick/internal/reach"
+	"cleatpick/internal/reachability"
 )
 
 // receive applies a message of a peer.
 func (n *Node) receive(e *peer.Envelope) {
 	if s := e.Status; s != nil {
-		n.reach.Receive(e.From, reach.Message{Wall: s.Wall, StateContact: s.Contact, ReceivesFrom: s.Reachable})
+		n.reach.Receive(e.From, reachability.Message{Wall: s.Wall, StateContact: s.Contact, ReceivesFrom: s.Reachable})
 	}
 	n.watermark.Receive(e.From, e.Incarnation, e.Watermark)
 	n.member.LearnTeams(e.Teams)
--- a/internal/node/redirect.go
+++ b/internal/node/redirect.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"cleatpick/internal/loop"
-	"cleatpick/internal/reach"
+	"cleatpick/internal/reachability"
 )
 
 // How soon a worker that was redirected to another controller and came back is redirected again. A controller that
@@ -48,7 +48,7 @@
 	}
 	others := n.net.Peers()
 	if contact {
-		proof := loop.Seconds(n.cfg.Operator.NodeLeaseS) + loop.Second - reach.MaxAge
+		proof := loop.Seconds(n.cfg.Operator.NodeLeaseS) + loop.Second - reachability.MaxAge
 		if n.isolatedSince == 0 || n.loop.Now()-n.isolatedSince < proof {
 			return false, "", again
 		}
--- a/internal/reach/reach.go
+++ b/internal/reachability/reachability.go
@@ -1,4 +1,4 @@
-// Package reach tracks which controllers reach which, in each direction. All parts of the
+// Package reachability tracks which controllers reach which, in each direction. All parts of the
 // process use the same result, so that they cannot contradict each other: which controller
 // may be given a team, to which one workers are redirected, and whether this controller
 // itself is isolated.
@@ -6,7 +6,7 @@
 // The evidence is what peers report in their messages: their own state and from whom they
 // receive messages. A controller that receives a peer's messages knows only from these
 // whether its own messages reach the peer. The package sends nothing itself.
-package reach
+package reachability
 
 import (
 	"log/slog"
--- a/internal/reach/reach_test.go
+++ b/internal/reachability/reachability_test.go
@@ -1,4 +1,4 @@
-package reach
+package reachability
 
 import (
 	"fmt"
