--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -11,7 +11,6 @@
 	"math/rand/v2"
 	"strings"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/explain"
 	"cleatpick/internal/failuredetector"
@@ -21,6 +20,7 @@
 	"cleatpick/internal/peer"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // Keys and key prefixes in the state service that this package owns.
@@ -105,7 +105,7 @@
 	client         *store.Client
 	mirror         *store.Mirror
 	cloud          store.Doer
-	workers        *agent.Registry
+	workers        *workers.Registry
 	node           Node
 	leads          bool
 	claim          member.Owner
@@ -143,7 +143,7 @@
 
 // New returns the autoscaler, which keeps its copy of the catalog and the deletions up to date on every
 // controller.
-func New(r loop.Runner, log *slog.Logger, cfg *config.Config, c *store.Client, m *store.Mirror, cloud store.Doer, a *agent.Registry, n Node) *Autoscaler {
+func New(r loop.Runner, log *slog.Logger, cfg *config.Config, c *store.Client, m *store.Mirror, cloud store.Doer, a *workers.Registry, n Node) *Autoscaler {
 	t := &Autoscaler{runner: r, log: log, cfg: cfg, client: c, mirror: m, cloud: cloud, workers: a, node: n, byName: map[string]wire.MachineType{}, rand: loop.Rand(r),
 		demands: map[string]peer.Demand{}, unreachableAt: map[string]loop.Micros{}, demandAt: map[string]loop.Micros{}, deleted: map[string][]string{}, bootTimes: explain.NewDistribution()}
 	w := cfg.Cluster.Workers
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -9,7 +9,6 @@
 	"testing"
 	"time"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/failuredetector"
 	"cleatpick/internal/job"
@@ -19,6 +18,7 @@
 	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // rig is an autoscaler with a fake cloud, a fake state service and a hand-driven clock. It records the cloud
@@ -26,7 +26,7 @@
 type rig struct {
 	*standin.Runner
 	scaler          *Autoscaler
-	workers         *agent.Registry
+	workers         *workers.Registry
 	cloud           *standin.Cloud
 	calls           []string
 	entitled        bool
@@ -34,7 +34,7 @@
 	peerUnreachable bool   // a peer in the machines' zone is unreachable
 	partitionedZone string // a zone behind a network partition
 	jobs            map[string]*job.Job
-	runs            []agent.Task // tasks in the report of every machine
+	runs            []workers.Task // tasks in the report of every machine
 	probeAnswer     failuredetector.ProbeResult
 	probeAnswers    map[string]failuredetector.ProbeResult // probe results by address, where they differ from probeAnswer
 	booted          []wire.CloudMachine
@@ -60,7 +60,7 @@
 	g.cloud = standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.3, BootS: 4, Zones: []string{"x", "y"}}, each)
 	g.cloud.OnRented = func(l wire.CloudMachine) { g.booted = append(g.booted, l) }
 	g.cloud.OnDeleted = func(name string) { g.deleted = append(g.deleted, name) }
-	g.workers = agent.New(g, log, agent.Config{Label: "a", FindJob: func(id string) *job.Job { return g.jobs[id] }, ViewChanged: func(v *agent.View, _ *agent.Changes) { g.scaler.UpdateView(v) }}, nil)
+	g.workers = workers.New(g, log, workers.Config{Label: "a", FindJob: func(id string) *job.Job { return g.jobs[id] }, ViewChanged: func(v *workers.View, _ *workers.Changes) { g.scaler.UpdateView(v) }}, nil)
 	g.scaler = New(g, log, cfg, c, m, g, g.workers, Node{Close: func(string, peer.StartBlock) {},
 		PeerUnreachable: func(z string) bool { return g.peerUnreachable || z == g.partitionedZone }, LeaseValid: func() bool { return g.entitled }, Isolated: func() bool { return g.isolated },
 		Faulty: func(string) bool { return false }, Probe: func(addr string) failuredetector.ProbeResult { return cmp.Or(g.probeAnswers[addr], g.probeAnswer) }})
@@ -76,7 +76,7 @@
 
 // report delivers a report of the machine.
 func (g *rig) report(name, zone string) {
-	g.workers.ApplyView(&agent.View{Name: name, Addr: name, Type: "m8", Zone: zone, Host: "b", Session: 1, Seq: uint64(g.Now()), TokenConfirmed: true, MadeAfter: g.Now(), Tasks: g.runs})
+	g.workers.ApplyView(&workers.View{Name: name, Addr: name, Type: "m8", Zone: zone, Host: "b", Session: 1, Seq: uint64(g.Now()), TokenConfirmed: true, MadeAfter: g.Now(), Tasks: g.runs})
 }
 
 // count returns the number of calls that contain part.
@@ -121,7 +121,7 @@
 	for k := range 60 {
 		g.report("n-900001", "x") // another machine of the zone is alive
 		if g.Advance(500 * loop.Millisecond); k%3 == 0 {
-			g.workers.ApplyView(&agent.View{Name: "n-900000", Addr: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), Tasks: g.runs})
+			g.workers.ApplyView(&workers.View{Name: "n-900000", Addr: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), Tasks: g.runs})
 		}
 		if deleted := g.workers.IsDeleted("n-900000"); deleted && k < 20 || !deleted && k > 44 { // a lease of 10 s, 9 s more, and the call
 			t.Fatalf("after %d ms the machine is deleted: %v", 500*k, deleted)
@@ -168,7 +168,7 @@
 	g.Advance(3 * loop.Second)
 	seen := false
 	for range 4000 {
-		v := &agent.View{Name: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), TokenConfirmed: true, MadeAfter: g.Now()}
+		v := &workers.View{Name: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), TokenConfirmed: true, MadeAfter: g.Now()}
 		v.ClosedToStarts = len(closed) > 0 && seen
 		seen = len(closed) > 0
 		g.workers.ApplyView(v)
@@ -297,7 +297,7 @@
 func TestDeletionEndsRefusals(t *testing.T) {
 	g := newRig(t, 0)
 	delete(g.cloud.Available, "y")
-	g.runs = []agent.Task{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}
+	g.runs = []workers.Task{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}
 	g.Advance(3 * loop.Second)
 	var got wire.MachineNames
 	g.cloud.Available["x"] = 1
--- a/internal/autoscaler/drain.go
+++ b/internal/autoscaler/drain.go
@@ -3,9 +3,9 @@
 import (
 	"sort"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
+	"cleatpick/internal/workers"
 )
 
 // freeFraction is the free capacity, as a fraction of the capacity in use, that is kept for upcoming work
@@ -15,7 +15,7 @@
 // drainCandidate is a machine with its usage and price.
 type drainCandidate struct {
 	m    *machine
-	v    *agent.View
+	v    *workers.View
 	used float64
 	free float64
 	cost float64 // price per CPU
--- a/internal/autoscaler/expected.go
+++ b/internal/autoscaler/expected.go
@@ -1,16 +1,16 @@
 package autoscaler
 
 import (
-	"cleatpick/internal/agent"
 	"cleatpick/internal/fleet"
 	"cleatpick/internal/job"
 	"cleatpick/internal/predicate"
+	"cleatpick/internal/workers"
 )
 
 // expectedMachine is a machine that is expected soon, with the capacity that no request has been assigned yet.
 type expectedMachine struct {
 	offer    offer
-	capacity agent.Capacity
+	capacity workers.Capacity
 }
 
 // place assigns up to n tasks of a request to the machine, and returns how many fit.
--- a/internal/autoscaler/expected_test.go
+++ b/internal/autoscaler/expected_test.go
@@ -4,10 +4,10 @@
 	"slices"
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/fleet"
 	"cleatpick/internal/job"
 	"cleatpick/internal/predicate"
+	"cleatpick/internal/workers"
 
 	"pgregory.net/rapid"
 )
@@ -19,7 +19,7 @@
 		var plain []*expectedMachine
 		s := expectedCapacity{exhausted: map[fleet.Shape]int{}}
 		join := func() {
-			c := expectedMachine{offer{"m", rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"), rapid.Bool().Draw(t, "spot")}, agent.Capacity{CPUs: float64(rapid.IntRange(0, 8).Draw(t, "cpus")), MemoryGB: 16}}
+			c := expectedMachine{offer{"m", rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"), rapid.Bool().Draw(t, "spot")}, workers.Capacity{CPUs: float64(rapid.IntRange(0, 8).Draw(t, "cpus")), MemoryGB: 16}}
 			again := c
 			plain = append(plain, &c)
 			s.machines = append(s.machines, &again)
--- a/internal/autoscaler/machine.go
+++ b/internal/autoscaler/machine.go
@@ -1,10 +1,10 @@
 package autoscaler
 
 import (
-	"cleatpick/internal/agent"
 	"cleatpick/internal/failuredetector"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
+	"cleatpick/internal/workers"
 	"maps"
 	"slices"
 	"strings"
@@ -99,7 +99,7 @@
 // UpdateView records a machine's view, with the time of its newest report. For a new leader the first view of a
 // machine counts like a report that proves that the machine receives messages, since this leader was sent none
 // before. No report counts as older than the leadership.
-func (t *Autoscaler) UpdateView(v *agent.View) {
+func (t *Autoscaler) UpdateView(v *workers.View) {
 	if !t.leads {
 		return
 	}
@@ -133,7 +133,7 @@
 }
 
 // empty reports whether no task is active on the machine or on its way to it.
-func empty(v *agent.View) bool {
+func empty(v *workers.View) bool {
 	if len(v.Pending) > 0 {
 		return false
 	}
--- a/internal/autoscaler/order.go
+++ b/internal/autoscaler/order.go
@@ -8,7 +8,6 @@
 	"sort"
 	"strings"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/fleet"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
@@ -17,6 +16,7 @@
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // requests collects the unplaced requests of all owners whose demand arrived recently, highest priority first.
@@ -52,8 +52,8 @@
 }
 
 // capacityOf returns the capacity of an empty machine of the type.
-func capacityOf(x wire.MachineType) agent.Capacity {
-	return agent.Capacity{CPUs: x.CPUs, GPUs: x.GPUs, MemoryGB: x.MemoryGB}
+func capacityOf(x wire.MachineType) workers.Capacity {
+	return workers.Capacity{CPUs: x.CPUs, GPUs: x.GPUs, MemoryGB: x.MemoryGB}
 }
 
 // allOffers lists every offer of the catalog: each type in each of its zones, as spot and as standard.
--- a/internal/autoscaler/retention_test.go
+++ b/internal/autoscaler/retention_test.go
@@ -4,11 +4,11 @@
 	"slices"
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // highDemand is demand that exceeds one machine.
@@ -43,7 +43,7 @@
 			g := newRig(t, c.each)
 			g.scaler.cfg.Operator.StandbyMeanS, g.scaler.cfg.Operator.OrdinaryStandbyMeanS = 1e11, 1e11 // idle machines are kept
 			g.jobs = map[string]*job.Job{"j": {ID: "j", Phase: job.Accepted, Spec: &job.Spec{CPUs: 1, Priority: c.runs}}}
-			g.runs = []agent.Task{{Task: "j/0", Attempt: 1, State: wire.TaskRunning}}
+			g.runs = []workers.Task{{Task: "j/0", Attempt: 1, State: wire.TaskRunning}}
 			names := g.cloud.Fill(6) // half of them in x, the rest in y
 			step := func(y bool, wants []peer.Request) {
 				for i, name := range names {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -12,7 +12,6 @@
 	"slices"
 	"strings"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/health"
 	"cleatpick/internal/job"
@@ -20,6 +19,7 @@
 	"cleatpick/internal/peer"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // Node holds what the fleet needs of the controller that runs it.
@@ -28,12 +28,12 @@
 	Type  func(string) (wire.MachineType, bool)
 	// Room returns the capacity that a machine's view leaves free, Jobs the jobs of the tasks in it, by
 	// index; both are false or nil for what is not known here yet.
-	Room func(*agent.View, wire.MachineType) (agent.Capacity, bool)
-	Jobs func(*agent.View) []*job.Job
+	Room func(*workers.View, wire.MachineType) (workers.Capacity, bool)
+	Jobs func(*workers.View) []*job.Job
 	// Unshown calls f for every task that was chosen for the machine or started on it and that its view does
 	// not include yet.
-	Unshown func(v *agent.View, f func(*job.Spec))
-	Stop    func(host string, s agent.Stop)
+	Unshown func(v *workers.View, f func(*job.Spec))
+	Stop    func(host string, s workers.Stop)
 	Cordons *cordon.Registry
 	// StaleAfter is the age of a machine's newest report from which on no tasks are started on it.
 	StaleAfter loop.Micros
@@ -101,7 +101,7 @@
 
 // UpdateView records a machine's newer view and when its report was received. quiet means that nothing on the
 // machine has changed, so that it needs no refresh.
-func (f *Fleet) UpdateView(v *agent.View, reportedAt loop.Micros, quiet bool) *Machine {
+func (f *Fleet) UpdateView(v *workers.View, reportedAt loop.Micros, quiet bool) *Machine {
 	m := f.machines[v.Name]
 	first := m == nil
 	if first {
@@ -158,7 +158,7 @@
 }
 
 // CordonPlace describes a machine for matching it against cordons.
-func CordonPlace(v *agent.View) cordon.Place {
+func CordonPlace(v *workers.View) cordon.Place {
 	return cordon.Place{Machine: v.Name, Type: v.Type, Zone: v.Zone, Spot: v.Spot}
 }
 
@@ -197,7 +197,7 @@
 func (f *Fleet) refresh(m *Machine) {
 	v := m.View
 	typ, ok := f.node.Type(v.Type)
-	var free agent.Capacity
+	var free workers.Capacity
 	if ok {
 		free, ok = f.node.Room(v, typ)
 	}
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -4,12 +4,12 @@
 	"container/heap"
 	"math"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/delivery"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/predicate"
+	"cleatpick/internal/workers"
 )
 
 // candidate is a set of preemptions on one machine that make capacity for one task, with their cost in CPU
@@ -169,7 +169,7 @@
 			o.m.Free.Add(y.spec)
 			o.m.preempted = append(o.m.preempted, pendingPreemption{delivery.Attempt{Task: y.task.Task, Number: y.task.Attempt}, now + y.grace + 5*loop.Second})
 			f.log.Debug("preempting task to make capacity for another job", "task", y.task.Task, "machine", o.m.View.Name, "for", need.ID, "grace_us", y.grace)
-			f.node.Stop(o.m.View.Host, agent.Stop{Machine: o.m.View.Name, Task: y.task.Task, Attempt: y.task.Attempt, Grace: y.grace})
+			f.node.Stop(o.m.View.Host, workers.Stop{Machine: o.m.View.Name, Task: y.task.Task, Attempt: y.task.Attempt, Grace: y.grace})
 		}
 		o.m.Free.Subtract(s)
 		f.MarkStale(o.m)
--- a/internal/fleet/reservations.go
+++ b/internal/fleet/reservations.go
@@ -5,10 +5,10 @@
 	"slices"
 	"strings"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // maxPendingReservations bounds the reservations that are kept for machines whose first report has not arrived.
@@ -25,7 +25,7 @@
 		return
 	}
 	m.Reservations = append(m.Reservations, predicate.Reservation{Job: c.Job, Priority: c.Priority, Until: c.Until, KnownTasks: m.taskCount(c.Job),
-		Capacity: agent.Capacity{CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB}})
+		Capacity: workers.Capacity{CPUs: c.CPUs, GPUs: c.GPUs, MemoryGB: c.MemoryGB}})
 	f.reserved[m] = struct{}{}
 	f.reservationCounts[c.Job]++
 }
@@ -124,9 +124,9 @@
 
 // taskCount counts the job's tasks that the machine reports, running there or on their way to it.
 func (m *Machine) taskCount(id string) (n int) {
-	for _, list := range [...][]agent.Task{m.View.Tasks, m.View.Pending} {
+	for _, list := range [...][]workers.Task{m.View.Tasks, m.View.Pending} {
 		for i := range list {
-			if of, _, _ := agent.SplitTask(list[i].Task); of == id && list[i].State != wire.TaskExited {
+			if of, _, _ := workers.SplitTask(list[i].Task); of == id && list[i].State != wire.TaskExited {
 				n++
 			}
 		}
--- a/internal/fleet/reservations_test.go
+++ b/internal/fleet/reservations_test.go
@@ -5,10 +5,10 @@
 	"log/slog"
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/standin"
+	"cleatpick/internal/workers"
 )
 
 // A controller that has just started must not give away capacity that is reserved for the job that has waited
@@ -24,7 +24,7 @@
 func TestReservationsReachNewControllers(t *testing.T) {
 	clock := standin.NewRunner(1000 * loop.Second)
 	newFleet := func() *Fleet { return New(clock, slog.New(slog.NewTextHandler(io.Discard, nil)), Node{Label: "a"}) }
-	machine := func(name string) *agent.View { return &agent.View{Name: name, Type: "m8"} }
+	machine := func(name string) *workers.View { return &workers.View{Name: name, Type: "m8"} }
 	owner := newFleet()
 	owner.UpdateView(machine("n-1"), clock.Now(), false)
 	owner.UpdateView(machine("n-2"), clock.Now(), false)
--- a/internal/fleet/reserve.go
+++ b/internal/fleet/reserve.go
@@ -5,11 +5,11 @@
 	"maps"
 	"slices"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/predicate"
+	"cleatpick/internal/workers"
 )
 
 // smallTaskDivisor is the divisor that separates small tasks from large ones: a task of up to a
@@ -30,14 +30,14 @@
 	after := now - f.node.StaleAfter
 	type place struct {
 		m    *Machine
-		left agent.Capacity // of the empty machine, less its reservations
-		own  int            // number of the team's tasks there
+		left workers.Capacity // of the empty machine, less its reservations
+		own  int              // number of the team's tasks there
 	}
 	var fit []place
 	s := need.Spec
 	for _, m := range f.order {
 		if m.typ.CPUs > 0 && m.AcceptsStarts(after, now) && m.Allowed(&n) {
-			left := agent.Capacity{CPUs: m.typ.CPUs, GPUs: m.typ.GPUs, MemoryGB: m.typ.MemoryGB}
+			left := workers.Capacity{CPUs: m.typ.CPUs, GPUs: m.typ.GPUs, MemoryGB: m.typ.MemoryGB}
 			for i := range m.Reservations {
 				left = left.Minus(m.Reservations[i].Capacity)
 			}
--- a/internal/fleet/reserve_test.go
+++ b/internal/fleet/reserve_test.go
@@ -6,7 +6,6 @@
 	"log/slog"
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
@@ -14,6 +13,7 @@
 	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // newFullFleet returns a fleet of machines of 8 CPUs with nothing free; teams names the team whose task each
@@ -26,20 +26,22 @@
 		Type: func(string) (wire.MachineType, bool) {
 			return wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32}, true
 		},
-		Room: func(*agent.View, wire.MachineType) (agent.Capacity, bool) { return agent.Capacity{MemoryGB: 32}, true },
-		Jobs: func(v *agent.View) (of []*job.Job) {
+		Room: func(*workers.View, wire.MachineType) (workers.Capacity, bool) {
+			return workers.Capacity{MemoryGB: 32}, true
+		},
+		Jobs: func(v *workers.View) (of []*job.Job) {
 			for _, x := range v.Tasks {
-				id, _, _ := agent.SplitTask(x.Task)
+				id, _, _ := workers.SplitTask(x.Task)
 				of = append(of, jobs[id])
 			}
 			return of
 		},
-		Unshown: func(*agent.View, func(*job.Spec)) {},
+		Unshown: func(*workers.View, func(*job.Spec)) {},
 		Cordons: cordon.NewRegistry(clock, client, store.NewMirror(client, nil, "c/"), log, 0)})
 	for i, team := range teams {
 		id := fmt.Sprintf("job-%06d", 100+i)
 		jobs[id] = &job.Job{ID: id, Spec: &job.Spec{Team: team, CPUs: 8}}
-		f.UpdateView(&agent.View{Name: fmt.Sprint("n-", i), Type: "m8", Zone: "x", TokenConfirmed: true, Tasks: []agent.Task{{Task: agent.TaskName(id, 0), State: wire.TaskRunning}}}, clock.Now(), false)
+		f.UpdateView(&workers.View{Name: fmt.Sprint("n-", i), Type: "m8", Zone: "x", TokenConfirmed: true, Tasks: []workers.Task{{Task: workers.TaskName(id, 0), State: wire.TaskRunning}}}, clock.Now(), false)
 	}
 	f.Refresh()
 	return f
--- a/internal/fleet/victims.go
+++ b/internal/fleet/victims.go
@@ -4,12 +4,12 @@
 	"cmp"
 	"slices"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/delivery"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // pendingPreemption is a task that was preempted, and until when the request counts as pending.
@@ -19,7 +19,7 @@
 }
 
 // isStopping reports whether a preemption of the task is pending. It drops entries whose time has passed.
-func (m *Machine) isStopping(t *agent.Task, now loop.Micros) bool {
+func (m *Machine) isStopping(t *workers.Task, now loop.Micros) bool {
 	for i := 0; i < len(m.preempted); i++ {
 		switch x := &m.preempted[i]; {
 		case now > x.until:
@@ -34,7 +34,7 @@
 
 // victim is a task that may be preempted, with the work that would be lost.
 type victim struct {
-	task  *agent.Task
+	task  *workers.Task
 	spec  *job.Spec
 	loss  float64 // CPU seconds
 	grace loop.Micros
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -13,11 +13,11 @@
 	"strings"
 	"time"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 
 	"github.com/valyala/fasthttp"
 )
@@ -39,7 +39,7 @@
 	// Counts returns the job's numbers of running and done tasks.
 	Counts  func(*job.Job) job.Counts
 	Jobs    *job.Registry
-	Workers *agent.Registry
+	Workers *workers.Registry
 	// API serves the paths under /v1/ and /metrics; if nil, these paths do not exist.
 	API fasthttp.RequestHandler
 }
@@ -173,7 +173,7 @@
 	if s.NearConnectionLimit != nil && s.NearConnectionLimit() {
 		ctx.SetConnectionClose()
 	}
-	a := onLoop(s, func(done func(agent.Answer)) { s.node.Workers.Report(r, done) })
+	a := onLoop(s, func(done func(workers.Answer)) { s.node.Workers.Report(r, done) })
 	if a == nil {
 		writeRetryAfter(ctx, 503, 1, "the controller did not answer in time")
 		return
--- a/internal/health/attribution.go
+++ b/internal/health/attribution.go
@@ -6,9 +6,9 @@
 package health
 
 import (
-	"cleatpick/internal/agent"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // Attribution attributes failures of tasks either to machines or to jobs that cannot succeed. A
@@ -87,7 +87,7 @@
 }
 
 // Observe records the changes in a machine's newest view.
-func (b *Attribution) Observe(now loop.Micros, v *agent.View, c *agent.Changes) {
+func (b *Attribution) Observe(now loop.Micros, v *workers.View, c *workers.Changes) {
 	if c.Unchanged {
 		return
 	}
@@ -108,7 +108,7 @@
 			m.forgetUnreported(v) // bounds the memory for a machine that runs for long
 		}
 		m.counted[t.Task] = t.Attempt
-		if id, _, ok := agent.SplitTask(t.Task); ok && t.Why == wire.WhyDone {
+		if id, _, ok := workers.SplitTask(t.Task); ok && t.Why == wire.WhyDone {
 			b.completed(v.Name, id, t.Task)
 		} else if ok {
 			b.failed(now, v.Name, id, t.Task)
@@ -117,7 +117,7 @@
 }
 
 // forgetUnreported removes the attempts that the machine does not report any more.
-func (m *machineEvidence) forgetUnreported(v *agent.View) {
+func (m *machineEvidence) forgetUnreported(v *workers.View) {
 	kept := map[string]uint64{}
 	for i := range v.Tasks {
 		if n, ok := m.counted[v.Tasks[i].Task]; ok {
--- a/internal/health/attribution_test.go
+++ b/internal/health/attribution_test.go
@@ -5,9 +5,9 @@
 	"slices"
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 
 	"pgregory.net/rapid"
 )
@@ -111,7 +111,7 @@
 	if e.ok {
 		why = wire.WhyDone
 	}
-	b.Observe(e.at, &agent.View{Name: e.machine, Tasks: []agent.Task{{Task: e.task, Attempt: attempt, State: wire.TaskExited, Why: why}}}, &agent.Changes{All: true})
+	b.Observe(e.at, &workers.View{Name: e.machine, Tasks: []workers.Task{{Task: e.task, Attempt: attempt, State: wire.TaskExited, Why: why}}}, &workers.Changes{All: true})
 }
 
 // After each of a random sequence of task ends, the failure attribution, which keeps a summary
@@ -291,8 +291,8 @@
 			default:
 				attempt++
 				why := rapid.SampledFrom([]string{wire.WhyError, wire.WhyError, wire.WhyDone}).Draw(t, "why")
-				task := agent.Task{Task: agent.TaskName(job(), rapid.IntRange(0, 2).Draw(t, "task")), Attempt: attempt, State: wire.TaskExited, Why: why}
-				b.Observe(now, &agent.View{Name: machine, Tasks: []agent.Task{task}}, &agent.Changes{All: true})
+				task := workers.Task{Task: workers.TaskName(job(), rapid.IntRange(0, 2).Draw(t, "task")), Attempt: attempt, State: wire.TaskExited, Why: why}
+				b.Observe(now, &workers.View{Name: machine, Tasks: []workers.Task{task}}, &workers.Changes{All: true})
 			}
 			for name, m := range b.machines {
 				if got, want := b.AtFault(name), b.weigh(name, m) >= faultThreshold; got != want {
--- a/internal/health/runs.go
+++ b/internal/health/runs.go
@@ -3,10 +3,10 @@
 import (
 	"math"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // taskRun is what is known of a task that was reported as running.
@@ -54,7 +54,7 @@
 // slow. A task that runs for much longer than is usual for its job counts before it has
 // completed. old are the tasks of the previous view; uncertain says that tasks may have started
 // or ended long before now, because no report arrived for a while.
-func (r *Runs) Update(v *agent.View, c *agent.Changes, old []agent.Task, jobs []*job.Job, paces Paces, now loop.Micros, uncertain bool) (out Findings) {
+func (r *Runs) Update(v *workers.View, c *workers.Changes, old []workers.Task, jobs []*job.Job, paces Paces, now loop.Micros, uncertain bool) (out Findings) {
 	late := now-r.checkedAt >= overdueInterval
 	if late {
 		r.checkedAt = now
@@ -100,7 +100,7 @@
 }
 
 // previous returns what was known of a task whose state has changed.
-func (r *Runs) previous(x *agent.Task, c *agent.Changes, old []agent.Task) taskRun {
+func (r *Runs) previous(x *workers.Task, c *workers.Changes, old []workers.Task) taskRun {
 	for _, g := range c.Removed {
 		if g < len(r.runs) && old[g].Attempt == x.Attempt && old[g].Task == x.Task {
 			return r.runs[g]
--- a/internal/health/runs_test.go
+++ b/internal/health/runs_test.go
@@ -7,11 +7,11 @@
 	"slices"
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/fixed"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 
 	"pgregory.net/rapid"
 )
@@ -49,7 +49,7 @@
 	return p.count >= minComparedTasks && p.mean > math.Log(slowFactor)
 }
 
-func (p *runsModel) view(v *agent.View, jobs []*job.Job, now loop.Micros, unsure bool) (freed float64, slow bool) {
+func (p *runsModel) view(v *workers.View, jobs []*job.Job, now loop.Micros, unsure bool) (freed float64, slow bool) {
 	look := now-p.looked >= overdueInterval
 	if look {
 		p.looked = now
@@ -100,7 +100,7 @@
 		specs := []*job.Job{{ID: "a", Phase: job.Accepted, Spec: &job.Spec{CPUs: 2, Image: "ia"}}, {ID: "b", Phase: job.Accepted, Spec: &job.Spec{CPUs: 3, Image: "ib"}}}
 		r, paces := NewRuns(), Paces{}
 		p := &runsModel{runs: map[string]*modelRun{}, pace: map[string][]float64{}}
-		old := &agent.View{Session: 1}
+		old := &workers.View{Session: 1}
 		now, next := 10*loop.Second, 0
 		images := map[string]bool{}
 		pauses := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "pauses"), 0))
@@ -136,7 +136,7 @@
 					continue
 				}
 				next++
-				v.Tasks = append(v.Tasks, agent.Task{Task: fmt.Sprintf("%c/%d", 'a'+next%2, next), Attempt: 1, State: wire.TaskFetching})
+				v.Tasks = append(v.Tasks, workers.Task{Task: fmt.Sprintf("%c/%d", 'a'+next%2, next), Attempt: 1, State: wire.TaskFetching})
 			}
 			jobs := make([]*job.Job, len(v.Tasks))
 			for i := range v.Tasks {
@@ -189,23 +189,23 @@
 	j := &job.Job{ID: "job-1", Phase: job.Accepted, Spec: &job.Spec{CPUs: 1, Tasks: tasks}}
 	for _, unsure := range []bool{true, false} {
 		r, paces := NewRuns(), Paces{"job-1": {n: minPaceTasks, mean: math.Log(float64(10 * loop.Second))}}
-		view := func(state, why string) *agent.View {
-			v := &agent.View{Name: "n-1"}
+		view := func(state, why string) *workers.View {
+			v := &workers.View{Name: "n-1"}
 			for i := range tasks {
-				v.Tasks = append(v.Tasks, agent.Task{Task: agent.TaskName("job-1", i), Attempt: 1, State: state, Why: why})
+				v.Tasks = append(v.Tasks, workers.Task{Task: workers.TaskName("job-1", i), Attempt: 1, State: state, Why: why})
 			}
 			return v
 		}
 		jobs := slices.Repeat([]*job.Job{j}, tasks)
 		running, ended := view(wire.TaskRunning, ""), view(wire.TaskExited, wire.WhyDone)
 		at := 100 * loop.Second
-		r.Update(running, &agent.Changes{All: true}, nil, jobs, paces, at, false)
+		r.Update(running, &workers.Changes{All: true}, nil, jobs, paces, at, false)
 		gone := make([]int, tasks)
 		for i := range gone {
 			gone[i] = i
 		}
 		from := slices.Repeat([]int{-1}, tasks)
-		findings := r.Update(ended, &agent.Changes{OldIndex: from, Removed: gone}, running.Tasks, jobs, paces, at+40*loop.Second, unsure)
+		findings := r.Update(ended, &workers.Changes{OldIndex: from, Removed: gone}, running.Tasks, jobs, paces, at+40*loop.Second, unsure)
 		if findings.Freed != tasks || findings.Slow == unsure {
 			t.Errorf("unsure %v: Update returns %+v, want all CPUs freed and slow only if not unsure", unsure, findings)
 		}
--- a/internal/node/availability.go
+++ b/internal/node/availability.go
@@ -1,11 +1,11 @@
 package node
 
 import (
-	"cleatpick/internal/agent"
 	"cleatpick/internal/fleet"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
+	"cleatpick/internal/workers"
 )
 
 // maxContactAge is how old the last answer of the state service may be for this controller to count as connected to it.
@@ -30,7 +30,7 @@
 
 // startBlocked returns why a start that was already accepted must no longer be sent to its machine; empty: it may be
 // sent.
-func (n *Node) startBlocked(j *job.Job, v *agent.View) string {
+func (n *Node) startBlocked(j *job.Job, v *workers.View) string {
 	switch {
 	case j.Terms.Hold.State != job.HoldNone && j.Terms.Hold.Blocks(n.loop.Wall()):
 		return "held"
--- a/internal/node/coinciding_faults_test.go
+++ b/internal/node/coinciding_faults_test.go
@@ -6,10 +6,10 @@
 	"slices"
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // coincidingFaults is faults, and combinations of two faults, that are drawn in pairs. Most violations that users
@@ -106,7 +106,7 @@
 	{"cancelled as tasks complete", func(w *simulation) {
 		until := w.now + w.between(10*loop.Second, 40*loop.Second)
 		w.onTaskEnd = func(task, why string) {
-			if id, _, _ := agent.SplitTask(task); why == wire.WhyDone && w.now < until && w.rng.IntN(2) == 0 {
+			if id, _, _ := workers.SplitTask(task); why == wire.WhyDone && w.now < until && w.rng.IntN(2) == 0 {
 				w.after(w.between(0, 900*loop.Millisecond), func() { w.cancel(w.jobs[id]) })
 			}
 		}
--- a/internal/node/holds_cordons_test.go
+++ b/internal/node/holds_cordons_test.go
@@ -4,11 +4,11 @@
 	"fmt"
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // termsChecker is the invariant checker of holds, dependencies and cordons. It uses only what users were told, what
@@ -53,7 +53,7 @@
 	}
 	for _, j := range seg.Jobs {
 		for _, e := range j.Tasks {
-			name := agent.TaskName(j.ID, e.Index)
+			name := workers.TaskName(j.ID, e.Index)
 			if e.State == 1 && e.Attempt > r.attempts[name] {
 				r.attempts[name], r.recorded[name] = e.Attempt, r.w.now
 			}
@@ -63,7 +63,7 @@
 
 // taskStarted checks a task that starts.
 func (r *termsChecker) taskStarted(x *simWorker, task string) {
-	id, _, _ := agent.SplitTask(task)
+	id, _, _ := workers.SplitTask(task)
 	if r.held[id] {
 		r.w.fail("began_held: %s starts on %s after users were told that its hold is set", task, x.w.Name)
 	}
--- a/internal/node/leader_change_test.go
+++ b/internal/node/leader_change_test.go
@@ -5,13 +5,13 @@
 	"strings"
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/autoscaler"
 	"cleatpick/internal/config"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/member"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // The leader changes ten times in two minutes, because leaders crash, are refused by the state service or are paused,
@@ -189,7 +189,7 @@
 					for k := range held {
 						r := held[k]
 						s := w.nodes[w.anyController()]
-						s.execute(s.incarnation, func() { s.n.agent.Report(r, func(agent.Answer) {}) })
+						s.execute(s.incarnation, func() { s.n.agent.Report(r, func(workers.Answer) {}) })
 					}
 				}
 				hold()
@@ -292,7 +292,7 @@
 	}
 	stranded := map[string]bool{}
 	for _, name := range w.machinesInZone(zone) {
-		stranded[name] = agent.EpochOf(w.workers[name].w.Token()) > newest
+		stranded[name] = workers.EpochOf(w.workers[name].w.Token()) > newest
 	}
 	return stranded
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -13,7 +13,6 @@
 	"time"
 
 	"cleatpick/internal/admission"
-	"cleatpick/internal/agent"
 	"cleatpick/internal/autoscaler"
 	"cleatpick/internal/config"
 	"cleatpick/internal/cordon"
@@ -30,6 +29,7 @@
 	"cleatpick/internal/store"
 	"cleatpick/internal/watermark"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sync/errgroup"
@@ -45,7 +45,7 @@
 	member        *member.Member
 	jobs          *job.Registry
 	cordons       *cordon.Registry
-	agent         *agent.Registry
+	agent         *workers.Registry
 	placer        *scheduler.Scheduler
 	rental        *autoscaler.Autoscaler
 	net           *peer.Net
@@ -134,7 +134,7 @@
 	n.net.OnEarlierFrame = func(string) { n.meter.StaleFrame() }
 	n.setUpWatermark()
 	n.watchPauses()
-	n.agent = agent.New(l, log, agent.Config{
+	n.agent = workers.New(l, log, workers.Config{
 		Label:       cfg.Label,
 		Incarnation: n.net.Incarnation,
 		MayAnswer:   n.mayAnswer,
@@ -144,17 +144,17 @@
 		RaiseEpoch:  n.member.RaiseEpoch,
 		MachineType: func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
 		FindJob:     n.jobs.Get,
-		Publish: func(news agent.ViewUpdate) {
+		Publish: func(news workers.ViewUpdate) {
 			n.net.SendAll(func(e *peer.Envelope) {
 				e.Views = append(e.Views, news.Views...)
 				e.Deltas = append(e.Deltas, news.Deltas...)
 			})
 		},
-		ViewChanged: func(v *agent.View, c *agent.Changes) {
+		ViewChanged: func(v *workers.View, c *workers.Changes) {
 			n.placer.ViewChanged(v, c)
 			n.rental.UpdateView(v)
 		},
-		SendRejection: func(to string, d agent.Rejection) {
+		SendRejection: func(to string, d workers.Rejection) {
 			n.dispatch(to, func() { l.Post(func() { n.placer.StartDropped(cfg.Label, d) }) }, func(e *peer.Envelope) { e.Drops = append(e.Drops, d) })
 		},
 		StartBlocked:     n.startBlocked,
@@ -165,16 +165,16 @@
 	n.placer = scheduler.New(l, n.client, log, cfg, scheduler.Node{
 		Label: cfg.Label,
 		Type:  func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
-		Start: func(host string, s agent.Start) {
+		Start: func(host string, s workers.Start) {
 			n.dispatch(host, func() { n.agent.Start(s) }, func(e *peer.Envelope) { e.Starts = append(e.Starts, s) })
 		},
 		RequestTaskList: func(host, machine string) {
 			n.dispatch(host, func() { n.agent.RequestTaskList(machine) }, func(e *peer.Envelope) { e.Checks = append(e.Checks, machine) })
 		},
-		Reserve: func(host string, s agent.Start) {
+		Reserve: func(host string, s workers.Start) {
 			n.dispatch(host, func() { n.agent.Reserve(s) }, func(e *peer.Envelope) { e.Reserves = append(e.Reserves, s) })
 		},
-		Stop: func(host string, s agent.Stop) {
+		Stop: func(host string, s workers.Stop) {
 			n.dispatch(host, func() { n.agent.Stop(s) }, func(e *peer.Envelope) { e.Stops = append(e.Stops, s) })
 		},
 		SendDemand: func(t peer.Demand) {
--- a/internal/node/simulation_invariants_test.go
+++ b/internal/node/simulation_invariants_test.go
@@ -1,17 +1,17 @@
 package node
 
 import (
-	"cleatpick/internal/agent"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // taskStarted checks the invariants of a task that starts, and records it. Together with left it keeps the checkers'
 // own view of what runs on the machines.
 func (w *simulation) taskStarted(x *simWorker, task string) {
 	w.starts++
-	id, i, _ := agent.SplitTask(task)
+	id, i, _ := workers.SplitTask(task)
 	j := w.jobs[id]
 	j.starts++
 	if on, ok := w.running[task]; ok {
@@ -26,7 +26,7 @@
 	zones := map[string]int{x.w.Zone: 1}
 	if j.spec.OneZone || j.spec.Spread {
 		for t, m := range w.running {
-			if o, _, _ := agent.SplitTask(t); o == id {
+			if o, _, _ := workers.SplitTask(t); o == id {
 				zones[w.workers[m].w.Zone]++
 			}
 		}
@@ -59,7 +59,7 @@
 
 // taskEnded records that a task has ended.
 func (w *simulation) taskEnded(task, why string) {
-	id, _, _ := agent.SplitTask(task)
+	id, _, _ := workers.SplitTask(task)
 	delete(w.running, task)
 	w.endReasons[why]++
 	w.cpusInUse[w.jobs[id].spec.Team] -= w.jobs[id].spec.CPUs
@@ -111,7 +111,7 @@
 			w.fail("went_back: %s is called done after it was called cancelled", j.id)
 		}
 		for i := range j.spec.Tasks {
-			if !w.completed[agent.TaskName(j.id, i)] {
+			if !w.completed[workers.TaskName(j.id, i)] {
 				w.fail("not_done: %s is called done before its task %d completed", j.id, i)
 			}
 		}
@@ -147,7 +147,7 @@
 // on a machine that hangs beyond its lease do not count: its worker ends them before anything else when it resumes.
 func (w *simulation) checkCancelled() {
 	for t, m := range w.running {
-		id, _, _ := agent.SplitTask(t)
+		id, _, _ := workers.SplitTask(t)
 		if j := w.jobs[id]; j.cancelledAt != 0 && w.now > j.cancelledAt+loop.Seconds(w.cfg.Cluster.Workers.CancelS) && !w.workers[m].hungPastLease(w.now) {
 			w.fail("ran_cancelled: %s still runs on %s more than cancel_s after its user was told of the cancellation", t, m)
 		}
--- a/internal/node/simulation_machine_test.go
+++ b/internal/node/simulation_machine_test.go
@@ -4,12 +4,12 @@
 	"fmt"
 	"sort"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/failuredetector"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // probe returns what a controller finds that probes a worker. A machine that hangs accepts connections.
@@ -162,7 +162,7 @@
 	incarnation := s.incarnation
 	deliver := func() {
 		s.execute(incarnation, func() {
-			s.n.agent.Report(r, func(a agent.Answer) {
+			s.n.agent.Report(r, func(a workers.Answer) {
 				c, _ := a.Body.(wire.Commands)
 				starts := w.commandsSent(x, answerRoute(label), c, r.Session, sent+reportTimeout)
 				w.after(w.answerDelay(), func() {
@@ -223,7 +223,7 @@
 	lease := loop.Seconds(w.cfg.Cluster.Workers.LeaseS)
 	w.after(w.between(loop.Second, [...]loop.Micros{5 * loop.Second, lease, 4 * lease}[w.rng.IntN(3)]), func() {
 		s := w.nodes[w.anyController()]
-		s.execute(s.incarnation, func() { s.n.agent.Report(r, func(agent.Answer) {}) })
+		s.execute(s.incarnation, func() { s.n.agent.Report(r, func(workers.Answer) {}) })
 		w.deliverCopies(r)
 	})
 }
--- a/internal/node/simulation_waiting_test.go
+++ b/internal/node/simulation_waiting_test.go
@@ -4,8 +4,8 @@
 	"maps"
 	"slices"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/loop"
+	"cleatpick/internal/workers"
 )
 
 // maxWaitWithCapacity is for how long, after the last fault, a job may wait while the same machine has free capacity
@@ -29,7 +29,7 @@
 	cpus, memory, on := map[string]float64{}, map[string]float64{}, map[string]int{}
 	zones := map[string]map[string]int{}
 	for task, m := range w.running {
-		id, _, _ := agent.SplitTask(task)
+		id, _, _ := workers.SplitTask(task)
 		s := w.jobs[id].spec
 		cpus[m] += s.CPUs
 		memory[m] += s.MemoryGB
@@ -41,7 +41,7 @@
 	}
 	for task := range w.completed {
 		if _, is := w.running[task]; !is {
-			id, _, _ := agent.SplitTask(task)
+			id, _, _ := workers.SplitTask(task)
 			on[id]++
 		}
 	}
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -2,11 +2,11 @@
 
 import (
 	"cleatpick/internal/admission"
-	"cleatpick/internal/agent"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/watermark"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // Status is what a controller periodically reports about itself to its peers.
@@ -109,25 +109,25 @@
 
 // Envelope is one message between controllers, sent as one frame. It combines everything that is due for a peer.
 type Envelope struct {
-	From         string            `cbor:"1,keyasint"`
-	Status       *Status           `cbor:"2,keyasint,omitempty"`
-	Views        []*agent.View     `cbor:"3,keyasint,omitempty"`
-	Starts       []agent.Start     `cbor:"4,keyasint,omitempty"`
-	Stops        []agent.Stop      `cbor:"5,keyasint,omitempty"`
-	Drops        []agent.Rejection `cbor:"6,keyasint,omitempty"`
-	Demand       *Demand           `cbor:"7,keyasint,omitempty"`
-	StartBlocks  []StartBlock      `cbor:"8,keyasint,omitempty"`
-	Progress     []Progress        `cbor:"9,keyasint,omitempty"`
-	Usage        []Usage           `cbor:"10,keyasint,omitempty"`
-	Reservations []Reservation     `cbor:"11,keyasint,omitempty"`
-	Reserves     []agent.Start     `cbor:"12,keyasint,omitempty"`
-	Checks       []string          `cbor:"13,keyasint,omitempty"`
-	Questions    []Question        `cbor:"14,keyasint,omitempty"`
-	Replies      []Reply           `cbor:"15,keyasint,omitempty"`
+	From         string              `cbor:"1,keyasint"`
+	Status       *Status             `cbor:"2,keyasint,omitempty"`
+	Views        []*workers.View     `cbor:"3,keyasint,omitempty"`
+	Starts       []workers.Start     `cbor:"4,keyasint,omitempty"`
+	Stops        []workers.Stop      `cbor:"5,keyasint,omitempty"`
+	Drops        []workers.Rejection `cbor:"6,keyasint,omitempty"`
+	Demand       *Demand             `cbor:"7,keyasint,omitempty"`
+	StartBlocks  []StartBlock        `cbor:"8,keyasint,omitempty"`
+	Progress     []Progress          `cbor:"9,keyasint,omitempty"`
+	Usage        []Usage             `cbor:"10,keyasint,omitempty"`
+	Reservations []Reservation       `cbor:"11,keyasint,omitempty"`
+	Reserves     []workers.Start     `cbor:"12,keyasint,omitempty"`
+	Checks       []string            `cbor:"13,keyasint,omitempty"`
+	Questions    []Question          `cbor:"14,keyasint,omitempty"`
+	Replies      []Reply             `cbor:"15,keyasint,omitempty"`
 	// Deltas are views of machines as differences from views that were sent before. MissingViews names machines of
 	// the receiver whose full views the sender needs because it cannot apply a delta.
-	Deltas       []*agent.Delta `cbor:"16,keyasint,omitempty"`
-	MissingViews []string       `cbor:"17,keyasint,omitempty"`
+	Deltas       []*workers.Delta `cbor:"16,keyasint,omitempty"`
+	MissingViews []string         `cbor:"17,keyasint,omitempty"`
 	// Places are the queue positions of users who were deferred, so that they keep them when they retry with any
 	// controller.
 	Places []admission.Position `cbor:"18,keyasint,omitempty"`
--- a/internal/predicate/job.go
+++ b/internal/predicate/job.go
@@ -6,11 +6,11 @@
 package predicate
 
 import (
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/health"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
+	"cleatpick/internal/workers"
 )
 
 // Kind is a cause for which a task does not run. The numbers pass between controllers and must not change.
@@ -103,7 +103,7 @@
 	Waiting     int
 	InUse       int // tasks that may be on machines
 	Failing     FailureState
-	TeamUsage   agent.Capacity // memory has no limit
+	TeamUsage   workers.Capacity // memory has no limit
 	Quota       config.Quota
 	Now, Wall   loop.Micros
 	ClockMargin loop.Micros // twice the bound on the error of the wall clock
--- a/internal/predicate/machine.go
+++ b/internal/predicate/machine.go
@@ -1,9 +1,9 @@
 package predicate
 
 import (
-	"cleatpick/internal/agent"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
+	"cleatpick/internal/workers"
 )
 
 // Lack is a set of conditions that a machine does not meet for a task, one bit for each.
@@ -60,9 +60,9 @@
 
 // MachineFacts holds the facts about a machine that the machine predicates evaluate.
 type MachineFacts struct {
-	View          *agent.View
-	Known         bool           // its type and the jobs of its tasks are known here
-	Free          agent.Capacity // free capacity, reservations not subtracted
+	View          *workers.View
+	Known         bool             // its type and the jobs of its tasks are known here
+	Free          workers.Capacity // free capacity, reservations not subtracted
 	LastReport    loop.Micros
 	BackOffUntil  loop.Micros // end of its back-off
 	BackOffReason string
@@ -74,7 +74,7 @@
 type Reservation struct {
 	Job        string
 	Priority   int
-	Capacity   agent.Capacity
+	Capacity   workers.Capacity
 	Until      loop.Micros // wall clock time
 	KnownTasks int         // the job's tasks that the machine reported when the reservation was made, and those that consumed other reservations since
 }
@@ -158,7 +158,7 @@
 }
 
 // missingResources returns which resources the capacity lacks for a task.
-func missingResources(room *agent.Capacity, s *job.Spec) (l Lack) {
+func missingResources(room *workers.Capacity, s *job.Spec) (l Lack) {
 	if room.Fits(s) {
 		return 0
 	}
@@ -166,7 +166,7 @@
 		l    Lack
 		task job.Spec
 	}{{LackCPUs, job.Spec{CPUs: s.CPUs}}, {LackGPUs, job.Spec{GPUs: s.GPUs}}, {LackMemory, job.Spec{MemoryGB: s.MemoryGB}}} {
-		r := agent.Capacity{CPUs: max(room.CPUs, 0), GPUs: max(room.GPUs, 0), MemoryGB: max(room.MemoryGB, 0)}
+		r := workers.Capacity{CPUs: max(room.CPUs, 0), GPUs: max(room.GPUs, 0), MemoryGB: max(room.MemoryGB, 0)}
 		if !r.Fits(&x.task) {
 			l |= x.l
 		}
@@ -191,7 +191,7 @@
 
 // Unreserved returns the machine's free capacity less what is reserved for other jobs at the job's priority or
 // higher.
-func (p *MachineFacts) Unreserved(n *Need) agent.Capacity {
+func (p *MachineFacts) Unreserved(n *Need) workers.Capacity {
 	r := p.Free
 	for i := range p.Reservations {
 		if c := &p.Reservations[i]; c.Job != n.ID && c.Priority >= int(n.Spec.Priority) {
--- a/internal/predicate/predicate_test.go
+++ b/internal/predicate/predicate_test.go
@@ -3,12 +3,12 @@
 import (
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/fixed"
 	"cleatpick/internal/health"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
+	"cleatpick/internal/workers"
 
 	"pgregory.net/rapid"
 )
@@ -75,7 +75,7 @@
 		j := &JobFacts{Spec: &job.Spec{CPUs: float64(num("cpus", 1, 4)), GPUs: float64(num("gpus", 0, 1)), Gang: num("gang", 0, 3) == 0},
 			Hold: &job.Hold{}, Damaged: num("damaged", 0, 5) == 0, Waiting: num("waiting", 0, 9), InUse: num("in use", 0, 3),
 			Now: 100, Wall: 200, ClockMargin: loop.Micros(num("clock", 0, 3)),
-			TeamUsage:   agent.Capacity{CPUs: float64(num("used", 0, 20)), GPUs: float64(num("used gpus", 0, 3))},
+			TeamUsage:   workers.Capacity{CPUs: float64(num("used", 0, 20)), GPUs: float64(num("used gpus", 0, 3))},
 			Quota:       config.Quota{CPUsMax: config.NewLimit(float64(num("max", 0, 24))), GPUsMax: config.NewLimit(float64(num("max gpus", 0, 4)))},
 			OnWithdrawn: []job.Policy{job.PolicyHold, job.PolicyRelease, job.PolicyCancel}[num("policy", 0, 2)]}
 		if yes("rests") {
@@ -155,18 +155,18 @@
 		{"scatter", func(p *MachineFacts, n *Need) { n.Spec.Spread, n.Zones = true, map[string]int{"x": 3} }},
 		{"", func(p *MachineFacts, n *Need) { n.Spec.Spread, n.Zones = true, map[string]int{"x": 2} }},
 		{"claimed", func(p *MachineFacts, _ *Need) {
-			p.Reservations = []Reservation{{Job: "other", Priority: 1, Capacity: agent.Capacity{CPUs: 3}}}
+			p.Reservations = []Reservation{{Job: "other", Priority: 1, Capacity: workers.Capacity{CPUs: 3}}}
 		}},
 		{"", func(p *MachineFacts, _ *Need) {
-			p.Reservations = []Reservation{{Job: "other", Priority: 0, Capacity: agent.Capacity{CPUs: 3}}}
+			p.Reservations = []Reservation{{Job: "other", Priority: 0, Capacity: workers.Capacity{CPUs: 3}}}
 		}},
 		{"", func(p *MachineFacts, _ *Need) {
-			p.Reservations = []Reservation{{Job: "job-1", Priority: 3, Capacity: agent.Capacity{CPUs: 3}}}
+			p.Reservations = []Reservation{{Job: "job-1", Priority: 3, Capacity: workers.Capacity{CPUs: 3}}}
 		}},
 	} {
 		s := *spec
 		s.Priority = 1
-		p := &MachineFacts{View: &agent.View{Type: "m", Zone: "x", Spot: true, TokenConfirmed: true}, Known: true, LastReport: 99, Free: agent.Capacity{CPUs: 4, GPUs: 1, MemoryGB: 8}}
+		p := &MachineFacts{View: &workers.View{Type: "m", Zone: "x", Spot: true, TokenConfirmed: true}, Known: true, LastReport: 99, Free: workers.Capacity{CPUs: 4, GPUs: 1, MemoryGB: 8}}
 		n := &Need{ID: "job-1", Spec: &s, Tasks: 5}
 		c.set(p, n)
 		names := p.Lacks(n, 50, 100).Names()
--- a/internal/scale/invariant_checker.go
+++ b/internal/scale/invariant_checker.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"cleatpick/internal/agent"
+	"cleatpick/internal/workers"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -75,7 +75,7 @@
 	c.running++
 	c.maxRunning = max(c.maxRunning, c.running)
 	c.startsBySecond[now.Unix()]++
-	id, index, _ := agent.SplitTask(task)
+	id, index, _ := workers.SplitTask(task)
 	j := c.jobs[id]
 	if j == nil {
 		c.addViolation("invented: %s started, but its job was never submitted", task)
@@ -178,7 +178,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for task, machine := range c.machineOf {
-		id, _, _ := agent.SplitTask(task)
+		id, _, _ := workers.SplitTask(task)
 		if j := c.jobs[id]; j != nil && !j.cancelled.IsZero() && now.Sub(j.cancelled) > c.cancelWithin {
 			c.addViolation("ran_cancelled: %s still runs on %s %v after the cancellation of its job", task, machine, now.Sub(j.cancelled))
 		}
--- a/internal/scheduler/explain.go
+++ b/internal/scheduler/explain.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"slices"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/explain"
 	"cleatpick/internal/fleet"
@@ -14,6 +13,7 @@
 	"cleatpick/internal/peer"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // Facts collects why the tasks of a job do not run. ok is false if the job's team is not owned and loaded here.
@@ -298,7 +298,7 @@
 // recordPreempted records for which job tasks of this owner were preempted.
 func (p *Scheduler) recordPreempted(c peer.Reservation) {
 	for _, name := range c.Victims {
-		id, _, ok := agent.SplitTask(name)
+		id, _, ok := workers.SplitTask(name)
 		j := p.registry.Get(id)
 		if !ok || j == nil || j.Spec == nil {
 			continue
--- a/internal/scheduler/explain_bench_test.go
+++ b/internal/scheduler/explain_bench_test.go
@@ -4,13 +4,13 @@
 	"fmt"
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/explain"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // BenchmarkExplain collects and evaluates one explanation at an owner with 700 full machines and 5,000 waiting tasks in
@@ -20,9 +20,9 @@
 	g := newRig(100, config.Team{Name: "red", CPUs: 100, CPUsMax: 9000}, config.Team{Name: "blue", CPUs: 0, CPUsMax: 6})
 	for i := range 700 {
 		id := g.acceptJob(10000+i, job.Spec{Class: "f", Team: "green", Tasks: 8, CPUs: 2, MemoryGB: 4, Image: "f", AnyType: true})
-		var on []agent.Task
+		var on []workers.Task
 		for k := range 8 {
-			on = append(on, agent.Task{Task: agent.TaskName(id, k), Attempt: 1, State: wire.TaskRunning})
+			on = append(on, workers.Task{Task: workers.TaskName(id, k), Attempt: 1, State: wire.TaskRunning})
 		}
 		g.deliverView(fmt.Sprintf("n-%06d", i), "m16", []string{"x", "y"}[i%2], i%3 == 0, on...)
 	}
--- a/internal/scheduler/explain_rank.go
+++ b/internal/scheduler/explain_rank.go
@@ -3,13 +3,13 @@
 import (
 	"slices"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/explain"
 	"cleatpick/internal/fleet"
 	"cleatpick/internal/job"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // maxSimulated bounds the number of earlier jobs whose placement is simulated to explain one job.
@@ -41,7 +41,7 @@
 // each would place if there were capacity.
 func (p *Scheduler) rivals(q []queueEntry, self *queueEntry, limited, ignoreCordons bool, lacking int, types []wire.MachineType) (out []rival) {
 	t := self.table
-	usedByTeam := map[*team]agent.Capacity{}
+	usedByTeam := map[*team]workers.Capacity{}
 	q = slices.DeleteFunc(slices.Clone(q), func(e queueEntry) bool {
 		return !e.precedes(self) || !p.sharePlace(e.table.job.Spec, t.job.Spec, types, ignoreCordons)
 	})
@@ -79,7 +79,7 @@
 			out = append(out, r) // the free capacity does not fit it, and it takes none of the future capacity
 			continue
 		}
-		usedByTeam[o.team] = agent.Capacity{CPUs: usedByTeam[o.team].CPUs + float64(r.tasks)*o.job.Spec.CPUs, GPUs: usedByTeam[o.team].GPUs + float64(r.tasks)*o.job.Spec.GPUs}
+		usedByTeam[o.team] = workers.Capacity{CPUs: usedByTeam[o.team].CPUs + float64(r.tasks)*o.job.Spec.CPUs, GPUs: usedByTeam[o.team].GPUs + float64(r.tasks)*o.job.Spec.GPUs}
 		out = append(out, r)
 	}
 	return out
@@ -149,7 +149,7 @@
 		untouched = p.fleet.Copies(true)
 	}
 	futureLeft, futureRest := 0, lacking // future capacity, if rivals use the free capacity first, or last
-	var by [2]agent.Capacity             // what this team's other jobs use of its limit in each case
+	var by [2]workers.Capacity           // what this team's other jobs use of its limit in each case
 	for i := range all {
 		r := &all[i]
 		if !ignoreCordons && r.table.team != t.team {
@@ -179,7 +179,7 @@
 	g := f.Gate
 	var most [2]int
 	for i := range most {
-		g.TeamUsage = agent.Capacity{CPUs: f.Gate.TeamUsage.CPUs + by[i].CPUs, GPUs: f.Gate.TeamUsage.GPUs + by[i].GPUs}
+		g.TeamUsage = workers.Capacity{CPUs: f.Gate.TeamUsage.CPUs + by[i].CPUs, GPUs: f.Gate.TeamUsage.GPUs + by[i].GPUs}
 		if most[i] = n; !limited {
 			most[i] = g.AllowedTasks(predicate.Limit)
 		}
--- a/internal/scheduler/explain_test.go
+++ b/internal/scheduler/explain_test.go
@@ -9,7 +9,6 @@
 	"strings"
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/explain"
@@ -19,6 +18,7 @@
 	"cleatpick/internal/peer"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // scenario is one owner with machines and jobs that wait for many kinds of reasons. It is built from a seed, so that it
@@ -27,8 +27,8 @@
 	*rig
 	rng          *rand.Rand
 	jobs         []string
-	foreignTasks map[string][]agent.Task // tasks on each machine of teams that are owned elsewhere
-	kind         map[string][3]string    // type, zone and kind of each machine
+	foreignTasks map[string][]workers.Task // tasks on each machine of teams that are owned elsewhere
+	kind         map[string][3]string      // type, zone and kind of each machine
 	foreignJobs  int
 	cordons      []cordon.Cordon
 }
@@ -49,7 +49,7 @@
 
 func newScenario(seed uint64) *scenario {
 	g := &scenario{rig: newRig(1000, config.Team{Name: "red", CPUs: 10, CPUsMax: 14}, config.Team{Name: "blue", CPUs: 4, CPUsMax: 60}),
-		rng: rand.New(rand.NewPCG(seed, 11)), foreignTasks: map[string][]agent.Task{}, kind: map[string][3]string{}}
+		rng: rand.New(rand.NewPCG(seed, 11)), foreignTasks: map[string][]workers.Task{}, kind: map[string][3]string{}}
 	g.scheduler.preemption.nextRun = 1 << 62 // preemption is not among the reasons checked here
 	for _, step := range g.rng.Perm(12) {
 		switch {
@@ -129,7 +129,7 @@
 	if cpus > 0 || memory > 0 {
 		g.foreignJobs++
 		id := g.acceptJob(500+g.foreignJobs, job.Spec{Class: "f", Team: "green", Tasks: 1, CPUs: cpus, MemoryGB: memory, Image: "f", AnyType: true})
-		g.foreignTasks[name] = []agent.Task{{Task: id + "/0", Attempt: 1, State: wire.TaskRunning}}
+		g.foreignTasks[name] = []workers.Task{{Task: id + "/0", Attempt: 1, State: wire.TaskRunning}}
 	}
 	g.deliverView(name, typ, zone, spot, g.foreignTasks[name]...)
 }
@@ -233,8 +233,8 @@
 }
 
 // capacities returns the free capacity of every machine that accepts starts.
-func (m plainModel) capacities(cordons bool) map[string]agent.Capacity {
-	out := map[string]agent.Capacity{}
+func (m plainModel) capacities(cordons bool) map[string]workers.Capacity {
+	out := map[string]workers.Capacity{}
 	for name, k := range m.g.kind {
 		if m.g.scheduler.fleet.Machine(name).BackOffUntil > m.g.Now() || (cordons && m.cordoned(name, k[0], k[1], k[2])) {
 			continue
@@ -245,7 +245,7 @@
 }
 
 // placeTasks places up to n tasks one by one, and returns how many it placed.
-func (m plainModel) placeTasks(s *job.Spec, n int, capacities map[string]agent.Capacity) int {
+func (m plainModel) placeTasks(s *job.Spec, n int, capacities map[string]workers.Capacity) int {
 	got := 0
 	for _, name := range slices.Sorted(maps.Keys(capacities)) {
 		k := m.g.kind[name]
@@ -592,19 +592,19 @@
 func TestTasksInFlightAreReported(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		show  func(g *rig, task agent.Task)
+		show  func(g *rig, task workers.Task)
 		wait  loop.Micros
 		kind  predicate.Kind
 		state string
 	}{
-		{"sent", func(*rig, agent.Task) {}, 0, predicate.Starting, "sent"},
-		{"at its host", func(g *rig, x agent.Task) {
-			g.workers.ApplyView(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: 99, TokenConfirmed: true, MadeAfter: g.Now(), Pending: []agent.Task{x}})
+		{"sent", func(*rig, workers.Task) {}, 0, predicate.Starting, "sent"},
+		{"at its host", func(g *rig, x workers.Task) {
+			g.workers.ApplyView(&workers.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: 99, TokenConfirmed: true, MadeAfter: g.Now(), Pending: []workers.Task{x}})
 		}, 0, predicate.Starting, "atItsHost"},
-		{"fetching", func(g *rig, x agent.Task) { x.State = wire.TaskFetching; g.deliverView("n-001", "m8", "x", false, x) }, 0, predicate.Fetching, "fetching"},
-		{"saving", func(g *rig, x agent.Task) { x.State = wire.TaskSaving; g.deliverView("n-001", "m8", "x", false, x) }, 0, predicate.Saving, "saving"},
-		{"running", func(g *rig, x agent.Task) { x.State = wire.TaskRunning; g.deliverView("n-001", "m8", "x", false, x) }, 0, 0, ""},
-		{"silent", func(*rig, agent.Task) {}, 12 * loop.Second, predicate.Unconfirmed, "silent"},
+		{"fetching", func(g *rig, x workers.Task) { x.State = wire.TaskFetching; g.deliverView("n-001", "m8", "x", false, x) }, 0, predicate.Fetching, "fetching"},
+		{"saving", func(g *rig, x workers.Task) { x.State = wire.TaskSaving; g.deliverView("n-001", "m8", "x", false, x) }, 0, predicate.Saving, "saving"},
+		{"running", func(g *rig, x workers.Task) { x.State = wire.TaskRunning; g.deliverView("n-001", "m8", "x", false, x) }, 0, 0, ""},
+		{"silent", func(*rig, workers.Task) {}, 12 * loop.Second, predicate.Unconfirmed, "silent"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
@@ -614,7 +614,7 @@
 			if len(g.starts) != 1 {
 				t.Fatalf("got %d starts, want 1", len(g.starts))
 			}
-			c.show(g, agent.Task{Task: agent.TaskName(id, 0), Attempt: 1})
+			c.show(g, workers.Task{Task: workers.TaskName(id, 0), Attempt: 1})
 			g.Advance(c.wait + 50*loop.Millisecond)
 			f, _ := g.scheduler.Facts(id, nil, true)
 			switch {
--- a/internal/scheduler/facts.go
+++ b/internal/scheduler/facts.go
@@ -1,11 +1,11 @@
 package scheduler
 
 import (
-	"cleatpick/internal/agent"
 	"cleatpick/internal/fleet"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/predicate"
+	"cleatpick/internal/workers"
 )
 
 // facts collects the state of a job that its own predicates evaluate.
@@ -13,7 +13,7 @@
 	tm := t.team
 	f := predicate.JobFacts{Spec: t.job.Spec, Hold: &t.job.Terms.Hold, After: p.dependencies(t.job), OnWithdrawn: t.job.Terms.OnCancelled, Damaged: t.damaged,
 		Waiting: t.waiting(), InUse: t.inUse,
-		TeamUsage: agent.Capacity{CPUs: tm.cpus, GPUs: tm.gpus}, Quota: tm.quota,
+		TeamUsage: workers.Capacity{CPUs: tm.cpus, GPUs: tm.gpus}, Quota: tm.quota,
 		ClockMargin: p.cfg.ClockDifference()}
 	// The clocks are read only for the few jobs that need them, since a pass calls this for all jobs.
 	if t.probation.Bursts != 0 || t.probation.RestUntil != 0 {
@@ -115,7 +115,7 @@
 
 // eachUnlisted calls f for every task that was chosen for or started on the machine and that its view does not list
 // yet.
-func (p *Scheduler) eachUnlisted(v *agent.View, f func(*job.Spec)) {
+func (p *Scheduler) eachUnlisted(v *workers.View, f func(*job.Spec)) {
 	p.eachUnresolved(v.Name, func(r taskRef) {
 		x := r.table.task(r.index)
 		if x.listed {
--- a/internal/scheduler/forget_test.go
+++ b/internal/scheduler/forget_test.go
@@ -3,7 +3,6 @@
 import (
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/delivery"
@@ -12,6 +11,7 @@
 	"cleatpick/internal/member"
 	"cleatpick/internal/partition"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // forgetRig has one machine that lists an ended attempt. It records when the attempt's owner asks the machine to
@@ -23,7 +23,7 @@
 
 func newForgetRig() *forgetRig {
 	g := &forgetRig{rig: newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})}
-	g.onStop = func(s agent.Stop) {
+	g.onStop = func(s workers.Stop) {
 		if s.Forget && s.Attempt == 1 && g.askedAt == 0 {
 			g.askedAt = g.Now()
 		}
@@ -32,8 +32,8 @@
 	return g
 }
 
-func attemptOne(state, why string) agent.Task {
-	return agent.Task{Task: "job-000001/0", Attempt: 1, State: state, Why: why}
+func attemptOne(state, why string) workers.Task {
+	return workers.Task{Task: "job-000001/0", Attempt: 1, State: state, Why: why}
 }
 
 // showFor reports the ended attempt repeatedly for the given time.
@@ -65,7 +65,7 @@
 		{"the next attempt is being recorded", func(*forgetRig) {}},
 		{"the next attempt's reservation is refused", func(g *forgetRig) {
 			g.Advance(90 * loop.Millisecond) // its machine is chosen, and it is not recorded yet
-			g.scheduler.StartDropped("b", agent.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: 2, Why: "full", OnlyReservation: true})
+			g.scheduler.StartDropped("b", workers.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: 2, Why: "full", OnlyReservation: true})
 		}},
 		{"the next attempt's record is withdrawn", func(g *forgetRig) {
 			g.Advance(90 * loop.Millisecond)
@@ -95,8 +95,8 @@
 // exists but not when its start expires, only that it was recorded before the records were read.
 func forgetAsTheNextOwner(t *testing.T) {
 	g := newForgetRig()
-	g.scheduler.node.Reserve = func(host string, s agent.Start) {
-		g.scheduler.StartDropped(host, agent.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", OnlyReservation: true})
+	g.scheduler.node.Reserve = func(host string, s workers.Start) {
+		g.scheduler.StartDropped(host, workers.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", OnlyReservation: true})
 	}
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
 	g.scheduler.OwnershipChanged(partition.ForTeam("red"), false, member.Owner{})
--- a/internal/scheduler/guarantee_test.go
+++ b/internal/scheduler/guarantee_test.go
@@ -4,12 +4,12 @@
 	"fmt"
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // The test guards against a team that runs a small part of its guarantee for minutes while another team runs far more
@@ -27,12 +27,12 @@
 	g.acceptJob(1, job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 9000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	g.acceptJob(2, job.Spec{Class: "large", Team: "blue", Priority: job.Low, Tasks: 4000, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
 	g.acceptJob(3, job.Spec{Class: "small", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	on := map[string][]agent.Task{}
+	on := map[string][]workers.Task{}
 	startsDone := 0
 	step := func() {
 		for ; startsDone < len(g.starts); startsDone++ {
 			s := g.starts[startsDone]
-			on[s.Machine] = append(on[s.Machine], agent.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
+			on[s.Machine] = append(on[s.Machine], workers.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
 		}
 		for i := range machines {
 			name := fmt.Sprintf("n-%03d", i)
@@ -81,9 +81,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(1000, config.Team{Name: "red", CPUs: 16}, config.Team{Name: "blue", CPUs: 16})
 			id := g.acceptJob(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-			var full []agent.Task
+			var full []workers.Task
 			for i := range 8 {
-				full = append(full, agent.Task{Task: agent.TaskName("job-000009", i), Attempt: 1, State: wire.TaskRunning})
+				full = append(full, workers.Task{Task: workers.TaskName("job-000009", i), Attempt: 1, State: wire.TaskRunning})
 			}
 			g.acceptJob(9, job.Spec{Class: "k", Team: "green", Tasks: 8, CPUs: 1, MemoryGB: 1, AnyType: true})
 			g.deliverView("n-001", "m8", "x", false, full...)
--- a/internal/scheduler/image_test.go
+++ b/internal/scheduler/image_test.go
@@ -4,12 +4,12 @@
 	"fmt"
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // Urgent tasks go to the machine that holds their image even if another machine has free capacity. Tasks that have
@@ -37,12 +37,12 @@
 			g.scheduler.node.SendReservations = func(cs []peer.Reservation) { claims = append(claims, cs...) }
 			low := g.acceptJob(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 8, CPUs: 2, MemoryGB: 2, Image: "i", AnyType: true, Estimate: 60 * s})
 			earlier := g.acceptJob(2, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 1, CPUs: 2, MemoryGB: 2, Image: "u", ImageGB: c.image, AnyType: true, Estimate: 60 * s})
-			g.deliverView("n-1", "m16", "x", false, agent.Task{Task: agent.TaskName(earlier, 0), Attempt: 1, State: wire.TaskRunning}) // the machine therefore has the image
-			busy := make([]agent.Task, 8)
+			g.deliverView("n-1", "m16", "x", false, workers.Task{Task: workers.TaskName(earlier, 0), Attempt: 1, State: wire.TaskRunning}) // the machine therefore has the image
+			busy := make([]workers.Task, 8)
 			for i := range busy {
-				busy[i] = agent.Task{Task: agent.TaskName(low, i), Attempt: 1, State: wire.TaskRunning}
+				busy[i] = workers.Task{Task: workers.TaskName(low, i), Attempt: 1, State: wire.TaskRunning}
 			}
-			deliverViews := func(d loop.Micros, tasks []agent.Task) {
+			deliverViews := func(d loop.Micros, tasks []workers.Task) {
 				for end := g.Now() + d; g.Now() < end; {
 					g.deliverView("n-1", "m16", "x", false, tasks...)
 					g.deliverView("n-2", "m16", "x", false)
--- a/internal/scheduler/jobtable.go
+++ b/internal/scheduler/jobtable.go
@@ -15,12 +15,12 @@
 	"maps"
 	"slices"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/health"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/predicate"
+	"cleatpick/internal/workers"
 )
 
 // TaskState is the state of a task in its owner's table.
@@ -181,7 +181,7 @@
 	}
 }
 
-func (t *jobTable) taskName(i int) string { return agent.TaskName(t.job.ID, i) }
+func (t *jobTable) taskName(i int) string { return workers.TaskName(t.job.ID, i) }
 
 // waiting returns the number of tasks that can be placed.
 func (t *jobTable) waiting() int {
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -4,12 +4,12 @@
 	"strconv"
 	"strings"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/partition"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // loadRetryDelay is the pause before a log that could not be read completely is read again.
@@ -194,7 +194,7 @@
 		}
 	}
 	if len(segments) > 0 { // without records no task of these teams is on any machine
-		p.agent.EachView(func(v *agent.View) { p.ViewChanged(v, &agent.Changes{All: true}) })
+		p.agent.EachView(func(v *workers.View) { p.ViewChanged(v, &workers.Changes{All: true}) })
 	}
 	p.RequestPass()
 }
--- a/internal/scheduler/partition_test.go
+++ b/internal/scheduler/partition_test.go
@@ -5,7 +5,6 @@
 	"slices"
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
@@ -13,6 +12,7 @@
 	"cleatpick/internal/partition"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // onePartition is a membership in which all teams share one partition, stored in the rig's state service.
@@ -68,7 +68,7 @@
 	return job.Spec{Class: "k", Team: team, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
 }
 
-func taskNames(starts []agent.Start) []string {
+func taskNames(starts []workers.Start) []string {
 	var out []string
 	for _, s := range starts {
 		out = append(out, s.Task)
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -4,18 +4,18 @@
 	"cmp"
 	"slices"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/fleet"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/predicate"
+	"cleatpick/internal/workers"
 )
 
 // hostStart is a start with the host controller of its machine.
 type hostStart struct {
 	host  string
-	start agent.Start
+	start workers.Start
 }
 
 // queueEntry is a job with waiting tasks and its keys in the order of service.
@@ -270,7 +270,7 @@
 			sl.Allocate(s)
 			p.fleet.ConsumeReservation(sl, t.job.ID)
 			p.setTask(t, i, Recording)
-			*chosen = append(*chosen, hostStart{sl.View.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.taskName(i), Attempt: x.attempt, From: p.node.Label}})
+			*chosen = append(*chosen, hostStart{sl.View.Host, workers.Start{Machine: x.machine, Session: x.session, Task: t.taskName(i), Attempt: x.attempt, From: p.node.Label}})
 			p.queueStart(t, i)
 			got++
 		}
--- a/internal/scheduler/place_test.go
+++ b/internal/scheduler/place_test.go
@@ -11,7 +11,6 @@
 	"testing"
 	"time"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/fixed"
@@ -23,6 +22,7 @@
 	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 
 	"pgregory.net/rapid"
 )
@@ -31,16 +31,16 @@
 type rig struct {
 	*standin.Runner
 	scheduler *Scheduler
-	workers   *agent.Registry
+	workers   *workers.Registry
 	registry  *job.Registry
 	mirror    *store.Mirror
 	state     *standin.StateService
 	writes    int
 	txns      int
-	starts    []agent.Start
+	starts    []workers.Start
 	demand    peer.Demand
 	seq       uint64
-	onStop    func(agent.Stop) // may be nil
+	onStop    func(workers.Stop) // may be nil
 }
 
 func (g *rig) Do(method, path string, body []byte, d time.Duration) store.Response {
@@ -73,18 +73,18 @@
 	c := store.NewClient(g, g, log, 100, writeRPS, 1)
 	g.mirror = store.NewMirror(c, g, "c/")
 	g.registry = job.NewRegistry(g, c, g.mirror, log)
-	g.workers = agent.New(g, log, agent.Config{Label: "a", FindJob: g.registry.Get, ViewChanged: func(v *agent.View, c *agent.Changes) { g.scheduler.ViewChanged(v, c) }}, nil)
+	g.workers = workers.New(g, log, workers.Config{Label: "a", FindJob: g.registry.Get, ViewChanged: func(v *workers.View, c *workers.Changes) { g.scheduler.ViewChanged(v, c) }}, nil)
 	g.scheduler = New(g, c, log, cfg, Node{
 		Label: "a",
 		Type:  func(name string) (wire.MachineType, bool) { t, ok := types[name]; return t, ok },
-		Start: func(_ string, s agent.Start) { g.starts = append(g.starts, s) },
-		Stop: func(_ string, s agent.Stop) {
+		Start: func(_ string, s workers.Start) { g.starts = append(g.starts, s) },
+		Stop: func(_ string, s workers.Stop) {
 			if g.onStop != nil {
 				g.onStop(s)
 			}
 		},
 		RequestTaskList:  func(string, string) {},
-		Reserve:          func(string, agent.Start) {},
+		Reserve:          func(string, workers.Start) {},
 		SendDemand:       func(t peer.Demand) { g.demand = t },
 		SendProgress:     func([]peer.Progress) {},
 		SendUsage:        func([]peer.Usage) {},
@@ -110,19 +110,19 @@
 }
 
 // deliverView delivers a view of a machine with these tasks on it.
-func (g *rig) deliverView(name, typ, zone string, spot bool, tasks ...agent.Task) {
+func (g *rig) deliverView(name, typ, zone string, spot bool, tasks ...workers.Task) {
 	g.seq++
-	g.workers.ApplyView(&agent.View{Name: name, Type: typ, Zone: zone, Spot: spot, Host: "b", Session: 1, Seq: g.seq, TokenConfirmed: true, MadeAfter: g.Now(), Tasks: slices.Clone(tasks)})
+	g.workers.ApplyView(&workers.View{Name: name, Type: typ, Zone: zone, Spot: spot, Host: "b", Session: 1, Seq: g.seq, TokenConfirmed: true, MadeAfter: g.Now(), Tasks: slices.Clone(tasks)})
 }
 
 // plainCapacity computes a machine's free capacity from nothing but its view and the tables.
-func (g *rig) plainCapacity(name string) agent.Capacity {
+func (g *rig) plainCapacity(name string) workers.Capacity {
 	v := g.workers.View(name)
 	typ := types[v.Type]
-	room := agent.Capacity{CPUs: typ.CPUs, GPUs: typ.GPUs, MemoryGB: typ.MemoryGB}
+	room := workers.Capacity{CPUs: typ.CPUs, GPUs: typ.GPUs, MemoryGB: typ.MemoryGB}
 	shown := map[string]bool{}
 	for _, x := range v.Tasks {
-		id, _, _ := agent.SplitTask(x.Task)
+		id, _, _ := workers.SplitTask(x.Task)
 		shown[fmt.Sprint(x.Task, x.Attempt)] = true
 		if x.State != wire.TaskExited {
 			room.Subtract(g.registry.Get(id).Spec)
@@ -145,12 +145,12 @@
 // plainPass is a plain model of a placement pass: it places each task separately and looks at every machine for it.
 func (g *rig) plainPass() map[string]string {
 	out := map[string]string{}
-	capacities := map[string]agent.Capacity{}
-	g.workers.EachView(func(v *agent.View) { capacities[v.Name] = g.plainCapacity(v.Name) })
+	capacities := map[string]workers.Capacity{}
+	g.workers.EachView(func(v *workers.View) { capacities[v.Name] = g.plainCapacity(v.Name) })
 	cpus := map[string]float64{}
 	least := 1e9
 	cost := map[string]float64{}
-	g.workers.EachView(func(v *agent.View) {
+	g.workers.EachView(func(v *workers.View) {
 		typ := types[v.Type]
 		cost[v.Name] = typ.Price / typ.CPUs
 		if v.Spot {
@@ -257,7 +257,7 @@
 		g := newRig(1000, config.Team{Name: "red", CPUs: 1000, CPUsMax: 60}, config.Team{Name: "blue", CPUs: 1000, CPUsMax: 1000})
 		g.scheduler.preemption.nextRun = 1 << 62 // the model preempts nothing
 		machines, jobs := 0, 0
-		on := map[string][]agent.Task{}
+		on := map[string][]workers.Task{}
 		for range rapid.IntRange(3, 25).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
@@ -283,7 +283,7 @@
 				g.acceptJob(jobs, s)
 			case 2: // started tasks are listed by their machines, and some have completed
 				for _, s := range g.starts {
-					on[s.Machine] = append(on[s.Machine], agent.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
+					on[s.Machine] = append(on[s.Machine], workers.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
 				}
 				g.starts = nil
 				for _, name := range slices.Sorted(maps.Keys(on)) {
@@ -390,7 +390,7 @@
 		g.Advance(loop.Millisecond)
 	}
 	refuse := func() {
-		g.scheduler.StartDropped("b", agent.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: x().attempt, Why: "full", OnlyReservation: true})
+		g.scheduler.StartDropped("b", workers.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: x().attempt, Why: "full", OnlyReservation: true})
 	}
 	refuse()
 	if x().state != Waiting {
@@ -432,7 +432,7 @@
 		t.Fatalf("the next owner counts %v CPUs in use, want 4", use)
 	}
 	for _, s := range g.starts {
-		if id, _, _ := agent.SplitTask(s.Task); id == "job-000003" {
+		if id, _, _ := workers.SplitTask(s.Task); id == "job-000003" {
 			t.Fatalf("%s was started beyond the team's limit", s.Task)
 		}
 	}
@@ -461,7 +461,7 @@
 		g.Advance(loop.Second)
 		started := map[string]bool{}
 		for _, s := range g.starts {
-			_, i, _ := agent.SplitTask(s.Task)
+			_, i, _ := workers.SplitTask(s.Task)
 			if i >= n || recorded[i] {
 				t.Fatalf("%s was started: the job has %d tasks, recorded: %v", s.Task, n, recorded[i])
 			}
@@ -482,7 +482,7 @@
 	rng := rand.New(rand.NewPCG(3, 3))
 	machines := map[string]float64{"n-001": 1, "n-002": 1, "n-003": 2.2, "n-004": 1}
 	next := 0
-	on := map[string][]agent.Task{}
+	on := map[string][]workers.Task{}
 	until := map[string]loop.Micros{}
 	rested := map[string]bool{}
 	for range 1200 { // four tasks at a time on each machine, for a minute
@@ -504,7 +504,7 @@
 				if name == "n-004" {
 					id, run = long, 20.0
 				}
-				x := agent.Task{Task: agent.TaskName(id, next), Attempt: 1, State: wire.TaskRunning}
+				x := workers.Task{Task: workers.TaskName(id, next), Attempt: 1, State: wire.TaskRunning}
 				until[x.Task] = g.Now() + loop.Seconds(run*factor*math.Exp(0.3*rng.NormFloat64()))
 				kept = append(kept, x)
 			}
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -5,12 +5,12 @@
 	"slices"
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 
 	"pgregory.net/rapid"
 )
@@ -22,14 +22,14 @@
 	t            rapid.TB
 	teams        []config.Team
 	specs        map[string]*job.Spec
-	machines     map[string][]agent.Task
+	machines     map[string][]workers.Task
 	startsDone   int                    // number of starts carried out
 	stopped      map[string]int         // by task: how often it was stopped
 	alternations map[[2]string][]string // by pair of jobs: which of them preempted the other, at each change
 }
 
 func newPreemptionFleet(t rapid.TB, teams []config.Team, machines int) *preemptionFleet {
-	f := &preemptionFleet{rig: newRig(1000, teams...), t: t, teams: teams, specs: map[string]*job.Spec{}, machines: map[string][]agent.Task{},
+	f := &preemptionFleet{rig: newRig(1000, teams...), t: t, teams: teams, specs: map[string]*job.Spec{}, machines: map[string][]workers.Task{},
 		stopped: map[string]int{}, alternations: map[[2]string][]string{}}
 	f.scheduler.node.ReportCauses = true
 	f.scheduler.node.SendReservations = func(claims []peer.Reservation) {
@@ -49,8 +49,8 @@
 	for end := f.Now() + d; f.Now() < end; {
 		for ; f.startsDone < len(f.starts); f.startsDone++ {
 			s := f.starts[f.startsDone]
-			if !slices.ContainsFunc(f.machines[s.Machine], func(x agent.Task) bool { return x.Task == s.Task && x.Attempt == s.Attempt }) {
-				f.machines[s.Machine] = append(f.machines[s.Machine], agent.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
+			if !slices.ContainsFunc(f.machines[s.Machine], func(x workers.Task) bool { return x.Task == s.Task && x.Attempt == s.Attempt }) {
+				f.machines[s.Machine] = append(f.machines[s.Machine], workers.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
 			}
 		}
 		for name, tasks := range loop.Sorted(f.machines) {
@@ -60,7 +60,7 @@
 	}
 }
 
-func (f *preemptionFleet) stop(s agent.Stop) {
+func (f *preemptionFleet) stop(s workers.Stop) {
 	tasks := f.machines[s.Machine]
 	for i := range tasks {
 		x := &tasks[i]
@@ -104,7 +104,7 @@
 	freed := map[string]float64{}
 	byGuarantee := map[string]bool{}
 	for _, name := range claim.Victims {
-		id, _, _ := agent.SplitTask(name)
+		id, _, _ := workers.SplitTask(name)
 		victim := f.specs[id]
 		f.recordPreemption(id, claim.Job)
 		freed[victim.Team] += victim.CPUs
@@ -173,7 +173,7 @@
 			t.Fatalf("%d tasks are preempted long after the last job arrived", after-before)
 		}
 		for task, n := range f.stopped {
-			if of, _, _ := agent.SplitTask(task); n > f.otherTasks(of) {
+			if of, _, _ := workers.SplitTask(task); n > f.otherTasks(of) {
 				t.Fatalf("%s is preempted %d times, there are %d tasks of other jobs", task, n, f.otherTasks(of))
 			}
 		}
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -6,20 +6,20 @@
 	"strings"
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/explain"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // showRunning delivers views in which all tasks started on each machine are running.
 func (g *rig) showRunning(machines ...string) {
-	on := map[string][]agent.Task{}
+	on := map[string][]workers.Task{}
 	for _, s := range g.starts {
-		on[s.Machine] = append(on[s.Machine], agent.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
+		on[s.Machine] = append(on[s.Machine], workers.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
 	}
 	for _, m := range machines {
 		g.deliverView(m, "m16", "x", false, on[m]...)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -3,7 +3,6 @@
 import (
 	"log/slog"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/delivery"
@@ -18,6 +17,7 @@
 	"cleatpick/internal/starvation"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // Node holds what the scheduler needs of the controller around it. Host parameters name a host controller, which may
@@ -26,12 +26,12 @@
 	Label string
 	Type  func(string) (wire.MachineType, bool)
 	// Start and Stop send a command to the named host controller.
-	Start func(host string, s agent.Start)
-	Stop  func(host string, s agent.Stop)
+	Start func(host string, s workers.Start)
+	Stop  func(host string, s workers.Stop)
 	// RequestTaskList asks a machine's host controller for a task list that was certainly made after the request.
 	RequestTaskList func(host, machine string)
 	// Reserve tells the host controller of a placement whose record is still being stored.
-	Reserve func(host string, s agent.Start)
+	Reserve func(host string, s workers.Start)
 	// SendDemand sends the list of unplaced requests to the leader.
 	SendDemand func(peer.Demand)
 	// SendProgress sends the task counts of owned jobs to the peers.
@@ -66,7 +66,7 @@
 	node     Node
 	registry *job.Registry
 	cordons  *cordon.Registry
-	agent    *agent.Registry
+	agent    *workers.Registry
 	// partitions holds the partitions that this controller owns; teams holds the teams assigned to them, by name.
 	partitions     map[partition.ID]*ownedPartition
 	teams          map[string]*team
@@ -94,7 +94,7 @@
 }
 
 // New returns a scheduler that owns no partition yet and schedules its periodic work on r.
-func New(r loop.Runner, c *store.Client, log *slog.Logger, cfg *config.Config, n Node, registry *job.Registry, a *agent.Registry, cordons *cordon.Registry) *Scheduler {
+func New(r loop.Runner, c *store.Client, log *slog.Logger, cfg *config.Config, n Node, registry *job.Registry, a *workers.Registry, cordons *cordon.Registry) *Scheduler {
 	p := &Scheduler{runner: r, cordons: cordons, client: c, log: log, cfg: cfg, node: n, registry: registry, agent: a, partitions: map[partition.ID]*ownedPartition{}, teams: map[string]*team{},
 		valueLimit:     int(cfg.Cluster.State.ValueKB * 1024 * valueFraction),
 		tasksByMachine: map[string]*machineTasks{},
@@ -205,13 +205,13 @@
 	}
 	if v := p.agent.View(x.machine); v != nil {
 		x.stopSentAt = now
-		p.node.Stop(v.Host, agent.Stop{Machine: x.machine, Task: t.taskName(i), Attempt: x.attempt, Grace: grace})
+		p.node.Stop(v.Host, workers.Stop{Machine: x.machine, Task: t.taskName(i), Attempt: x.attempt, Grace: grace})
 	}
 }
 
 // StartDropped handles a host controller's message that it will never pass a start on to the worker.
-func (p *Scheduler) StartDropped(from string, d agent.Rejection) {
-	id, i, ok := agent.SplitTask(d.Task)
+func (p *Scheduler) StartDropped(from string, d workers.Rejection) {
+	id, i, ok := workers.SplitTask(d.Task)
 	if !ok {
 		return
 	}
@@ -277,7 +277,7 @@
 		p.node.Meter.Start()
 	}
 	x.sentTo, x.sentToIncarnation, x.sentAt = v.Host, v.Incarnation, p.runner.Now()
-	p.node.Start(v.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.taskName(i), Attempt: x.attempt, Expiry: x.expiry, From: p.node.Label, Incarnation: v.Incarnation})
+	p.node.Start(v.Host, workers.Start{Machine: x.machine, Session: x.session, Task: t.taskName(i), Attempt: x.attempt, Expiry: x.expiry, From: p.node.Label, Incarnation: v.Incarnation})
 }
 
 // completeIfDone stores a job's completion once all its tasks have completed.
--- a/internal/scheduler/starvation_accounting_test.go
+++ b/internal/scheduler/starvation_accounting_test.go
@@ -3,13 +3,13 @@
 import (
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/starvation"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // firstClass returns which of two classes the reserve serves first, if a job of each has waited equally long.
@@ -25,9 +25,9 @@
 // busyMachine delivers a view of a machine whose 8 CPUs are in use by tasks of another owner.
 func busyMachine(g *rig, name string) {
 	id := g.acceptJob(90, job.Spec{Class: "k", Team: "green", Tasks: 800, CPUs: 1, MemoryGB: 1, AnyType: true})
-	var on []agent.Task
+	var on []workers.Task
 	for i := range 8 {
-		on = append(on, agent.Task{Task: agent.TaskName(id, i), Attempt: 1, State: wire.TaskRunning})
+		on = append(on, workers.Task{Task: workers.TaskName(id, i), Attempt: 1, State: wire.TaskRunning})
 	}
 	g.deliverView(name, "m8", "x", false, on...)
 }
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -3,12 +3,12 @@
 import (
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // A task as large as a machine waits beside small tasks that take all capacity as it becomes free. After a fixed
@@ -22,9 +22,9 @@
 	g.seq = 1
 	runUntil := func(d loop.Micros, until func() bool) { // tasks on the machine complete one at a time, a second after they began
 		for stop := g.Now() + d; g.Now() < stop && !until(); {
-			var on []agent.Task
+			var on []workers.Task
 			for _, s := range g.starts {
-				on = append(on, agent.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
+				on = append(on, workers.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
 			}
 			if len(on) >= 4 {
 				on[0].State, on[0].Why = wire.TaskExited, wire.WhyDone
@@ -38,7 +38,7 @@
 	}
 	began := func() bool {
 		for _, s := range g.starts {
-			if id, _, _ := agent.SplitTask(s.Task); id == large {
+			if id, _, _ := workers.SplitTask(s.Task); id == large {
 				return true
 			}
 		}
@@ -58,9 +58,9 @@
 		t.Errorf("the facts for an explanation are %+v, want one reservation", f)
 	}
 	for k := 0; !began() && k < 40; k++ { // the small tasks complete, and none takes their place
-		var on []agent.Task
+		var on []workers.Task
 		for _, s := range g.starts[min(len(g.starts), k/4+1):] {
-			on = append(on, agent.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
+			on = append(on, workers.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
 		}
 		g.deliverView("n-001", "m8", "x", false, on...)
 		g.Advance(300 * loop.Millisecond)
@@ -73,7 +73,7 @@
 	g.deliverView("n-001", "m8", "x", false)
 	g.Advance(loop.Second)
 	g.scheduler.ReservationsReceived([]peer.Reservation{claim, claim})
-	g.deliverView("n-001", "m8", "x", false, agent.Task{Task: small + "/8999", Attempt: 1, State: wire.TaskRunning})
+	g.deliverView("n-001", "m8", "x", false, workers.Task{Task: small + "/8999", Attempt: 1, State: wire.TaskRunning})
 	g.scheduler.fleet.Refresh()
 	if n := g.scheduler.fleet.ReservationCount(small); n != 1 {
 		t.Errorf("%d of two reservations are left once one task is listed, want 1", n)
--- a/internal/scheduler/terms_test.go
+++ b/internal/scheduler/terms_test.go
@@ -3,12 +3,12 @@
 import (
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 func (g *rig) stored(id string) job.Record {
@@ -38,13 +38,13 @@
 		t.Fatalf("the hold is %q after %d answers, while two starts may be in flight", s, answers)
 	}
 	// One task is fetching its image and must be confirmed terminated first. The other is running and continues.
-	run := agent.Task{Task: "job-000001/0", Attempt: 1, State: wire.TaskRunning}
-	g.deliverView("n-001", "m8", "x", false, run, agent.Task{Task: "job-000001/1", Attempt: 1, State: wire.TaskFetching})
+	run := workers.Task{Task: "job-000001/0", Attempt: 1, State: wire.TaskRunning}
+	g.deliverView("n-001", "m8", "x", false, run, workers.Task{Task: "job-000001/1", Attempt: 1, State: wire.TaskFetching})
 	g.Advance(3 * loop.Second)
 	if s := g.stored(id).Terms.Hold.State; s != job.HoldPending {
 		t.Fatalf("the hold is %q while a task of the job fetches its image", s)
 	}
-	g.deliverView("n-001", "m8", "x", false, run, agent.Task{Task: "job-000001/1", Attempt: 1, State: wire.TaskExited, Why: wire.WhyStopped})
+	g.deliverView("n-001", "m8", "x", false, run, workers.Task{Task: "job-000001/1", Attempt: 1, State: wire.TaskExited, Why: wire.WhyStopped})
 	g.Advance(3 * loop.Second)
 	if s := g.stored(id).Terms.Hold.State; s != job.HoldEffective {
 		t.Fatalf("the hold is %q although no task can begin any more", s)
@@ -149,9 +149,9 @@
 	spec := job.Spec{Class: "k", Team: "red", Priority: job.Low, Tasks: 2, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second, Checkpoint: loop.Second, Save: 5 * loop.Second}
 	low := g.acceptJob(1, spec)
 	g.Advance(500 * loop.Millisecond)
-	var on []agent.Task
+	var on []workers.Task
 	for i := range 2 {
-		on = append(on, agent.Task{Task: agent.TaskName(low, i), Attempt: 1, State: wire.TaskRunning})
+		on = append(on, workers.Task{Task: workers.TaskName(low, i), Attempt: 1, State: wire.TaskRunning})
 	}
 	g.deliverView("n-001", "m8", "x", false, on...)
 	g.Advance(2 * loop.Second)
@@ -175,9 +175,9 @@
 	g.deliverView("n-001", "m8", "x", false)
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
 	g.Advance(500 * loop.Millisecond)
-	name := agent.TaskName(id, 0)
-	busy := agent.Task{Task: name, Attempt: 1, State: wire.TaskExited, Why: wire.WhyBusy}
-	g.deliverView("n-001", "m8", "x", false, agent.Task{Task: name, Attempt: 7, State: wire.TaskRunning}, busy)
+	name := workers.TaskName(id, 0)
+	busy := workers.Task{Task: name, Attempt: 1, State: wire.TaskExited, Why: wire.WhyBusy}
+	g.deliverView("n-001", "m8", "x", false, workers.Task{Task: name, Attempt: 7, State: wire.TaskRunning}, busy)
 	g.Advance(500 * loop.Millisecond)
 	if x := g.scheduler.teams["red"].jobs[id].task(0); x.state != Placed || x.attempt != 1 {
 		t.Fatalf("the task is freed while another attempt of it is on the machine (state %d, attempt %d)", x.state, x.attempt)
@@ -203,7 +203,7 @@
 		g.deliverView("n-002", "m8", "x", false)
 		g.deliverView("n-002", "m8", "x", false)
 		g.seq++
-		g.workers.ApplyView(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 2, Seq: g.seq, TokenConfirmed: true, MadeAfter: g.Now()})
+		g.workers.ApplyView(&workers.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Session: 2, Seq: g.seq, TokenConfirmed: true, MadeAfter: g.Now()})
 		if counted := g.scheduler.reruns.pending == 1; counted != known {
 			t.Errorf("machine known before: %v, outage measured: %v", known, counted)
 		}
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -4,9 +4,9 @@
 	"slices"
 	"sort"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
+	"cleatpick/internal/workers"
 )
 
 // tick repeats messages that may have been lost, and publishes usage, progress and demand.
@@ -123,7 +123,7 @@
 // evict stops tasks in time to save a checkpoint before a spot machine is reclaimed, or before a machine that is not
 // needed is returned.
 func (p *Scheduler) evict(now, wall loop.Micros) {
-	p.agent.EachView(func(v *agent.View) {
+	p.agent.EachView(func(v *workers.View) {
 		if v.NoticeAt == 0 && !v.ClosedToStarts {
 			return
 		}
--- a/internal/scheduler/views.go
+++ b/internal/scheduler/views.go
@@ -1,26 +1,26 @@
 package scheduler
 
 import (
-	"cleatpick/internal/agent"
 	"cleatpick/internal/delivery"
 	"cleatpick/internal/health"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // ViewChanged applies a machine's newer view to the tasks recorded on it. Tasks that are unchanged since the previous
 // view are not checked again.
-func (p *Scheduler) ViewChanged(v *agent.View, c *agent.Changes) {
+func (p *Scheduler) ViewChanged(v *workers.View, c *workers.Changes) {
 	now := p.runner.Now()
 	// Tasks on a machine without recent reports may have begun long ago. If a new owner took its first view of a task
 	// for the start, every task would look slow.
 	old := p.fleet.Machine(v.Name)
 	startsUnknown := old == nil || now-old.LastReport > 2*loop.Seconds(p.cfg.Cluster.Workers.ReportS)
-	var before []agent.Task
+	var before []workers.Task
 	var lastReport loop.Micros // time of the previous report; 0: none
 	if old == nil {
-		c = &agent.Changes{All: true}
+		c = &workers.Changes{All: true}
 		if typ, ok := p.node.Type(v.Type); ok && len(v.Tasks) == 0 {
 			p.turnover.AddFreed(typ.CPUs) // a machine that has just booted adds capacity
 		}
@@ -56,7 +56,7 @@
 
 // updateTasks updates the tasks in use on a machine from its view. A task that was listed before and is unchanged needs
 // no update.
-func (p *Scheduler) updateTasks(v *agent.View, c *agent.Changes, before []agent.Task, jobs []*job.Job, lastReport loop.Micros) {
+func (p *Scheduler) updateTasks(v *workers.View, c *workers.Changes, before []workers.Task, jobs []*job.Job, lastReport loop.Micros) {
 	if p.tasksByMachine[v.Name] == nil {
 		return
 	}
@@ -76,17 +76,17 @@
 // updateVanishedTasks checks the tasks that the previous view listed and this one does not. Usually their end is known,
 // since this owner asked for them to be forgotten. It is not if an earlier owner did that without recording their
 // end, and a delayed report listed them afterwards.
-func (p *Scheduler) updateVanishedTasks(v *agent.View, c *agent.Changes, before []agent.Task, lastReport loop.Micros) {
+func (p *Scheduler) updateVanishedTasks(v *workers.View, c *workers.Changes, before []workers.Task, lastReport loop.Micros) {
 	for _, k := range c.Removed {
 		if x := &before[k]; v.Find(x.Task, x.Attempt) == nil {
-			id, _, _ := agent.SplitTask(x.Task)
+			id, _, _ := workers.SplitTask(x.Task)
 			p.updateNamedTask(v, x.Task, p.registry.Get(id), lastReport)
 		}
 	}
 }
 
 // updateNamedTask updates a task that has changed on the machine, if it is in use there.
-func (p *Scheduler) updateNamedTask(v *agent.View, name string, j *job.Job, lastReport loop.Micros) {
+func (p *Scheduler) updateNamedTask(v *workers.View, name string, j *job.Job, lastReport loop.Micros) {
 	if j == nil || j.Spec == nil {
 		return
 	}
@@ -95,7 +95,7 @@
 		return
 	}
 	if t := tm.jobs[j.ID]; t != nil {
-		if _, i, ok := agent.SplitTask(name); ok && i < j.Tasks {
+		if _, i, ok := workers.SplitTask(name); ok && i < j.Tasks {
 			if x := t.task(i); x.inUse() && x.machine == v.Name {
 				p.updateTask(t, i, v, lastReport)
 			}
@@ -104,7 +104,7 @@
 }
 
 // updateTask derives a task's state from a view. lastReport is the time of the machine's previous report.
-func (p *Scheduler) updateTask(t *jobTable, i int, v *agent.View, lastReport loop.Micros) {
+func (p *Scheduler) updateTask(t *jobTable, i int, v *workers.View, lastReport loop.Micros) {
 	x := t.task(i)
 	if x.state != Placed {
 		return
@@ -174,7 +174,7 @@
 		// Another attempt of the task is active there. Until that one has ended, the task counts as on this machine.
 		for k := range v.Tasks {
 			if o := &v.Tasks[k]; o.Task == name && o.Active() {
-				p.node.Stop(v.Host, agent.Stop{Machine: v.Name, Task: name, Attempt: o.Attempt})
+				p.node.Stop(v.Host, workers.Stop{Machine: v.Name, Task: name, Attempt: o.Attempt})
 				p.setListed(t, i, true, true) // the stop may be lost, and the attempt that ends is the other one
 				return
 			}
@@ -205,7 +205,7 @@
 }
 
 // forgetEnded asks a machine to forget ended tasks whose outcome is recorded or not needed.
-func (p *Scheduler) forgetEnded(v *agent.View, jobs []*job.Job) {
+func (p *Scheduler) forgetEnded(v *workers.View, jobs []*job.Job) {
 	if !v.TokenConfirmed {
 		return
 	}
@@ -219,7 +219,7 @@
 		if tm == nil || !tm.loaded || tm.jobs[j.ID] == nil {
 			continue
 		}
-		_, i, ok := agent.SplitTask(e.Task)
+		_, i, ok := workers.SplitTask(e.Task)
 		if !ok || i >= j.Tasks {
 			continue
 		}
@@ -229,7 +229,7 @@
 		// knows; controllers before 0.9.1 rely on this check.
 		superseded := e.Attempt < x.attempt || (e.Attempt == x.attempt && (x.state == Completed || x.state == Waiting))
 		if superseded && !p.startCanArrive(tm, delivery.Attempt{Task: e.Task, Number: e.Attempt}) {
-			p.node.Stop(v.Host, agent.Stop{Machine: v.Name, Task: e.Task, Attempt: e.Attempt, Forget: true})
+			p.node.Stop(v.Host, workers.Stop{Machine: v.Name, Task: e.Task, Attempt: e.Attempt, Forget: true})
 		}
 	}
 }
--- a/internal/scheduler/views_test.go
+++ b/internal/scheduler/views_test.go
@@ -3,20 +3,20 @@
 import (
 	"testing"
 
-	"cleatpick/internal/agent"
 	"cleatpick/internal/config"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/member"
 	"cleatpick/internal/partition"
 	"cleatpick/internal/wire"
+	"cleatpick/internal/workers"
 )
 
 // deliverViewOf delivers a view from one incarnation of the host controller. If settled, the machine shows the effect
 // of all commands to it.
-func (g *rig) deliverViewOf(life loop.Micros, session uint64, settled bool, tasks ...agent.Task) {
+func (g *rig) deliverViewOf(life loop.Micros, session uint64, settled bool, tasks ...workers.Task) {
 	g.seq++
-	g.workers.ApplyView(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Incarnation: life, Session: session, Seq: g.seq, TokenConfirmed: settled, MadeAfter: g.Now(), Tasks: tasks})
+	g.workers.ApplyView(&workers.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Incarnation: life, Session: session, Seq: g.seq, TokenConfirmed: settled, MadeAfter: g.Now(), Tasks: tasks})
 }
 
 // A refusal confirms that a start will not run only if the incarnation that refuses is the only one that ever
@@ -47,7 +47,7 @@
 		}
 		s := g.starts[0]
 		before := len(g.starts)
-		g.scheduler.StartDropped("b", agent.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Incarnation: c.refusedBy})
+		g.scheduler.StartDropped("b", workers.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Incarnation: c.refusedBy})
 		g.Advance(2 * loop.Second)
 		freed := len(g.starts) > before && g.starts[len(g.starts)-1].Attempt > s.Attempt
 		if freed != c.frees {
@@ -75,7 +75,7 @@
 		t.Fatalf("%d starts once the machine responds to commands, want 2", len(g.starts))
 	}
 	g.starts = nil
-	on := []agent.Task{{Task: "job-000001/0", Attempt: 1, State: "running"}, {Task: "job-000001/1", Attempt: 1, State: "running"}}
+	on := []workers.Task{{Task: "job-000001/0", Attempt: 1, State: "running"}, {Task: "job-000001/1", Attempt: 1, State: "running"}}
 	g.deliverViewOf(1, 1, true, on...)
 	g.Advance(loop.Second)
 	for range 10 {
@@ -100,14 +100,14 @@
 func TestTaskThatVanishesUnseen(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
-	other := agent.Task{Task: agent.TaskName(g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Tasks: 1, CPUs: 1, AnyType: true}), 0), Attempt: 1, State: wire.TaskRunning}
+	other := workers.Task{Task: workers.TaskName(g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Tasks: 1, CPUs: 1, AnyType: true}), 0), Attempt: 1, State: wire.TaskRunning}
 	g.scheduler.OwnershipChanged(partition.ForTeam("red"), false, member.Owner{})
 	g.state.Put(segmentKey("x/red/", 0), segmentRecord{Machines: []machineEntry{{Name: "n-001", Zone: "x"}},
 		Jobs: []jobEntry{{ID: id, Tasks: []taskEntry{{Index: 0, State: storedPlaced, Attempt: 2, Machine: 1, Session: 1, Expiry: g.Now() - 60*loop.Second}}}}})
 	mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
 	g.scheduler.OwnershipChanged(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Revision: mark})
 	g.Advance(loop.Second)
-	heldBack := agent.Task{Task: agent.TaskName(id, 0), Attempt: 2, State: wire.TaskRunning}
+	heldBack := workers.Task{Task: workers.TaskName(id, 0), Attempt: 2, State: wire.TaskRunning}
 	g.deliverViewOf(1, 1, false, heldBack, other)
 	g.Advance(loop.Second)
 	for range 3 {
--- a/internal/agent/delta.go
+++ b/internal/workers/delta.go
@@ -1,4 +1,4 @@
-package agent
+package workers
 
 import (
 	"slices"
--- a/internal/agent/view.go
+++ b/internal/workers/view.go
@@ -1,11 +1,11 @@
-// Package agent is the registry of workers. For the machines whose workers report to this controller, the host
+// Package workers is the registry of workers. For the machines whose workers report to this controller, the host
 // controller, it answers reports, passes the owners' starts and stops on to the worker, and decides when a
 // worker may be told to forget an attempt. For every machine, hosted here or by another controller, it keeps
 // the newest view: its tasks, its pending starts and its free capacity.
 //
 // Which task runs where is decided by the scheduler of the partition's owner, and which machines exist by the
 // autoscaler. Whether a machine has failed is left to failure detection.
-package agent
+package workers
 
 import (
 	"strconv"
