--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -15,7 +15,7 @@
 	"cleatpick/internal/explain"
 	"cleatpick/internal/failuredetector"
 	"cleatpick/internal/loop"
-	"cleatpick/internal/member"
+	"cleatpick/internal/membership"
 	"cleatpick/internal/metric"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/store"
@@ -108,7 +108,7 @@
 	workers        *workers.Registry
 	node           Node
 	leads          bool
-	claim          member.Owner
+	claim          membership.Owner
 	started        loop.Micros
 	types          []wire.MachineType
 	byName         map[string]wire.MachineType
@@ -200,7 +200,7 @@
 }
 
 // SetLeader records that this controller has become or ceased to be the leader.
-func (t *Autoscaler) SetLeader(leads bool, claim member.Owner) {
+func (t *Autoscaler) SetLeader(leads bool, claim membership.Owner) {
 	t.leads, t.claim = leads, claim
 	if !leads {
 		return
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -13,7 +13,7 @@
 	"cleatpick/internal/failuredetector"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
-	"cleatpick/internal/member"
+	"cleatpick/internal/membership"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
@@ -70,7 +70,7 @@
 	if !ok {
 		t.Fatal("the leader's claim has not reached the mirror")
 	}
-	g.scaler.SetLeader(true, member.Owner{Node: "a", Epoch: 1, Revision: e.Revision})
+	g.scaler.SetLeader(true, membership.Owner{Node: "a", Epoch: 1, Revision: e.Revision})
 	return g
 }
 
--- a/internal/autoscaler/cloud.go
+++ b/internal/autoscaler/cloud.go
@@ -6,7 +6,7 @@
 	"strings"
 
 	"cleatpick/internal/loop"
-	"cleatpick/internal/member"
+	"cleatpick/internal/membership"
 	"cleatpick/internal/metric"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
@@ -70,7 +70,7 @@
 		t.catalogAt = t.runner.Now()
 		t.setCatalog(good)
 		ch := wire.Change{Put: CatalogKey, Value: catalogRecord{good}}
-		t.client.Txn(store.Background, wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}, Then: []wire.Change{ch}}, func(r store.Result) {
+		t.client.Txn(store.Background, wire.Txn{If: []wire.Cond{membership.LeaderCond(t.claim)}, Then: []wire.Change{ch}}, func(r store.Result) {
 			if r.Outcome == store.Applied {
 				t.mirror.Apply(CatalogKey, wire.Marshal(ch.Value), r.Revision, false)
 			}
--- a/internal/autoscaler/deletion.go
+++ b/internal/autoscaler/deletion.go
@@ -7,7 +7,7 @@
 	"slices"
 
 	"cleatpick/internal/loop"
-	"cleatpick/internal/member"
+	"cleatpick/internal/membership"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
@@ -32,7 +32,7 @@
 	}
 	// Only the current leader may delete, which the cloud cannot check: the transaction confirms it first.
 	t.calling = true
-	t.client.Txn(store.Placements, wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}}, func(r store.Result) {
+	t.client.Txn(store.Placements, wire.Txn{If: []wire.Cond{membership.LeaderCond(t.claim)}}, func(r store.Result) {
 		t.calling = false
 		if r.Outcome == store.Applied && t.leads {
 			t.delete(names)
@@ -81,7 +81,7 @@
 	if !t.leads || !t.node.LeaseValid() {
 		return
 	}
-	txn := wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}}
+	txn := wire.Txn{If: []wire.Cond{membership.LeaderCond(t.claim)}}
 	for _, key := range t.mirror.KeysUnder(DeletionKeys) {
 		var rec DeletionRecord
 		if e, ok := t.mirror.Get(key); ok && wire.Unmarshal(e.Value, &rec) == nil && t.runner.Wall()-rec.At > deletionRetention &&
--- a/internal/autoscaler/order.go
+++ b/internal/autoscaler/order.go
@@ -11,7 +11,7 @@
 	"cleatpick/internal/fleet"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
-	"cleatpick/internal/member"
+	"cleatpick/internal/membership"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/store"
@@ -231,7 +231,7 @@
 	name := fmt.Sprintf("r-%d-%d", t.claim.Epoch, t.seq)
 	o := &order{name: name, record: Order{Type: of.typ, Zone: of.zone, Spot: of.spot, Count: count, At: t.runner.Wall()}}
 	t.orders[name] = o
-	t.storeOrder(o, []wire.Cond{member.LeaderCond(t.claim), {Key: OrderKeys + name, Revision: 0}}, func(ok bool) {
+	t.storeOrder(o, []wire.Cond{membership.LeaderCond(t.claim), {Key: OrderKeys + name, Revision: 0}}, func(ok bool) {
 		if ok {
 			o.recorded = true
 			if t.leads && t.orders[name] == o && t.mayCall(t.runner.Now()) {
@@ -328,7 +328,7 @@
 // dropOrder forgets an order and deletes its record.
 func (t *Autoscaler) dropOrder(o *order) {
 	delete(t.orders, o.name)
-	t.client.Txn(store.Background, wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}, Then: []wire.Change{{Delete: OrderKeys + o.name}}}, func(r store.Result) {
+	t.client.Txn(store.Background, wire.Txn{If: []wire.Cond{membership.LeaderCond(t.claim)}, Then: []wire.Change{{Delete: OrderKeys + o.name}}}, func(r store.Result) {
 		if r.Outcome == store.Applied {
 			t.mirror.Apply(OrderKeys+o.name, nil, r.Revision, true)
 		}
--- a/internal/member/layout_test.go
+++ b/internal/membership/layout_test.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"fmt"
--- a/internal/member/member.go
+++ b/internal/membership/membership.go
@@ -1,10 +1,10 @@
-// Package member maintains this controller's membership in the cluster: its lease in the
+// Package membership maintains this controller's membership in the cluster: its lease in the
 // state service, its epoch, and its claims on partitions of teams and on the leadership.
 // Every claim is bound to the controller's lease, so that it is released when the
 // controller fails. The package decides, together with the other controllers, which layout
 // of partitions is in force and which of them owns which partition. It places no work;
 // who is reachable and fit for work it learns from callbacks.
-package member
+package membership
 
 import (
 	"fmt"
--- a/internal/node/isolation_cases_test.go
+++ b/internal/node/isolation_cases_test.go
@@ -8,7 +8,7 @@
 	"cleatpick/internal/config"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
-	"cleatpick/internal/member"
+	"cleatpick/internal/membership"
 	"cleatpick/internal/wire"
 )
 
@@ -204,7 +204,7 @@
 				}
 				claims := 0
 				w.state.OnPut = func(key string, _ wire.Raw) {
-					if key == member.Prefix+"l" {
+					if key == membership.Prefix+"l" {
 						claims++
 					}
 				}
--- a/internal/node/leader_change_test.go
+++ b/internal/node/leader_change_test.go
@@ -9,7 +9,7 @@
 	"cleatpick/internal/config"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
-	"cleatpick/internal/member"
+	"cleatpick/internal/membership"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
 )
@@ -39,7 +39,7 @@
 			w := slowReportSimulation(t, 3)
 			began, claims, last := w.now, 0, ""
 			w.state.OnPut = func(key string, _ wire.Raw) {
-				if key == member.Prefix+"l" {
+				if key == membership.Prefix+"l" {
 					claims++
 				}
 			}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -21,7 +21,7 @@
 	"cleatpick/internal/front"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
-	"cleatpick/internal/member"
+	"cleatpick/internal/membership"
 	"cleatpick/internal/metric"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/reachability"
@@ -42,7 +42,7 @@
 	loop          loop.Runner
 	client        *store.Client
 	mirror        *store.Mirror
-	member        *member.Member
+	member        *membership.Member
 	jobs          *job.Registry
 	cordons       *cordon.Registry
 	agent         *workers.Registry
@@ -116,8 +116,8 @@
 	n.client = store.NewClient(l, deps.State, log, cfg.Cluster.State.RPS, cfg.Cluster.State.WriteRPS, nodes)
 	n.client.SetMaxChanges(cfg.Cluster.State.TxnOps)
 	n.client.Meter = n.meter
-	n.mirror = store.NewMirror(n.client, deps.Watch, member.Prefix)
-	n.member = member.New(l, n.client, n.mirror, log, member.Settings{Label: cfg.Label, Teams: cfg.TeamNames(), Controllers: nodes,
+	n.mirror = store.NewMirror(n.client, deps.Watch, membership.Prefix)
+	n.member = membership.New(l, n.client, n.mirror, log, membership.Settings{Label: cfg.Label, Teams: cfg.TeamNames(), Controllers: nodes,
 		LeaseTTL: loop.Seconds(cfg.Operator.NodeLeaseS), TeamsOnly: !cfg.Operator.NumberedPartitions})
 	n.jobs = job.NewRegistry(l, n.client, n.mirror, log)
 	n.jobs.ConfigureAdmission(func(team string) float64 {
--- a/internal/scheduler/forget_test.go
+++ b/internal/scheduler/forget_test.go
@@ -8,7 +8,7 @@
 	"cleatpick/internal/delivery"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
-	"cleatpick/internal/member"
+	"cleatpick/internal/membership"
 	"cleatpick/internal/partition"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
@@ -99,10 +99,10 @@
 		g.scheduler.StartDropped(host, workers.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", OnlyReservation: true})
 	}
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
-	g.scheduler.OwnershipChanged(partition.ForTeam("red"), false, member.Owner{})
+	g.scheduler.OwnershipChanged(partition.ForTeam("red"), false, membership.Owner{})
 	g.state.Put(segmentKey("x/red/", 0), segmentRecord{Machines: []machineEntry{}, Jobs: []jobEntry{{ID: id, Tasks: []taskEntry{{Index: 0, State: storedTerminated, Attempt: 1}}}}})
 	mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
-	g.scheduler.OwnershipChanged(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Revision: mark})
+	g.scheduler.OwnershipChanged(partition.ForTeam("red"), true, membership.Owner{Node: "a", Epoch: 2, Revision: mark})
 	latest := g.Now() + loop.Seconds(g.scheduler.cfg.Operator.StartLifetimeS)
 	g.showFor(20 * loop.Second)
 	g.checkAsked(t, latest)
--- a/internal/scheduler/logwrite.go
+++ b/internal/scheduler/logwrite.go
@@ -7,7 +7,7 @@
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
-	"cleatpick/internal/member"
+	"cleatpick/internal/membership"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
@@ -20,7 +20,7 @@
 	}
 	part.log.writing = true
 	key := w.segment.key
-	txn := wire.Txn{If: []wire.Cond{member.ClaimCond(part.id, part.claim), {Key: key, Revision: w.segment.revision}},
+	txn := wire.Txn{If: []wire.Cond{membership.ClaimCond(part.id, part.claim), {Key: key, Revision: w.segment.revision}},
 		Then: []wire.Change{{Put: key, Value: w.rec}}}
 	txn.If = append(txn.If, w.conditions...)
 	for _, s := range w.emptied {
--- a/internal/scheduler/partition.go
+++ b/internal/scheduler/partition.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"cleatpick/internal/loop"
-	"cleatpick/internal/member"
+	"cleatpick/internal/membership"
 	"cleatpick/internal/partition"
 )
 
@@ -17,7 +17,7 @@
 	ownedAt  loop.Micros
 	loadedAt loop.Micros // when its log had been read
 	id       partition.ID
-	claim    member.Owner
+	claim    membership.Owner
 	loaded   bool // its log has been read
 	teams    map[string]*team
 	log      taskLog
@@ -45,7 +45,7 @@
 }
 
 // OwnershipChanged handles the gain or loss of a partition.
-func (p *Scheduler) OwnershipChanged(id partition.ID, owned bool, claim member.Owner) {
+func (p *Scheduler) OwnershipChanged(id partition.ID, owned bool, claim membership.Owner) {
 	if !owned {
 		p.removePartition(id)
 		return
--- a/internal/scheduler/partition_test.go
+++ b/internal/scheduler/partition_test.go
@@ -8,7 +8,7 @@
 	"cleatpick/internal/config"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
-	"cleatpick/internal/member"
+	"cleatpick/internal/membership"
 	"cleatpick/internal/partition"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/wire"
@@ -27,7 +27,7 @@
 func (m *onePartition) Layout() partition.Layout  { return partition.Layout{Count: 1} }
 func (m *onePartition) Assigned(team string) bool { return m.known[team] }
 
-func (m *onePartition) Assign(_ partition.ID, _ member.Owner, teams []string, done func(bool)) {
+func (m *onePartition) Assign(_ partition.ID, _ membership.Owner, teams []string, done func(bool)) {
 	for _, team := range teams {
 		m.g.state.Put("c/t/"+team, map[string]any{"n": "", "e": 0, "p": string(onlyID)})
 	}
@@ -59,8 +59,8 @@
 // acquirePartition makes this controller the owner of the partition under a new claim.
 func (g *rig) acquirePartition() {
 	mark := g.state.Put(onlyID.ClaimKey(), map[string]any{"n": "a", "e": 1})
-	g.scheduler.OwnershipChanged(onlyID, false, member.Owner{})
-	g.scheduler.OwnershipChanged(onlyID, true, member.Owner{Node: "a", Epoch: 1, Revision: mark})
+	g.scheduler.OwnershipChanged(onlyID, false, membership.Owner{})
+	g.scheduler.OwnershipChanged(onlyID, true, membership.Owner{Node: "a", Epoch: 1, Revision: mark})
 	g.Advance(loop.Second)
 }
 
@@ -187,7 +187,7 @@
 		t.Fatalf("%d of %d tasks were started, with %d segments, want all and at least 2 segments", n, tasks, logs)
 	}
 	g.state.Put(own.ClaimKey(), map[string]any{"n": "", "e": 0, "p": string(onlyID)})
-	g.scheduler.OwnershipChanged(own, false, member.Owner{})
+	g.scheduler.OwnershipChanged(own, false, membership.Owner{})
 	g.scheduler.node.Membership = &onePartition{g: g, known: map[string]bool{"team-000": true}}
 	g.starts = nil
 	for _, owner := range []string{"the first owner", "the next one"} {
--- a/internal/scheduler/place_test.go
+++ b/internal/scheduler/place_test.go
@@ -16,7 +16,7 @@
 	"cleatpick/internal/fixed"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
-	"cleatpick/internal/member"
+	"cleatpick/internal/membership"
 	"cleatpick/internal/partition"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/standin"
@@ -93,7 +93,7 @@
 	g.registry.OnJob = g.scheduler.JobChanged
 	for _, t := range teams {
 		mark := g.state.Put("c/t/"+t.Name, map[string]any{"n": "a", "e": 1})
-		g.scheduler.OwnershipChanged(partition.ForTeam(t.Name), true, member.Owner{Node: "a", Epoch: 1, Revision: mark})
+		g.scheduler.OwnershipChanged(partition.ForTeam(t.Name), true, membership.Owner{Node: "a", Epoch: 1, Revision: mark})
 	}
 	g.mirror.Start()
 	g.Advance(loop.Second)
@@ -422,9 +422,9 @@
 	if use := g.scheduler.teams["red"].cpus; use != 4 {
 		t.Fatalf("%v CPUs are in use, want 4", use)
 	}
-	g.scheduler.OwnershipChanged(partition.ForTeam("red"), false, member.Owner{})
+	g.scheduler.OwnershipChanged(partition.ForTeam("red"), false, membership.Owner{})
 	mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
-	g.scheduler.OwnershipChanged(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Revision: mark})
+	g.scheduler.OwnershipChanged(partition.ForTeam("red"), true, membership.Owner{Node: "a", Epoch: 2, Revision: mark})
 	g.acceptJob(3, spec)
 	g.starts = nil
 	g.Advance(loop.Second)
@@ -452,9 +452,9 @@
 			rec.Jobs[0].Tasks = append(rec.Jobs[0].Tasks, taskEntry{Index: i, State: storedPlaced, Attempt: 1, Machine: 1, Session: 1, Expiry: g.Now()})
 		}
 		g.state.Put(segmentKey("x/red/", 0), rec)
-		g.scheduler.OwnershipChanged(partition.ForTeam("red"), false, member.Owner{})
+		g.scheduler.OwnershipChanged(partition.ForTeam("red"), false, membership.Owner{})
 		mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
-		g.scheduler.OwnershipChanged(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Revision: mark})
+		g.scheduler.OwnershipChanged(partition.ForTeam("red"), true, membership.Owner{Node: "a", Epoch: 2, Revision: mark})
 		for i := range 40 {
 			g.deliverView(fmt.Sprintf("n-1%02d", i), "m8", "x", false)
 		}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -10,7 +10,7 @@
 	"cleatpick/internal/health"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
-	"cleatpick/internal/member"
+	"cleatpick/internal/membership"
 	"cleatpick/internal/metric"
 	"cleatpick/internal/partition"
 	"cleatpick/internal/peer"
@@ -54,7 +54,7 @@
 	// Assigned reports whether a team has been assigned to its numbered partition, which is permanent. Assign stores
 	// the assignment of those teams that no controller owns.
 	Assigned(team string) bool
-	Assign(id partition.ID, claim member.Owner, teams []string, done func(ok bool))
+	Assign(id partition.ID, claim membership.Owner, teams []string, done func(ok bool))
 }
 
 // Scheduler schedules the tasks of the owned teams. It runs on one event loop and is not safe for concurrent use.
@@ -296,7 +296,7 @@
 	}
 	ch := job.DoneChange(t.job)
 	part := t.team.partition
-	txn := wire.Txn{If: []wire.Cond{member.ClaimCond(part.id, part.claim), job.RevisionCond(t.job)}, Then: []wire.Change{ch}}
+	txn := wire.Txn{If: []wire.Cond{membership.ClaimCond(part.id, part.claim), job.RevisionCond(t.job)}, Then: []wire.Change{ch}}
 	p.client.Txn(store.Answers, txn, func(r store.Result) {
 		if p.teams[t.team.cfg.Name] != t.team {
 			return
--- a/internal/scheduler/views_test.go
+++ b/internal/scheduler/views_test.go
@@ -6,7 +6,7 @@
 	"cleatpick/internal/config"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
-	"cleatpick/internal/member"
+	"cleatpick/internal/membership"
 	"cleatpick/internal/partition"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
@@ -101,11 +101,11 @@
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
 	other := workers.Task{Task: workers.TaskName(g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Tasks: 1, CPUs: 1, AnyType: true}), 0), Attempt: 1, State: wire.TaskRunning}
-	g.scheduler.OwnershipChanged(partition.ForTeam("red"), false, member.Owner{})
+	g.scheduler.OwnershipChanged(partition.ForTeam("red"), false, membership.Owner{})
 	g.state.Put(segmentKey("x/red/", 0), segmentRecord{Machines: []machineEntry{{Name: "n-001", Zone: "x"}},
 		Jobs: []jobEntry{{ID: id, Tasks: []taskEntry{{Index: 0, State: storedPlaced, Attempt: 2, Machine: 1, Session: 1, Expiry: g.Now() - 60*loop.Second}}}}})
 	mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
-	g.scheduler.OwnershipChanged(partition.ForTeam("red"), true, member.Owner{Node: "a", Epoch: 2, Revision: mark})
+	g.scheduler.OwnershipChanged(partition.ForTeam("red"), true, membership.Owner{Node: "a", Epoch: 2, Revision: mark})
 	g.Advance(loop.Second)
 	heldBack := workers.Task{Task: workers.TaskName(id, 0), Attempt: 2, State: wire.TaskRunning}
 	g.deliverViewOf(1, 1, false, heldBack, other)
