--- a/internal/front/front.go
+++ b/internal/httpapi/httpapi.go
@@ -1,10 +1,10 @@
-// Package front is the HTTP server of a controller. It serves users' job requests and workers' reports in the CBOR
+// Package httpapi is the HTTP server of a controller. It serves users' job requests and workers' reports in the CBOR
 // protocol, and the health check.
 //
 // It owns the HTTP routes, the limits of connections and body sizes, and the translation of results into status codes
 // and Retry-After headers. It decides nothing about jobs or machines: requests are passed to the job registry and the
 // workers' registry on the event loop. Requests under /v1/ and for /metrics are passed on to the JSON API.
-package front
+package httpapi
 
 import (
 	"log/slog"
--- a/internal/front/front_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -1,4 +1,4 @@
-package front
+package httpapi
 
 import (
 	"log/slog"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -18,7 +18,7 @@
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/delivery"
 	"cleatpick/internal/failuredetector"
-	"cleatpick/internal/front"
+	"cleatpick/internal/httpapi"
 	"cleatpick/internal/job"
 	"cleatpick/internal/loop"
 	"cleatpick/internal/membership"
@@ -51,7 +51,7 @@
 	net           *peer.Net
 	reach         *reachability.Tracker
 	watermark     *watermark.Tracker
-	front         *front.Server
+	front         *httpapi.Server
 	deps          Dependencies
 	progress      map[string]job.Counts
 	meter         *metric.Meter // nil while /v1/ is off
@@ -259,7 +259,7 @@
 	if cfg.Operator.API.Enabled {
 		n.setUpAPI()
 	}
-	n.front = front.New(l, log, cfg, front.Node{
+	n.front = httpapi.New(l, log, cfg, httpapi.Node{
 		API:     n.apiHandler(),
 		Healthy: n.healthy,
 		Ready:   n.ready,
