--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -7,7 +7,6 @@
 	"strings"
 
 	"cleatpick/internal/api"
-	"cleatpick/internal/ask"
 	"cleatpick/internal/explain"
 	"cleatpick/internal/fleet"
 	"cleatpick/internal/job"
@@ -15,12 +14,13 @@
 	"cleatpick/internal/peer"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/reachability"
+	"cleatpick/internal/rpc"
 	"cleatpick/internal/wire"
 )
 
 // apiParts holds what a controller needs for /v1/; it exists only if the operators' settings enable /v1/.
 type apiParts struct {
-	questions    *ask.Endpoint
+	questions    *rpc.Endpoint
 	explanations *explain.Service
 	api          *api.API
 }
@@ -36,7 +36,7 @@
 	l := n.loop
 	x := &apiParts{}
 	n.apiParts = x
-	x.questions = ask.New(l, n.cfg.Label, rand.Uint64()>>1, n.net.Send, func(label string) bool { return slices.Contains(n.net.Peers(), label) })
+	x.questions = rpc.New(l, n.cfg.Label, rand.Uint64()>>1, n.net.Send, func(label string) bool { return slices.Contains(n.net.Peers(), label) })
 	owner := func(team string) string {
 		o, _ := n.member.TeamOwner(team)
 		return o.Node
--- a/internal/ask/ask.go
+++ b/internal/rpc/rpc.go
@@ -1,9 +1,9 @@
-// Package ask provides remote procedure calls between controllers, carried by the messages that they exchange anyway.
+// Package rpc provides remote procedure calls between controllers, carried by the messages that they exchange anyway.
 //
 // It matches replies to requests, bounds the number and size of requests, and dispatches incoming requests to the handler
 // of their topic. A message may be lost, so each request has a timeout after which it counts as unanswered. There are no
 // retries: callers report what is missing from their result. The transport is left to package peer.
-package ask
+package rpc
 
 import (
 	"cleatpick/internal/loop"
--- a/internal/ask/ask_test.go
+++ b/internal/rpc/rpc_test.go
@@ -1,4 +1,4 @@
-package ask
+package rpc
 
 import (
 	"fmt"
