--- a/internal/admission/load.go
+++ b/internal/admission/load.go
@@ -1,6 +1,6 @@
 package admission
 
-import "cleatpick/internal/loop"
+import "cleatpick/internal/eventloop"
 
 // State is the load state of the queue.
 type State int
@@ -16,27 +16,27 @@
 func (s State) String() string { return [...]string{"calm", "crowded", "overloaded", "recovering"}[s] }
 
 const (
-	crowdedAfter = loop.Second
+	crowdedAfter = eventloop.Second
 	// calmAfter is how long the queue must keep becoming empty again before it counts as calm.
-	calmAfter = 3 * loop.Second
+	calmAfter = 3 * eventloop.Second
 	// recoverAfter is the time after the last deferral when the overload counts as over, and retryingFor how long
 	// clients may still be retrying after that: the longest time that they may be told to wait.
-	recoverAfter = 5 * loop.Second
-	retryingFor  = maxRetryAfter * loop.Second
+	recoverAfter = 5 * eventloop.Second
+	retryingFor  = maxRetryAfter * eventloop.Second
 )
 
 // LoadTracker derives the load state from what happens to requests.
 type LoadTracker struct {
 	state        State
-	since        loop.Micros
-	waitingSince loop.Micros // since when some request has been waiting at all times; 0: none waits
-	emptyAt      loop.Micros // when no request was waiting last
-	deferredAt   loop.Micros // when a request was deferred last
+	since        eventloop.Micros
+	waitingSince eventloop.Micros // since when some request has been waiting at all times; 0: none waits
+	emptyAt      eventloop.Micros // when no request was waiting last
+	deferredAt   eventloop.Micros // when a request was deferred last
 	changed      func(from, to State)
 }
 
 // setState changes the state and reports the change; no other function changes the state.
-func (o *LoadTracker) setState(s State, now loop.Micros) {
+func (o *LoadTracker) setState(s State, now eventloop.Micros) {
 	if o.state == s {
 		return
 	}
@@ -48,7 +48,7 @@
 }
 
 // update updates the state. queued says that no request was deferred, waiting that some request is waiting.
-func (o *LoadTracker) update(now loop.Micros, queued, waiting bool) {
+func (o *LoadTracker) update(now eventloop.Micros, queued, waiting bool) {
 	if !queued {
 		o.deferredAt = now
 	}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -12,7 +12,7 @@
 	"cmp"
 	"slices"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
 // Request is a submission that asks to be admitted.
@@ -26,7 +26,7 @@
 type Position struct {
 	_        struct{} `cbor:",toarray"`
 	ID       string
-	FirstTry loop.Micros
+	FirstTry eventloop.Micros
 }
 
 // Decision is the decision on a request.
@@ -44,10 +44,10 @@
 	// maxPositions bounds the remembered positions of deferred requests, and positionLife is how long they are
 	// remembered: clients give up 60 s after their first try.
 	maxPositions = 2000
-	positionLife = 60 * loop.Second
+	positionLife = 60 * eventloop.Second
 	// maxWait is the longest expected wait with which a request is queued. A request that
 	// would wait longer is deferred at once.
-	maxWait = 1200 * loop.Millisecond
+	maxWait = 1200 * eventloop.Millisecond
 	// maxRetryAfter bounds the seconds after which a deferred client is told to retry.
 	maxRetryAfter = 30
 	// urgentWeight is the weight of a class of urgent work; another class of its team has the weight 1.
@@ -61,7 +61,7 @@
 // Entry is a waiting request with its queue position.
 type Entry struct {
 	Request
-	FirstTry loop.Micros // wall clock time of its first try
+	FirstTry eventloop.Micros // wall clock time of its first try
 }
 
 // classQueue is the waiting requests of one class, earliest first try first, with the virtual time at which the
@@ -87,7 +87,7 @@
 	byID          map[string]*Entry
 	virtualTime   float64 // virtual time of the team served last
 	rate          admissionRate
-	positions     map[string]loop.Micros
+	positions     map[string]eventloop.Micros
 	positionOrder []Position // of positions, in the order in which they were recorded
 	newPositions  []Position // new positions to be sent to the peers
 	overload      LoadTracker
@@ -97,14 +97,14 @@
 // NewQueue returns an empty queue. weight returns a team's weight relative to the others. rate is the number
 // of requests per second that are expected to be admitted, used until it has been measured.
 func NewQueue(weight func(team string) float64, rate float64) *Queue {
-	return &Queue{weight: weight, teams: map[string]*teamQueue{}, byID: map[string]*Entry{}, rate: newAdmissionRate(rate), positions: map[string]loop.Micros{}}
+	return &Queue{weight: weight, teams: map[string]*teamQueue{}, byID: map[string]*Entry{}, rate: newAdmissionRate(rate), positions: map[string]eventloop.Micros{}}
 }
 
 // Waiting returns the number of requests in the queue.
 func (q *Queue) Waiting() int { return len(q.byID) }
 
 // Enqueue queues a request or defers it. now is the monotonic time, wall the wall clock time.
-func (q *Queue) Enqueue(r Request, now, wall loop.Micros) Decision {
+func (q *Queue) Enqueue(r Request, now, wall eventloop.Micros) Decision {
 	q.rate.decay(now)
 	q.forgetExpired(wall)
 	first, was := q.positions[r.ID]
@@ -138,7 +138,7 @@
 // waiting.
 func (q *Queue) classRate(r *Request) float64 {
 	all := q.weightOf(r.Team)
-	for name, t := range loop.Sorted(q.teams) {
+	for name, t := range eventloop.Sorted(q.teams) {
 		if t.waiting > 0 && name != r.Team {
 			all += q.weightOf(name)
 		}
@@ -146,7 +146,7 @@
 	part := q.weightOf(r.Team) / all
 	turns, mine := 0.0, classWeight(r.Urgent)
 	if t := q.teams[r.Team]; t != nil {
-		for name, f := range loop.Sorted(t.classes) {
+		for name, f := range eventloop.Sorted(t.classes) {
 			if len(f.waiting) > 0 && name != t.classKey(r.Class) {
 				turns += classWeight(f.waiting[0].Urgent)
 			}
@@ -165,7 +165,7 @@
 }
 
 // ahead returns how many requests of the class come before one with the given first try.
-func (q *Queue) ahead(r *Request, first loop.Micros) int {
+func (q *Queue) ahead(r *Request, first eventloop.Micros) int {
 	t := q.teams[r.Team]
 	if t == nil {
 		return 0
@@ -273,7 +273,7 @@
 
 // TimeOut removes a request that waited too long, remembers its position for its next try, and returns the
 // seconds after which the client should retry.
-func (q *Queue) TimeOut(id string, wall loop.Micros) (after int) {
+func (q *Queue) TimeOut(id string, wall eventloop.Micros) (after int) {
 	e := q.byID[id]
 	if e == nil {
 		return 1
@@ -284,7 +284,7 @@
 }
 
 // deferWaiting removes a waiting request and remembers its position.
-func (q *Queue) deferWaiting(id string, wall loop.Micros) {
+func (q *Queue) deferWaiting(id string, wall eventloop.Micros) {
 	e := q.byID[id]
 	t := q.teams[e.Team]
 	class := t.classKey(e.Class)
@@ -301,7 +301,7 @@
 	if t := q.teams[self]; t != nil {
 		most = float64(t.waiting+1) / q.weightOf(self)
 	}
-	for n, t := range loop.Sorted(q.teams) {
+	for n, t := range eventloop.Sorted(q.teams) {
 		if x := float64(t.waiting) / q.weightOf(n); x > most || x == most && n < name && n != self && name != self {
 			name, most = n, x
 		}
@@ -345,16 +345,16 @@
 }
 
 // MergePositions records positions from a peer. Positions that have expired, or lie in the future, are ignored.
-func (q *Queue) MergePositions(all []Position, wall loop.Micros) {
+func (q *Queue) MergePositions(all []Position, wall eventloop.Micros) {
 	for _, p := range all[:min(len(all), maxNewPositions)] {
-		if p.ID != "" && p.FirstTry > wall-positionLife && p.FirstTry <= wall+loop.Second && q.byID[p.ID] == nil {
+		if p.ID != "" && p.FirstTry > wall-positionLife && p.FirstTry <= wall+eventloop.Second && q.byID[p.ID] == nil {
 			q.rememberPosition(p, false)
 		}
 	}
 }
 
 // forgetExpired drops the remembered positions that have expired.
-func (q *Queue) forgetExpired(wall loop.Micros) {
+func (q *Queue) forgetExpired(wall eventloop.Micros) {
 	for len(q.positionOrder) > 0 && (q.positionOrder[0].FirstTry <= wall-positionLife || len(q.positionOrder) > 2*maxPositions) {
 		if p := q.positionOrder[0]; q.positions[p.ID] <= wall-positionLife {
 			delete(q.positions, p.ID)
@@ -365,12 +365,12 @@
 
 // RecordAdmitted records that n requests were admitted, for the estimate of the rate. busy says that others keep
 // waiting.
-func (q *Queue) RecordAdmitted(n int, now loop.Micros, busy bool) {
+func (q *Queue) RecordAdmitted(n int, now eventloop.Micros, busy bool) {
 	q.rate.recordAdmitted(n, now, busy)
 }
 
 // State returns the load state of the queue.
-func (q *Queue) State(now loop.Micros) State {
+func (q *Queue) State(now eventloop.Micros) State {
 	q.overload.update(now, true, len(q.byID) > 0)
 	return q.overload.state
 }
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -6,15 +6,15 @@
 	"math/rand/v2"
 	"testing"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
-const second = loop.Second
+const second = eventloop.Second
 
 // admitter admits requests from a queue at a fixed rate in batches, as a controller does.
 type admitter struct {
 	queue    *Queue
-	now      loop.Micros
+	now      eventloop.Micros
 	rate     float64
 	credit   float64
 	admitted map[string]int // admitted requests, by team and by team/class
@@ -25,7 +25,7 @@
 	return &admitter{queue: NewQueue(func(t string) float64 { return weights[t] }, rate), now: 1000 * second, rate: rate, admitted: map[string]int{}, done: map[string]bool{}}
 }
 
-func (d *admitter) step(dt loop.Micros) {
+func (d *admitter) step(dt eventloop.Micros) {
 	d.now += dt
 	d.credit = min(d.credit+d.rate*float64(dt)/1e6, 8)
 	n := 0
@@ -49,13 +49,13 @@
 // minute.
 type client struct {
 	Request
-	first, next loop.Micros
+	first, next eventloop.Micros
 	in, gaveUp  bool
 }
 
 // run lets clients arrive at the given rates for a time, and returns all of them.
-func (d *admitter) run(span loop.Micros, rng *rand.Rand, flows map[Request]float64) (all []*client) {
-	for end := d.now + span; d.now < end; d.step(50 * loop.Millisecond) {
+func (d *admitter) run(span eventloop.Micros, rng *rand.Rand, flows map[Request]float64) (all []*client) {
+	for end := d.now + span; d.now < end; d.step(50 * eventloop.Millisecond) {
 		for f, rate := range flows {
 			for n := rate * 0.05; n > 0 && (n >= 1 || rng.Float64() < n); n-- {
 				r := f
@@ -73,11 +73,11 @@
 			}
 			a := d.queue.Enqueue(u.Request, d.now, d.now)
 			u.in = a.Queued
-			u.next = d.now + loop.Micros(a.RetryAfter)*second
+			u.next = d.now + eventloop.Micros(a.RetryAfter)*second
 			if a.Evicted != "" {
 				for _, o := range all {
 					if o.ID == a.Evicted {
-						o.in, o.next = false, d.now+loop.Micros(a.RetryAfter)*second
+						o.in, o.next = false, d.now+eventloop.Micros(a.RetryAfter)*second
 					}
 				}
 			}
@@ -146,9 +146,9 @@
 		for range 200 {
 			id := fmt.Sprint("job-", rng.IntN(100))
 			q.Enqueue(Request{ID: id, Team: "red", Class: "k"}, d.now, d.now)
-			d.now += loop.Micros(rng.IntN(40)) * loop.Millisecond
+			d.now += eventloop.Micros(rng.IntN(40)) * eventloop.Millisecond
 			if rng.IntN(3) == 0 {
-				before := map[string]loop.Micros{}
+				before := map[string]eventloop.Micros{}
 				for id, e := range q.byID {
 					before[id] = e.FirstTry
 				}
@@ -199,7 +199,7 @@
 	q := NewQueue(func(t string) float64 { return map[string]float64{"guest": 0.01, "red": 1}[t] }, 1e6)
 	now := 1000 * second
 	for i := range 20000 {
-		now += loop.Micros(rng.IntN(2000))
+		now += eventloop.Micros(rng.IntN(2000))
 		q.Enqueue(Request{ID: fmt.Sprint("job-", i), Team: "guest", Class: fmt.Sprint(rng.IntN(5000)), Urgent: i%2 == 0}, now, now)
 	}
 	g := q.teams["guest"]
@@ -252,13 +252,13 @@
 	var seen []string
 	o.changed = func(_, to State) { seen = append(seen, to.String()) }
 	now := 100 * second
-	run := func(d loop.Micros, waits bool, off func(k int) bool) {
-		for k := range int(d / (100 * loop.Millisecond)) {
-			now += 100 * loop.Millisecond
+	run := func(d eventloop.Micros, waits bool, off func(k int) bool) {
+		for k := range int(d / (100 * eventloop.Millisecond)) {
+			now += 100 * eventloop.Millisecond
 			o.update(now, off == nil || !off(k), waits)
 		}
 	}
-	run(800*loop.Millisecond, true, nil)
+	run(800*eventloop.Millisecond, true, nil)
 	run(2*second, false, nil)
 	run(3*second, true, nil)                                    // crowded
 	run(10*second, true, func(k int) bool { return k%20 == 0 }) // overloaded, with a deferral every 2 s
--- a/internal/admission/rate.go
+++ b/internal/admission/rate.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
 const (
@@ -11,11 +11,11 @@
 	sampleWeight = 0.3
 	// maxSampleTime is the longest time between two transactions that counts as a sample: beyond it the
 	// process paused, or the state service was unavailable.
-	maxSampleTime = 5 * loop.Second
+	maxSampleTime = 5 * eventloop.Second
 	// decayAfter is the time since the newest sample after which the rate starts to return to the expected
 	// value; decayHalfLife is the half-life of that return.
-	decayAfter    = 5 * loop.Second
-	decayHalfLife = 2 * loop.Second
+	decayAfter    = 5 * eventloop.Second
+	decayHalfLife = 2 * eventloop.Second
 	// minRate keeps the rate above 0.
 	minRate = 0.1
 )
@@ -26,9 +26,9 @@
 type admissionRate struct {
 	perSecond  float64
 	expected   float64
-	previousAt loop.Micros // when the previous transaction was answered while others waited; 0: none
-	sampledAt  loop.Micros // when the newest sample was taken; 0: never
-	decayedTo  loop.Micros // time up to which the return has been applied
+	previousAt eventloop.Micros // when the previous transaction was answered while others waited; 0: none
+	sampledAt  eventloop.Micros // when the newest sample was taken; 0: never
+	decayedTo  eventloop.Micros // time up to which the return has been applied
 }
 
 func newAdmissionRate(expected float64) admissionRate {
@@ -37,7 +37,7 @@
 }
 
 // recordAdmitted records that n requests were admitted; busy says that others wait.
-func (r *admissionRate) recordAdmitted(n int, now loop.Micros, busy bool) {
+func (r *admissionRate) recordAdmitted(n int, now eventloop.Micros, busy bool) {
 	r.decay(now)
 	if took := now - r.previousAt; r.previousAt != 0 && n > 0 && took > 0 && took <= maxSampleTime {
 		sample := float64(n) / (float64(took) / 1e6)
@@ -50,7 +50,7 @@
 }
 
 // decay returns the rate toward the expected value if no sample has come for a while.
-func (r *admissionRate) decay(now loop.Micros) {
+func (r *admissionRate) decay(now eventloop.Micros) {
 	since := max(r.sampledAt+decayAfter, r.decayedTo)
 	if r.sampledAt == 0 || now <= since {
 		return
--- a/internal/admission/rate_test.go
+++ b/internal/admission/rate_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
 // The rate by which requests are deferred must return to the expected value whatever was measured before:
@@ -16,19 +16,19 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 46))
 		r := newAdmissionRate(expected)
-		now := 3600 * loop.Second
+		now := 3600 * eventloop.Second
 		for range rng.IntN(40) {
-			now += loop.Micros(rng.Int64N([]int64{1, 50, 3000, 40000}[rng.IntN(4)]*loop.Millisecond) + 1)
+			now += eventloop.Micros(rng.Int64N([]int64{1, 50, 3000, 40000}[rng.IntN(4)]*eventloop.Millisecond) + 1)
 			r.recordAdmitted(rng.IntN(9), now, rng.IntN(4) > 0)
 		}
 		for _, after := range []struct {
 			name  string
-			every loop.Micros
+			every eventloop.Micros
 			n     int
 		}{
 			{"nothing", 0, 0},
-			{"one every three seconds, with nothing else waiting", 3 * loop.Second, 1},
-			{"a batch of eight every 200 ms, with others waiting", loop.Second / 5, 8},
+			{"one every three seconds, with nothing else waiting", 3 * eventloop.Second, 1},
+			{"a batch of eight every 200 ms, with others waiting", eventloop.Second / 5, 8},
 		} {
 			c, at := r, now
 			for at < now+soon {
@@ -42,7 +42,7 @@
 			c.decay(at)
 			allowed := max(0.15*expected, 0.1*math.Abs(r.perSecond-expected))
 			if math.Abs(c.perSecond-expected) > allowed {
-				t.Errorf("seed %d, then %s: rate is %.2f per second after %d s, was %.2f", seed, after.name, c.perSecond, soon/loop.Second, r.perSecond)
+				t.Errorf("seed %d, then %s: rate is %.2f per second after %d s, was %.2f", seed, after.name, c.perSecond, soon/eventloop.Second, r.perSecond)
 			}
 		}
 	}
@@ -51,7 +51,7 @@
 // A time between two transactions that is longer than maxSampleTime must not lower the rate.
 func TestPauseIsNoRateSample(t *testing.T) {
 	r := newAdmissionRate(40)
-	at := 3600 * loop.Second
+	at := 3600 * eventloop.Second
 	r.recordAdmitted(8, at, true)
 	r.recordAdmitted(8, at+maxSampleTime+1, true)
 	if r.perSecond != 40 {
--- a/internal/admission/refusals.go
+++ b/internal/admission/refusals.go
@@ -3,11 +3,11 @@
 import (
 	"log/slog"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
 // spellEndsAfter is the time without a refusal for a reason after which the spell of refusals counts as over.
-const spellEndsAfter = 5 * loop.Second
+const spellEndsAfter = 5 * eventloop.Second
 
 // Refusals logs when a controller starts and stops refusing requests for a reason, once for each spell. The
 // reasons are a fixed list, which bounds the entries.
@@ -17,7 +17,7 @@
 }
 
 type refusalSpell struct {
-	began, last loop.Micros
+	began, last eventloop.Micros
 	count       int
 }
 
@@ -27,7 +27,7 @@
 }
 
 // Record records that a request was refused, and logs the first one of a spell.
-func (r *Refusals) Record(reason string, now loop.Micros) {
+func (r *Refusals) Record(reason string, now eventloop.Micros) {
 	s := r.spells[reason]
 	if s == nil {
 		s = &refusalSpell{began: now}
@@ -39,8 +39,8 @@
 }
 
 // LogEnded logs the spells that are over. It is to be called regularly.
-func (r *Refusals) LogEnded(now loop.Micros) {
-	for reason, s := range loop.Sorted(r.spells) {
+func (r *Refusals) LogEnded(now eventloop.Micros) {
+	for reason, s := range eventloop.Sorted(r.spells) {
 		if now-s.last >= spellEndsAfter {
 			r.log.Info("stopped refusing requests", "reason", reason, "refused", s.count, "lasted_us", s.last-s.began)
 			delete(r.spells, reason)
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -13,9 +13,9 @@
 
 	"cleatpick/internal/config"
 	"cleatpick/internal/cordon"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/explain"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/metric"
 	"cleatpick/internal/wire"
 
@@ -47,7 +47,7 @@
 
 // API answers requests under /v1/ and for /metrics.
 type API struct {
-	runner loop.Runner
+	runner eventloop.Runner
 	log    *slog.Logger
 	cfg    *config.Config
 	node   Node
@@ -57,7 +57,7 @@
 }
 
 // New returns the API. The meter may be nil; /metrics does not exist then.
-func New(r loop.Runner, log *slog.Logger, cfg *config.Config, n Node, m *metric.Meter) *API {
+func New(r eventloop.Runner, log *slog.Logger, cfg *config.Config, n Node, m *metric.Meter) *API {
 	return &API{runner: r, log: log, cfg: cfg, node: n, keys: readKeys(cfg.Operator.API.Keys), schema: loadSchema(), meter: m}
 }
 
@@ -157,7 +157,7 @@
 // onLoop calls f on the event loop, waits for its outcome and writes it. The response is an error if this controller is
 // not ready or if there is no outcome in time.
 func (a *API) onLoop(c *request, f func(done func(outcome))) {
-	o, ok := loop.Call(a.runner, requestTimeout, func(done func(outcome)) {
+	o, ok := eventloop.Call(a.runner, requestTimeout, func(done func(outcome)) {
 		if !a.node.Ready() {
 			done(outcome{problem: &notReady})
 			return
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -12,9 +12,9 @@
 
 	"cleatpick/internal/config"
 	"cleatpick/internal/cordon"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/explain"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/metric"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
@@ -44,7 +44,7 @@
 func (p *postingRunner) Post(f func()) { p.posted <- f }
 
 func newTestAPI(t testing.TB) *testAPI {
-	g := &testAPI{Runner: standin.NewRunner(1000 * loop.Second), keys: map[string]string{}}
+	g := &testAPI{Runner: standin.NewRunner(1000 * eventloop.Second), keys: map[string]string{}}
 	p := &postingRunner{g.Runner, make(chan func(), 256)}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	cfg := &config.Config{Operator: config.Defaults()}
@@ -55,7 +55,7 @@
 		g.keys[role] = token
 		cfg.Operator.API.Keys = append(cfg.Operator.API.Keys, k)
 	}
-	g.state = standin.NewStateService(func() loop.Micros { return g.Now() })
+	g.state = standin.NewStateService(func() eventloop.Micros { return g.Now() })
 	c := store.NewClient(g.Runner, g.state, log, 1e5, 1e5, 1)
 	m := store.NewMirror(c, g.state, "c/")
 	jobs := job.NewRegistry(g.Runner, c, m, log)
@@ -67,7 +67,7 @@
 		Facts:  func(string) (*explain.Facts, bool) { return nil, false },
 		Supply: func(*job.Spec) explain.Supply { return explain.Supply{} },
 		Counts: func(*job.Job) job.Counts { return job.Counts{} },
-		Ask:    func(_, _ string, _ any, _ loop.Micros, cb func(wire.Raw, bool)) { cb(nil, false) },
+		Ask:    func(_, _ string, _ any, _ eventloop.Micros, cb func(wire.Raw, bool)) { cb(nil, false) },
 		Handle: func(string, func(wire.Raw, func(any))) {},
 		Meter:  meter,
 	})
@@ -83,14 +83,14 @@
 		PendingStarts: func(_ string, cb func(int, bool)) { cb(0, true) },
 	}, meter)
 	m.Start()
-	g.Advance(loop.Second)
+	g.Advance(eventloop.Second)
 	done := make(chan struct{})
 	go func() {
 		for {
 			select {
 			case f := <-p.posted:
 				f()
-				g.Advance(200 * loop.Millisecond)
+				g.Advance(200 * eventloop.Millisecond)
 			case <-done:
 				return
 			}
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/explain"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
 )
 
@@ -59,7 +59,7 @@
 }
 
 // terms returns the job's dependencies and its hold, set by the named key.
-func (p *Submission) terms(keyName string, wall loop.Micros) *job.Terms {
+func (p *Submission) terms(keyName string, wall eventloop.Micros) *job.Terms {
 	t := &job.Terms{Dependencies: p.Dependencies, OnCancelled: policies[p.OnCancelled]}
 	if p.Hold || p.HoldUntil != nil {
 		// No task of a job that is not stored yet can have started, so the hold is effective at once.
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -12,9 +12,9 @@
 	"strings"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/explain"
 	"cleatpick/internal/failuredetector"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/membership"
 	"cleatpick/internal/metric"
 	"cleatpick/internal/peer"
@@ -50,8 +50,8 @@
 	busy     bool
 	refused  bool
 	tries    int
-	nextTry  loop.Micros
-	finished loop.Micros
+	nextTry  eventloop.Micros
+	finished eventloop.Micros
 }
 
 // DeletionRecord is the record of deleted machines.
@@ -73,8 +73,8 @@
 
 // backoff is the state of an offer that the cloud refused.
 type backoff struct {
-	until loop.Micros
-	wait  loop.Micros
+	until eventloop.Micros
+	wait  eventloop.Micros
 }
 
 // Node holds what the autoscaler needs of the controller that runs it.
@@ -99,7 +99,7 @@
 
 // Autoscaler decides what to rent and what to delete. It acts only while its controller is the leader.
 type Autoscaler struct {
-	runner         loop.Runner
+	runner         eventloop.Runner
 	log            *slog.Logger
 	cfg            *config.Config
 	client         *store.Client
@@ -109,27 +109,27 @@
 	node           Node
 	leads          bool
 	claim          membership.Owner
-	started        loop.Micros
+	started        eventloop.Micros
 	types          []wire.MachineType
 	byName         map[string]wire.MachineType
 	machines       map[string]*machine
 	orders         map[string]*order
 	demands        map[string]peer.Demand
-	demandAt       map[string]loop.Micros
+	demandAt       map[string]eventloop.Micros
 	offers         map[offer]*backoff
 	seq            int
 	callBudget     float64 // cloud calls that pacing allows now
-	callBudgetAt   loop.Micros
-	pausedUntil    loop.Micros
+	callBudgetAt   eventloop.Micros
+	pausedUntil    eventloop.Micros
 	calling        bool
-	listAt         loop.Micros
-	catalogAt      loop.Micros
+	listAt         eventloop.Micros
+	catalogAt      eventloop.Micros
 	listed         bool // the list was read since this leadership began
-	drainCheckedAt loop.Micros
-	checkedAt      loop.Micros
-	unreachableAt  map[string]loop.Micros // when a zone was last seen unreachable
-	retaining      bool                   // machines in unreachable zones are retained for longer
-	planAt         loop.Micros            // earliest time of the next plan
+	drainCheckedAt eventloop.Micros
+	checkedAt      eventloop.Micros
+	unreachableAt  map[string]eventloop.Micros // when a zone was last seen unreachable
+	retaining      bool                        // machines in unreachable zones are retained for longer
+	planAt         eventloop.Micros            // earliest time of the next plan
 	failures       *failuredetector.Detector
 	sortedMachines []*machine // by name; nil: to be rebuilt
 	rand           *rand.Rand
@@ -143,12 +143,12 @@
 
 // New returns the autoscaler, which keeps its copy of the catalog and the deletions up to date on every
 // controller.
-func New(r loop.Runner, log *slog.Logger, cfg *config.Config, c *store.Client, m *store.Mirror, cloud store.Doer, a *workers.Registry, n Node) *Autoscaler {
-	t := &Autoscaler{runner: r, log: log, cfg: cfg, client: c, mirror: m, cloud: cloud, workers: a, node: n, byName: map[string]wire.MachineType{}, rand: loop.Rand(r),
-		demands: map[string]peer.Demand{}, unreachableAt: map[string]loop.Micros{}, demandAt: map[string]loop.Micros{}, deleted: map[string][]string{}, bootTimes: explain.NewDistribution()}
+func New(r eventloop.Runner, log *slog.Logger, cfg *config.Config, c *store.Client, m *store.Mirror, cloud store.Doer, a *workers.Registry, n Node) *Autoscaler {
+	t := &Autoscaler{runner: r, log: log, cfg: cfg, client: c, mirror: m, cloud: cloud, workers: a, node: n, byName: map[string]wire.MachineType{}, rand: eventloop.Rand(r),
+		demands: map[string]peer.Demand{}, unreachableAt: map[string]eventloop.Micros{}, demandAt: map[string]eventloop.Micros{}, deleted: map[string][]string{}, bootTimes: explain.NewDistribution()}
 	w := cfg.Cluster.Workers
-	t.failures = failuredetector.New(failuredetector.Rules{ReportInterval: loop.Seconds(w.ReportS), Lease: loop.Seconds(w.LeaseS), UnreachableGrace: partitionGrace,
-		MaxSilence: loop.Seconds(cfg.Operator.SilentDeleteAfterS), MaxProbes: max(min(64, cfg.Cluster.Limits.MaxSockets/20), 4)}, log, n.Meter, t.probe)
+	t.failures = failuredetector.New(failuredetector.Rules{ReportInterval: eventloop.Seconds(w.ReportS), Lease: eventloop.Seconds(w.LeaseS), UnreachableGrace: partitionGrace,
+		MaxSilence: eventloop.Seconds(cfg.Operator.SilentDeleteAfterS), MaxProbes: max(min(64, cfg.Cluster.Limits.MaxSockets/20), 4)}, log, n.Meter, t.probe)
 	m.OnChange(CatalogKey, func(key string, e store.Entry) {
 		var rec catalogRecord
 		if e.Revision == 0 {
@@ -176,8 +176,8 @@
 			t.markDeleted(name)
 		}
 	})
-	loop.Every(r, 60*loop.Second, t.removeOldDeletions)
-	loop.Every(r, 50*loop.Millisecond, t.tick)
+	eventloop.Every(r, 60*eventloop.Second, t.removeOldDeletions)
+	eventloop.Every(r, 50*eventloop.Millisecond, t.tick)
 	return t
 }
 
@@ -235,7 +235,7 @@
 // UpdateDemand records an owner's unplaced requests and suspect machines.
 func (t *Autoscaler) UpdateDemand(from string, demand peer.Demand) {
 	old := t.demands[from]
-	maxAge := t.cfg.ClockDifference() + 5*loop.Second
+	maxAge := t.cfg.ClockDifference() + 5*eventloop.Second
 	if demand.Wall <= old.Wall || t.runner.Wall()-demand.Wall > maxAge {
 		return // a repeated or delayed message
 	}
@@ -247,7 +247,7 @@
 
 // partitionGrace is how much longer than its lease an unreachable machine is retained while it may be alive
 // behind a network partition.
-const partitionGrace = 8 * loop.Second
+const partitionGrace = 8 * eventloop.Second
 
 // checkIntervalPerMachine is the part of the interval between two checks of all machines that each machine
 // adds, in microseconds.
@@ -261,7 +261,7 @@
 		return
 	}
 	now := t.runner.Now()
-	if now-t.checkedAt >= max(200*loop.Millisecond, loop.Micros(len(t.machines))*checkIntervalPerMachine) {
+	if now-t.checkedAt >= max(200*eventloop.Millisecond, eventloop.Micros(len(t.machines))*checkIntervalPerMachine) {
 		t.checkedAt = now
 		t.checkMachines()
 	}
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/failuredetector"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/membership"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/standin"
@@ -47,13 +47,13 @@
 }
 
 func newRig(t *testing.T, each int) *rig {
-	g := &rig{Runner: standin.NewRunner(1000 * loop.Second), entitled: true, probeAnswer: failuredetector.NoConnection, probeAnswers: map[string]failuredetector.ProbeResult{}}
+	g := &rig{Runner: standin.NewRunner(1000 * eventloop.Second), entitled: true, probeAnswer: failuredetector.NoConnection, probeAnswers: map[string]failuredetector.ProbeResult{}}
 	cfg := &config.Config{Operator: config.Defaults()}
 	cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.LeaseS = 1, 10
 	cfg.Cluster.Cloud.RPS, cfg.Cluster.Cloud.ListLagS = 5, 2
 	cfg.Cluster.State.TxnOps = 16
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	state := standin.NewStateService(func() loop.Micros { return g.Now() })
+	state := standin.NewStateService(func() eventloop.Micros { return g.Now() })
 	state.Put("c/l", map[string]any{"n": "a", "e": 1})
 	c := store.NewClient(g, state, log, 1000, 1000, 1)
 	m := store.NewMirror(c, state, "c/")
@@ -65,7 +65,7 @@
 		PeerUnreachable: func(z string) bool { return g.peerUnreachable || z == g.partitionedZone }, LeaseValid: func() bool { return g.entitled }, Isolated: func() bool { return g.isolated },
 		Faulty: func(string) bool { return false }, Probe: func(addr string) failuredetector.ProbeResult { return cmp.Or(g.probeAnswers[addr], g.probeAnswer) }})
 	m.Start()
-	g.Advance(loop.Second)
+	g.Advance(eventloop.Second)
 	e, ok := m.Get("c/l")
 	if !ok {
 		t.Fatal("the leader's claim has not reached the mirror")
@@ -99,12 +99,12 @@
 	}{{"lease lost", false, false, 0}, {"no peer reachable", true, true, 0}, {"in contact", true, false, 1}} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(t, 4)
-			g.Advance(3 * loop.Second)
+			g.Advance(3 * eventloop.Second)
 			g.report("n-900000", "x")
-			g.Advance(2 * loop.Second)
+			g.Advance(2 * eventloop.Second)
 			g.entitled, g.isolated = c.entitled, c.isolated
 			before := len(g.calls)
-			g.Advance(25 * loop.Second)
+			g.Advance(25 * eventloop.Second)
 			if n := count(g.calls[before:], "/machines/delete"); (n > 0) != (c.want > 0) {
 				t.Fatalf("%d deletions requested, want %d (1 stands for any number)", n, c.want)
 			}
@@ -116,11 +116,11 @@
 // none of them confirms a message sent to the machine, it must be declared failed all the same.
 func TestFailedMachineIsDeletedDespiteReportCopies(t *testing.T) {
 	g := newRig(t, 4)
-	g.Advance(3 * loop.Second)
+	g.Advance(3 * eventloop.Second)
 	g.report("n-900000", "x")
 	for k := range 60 {
 		g.report("n-900001", "x") // another machine of the zone is alive
-		if g.Advance(500 * loop.Millisecond); k%3 == 0 {
+		if g.Advance(500 * eventloop.Millisecond); k%3 == 0 {
 			g.workers.ApplyView(&workers.View{Name: "n-900000", Addr: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), Tasks: g.runs})
 		}
 		if deleted := g.workers.IsDeleted("n-900000"); deleted && k < 20 || !deleted && k > 44 { // a lease of 10 s, 9 s more, and the call
@@ -138,7 +138,7 @@
 	}
 	for range 60 {
 		sendDemand()
-		g.Advance(500 * loop.Millisecond)
+		g.Advance(500 * eventloop.Millisecond)
 	}
 	if n := count(g.calls, "POST /machines"); n < 4 || n > 24 {
 		t.Fatalf("%d orders sent in 30 s without capacity, want 4 to 24", n)
@@ -146,14 +146,14 @@
 	g.cloud.Available["x"] = 10
 	for range 100 {
 		sendDemand() // no machine has reported yet: what was rented is expected
-		g.Advance(100 * loop.Millisecond)
+		g.Advance(100 * eventloop.Millisecond)
 		if len(g.booted) > 0 {
 			break
 		}
 	}
 	for range 30 {
 		sendDemand()
-		g.Advance(100 * loop.Millisecond)
+		g.Advance(100 * eventloop.Millisecond)
 	}
 	if len(g.booted) != 2 {
 		t.Fatalf("%d machines of 8 CPUs rented for 8 tasks of 2 CPUs, want 2", len(g.booted))
@@ -165,14 +165,14 @@
 	g := newRig(t, 4)
 	var closed []peer.StartBlock
 	g.scaler.node.Close = func(_ string, c peer.StartBlock) { closed = append(closed, c) }
-	g.Advance(3 * loop.Second)
+	g.Advance(3 * eventloop.Second)
 	seen := false
 	for range 4000 {
 		v := &workers.View{Name: "n-900000", Type: "m8", Zone: "x", Host: "b", Session: 1, Seq: uint64(g.Now()), TokenConfirmed: true, MadeAfter: g.Now()}
 		v.ClosedToStarts = len(closed) > 0 && seen
 		seen = len(closed) > 0
 		g.workers.ApplyView(v)
-		g.Advance(500 * loop.Millisecond)
+		g.Advance(500 * eventloop.Millisecond)
 		if g.workers.IsDeleted("n-900000") {
 			break
 		}
@@ -186,19 +186,19 @@
 // its deletion confirmed again; otherwise the attempts recorded on it would never be resolved.
 func TestOldDeletionRecordsAreRemovedAndConfirmedAgain(t *testing.T) {
 	g := newRig(t, 4)
-	g.Advance(3 * loop.Second)
+	g.Advance(3 * eventloop.Second)
 	g.report("n-900000", "x")
-	g.Advance(25 * loop.Second) // no reports from now on
+	g.Advance(25 * eventloop.Second) // no reports from now on
 	if !g.workers.IsDeleted("n-900000") || len(g.scaler.mirror.KeysUnder(DeletionKeys)) != 1 {
 		t.Fatalf("machine deleted: %v, deletion records %v", g.workers.IsDeleted("n-900000"), g.scaler.mirror.KeysUnder(DeletionKeys))
 	}
-	g.Advance(deletionRetention + 120*loop.Second)
+	g.Advance(deletionRetention + 120*eventloop.Second)
 	if n := len(g.scaler.mirror.KeysUnder(DeletionKeys)); n != 0 || g.workers.IsDeleted("n-900000") {
 		t.Fatalf("%d deletion records are left, machine deleted: %v", n, g.workers.IsDeleted("n-900000"))
 	}
 	for range 80 {
 		g.scaler.UpdateDemand("b", peer.Demand{Wall: g.Now(), Suspect: []string{"n-900000"}})
-		g.Advance(500 * loop.Millisecond)
+		g.Advance(500 * eventloop.Millisecond)
 	}
 	if !g.workers.IsDeleted("n-900000") {
 		t.Fatal("the deletion of a suspect machine was not confirmed again")
@@ -207,7 +207,7 @@
 
 // Cloud calls are scarce: those that confirm tasks terminated go first, and no purpose waits for ever.
 func TestCloudCallPriority(t *testing.T) {
-	const s = loop.Second
+	const s = eventloop.Second
 	usual := pendingCalls{now: 1000 * s, listed: true, listAt: 998 * s, catalogAt: 990 * s, listEvery: 5 * s}
 	for _, c := range []struct {
 		name string
@@ -244,7 +244,7 @@
 	}{{failuredetector.NoAnswer, false}, {failuredetector.NoConnection, true}} {
 		g := newRig(t, 40)
 		g.probeAnswer, g.scaler.cfg.Operator.OrdinaryStandbyMeanS = c.word, 1e6
-		g.Advance(3 * loop.Second)
+		g.Advance(3 * eventloop.Second)
 		reportAll := func(from, to int) {
 			for i := from; i < to; i++ {
 				name := fmt.Sprintf("n-9%05d", i)
@@ -257,12 +257,12 @@
 		reportAll(0, 20)
 		for range 12 { // ten of them fall silent
 			reportAll(10, 20)
-			g.Advance(500 * loop.Millisecond)
+			g.Advance(500 * eventloop.Millisecond)
 		}
 		for range 6 {
 			reportAll(10, 20)
 			g.scaler.UpdateDemand("b", peer.Demand{Wall: g.Now(), Requests: []peer.Request{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 10}}})
-			g.Advance(500 * loop.Millisecond)
+			g.Advance(500 * eventloop.Millisecond)
 		}
 		if rented := len(g.booted) > 0; rented != c.want {
 			t.Errorf("probes answer %v: %d machines are rented for ten unplaced tasks", c.word, len(g.booted))
@@ -281,11 +281,11 @@
 		if err := wire.Unmarshal(r.Body, &got); err != nil || len(got.Machines) != 3 {
 			t.Fatal("the cloud rented nothing")
 		}
-		g.Advance(17 * loop.Second) // the lease of 10 s, and 3 s
+		g.Advance(17 * eventloop.Second) // the lease of 10 s, and 3 s
 		if n := len(g.deleted); (n == 0) != partitioned {
 			t.Errorf("partition %v: %d of 3 machines are deleted after 17 s", partitioned, n)
 		}
-		g.Advance(12 * loop.Second)
+		g.Advance(12 * eventloop.Second)
 		if n := len(g.deleted); n != 3 {
 			t.Errorf("partition %v: %d of 3 machines are deleted after 29 s", partitioned, n)
 		}
@@ -298,25 +298,25 @@
 	g := newRig(t, 0)
 	delete(g.cloud.Available, "y")
 	g.runs = []workers.Task{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}
-	g.Advance(3 * loop.Second)
+	g.Advance(3 * eventloop.Second)
 	var got wire.MachineNames
 	g.cloud.Available["x"] = 1
 	if r := g.cloud.Do("POST", "/machines", wire.Marshal(wire.RentRequest{Request: "before", Type: "m8", Zone: "x", Count: 1}), 0); wire.Unmarshal(r.Body, &got) != nil || len(got.Machines) != 1 {
 		t.Fatal("the cloud rented nothing")
 	}
-	name, deletedAt := got.Machines[0], loop.Micros(0)
+	name, deletedAt := got.Machines[0], eventloop.Micros(0)
 	g.booted = nil
 	for k := range 1000 {
 		if k < 600 {
 			g.report(name, "x") // for 60 s; until then there is no capacity beside it
 		}
 		g.scaler.UpdateDemand("b", peer.Demand{Wall: g.Now(), Requests: []peer.Request{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 1}}})
-		g.Advance(100 * loop.Millisecond)
+		g.Advance(100 * eventloop.Millisecond)
 		if deletedAt == 0 && len(g.deleted) > 0 {
 			deletedAt = g.Now()
 		}
 		if len(g.booted) > 0 {
-			if took := g.Now() - deletedAt; deletedAt == 0 || took > 2*loop.Second {
+			if took := g.Now() - deletedAt; deletedAt == 0 || took > 2*eventloop.Second {
 				t.Fatalf("rented %d us after the deletion at %d us, want within 2 s", took, deletedAt)
 			}
 			return
--- a/internal/autoscaler/call_purpose.go
+++ b/internal/autoscaler/call_purpose.go
@@ -1,6 +1,6 @@
 package autoscaler
 
-import "cleatpick/internal/loop"
+import "cleatpick/internal/eventloop"
 
 // callPurpose is the purpose of a cloud call. Calls are scarce, and with many machines several purposes wait
 // for one at any time; pendingCalls.next alone decides which comes first.
@@ -22,24 +22,24 @@
 
 const (
 	// catalogInterval is the age from which the catalog is read again.
-	catalogInterval = 45 * loop.Second
+	catalogInterval = 45 * eventloop.Second
 	// idleBatchDelay is how long machines that are no longer needed wait for others to be deleted in the same
 	// call, while they are fewer than one call takes: each such call is one call less for orders.
-	idleBatchDelay = 500 * loop.Millisecond
+	idleBatchDelay = 500 * eventloop.Millisecond
 	// maxOrdersInARow is the number of orders that may be sent in a row while idle machines wait for deletion.
 	maxOrdersInARow = 3
 )
 
 // pendingCalls is the work that waits for a cloud call.
 type pendingCalls struct {
-	now               loop.Micros
+	now               eventloop.Micros
 	listed            bool // the list was read since this leadership began
-	listAt, catalogAt loop.Micros
-	listEvery         loop.Micros
+	listAt, catalogAt eventloop.Micros
+	listEvery         eventloop.Micros
 	failed            int
 	order             bool
 	idle              int
-	idleSince         loop.Micros
+	idleSince         eventloop.Micros
 	ordersInARow      int
 }
 
@@ -69,10 +69,10 @@
 }
 
 // nextCall collects the work that waits, and returns what comes first, with the order that is ready.
-func (t *Autoscaler) nextCall(now loop.Micros) (callPurpose, *order) {
+func (t *Autoscaler) nextCall(now eventloop.Micros) (callPurpose, *order) {
 	o := t.nextOrder()
 	a := pendingCalls{now: now, listed: t.listed, listAt: t.listAt, catalogAt: t.catalogAt, ordersInARow: t.ordersInARow, order: o != nil,
-		listEvery: max(5*loop.Second, loop.Seconds(t.cfg.Cluster.Cloud.ListLagS))}
+		listEvery: max(5*eventloop.Second, eventloop.Seconds(t.cfg.Cluster.Cloud.ListLagS))}
 	for _, m := range t.deleting {
 		if m.failed {
 			a.failed++
--- a/internal/autoscaler/cloud.go
+++ b/internal/autoscaler/cloud.go
@@ -5,7 +5,7 @@
 	"net/url"
 	"strings"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/membership"
 	"cleatpick/internal/metric"
 	"cleatpick/internal/store"
@@ -14,7 +14,7 @@
 
 // mayCall reports whether pacing allows a cloud call now. The cloud allows bursts of two seconds' worth of
 // calls, which matter when many machines are rented at once.
-func (t *Autoscaler) mayCall(now loop.Micros) bool {
+func (t *Autoscaler) mayCall(now eventloop.Micros) bool {
 	rate := 0.95 * t.cfg.Cluster.Cloud.RPS
 	if gap := t.cfg.Operator.CloudCallIntervalS; gap > 0 {
 		rate = 1 / gap
@@ -30,7 +30,7 @@
 }
 
 // call makes one paced cloud call. One call is made at a time.
-func (t *Autoscaler) call(method, path string, body any, timeout loop.Micros, done func(store.Response)) {
+func (t *Autoscaler) call(method, path string, body any, timeout eventloop.Micros, done func(store.Response)) {
 	t.calling = true
 	t.callBudget--
 	var raw []byte
@@ -38,11 +38,11 @@
 		raw = wire.Marshal(body)
 	}
 	t.runner.Go(func() {
-		resp := t.cloud.Do(method, path, raw, loop.Duration(timeout))
+		resp := t.cloud.Do(method, path, raw, eventloop.Duration(timeout))
 		t.runner.Post(func() {
 			t.calling = false
 			if resp.Err != nil || resp.Status == 429 || (resp.Status == 503 && !strings.Contains(string(resp.Body), "capacity")) {
-				t.pausedUntil = t.runner.Now() + 600*loop.Millisecond
+				t.pausedUntil = t.runner.Now() + 600*eventloop.Millisecond
 			}
 			t.node.Meter.CloudRequest(metric.Outcome(resp.Status, resp.Err))
 			done(resp)
@@ -53,7 +53,7 @@
 // fetchCatalog reads the machine types and prices, drops entries that cannot be used, and records the rest
 // for the other controllers.
 func (t *Autoscaler) fetchCatalog() {
-	t.call("GET", "/catalog", nil, 4*loop.Second, func(resp store.Response) {
+	t.call("GET", "/catalog", nil, 4*eventloop.Second, func(resp store.Response) {
 		var c wire.Catalog
 		if resp.Err != nil || resp.Status != 200 || wire.Unmarshal(resp.Body, &c) != nil || len(c.Types) == 0 {
 			t.log.Info("reading the cloud's catalog failed; keeping the known machine types and trying again", "status", resp.Status, "err", resp.Err)
@@ -85,7 +85,7 @@
 	if since != "" {
 		path += "&since=" + url.QueryEscape(since)
 	}
-	t.call("GET", path, nil, 4*loop.Second, func(resp store.Response) {
+	t.call("GET", path, nil, 4*eventloop.Second, func(resp store.Response) {
 		var l wire.MachinePage
 		if !t.leads || resp.Err != nil || resp.Status != 200 || wire.Unmarshal(resp.Body, &l) != nil {
 			return
@@ -103,7 +103,7 @@
 			}
 			m.listed = x.State
 			if x.AgeS >= 0 && x.AgeS < 1e8 {
-				m.since = min(m.since, t.runner.Now()-loop.Seconds(x.AgeS))
+				m.since = min(m.since, t.runner.Now()-eventloop.Seconds(x.AgeS))
 			}
 		}
 	})
--- a/internal/autoscaler/deletion.go
+++ b/internal/autoscaler/deletion.go
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/membership"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
@@ -42,7 +42,7 @@
 
 // delete asks the cloud to delete machines, and records the confirmed deletion.
 func (t *Autoscaler) delete(names []string) {
-	t.call("POST", "/machines/delete", wire.MachineNames{Machines: names}, 4*loop.Second, func(resp store.Response) {
+	t.call("POST", "/machines/delete", wire.MachineNames{Machines: names}, 4*eventloop.Second, func(resp store.Response) {
 		if resp.Err != nil || resp.Status != 200 {
 			return // retried later: deleting a deleted machine has no effect
 		}
@@ -67,14 +67,14 @@
 func (t *Autoscaler) recordDeletion(ch wire.Change, tries int) {
 	t.client.Txn(store.Placements, wire.Txn{Then: []wire.Change{ch}}, func(r store.Result) {
 		if r.Outcome != store.Applied && r.Outcome != store.Invalid && tries < 200 {
-			t.runner.After(300*loop.Millisecond, func() { t.recordDeletion(ch, tries+1) })
+			t.runner.After(300*eventloop.Millisecond, func() { t.recordDeletion(ch, tries+1) })
 		}
 	})
 }
 
 // deletionRetention is how long records of deletions are kept. An owner that finds a task on a machine whose
 // record has been removed reports the machine as suspect, and the leader has its deletion confirmed again.
-const deletionRetention = 30 * 60 * loop.Second
+const deletionRetention = 30 * 60 * eventloop.Second
 
 // removeOldDeletions removes records of deletions that are older than deletionRetention.
 func (t *Autoscaler) removeOldDeletions() {
--- a/internal/autoscaler/drain.go
+++ b/internal/autoscaler/drain.go
@@ -3,7 +3,7 @@
 import (
 	"sort"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/workers"
 )
@@ -26,8 +26,8 @@
 // takes no more starts, and tasks that can save their state move away. Unplaced requests return as many
 // draining machines to use as they need, and no more: with many jobs there are always some new requests, and
 // returning all draining machines for them kept a third of the machines idle.
-func (t *Autoscaler) drainUnneeded(now loop.Micros) {
-	if now-t.drainCheckedAt < loop.Second {
+func (t *Autoscaler) drainUnneeded(now eventloop.Micros) {
+	if now-t.drainCheckedAt < eventloop.Second {
 		return
 	}
 	t.drainCheckedAt = now
--- a/internal/autoscaler/machine.go
+++ b/internal/autoscaler/machine.go
@@ -1,8 +1,8 @@
 package autoscaler
 
 import (
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/failuredetector"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/workers"
 	"maps"
@@ -33,18 +33,18 @@
 	zone         string
 	spot         bool
 	state        MachineState
-	since        loop.Micros // when it was rented, as far as known
-	confirmedAt  loop.Micros // newest report that proves that it receives messages; 0: it never reported to this leader
-	reportedAt   loop.Micros // newest report of any kind
-	listed       string      // its state in the cloud's list
-	standbyUntil loop.Micros // end of its standby time; 0: not empty
+	since        eventloop.Micros // when it was rented, as far as known
+	confirmedAt  eventloop.Micros // newest report that proves that it receives messages; 0: it never reported to this leader
+	reportedAt   eventloop.Micros // newest report of any kind
+	listed       string           // its state in the cloud's list
+	standbyUntil eventloop.Micros // end of its standby time; 0: not empty
 	why          string
-	deleteAt     loop.Micros // when its state became Deleting
-	failed       bool        // proven failed: its deletion confirms that the tasks on it are terminated
-	closeAskedAt loop.Micros
-	firstSeen    loop.Micros
-	rented       bool        // by this leader, so that since is exact
-	drainAt      loop.Micros // end of the standby time of a machine that is not needed; 0: it is needed
+	deleteAt     eventloop.Micros // when its state became Deleting
+	failed       bool             // proven failed: its deletion confirms that the tasks on it are terminated
+	closeAskedAt eventloop.Micros
+	firstSeen    eventloop.Micros
+	rented       bool             // by this leader, so that since is exact
+	drainAt      eventloop.Micros // end of the standby time of a machine that is not needed; 0: it is needed
 }
 
 // adopt returns the record of a machine, creating it if needed; nil if the machine is known to be deleted.
@@ -116,7 +116,7 @@
 		if typ, ok := t.byName[m.typ]; ok && typ.BootS > 0 && m.rented {
 			// In units of the nominal boot time, so that types share one distribution: one boot time counts
 			// as a second.
-			t.bootTimes.Add(loop.Micros(float64(t.runner.Now()-m.since) / typ.BootS))
+			t.bootTimes.Add(eventloop.Micros(float64(t.runner.Now()-m.since) / typ.BootS))
 		}
 		t.setState(m, Up, "heard")
 	}
@@ -146,12 +146,12 @@
 }
 
 // standby draws the time for which an empty machine is kept, at random around the operator's mean.
-func (t *Autoscaler) standby(m *machine) loop.Micros {
+func (t *Autoscaler) standby(m *machine) eventloop.Micros {
 	mean := t.cfg.Operator.StandbyMeanS
 	if !m.spot {
 		mean = t.cfg.Operator.OrdinaryStandbyMeanS
 	}
-	return loop.Seconds(t.rand.ExpFloat64() * mean)
+	return eventloop.Seconds(t.rand.ExpFloat64() * mean)
 }
 
 // checkMachines checks all machines: for boots that take too long, failures, faulty machines, and empty machines
@@ -180,10 +180,10 @@
 }
 
 // suspects lists the machines that hold tasks and whose reports do not reach the owners of those tasks.
-func (t *Autoscaler) suspects(now loop.Micros) map[string]bool {
+func (t *Autoscaler) suspects(now eventloop.Micros) map[string]bool {
 	out := map[string]bool{}
 	for from, y := range t.demands {
-		if now-t.demandAt[from] < 5*loop.Second {
+		if now-t.demandAt[from] < 5*eventloop.Second {
 			for _, name := range y.Suspect {
 				out[name] = true
 			}
@@ -197,8 +197,8 @@
 
 // detectFailures runs failure detection over all machines that have reported before, and queues the failed ones
 // for deletion.
-func (t *Autoscaler) detectFailures(now loop.Micros, retention func(*machine) loop.Micros) {
-	scene := failuredetector.ClusterFacts{Now: now, Isolated: t.node.Isolated() || now-t.started < 2*loop.Second, PeerUnreachable: t.node.PeerUnreachable}
+func (t *Autoscaler) detectFailures(now eventloop.Micros, retention func(*machine) eventloop.Micros) {
+	scene := failuredetector.ClusterFacts{Now: now, Isolated: t.node.Isolated() || now-t.started < 2*eventloop.Second, PeerUnreachable: t.node.PeerUnreachable}
 	for _, x := range t.failures.Evaluate(scene, func(yield func(*failuredetector.Facts)) {
 		for _, m := range t.sorted() {
 			if m.state != Up && m.state != Draining && m.state != Closing {
@@ -217,19 +217,19 @@
 
 // checkBoot checks a machine that has not reported to this leader: whether it failed, or takes too long to
 // boot.
-func (t *Autoscaler) checkBoot(m *machine, now loop.Micros, suspect bool, retention func(*machine) loop.Micros) {
-	report, lease := loop.Seconds(t.cfg.Cluster.Workers.ReportS), loop.Seconds(t.cfg.Cluster.Workers.LeaseS)
+func (t *Autoscaler) checkBoot(m *machine, now eventloop.Micros, suspect bool, retention func(*machine) eventloop.Micros) {
+	report, lease := eventloop.Seconds(t.cfg.Cluster.Workers.ReportS), eventloop.Seconds(t.cfg.Cluster.Workers.LeaseS)
 	typ, known := t.byName[m.typ]
-	boot := loop.Seconds(typ.BootS)
+	boot := eventloop.Seconds(typ.BootS)
 	if !known {
-		boot = 60 * loop.Second
+		boot = 60 * eventloop.Second
 	}
-	limit := loop.Micros(float64(boot)*t.cfg.Operator.BootTimeoutFactor) + 5*loop.Second
+	limit := eventloop.Micros(float64(boot)*t.cfg.Operator.BootTimeoutFactor) + 5*eventloop.Second
 	switch {
 	case m.listed == "failed":
 		t.markFailed(m, "failed")
 	case m.listed == "booting" || (m.listed == "" && !suspect):
-		if now-m.since > limit && now-t.started > 5*loop.Second {
+		if now-m.since > limit && now-t.started > 5*eventloop.Second {
 			t.setState(m, Deleting, "never came up")
 		}
 	default:
@@ -237,7 +237,7 @@
 		// worker gets the time that it needs to find a new host controller. In an unreachable zone it gets as
 		// long as a machine that reported before: a leader that started during a network partition deleted
 		// half of the machines two seconds before the partition ended.
-		limit := max(lease, 2*report+8*loop.Second) + 3*loop.Second
+		limit := max(lease, 2*report+8*eventloop.Second) + 3*eventloop.Second
 		if t.node.PeerUnreachable(m.zone) {
 			limit += partitionGrace + retention(m)
 		}
@@ -249,17 +249,17 @@
 
 // checkClosing asks the machine's host controller to start nothing on it, and has it deleted once a recent
 // report shows that it is closed and empty.
-func (t *Autoscaler) checkClosing(m *machine, now loop.Micros) {
+func (t *Autoscaler) checkClosing(m *machine, now eventloop.Micros) {
 	v := t.workers.View(m.name)
 	if v == nil {
 		t.setState(m, Deleting, m.why)
 		return
 	}
-	if now-m.closeAskedAt > loop.Second {
+	if now-m.closeAskedAt > eventloop.Second {
 		m.closeAskedAt = now
-		t.node.Close(v.Host, peer.StartBlock{Machine: m.name, Until: t.runner.Wall() + 12*loop.Second})
+		t.node.Close(v.Host, peer.StartBlock{Machine: m.name, Until: t.runner.Wall() + 12*eventloop.Second})
 	}
-	if v.ClosedToStarts && empty(v) && now-m.confirmedAt < 2*loop.Seconds(t.cfg.Cluster.Workers.ReportS)+2*loop.Second {
+	if v.ClosedToStarts && empty(v) && now-m.confirmedAt < 2*eventloop.Seconds(t.cfg.Cluster.Workers.ReportS)+2*eventloop.Second {
 		t.setState(m, Deleting, m.why)
 	}
 }
--- a/internal/autoscaler/order.go
+++ b/internal/autoscaler/order.go
@@ -8,9 +8,9 @@
 	"sort"
 	"strings"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/fleet"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/membership"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/predicate"
@@ -23,8 +23,8 @@
 func (t *Autoscaler) requests() []peer.Request {
 	var all []peer.Request
 	now := t.runner.Now()
-	for from, y := range loop.Sorted(t.demands) {
-		if now-t.demandAt[from] < 4*loop.Second {
+	for from, y := range eventloop.Sorted(t.demands) {
+		if now-t.demandAt[from] < 4*eventloop.Second {
 			all = append(all, y.Requests...)
 		}
 	}
@@ -88,7 +88,7 @@
 	for _, m := range t.sorted() {
 		x := t.byName[m.typ]
 		// A machine whose boot takes far longer than usual is not counted on.
-		if m.state == Booting && now-m.since < 2*loop.Seconds(x.BootS)+5*loop.Second {
+		if m.state == Booting && now-m.since < 2*eventloop.Seconds(x.BootS)+5*eventloop.Second {
 			add(m.typ, m.zone, m.spot)
 		}
 	}
@@ -103,7 +103,7 @@
 			out = append(out, &expectedMachine{offer{m.typ, m.zone, m.spot}, free})
 		}
 	})
-	for _, o := range loop.Sorted(t.orders) {
+	for _, o := range eventloop.Sorted(t.orders) {
 		if !o.record.Answered && !o.refused {
 			for range o.record.Count {
 				add(o.record.Type, o.record.Zone, o.record.Spot)
@@ -120,7 +120,7 @@
 
 // planInterval is the time until the next plan after one that found all requests served by expected machines.
 // Owners send their demand every 400 ms.
-const planInterval = 150 * loop.Millisecond
+const planInterval = 150 * eventloop.Millisecond
 
 // recordOrders turns requests that no expected machine will serve into recorded orders.
 func (t *Autoscaler) recordOrders() {
@@ -153,7 +153,7 @@
 }
 
 // plan returns how many machines of each offer are missing beside the expected ones.
-func (t *Autoscaler) plan(now loop.Micros) map[offer]int {
+func (t *Autoscaler) plan(now eventloop.Micros) map[offer]int {
 	expected := expectedCapacity{machines: t.expectedMachines(), exhausted: map[fleet.Shape]int{}}
 	need := map[offer]int{}
 	for _, w := range t.requests() {
@@ -179,7 +179,7 @@
 
 // cheapestOffer chooses the offer to rent for tasks of this shape: the lowest current price for each task served,
 // leaving out offers that were refused recently, that are cordoned, or that the job's rules forbid.
-func (t *Autoscaler) cheapestOffer(n *predicate.Need, left int, now loop.Micros, need map[offer]int) (offer, int, bool) {
+func (t *Autoscaler) cheapestOffer(n *predicate.Need, left int, now eventloop.Micros, need map[offer]int) (offer, int, bool) {
 	s := n.Spec
 	var best offer
 	bestCost, bestPer := math.Inf(1), 0
@@ -258,8 +258,8 @@
 func (t *Autoscaler) nextOrder() *order {
 	now := t.runner.Now()
 	var first *order
-	for _, o := range loop.Sorted(t.orders) {
-		if o.finished != 0 && now-o.finished > 60*loop.Second {
+	for _, o := range eventloop.Sorted(t.orders) {
+		if o.finished != 0 && now-o.finished > 60*eventloop.Second {
 			t.dropOrder(o)
 			continue
 		}
@@ -275,7 +275,7 @@
 	o.busy = true
 	o.tries++
 	of := offer{o.record.Type, o.record.Zone, o.record.Spot}
-	t.call("POST", "/machines", wire.RentRequest{Request: o.name, Type: of.typ, Zone: of.zone, Spot: of.spot, Count: o.record.Count}, 5*loop.Second, func(resp store.Response) {
+	t.call("POST", "/machines", wire.RentRequest{Request: o.name, Type: of.typ, Zone: of.zone, Spot: of.spot, Count: o.record.Count}, 5*eventloop.Second, func(resp store.Response) {
 		o.busy = false
 		if !t.leads || t.orders[o.name] != o {
 			return
@@ -308,7 +308,7 @@
 			t.dropOrder(o)
 		default:
 			// No answer: machines may have been rented, or may be later. Repeating the same name is safe.
-			o.nextTry = t.runner.Now() + loop.Second
+			o.nextTry = t.runner.Now() + eventloop.Second
 		}
 	})
 }
@@ -317,10 +317,10 @@
 func (t *Autoscaler) backOffOffer(of offer) {
 	b := t.offers[of]
 	if b == nil {
-		b = &backoff{wait: 5 * loop.Second}
+		b = &backoff{wait: 5 * eventloop.Second}
 		t.offers[of] = b
 	} else {
-		b.wait = min(b.wait*2, 40*loop.Second)
+		b.wait = min(b.wait*2, 40*eventloop.Second)
 	}
 	b.until = t.runner.Now() + b.wait
 }
--- a/internal/autoscaler/retention.go
+++ b/internal/autoscaler/retention.go
@@ -4,12 +4,12 @@
 	"maps"
 	"slices"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 )
 
 // unbounded exceeds any wait that the failure detection considers.
-const unbounded = 3600 * loop.Second
+const unbounded = 3600 * eventloop.Second
 
 // retention returns a function for how much longer than usual a machine of an unreachable zone is retained.
 // Deleting it confirms that its tasks are terminated, and has another machine rented, which must boot and
@@ -17,7 +17,7 @@
 // helps nobody before the network partition ends, and costs a boot afterwards. How long the partition lasts
 // is not known: waiting for as long as the deletion would cost loses at most twice what knowing it would
 // lose.
-func (t *Autoscaler) retention() func(*machine) loop.Micros {
+func (t *Autoscaler) retention() func(*machine) eventloop.Micros {
 	now := t.runner.Now()
 	unreachable := map[string]bool{}
 	for _, m := range t.machines {
@@ -27,7 +27,7 @@
 			}
 		}
 	}
-	back := 2*loop.Seconds(t.cfg.Cluster.Workers.ReportS) + 3*loop.Second
+	back := 2*eventloop.Seconds(t.cfg.Cluster.Workers.ReportS) + 3*eventloop.Second
 	for zone, at := range t.unreachableAt {
 		if now-at > back {
 			delete(t.unreachableAt, zone)
@@ -35,11 +35,11 @@
 	}
 	if len(t.unreachableAt) == 0 {
 		t.setRetaining(false)
-		return func(*machine) loop.Micros { return 0 }
+		return func(*machine) eventloop.Micros { return 0 }
 	}
 	full := !t.offerElsewhere(unreachable) && t.demandExceedsMachine(unreachable)
 	t.setRetaining(full)
-	return func(m *machine) loop.Micros {
+	return func(m *machine) eventloop.Micros {
 		switch _, was := t.unreachableAt[m.zone]; {
 		case was && !unreachable[m.zone]:
 			// After its zone is reachable again, a machine has the time of two reports to show which tasks
@@ -47,7 +47,7 @@
 			// never reported to this leader does not get this time: see checkBoot.
 			return unbounded
 		case was && full && !t.runsUrgentTasks(m):
-			return loop.Seconds(t.byName[m.typ].BootS)
+			return eventloop.Seconds(t.byName[m.typ].BootS)
 		}
 		return 0
 	}
--- a/internal/autoscaler/retention_test.go
+++ b/internal/autoscaler/retention_test.go
@@ -4,8 +4,8 @@
 	"slices"
 	"testing"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
@@ -20,7 +20,7 @@
 // waited: the tasks that this confirmed terminated only joined the queue, and the zone's machines had to boot
 // anew.
 func TestMachinesInUnreachableZoneAreRetained(t *testing.T) {
-	boot := 4 * loop.Second
+	boot := 4 * eventloop.Second
 	for _, c := range []struct {
 		name      string
 		each      int // machines available of each offer
@@ -28,7 +28,7 @@
 		partition bool         // the zone is partitioned: a peer there is unreachable
 		new       bool         // the leader started after the partition began, and never received reports of these machines
 		runs      job.Priority // priority of the tasks on the machines
-		more      loop.Micros
+		more      eventloop.Micros
 	}{
 		{"full, work waits", 6, highDemand, true, false, job.Normal, boot},
 		{"full, work waits, a new leader", 6, highDemand, true, true, job.Normal, boot},
@@ -56,7 +56,7 @@
 					demand.Suspect = names[6:] // reported as suspect by an owner before the cloud lists them
 				}
 				g.scaler.UpdateDemand("b", demand)
-				g.Advance(200 * loop.Millisecond)
+				g.Advance(200 * eventloop.Millisecond)
 			}
 			for range 100 {
 				if !c.new {
@@ -70,8 +70,8 @@
 			if c.new {
 				g.scaler.SetLeader(true, g.scaler.claim)
 			}
-			first := func() loop.Micros {
-				for g.Now() < from+60*loop.Second {
+			first := func() eventloop.Micros {
+				for g.Now() < from+60*eventloop.Second {
 					step(false, c.wants)
 					if slices.ContainsFunc(names[6:], func(y string) bool { return slices.Contains(g.deleted, y) }) {
 						return g.Now() - from
@@ -82,11 +82,11 @@
 			if full := c.more > 0 || c.runs == job.High; g.scaler.retaining != full {
 				t.Errorf("retaining machines in unreachable zones: %v", g.scaler.retaining)
 			}
-			base := 19 * loop.Second // the lease, a second, and 8 s for an unreachable zone
+			base := 19 * eventloop.Second // the lease, a second, and 8 s for an unreachable zone
 			if c.new {
-				base = 21 * loop.Second
+				base = 21 * eventloop.Second
 			}
-			if first < base+c.more-loop.Second || first > base+c.more+2*loop.Second {
+			if first < base+c.more-eventloop.Second || first > base+c.more+2*eventloop.Second {
 				t.Fatalf("first deletion after %d us, want about %d", first, base+c.more)
 			}
 		})
@@ -104,7 +104,7 @@
 			g.report(name, []string{"x", "y"}[i/6])
 		}
 		g.scaler.UpdateDemand("b", peer.Demand{Wall: g.Now(), Requests: highDemand})
-		g.Advance(200 * loop.Millisecond)
+		g.Advance(200 * eventloop.Millisecond)
 	}
 	for range 100 {
 		step(12)
--- a/internal/autoscaler/supply.go
+++ b/internal/autoscaler/supply.go
@@ -4,9 +4,9 @@
 	"cmp"
 	"slices"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/explain"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 )
 
 // maxOffers bounds each list in a supply.
@@ -72,7 +72,7 @@
 			if len(by) >= maxOffers {
 				continue
 			}
-			b = &explain.Booting{Offer: explain.Offer{Type: m.typ, Zone: m.zone, Kind: explain.MachineKind(m.spot)}, Nominal: explain.Duration(loop.Seconds(t.byName[m.typ].BootS))}
+			b = &explain.Booting{Offer: explain.Offer{Type: m.typ, Zone: m.zone, Kind: explain.MachineKind(m.spot)}, Nominal: explain.Duration(eventloop.Seconds(t.byName[m.typ].BootS))}
 			by[of] = b
 		}
 		b.Count++
@@ -81,7 +81,7 @@
 	for _, b := range by {
 		out.Booting = append(out.Booting, *b)
 		nominal := t.byName[b.Type].BootS
-		if e := t.bootTimes.Remaining(loop.Micros(float64(b.Age) / max(nominal, 0.001))); e != nil {
+		if e := t.bootTimes.Remaining(eventloop.Micros(float64(b.Age) / max(nominal, 0.001))); e != nil {
 			e.Low, e.Likely, e.High = scale(e.Low, nominal), scale(e.Likely, nominal), scale(e.High, nominal)
 			if out.Estimate == nil || e.Likely < out.Estimate.Likely {
 				out.Estimate = e
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,7 +12,7 @@
 	"net"
 	"os"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 
 	"github.com/pelletier/go-toml/v2"
 )
@@ -272,7 +272,9 @@
 
 // ClockDifference returns the maximum difference between the wall clocks of two processes: each may be off by
 // clock_off_ms in either direction.
-func (c *Config) ClockDifference() loop.Micros { return loop.Micros(c.Cluster.ClockOffMS * 2000) }
+func (c *Config) ClockDifference() eventloop.Micros {
+	return eventloop.Micros(c.Cluster.ClockOffMS * 2000)
+}
 
 // TeamNames returns the names of all teams in the order of the settings.
 func (c *Config) TeamNames() []string {
--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -11,7 +11,7 @@
 	"slices"
 	"strings"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
@@ -93,11 +93,11 @@
 
 // Registry holds the cordons as far as this controller knows them.
 type Registry struct {
-	runner     loop.Runner
+	runner     eventloop.Runner
 	client     *store.Client
 	mirror     *store.Mirror
 	log        *slog.Logger
-	clockBound loop.Micros // twice the bound on clock differences
+	clockBound eventloop.Micros // twice the bound on clock differences
 	revision   uint64
 	cordons    []Cordon
 	damaged    bool
@@ -106,7 +106,7 @@
 
 // NewRegistry returns the cordons that the mirror m holds and will receive; clockTo is twice the
 // bound on clock differences.
-func NewRegistry(r loop.Runner, c *store.Client, m *store.Mirror, log *slog.Logger, clockTo loop.Micros) *Registry {
+func NewRegistry(r eventloop.Runner, c *store.Client, m *store.Mirror, log *slog.Logger, clockTo eventloop.Micros) *Registry {
 	b := &Registry{runner: r, client: c, mirror: m, log: log, clockBound: clockTo, version: 1}
 	m.OnChange(Key, b.apply)
 	return b
@@ -135,7 +135,7 @@
 	b.version++
 	version := b.version
 	if next := b.nextExpiry(); next != 0 {
-		b.runner.After(max(next+b.clockBound-b.runner.Wall(), 0)+loop.Millisecond, func() {
+		b.runner.After(max(next+b.clockBound-b.runner.Wall(), 0)+eventloop.Millisecond, func() {
 			if version == b.version {
 				b.setCordons(b.cordons)
 			}
@@ -225,7 +225,7 @@
 	}, name, done)
 }
 
-const changeTimeout = 1500 * loop.Millisecond
+const changeTimeout = 1500 * eventloop.Millisecond
 
 // change replaces the record on condition of the revision known here, and tries again from
 // the newer record when the condition fails. edit gets the cordons in force except the one
@@ -278,7 +278,7 @@
 			case store.Refused, store.Invalid:
 				done(NotStored)
 			default:
-				b.runner.After(120*loop.Millisecond, func() { retry(try) })
+				b.runner.After(120*eventloop.Millisecond, func() { retry(try) })
 			}
 		})
 	}
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -8,14 +8,14 @@
 	"slices"
 	"testing"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 
 	"pgregory.net/rapid"
 )
 
-const clockTo = 200 * loop.Millisecond
+const clockTo = 200 * eventloop.Millisecond
 
 // simulation is a set of controllers' cordons over one state service, each with its own mirror.
 type simulation struct {
@@ -26,8 +26,8 @@
 }
 
 func newSimulation(n int) *simulation {
-	o := &simulation{Runner: standin.NewRunner(1000 * loop.Second)}
-	o.state = standin.NewStateService(func() loop.Micros { return o.Now() })
+	o := &simulation{Runner: standin.NewRunner(1000 * eventloop.Second)}
+	o.state = standin.NewStateService(func() eventloop.Micros { return o.Now() })
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	for range n {
 		c := store.NewClient(o, o.state, log, 1e4, 1e4, 1)
@@ -36,7 +36,7 @@
 		o.mirrors = append(o.mirrors, m)
 		m.Start()
 	}
-	o.Advance(loop.Second)
+	o.Advance(eventloop.Second)
 	return o
 }
 
@@ -64,7 +64,7 @@
 			c := Cordon{Name: fmt.Sprint("c", rapid.IntRange(0, 4).Draw(t, "name")), Zone: "x", Reason: fmt.Sprint("r", rapid.IntRange(0, 99).Draw(t, "reason"))}
 			// Two concurrent changes of one name may be applied in either order, so they are made one after the other.
 			if slices.ContainsFunc(unsettled, func(x change) bool { return x.c.Name == c.Name }) {
-				o.Advance(2 * loop.Second)
+				o.Advance(2 * eventloop.Second)
 				unsettled = nil
 			}
 			x := change{c, rapid.IntRange(0, 2).Draw(t, "drop") == 0}
@@ -84,9 +84,9 @@
 			} else {
 				b.Put(c, record)
 			}
-			o.Advance(loop.Micros(rapid.IntRange(0, 40).Draw(t, "ms")) * loop.Millisecond)
+			o.Advance(eventloop.Micros(rapid.IntRange(0, 40).Draw(t, "ms")) * eventloop.Millisecond)
 		}
-		o.Advance(30 * loop.Second)
+		o.Advance(30 * eventloop.Second)
 		var want []string
 		for _, n := range slices.Sorted(maps.Keys(expected)) {
 			want = append(want, n+":"+expected[n])
@@ -118,36 +118,36 @@
 			t.Errorf("cordon %+v excludes %+v: %v, want the opposite", c.c, at, !c.bars)
 		}
 	}
-	until := o.Wall() + 10*loop.Second
+	until := o.Wall() + 10*eventloop.Second
 	b.Put(Cordon{Name: "c", Zone: "x", Reason: "r", Until: until}, func(Outcome) {})
-	o.Advance(loop.Second)
+	o.Advance(eventloop.Second)
 	before := b.Version()
-	o.Advance(until - o.Wall() + clockTo - loop.Millisecond)
+	o.Advance(until - o.Wall() + clockTo - eventloop.Millisecond)
 	if !b.Blocked(at) {
 		t.Fatal("the cordon has expired before every clock was past its end")
 	}
-	o.Advance(10 * loop.Millisecond)
+	o.Advance(10 * eventloop.Millisecond)
 	if b.Blocked(at) || b.Version() == before {
 		t.Fatalf("the cordon has not expired: the place is excluded: %v, version %d", b.Blocked(at), b.Version())
 	}
 	b.Put(Cordon{Name: "d", Zone: "x", Reason: "r"}, func(Outcome) {})
-	o.Advance(loop.Second)
+	o.Advance(eventloop.Second)
 	o.state.Put(Key, map[string]any{"f": 99, "c": []Cordon{}})
-	o.Advance(2 * loop.Second)
+	o.Advance(2 * eventloop.Second)
 	b.Refresh()
-	o.Advance(2 * loop.Second)
+	o.Advance(2 * eventloop.Second)
 	if !b.Damaged() || !b.Blocked(at) {
 		t.Fatalf("after a record of another format: damaged %v, place excluded %v; want true and true", b.Damaged(), b.Blocked(at))
 	}
 	var out Outcome = -1
 	b.Put(Cordon{Name: "e", Zone: "y", Reason: "r"}, func(x Outcome) { out = x })
-	o.Advance(2 * loop.Second)
+	o.Advance(2 * eventloop.Second)
 	if out != Stored || b.Damaged() || len(b.All()) != 2 {
 		t.Fatalf("the next change returns %v, damaged %v, cordons %v; want Stored, false and two", out, b.Damaged(), b.All())
 	}
 	o.state.SetDown(true)
 	b.Put(Cordon{Name: "f", Zone: "y", Reason: "r"}, func(x Outcome) { out = x })
-	o.Advance(5 * loop.Second)
+	o.Advance(5 * eventloop.Second)
 	if out != NotStored {
 		t.Fatalf("during an outage a change returns %v, want Unstored", out)
 	}
--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -8,11 +8,11 @@
 // makes the final decision whether the worker may forget an attempt.
 package delivery
 
-import "cleatpick/internal/loop"
+import "cleatpick/internal/eventloop"
 
 // AnswerLife is how long a worker waits for the answer to its report, and thus the longest time for which a start command
 // in such an answer can be in flight.
-const AnswerLife = 4200 * loop.Millisecond
+const AnswerLife = 4200 * eventloop.Millisecond
 
 // Attempt identifies one attempt of a task.
 type Attempt struct {
@@ -23,26 +23,26 @@
 // ClockBounds holds what is needed to compare wall clock times of different controllers.
 type ClockBounds struct {
 	// MaxDifference is the upper bound on the difference between the wall clocks of two controllers.
-	MaxDifference loop.Micros
+	MaxDifference eventloop.Micros
 	// StartLife is how long after the owner begins to record a start a host controller may pass it on to the worker.
 	// It is the same at all controllers.
-	StartLife loop.Micros
+	StartLife eventloop.Micros
 }
 
 // slack is added to the bound on the clocks' difference, because a time may be read slightly after the event that it
 // stands for.
-const slack = 200 * loop.Millisecond
+const slack = 200 * eventloop.Millisecond
 
 // NewClockBounds returns the bounds for the given maximal difference between two wall clocks and the given lifetime of
 // a start.
-func NewClockBounds(difference, startLife loop.Micros) ClockBounds {
+func NewClockBounds(difference, startLife eventloop.Micros) ClockBounds {
 	return ClockBounds{MaxDifference: difference + slack, StartLife: startLife}
 }
 
 // LatestArrival returns the wall clock time, by the clock of any controller, after which a start with the given expiry
 // cannot arrive at a worker. The expiry was determined by the clock of any controller. A host controller passes the start
 // on until the expiry by its own clock, and the answer that carries it can be in flight for AnswerLife.
-func (b ClockBounds) LatestArrival(expiry loop.Micros) loop.Micros {
+func (b ClockBounds) LatestArrival(expiry eventloop.Micros) eventloop.Micros {
 	return expiry + b.MaxDifference + AnswerLife
 }
 
@@ -50,6 +50,6 @@
 // which the owner had already begun to record the start. The expiry was set by the owner's clock and is checked by a host
 // controller's clock, which are both different from the caller's; but only those two have to be compared, by
 // MaxDifference, and the time since recorded is measured by the caller's clock alone.
-func (b ClockBounds) LatestArrivalOfRecorded(recorded loop.Micros) loop.Micros {
+func (b ClockBounds) LatestArrivalOfRecorded(recorded eventloop.Micros) eventloop.Micros {
 	return b.LatestArrival(recorded + b.StartLife)
 }
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -4,13 +4,13 @@
 	"math/rand/v2"
 	"testing"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
 // controller is a model of a controller: its wall clock differs from the real time by a constant.
-type controller struct{ offset loop.Micros }
+type controller struct{ offset eventloop.Micros }
 
-func (c controller) wall(real loop.Micros) loop.Micros { return real + c.offset }
+func (c controller) wall(real eventloop.Micros) eventloop.Micros { return real + c.offset }
 
 // Guards against a start that arrives after the owner or a host controller considers that impossible: the worker might
 // then have been asked to forget the attempt, and would run it a second time. An owner records an attempt, a host
@@ -19,23 +19,23 @@
 // that the bound is not looser than needed.
 func TestNoStartArrivesAfterLatestArrival(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	const maxOffset = 300 * loop.Millisecond
-	bounds := ClockBounds{MaxDifference: 2 * maxOffset, StartLife: 6 * loop.Second}
-	draw := func(most loop.Micros) loop.Micros { return rng.Int64N(most + 1) }
-	smallestMargin := loop.Micros(1 << 62)
+	const maxOffset = 300 * eventloop.Millisecond
+	bounds := ClockBounds{MaxDifference: 2 * maxOffset, StartLife: 6 * eventloop.Second}
+	draw := func(most eventloop.Micros) eventloop.Micros { return rng.Int64N(most + 1) }
+	smallestMargin := eventloop.Micros(1 << 62)
 	for range 20_000 {
-		drawOffset := func() loop.Micros {
+		drawOffset := func() eventloop.Micros {
 			if rng.IntN(2) == 0 {
-				return []loop.Micros{-maxOffset, maxOffset}[rng.IntN(2)]
+				return []eventloop.Micros{-maxOffset, maxOffset}[rng.IntN(2)]
 			}
 			return draw(2*maxOffset) - maxOffset
 		}
 		owner, host, otherHost := controller{drawOffset()}, controller{drawOffset()}, controller{drawOffset()}
-		recorded := 1000*loop.Second + draw(loop.Second)
+		recorded := 1000*eventloop.Second + draw(eventloop.Second)
 		expiry := owner.wall(recorded) + bounds.StartLife
 		listed := recorded + draw(bounds.StartLife)*rng.Int64N(2)
 		passedOn := expiry - otherHost.offset - 1 // the last time at which the other host controller passes it on
-		arrives := passedOn + 4*loop.Second
+		arrives := passedOn + 4*eventloop.Second
 		expiries := NewExpiries(bounds)
 		expiries.Record(Attempt{"job-1/0", 1}, expiry)
 		if !expiries.CanArrive(Attempt{"job-1/0", 1}, owner.wall(arrives)) {
@@ -47,7 +47,7 @@
 		}
 		smallestMargin = min(smallestMargin, latest-host.wall(arrives))
 	}
-	if smallestMargin > 250*loop.Millisecond {
+	if smallestMargin > 250*eventloop.Millisecond {
 		t.Errorf("the closest arrival is %d us before the bound, want at most 250 ms", smallestMargin)
 	}
 }
@@ -55,19 +55,19 @@
 // Each attempt must be judged by its own expiry, even if a later attempt of the same task has a later one. An attempt
 // recorded again with an earlier expiry keeps the later one, and Prune removes attempts only after their latest arrival.
 func TestExpiriesOfAttempts(t *testing.T) {
-	bounds := ClockBounds{MaxDifference: loop.Second, StartLife: 6 * loop.Second}
+	bounds := ClockBounds{MaxDifference: eventloop.Second, StartLife: 6 * eventloop.Second}
 	e := NewExpiries(bounds)
 	first, second := Attempt{"job-1/0", 1}, Attempt{"job-1/0", 2}
-	e.Record(first, 10*loop.Second)
-	e.Record(second, 20*loop.Second)
-	e.Record(first, 8*loop.Second) // an earlier expiry changes nothing
+	e.Record(first, 10*eventloop.Second)
+	e.Record(second, 20*eventloop.Second)
+	e.Record(first, 8*eventloop.Second) // an earlier expiry changes nothing
 	if e.CanArrive(Attempt{"job-1/0", 3}, 0) {
 		t.Error("CanArrive is true for an attempt that was never recorded")
 	}
 	for _, c := range []struct {
-		wall          loop.Micros
+		wall          eventloop.Micros
 		first, second bool
-	}{{15200 * loop.Millisecond, true, true}, {15201 * loop.Millisecond, false, true}, {25200 * loop.Millisecond, false, true}, {25201 * loop.Millisecond, false, false}} {
+	}{{15200 * eventloop.Millisecond, true, true}, {15201 * eventloop.Millisecond, false, true}, {25200 * eventloop.Millisecond, false, true}, {25201 * eventloop.Millisecond, false, false}} {
 		if a, b := e.CanArrive(first, c.wall), e.CanArrive(second, c.wall); a != c.first || b != c.second {
 			t.Errorf("at %d us: CanArrive is %v for the first attempt and %v for the second", c.wall, a, b)
 		}
--- a/internal/loop/loop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,10 +1,10 @@
-// Package loop provides the event loop of a controller: all state of the controller is changed by functions that run on
+// Package eventloop provides the event loop of a controller: all state of the controller is changed by functions that run on
 // it one after another, so that the state needs no locks.
 //
 // The package owns the queue of functions to run, the timers, the clocks and the detection of process pauses. Blocking
 // input and output run in goroutines of their own, which post their results to the loop. Tests replace the loop by a
 // Runner whose time they advance themselves.
-package loop
+package eventloop
 
 import (
 	"cmp"
--- a/internal/loop/pause.go
+++ b/internal/eventloop/pause.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 const (
 	// pauseThreshold is the shortest time between two functions on the loop that counts as a pause of the process.
--- a/internal/loop/pause_test.go
+++ b/internal/eventloop/pause_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"slices"
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -4,9 +4,9 @@
 	"slices"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/health"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/predicate"
 )
 
@@ -20,9 +20,9 @@
 	WithinGuarantee bool // the job is within its team's guarantee
 	StateContact    bool // the owner has contact with the state service
 	Places          []*predicate.MachineFacts
-	ReportedAfter   loop.Micros // a machine's last report must be newer than this
-	Now             loop.Micros // monotonic clock
-	Wall            loop.Micros
+	ReportedAfter   eventloop.Micros // a machine's last report must be newer than this
+	Now             eventloop.Micros // monotonic clock
+	Wall            eventloop.Micros
 	Fits            int      // waiting tasks that fit on machines now, all other predicates ignored
 	FitsAll         int      // the same with cordons ignored as well
 	AllCordoned     bool     // every place that the job allows is cordoned, rented or not
@@ -44,7 +44,7 @@
 	State        string
 	Machine      string
 	Tasks        int
-	Since        loop.Micros // wall clock; 0: not known
+	Since        eventloop.Micros // wall clock; 0: not known
 	ConfirmedBy  string
 	PreemptedFor string
 }
@@ -93,7 +93,7 @@
 			until := Time(h.Until)
 			d.Until, r.Until = &until, &until
 			left := Duration(max(h.Until+f.Gate.ClockMargin-f.Wall, 0))
-			r.Estimate = &Estimate{Low: left, Likely: left, High: left + Duration(loop.Second)}
+			r.Estimate = &Estimate{Low: left, Likely: left, High: left + Duration(eventloop.Second)}
 			r.Release = "the hold ends by itself, or an operator releases the job"
 		}
 	case predicate.Dependency:
@@ -122,7 +122,7 @@
 		until := Time(f.Wall + f.Gate.Failing.BackOffUntil - f.Now)
 		left := Duration(f.Gate.Failing.BackOffUntil - f.Now)
 		r.State, r.Until = "resting", &until
-		r.Estimate = &Estimate{Low: left, Likely: left, High: left + Duration(loop.Second)}
+		r.Estimate = &Estimate{Low: left, Likely: left, High: left + Duration(eventloop.Second)}
 		r.Detail.Failures = f.failures()
 		r.Release = "its back-off ends; then a few of its tasks are tried again"
 	case predicate.Probation:
@@ -221,7 +221,7 @@
 	} else if cordoned <= 0 && short <= 0 && f.StateContact && f.Gate.Unblocked() && f.Gate.MinAllowedTasks() > 0 {
 		r := add(predicate.NextPass, min(n, f.Gate.MinAllowedTasks()))
 		r.State, r.Release = "due", "nothing: the next scheduling pass places it"
-		r.Estimate = &Estimate{Low: 0, Likely: Duration(50 * loop.Millisecond), High: Duration(loop.Second)}
+		r.Estimate = &Estimate{Low: 0, Likely: Duration(50 * eventloop.Millisecond), High: Duration(eventloop.Second)}
 	}
 }
 
--- a/internal/explain/service.go
+++ b/internal/explain/service.go
@@ -1,8 +1,8 @@
 package explain
 
 import (
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/metric"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
@@ -13,8 +13,8 @@
 
 // Timeouts of requests to other controllers.
 const (
-	ownerTimeout  = 1000 * loop.Millisecond
-	leaderTimeout = 700 * loop.Millisecond
+	ownerTimeout  = 1000 * eventloop.Millisecond
+	leaderTimeout = 700 * eventloop.Millisecond
 )
 
 // Topics of requests between controllers.
@@ -39,14 +39,14 @@
 	// Supply describes the machines requested from the cloud; only the leader's is used.
 	Supply func(*job.Spec) Supply
 	Counts func(*job.Job) job.Counts
-	Ask    func(to, topic string, body any, timeout loop.Micros, cb func(wire.Raw, bool))
+	Ask    func(to, topic string, body any, timeout eventloop.Micros, cb func(wire.Raw, bool))
 	Handle func(topic string, f func(body wire.Raw, reply func(any)))
 	Meter  *metric.Meter
 }
 
 // Service answers the question why a job's tasks do not run.
 type Service struct {
-	runner       loop.Runner
+	runner       eventloop.Runner
 	deps         Dependencies
 	openRequests int
 	Timelines    *Timelines
@@ -68,7 +68,7 @@
 }
 
 // NewService returns the service and registers the handlers of other controllers' requests.
-func NewService(r loop.Runner, n Dependencies) *Service {
+func NewService(r eventloop.Runner, n Dependencies) *Service {
 	d := &Service{runner: r, deps: n, Timelines: NewTimelines(), waits: NewWaits()}
 	d.Timelines.OnIntervalEnd = d.recordWait
 	n.Handle(topicWhy, func(body wire.Raw, reply func(any)) {
@@ -95,7 +95,7 @@
 // recordWait records a wait that is over. Every controller records the waits of all owners, so
 // that one that takes a team over can estimate at once; only the owner counts the wait in
 // its metrics.
-func (d *Service) recordWait(id string, k predicate.Kind, took loop.Micros, own bool) {
+func (d *Service) recordWait(id string, k predicate.Kind, took eventloop.Micros, own bool) {
 	if own {
 		d.deps.Meter.WaitCause(k.String(), took)
 	}
--- a/internal/explain/service_test.go
+++ b/internal/explain/service_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/wire"
@@ -28,7 +28,7 @@
 }
 
 func newSimulation() *simulation {
-	o := &simulation{Runner: standin.NewRunner(1000 * loop.Second), owner: "b", leader: "c", topics: map[string]func(wire.Raw, func(any)){}, unanswered: map[string]bool{}}
+	o := &simulation{Runner: standin.NewRunner(1000 * eventloop.Second), owner: "b", leader: "c", topics: map[string]func(wire.Raw, func(any)){}, unanswered: map[string]bool{}}
 	spec := &job.Spec{Class: "k", Team: "red", Tasks: 6, CPUs: 2, MemoryGB: 1, AnyType: true}
 	j := &job.Job{ID: "job-000001", Phase: job.Accepted, Spec: spec, Tasks: 6}
 	o.facts = &Facts{Job: j, Team: config.Team{Name: "red"}, StateContact: true, AheadComplete: true, Exact: true, Now: o.Now(), Wall: o.Wall(),
@@ -59,7 +59,7 @@
 		Facts: func(string) (*Facts, bool) { return o.facts, o.facts != nil }, Supply: func(*job.Spec) Supply { return o.supply },
 		Counts: func(*job.Job) job.Counts { return job.Counts{Running: 2} },
 		Handle: func(topic string, f func(wire.Raw, func(any))) { o.topics[topic] = f },
-		Ask: func(_, topic string, body any, _ loop.Micros, cb func(wire.Raw, bool)) {
+		Ask: func(_, topic string, body any, _ eventloop.Micros, cb func(wire.Raw, bool)) {
 			if o.unanswered[topic] {
 				cb(nil, false)
 				return
@@ -163,33 +163,33 @@
 func TestTimelineIsBounded(t *testing.T) {
 	l := NewTimelines()
 	ended := map[predicate.Kind]int{}
-	l.OnIntervalEnd = func(_ string, k predicate.Kind, took loop.Micros, own bool) {
+	l.OnIntervalEnd = func(_ string, k predicate.Kind, took eventloop.Micros, own bool) {
 		if !own || took <= 0 {
 			t.Errorf("%v ended after %d us with own %v, want a positive time and own", k, took, own)
 		}
 		ended[k]++
 	}
-	set := func(at loop.Micros, causes ...predicate.Cause) { l.Set("j", causes, at*loop.Second, true) }
+	set := func(at eventloop.Micros, causes ...predicate.Cause) { l.Set("j", causes, at*eventloop.Second, true) }
 	room, limit := predicate.Cause{Kind: predicate.Capacity, Tasks: 3}, predicate.Cause{Kind: predicate.Limit, Tasks: 2}
 	set(10, room)
 	set(20, room, limit)
 	set(30, limit)
 	set(31, limit, predicate.Cause{Kind: predicate.Capacity, Tasks: 5}) // one second later: the interval continues
 	of := l.Get("j").Intervals
-	if len(of) != 2 || of[1].Kind != "room" || of[1].From != Time(10*loop.Second) || of[1].Tasks != 5 || of[1].To != nil {
+	if len(of) != 2 || of[1].Kind != "room" || of[1].From != Time(10*eventloop.Second) || of[1].Tasks != 5 || of[1].To != nil {
 		t.Fatalf("after a short interruption of a cause the timeline is %+v", of)
 	}
 	// A controller that receives a cause late takes its start time from the message.
-	l.Set("late", []predicate.Cause{{Kind: predicate.Hold, Tasks: 1, Since: 40 * loop.Second}}, 50*loop.Second, false)
-	if since := l.Since("late", predicate.Hold); since != 40*loop.Second {
+	l.Set("late", []predicate.Cause{{Kind: predicate.Hold, Tasks: 1, Since: 40 * eventloop.Second}}, 50*eventloop.Second, false)
+	if since := l.Since("late", predicate.Hold); since != 40*eventloop.Second {
 		t.Errorf("a cause received late holds since %d, want 40 s", since)
 	}
-	for i := range loop.Micros(60) {
+	for i := range eventloop.Micros(60) {
 		set(100+20*i, room)
 		set(110+20*i, limit)
 	}
 	all := l.Get("j")
-	if len(all.Intervals) > maxIntervals+2 || all.Dropped == 0 || *all.From != Time(10*loop.Second) {
+	if len(all.Intervals) > maxIntervals+2 || all.Dropped == 0 || *all.From != Time(10*eventloop.Second) {
 		t.Errorf("timeline keeps %d entries, dropped %d, starts at %v", len(all.Intervals), all.Dropped, all.From)
 	}
 	if last := all.Intervals[len(all.Intervals)-1]; last.Kind != "teamLimit" || last.To != nil {
@@ -200,8 +200,8 @@
 	}
 	for i := range maxFinished + 10 {
 		id := fmt.Sprint("k", i)
-		l.Set(id, []predicate.Cause{room}, 2000*loop.Second, true)
-		l.Finish(id, 2001*loop.Second, true)
+		l.Set(id, []predicate.Cause{room}, 2000*eventloop.Second, true)
+		l.Finish(id, 2001*eventloop.Second, true)
 	}
 	if len(l.jobs) > maxFinished+2 || len(l.Get("k0").Intervals) != 0 || len(l.Get(fmt.Sprint("k", maxFinished)).Intervals) != 1 {
 		t.Errorf("%d timelines are kept, want at most maxFinished of finished jobs and the newest of them", len(l.jobs))
@@ -215,20 +215,20 @@
 	if w.Remaining(predicate.Capacity, false, 0) != nil {
 		t.Fatal("got an estimate without any recorded wait, want none")
 	}
-	for i := range loop.Micros(200) {
-		w.Add(predicate.Capacity, false, (1+i%10)*loop.Second) // one to ten seconds
+	for i := range eventloop.Micros(200) {
+		w.Add(predicate.Capacity, false, (1+i%10)*eventloop.Second) // one to ten seconds
 	}
-	young, old := w.Remaining(predicate.Capacity, false, 0), w.Remaining(predicate.Capacity, false, 8500*loop.Millisecond)
+	young, old := w.Remaining(predicate.Capacity, false, 0), w.Remaining(predicate.Capacity, false, 8500*eventloop.Millisecond)
 	if young == nil || old == nil {
 		t.Fatal("got no estimate from 200 recorded waits")
 	}
-	if s := loop.Micros(young.Likely); s < 4*loop.Second || s > 6*loop.Second {
+	if s := eventloop.Micros(young.Likely); s < 4*eventloop.Second || s > 6*eventloop.Second {
 		t.Errorf("the likely duration of a new wait is %d us, want about 5 s", s)
 	}
-	if s := loop.Micros(old.Likely); s > 2*loop.Second || old.Samples >= young.Samples {
+	if s := eventloop.Micros(old.Likely); s > 2*eventloop.Second || old.Samples >= young.Samples {
 		t.Errorf("after 8.5 of at most 10 s the likely rest is %d us from %d of %d samples", s, old.Samples, young.Samples)
 	}
-	if w.Remaining(predicate.Capacity, false, 11*loop.Second) != nil || w.Remaining(predicate.Capacity, true, 0) != nil {
+	if w.Remaining(predicate.Capacity, false, 11*eventloop.Second) != nil || w.Remaining(predicate.Capacity, true, 0) != nil {
 		t.Error("got an estimate though no recorded wait lasted as long, or none was urgent")
 	}
 }
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -1,7 +1,7 @@
 package explain
 
 import (
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/predicate"
 )
 
@@ -12,19 +12,19 @@
 )
 
 // maxInterruption is the longest interruption of a cause that does not end its interval.
-const maxInterruption = 1500 * loop.Millisecond
+const maxInterruption = 1500 * eventloop.Millisecond
 
 type interval struct {
 	kind     predicate.Kind
-	from, to loop.Micros // wall clock; to is 0 while the cause holds
-	tasks    int         // the largest number of tasks that it blocked at a time
+	from, to eventloop.Micros // wall clock; to is 0 while the cause holds
+	tasks    int              // the largest number of tasks that it blocked at a time
 }
 
 // jobTimeline is a job's timeline as this controller keeps it.
 type jobTimeline struct {
 	intervals []interval // ended ones first, then those that still hold
 	dropped   int
-	from      loop.Micros
+	from      eventloop.Micros
 	causes    []predicate.Cause
 	finished  bool
 }
@@ -37,7 +37,7 @@
 	finished []string
 	// OnIntervalEnd is called for every interval that ends; own reports whether this controller owns
 	// the job.
-	OnIntervalEnd func(job string, k predicate.Kind, took loop.Micros, own bool)
+	OnIntervalEnd func(job string, k predicate.Kind, took eventloop.Micros, own bool)
 }
 
 // NewTimelines returns an empty set of timelines.
@@ -45,7 +45,7 @@
 
 // Set records the causes that hold now; own says whether this controller owns the job. It
 // reports whether their kinds differ from those before.
-func (t *Timelines) Set(id string, causes []predicate.Cause, wall loop.Micros, own bool) (changed bool) {
+func (t *Timelines) Set(id string, causes []predicate.Cause, wall eventloop.Micros, own bool) (changed bool) {
 	l := t.jobs[id]
 	if l == nil {
 		if len(causes) == 0 {
@@ -115,7 +115,7 @@
 }
 
 // begin opens an interval, or continues one that ended less than maxInterruption ago.
-func (l *jobTimeline) begin(c predicate.Cause, wall loop.Micros, open *int) {
+func (l *jobTimeline) begin(c predicate.Cause, wall eventloop.Micros, open *int) {
 	s := interval{kind: c.Kind, from: wall, tasks: c.Tasks}
 	if c.Since != 0 && c.Since < wall {
 		s.from = c.Since // the owner has known the cause for longer than this controller
@@ -132,7 +132,7 @@
 }
 
 // end closes interval i and moves it before those that still hold.
-func (l *jobTimeline) end(i, open int, wall loop.Micros) {
+func (l *jobTimeline) end(i, open int, wall eventloop.Micros) {
 	s := l.intervals[i]
 	s.to = wall
 	copy(l.intervals[open+1:i+1], l.intervals[open:i])
@@ -140,7 +140,7 @@
 }
 
 // Finish closes a finished job's timeline. The newest closed timelines are kept, up to a bound.
-func (t *Timelines) Finish(id string, wall loop.Micros, own bool) {
+func (t *Timelines) Finish(id string, wall eventloop.Micros, own bool) {
 	l := t.jobs[id]
 	if l == nil || l.finished {
 		return
@@ -156,7 +156,7 @@
 
 // Since returns the time since which a cause holds, or 0 if it does not hold as far as this
 // controller knows.
-func (t *Timelines) Since(id string, k predicate.Kind) loop.Micros {
+func (t *Timelines) Since(id string, k predicate.Kind) eventloop.Micros {
 	if l := t.jobs[id]; l != nil {
 		if s := l.find(k, l.open()); s != nil {
 			return s.from
--- a/internal/explain/waits.go
+++ b/internal/explain/waits.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/predicate"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -11,8 +11,8 @@
 
 // Range and precision of the distributions: from 10 ms to 12 h.
 const (
-	resolution      = 10 * loop.Millisecond
-	maxWait         = 12 * 3600 * loop.Second / resolution
+	resolution      = 10 * eventloop.Millisecond
+	maxWait         = 12 * 3600 * eventloop.Second / resolution
 	precisionDigits = 2
 	windows         = 2
 	minSamples      = 8 // fewer waits that lasted as long give no estimate
@@ -53,7 +53,7 @@
 func NewWaits() *Waits { return &Waits{by: map[waitKey]*Distribution{}} }
 
 // Add records a wait that has ended.
-func (d *Distribution) Add(took loop.Micros) {
+func (d *Distribution) Add(took eventloop.Micros) {
 	if d.inWindow >= rotateAfter {
 		d.inWindow = 0
 		d.histogram.Rotate()
@@ -70,7 +70,7 @@
 }
 
 // Add records a wait of the given kind and urgency that has ended.
-func (w *Waits) Add(k predicate.Kind, urgent bool, took loop.Micros) {
+func (w *Waits) Add(k predicate.Kind, urgent bool, took eventloop.Micros) {
 	key := waitKey{k, urgent}
 	d := w.by[key]
 	if d == nil {
@@ -82,7 +82,7 @@
 
 // Remaining estimates the remaining time of a wait that has lasted for elapsed, from the waits of
 // the same kind and urgency that lasted at least as long. It is nil when they are too few.
-func (w *Waits) Remaining(k predicate.Kind, urgent bool, elapsed loop.Micros) *Estimate {
+func (w *Waits) Remaining(k predicate.Kind, urgent bool, elapsed eventloop.Micros) *Estimate {
 	d := w.by[waitKey{k, urgent}]
 	if d == nil {
 		return nil
@@ -92,7 +92,7 @@
 
 // Remaining estimates the remaining time of a wait that has lasted for elapsed, or returns nil
 // when too few recorded waits lasted as long.
-func (d *Distribution) Remaining(elapsed loop.Micros) *Estimate {
+func (d *Distribution) Remaining(elapsed eventloop.Micros) *Estimate {
 	h := d.histogram.Merge()
 	total := h.TotalCount()
 	e := max(elapsed, 0) / resolution
--- a/internal/failuredetector/correlated.go
+++ b/internal/failuredetector/correlated.go
@@ -1,6 +1,6 @@
 package failuredetector
 
-import "cleatpick/internal/loop"
+import "cleatpick/internal/eventloop"
 
 // CorrelationState is the state of a correlated failure.
 type CorrelationState int
@@ -19,21 +19,21 @@
 // rented for the capacity that may come back.
 type correlatedFailure struct {
 	state          CorrelationState
-	began          loop.Micros
+	began          eventloop.Micros
 	mostSuspected  int // largest number of machines suspected at the same time
 	declaredFailed int
 	returned       int
 	hung           int // of those declared failed, by the result of the last probe
 	unreachable    int
 	dead           int
-	longestSilence loop.Micros // longest silence of a machine that was declared failed
+	longestSilence eventloop.Micros // longest silence of a machine that was declared failed
 }
 
 // correlatedShare is the part of all machines that must be suspected for a correlated failure, and
 // minCorrelated their least number.
 const correlatedShare = 0.02
 
-func (j *Detector) setCorrelated(s CorrelationState, now loop.Micros) {
+func (j *Detector) setCorrelated(s CorrelationState, now eventloop.Micros) {
 	o := &j.correlated
 	if o.state == s {
 		return
@@ -48,7 +48,7 @@
 	}
 }
 
-func (o *correlatedFailure) addFailed(m *machine, now loop.Micros, why string) {
+func (o *correlatedFailure) addFailed(m *machine, now eventloop.Micros, why string) {
 	o.declaredFailed++
 	switch m.result {
 	case NoAnswer:
@@ -63,7 +63,7 @@
 }
 
 // trackCorrelated starts and ends the tracking of a correlated failure.
-func (j *Detector) trackCorrelated(now loop.Micros, fleet int) {
+func (j *Detector) trackCorrelated(now eventloop.Micros, fleet int) {
 	n := 0
 	for _, m := range j.machines {
 		if m.suspected() {
@@ -96,11 +96,11 @@
 
 // EachSuspected calls f, during a correlated failure, for each suspected machine that may come
 // back with its tasks and its capacity, for no longer than the machine's lease.
-func (j *Detector) EachSuspected(now loop.Micros, f func(name string)) {
+func (j *Detector) EachSuspected(now eventloop.Micros, f func(name string)) {
 	if j.correlated.state != Unresolved {
 		return
 	}
-	for name, m := range loop.Sorted(j.machines) {
+	for name, m := range eventloop.Sorted(j.machines) {
 		if m.suspected() && m.state != Dead && now-m.lastAlive() <= j.rules.Lease {
 			f(name)
 		}
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -12,7 +12,7 @@
 	"log/slog"
 	"slices"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/metric"
 )
 
@@ -54,24 +54,24 @@
 // does get answers has a host controller that is cut off from the others, and its tasks can
 // neither be observed nor stopped. After this time the machine is declared failed, so that
 // no machine is unusable without a verdict for longer.
-func (r *Rules) maxStray() loop.Micros { return r.leaseEnd() + r.UnreachableGrace }
+func (r *Rules) maxStray() eventloop.Micros { return r.leaseEnd() + r.UnreachableGrace }
 
 // Rules holds the limits by which machines are evaluated.
 type Rules struct {
-	ReportInterval   loop.Micros // interval between reports
-	Lease            loop.Micros // time without an answer after which a worker ends its tasks
-	UnreachableGrace loop.Micros // additional time for which an unreachable machine is left alone
-	MaxSilence       loop.Micros // silence after which a machine is declared failed in any case; 0: no such limit
-	MaxProbes        int         // largest number of probes in flight
+	ReportInterval   eventloop.Micros // interval between reports
+	Lease            eventloop.Micros // time without an answer after which a worker ends its tasks
+	UnreachableGrace eventloop.Micros // additional time for which an unreachable machine is left alone
+	MaxSilence       eventloop.Micros // silence after which a machine is declared failed in any case; 0: no such limit
+	MaxProbes        int              // largest number of probes in flight
 }
 
 // lateAfter is the silence after which a machine is probed: a report has been missed, and half
 // an interval and 2 s have passed to allow for delays.
-func (r *Rules) lateAfter() loop.Micros { return 3*r.ReportInterval/2 + 2*loop.Second }
+func (r *Rules) lateAfter() eventloop.Micros { return 3*r.ReportInterval/2 + 2*eventloop.Second }
 
 // leaseEnd is the silence after which the machine's worker has certainly ended its tasks,
 // or does so before anything else, if nobody answered it meanwhile.
-func (r *Rules) leaseEnd() loop.Micros { return r.Lease + r.Lease/1000 + loop.Second }
+func (r *Rules) leaseEnd() eventloop.Micros { return r.Lease + r.Lease/1000 + eventloop.Second }
 
 // Facts holds what is known of a machine at the time of an evaluation.
 type Facts struct {
@@ -79,16 +79,16 @@
 	// LastConfirmed is the time of its last report that showed that answers reach it, LastReport that of
 	// its last report of any kind. A machine with newer reports of the second kind only may
 	// be unresponsive or stopped: delayed copies of its reports may arrive long afterwards.
-	LastConfirmed, LastReport loop.Micros
+	LastConfirmed, LastReport eventloop.Micros
 	Failed                    bool // the cloud lists it as failed
 	// RetainFor is the additional time for which it is left alone because its zone is, or was
 	// until recently, disconnected: the time that it takes to replace the machine.
-	RetainFor loop.Micros
+	RetainFor eventloop.Micros
 }
 
 // ClusterFacts holds what is known of the cluster as a whole at the time of an evaluation.
 type ClusterFacts struct {
-	Now loop.Micros
+	Now eventloop.Micros
 	// Isolated says that no peer is reachable from this controller: to it, all machines look
 	// silent.
 	Isolated bool
@@ -109,23 +109,23 @@
 	result       ProbeResult
 	repeats      int // number of consecutive probes with this result
 	probing      bool
-	probedAt     loop.Micros
-	prevProbedAt loop.Micros // when the probe before the last one was sent
+	probedAt     eventloop.Micros
+	prevProbedAt eventloop.Micros // when the probe before the last one was sent
 	// answeredAt is when it last answered a probe. That proves that it runs, not that it can be
 	// used: treated like a report, it would make the machine alternate between available and
 	// late while no owner gets the state of its tasks.
-	answeredAt loop.Micros
+	answeredAt eventloop.Micros
 }
 
 // lastAlive returns when the machine was last known to run.
-func (m *machine) lastAlive() loop.Micros { return max(m.LastConfirmed, m.answeredAt) }
+func (m *machine) lastAlive() eventloop.Micros { return max(m.LastConfirmed, m.answeredAt) }
 
 // zone is what is known of the network path to a zone's machines.
 type zone struct {
-	reporting         int         // number of machines whose reports arrive
-	neighbours        []string    // addresses of a few of them, the neighbours to probe
-	neighbourProbedAt loop.Micros // when one of these was last probed
-	reachableSince    loop.Micros // since when neighbours have answered without interruption; 0: they do not
+	reporting         int              // number of machines whose reports arrive
+	neighbours        []string         // addresses of a few of them, the neighbours to probe
+	neighbourProbedAt eventloop.Micros // when one of these was last probed
+	reachableSince    eventloop.Micros // since when neighbours have answered without interruption; 0: they do not
 	probing           bool
 	noConnection      int // silent machines to which no connection could be made since then
 	peerUnreachable   bool
@@ -294,21 +294,21 @@
 	// waits 4 s for an answer and tries the next controller a second later. A machine silent
 	// for less may be unresponsive to commands, and is not declared dead because connections
 	// fail; nor is one that was unresponsive when its last report arrived.
-	maxReportGap = 6 * loop.Second
+	maxReportGap = 6 * eventloop.Second
 	// minCorrelated is the number of machines of a zone that must be unreachable together for one
 	// failed connection to each to suffice: they confirm each other.
 	minCorrelated = 5
 	// neighbourEvidenceFor is how long a neighbour's answer is evidence that its zone is reachable.
-	neighbourEvidenceFor = 5 * loop.Second
-	maxNeighbours        = 3                       // neighbours of a zone that are probed in turn
-	probeInterval        = 1200 * loop.Millisecond // least time between two probes of one target
+	neighbourEvidenceFor = 5 * eventloop.Second
+	maxNeighbours        = 3                            // neighbours of a zone that are probed in turn
+	probeInterval        = 1200 * eventloop.Millisecond // least time between two probes of one target
 )
 
 // dead reports whether a machine to which no connection can be made has stopped. Its zone
 // must be reachable, as shown by the reports of other machines there and by a neighbour that
 // has just answered a probe, and the machine must have been probed since the zone became
 // reachable: a connection that failed during a network partition is no evidence after it.
-func (j *Detector) dead(now loop.Micros, m *machine, z *zone) bool {
+func (j *Detector) dead(now eventloop.Micros, m *machine, z *zone) bool {
 	if z.reporting == 0 || z.peerUnreachable || z.reachableSince == 0 || now-z.neighbourProbedAt > neighbourEvidenceFor || m.probedAt < z.reachableSince || m.probing || now-m.LastConfirmed < maxReportGap || m.LastReport > m.LastConfirmed {
 		return false
 	}
@@ -328,7 +328,7 @@
 		if m.result == NoConnection {
 			j.probeNeighbour(s.Now, m.Zone)
 		}
-		if m.result == NoAnswer && m.repeats >= 2 && (s.Now-m.lastAlive() <= j.rules.Lease || m.probedAt > m.lastAlive()+j.rules.Lease) && s.Now-m.probedAt < 5*loop.Second {
+		if m.result == NoAnswer && m.repeats >= 2 && (s.Now-m.lastAlive() <= j.rules.Lease || m.probedAt > m.lastAlive()+j.rules.Lease) && s.Now-m.probedAt < 5*eventloop.Second {
 			continue // it hangs, and reports on its own once it resumes
 		}
 		if m.result == Answered && s.Now-m.probedAt < j.rules.ReportInterval {
@@ -363,7 +363,7 @@
 
 // probeNeighbour probes one of a zone's machines whose reports arrive, to learn whether the zone is
 // reachable from this controller.
-func (j *Detector) probeNeighbour(now loop.Micros, name string) {
+func (j *Detector) probeNeighbour(now eventloop.Micros, name string) {
 	z := j.zones[name]
 	if z.probing || len(z.neighbours) == 0 || now-z.neighbourProbedAt < probeInterval {
 		return
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -6,8 +6,8 @@
 	"log/slog"
 	"testing"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/fixed"
-	"cleatpick/internal/loop"
 
 	"pgregory.net/rapid"
 )
@@ -28,17 +28,17 @@
 type simMachine struct {
 	name, zone                string
 	condition                 condition
-	since, back               loop.Micros // when the condition began, and when it ends; 0: never
-	lastConfirmed, lastReport loop.Micros
-	wellAt                    loop.Micros // when the condition ended
-	failedAt                  loop.Micros
+	since, back               eventloop.Micros // when the condition began, and when it ends; 0: never
+	lastConfirmed, lastReport eventloop.Micros
+	wellAt                    eventloop.Micros // when the condition ended
+	failedAt                  eventloop.Micros
 	why                       string
-	inPartition               bool        // its zone was disconnected when it was declared failed
-	unheardUntil              loop.Micros // until when its reports reach nobody
+	inPartition               bool             // its zone was disconnected when it was declared failed
+	unheardUntil              eventloop.Micros // until when its reports reach nobody
 }
 
 type answer struct {
-	at   loop.Micros
+	at   eventloop.Micros
 	done func(ProbeResult)
 	w    ProbeResult
 }
@@ -46,24 +46,24 @@
 // simulation is a simulated set of machines whose real condition is known, observed by a failure
 // detector under hand-driven time.
 type simulation struct {
-	now               loop.Micros
+	now               eventloop.Micros
 	rules             Rules
 	detector          *Detector
 	all               []*simMachine
 	byName            map[string]*simMachine
 	answers           []answer
 	isolated          bool
-	disconnectedUntil map[string]loop.Micros // zones that are disconnected, and until when
-	selfDisconnected  bool                   // this controller reaches no machine, but gets their reports through its peers
+	disconnectedUntil map[string]eventloop.Micros // zones that are disconnected, and until when
+	selfDisconnected  bool                        // this controller reaches no machine, but gets their reports through its peers
 	most              int
 	probes            int
 }
 
-const step = 200 * loop.Millisecond
+const step = 200 * eventloop.Millisecond
 
 func newSimulation(zones, each int) *simulation {
-	y := &simulation{now: 1000 * loop.Second, byName: map[string]*simMachine{}, disconnectedUntil: map[string]loop.Micros{},
-		rules: Rules{ReportInterval: 3 * loop.Second, Lease: 18 * loop.Second, UnreachableGrace: 8 * loop.Second, MaxProbes: 16}}
+	y := &simulation{now: 1000 * eventloop.Second, byName: map[string]*simMachine{}, disconnectedUntil: map[string]eventloop.Micros{},
+		rules: Rules{ReportInterval: 3 * eventloop.Second, Lease: 18 * eventloop.Second, UnreachableGrace: 8 * eventloop.Second, MaxProbes: 16}}
 	for z := range zones {
 		for i := range each {
 			r := &simMachine{name: fmt.Sprintf("n-%d%04d", z, i), zone: fmt.Sprint("z", z), lastConfirmed: y.now}
@@ -73,12 +73,12 @@
 	}
 	y.detector = New(y.rules, slog.New(slog.NewTextHandler(io.Discard, nil)), nil, func(addr string, done func(ProbeResult)) {
 		y.probes++
-		a := answer{y.now + 5*loop.Millisecond, done, Answered}
+		a := answer{y.now + 5*eventloop.Millisecond, done, Answered}
 		switch r := y.byName[addr]; {
 		case y.selfDisconnected || r.condition == stopped || r.condition == unresponsive || y.now < y.disconnectedUntil[r.zone]:
-			a.w, a.at = NoConnection, y.now+loop.Second
+			a.w, a.at = NoConnection, y.now+eventloop.Second
 		case r.condition == hangs:
-			a.w, a.at = NoAnswer, y.now+loop.Second
+			a.w, a.at = NoAnswer, y.now+eventloop.Second
 		}
 		y.answers = append(y.answers, a)
 		y.most = max(y.most, len(y.answers))
@@ -87,7 +87,7 @@
 }
 
 // setCondition puts machines that are well into a condition until back.
-func (y *simulation) setCondition(is condition, back loop.Micros, names ...*simMachine) {
+func (y *simulation) setCondition(is condition, back eventloop.Micros, names ...*simMachine) {
 	for _, r := range names {
 		if r.condition == well {
 			r.condition, r.since, r.back = is, y.now, back
@@ -95,7 +95,7 @@
 	}
 }
 
-func (y *simulation) run(d loop.Micros) {
+func (y *simulation) run(d eventloop.Micros) {
 	for end := y.now + d; y.now < end; y.now += step {
 		kept := y.answers[:0:0]
 		due := y.answers
@@ -112,16 +112,16 @@
 			if r.back != 0 && y.now >= r.back && r.failedAt == 0 {
 				r.condition, r.back, r.wellAt = well, 0, y.now
 			}
-			if r.condition == well && r.failedAt == 0 && y.now >= y.disconnectedUntil[r.zone] && y.now >= r.unheardUntil && (y.now/step+loop.Micros(i))%(y.rules.ReportInterval/step) == 0 {
+			if r.condition == well && r.failedAt == 0 && y.now >= y.disconnectedUntil[r.zone] && y.now >= r.unheardUntil && (y.now/step+eventloop.Micros(i))%(y.rules.ReportInterval/step) == 0 {
 				r.lastConfirmed, r.lastReport = y.now, y.now
 			}
 			// The first report that gets no answer still shows its host controller's token. The
 			// next ones come 4 s and 1 s later, each at another controller.
 			if r.condition == unresponsive && r.failedAt == 0 && y.now >= y.disconnectedUntil[r.zone] {
-				switch regular := (y.now/step+loop.Micros(i))%(y.rules.ReportInterval/step) == 0; {
+				switch regular := (y.now/step+eventloop.Micros(i))%(y.rules.ReportInterval/step) == 0; {
 				case r.lastConfirmed <= r.since && regular:
 					r.lastConfirmed, r.lastReport = y.now, y.now
-				case r.lastConfirmed > r.since && (y.now-r.lastConfirmed)%(5*loop.Second) < step:
+				case r.lastConfirmed > r.since && (y.now-r.lastConfirmed)%(5*eventloop.Second) < step:
 					r.lastReport = y.now
 				}
 			}
@@ -153,11 +153,11 @@
 // lease ends, as machines that stopped and not as hung ones, with a bounded number of probes.
 func TestManyMachinesStop(t *testing.T) {
 	y := newSimulation(2, 200)
-	y.run(10 * loop.Second)
+	y.run(10 * eventloop.Second)
 	y.setCondition(stopped, 0, y.all[:100]...)
-	y.run(y.rules.lateAfter() + 12*loop.Second)
+	y.run(y.rules.lateAfter() + 12*eventloop.Second)
 	if y.countFailed() != 100 {
-		t.Fatalf("%d of 100 stopped machines are declared failed after %d us", y.countFailed(), y.rules.lateAfter()+12*loop.Second)
+		t.Fatalf("%d of 100 stopped machines are declared failed after %d us", y.countFailed(), y.rules.lateAfter()+12*eventloop.Second)
 	}
 	for _, r := range y.all[:100] {
 		if took := r.failedAt - r.since; r.why != "dead" || took >= y.rules.Lease {
@@ -177,20 +177,20 @@
 // Machines that hang for good must be declared failed soon after their lease.
 func TestHungMachinesComeBack(t *testing.T) {
 	y := newSimulation(2, 100)
-	y.run(10 * loop.Second)
-	y.setCondition(hangs, y.now+y.rules.Lease-4*loop.Second, y.all[:50]...)
-	y.run(y.rules.Lease - 5*loop.Second)
+	y.run(10 * eventloop.Second)
+	y.setCondition(hangs, y.now+y.rules.Lease-4*eventloop.Second, y.all[:50]...)
+	y.run(y.rules.Lease - 5*eventloop.Second)
 	n := 0
 	y.detector.EachSuspected(y.now, func(string) { n++ })
 	if n != 50 {
 		t.Fatalf("%d of 50 hung machines are listed as likely to come back, want all", n)
 	}
-	y.run(60 * loop.Second)
+	y.run(60 * eventloop.Second)
 	if y.countFailed() != 0 {
 		t.Fatalf("%d machines are declared failed that hung for less than their lease", y.countFailed())
 	}
 	y.setCondition(hangs, 0, y.all[:50]...)
-	y.run(y.rules.Lease + 4*loop.Second)
+	y.run(y.rules.Lease + 4*eventloop.Second)
 	if y.countFailed() != 50 {
 		t.Fatalf("%d of 50 machines that hang for good are declared failed, want all", y.countFailed())
 	}
@@ -201,10 +201,10 @@
 // either, no machine may be declared dead.
 func TestDisconnectedControllerDeclaresNoneDead(t *testing.T) {
 	y := newSimulation(1, 60)
-	y.run(10 * loop.Second)
+	y.run(10 * eventloop.Second)
 	y.selfDisconnected = true
-	y.setCondition(hangs, y.now+24*loop.Second, y.all[:20]...)
-	y.run(40 * loop.Second)
+	y.setCondition(hangs, y.now+24*eventloop.Second, y.all[:20]...)
+	y.run(40 * eventloop.Second)
 	if y.countFailed() != 0 {
 		t.Fatalf("%d machines are declared failed by a controller that reaches none", y.countFailed())
 	}
@@ -218,14 +218,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		zones, each := rapid.IntRange(1, 6).Draw(t, "zones"), rapid.IntRange(1, 40).Draw(t, "each")
 		y := newSimulation(zones, each)
-		y.run(5 * loop.Second)
+		y.run(5 * eventloop.Second)
 		for range rapid.IntRange(1, 5).Draw(t, "falls") {
-			var back loop.Micros
+			var back eventloop.Micros
 			if rapid.Bool().Draw(t, "comes back") {
-				back = y.now + loop.Micros(rapid.IntRange(1, 40).Draw(t, "seconds"))*loop.Second
+				back = y.now + eventloop.Micros(rapid.IntRange(1, 40).Draw(t, "seconds"))*eventloop.Second
 			}
 			if is := condition(rapid.IntRange(0, 3).Draw(t, "is")); is == well {
-				y.disconnectedUntil[fmt.Sprint("z", rapid.IntRange(0, zones-1).Draw(t, "zone"))] = y.now + loop.Micros(rapid.IntRange(1, 60).Draw(t, "cut"))*loop.Second
+				y.disconnectedUntil[fmt.Sprint("z", rapid.IntRange(0, zones-1).Draw(t, "zone"))] = y.now + eventloop.Micros(rapid.IntRange(1, 60).Draw(t, "cut"))*eventloop.Second
 			} else {
 				if is == stopped {
 					back = 0
@@ -236,18 +236,18 @@
 					}
 				}
 			}
-			y.run(loop.Micros(rapid.IntRange(1, 30).Draw(t, "later")) * loop.Second)
+			y.run(eventloop.Micros(rapid.IntRange(1, 30).Draw(t, "later")) * eventloop.Second)
 		}
-		y.run(60 * loop.Second)
+		y.run(60 * eventloop.Second)
 		clear(y.disconnectedUntil)
-		y.run(60 * loop.Second)
+		y.run(60 * eventloop.Second)
 		for _, r := range y.all {
 			silence := r.failedAt - r.lastConfirmed
 			switch {
 			case r.failedAt == 0 && r.condition != well && r.back == 0:
 				t.Fatalf("%s is in condition %v for good and was never declared failed", r.name, r.condition)
 			case r.failedAt == 0:
-			case r.condition == well && silence > y.rules.Lease && r.failedAt-r.wellAt <= 2*loop.Second:
+			case r.condition == well && silence > y.rules.Lease && r.failedAt-r.wellAt <= 2*eventloop.Second:
 				// It resumed after its lease had ended, just after its last probe.
 			case r.condition == well && r.inPartition && silence > y.rules.Lease+y.rules.UnreachableGrace:
 			case r.condition == well:
@@ -274,22 +274,22 @@
 // others must be at the time that maxStray states.
 func TestReportsThatReachNobody(t *testing.T) {
 	y := newSimulation(2, 40)
-	y.run(10 * loop.Second)
+	y.run(10 * eventloop.Second)
 	began := y.now
 	for _, r := range y.all[:20] {
-		r.unheardUntil = began + y.rules.maxStray() - 2*y.rules.ReportInterval - loop.Second
+		r.unheardUntil = began + y.rules.maxStray() - 2*y.rules.ReportInterval - eventloop.Second
 	}
 	for _, r := range y.all[20:30] {
-		r.unheardUntil = began + 500*loop.Second
+		r.unheardUntil = began + 500*eventloop.Second
 	}
 	for _, r := range y.all[30:35] { // their host controller still answers them; they hang for less than a lease
-		r.unheardUntil = began + 22*loop.Second
+		r.unheardUntil = began + 22*eventloop.Second
 	}
 	begun, was := 0, Calm
 	for k := range 300 {
 		y.run(step)
 		if k == 40 {
-			y.setCondition(hangs, began+22*loop.Second, y.all[30:35]...)
+			y.setCondition(hangs, began+22*eventloop.Second, y.all[30:35]...)
 		}
 		if s := y.detector.correlated.state; s != was {
 			if was = s; s == Unresolved {
@@ -303,7 +303,7 @@
 	for i, r := range y.all {
 		switch took := r.failedAt - r.lastConfirmed; {
 		case i >= 20 && i < 30:
-			if r.failedAt == 0 || took > y.rules.maxStray()+loop.Second || r.why != "its reports reach nobody" {
+			if r.failedAt == 0 || took > y.rules.maxStray()+eventloop.Second || r.why != "its reports reach nobody" {
 				t.Errorf("%s is declared failed as %q after %d us, want \"its reports reach nobody\" in time", r.name, r.why, took)
 			}
 		case r.failedAt != 0:
@@ -320,27 +320,27 @@
 // states, even if a whole zone of them looks like a network partition. Those that recover
 // earlier must not be declared failed, and meanwhile all count as likely to come back.
 func TestUnresponsiveMachines(t *testing.T) {
-	for _, report := range []loop.Micros{loop.Second, 3 * loop.Second, 5 * loop.Second} {
+	for _, report := range []eventloop.Micros{eventloop.Second, 3 * eventloop.Second, 5 * eventloop.Second} {
 		y := newSimulation(2, 40)
 		y.rules.ReportInterval = report
 		y.detector.rules.ReportInterval = report
-		y.run(10 * loop.Second)
-		y.setCondition(unresponsive, y.now+2*loop.Second, y.all[:10]...)
-		y.setCondition(unresponsive, y.now+y.rules.maxStray()-2*report-loop.Second, y.all[10:20]...)
+		y.run(10 * eventloop.Second)
+		y.setCondition(unresponsive, y.now+2*eventloop.Second, y.all[:10]...)
+		y.setCondition(unresponsive, y.now+y.rules.maxStray()-2*report-eventloop.Second, y.all[10:20]...)
 		y.setCondition(unresponsive, 0, y.all[40:]...)
-		y.run(15 * loop.Second)
+		y.run(15 * eventloop.Second)
 		n := 0
 		y.detector.EachSuspected(y.now, func(string) { n++ })
 		if n != 50 {
 			t.Errorf("reports every %d us: %d of 50 unresponsive machines are listed as likely to come back, want all", report, n)
 		}
-		y.run(40 * loop.Second)
+		y.run(40 * eventloop.Second)
 		for i, r := range y.all {
 			took := r.failedAt - r.lastConfirmed
 			if i < 40 && r.failedAt != 0 {
 				t.Errorf("reports every %d us: %s is declared failed as %q after %d us, want not at all", report, r.name, r.why, took)
 			}
-			if i >= 40 && (r.why != "hears nobody" || took < y.rules.maxStray() || took > y.rules.maxStray()+loop.Second) {
+			if i >= 40 && (r.why != "hears nobody" || took < y.rules.maxStray() || took > y.rules.maxStray()+eventloop.Second) {
 				t.Errorf("reports every %d us: %s is declared failed as %q after %d us, want \"hears nobody\" in time", report, r.name, r.why, took)
 			}
 		}
@@ -352,11 +352,11 @@
 // declared dead.
 func TestUnresponsiveMachineAfterPartition(t *testing.T) {
 	y := newSimulation(2, 40)
-	y.run(10 * loop.Second)
+	y.run(10 * eventloop.Second)
 	y.setCondition(unresponsive, 0, y.all[:10]...)
-	y.run(12 * loop.Second)
-	y.disconnectedUntil["z0"] = y.now + 7500*loop.Millisecond
-	y.run(60 * loop.Second)
+	y.run(12 * eventloop.Second)
+	y.disconnectedUntil["z0"] = y.now + 7500*eventloop.Millisecond
+	y.run(60 * eventloop.Second)
 	for _, r := range y.all[:10] {
 		if took := r.failedAt - r.lastConfirmed; r.failedAt == 0 || took < y.rules.maxStray() {
 			t.Errorf("%s is declared failed as %q after %d us, want not before the time that maxStray states", r.name, r.why, took)
@@ -368,10 +368,10 @@
 // and probe none.
 func TestIsolatedControllerDeclaresNoneFailed(t *testing.T) {
 	y := newSimulation(1, 10)
-	y.run(5 * loop.Second)
+	y.run(5 * eventloop.Second)
 	y.isolated = true
 	y.setCondition(stopped, 0, y.all...)
-	y.run(90 * loop.Second)
+	y.run(90 * eventloop.Second)
 	if y.countFailed() != 0 || y.probes != 0 {
 		t.Fatalf("%d machines declared failed and %d probes sent by a controller that reaches no peer, want none", y.countFailed(), y.probes)
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -13,9 +13,9 @@
 	"strings"
 
 	"cleatpick/internal/cordon"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/health"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
@@ -36,7 +36,7 @@
 	Stop    func(host string, s workers.Stop)
 	Cordons *cordon.Registry
 	// StaleAfter is the age of a machine's newest report from which on no tasks are started on it.
-	StaleAfter loop.Micros
+	StaleAfter eventloop.Micros
 }
 
 // Machine is one machine with what placement derives from its newest view.
@@ -56,14 +56,14 @@
 // Fleet keeps a Machine for every machine that has reported. Refresh updates only those that changed: with many
 // machines, a pass that recomputed all of them took more than the controller's whole share of a core.
 type Fleet struct {
-	runner              loop.Runner
+	runner              eventloop.Runner
 	log                 *slog.Logger
 	node                Node
 	machines            map[string]*Machine
 	order               []*Machine // by name
 	sorted              bool
 	stale               []*Machine
-	pricedAt            loop.Micros
+	pricedAt            eventloop.Micros
 	cordonVersion       uint64                // version of the cordons by which the machines were marked
 	reserved            map[*Machine]struct{} // machines with reservations
 	reservationCounts   map[string]int        // number of reservations by job
@@ -75,7 +75,7 @@
 }
 
 // New returns an empty fleet.
-func New(r loop.Runner, log *slog.Logger, n Node) *Fleet {
+func New(r eventloop.Runner, log *slog.Logger, n Node) *Fleet {
 	return &Fleet{runner: r, log: log, node: n, machines: map[string]*Machine{}, reserved: map[*Machine]struct{}{}, reservationCounts: map[string]int{}}
 }
 
@@ -101,7 +101,7 @@
 
 // UpdateView records a machine's newer view and when its report was received. quiet means that nothing on the
 // machine has changed, so that it needs no refresh.
-func (f *Fleet) UpdateView(v *workers.View, reportedAt loop.Micros, quiet bool) *Machine {
+func (f *Fleet) UpdateView(v *workers.View, reportedAt eventloop.Micros, quiet bool) *Machine {
 	m := f.machines[v.Name]
 	first := m == nil
 	if first {
@@ -145,7 +145,7 @@
 
 // BackOff keeps the machine from being chosen until the given time. An earlier time than the one in force is
 // ignored.
-func (m *Machine) BackOff(until loop.Micros, why string) {
+func (m *Machine) BackOff(until eventloop.Micros, why string) {
 	if until > m.BackOffUntil {
 		m.BackOffUntil, m.BackOffReason = until, why
 	}
@@ -164,7 +164,7 @@
 
 // priceInterval is the time between two comparisons of the machines' prices, which change with the cloud's
 // catalog.
-const priceInterval = 5 * loop.Second
+const priceInterval = 5 * eventloop.Second
 
 // Refresh updates the machines that changed, and the cordon marks and relative prices of all when these may
 // have changed.
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -5,8 +5,8 @@
 	"math"
 
 	"cleatpick/internal/delivery"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/workers"
@@ -21,7 +21,7 @@
 }
 
 // candidateOn finds the cheapest preemptions on a machine that make capacity for a task of the job.
-func (f *Fleet) candidateOn(need *predicate.Need, m *Machine, now loop.Micros, rights *PreemptionRights) (candidate, bool) {
+func (f *Fleet) candidateOn(need *predicate.Need, m *Machine, now eventloop.Micros, rights *PreemptionRights) (candidate, bool) {
 	s := need.Spec
 	o := candidate{m: m}
 	if !m.Allowed(need) {
@@ -82,8 +82,8 @@
 // reservationLife is how long a reservation lasts after its victims' grace periods; imageReservationLife is
 // the same where the job's tasks fit elsewhere meanwhile.
 const (
-	reservationLife      = 4 * loop.Second
-	imageReservationLife = 1500 * loop.Millisecond
+	reservationLife      = 4 * eventloop.Second
+	imageReservationLife = 1500 * eventloop.Millisecond
 )
 
 // Preempt stops tasks to make capacity for up to want tasks of a job that did not fit, and returns one
@@ -128,7 +128,7 @@
 // preempt computes candidates on the machines for which eligible returns true, once for each, until it has
 // enough to choose from. After that it recomputes only the chosen machine. Each task may cost at most maxCost
 // CPU seconds.
-func (f *Fleet) preempt(need *predicate.Need, want int, rights *PreemptionRights, maxCost float64, life loop.Micros, eligible func(*Machine) bool) (reservations []peer.Reservation) {
+func (f *Fleet) preempt(need *predicate.Need, want int, rights *PreemptionRights, maxCost float64, life eventloop.Micros, eligible func(*Machine) bool) (reservations []peer.Reservation) {
 	s := need.Spec
 	now := f.runner.Now()
 	after := now - f.node.StaleAfter
@@ -162,12 +162,12 @@
 			continue
 		}
 		made++
-		wait := loop.Micros(0)
+		wait := eventloop.Micros(0)
 		for _, y := range o.victims {
 			wait = max(wait, y.grace)
 			rights.Excess[y.spec.Team] -= y.spec.CPUs
 			o.m.Free.Add(y.spec)
-			o.m.preempted = append(o.m.preempted, pendingPreemption{delivery.Attempt{Task: y.task.Task, Number: y.task.Attempt}, now + y.grace + 5*loop.Second})
+			o.m.preempted = append(o.m.preempted, pendingPreemption{delivery.Attempt{Task: y.task.Task, Number: y.task.Attempt}, now + y.grace + 5*eventloop.Second})
 			f.log.Debug("preempting task to make capacity for another job", "task", y.task.Task, "machine", o.m.View.Name, "for", need.ID, "grace_us", y.grace)
 			f.node.Stop(o.m.View.Host, workers.Stop{Machine: o.m.View.Name, Task: y.task.Task, Attempt: y.task.Attempt, Grace: y.grace})
 		}
--- a/internal/fleet/reservations_test.go
+++ b/internal/fleet/reservations_test.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"testing"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/workers"
@@ -22,13 +22,13 @@
 // 303.169 s; n-000003 has 4 CPUs free at 304.447 s and none at 305.084 s, after four starts of that team
 // (job-000925, job-000928), and so on until the reservations expire at 321.6 s.
 func TestReservationsReachNewControllers(t *testing.T) {
-	clock := standin.NewRunner(1000 * loop.Second)
+	clock := standin.NewRunner(1000 * eventloop.Second)
 	newFleet := func() *Fleet { return New(clock, slog.New(slog.NewTextHandler(io.Discard, nil)), Node{Label: "a"}) }
 	machine := func(name string) *workers.View { return &workers.View{Name: name, Type: "m8"} }
 	owner := newFleet()
 	owner.UpdateView(machine("n-1"), clock.Now(), false)
 	owner.UpdateView(machine("n-2"), clock.Now(), false)
-	until := clock.Wall() + 20*loop.Second
+	until := clock.Wall() + 20*eventloop.Second
 	for _, name := range []string{"n-1", "n-2", "n-2"} {
 		owner.AddReservation(peer.Reservation{Machine: name, Job: "job-1", Priority: 3, CPUs: 4, MemoryGB: 2, Until: until})
 	}
@@ -53,7 +53,7 @@
 	for _, c := range owned {
 		last.AddReservation(c)
 	}
-	clock.Advance(20 * loop.Second)
+	clock.Advance(20 * eventloop.Second)
 	last.ExpireReservations()
 	last.UpdateView(machine("n-2"), clock.Now(), false)
 	if got := last.ReservationCount("job-1"); got != 0 || len(last.pendingReservations) != 0 {
--- a/internal/fleet/reserve.go
+++ b/internal/fleet/reserve.go
@@ -5,8 +5,8 @@
 	"maps"
 	"slices"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/workers"
@@ -21,7 +21,7 @@
 // take it. Capacity that is reserved already is subtracted first, and small reservations share a machine:
 // when each had a machine of its own, none was left for gangs or for tasks as large as a machine. For a gang
 // it reserves everything or nothing, since a part of a gang cannot run.
-func (f *Fleet) Reserve(need *predicate.Need, want int, life loop.Micros) (reservations []peer.Reservation) {
+func (f *Fleet) Reserve(need *predicate.Need, want int, life eventloop.Micros) (reservations []peer.Reservation) {
 	n := *need
 	if n.Zones = maps.Clone(need.Zones); n.Zones == nil {
 		n.Zones = map[string]int{}
--- a/internal/fleet/reserve_test.go
+++ b/internal/fleet/reserve_test.go
@@ -7,8 +7,8 @@
 	"testing"
 
 	"cleatpick/internal/cordon"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
@@ -22,7 +22,7 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	client := store.NewClient(clock, nil, log, 100, 100, 1)
 	jobs := map[string]*job.Job{}
-	f := New(clock, log, Node{Label: "a", StaleAfter: 10 * loop.Second,
+	f := New(clock, log, Node{Label: "a", StaleAfter: 10 * eventloop.Second,
 		Type: func(string) (wire.MachineType, bool) {
 			return wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32}, true
 		},
@@ -50,11 +50,11 @@
 // Small reservations share machines up to half of each, on machines that run other teams' work; a large task
 // gets a machine without reservations.
 func TestReserveSharesMachinesAmongSmallTasks(t *testing.T) {
-	clock := standin.NewRunner(1000 * loop.Second)
+	clock := standin.NewRunner(1000 * eventloop.Second)
 	f := newFullFleet(clock, "own", "other", "other", "own")
 	hold := func(id string, cpus float64, tasks int) (on []string) {
 		spec := &job.Spec{Team: "own", CPUs: cpus, MemoryGB: 1, AnyType: true}
-		for _, c := range f.Reserve(&predicate.Need{ID: id, Spec: spec, Tasks: tasks}, tasks, 20*loop.Second) {
+		for _, c := range f.Reserve(&predicate.Need{ID: id, Spec: spec, Tasks: tasks}, tasks, 20*eventloop.Second) {
 			on = append(on, c.Machine)
 		}
 		return on
--- a/internal/fleet/victims.go
+++ b/internal/fleet/victims.go
@@ -5,8 +5,8 @@
 	"slices"
 
 	"cleatpick/internal/delivery"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
@@ -15,11 +15,11 @@
 // pendingPreemption is a task that was preempted, and until when the request counts as pending.
 type pendingPreemption struct {
 	attempt delivery.Attempt
-	until   loop.Micros
+	until   eventloop.Micros
 }
 
 // isStopping reports whether a preemption of the task is pending. It drops entries whose time has passed.
-func (m *Machine) isStopping(t *workers.Task, now loop.Micros) bool {
+func (m *Machine) isStopping(t *workers.Task, now eventloop.Micros) bool {
 	for i := 0; i < len(m.preempted); i++ {
 		switch x := &m.preempted[i]; {
 		case now > x.until:
@@ -37,12 +37,12 @@
 	task  *workers.Task
 	spec  *job.Spec
 	loss  float64 // CPU seconds
-	grace loop.Micros
+	grace eventloop.Micros
 }
 
 // appendVictims appends the tasks on a machine that may be preempted, each considered by itself: those of lower
 // priority first, then the others, and within each group the least loss first.
-func (f *Fleet) appendVictims(out []victim, need *predicate.Need, m *Machine, now loop.Micros, rights *PreemptionRights) []victim {
+func (f *Fleet) appendVictims(out []victim, need *predicate.Need, m *Machine, now eventloop.Micros, rights *PreemptionRights) []victim {
 	urgent := need.Spec.Priority >= job.High
 	for i := range m.View.Tasks {
 		x := &m.View.Tasks[i]
@@ -57,14 +57,14 @@
 			continue
 		}
 		s := j.Spec
-		var ran loop.Micros
+		var ran eventloop.Micros
 		if since := m.Runs.Since(i); since != 0 {
 			ran = now - since
 		}
 		y := victim{task: x, spec: s}
 		switch {
 		case s.Checkpoint > 0 && !urgent:
-			y.grace = s.Save + loop.Second
+			y.grace = s.Save + eventloop.Second
 			ran = s.Save
 		case s.Checkpoint > 0:
 			ran %= s.Checkpoint
--- a/internal/health/attribution.go
+++ b/internal/health/attribution.go
@@ -6,7 +6,7 @@
 package health
 
 import (
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
 )
@@ -48,7 +48,7 @@
 type machineEvidence struct {
 	counted   map[string]uint64   // ended attempts that were counted
 	byJob     map[string]evidence // by job, since the last success on the machine
-	restUntil loop.Micros         // nothing is placed before this time
+	restUntil eventloop.Micros    // nothing is placed before this time
 	rests     int                 // consecutive rests
 	// weight is the cached weight of the evidence as of weightVersion: a scheduling
 	// pass asks for it many times.
@@ -87,7 +87,7 @@
 }
 
 // Observe records the changes in a machine's newest view.
-func (b *Attribution) Observe(now loop.Micros, v *workers.View, c *workers.Changes) {
+func (b *Attribution) Observe(now eventloop.Micros, v *workers.View, c *workers.Changes) {
 	if c.Unchanged {
 		return
 	}
@@ -172,14 +172,14 @@
 // failed records that a task has failed. A machine at fault rests after it, even if this
 // task is no evidence against the machine: otherwise a task that has failed elsewhere, too,
 // would be started on the faulty machine again and again (166 times in one case).
-func (b *Attribution) failed(now loop.Micros, machine, id, task string) {
+func (b *Attribution) failed(now eventloop.Micros, machine, id, task string) {
 	if !b.unfinished(id) {
 		return
 	}
 	m := b.machines[machine]
 	b.addEvidence(m, machine, id, task)
 	if now >= m.restUntil && b.AtFault(machine) {
-		m.restUntil = now + min(120*loop.Second, 15*loop.Second<<min(m.rests, 3))
+		m.restUntil = now + min(120*eventloop.Second, 15*eventloop.Second<<min(m.rests, 3))
 		m.rests++
 	}
 }
@@ -308,7 +308,7 @@
 }
 
 // RestUntil returns the time from which tasks may be placed on the machine again.
-func (b *Attribution) RestUntil(machine string) loop.Micros {
+func (b *Attribution) RestUntil(machine string) eventloop.Micros {
 	if m := b.machines[machine]; m != nil {
 		return m.restUntil
 	}
--- a/internal/health/attribution_test.go
+++ b/internal/health/attribution_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
 
@@ -14,7 +14,7 @@
 
 // ending is the end of a task as a machine reported it.
 type ending struct {
-	at                 loop.Micros
+	at                 eventloop.Micros
 	machine, job, task string
 	ok                 bool
 }
@@ -95,10 +95,10 @@
 	b := NewAttribution(func(id string) bool { return !over[id] })
 	for k := range 50 {
 		id := fmt.Sprint("job-", k)
-		report(b, ending{loop.Second, "a", id, id + "/0", k%2 == 0}, 1)
+		report(b, ending{eventloop.Second, "a", id, id + "/0", k%2 == 0}, 1)
 		over[id] = true
 		b.JobFinished(id)
-		report(b, ending{loop.Second, "b", id, id + "/1", k%2 == 0}, 1)
+		report(b, ending{eventloop.Second, "b", id, id + "/1", k%2 == 0}, 1)
 	}
 	if len(b.jobs) != 0 || len(b.machines["b"].byJob) != 0 {
 		t.Errorf("%d jobs and evidence of %d jobs against machine b are kept, want none", len(b.jobs), len(b.machines["b"].byJob))
@@ -121,11 +121,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewAttribution(always)
 		var p historyModel
-		now := loop.Micros(loop.Second)
+		now := eventloop.Micros(eventloop.Second)
 		attempts := map[string]uint64{}
 		done := map[string]bool{}
 		for range rapid.IntRange(1, 60).Draw(t, "ends") {
-			now += loop.Micros(rapid.SampledFrom([]int{0, 100, 1999, 2000, 9000}).Draw(t, "later")) * loop.Millisecond
+			now += eventloop.Micros(rapid.SampledFrom([]int{0, 100, 1999, 2000, 9000}).Draw(t, "later")) * eventloop.Millisecond
 			job := fmt.Sprint("job-", rapid.IntRange(1, 6).Draw(t, "job"))
 			e := ending{now, fmt.Sprint("n-", rapid.IntRange(1, 5).Draw(t, "machine")), job,
 				fmt.Sprint(job, "/", rapid.IntRange(0, 4).Draw(t, "task")), rapid.IntRange(0, 4).Draw(t, "ok") == 0}
@@ -149,7 +149,7 @@
 				if got, want := b.FailedOnHealthy(j), p.failedOnHealthy(j); got != want {
 					t.Fatalf("%d machines not at fault failed %s, want %d by its history; ends so far: %v", got, j, want, p)
 				}
-				if b.RestUntil(m) > now && !want && b.RestUntil(m) > now+120*loop.Second {
+				if b.RestUntil(m) > now && !want && b.RestUntil(m) > now+120*eventloop.Second {
 					t.Fatalf("machine %s rests until %d, for longer than the bound of 120 s", m, b.RestUntil(m))
 				}
 			}
@@ -164,7 +164,7 @@
 // must never rest because of broken jobs, and a job that can succeed must not be counted as
 // failing on machines that are at fault.
 func TestAttributionByFailurePattern(t *testing.T) {
-	const s = loop.Second
+	const s = eventloop.Second
 	run := func(list ...ending) *Attribution {
 		b := NewAttribution(always)
 		attempts := map[string]uint64{}
@@ -175,13 +175,13 @@
 		}
 		return b
 	}
-	fails := func(at loop.Micros, machine, job string, from, n int) (out []ending) {
+	fails := func(at eventloop.Micros, machine, job string, from, n int) (out []ending) {
 		for i := range n {
 			out = append(out, ending{at, machine, job, fmt.Sprint(from + i), false})
 		}
 		return out
 	}
-	ok := func(at loop.Micros, machine, job string, no int) []ending {
+	ok := func(at eventloop.Micros, machine, job string, no int) []ending {
 		return []ending{{at, machine, job, fmt.Sprint(no), true}}
 	}
 	for _, c := range []struct {
@@ -232,18 +232,18 @@
 // to its bound, and only tasks that have run for longer than the failures took may allow a
 // job more tasks at once.
 func TestProbation(t *testing.T) {
-	const s = loop.Second
+	const s = eventloop.Second
 	var tr Probation
 	var states []string
 	tr.OnChange = func(_, to ProbationState) { states = append(states, to.String()) }
 	now := 100 * s
 	for i := range 33 { // one burst
-		tr.Fail(now+loop.Micros(i), 95*s, min(1+i/8, BrokenOn))
+		tr.Fail(now+eventloop.Micros(i), 95*s, min(1+i/8, BrokenOn))
 	}
 	if tr.Bursts != 1 || tr.RestUntil != now+s || tr.State != Broken {
 		t.Fatalf("after one burst: %d bursts are counted, back-off %d us, state %v; want 1, 1 s, broken", tr.Bursts, tr.RestUntil-now, tr.State)
 	}
-	for k, want := range []loop.Micros{2 * s, 4 * s, 8 * s, 16 * s, 32 * s, 32 * s, 32 * s} {
+	for k, want := range []eventloop.Micros{2 * s, 4 * s, 8 * s, 16 * s, 32 * s, 32 * s, 32 * s} {
 		now += 60 * s
 		tr.Fail(now, now-50*s, 4) // a minute to fail
 		if got := tr.RestUntil - now; got != want || tr.Bursts != k+2 {
@@ -277,9 +277,9 @@
 		over := map[string]bool{}
 		b := NewAttribution(func(id string) bool { return !over[id] })
 		job := func() string { return fmt.Sprintf("job-%06d", rapid.IntRange(0, 4).Draw(t, "job")) }
-		attempt, now := uint64(0), loop.Second
+		attempt, now := uint64(0), eventloop.Second
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
-			now += loop.Second
+			now += eventloop.Second
 			machine := fmt.Sprint("n-", rapid.IntRange(0, 3).Draw(t, "machine"))
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
--- a/internal/health/pace.go
+++ b/internal/health/pace.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
 // A job finishes with its last task, so with many tasks one slow machine in twenty delays
@@ -17,7 +17,7 @@
 	paceWeight       = 0.15 // least weight of the newest task in a machine's mean
 	minComparedTasks = 6    // tasks that must have been compared before a machine is called slow
 	// SlowRest is how long a slow machine takes no starts.
-	SlowRest = 20 * loop.Second
+	SlowRest = 20 * eventloop.Second
 )
 
 // Pace is the usual run time of a job's tasks: the mean logarithm of their run times.
@@ -26,7 +26,7 @@
 	mean float64
 }
 
-func (c *Pace) add(ran loop.Micros) {
+func (c *Pace) add(ran eventloop.Micros) {
 	c.n++
 	c.mean += (math.Log(float64(max(ran, 1))) - c.mean) / float64(c.n)
 }
@@ -40,7 +40,7 @@
 
 // add adds a task that ran on the machine for the given time and reports whether the machine
 // is slow.
-func (m *slowness) add(c *Pace, ran loop.Micros) bool {
+func (m *slowness) add(c *Pace, ran eventloop.Micros) bool {
 	if c == nil || c.n < minPaceTasks {
 		return false
 	}
--- a/internal/health/probation.go
+++ b/internal/health/probation.go
@@ -1,6 +1,6 @@
 package health
 
-import "cleatpick/internal/loop"
+import "cleatpick/internal/eventloop"
 
 // ProbationState is what is known about whether a job can succeed at all.
 type ProbationState uint8
@@ -22,19 +22,19 @@
 // back-off, the simultaneous failure of many tasks would cause a back-off of half a minute.
 type Probation struct {
 	State          ProbationState
-	Bursts         int         // consecutive bursts of failures
-	RestUntil      loop.Micros // tasks that failed, or all of a job that is not trusted, wait until then
-	longestFailure loop.Micros // the longest time from the choice of a machine to a failure
-	burstAt        loop.Micros // when the newest burst was counted
+	Bursts         int              // consecutive bursts of failures
+	RestUntil      eventloop.Micros // tasks that failed, or all of a job that is not trusted, wait until then
+	longestFailure eventloop.Micros // the longest time from the choice of a machine to a failure
+	burstAt        eventloop.Micros // when the newest burst was counted
 	// OnChange is called for every change of the state. It may be nil.
 	OnChange func(from, to ProbationState)
 }
 
 const (
-	initialBackOff = loop.Second // back-off after the first burst of failures
+	initialBackOff = eventloop.Second // back-off after the first burst of failures
 	// survivalMargin is how much longer than the failures took a task must have run for the job to
 	// be allowed more tasks at once.
-	survivalMargin = 2 * loop.Second
+	survivalMargin = 2 * eventloop.Second
 )
 
 // setState is the only place where the state changes.
@@ -50,12 +50,12 @@
 }
 
 // BackOff returns the back-off of a job after a number of consecutive bursts of failures.
-func BackOff(bursts int) loop.Micros { return initialBackOff << min(max(bursts-1, 0), 5) }
+func BackOff(bursts int) eventloop.Micros { return initialBackOff << min(max(bursts-1, 0), 5) }
 
 // Fail records a failure that is attributed to the job. chosen is when the attempt's machine
 // was chosen, healthyMachines the number of machines not at fault on which the job has failed. An
 // attempt whose machine was chosen before the newest burst was counted belongs to that burst.
-func (t *Probation) Fail(now, chosen loop.Micros, healthyMachines int) {
+func (t *Probation) Fail(now, chosen eventloop.Micros, healthyMachines int) {
 	if t.Bursts == 0 || chosen >= t.burstAt {
 		t.Bursts++
 		t.burstAt = now
@@ -83,7 +83,7 @@
 
 // Survives reports whether a task that has not failed, and whose machine was chosen at the
 // given time, has run for longer than the failures took.
-func (t *Probation) Survives(now, chosen loop.Micros) bool {
+func (t *Probation) Survives(now, chosen eventloop.Micros) bool {
 	return now-chosen > t.longestFailure+survivalMargin
 }
 
--- a/internal/health/runs.go
+++ b/internal/health/runs.go
@@ -3,17 +3,17 @@
 import (
 	"math"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
 )
 
 // taskRun is what is known of a task that was reported as running.
 type taskRun struct {
-	since     loop.Micros // 0: it does not run
-	counted   bool        // its long run time has been counted for its machine already
-	uncertain bool        // it may have started long before it was first reported
+	since     eventloop.Micros // 0: it does not run
+	counted   bool             // its long run time has been counted for its machine already
+	uncertain bool             // it may have started long before it was first reported
 }
 
 // Runs tracks the tasks that run on one machine, and the machine's speed.
@@ -21,11 +21,11 @@
 	runs      []taskRun // of the newest view's tasks, in their order
 	slowness  slowness
 	images    map[string]struct{} // images used by tasks of the machine
-	checkedAt loop.Micros         // when running tasks were last checked for overdue ones
+	checkedAt eventloop.Micros    // when running tasks were last checked for overdue ones
 }
 
 // overdueInterval is the interval at which running tasks are checked for overdue ones.
-const overdueInterval = 5 * loop.Second
+const overdueInterval = 5 * eventloop.Second
 
 // NewRuns returns the state of a machine on which no task is known.
 func NewRuns() *Runs { return &Runs{images: map[string]struct{}{}} }
@@ -37,7 +37,7 @@
 }
 
 // Since returns the time since which task i of the newest view runs, or 0 if it does not.
-func (r *Runs) Since(i int) loop.Micros { return r.runs[i].since }
+func (r *Runs) Since(i int) eventloop.Micros { return r.runs[i].since }
 
 // Paces holds the paces of jobs by job ID.
 type Paces map[string]*Pace
@@ -54,7 +54,7 @@
 // slow. A task that runs for much longer than is usual for its job counts before it has
 // completed. old are the tasks of the previous view; uncertain says that tasks may have started
 // or ended long before now, because no report arrived for a while.
-func (r *Runs) Update(v *workers.View, c *workers.Changes, old []workers.Task, jobs []*job.Job, paces Paces, now loop.Micros, uncertain bool) (out Findings) {
+func (r *Runs) Update(v *workers.View, c *workers.Changes, old []workers.Task, jobs []*job.Job, paces Paces, now eventloop.Micros, uncertain bool) (out Findings) {
 	late := now-r.checkedAt >= overdueInterval
 	if late {
 		r.checkedAt = now
@@ -111,7 +111,7 @@
 
 // overdue counts a task that still runs if it has run for more than twice its job's usual
 // time, and reports whether the machine is slow.
-func (r *Runs) overdue(o *taskRun, j *job.Job, paces Paces, now loop.Micros) bool {
+func (r *Runs) overdue(o *taskRun, j *job.Job, paces Paces, now eventloop.Micros) bool {
 	if o.since == 0 || o.counted || o.uncertain || j == nil || j.Final() {
 		return false
 	}
@@ -125,7 +125,7 @@
 
 // completed counts a task that has completed, adds it to its job's pace, and reports whether
 // the machine is slow.
-func (r *Runs) completed(o *taskRun, j *job.Job, paces Paces, now loop.Micros) (slow bool) {
+func (r *Runs) completed(o *taskRun, j *job.Job, paces Paces, now eventloop.Micros) (slow bool) {
 	if o.uncertain || j.Final() {
 		return false
 	}
--- a/internal/health/runs_test.go
+++ b/internal/health/runs_test.go
@@ -7,9 +7,9 @@
 	"slices"
 	"testing"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/fixed"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
 
@@ -20,7 +20,7 @@
 
 // modelRun is what the model keeps of a task, by the task's name and attempt.
 type modelRun struct {
-	since        loop.Micros
+	since        eventloop.Micros
 	late, unsure bool
 }
 
@@ -31,10 +31,10 @@
 	pace   map[string][]float64 // logarithms of the run times of a job's tasks
 	count  int
 	mean   float64
-	looked loop.Micros
+	looked eventloop.Micros
 }
 
-func (p *runsModel) compare(id string, ran loop.Micros) bool {
+func (p *runsModel) compare(id string, ran eventloop.Micros) bool {
 	times := p.pace[id]
 	if len(times) < minPaceTasks {
 		return false
@@ -49,7 +49,7 @@
 	return p.count >= minComparedTasks && p.mean > math.Log(slowFactor)
 }
 
-func (p *runsModel) view(v *workers.View, jobs []*job.Job, now loop.Micros, unsure bool) (freed float64, slow bool) {
+func (p *runsModel) view(v *workers.View, jobs []*job.Job, now eventloop.Micros, unsure bool) (freed float64, slow bool) {
 	look := now-p.looked >= overdueInterval
 	if look {
 		p.looked = now
@@ -101,14 +101,14 @@
 		r, paces := NewRuns(), Paces{}
 		p := &runsModel{runs: map[string]*modelRun{}, pace: map[string][]float64{}}
 		old := &workers.View{Session: 1}
-		now, next := 10*loop.Second, 0
+		now, next := 10*eventloop.Second, 0
 		images := map[string]bool{}
 		pauses := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "pauses"), 0))
 		n := rapid.IntRange(5, 120).Draw(t, "views")
 		for k := range n {
-			now += 100_000 + loop.Micros(pauses.Int64N(3_900_000)) // uniform and not shrunk: equal times would make comparisons depend on rounding
+			now += 100_000 + eventloop.Micros(pauses.Int64N(3_900_000)) // uniform and not shrunk: equal times would make comparisons depend on rounding
 			if k > n/2 {
-				now += 8 * loop.Second // from here on the machine is slow
+				now += 8 * eventloop.Second // from here on the machine is slow
 			}
 			v := *old
 			v.Tasks = slices.Clone(old.Tasks)
@@ -156,7 +156,7 @@
 				t.Fatalf("freed CPUs %v, slow %v; want %v and %v by the model", got.Freed, got.Slow, freed, slow)
 			}
 			for i := range v.Tasks {
-				want := loop.Micros(0)
+				want := eventloop.Micros(0)
 				if o := p.runs[fmt.Sprint(v.Tasks[i].Task, " ", v.Tasks[i].Attempt)]; o != nil {
 					want = o.since
 				}
@@ -188,7 +188,7 @@
 	const tasks = 12
 	j := &job.Job{ID: "job-1", Phase: job.Accepted, Spec: &job.Spec{CPUs: 1, Tasks: tasks}}
 	for _, unsure := range []bool{true, false} {
-		r, paces := NewRuns(), Paces{"job-1": {n: minPaceTasks, mean: math.Log(float64(10 * loop.Second))}}
+		r, paces := NewRuns(), Paces{"job-1": {n: minPaceTasks, mean: math.Log(float64(10 * eventloop.Second))}}
 		view := func(state, why string) *workers.View {
 			v := &workers.View{Name: "n-1"}
 			for i := range tasks {
@@ -198,14 +198,14 @@
 		}
 		jobs := slices.Repeat([]*job.Job{j}, tasks)
 		running, ended := view(wire.TaskRunning, ""), view(wire.TaskExited, wire.WhyDone)
-		at := 100 * loop.Second
+		at := 100 * eventloop.Second
 		r.Update(running, &workers.Changes{All: true}, nil, jobs, paces, at, false)
 		gone := make([]int, tasks)
 		for i := range gone {
 			gone[i] = i
 		}
 		from := slices.Repeat([]int{-1}, tasks)
-		findings := r.Update(ended, &workers.Changes{OldIndex: from, Removed: gone}, running.Tasks, jobs, paces, at+40*loop.Second, unsure)
+		findings := r.Update(ended, &workers.Changes{OldIndex: from, Removed: gone}, running.Tasks, jobs, paces, at+40*eventloop.Second, unsure)
 		if findings.Freed != tasks || findings.Slow == unsure {
 			t.Errorf("unsure %v: Update returns %+v, want all CPUs freed and slow only if not unsure", unsure, findings)
 		}
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
 
@@ -46,7 +46,7 @@
 
 // Server is the HTTP server of a controller.
 type Server struct {
-	runner loop.Runner
+	runner eventloop.Runner
 	log    *slog.Logger
 	cfg    *config.Config
 	node   Node
@@ -56,11 +56,11 @@
 	NearConnectionLimit func() bool
 	// malformedCount counts the malformed reports since malformedLoggedAt, the time at which one was last logged.
 	malformedCount    int
-	malformedLoggedAt loop.Micros
+	malformedLoggedAt eventloop.Micros
 }
 
 // New returns a server; Serve starts it.
-func New(r loop.Runner, log *slog.Logger, cfg *config.Config, n Node) *Server {
+func New(r eventloop.Runner, log *slog.Logger, cfg *config.Config, n Node) *Server {
 	s := &Server{runner: r, log: log, cfg: cfg, node: n}
 	s.srv = &fasthttp.Server{
 		Handler:                       s.handle,
@@ -157,7 +157,7 @@
 
 // onLoop calls run on the event loop and waits for its result. It returns nil if there is none in time.
 func onLoop[T any](s *Server, run func(done func(T))) *T {
-	if v, ok := loop.Call(s.runner, requestTimeout, run); ok {
+	if v, ok := eventloop.Call(s.runner, requestTimeout, run); ok {
 		return &v
 	}
 	return nil
@@ -185,7 +185,7 @@
 // and again.
 func (s *Server) logMalformed(machine string, err error) {
 	s.malformedCount++
-	if now := s.runner.Now(); s.malformedLoggedAt == 0 || now-s.malformedLoggedAt >= loop.Second {
+	if now := s.runner.Now(); s.malformedLoggedAt == 0 || now-s.malformedLoggedAt >= eventloop.Second {
 		s.log.Error("worker's report is malformed; it was not applied and answered with status 400",
 			"machine", machine, "fault", err.Error(), "since_last", s.malformedCount)
 		s.malformedLoggedAt, s.malformedCount = now, 0
--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -1,7 +1,7 @@
 package job
 
 import (
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
@@ -10,7 +10,7 @@
 type Edit func(*Job) *Record
 
 // amendRetryDelay is the delay before a change without an answer is repeated.
-const amendRetryDelay = 120 * loop.Millisecond
+const amendRetryDelay = 120 * eventloop.Millisecond
 
 // Amend changes a job's record on condition that it has the revision known here, and repeats that with the
 // newer revision if it has changed. callback receives the resulting state of the job, or 404 or 503. The record of a
--- a/internal/job/answer.go
+++ b/internal/job/answer.go
@@ -4,7 +4,7 @@
 	"context"
 	"log/slog"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/store"
 )
 
@@ -63,10 +63,10 @@
 
 	rank       rank           // priority among the requests that wait
 	sequence   store.Sequence // its place in the order of users' requests and requests to the state service
-	receivedAt loop.Micros
-	deadline   loop.Micros // monotonic time after which the user is told to retry
+	receivedAt eventloop.Micros
+	deadline   eventloop.Micros // monotonic time after which the user is told to retry
 	// unansweredSince is the time since which requests about the job have gone unanswered here, this one included.
-	unansweredSince loop.Micros
+	unansweredSince eventloop.Micros
 }
 
 // newUserRequest makes the entry of a user's request that came now.
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cleatpick/internal/config"
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
@@ -134,11 +134,11 @@
 // service is refused.
 type frozenLoop struct{}
 
-func (frozenLoop) Now() loop.Micros          { return 1 }
-func (frozenLoop) Wall() loop.Micros         { return 1 }
-func (frozenLoop) Post(f func())             { f() }
-func (frozenLoop) After(loop.Micros, func()) {}
-func (frozenLoop) Go(f func())               { f() }
+func (frozenLoop) Now() eventloop.Micros          { return 1 }
+func (frozenLoop) Wall() eventloop.Micros         { return 1 }
+func (frozenLoop) Post(f func())                  { f() }
+func (frozenLoop) After(eventloop.Micros, func()) {}
+func (frozenLoop) Go(f func())                    { f() }
 func (frozenLoop) Do(string, string, []byte, time.Duration) store.Response {
 	return store.Response{Status: 503}
 }
--- a/internal/job/read.go
+++ b/internal/job/read.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/store"
 )
 
@@ -25,9 +25,9 @@
 	// maxWaitingReads bounds the number of users that wait for a job's state, unless SetMaxWaitingReads sets less.
 	maxWaitingReads = 2000
 	// answerTimeout is how long a user waits here before being told to retry.
-	answerTimeout = 1500 * loop.Millisecond
+	answerTimeout = 1500 * eventloop.Millisecond
 	// readInterval is the time from the answer to a Sync until the next Sync.
-	readInterval = 60 * loop.Millisecond
+	readInterval = 60 * eventloop.Millisecond
 	// retrySpreadSeconds is the number of seconds over which the retries of users refused together are spread.
 	retrySpreadSeconds = 3
 )
@@ -160,7 +160,7 @@
 }
 
 // expireReads gives up requests that have waited too long.
-func (r *Registry) expireReads(now loop.Micros) {
+func (r *Registry) expireReads(now eventloop.Micros) {
 	r.finishMatching(func(req *userRequest) bool { return now >= req.deadline }, func(req *userRequest) {
 		r.deliver(req, newRefusal(req.id, 503, RefusedExpired))
 	})
--- a/internal/job/read_bench_test.go
+++ b/internal/job/read_bench_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/wire"
 )
 
@@ -25,7 +25,7 @@
 					record := Record{Phase: Accepted, AcceptedAt: 1, Spec: spec}
 					registry.mirror.Apply(KeyPrefix+id, wire.Marshal(record), net.state.Put(KeyPrefix+id, record), false)
 				}
-				net.Advance(loop.Second)
+				net.Advance(eventloop.Second)
 				before := net.sent["/store"]
 				for k := range rate * seconds {
 					id := fmt.Sprintf("job-%d", k%jobs)
@@ -35,7 +35,7 @@
 						}
 					})
 					asked++
-					net.Advance(loop.Second / loop.Micros(rate))
+					net.Advance(eventloop.Second / eventloop.Micros(rate))
 				}
 				requests += net.sent["/store"] - before
 			}
--- a/internal/job/read_test.go
+++ b/internal/job/read_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
@@ -24,11 +24,11 @@
 	lossRate   float64
 	maxDelayMs int // upper bound of the delay in each direction, in milliseconds
 	// extraDelay returns an additional delay of an answer; nil adds none.
-	extraDelay func() loop.Micros
+	extraDelay func() eventloop.Micros
 }
 
-func (n *slowNet) delay() loop.Micros {
-	return loop.Micros(n.rng.IntN(n.maxDelayMs)) * loop.Millisecond
+func (n *slowNet) delay() eventloop.Micros {
+	return eventloop.Micros(n.rng.IntN(n.maxDelayMs)) * eventloop.Millisecond
 }
 
 func (n *slowNet) Post(f func()) {
@@ -64,7 +64,7 @@
 }
 
 func newSlowRegistry(seed uint64, rps float64) (*slowNet, *Registry) {
-	n := &slowNet{Runner: standin.NewRunner(100 * loop.Second), rng: rand.New(rand.NewPCG(seed, 3)), sent: map[string]int{}, maxDelayMs: 120}
+	n := &slowNet{Runner: standin.NewRunner(100 * eventloop.Second), rng: rand.New(rand.NewPCG(seed, 3)), sent: map[string]int{}, maxDelayMs: 120}
 	n.state = standin.NewStateService(n.Now)
 	log := slog.New(slog.DiscardHandler)
 	c := store.NewClient(n, n, log, rps, rps, 1)
@@ -96,22 +96,22 @@
 		const polls = 300
 		for k := range 8 { // another controller accepts jobs and completes them
 			id := fmt.Sprintf("job-%d", k)
-			n.After(loop.Micros(n.rng.IntN(8000))*loop.Millisecond, func() {
+			n.After(eventloop.Micros(n.rng.IntN(8000))*eventloop.Millisecond, func() {
 				n.state.Put(KeyPrefix+id, Record{Phase: Accepted, AcceptedAt: 1, Spec: spec})
 				held[id] = 1
-				n.After(loop.Micros(n.rng.IntN(4000))*loop.Millisecond, func() {
+				n.After(eventloop.Micros(n.rng.IntN(4000))*eventloop.Millisecond, func() {
 					n.state.Put(KeyPrefix+id, Record{Phase: Done, AcceptedAt: 1, Tasks: 1})
 					held[id] = 2
 				})
 			})
 		}
 		for range polls {
-			n.After(loop.Micros(n.rng.IntN(10000))*loop.Millisecond, func() {
+			n.After(eventloop.Micros(n.rng.IntN(10000))*eventloop.Millisecond, func() {
 				id := fmt.Sprintf("job-%d", n.rng.IntN(8))
 				asked, at, answered := held[id], n.Now(), false
 				registry.Poll(id, func(a Answer) {
 					answers++
-					if answered || n.Now()-at > answerTimeout+300*loop.Millisecond {
+					if answered || n.Now()-at > answerTimeout+300*eventloop.Millisecond {
 						t.Fatalf("seed %d: answer for %s; answered before: %v; time since the request: %d us", seed, id, answered, n.Now()-at)
 					}
 					answered = true
@@ -125,7 +125,7 @@
 				})
 			})
 		}
-		n.Advance(15 * loop.Second)
+		n.Advance(15 * eventloop.Second)
 		if answers != polls || good < polls*8/10 || registry.WaitingReads() != 0 || registry.reads.syncing {
 			t.Fatalf("seed %d: %d of %d polls are answered, %d with a state; %d still wait", seed, answers, polls, good, registry.WaitingReads())
 		}
@@ -155,7 +155,7 @@
 			n.maxDelayMs = 10
 			registry.SetMaxWaitingReads(100)
 			spec := &Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true}
-			last := map[string]loop.Micros{}
+			last := map[string]eventloop.Micros{}
 			poll := func(id string) {
 				registry.Poll(id, func(a Answer) {
 					if a.Code == 200 {
@@ -166,26 +166,26 @@
 			var ask func(id string)
 			ask = func(id string) {
 				poll(id)
-				n.After(every*loop.Second, func() { ask(id) })
+				n.After(every*eventloop.Second, func() { ask(id) })
 			}
-			worst := loop.Micros(0)
+			worst := eventloop.Micros(0)
 			for k := range jobs {
 				id := fmt.Sprintf("job-%d", k)
 				revision := n.state.Put(KeyPrefix+id, Record{Phase: Accepted, AcceptedAt: 1, Spec: spec})
 				registry.mirror.Apply(KeyPrefix+id, wire.Marshal(Record{Phase: Accepted, AcceptedAt: 1, Spec: spec}), revision, false)
 				last[id] = n.Now()
-				n.After(loop.Micros(k)*every*loop.Second/jobs, func() { ask(id) })
+				n.After(eventloop.Micros(k)*every*eventloop.Second/jobs, func() { ask(id) })
 			}
 			for range span * 10 {
 				for k := range 100 {
-					n.After(loop.Micros(k)*loop.Millisecond, func() { poll(c.id(n.rng)) })
+					n.After(eventloop.Micros(k)*eventloop.Millisecond, func() { poll(c.id(n.rng)) })
 				}
-				n.Advance(100 * loop.Millisecond)
+				n.Advance(100 * eventloop.Millisecond)
 				for _, at := range last {
 					worst = max(worst, n.Now()-at)
 				}
 			}
-			if worst > 20*loop.Second || len(registry.unanswered) > jobs {
+			if worst > 20*eventloop.Second || len(registry.unanswered) > jobs {
 				t.Errorf("a job got no answer for %d us; %d jobs have unanswered requests", worst, len(registry.unanswered))
 			}
 			t.Logf("longest time without an answer: %d us", worst)
@@ -232,7 +232,7 @@
 			}
 			known, good, most := 0, 0, 0
 			for k := 0; c.id != nil && k < rate*span; k++ {
-				n.After(loop.Micros(k)*loop.Second/rate, func() {
+				n.After(eventloop.Micros(k)*eventloop.Second/rate, func() {
 					id, at := c.id(k), n.Now()
 					var no int
 					fmt.Sscanf(id, "job-%d", &no)
@@ -244,16 +244,16 @@
 						if same && a.Code == 200 {
 							good++
 						}
-						if a.Code == 429 && (n.Now()-at > answerTimeout+300*loop.Millisecond || a.RetryAfter < 1 || a.RetryAfter > 10) {
+						if a.Code == 429 && (n.Now()-at > answerTimeout+300*eventloop.Millisecond || a.RetryAfter < 1 || a.RetryAfter > 10) {
 							t.Fatalf("refused after %d us with Retry-After %d s", n.Now()-at, a.RetryAfter)
 						}
 					})
 					most = max(most, registry.WaitingReads())
 				})
 			}
-			stored, retried, longest := 0, 0, loop.Micros(0)
+			stored, retried, longest := 0, 0, eventloop.Micros(0)
 			for k := range span * 5 {
-				n.After(loop.Micros(k)*200*loop.Millisecond, func() {
+				n.After(eventloop.Micros(k)*200*eventloop.Millisecond, func() {
 					at := n.Now()
 					registry.Submit(fmt.Sprintf("job-5%06d", k), spec, func(a Answer) {
 						if a.Code == 201 {
@@ -269,8 +269,8 @@
 					})
 				})
 			}
-			n.Advance((span + 3) * loop.Second)
-			if stored != span*5 || retried != span*5 || longest > 700*loop.Millisecond {
+			n.Advance((span + 3) * eventloop.Second)
+			if stored != span*5 || retried != span*5 || longest > 700*eventloop.Millisecond {
 				t.Errorf("of %d submissions, %d are stored and %d retries are answered, the slowest after %d us", span*5, stored, retried, longest)
 			}
 			if good*100 < known*c.good || most > 450*5/4+10 { // with the retried submissions
@@ -301,7 +301,7 @@
 		var got []Answer
 		registry.Poll(id, func(a Answer) { got = append(got, a) })
 		registry.Submit(id, spec, func(a Answer) { got = append(got, a) })
-		n.Advance(2 * loop.Second)
+		n.Advance(2 * eventloop.Second)
 		for _, a := range got {
 			if a.Code != 200 || a.Phase != want {
 				t.Errorf("%s is answered %d %q, want 200 %q", id, a.Code, a.Phase, want)
@@ -321,14 +321,14 @@
 		n.maxDelayMs = 400
 		accepted, answered := false, 0
 		registry.mirror.Start()
-		n.Advance(3 * loop.Second)
+		n.Advance(3 * eventloop.Second)
 		registry.Poll("job-000001", func(a Answer) {
 			if answered++; accepted && a.Code == 404 {
 				t.Errorf("seed %d: the poll is answered 404 after the job was accepted here", seed)
 			}
 		})
 		registry.Submit("job-000001", &Spec{Team: "red", Tasks: 1}, func(a Answer) { accepted = accepted || a.Code == 201 })
-		n.Advance(4 * loop.Second)
+		n.Advance(4 * eventloop.Second)
 		if answered != 1 || !accepted {
 			t.Errorf("seed %d: the poll is answered %d times, want once; job accepted: %v", seed, answered, accepted)
 		}
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -13,14 +13,14 @@
 	"strings"
 
 	"cleatpick/internal/admission"
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
 
 // Registry holds all jobs that this controller knows. It is used on the event loop only.
 type Registry struct {
-	runner     loop.Runner
+	runner     eventloop.Runner
 	client     *store.Client
 	mirror     *store.Mirror
 	log        *slog.Logger
@@ -38,16 +38,16 @@
 }
 
 // expireInterval is the interval at which requests that have waited too long are given up.
-const expireInterval = 250 * loop.Millisecond
+const expireInterval = 250 * eventloop.Millisecond
 
 // NewRegistry makes an empty registry and subscribes it to the job records of the mirror.
-func NewRegistry(runner loop.Runner, client *store.Client, mirror *store.Mirror, log *slog.Logger) *Registry {
+func NewRegistry(runner eventloop.Runner, client *store.Client, mirror *store.Mirror, log *slog.Logger) *Registry {
 	registry := &Registry{runner: runner, client: client, mirror: mirror, log: log, jobs: map[string]*Job{}, damaged: map[string]bool{},
 		pending: map[string]*creation{}, reads: readQueue{maxWaiting: maxWaitingReads}, unanswered: unansweredJobs{}, refusals: admission.NewRefusals(log)}
 	mirror.OnChange(KeyPrefix, registry.applyRecord)
 	mirror.OnSynced(registry.synced)
 	registry.ConfigureAdmission(func(string) float64 { return 1 }, 40)
-	loop.Every(runner, expireInterval, registry.Expire)
+	eventloop.Every(runner, expireInterval, registry.Expire)
 	return registry
 }
 
--- a/internal/job/stale_answer_test.go
+++ b/internal/job/stale_answer_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/wire"
 )
 
@@ -40,23 +40,23 @@
 		}
 		for k := range 20 {
 			id := fmt.Sprintf("job-%06d", k)
-			begin := loop.Micros(net.rng.IntN(4000)) * loop.Millisecond
+			begin := eventloop.Micros(net.rng.IntN(4000)) * eventloop.Millisecond
 			net.After(begin, func() { submit(id) })
 			for range 6 {
-				net.After(begin+loop.Micros(net.rng.IntN(900))*loop.Millisecond, func() { submit(id) })
+				net.After(begin+eventloop.Micros(net.rng.IntN(900))*eventloop.Millisecond, func() { submit(id) })
 			}
 			// Another controller stores the cancellation as soon as the job is stored.
 			var cancel func()
 			cancel = func() {
 				if held(id) == 0 {
-					net.After(5*loop.Millisecond, cancel)
+					net.After(5*eventloop.Millisecond, cancel)
 					return
 				}
 				net.state.Put(KeyPrefix+id, Record{Phase: Cancelled, AcceptedAt: 1})
 			}
 			net.After(begin, cancel)
 		}
-		net.Advance(12 * loop.Second)
+		net.Advance(12 * eventloop.Second)
 		if answered != asked {
 			t.Errorf("seed %d: %d of %d submissions are answered", seed, answered, asked)
 		}
@@ -67,28 +67,28 @@
 // recovered. This guards against admitting polls by an estimate of the service's speed that only admitted polls
 // could correct.
 func TestPollsAreAnsweredAfterASlowRead(t *testing.T) {
-	const jobs, pollsPerSecond, soon = 20, 10, 8 * loop.Second
-	for _, stall := range []loop.Micros{2 * loop.Second, 8 * loop.Second, 12 * loop.Second, 20 * loop.Second, 40 * loop.Second} {
-		t.Run(fmt.Sprintf("%d s", stall/loop.Second), func(t *testing.T) {
+	const jobs, pollsPerSecond, soon = 20, 10, 8 * eventloop.Second
+	for _, stall := range []eventloop.Micros{2 * eventloop.Second, 8 * eventloop.Second, 12 * eventloop.Second, 20 * eventloop.Second, 40 * eventloop.Second} {
+		t.Run(fmt.Sprintf("%d s", stall/eventloop.Second), func(t *testing.T) {
 			net, registry := newSlowRegistry(1, 60)
 			net.maxDelayMs = 10
 			spec := &Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true}
-			last := map[string]loop.Micros{}
+			last := map[string]eventloop.Micros{}
 			for k := range jobs {
 				id := fmt.Sprintf("job-%d", k)
 				record := Record{Phase: Accepted, AcceptedAt: 1, Spec: spec}
 				registry.mirror.Apply(KeyPrefix+id, wire.Marshal(record), net.state.Put(KeyPrefix+id, record), false)
 			}
-			slowAt := net.Now() + 5*loop.Second
+			slowAt := net.Now() + 5*eventloop.Second
 			quickAt := slowAt + stall
-			net.extraDelay = func() loop.Micros { // an answer arrives once the service is fast again
+			net.extraDelay = func() eventloop.Micros { // an answer arrives once the service is fast again
 				if now := net.Now(); now >= slowAt && now < quickAt {
 					return quickAt - now
 				}
 				return 0
 			}
 			for k := range pollsPerSecond * 90 {
-				net.After(loop.Micros(k)*loop.Second/pollsPerSecond, func() {
+				net.After(eventloop.Micros(k)*eventloop.Second/pollsPerSecond, func() {
 					id := fmt.Sprintf("job-%d", k%jobs)
 					registry.Poll(id, func(a Answer) {
 						if a.Code == 200 {
@@ -97,7 +97,7 @@
 					})
 				})
 			}
-			expectAnswers := func(since loop.Micros, when string) {
+			expectAnswers := func(since eventloop.Micros, when string) {
 				for k := range jobs {
 					if id := fmt.Sprintf("job-%d", k); last[id] < since {
 						t.Errorf("no poll for %s was answered %s", id, when)
@@ -106,7 +106,7 @@
 			}
 			net.Advance(quickAt + soon - net.Now())
 			expectAnswers(quickAt, "in the first seconds after the service recovered")
-			net.Advance(20 * loop.Second)
+			net.Advance(20 * eventloop.Second)
 			expectAnswers(net.Now()-soon, "in the last seconds, long after the service recovered")
 		})
 	}
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -4,7 +4,7 @@
 	"strings"
 
 	"cleatpick/internal/admission"
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
@@ -16,7 +16,7 @@
 	// recordOverheadBytes is the size that a record adds to a transaction beyond its value.
 	recordOverheadBytes = 600
 	// createRetryDelay is the delay before a transaction without an answer is repeated.
-	createRetryDelay = 100 * loop.Millisecond
+	createRetryDelay = 100 * eventloop.Millisecond
 )
 
 // creation is a submitted job whose record is not stored yet. Others who submit the same job meanwhile wait for
@@ -25,7 +25,7 @@
 	spec     *Spec
 	terms    *Terms
 	requests []*userRequest
-	deadline loop.Micros
+	deadline eventloop.Micros
 }
 
 // Submit stores a job unless it exists. callback receives 201 if it was stored, 200 if it existed, or a refusal with
@@ -188,8 +188,8 @@
 }
 
 // expireCreates gives up submissions that have waited too long.
-func (r *Registry) expireCreates(now loop.Micros) {
-	for id, c := range loop.Sorted(r.pending) {
+func (r *Registry) expireCreates(now eventloop.Micros) {
+	for id, c := range eventloop.Sorted(r.pending) {
 		if now >= c.deadline {
 			a := newRefusal(id, 503, RefusedExpired)
 			a.RetryAfter = r.queue.TimeOut(id, r.runner.Wall())
--- a/internal/job/terms.go
+++ b/internal/job/terms.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
 // HoldState is the state of a job's hold.
@@ -27,7 +27,7 @@
 }
 
 // Blocks reports whether the hold blocks starts at a wall-clock time.
-func (h *Hold) Blocks(wall loop.Micros) bool {
+func (h *Hold) Blocks(wall eventloop.Micros) bool {
 	return h.State != HoldNone && (h.Until == 0 || wall < h.Until)
 }
 
--- a/internal/job/unanswered.go
+++ b/internal/job/unanswered.go
@@ -1,6 +1,6 @@
 package job
 
-import "cleatpick/internal/loop"
+import "cleatpick/internal/eventloop"
 
 // unansweredJobs holds, for each known job that is not final, the time since which requests about it have gone
 // unanswered here. A single request may be refused because too many wait; a job about which all requests are
@@ -8,10 +8,10 @@
 // are served first.
 //
 // It has at most one entry for each known job that is not final.
-type unansweredJobs map[string]loop.Micros
+type unansweredJobs map[string]eventloop.Micros
 
 // since returns the time of the job's first unanswered request, or now if there is none.
-func (o unansweredJobs) since(id string, now loop.Micros) loop.Micros {
+func (o unansweredJobs) since(id string, now eventloop.Micros) eventloop.Micros {
 	if at, known := o[id]; known {
 		return at
 	}
@@ -19,7 +19,7 @@
 }
 
 // recordRefusal records that a request about the job was refused; since is the job's first unanswered request.
-func (o unansweredJobs) recordRefusal(id string, since loop.Micros) {
+func (o unansweredJobs) recordRefusal(id string, since eventloop.Micros) {
 	o[id] = min(o.since(id, since), since)
 }
 
--- a/internal/job/validate.go
+++ b/internal/job/validate.go
@@ -5,7 +5,7 @@
 	"strings"
 
 	"cleatpick/internal/config"
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/wire"
 )
 
@@ -87,8 +87,8 @@
 	s = &Spec{Class: *w.Class, Team: *w.Team, Service: *w.Kind == wire.KindService, Gang: *w.Kind == wire.KindGang, Priority: p, Tasks: int(*w.Tasks),
 		CPUs: *w.CPUs, GPUs: *w.GPUs, MemoryGB: *w.MemoryGB, Image: *w.Image, ImageGB: *w.ImageGB,
 		Types: w.Types, AnyType: w.Types == nil, OneZone: *w.OneZone, Spread: *w.Spread, Spot: *w.Spot,
-		Estimate: loop.Seconds(*w.EstimateS), Checkpoint: loop.Seconds(*w.CheckpointS), Save: loop.Seconds(*w.SaveS),
-		Deadline: loop.Seconds(opt(w.DeadlineS))}
+		Estimate: eventloop.Seconds(*w.EstimateS), Checkpoint: eventloop.Seconds(*w.CheckpointS), Save: eventloop.Seconds(*w.SaveS),
+		Deadline: eventloop.Seconds(opt(w.DeadlineS))}
 	if w.Zone != nil {
 		s.Zone = *w.Zone
 	}
--- a/internal/membership/claims.go
+++ b/internal/membership/claims.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/partition"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
@@ -100,12 +100,12 @@
 	if leaderOwnsAll && !leads && len(b.owned) > 0 {
 		// No controller reaches another. Several owners would each see a part of the
 		// machines only, so the leader takes all partitions over.
-		if _, ok := b.Leader(); ok && now-b.handedOverAt > 2*loop.Second {
+		if _, ok := b.Leader(); ok && now-b.handedOverAt > 2*eventloop.Second {
 			b.handedOverAt = now
 			b.handOver("no peer is reachable")
 		}
 	}
-	if isolated && !leaderOwnsAll && len(b.owned) > 0 && (b.handedOverAt == 0 || now-b.handedOverAt > 30*loop.Second) {
+	if isolated && !leaderOwnsAll && len(b.owned) > 0 && (b.handedOverAt == 0 || now-b.handedOverAt > 30*eventloop.Second) {
 		// The lease is valid, but nothing decided here reaches a machine that reports to
 		// another controller: controllers that reach each other should own it instead.
 		// What nobody else claims is claimed again below and kept for a while.
@@ -113,7 +113,7 @@
 		b.handOver("no peer is reachable")
 	}
 	broken := !isolated && b.PartlyDisconnected != nil && b.PartlyDisconnected()
-	if broken && len(b.owned) > 0 && (b.handedOverAt == 0 || now-b.handedOverAt > 30*loop.Second) && b.anyFit() {
+	if broken && len(b.owned) > 0 && (b.handedOverAt == 0 || now-b.handedOverAt > 30*eventloop.Second) && b.anyFit() {
 		// This owner neither gets the reports of machines at the unreachable controller nor
 		// sends them commands. A controller that reaches all the others should own instead.
 		b.handedOverAt = now
@@ -122,7 +122,7 @@
 	b.decideLayout(now)
 	b.convertTeams()
 	b.rebalance(now)
-	var delay loop.Micros // of all claims of this controller
+	var delay eventloop.Micros // of all claims of this controller
 	if isolated && !leaderOwnsAll || broken {
 		delay += isolatedDelay
 	}
@@ -131,19 +131,19 @@
 
 // isolatedDelay is the additional delay of the claims of a controller that is isolated, or that
 // cannot reach a controller that others reach.
-const isolatedDelay = 4 * loop.Second
+const isolatedDelay = 4 * eventloop.Second
 
 // claimFree claims the free keys whose delay has passed, in as few transactions as possible.
 // Where no controller reaches another, the leader claims everything and the others claim
 // only the leadership.
-func (b *Member) claimFree(now loop.Micros, leaderOwnsAll, leads bool, delay loop.Micros) {
+func (b *Member) claimFree(now eventloop.Micros, leaderOwnsAll, leads bool, delay eventloop.Micros) {
 	free := b.freeKeys(now)
 	if len(free) == 0 {
 		return
 	}
 	preferred := b.preferred(free)
 	owned := len(b.owned)
-	damping := loop.Micros(0)
+	damping := eventloop.Micros(0)
 	if len(b.nodes) > 1 {
 		damping = b.claimDamping(now)
 	}
@@ -173,7 +173,7 @@
 }
 
 // freeKeys lists, in order, the keys that nobody holds and that this controller is not claiming.
-func (b *Member) freeKeys(now loop.Micros) []string {
+func (b *Member) freeKeys(now eventloop.Micros) []string {
 	var free []string
 	for _, key := range b.claimKeys() {
 		if _, taken := b.mirror.Get(key); taken || b.claiming[key] {
@@ -198,7 +198,7 @@
 		}
 	}
 	var nodes []string
-	for node := range loop.Sorted(b.nodes) {
+	for node := range eventloop.Sorted(b.nodes) {
 		if node == b.Label || b.Fit == nil || b.Fit(node) {
 			nodes = append(nodes, node)
 		}
@@ -218,21 +218,21 @@
 const (
 	// claimDelayStep is the delay of a claim for each key that the controller already holds, so
 	// that controllers that start a little later get their share; maxClaimDelay bounds it.
-	claimDelayStep = 250 * loop.Millisecond
-	maxClaimDelay  = 1200 * loop.Millisecond
+	claimDelayStep = 250 * eventloop.Millisecond
+	maxClaimDelay  = 1200 * eventloop.Millisecond
 	// claimYield is how long a key is left to its preferred controller.
-	claimYield = 400 * loop.Millisecond
+	claimYield = 400 * eventloop.Millisecond
 )
 
 // claimWait returns for how long a key must have been free before this controller, which
 // holds owned keys, claims it; preferred is the controller that should get the key.
-func (b *Member) claimWait(owned int, preferred string) loop.Micros {
+func (b *Member) claimWait(owned int, preferred string) eventloop.Micros {
 	mine := !b.layout.Numbered() || preferred == b.Label
 	if b.layout.Numbered() && mine && len(b.nodes) >= b.Controllers {
 		return 0 // all controllers are registered, so nobody else should get the key
 	}
 	fair := (len(b.claimKeys()) - 1 + len(b.nodes)) / max(len(b.nodes), 1)
-	wait := loop.Micros(owned) * claimDelayStep
+	wait := eventloop.Micros(owned) * claimDelayStep
 	if owned >= fair {
 		wait = maxClaimDelay
 	}
@@ -264,7 +264,7 @@
 }
 
 // evictInterval is the least time between two evictions of the same controller.
-const evictInterval = 60 * loop.Second
+const evictInterval = 60 * eventloop.Second
 
 // Evict ends the lease of a controller that refuses connections and sends no messages. This
 // does not prove that it failed, and need not: all it records is conditioned on its claims,
@@ -286,7 +286,7 @@
 }
 
 // claimRetry is the delay before a key is claimed again after another controller held it.
-const claimRetry = loop.Second
+const claimRetry = eventloop.Second
 
 // claim claims keys in one transaction: all of them or none.
 func (b *Member) claim(keys []string) {
--- a/internal/membership/layout.go
+++ b/internal/membership/layout.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/partition"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
@@ -27,10 +27,10 @@
 const (
 	// layoutWait is how long a controller that starts waits for the others to register, so
 	// that one of an older version is seen before the layout is stored.
-	layoutWait = 2500 * loop.Millisecond
+	layoutWait = 2500 * eventloop.Millisecond
 	// upgradeWait replaces it where single teams are claimed or an older version was seen: a
 	// controller that is being replaced during an upgrade is absent for a while.
-	upgradeWait = 60 * loop.Second
+	upgradeWait = 60 * eventloop.Second
 )
 
 // Layout returns the layout in force as far as this controller knows.
@@ -67,7 +67,7 @@
 
 // decideLayout stores the numbered layout once there are enough teams for it and every
 // controller supports it. Until then single teams are claimed, as older versions do.
-func (b *Member) decideLayout(now loop.Micros) {
+func (b *Member) decideLayout(now eventloop.Micros) {
 	if b.layoutState == layoutNumbered || b.storingLayout {
 		return
 	}
--- a/internal/membership/layout_test.go
+++ b/internal/membership/layout_test.go
@@ -6,7 +6,7 @@
 	"log/slog"
 	"testing"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/partition"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
@@ -28,7 +28,7 @@
 	x := &stateConn{state: state}
 	c := store.NewClient(s, x, log, 1000, 1000, 1)
 	m := store.NewMirror(c, x, Prefix)
-	b := New(s, c, m, log, Settings{Label: label, Teams: manyTeams(teams), Controllers: controllers, LeaseTTL: 4 * loop.Second, TeamsOnly: older})
+	b := New(s, c, m, log, Settings{Label: label, Teams: manyTeams(teams), Controllers: controllers, LeaseTTL: 4 * eventloop.Second, TeamsOnly: older})
 	b.Start()
 	m.Start()
 	return b
@@ -37,13 +37,13 @@
 // Controllers that start together must end up with about the same number of partitions each,
 // with few changes in the state service on the way.
 func TestPartitionsAreClaimedEvenly(t *testing.T) {
-	s := standin.NewRunner(100 * loop.Second)
-	state := standin.NewStateService(func() loop.Micros { return s.Now() })
+	s := standin.NewRunner(100 * eventloop.Second)
+	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
 	var all []*Member
 	for i := range 8 {
 		all = append(all, startWithTeams(s, state, fmt.Sprint("n", i), 8, 300, false))
 	}
-	s.Advance(6 * loop.Second)
+	s.Advance(6 * eventloop.Second)
 	for _, b := range all {
 		if n := len(b.owned); n < 1 || n > 4 {
 			t.Errorf("%s holds %d of 17 claims (16 partitions and the leadership), want 1 to 4", b.Label, n)
@@ -61,11 +61,11 @@
 // that version knows nothing else. Once it is replaced the layout must become numbered on
 // all controllers, and no team may remain claimed as a single team.
 func TestLayoutWaitsForOlderVersions(t *testing.T) {
-	s := standin.NewRunner(100 * loop.Second)
-	state := standin.NewStateService(func() loop.Micros { return s.Now() })
+	s := standin.NewRunner(100 * eventloop.Second)
+	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
 	a := startWithTeams(s, state, "a", 2, 12, false)
 	old := startWithTeams(s, state, "b", 2, 12, true)
-	s.Advance(90 * loop.Second)
+	s.Advance(90 * eventloop.Second)
 	if a.Layout().Numbered() || len(state.Keys(partition.ClaimPrefix)) > 0 {
 		t.Fatal("the layout became numbered while an older version is registered")
 	}
@@ -76,7 +76,7 @@
 	state.Do("DELETE", fmt.Sprint("/holds/", old.lease), nil, 0)
 	old.lease = 0
 	b := startWithTeams(s, state, "b", 2, 12, false)
-	s.Advance(20 * loop.Second)
+	s.Advance(20 * eventloop.Second)
 	if !a.Layout().Numbered() || a.Layout() != b.Layout() {
 		t.Fatalf("the layouts of a and b are %+v and %+v, want the same numbered one", a.Layout(), b.Layout())
 	}
@@ -93,10 +93,10 @@
 // A team that a controller of an older version holds must not be assigned to a partition, nor
 // one whose partition is not owned under the given claim any more.
 func TestHeldTeamsAreNotAssigned(t *testing.T) {
-	s := standin.NewRunner(100 * loop.Second)
-	state := standin.NewStateService(func() loop.Micros { return s.Now() })
+	s := standin.NewRunner(100 * eventloop.Second)
+	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
 	a := startWithTeams(s, state, "a", 1, 12, false)
-	s.Advance(6 * loop.Second)
+	s.Advance(6 * eventloop.Second)
 	team := a.Teams[4]
 	id := a.Layout().Of(team)
 	claim, mine := a.owned[id.ClaimKey()]
@@ -107,7 +107,7 @@
 	state.Put(teamKeys+team, held)
 	assign := func(claim Owner) (ok bool) {
 		a.Assign(id, claim, []string{team}, func(done bool) { ok = done })
-		s.Advance(loop.Second)
+		s.Advance(eventloop.Second)
 		return ok
 	}
 	if assign(claim) {
@@ -125,7 +125,7 @@
 			t.Error("a team was assigned under a claim that is not held any more")
 		}
 	})
-	s.Advance(loop.Second)
+	s.Advance(eventloop.Second)
 	if a.Assigned(other) {
 		t.Error("Assigned is true for a team whose assignment failed")
 	}
@@ -134,11 +134,11 @@
 // While the stored layout is corrupt, no controller may claim a partition or a team: it would
 // have to guess the layout in force.
 func TestCorruptLayout(t *testing.T) {
-	s := standin.NewRunner(100 * loop.Second)
-	state := standin.NewStateService(func() loop.Micros { return s.Now() })
+	s := standin.NewRunner(100 * eventloop.Second)
+	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
 	state.Put(partition.LayoutKey, "nonsense")
 	a := startWithTeams(s, state, "a", 1, 12, false)
-	s.Advance(20 * loop.Second)
+	s.Advance(20 * eventloop.Second)
 	if n := len(state.Keys(partition.ClaimPrefix)) + len(state.Keys(partition.TeamClaimPrefix)); n > 0 || a.Layout().Numbered() {
 		t.Errorf("%d partitions or teams are claimed, want none and no numbered layout", n)
 	}
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -1,22 +1,22 @@
 package membership
 
 import (
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
 
 const (
 	// minEpochRetry is the least delay before a controller that got no epoch tries again.
-	minEpochRetry = 300 * loop.Millisecond
+	minEpochRetry = 300 * eventloop.Millisecond
 	// controllersPerSpread is the number of controllers for which the retries are spread over
 	// one more minEpochRetry: of all that try at the same time, only one gets the next epoch.
 	controllersPerSpread = 4
 )
 
 // epochRetry returns the delay before this controller tries again to get an epoch.
-func (b *Member) epochRetry() loop.Micros {
-	spread := minEpochRetry * loop.Micros(b.Controllers/controllersPerSpread)
+func (b *Member) epochRetry() eventloop.Micros {
+	spread := minEpochRetry * eventloop.Micros(b.Controllers/controllersPerSpread)
 	if spread == 0 {
 		return minEpochRetry
 	}
@@ -30,7 +30,7 @@
 	sent := b.runner.Now()
 	b.client.OpenLease(b.LeaseTTL, func(id uint64) {
 		if id == 0 {
-			b.runner.After(400*loop.Millisecond, b.join)
+			b.runner.After(400*eventloop.Millisecond, b.join)
 			return
 		}
 		b.lease, b.leaseUntil, b.leaseSince = id, sent+b.LeaseTTL, b.runner.Now()
@@ -83,7 +83,7 @@
 				b.tick()
 			}
 		case b.state == AwaitingEpoch:
-			b.runner.After(300*loop.Millisecond, func() { b.register(lease, alone) })
+			b.runner.After(300*eventloop.Millisecond, func() { b.register(lease, alone) })
 		}
 	})
 }
@@ -161,7 +161,7 @@
 	}
 	b.leaseLosses++
 	b.lease, b.leaseUntil, b.registeredIsolated = 0, 0, false
-	for key := range loop.Sorted(b.owned) {
+	for key := range eventloop.Sorted(b.owned) {
 		b.drop(key)
 	}
 	b.setState(Joining)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -12,7 +12,7 @@
 	"math/rand/v2"
 	"strings"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/partition"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
@@ -74,24 +74,24 @@
 type Settings struct {
 	Label       string
 	Teams       []string
-	Controllers int         // number of controllers that the cluster should have
-	LeaseTTL    loop.Micros // of the controller's lease
-	TeamsOnly   bool        // claim single teams only, and register so, as older versions do
+	Controllers int              // number of controllers that the cluster should have
+	LeaseTTL    eventloop.Micros // of the controller's lease
+	TeamsOnly   bool             // claim single teams only, and register so, as older versions do
 }
 
 // Member is this controller's membership.
 type Member struct {
-	runner loop.Runner
+	runner eventloop.Runner
 	client *store.Client
 	mirror *store.Mirror
 	log    *slog.Logger
 	Settings
 	state        State
 	lease        uint64
-	leaseUntil   loop.Micros // the lease is certainly valid until then
-	incarnation  uint64      // the epoch that identifies this incarnation of the process
-	epoch        uint64      // the newest epoch, for tokens
-	freeAt       map[string]loop.Micros
+	leaseUntil   eventloop.Micros // the lease is certainly valid until then
+	incarnation  uint64           // the epoch that identifies this incarnation of the process
+	epoch        uint64           // the newest epoch, for tokens
+	freeAt       map[string]eventloop.Micros
 	claiming     map[string]bool
 	epochWaiters []func()
 	// OnOwned is called when this controller gains or loses a partition.
@@ -106,33 +106,33 @@
 	Isolated           func() bool
 	owned              map[string]Owner
 	nodes              map[string]nodeRecord
-	handedOverAt       loop.Micros // when owned keys were last handed over
-	registeredIsolated bool        // the isolation that is registered; the state service is the only way to publish it
-	registering        bool        // a registration is under way
-	evicted            map[string]loop.Micros
+	handedOverAt       eventloop.Micros // when owned keys were last handed over
+	registeredIsolated bool             // the isolation that is registered; the state service is the only way to publish it
+	registering        bool             // a registration is under way
+	evicted            map[string]eventloop.Micros
 	// Fit reports whether another controller may be given work, PartlyDisconnected whether
 	// the connection between this one and a controller that others reach is broken, and
 	// Weight returns how much work a partition brings. All may be nil.
 	Fit                func(node string) bool
 	PartlyDisconnected func() bool
 	Weight             func(id partition.ID) int
-	foreignTeams       map[string]bool // teams known to other controllers that these settings do not name
-	leaseSince         loop.Micros     // when the current lease was granted
-	leaseLosses        int             // consecutive leases that ended before stableAfter
-	unevenSince        loop.Micros     // since when this controller owns more than its share; 0: it does not
-	rand               *rand.Rand      // spreads the retries of controllers that start together
+	foreignTeams       map[string]bool  // teams known to other controllers that these settings do not name
+	leaseSince         eventloop.Micros // when the current lease was granted
+	leaseLosses        int              // consecutive leases that ended before stableAfter
+	unevenSince        eventloop.Micros // since when this controller owns more than its share; 0: it does not
+	rand               *rand.Rand       // spreads the retries of controllers that start together
 
 	layout        partition.Layout
 	layoutState   layoutState
 	storingLayout bool
 	converting    bool
-	olderSeen     loop.Micros // when a controller of an older version was last registered; 0: never
+	olderSeen     eventloop.Micros // when a controller of an older version was last registered; 0: never
 }
 
 // New returns a membership that does nothing until Start is called.
-func New(r loop.Runner, c *store.Client, m *store.Mirror, log *slog.Logger, settings Settings) *Member {
-	return &Member{runner: r, client: c, mirror: m, log: log, Settings: settings, rand: loop.Rand(r),
-		freeAt: map[string]loop.Micros{}, claiming: map[string]bool{}, owned: map[string]Owner{}, nodes: map[string]nodeRecord{}, evicted: map[string]loop.Micros{},
+func New(r eventloop.Runner, c *store.Client, m *store.Mirror, log *slog.Logger, settings Settings) *Member {
+	return &Member{runner: r, client: c, mirror: m, log: log, Settings: settings, rand: eventloop.Rand(r),
+		freeAt: map[string]eventloop.Micros{}, claiming: map[string]bool{}, owned: map[string]Owner{}, nodes: map[string]nodeRecord{}, evicted: map[string]eventloop.Micros{},
 		foreignTeams: map[string]bool{}}
 }
 
@@ -164,7 +164,7 @@
 		b.setState(Joining)
 		b.join()
 	})
-	loop.Every(b.runner, 300*loop.Millisecond, b.tick)
+	eventloop.Every(b.runner, 300*eventloop.Millisecond, b.tick)
 }
 
 func (b *Member) setState(s State) {
