--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/partition"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
@@ -35,7 +35,7 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c := store.NewClient(s, x, log, 1000, 1000, 1)
 	m := store.NewMirror(c, x, Prefix)
-	b := New(s, c, m, log, Settings{Label: label, Teams: []string{"red", "blue"}, Controllers: 3, LeaseTTL: 4 * loop.Second})
+	b := New(s, c, m, log, Settings{Label: label, Teams: []string{"red", "blue"}, Controllers: 3, LeaseTTL: 4 * eventloop.Second})
 	b.Start()
 	m.Start()
 	return b
@@ -51,18 +51,18 @@
 // lease cannot be renewed it must not consider itself an owner, and after it has rejoined it
 // must not consider itself the owner of what another has claimed.
 func TestControllerWithoutStateServiceLosesTeams(t *testing.T) {
-	s := standin.NewRunner(100 * loop.Second)
-	state := standin.NewStateService(func() loop.Micros { return s.Now() })
+	s := standin.NewRunner(100 * eventloop.Second)
+	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
 	xa, xb := &stateConn{state: state}, &stateConn{state: state}
 	a := startMember(s, xa, "a")
-	s.Advance(3 * loop.Second)
+	s.Advance(3 * eventloop.Second)
 	if r, u := owners(a); r != "a" || u != "a" {
 		t.Fatalf("the only controller a does not own both teams: red is owned by %q, blue by %q", r, u)
 	}
 	b := startMember(s, xb, "b")
-	s.Advance(2 * loop.Second)
+	s.Advance(2 * eventloop.Second)
 	xa.off = true
-	s.Advance(10 * loop.Second)
+	s.Advance(10 * eventloop.Second)
 	if r, u := owners(b); r != "b" || u != "b" {
 		t.Fatalf("b did not take the teams over: red is owned by %q, blue by %q", r, u)
 	}
@@ -70,7 +70,7 @@
 		t.Fatal("a considers its lease valid although it could not renew it")
 	}
 	xa.off = false
-	s.Advance(10 * loop.Second)
+	s.Advance(10 * eventloop.Second)
 	if _, mine := a.owned[teamKeys+"red"]; mine || !a.Active() {
 		t.Fatalf("a is active: %v, want true; a considers itself the owner of red: %v, want false", a.Active(), mine)
 	}
@@ -80,15 +80,15 @@
 // ended the lease of the controller behind it, its teams would never have an owner; its
 // lease must be ended only once within evictInterval.
 func TestEvictionIsNotRepeated(t *testing.T) {
-	s := standin.NewRunner(100 * loop.Second)
-	state := standin.NewStateService(func() loop.Micros { return s.Now() })
+	s := standin.NewRunner(100 * eventloop.Second)
+	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
 	xa, xb := &stateConn{state: state}, &stateConn{state: state}
 	a := startMember(s, xa, "a")
 	b := startMember(s, xb, "b")
-	s.Advance(3 * loop.Second)
+	s.Advance(3 * eventloop.Second)
 	for range 40 {
 		a.Evict("b")
-		s.Advance(500 * loop.Millisecond)
+		s.Advance(500 * eventloop.Millisecond)
 	}
 	if xa.leaseEnds != 1 {
 		t.Fatalf("the lease was ended %d times in 20 s, want once", xa.leaseEnds)
@@ -100,14 +100,14 @@
 
 // A controller that reaches no peer must hand its partitions over to one that others reach.
 func TestIsolatedControllerHandsOver(t *testing.T) {
-	s := standin.NewRunner(100 * loop.Second)
-	state := standin.NewStateService(func() loop.Micros { return s.Now() })
+	s := standin.NewRunner(100 * eventloop.Second)
+	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
 	a := startMember(s, &stateConn{state: state}, "a")
-	s.Advance(3 * loop.Second)
+	s.Advance(3 * eventloop.Second)
 	b := startMember(s, &stateConn{state: state}, "b")
-	s.Advance(2 * loop.Second)
+	s.Advance(2 * eventloop.Second)
 	a.Isolated = func() bool { return true }
-	s.Advance(3 * loop.Second)
+	s.Advance(3 * eventloop.Second)
 	if r, u := owners(b); r != "b" || u != "b" {
 		t.Fatalf("the teams did not move to b: red is owned by %q, blue by %q", r, u)
 	}
@@ -116,17 +116,17 @@
 // Where no controller reaches another, several owners would each see a part of the machines
 // only: the leader must become the owner of all teams.
 func TestLeaderOwnsAllWhenAllAreIsolated(t *testing.T) {
-	s := standin.NewRunner(100 * loop.Second)
-	state := standin.NewStateService(func() loop.Micros { return s.Now() })
+	s := standin.NewRunner(100 * eventloop.Second)
+	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
 	var all []*Member
 	for _, label := range []string{"a", "b", "c"} {
 		all = append(all, startMember(s, &stateConn{state: state}, label))
 	}
-	s.Advance(5 * loop.Second)
+	s.Advance(5 * eventloop.Second)
 	for _, b := range all {
 		b.Isolated = func() bool { return true }
 	}
-	s.Advance(12 * loop.Second)
+	s.Advance(12 * eventloop.Second)
 	o, ok := all[0].Leader()
 	red, blue := owners(all[0])
 	if !ok || red != o.Node || blue != o.Node {
@@ -135,7 +135,7 @@
 	for _, b := range all {
 		b.Isolated = func() bool { return false }
 	}
-	s.Advance(3 * loop.Second)
+	s.Advance(3 * eventloop.Second)
 	if all[0].AllIsolated() {
 		t.Fatal("AllIsolated is still true after the controllers reach each other again")
 	}
@@ -144,26 +144,26 @@
 // A controller that joins while another owns everything must get a share, the team with less
 // work, but only once it is fit for work; after that, no team may move any more.
 func TestRebalanceAfterJoin(t *testing.T) {
-	s := standin.NewRunner(100 * loop.Second)
-	state := standin.NewStateService(func() loop.Micros { return s.Now() })
+	s := standin.NewRunner(100 * eventloop.Second)
+	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
 	a := startMember(s, &stateConn{state: state}, "a")
 	a.Weight = func(id partition.ID) int { return map[partition.ID]int{"t/red": 9, "t/blue": 2}[id] }
 	fit := false
 	a.Fit = func(string) bool { return fit }
-	s.Advance(3 * loop.Second)
+	s.Advance(3 * eventloop.Second)
 	b := startMember(s, &stateConn{state: state}, "b")
 	b.Fit = func(string) bool { return true }
-	s.Advance(20 * loop.Second)
+	s.Advance(20 * eventloop.Second)
 	if r, u := owners(b); r != "a" || u != "a" {
 		t.Fatalf("teams moved to a controller that is not fit: red is owned by %q, blue by %q", r, u)
 	}
 	fit = true
-	s.Advance(12 * loop.Second)
+	s.Advance(12 * eventloop.Second)
 	if r, u := owners(a); r != "a" || u != "b" {
 		t.Fatalf("red is owned by %q and blue by %q, want a and b", r, u)
 	}
 	before, _ := a.TeamOwner("blue")
-	s.Advance(60 * loop.Second)
+	s.Advance(60 * eventloop.Second)
 	if now, _ := b.TeamOwner("blue"); now != before {
 		t.Fatalf("blue moved again: its owner is %+v, before %+v", now, before)
 	}
@@ -172,11 +172,11 @@
 // A team that only another controller's settings name, as while settings are being changed
 // on one after another, must become known as foreign once that controller owns it.
 func TestForeignTeam(t *testing.T) {
-	s := standin.NewRunner(100 * loop.Second)
-	state := standin.NewStateService(func() loop.Micros { return s.Now() })
+	s := standin.NewRunner(100 * eventloop.Second)
+	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
 	a, b := startMember(s, &stateConn{state: state}, "a"), startMember(s, &stateConn{state: state}, "b")
 	b.Teams = append(b.Teams, "guest")
-	s.Advance(5 * loop.Second)
+	s.Advance(5 * eventloop.Second)
 	if o, _ := a.TeamOwner("guest"); o.Node != "b" || !a.Foreign("guest") || a.Foreign("red") || b.Foreign("guest") {
 		t.Fatalf("guest is owned by %q; foreign to a: %v", o.Node, a.Foreign("guest"))
 	}
@@ -186,11 +186,11 @@
 // registered, and vanishes with the earlier lease. The controller must register again, or
 // the others would not count it though it runs.
 func TestLateRegistrationOfEarlierIncarnation(t *testing.T) {
-	s := standin.NewRunner(100 * loop.Second)
-	state := standin.NewStateService(func() loop.Micros { return s.Now() })
+	s := standin.NewRunner(100 * eventloop.Second)
+	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
 	b := startMember(s, &stateConn{state: state}, "b")
 	a := startMember(s, &stateConn{state: state}, "a")
-	s.Advance(3 * loop.Second)
+	s.Advance(3 * eventloop.Second)
 	if b.RegisteredCount() != 2 {
 		t.Fatalf("%d controllers are registered, want 2", b.RegisteredCount())
 	}
@@ -203,7 +203,7 @@
 	if r := state.Do("POST", "/multi", wire.Marshal(late), 0); r.Status != 200 {
 		t.Fatalf("the late registration is answered with status %d, want 200", r.Status)
 	}
-	s.Advance(8 * loop.Second)
+	s.Advance(8 * eventloop.Second)
 	if b.RegisteredCount() != 2 || b.nodes["a"].Lease != a.Lease() || !a.LeaseValid() {
 		t.Fatalf("%d controllers are registered, want 2; a is registered with lease %d and holds lease %d", b.RegisteredCount(), b.nodes["a"].Lease, a.Lease())
 	}
--- a/internal/membership/rebalance.go
+++ b/internal/membership/rebalance.go
@@ -1,7 +1,7 @@
 package membership
 
 import (
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
@@ -19,15 +19,15 @@
 const (
 	// A controller that lost its lease twice or more is likely to lose it again, so it claims
 	// later than others: by claimBackoff, doubled with each further loss up to maxClaimBackoff.
-	claimBackoff    = loop.Second
-	maxClaimBackoff = 8 * loop.Second
+	claimBackoff    = eventloop.Second
+	maxClaimBackoff = 8 * eventloop.Second
 	// stableAfter is how long it must hold its lease before this delay ends.
-	stableAfter = 60 * loop.Second
+	stableAfter = 60 * eventloop.Second
 )
 
 // claimDamping returns how much later than others this controller claims free keys because of
 // lost leases.
-func (b *Member) claimDamping(now loop.Micros) loop.Micros {
+func (b *Member) claimDamping(now eventloop.Micros) eventloop.Micros {
 	if b.leaseLosses < 2 || now-b.leaseSince >= stableAfter {
 		return 0
 	}
@@ -35,12 +35,12 @@
 }
 
 // rebalanceAfter is how long an uneven distribution of partitions must last before one is moved.
-const rebalanceAfter = 8 * loop.Second
+const rebalanceAfter = 8 * eventloop.Second
 
 // rebalance releases a partition if another fit controller owns at least two keys fewer, as
 // after that one has restarted. Each controller has a limited share of a core and of the state
 // service's request rate, so the partitions should be spread evenly.
-func (b *Member) rebalance(now loop.Micros) {
+func (b *Member) rebalance(now eventloop.Micros) {
 	counts := map[string]int{}
 	for _, key := range b.claimKeys() {
 		if o, ok := b.claimOwner(key); ok {
@@ -87,7 +87,7 @@
 
 // handOver releases all claims, so that other controllers may take them.
 func (b *Member) handOver(why string) {
-	for key := range loop.Sorted(b.owned) {
+	for key := range eventloop.Sorted(b.owned) {
 		b.release(key, why)
 	}
 }
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"strconv"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/collectors"
@@ -118,16 +118,16 @@
 }
 
 // seconds converts a duration to the unit of the metrics.
-func seconds(d loop.Micros) float64 { return float64(d) / 1e6 }
+func seconds(d eventloop.Micros) float64 { return float64(d) / 1e6 }
 
 // WatchLoopLag starts to measure periodically how late the event loop runs its timers.
-func (m *Meter) WatchLoopLag(runner loop.Runner) {
+func (m *Meter) WatchLoopLag(runner eventloop.Runner) {
 	if m == nil {
 		return
 	}
-	const interval = 250 * loop.Millisecond
+	const interval = 250 * eventloop.Millisecond
 	due := runner.Now() + interval
-	loop.Every(runner, interval, func() {
+	eventloop.Every(runner, interval, func() {
 		now := runner.Now()
 		m.loopLag.Observe(seconds(max(now-due, 0)))
 		due = now + interval
@@ -135,7 +135,7 @@
 }
 
 // PlacementPass records a placement pass and the number of tasks that it placed.
-func (m *Meter) PlacementPass(took loop.Micros, placed int) {
+func (m *Meter) PlacementPass(took eventloop.Micros, placed int) {
 	if m != nil {
 		m.passes.Observe(seconds(took))
 		m.placed.Add(float64(placed))
@@ -171,7 +171,7 @@
 }
 
 // Takeover records the time from a change of a partition's owner until the first placement.
-func (m *Meter) Takeover(took loop.Micros) {
+func (m *Meter) Takeover(took eventloop.Micros) {
 	if m != nil {
 		m.takeovers.Observe(seconds(took))
 	}
@@ -185,7 +185,7 @@
 }
 
 // WatermarkAge sets the age of the cancellation watermark.
-func (m *Meter) WatermarkAge(age loop.Micros) {
+func (m *Meter) WatermarkAge(age eventloop.Micros) {
 	if m != nil {
 		m.watermarkAge.Set(seconds(age))
 	}
@@ -242,7 +242,7 @@
 }
 
 // Pause records a pause in which the process did not run.
-func (m *Meter) Pause(took loop.Micros) {
+func (m *Meter) Pause(took eventloop.Micros) {
 	if m != nil {
 		m.pauses.Observe(seconds(took))
 	}
@@ -300,14 +300,14 @@
 }
 
 // Rerun records that a task of a failed machine runs again.
-func (m *Meter) Rerun(took loop.Micros) {
+func (m *Meter) Rerun(took eventloop.Micros) {
 	if m != nil {
 		m.reruns.Observe(seconds(took))
 	}
 }
 
 // WaitCause records a cause that no longer keeps tasks from running; the cause is one of a fixed list.
-func (m *Meter) WaitCause(cause string, took loop.Micros) {
+func (m *Meter) WaitCause(cause string, took eventloop.Micros) {
 	if m != nil {
 		m.waits.WithLabelValues(cause).Observe(seconds(took))
 	}
@@ -331,7 +331,7 @@
 }
 
 // StateRequest records a request to the state service.
-func (m *Meter) StateRequest(outcome string, took loop.Micros) {
+func (m *Meter) StateRequest(outcome string, took eventloop.Micros) {
 	if m != nil {
 		m.stateRequests.WithLabelValues(outcome).Inc()
 		m.stateLatency.Observe(seconds(took))
@@ -353,7 +353,7 @@
 }
 
 // Explanation records the time for which gathering an explanation occupied the event loop.
-func (m *Meter) Explanation(took loop.Micros) {
+func (m *Meter) Explanation(took eventloop.Micros) {
 	if m != nil {
 		m.explanations.Observe(seconds(took))
 	}
--- a/internal/node/availability.go
+++ b/internal/node/availability.go
@@ -1,15 +1,15 @@
 package node
 
 import (
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/fleet"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/workers"
 )
 
 // maxContactAge is how old the last answer of the state service may be for this controller to count as connected to it.
-const maxContactAge = 2500 * loop.Millisecond
+const maxContactAge = 2500 * eventloop.Millisecond
 
 // hasStateContact reports whether the state service answers this controller.
 func (n *Node) hasStateContact() bool { return n.client.Healthy(maxContactAge) }
@@ -21,7 +21,7 @@
 	age := n.loop.Now() - k.ReceivedAt
 	late := n.loop.Wall() - k.Status.Wall
 	off := n.cfg.ClockDifference()
-	return k.Status, k.ReceivedAt != 0 && age < 2500*loop.Millisecond && late < 3*loop.Second+off
+	return k.Status, k.ReceivedAt != 0 && age < 2500*eventloop.Millisecond && late < 3*eventloop.Second+off
 }
 
 // mayStart reports whether new tasks may be started. Without contact to the state service none are, since another
--- a/internal/node/backlog_bench_test.go
+++ b/internal/node/backlog_bench_test.go
@@ -5,8 +5,8 @@
 	"math"
 	"testing"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 )
 
 // BenchmarkBacklog measures the processing time per second of one controller that owns all teams of a full fleet, while
@@ -28,18 +28,18 @@
 		b.Run(fmt.Sprint("waiting=", waiting), func(b *testing.B) {
 			for range b.N {
 				w := loadedSimulation(b, 1, machines)
-				w.run(3640 * loop.Second)
+				w.run(3640 * eventloop.Second)
 				for i := range waiting {
 					r := w.rng
 					s := &job.Spec{Class: "k", Team: fmt.Sprint("t", r.IntN(4)), Priority: job.Priority(r.IntN(3)), Tasks: min(int(35*math.Exp(0.7*r.NormFloat64()))+1, 400),
-						CPUs: 2, MemoryGB: 3, Image: fmt.Sprint("i", r.IntN(12)), ImageGB: 1, AnyType: true, Spot: true, Estimate: 60 * loop.Second}
-					j := &simJob{id: fmt.Sprintf("job-%06d", 500000+i), spec: s, run: w.between(50*loop.Second, 110*loop.Second)}
-					w.after(loop.Micros(i)*20*loop.Second/loop.Micros(waiting), func() { w.jobs[j.id] = j; w.submit(j) })
+						CPUs: 2, MemoryGB: 3, Image: fmt.Sprint("i", r.IntN(12)), ImageGB: 1, AnyType: true, Spot: true, Estimate: 60 * eventloop.Second}
+					j := &simJob{id: fmt.Sprintf("job-%06d", 500000+i), spec: s, run: w.between(50*eventloop.Second, 110*eventloop.Second)}
+					w.after(eventloop.Micros(i)*20*eventloop.Second/eventloop.Micros(waiting), func() { w.jobs[j.id] = j; w.submit(j) })
 				}
-				w.run(3670 * loop.Second)
+				w.run(3670 * eventloop.Second)
 				from, starts := w.cost, w.starts
 				const seconds = 20
-				w.run((3670 + seconds) * loop.Second)
+				w.run((3670 + seconds) * eventloop.Second)
 				b.ReportMetric(float64((w.cost.spent-from.spent).Milliseconds())/seconds, "ms/s")
 				b.ReportMetric(float64(w.starts-starts)/seconds, "starts/s")
 				b.ReportMetric(float64(w.cost.bytes-from.bytes)/seconds, "B/s")
--- a/internal/node/cannot_report_test.go
+++ b/internal/node/cannot_report_test.go
@@ -5,13 +5,13 @@
 	"slices"
 	"testing"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 )
 
 // blockReports makes machines unable to report for a while: they cannot connect to any controller, but commands reach
 // them.
-func (w *simulation) blockReports(names []string, d loop.Micros) {
+func (w *simulation) blockReports(names []string, d eventloop.Micros) {
 	for _, name := range names {
 		x := w.workers[name]
 		x.cannotReport = true
@@ -35,10 +35,10 @@
 // at once; tasks that its lease ends run again elsewhere; a machine that reports again in time has lost nothing; and
 // the autoscaler does not replace the whole fleet.
 func TestMachinesThatCannotReport(t *testing.T) {
-	const second = loop.Second
+	const second = eventloop.Second
 	for _, c := range []struct {
 		name string
-		d    loop.Micros
+		d    eventloop.Micros
 		who  func(w *simulation) []string
 		more func(w *simulation)
 		kept bool // all leases
@@ -70,11 +70,11 @@
 			if c.more != nil {
 				w.after(3*second, func() { c.more(w) })
 			}
-			short := int(c.d / (150 * loop.Millisecond)) // so many that each machine is given a task every few seconds
+			short := int(c.d / (150 * eventloop.Millisecond)) // so many that each machine is given a task every few seconds
 			for k := range short {
-				w.after(loop.Micros(k)*150*loop.Millisecond, func() {
+				w.after(eventloop.Micros(k)*150*eventloop.Millisecond, func() {
 					w.simulateUser(&simJob{id: fmt.Sprintf("job-%06d", 100+k), run: 3 * second, spec: &job.Spec{Class: "short", Team: []string{"red", "blue"}[k%2],
-						Priority: job.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 2 * loop.Second}})
+						Priority: job.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 2 * eventloop.Second}})
 				})
 			}
 			gone := w.jobs["job-000003"]
--- a/internal/node/completion_race_test.go
+++ b/internal/node/completion_race_test.go
@@ -6,8 +6,8 @@
 	"sync"
 	"testing"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
 )
 
@@ -16,7 +16,7 @@
 // and a little after each of these; at the owner, at another controller and at both. Either the completion or the
 // cancellation wins, all users are told the same from then on, and "done" is told within the protocol's time.
 func TestRequestsRacingWithCompletion(t *testing.T) {
-	const ms = loop.Millisecond
+	const ms = eventloop.Millisecond
 	type ask struct {
 		name string
 		do   func(w *simulation, label string, j *simJob)
@@ -40,16 +40,16 @@
 		}
 	})
 	for _, moment := range []string{"the task ends", "its end is recorded", "the job's end is stored"} {
-		for _, after := range []loop.Micros{0, ms, 4 * ms, 9 * ms, 30 * ms, 300 * ms, 700 * ms, 1500 * ms} {
+		for _, after := range []eventloop.Micros{0, ms, 4 * ms, 9 * ms, 30 * ms, 300 * ms, 700 * ms, 1500 * ms} {
 			t.Run(fmt.Sprint(moment, ", ", after/ms, " ms later"), func(t *testing.T) {
 				t.Parallel()
 				for at := range 3 { // which controller: the owner, another, both
 					for k, asks := range [][]ask{{cancel}, {poll}, {repeat}, {cancel, poll}, {poll, cancel}, {repeat, cancel}, {cancel, cancel, repeat}} {
 						w := newSimulationOf(t, uint64(7+k+int(after/ms)), clusterSize{nodes: 3, zones: 2, each: 4}, defaultSettings)
-						j := &simJob{id: "job-000001", run: 6 * loop.Second, spec: &job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 2, CPUs: 1,
-							MemoryGB: 1, Image: "i", AnyType: true, Estimate: 6 * loop.Second}}
+						j := &simJob{id: "job-000001", run: 6 * eventloop.Second, spec: &job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 2, CPUs: 1,
+							MemoryGB: 1, Image: "i", AnyType: true, Estimate: 6 * eventloop.Second}}
 						w.jobs[j.id] = j
-						w.after(10*loop.Second, func() { w.submit(j) })
+						w.after(10*eventloop.Second, func() { w.submit(j) })
 						w.after(0, w.tickWorkers)
 						w.after(0, w.checkCancelled)
 						strike := func() {
@@ -59,7 +59,7 @@
 								third := w.labels[(slices.Index(w.labels, owner)+2)%3]
 								for k, a := range asks {
 									label := [][]string{{owner, owner}, {other, third}, {owner, other}}[at][k%2]
-									w.after(loop.Micros(k)*200, func() { a.do(w, label, j) })
+									w.after(eventloop.Micros(k)*200, func() { a.do(w, label, j) })
 								}
 							})
 						}
@@ -82,12 +82,12 @@
 								s.afterRequest(job.KeyPrefix+j.id, strike)
 							}
 						}
-						w.run(3600*loop.Second + 35*loop.Second)
+						w.run(3600*eventloop.Second + 35*eventloop.Second)
 						for range 3 { // all controllers are asked, and answer the same
 							for _, l := range w.labels {
 								poll.do(w, l, j)
 							}
-							w.run(w.now + 2*loop.Second)
+							w.run(w.now + 2*eventloop.Second)
 						}
 						name := moment + ", " + fmt.Sprint(after/ms, " ms later ", at)
 						for _, a := range asks {
--- a/internal/node/correlated_faults_test.go
+++ b/internal/node/correlated_faults_test.go
@@ -7,12 +7,12 @@
 	"testing"
 
 	"cleatpick/internal/config"
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
 // pause pauses a controller's process for a while. Its clocks go on; everything that arrives meanwhile waits and is
 // handled in random order when the process resumes.
-func (w *simulation) pause(label string, d loop.Micros) {
+func (w *simulation) pause(label string, d eventloop.Micros) {
 	s := w.nodes[label]
 	if !s.alive || s.paused {
 		return
@@ -27,7 +27,7 @@
 		s.paused, s.queued = false, nil
 		w.rng.Shuffle(len(held), func(a, b int) { held[a], held[b] = held[b], held[a] })
 		for _, f := range held {
-			w.after(w.between(0, 20*loop.Millisecond), f)
+			w.after(w.between(0, 20*eventloop.Millisecond), f)
 		}
 	})
 }
@@ -52,7 +52,7 @@
 }
 
 // hangMachines lets machines hang for a while.
-func (w *simulation) hangMachines(names []string, d loop.Micros) {
+func (w *simulation) hangMachines(names []string, d eventloop.Micros) {
 	for _, name := range names {
 		x := w.workers[name]
 		x.hanging = true
@@ -81,7 +81,7 @@
 
 // disconnectZone disconnects a zone from everything outside it, including the state service and the cloud. The
 // controllers and machines of the zone still reach each other.
-func (w *simulation) disconnectZone(zone string, mode linkMode, d loop.Micros) {
+func (w *simulation) disconnectZone(zone string, mode linkMode, d eventloop.Micros) {
 	names := []string{}
 	for _, a := range w.labels {
 		if w.nodes[a].zone != zone {
@@ -112,8 +112,8 @@
 	{"a controller is paused", func(w *simulation) {
 		// Shorter and longer than a controller's lease (4 s), the expiry of a start (6 s), a worker's lease (10 s) and
 		// cancel_s (30 s).
-		d := [...][2]loop.Micros{{1, 4}, {4, 6}, {6, 10}, {10, 30}, {30, 40}}[w.rng.IntN(5)]
-		label, long := w.labels[w.rng.IntN(len(w.labels))], w.between(d[0]*loop.Second, d[1]*loop.Second)
+		d := [...][2]eventloop.Micros{{1, 4}, {4, 6}, {6, 10}, {10, 30}, {30, 40}}[w.rng.IntN(5)]
+		label, long := w.labels[w.rng.IntN(len(w.labels))], w.between(d[0]*eventloop.Second, d[1]*eventloop.Second)
 		if w.rng.IntN(2) == 0 {
 			w.pause(label, long)
 			return
@@ -124,14 +124,14 @@
 		w.nodes[label].afterRequest(words, func() { w.pause(label, long) })
 	}},
 	{"machines hang for less than a lease", func(w *simulation) {
-		w.hangMachines(w.someMachines(0.1+0.3*w.rng.Float64()), w.between(3*loop.Second, 9*loop.Second))
+		w.hangMachines(w.someMachines(0.1+0.3*w.rng.Float64()), w.between(3*eventloop.Second, 9*eventloop.Second))
 	}},
 	{"machines hang for more than a lease", func(w *simulation) {
-		w.hangMachines(w.someMachines(0.1+0.3*w.rng.Float64()), w.between(10*loop.Second, 22*loop.Second))
+		w.hangMachines(w.someMachines(0.1+0.3*w.rng.Float64()), w.between(10*eventloop.Second, 22*eventloop.Second))
 	}},
 	{"machines fail", func(w *simulation) { w.failMachines(w.someMachines(0.1 + 0.3*w.rng.Float64())) }},
 	{"a zone is disconnected", func(w *simulation) {
-		w.disconnectZone(w.zones[w.rng.IntN(len(w.zones))], []linkMode{dropping, delaying}[w.rng.IntN(2)], w.between(5*loop.Second, 45*loop.Second))
+		w.disconnectZone(w.zones[w.rng.IntN(len(w.zones))], []linkMode{dropping, delaying}[w.rng.IntN(2)], w.between(5*eventloop.Second, 45*eventloop.Second))
 	}},
 	{"a controller crashes", func(w *simulation) { w.kill(w.labels[w.rng.IntN(len(w.labels))]) }},
 	{"all controllers crash", func(w *simulation) {
@@ -141,29 +141,29 @@
 	}},
 	{"outage of the state service", func(w *simulation) {
 		w.state.SetDown(true)
-		w.after(w.between(2*loop.Second, 20*loop.Second), func() { w.state.SetDown(false) })
+		w.after(w.between(2*eventloop.Second, 20*eventloop.Second), func() { w.state.SetDown(false) })
 	}},
 	{"delayed messages in one direction", func(w *simulation) {
 		// Only messages from one controller to one other are late, starts among them.
 		a, b := w.labels[w.rng.IntN(len(w.labels))], w.labels[w.rng.IntN(len(w.labels))]
 		w.linkModes[a+">"+b] = delaying
-		w.after(w.between(8*loop.Second, 40*loop.Second), func() { delete(w.linkModes, a+">"+b) })
+		w.after(w.between(8*eventloop.Second, 40*eventloop.Second), func() { delete(w.linkModes, a+">"+b) })
 	}},
 	{"the cloud has no machines", func(w *simulation) {
 		kept := w.cloud.TakeCapacity()
-		w.after(w.between(10*loop.Second, 40*loop.Second), func() { w.cloud.AddCapacity(kept) })
+		w.after(w.between(10*eventloop.Second, 40*eventloop.Second), func() { w.cloud.AddCapacity(kept) })
 	}},
 }
 
 // correlatedFault injects one or two faults within 3 s, and others later.
-func (w *simulation) correlatedFault(until loop.Micros) {
+func (w *simulation) correlatedFault(until eventloop.Micros) {
 	first := w.rng.IntN(len(correlatedFaults))
 	correlatedFaults[first].do(w)
 	if w.rng.IntN(2) == 0 {
 		second := correlatedFaults[w.rng.IntN(len(correlatedFaults))]
-		w.after(w.between(0, 3*loop.Second), func() { second.do(w) })
+		w.after(w.between(0, 3*eventloop.Second), func() { second.do(w) })
 	}
-	w.after(w.between(6*loop.Second, 30*loop.Second), func() {
+	w.after(w.between(6*eventloop.Second, 30*eventloop.Second), func() {
 		if w.now < until {
 			w.correlatedFault(until)
 		}
@@ -196,16 +196,16 @@
 				n := float64(z.zones * z.each * 8)
 				c.Cluster.Teams = []config.Team{{Name: "red", CPUs: n / 5, CPUsMax: max(n/3, 8)}, {Name: "blue", CPUs: n / 8, CPUsMax: max(n/2, 8)}}
 			})
-			w.cloud.ListLag = loop.Micros(r.IntN(3)) * loop.Second
+			w.cloud.ListLag = eventloop.Micros(r.IntN(3)) * eventloop.Second
 			jobs := 30 + z.zones*z.each/4
 			for i := range jobs {
-				w.after(w.between(loop.Second, 120*loop.Second), func() { w.addJob(i) })
+				w.after(w.between(eventloop.Second, 120*eventloop.Second), func() { w.addJob(i) })
 			}
-			w.after(15*loop.Second, func() { w.correlatedFault(3600*loop.Second + 130*loop.Second) })
+			w.after(15*eventloop.Second, func() { w.correlatedFault(3600*eventloop.Second + 130*eventloop.Second) })
 			w.after(0, w.tickWorkers)
 			w.after(0, w.checkCancelled)
 			w.after(0, w.checkLeases)
-			w.run(3600*loop.Second + 600*loop.Second)
+			w.run(3600*eventloop.Second + 600*eventloop.Second)
 			w.checkCompleted(30)
 		})
 	}
@@ -225,12 +225,12 @@
 
 // Each known hard case of larger fleets, by itself and at a fixed size.
 func TestCorrelatedFaultCases(t *testing.T) {
-	const second = loop.Second
+	const second = eventloop.Second
 	usual := clusterSize{nodes: 3, zones: 2, each: 60}
 	for _, c := range []struct {
 		name string
 		size clusterSize
-		lag  loop.Micros
+		lag  eventloop.Micros
 		do   func(w *simulation)
 	}{
 		{"an owner is paused between a record and its answer", usual, 0, func(w *simulation) {
@@ -311,14 +311,14 @@
 		c.Operator.StandbyMeanS, c.Operator.OrdinaryStandbyMeanS = 1e11, 1e11
 	})
 	names := w.cloud.Fill(2500)
-	w.run(3640 * loop.Second)
+	w.run(3640 * eventloop.Second)
 	w.cost = cost{}
 	for _, l := range w.labels {
 		w.linkModes[l+">workers"] = dropping
 	}
-	w.run(3652 * loop.Second)
+	w.run(3652 * eventloop.Second)
 	clear(w.linkModes)
-	w.run(3680 * loop.Second)
+	w.run(3680 * eventloop.Second)
 	hosted := 0
 	for _, l := range w.labels {
 		hosted += w.nodes[l].n.agent.HostedCount()
--- a/internal/node/cost_bench_test.go
+++ b/internal/node/cost_bench_test.go
@@ -7,8 +7,8 @@
 	"testing"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/wire"
 )
@@ -29,7 +29,9 @@
 		c.Operator.StandbyMeanS, c.Operator.OrdinaryStandbyMeanS = 600, 600
 	})
 	w.cloud = standin.NewCloud(wire.MachineType{Name: "m16", CPUs: 16, MemoryGB: 32, CacheGB: 60, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 5, Zones: w.zones}, machines/2)
-	w.cloud.OnRented = func(m wire.CloudMachine) { w.after(w.between(2*loop.Second, 6*loop.Second), func() { w.boot(m) }) }
+	w.cloud.OnRented = func(m wire.CloudMachine) {
+		w.after(w.between(2*eventloop.Second, 6*eventloop.Second), func() { w.boot(m) })
+	}
 	w.cloud.OnDeleted = w.destroy
 	for _, l := range w.labels {
 		w.nodes[l].alive = false
@@ -40,19 +42,19 @@
 		no++
 		r := w.rng
 		s := &job.Spec{Class: "k", Team: fmt.Sprint("t", r.IntN(4)), Priority: job.Priority(r.IntN(3)), Tasks: min(int(35*math.Exp(0.7*r.NormFloat64()))+1, 400),
-			CPUs: 2, MemoryGB: 3, Image: fmt.Sprint("i", r.IntN(12)), ImageGB: 1, AnyType: true, Spot: true, Estimate: 60 * loop.Second}
-		j := &simJob{id: fmt.Sprintf("job-%06d", no), spec: s, run: w.between(50*loop.Second, 110*loop.Second)}
+			CPUs: 2, MemoryGB: 3, Image: fmt.Sprint("i", r.IntN(12)), ImageGB: 1, AnyType: true, Spot: true, Estimate: 60 * eventloop.Second}
+		j := &simJob{id: fmt.Sprintf("job-%06d", no), spec: s, run: w.between(50*eventloop.Second, 110*eventloop.Second)}
 		w.jobs[j.id] = j
 		w.submit(j)
-		w.after(5*loop.Second, func() { w.poll(j) })
+		w.after(5*eventloop.Second, func() { w.poll(j) })
 	}
 	// A job has some 44 tasks, a task runs for 80 s, and eight tasks fill a machine.
 	jobs := float64(machines) * 8 * 0.8 / 44
 	for i := range int(jobs) {
-		w.after(2*loop.Second+loop.Micros(i)*20*loop.Second/loop.Micros(jobs+1), arrive)
+		w.after(2*eventloop.Second+eventloop.Micros(i)*20*eventloop.Second/eventloop.Micros(jobs+1), arrive)
 	}
 	for i := range int(jobs * 2) {
-		w.after(25*loop.Second+loop.Micros(float64(i)*80/jobs*1e6), arrive)
+		w.after(25*eventloop.Second+eventloop.Micros(float64(i)*80/jobs*1e6), arrive)
 	}
 	w.after(0, w.tickWorkers)
 	return w
@@ -67,14 +69,14 @@
 		b.Run(fmt.Sprintf("nodes=%d/machines=%d", c.nodes, c.machines), func(b *testing.B) {
 			for range b.N {
 				w := loadedSimulation(b, c.nodes, c.machines)
-				w.run(3660 * loop.Second)
+				w.run(3660 * eventloop.Second)
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				from := w.cost
 				starts := w.starts
 				const seconds = 40
-				w.run(3660*loop.Second + seconds*loop.Second)
+				w.run(3660*eventloop.Second + seconds*eventloop.Second)
 				runtime.ReadMemStats(&after)
 				up := float64(len(w.runningMachines()))
 				b.ReportMetric(float64((w.cost.spent-from.spent).Microseconds())/up/seconds, "us/machine/s")
@@ -97,31 +99,31 @@
 		b.Run(fmt.Sprint("machines=", machines), func(b *testing.B) {
 			for range b.N {
 				w := loadedSimulation(b, 3, machines)
-				now := 3660 * loop.Second
+				now := 3660 * eventloop.Second
 				w.run(now)
 				for _, l := range w.labels {
 					w.nodes[l].alive = false
 				}
-				now += 32 * loop.Second // every lease has expired: tasks that start now were sent by the new processes
+				now += 32 * eventloop.Second // every lease has expired: tasks that start now were sent by the new processes
 				w.run(now)
 				for _, l := range w.labels {
 					w.startNode(l)
 				}
 				began, from, starts := now, w.cost, w.starts
-				first := loop.Micros(0)
+				first := eventloop.Micros(0)
 				w.onTaskStart = func(*simWorker, string) {
 					if first == 0 {
 						first = w.now
 					}
 				}
-				for first == 0 && now < began+60*loop.Second {
-					now += 10 * loop.Millisecond
+				for first == 0 && now < began+60*eventloop.Second {
+					now += 10 * eventloop.Millisecond
 					w.run(now)
 				}
 				b.ReportMetric(float64(first-began)/1e6, "s-to-first")
 				b.ReportMetric((w.cost.spent - from.spent).Seconds(), "own-s-to-first")
-				for w.starts < starts+machines/4 && now < began+120*loop.Second {
-					now += 50 * loop.Millisecond
+				for w.starts < starts+machines/4 && now < began+120*eventloop.Second {
+					now += 50 * eventloop.Millisecond
 					w.run(now)
 				}
 				b.ReportMetric(float64(now-began)/1e6, "s-to-quarter")
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -7,10 +7,10 @@
 	"strings"
 
 	"cleatpick/internal/api"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/explain"
 	"cleatpick/internal/fleet"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/reachability"
@@ -29,7 +29,7 @@
 // cordon blocks.
 const topicPendingStarts = "unseen"
 
-const pendingStartsTimeout = 700 * loop.Millisecond
+const pendingStartsTimeout = 700 * eventloop.Millisecond
 
 // setUpAPI sets up the explanations of why jobs wait, and /v1/, which serves them.
 func (n *Node) setUpAPI() {
@@ -76,7 +76,7 @@
 		Explanations:  x.explanations,
 	}, n.meter)
 	n.meter.WatchLoopLag(l)
-	loop.Every(l, loop.Second, n.recordUnowned)
+	eventloop.Every(l, eventloop.Second, n.recordUnowned)
 }
 
 // counts returns a job's task counts: its own for a job that this controller owns, and otherwise those that the
@@ -150,7 +150,7 @@
 	var out []string
 	for _, label := range n.net.Peers() {
 		if d := n.reach.DampedFor(label); d > 0 {
-			out = append(out, fmt.Sprintf("%s gets no work for another %d s, because its connection flapped", label, (d+loop.Second-1)/loop.Second))
+			out = append(out, fmt.Sprintf("%s gets no work for another %d s, because its connection flapped", label, (d+eventloop.Second-1)/eventloop.Second))
 		}
 	}
 	if len(out) == 0 {
@@ -164,7 +164,7 @@
 func (n *Node) machines() []api.Machine {
 	var out []api.Machine
 	now, wall := n.loop.Now(), n.loop.Wall()
-	n.placer.EachPlace(func(p *predicate.MachineFacts, after loop.Micros) {
+	n.placer.EachPlace(func(p *predicate.MachineFacts, after eventloop.Micros) {
 		v := p.View
 		m := api.Machine{Name: v.Name, Type: v.Type, Zone: v.Zone, Kind: explain.MachineKind(v.Spot), ReportsTo: v.Host, BlockedBy: []string{}}
 		for i := range v.Tasks {
--- a/internal/node/explanations_loopback_test.go
+++ b/internal/node/explanations_loopback_test.go
@@ -14,8 +14,8 @@
 
 	"cleatpick/internal/api"
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/explain"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/wire"
 
@@ -36,14 +36,14 @@
 // runs is how jobs behave on workers: run time, and whether they fail.
 var runs = map[string]standin.Job{
 	"job-000001": {CPUs: 2, MemoryGB: 1, Run: 1 << 50, Tasks: 16}, // uses all capacity
-	"job-000008": {CPUs: 2, MemoryGB: 1, Run: loop.Second, Tasks: 4, Broken: true},
+	"job-000008": {CPUs: 2, MemoryGB: 1, Run: eventloop.Second, Tasks: 4, Broken: true},
 	"job-000009": {CPUs: 2, MemoryGB: 1, Run: 1 << 50, Tasks: 1},
 }
 
 // newCluster starts three controllers and their fakes.
 func newCluster(t *testing.T) *cluster {
 	c := &cluster{t: t, keys: map[string]string{}}
-	clock := loop.RealClock()
+	clock := eventloop.RealClock()
 	state := standin.NewStateService(clock.Now)
 	cloud := standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 9, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x", "y"}}, 2)
 	ctx, stop := context.WithCancel(context.Background())
@@ -97,14 +97,14 @@
 }
 
 // report runs a machine's worker, which reports until the machine is deleted.
-func report(ctx context.Context, clock loop.Clock, l wire.CloudMachine, nodes []string, muted, gone func() bool) {
-	w := standin.NewWorker(clock.Now(), 10*loop.Second)
+func report(ctx context.Context, clock eventloop.Clock, l wire.CloudMachine, nodes []string, muted, gone func() bool) {
+	w := standin.NewWorker(clock.Now(), 10*eventloop.Second)
 	w.Name, w.Addr, w.Type, w.Zone, w.Spot, w.CPUs, w.MemoryGB = l.Name, "127.0.0.1:1", l.Type, l.Zone, l.Spot, 8, 32
 	w.Job = func(id string) (standin.Job, bool) {
 		if j, ok := runs[id]; ok {
 			return j, true
 		}
-		return standin.Job{CPUs: 2, MemoryGB: 1, Run: loop.Second, Tasks: 100}, true
+		return standin.Job{CPUs: 2, MemoryGB: 1, Run: eventloop.Second, Tasks: 100}, true
 	}
 	w.OnTaskStart, w.OnTaskEnd = func(string, string) {}, func(string, string) {}
 	for at := 0; ctx.Err() == nil && !gone(); {
--- a/internal/node/explanations_test.go
+++ b/internal/node/explanations_test.go
@@ -7,9 +7,9 @@
 	"testing"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/explain"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
 )
@@ -22,14 +22,14 @@
 	asked     int
 	answered  int
 	partial   int
-	changed   map[string]loop.Micros // when a job's record was last stored
+	changed   map[string]eventloop.Micros // when a job's record was last stored
 	estimates []estimate
 }
 
 // estimate is an estimate of when a wait ends, as told at a time.
 type estimate struct {
 	id, kind  string
-	since, at loop.Micros
+	since, at eventloop.Micros
 	e         explain.Estimate
 }
 
@@ -49,7 +49,7 @@
 			last = max(last, a.changed[d])
 		}
 	}
-	return ok && a.w.now-last > 4*loop.Second
+	return ok && a.w.now-last > 4*eventloop.Second
 }
 
 // blocked reports, from the records alone, whether a job is held and whether it waits for other jobs.
@@ -72,7 +72,7 @@
 // ask asks one question and schedules the next one.
 func (a *explanationChecker) ask() {
 	w := a.w
-	w.after(w.between(200*loop.Millisecond, 700*loop.Millisecond), a.ask)
+	w.after(w.between(200*eventloop.Millisecond, 700*eventloop.Millisecond), a.ask)
 	n := w.any()
 	if n == nil || len(a.ids) == 0 {
 		return
@@ -117,7 +117,7 @@
 			w.fail("the explanation of %s has an incomplete reason %+v", id, r)
 		}
 		if r.Since != nil && r.Estimate != nil && r.Estimate.Samples > 0 && predicate.KindByName(r.Kind) != predicate.Rank {
-			a.estimates = append(a.estimates, estimate{id, r.Kind, loop.Micros(*r.Since), loop.Micros(x.AsOf), *r.Estimate})
+			a.estimates = append(a.estimates, estimate{id, r.Kind, eventloop.Micros(*r.Since), eventloop.Micros(x.AsOf), *r.Estimate})
 		}
 	}
 	if !a.recordsSettled(id) || x.Waiting == 0 {
@@ -144,12 +144,12 @@
 
 // calibration counts the waits that ended within their estimates, by kind.
 func (a *explanationChecker) calibration(in, all map[string]int) {
-	ends := map[string]loop.Micros{}
+	ends := map[string]eventloop.Micros{}
 	for _, label := range a.w.labels {
 		for _, id := range a.ids {
 			for _, s := range a.w.nodes[label].n.apiParts.explanations.Timelines.Get(id).Intervals {
 				if s.To != nil {
-					ends[fmt.Sprint(id, s.Kind, s.From)] = loop.Micros(*s.To)
+					ends[fmt.Sprint(id, s.Kind, s.From)] = eventloop.Micros(*s.To)
 				}
 			}
 		}
@@ -160,7 +160,7 @@
 			continue // dropped from the timeline, or extended because the cause came back soon
 		}
 		all[e.kind]++
-		if left := explain.Duration(end - e.at); left >= e.e.Low-explain.Duration(50*loop.Millisecond) && left <= e.e.High+explain.Duration(50*loop.Millisecond) {
+		if left := explain.Duration(end - e.at); left >= e.e.Low-explain.Duration(50*eventloop.Millisecond) && left <= e.e.High+explain.Duration(50*eventloop.Millisecond) {
 			in[e.kind]++
 		} else if left > e.e.High {
 			in["above "+e.kind]++
@@ -172,7 +172,7 @@
 func simulateExplanations(t *testing.T, seed uint64) *explanationChecker {
 	w := newSimulationWith(t, seed, func(c *config.Config) { c.Operator.API.Enabled = true })
 	r := newTermsChecker(w)
-	a := &explanationChecker{w: w, changed: map[string]loop.Micros{}}
+	a := &explanationChecker{w: w, changed: map[string]eventloop.Micros{}}
 	w.state.OnPut = func(key string, value wire.Raw) {
 		r.stored(key, value)
 		if id, ok := strings.CutPrefix(key, job.KeyPrefix); ok {
@@ -180,7 +180,7 @@
 		}
 	}
 	for i := range 160 {
-		w.after(w.between(loop.Second, 300*loop.Second), func() {
+		w.after(w.between(eventloop.Second, 300*eventloop.Second), func() {
 			j := w.makeJob(i)
 			if len(a.ids) > 0 && w.rng.IntN(5) == 0 {
 				if d := w.jobs[a.ids[w.rng.IntN(len(a.ids))]]; d.accepted && !d.broken {
@@ -190,17 +190,17 @@
 			w.simulateUser(j)
 			a.ids = append(a.ids, j.id)
 			if w.rng.IntN(6) == 0 {
-				w.after(w.between(0, 10*loop.Second), func() { r.hold(j.id) })
+				w.after(w.between(0, 10*eventloop.Second), func() { r.hold(j.id) })
 			}
 		})
 	}
 	if seed%2 == 0 {
-		w.after(60*loop.Second, w.randomFault)
+		w.after(60*eventloop.Second, w.randomFault)
 	}
 	w.after(0, w.tickWorkers)
 	w.after(0, w.checkCancelled)
-	w.after(5*loop.Second, a.ask)
-	w.run(3600*loop.Second + 360*loop.Second)
+	w.after(5*eventloop.Second, a.ask)
+	w.run(3600*eventloop.Second + 360*eventloop.Second)
 	return a
 }
 
--- a/internal/node/flood_test.go
+++ b/internal/node/flood_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/wire"
 
@@ -18,7 +18,7 @@
 // When far more submissions arrive than the state service accepts, each is answered in time, with 201 or with
 // Retry-After; reports are still answered; and after the flood submissions are accepted as before.
 func TestSubmissionFloodIsAnswered(t *testing.T) {
-	clock := loop.RealClock()
+	clock := eventloop.RealClock()
 	state := standin.NewStateService(clock.Now)
 	cloud := standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x"}}, 4)
 	cloud.OnRented, cloud.OnDeleted = func(wire.CloudMachine) {}, func(string) {}
--- a/internal/node/holds_cordons_test.go
+++ b/internal/node/holds_cordons_test.go
@@ -5,8 +5,8 @@
 	"testing"
 
 	"cleatpick/internal/cordon"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
 )
@@ -15,18 +15,18 @@
 // the state service stored and which tasks workers started.
 type termsChecker struct {
 	w          *simulation
-	held       map[string]bool        // users were told that the hold is set, and have not requested a release
-	released   map[string]bool        // a release was requested
-	recorded   map[string]loop.Micros // when the newest attempt of a task was recorded as placed
+	held       map[string]bool             // users were told that the hold is set, and have not requested a release
+	released   map[string]bool             // a release was requested
+	recorded   map[string]eventloop.Micros // when the newest attempt of a task was recorded as placed
 	attempts   map[string]uint64
 	cordons    map[string]cordon.Cordon
-	cordonedAt map[string]loop.Micros // when its user was told that the cordon is stored
+	cordonedAt map[string]eventloop.Micros // when its user was told that the cordon is stored
 	checked    struct{ holds, deps, cordons, settled int }
 }
 
 func newTermsChecker(w *simulation) *termsChecker {
-	r := &termsChecker{w: w, held: map[string]bool{}, released: map[string]bool{}, recorded: map[string]loop.Micros{}, attempts: map[string]uint64{},
-		cordons: map[string]cordon.Cordon{}, cordonedAt: map[string]loop.Micros{}}
+	r := &termsChecker{w: w, held: map[string]bool{}, released: map[string]bool{}, recorded: map[string]eventloop.Micros{}, attempts: map[string]uint64{},
+		cordons: map[string]cordon.Cordon{}, cordonedAt: map[string]eventloop.Micros{}}
 	w.state.OnPut = r.stored
 	w.onTaskStart = r.taskStarted
 	return r
@@ -93,8 +93,8 @@
 		n.jobs.Hold(id, job.Hold{Reason: "r", By: "op"}, func(a job.Answer) {
 			if a.Code == 200 && a.Phase == job.Accepted {
 				r.checked.holds++
-				w.after(w.between(0, loop.Second), func() { r.untilSet(id) })
-				w.after(w.between(10*loop.Second, 50*loop.Second), func() { r.release(id) })
+				w.after(w.between(0, eventloop.Second), func() { r.untilSet(id) })
+				w.after(w.between(10*eventloop.Second, 50*eventloop.Second), func() { r.release(id) })
 			}
 		})
 	}
@@ -115,7 +115,7 @@
 		})
 	}
 	if !r.held[id] {
-		w.after(loop.Second, func() { r.untilSet(id) })
+		w.after(eventloop.Second, func() { r.untilSet(id) })
 	}
 }
 
@@ -124,7 +124,7 @@
 	w := r.w
 	r.released[id] = true
 	delete(r.held, id)
-	again := func() { w.after(2*loop.Second, func() { r.release(id) }) }
+	again := func() { w.after(2*eventloop.Second, func() { r.release(id) }) }
 	n := w.any()
 	if n == nil {
 		again()
@@ -137,7 +137,7 @@
 			again()
 		}
 	})
-	w.after(5*loop.Second, func() {
+	w.after(5*eventloop.Second, func() {
 		if !answered {
 			r.release(id) // the controller crashed meanwhile
 		}
@@ -163,7 +163,7 @@
 			}
 		})
 	}
-	w.after(w.between(5*loop.Second, 25*loop.Second), func() { r.uncordon(c.Name) })
+	w.after(w.between(5*eventloop.Second, 25*eventloop.Second), func() { r.uncordon(c.Name) })
 }
 
 // uncordon removes a cordon until that is confirmed.
@@ -174,7 +174,7 @@
 	if n := w.any(); n != nil {
 		n.cordons.Remove(name, func(o cordon.Outcome) { answered = o == cordon.Stored || o == cordon.NotFound })
 	}
-	w.after(4*loop.Second, func() {
+	w.after(4*eventloop.Second, func() {
 		if !answered {
 			r.uncordon(name)
 		}
@@ -191,7 +191,7 @@
 		w := newSimulation(t, seed)
 		r := newTermsChecker(w)
 		for i := range 45 {
-			w.after(w.between(loop.Second, 140*loop.Second), func() {
+			w.after(w.between(eventloop.Second, 140*eventloop.Second), func() {
 				var known []string
 				for k := range i {
 					if j := w.jobs[fmt.Sprintf("job-%06d", k)]; j != nil && j.accepted && !j.broken {
@@ -207,19 +207,19 @@
 				}
 				w.simulateUser(j)
 				if w.rng.IntN(3) == 0 {
-					w.after(w.between(0, 12*loop.Second), func() { r.hold(j.id) })
+					w.after(w.between(0, 12*eventloop.Second), func() { r.hold(j.id) })
 				}
 			})
 		}
 		for i := range 8 {
-			w.after(w.between(10*loop.Second, 140*loop.Second), func() { r.cordon(i) })
+			w.after(w.between(10*eventloop.Second, 140*eventloop.Second), func() { r.cordon(i) })
 		}
-		w.after(12*loop.Second, w.randomFault)
+		w.after(12*eventloop.Second, w.randomFault)
 		w.after(0, w.tickWorkers)
 		w.after(0, w.checkCancelled)
 		// Jobs that still wait for a cancelled job are released at the end.
 		for k := range 6 {
-			w.after(loop.Micros(240+40*k)*loop.Second, func() {
+			w.after(eventloop.Micros(240+40*k)*eventloop.Second, func() {
 				for i := range 45 {
 					if j := w.jobs[fmt.Sprintf("job-%06d", i)]; !j.done && j.cancelledAt == 0 && w.storedPhase(j.id) == job.Accepted {
 						r.release(j.id)
@@ -227,7 +227,7 @@
 				}
 			})
 		}
-		w.run(3600*loop.Second + 700*loop.Second)
+		w.run(3600*eventloop.Second + 700*eventloop.Second)
 		for i := range 45 {
 			j := w.jobs[fmt.Sprintf("job-%06d", i)]
 			if !j.done && j.cancelledAt == 0 && !j.broken {
--- a/internal/node/isolation_cases_test.go
+++ b/internal/node/isolation_cases_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/membership"
 	"cleatpick/internal/wire"
 )
@@ -41,15 +41,15 @@
 		c.Cluster.Workers.ReportS, c.Cluster.Workers.LeaseS, c.Cluster.Workers.CancelS = report, lease, cancel
 	})
 	for i := range 16 {
-		w.after(loop.Second, func() {
-			w.simulateUser(&simJob{id: fmt.Sprintf("job-%06d", i), run: 150 * loop.Second, spec: &job.Spec{Class: "long", Team: []string{"red", "blue"}[i%2],
-				Priority: job.Normal, Tasks: 8, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 150 * loop.Second}})
+		w.after(eventloop.Second, func() {
+			w.simulateUser(&simJob{id: fmt.Sprintf("job-%06d", i), run: 150 * eventloop.Second, spec: &job.Spec{Class: "long", Team: []string{"red", "blue"}[i%2],
+				Priority: job.Normal, Tasks: 8, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 150 * eventloop.Second}})
 		})
 	}
 	w.after(0, w.tickWorkers)
 	w.after(0, w.checkCancelled)
 	w.after(0, w.checkLeases)
-	w.run(3660 * loop.Second)
+	w.run(3660 * eventloop.Second)
 	for _, x := range w.workers {
 		x.w.Faulty = false
 	}
@@ -64,17 +64,17 @@
 	for _, c := range []struct {
 		name string
 		of   func(w *simulation) []string
-		d    loop.Micros
+		d    eventloop.Micros
 	}{
-		{"the leader", func(w *simulation) []string { return []string{w.leader()} }, 60 * loop.Second},
+		{"the leader", func(w *simulation) []string { return []string{w.leader()} }, 60 * eventloop.Second},
 		{"another", func(w *simulation) []string {
 			l := w.leader()
 			return []string{w.labels[(slices.Index(w.labels, l)+1)%len(w.labels)]}
-		}, 60 * loop.Second},
+		}, 60 * eventloop.Second},
 		{"all but one", func(w *simulation) []string {
 			return slices.DeleteFunc(slices.Clone(w.labels), func(l string) bool { return l == "b" })
-		}, 60 * loop.Second},
-		{"all", func(w *simulation) []string { return w.labels }, 23 * loop.Second},
+		}, 60 * eventloop.Second},
+		{"all", func(w *simulation) []string { return w.labels }, 23 * eventloop.Second},
 	} {
 		for _, mode := range []linkMode{dropping, delaying} {
 			t.Run(fmt.Sprint(c.name, mode), func(t *testing.T) {
@@ -87,20 +87,20 @@
 				// The controller counts as isolated after 2.5 s, which is noticed within 0.7 s. Each worker is
 				// redirected with its next report, tries each disconnected controller for a second, and stays with
 				// the connected one when none of those answers: see docs/notes/addition.md.
-				w.run(w.now + 16*loop.Second)
+				w.run(w.now + 16*eventloop.Second)
 				for _, name := range w.runningMachines() {
 					for _, l := range w.labels {
 						v := w.nodes[l].n.agent.View(name)
-						if len(disconnected) < len(w.labels) && !slices.Contains(disconnected, l) && (v == nil || slices.Contains(disconnected, v.Host) || w.now-w.workers[name].w.LastAnswered() > 3*loop.Second) {
+						if len(disconnected) < len(w.labels) && !slices.Contains(disconnected, l) && (v == nil || slices.Contains(disconnected, v.Host) || w.now-w.workers[name].w.LastAnswered() > 3*eventloop.Second) {
 							t.Errorf("to %s, %s still reports to a controller that reaches only its workers, or has no recent answer: %v", l, name, v)
 						}
 					}
 				}
-				w.run(w.now + c.d + 60*loop.Second)
+				w.run(w.now + c.d + 60*eventloop.Second)
 				if w.endReasons["lease"] != 0 || w.endReasons["gone"] != 0 {
 					t.Errorf("tasks were lost; ended tasks by reason: %v", w.endReasons)
 				}
-				w.run(w.now + 400*loop.Second)
+				w.run(w.now + 400*eventloop.Second)
 				w.checkCompleted(100)
 			})
 		}
@@ -112,11 +112,11 @@
 // second.
 func TestCancelledAtControllerReachingOnlyItsWorkers(t *testing.T) {
 	w := busySimulation(t, 3)
-	w.disconnectFor(90*loop.Second, dropping, slices.Concat(w.allButWorkers("a"), []string{"b>workers", "c>workers"})...)
-	for _, j := range loop.Sorted(w.jobs) {
-		w.after(5*loop.Second, func() { w.cancel(j) })
+	w.disconnectFor(90*eventloop.Second, dropping, slices.Concat(w.allButWorkers("a"), []string{"b>workers", "c>workers"})...)
+	for _, j := range eventloop.Sorted(w.jobs) {
+		w.after(5*eventloop.Second, func() { w.cancel(j) })
 	}
-	w.run(w.now + 80*loop.Second)
+	w.run(w.now + 80*eventloop.Second)
 	told := 0
 	for _, j := range w.jobs {
 		if j.cancelledAt != 0 {
@@ -142,10 +142,10 @@
 		}
 		for _, l := range w.labels {
 			if l != left {
-				w.disconnectFor(60*loop.Second, dropping, w.connections(l)...)
+				w.disconnectFor(60*eventloop.Second, dropping, w.connections(l)...)
 			}
 		}
-		w.run(w.now + 100*loop.Second)
+		w.run(w.now + 100*eventloop.Second)
 		for _, name := range mine {
 			if x := w.workers[name]; x.deleted || x.w.Report().Session != 1 {
 				t.Errorf("%d controllers: %s lost its lease at the controller that is left", nodes, name)
@@ -184,14 +184,14 @@
 		nodes int
 		times int
 		who   func(w *simulation) []string
-		most  loop.Micros
+		most  eventloop.Micros
 	}{
-		{"the leader", 3, 1, func(w *simulation) []string { return []string{w.leader()} }, 2 * loop.Second},
-		{"the leader, three times", 3, 3, func(w *simulation) []string { return []string{w.leader()} }, 2 * loop.Second},
-		{"all", 3, 1, func(w *simulation) []string { return w.labels }, 2 * loop.Second},
-		{"all, three times", 3, 3, func(w *simulation) []string { return w.labels }, 2 * loop.Second},
-		{"all of five, three times", 5, 3, func(w *simulation) []string { return w.labels }, 2 * loop.Second},
-		{"the only one", 1, 1, func(w *simulation) []string { return w.labels }, 2 * loop.Second},
+		{"the leader", 3, 1, func(w *simulation) []string { return []string{w.leader()} }, 2 * eventloop.Second},
+		{"the leader, three times", 3, 3, func(w *simulation) []string { return []string{w.leader()} }, 2 * eventloop.Second},
+		{"all", 3, 1, func(w *simulation) []string { return w.labels }, 2 * eventloop.Second},
+		{"all, three times", 3, 3, func(w *simulation) []string { return w.labels }, 2 * eventloop.Second},
+		{"all of five, three times", 5, 3, func(w *simulation) []string { return w.labels }, 2 * eventloop.Second},
+		{"the only one", 1, 1, func(w *simulation) []string { return w.labels }, 2 * eventloop.Second},
 	} {
 		for _, sure := range []bool{true, false} {
 			t.Run(fmt.Sprint(c.name, ", nothing lost ", sure), func(t *testing.T) {
@@ -200,7 +200,7 @@
 				w.duplicateShare = 0.3
 				most := c.most
 				if w.reliable = sure; !sure {
-					most += 2 * loop.Second // one request in eighty is lost or late, which may be a claim or a lease
+					most += 2 * eventloop.Second // one request in eighty is lost or late, which may be a claim or a lease
 				}
 				claims := 0
 				w.state.OnPut = func(key string, _ wire.Raw) {
@@ -209,26 +209,26 @@
 					}
 				}
 				for k := range c.times {
-					w.after(loop.Micros(k)*700*loop.Millisecond, func() {
+					w.after(eventloop.Micros(k)*700*eventloop.Millisecond, func() {
 						for _, l := range c.who(w) {
-							w.killFor(l, w.between(20*loop.Millisecond, 300*loop.Millisecond))
+							w.killFor(l, w.between(20*eventloop.Millisecond, 300*eventloop.Millisecond))
 						}
 					})
 				}
-				last := w.now + loop.Micros(c.times-1)*700*loop.Millisecond + 300*loop.Millisecond
+				last := w.now + eventloop.Micros(c.times-1)*700*eventloop.Millisecond + 300*eventloop.Millisecond
 				w.run(last)
-				for !w.allOwned() && w.now < last+20*loop.Second {
-					w.run(w.now + 50*loop.Millisecond)
+				for !w.allOwned() && w.now < last+20*eventloop.Second {
+					w.run(w.now + 50*eventloop.Millisecond)
 				}
 				if took := w.now - last; took > most || claims > 2*c.times {
 					t.Errorf("all teams have owners %d us after the last restart; the leadership was claimed %d times", took, claims)
 				}
 				t.Logf("all teams have owners %d us after the last restart", w.now-last)
-				w.run(w.now + 40*loop.Second)
+				w.run(w.now + 40*eventloop.Second)
 				if w.endReasons["lease"] != 0 || w.endReasons["gone"] != 0 {
 					t.Errorf("ended tasks by reason: %v", w.endReasons)
 				}
-				w.run(w.now + 400*loop.Second)
+				w.run(w.now + 400*eventloop.Second)
 				w.checkCompleted(100)
 			})
 		}
--- a/internal/node/isolation_faults_test.go
+++ b/internal/node/isolation_faults_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"cleatpick/internal/config"
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
 // This file injects faults that isolate a part of the cluster or repeat the past: machines that are unresponsive to
@@ -16,7 +16,7 @@
 // that restart within a fraction of a second.
 
 // ignoreCommands makes machines unresponsive to commands: their reports arrive, answers and commands are lost.
-func (w *simulation) ignoreCommands(names []string, d loop.Micros) {
+func (w *simulation) ignoreCommands(names []string, d eventloop.Micros) {
 	for _, name := range names {
 		x := w.workers[name]
 		x.unresponsive = true
@@ -38,8 +38,8 @@
 func (w *simulation) restartQuickly(labels []string, times int) {
 	for _, l := range labels {
 		for k := range times {
-			w.after(loop.Micros(k)*w.between(300*loop.Millisecond, 900*loop.Millisecond), func() {
-				w.killFor(l, w.between(20*loop.Millisecond, 400*loop.Millisecond))
+			w.after(eventloop.Micros(k)*w.between(300*eventloop.Millisecond, 900*eventloop.Millisecond), func() {
+				w.killFor(l, w.between(20*eventloop.Millisecond, 400*eventloop.Millisecond))
 			})
 		}
 	}
@@ -56,20 +56,20 @@
 // isolationFaults is the faults that isolate a part of the cluster or repeat the past.
 var isolationFaults = []namedFault{
 	{"machines unresponsive to commands", func(w *simulation) {
-		w.ignoreCommands(w.someMachines(0.05+0.4*w.rng.Float64()), w.between(2*loop.Second, 40*loop.Second))
+		w.ignoreCommands(w.someMachines(0.05+0.4*w.rng.Float64()), w.between(2*eventloop.Second, 40*eventloop.Second))
 	}},
 	{"a zone of machines unresponsive to commands", func(w *simulation) {
-		w.ignoreCommands(w.machinesInZone(w.zones[w.rng.IntN(len(w.zones))]), w.between(2*loop.Second, 30*loop.Second))
+		w.ignoreCommands(w.machinesInZone(w.zones[w.rng.IntN(len(w.zones))]), w.between(2*eventloop.Second, 30*eventloop.Second))
 	}},
 	{"late copies of reports", func(w *simulation) {
 		w.duplicateShare = 0.05 + 0.4*w.rng.Float64()
-		w.after(w.between(10*loop.Second, 60*loop.Second), func() { w.duplicateShare = 0 })
+		w.after(w.between(10*eventloop.Second, 60*eventloop.Second), func() { w.duplicateShare = 0 })
 	}},
 	{"a controller reaches only its workers", func(w *simulation) {
-		w.disconnectFor(w.between(10*loop.Second, 60*loop.Second), w.randomLossMode(), w.allButWorkers(w.anyController())...)
+		w.disconnectFor(w.between(10*eventloop.Second, 60*eventloop.Second), w.randomLossMode(), w.allButWorkers(w.anyController())...)
 	}},
 	{"all or all but one controller reach only their workers", func(w *simulation) {
-		d, mode := w.between(10*loop.Second, 50*loop.Second), w.randomLossMode()
+		d, mode := w.between(10*eventloop.Second, 50*eventloop.Second), w.randomLossMode()
 		for _, l := range w.labels[w.rng.IntN(2):] { // all, or all but one
 			w.disconnectFor(d, mode, w.allButWorkers(l)...)
 		}
@@ -78,14 +78,14 @@
 	{"controllers restart at once while they claim the leadership", func(w *simulation) {
 		// The leader crashes, and so does each controller that is about to claim the leadership, after its claim was
 		// executed.
-		w.killFor(w.leader(), w.between(20*loop.Millisecond, 3*loop.Second))
+		w.killFor(w.leader(), w.between(20*eventloop.Millisecond, 3*eventloop.Second))
 		for _, l := range w.labels {
-			w.nodes[l].afterRequest(`c/l`, func() { w.killFor(l, w.between(20*loop.Millisecond, 300*loop.Millisecond)) })
+			w.nodes[l].afterRequest(`c/l`, func() { w.killFor(l, w.between(20*eventloop.Millisecond, 300*eventloop.Millisecond)) })
 		}
 	}},
 	{"a controller restarts at once after a record", func(w *simulation) {
 		l := w.anyController()
-		w.nodes[l].afterRequest("x/", func() { w.killFor(l, w.between(20*loop.Millisecond, 300*loop.Millisecond)) })
+		w.nodes[l].afterRequest("x/", func() { w.killFor(l, w.between(20*eventloop.Millisecond, 300*eventloop.Millisecond)) })
 	}},
 	{"machines restart at once", func(w *simulation) { w.restartMachines(w.someMachines(0.2 * w.rng.Float64())) }},
 }
@@ -99,7 +99,7 @@
 		c.Cluster.Teams = []config.Team{{Name: "red", CPUs: n / 5, CPUsMax: max(n/3, 8)}, {Name: "blue", CPUs: n / 8, CPUsMax: max(n/2, 8)}, {Name: "guest"}}
 		more(c)
 	})
-	w.cloud.ListLag = loop.Micros(r.IntN(3)) * loop.Second
+	w.cloud.ListLag = eventloop.Micros(r.IntN(3)) * eventloop.Second
 	return w, 30 + z.zones*z.each/4
 }
 
@@ -109,24 +109,24 @@
 	r := rand.New(rand.NewPCG(seed, 23))
 	w, jobs := randomSimulation(t, seed, r, func(*config.Config) {})
 	for i := range jobs {
-		w.after(w.between(loop.Second, 120*loop.Second), func() { w.addJob(i) })
+		w.after(w.between(eventloop.Second, 120*eventloop.Second), func() { w.addJob(i) })
 	}
 	if r.IntN(3) == 0 {
-		w.after(20*loop.Second, func() { w.submitGuestJobs(800000, 2, 20, loop.Second) })
+		w.after(20*eventloop.Second, func() { w.submitGuestJobs(800000, 2, 20, eventloop.Second) })
 	}
 	w.injectFaults(r, isolationFaults)
-	w.startChecks(260 * loop.Second)
+	w.startChecks(260 * eventloop.Second)
 	return w
 }
 
 // injectFaults injects faults from first repeatedly, half of them with a second fault that is drawn from all lists.
 func (w *simulation) injectFaults(r *rand.Rand, first []namedFault) {
 	others := slices.Concat(isolationFaults, correlatedFaults, operatorFaults)
-	w.repeatFaults(15*loop.Second, 8*loop.Second, 30*loop.Second, func() {
+	w.repeatFaults(15*eventloop.Second, 8*eventloop.Second, 30*eventloop.Second, func() {
 		first[r.IntN(len(first))].do(w)
 		if r.IntN(2) == 0 {
 			second := others[r.IntN(len(others))]
-			w.after(w.between(0, 5*loop.Second), func() { second.do(w) })
+			w.after(w.between(0, 5*eventloop.Second), func() { second.do(w) })
 		}
 	})
 }
@@ -139,7 +139,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := isolationSimulation(t, seed)
-			w.run(3600*loop.Second + 700*loop.Second)
+			w.run(3600*eventloop.Second + 700*eventloop.Second)
 			w.checkCompleted(20)
 			w.checkHalfServed()
 		})
@@ -157,7 +157,7 @@
 			for k := range sums {
 				w := isolationSimulation(t, seed)
 				w.trace = sha256.New()
-				w.run(3600*loop.Second + 110*loop.Second)
+				w.run(3600*eventloop.Second + 110*eventloop.Second)
 				sums[k] = fmt.Sprintf("%x after %d starts", w.trace.Sum(nil), w.starts)
 			}
 			if sums[0] != sums[1] {
--- a/internal/node/leader_change_test.go
+++ b/internal/node/leader_change_test.go
@@ -7,8 +7,8 @@
 
 	"cleatpick/internal/autoscaler"
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/membership"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
@@ -18,21 +18,21 @@
 // also with an outage in between. Urgent jobs still start in time, no lease is lost, the numbers of machines and of
 // recorded orders do not grow with the changes, and 10 s after the last change all teams have owners.
 func TestLeadersChangeTenTimes(t *testing.T) {
-	const second = loop.Second
+	const second = eventloop.Second
 	for _, c := range []struct {
 		name string
 		do   func(w *simulation, l string)
 		out  bool
 	}{
 		{"they crash", func(w *simulation, l string) { w.killFor(l, 5*second) }, false},
-		{"they restart at once", func(w *simulation, l string) { w.killFor(l, 200*loop.Millisecond) }, false},
+		{"they restart at once", func(w *simulation, l string) { w.killFor(l, 200*eventloop.Millisecond) }, false},
 		{"they are refused", func(w *simulation, l string) { w.disconnectFor(7*second, refusing, l+">state") }, false},
 		{"they are paused", func(w *simulation, l string) { w.pause(l, 7*second) }, false},
 		{"a random one of these", func(w *simulation, l string) {
 			[]func(){func() { w.killFor(l, 5*second) }, func() { w.disconnectFor(7*second, refusing, l+">state") }, func() { w.pause(l, 7*second) }}[w.rng.IntN(3)]()
 		}, false},
 		{"they crash, also in an outage", func(w *simulation, l string) { w.killFor(l, 5*second) }, true},
-		{"they restart at once, also in an outage", func(w *simulation, l string) { w.killFor(l, 200*loop.Millisecond) }, true},
+		{"they restart at once, also in an outage", func(w *simulation, l string) { w.killFor(l, 200*eventloop.Millisecond) }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -45,7 +45,7 @@
 			}
 			had, tally := len(w.workers), 0
 			for k := range 10 {
-				w.after(loop.Micros(k)*12*second, func() {
+				w.after(eventloop.Micros(k)*12*second, func() {
 					last = w.leader()
 					c.do(w, last)
 				})
@@ -54,7 +54,7 @@
 				w.outage(50*second, 15*second)
 			}
 			for k := range 24 {
-				w.after(loop.Micros(k)*5*second, func() {
+				w.after(eventloop.Micros(k)*5*second, func() {
 					w.simulateUser(shortJob(k, []string{"red", "blue"}[k%2], 3, 2*second))
 					tally = max(tally, len(w.nodes[w.labels[0]].n.mirror.KeysUnder(autoscaler.OrderKeys)))
 				})
@@ -70,7 +70,7 @@
 			// A start that is lost with its host controller expires after 6 s, and is given up after another 4.4 s. Its
 			// machine finds a new host controller in 5 s and shows that one's token with its second report, 12 s later.
 			for k := range 24 {
-				if j := w.jobs[fmt.Sprintf("job-%06d", 100+k)]; !j.cancelRequested && (j.firstStartAt == 0 || j.firstStartAt > j.acceptedAt+map[bool]loop.Micros{false: 30, true: 45}[c.out]*second) {
+				if j := w.jobs[fmt.Sprintf("job-%06d", 100+k)]; !j.cancelRequested && (j.firstStartAt == 0 || j.firstStartAt > j.acceptedAt+map[bool]eventloop.Micros{false: 30, true: 45}[c.out]*second) {
 					t.Errorf("%s started %d us after it was accepted", j.id, j.firstStartAt-j.acceptedAt)
 				}
 			}
@@ -90,7 +90,7 @@
 // contact, and jobs of it are cancelled. A task that may still run counts against the limit until it is confirmed
 // terminated, which the invariant checker verifies at each start; after that, the limit is used up again.
 func TestLimitAcrossAnOwnerChange(t *testing.T) {
-	const second, limit = loop.Second, 22.7
+	const second, limit = eventloop.Second, 22.7
 	for _, c := range []struct {
 		name string
 		away func(w *simulation, names []string)
@@ -109,7 +109,7 @@
 					cfg.Operator.StandbyMeanS, cfg.Operator.OrdinaryStandbyMeanS = 1e6, 1e6
 				})
 				for i := range 90 { // thirty times the limit
-					w.after(loop.Second+loop.Micros(i)*200*loop.Millisecond, func() {
+					w.after(eventloop.Second+eventloop.Micros(i)*200*eventloop.Millisecond, func() {
 						w.simulateUser(&simJob{id: fmt.Sprintf("job-%06d", i), run: 12 * second, spec: &job.Spec{Class: "k", Team: "red",
 							Priority: job.Normal, Tasks: 10, CPUs: 0.1 + 0.3*float64(i%4), MemoryGB: 0.5, Image: "i", AnyType: true, Estimate: 25 * second}})
 					})
@@ -129,7 +129,7 @@
 					case "it ends":
 						w.killFor(owner, 8*second)
 					case "it is back at once":
-						w.killFor(owner, 150*loop.Millisecond)
+						w.killFor(owner, 150*eventloop.Millisecond)
 					case "it is refused":
 						w.disconnectFor(15*second, refusing, owner+">state")
 					case "it stands still":
@@ -161,7 +161,7 @@
 // the one before, with tasks that have ended since, that run elsewhere by now, or without tasks that started since;
 // at controllers that know newer reports, and at controllers that have just started.
 func TestReportsDelayedPastLeaderChange(t *testing.T) {
-	const second = loop.Second
+	const second = eventloop.Second
 	for _, c := range []struct {
 		name string
 		do   func(w *simulation, names []string)
@@ -194,22 +194,22 @@
 				}
 				hold()
 				for k := range 8 { // so that tasks start and end meanwhile
-					w.after(loop.Micros(k)*700*loop.Millisecond, func() {
+					w.after(eventloop.Micros(k)*700*eventloop.Millisecond, func() {
 						w.simulateUser(shortJob(k, "red", 6, 2*second))
 					})
 				}
 				w.after(3*second, hold)
-				w.after(3500*loop.Millisecond, func() { c.do(w, names[:len(names)/2]) })
+				w.after(3500*eventloop.Millisecond, func() { c.do(w, names[:len(names)/2]) })
 				w.after(4*second, func() {
 					for _, l := range w.labels {
 						if all || l == w.leader() {
-							w.killFor(l, 300*loop.Millisecond)
+							w.killFor(l, 300*eventloop.Millisecond)
 						}
 					}
 				})
 				w.after(4*second, hold)
-				for _, d := range []loop.Micros{4500, 5000, 6000, 8000, 12000, 20000, 30000, 45000} {
-					w.after(d*loop.Millisecond, arrive)
+				for _, d := range []eventloop.Micros{4500, 5000, 6000, 8000, 12000, 20000, 30000, 45000} {
+					w.after(d*eventloop.Millisecond, arrive)
 				}
 				w.startChecks(110 * second)
 				w.run(w.now + 50*second)
@@ -235,16 +235,16 @@
 // task is started again before it is confirmed terminated. Then the tasks run again without any other delay, and each
 // is started only once for each time it was lost.
 func TestAllControllersDownLongerThanALease(t *testing.T) {
-	const second = loop.Second
+	const second = eventloop.Second
 	for _, c := range []struct {
 		name string
-		away [3]loop.Micros
+		away [3]eventloop.Micros
 		out  bool
 	}{
-		{"they return together", [3]loop.Micros{40 * second, 40 * second, 40 * second}, false},
-		{"they return one by one", [3]loop.Micros{35 * second, 45 * second, 60 * second}, false},
-		{"they return as the leases expire", [3]loop.Micros{24 * second, 26 * second, 28 * second}, false},
-		{"they return during an outage", [3]loop.Micros{35 * second, 36 * second, 37 * second}, true},
+		{"they return together", [3]eventloop.Micros{40 * second, 40 * second, 40 * second}, false},
+		{"they return one by one", [3]eventloop.Micros{35 * second, 45 * second, 60 * second}, false},
+		{"they return as the leases expire", [3]eventloop.Micros{24 * second, 26 * second, 28 * second}, false},
+		{"they return during an outage", [3]eventloop.Micros{35 * second, 36 * second, 37 * second}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -307,10 +307,10 @@
 // that have accepted a token of a newer epoch than that of the controllers they still reach, which cannot get a newer
 // epoch without the state service.
 func TestZoneDisconnectedLongerThanALease(t *testing.T) {
-	const second = loop.Second
+	const second = eventloop.Second
 	for _, who := range []string{"the leader", "an owner", "neither"} {
 		for _, mode := range []linkMode{dropping, delaying} {
-			for _, d := range []loop.Micros{14 * second, 20 * second, 30 * second, 55 * second} {
+			for _, d := range []eventloop.Micros{14 * second, 20 * second, 30 * second, 55 * second} {
 				t.Run(fmt.Sprint(who, ", ", mode, " for ", d/second, " s"), func(t *testing.T) {
 					t.Parallel()
 					w := slowReportSimulation(t, 3)
@@ -358,7 +358,7 @@
 // in one zone, lose machines. Tasks that may still run bind the others as before; after they are confirmed
 // terminated, the job goes wherever there is capacity. Machines are created where its tasks may run.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
-	const second = loop.Second
+	const second = eventloop.Second
 	for _, c := range []struct {
 		name string
 		spec job.Spec
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"cleatpick/internal/config"
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
@@ -69,7 +69,7 @@
 // Three controllers on loopback, over real connections: a job is submitted, the controller that accepted it is stopped,
 // and the others complete the job and report it as done.
 func TestLoopbackWithControllerKill(t *testing.T) {
-	clock := loop.RealClock()
+	clock := eventloop.RealClock()
 	state := standin.NewStateService(clock.Now)
 	cloud := standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 9, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x"}}, 4)
 	ctx, stop := context.WithCancel(context.Background())
@@ -181,11 +181,11 @@
 }
 
 // worker runs a simulated worker that reports over HTTP, and goes to the next controller as the protocol says.
-func worker(ctx context.Context, t *testing.T, clock loop.Clock, l wire.CloudMachine, nodes []string, moved func(task, machine string)) {
-	w := standin.NewWorker(clock.Now(), 10*loop.Second)
+func worker(ctx context.Context, t *testing.T, clock eventloop.Clock, l wire.CloudMachine, nodes []string, moved func(task, machine string)) {
+	w := standin.NewWorker(clock.Now(), 10*eventloop.Second)
 	w.Name, w.Addr, w.Type, w.Zone, w.Spot, w.CPUs, w.MemoryGB = l.Name, "127.0.0.1:1", l.Type, l.Zone, l.Spot, 8, 32
 	w.Job = func(string) (standin.Job, bool) {
-		return standin.Job{CPUs: 2, MemoryGB: 1, Run: loop.Second, Tasks: 6}, true
+		return standin.Job{CPUs: 2, MemoryGB: 1, Run: eventloop.Second, Tasks: 6}, true
 	}
 	w.OnTaskStart = func(task, _ string) { moved(task, l.Name) }
 	w.OnTaskEnd = func(task, _ string) { moved(task, "") }
@@ -203,7 +203,7 @@
 }
 
 // beat sends one report and applies its answer; false: the worker tries the next controller.
-func beat(clock loop.Clock, w *standin.Worker, node string) bool {
+func beat(clock eventloop.Clock, w *standin.Worker, node string) bool {
 	sent, r := clock.Now(), w.Report()
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
--- a/internal/node/many_teams_test.go
+++ b/internal/node/many_teams_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"cleatpick/internal/config"
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/standin"
 )
 
@@ -20,7 +20,7 @@
 	w.state.SetLimits(&standin.Limits{RPS: rps, WriteRPS: writeRPS, ValueBytes: valueKB << 10, TxnOps: txnOps})
 	w.reliable = true
 	for i := range 200 {
-		at := loop.Second + loop.Micros(i)*40*loop.Millisecond
+		at := eventloop.Second + eventloop.Micros(i)*40*eventloop.Millisecond
 		w.after(at, func() { w.submitSharedJob(i) })
 	}
 	return w
@@ -34,18 +34,18 @@
 	const (
 		mostBeforeStart = 900 // requests until the first task starts
 		mostRefused     = 0.01
-		firstStart      = 15 * loop.Second
+		firstStart      = 15 * eventloop.Second
 	)
 	w := manyTeamsSimulation(t)
-	first := loop.Micros(0)
+	first := eventloop.Micros(0)
 	var atFirst standin.Counts
 	w.onTaskStart = func(*simWorker, string) {
 		if first == 0 {
-			first, atFirst = w.now-3600*loop.Second, w.state.Counts()
+			first, atFirst = w.now-3600*eventloop.Second, w.state.Counts()
 		}
 	}
-	w.startChecks(5 * loop.Second)
-	w.run(3600*loop.Second + 240*loop.Second)
+	w.startChecks(5 * eventloop.Second)
+	w.run(3600*eventloop.Second + 240*eventloop.Second)
 	all := w.state.Counts()
 	t.Logf("first start after %.1f s and %d requests, %d of them refused; %d of %d refused in all, %d writes, %d starts",
 		float64(first)/1e6, atFirst.Requests, atFirst.Refused, all.Refused, all.Requests, all.Writes, w.starts)
@@ -66,9 +66,9 @@
 			c.Cluster.Teams = equalTeams(teams, 8)
 		})
 		w.reliable = true
-		w.run(3600*loop.Second + 30*loop.Second)
+		w.run(3600*eventloop.Second + 30*eventloop.Second)
 		before := w.state.Counts().Requests
-		w.run(3600*loop.Second + 90*loop.Second)
+		w.run(3600*eventloop.Second + 90*eventloop.Second)
 		return w.state.Counts().Requests - before
 	}
 	few, many := rest(4, 20), rest(4, 300)
@@ -83,17 +83,17 @@
 func TestStateValueLimitShrinks(t *testing.T) {
 	w := newSimulationOf(t, 7, clusterSize{nodes: 3, zones: 2, each: 12}, func(c *config.Config) { c.Cluster.Teams = equalTeams(12, 96) })
 	for i := range 30 {
-		w.after(w.between(loop.Second, 90*loop.Second), func() {
+		w.after(w.between(eventloop.Second, 90*eventloop.Second), func() {
 			j := w.makeJob(i)
 			j.spec.Team = w.cfg.Cluster.Teams[i%4].Name
 			j.spec.Tasks, j.spec.CPUs, j.spec.MemoryGB, j.broken = 60, 0.25, 0.1, false
 			w.simulateUser(j)
 		})
 	}
-	w.after(20*loop.Second, func() { w.state.SetLimits(&standin.Limits{ValueBytes: 2048, TxnOps: 5}) })
-	w.after(70*loop.Second, func() { w.kill(w.anyController()) })
-	w.startChecks(100 * loop.Second)
-	w.run(3600*loop.Second + 500*loop.Second)
+	w.after(20*eventloop.Second, func() { w.state.SetLimits(&standin.Limits{ValueBytes: 2048, TxnOps: 5}) })
+	w.after(70*eventloop.Second, func() { w.kill(w.anyController()) })
+	w.startChecks(100 * eventloop.Second)
+	w.run(3600*eventloop.Second + 500*eventloop.Second)
 	t.Logf("%d transactions were refused as invalid, %d tasks started", w.state.Counts().Invalid, w.starts)
 	if w.state.Counts().Invalid == 0 {
 		t.Error("no record was too large, so the test covered nothing")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,10 +17,10 @@
 	"cleatpick/internal/config"
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/delivery"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/failuredetector"
 	"cleatpick/internal/httpapi"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/membership"
 	"cleatpick/internal/metric"
 	"cleatpick/internal/peer"
@@ -39,7 +39,7 @@
 type Node struct {
 	cfg           *config.Config
 	log           *slog.Logger
-	loop          loop.Runner
+	loop          eventloop.Runner
 	client        *store.Client
 	mirror        *store.Mirror
 	member        *membership.Member
@@ -56,13 +56,13 @@
 	progress      map[string]job.Counts
 	meter         *metric.Meter // nil while /v1/ is off
 	apiParts      *apiParts     // nil while /v1/ is off
-	startedAt     loop.Micros
-	isolatedSince loop.Micros // since when no peer is reachable; 0: at least one is
+	startedAt     eventloop.Micros
+	isolatedSince eventloop.Micros // since when no peer is reachable; 0: at least one is
 }
 
 // Dependencies holds the services that a controller depends on; tests supply fakes.
 type Dependencies struct {
-	Loop  loop.Runner
+	Loop  eventloop.Runner
 	State store.Doer
 	Watch store.Doer
 	Cloud store.Doer
@@ -89,7 +89,7 @@
 		DisableHeaderNamesNormalizing: true,
 	}
 	n := NewWith(cfg, log, Dependencies{
-		Loop:  loop.New(),
+		Loop:  eventloop.New(),
 		State: store.NewDoer(cfg.Outside.State, 32),
 		Watch: store.NewDoer(cfg.Outside.State, 4),
 		Cloud: store.NewDoer(cfg.Outside.Cloud, 4),
@@ -118,7 +118,7 @@
 	n.client.Meter = n.meter
 	n.mirror = store.NewMirror(n.client, deps.Watch, membership.Prefix)
 	n.member = membership.New(l, n.client, n.mirror, log, membership.Settings{Label: cfg.Label, Teams: cfg.TeamNames(), Controllers: nodes,
-		LeaseTTL: loop.Seconds(cfg.Operator.NodeLeaseS), TeamsOnly: !cfg.Operator.NumberedPartitions})
+		LeaseTTL: eventloop.Seconds(cfg.Operator.NodeLeaseS), TeamsOnly: !cfg.Operator.NumberedPartitions})
 	n.jobs = job.NewRegistry(l, n.client, n.mirror, log)
 	n.jobs.ConfigureAdmission(func(team string) float64 {
 		t, _ := cfg.FindTeam(team)
@@ -159,7 +159,7 @@
 		},
 		StartBlocked:     n.startBlocked,
 		ClockUncertainty: cfg.ClockDifference(),
-		Clock:            delivery.NewClockBounds(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifetimeS)),
+		Clock:            delivery.NewClockBounds(cfg.ClockDifference(), eventloop.Seconds(cfg.Operator.StartLifetimeS)),
 		Meter:            n.meter,
 	}, n.sendCommands)
 	n.placer = scheduler.New(l, n.client, log, cfg, scheduler.Node{
@@ -205,7 +205,7 @@
 		},
 		PeerUnreachable: func(zone string) bool {
 			for _, p := range cfg.Known {
-				if p.Site == zone && !n.reach.ReceivedWithin(p.Label, 3*loop.Second) {
+				if p.Site == zone && !n.reach.ReceivedWithin(p.Label, 3*eventloop.Second) {
 					return true
 				}
 			}
@@ -252,7 +252,7 @@
 		n.net.Send(label, func(e *peer.Envelope) { e.Teams = cfg.TeamNames() })
 	}
 	n.net.OnRefused = func(label string) {
-		if l.Now()-n.net.State(label).ReceivedAt > 1200*loop.Millisecond && l.Now()-n.startedAt > 5*loop.Second {
+		if l.Now()-n.net.State(label).ReceivedAt > 1200*eventloop.Millisecond && l.Now()-n.startedAt > 5*eventloop.Second {
 			n.member.Evict(label)
 		}
 	}
@@ -317,7 +317,7 @@
 func (n *Node) Start() {
 	n.member.Start()
 	n.mirror.Start()
-	loop.Every(n.loop, 700*loop.Millisecond, n.sendStatus)
+	eventloop.Every(n.loop, 700*eventloop.Millisecond, n.sendStatus)
 }
 
 // Run serves users, workers and peers until the context ends.
@@ -332,7 +332,7 @@
 	}
 	g, ctx := errgroup.WithContext(ctx)
 	n.loop.Post(n.Start)
-	if l, ok := n.loop.(*loop.Loop); ok {
+	if l, ok := n.loop.(*eventloop.Loop); ok {
 		g.Go(func() error { return l.Run(ctx) })
 	}
 	g.Go(func() error { return n.net.Run(ctx, peers) })
--- a/internal/node/operator_faults_test.go
+++ b/internal/node/operator_faults_test.go
@@ -7,8 +7,8 @@
 	"testing"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/predicate"
 )
 
@@ -27,7 +27,7 @@
 }
 
 // disconnectFor puts connections into a fault mode for a while.
-func (w *simulation) disconnectFor(d loop.Micros, mode linkMode, ways ...string) {
+func (w *simulation) disconnectFor(d eventloop.Micros, mode linkMode, ways ...string) {
 	for _, x := range ways {
 		w.linkModes[x] = mode
 	}
@@ -44,16 +44,16 @@
 func (w *simulation) randomLossMode() linkMode { return []linkMode{dropping, delaying}[w.rng.IntN(2)] }
 
 // flap disconnects a controller for some seconds again and again.
-func (w *simulation) flap(label string, until loop.Micros) {
+func (w *simulation) flap(label string, until eventloop.Micros) {
 	if w.now >= until {
 		return
 	}
-	w.disconnectFor(w.between(4*loop.Second, 7*loop.Second), dropping, w.connections(label)...)
-	w.after(w.between(12*loop.Second, 16*loop.Second), func() { w.flap(label, until) })
+	w.disconnectFor(w.between(4*eventloop.Second, 7*eventloop.Second), dropping, w.connections(label)...)
+	w.after(w.between(12*eventloop.Second, 16*eventloop.Second), func() { w.flap(label, until) })
 }
 
 // pollStorm lets many users ask, each once, about known jobs or a single one, and about unknown jobs.
-func (w *simulation) pollStorm(rate int, d loop.Micros) {
+func (w *simulation) pollStorm(rate int, d eventloop.Micros) {
 	ids := make([]string, 0, len(w.jobs))
 	for id := range w.jobs {
 		ids = append(ids, id)
@@ -62,8 +62,8 @@
 	if w.rng.IntN(3) == 0 && len(ids) > 0 {
 		ids = ids[:1]
 	}
-	for k := range rate * int(d/loop.Second) {
-		w.after(loop.Micros(k)*loop.Second/loop.Micros(rate), func() {
+	for k := range rate * int(d/eventloop.Second) {
+		w.after(eventloop.Micros(k)*eventloop.Second/eventloop.Micros(rate), func() {
 			s := w.pickNode()
 			if s == nil {
 				return
@@ -89,11 +89,11 @@
 }
 
 // submitGuestJobs lets the guest team submit jobs, with numbers from "from" on.
-func (w *simulation) submitGuestJobs(from, jobs, tasks int, every loop.Micros) {
+func (w *simulation) submitGuestJobs(from, jobs, tasks int, every eventloop.Micros) {
 	for i := range jobs {
-		w.after(loop.Micros(i)*every, func() {
-			w.simulateUser(&simJob{id: fmt.Sprintf("job-%06d", from+i), run: w.between(loop.Second, 4*loop.Second),
-				spec: &job.Spec{Class: "visit", Team: "guest", Priority: job.Low, Tasks: tasks, CPUs: 0.25, MemoryGB: 0.45, Image: "v", ImageGB: 1, AnyType: true, Spot: true, Estimate: 3 * loop.Second}})
+		w.after(eventloop.Micros(i)*every, func() {
+			w.simulateUser(&simJob{id: fmt.Sprintf("job-%06d", from+i), run: w.between(eventloop.Second, 4*eventloop.Second),
+				spec: &job.Spec{Class: "visit", Team: "guest", Priority: job.Low, Tasks: tasks, CPUs: 0.25, MemoryGB: 0.45, Image: "v", ImageGB: 1, AnyType: true, Spot: true, Estimate: 3 * eventloop.Second}})
 		})
 	}
 }
@@ -102,15 +102,15 @@
 func (w *simulation) submitBrokenJobs(from, n int) {
 	for i := range n {
 		j := w.makeJob(from + i)
-		j.broken, j.failsAfter = true, []loop.Micros{0, 0, w.between(2*loop.Second, 60*loop.Second)}[w.rng.IntN(3)]
+		j.broken, j.failsAfter = true, []eventloop.Micros{0, 0, w.between(2*eventloop.Second, 60*eventloop.Second)}[w.rng.IntN(3)]
 		if w.rng.IntN(3) == 0 {
 			j.failEvery = 2 + w.rng.IntN(3)
 		}
 		j.spec.Tasks = 1 + w.rng.IntN(33)
 		w.jobs[j.id] = j
 		w.submit(j)
-		w.after(3*loop.Second, func() { w.poll(j) })
-		w.after(w.between(10*loop.Second, 90*loop.Second), func() { w.cancel(j) })
+		w.after(3*eventloop.Second, func() { w.poll(j) })
+		w.after(w.between(10*eventloop.Second, 90*eventloop.Second), func() { w.cancel(j) })
 	}
 }
 
@@ -119,20 +119,22 @@
 	{"controllers unreachable for a minute", func(w *simulation) {
 		n := 1 + w.rng.IntN(max(len(w.labels)-1, 1))
 		for _, k := range w.rng.Perm(len(w.labels))[:n] {
-			w.disconnectFor(w.between(60*loop.Second, 80*loop.Second), w.randomLossMode(), w.connections(w.labels[k])...)
+			w.disconnectFor(w.between(60*eventloop.Second, 80*eventloop.Second), w.randomLossMode(), w.connections(w.labels[k])...)
 		}
 	}},
-	{"flapping", func(w *simulation) { w.flap(w.anyController(), w.now+w.between(40*loop.Second, 90*loop.Second)) }},
+	{"flapping", func(w *simulation) {
+		w.flap(w.anyController(), w.now+w.between(40*eventloop.Second, 90*eventloop.Second))
+	}},
 	{"no state service", func(w *simulation) {
 		l := w.anyController()
-		w.disconnectFor(w.between(10*loop.Second, 50*loop.Second), w.randomLossMode(), l+">state")
+		w.disconnectFor(w.between(10*eventloop.Second, 50*eventloop.Second), w.randomLossMode(), l+">state")
 	}},
 	{"no workers", func(w *simulation) {
 		l := w.anyController()
-		w.disconnectFor(w.between(10*loop.Second, 50*loop.Second), w.randomLossMode(), l+">workers")
+		w.disconnectFor(w.between(10*eventloop.Second, 50*eventloop.Second), w.randomLossMode(), l+">workers")
 	}},
 	{"the state service refuses a controller", func(w *simulation) {
-		w.disconnectFor(w.between(10*loop.Second, 50*loop.Second), refusing, w.anyController()+">state")
+		w.disconnectFor(w.between(10*eventloop.Second, 50*eventloop.Second), refusing, w.anyController()+">state")
 	}},
 	{"connections fail in one direction", func(w *simulation) {
 		l, ways := w.anyController(), []string{}
@@ -141,14 +143,16 @@
 				ways = append(ways, []string{l + ">" + p, p + ">" + l}[w.rng.IntN(2)])
 			}
 		}
-		w.disconnectFor(w.between(10*loop.Second, 60*loop.Second), w.randomLossMode(), ways...)
+		w.disconnectFor(w.between(10*eventloop.Second, 60*eventloop.Second), w.randomLossMode(), ways...)
+	}},
+	{"many polls", func(w *simulation) {
+		w.pollStorm(40+w.rng.IntN(160), w.between(10*eventloop.Second, 30*eventloop.Second))
 	}},
-	{"many polls", func(w *simulation) { w.pollStorm(40+w.rng.IntN(160), w.between(10*loop.Second, 30*loop.Second)) }},
 	{"many polls at the end of an outage", func(w *simulation) {
 		w.state.SetDown(true)
-		w.after(w.between(5*loop.Second, 15*loop.Second), func() {
+		w.after(w.between(5*eventloop.Second, 15*eventloop.Second), func() {
 			w.state.SetDown(false)
-			w.pollStorm(200, 15*loop.Second)
+			w.pollStorm(200, 15*eventloop.Second)
 		})
 	}},
 	{"broken jobs", func(w *simulation) { w.submitBrokenJobs(700000+w.seq%90000, 1+w.rng.IntN(4)) }},
@@ -161,13 +165,13 @@
 		if !s.alive || s.paused {
 			continue
 		}
-		s.n.placer.EachPlace(func(p *predicate.MachineFacts, _ loop.Micros) {
+		s.n.placer.EachPlace(func(p *predicate.MachineFacts, _ eventloop.Micros) {
 			if x := w.workers[p.View.Name]; p.BackOffUntil > w.now && p.BackOffReason == "tasks fail on it" && x != nil && !x.w.Faulty {
 				w.fail("%s takes no starts because tasks failed on it, but it is healthy", p.View.Name)
 			}
 		})
 	}
-	w.after(loop.Second, w.checkHealth)
+	w.after(eventloop.Second, w.checkHealth)
 }
 
 // checkHalfServed checks that every class and every team has at least half of its jobs done, not counting jobs that
@@ -222,37 +226,37 @@
 			w := operatorSimulation(t, seed, z, r.IntN(6))
 			if r.IntN(4) == 0 { // the guest team is added to the settings of one controller after the other
 				w.settings = func(label string, c *config.Config) {
-					if w.now < 3640*loop.Second && label != w.labels[0] {
+					if w.now < 3640*eventloop.Second && label != w.labels[0] {
 						c.Cluster.Teams = slices.DeleteFunc(slices.Clone(c.Cluster.Teams), func(x config.Team) bool { return x.Name == "guest" })
 					}
 				}
 				for i, l := range w.labels[1:] {
-					w.after(45*loop.Second+loop.Micros(i)*6*loop.Second, func() { w.kill(l) })
+					w.after(45*eventloop.Second+eventloop.Micros(i)*6*eventloop.Second, func() { w.kill(l) })
 				}
 			}
 			for i := range 25 + z.zones*z.each/4 {
-				w.after(w.between(loop.Second, 120*loop.Second), func() { w.addJob(i) })
+				w.after(w.between(eventloop.Second, 120*eventloop.Second), func() { w.addJob(i) })
 			}
-			w.after(w.between(10*loop.Second, 60*loop.Second), func() {
+			w.after(w.between(10*eventloop.Second, 60*eventloop.Second), func() {
 				switch large := z.zones * z.each * 40; r.IntN(4) {
 				case 0:
 					w.submitGuestJobs(800000, 1, min(large, 25000), 0)
 				case 1:
-					w.submitGuestJobs(800000, 100, 1, 100*loop.Millisecond)
+					w.submitGuestJobs(800000, 100, 1, 100*eventloop.Millisecond)
 				default:
-					w.submitGuestJobs(800000, 2, 20, loop.Second)
+					w.submitGuestJobs(800000, 2, 20, eventloop.Second)
 				}
 			})
-			w.after(5*loop.Second, func() { w.submitBrokenJobs(600000, 1+r.IntN(3)) })
+			w.after(5*eventloop.Second, func() { w.submitBrokenJobs(600000, 1+r.IntN(3)) })
 			troubles := append(slices.Clone(operatorFaults), correlatedFaults...)
-			w.repeatFaults(15*loop.Second, 10*loop.Second, 40*loop.Second, func() {
+			w.repeatFaults(15*eventloop.Second, 10*eventloop.Second, 40*eventloop.Second, func() {
 				troubles[r.IntN(len(operatorFaults))].do(w)
 				if r.IntN(2) == 0 {
 					second := troubles[r.IntN(len(troubles))]
-					w.after(w.between(0, 5*loop.Second), func() { second.do(w) })
+					w.after(w.between(0, 5*eventloop.Second), func() { second.do(w) })
 				}
 			})
-			w.run(3600*loop.Second + 700*loop.Second)
+			w.run(3600*eventloop.Second + 700*eventloop.Second)
 			w.checkCompleted(20)
 			w.checkHalfServed()
 		})
--- a/internal/node/outage_gap_test.go
+++ b/internal/node/outage_gap_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"cleatpick/internal/config"
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
 // The gap: first the state service refuses one controller alone, while another one confirms cancellations to users;
@@ -34,35 +34,35 @@
 }
 
 // outage takes the state service down for a while.
-func (w *simulation) outage(after, d loop.Micros) {
+func (w *simulation) outage(after, d eventloop.Micros) {
 	w.after(after, func() { w.state.SetDown(true) })
 	w.after(after+d, func() { w.state.SetDown(false) })
 }
 
 // cancelTeam lets users cancel the jobs of a team one after the other within a time.
-func (w *simulation) cancelTeam(team string, d loop.Micros) {
-	n := loop.Micros(0)
-	for _, j := range loop.Sorted(w.jobs) {
+func (w *simulation) cancelTeam(team string, d eventloop.Micros) {
+	n := eventloop.Micros(0)
+	for _, j := range eventloop.Sorted(w.jobs) {
 		if j.spec.Team == team {
-			w.after(50*loop.Millisecond+n*d/9, func() { w.cancel(j) })
+			w.after(50*eventloop.Millisecond+n*d/9, func() { w.cancel(j) })
 			n++
 		}
 	}
 }
 
 // cancelTeamElsewhere is cancelTeam for users who reach every controller but one.
-func (w *simulation) cancelTeamElsewhere(label, team string, d loop.Micros) {
+func (w *simulation) cancelTeamElsewhere(label, team string, d eventloop.Micros) {
 	others := slices.DeleteFunc(slices.Clone(w.labels), func(l string) bool { return l == label })
 	n := 0
-	for _, j := range loop.Sorted(w.jobs) {
+	for _, j := range eventloop.Sorted(w.jobs) {
 		if j.spec.Team != team {
 			continue
 		}
 		s := w.nodes[others[n%len(others)]]
-		w.after(50*loop.Millisecond+loop.Micros(n)*d/9, func() {
+		w.after(50*eventloop.Millisecond+eventloop.Micros(n)*d/9, func() {
 			j.cancelRequested = true
 			s.execute(s.incarnation, func() { s.n.jobs.Cancel(j.id, w.answerChecker(j)) })
-			w.after(2*loop.Second, func() { w.cancel(j) })
+			w.after(2*eventloop.Second, func() { w.cancel(j) })
 		})
 		n++
 	}
@@ -91,10 +91,10 @@
 // The gap at several lengths and numbers of controllers. All controllers reach each other, so the one that was refused
 // learns of the cancellations from its peers: cancelled tasks end soon, and no other task is lost.
 func TestCancelledBeforeOutage(t *testing.T) {
-	const second, down = loop.Second, 60 * loop.Second // cancel_s is 46
+	const second, down = eventloop.Second, 60 * eventloop.Second // cancel_s is 46
 	for _, nodes := range []int{2, 3, 5, 15} {
-		for _, gap := range []loop.Micros{0, second / 2, second, 2 * second, 3 * second, 5 * second, 14 * second, 30 * second} {
-			for _, refused := range []loop.Micros{gap / 2, gap, 14 * second, down + gap + 5*second} {
+		for _, gap := range []eventloop.Micros{0, second / 2, second, 2 * second, 3 * second, 5 * second, 14 * second, 30 * second} {
+			for _, refused := range []eventloop.Micros{gap / 2, gap, 14 * second, down + gap + 5*second} {
 				if nodes != 3 && (gap != 2*second || refused != 14*second) || refused == 0 {
 					continue
 				}
@@ -129,8 +129,8 @@
 // answering its workers early enough that their leases expire in time. The invariant checkers check every second that
 // no cancelled task runs for too long.
 func TestCancelledBeforeOutageWithoutPeers(t *testing.T) {
-	const second, down = loop.Second, 60 * loop.Second
-	back := func(w *simulation, l string, d loop.Micros) {
+	const second, down = eventloop.Second, 60 * eventloop.Second
+	back := func(w *simulation, l string, d eventloop.Micros) {
 		for _, o := range w.labels {
 			if o != l {
 				w.killFor(o, d)
@@ -144,8 +144,8 @@
 		lost  string // whether tasks end because leases expire
 	}{
 		{"the others crash with the outage", 3, func(w *simulation, a string) { w.after(2*second, func() { back(w, a, 200*second) }) }, "yes"},
-		{"the others restart within a fraction of a second", 3, func(w *simulation, a string) { w.after(2*second, func() { back(w, a, 150*loop.Millisecond) }) }, "yes"},
-		{"the other restarts at once", 2, func(w *simulation, a string) { w.after(2*second, func() { back(w, a, 40*loop.Millisecond) }) }, "yes"},
+		{"the others restart within a fraction of a second", 3, func(w *simulation, a string) { w.after(2*second, func() { back(w, a, 150*eventloop.Millisecond) }) }, "yes"},
+		{"the other restarts at once", 2, func(w *simulation, a string) { w.after(2*second, func() { back(w, a, 40*eventloop.Millisecond) }) }, "yes"},
 		{"it receives no messages", 3, func(w *simulation, a string) {
 			w.disconnectFor(100*second, dropping, w.labels[0]+">"+a, w.labels[1]+">"+a, w.labels[2]+">"+a)
 		}, "yes"},
@@ -190,13 +190,13 @@
 		{"all reach each other", func(*simulation, string) {}, false},
 		{"it receives no messages", func(w *simulation, a string) {
 			for _, l := range w.labels {
-				w.disconnectFor(90*loop.Second, dropping, l+">"+a)
+				w.disconnectFor(90*eventloop.Second, dropping, l+">"+a)
 			}
 		}, false},
 		{"the others crash", func(w *simulation, a string) {
 			for _, l := range w.labels {
 				if l != a {
-					w.after(1100*loop.Millisecond, func() { w.killFor(l, 100*loop.Second) })
+					w.after(1100*eventloop.Millisecond, func() { w.killFor(l, 100*eventloop.Second) })
 				}
 			}
 		}, true},
@@ -206,17 +206,17 @@
 			w := slowReportSimulation(t, 3)
 			a := w.owner("red")
 			w.unreachableByUsers = a // a question by a user would read the record that the watch hides
-			w.disconnectFor(90*loop.Second, dropping, a+">watch")
+			w.disconnectFor(90*eventloop.Second, dropping, a+">watch")
 			c.do(w, a)
-			for _, j := range loop.Sorted(w.jobs) {
+			for _, j := range eventloop.Sorted(w.jobs) {
 				j.cancelRequested = true
 				for _, l := range w.labels {
 					if l != a && j.spec.Team == "red" {
-						w.after(loop.Second, func() { w.nodes[l].n.jobs.Cancel(j.id, w.answerChecker(j)) })
+						w.after(eventloop.Second, func() { w.nodes[l].n.jobs.Cancel(j.id, w.answerChecker(j)) })
 					}
 				}
 			}
-			w.run(w.now + 60*loop.Second)
+			w.run(w.now + 60*eventloop.Second)
 			if w.cancelledJobs() < 6 || w.cancelledTasksRunning() != 0 || (w.endReasons["lease"] != 0) != c.lost {
 				t.Errorf("%d jobs are cancelled, %d of their tasks still run; ended tasks by reason: %v", w.cancelledJobs(), w.cancelledTasksRunning(), w.endReasons)
 			}
@@ -238,15 +238,15 @@
 						return
 					}
 					l := w.labels[(slices.Index(w.labels, w.owner("red"))+1)%nodes]
-					w.after(3*loop.Second, func() { w.killFor(l, 100*loop.Second) })
+					w.after(3*eventloop.Second, func() { w.killFor(l, 100*eventloop.Second) })
 				}
-				w.outage(2*loop.Second, 65*loop.Second)
+				w.outage(2*eventloop.Second, 65*eventloop.Second)
 				// cancel_s - lease_s is 20 s, less a margin of 2 s and the lag of the watermark.
-				w.run(w.now + 15*loop.Second)
+				w.run(w.now + 15*eventloop.Second)
 				if w.endReasons["lease"] != 0 {
 					t.Errorf("tasks were lost too early; ended tasks by reason: %v", w.endReasons)
 				}
-				w.run(w.now + 50*loop.Second)
+				w.run(w.now + 50*eventloop.Second)
 				if (w.endReasons["lease"] != 0) != dead {
 					t.Errorf("ended tasks by reason: %v", w.endReasons)
 				}
@@ -262,7 +262,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := gapSimulation(t, seed)
-			w.run(3600*loop.Second + 1200*loop.Second)
+			w.run(3600*eventloop.Second + 1200*eventloop.Second)
 			w.checkCompleted(20)
 		})
 	}
@@ -273,9 +273,9 @@
 	r := rand.New(rand.NewPCG(seed, 31))
 	w := newSimulationOf(t, seed, clusterSize{nodes: []int{1, 2, 3, 3, 5, 15}[r.IntN(6)], zones: 2, each: 4 + r.IntN(6)}, func(*config.Config) {})
 	for i := range 40 {
-		w.after(w.between(loop.Second, 150*loop.Second), func() {
+		w.after(w.between(eventloop.Second, 150*eventloop.Second), func() {
 			j := w.makeJob(i)
-			j.run = w.between(loop.Second, 120*loop.Second)
+			j.run = w.between(eventloop.Second, 120*eventloop.Second)
 			w.simulateUser(j)
 		})
 	}
@@ -283,31 +283,31 @@
 	var strike func()
 	strike = func() {
 		a := w.owner([]string{"red", "blue"}[r.IntN(2)])
-		gap := w.between(0, 6*loop.Second)
-		down := w.between(20*loop.Second, 60*loop.Second)
-		w.disconnectFor(w.between(loop.Second, 20*loop.Second), refusing, a+">state")
+		gap := w.between(0, 6*eventloop.Second)
+		down := w.between(20*eventloop.Second, 60*eventloop.Second)
+		w.disconnectFor(w.between(eventloop.Second, 20*eventloop.Second), refusing, a+">state")
 		w.outage(gap, down)
-		for _, j := range loop.Sorted(w.jobs) {
+		for _, j := range eventloop.Sorted(w.jobs) {
 			if r.IntN(3) == 0 {
-				w.after(w.between(0, gap+loop.Second), func() { w.cancel(j) })
+				w.after(w.between(0, gap+eventloop.Second), func() { w.cancel(j) })
 			}
 		}
 		switch r.IntN(4) {
 		case 0:
-			w.after(w.between(0, gap+2*loop.Second), func() { w.restartQuickly(w.someControllers(), 1) })
+			w.after(w.between(0, gap+2*eventloop.Second), func() { w.restartQuickly(w.someControllers(), 1) })
 		case 1:
 			o := w.anyController()
-			w.disconnectFor(w.between(10*loop.Second, 60*loop.Second), w.randomLossMode(), o+">"+a, a+">watch")
+			w.disconnectFor(w.between(10*eventloop.Second, 60*eventloop.Second), w.randomLossMode(), o+">"+a, a+">watch")
 		case 2:
 			x := troubles[r.IntN(len(troubles))]
-			w.after(w.between(0, gap+5*loop.Second), func() { x.do(w) })
+			w.after(w.between(0, gap+5*eventloop.Second), func() { x.do(w) })
 		}
-		if w.now < 3600*loop.Second+100*loop.Second {
-			w.after(gap+down+w.between(2*loop.Second, 20*loop.Second), strike)
+		if w.now < 3600*eventloop.Second+100*eventloop.Second {
+			w.after(gap+down+w.between(2*eventloop.Second, 20*eventloop.Second), strike)
 		}
 	}
-	w.after(15*loop.Second, strike)
-	w.startChecks(300 * loop.Second)
+	w.after(15*eventloop.Second, strike)
+	w.startChecks(300 * eventloop.Second)
 	return w
 }
 
@@ -326,7 +326,7 @@
 		if n := strings.Count(out.String(), "level=WARN"); n != c.warns || n > 0 && !strings.Contains(out.String(), "cancel_s=13 lease_s=10 left_us=2250000") {
 			t.Errorf("cancel_s %v logs: %s", c.cancel, out.String())
 		}
-		w.run(w.now + 60*loop.Second)
+		w.run(w.now + 60*eventloop.Second)
 		if w.endReasons["lease"] != 0 {
 			t.Errorf("cancel_s %v: tasks were lost; ended tasks by reason: %v", c.cancel, w.endReasons)
 		}
--- a/internal/node/partitions_test.go
+++ b/internal/node/partitions_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"cleatpick/internal/config"
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/standin"
 )
 
@@ -25,9 +25,9 @@
 	w := newSimulationOf(t, seed, z, func(c *config.Config) {
 		c.Cluster.Teams = equalTeams(teams, float64(z.zones*z.each*4))
 	})
-	w.cloud.ListLag = loop.Micros(r.IntN(3)) * loop.Second
+	w.cloud.ListLag = eventloop.Micros(r.IntN(3)) * eventloop.Second
 	for i := range 40 + z.zones*z.each/4 {
-		w.after(w.between(loop.Second, 120*loop.Second), func() { w.submitSharedJob(i) })
+		w.after(w.between(eventloop.Second, 120*eventloop.Second), func() { w.submitSharedJob(i) })
 	}
 	return w
 }
@@ -49,17 +49,17 @@
 		l := w.anyController()
 		w.nodes[l].afterRequest("p/", func() {
 			w.linkModes[l+">state"] = w.randomLossMode()
-			w.after(w.between(loop.Second, 9*loop.Second), func() { delete(w.linkModes, l+">state") })
+			w.after(w.between(eventloop.Second, 9*eventloop.Second), func() { delete(w.linkModes, l+">state") })
 		})
 	}},
 	{"an owner is paused while it records", func(w *simulation) {
 		l := w.anyController()
-		w.nodes[l].afterRequest("p/", func() { w.pause(l, w.between(3*loop.Second, 12*loop.Second)) })
+		w.nodes[l].afterRequest("p/", func() { w.pause(l, w.between(3*eventloop.Second, 12*eventloop.Second)) })
 	}},
 	{"a job is cancelled while its start is recorded", func(w *simulation) {
 		l := w.anyController()
 		w.nodes[l].afterRequest("p/", func() {
-			for _, j := range loop.Sorted(w.jobs) {
+			for _, j := range eventloop.Sorted(w.jobs) {
 				if !j.cancelRequested && !j.done && w.rng.IntN(4) == 0 {
 					w.cancel(j)
 				}
@@ -82,7 +82,7 @@
 	z.nodes = 1 + r.IntN(15)
 	w := sharedPartitionSimulation(t, seed, r, z, 2*z.nodes+1+r.IntN(300-2*z.nodes))
 	w.injectFaults(r, partitionFaults)
-	w.startChecks(260 * loop.Second)
+	w.startChecks(260 * eventloop.Second)
 	return w
 }
 
@@ -93,7 +93,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := partitionFaultSimulation(t, seed)
-			w.run(3600*loop.Second + 700*loop.Second)
+			w.run(3600*eventloop.Second + 700*eventloop.Second)
 			w.checkCompleted(20)
 			w.checkHalfServed()
 			w.checkNumberedLayout()
@@ -140,36 +140,36 @@
 		w.startNode(l)
 	}
 	for i := range 50 + z.zones*z.each/4 {
-		w.after(w.between(loop.Second, 200*loop.Second), func() { w.submitSharedJob(i) })
+		w.after(w.between(eventloop.Second, 200*eventloop.Second), func() { w.submitSharedJob(i) })
 	}
-	replace := func(at loop.Micros, label string, toOld bool) {
+	replace := func(at eventloop.Micros, label string, toOld bool) {
 		w.after(at, func() {
 			old[label] = toOld
-			w.killFor(label, w.between(200*loop.Millisecond, 5*loop.Second))
+			w.killFor(label, w.between(200*eventloop.Millisecond, 5*eventloop.Second))
 		})
 	}
-	at := 25 * loop.Second
+	at := 25 * eventloop.Second
 	for _, l := range w.labels {
 		replace(at, l, false)
-		at += w.between(3*loop.Second, 15*loop.Second)
+		at += w.between(3*eventloop.Second, 15*eventloop.Second)
 	}
 	for range r.IntN(4) { // one is downgraded, and upgraded again
 		l := w.anyController()
-		back := w.between(30*loop.Second, 190*loop.Second)
+		back := w.between(30*eventloop.Second, 190*eventloop.Second)
 		replace(back, l, true)
-		replace(back+w.between(5*loop.Second, 30*loop.Second), l, false)
+		replace(back+w.between(5*eventloop.Second, 30*eventloop.Second), l, false)
 	}
 	for range 2 + r.IntN(4) {
 		trouble := partitionFaults[r.IntN(len(partitionFaults)-1)]
 		if r.IntN(3) == 0 {
 			trouble.do = isolationFaults[r.IntN(len(isolationFaults))].do
 		}
-		w.after(w.between(20*loop.Second, 200*loop.Second), func() { trouble.do(w) })
+		w.after(w.between(20*eventloop.Second, 200*eventloop.Second), func() { trouble.do(w) })
 	}
 	for _, l := range w.labels {
-		replace(230*loop.Second, l, false) // all are of the new version in the end
+		replace(230*eventloop.Second, l, false) // all are of the new version in the end
 	}
-	w.startChecks(340 * loop.Second)
+	w.startChecks(340 * eventloop.Second)
 	return w
 }
 
@@ -181,7 +181,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := upgradeSimulation(t, seed)
-			w.run(3600*loop.Second + 800*loop.Second)
+			w.run(3600*eventloop.Second + 800*eventloop.Second)
 			w.checkCompleted(20)
 			w.checkHalfServed()
 			w.checkNumberedLayout()
--- a/internal/node/pause_test.go
+++ b/internal/node/pause_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 )
 
 // A user who was waiting for an answer when the controller's process was paused is deferred before any request that
@@ -12,7 +12,7 @@
 func TestPauseIsHandledFirst(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newSimulation(t, seed)
-		w.run(3620 * loop.Second)
+		w.run(3620 * eventloop.Second)
 		s := w.nodes["a"]
 		var told []string
 		refused := 0
@@ -27,11 +27,11 @@
 			})
 		}
 		ask("before", "job-000001")
-		w.pause("a", 5*loop.Second)
+		w.pause("a", 5*eventloop.Second)
 		for range 20 {
-			w.after(w.between(loop.Second, 4*loop.Second), func() { ask("meanwhile", "job-000002") })
+			w.after(w.between(eventloop.Second, 4*eventloop.Second), func() { ask("meanwhile", "job-000002") })
 		}
-		w.run(w.now + 8*loop.Second)
+		w.run(w.now + 8*eventloop.Second)
 		if len(told) != 21 || told[0] != "before" || refused != 503 {
 			t.Fatalf("seed %d: answered in the order %v, the earliest request with %d", seed, told, refused)
 		}
--- a/internal/node/random_faults_test.go
+++ b/internal/node/random_faults_test.go
@@ -5,7 +5,7 @@
 	"os"
 	"testing"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
 // namedFault is a fault that can be injected into a simulation.
@@ -19,7 +19,7 @@
 	r := w.rng
 	label := w.labels[r.IntN(3)]
 	mode := []linkMode{dropping, delaying}[r.IntN(2)]
-	setModes := func(d loop.Micros, names ...string) {
+	setModes := func(d eventloop.Micros, names ...string) {
 		for _, n := range names {
 			w.linkModes[n] = mode
 		}
@@ -37,7 +37,7 @@
 		}
 		return out
 	}
-	d := w.between(2*loop.Second, 25*loop.Second)
+	d := w.between(2*eventloop.Second, 25*eventloop.Second)
 	switch r.IntN(10) {
 	case 0:
 		w.kill(label)
@@ -57,7 +57,7 @@
 		w.state.SetDown(true)
 		w.after(d, func() { w.state.SetDown(false) })
 	case 7: // the cloud takes many spot machines back at once, without notice
-		for name, x := range loop.Sorted(w.workers) {
+		for name, x := range eventloop.Sorted(w.workers) {
 			if !x.deleted && x.w.Spot && name[len(name)-1]%2 == 0 {
 				w.cloud.Reclaim(name)
 			}
@@ -69,27 +69,27 @@
 			}
 		}
 	case 8: // a machine hangs, and resumes
-		for _, x := range loop.Sorted(w.workers) {
+		for _, x := range eventloop.Sorted(w.workers) {
 			if !x.deleted {
 				x.hanging = true
-				w.after(w.between(loop.Second, 14*loop.Second), func() { w.resume(x) })
+				w.after(w.between(eventloop.Second, 14*eventloop.Second), func() { w.resume(x) })
 				break
 			}
 		}
 	}
-	w.after(w.between(4*loop.Second, 18*loop.Second), func() {
-		if w.now < 3600*loop.Second+150*loop.Second {
+	w.after(w.between(4*eventloop.Second, 18*eventloop.Second), func() {
+		if w.now < 3600*eventloop.Second+150*eventloop.Second {
 			w.randomFault()
 		}
 	})
 }
 
 // lastFaultStart is when the last fault of a simulation may begin.
-const lastFaultStart = 3600*loop.Second + 130*loop.Second
+const lastFaultStart = 3600*eventloop.Second + 130*eventloop.Second
 
 // repeatFaults calls strike after a delay and then repeatedly, with intervals that are drawn from a range, until
 // lastFaultStart.
-func (w *simulation) repeatFaults(first, least, most loop.Micros, strike func()) {
+func (w *simulation) repeatFaults(first, least, most eventloop.Micros, strike func()) {
 	var again func()
 	again = func() {
 		strike()
@@ -123,12 +123,12 @@
 			t.Parallel()
 			w := newSimulation(t, seed)
 			for i := range 45 {
-				w.after(w.between(loop.Second, 140*loop.Second), func() { w.addJob(i) })
+				w.after(w.between(eventloop.Second, 140*eventloop.Second), func() { w.addJob(i) })
 			}
-			w.after(12*loop.Second, w.randomFault)
+			w.after(12*eventloop.Second, w.randomFault)
 			w.after(0, w.tickWorkers)
 			w.after(0, w.checkCancelled)
-			w.run(3600*loop.Second + 600*loop.Second)
+			w.run(3600*eventloop.Second + 600*eventloop.Second)
 			w.checkCompleted(50)
 		})
 	}
--- a/internal/node/redirect.go
+++ b/internal/node/redirect.go
@@ -4,7 +4,7 @@
 	"hash/fnv"
 	"slices"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/reachability"
 )
 
@@ -13,9 +13,9 @@
 // worker a wait for an answer that does not come, and where no controller has contact to the state service that time
 // is taken from the last seconds in which its lease could be kept.
 const (
-	redirectInterval         = 10 * loop.Second
-	earlyRedirectInterval    = 5 * loop.Second
-	isolatedRedirectInterval = 60 * loop.Second
+	redirectInterval         = 10 * eventloop.Second
+	earlyRedirectInterval    = 5 * eventloop.Second
+	isolatedRedirectInterval = 60 * eventloop.Second
 )
 
 // trackIsolation records since when no peer is reachable.
@@ -33,7 +33,7 @@
 // registered there are used, and only after enough time that crashed ones have lost their leases. The answer names a
 // peer, because a worker that searches by itself waits 4 s for each one that does not answer; where the others had
 // crashed, that took so long that all running tasks lost their leases.
-func (n *Node) redirect(machine string, before int) (on bool, to string, again loop.Micros) {
+func (n *Node) redirect(machine string, before int) (on bool, to string, again eventloop.Micros) {
 	again = redirectInterval
 	contact := n.hasStateContact()
 	switch lost := n.loop.Now() - n.client.LastContact(); {
@@ -48,7 +48,7 @@
 	}
 	others := n.net.Peers()
 	if contact {
-		proof := loop.Seconds(n.cfg.Operator.NodeLeaseS) + loop.Second - reachability.MaxAge
+		proof := eventloop.Seconds(n.cfg.Operator.NodeLeaseS) + eventloop.Second - reachability.MaxAge
 		if n.isolatedSince == 0 || n.loop.Now()-n.isolatedSince < proof {
 			return false, "", again
 		}
--- a/internal/node/simulation_answers_test.go
+++ b/internal/node/simulation_answers_test.go
@@ -1,8 +1,8 @@
 package node
 
 import (
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 )
 
 // This file checks two preconditions of the invariants on answers. They break far more often than the invariants
@@ -36,8 +36,8 @@
 
 // openQuestion is since when, and how often, a controller was asked about a job without answering.
 type openQuestion struct {
-	since    loop.Micros
-	newest   loop.Micros // when the newest question was asked
+	since    eventloop.Micros
+	newest   eventloop.Micros // when the newest question was asked
 	count    int
 	deferred int // so many of them were deferred with Retry-After
 }
@@ -47,13 +47,13 @@
 // short time, were deferred, and nobody asked again, no answer is due: seed 22 of TestInvariantsUnderIntensePolling
 // has four questions within half a second of the end of a process pause of 17 s, each answered 429 with Retry-After
 // of one to three seconds, and no other for fifteen seconds.
-func (o *openQuestion) overdue(now loop.Micros) bool {
+func (o *openQuestion) overdue(now eventloop.Micros) bool {
 	return now-o.since > answerWithin && o.count >= minQuestions && (o.count > o.deferred || o.newest-o.since > answerWithin)
 }
 
 // answerWithin is for how long a controller that reaches the state service may leave every question about a job
 // unanswered: far longer than two read intervals and the time between two polls.
-const answerWithin = 15 * loop.Second
+const answerWithin = 15 * eventloop.Second
 
 // minQuestions is how many questions must have gone unanswered for a conclusion.
 const minQuestions = 3
@@ -80,7 +80,7 @@
 // answers it in time. What the controller itself reports is not used.
 func (w *simulation) canAnswer(label string) bool {
 	s := w.nodes[label]
-	return s.alive && !s.paused && w.linkModes[label+">state"] == connected && !w.state.Down() && w.stateFaults.answerDelay[1] < loop.Second/4
+	return s.alive && !s.paused && w.linkModes[label+">state"] == connected && !w.state.Down() && w.stateFaults.answerDelay[1] < eventloop.Second/4
 }
 
 // checkOpenQuestions fails if a controller answers no question about a job although it could.
@@ -102,20 +102,20 @@
 			w.fail("owed: %s could answer, but has answered none of %d questions about %s since %.3f s", key.label, o.count, key.id, float64(o.since)/1e6-3600)
 		}
 	}
-	w.after(loop.Second/5, w.checkOpenQuestions)
+	w.after(eventloop.Second/5, w.checkOpenQuestions)
 }
 
 // pollIntensely lets users poll intensely for a while: as soon as one is told that a job is accepted or final, it
 // asks all controllers again and again within milliseconds, repeats the submission there, and some users cancel at
 // once.
-func (w *simulation) pollIntensely(d loop.Micros) { w.intensePollUntil = w.now + d }
+func (w *simulation) pollIntensely(d eventloop.Micros) { w.intensePollUntil = w.now + d }
 
 // pollEverywhere asks all controllers about a job several times within 600 ms.
 func (w *simulation) pollEverywhere(j *simJob) {
 	if w.now >= w.intensePollUntil {
 		return
 	}
-	const looks, within = 8, 600 * loop.Millisecond
+	const looks, within = 8, 600 * eventloop.Millisecond
 	for _, label := range w.labels {
 		s := w.nodes[label]
 		for range looks {
--- a/internal/node/simulation_delivery_test.go
+++ b/internal/node/simulation_delivery_test.go
@@ -3,24 +3,24 @@
 import (
 	"fmt"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/wire"
 )
 
 // reportTimeout is how long a worker waits for the answer to its report.
-const reportTimeout = 4 * loop.Second
+const reportTimeout = 4 * eventloop.Second
 
 // startsInFlight is a message with starts that a host controller has sent and that has not reached its worker yet.
 type startsInFlight struct {
 	route   string // how it is sent, for failure messages
 	token   uint64
 	session uint64
-	until   loop.Micros // the worker drops it after this time; 0: never
+	until   eventloop.Micros // the worker drops it after this time; 0: never
 	starts  []wire.Command
 }
 
 // canArrive reports whether the worker would still execute the message.
-func (d *startsInFlight) canArrive(now loop.Micros, x *simWorker) bool {
+func (d *startsInFlight) canArrive(now eventloop.Micros, x *simWorker) bool {
 	return d.token >= x.w.Token() && d.session == x.w.Session() && (d.until == 0 || now <= d.until)
 }
 
@@ -28,7 +28,7 @@
 // of a task that runs twice and not the second run itself, which is thousands of times rarer: no forget may be sent
 // while a start of the same attempt can still reach the worker. It returns nil if there are no starts among the
 // commands.
-func (w *simulation) commandsSent(x *simWorker, way string, c wire.Commands, session uint64, until loop.Micros) *startsInFlight {
+func (w *simulation) commandsSent(x *simWorker, way string, c wire.Commands, session uint64, until eventloop.Micros) *startsInFlight {
 	for old := range x.inFlight {
 		if !old.canArrive(w.now, x) {
 			delete(x.inFlight, old)
@@ -73,9 +73,9 @@
 
 // answerDelay draws how long the answer to a report takes. A slow answer stands for lost packets, which are sent again
 // after some 200 ms and then after increasing times.
-func (w *simulation) answerDelay() loop.Micros {
+func (w *simulation) answerDelay() eventloop.Micros {
 	if w.slowAnswerShare > 0 && w.rng.Float64() < w.slowAnswerShare {
-		return w.between(200*loop.Millisecond, 3500*loop.Millisecond)
+		return w.between(200*eventloop.Millisecond, 3500*eventloop.Millisecond)
 	}
 	return w.between(300, 2000)
 }
--- a/internal/node/simulation_invariants_test.go
+++ b/internal/node/simulation_invariants_test.go
@@ -1,8 +1,8 @@
 package node
 
 import (
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
 )
@@ -34,7 +34,7 @@
 	if j.spec.OneZone && len(zones) > 1 || j.spec.Spread && zones[x.w.Zone] > (j.spec.Tasks+1)/2 {
 		w.fail("wrong_place: %s starts in zone %s; tasks of its job by zone: %v", task, x.w.Zone, zones)
 	}
-	if j.cancelledAt != 0 && w.now > j.cancelledAt+loop.Seconds(w.cfg.Cluster.Workers.CancelS) {
+	if j.cancelledAt != 0 && w.now > j.cancelledAt+eventloop.Seconds(w.cfg.Cluster.Workers.CancelS) {
 		w.fail("ran_cancelled: %s starts more than cancel_s after its user was told of the cancellation", task)
 	}
 	if j.cancelledAt != 0 {
@@ -88,8 +88,8 @@
 // checkAnswer checks a user's answer against everything that the user had been told before asking. Of two
 // requests in flight at the same time, either may be answered first, so the answer is compared with the time of its
 // question: compared with the time of its arrival, it would have to know what had been told while it was on its way.
-func (w *simulation) checkAnswer(j *simJob, asked loop.Micros, a job.Answer) {
-	before := func(at loop.Micros) bool { return at != 0 && at < asked }
+func (w *simulation) checkAnswer(j *simJob, asked eventloop.Micros, a job.Answer) {
+	before := func(at eventloop.Micros) bool { return at != 0 && at < asked }
 	switch a.Code {
 	case 404:
 		if before(j.acceptedAt) {
@@ -148,16 +148,16 @@
 func (w *simulation) checkCancelled() {
 	for t, m := range w.running {
 		id, _, _ := workers.SplitTask(t)
-		if j := w.jobs[id]; j.cancelledAt != 0 && w.now > j.cancelledAt+loop.Seconds(w.cfg.Cluster.Workers.CancelS) && !w.workers[m].hungPastLease(w.now) {
+		if j := w.jobs[id]; j.cancelledAt != 0 && w.now > j.cancelledAt+eventloop.Seconds(w.cfg.Cluster.Workers.CancelS) && !w.workers[m].hungPastLease(w.now) {
 			w.fail("ran_cancelled: %s still runs on %s more than cancel_s after its user was told of the cancellation", t, m)
 		}
 	}
-	w.after(loop.Second, w.checkCancelled)
+	w.after(eventloop.Second, w.checkCancelled)
 }
 
 // maxUnanswered is for how long, after the last fault, all questions about a job may go unanswered. After that the job
 // counts as forgotten, whatever is answered about other jobs.
-const maxUnanswered = 75 * loop.Second
+const maxUnanswered = 75 * eventloop.Second
 
 // checkForgotten fails if a job is forgotten.
 func (w *simulation) checkForgotten() {
@@ -168,19 +168,19 @@
 			}
 		}
 	}
-	w.after(loop.Second, w.checkForgotten)
+	w.after(eventloop.Second, w.checkForgotten)
 }
 
 // startChecks starts the workers' time and all periodic invariant checks; calm is how long after the start of the
 // simulation the last fault ends.
-func (w *simulation) startChecks(calm loop.Micros) {
+func (w *simulation) startChecks(calm eventloop.Micros) {
 	w.after(0, w.tickWorkers)
 	w.after(0, w.checkCancelled)
 	w.after(0, w.checkLeases)
 	w.after(0, w.checkForgotten)
 	w.after(0, w.checkOpenQuestions)
 	w.after(0, w.checkWaiting)
-	w.faultsEndAt = 3600*loop.Second + calm
+	w.faultsEndAt = 3600*eventloop.Second + calm
 }
 
 // checkLeases fails if a controller acts as if its lease were valid although it has expired. A lease that peers revoked
@@ -191,5 +191,5 @@
 			w.fail("%s still acts under its lease %d, which has expired", l, s.n.member.Lease())
 		}
 	}
-	w.after(50*loop.Millisecond, w.checkLeases)
+	w.after(50*eventloop.Millisecond, w.checkLeases)
 }
--- a/internal/node/simulation_machine_test.go
+++ b/internal/node/simulation_machine_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"sort"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/failuredetector"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
@@ -37,7 +37,7 @@
 	}
 	if x.hanging || w.delayedCommandShare > 0 && w.rng.Float64() < w.delayedCommandShare {
 		// It is executed all the same: when the machine resumes, or seconds later.
-		w.after(w.between(loop.Second, 10*loop.Second), func() {
+		w.after(w.between(eventloop.Second, 10*eventloop.Second), func() {
 			w.whenResumed(x, func() {
 				x.w.Tick(w.now) // its lease may have expired
 				w.executeCommand(from, x, path, body)
@@ -66,14 +66,16 @@
 }
 
 // hungPastLease reports whether a machine hangs and its lease has expired.
-func (x *simWorker) hungPastLease(now loop.Micros) bool { return x.hanging && x.w.LeaseExpired(now) }
+func (x *simWorker) hungPastLease(now eventloop.Micros) bool {
+	return x.hanging && x.w.LeaseExpired(now)
+}
 
 // whenResumed calls f as soon as a machine does not hang, unless it is deleted before.
 func (w *simulation) whenResumed(x *simWorker, f func()) {
 	switch {
 	case x.deleted:
 	case x.hanging:
-		w.after(300*loop.Millisecond, func() { w.whenResumed(x, f) })
+		w.after(300*eventloop.Millisecond, func() { w.whenResumed(x, f) })
 	default:
 		f()
 	}
@@ -98,7 +100,7 @@
 
 // boot starts the worker of a machine that the cloud created.
 func (w *simulation) boot(m wire.CloudMachine) {
-	x := &simWorker{w: standin.NewWorker(w.now, loop.Seconds(w.cfg.Cluster.Workers.LeaseS)), hostIndex: w.rng.IntN(len(w.labels)), inFlight: map[*startsInFlight]struct{}{}}
+	x := &simWorker{w: standin.NewWorker(w.now, eventloop.Seconds(w.cfg.Cluster.Workers.LeaseS)), hostIndex: w.rng.IntN(len(w.labels)), inFlight: map[*startsInFlight]struct{}{}}
 	x.w.Name, x.w.Addr, x.w.Type, x.w.Zone, x.w.Spot = m.Name, m.Addr, m.Type, m.Zone, m.Spot
 	x.w.CPUs, x.w.MemoryGB = w.cloud.Types[0].CPUs, w.cloud.Types[0].MemoryGB
 	x.w.Job = func(id string) (standin.Job, bool) {
@@ -140,9 +142,9 @@
 	if x.deleted {
 		return
 	}
-	reportAfter := func(d loop.Micros) { w.after(d, func() { w.sendReports(x) }) }
+	reportAfter := func(d eventloop.Micros) { w.after(d, func() { w.sendReports(x) }) }
 	if x.hanging {
-		reportAfter(300 * loop.Millisecond)
+		reportAfter(300 * eventloop.Millisecond)
 		return
 	}
 	x.w.Tick(w.now)
@@ -153,7 +155,7 @@
 	answered := false
 	tryNextController := func() {
 		x.hostIndex = (x.hostIndex + 1) % len(w.labels)
-		reportAfter(loop.Second)
+		reportAfter(eventloop.Second)
 	}
 	if x.cannotReport {
 		tryNextController()
@@ -181,7 +183,7 @@
 							x.w.HandleAnswer(w.now, sent, r.Session, c)
 							x.commandsArrived(starts)
 						})
-						each := loop.Seconds(w.cfg.Cluster.Workers.ReportS)
+						each := eventloop.Seconds(w.cfg.Cluster.Workers.ReportS)
 						reportAfter(w.between(each*3/4, each*5/4))
 						return
 					}
@@ -191,7 +193,7 @@
 								x.hostIndex = i
 							}
 						}
-						reportAfter(w.between(0, 500*loop.Millisecond))
+						reportAfter(w.between(0, 500*eventloop.Millisecond))
 						return
 					}
 					tryNextController()
@@ -204,9 +206,9 @@
 		w.after(w.between(300, 2000), deliver)
 		w.deliverCopies(r)
 	case delaying:
-		w.after(w.between(5*loop.Second, 40*loop.Second), deliver) // a late report
+		w.after(w.between(5*eventloop.Second, 40*eventloop.Second), deliver) // a late report
 	}
-	w.after(4*loop.Second, func() {
+	w.after(4*eventloop.Second, func() {
 		if !answered {
 			answered = true
 			tryNextController()
@@ -220,8 +222,8 @@
 	if w.duplicateShare == 0 || w.rng.Float64() >= w.duplicateShare {
 		return
 	}
-	lease := loop.Seconds(w.cfg.Cluster.Workers.LeaseS)
-	w.after(w.between(loop.Second, [...]loop.Micros{5 * loop.Second, lease, 4 * lease}[w.rng.IntN(3)]), func() {
+	lease := eventloop.Seconds(w.cfg.Cluster.Workers.LeaseS)
+	w.after(w.between(eventloop.Second, [...]eventloop.Micros{5 * eventloop.Second, lease, 4 * lease}[w.rng.IntN(3)]), func() {
 		s := w.nodes[w.anyController()]
 		s.execute(s.incarnation, func() { s.n.agent.Report(r, func(workers.Answer) {}) })
 		w.deliverCopies(r)
@@ -250,5 +252,5 @@
 			x.w.Tick(w.now)
 		}
 	}
-	w.after(250*loop.Millisecond, w.tickWorkers)
+	w.after(250*eventloop.Millisecond, w.tickWorkers)
 }
--- a/internal/node/simulation_state_service_test.go
+++ b/internal/node/simulation_state_service_test.go
@@ -4,16 +4,16 @@
 	"strings"
 	"time"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
 
 // stateServiceFaults is the injected delays of the state service.
 type stateServiceFaults struct {
-	lateWrites  float64        // the share of transactions that get no answer and are executed late
-	lostAnswers float64        // the share of requests that are executed at once and get no answer
-	answerDelay [2]loop.Micros // the range of how long answers take; 0: no delay
+	lateWrites  float64             // the share of transactions that get no answer and are executed late
+	lostAnswers float64             // the share of requests that are executed at once and get no answer
+	answerDelay [2]eventloop.Micros // the range of how long answers take; 0: no delay
 	// kinds counts the late transactions by the kind of the first key that they change, and tookEffect those of them
 	// that took effect.
 	kinds, tookEffect map[string]int
@@ -28,7 +28,7 @@
 func (l stateLink) Do(method, path string, body []byte, limit time.Duration) store.Response {
 	w := l.w
 	if path == "/multi" && w.stateFaults.lateWrites > 0 && w.linkModes[l.name] == connected && w.rng.Float64() < w.stateFaults.lateWrites {
-		w.after(w.between(2*loop.Second, 12*loop.Second), func() { w.cameLate(body, l.do(method, path, body)) })
+		w.after(w.between(2*eventloop.Second, 12*eventloop.Second), func() { w.cameLate(body, l.do(method, path, body)) })
 		return store.Response{Err: errNoAnswer}
 	}
 	resp := l.link.Do(method, path, body, limit)
@@ -37,7 +37,7 @@
 	}
 	if w.stateFaults.answerDelay[1] > 0 {
 		d := w.between(w.stateFaults.answerDelay[0], w.stateFaults.answerDelay[1])
-		if most := loop.Micros(limit / time.Microsecond); d > most {
+		if most := eventloop.Micros(limit / time.Microsecond); d > most {
 			d, resp = most, store.Response{Err: errNoAnswer} // it was executed, but the caller no longer waits
 		}
 		l.s.answerLag = d
--- a/internal/node/simulation_test.go
+++ b/internal/node/simulation_test.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/failuredetector"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
@@ -31,7 +31,7 @@
 
 // event is a callback that is due at a time; events of the same time run in the order of seq.
 type event struct {
-	at       loop.Micros
+	at       eventloop.Micros
 	seq      int
 	callback func()
 }
@@ -58,7 +58,7 @@
 type simulation struct {
 	t              testing.TB
 	rng            *rand.Rand
-	now            loop.Micros
+	now            eventloop.Micros
 	seq            int
 	queue          eventQueue
 	state          *standin.StateService
@@ -88,18 +88,18 @@
 	stateFaults         stateServiceFaults // delays of the state service
 	delayedCommandShare float64            // the share of direct commands that are executed seconds later
 	rerunCompleted      int                // tasks that started again after they had completed
-	startsAfterCancel   []loop.Micros      // for each task that started after its user had been told that the job is cancelled: how long after
-	slowestDone         loop.Micros        // the longest time from the end of a job's last task until its user was told
+	startsAfterCancel   []eventloop.Micros // for each task that started after its user had been told that the job is cancelled: how long after
+	slowestDone         eventloop.Micros   // the longest time from the end of a job's last task until its user was told
 	reliable            bool               // a connection without a fault loses and delays nothing
 	unreachableByUsers  string             // a controller that no user reaches
-	faultsEndAt         loop.Micros        // from when on there are no faults; 0: checks that need this are off
+	faultsEndAt         eventloop.Micros   // from when on there are no faults; 0: checks that need this are off
 	// slowAnswerShare is the share of the answers to reports that arrive 0.2 to 3.5 s late.
 	slowAnswerShare float64
 	forgetsSent     int // number sent to workers that would execute them
 	// intensePollUntil is until when users poll intensely, see pollIntensely.
-	intensePollUntil loop.Micros
-	openQuestions    map[question]*openQuestion // questions that a controller has not answered
-	ableSince        map[string]loop.Micros     // since when each controller could answer; 0: it cannot
+	intensePollUntil eventloop.Micros
+	openQuestions    map[question]*openQuestion  // questions that a controller has not answered
+	ableSince        map[string]eventloop.Micros // since when each controller could answer; 0: it cannot
 }
 
 // cost is what the controllers' own code costs, without the simulation around it.
@@ -131,11 +131,11 @@
 type simNode struct {
 	w           *simulation
 	label       string
-	stalls      *loop.PauseDetector // of this incarnation
+	stalls      *eventloop.PauseDetector // of this incarnation
 	n           *Node
 	alive       bool
-	incarnation int         // the incarnation of the process
-	clockOffset loop.Micros // of its wall clock
+	incarnation int              // the incarnation of the process
+	clockOffset eventloop.Micros // of its wall clock
 	zone        string
 	// paused: the process is paused while its clocks go on; queued is what arrived meanwhile.
 	paused bool
@@ -144,7 +144,7 @@
 	// trigger is called once, after a request of this controller that contains triggerText has been executed.
 	triggerText string
 	trigger     func()
-	answerLag   loop.Micros // delay of the answer to the request being made
+	answerLag   eventloop.Micros // delay of the answer to the request being made
 }
 
 // afterRequest calls f when the controller's next request that contains words has been executed and before the
@@ -175,21 +175,21 @@
 type simJob struct {
 	id              string
 	spec            *job.Spec
-	run             loop.Micros
+	run             eventloop.Micros
 	broken          bool
 	failEvery       int // of a broken job, only every n-th task fails; 0: all fail
-	failsAfter      loop.Micros
-	runTimeStep     loop.Micros // added to the run time of each task, compared with the task before
+	failsAfter      eventloop.Micros
+	runTimeStep     eventloop.Micros // added to the run time of each task, compared with the task before
 	accepted        bool
 	done            bool
-	cancelledAt     loop.Micros // when its user was first told that it is cancelled
-	cancelRequested bool        // its user requested its cancellation
-	submittedAt     loop.Micros // when it was first submitted
-	acceptedAt      loop.Micros // when its user was first told that it is accepted
-	lastTaskEnd     loop.Micros // when the newest of its tasks completed
-	doneAt          loop.Micros // when its user was first told that it is done
-	lastAnswerAt    loop.Micros // when its user last got an answer about it
-	firstStartAt    loop.Micros // when its first task started
+	cancelledAt     eventloop.Micros // when its user was first told that it is cancelled
+	cancelRequested bool             // its user requested its cancellation
+	submittedAt     eventloop.Micros // when it was first submitted
+	acceptedAt      eventloop.Micros // when its user was first told that it is accepted
+	lastTaskEnd     eventloop.Micros // when the newest of its tasks completed
+	doneAt          eventloop.Micros // when its user was first told that it is done
+	lastAnswerAt    eventloop.Micros // when its user last got an answer about it
+	firstStartAt    eventloop.Micros // when its first task started
 	terms           *job.Terms
 	starts          int             // number of starts of its tasks
 	unusedCapacity  *unusedCapacity // the free capacity that it could use; nil: none
@@ -204,7 +204,7 @@
 }
 
 // after calls f after a delay.
-func (w *simulation) after(d loop.Micros, f func()) {
+func (w *simulation) after(d eventloop.Micros, f func()) {
 	w.seq++
 	heap.Push(&w.queue, event{w.now + max(d, 0) + 1, w.seq, f})
 }
@@ -229,17 +229,17 @@
 }
 
 // Pauses returns the detector of this incarnation's process pauses.
-func (r runner) Pauses() *loop.PauseDetector {
+func (r runner) Pauses() *eventloop.PauseDetector {
 	if r.s.stalls == nil {
-		r.s.stalls = &loop.PauseDetector{}
+		r.s.stalls = &eventloop.PauseDetector{}
 	}
 	return r.s.stalls
 }
 
-func (r runner) Now() loop.Micros  { return r.w.now }
-func (r runner) Wall() loop.Micros { return 1_700_000_000_000_000 + r.w.now + r.s.clockOffset }
-func (r runner) Post(f func())     { r.After(r.s.answerLag, f) }
-func (r runner) After(d loop.Micros, f func()) {
+func (r runner) Now() eventloop.Micros  { return r.w.now }
+func (r runner) Wall() eventloop.Micros { return 1_700_000_000_000_000 + r.w.now + r.s.clockOffset }
+func (r runner) Post(f func())          { r.After(r.s.answerLag, f) }
+func (r runner) After(d eventloop.Micros, f func()) {
 	r.w.after(d, func() { r.s.execute(r.incarnation, f) })
 }
 
@@ -251,7 +251,7 @@
 		do()
 		r.s.answerLag = 0
 	}
-	r.w.after(r.w.between(loop.Millisecond, 8*loop.Millisecond), func() {
+	r.w.after(r.w.between(eventloop.Millisecond, 8*eventloop.Millisecond), func() {
 		if r.s.paused && r.s.alive && r.s.incarnation == r.incarnation && r.w.rng.IntN(2) == 0 {
 			f()
 			return
@@ -278,7 +278,7 @@
 }
 
 // between draws a time from a range.
-func (w *simulation) between(a, b loop.Micros) loop.Micros { return a + w.rng.Int64N(b-a+1) }
+func (w *simulation) between(a, b eventloop.Micros) eventloop.Micros { return a + w.rng.Int64N(b-a+1) }
 
 var errNoAnswer = errors.New("no answer")
 
@@ -335,7 +335,7 @@
 	case refusing:
 		return store.Response{Status: 503}
 	case delaying:
-		w.after(w.between(loop.Second, 40*loop.Second), func() { f() }) // executed late, when nobody waits for the answer
+		w.after(w.between(eventloop.Second, 40*eventloop.Second), func() { f() }) // executed late, when nobody waits for the answer
 		return store.Response{Err: errNoAnswer}
 	}
 	if w.reliable {
@@ -348,7 +348,7 @@
 		f()
 		return store.Response{Err: errNoAnswer}
 	case p < 0.012: // it is executed late
-		w.after(w.between(loop.Second, 20*loop.Second), func() { f() })
+		w.after(w.between(eventloop.Second, 20*eventloop.Second), func() { f() })
 		return store.Response{Err: errNoAnswer}
 	}
 	return f()
@@ -372,9 +372,9 @@
 
 // newSimulationOf returns a simulation of a given size with changed settings. All its controllers have started.
 func newSimulationOf(t testing.TB, seed uint64, z clusterSize, settings func(*config.Config)) *simulation {
-	w := &simulation{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), now: 3600 * loop.Second, zoneModes: map[string]linkMode{},
+	w := &simulation{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), now: 3600 * eventloop.Second, zoneModes: map[string]linkMode{},
 		nodes: map[string]*simNode{}, workers: map[string]*simWorker{}, jobs: map[string]*simJob{}, linkModes: map[string]linkMode{},
-		openQuestions: map[question]*openQuestion{}, ableSince: map[string]loop.Micros{},
+		openQuestions: map[question]*openQuestion{}, ableSince: map[string]eventloop.Micros{},
 		endReasons: map[string]int{}, running: map[string]string{}, completed: map[string]bool{}, cpusInUse: map[string]float64{}}
 	for i := range z.nodes {
 		w.labels = append(w.labels, string(rune('a'+i)))
@@ -393,13 +393,15 @@
 	c.Cluster.Cloud.RPS, c.Cluster.Cloud.ListLagS = 5, 2
 	c.Cluster.Limits.RAMMB, c.Cluster.Limits.MaxSockets = 100, 500
 	settings(c)
-	w.state = standin.NewStateService(func() loop.Micros { return w.now })
+	w.state = standin.NewStateService(func() eventloop.Micros { return w.now })
 	w.cloud = standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 4, Zones: w.zones}, z.each)
-	w.cloud.Now = func() loop.Micros { return w.now }
-	w.cloud.OnRented = func(m wire.CloudMachine) { w.after(w.between(2*loop.Second, 8*loop.Second), func() { w.boot(m) }) }
+	w.cloud.Now = func() eventloop.Micros { return w.now }
+	w.cloud.OnRented = func(m wire.CloudMachine) {
+		w.after(w.between(2*eventloop.Second, 8*eventloop.Second), func() { w.boot(m) })
+	}
 	w.cloud.OnDeleted = w.destroy
 	for i, l := range w.labels {
-		w.nodes[l] = &simNode{w: w, label: l, cost: &w.cost, clockOffset: loop.Micros(i%3-1) * 90 * loop.Millisecond, zone: w.zones[i%len(w.zones)]}
+		w.nodes[l] = &simNode{w: w, label: l, cost: &w.cost, clockOffset: eventloop.Micros(i%3-1) * 90 * eventloop.Millisecond, zone: w.zones[i%len(w.zones)]}
 	}
 	for _, l := range w.labels {
 		w.startNode(l)
@@ -473,7 +475,7 @@
 		case dropping:
 			return
 		case delaying:
-			d = w.between(loop.Second, 60*loop.Second)
+			d = w.between(eventloop.Second, 60*eventloop.Second)
 		}
 		w.after(d, func() { w.deliverFrame(to, f) })
 	}
@@ -493,10 +495,12 @@
 }
 
 // kill crashes a controller, which is back after 2 to 8 s.
-func (w *simulation) kill(label string) { w.killFor(label, w.between(2*loop.Second, 8*loop.Second)) }
+func (w *simulation) kill(label string) {
+	w.killFor(label, w.between(2*eventloop.Second, 8*eventloop.Second))
+}
 
 // killFor crashes a controller, which is back after a delay.
-func (w *simulation) killFor(label string, d loop.Micros) {
+func (w *simulation) killFor(label string, d eventloop.Micros) {
 	s := w.nodes[label]
 	s.alive = false
 	incarnation := s.incarnation
@@ -540,7 +544,7 @@
 			}
 		})
 	}
-	w.after(w.between(2*loop.Second, 4*loop.Second), func() {
+	w.after(w.between(2*eventloop.Second, 4*eventloop.Second), func() {
 		if !j.accepted {
 			w.submit(j)
 		}
@@ -574,7 +578,7 @@
 	if s := w.pickNode(); s != nil {
 		w.pollAt(s, j)
 	}
-	w.after(w.between(2*loop.Second, 5*loop.Second), func() { w.poll(j) })
+	w.after(w.between(2*eventloop.Second, 5*eventloop.Second), func() { w.poll(j) })
 }
 
 // cancel cancels a job, again and again until its user is told that it is cancelled or done.
@@ -586,7 +590,7 @@
 	if s := w.pickNode(); s != nil {
 		s.execute(s.incarnation, func() { s.n.jobs.Cancel(j.id, w.answerChecker(j)) })
 	}
-	w.after(2*loop.Second, func() { w.cancel(j) })
+	w.after(2*eventloop.Second, func() { w.cancel(j) })
 }
 
 func (w *simulation) addJob(i int) { w.simulateUser(w.makeJob(i)) }
@@ -595,7 +599,7 @@
 func (w *simulation) makeJob(i int) *simJob {
 	r := w.rng
 	s := &job.Spec{Class: "k", Team: []string{"red", "blue"}[r.IntN(2)], Priority: job.Priority(r.IntN(3)), Tasks: 1 + r.IntN(8),
-		CPUs: float64(1 + r.IntN(3)), MemoryGB: 2, Image: "i", ImageGB: 1, AnyType: true, Spot: r.IntN(2) == 0, Estimate: 8 * loop.Second}
+		CPUs: float64(1 + r.IntN(3)), MemoryGB: 2, Image: "i", ImageGB: 1, AnyType: true, Spot: r.IntN(2) == 0, Estimate: 8 * eventloop.Second}
 	switch r.IntN(6) {
 	case 0:
 		s.Zone = w.zones[len(w.zones)-1]
@@ -604,21 +608,21 @@
 	case 2:
 		s.Spread = true
 	}
-	return &simJob{id: fmt.Sprintf("job-%06d", i), spec: s, run: w.between(loop.Second, 20*loop.Second), broken: r.IntN(25) == 0}
+	return &simJob{id: fmt.Sprintf("job-%06d", i), spec: s, run: w.between(eventloop.Second, 20*eventloop.Second), broken: r.IntN(25) == 0}
 }
 
 // simulateUser simulates a job's user, who submits it, polls it and perhaps cancels it.
 func (w *simulation) simulateUser(j *simJob) {
 	w.jobs[j.id] = j
 	w.submit(j)
-	w.after(3*loop.Second, func() { w.poll(j) })
+	w.after(3*eventloop.Second, func() { w.poll(j) })
 	if j.broken || w.rng.IntN(8) == 0 {
-		w.after(w.between(2*loop.Second, 30*loop.Second), func() { w.cancel(j) })
+		w.after(w.between(2*eventloop.Second, 30*eventloop.Second), func() { w.cancel(j) })
 	}
 }
 
 // run handles all events up to a time.
-func (w *simulation) run(until loop.Micros) {
+func (w *simulation) run(until eventloop.Micros) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
--- a/internal/node/simulation_waiting_test.go
+++ b/internal/node/simulation_waiting_test.go
@@ -4,17 +4,17 @@
 	"maps"
 	"slices"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/workers"
 )
 
 // maxWaitWithCapacity is for how long, after the last fault, a job may wait while the same machine has free capacity
 // for one of its tasks all the time and its team is under its limit.
-const maxWaitWithCapacity = 90 * loop.Second
+const maxWaitWithCapacity = 90 * eventloop.Second
 
 // unusedCapacity is the machines on which a job could have started a task all the time since a given one.
 type unusedCapacity struct {
-	since    loop.Micros
+	since    eventloop.Micros
 	starts   int // of the job, at that time
 	machines map[string]bool
 }
@@ -22,7 +22,7 @@
 // checkWaiting fails if a job waits although there is free capacity for it. It uses what actually runs on the
 // machines, not what any controller knows.
 func (w *simulation) checkWaiting() {
-	w.after(loop.Second, w.checkWaiting)
+	w.after(eventloop.Second, w.checkWaiting)
 	if w.faultsEndAt == 0 || w.now <= w.faultsEndAt {
 		return
 	}
--- a/internal/node/slow_answers_test.go
+++ b/internal/node/slow_answers_test.go
@@ -5,8 +5,8 @@
 	"testing"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 )
 
 // slowAnswersSimulation returns a simulation with more urgent and normal work than capacity, while packets are lost:
@@ -27,14 +27,14 @@
 	number := 0
 	for burst := range 5 {
 		for range 25 {
-			w.after(loop.Micros(burst)*20*loop.Second+w.between(loop.Second, 12*loop.Second), func() {
+			w.after(eventloop.Micros(burst)*20*eventloop.Second+w.between(eventloop.Second, 12*eventloop.Second), func() {
 				w.simulateUser(w.urgentOrNot(number))
 				number++
 			})
 		}
 	}
 	if w.rng.IntN(2) == 0 {
-		w.after(w.between(12*loop.Second, 60*loop.Second), w.randomFault)
+		w.after(w.between(12*eventloop.Second, 60*eventloop.Second), w.randomFault)
 	}
 	return w
 }
@@ -44,7 +44,7 @@
 	j := w.makeJob(number)
 	if w.rng.IntN(2) == 0 {
 		j.spec.Priority = job.High
-		j.run = w.between(loop.Second, 4*loop.Second)
+		j.run = w.between(eventloop.Second, 4*eventloop.Second)
 	}
 	return j
 }
@@ -58,8 +58,8 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := slowAnswersSimulation(t, seed)
-			w.startChecks(250 * loop.Second)
-			w.run(3600*loop.Second + 400*loop.Second)
+			w.startChecks(250 * eventloop.Second)
+			w.run(3600*eventloop.Second + 400*eventloop.Second)
 			w.checkCompleted(50)
 			if w.forgetsSent == 0 {
 				t.Error("no forget was sent")
--- a/internal/node/soak_test.go
+++ b/internal/node/soak_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cleatpick/internal/config"
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
 var (
@@ -30,26 +30,26 @@
 		}
 	})
 	for i := range jobs {
-		w.after(w.between(loop.Second, 120*loop.Second), func() {
+		w.after(w.between(eventloop.Second, 120*eventloop.Second), func() {
 			j := w.makeJob(i)
 			j.spec.Image = unfinishedImage
 			if r.IntN(3) == 0 {
-				j.spec.Tasks, j.runTimeStep = 2+r.IntN(2), w.between(5*loop.Second, 40*loop.Second)
+				j.spec.Tasks, j.runTimeStep = 2+r.IntN(2), w.between(5*eventloop.Second, 40*eventloop.Second)
 			}
 			w.simulateUser(j)
 		})
 	}
 	if r.IntN(3) > 0 {
-		w.after(5*loop.Second, func() { w.pollIntensely(w.between(20*loop.Second, 130*loop.Second)) })
+		w.after(5*eventloop.Second, func() { w.pollIntensely(w.between(20*eventloop.Second, 130*eventloop.Second)) })
 	}
 	troubles := slices.Concat(coincidingFaults, isolationFaults, correlatedFaults, operatorFaults, answerFaults)
-	w.repeatFaults(12*loop.Second, 10*loop.Second, 35*loop.Second, func() {
+	w.repeatFaults(12*eventloop.Second, 10*eventloop.Second, 35*eventloop.Second, func() {
 		for range 2 + r.IntN(2) {
 			trouble := troubles[r.IntN(len(troubles))]
-			w.after(w.between(0, 5*loop.Second), func() { trouble.do(w) })
+			w.after(w.between(0, 5*eventloop.Second), func() { trouble.do(w) })
 		}
 	})
-	w.startChecks(260 * loop.Second)
+	w.startChecks(260 * eventloop.Second)
 	return w
 }
 
@@ -66,7 +66,7 @@
 				t.Run(fmt.Sprint(seed), func(t *testing.T) {
 					t.Parallel()
 					w := soakSimulation(t, seed)
-					w.run(3600*loop.Second + 800*loop.Second)
+					w.run(3600*eventloop.Second + 800*eventloop.Second)
 					w.checkCompleted(20)
 				})
 			}
--- a/internal/node/sockets.go
+++ b/internal/node/sockets.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 
 	"github.com/valyala/fasthttp"
 )
@@ -57,8 +57,8 @@
 }
 
 // watch closes idle connections to workers while more than closeOutgoingAbove of the limit is open.
-func (s *sockets) watch(r loop.Runner, closeIdle func()) {
-	loop.Every(r, 500*loop.Millisecond, func() {
+func (s *sockets) watch(r eventloop.Runner, closeIdle func()) {
+	eventloop.Every(r, 500*eventloop.Millisecond, func() {
 		if s.above(closeOutgoingAbove) {
 			r.Go(closeIdle)
 		}
--- a/internal/node/sockets_test.go
+++ b/internal/node/sockets_test.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"testing"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/standin"
 )
 
@@ -43,7 +43,7 @@
 			c.Close() // twice, as a connection pool may
 		}
 	})
-	clock.Advance(3 * loop.Second)
+	clock.Advance(3 * eventloop.Second)
 	if closed.Load() != 1 || s.outgoing.Load() != 0 {
 		t.Fatalf("idle connections were closed %d times, %d count as open, want 1 and 0", closed.Load(), s.outgoing.Load())
 	}
--- a/internal/node/starvation_crashes_test.go
+++ b/internal/node/starvation_crashes_test.go
@@ -5,8 +5,8 @@
 	"testing"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 )
 
 // starvationSimulation returns a simulation in which the demand of small jobs is twice the capacity, with other jobs
@@ -18,7 +18,7 @@
 		cfg.Cluster.Teams = []config.Team{{Name: "red", CPUs: 0.6 * cpus}, {Name: "blue", CPUs: 0.3 * cpus}, {Name: "guest"}}
 	})
 	number := 0
-	add := func(at loop.Micros, class, team string, p job.Priority, tasks int, each float64, run loop.Micros, more func(*job.Spec)) {
+	add := func(at eventloop.Micros, class, team string, p job.Priority, tasks int, each float64, run eventloop.Micros, more func(*job.Spec)) {
 		number++
 		s := &job.Spec{Class: class, Team: team, Priority: p, Tasks: tasks, CPUs: each, MemoryGB: 1, Image: "i", ImageGB: 1, AnyType: true, Spot: true, Estimate: run}
 		if more != nil {
@@ -27,22 +27,22 @@
 		id := fmt.Sprintf("job-%06d", number)
 		w.after(at, func() { w.simulateUser(&simJob{id: id, spec: s, run: run}) })
 	}
-	every := loop.Micros(4 * 8 * 1e6 / (2 * cpus)) // each job is four tasks of one CPU for 8 s
-	for at := 5 * loop.Second; at < span*loop.Second; at += every {
-		add(at, "small", []string{"red", "red", "blue"}[number%3], job.Normal, 4, 1, 8*loop.Second, nil)
+	every := eventloop.Micros(4 * 8 * 1e6 / (2 * cpus)) // each job is four tasks of one CPU for 8 s
+	for at := 5 * eventloop.Second; at < span*eventloop.Second; at += every {
+		add(at, "small", []string{"red", "red", "blue"}[number%3], job.Normal, 4, 1, 8*eventloop.Second, nil)
 	}
-	for at := 10 * loop.Second; at < span*loop.Second; at += 10 * loop.Second {
-		add(at, "urgent", "red", job.High, 8, 1, 3*loop.Second, nil)
+	for at := 10 * eventloop.Second; at < span*eventloop.Second; at += 10 * eventloop.Second {
+		add(at, "urgent", "red", job.High, 8, 1, 3*eventloop.Second, nil)
 	}
-	for k, at := range []loop.Micros{20 * loop.Second, 60 * loop.Second, 110 * loop.Second} {
-		add(at, "array", "blue", job.Normal, 1000*(k+1), 0.25, 2*loop.Second, nil)
-		add(at, "whole", "blue", job.Low, 6, 8, 6*loop.Second, nil)
-		add(at, "tidy", "guest", job.Low, 100*(k+1), 0.5, 4*loop.Second, nil)
-		add(at, "onezone", "blue", job.Low, 12, 2, 5*loop.Second, func(s *job.Spec) { s.OneZone = true })
-		add(at, "spread", "guest", job.Normal, 9, 2, 5*loop.Second, func(s *job.Spec) { s.Spread = true })
-		add(at, "gang", "blue", job.Low, 4, 4, 5*loop.Second, func(s *job.Spec) { s.Gang = true })
+	for k, at := range []eventloop.Micros{20 * eventloop.Second, 60 * eventloop.Second, 110 * eventloop.Second} {
+		add(at, "array", "blue", job.Normal, 1000*(k+1), 0.25, 2*eventloop.Second, nil)
+		add(at, "whole", "blue", job.Low, 6, 8, 6*eventloop.Second, nil)
+		add(at, "tidy", "guest", job.Low, 100*(k+1), 0.5, 4*eventloop.Second, nil)
+		add(at, "onezone", "blue", job.Low, 12, 2, 5*eventloop.Second, func(s *job.Spec) { s.OneZone = true })
+		add(at, "spread", "guest", job.Normal, 9, 2, 5*eventloop.Second, func(s *job.Spec) { s.Spread = true })
+		add(at, "gang", "blue", job.Low, 4, 4, 5*eventloop.Second, func(s *job.Spec) { s.Gang = true })
 	}
-	for at := 30 * loop.Second; at < span*loop.Second; at += 45 * loop.Second {
+	for at := 30 * eventloop.Second; at < span*eventloop.Second; at += 45 * eventloop.Second {
 		w.after(at, func() { w.kill(w.anyController()) })
 	}
 	w.after(0, w.tickWorkers)
@@ -58,7 +58,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := starvationSimulation(t, seed)
-			w.run(3600*loop.Second + 380*loop.Second)
+			w.run(3600*eventloop.Second + 380*eventloop.Second)
 			w.checkLargestStarted()
 		})
 	}
--- a/internal/node/starvation_test.go
+++ b/internal/node/starvation_test.go
@@ -7,12 +7,12 @@
 	"testing"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 )
 
 // startWithin is how soon the largest jobs of a class must start, whatever the other load.
-const startWithin = 240 * loop.Second
+const startWithin = 240 * eventloop.Second
 
 // checkLargestStarted checks that the largest tenth of the jobs of each class, at least one job, has started in time,
 // of those that were submitted that long ago and that their users did not cancel. It also checks that half of the
@@ -20,14 +20,14 @@
 func (w *simulation) checkLargestStarted(beyond ...string) {
 	w.t.Helper()
 	groups := map[string][]*simJob{}
-	for _, j := range loop.Sorted(w.jobs) {
+	for _, j := range eventloop.Sorted(w.jobs) {
 		if !j.cancelRequested && !j.broken && w.now-j.submittedAt >= startWithin {
 			groups["class "+j.spec.Class] = append(groups["class "+j.spec.Class], j)
 			groups["team "+j.spec.Team] = append(groups["team "+j.spec.Team], j)
 		}
 	}
 	late := func(j *simJob) bool { return j.firstStartAt == 0 || j.firstStartAt-j.submittedAt > startWithin }
-	for of, all := range loop.Sorted(groups) {
+	for of, all := range eventloop.Sorted(groups) {
 		n := 0
 		for _, j := range all {
 			if late(j) {
@@ -35,14 +35,14 @@
 			}
 		}
 		if 2*n > len(all) && !slices.Contains(beyond, of) {
-			w.t.Errorf("%s: %d of %d jobs did not start within %d s", of, n, len(all), startWithin/loop.Second)
+			w.t.Errorf("%s: %d of %d jobs did not start within %d s", of, n, len(all), startWithin/eventloop.Second)
 		}
 		slices.SortStableFunc(all, func(a, b *simJob) int {
 			return cmp.Compare(float64(b.spec.Tasks)*b.spec.CPUs, float64(a.spec.Tasks)*a.spec.CPUs)
 		})
 		for _, j := range all[:(len(all)+9)/10] {
 			if of[0] == 'c' && late(j) {
-				w.t.Errorf("%s: %s of %d tasks of %v CPUs, one of the largest jobs, started after %d s (0: it did not start)", of, j.id, j.spec.Tasks, j.spec.CPUs, max(j.firstStartAt-j.submittedAt, 0)/loop.Second)
+				w.t.Errorf("%s: %s of %d tasks of %v CPUs, one of the largest jobs, started after %d s (0: it did not start)", of, j.id, j.spec.Tasks, j.spec.CPUs, max(j.firstStartAt-j.submittedAt, 0)/eventloop.Second)
 			}
 		}
 	}
@@ -71,7 +71,7 @@
 				cfg.Cluster.Teams = []config.Team{{Name: "red", CPUs: 0.6 * cpus}, {Name: "blue", CPUs: 0.3 * cpus}, {Name: "guest"}}
 			})
 			no := 0
-			add := func(at loop.Micros, class, team string, p job.Priority, tasks int, each float64, run loop.Micros, more func(*job.Spec)) {
+			add := func(at eventloop.Micros, class, team string, p job.Priority, tasks int, each float64, run eventloop.Micros, more func(*job.Spec)) {
 				no++
 				s := &job.Spec{Class: class, Team: team, Priority: p, Tasks: tasks, CPUs: each, MemoryGB: 1, Image: "i", ImageGB: 1, AnyType: true, Spot: true, Estimate: run}
 				if more != nil {
@@ -80,29 +80,29 @@
 				id := fmt.Sprintf("job-%06d", no)
 				w.after(at, func() { w.simulateUser(&simJob{id: id, spec: s, run: run}) })
 			}
-			every := loop.Micros(4 * 8 * 1e6 / (c.load * cpus)) // each job is four tasks of one CPU for 8 s
-			for at := 5 * loop.Second; at < span*loop.Second; at += every {
-				add(at, "small", []string{"red", "red", "blue"}[no%3], job.Normal, 4, 1, 8*loop.Second, nil)
+			every := eventloop.Micros(4 * 8 * 1e6 / (c.load * cpus)) // each job is four tasks of one CPU for 8 s
+			for at := 5 * eventloop.Second; at < span*eventloop.Second; at += every {
+				add(at, "small", []string{"red", "red", "blue"}[no%3], job.Normal, 4, 1, 8*eventloop.Second, nil)
 			}
-			for at := 10 * loop.Second; at < span*loop.Second; at += 10 * loop.Second {
-				add(at, "urgent", "red", job.High, 8, 1, 3*loop.Second, nil)
+			for at := 10 * eventloop.Second; at < span*eventloop.Second; at += 10 * eventloop.Second {
+				add(at, "urgent", "red", job.High, 8, 1, 3*eventloop.Second, nil)
 			}
-			for k, at := range []loop.Micros{20 * loop.Second, 60 * loop.Second, 110 * loop.Second} {
-				add(at, "array", "blue", job.Normal, 1000*(k+1), 0.25, 2*loop.Second, nil)
-				add(at, "whole", "blue", job.Low, 6, 8, 6*loop.Second, nil)
-				add(at, "tidy", "guest", job.Low, 100*(k+1), 0.5, 4*loop.Second, nil)
-				add(at, "onezone", "blue", job.Low, 12, 2, 5*loop.Second, func(s *job.Spec) { s.OneZone = true })
-				add(at, "spread", "guest", job.Normal, 9, 2, 5*loop.Second, func(s *job.Spec) { s.Spread = true })
-				add(at, "gang", "blue", job.Low, 4, 4, 5*loop.Second, func(s *job.Spec) { s.Gang = true })
+			for k, at := range []eventloop.Micros{20 * eventloop.Second, 60 * eventloop.Second, 110 * eventloop.Second} {
+				add(at, "array", "blue", job.Normal, 1000*(k+1), 0.25, 2*eventloop.Second, nil)
+				add(at, "whole", "blue", job.Low, 6, 8, 6*eventloop.Second, nil)
+				add(at, "tidy", "guest", job.Low, 100*(k+1), 0.5, 4*eventloop.Second, nil)
+				add(at, "onezone", "blue", job.Low, 12, 2, 5*eventloop.Second, func(s *job.Spec) { s.OneZone = true })
+				add(at, "spread", "guest", job.Normal, 9, 2, 5*eventloop.Second, func(s *job.Spec) { s.Spread = true })
+				add(at, "gang", "blue", job.Low, 4, 4, 5*eventloop.Second, func(s *job.Spec) { s.Gang = true })
 			}
 			if c.troubles {
-				for at := 30 * loop.Second; at < span*loop.Second; at += 45 * loop.Second {
+				for at := 30 * eventloop.Second; at < span*eventloop.Second; at += 45 * eventloop.Second {
 					w.after(at, func() { w.kill(w.anyController()) })
 				}
 			}
 			w.after(0, w.tickWorkers)
 			w.after(0, w.checkCancelled)
-			w.run(3600*loop.Second + span*loop.Second)
+			w.run(3600*eventloop.Second + span*eventloop.Second)
 			if c.load > 2 {
 				w.checkLargestStarted("class small", "team red", "team blue")
 			} else {
--- a/internal/node/unreachable_test.go
+++ b/internal/node/unreachable_test.go
@@ -6,12 +6,12 @@
 	"strings"
 	"testing"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
 // Each known hard case that operators have met, by itself and at a fixed size.
 func TestOperatorFaultCases(t *testing.T) {
-	const second = loop.Second
+	const second = eventloop.Second
 	usual := clusterSize{nodes: 3, zones: 2, each: 8}
 	for _, c := range []struct {
 		name  string
@@ -85,14 +85,14 @@
 // A guest's job of 25,000 tasks, whose owner crashes again and again while it records them: each task runs, none twice
 // at the same time, and the jobs of the other teams complete meanwhile.
 func TestLargestJobWithCrashingOwners(t *testing.T) {
-	const second = loop.Second
+	const second = eventloop.Second
 	w := operatorSimulation(t, 19, clusterSize{nodes: 3, zones: 2, each: 50}, 0)
 	for i := range 40 {
 		w.after(w.between(second, 60*second), func() { w.addJob(i) })
 	}
 	w.after(20*second, func() { w.submitGuestJobs(800000, 1, 25000, 0) })
 	for k := range 4 {
-		w.after(loop.Micros(23+9*k)*second, func() {
+		w.after(eventloop.Micros(23+9*k)*second, func() {
 			for _, l := range w.labels {
 				w.nodes[l].afterRequest("x/guest", func() { w.kill(l) })
 			}
@@ -109,16 +109,16 @@
 // lease, the delay of its expiry, the longest wait before a claim, and one check interval; a worker waits 4 s for an
 // answer and one second more for each controller that is unreachable.
 func TestTakeoverTimes(t *testing.T) {
-	const second = loop.Second
+	const second = eventloop.Second
 	for _, c := range []struct {
 		name         string
-		out          bool        // only its messages to peers are lost; everything else arrives
-		teams, hosts loop.Micros // within which teams and workers move to others, beyond the lease
+		out          bool             // only its messages to peers are lost; everything else arrives
+		teams, hosts eventloop.Micros // within which teams and workers move to others, beyond the lease
 	}{
-		{"off the network", false, 100*loop.Millisecond + 1200*loop.Millisecond + 600*loop.Millisecond, 5 * second},
+		{"off the network", false, 100*eventloop.Millisecond + 1200*eventloop.Millisecond + 600*eventloop.Millisecond, 5 * second},
 		// 2.5 s until its messages count as old, 0.7 s until it is told so, 3 s until it acts on that, one check
 		// interval, and a claim; then one report interval for its workers.
-		{"its messages reach no peer", true, 4500 * loop.Millisecond, 3 * second},
+		{"its messages reach no peer", true, 4500 * eventloop.Millisecond, 3 * second},
 	} {
 		for seed := uint64(11); seed < 15; seed++ {
 			t.Run(fmt.Sprint(c.name, ", ", seed), func(t *testing.T) {
@@ -142,7 +142,7 @@
 					})
 				}
 				w.disconnectFor(70*second, dropping, ways...)
-				w.run(w.now + loop.Seconds(w.cfg.Operator.NodeLeaseS) + c.teams)
+				w.run(w.now + eventloop.Seconds(w.cfg.Operator.NodeLeaseS) + c.teams)
 				for _, l := range w.labels {
 					if l == silent {
 						continue
@@ -174,7 +174,7 @@
 // A controller whose connections flap does not take its teams back each time, and does so after it has been reachable
 // for a while.
 func TestFlappingNodeDoesNotTakeItsTeamsEachTime(t *testing.T) {
-	const second = loop.Second
+	const second = eventloop.Second
 	w := operatorSimulation(t, 13, clusterSize{nodes: 3, zones: 2, each: 6}, 3)
 	owns := func() (n int) {
 		for _, x := range w.cfg.Cluster.Teams {
@@ -200,7 +200,7 @@
 
 // Operators are told which owner is unreachable and which controller gets no work yet, and why.
 func TestUnreachableOwnersAreDescribed(t *testing.T) {
-	const second = loop.Second
+	const second = eventloop.Second
 	w := operatorSimulation(t, 17, clusterSize{nodes: 3, zones: 2, each: 4}, 0)
 	w.run(3620 * second)
 	if told := w.nodes["a"].n.staleOwners(); len(told) > 0 {
@@ -232,7 +232,7 @@
 // The others use the shares of the state service's request rate that unreachable controllers do not use, and give them
 // back when these return. While all know who is registered, the shares never exceed the whole.
 func TestRequestSharesFollowRegistration(t *testing.T) {
-	const second = loop.Second
+	const second = eventloop.Second
 	w := operatorSimulation(t, 23, clusterSize{nodes: 3, zones: 2, each: 4}, 0)
 	parts := func() (out []float64) {
 		for _, l := range w.labels {
@@ -249,7 +249,7 @@
 	}
 	w.disconnectFor(40*second, dropping, w.connections("b")...)
 	w.disconnectFor(40*second, dropping, w.connections("c")...)
-	w.run(w.now + loop.Seconds(w.cfg.Operator.NodeLeaseS) + 2*second)
+	w.run(w.now + eventloop.Seconds(w.cfg.Operator.NodeLeaseS) + 2*second)
 	if got := parts(); !near(got, 0.6, 0.075, 0.075) {
 		t.Errorf("b and c are unreachable: shares %v", got)
 	}
--- a/internal/node/watermark.go
+++ b/internal/node/watermark.go
@@ -1,7 +1,7 @@
 package node
 
 import (
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/store"
 	"cleatpick/internal/watermark"
 )
@@ -11,7 +11,7 @@
 // and every way in which this controller learns of a cancellation.
 func (n *Node) setUpWatermark() {
 	w := &n.cfg.Cluster.Workers
-	grace := watermark.Grace(loop.Seconds(w.LeaseS), loop.Seconds(w.CancelS))
+	grace := watermark.Grace(eventloop.Seconds(w.LeaseS), eventloop.Seconds(w.CancelS))
 	n.mirror.WatchWait = watermark.WatchWait(grace, n.cfg.Cluster.State.RPS*0.9/float64(max(n.cfg.Cluster.Nodes, 1)))
 	n.watermark = watermark.New(n.loop, n.log, n.net.Incarnation, grace, n.net.Peers())
 	n.mirror.OnSynced(func(s store.Synced) { n.watermark.RecordSync(s.SentAt, s.Revision) })
--- a/internal/node/zone_bound_test.go
+++ b/internal/node/zone_bound_test.go
@@ -5,15 +5,15 @@
 	"testing"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 )
 
 // Jobs whose own running tasks bind them to zones find no free capacity there, while the cloud has more machines in
 // each zone than they need. Machines must be created where these tasks may run. The fault: they were created wherever
 // it was cheapest, in the wrong zone, again and again, and the job waited.
 func TestMachinesCreatedWhereBoundTasksMayRun(t *testing.T) {
-	const second = loop.Second
+	const second = eventloop.Second
 	for _, c := range []struct {
 		name  string
 		spec  job.Spec
@@ -31,7 +31,7 @@
 					cfg.Cluster.Teams = []config.Team{{Name: "red"}, {Name: "blue"}}
 				})
 				w.onTaskStart = func(x *simWorker, _ string) { x.w.Faulty = false }
-				enter := func(id int, s job.Spec, run loop.Micros) *simJob {
+				enter := func(id int, s job.Spec, run eventloop.Micros) *simJob {
 					s.Class, s.Team, s.Priority, s.MemoryGB, s.Image, s.AnyType, s.Estimate = "k", "red", job.Normal, 1, "i", true, run
 					j := &simJob{id: fmt.Sprintf("job-%06d", id), run: run, spec: &s}
 					w.jobs[j.id] = j
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -2,7 +2,7 @@
 
 import (
 	"cleatpick/internal/admission"
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/watermark"
 	"cleatpick/internal/wire"
@@ -11,8 +11,8 @@
 
 // Status is what a controller periodically reports about itself to its peers.
 type Status struct {
-	Wall    loop.Micros `cbor:"1,keyasint"`
-	Contact bool        `cbor:"2,keyasint"` // the state service answers this controller
+	Wall    eventloop.Micros `cbor:"1,keyasint"`
+	Contact bool             `cbor:"2,keyasint"` // the state service answers this controller
 	// Key 3 was used before 0.7.0, for how long the state service had not answered.
 	Hosted    int      `cbor:"4,keyasint"`
 	Reachable []string `cbor:"5,keyasint"` // peers whose messages arrive; nil from versions that do not send it
@@ -49,9 +49,9 @@
 // Demand is an owner's complete demand: all tasks for which there is no free capacity. Each one replaces the one
 // before.
 type Demand struct {
-	Wall     loop.Micros `cbor:"1,keyasint"`
-	Requests []Request   `cbor:"2,keyasint,omitempty"`
-	Suspect  []string    `cbor:"3,keyasint,omitempty"` // machines that have tasks and whose reports do not arrive
+	Wall     eventloop.Micros `cbor:"1,keyasint"`
+	Requests []Request        `cbor:"2,keyasint,omitempty"`
+	Suspect  []string         `cbor:"3,keyasint,omitempty"` // machines that have tasks and whose reports do not arrive
 }
 
 // Progress is what an owner reports about a job, for display only.
@@ -64,7 +64,7 @@
 	// HasCauses is whether Causes was sent, since an empty list is a valid value.
 	HasCauses bool `cbor:"5,keyasint,omitempty"`
 	// At is the wall clock time at which the causes were determined.
-	At loop.Micros `cbor:"6,keyasint,omitempty"`
+	At eventloop.Micros `cbor:"6,keyasint,omitempty"`
 }
 
 // Question is a request to a peer, which answers it with a Reply of the same ID.
@@ -90,19 +90,19 @@
 
 // StartBlock asks a machine's host controller to start nothing on the machine until a wall clock time.
 type StartBlock struct {
-	Machine string      `cbor:"1,keyasint"`
-	Until   loop.Micros `cbor:"2,keyasint"`
+	Machine string           `cbor:"1,keyasint"`
+	Until   eventloop.Micros `cbor:"2,keyasint"`
 }
 
 // Reservation keeps capacity on a machine for a job for which tasks were preempted there.
 type Reservation struct {
-	Machine  string      `cbor:"1,keyasint"`
-	Job      string      `cbor:"2,keyasint"`
-	Priority int         `cbor:"3,keyasint"`
-	CPUs     float64     `cbor:"4,keyasint"`
-	GPUs     float64     `cbor:"5,keyasint,omitempty"`
-	MemoryGB float64     `cbor:"6,keyasint"`
-	Until    loop.Micros `cbor:"7,keyasint"` // wall clock
+	Machine  string           `cbor:"1,keyasint"`
+	Job      string           `cbor:"2,keyasint"`
+	Priority int              `cbor:"3,keyasint"`
+	CPUs     float64          `cbor:"4,keyasint"`
+	GPUs     float64          `cbor:"5,keyasint,omitempty"`
+	MemoryGB float64          `cbor:"6,keyasint"`
+	Until    eventloop.Micros `cbor:"7,keyasint"` // wall clock
 	// Victims lists the tasks that were preempted; sent only if /v1/ is enabled.
 	Victims []string `cbor:"8,keyasint,omitempty"`
 }
@@ -132,7 +132,7 @@
 	// controller.
 	Places []admission.Position `cbor:"18,keyasint,omitempty"`
 	// Incarnation identifies the incarnation of the sender: the wall clock time at which its process started.
-	Incarnation loop.Micros `cbor:"19,keyasint,omitempty"`
+	Incarnation eventloop.Micros `cbor:"19,keyasint,omitempty"`
 	// Watermark is what the sender asks and answers about cancellations, for the cancellation watermark.
 	Watermark *watermark.Message `cbor:"20,keyasint,omitempty"`
 	// Teams are the teams in the sender's settings, sent to a peer after each new connection.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"cleatpick/internal/config"
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/wire"
 
 	"golang.org/x/sync/errgroup"
@@ -32,8 +32,8 @@
 	// are collected. Each frame wakes up a process, and fifteen controllers have 210 connections. Up to the number of
 	// peers at which maxFlushDelay applies, a controller sends at most 200 frames per second, however many peers it
 	// has.
-	flushDelayPerPeer = 5 * loop.Millisecond
-	maxFlushDelay     = 40 * loop.Millisecond
+	flushDelayPerPeer = 5 * eventloop.Millisecond
+	maxFlushDelay     = 40 * eventloop.Millisecond
 )
 
 // link is the outgoing side of the connection to one peer.
@@ -47,13 +47,13 @@
 // PeerState is what was last received from a peer.
 type PeerState struct {
 	Status      Status
-	ReceivedAt  loop.Micros // when the newest status arrived, by the monotonic clock
-	incarnation loop.Micros // the newest incarnation of its process that sent a frame
+	ReceivedAt  eventloop.Micros // when the newest status arrived, by the monotonic clock
+	incarnation eventloop.Micros // the newest incarnation of its process that sent a frame
 }
 
 // Net holds the connections to all peers.
 type Net struct {
-	runner loop.Runner
+	runner eventloop.Runner
 	log    *slog.Logger
 	self   string
 	links  map[string]*link
@@ -61,7 +61,7 @@
 	// Incarnation is the wall clock time at which this process started, which identifies its incarnation.
 	// ClockDifference is the largest difference between two wall clocks: incarnations of a peer that are closer
 	// together than that are not ordered.
-	Incarnation, ClockDifference loop.Micros
+	Incarnation, ClockDifference eventloop.Micros
 	// OnEarlierFrame is called for each dropped frame of an earlier incarnation of a peer; it may be nil.
 	OnEarlierFrame func(label string)
 	// OnFrame is called on the event loop for every frame of a known peer.
@@ -79,7 +79,7 @@
 }
 
 // New returns a Net with a link to each peer; Run connects them.
-func New(r loop.Runner, log *slog.Logger, self string, peers []config.Peer) *Net {
+func New(r eventloop.Runner, log *slog.Logger, self string, peers []config.Peer) *Net {
 	n := &Net{runner: r, log: log, self: self, links: map[string]*link{}, states: map[string]*PeerState{}}
 	n.Deliver = n.enqueue
 	for _, p := range peers {
@@ -241,7 +241,7 @@
 		return
 	}
 	l.flushScheduled = true
-	n.runner.After(min(loop.Micros(len(n.links))*flushDelayPerPeer, maxFlushDelay), func() { n.flush(l) })
+	n.runner.After(min(eventloop.Micros(len(n.links))*flushDelayPerPeer, maxFlushDelay), func() { n.flush(l) })
 }
 
 func (n *Net) flush(l *link) {
@@ -280,7 +280,7 @@
 
 // SendAll lets add change the next frame to every peer.
 func (n *Net) SendAll(add func(*Envelope)) {
-	for label := range loop.Sorted(n.links) {
+	for label := range eventloop.Sorted(n.links) {
 		n.Send(label, add)
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -7,21 +7,21 @@
 	"testing"
 
 	"cleatpick/internal/config"
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/standin"
 )
 
 // Frames that were delayed on their way arrive after the process that sent them has restarted. They are dropped and
 // counted. A frame of the newest incarnation is never dropped, also if the clock was behind when that started.
 func TestFramesOfEarlierIncarnationsAreDropped(t *testing.T) {
-	const s = loop.Second
+	const s = eventloop.Second
 	n := New(standin.NewRunner(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
-	n.ClockDifference = 200 * loop.Millisecond
-	var got []loop.Micros
+	n.ClockDifference = 200 * eventloop.Millisecond
+	var got []eventloop.Micros
 	dropped := 0
 	n.OnFrame = func(e *Envelope) { got = append(got, e.Incarnation) }
 	n.OnEarlierFrame = func(string) { dropped++ }
-	for _, incarnation := range []loop.Micros{10 * s, 10 * s, 20 * s, 10 * s, 20*s - 150*loop.Millisecond, 9 * s, 20 * s, 30 * s} {
+	for _, incarnation := range []eventloop.Micros{10 * s, 10 * s, 20 * s, 10 * s, 20*s - 150*eventloop.Millisecond, 9 * s, 20 * s, 30 * s} {
 		n.HandleFrame(&Envelope{From: "b", Incarnation: incarnation})
 	}
 	if len(got) != 6 || dropped != 2 {
@@ -35,13 +35,13 @@
 
 // Each new incarnation of a peer is announced once, after its first frame has been received.
 func TestNewIncarnationsAreAnnounced(t *testing.T) {
-	const s = loop.Second
+	const s = eventloop.Second
 	n := New(standin.NewRunner(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
-	n.ClockDifference = 200 * loop.Millisecond
+	n.ClockDifference = 200 * eventloop.Millisecond
 	frames, announced := 0, []int{}
 	n.OnFrame = func(*Envelope) { frames++ }
 	n.OnNewIncarnation = func(string) { announced = append(announced, frames) }
-	for _, incarnation := range []loop.Micros{10 * s, 10 * s, 20 * s, 10 * s, 20 * s, 30 * s, 30 * s} {
+	for _, incarnation := range []eventloop.Micros{10 * s, 10 * s, 20 * s, 10 * s, 20 * s, 30 * s, 30 * s} {
 		n.HandleFrame(&Envelope{From: "b", Incarnation: incarnation})
 	}
 	if !slices.Equal(announced, []int{1, 3, 5}) {
--- a/internal/predicate/job.go
+++ b/internal/predicate/job.go
@@ -7,9 +7,9 @@
 
 import (
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/health"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/workers"
 )
 
@@ -79,7 +79,7 @@
 	_     struct{} `cbor:",toarray"`
 	Kind  Kind
 	Tasks int
-	Since loop.Micros // wall clock time since which it holds; 0: since now
+	Since eventloop.Micros // wall clock time since which it holds; 0: since now
 }
 
 // Unlimited stands for no bound: it is more tasks than any job has.
@@ -105,8 +105,8 @@
 	Failing     FailureState
 	TeamUsage   workers.Capacity // memory has no limit
 	Quota       config.Quota
-	Now, Wall   loop.Micros
-	ClockMargin loop.Micros // twice the bound on the error of the wall clock
+	Now, Wall   eventloop.Micros
+	ClockMargin eventloop.Micros // twice the bound on the error of the wall clock
 }
 
 // FailureState describes a job's recent failures.
@@ -114,7 +114,7 @@
 	State               health.ProbationState
 	ConsecutiveFailures int // attempts placed before the newest counted failure do not count again
 	Machines            int // machines, not faulty themselves, on which it failed since a task last completed
-	BackOffUntil        loop.Micros
+	BackOffUntil        eventloop.Micros
 	MaxInUse            int // tasks that may run at once while the job is on probation
 	FailedWaiting       int // waiting tasks that failed before
 	RetryNow            int // how many of these may be retried at once after the back-off
--- a/internal/predicate/machine.go
+++ b/internal/predicate/machine.go
@@ -1,8 +1,8 @@
 package predicate
 
 import (
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/workers"
 )
 
@@ -63,8 +63,8 @@
 	View          *workers.View
 	Known         bool             // its type and the jobs of its tasks are known here
 	Free          workers.Capacity // free capacity, reservations not subtracted
-	LastReport    loop.Micros
-	BackOffUntil  loop.Micros // end of its back-off
+	LastReport    eventloop.Micros
+	BackOffUntil  eventloop.Micros // end of its back-off
 	BackOffReason string
 	Cordoned      bool
 	Reservations  []Reservation
@@ -75,17 +75,19 @@
 	Job        string
 	Priority   int
 	Capacity   workers.Capacity
-	Until      loop.Micros // wall clock time
-	KnownTasks int         // the job's tasks that the machine reported when the reservation was made, and those that consumed other reservations since
+	Until      eventloop.Micros // wall clock time
+	KnownTasks int              // the job's tasks that the machine reported when the reservation was made, and those that consumed other reservations since
 }
 
 // Blocking returns the conditions that keep every task off the machine. after is the time since which a report
 // must have arrived.
-func (p *MachineFacts) Blocking(after, now loop.Micros) Lack { return p.blocking(after, now, true) }
+func (p *MachineFacts) Blocking(after, now eventloop.Micros) Lack {
+	return p.blocking(after, now, true)
+}
 
 // blocking computes Blocking; with all false it may stop at the first conditions found, as AcceptsStarts
 // needs only to know if there are any.
-func (p *MachineFacts) blocking(after, now loop.Micros, all bool) (l Lack) {
+func (p *MachineFacts) blocking(after, now eventloop.Micros, all bool) (l Lack) {
 	add := func(x Lack, is bool) {
 		if is {
 			l |= x
@@ -104,7 +106,7 @@
 }
 
 // AcceptsStarts reports whether tasks may be placed on the machine now, if they fit.
-func (p *MachineFacts) AcceptsStarts(after, now loop.Micros) bool {
+func (p *MachineFacts) AcceptsStarts(after, now eventloop.Micros) bool {
 	return p.blocking(after, now, false) == 0
 }
 
@@ -202,7 +204,7 @@
 }
 
 // Lacks returns every condition that keeps a task of the job off the machine; 0 if it may take one.
-func (p *MachineFacts) Lacks(n *Need, after, now loop.Micros) Lack {
+func (p *MachineFacts) Lacks(n *Need, after, now eventloop.Micros) Lack {
 	l := p.Blocking(after, now) | p.unmetRules(n)
 	if x := missingResources(&p.Free, n.Spec); x != 0 {
 		return l | x
--- a/internal/predicate/predicate_test.go
+++ b/internal/predicate/predicate_test.go
@@ -4,10 +4,10 @@
 	"testing"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/fixed"
 	"cleatpick/internal/health"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/workers"
 
 	"pgregory.net/rapid"
@@ -74,12 +74,12 @@
 		yes := func(name string) bool { return rapid.Bool().Draw(t, name) }
 		j := &JobFacts{Spec: &job.Spec{CPUs: float64(num("cpus", 1, 4)), GPUs: float64(num("gpus", 0, 1)), Gang: num("gang", 0, 3) == 0},
 			Hold: &job.Hold{}, Damaged: num("damaged", 0, 5) == 0, Waiting: num("waiting", 0, 9), InUse: num("in use", 0, 3),
-			Now: 100, Wall: 200, ClockMargin: loop.Micros(num("clock", 0, 3)),
+			Now: 100, Wall: 200, ClockMargin: eventloop.Micros(num("clock", 0, 3)),
 			TeamUsage:   workers.Capacity{CPUs: float64(num("used", 0, 20)), GPUs: float64(num("used gpus", 0, 3))},
 			Quota:       config.Quota{CPUsMax: config.NewLimit(float64(num("max", 0, 24))), GPUsMax: config.NewLimit(float64(num("max gpus", 0, 4)))},
 			OnWithdrawn: []job.Policy{job.PolicyHold, job.PolicyRelease, job.PolicyCancel}[num("policy", 0, 2)]}
 		if yes("rests") {
-			j.Failing.BackOffUntil = 100 + loop.Micros(num("rest", -1, 1))
+			j.Failing.BackOffUntil = 100 + eventloop.Micros(num("rest", -1, 1))
 		}
 		if yes("fails") {
 			j.Failing.State, j.Failing.ConsecutiveFailures, j.Failing.MaxInUse = health.ProbationState(num("state", 0, 3)), num("moments", 0, 3), 1+2*num("survivors", 0, 2)
@@ -89,7 +89,7 @@
 		if yes("held") {
 			j.Hold.State = job.HoldEffective
 			if yes("until") {
-				j.Hold.Until = 200 + loop.Micros(num("hold", -3, 3))
+				j.Hold.Until = 200 + eventloop.Micros(num("hold", -3, 3))
 			}
 		}
 		for range num("after", 0, 2) {
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -12,7 +12,7 @@
 	"log/slog"
 	"slices"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
 // State is the reachability of a peer.
@@ -30,53 +30,53 @@
 
 const (
 	// MaxAge is the age up to which a message is evidence.
-	MaxAge = 2500 * loop.Millisecond
+	MaxAge = 2500 * eventloop.Millisecond
 	// maxWallAge is the age up to which it is evidence by the sender's wall clock, in addition to
 	// the bound on clock differences: messages that were delayed on their way arrive as new.
-	maxWallAge = 3 * loop.Second
+	maxWallAge = 3 * eventloop.Second
 	// isolationDelay is how long this controller must appear isolated before it acts on that: a
 	// peer that has just restarted receives nobody's messages for a short time.
-	isolationDelay = 3 * loop.Second
+	isolationDelay = 3 * eventloop.Second
 	// detectionSkew is how much later than this controller a peer may notice that a third one
 	// became silent or reachable. Without it, one silent controller makes all others flap.
-	detectionSkew = MaxAge + 1500*loop.Millisecond
+	detectionSkew = MaxAge + 1500*eventloop.Millisecond
 	// A peer that leaves the state Full has flapped. After the first flap it is fit for work
 	// as soon as it is in state Full again; after more, only once it has been so for damping,
 	// doubled with each flap up to maxDampingDoublings times. Flaps are forgotten after
 	// stableAfter in state Full.
-	damping             = 16 * loop.Second
+	damping             = 16 * eventloop.Second
 	maxDampingDoublings = 1
-	stableAfter         = 60 * loop.Second
+	stableAfter         = 60 * eventloop.Second
 )
 
 // Message is what a peer reports about itself in a message.
 type Message struct {
-	Wall         loop.Micros // its wall clock when it sent the message
-	StateContact bool        // the state service answers it
-	ReceivesFrom []string    // controllers whose messages it receives; nil: not reported
+	Wall         eventloop.Micros // its wall clock when it sent the message
+	StateContact bool             // the state service answers it
+	ReceivesFrom []string         // controllers whose messages it receives; nil: not reported
 }
 
 type peer struct {
 	message     Message
-	receivedAt  loop.Micros // when the message arrived, by the monotonic clock; 0: never
+	receivedAt  eventloop.Micros // when the message arrived, by the monotonic clock; 0: never
 	state       State
-	since       loop.Micros // when the state began
-	missesSince loop.Micros // since when it does not receive a peer that this controller receives; 0: it receives all
+	since       eventloop.Micros // when the state began
+	missesSince eventloop.Micros // since when it does not receive a peer that this controller receives; 0: it receives all
 	flaps       int
-	flappedAt   loop.Micros // when the last flap was counted
+	flappedAt   eventloop.Micros // when the last flap was counted
 }
 
 // Tracker tracks the reachability of all peers of one controller.
 type Tracker struct {
-	runner     loop.Runner
+	runner     eventloop.Runner
 	log        *slog.Logger
 	self       string
-	clockBound loop.Micros // twice the bound on clock differences
-	began      loop.Micros
+	clockBound eventloop.Micros // twice the bound on clock differences
+	began      eventloop.Micros
 	peers      map[string]*peer
 	// isolatedSince is since when messages pass both ways with no peer, and disconnectedSince
 	// since when they do not pass both ways with some peer that others reach. 0: not so.
-	isolatedSince, disconnectedSince loop.Micros
+	isolatedSince, disconnectedSince eventloop.Micros
 	// StateContact reports whether the state service answers this controller: during an outage
 	// of the state service, peers without contact are not at fault. It may be nil.
 	StateContact func() bool
@@ -85,7 +85,7 @@
 }
 
 // New returns a tracker that has received no messages.
-func New(r loop.Runner, log *slog.Logger, self string, peers []string, clockBound loop.Micros) *Tracker {
+func New(r eventloop.Runner, log *slog.Logger, self string, peers []string, clockBound eventloop.Micros) *Tracker {
 	j := &Tracker{runner: r, log: log, self: self, clockBound: clockBound, began: r.Now(), peers: map[string]*peer{}}
 	for _, p := range peers {
 		j.peers[p] = &peer{}
@@ -94,7 +94,7 @@
 }
 
 // setState is the only place where a peer's state changes.
-func (j *Tracker) setState(label string, p *peer, s State, now loop.Micros) {
+func (j *Tracker) setState(label string, p *peer, s State, now eventloop.Micros) {
 	if p.state == s {
 		return
 	}
@@ -113,7 +113,7 @@
 }
 
 // dampingTime returns how long the peer must be in state Full before it is fit for work.
-func (p *peer) dampingTime() loop.Micros {
+func (p *peer) dampingTime() eventloop.Micros {
 	if p.flaps < 2 {
 		return 0
 	}
@@ -135,7 +135,7 @@
 func (j *Tracker) Update() {
 	now := j.runner.Now()
 	isolated, disconnected := true, false
-	for label, p := range loop.Sorted(j.peers) {
+	for label, p := range eventloop.Sorted(j.peers) {
 		j.updateMisses(label, p, now)
 		s := j.evaluate(label, p, now)
 		j.setState(label, p, s, now)
@@ -145,7 +145,7 @@
 		isolated = isolated && s <= OneWay
 		disconnected = disconnected || s <= OneWay && j.reachedByOthers(label, now)
 	}
-	set := func(at *loop.Micros, is bool) {
+	set := func(at *eventloop.Micros, is bool) {
 		if !is {
 			*at = 0
 		} else if *at == 0 {
@@ -156,7 +156,7 @@
 	set(&j.disconnectedSince, disconnected)
 }
 
-func (j *Tracker) evaluate(label string, p *peer, now loop.Micros) State {
+func (j *Tracker) evaluate(label string, p *peer, now eventloop.Micros) State {
 	switch {
 	case !j.fresh(p, now):
 		return Silent
@@ -177,7 +177,7 @@
 }
 
 // updateMisses records since when a peer does not receive a controller that this one receives.
-func (j *Tracker) updateMisses(label string, p *peer, now loop.Micros) {
+func (j *Tracker) updateMisses(label string, p *peer, now eventloop.Micros) {
 	misses := false
 	for other, o := range j.peers {
 		misses = misses || other != label && j.fresh(o, now) && p.message.ReceivesFrom != nil && !slices.Contains(p.message.ReceivesFrom, other)
@@ -192,7 +192,7 @@
 // reachedByOthers reports whether some peer receives messages both of this controller and of
 // the one named: then that one runs, and the connection between it and this controller is
 // broken.
-func (j *Tracker) reachedByOthers(label string, now loop.Micros) bool {
+func (j *Tracker) reachedByOthers(label string, now eventloop.Micros) bool {
 	for other, o := range j.peers {
 		if other != label && j.fresh(o, now) && slices.Contains(o.message.ReceivesFrom, label) && slices.Contains(o.message.ReceivesFrom, j.self) {
 			return true
@@ -201,7 +201,7 @@
 	return false
 }
 
-func (j *Tracker) fresh(p *peer, now loop.Micros) bool {
+func (j *Tracker) fresh(p *peer, now eventloop.Micros) bool {
 	return p.receivedAt != 0 && now-p.receivedAt < MaxAge && j.runner.Wall()-p.message.Wall < maxWallAge+j.clockBound
 }
 
@@ -214,7 +214,7 @@
 }
 
 // ReceivedWithin reports whether a message of the peer has arrived within a time, whatever it says.
-func (j *Tracker) ReceivedWithin(label string, within loop.Micros) bool {
+func (j *Tracker) ReceivedWithin(label string, within eventloop.Micros) bool {
 	p := j.peers[label]
 	return p != nil && p.receivedAt != 0 && j.runner.Now()-p.receivedAt < within
 }
@@ -228,7 +228,7 @@
 
 // DampedFor returns for how much longer the peer is not fit for work although it is in state
 // Full, or 0 if it is fit or in another state.
-func (j *Tracker) DampedFor(label string) loop.Micros {
+func (j *Tracker) DampedFor(label string) eventloop.Micros {
 	if p := j.peers[label]; p != nil && p.state == Full {
 		return max(p.since+p.dampingTime()-j.runner.Now(), 0)
 	}
@@ -239,7 +239,7 @@
 // decisions reach nobody. The loss of either direction is enough.
 func (j *Tracker) Isolated() bool {
 	now := j.runner.Now()
-	if now-j.began < 5*loop.Second || len(j.peers) == 0 {
+	if now-j.began < 5*eventloop.Second || len(j.peers) == 0 {
 		return false
 	}
 	silent := true
@@ -254,5 +254,5 @@
 // machines at that controller nor sends them commands.
 func (j *Tracker) PartlyDisconnected() bool {
 	now := j.runner.Now()
-	return j.disconnectedSince != 0 && now-j.disconnectedSince >= 2*isolationDelay && now-j.began >= 5*loop.Second
+	return j.disconnectedSince != 0 && now-j.disconnectedSince >= 2*isolationDelay && now-j.began >= 5*eventloop.Second
 }
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/standin"
 )
 
@@ -21,7 +21,7 @@
 }
 
 func newNetwork(n int) *network {
-	x := &network{Runner: standin.NewRunner(100 * loop.Second), open: map[string]bool{}, contact: map[string]bool{}, trackers: map[string]*Tracker{}}
+	x := &network{Runner: standin.NewRunner(100 * eventloop.Second), open: map[string]bool{}, contact: map[string]bool{}, trackers: map[string]*Tracker{}}
 	for i := range n {
 		x.names = append(x.names, string(rune('a'+i)))
 	}
@@ -35,7 +35,7 @@
 		}
 		x.contact[a] = true
 		x.trackers[a] = New(x, slog.New(slog.DiscardHandler), a, peers, 0)
-		loop.Every(x, 700*loop.Millisecond, func() {
+		eventloop.Every(x, 700*eventloop.Millisecond, func() {
 			j := x.trackers[a]
 			j.Update()
 			w := Message{Wall: x.Now(), StateContact: x.contact[a], ReceivesFrom: []string{}}
@@ -46,7 +46,7 @@
 			}
 			for _, p := range peers {
 				if x.open[a+">"+p] {
-					x.After(2*loop.Millisecond, func() { x.trackers[p].Receive(a, w) })
+					x.After(2*eventloop.Millisecond, func() { x.trackers[p].Receive(a, w) })
 				}
 			}
 		})
@@ -67,7 +67,7 @@
 			for _, a := range x.names {
 				x.contact[a] = r.IntN(4) > 0
 			}
-			x.Advance(15 * loop.Second)
+			x.Advance(15 * eventloop.Second)
 			both := func(a, b string) bool { return x.open[a+">"+b] && x.open[b+">"+a] }
 			for _, a := range x.names {
 				j := x.trackers[a]
@@ -121,16 +121,16 @@
 			x.open["c>"+b], x.open[b+">c"] = !is, !is
 		}
 	}
-	timeUntilFit := func() loop.Micros { // time from being in state Full again to being fit for work
+	timeUntilFit := func() eventloop.Micros { // time from being in state Full again to being fit for work
 		disconnect(true)
-		x.Advance(6 * loop.Second)
+		x.Advance(6 * eventloop.Second)
 		if j.Fit("c") {
 			t.Fatal("a silent peer is fit for work")
 		}
 		disconnect(false)
-		from := loop.Micros(0)
+		from := eventloop.Micros(0)
 		for range 1200 {
-			x.Advance(100 * loop.Millisecond)
+			x.Advance(100 * eventloop.Millisecond)
 			if from == 0 && j.State("c") == Full {
 				from = x.Now()
 			}
@@ -141,16 +141,16 @@
 		t.Fatal("the peer is not fit for work two minutes after it became reachable again")
 		return 0
 	}
-	x.Advance(5 * loop.Second)
+	x.Advance(5 * eventloop.Second)
 	var waits []string
 	for range 6 {
-		waits = append(waits, fmt.Sprint((timeUntilFit()+300*loop.Millisecond)/loop.Second))
+		waits = append(waits, fmt.Sprint((timeUntilFit()+300*eventloop.Millisecond)/eventloop.Second))
 	}
 	x.Advance(stableAfter)
 	if j.DampedFor("c") != 0 {
 		t.Error("the peer is still damped after it has been in state Full for stableAfter")
 	}
-	waits = append(waits, fmt.Sprint((timeUntilFit()+300*loop.Millisecond)/loop.Second))
+	waits = append(waits, fmt.Sprint((timeUntilFit()+300*eventloop.Millisecond)/eventloop.Second))
 	if got := fmt.Sprint(waits); got != "[0 16 32 32 32 32 0]" {
 		t.Errorf("after each flap the peer is fit for work after %s s, want [0 16 32 32 32 32 0]", got)
 	}
@@ -162,7 +162,7 @@
 func TestFaultsOfOthersAreNoFlaps(t *testing.T) {
 	x := newNetwork(4)
 	x.trackers["a"].StateContact = func() bool { return x.contact["a"] }
-	x.Advance(5 * loop.Second)
+	x.Advance(5 * eventloop.Second)
 	for round := range 4 {
 		for way := range x.open {
 			if way[0] == 'd' || way[2] == 'd' {
@@ -172,14 +172,14 @@
 		for _, n := range x.names {
 			x.contact[n] = round%2 == 1
 		}
-		x.Advance(9 * loop.Second)
+		x.Advance(9 * eventloop.Second)
 	}
 	// After a pause of its process, a controller finds several older messages in its queue.
 	for _, hears := range [][]string{{}, {"a", "c", "d"}, {}, {"a", "c", "d"}} {
-		x.Advance(10 * loop.Millisecond)
+		x.Advance(10 * eventloop.Millisecond)
 		x.trackers["a"].Receive("b", Message{Wall: x.Now(), StateContact: true, ReceivesFrom: hears})
 	}
-	x.Advance(3 * loop.Second)
+	x.Advance(3 * eventloop.Second)
 	if n := x.trackers["a"].peers["b"].flaps; n > 1 {
 		t.Errorf("queued messages were counted as %d flaps, want at most one", n)
 	}
@@ -195,10 +195,10 @@
 // make its sender reachable.
 func TestDelayedMessageIsNoEvidence(t *testing.T) {
 	x := newNetwork(2)
-	x.Advance(5 * loop.Second)
+	x.Advance(5 * eventloop.Second)
 	late := Message{Wall: x.Now(), StateContact: true, ReceivesFrom: []string{"a"}}
 	x.open["b>a"] = false
-	x.Advance(10 * loop.Second)
+	x.Advance(10 * eventloop.Second)
 	j := x.trackers["a"]
 	j.Receive("b", late)
 	if j.State("b") != Silent || j.Fit("b") {
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -6,7 +6,7 @@
 package rpc
 
 import (
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/wire"
 )
@@ -26,7 +26,7 @@
 // Endpoint sends the requests of one controller and answers those of its peers. All methods must be called on the event
 // loop.
 type Endpoint struct {
-	runner   loop.Runner
+	runner   eventloop.Runner
 	self     string
 	send     func(label string, f func(*peer.Envelope))
 	isPeer   func(label string) bool
@@ -39,7 +39,7 @@
 // isPeer reports whether a label names a peer. The ids of requests count up from idBase, which must differ between the
 // incarnations of a process: otherwise a late reply to a request of an earlier incarnation could be matched to one of
 // this incarnation.
-func New(r loop.Runner, self string, idBase uint64, send func(string, func(*peer.Envelope)), isPeer func(string) bool) *Endpoint {
+func New(r eventloop.Runner, self string, idBase uint64, send func(string, func(*peer.Envelope)), isPeer func(string) bool) *Endpoint {
 	return &Endpoint{runner: r, self: self, lastID: idBase, send: send, isPeer: isPeer,
 		pending: map[uint64]pendingCall{}, handlers: map[string]func(wire.Raw, func(any)){}}
 }
@@ -56,7 +56,7 @@
 // in time, if the receiver has no handler for the topic or its reply is too large, or if the request was not sent because
 // the receiver is not a peer, the body is too large or too many requests are pending. A request to this controller itself
 // has no timeout.
-func (e *Endpoint) Call(to, topic string, body any, timeout loop.Micros, done func(body wire.Raw, ok bool)) {
+func (e *Endpoint) Call(to, topic string, body any, timeout eventloop.Micros, done func(body wire.Raw, ok bool)) {
 	raw := wire.Raw(wire.Marshal(body))
 	if to == e.self {
 		e.serve(topic, raw, func(b wire.Raw, ok bool) { done(b, ok) })
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/wire"
@@ -25,7 +25,7 @@
 }
 
 func newTestNetwork() *testNetwork {
-	net := &testNetwork{Runner: standin.NewRunner(1000 * loop.Second), endpoints: map[string]*Endpoint{}}
+	net := &testNetwork{Runner: standin.NewRunner(1000 * eventloop.Second), endpoints: map[string]*Endpoint{}}
 	for _, self := range []string{"a", "b", "c"} {
 		net.endpoints[self] = New(net, self, 100, func(to string, f func(*peer.Envelope)) {
 			e := &peer.Envelope{From: self}
@@ -55,7 +55,7 @@
 }
 
 func (net *testNetwork) call(to, topic string, n int, results *[]string) {
-	net.endpoints["a"].Call(to, topic, n, loop.Second, func(body wire.Raw, ok bool) {
+	net.endpoints["a"].Call(to, topic, n, eventloop.Second, func(body wire.Raw, ok bool) {
 		var got int
 		if ok && wire.Unmarshal(body, &got) != nil {
 			got = -1
@@ -77,7 +77,7 @@
 		{"lost", func(net *testNetwork, results *[]string) { net.call("b", "double", 4, results); net.messages = nil }, "[0 false]"},
 		{"late reply", func(net *testNetwork, results *[]string) {
 			net.call("b", "double", 4, results)
-			net.Advance(2 * loop.Second)
+			net.Advance(2 * eventloop.Second)
 			net.deliver(1)
 		}, "[0 false]"},
 		{"no handler for the topic", func(net *testNetwork, results *[]string) { net.call("c", "double", 4, results); net.deliver(1) }, "[0 false]"},
@@ -96,7 +96,7 @@
 		net := newTestNetwork()
 		var results []string
 		c.run(net, &results)
-		net.Advance(3 * loop.Second)
+		net.Advance(3 * eventloop.Second)
 		if fmt.Sprint(results) != c.want || net.endpoints["a"].Pending() != 0 {
 			t.Errorf("%s: results %v with %d requests pending, want %s with 0", c.name, results, net.endpoints["a"].Pending(), c.want)
 		}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
@@ -82,7 +82,7 @@
 // start starts the fake services, the simulated workers and users and the controllers, and waits until the
 // controllers accept connections.
 func (r *run) start(ctx context.Context, dir string) error {
-	s, clock := r.settings, loop.RealClock()
+	s, clock := r.settings, eventloop.RealClock()
 	r.state = standin.NewStateService(clock.Now)
 	r.state.SetLimits(&standin.Limits{RPS: s.State.RPS, WriteRPS: s.State.WriteRPS, ValueBytes: s.State.ValueKB << 10, TxnOps: s.State.TxnOps})
 	var zones []string
@@ -91,7 +91,7 @@
 	}
 	r.cloud = standin.NewCloud(wire.MachineType{Name: machineType, CPUs: s.MachineCPUs, MemoryGB: machineMemoryGB, CacheGB: 60, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: s.BootS, Zones: zones},
 		(s.Machines+s.Zones-1)/s.Zones)
-	r.cloud.Now, r.cloud.ListLag, r.cloud.Addr = clock.Now, loop.Seconds(listLagS/2), machineAddress
+	r.cloud.Now, r.cloud.ListLag, r.cloud.Addr = clock.Now, eventloop.Seconds(listLagS/2), machineAddress
 	r.workers = newSimulatedWorkers(ctx, s, clock, r.checker)
 	r.cloud.OnRented, r.cloud.OnDeleted = r.workers.boot, r.workers.remove
 	state, err := r.serve(&r.stateTraffic, func(m, p string, b []byte) store.Response { return answerStateRequest(r.state, m, p, b) })
--- a/internal/scale/workers.go
+++ b/internal/scale/workers.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
@@ -31,7 +31,7 @@
 type simulatedWorkers struct {
 	ctx          context.Context
 	settings     *Settings
-	clock        loop.Clock
+	clock        eventloop.Clock
 	checker      *invariantChecker
 	controllers  []*controller
 	client       *fasthttp.Client
@@ -59,7 +59,7 @@
 }
 
 // newSimulatedWorkers returns workers without any machine.
-func newSimulatedWorkers(ctx context.Context, s *Settings, clock loop.Clock, checker *invariantChecker) *simulatedWorkers {
+func newSimulatedWorkers(ctx context.Context, s *Settings, clock eventloop.Clock, checker *invariantChecker) *simulatedWorkers {
 	return &simulatedWorkers{ctx: ctx, settings: s, clock: clock, checker: checker, silentZones: make([]atomic.Bool, s.Zones), byMachine: map[string]*simulatedWorker{},
 		client: &fasthttp.Client{MaxConnsPerHost: maxWorkerConns, MaxIdleConnDuration: time.Minute, NoDefaultUserAgentHeader: true,
 			MaxIdemponentCallAttempts: 1, ReadBufferSize: 4096, WriteBufferSize: 4096,
@@ -135,12 +135,12 @@
 		return ctx.Err()
 	}
 	w.listener = ln
-	worker := standin.NewWorker(s.clock.Now(), loop.Seconds(s.settings.Workers.LeaseS))
+	worker := standin.NewWorker(s.clock.Now(), eventloop.Seconds(s.settings.Workers.LeaseS))
 	worker.Name, worker.Addr, worker.Type, worker.Zone, worker.Spot = w.machine.Name, w.machine.Addr, w.machine.Type, w.machine.Zone, w.machine.Spot
 	worker.CPUs, worker.MemoryGB = s.settings.MachineCPUs, machineMemoryGB
 	worker.Job = func(id string) (standin.Job, bool) {
 		spec, ok := s.checker.job(id)
-		return standin.Job{CPUs: spec.cpus, MemoryGB: spec.memoryGB, Run: loop.Seconds(spec.runS), Tasks: spec.tasks}, ok
+		return standin.Job{CPUs: spec.cpus, MemoryGB: spec.memoryGB, Run: eventloop.Seconds(spec.runS), Tasks: spec.tasks}, ok
 	}
 	worker.OnTaskStart = func(task, _ string) { w.changed = true; s.checker.taskStarted(task, worker.Name, time.Now()) }
 	worker.OnTaskEnd = func(task, _ string) { w.changed = true; s.checker.taskEnded(task, worker.Name) }
