--- a/internal/scheduler/explain.go
+++ b/internal/scheduler/explain.go
@@ -6,10 +6,10 @@
 	"slices"
 
 	"cleatpick/internal/cordon"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/explain"
 	"cleatpick/internal/fleet"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
@@ -100,7 +100,7 @@
 }
 
 // tasksInFlight groups the tasks that are neither waiting nor running by machine and state.
-func (p *Scheduler) tasksInFlight(t *jobTable, after loop.Micros) []explain.InFlight {
+func (p *Scheduler) tasksInFlight(t *jobTable, after eventloop.Micros) []explain.InFlight {
 	type key struct {
 		kind    predicate.Kind
 		state   string
@@ -124,7 +124,7 @@
 			case k == predicate.Saving:
 				g.PreemptedFor = t.preemptedFor[x.machine]
 			case state == "absent":
-				left := loop.Duration(max(p.clock.LatestArrival(x.expiry)-wall, 0))
+				left := eventloop.Duration(max(p.clock.LatestArrival(x.expiry)-wall, 0))
 				g.ConfirmedBy = fmt.Sprintf("a new session of its worker, the machine's deletion, or a task list made more than %v from now that its host controller confirms", left)
 			case k == predicate.Unconfirmed:
 				g.ConfirmedBy = "a report of the machine, or its deletion by the cloud"
@@ -149,7 +149,7 @@
 }
 
 // taskInFlight returns what a task in use is doing; kind 0 means that it runs.
-func (p *Scheduler) taskInFlight(t *jobTable, i int, x *task, after, wall loop.Micros) (k predicate.Kind, state string, since loop.Micros) {
+func (p *Scheduler) taskInFlight(t *jobTable, i int, x *task, after, wall eventloop.Micros) (k predicate.Kind, state string, since eventloop.Micros) {
 	if x.state == Recording {
 		return predicate.Recording, "recording", x.chosenAt
 	}
@@ -180,7 +180,7 @@
 
 // causes appends the causes that hold for a job now. It relies on the newest pass and the views and does not scan the
 // machines.
-func (p *Scheduler) causes(t *jobTable, out []predicate.Cause, after, wall loop.Micros) []predicate.Cause {
+func (p *Scheduler) causes(t *jobTable, out []predicate.Cause, after, wall eventloop.Micros) []predicate.Cause {
 	f := p.facts(t)
 	out = f.Causes(out)
 	if f.Waiting > 0 && t.unplacedCause != 0 && f.Unblocked() {
@@ -207,14 +207,14 @@
 // Causes are sent again a few times, since a message may be lost and a peer drops those of a job whose record it has
 // not received yet; then rarely, for peers that restarted.
 const (
-	causesInterval     = 5 * loop.Second
+	causesInterval     = 5 * eventloop.Second
 	causesRepeats      = 2
-	causesLongInterval = 30 * loop.Second
+	causesLongInterval = 30 * eventloop.Second
 )
 
 // updateCauses updates a job's causes. It reports whether to send them: they differ in kind or by half in number from
 // those last sent, or a repeat is due.
-func (p *Scheduler) updateCauses(t *jobTable, after, wall loop.Micros) bool {
+func (p *Scheduler) updateCauses(t *jobTable, after, wall eventloop.Micros) bool {
 	var buffer [predicate.NextPass]predicate.Cause
 	now := p.causes(t, buffer[:0], after, wall)
 	same := len(now) == len(t.causes)
@@ -251,7 +251,7 @@
 		t.unplacedCause = predicate.Gang
 	case p.cordons.Any():
 		// Another scan of the fleet for each job is expensive, so it is done at most once per second.
-		if t.unplacedCause == 0 || now-t.unplacedCauseAt > loop.Second {
+		if t.unplacedCause == 0 || now-t.unplacedCauseAt > eventloop.Second {
 			t.unplacedCause, t.unplacedCauseAt = predicate.Capacity, now
 			if p.fitsUncordoned(t, 1) > 0 {
 				t.unplacedCause = predicate.Cordon
@@ -266,7 +266,7 @@
 func (p *Scheduler) OwnsTeam(team string) bool { return p.teams[team] != nil && p.teams[team].loaded }
 
 // EachPlace calls f for every known machine. Machines whose last report is older than after receive no starts.
-func (p *Scheduler) EachPlace(f func(pl *predicate.MachineFacts, after loop.Micros)) {
+func (p *Scheduler) EachPlace(f func(pl *predicate.MachineFacts, after eventloop.Micros)) {
 	p.fleet.Refresh()
 	after := p.runner.Now() - p.staleAfter()
 	for _, sl := range p.fleet.All() {
--- a/internal/scheduler/explain_bench_test.go
+++ b/internal/scheduler/explain_bench_test.go
@@ -6,9 +6,9 @@
 
 	"cleatpick/internal/config"
 	"cleatpick/internal/cordon"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/explain"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
 )
@@ -31,7 +31,7 @@
 		if i%100 == 99 {
 			team = "blue"
 		}
-		g.acceptJob(i, job.Spec{Class: "k", Team: team, Priority: job.Priority(i % 3), Tasks: 10, CPUs: 2, MemoryGB: 3, Image: "i", AnyType: true, Spot: true, Estimate: loop.Second})
+		g.acceptJob(i, job.Spec{Class: "k", Team: team, Priority: job.Priority(i % 3), Tasks: 10, CPUs: 2, MemoryGB: 3, Image: "i", AnyType: true, Spot: true, Estimate: eventloop.Second})
 	}
 	g.scheduler.place()
 	all := []wire.MachineType{types["m8"], types["m16"]}
--- a/internal/scheduler/explain_test.go
+++ b/internal/scheduler/explain_test.go
@@ -11,10 +11,10 @@
 
 	"cleatpick/internal/config"
 	"cleatpick/internal/cordon"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/explain"
 	"cleatpick/internal/health"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/wire"
@@ -58,7 +58,7 @@
 		case step < 9:
 			g.addRandomJob()
 		case step < 11:
-			g.Advance(loop.Micros(g.rng.IntN(900)) * loop.Millisecond)
+			g.Advance(eventloop.Micros(g.rng.IntN(900)) * eventloop.Millisecond)
 		default:
 			g.addRandomCordon()
 		}
@@ -68,14 +68,14 @@
 		case 0:
 			g.amend(id, func(r *job.Record) { r.Terms = &job.Terms{Hold: job.Hold{State: job.HoldEffective, Reason: "r"}} })
 		case 1:
-			g.table(id).probation = health.Probation{State: health.Suspected, Bursts: 1, RestUntil: g.Now() + 40*loop.Second}
+			g.table(id).probation = health.Probation{State: health.Suspected, Bursts: 1, RestUntil: g.Now() + 40*eventloop.Second}
 		case 2:
 			g.table(id).probation = health.Probation{State: health.Broken, Bursts: 4}
 		case 3: // some of its tasks failed, others completed
 			t := g.table(id)
 			t.probation = health.Probation{State: health.Sound, Bursts: 1 + g.rng.IntN(3)}
 			if g.rng.IntN(2) == 0 {
-				t.probation.RestUntil = g.Now() + 40*loop.Second
+				t.probation.RestUntil = g.Now() + 40*eventloop.Second
 			}
 			g.markFailed(t, g.rng.IntN(t.waiting()+1))
 		}
@@ -83,7 +83,7 @@
 	if g.rng.IntN(3) == 0 {
 		g.addRandomMachine()
 	}
-	g.Advance(600 * loop.Millisecond)
+	g.Advance(600 * eventloop.Millisecond)
 	g.settleDown()
 	return g
 }
@@ -91,10 +91,10 @@
 // settleDown runs passes for long enough that started tasks are reported as running and nothing changes any more.
 func (g *scenario) settleDown() {
 	for range 3 {
-		g.Advance(300 * loop.Millisecond)
+		g.Advance(300 * eventloop.Millisecond)
 		g.scheduler.place()
 	}
-	g.Advance(300 * loop.Millisecond)
+	g.Advance(300 * eventloop.Millisecond)
 	g.scheduler.place()
 }
 
@@ -120,7 +120,7 @@
 	used := float64(g.rng.IntN(int(types[typ].CPUs) + 1))
 	g.addMachine(name, typ, zone, spot, used, float64(g.rng.IntN(20)))
 	if g.rng.IntN(6) == 0 {
-		g.scheduler.fleet.Machine(name).BackOff(g.Now()+100*loop.Second, "its tasks run slowly")
+		g.scheduler.fleet.Machine(name).BackOff(g.Now()+100*eventloop.Second, "its tasks run slowly")
 	}
 }
 
@@ -137,7 +137,7 @@
 func (g *scenario) addRandomJob() {
 	r := g.rng
 	s := job.Spec{Class: "k", Team: []string{"red", "blue"}[r.IntN(2)], Priority: job.Priority(r.IntN(3)), Tasks: 1 + r.IntN(6),
-		CPUs: float64(1 + r.IntN(6)), MemoryGB: float64(1 + r.IntN(10)), Image: "i", AnyType: true, Spot: r.IntN(2) == 0, Estimate: loop.Second}
+		CPUs: float64(1 + r.IntN(6)), MemoryGB: float64(1 + r.IntN(10)), Image: "i", AnyType: true, Spot: r.IntN(2) == 0, Estimate: eventloop.Second}
 	switch r.IntN(6) {
 	case 0:
 		s.Zone = zones[r.IntN(2)]
@@ -300,7 +300,7 @@
 		} else {
 			live := 0
 			for i := range t.job.Tasks {
-				if y := t.task(i); y.state == Placed && y.running && g.Now()-y.chosenAt > 2*loop.Second {
+				if y := t.task(i); y.state == Placed && y.running && g.Now()-y.chosenAt > 2*eventloop.Second {
 					live++
 				}
 			}
@@ -572,9 +572,9 @@
 				g.putCordons([]cordon.Cordon{{Name: "c", Reason: "r", Machine: "n-001"}})
 			}
 			s := c.spec
-			s.Class, s.Team, s.MemoryGB, s.Image, s.AnyType, s.Estimate = "k", "red", 1, "i", true, loop.Second
+			s.Class, s.Team, s.MemoryGB, s.Image, s.AnyType, s.Estimate = "k", "red", 1, "i", true, eventloop.Second
 			g.rig.acceptJob(1, s)
-			g.Advance(2 * loop.Second)
+			g.Advance(2 * eventloop.Second)
 			var kinds []predicate.Kind
 			for _, x := range *told {
 				if x.Kind < predicate.Recording {
@@ -593,7 +593,7 @@
 	for _, c := range []struct {
 		name  string
 		show  func(g *rig, task workers.Task)
-		wait  loop.Micros
+		wait  eventloop.Micros
 		kind  predicate.Kind
 		state string
 	}{
@@ -604,18 +604,18 @@
 		{"fetching", func(g *rig, x workers.Task) { x.State = wire.TaskFetching; g.deliverView("n-001", "m8", "x", false, x) }, 0, predicate.Fetching, "fetching"},
 		{"saving", func(g *rig, x workers.Task) { x.State = wire.TaskSaving; g.deliverView("n-001", "m8", "x", false, x) }, 0, predicate.Saving, "saving"},
 		{"running", func(g *rig, x workers.Task) { x.State = wire.TaskRunning; g.deliverView("n-001", "m8", "x", false, x) }, 0, 0, ""},
-		{"silent", func(*rig, workers.Task) {}, 12 * loop.Second, predicate.Unconfirmed, "silent"},
+		{"silent", func(*rig, workers.Task) {}, 12 * eventloop.Second, predicate.Unconfirmed, "silent"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
 			g.deliverView("n-001", "m8", "x", false)
-			id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
-			g.Advance(300 * loop.Millisecond)
+			id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: eventloop.Second})
+			g.Advance(300 * eventloop.Millisecond)
 			if len(g.starts) != 1 {
 				t.Fatalf("got %d starts, want 1", len(g.starts))
 			}
 			c.show(g, workers.Task{Task: workers.TaskName(id, 0), Attempt: 1})
-			g.Advance(c.wait + 50*loop.Millisecond)
+			g.Advance(c.wait + 50*eventloop.Millisecond)
 			f, _ := g.scheduler.Facts(id, nil, true)
 			switch {
 			case c.kind == 0 && len(f.InFlight) != 0:
@@ -630,15 +630,15 @@
 // A cause of another kind is published at once, even if it blocks as many tasks as before.
 func TestCauseOfAnotherKindIsPublished(t *testing.T) {
 	g, told := newCausesScenario()
-	s := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
+	s := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1, Image: "i", AnyType: true, Estimate: eventloop.Second}
 	g.rig.acceptJob(1, s)
-	g.Advance(1500 * loop.Millisecond)
+	g.Advance(1500 * eventloop.Millisecond)
 	if len(*told) != 1 || (*told)[0].Kind != predicate.Capacity {
 		t.Fatalf("published %v for a job without a machine", *told)
 	}
 	g.putCordons([]cordon.Cordon{{Name: "c", Reason: "r", Machine: "n-001"}})
 	g.deliverView("n-001", "m8", "x", false)
-	g.Advance(1500 * loop.Millisecond)
+	g.Advance(1500 * eventloop.Millisecond)
 	if len(*told) != 1 || (*told)[0].Kind != predicate.Cordon {
 		t.Fatalf("published %v for a job that only a cordon blocks", *told)
 	}
--- a/internal/scheduler/facts.go
+++ b/internal/scheduler/facts.go
@@ -1,9 +1,9 @@
 package scheduler
 
 import (
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/fleet"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/workers"
 )
@@ -72,7 +72,7 @@
 			continue
 		}
 		if f := p.facts(t); f.MustCancel() {
-			t.nextAmendAt = now + 2*loop.Second
+			t.nextAmendAt = now + 2*eventloop.Second
 			p.log.Info("cancelling a job because a job that it depends on was cancelled", "job", t.job.ID)
 			p.registry.Cancel(t.job.ID, func(job.Answer) {})
 			continue
@@ -91,7 +91,7 @@
 			}
 		})
 		if settled {
-			t.nextAmendAt = now + 2*loop.Second
+			t.nextAmendAt = now + 2*eventloop.Second
 			p.registry.ConfirmHold(t.job.ID, t.job.Revision, func(job.Answer) {})
 		}
 	}
@@ -109,8 +109,8 @@
 }
 
 // staleAfter is how long after its last report a machine still receives starts.
-func (p *Scheduler) staleAfter() loop.Micros {
-	return 2*loop.Seconds(p.cfg.Cluster.Workers.ReportS) + 3*loop.Second
+func (p *Scheduler) staleAfter() eventloop.Micros {
+	return 2*eventloop.Seconds(p.cfg.Cluster.Workers.ReportS) + 3*eventloop.Second
 }
 
 // eachUnlisted calls f for every task that was chosen for or started on the machine and that its view does not list
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -1,8 +1,8 @@
 package scheduler
 
 import (
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/health"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/predicate"
 )
 
@@ -40,7 +40,7 @@
 }
 
 // failureFacts returns what the predicates need to know of a job's failures.
-func (p *Scheduler) failureFacts(t *jobTable, now loop.Micros) predicate.FailureState {
+func (p *Scheduler) failureFacts(t *jobTable, now eventloop.Micros) predicate.FailureState {
 	f := predicate.FailureState{State: t.probation.State, ConsecutiveFailures: t.probation.Bursts, Machines: p.attribution.FailedOnHealthy(t.job.ID), BackOffUntil: t.probation.RestUntil,
 		FailedWaiting: len(t.failedTasks), RetryNow: t.probation.RetryWidth(len(t.failedTasks))}
 	if !t.probation.Trusted() {
--- a/internal/scheduler/forget_test.go
+++ b/internal/scheduler/forget_test.go
@@ -6,8 +6,8 @@
 	"cleatpick/internal/config"
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/delivery"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/membership"
 	"cleatpick/internal/partition"
 	"cleatpick/internal/wire"
@@ -18,7 +18,7 @@
 // forget it.
 type forgetRig struct {
 	*rig
-	askedAt loop.Micros // when attempt 1 was first asked to be forgotten; 0: never
+	askedAt eventloop.Micros // when attempt 1 was first asked to be forgotten; 0: never
 }
 
 func newForgetRig() *forgetRig {
@@ -37,14 +37,14 @@
 }
 
 // showFor reports the ended attempt repeatedly for the given time.
-func (g *forgetRig) showFor(d loop.Micros) {
+func (g *forgetRig) showFor(d eventloop.Micros) {
 	for end := g.Now() + d; g.Now() < end; {
 		g.deliverView("n-001", "m8", "x", false, attemptOne(wire.TaskExited, wire.WhyStopped))
-		g.Advance(5 * loop.Millisecond)
+		g.Advance(5 * eventloop.Millisecond)
 	}
 }
 
-func (g *forgetRig) checkAsked(t *testing.T, expiry loop.Micros) {
+func (g *forgetRig) checkAsked(t *testing.T, expiry eventloop.Micros) {
 	t.Helper()
 	switch {
 	case g.askedAt == 0:
@@ -64,27 +64,27 @@
 	}{
 		{"the next attempt is being recorded", func(*forgetRig) {}},
 		{"the next attempt's reservation is refused", func(g *forgetRig) {
-			g.Advance(90 * loop.Millisecond) // its machine is chosen, and it is not recorded yet
+			g.Advance(90 * eventloop.Millisecond) // its machine is chosen, and it is not recorded yet
 			g.scheduler.StartDropped("b", workers.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: 2, Why: "full", OnlyReservation: true})
 		}},
 		{"the next attempt's record is withdrawn", func(g *forgetRig) {
-			g.Advance(90 * loop.Millisecond)
+			g.Advance(90 * eventloop.Millisecond)
 			g.scheduler.cordons.Put(cordon.Cordon{Name: "c", Machine: "n-001"}, func(cordon.Outcome) {})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newForgetRig()
-			g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
-			g.Advance(500 * loop.Millisecond) // starts that no view shows by then are sent again
+			g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * eventloop.Second})
+			g.Advance(500 * eventloop.Millisecond) // starts that no view shows by then are sent again
 			if len(g.starts) != 1 {
 				t.Fatalf("got %d starts, want one", len(g.starts))
 			}
 			expiry := g.starts[0].Expiry
 			g.deliverView("n-001", "m8", "x", false, attemptOne(wire.TaskRunning, ""))
-			g.Advance(20 * loop.Millisecond)
+			g.Advance(20 * eventloop.Millisecond)
 			g.deliverView("n-001", "m8", "x", false, attemptOne(wire.TaskExited, wire.WhyStopped))
 			c.next(g)
-			g.showFor(15 * loop.Second)
+			g.showFor(15 * eventloop.Second)
 			g.checkAsked(t, expiry)
 		})
 	}
@@ -98,12 +98,12 @@
 	g.scheduler.node.Reserve = func(host string, s workers.Start) {
 		g.scheduler.StartDropped(host, workers.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", OnlyReservation: true})
 	}
-	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
+	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * eventloop.Second})
 	g.scheduler.OwnershipChanged(partition.ForTeam("red"), false, membership.Owner{})
 	g.state.Put(segmentKey("x/red/", 0), segmentRecord{Machines: []machineEntry{}, Jobs: []jobEntry{{ID: id, Tasks: []taskEntry{{Index: 0, State: storedTerminated, Attempt: 1}}}}})
 	mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
 	g.scheduler.OwnershipChanged(partition.ForTeam("red"), true, membership.Owner{Node: "a", Epoch: 2, Revision: mark})
-	latest := g.Now() + loop.Seconds(g.scheduler.cfg.Operator.StartLifetimeS)
-	g.showFor(20 * loop.Second)
+	latest := g.Now() + eventloop.Seconds(g.scheduler.cfg.Operator.StartLifetimeS)
+	g.showFor(20 * eventloop.Second)
 	g.checkAsked(t, latest)
 }
--- a/internal/scheduler/groupcommit.go
+++ b/internal/scheduler/groupcommit.go
@@ -2,8 +2,8 @@
 
 import (
 	"cleatpick/internal/delivery"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/store"
 )
 
@@ -40,7 +40,7 @@
 }
 
 // scheduleCommit schedules a commit of all owned partitions after d, or keeps an earlier one.
-func (p *Scheduler) scheduleCommit(d loop.Micros) {
+func (p *Scheduler) scheduleCommit(d eventloop.Micros) {
 	due := p.runner.Now() + d
 	if p.commitAt != 0 && p.commitAt <= due {
 		return
@@ -51,8 +51,8 @@
 			return
 		}
 		p.commitAt = 0
-		retryIn := loop.Micros(0)
-		for _, part := range loop.Sorted(p.partitions) {
+		retryIn := eventloop.Micros(0)
+		for _, part := range eventloop.Sorted(p.partitions) {
 			if wait := p.commit(part); wait > 0 && (retryIn == 0 || wait < retryIn) {
 				retryIn = wait
 			}
@@ -64,11 +64,11 @@
 }
 
 // writableCheckInterval is the interval at which the state service's write limit is checked while it allows no write.
-const writableCheckInterval = 15 * loop.Millisecond
+const writableCheckInterval = 15 * eventloop.Millisecond
 
 // commit stores the due records of a partition's teams, as far as the write limit allows. It returns the delay until
 // the next attempt, or 0 if there is nothing to do.
-func (p *Scheduler) commit(part *ownedPartition) loop.Micros {
+func (p *Scheduler) commit(part *ownedPartition) eventloop.Micros {
 	l := &part.log
 	if l.writing || !part.loaded {
 		return 0 // the end of the write schedules the next commit
@@ -94,9 +94,9 @@
 		age := p.runner.Now() - l.outcomesSince
 		if len(l.outcomes) == 0 || (!(2*n > p.client.MaxAvailableChanges() && age >= outcomeMinDelay) && age < outcomeMaxDelay) {
 			if len(l.starts) > 0 {
-				return 8 * loop.Millisecond
+				return 8 * eventloop.Millisecond
 			}
-			return 200 * loop.Millisecond
+			return 200 * eventloop.Millisecond
 		}
 	}
 	p.storeWrite(part, p.compose(part, n, ready))
@@ -161,7 +161,7 @@
 	l.outcomes = put(l.outcomes, false)
 	// Live entries of nearly empty segments, and of teams' own logs, move to this segment so that the old ones can be
 	// deleted.
-	for _, s := range loop.Sorted(l.closed) {
+	for _, s := range eventloop.Sorted(l.closed) {
 		if len(w.emptied) >= min(writable-1, p.client.MaxChanges()-1) {
 			break
 		}
@@ -215,7 +215,7 @@
 // from now.
 func (p *Scheduler) buildRecord(w *write) {
 	p.nonce++
-	expiry := p.runner.Wall() + loop.Seconds(p.cfg.Operator.StartLifetimeS)
+	expiry := p.runner.Wall() + eventloop.Seconds(p.cfg.Operator.StartLifetimeS)
 	w.rec = segmentRecord{Nonce: p.nonce, Machines: []machineEntry{}, Jobs: []jobEntry{}}
 	machines, jobs := map[string]int{}, map[*jobTable]int{}
 	kept := w.segment.refs[:0]
--- a/internal/scheduler/guarantee.go
+++ b/internal/scheduler/guarantee.go
@@ -1,7 +1,7 @@
 package scheduler
 
 import (
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/starvation"
 )
 
@@ -9,7 +9,7 @@
 	// shortfallDelay is how long a team must run less than its guarantee, with tasks unplaced, before capacity is
 	// reserved for it. A shortfall that completing tasks remove sooner needs no action. The team must have its
 	// guarantee for as long again before reservations stop.
-	shortfallDelay = 5 * loop.Second
+	shortfallDelay = 5 * eventloop.Second
 	// shortfallFraction is the fraction of its guarantee from which on a team counts as having it.
 	shortfallFraction = 0.95
 )
@@ -17,11 +17,11 @@
 // shortfall tracks whether a team lacks its guarantee while tasks of it are unplaced.
 type shortfall struct {
 	lacks        bool
-	changedSince loop.Micros // since when the observation differs from lacks; 0: it does not
+	changedSince eventloop.Micros // since when the observation differs from lacks; 0: it does not
 }
 
 // observe applies an observation and reports whether lacks has changed.
-func (s *shortfall) observe(lacks bool, now loop.Micros) (changed bool) {
+func (s *shortfall) observe(lacks bool, now eventloop.Micros) (changed bool) {
 	switch {
 	case lacks == s.lacks:
 		s.changedSince = 0
@@ -35,7 +35,7 @@
 }
 
 // trackGuarantee updates whether a team lacks its guarantee; anyUnplaced reports whether it has unplaced tasks now.
-func (p *Scheduler) trackGuarantee(tm *team, anyUnplaced bool, now loop.Micros) {
+func (p *Scheduler) trackGuarantee(tm *team, anyUnplaced bool, now eventloop.Micros) {
 	lacks := anyUnplaced && tm.cpus < shortfallFraction*tm.quota.CPUs
 	if !tm.shortfall.observe(lacks, now) {
 		return
@@ -49,7 +49,7 @@
 
 // borrowed returns how many CPUs other teams run beyond their guarantees.
 func (p *Scheduler) borrowed(tm *team) (cpus float64) {
-	for name, excess := range loop.Sorted(p.teamExcess()) {
+	for name, excess := range eventloop.Sorted(p.teamExcess()) {
 		if name != tm.cfg.Name {
 			cpus += max(excess, 0)
 		}
@@ -87,7 +87,7 @@
 // teams have borrowed.
 func (p *Scheduler) unmetGuarantee(tm *team) float64 {
 	reserved := 0.0
-	for id, n := range loop.Sorted(p.fleet.ReservationCounts()) {
+	for id, n := range eventloop.Sorted(p.fleet.ReservationCounts()) {
 		if t := tm.jobs[id]; t != nil {
 			reserved += float64(n) * t.job.Spec.CPUs
 		}
--- a/internal/scheduler/guarantee_test.go
+++ b/internal/scheduler/guarantee_test.go
@@ -5,8 +5,8 @@
 	"testing"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
@@ -24,9 +24,9 @@
 func TestGuaranteeIsMetBehindALargeJob(t *testing.T) {
 	const machines = 4
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16}, config.Team{Name: "blue", CPUs: 16})
-	g.acceptJob(1, job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 9000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	g.acceptJob(2, job.Spec{Class: "large", Team: "blue", Priority: job.Low, Tasks: 4000, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	g.acceptJob(3, job.Spec{Class: "small", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	g.acceptJob(1, job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 9000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: eventloop.Second})
+	g.acceptJob(2, job.Spec{Class: "large", Team: "blue", Priority: job.Low, Tasks: 4000, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: eventloop.Second})
+	g.acceptJob(3, job.Spec{Class: "small", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: eventloop.Second})
 	on := map[string][]workers.Task{}
 	startsDone := 0
 	step := func() {
@@ -45,13 +45,13 @@
 				on[name] = running[1:]
 			}
 		}
-		g.Advance(400 * loop.Millisecond)
+		g.Advance(400 * eventloop.Millisecond)
 	}
-	for g.Now() < 1090*loop.Second { // the jobs have waited for 75 s, and the team has lacked its guarantee for 5 s
+	for g.Now() < 1090*eventloop.Second { // the jobs have waited for 75 s, and the team has lacked its guarantee for 5 s
 		step()
 	}
 	used, steps := 0.0, 0
-	for ; g.Now() < 1190*loop.Second; steps++ {
+	for ; g.Now() < 1190*eventloop.Second; steps++ {
 		step()
 		used += g.scheduler.teams["blue"].cpus
 	}
@@ -68,26 +68,26 @@
 	for _, c := range []struct {
 		name              string
 		used, usedByOther float64 // in use by the team, and by the other team
-		waits             loop.Micros
+		waits             eventloop.Micros
 		lacks             bool
 		want              bool
 	}{
-		{"lacks its guarantee, and another team has borrowed", 2, 24, 80 * loop.Second, true, true},
-		{"no team has borrowed", 2, 16, 80 * loop.Second, true, false},
-		{"job has not waited long", 2, 24, 70 * loop.Second, true, false},
-		{"has lacked its guarantee only briefly", 2, 24, 80 * loop.Second, false, false},
-		{"has its guarantee", 16, 24, 80 * loop.Second, true, false},
+		{"lacks its guarantee, and another team has borrowed", 2, 24, 80 * eventloop.Second, true, true},
+		{"no team has borrowed", 2, 16, 80 * eventloop.Second, true, false},
+		{"job has not waited long", 2, 24, 70 * eventloop.Second, true, false},
+		{"has lacked its guarantee only briefly", 2, 24, 80 * eventloop.Second, false, false},
+		{"has its guarantee", 16, 24, 80 * eventloop.Second, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(1000, config.Team{Name: "red", CPUs: 16}, config.Team{Name: "blue", CPUs: 16})
-			id := g.acceptJob(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+			id := g.acceptJob(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: eventloop.Second})
 			var full []workers.Task
 			for i := range 8 {
 				full = append(full, workers.Task{Task: workers.TaskName("job-000009", i), Attempt: 1, State: wire.TaskRunning})
 			}
 			g.acceptJob(9, job.Spec{Class: "k", Team: "green", Tasks: 8, CPUs: 1, MemoryGB: 1, AnyType: true})
 			g.deliverView("n-001", "m8", "x", false, full...)
-			g.Advance(loop.Second)
+			g.Advance(eventloop.Second)
 			g.scheduler.fleet.Refresh()
 			tm := g.scheduler.teams["blue"]
 			tm.cpus, g.scheduler.teams["red"].cpus = c.used, c.usedByOther
@@ -105,14 +105,14 @@
 // shortfallDelay without interruption.
 func TestShortfall(t *testing.T) {
 	var s shortfall
-	now := 1000 * loop.Second
+	now := 1000 * eventloop.Second
 	for i, c := range []struct {
-		after  loop.Micros
+		after  eventloop.Micros
 		now    bool
 		judged bool
 	}{
-		{0, false, false}, {0, true, false}, {4 * loop.Second, true, false}, {0, false, false}, {0, true, false}, {4 * loop.Second, true, false},
-		{loop.Second, true, true}, {0, false, true}, {4 * loop.Second, false, true}, {loop.Second, true, true}, {0, false, true}, {5 * loop.Second, false, false},
+		{0, false, false}, {0, true, false}, {4 * eventloop.Second, true, false}, {0, false, false}, {0, true, false}, {4 * eventloop.Second, true, false},
+		{eventloop.Second, true, true}, {0, false, true}, {4 * eventloop.Second, false, true}, {eventloop.Second, true, true}, {0, false, true}, {5 * eventloop.Second, false, false},
 	} {
 		now += c.after
 		was := s.lacks
@@ -126,11 +126,11 @@
 // to a class of its own.
 func TestClassAccountingIsRestored(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
-	begun := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	begun := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: eventloop.Second})
 	g.deliverView("n-001", "m8", "x", false)
-	g.Advance(2 * loop.Second)
-	waiting := g.acceptJob(2, job.Spec{Class: "w", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	g.Advance(2 * loop.Second)
+	g.Advance(2 * eventloop.Second)
+	waiting := g.acceptJob(2, job.Spec{Class: "w", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: eventloop.Second})
+	g.Advance(2 * eventloop.Second)
 	tm := g.scheduler.teams["red"]
 	if n := tm.jobs[begun].inUse; n != 4 {
 		t.Fatalf("%d tasks are in use, want 4", n)
@@ -153,12 +153,12 @@
 // Only the reservations of jobs owned here are sent to a peer that does not know them.
 func TestReservationsAreThoseOfOwnedJobs(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
-	mine := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 100, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	theirs := g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Tasks: 1, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	mine := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 100, MemoryGB: 1, AnyType: true, Estimate: eventloop.Second})
+	theirs := g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Tasks: 1, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: eventloop.Second})
 	g.deliverView("n-001", "m8", "x", false)
-	g.Advance(loop.Second)
+	g.Advance(eventloop.Second)
 	for _, id := range []string{mine, theirs} {
-		g.scheduler.fleet.AddReservation(peer.Reservation{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
+		g.scheduler.fleet.AddReservation(peer.Reservation{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*eventloop.Second})
 	}
 	if got := g.scheduler.OwnReservations(); len(got) != 1 || got[0].Job != mine || got[0].CPUs != 2 {
 		t.Errorf("got reservations %+v, want the one of %s", got, mine)
--- a/internal/scheduler/image_test.go
+++ b/internal/scheduler/image_test.go
@@ -5,8 +5,8 @@
 	"testing"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
@@ -17,13 +17,13 @@
 // for that capacity, use no other and do not count as unplaced meanwhile. If the capacity does not become free, they
 // go to the other machine.
 func TestUrgentWorkGoesToItsImage(t *testing.T) {
-	const s = loop.Second
+	const s = eventloop.Second
 	for _, c := range []struct {
 		name        string
-		ran         loop.Micros // how long tasks of low priority have run on the machine with the image
-		image       float64     // size in GB
-		stopsArrive bool        // the preempted tasks stop
-		placedOn    string      // machine on which the urgent tasks are placed in the end
+		ran         eventloop.Micros // how long tasks of low priority have run on the machine with the image
+		image       float64          // size in GB
+		stopsArrive bool             // the preempted tasks stop
+		placedOn    string           // machine on which the urgent tasks are placed in the end
 		claims      int
 	}{
 		{"the running tasks have just begun", s, 2, true, "n-1", 4},
@@ -42,11 +42,11 @@
 			for i := range busy {
 				busy[i] = workers.Task{Task: workers.TaskName(low, i), Attempt: 1, State: wire.TaskRunning}
 			}
-			deliverViews := func(d loop.Micros, tasks []workers.Task) {
+			deliverViews := func(d eventloop.Micros, tasks []workers.Task) {
 				for end := g.Now() + d; g.Now() < end; {
 					g.deliverView("n-1", "m16", "x", false, tasks...)
 					g.deliverView("n-2", "m16", "x", false)
-					g.Advance(200 * loop.Millisecond)
+					g.Advance(200 * eventloop.Millisecond)
 				}
 			}
 			for _, id := range []string{low, earlier} { // owned by another controller; known here only from the views
@@ -55,7 +55,7 @@
 			deliverViews(c.ran, busy)
 			g.starts = nil
 			id := g.acceptJob(3, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 4, CPUs: 2, MemoryGB: 2, Image: "u", ImageGB: c.image, AnyType: true, Estimate: 60 * s})
-			g.Advance(500 * loop.Millisecond)
+			g.Advance(500 * eventloop.Millisecond)
 			if len(claims) != c.claims {
 				t.Fatalf("%d reservations, want %d", len(claims), c.claims)
 			}
@@ -68,7 +68,7 @@
 				}
 			}
 			if c.stopsArrive && c.claims > 0 {
-				deliverViews(600*loop.Millisecond, busy[4:])
+				deliverViews(600*eventloop.Millisecond, busy[4:])
 			} else {
 				deliverViews(4*s, busy)
 			}
--- a/internal/scheduler/jobtable.go
+++ b/internal/scheduler/jobtable.go
@@ -16,9 +16,9 @@
 	"slices"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/health"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/workers"
 )
@@ -45,21 +45,21 @@
 	attempt           uint64
 	machine           string
 	session           uint64
-	expiry            loop.Micros // wall-clock time after which no controller passes the start on
-	recordedHere      bool        // recorded by this owner, which therefore knows where the start was sent
-	sentTo            string      // host controller to which the start was sent last
-	sentToIncarnation loop.Micros // incarnation of that host controller
-	sentToSeveral     bool        // sent to more than one host controller, or to more than one incarnation
-	sentAt            loop.Micros
-	chosenAt          loop.Micros // when its machine was chosen
-	failed            bool        // the previous attempt ended in an error
-	listed            bool        // its machine has listed it
-	recheck           bool        // further views are needed to decide whether it is terminated
+	expiry            eventloop.Micros // wall-clock time after which no controller passes the start on
+	recordedHere      bool             // recorded by this owner, which therefore knows where the start was sent
+	sentTo            string           // host controller to which the start was sent last
+	sentToIncarnation eventloop.Micros // incarnation of that host controller
+	sentToSeveral     bool             // sent to more than one host controller, or to more than one incarnation
+	sentAt            eventloop.Micros
+	chosenAt          eventloop.Micros // when its machine was chosen
+	failed            bool             // the previous attempt ended in an error
+	listed            bool             // its machine has listed it
+	recheck           bool             // further views are needed to decide whether it is terminated
 	running           bool
-	runningSince      loop.Micros // when it was first seen running
-	stopSentAt        loop.Micros // when a stop was last sent
-	lostSince         loop.Micros // time of the last report from its failed machine; 0: runs again, or its machine never failed
-	segment           *segment    // segment with its newest record; nil: never recorded
+	runningSince      eventloop.Micros // when it was first seen running
+	stopSentAt        eventloop.Micros // when a stop was last sent
+	lostSince         eventloop.Micros // time of the last report from its failed machine; 0: runs again, or its machine never failed
+	segment           *segment         // segment with its newest record; nil: never recorded
 }
 
 // inUse reports whether the task counts against its team's limit.
@@ -82,18 +82,18 @@
 	probation       health.Probation
 	avoid           map[string]struct{} // machines on which it failed recently
 	damaged         bool                // a record of its tasks cannot be decoded
-	nextAmendAt     loop.Micros         // its record is not amended again before this time
+	nextAmendAt     eventloop.Micros    // its record is not amended again before this time
 	unplacedCause   predicate.Kind      // machine predicate that left its tasks unplaced in the newest pass; 0: none
-	unplacedCauseAt loop.Micros
+	unplacedCauseAt eventloop.Micros
 	preemptedFor    map[string]string // by machine: the job for which tasks of this job were preempted there
 	causes          []predicate.Cause // as last sent to the peers
-	causesSentAt    loop.Micros       // wall-clock time at which they were sent; 0: never by this owner
+	causesSentAt    eventloop.Micros  // wall-clock time at which they were sent; 0: never by this owner
 	causesSentTimes int               // how often they were sent since they last changed
-	acceptedAt      loop.Micros       // when it was accepted, by the monotonic clock
-	servedEarlyAt   loop.Micros       // when it was last served out of order; acceptedAt if never
+	acceptedAt      eventloop.Micros  // when it was accepted, by the monotonic clock
+	servedEarlyAt   eventloop.Micros  // when it was last served out of order; acceptedAt if never
 	reservedCPUs    float64           // CPUs reserved for it out of order and not used yet
 	reservedClass   string            // class in the starvation reserve that was charged for them
-	unplacedSince   loop.Micros       // since when tasks of it are unplaced; 0: none is
+	unplacedSince   eventloop.Micros  // since when tasks of it are unplaced; 0: none is
 	sentDone        int64
 	sentRunning     int64
 }
@@ -105,7 +105,7 @@
 	partition *ownedPartition
 	loaded    bool // its records have been read
 	// loadedAt is the wall-clock time at which its records had been read. Every record of other owners is older.
-	loadedAt  loop.Micros
+	loadedAt  eventloop.Micros
 	jobs      map[string]*jobTable
 	order     []*jobTable // jobs in order of acceptance; nil: to be rebuilt
 	cpus      float64
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -4,8 +4,8 @@
 	"strconv"
 	"strings"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/partition"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
@@ -13,7 +13,7 @@
 )
 
 // loadRetryDelay is the pause before a log that could not be read completely is read again.
-const loadRetryDelay = 300 * loop.Millisecond
+const loadRetryDelay = 300 * eventloop.Millisecond
 
 // storedSegment is a segment as read from the state service.
 type storedSegment struct {
@@ -267,7 +267,7 @@
 		return
 	}
 	part.unreadable = true
-	for _, tm := range loop.Sorted(part.teams) {
+	for _, tm := range eventloop.Sorted(part.teams) {
 		p.markDamaged(tm)
 	}
 }
@@ -327,7 +327,7 @@
 		x.machine, x.session, x.expiry = b.machine.Name, b.Session, b.Expiry
 		// Derived from the record. Left at 0, a failure seen now would count as one after an extremely long run, and
 		// no task would count as having survived that long.
-		x.chosenAt = p.runner.Now() - max(p.runner.Wall()+loop.Seconds(p.cfg.Operator.StartLifetimeS)-x.expiry, 0)
+		x.chosenAt = p.runner.Now() - max(p.runner.Wall()+eventloop.Seconds(p.cfg.Operator.StartLifetimeS)-x.expiry, 0)
 		p.setTask(r.table, r.index, Placed)
 	case storedDone:
 		p.setTask(r.table, r.index, Completed)
--- a/internal/scheduler/logwrite.go
+++ b/internal/scheduler/logwrite.go
@@ -5,8 +5,8 @@
 	"strings"
 
 	"cleatpick/internal/cordon"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/membership"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
@@ -31,7 +31,7 @@
 		if !p.ownsPartition(part) {
 			return
 		}
-		retry := func(d loop.Micros) { p.runner.After(d, func() { p.storeWrite(part, w) }) }
+		retry := func(d eventloop.Micros) { p.runner.After(d, func() { p.storeWrite(part, w) }) }
 		p.log.Debug("task log write answered", "partition", part.id, "segment", key, "entries", len(w.refs), "jobs", len(w.jobs), "outcome", int(r.Outcome), "took_us", p.runner.Now()-sent,
 			"starts_wait", len(part.log.starts), "outcomes_wait", len(part.log.outcomes), "segments", len(part.log.closed)+1)
 		switch r.Outcome {
@@ -59,23 +59,23 @@
 				}
 			}
 			if !outdated {
-				retry(250 * loop.Millisecond) // the claim failed: this controller is about to learn that it lost the partition
+				retry(250 * eventloop.Millisecond) // the claim failed: this controller is about to learn that it lost the partition
 				return
 			}
-			p.requeueWrite(part, w, 60*loop.Millisecond)
+			p.requeueWrite(part, w, 60*eventloop.Millisecond)
 		case store.Invalid:
 			p.log.Error("task log record refused by the state service as invalid; its entries are written again", "key", key, "entries", len(w.refs), "bytes", w.bytes)
 			p.shrinkSegments(part, w)
 		default:
 			// The write may have been applied, or may be applied later. Only this same record is retried until the
 			// answer is certain.
-			retry(150 * loop.Millisecond)
+			retry(150 * eventloop.Millisecond)
 		}
 	})
 }
 
 // requeueWrite queues the starts and outcomes of a write again whose record is certainly not stored.
-func (p *Scheduler) requeueWrite(part *ownedPartition, w *write, after loop.Micros) {
+func (p *Scheduler) requeueWrite(part *ownedPartition, w *write, after eventloop.Micros) {
 	for _, r := range w.refs {
 		switch x := r.table.task(r.index); {
 		case x.attempt != r.attempt || !p.ownsUnfinished(r.table):
@@ -104,7 +104,7 @@
 		var have segmentRecord
 		switch {
 		case !ok || (found && wire.Unmarshal(it.Value, &have) != nil):
-			p.runner.After(200*loop.Millisecond, func() { p.checkStored(part, w) })
+			p.runner.After(200*eventloop.Millisecond, func() { p.checkStored(part, w) })
 		case found && have.Nonce == w.rec.Nonce:
 			w.segment.revision = it.Revision
 			p.writeStored(part, w)
@@ -166,9 +166,9 @@
 	// minValueLimit is the lower bound, in bytes, to which the size limit of segments is reduced.
 	minValueLimit = 800
 	// refusedRetryDelay is the pause before a refused record that cannot be made smaller is tried again.
-	refusedRetryDelay = 5 * loop.Second
+	refusedRetryDelay = 5 * eventloop.Second
 	// smallerRetryDelay is the pause before the entries of a refused record are written into smaller segments.
-	smallerRetryDelay = 200 * loop.Millisecond
+	smallerRetryDelay = 200 * eventloop.Millisecond
 )
 
 // shrinkSegments handles a record that the state service refuses as invalid, as it does when its limit on value size
--- a/internal/scheduler/outages.go
+++ b/internal/scheduler/outages.go
@@ -1,18 +1,18 @@
 package scheduler
 
-import "cleatpick/internal/loop"
+import "cleatpick/internal/eventloop"
 
 // reruns tracks the tasks of failed machines until they run again. The time from a machine's last report to the rerun
 // is the outage that users observe.
 type reruns struct {
 	pending int // tasks that do not run again yet
 	count   int // reruns since the first of the pending tasks failed
-	longest loop.Micros
-	since   loop.Micros
+	longest eventloop.Micros
+	since   eventloop.Micros
 }
 
 // recordLost records that a task failed with its machine; lastReport is the time of the machine's last report.
-func (p *Scheduler) recordLost(t *jobTable, i int, lastReport loop.Micros) {
+func (p *Scheduler) recordLost(t *jobTable, i int, lastReport eventloop.Micros) {
 	x := t.task(i)
 	if t.job.Final() || x.lostSince != 0 || lastReport == 0 {
 		return
--- a/internal/scheduler/partition.go
+++ b/internal/scheduler/partition.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/membership"
 	"cleatpick/internal/partition"
 )
@@ -14,8 +14,8 @@
 // record of its tasks is in the partition's log; afterwards nothing is added to the team's own log.
 type ownedPartition struct {
 	// ownedAt is when this controller became the owner. It is reset to 0 by the first placement.
-	ownedAt  loop.Micros
-	loadedAt loop.Micros // when its log had been read
+	ownedAt  eventloop.Micros
+	loadedAt eventloop.Micros // when its log had been read
 	id       partition.ID
 	claim    membership.Owner
 	loaded   bool // its log has been read
@@ -31,9 +31,9 @@
 
 const (
 	// assignDelay is the delay that collects several teams into one assignment transaction.
-	assignDelay = 20 * loop.Millisecond
+	assignDelay = 20 * eventloop.Millisecond
 	// assignRetryDelay is the pause before the assignment of teams that another controller owns is retried.
-	assignRetryDelay = loop.Second
+	assignRetryDelay = eventloop.Second
 )
 
 // ownsPartition reports whether this controller still owns the partition, under the same claim.
@@ -63,7 +63,7 @@
 		return
 	}
 	delete(p.partitions, id)
-	for name, tm := range loop.Sorted(part.teams) {
+	for name, tm := range eventloop.Sorted(part.teams) {
 		for _, t := range tm.inOrder() {
 			p.forgetJob(t)
 		}
@@ -124,7 +124,7 @@
 }
 
 // assignAfter schedules assign, unless it is scheduled or running already.
-func (p *Scheduler) assignAfter(part *ownedPartition, d loop.Micros) {
+func (p *Scheduler) assignAfter(part *ownedPartition, d eventloop.Micros) {
 	if part.assigning {
 		return
 	}
@@ -140,7 +140,7 @@
 // assign requests the assignment of waiting teams, several in one transaction.
 func (p *Scheduler) assign(part *ownedPartition) {
 	var names []string
-	for name := range loop.Sorted(part.unassigned) {
+	for name := range eventloop.Sorted(part.unassigned) {
 		switch {
 		case p.teams[name] != nil:
 			delete(part.unassigned, name)
--- a/internal/scheduler/partition_test.go
+++ b/internal/scheduler/partition_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/membership"
 	"cleatpick/internal/partition"
 	"cleatpick/internal/standin"
@@ -18,7 +18,7 @@
 // onePartition is a membership in which all teams share one partition, stored in the rig's state service.
 type onePartition struct {
 	g     *rig
-	delay loop.Micros // until an assignment is known here
+	delay eventloop.Micros // until an assignment is known here
 	known map[string]bool
 }
 
@@ -61,11 +61,11 @@
 	mark := g.state.Put(onlyID.ClaimKey(), map[string]any{"n": "a", "e": 1})
 	g.scheduler.OwnershipChanged(onlyID, false, membership.Owner{})
 	g.scheduler.OwnershipChanged(onlyID, true, membership.Owner{Node: "a", Epoch: 1, Revision: mark})
-	g.Advance(loop.Second)
+	g.Advance(eventloop.Second)
 }
 
 func smallJob(team string, tasks int) job.Spec {
-	return job.Spec{Class: "k", Team: team, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
+	return job.Spec{Class: "k", Team: team, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: eventloop.Second}
 }
 
 func taskNames(starts []workers.Start) []string {
@@ -85,7 +85,7 @@
 		g.acceptJob(i, smallJob(fmt.Sprintf("team-%03d", i), 5))
 	}
 	before := g.writes
-	g.Advance(3 * loop.Second)
+	g.Advance(3 * eventloop.Second)
 	if n := len(taskNames(g.starts)); n != 200 {
 		t.Fatalf("%d tasks were started, want 200", n)
 	}
@@ -98,7 +98,7 @@
 func TestFormerOwnerRecordsNothing(t *testing.T) {
 	g := partitionRig(100, 4, 10)
 	g.acceptJob(1, smallJob("team-000", 2))
-	g.Advance(loop.Second)
+	g.Advance(eventloop.Second)
 	if len(taskNames(g.starts)) != 2 {
 		t.Fatalf("started %v, want two tasks", taskNames(g.starts))
 	}
@@ -106,7 +106,7 @@
 	keys := g.state.Keys(onlyID.LogPrefix())
 	g.acceptJob(2, smallJob("team-001", 3))
 	g.acceptJob(3, smallJob("team-000", 3))
-	g.Advance(3 * loop.Second)
+	g.Advance(3 * eventloop.Second)
 	if n := len(taskNames(g.starts)); n != 2 {
 		t.Errorf("a former owner started %v", taskNames(g.starts))
 	}
@@ -124,8 +124,8 @@
 	id := "job-000007"
 	rec := job.Record{Phase: job.Cancelled, AcceptedAt: g.Now(), Tasks: 2}
 	mark := g.state.Put(job.KeyPrefix+id, rec) // stored, and not known here yet
-	g.After(loop.Second, func() { g.mirror.Apply(job.KeyPrefix+id, wire.Marshal(rec), mark, false) })
-	g.Advance(4 * loop.Second)
+	g.After(eventloop.Second, func() { g.mirror.Apply(job.KeyPrefix+id, wire.Marshal(rec), mark, false) })
+	g.Advance(4 * eventloop.Second)
 	started := taskNames(g.starts)
 	if len(started) != 58 {
 		t.Errorf("%d tasks were started, want 58", len(started))
@@ -143,7 +143,7 @@
 		for i := range 30 {
 			g.acceptJob(i, smallJob(fmt.Sprintf("team-%03d", i), 12))
 		}
-		g.Advance(5 * loop.Second)
+		g.Advance(5 * eventloop.Second)
 		if n := len(taskNames(g.starts)); n != 360 {
 			t.Fatalf("%d tasks were started, want 360", n)
 		}
@@ -155,7 +155,7 @@
 			for _, team := range []string{"team-003", "team-020"} {
 				m.known[team] = false
 			}
-			g.After(2*loop.Second, func() {
+			g.After(2*eventloop.Second, func() {
 				for _, team := range []string{"team-003", "team-020"} {
 					m.known[team] = true
 					g.scheduler.TeamAssigned(team)
@@ -164,7 +164,7 @@
 		}
 		g.starts = nil
 		g.acquirePartition()
-		g.Advance(6 * loop.Second)
+		g.Advance(6 * eventloop.Second)
 		used := g.scheduler.TasksInUse(onlyID)
 		if began := taskNames(g.starts); used != 360 || len(began) > 0 {
 			t.Errorf("lagging %v: the next owner knows %d of 360 tasks and started %d again", lags, used, len(began))
@@ -181,7 +181,7 @@
 		g.deliverView(fmt.Sprintf("n-%03d", i), "m8", "x", false)
 	}
 	g.acceptJob(1, smallJob("team-000", tasks))
-	g.Advance(3 * loop.Second)
+	g.Advance(3 * eventloop.Second)
 	own := partition.ForTeam("team-000")
 	if n, logs := len(taskNames(g.starts)), len(g.state.Keys(own.LogPrefix())); n != tasks || logs < 2 {
 		t.Fatalf("%d of %d tasks were started, with %d segments, want all and at least 2 segments", n, tasks, logs)
@@ -192,7 +192,7 @@
 	g.starts = nil
 	for _, owner := range []string{"the first owner", "the next one"} {
 		g.acquirePartition()
-		g.Advance(12 * loop.Second)
+		g.Advance(12 * eventloop.Second)
 		if began := taskNames(g.starts); len(began) > 0 {
 			t.Fatalf("%s starts %d tasks again", owner, len(began))
 		}
@@ -211,11 +211,11 @@
 	for i := range 20 {
 		g.acceptJob(i, smallJob(fmt.Sprintf("team-%03d", i), 15))
 		if i == 10 {
-			g.Advance(2 * loop.Second)
+			g.Advance(2 * eventloop.Second)
 			g.state.SetLimits(&standin.Limits{ValueBytes: 1024, TxnOps: 5})
 		}
 	}
-	g.Advance(8 * loop.Second)
+	g.Advance(8 * eventloop.Second)
 	if n := len(taskNames(g.starts)); n != 300 {
 		t.Fatalf("%d tasks were started, want 300", n)
 	}
@@ -224,7 +224,7 @@
 	}
 	g.starts = nil
 	g.acquirePartition()
-	g.Advance(4 * loop.Second)
+	g.Advance(4 * eventloop.Second)
 	if used := g.scheduler.TasksInUse(onlyID); used != 300 {
 		t.Errorf("the next owner knows %d of 300 tasks", used)
 	}
@@ -235,7 +235,7 @@
 func TestRefusedWriteMovesNothing(t *testing.T) {
 	g := partitionRig(100, 1, 4)
 	id := g.acceptJob(1, smallJob("team-000", 4))
-	g.Advance(2 * loop.Second)
+	g.Advance(2 * eventloop.Second)
 	part := g.scheduler.partitions[onlyID]
 	tb := g.scheduler.teams["team-000"].jobs[id]
 	old := tb.task(0).segment
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -4,9 +4,9 @@
 	"cmp"
 	"slices"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/fleet"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/workers"
@@ -22,7 +22,7 @@
 type queueEntry struct {
 	table           *jobTable
 	withinGuarantee bool // within its team's guarantee
-	queuedAt        loop.Micros
+	queuedAt        eventloop.Micros
 }
 
 // rank orders by priority; urgent jobs come first, then those within their team's guarantee.
@@ -74,10 +74,10 @@
 
 // queuedAt returns the time by which jobs of one rank are ordered: the time of acceptance plus twice the time that the
 // job's remaining work occupies its team's share. A small job may therefore overtake an earlier large one.
-func (t *jobTable) queuedAt() loop.Micros {
+func (t *jobTable) queuedAt() eventloop.Micros {
 	s := t.job.Spec
 	work := float64(t.job.Tasks-t.completed) * float64(s.Estimate) * s.CPUs
-	return t.job.AcceptedAt + loop.Micros(2*work/t.team.quota.Weight)
+	return t.job.AcceptedAt + eventloop.Micros(2*work/t.team.quota.Weight)
 }
 
 // place runs a pass: it assigns waiting tasks to machines with free capacity and collects those that remain unplaced.
@@ -135,7 +135,7 @@
 			p.preemptFor(&e, unplaced, &b)
 			// The search for victims scans the whole fleet, so its interval grows with its duration.
 			done := p.runner.Now()
-			p.preemption.nextRun = done + max(100*loop.Millisecond, 12*(done-now))
+			p.preemption.nextRun = done + max(100*eventloop.Millisecond, 12*(done-now))
 		}
 		p.reserveGuarantee(&e, unplaced, &b)
 		// Machines need not be rented for tasks for which completing tasks free capacity at once.
@@ -289,7 +289,7 @@
 		Zone: s.Zone, Spot: s.Spot, Priority: int(s.Priority), Count: n, RunTime: s.Estimate, OneZone: s.OneZone, Spread: s.Spread}
 	if s.OneZone || s.Spread {
 		w.Tasks = t.job.Tasks
-		for z, n := range loop.Sorted(t.zones) {
+		for z, n := range eventloop.Sorted(t.zones) {
 			w.ByZone = append(w.ByZone, peer.ZoneTasks{Zone: z, Tasks: n})
 		}
 	}
--- a/internal/scheduler/place_test.go
+++ b/internal/scheduler/place_test.go
@@ -13,9 +13,9 @@
 
 	"cleatpick/internal/config"
 	"cleatpick/internal/cordon"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/fixed"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/membership"
 	"cleatpick/internal/partition"
 	"cleatpick/internal/peer"
@@ -63,13 +63,13 @@
 }
 
 func newRig(writeRPS float64, teams ...config.Team) *rig {
-	g := &rig{Runner: standin.NewRunner(1000 * loop.Second)}
+	g := &rig{Runner: standin.NewRunner(1000 * eventloop.Second)}
 	cfg := &config.Config{Operator: config.Defaults()}
 	cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.CancelS = 3, 10, 30
 	cfg.Cluster.State.TxnOps, cfg.Cluster.State.ValueKB = 16, 4 // small, so that segments fill up
 	cfg.Cluster.Teams = teams
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	g.state = standin.NewStateService(func() loop.Micros { return g.Now() })
+	g.state = standin.NewStateService(func() eventloop.Micros { return g.Now() })
 	c := store.NewClient(g, g, log, 100, writeRPS, 1)
 	g.mirror = store.NewMirror(c, g, "c/")
 	g.registry = job.NewRegistry(g, c, g.mirror, log)
@@ -96,7 +96,7 @@
 		g.scheduler.OwnershipChanged(partition.ForTeam(t.Name), true, membership.Owner{Node: "a", Epoch: 1, Revision: mark})
 	}
 	g.mirror.Start()
-	g.Advance(loop.Second)
+	g.Advance(eventloop.Second)
 	return g
 }
 
@@ -269,7 +269,7 @@
 				s := job.Spec{Class: "k", Team: rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"),
 					Priority: job.Priority(rapid.IntRange(0, 2).Draw(t, "priority")), Tasks: rapid.IntRange(1, 70).Draw(t, "tasks"),
 					CPUs: float64(rapid.IntRange(1, 5).Draw(t, "cpus")), MemoryGB: float64(rapid.IntRange(1, 12).Draw(t, "memory")),
-					Image: rapid.SampledFrom([]string{"i", "k"}).Draw(t, "image"), AnyType: true, Spot: rapid.Bool().Draw(t, "may be spot"), Estimate: loop.Second}
+					Image: rapid.SampledFrom([]string{"i", "k"}).Draw(t, "image"), AnyType: true, Spot: rapid.Bool().Draw(t, "may be spot"), Estimate: eventloop.Second}
 				switch rapid.IntRange(0, 4).Draw(t, "where") {
 				case 0:
 					s.OneZone = true
@@ -297,7 +297,7 @@
 					g.deliverView(name, v.Type, v.Zone, v.Spot, slices.Clone(all)...)
 				}
 			default:
-				g.Advance(loop.Micros(rapid.IntRange(1, 300).Draw(t, "ms")) * loop.Millisecond)
+				g.Advance(eventloop.Micros(rapid.IntRange(1, 300).Draw(t, "ms")) * eventloop.Millisecond)
 			}
 			want := g.plainPass()
 			before := map[string]bool{}
@@ -344,10 +344,10 @@
 		g.deliverView(fmt.Sprintf("n-%03d", i), "m8", "x", false)
 	}
 	for i := range 40 {
-		g.acceptJob(i, job.Spec{Class: "k", Team: "red", Tasks: 12, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
-		g.Advance(50 * loop.Millisecond)
+		g.acceptJob(i, job.Spec{Class: "k", Team: "red", Tasks: 12, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: eventloop.Second})
+		g.Advance(50 * eventloop.Millisecond)
 	}
-	g.Advance(4 * loop.Second)
+	g.Advance(4 * eventloop.Second)
 	placed := map[string]string{}
 	for no := range 100 {
 		raw, ok := g.state.Value(segmentKey("x/red/", no))
@@ -384,10 +384,10 @@
 func TestLateRefusalDoesNotFreeATask(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
 	g.deliverView("n-001", "m8", "x", false)
-	g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
+	g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: eventloop.Second})
 	x := func() *task { return g.scheduler.teams["red"].jobs["job-000001"].task(0) }
 	for x().state != Recording {
-		g.Advance(loop.Millisecond)
+		g.Advance(eventloop.Millisecond)
 	}
 	refuse := func() {
 		g.scheduler.StartDropped("b", workers.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: x().attempt, Why: "full", OnlyReservation: true})
@@ -396,7 +396,7 @@
 	if x().state != Waiting {
 		t.Fatalf("the reservation was refused before the record: state %d, want waiting", x().state)
 	}
-	g.Advance(loop.Second)
+	g.Advance(eventloop.Second)
 	if len(g.starts) == 0 || x().state != Placed {
 		t.Fatalf("the task was not placed again: state %d", x().state)
 	}
@@ -412,13 +412,13 @@
 	team := config.Team{Name: "red", CPUs: 4, CPUsMax: 4}
 	g := newRig(100, team)
 	g.deliverView("n-001", "m8", "x", false)
-	spec := job.Spec{Class: "k", Team: "red", Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
+	spec := job.Spec{Class: "k", Team: "red", Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: eventloop.Second}
 	id := g.acceptJob(1, spec)
-	g.Advance(loop.Second)
+	g.Advance(eventloop.Second)
 	rec := job.Record{Phase: job.Cancelled, AcceptedAt: g.Now(), Spec: &spec}
 	g.mirror.Apply(job.KeyPrefix+id, wire.Marshal(rec), g.state.Put(job.KeyPrefix+id, rec), false)
 	g.acceptJob(2, spec)
-	g.Advance(loop.Second)
+	g.Advance(eventloop.Second)
 	if use := g.scheduler.teams["red"].cpus; use != 4 {
 		t.Fatalf("%v CPUs are in use, want 4", use)
 	}
@@ -427,7 +427,7 @@
 	g.scheduler.OwnershipChanged(partition.ForTeam("red"), true, membership.Owner{Node: "a", Epoch: 2, Revision: mark})
 	g.acceptJob(3, spec)
 	g.starts = nil
-	g.Advance(loop.Second)
+	g.Advance(eventloop.Second)
 	if use := g.scheduler.teams["red"].cpus; use != 4 {
 		t.Fatalf("the next owner counts %v CPUs in use, want 4", use)
 	}
@@ -444,7 +444,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g := newRig(100, config.Team{Name: "red", CPUs: 1000, CPUsMax: 1000})
 		n := rapid.IntRange(1, 300).Draw(t, "tasks")
-		id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: n, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
+		id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: n, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: eventloop.Second})
 		recorded := map[int]bool{}
 		rec := segmentRecord{Machines: []machineEntry{{Name: "n-000", Zone: "x"}}, Jobs: []jobEntry{{ID: id}}}
 		for _, i := range rapid.SliceOfDistinct(rapid.IntRange(0, n-1), rapid.ID).Draw(t, "recorded") {
@@ -458,7 +458,7 @@
 		for i := range 40 {
 			g.deliverView(fmt.Sprintf("n-1%02d", i), "m8", "x", false)
 		}
-		g.Advance(loop.Second)
+		g.Advance(eventloop.Second)
 		started := map[string]bool{}
 		for _, s := range g.starts {
 			_, i, _ := workers.SplitTask(s.Task)
@@ -483,7 +483,7 @@
 	machines := map[string]float64{"n-001": 1, "n-002": 1, "n-003": 2.2, "n-004": 1}
 	next := 0
 	on := map[string][]workers.Task{}
-	until := map[string]loop.Micros{}
+	until := map[string]eventloop.Micros{}
 	rested := map[string]bool{}
 	for range 1200 { // four tasks at a time on each machine, for a minute
 		for _, name := range slices.Sorted(maps.Keys(machines)) {
@@ -505,7 +505,7 @@
 					id, run = long, 20.0
 				}
 				x := workers.Task{Task: workers.TaskName(id, next), Attempt: 1, State: wire.TaskRunning}
-				until[x.Task] = g.Now() + loop.Seconds(run*factor*math.Exp(0.3*rng.NormFloat64()))
+				until[x.Task] = g.Now() + eventloop.Seconds(run*factor*math.Exp(0.3*rng.NormFloat64()))
 				kept = append(kept, x)
 			}
 			on[name] = kept
@@ -514,7 +514,7 @@
 				rested[name] = true
 			}
 		}
-		g.Advance(50 * loop.Millisecond)
+		g.Advance(50 * eventloop.Millisecond)
 	}
 	if len(rested) != 1 || !rested["n-003"] {
 		t.Fatalf("machines %v received no starts for a while, want n-003 only", rested)
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -4,21 +4,21 @@
 	"cmp"
 	"slices"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/fleet"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/predicate"
 )
 
 // preemptionState holds the state of preemption between passes.
 type preemptionState struct {
-	nextRun         loop.Micros
+	nextRun         eventloop.Micros
 	newReservations []peer.Reservation
 }
 
 // guaranteeWait is how long work within a guarantee waits for completing tasks to free capacity before others are
 // preempted for it. Urgent work does not wait, since there is little of it and its latency limits are short.
-const guaranteeWait = 3 * loop.Second
+const guaranteeWait = 3 * eventloop.Second
 
 // turnoverSeconds is for how many seconds the rate of freed capacity is deducted from unplaced work before machines are
 // rented. In a large cluster some task is unplaced at any time.
--- a/internal/scheduler/preempt_share_test.go
+++ b/internal/scheduler/preempt_share_test.go
@@ -4,8 +4,8 @@
 	"testing"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 )
 
 // The test guards against an urgent job that is larger than its team's guarantee and in one pass preempts, within
@@ -20,18 +20,18 @@
 	teams := []config.Team{{Name: "red", CPUs: 8, CPUsMax: 64}, {Name: "blue", CPUs: 64, CPUsMax: 64}}
 	f := newPreemptionFleet(t, teams, 4)
 	add := func(no int, spec job.Spec) string {
-		spec.Class, spec.MemoryGB, spec.AnyType, spec.Spot, spec.Estimate = "k", 1, true, true, 60*loop.Second
+		spec.Class, spec.MemoryGB, spec.AnyType, spec.Spot, spec.Estimate = "k", 1, true, true, 60*eventloop.Second
 		id := f.acceptJob(no, spec)
 		f.specs[id] = &spec
 		return id
 	}
 	add(1, job.Spec{Team: "blue", Priority: job.Low, Tasks: 32, CPUs: 2})
-	f.run(3 * loop.Second)
+	f.run(3 * eventloop.Second)
 	if used := f.uses()["blue"]; used != 64 {
 		t.Fatalf("blue runs %v CPUs, want 64", used)
 	}
 	urgent := add(2, job.Spec{Team: "red", Priority: job.High, Tasks: 20, CPUs: 2})
-	f.run(10 * loop.Second)
+	f.run(10 * eventloop.Second)
 	stops := 0
 	for _, n := range f.stopped {
 		stops += n
--- a/internal/scheduler/preempt_test.go
+++ b/internal/scheduler/preempt_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
@@ -45,7 +45,7 @@
 }
 
 // run advances time: starts are carried out, and every machine reports.
-func (f *preemptionFleet) run(d loop.Micros) {
+func (f *preemptionFleet) run(d eventloop.Micros) {
 	for end := f.Now() + d; f.Now() < end; {
 		for ; f.startsDone < len(f.starts); f.startsDone++ {
 			s := f.starts[f.startsDone]
@@ -53,10 +53,10 @@
 				f.machines[s.Machine] = append(f.machines[s.Machine], workers.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
 			}
 		}
-		for name, tasks := range loop.Sorted(f.machines) {
+		for name, tasks := range eventloop.Sorted(f.machines) {
 			f.deliverView(name, "m16", "x", false, tasks...)
 		}
-		f.Advance(50 * loop.Millisecond)
+		f.Advance(50 * eventloop.Millisecond)
 	}
 }
 
@@ -144,26 +144,26 @@
 			teams = append(teams, config.Team{Name: fmt.Sprint("team", i), CPUs: float64(rapid.IntRange(0, 12*machines).Draw(t, "guarantee")), CPUsMax: 1000})
 		}
 		f := newPreemptionFleet(t, teams, machines)
-		f.run(100 * loop.Millisecond)
+		f.run(100 * eventloop.Millisecond)
 		jobs := rapid.IntRange(2, 7).Draw(t, "jobs")
 		for i := range jobs {
 			spec := job.Spec{Class: "k", Team: teams[rapid.IntRange(0, len(teams)-1).Draw(t, "team")].Name, Priority: job.Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
-				Tasks: rapid.IntRange(1, 16*machines).Draw(t, "tasks"), CPUs: float64(rapid.IntRange(1, 6).Draw(t, "cpus")), MemoryGB: 0.1, Image: "i", AnyType: true, Estimate: 600 * loop.Second}
+				Tasks: rapid.IntRange(1, 16*machines).Draw(t, "tasks"), CPUs: float64(rapid.IntRange(1, 6).Draw(t, "cpus")), MemoryGB: 0.1, Image: "i", AnyType: true, Estimate: 600 * eventloop.Second}
 			f.specs[fmt.Sprintf("job-%06d", i)] = &spec
 			f.acceptJob(i, spec)
-			f.run(loop.Micros(rapid.IntRange(50, 3000).Draw(t, "pause")) * loop.Millisecond)
+			f.run(eventloop.Micros(rapid.IntRange(50, 3000).Draw(t, "pause")) * eventloop.Millisecond)
 		}
 		// Each arriving job may change the order of two others once. While none arrives, capacity that tasks of
 		// different sizes leave free may go to one of them and be taken back once.
 		f.checkAlternations(jobs)
 		clear(f.alternations)
-		f.run(20 * loop.Second)
+		f.run(20 * eventloop.Second)
 		f.checkAlternations(2)
 		before := 0
 		for _, n := range f.stopped {
 			before += n
 		}
-		f.run(15 * loop.Second)
+		f.run(15 * eventloop.Second)
 		after := 0
 		for _, n := range f.stopped {
 			after += n
@@ -182,7 +182,7 @@
 
 // submit stores a job whose tasks do not complete by themselves.
 func (f *preemptionFleet) submit(number int, spec job.Spec) {
-	spec.Class, spec.MemoryGB, spec.Image, spec.AnyType, spec.Estimate = "k", 0.1, "i", true, 600*loop.Second
+	spec.Class, spec.MemoryGB, spec.Image, spec.AnyType, spec.Estimate = "k", 0.1, "i", true, 600*eventloop.Second
 	f.specs[fmt.Sprintf("job-%06d", number)] = &spec
 	f.acceptJob(number, spec)
 }
@@ -214,12 +214,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newPreemptionFleet(t, []config.Team{{Name: "red", CPUs: c.red, CPUsMax: 100}, {Name: "blue", CPUs: c.blue, CPUsMax: 100}}, 1)
-			f.run(100 * loop.Millisecond)
+			f.run(100 * eventloop.Millisecond)
 			for i, x := range append(c.running, c.comes) {
 				f.submit(i, job.Spec{Team: x.team, Priority: x.priority, Tasks: x.tasks, CPUs: x.cpus})
-				f.run(2 * loop.Second)
+				f.run(2 * eventloop.Second)
 			}
-			f.run(10 * loop.Second)
+			f.run(10 * eventloop.Second)
 			if len(f.stopped) != c.stopped {
 				t.Errorf("%v are preempted, want %d tasks", f.stopped, c.stopped)
 			}
@@ -234,7 +234,7 @@
 		spec.Team = "red"
 		f.submit(i, spec)
 	}
-	f.run(100 * loop.Millisecond)
+	f.run(100 * eventloop.Millisecond)
 	red := f.scheduler.teams["red"]
 	shares := f.scheduler.guaranteeShares(red)
 	for id, want := range map[string]float64{"job-000000": 4, "job-000001": 6, "job-000002": 0} {
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -7,9 +7,9 @@
 	"testing"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/explain"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
@@ -47,7 +47,7 @@
 			red, blue := config.Team{Name: "red", CPUs: c.guarantee, CPUsMax: c.limit}, config.Team{Name: "blue", CPUs: 16, CPUsMax: 0}
 			settings := &config.Config{}
 			settings.Cluster.Teams = []config.Team{red, blue}
-			spec := job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 40, CPUs: 1, MemoryGB: 0.5, Image: "i", AnyType: true, Estimate: 60 * loop.Second}
+			spec := job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 40, CPUs: 1, MemoryGB: 0.5, Image: "i", AnyType: true, Estimate: 60 * eventloop.Second}
 			large := spec
 			large.CPUs = 16
 			if got := job.Runnable(&large, settings, []wire.MachineType{types["m16"]}); got != c.runnable || !job.Runnable(&spec, settings, []wire.MachineType{types["m16"]}) {
@@ -58,7 +58,7 @@
 			g := newRig(100, red, blue)
 			g.showRunning(machines...)
 			id := g.acceptJob(1, spec)
-			g.Advance(600 * loop.Millisecond) // starts that no view shows by then are sent again
+			g.Advance(600 * eventloop.Millisecond) // starts that no view shows by then are sent again
 			if len(g.starts) != c.placed {
 				t.Errorf("%d tasks are started, want %d", len(g.starts), c.placed)
 			}
@@ -80,7 +80,7 @@
 			other := spec
 			other.Team, other.Tasks = "blue", 48
 			g.acceptJob(1, other)
-			g.Advance(600 * loop.Millisecond)
+			g.Advance(600 * eventloop.Millisecond)
 			g.showRunning(machines...)
 			if len(g.starts) != 48 {
 				t.Fatalf("%d tasks are started to fill the cluster, want 48", len(g.starts))
@@ -88,7 +88,7 @@
 			own := spec
 			own.Tasks = 4
 			id = g.acceptJob(2, own)
-			g.Advance(6 * loop.Second) // capacity freed by completing tasks is awaited first
+			g.Advance(6 * eventloop.Second) // capacity freed by completing tasks is awaited first
 			if (len(claims) > 0) != c.preempts {
 				t.Errorf("%d tasks of others are preempted", len(claims))
 			}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -6,10 +6,10 @@
 	"cleatpick/internal/config"
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/delivery"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/fleet"
 	"cleatpick/internal/health"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/membership"
 	"cleatpick/internal/metric"
 	"cleatpick/internal/partition"
@@ -59,7 +59,7 @@
 
 // Scheduler schedules the tasks of the owned teams. It runs on one event loop and is not safe for concurrent use.
 type Scheduler struct {
-	runner   loop.Runner
+	runner   eventloop.Runner
 	client   *store.Client
 	log      *slog.Logger
 	cfg      *config.Config
@@ -74,9 +74,9 @@
 	attribution    *health.Attribution
 	fleet          *fleet.Fleet
 	passScheduled  bool
-	lastPassTook   loop.Micros // duration of the newest pass
+	lastPassTook   eventloop.Micros // duration of the newest pass
 
-	commitAt         loop.Micros // when the next commit is due; 0: none is scheduled
+	commitAt         eventloop.Micros // when the next commit is due; 0: none is scheduled
 	zoneByMachine    map[string]string
 	nonce            uint64
 	valueLimit       int // limit on the estimated size of a segment, in bytes
@@ -86,27 +86,27 @@
 	turnover         fleet.Turnover
 	starvation       *starvation.Budget
 	paces            health.Paces
-	checkRequestedAt map[string]loop.Micros
+	checkRequestedAt map[string]eventloop.Micros
 	reruns           reruns
-	nextSweepAt      loop.Micros // when all tasks in use are checked next
+	nextSweepAt      eventloop.Micros // when all tasks in use are checked next
 	clock            delivery.ClockBounds
 	expiries         *delivery.Expiries // expiry of each attempt that this owner recorded
 }
 
 // New returns a scheduler that owns no partition yet and schedules its periodic work on r.
-func New(r loop.Runner, c *store.Client, log *slog.Logger, cfg *config.Config, n Node, registry *job.Registry, a *workers.Registry, cordons *cordon.Registry) *Scheduler {
+func New(r eventloop.Runner, c *store.Client, log *slog.Logger, cfg *config.Config, n Node, registry *job.Registry, a *workers.Registry, cordons *cordon.Registry) *Scheduler {
 	p := &Scheduler{runner: r, cordons: cordons, client: c, log: log, cfg: cfg, node: n, registry: registry, agent: a, partitions: map[partition.ID]*ownedPartition{}, teams: map[string]*team{},
 		valueLimit:     int(cfg.Cluster.State.ValueKB * 1024 * valueFraction),
 		tasksByMachine: map[string]*machineTasks{},
-		attribution:    health.NewAttribution(func(id string) bool { j := registry.Get(id); return j != nil && !j.Final() }), zoneByMachine: map[string]string{}, nonce: loop.Rand(r).Uint64() >> 1, usage: map[string]peer.Usage{},
+		attribution:    health.NewAttribution(func(id string) bool { j := registry.Get(id); return j != nil && !j.Final() }), zoneByMachine: map[string]string{}, nonce: eventloop.Rand(r).Uint64() >> 1, usage: map[string]peer.Usage{},
 
-		checkRequestedAt: map[string]loop.Micros{}, paces: health.Paces{}, starvation: starvation.New()}
-	p.clock = delivery.NewClockBounds(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifetimeS))
+		checkRequestedAt: map[string]eventloop.Micros{}, paces: health.Paces{}, starvation: starvation.New()}
+	p.clock = delivery.NewClockBounds(cfg.ClockDifference(), eventloop.Seconds(cfg.Operator.StartLifetimeS))
 	p.expiries = delivery.NewExpiries(p.clock)
 	p.fleet = fleet.New(r, log, fleet.Node{Label: n.Label, Type: n.Type, Room: a.FreeCapacity, Jobs: a.Jobs, Unshown: p.eachUnlisted, Stop: n.Stop,
 		Cordons: cordons, StaleAfter: p.staleAfter()})
-	loop.Every(r, 400*loop.Millisecond, p.tick)
-	loop.Every(r, 60*loop.Second, func() {
+	eventloop.Every(r, 400*eventloop.Millisecond, p.tick)
+	eventloop.Every(r, 60*eventloop.Second, func() {
 		for m := range p.zoneByMachine { // of deleted machines, once no task is counted there
 			if p.tasksByMachine[m] == nil && p.fleet.Machine(m) == nil {
 				delete(p.zoneByMachine, m)
@@ -197,10 +197,10 @@
 }
 
 // stop sends a stop for a task's attempt, at most once per second. With a grace period the task may save first.
-func (p *Scheduler) stop(t *jobTable, i int, grace loop.Micros) {
+func (p *Scheduler) stop(t *jobTable, i int, grace eventloop.Micros) {
 	x := t.task(i)
 	now := p.runner.Now()
-	if x.stopSentAt != 0 && now-x.stopSentAt < loop.Second {
+	if x.stopSentAt != 0 && now-x.stopSentAt < eventloop.Second {
 		return
 	}
 	if v := p.agent.View(x.machine); v != nil {
@@ -308,9 +308,9 @@
 			p.forgetJob(t)
 		case store.Conflict:
 			p.registry.Refresh(t.job.ID)
-			p.runner.After(250*loop.Millisecond, func() { p.storeCompletion(t) })
+			p.runner.After(250*eventloop.Millisecond, func() { p.storeCompletion(t) })
 		default:
-			p.runner.After(150*loop.Millisecond, func() { p.storeCompletion(t) })
+			p.runner.After(150*eventloop.Millisecond, func() { p.storeCompletion(t) })
 		}
 	})
 }
@@ -318,7 +318,7 @@
 // excludeBriefly excludes a machine from placement for 300 ms, until a newer view of it has arrived.
 func (p *Scheduler) excludeBriefly(machine string) {
 	if sl := p.fleet.Machine(machine); sl != nil {
-		sl.BackOff(p.runner.Now()+300*loop.Millisecond, "its host controller refused a start")
+		sl.BackOff(p.runner.Now()+300*eventloop.Millisecond, "its host controller refused a start")
 	}
 }
 
@@ -355,7 +355,7 @@
 
 // minPassInterval is the minimum time between two passes. In a large cluster capacity becomes free continuously, and
 // a pass for each such event would scan the same queue every time.
-const minPassInterval = 80 * loop.Millisecond
+const minPassInterval = 80 * eventloop.Millisecond
 
 // RequestPass schedules a placement pass. Calls that arrive before the pass starts share it. The delay grows with the
 // duration of the newest pass, so that passes leave most of the controller's time to other work.
@@ -364,7 +364,7 @@
 		return
 	}
 	p.passScheduled = true
-	p.runner.After(min(minPassInterval+10*p.lastPassTook, 400*loop.Millisecond), func() {
+	p.runner.After(min(minPassInterval+10*p.lastPassTook, 400*eventloop.Millisecond), func() {
 		p.passScheduled = false
 		p.place()
 	})
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -1,9 +1,9 @@
 package scheduler
 
 import (
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/fleet"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/predicate"
 	"cleatpick/internal/starvation"
 )
@@ -11,7 +11,7 @@
 const (
 	// reservationLife is how long capacity stays reserved for a task that is served out of order. Even on a machine
 	// that is always full some task ends within that time. Afterwards a new place is sought.
-	reservationLife = 20 * loop.Second
+	reservationLife = 20 * eventloop.Second
 	// maxReserved bounds the tasks of one job for which capacity is reserved at once.
 	maxReserved = 8
 )
@@ -34,7 +34,7 @@
 }
 
 // longWaiting lists the jobs that have waited long enough to be served out of order.
-func (p *Scheduler) longWaiting(q []queueEntry, now loop.Micros) (tables []*jobTable, waiters []starvation.Waiter) {
+func (p *Scheduler) longWaiting(q []queueEntry, now eventloop.Micros) (tables []*jobTable, waiters []starvation.Waiter) {
 	for _, e := range q {
 		t := e.table
 		if now-t.acceptedAt < starvation.MinWait {
--- a/internal/scheduler/starvation_accounting_test.go
+++ b/internal/scheduler/starvation_accounting_test.go
@@ -4,8 +4,8 @@
 	"testing"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/starvation"
 	"cleatpick/internal/wire"
@@ -16,7 +16,7 @@
 func firstClass(g *rig, a, b string) string {
 	now := g.Now()
 	g.scheduler.starvation.Accrue(now, 1000)
-	g.scheduler.starvation.Accrue(now+loop.Second, 1000)
+	g.scheduler.starvation.Accrue(now+eventloop.Second, 1000)
 	old := now - 2*starvation.MinWait
 	waiters := []starvation.Waiter{{ID: "job-1", Class: a, AcceptedAt: old, LastServedAt: old, Tasks: 1, CPUs: 1}, {ID: "job-2", Class: b, AcceptedAt: old, LastServedAt: old, Tasks: 1, CPUs: 1}}
 	return waiters[g.scheduler.starvation.Pick(now, waiters)[0].Index].Class
@@ -35,14 +35,14 @@
 // A new owner continues the accounting of the reserve: class a has been served, class b has not.
 func TestAccountingSurvivesOwnerChange(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
-	g.acceptJob(1, job.Spec{Class: "a", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	g.acceptJob(1, job.Spec{Class: "a", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: eventloop.Second})
 	g.deliverView("n-001", "m8", "x", false)
-	g.Advance(2 * loop.Second)
+	g.Advance(2 * eventloop.Second)
 	part := g.scheduler.teams["red"].partition
 	g.scheduler.starvation = starvation.New() // as at a controller that has just started
 	g.scheduler.OwnershipChanged(part.id, false, part.claim)
 	g.scheduler.OwnershipChanged(part.id, true, part.claim)
-	g.Advance(2 * loop.Second)
+	g.Advance(2 * eventloop.Second)
 	if got, want := firstClass(g, "red\x00a", "red\x00b"), "red\x00b"; got != want {
 		t.Errorf("%q is served first, want %q", got, want)
 	}
@@ -54,9 +54,9 @@
 	if got := firstClass(g, "red\x00a", "red\x00b"); got != "red\x00a" {
 		t.Fatalf("%q is served first at the beginning", got)
 	}
-	g.acceptJob(1, job.Spec{Class: "a", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	g.acceptJob(1, job.Spec{Class: "a", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: eventloop.Second})
 	g.deliverView("n-001", "m8", "x", false)
-	g.Advance(loop.Second)
+	g.Advance(eventloop.Second)
 	if got := firstClass(g, "red\x00a", "red\x00b"); got != "red\x00b" {
 		t.Errorf("%q is served first after a start of class a", got)
 	}
@@ -66,19 +66,19 @@
 func TestUnplaceableGangDoesNotBlockOthers(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red"}, config.Team{Name: "blue", CPUs: 8})
 	busyMachine(g, "n-001")
-	g.Advance(loop.Second)
-	gang := g.acceptJob(1, job.Spec{Class: "a", Team: "red", Priority: job.Low, Tasks: 4, CPUs: 8, MemoryGB: 1, AnyType: true, Gang: true, Estimate: loop.Second})
-	large := g.acceptJob(2, job.Spec{Class: "b", Team: "red", Priority: job.Low, Tasks: 1, CPUs: 8, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	g.Advance(eventloop.Second)
+	gang := g.acceptJob(1, job.Spec{Class: "a", Team: "red", Priority: job.Low, Tasks: 4, CPUs: 8, MemoryGB: 1, AnyType: true, Gang: true, Estimate: eventloop.Second})
+	large := g.acceptJob(2, job.Spec{Class: "b", Team: "red", Priority: job.Low, Tasks: 1, CPUs: 8, MemoryGB: 1, AnyType: true, Estimate: eventloop.Second})
 	held := func() bool { return g.scheduler.fleet.ReservationCount(large) > 0 }
-	wait := func(d loop.Micros, until func() bool) bool {
+	wait := func(d eventloop.Micros, until func() bool) bool {
 		for end := g.Now() + d; g.Now() < end && !until(); {
 			g.scheduler.turnover.Rate = 5 // as in a small cluster that is always full: less is saved up than one task takes
 			busyMachine(g, "n-001")
-			g.Advance(300 * loop.Millisecond)
+			g.Advance(300 * eventloop.Millisecond)
 		}
 		return until()
 	}
-	if !wait(100*loop.Second, held) || g.scheduler.fleet.ReservationCount(gang) > 0 {
+	if !wait(100*eventloop.Second, held) || g.scheduler.fleet.ReservationCount(gang) > 0 {
 		t.Fatalf("capacity is reserved for the task as large as a machine: %v, for tasks of the gang: %d", held(), g.scheduler.fleet.ReservationCount(gang))
 	}
 	if got := g.scheduler.teams["red"].jobs[large].reservedCPUs; got != 8 {
@@ -89,7 +89,7 @@
 // A class is refunded for reserved capacity that was not used, and not for the part that was.
 func TestUnusedReservationIsRefunded(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 8})
-	id := g.acceptJob(1, job.Spec{Class: "a", Team: "red", Tasks: 4, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	id := g.acceptJob(1, job.Spec{Class: "a", Team: "red", Tasks: 4, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: eventloop.Second})
 	x := g.scheduler.teams["red"].jobs[id]
 	for _, c := range []struct {
 		used  int
@@ -110,11 +110,11 @@
 // Capacity reserved for any job of a team counts toward the team's guarantee.
 func TestReservationsCountInTheGuarantee(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16}, config.Team{Name: "blue", CPUs: 16})
-	id := g.acceptJob(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-	other := g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	id := g.acceptJob(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: eventloop.Second})
+	other := g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 1000, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: eventloop.Second})
 	busyMachine(g, "n-001")
 	busyMachine(g, "n-002")
-	g.Advance(loop.Second)
+	g.Advance(eventloop.Second)
 	g.scheduler.fleet.Refresh()
 	need := g.scheduler.teams["blue"].jobs[other].need()
 	if n := len(g.scheduler.fleet.Reserve(&need, 4, reservationLife)); n != 4 {
@@ -123,7 +123,7 @@
 	tm := g.scheduler.teams["blue"]
 	tm.cpus, g.scheduler.teams["red"].cpus, tm.shortfall.lacks = 5, 40, true
 	x := tm.jobs[id]
-	x.acceptedAt = g.Now() - 80*loop.Second
+	x.acceptedAt = g.Now() - 80*eventloop.Second
 	g.scheduler.reserveGuarantee(&queueEntry{table: x}, 1000, &budget{unmetByTeam: map[*team]float64{}})
 	if got := g.scheduler.fleet.ReservationCount(id); got != 3 { // 16 less 5 and 8
 		t.Errorf("capacity is reserved for %d tasks, want 3, the CPUs left of the guarantee", got)
@@ -133,9 +133,9 @@
 // Capacity reserved by preemption counts toward a job's share of the guarantee.
 func TestReservationsCountInTheShare(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
-	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 100, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
+	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 100, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: eventloop.Second})
 	busyMachine(g, "n-001")
-	g.Advance(loop.Second)
+	g.Advance(eventloop.Second)
 	x := g.scheduler.teams["red"].jobs[id]
 	before := g.scheduler.fleet.ReservationCount(id)
 	for held := before; held <= 9; held++ {
@@ -143,6 +143,6 @@
 		if want := 8 - held; right.InTeamShareTasks != want || right.TeamBelowGuaranteeTasks != want || right.InTeamShare != (want > 0) {
 			t.Errorf("with reservations for %d tasks: share %v of %d, room of %d, want %d", held, right.InTeamShare, right.InTeamShareTasks, right.TeamBelowGuaranteeTasks, want)
 		}
-		g.scheduler.fleet.AddReservation(peer.Reservation{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second})
+		g.scheduler.fleet.AddReservation(peer.Reservation{Machine: "n-001", Job: id, Priority: 3, CPUs: 2, Until: g.Wall() + 20*eventloop.Second})
 	}
 }
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -4,8 +4,8 @@
 	"testing"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
@@ -17,10 +17,10 @@
 // task.
 func TestCapacityIsReservedForATaskThatFitsNowhere(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8}, config.Team{Name: "blue"})
-	small := g.acceptJob(1, job.Spec{Team: "red", Priority: job.Normal, Tasks: 9000, CPUs: 2, AnyType: true, Estimate: loop.Second})
-	large := g.acceptJob(2, job.Spec{Team: "blue", Priority: job.Low, Tasks: 1, CPUs: 8, AnyType: true, Estimate: loop.Second})
+	small := g.acceptJob(1, job.Spec{Team: "red", Priority: job.Normal, Tasks: 9000, CPUs: 2, AnyType: true, Estimate: eventloop.Second})
+	large := g.acceptJob(2, job.Spec{Team: "blue", Priority: job.Low, Tasks: 1, CPUs: 8, AnyType: true, Estimate: eventloop.Second})
 	g.seq = 1
-	runUntil := func(d loop.Micros, until func() bool) { // tasks on the machine complete one at a time, a second after they began
+	runUntil := func(d eventloop.Micros, until func() bool) { // tasks on the machine complete one at a time, a second after they began
 		for stop := g.Now() + d; g.Now() < stop && !until(); {
 			var on []workers.Task
 			for _, s := range g.starts {
@@ -30,7 +30,7 @@
 				on[0].State, on[0].Why = wire.TaskExited, wire.WhyDone
 			}
 			g.deliverView("n-001", "m8", "x", false, on...)
-			g.Advance(300 * loop.Millisecond)
+			g.Advance(300 * eventloop.Millisecond)
 			if len(on) > 0 && on[0].State == wire.TaskExited {
 				g.starts = g.starts[1:]
 			}
@@ -45,11 +45,11 @@
 		return false
 	}
 	accepted := g.Now()
-	runUntil(70*loop.Second, began)
+	runUntil(70*eventloop.Second, began)
 	if began() || g.scheduler.fleet.ReservationCount(large) != 0 {
 		t.Fatalf("before the waiting time is over: begun %v, capacity reserved for %d tasks", began(), g.scheduler.fleet.ReservationCount(large))
 	}
-	runUntil(20*loop.Second, func() bool { return g.scheduler.fleet.ReservationCount(large) > 0 })
+	runUntil(20*eventloop.Second, func() bool { return g.scheduler.fleet.ReservationCount(large) > 0 })
 	other := g.scheduler.fleet.Machine("n-001")
 	if g.scheduler.fleet.ReservationCount(large) != 1 || len(other.Reservations) != 1 {
 		t.Fatalf("capacity reserved for %d tasks, reservations %+v, want one", g.scheduler.fleet.ReservationCount(large), other.Reservations)
@@ -63,15 +63,15 @@
 			on = append(on, workers.Task{Task: s.Task, Attempt: s.Attempt, State: wire.TaskRunning})
 		}
 		g.deliverView("n-001", "m8", "x", false, on...)
-		g.Advance(300 * loop.Millisecond)
+		g.Advance(300 * eventloop.Millisecond)
 	}
-	if !began() || g.Now()-accepted > 120*loop.Second || g.scheduler.fleet.ReservationCount(large) != 0 {
+	if !began() || g.Now()-accepted > 120*eventloop.Second || g.scheduler.fleet.ReservationCount(large) != 0 {
 		t.Errorf("begun %v after %d us, capacity still reserved for %d tasks", began(), g.Now()-accepted, g.scheduler.fleet.ReservationCount(large))
 	}
 	// The view of another owner that received a reservation: the machine lists the task, or the job ends.
-	claim := peer.Reservation{Machine: "n-001", Job: small, Priority: 3, CPUs: 2, Until: g.Wall() + 20*loop.Second}
+	claim := peer.Reservation{Machine: "n-001", Job: small, Priority: 3, CPUs: 2, Until: g.Wall() + 20*eventloop.Second}
 	g.deliverView("n-001", "m8", "x", false)
-	g.Advance(loop.Second)
+	g.Advance(eventloop.Second)
 	g.scheduler.ReservationsReceived([]peer.Reservation{claim, claim})
 	g.deliverView("n-001", "m8", "x", false, workers.Task{Task: small + "/8999", Attempt: 1, State: wire.TaskRunning})
 	g.scheduler.fleet.Refresh()
--- a/internal/scheduler/submission_flood_test.go
+++ b/internal/scheduler/submission_flood_test.go
@@ -5,8 +5,8 @@
 	"testing"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 )
 
 // The test guards against starts that wait without bound while users submit more jobs than a controller's share of
@@ -29,26 +29,26 @@
 	flood = func() { // ten times the share
 		for range 20 {
 			submitted++
-			spec := &job.Spec{Class: "k", Team: "red", Priority: job.Low, Tasks: 1, CPUs: 100, MemoryGB: 1, AnyType: true, Estimate: loop.Second}
+			spec := &job.Spec{Class: "k", Team: "red", Priority: job.Low, Tasks: 1, CPUs: 100, MemoryGB: 1, AnyType: true, Estimate: eventloop.Second}
 			g.registry.Submit(fmt.Sprintf("job-%06d", 500000+submitted), spec, func(job.Answer) {})
 		}
-		g.After(100*loop.Millisecond, flood)
+		g.After(100*eventloop.Millisecond, flood)
 	}
 	flood()
-	g.Advance(3 * loop.Second)
-	late, longest := 0, loop.Micros(0)
+	g.Advance(3 * eventloop.Second)
+	late, longest := 0, eventloop.Micros(0)
 	for i := range jobs {
 		before, at := len(g.starts), g.Now()
-		g.acceptJob(i, job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
-		for len(g.starts) == before && g.Now()-at < 10*loop.Second {
-			g.Advance(10 * loop.Millisecond)
+		g.acceptJob(i, job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, AnyType: true, Estimate: eventloop.Second})
+		for len(g.starts) == before && g.Now()-at < 10*eventloop.Second {
+			g.Advance(10 * eventloop.Millisecond)
 		}
 		longest = max(longest, g.Now()-at)
-		if g.Now()-at > loop.Second {
+		if g.Now()-at > eventloop.Second {
 			late++
 		}
 	}
 	if late > 0 {
-		t.Errorf("%d of %d jobs begin later than 1 s, the slowest after %d ms", late, jobs, longest/loop.Millisecond)
+		t.Errorf("%d of %d jobs begin later than 1 s, the slowest after %d ms", late, jobs, longest/eventloop.Millisecond)
 	}
 }
--- a/internal/scheduler/tasklog.go
+++ b/internal/scheduler/tasklog.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/wire"
 )
 
@@ -19,11 +19,11 @@
 const (
 	// outcomeMinDelay is how long outcomes wait at least for a write of their own, while the write limit is mostly
 	// unused; after outcomeMaxDelay they are written in any case.
-	outcomeMinDelay = 500 * loop.Millisecond
-	outcomeMaxDelay = 3 * loop.Second
+	outcomeMinDelay = 500 * eventloop.Millisecond
+	outcomeMaxDelay = 3 * eventloop.Second
 	// gatherTime is the minimum time that a start waits for its write. In that time its host controller can report that
 	// another owner took the capacity.
-	gatherTime = 35 * loop.Millisecond
+	gatherTime = 35 * eventloop.Millisecond
 )
 
 func segmentKey(prefix string, no int) string { return fmt.Sprintf("%s%08d", prefix, no) }
@@ -45,7 +45,7 @@
 	closed        map[string]*segment // by key; includes segments of the own logs of teams assigned to the partition
 	starts        []taskRef           // machine chosen, waiting to be recorded
 	outcomes      []taskRef           // ended, waiting to be recorded
-	outcomesSince loop.Micros
+	outcomesSince eventloop.Micros
 	writing       bool // a write is in flight or its outcome is uncertain
 }
 
--- a/internal/scheduler/terms_test.go
+++ b/internal/scheduler/terms_test.go
@@ -5,8 +5,8 @@
 
 	"cleatpick/internal/config"
 	"cleatpick/internal/cordon"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
 )
@@ -26,36 +26,36 @@
 func TestHoldCompletesOnlyOnceNoStartCanRun(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
 	g.deliverView("n-001", "m8", "x", false)
-	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 3, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
-	g.Advance(500 * loop.Millisecond)
+	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 3, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: eventloop.Second})
+	g.Advance(500 * eventloop.Millisecond)
 	if len(g.starts) < 2 {
 		t.Fatalf("%d starts were sent, want 2", len(g.starts))
 	}
 	answers := 0
 	g.registry.Hold(id, job.Hold{Reason: "r"}, func(a job.Answer) { answers++ })
-	g.Advance(20 * loop.Second)
+	g.Advance(20 * eventloop.Second)
 	if s := g.stored(id).Terms.Hold.State; s != job.HoldPending || answers != 1 {
 		t.Fatalf("the hold is %q after %d answers, while two starts may be in flight", s, answers)
 	}
 	// One task is fetching its image and must be confirmed terminated first. The other is running and continues.
 	run := workers.Task{Task: "job-000001/0", Attempt: 1, State: wire.TaskRunning}
 	g.deliverView("n-001", "m8", "x", false, run, workers.Task{Task: "job-000001/1", Attempt: 1, State: wire.TaskFetching})
-	g.Advance(3 * loop.Second)
+	g.Advance(3 * eventloop.Second)
 	if s := g.stored(id).Terms.Hold.State; s != job.HoldPending {
 		t.Fatalf("the hold is %q while a task of the job fetches its image", s)
 	}
 	g.deliverView("n-001", "m8", "x", false, run, workers.Task{Task: "job-000001/1", Attempt: 1, State: wire.TaskExited, Why: wire.WhyStopped})
-	g.Advance(3 * loop.Second)
+	g.Advance(3 * eventloop.Second)
 	if s := g.stored(id).Terms.Hold.State; s != job.HoldEffective {
 		t.Fatalf("the hold is %q although no task can begin any more", s)
 	}
 	g.starts = nil
-	g.Advance(5 * loop.Second)
+	g.Advance(5 * eventloop.Second)
 	if len(g.starts) != 0 {
 		t.Fatalf("a held job started %v", g.starts)
 	}
 	g.registry.Release(id, func(job.Answer) {})
-	g.Advance(2 * loop.Second)
+	g.Advance(2 * eventloop.Second)
 	if len(g.starts) == 0 || g.stored(id).Terms != nil {
 		t.Fatalf("after the release %d starts were sent, terms %v", len(g.starts), g.stored(id).Terms)
 	}
@@ -67,9 +67,9 @@
 	for _, what := range []string{"hold", "cordon"} {
 		g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
 		g.deliverView("n-001", "m8", "x", false)
-		id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
+		id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: eventloop.Second})
 		for g.scheduler.teams["red"].jobs[id].task(0).state != Recording {
-			g.Advance(loop.Millisecond)
+			g.Advance(eventloop.Millisecond)
 		}
 		if what == "hold" {
 			rec := g.stored(id)
@@ -78,7 +78,7 @@
 		} else {
 			g.state.Put(cordon.Key, map[string]any{"f": 1, "c": []cordon.Cordon{{Name: "c", Zone: "x", Reason: "r"}}})
 		}
-		g.Advance(10 * loop.Second)
+		g.Advance(10 * eventloop.Second)
 		if x := g.scheduler.teams["red"].jobs[id].task(0); len(g.starts) != 0 || x.state != Waiting {
 			t.Errorf("%s: %d starts were sent; the task is in state %d, want waiting", what, len(g.starts), x.state)
 		}
@@ -95,17 +95,17 @@
 	}{{job.PolicyHold, false, job.Accepted}, {job.PolicyRelease, true, job.Accepted}, {job.PolicyCancel, false, job.Cancelled}} {
 		g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
 		g.deliverView("n-001", "m8", "x", false)
-		spec := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
+		spec := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: eventloop.Second}
 		other := spec
 		other.Team = "blue" // owned by another controller
 		first := g.acceptJob(1, other)
 		g.registry.SubmitWithTerms("job-000002", &spec, &job.Terms{Dependencies: []string{first}, OnCancelled: c.policy}, func(job.Answer) {})
-		g.Advance(2 * loop.Second)
+		g.Advance(2 * eventloop.Second)
 		if len(g.starts) != 0 {
 			t.Fatalf("%q: %v were started before %s was done", c.policy, g.starts, first)
 		}
 		g.registry.Cancel(first, func(job.Answer) {})
-		g.Advance(3 * loop.Second)
+		g.Advance(3 * eventloop.Second)
 		if got := g.stored("job-000002").Phase; (len(g.starts) > 0) != c.started || got != c.phase {
 			t.Errorf("%q: %d starts and phase %q, want started: %v and phase %q", c.policy, len(g.starts), got, c.started, c.phase)
 		}
@@ -113,7 +113,7 @@
 			continue
 		}
 		g.registry.Release("job-000002", func(job.Answer) {})
-		g.Advance(2 * loop.Second)
+		g.Advance(2 * eventloop.Second)
 		if len(g.starts) == 0 {
 			t.Errorf("no start after the operator's release")
 		}
@@ -125,17 +125,17 @@
 	g := newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 50})
 	g.scheduler.cfg.Cluster.ClockOffMS = 500
 	g.deliverView("n-001", "m8", "x", false)
-	spec := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second}
-	until := g.Wall() + 4*loop.Second
+	spec := job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: eventloop.Second}
+	until := g.Wall() + 4*eventloop.Second
 	g.registry.SubmitWithTerms("job-000001", &spec, &job.Terms{Hold: job.Hold{State: job.HoldEffective, Until: until}}, func(job.Answer) {})
-	for g.Wall() < until+900*loop.Millisecond {
-		g.Advance(100 * loop.Millisecond)
+	for g.Wall() < until+900*eventloop.Millisecond {
+		g.Advance(100 * eventloop.Millisecond)
 		g.deliverView("n-001", "m8", "x", false)
 	}
 	if len(g.starts) != 0 {
 		t.Fatalf("%v were started before the hold had ended by every clock", g.starts)
 	}
-	g.Advance(1500 * loop.Millisecond)
+	g.Advance(1500 * eventloop.Millisecond)
 	if len(g.starts) == 0 {
 		t.Fatal("nothing started after the hold had ended")
 	}
@@ -146,18 +146,18 @@
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 50}, config.Team{Name: "blue", CPUs: 8, CPUsMax: 50})
 	g.scheduler.node.ReportCauses = true
 	g.deliverView("n-001", "m8", "x", false)
-	spec := job.Spec{Class: "k", Team: "red", Priority: job.Low, Tasks: 2, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second, Checkpoint: loop.Second, Save: 5 * loop.Second}
+	spec := job.Spec{Class: "k", Team: "red", Priority: job.Low, Tasks: 2, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: eventloop.Second, Checkpoint: eventloop.Second, Save: 5 * eventloop.Second}
 	low := g.acceptJob(1, spec)
-	g.Advance(500 * loop.Millisecond)
+	g.Advance(500 * eventloop.Millisecond)
 	var on []workers.Task
 	for i := range 2 {
 		on = append(on, workers.Task{Task: workers.TaskName(low, i), Attempt: 1, State: wire.TaskRunning})
 	}
 	g.deliverView("n-001", "m8", "x", false, on...)
-	g.Advance(2 * loop.Second)
+	g.Advance(2 * eventloop.Second)
 	spec.Team, spec.Priority, spec.Tasks = "blue", job.High, 1
 	high := g.acceptJob(2, spec)
-	g.Advance(500 * loop.Millisecond)
+	g.Advance(500 * eventloop.Millisecond)
 	for i := range on {
 		on[i].State = wire.TaskSaving
 	}
@@ -173,17 +173,17 @@
 func TestBusyTaskIsFreedLater(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 50})
 	g.deliverView("n-001", "m8", "x", false)
-	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
-	g.Advance(500 * loop.Millisecond)
+	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: eventloop.Second})
+	g.Advance(500 * eventloop.Millisecond)
 	name := workers.TaskName(id, 0)
 	busy := workers.Task{Task: name, Attempt: 1, State: wire.TaskExited, Why: wire.WhyBusy}
 	g.deliverView("n-001", "m8", "x", false, workers.Task{Task: name, Attempt: 7, State: wire.TaskRunning}, busy)
-	g.Advance(500 * loop.Millisecond)
+	g.Advance(500 * eventloop.Millisecond)
 	if x := g.scheduler.teams["red"].jobs[id].task(0); x.state != Placed || x.attempt != 1 {
 		t.Fatalf("the task is freed while another attempt of it is on the machine (state %d, attempt %d)", x.state, x.attempt)
 	}
 	g.deliverView("n-001", "m8", "x", false, busy)
-	g.Advance(500 * loop.Millisecond)
+	g.Advance(500 * eventloop.Millisecond)
 	if x := g.scheduler.teams["red"].jobs[id].task(0); x.attempt != 2 {
 		t.Fatalf("the task still waits (state %d, attempt %d)", x.state, x.attempt)
 	}
@@ -195,8 +195,8 @@
 	for _, known := range []bool{true, false} {
 		g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 50})
 		g.deliverView("n-001", "m8", "x", false)
-		g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second})
-		g.Advance(500 * loop.Millisecond)
+		g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1, Image: "i", AnyType: true, Estimate: eventloop.Second})
+		g.Advance(500 * eventloop.Millisecond)
 		if !known {
 			g.scheduler.fleet.Remove("n-001")
 		}
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -4,7 +4,7 @@
 	"slices"
 	"sort"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/workers"
 )
@@ -23,7 +23,7 @@
 	p.evict(now, wall)
 	var progress []peer.Progress
 	var usage []peer.Usage
-	for _, tm := range loop.Sorted(p.teams) {
+	for _, tm := range eventloop.Sorted(p.teams) {
 		if !tm.loaded {
 			continue
 		}
@@ -59,7 +59,7 @@
 }
 
 // resendStarts sends a start again if 800 ms later no view of its machine shows it.
-func (p *Scheduler) resendStarts(now, wall loop.Micros) {
+func (p *Scheduler) resendStarts(now, wall eventloop.Micros) {
 	var machines []string
 	for m, on := range p.tasksByMachine {
 		if len(on.unresolved) > 0 {
@@ -74,7 +74,7 @@
 		}
 		for _, r := range sortedRefs(p.tasksByMachine[m].unresolved) {
 			x := r.table.task(r.index)
-			if x.state == Placed && x.recordedHere && !x.listed && !r.table.job.Final() && wall < x.expiry && now-x.sentAt > 800*loop.Millisecond &&
+			if x.state == Placed && x.recordedHere && !x.listed && !r.table.job.Final() && wall < x.expiry && now-x.sentAt > 800*eventloop.Millisecond &&
 				!v.HasPending(r.table.taskName(r.index), x.attempt) && v.Find(r.table.taskName(r.index), x.attempt) == nil {
 				p.sendStart(r.table, r.index)
 			}
@@ -84,11 +84,11 @@
 
 // sweepInterval is the interval at which all tasks in use are checked. Views, deletions and the end of a job take
 // effect at once; the sweep repeats commands that were lost.
-const sweepInterval = 2 * loop.Second
+const sweepInterval = 2 * eventloop.Second
 
 // sweep repeats the stops of tasks whose job is final, and frees tasks on deleted machines.
 func (p *Scheduler) sweep() {
-	for m, on := range loop.Sorted(p.tasksByMachine) {
+	for m, on := range eventloop.Sorted(p.tasksByMachine) {
 		gone := p.agent.IsDeleted(m)
 		due := map[taskRef]struct{}{} // usually few of the tasks in use
 		for r := range on.all {
@@ -122,7 +122,7 @@
 
 // evict stops tasks in time to save a checkpoint before a spot machine is reclaimed, or before a machine that is not
 // needed is returned.
-func (p *Scheduler) evict(now, wall loop.Micros) {
+func (p *Scheduler) evict(now, wall eventloop.Micros) {
 	p.agent.EachView(func(v *workers.View) {
 		if v.NoticeAt == 0 && !v.ClosedToStarts {
 			return
@@ -134,13 +134,13 @@
 				// The machine is not needed: tasks that can save a checkpoint move to another one, except tasks that
 				// began recently, whose start would have been wasted, and tasks that end soon anyway.
 				ran := now - x.runningSince
-				if s.Checkpoint > 0 && x.running && ran > 30*loop.Second && s.Estimate-ran > 20*loop.Second {
-					p.stop(r.table, r.index, s.Save+loop.Second)
+				if s.Checkpoint > 0 && x.running && ran > 30*eventloop.Second && s.Estimate-ran > 20*eventloop.Second {
+					p.stop(r.table, r.index, s.Save+eventloop.Second)
 				}
 				return
 			}
-			if s.Checkpoint > 0 && x.listed && v.NoticeAt-wall < s.Save+3*loop.Second {
-				p.stop(r.table, r.index, s.Save+loop.Second)
+			if s.Checkpoint > 0 && x.listed && v.NoticeAt-wall < s.Save+3*eventloop.Second {
+				p.stop(r.table, r.index, s.Save+eventloop.Second)
 			}
 		})
 	})
--- a/internal/scheduler/views.go
+++ b/internal/scheduler/views.go
@@ -2,9 +2,9 @@
 
 import (
 	"cleatpick/internal/delivery"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/health"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
 )
@@ -16,9 +16,9 @@
 	// Tasks on a machine without recent reports may have begun long ago. If a new owner took its first view of a task
 	// for the start, every task would look slow.
 	old := p.fleet.Machine(v.Name)
-	startsUnknown := old == nil || now-old.LastReport > 2*loop.Seconds(p.cfg.Cluster.Workers.ReportS)
+	startsUnknown := old == nil || now-old.LastReport > 2*eventloop.Seconds(p.cfg.Cluster.Workers.ReportS)
 	var before []workers.Task
-	var lastReport loop.Micros // time of the previous report; 0: none
+	var lastReport eventloop.Micros // time of the previous report; 0: none
 	if old == nil {
 		c = &workers.Changes{All: true}
 		if typ, ok := p.node.Type(v.Type); ok && len(v.Tasks) == 0 {
@@ -56,7 +56,7 @@
 
 // updateTasks updates the tasks in use on a machine from its view. A task that was listed before and is unchanged needs
 // no update.
-func (p *Scheduler) updateTasks(v *workers.View, c *workers.Changes, before []workers.Task, jobs []*job.Job, lastReport loop.Micros) {
+func (p *Scheduler) updateTasks(v *workers.View, c *workers.Changes, before []workers.Task, jobs []*job.Job, lastReport eventloop.Micros) {
 	if p.tasksByMachine[v.Name] == nil {
 		return
 	}
@@ -76,7 +76,7 @@
 // updateVanishedTasks checks the tasks that the previous view listed and this one does not. Usually their end is known,
 // since this owner asked for them to be forgotten. It is not if an earlier owner did that without recording their
 // end, and a delayed report listed them afterwards.
-func (p *Scheduler) updateVanishedTasks(v *workers.View, c *workers.Changes, before []workers.Task, lastReport loop.Micros) {
+func (p *Scheduler) updateVanishedTasks(v *workers.View, c *workers.Changes, before []workers.Task, lastReport eventloop.Micros) {
 	for _, k := range c.Removed {
 		if x := &before[k]; v.Find(x.Task, x.Attempt) == nil {
 			id, _, _ := workers.SplitTask(x.Task)
@@ -86,7 +86,7 @@
 }
 
 // updateNamedTask updates a task that has changed on the machine, if it is in use there.
-func (p *Scheduler) updateNamedTask(v *workers.View, name string, j *job.Job, lastReport loop.Micros) {
+func (p *Scheduler) updateNamedTask(v *workers.View, name string, j *job.Job, lastReport eventloop.Micros) {
 	if j == nil || j.Spec == nil {
 		return
 	}
@@ -104,7 +104,7 @@
 }
 
 // updateTask derives a task's state from a view. lastReport is the time of the machine's previous report.
-func (p *Scheduler) updateTask(t *jobTable, i int, v *workers.View, lastReport loop.Micros) {
+func (p *Scheduler) updateTask(t *jobTable, i int, v *workers.View, lastReport eventloop.Micros) {
 	x := t.task(i)
 	if x.state != Placed {
 		return
@@ -133,7 +133,7 @@
 			p.confirmTerminated(t, i, "absent")
 			return
 		}
-		if now := p.runner.Now(); p.runner.Wall() > latestArrival && now-p.checkRequestedAt[v.Name] > loop.Second {
+		if now := p.runner.Now(); p.runner.Wall() > latestArrival && now-p.checkRequestedAt[v.Name] > eventloop.Second {
 			p.checkRequestedAt[v.Name] = now
 			p.node.RequestTaskList(v.Host, v.Name)
 		}
@@ -187,7 +187,7 @@
 }
 
 // clockBound returns the bound on the difference of two wall clocks, plus a margin.
-func (p *Scheduler) clockBound() loop.Micros { return p.clock.MaxDifference }
+func (p *Scheduler) clockBound() eventloop.Micros { return p.clock.MaxDifference }
 
 // startCanArrive reports whether a start of an attempt can still reach a worker, by the expiry recorded for that very
 // attempt. Attempts that this owner did not record were recorded by others before it read their team's records.
--- a/internal/scheduler/views_test.go
+++ b/internal/scheduler/views_test.go
@@ -4,8 +4,8 @@
 	"testing"
 
 	"cleatpick/internal/config"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/membership"
 	"cleatpick/internal/partition"
 	"cleatpick/internal/wire"
@@ -14,7 +14,7 @@
 
 // deliverViewOf delivers a view from one incarnation of the host controller. If settled, the machine shows the effect
 // of all commands to it.
-func (g *rig) deliverViewOf(life loop.Micros, session uint64, settled bool, tasks ...workers.Task) {
+func (g *rig) deliverViewOf(life eventloop.Micros, session uint64, settled bool, tasks ...workers.Task) {
 	g.seq++
 	g.workers.ApplyView(&workers.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Incarnation: life, Session: session, Seq: g.seq, TokenConfirmed: settled, MadeAfter: g.Now(), Tasks: tasks})
 }
@@ -26,21 +26,21 @@
 func TestRefusalOfAnotherIncarnation(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		moved     bool        // the host controller's new incarnation is known, and the start is sent to it
-		refusedBy loop.Micros // incarnation that refuses
+		moved     bool             // the host controller's new incarnation is known, and the start is sent to it
+		refusedBy eventloop.Micros // incarnation that refuses
 		frees     bool
 	}{{"the only incarnation that has the start", false, 1, true}, {"an incarnation that never had the start", false, 2, false},
 		{"the earlier of two incarnations", true, 1, false}, {"the later of two incarnations", true, 2, false}} {
 		g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})
 		g.deliverViewOf(1, 1, true)
-		g.acceptJob(1, job.Spec{Team: "red", Tasks: 1, CPUs: 2, AnyType: true, Estimate: loop.Second})
-		g.Advance(500 * loop.Millisecond)
+		g.acceptJob(1, job.Spec{Team: "red", Tasks: 1, CPUs: 2, AnyType: true, Estimate: eventloop.Second})
+		g.Advance(500 * eventloop.Millisecond)
 		if len(g.starts) != 1 || g.starts[0].Incarnation != 1 {
 			t.Fatalf("%s: started %+v, want one start for incarnation 1", c.name, g.starts)
 		}
 		if c.moved {
 			g.deliverViewOf(2, 1, true)
-			g.Advance(1500 * loop.Millisecond)
+			g.Advance(1500 * eventloop.Millisecond)
 			if n := len(g.starts); n < 2 || g.starts[n-1].Incarnation != 2 {
 				t.Fatalf("%s: the start is not sent to the new incarnation: %+v", c.name, g.starts)
 			}
@@ -48,7 +48,7 @@
 		s := g.starts[0]
 		before := len(g.starts)
 		g.scheduler.StartDropped("b", workers.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Incarnation: c.refusedBy})
-		g.Advance(2 * loop.Second)
+		g.Advance(2 * eventloop.Second)
 		freed := len(g.starts) > before && g.starts[len(g.starts)-1].Attempt > s.Attempt
 		if freed != c.frees {
 			t.Errorf("%s: placed again: %v, want %v", c.name, freed, c.frees)
@@ -62,34 +62,34 @@
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})
 	for range 4 { // it reports without effect to one controller after another
 		g.deliverViewOf(1, 1, false)
-		g.Advance(loop.Second)
+		g.Advance(eventloop.Second)
 	}
-	g.acceptJob(1, job.Spec{Team: "red", Tasks: 2, CPUs: 2, AnyType: true, Estimate: loop.Second})
-	g.Advance(2 * loop.Second)
+	g.acceptJob(1, job.Spec{Team: "red", Tasks: 2, CPUs: 2, AnyType: true, Estimate: eventloop.Second})
+	g.Advance(2 * eventloop.Second)
 	if len(g.starts) != 0 {
 		t.Fatalf("%d starts are sent to a machine that is unresponsive to commands", len(g.starts))
 	}
 	g.deliverViewOf(1, 1, true)
-	g.Advance(loop.Second)
+	g.Advance(eventloop.Second)
 	if len(g.starts) != 2 {
 		t.Fatalf("%d starts once the machine responds to commands, want 2", len(g.starts))
 	}
 	g.starts = nil
 	on := []workers.Task{{Task: "job-000001/0", Attempt: 1, State: "running"}, {Task: "job-000001/1", Attempt: 1, State: "running"}}
 	g.deliverViewOf(1, 1, true, on...)
-	g.Advance(loop.Second)
+	g.Advance(eventloop.Second)
 	for range 10 {
 		g.deliverViewOf(1, 1, false, on...)
-		g.Advance(loop.Second)
+		g.Advance(eventloop.Second)
 	}
 	g.deliverView("n-002", "m8", "x", false)
-	g.Advance(loop.Second)
+	g.Advance(eventloop.Second)
 	if len(g.starts) != 0 {
 		t.Fatalf("tasks started again while the old session may last: %+v", g.starts)
 	}
 	g.seq = 1000
 	g.deliverViewOf(1, 2, false) // the lease of the old session expired
-	g.Advance(loop.Second)
+	g.Advance(eventloop.Second)
 	if len(g.starts) != 2 || g.starts[0].Machine != "n-002" {
 		t.Fatalf("after the end of the session %+v, want both tasks on n-002", g.starts)
 	}
@@ -99,20 +99,20 @@
 // present owner never sees the task end and must not count it as running for ever.
 func TestTaskThatVanishesUnseen(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})
-	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
+	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * eventloop.Second})
 	other := workers.Task{Task: workers.TaskName(g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Tasks: 1, CPUs: 1, AnyType: true}), 0), Attempt: 1, State: wire.TaskRunning}
 	g.scheduler.OwnershipChanged(partition.ForTeam("red"), false, membership.Owner{})
 	g.state.Put(segmentKey("x/red/", 0), segmentRecord{Machines: []machineEntry{{Name: "n-001", Zone: "x"}},
-		Jobs: []jobEntry{{ID: id, Tasks: []taskEntry{{Index: 0, State: storedPlaced, Attempt: 2, Machine: 1, Session: 1, Expiry: g.Now() - 60*loop.Second}}}}})
+		Jobs: []jobEntry{{ID: id, Tasks: []taskEntry{{Index: 0, State: storedPlaced, Attempt: 2, Machine: 1, Session: 1, Expiry: g.Now() - 60*eventloop.Second}}}}})
 	mark := g.state.Put("c/t/red", map[string]any{"n": "a", "e": 2})
 	g.scheduler.OwnershipChanged(partition.ForTeam("red"), true, membership.Owner{Node: "a", Epoch: 2, Revision: mark})
-	g.Advance(loop.Second)
+	g.Advance(eventloop.Second)
 	heldBack := workers.Task{Task: workers.TaskName(id, 0), Attempt: 2, State: wire.TaskRunning}
 	g.deliverViewOf(1, 1, false, heldBack, other)
-	g.Advance(loop.Second)
+	g.Advance(eventloop.Second)
 	for range 3 {
 		g.deliverViewOf(1, 1, true, other)
-		g.Advance(loop.Second)
+		g.Advance(eventloop.Second)
 	}
 	if len(g.starts) == 0 || g.starts[0].Attempt != 3 {
 		t.Fatalf("started %+v, want attempt 3 of the task that is on no machine", g.starts)
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
@@ -23,10 +23,10 @@
 	machineCount int // machines ever rented; numbers their names
 	// Now is the clock. If it is set, machine lists show the state of ListLag ago, and failed machines stay listed
 	// as running for a while.
-	Now       func() loop.Micros
-	ListLag   loop.Micros
-	createdAt map[string]loop.Micros
-	failedAt  map[string]loop.Micros
+	Now       func() eventloop.Micros
+	ListLag   eventloop.Micros
+	createdAt map[string]eventloop.Micros
+	failedAt  map[string]eventloop.Micros
 	deleted   map[string]deletedMachine // deleted machines that a lagging list still shows
 	// OnRented is called for each machine that is rented; the test boots it.
 	OnRented func(wire.CloudMachine)
@@ -38,7 +38,7 @@
 
 // NewCloud returns a cloud that offers one machine type, with the given number of machines in each zone.
 func NewCloud(t wire.MachineType, perZone int) *Cloud {
-	c := &Cloud{createdAt: map[string]loop.Micros{}, failedAt: map[string]loop.Micros{}, deleted: map[string]deletedMachine{}, Types: []wire.MachineType{t}, Available: map[string]int{}, requests: map[string][]string{}, machines: map[string]wire.CloudMachine{}}
+	c := &Cloud{createdAt: map[string]eventloop.Micros{}, failedAt: map[string]eventloop.Micros{}, deleted: map[string]deletedMachine{}, Types: []wire.MachineType{t}, Available: map[string]int{}, requests: map[string][]string{}, machines: map[string]wire.CloudMachine{}}
 	for _, z := range t.Zones {
 		c.Available[z] = perZone
 	}
@@ -67,10 +67,10 @@
 // deletedMachine is a deleted machine and the time of its deletion.
 type deletedMachine struct {
 	machine wire.CloudMachine
-	at      loop.Micros
+	at      eventloop.Micros
 }
 
-func (c *Cloud) now() loop.Micros {
+func (c *Cloud) now() eventloop.Micros {
 	if c.Now == nil {
 		return 0
 	}
@@ -118,7 +118,7 @@
 }
 
 // failureListLag is how long a failed machine is still listed as running.
-const failureListLag = 30 * loop.Second
+const failureListLag = 30 * eventloop.Second
 
 // list returns the machines as they were one list lag ago.
 func (c *Cloud) list() wire.MachinePage {
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
@@ -27,13 +27,13 @@
 
 // stateLease is a lease; its keys are deleted when it expires or is released.
 type stateLease struct {
-	ttl, until loop.Micros
+	ttl, until eventloop.Micros
 }
 
 // StateService is a fake of the state service that keeps its keys in memory.
 type StateService struct {
 	mu                sync.Mutex
-	now               func() loop.Micros
+	now               func() eventloop.Micros
 	storeRevision     uint64 // revision of the newest change of the store
 	keys              map[string]stateKey
 	leases            map[uint64]*stateLease
@@ -50,7 +50,7 @@
 }
 
 // NewStateService returns an empty state service that reads the time from now.
-func NewStateService(now func() loop.Micros) *StateService {
+func NewStateService(now func() eventloop.Micros) *StateService {
 	return &StateService{now: now, keys: map[string]stateKey{}, leases: map[uint64]*stateLease{}, expired: map[uint64]bool{}}
 }
 
@@ -286,7 +286,7 @@
 			return reply(400, wire.Error{Error: "ttl"})
 		}
 		s.lastLease++
-		ttl := l.TTLms * loop.Millisecond
+		ttl := l.TTLms * eventloop.Millisecond
 		s.leases[s.lastLease] = &stateLease{ttl, s.now() + ttl}
 		return reply(200, wire.Lease{ID: s.lastLease})
 	case strings.HasPrefix(u.Path, "/holds/"):
--- a/internal/standin/state_limits.go
+++ b/internal/standin/state_limits.go
@@ -3,7 +3,7 @@
 import (
 	"strings"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
@@ -24,11 +24,11 @@
 // tokenBucket is a token bucket whose burst is one second of its rate.
 type tokenBucket struct {
 	rate, available float64
-	at              loop.Micros
+	at              eventloop.Micros
 }
 
 // take refills the bucket up to now and removes n tokens. It reports false, and removes none, if there are fewer.
-func (b *tokenBucket) take(n float64, now loop.Micros) bool {
+func (b *tokenBucket) take(n float64, now eventloop.Micros) bool {
 	b.available = min(b.available+float64(now-b.at)/1e6*b.rate, b.rate)
 	b.at = now
 	if b.available < n {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -4,24 +4,24 @@
 	"slices"
 	"strconv"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/wire"
 )
 
 // Job is the part of a job's description that a worker needs to simulate its tasks.
 type Job struct {
 	CPUs, MemoryGB float64
-	Run            loop.Micros // how long the first task runs
+	Run            eventloop.Micros // how long the first task runs
 	Tasks          int
-	Broken         bool        // fails on every machine
-	FailsEvery     int         // of a broken job, only the tasks whose index is a multiple of this fail; 0: all fail
-	FailsAfter     loop.Micros // run time of a task that fails
-	RunIncrement   loop.Micros // how much longer each task runs than the one before it
+	Broken         bool             // fails on every machine
+	FailsEvery     int              // of a broken job, only the tasks whose index is a multiple of this fail; 0: all fail
+	FailsAfter     eventloop.Micros // run time of a task that fails
+	RunIncrement   eventloop.Micros // how much longer each task runs than the one before it
 }
 
 // duration returns how long a task runs.
-func (j *Job) duration(task string) loop.Micros {
-	return j.Run + loop.Micros(taskIndex(task))*j.RunIncrement
+func (j *Job) duration(task string) eventloop.Micros {
+	return j.Run + eventloop.Micros(taskIndex(task))*j.RunIncrement
 }
 
 // fails reports whether the task fails on every machine.
@@ -35,8 +35,8 @@
 	attempt uint64
 	state   string
 	why     string
-	until   loop.Micros // when the present state ends
-	fails   bool        // it then ends with an error
+	until   eventloop.Micros // when the present state ends
+	fails   bool             // it then ends with an error
 }
 
 // attemptKey identifies an attempt of a task.
@@ -63,13 +63,13 @@
 	forgotten           map[attemptKey]struct{}
 	session, seq, token uint64
 	tasks               []*workerTask
-	lastAnswered        loop.Micros // when the newest answered report was sent
-	lease               loop.Micros
+	lastAnswered        eventloop.Micros // when the newest answered report was sent
+	lease               eventloop.Micros
 }
 
 // NewWorker returns the worker of a machine that booted at now. If no report is answered for the duration of the
 // lease, the worker ends its tasks and begins a new session.
-func NewWorker(now, lease loop.Micros) *Worker {
+func NewWorker(now, lease eventloop.Micros) *Worker {
 	return &Worker{session: 1, lastAnswered: now, lease: lease}
 }
 
@@ -83,11 +83,11 @@
 }
 
 // LeaseExpired reports whether the lease expired, so that the next Tick ends all tasks.
-func (w *Worker) LeaseExpired(now loop.Micros) bool { return now-w.lastAnswered > w.lease }
+func (w *Worker) LeaseExpired(now eventloop.Micros) bool { return now-w.lastAnswered > w.lease }
 
 // Tick updates the machine to the time now: an expired lease ends all tasks and the session, and tasks start to run,
 // finish or fail.
-func (w *Worker) Tick(now loop.Micros) {
+func (w *Worker) Tick(now eventloop.Micros) {
 	if w.LeaseExpired(now) {
 		for _, t := range w.tasks {
 			w.endTask(t, "lease")
@@ -147,7 +147,7 @@
 }
 
 // Restart ends all tasks and begins a new session, which has not seen any token.
-func (w *Worker) Restart(now loop.Micros) {
+func (w *Worker) Restart(now eventloop.Micros) {
 	w.Destroy()
 	w.session++
 	w.seq, w.token, w.lastAnswered = 0, 0, now
@@ -161,7 +161,7 @@
 func (w *Worker) Token() uint64 { return w.token }
 
 // LastAnswered returns when the newest answered report was sent.
-func (w *Worker) LastAnswered() loop.Micros { return w.lastAnswered }
+func (w *Worker) LastAnswered() eventloop.Micros { return w.lastAnswered }
 
 // Report returns the next report to send.
 func (w *Worker) Report() wire.Report {
@@ -176,8 +176,8 @@
 
 // HandleAnswer applies the 200 answer to a report that was sent at the given time in the given session. An answer from
 // an earlier session, with a lower token than the highest seen, or more than 4 s after the report, is dropped.
-func (w *Worker) HandleAnswer(now, sent loop.Micros, session uint64, c wire.Commands) {
-	if session != w.session || c.Token < w.token || now-sent > 4*loop.Second {
+func (w *Worker) HandleAnswer(now, sent eventloop.Micros, session uint64, c wire.Commands) {
+	if session != w.session || c.Token < w.token || now-sent > 4*eventloop.Second {
 		return
 	}
 	w.token, w.lastAnswered = c.Token, sent
@@ -186,7 +186,7 @@
 
 // HandleCommands applies direct commands and returns the HTTP status and a report. Commands with a lower token than the
 // highest seen, or for another session, are refused with 409.
-func (w *Worker) HandleCommands(now loop.Micros, c wire.Commands) (int, wire.Report) {
+func (w *Worker) HandleCommands(now eventloop.Micros, c wire.Commands) (int, wire.Report) {
 	if c.Token < w.token || c.Session != w.session {
 		return 409, w.Report()
 	}
@@ -206,7 +206,7 @@
 }
 
 // run carries out commands in order.
-func (w *Worker) run(now loop.Micros, cs []wire.Command) {
+func (w *Worker) run(now eventloop.Micros, cs []wire.Command) {
 	for _, c := range cs {
 		t := w.find(c.Task, c.Attempt)
 		switch c.Op {
@@ -240,7 +240,7 @@
 
 // start starts an attempt, or records it as exited if its job is unknown, another attempt of the task is active or
 // the machine lacks capacity.
-func (w *Worker) start(now loop.Micros, c wire.Command) {
+func (w *Worker) start(now eventloop.Micros, c wire.Command) {
 	if _, was := w.forgotten[attemptKey{c.Task, c.Attempt}]; was {
 		w.OnForgottenStart(c.Task, c.Attempt)
 	}
@@ -269,6 +269,6 @@
 		t.why = wire.WhyNoCapacity
 		return
 	}
-	t.state, t.until = wire.TaskFetching, now+loop.Second
+	t.state, t.until = wire.TaskFetching, now+eventloop.Second
 	w.OnTaskStart(t.task, "")
 }
--- a/internal/starvation/budget.go
+++ b/internal/starvation/budget.go
@@ -13,20 +13,20 @@
 	"cmp"
 	"slices"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
 const (
 	// MinWait is the time since its acceptance from which a job with waiting tasks is served ahead of the
 	// order.
-	MinWait = 75 * loop.Second
+	MinWait = 75 * eventloop.Second
 	// Fraction is the fraction of the freed CPUs that is given out by this rule.
 	Fraction = 0.08
 	// maxSavedTime limits the unused budget to what accrues in this time.
-	maxSavedTime = 10 * loop.Second
+	maxSavedTime = 10 * eventloop.Second
 	// maxLeadTime limits, in time of the budget's accrual, how long a class waits for its turn because of what it
 	// received in the ordinary order, or under an earlier owner.
-	maxLeadTime = 20 * loop.Second
+	maxLeadTime = 20 * eventloop.Second
 	// taskDivisor divides the waiting tasks of a job: it gets this fraction of them at a time. The late jobs
 	// of one class share it.
 	taskDivisor = 8
@@ -37,11 +37,11 @@
 // Waiter is a job with waiting tasks.
 type Waiter struct {
 	ID           string
-	Class        string      // includes the team; classes are served in turn
-	AcceptedAt   loop.Micros // when it was accepted, by the monotonic clock
-	LastServedAt loop.Micros // when it last received CPUs by this rule; AcceptedAt, if it never did
-	Tasks        int         // waiting tasks that the job's predicates allow
-	CPUs         float64     // of each task
+	Class        string           // includes the team; classes are served in turn
+	AcceptedAt   eventloop.Micros // when it was accepted, by the monotonic clock
+	LastServedAt eventloop.Micros // when it last received CPUs by this rule; AcceptedAt, if it never did
+	Tasks        int              // waiting tasks that the job's predicates allow
+	CPUs         float64          // of each task
 }
 
 // Pick is a job to serve ahead of the order, and the number of its tasks.
@@ -54,7 +54,7 @@
 // received.
 type Budget struct {
 	credit      float64
-	earnedAt    loop.Micros
+	earnedAt    eventloop.Micros
 	rate        float64            // CPUs freed per second, as last given to Accrue
 	turns       map[string]float64 // CPUs that each class received, counted from the value of currentTurn at which it joined
 	currentTurn float64            // turn of the class served last, from which new classes start
@@ -65,7 +65,7 @@
 
 // Accrue adds to the budget for the time since the last call. rate is the number of CPUs per second that are
 // freed for this controller's jobs.
-func (r *Budget) Accrue(now loop.Micros, rate float64) {
+func (r *Budget) Accrue(now eventloop.Micros, rate float64) {
 	r.rate = rate
 	if r.earnedAt != 0 {
 		r.credit += float64(now-r.earnedAt) / 1e6 * rate * Fraction
@@ -123,7 +123,7 @@
 
 // Pick returns the jobs to serve ahead of the order now, in order. The last one may overdraw the budget, so
 // that a task of any size gets its turn; the overdraft must be earned back before the next pick.
-func (r *Budget) Pick(now loop.Micros, all []Waiter) (picks []Pick) {
+func (r *Budget) Pick(now eventloop.Micros, all []Waiter) (picks []Pick) {
 	left := r.credit
 	if !r.Available() {
 		return nil
@@ -147,7 +147,7 @@
 	}
 	for left > 0 && len(picks) < maxPicks && len(late) > 0 {
 		class := ""
-		for c := range loop.Sorted(late) {
+		for c := range eventloop.Sorted(late) {
 			if class == "" || turns[c] < turns[class] {
 				class = c
 			}
--- a/internal/starvation/budget_test.go
+++ b/internal/starvation/budget_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/fixed"
-	"cleatpick/internal/loop"
 
 	"pgregory.net/rapid"
 )
@@ -15,7 +15,7 @@
 
 // restatedPicks restates the rule, counting up task by task: of the classes with a late job, the one that
 // received the least since it joined is next, and within the class the job that received nothing for longest.
-func restatedPicks(credit float64, turns map[string]float64, now loop.Micros, all []Waiter) map[string]int {
+func restatedPicks(credit float64, turns map[string]float64, now eventloop.Micros, all []Waiter) map[string]int {
 	got := map[string]int{}
 	late := func(w *Waiter) bool {
 		_, was := got[w.ID]
@@ -63,14 +63,14 @@
 func TestPicksAgainstPlainRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := New()
-		now := 1000 * loop.Second
+		now := 1000 * eventloop.Second
 		for range rapid.IntRange(1, 6).Draw(t, "passes") {
-			now += loop.Micros(rapid.IntRange(1, 30).Draw(t, "later")) * loop.Second
+			now += eventloop.Micros(rapid.IntRange(1, 30).Draw(t, "later")) * eventloop.Second
 			f.Accrue(now, float64(rapid.IntRange(0, 400).Draw(t, "rate")))
 			var all []Waiter
 			for k := range rapid.IntRange(0, 12).Draw(t, "waiters") {
 				all = append(all, Waiter{ID: fmt.Sprint("job-", k), Class: fmt.Sprint("c", rapid.IntRange(0, 3).Draw(t, "class")),
-					AcceptedAt: now - loop.Micros(rapid.IntRange(60, 90).Draw(t, "age"))*loop.Second, LastServedAt: now - loop.Micros(rapid.IntRange(0, 90).Draw(t, "waited"))*loop.Second, Tasks: rapid.IntRange(0, 200).Draw(t, "tasks"), CPUs: float64(rapid.IntRange(1, 4).Draw(t, "cpus"))})
+					AcceptedAt: now - eventloop.Micros(rapid.IntRange(60, 90).Draw(t, "age"))*eventloop.Second, LastServedAt: now - eventloop.Micros(rapid.IntRange(0, 90).Draw(t, "waited"))*eventloop.Second, Tasks: rapid.IntRange(0, 200).Draw(t, "tasks"), CPUs: float64(rapid.IntRange(1, 4).Draw(t, "cpus"))})
 			}
 			credit, turns := f.credit, map[string]float64{}
 			for _, w := range all {
@@ -98,14 +98,14 @@
 func TestEveryClassStarts(t *testing.T) {
 	const rate = 100.0 // CPUs freed per second, all of which other work takes in the ordinary order
 	f := New()
-	now := 1000 * loop.Second
+	now := 1000 * eventloop.Second
 	start := now
 	jobs := []Waiter{{ID: "large", Class: "b", AcceptedAt: now, LastServedAt: now, Tasks: 25000, CPUs: 0.25}, {ID: "whole", Class: "c", AcceptedAt: now, LastServedAt: now, Tasks: 50, CPUs: 64}}
-	started := map[string]loop.Micros{}
-	arrived := map[string]loop.Micros{"large": now, "whole": now}
+	started := map[string]eventloop.Micros{}
+	arrived := map[string]eventloop.Micros{"large": now, "whole": now}
 	given := 0.0
 	for k := range 6000 { // ten minutes
-		now += 100 * loop.Millisecond
+		now += 100 * eventloop.Millisecond
 		if k%2 == 0 {
 			id := fmt.Sprintf("swarm-%05d", k)
 			jobs = append(jobs, Waiter{ID: id, Class: "a", AcceptedAt: now, LastServedAt: now, Tasks: 1, CPUs: 1})
@@ -123,7 +123,7 @@
 		}
 	}
 	for _, id := range []string{"large", "whole"} {
-		if took := started[id] - arrived[id]; started[id] == 0 || took > 120*loop.Second {
+		if took := started[id] - arrived[id]; started[id] == 0 || took > 120*eventloop.Second {
 			t.Errorf("%s starts after %d us, want at most 120 s", id, took)
 		}
 	}
@@ -132,7 +132,7 @@
 	}
 	smallStarted := 0
 	for id, at := range started {
-		if id[0] == 's' && at-arrived[id] <= 240*loop.Second {
+		if id[0] == 's' && at-arrived[id] <= 240*eventloop.Second {
 			smallStarted++
 		}
 	}
@@ -144,9 +144,9 @@
 // A job that was accepted less than MinWait ago is not served ahead of the order.
 func TestRecentJobsAreNotPicked(t *testing.T) {
 	f := New()
-	f.Accrue(1000*loop.Second, 100)
-	f.Accrue(1100*loop.Second, 100)
-	if p := f.Pick(1100*loop.Second, []Waiter{{ID: "a", Class: "a", AcceptedAt: 1100*loop.Second - MinWait + 1, Tasks: 5, CPUs: 1}}); len(p) != 0 {
+	f.Accrue(1000*eventloop.Second, 100)
+	f.Accrue(1100*eventloop.Second, 100)
+	if p := f.Pick(1100*eventloop.Second, []Waiter{{ID: "a", Class: "a", AcceptedAt: 1100*eventloop.Second - MinWait + 1, Tasks: 5, CPUs: 1}}); len(p) != 0 {
 		t.Errorf("%v is picked, want no pick", p)
 	}
 }
--- a/internal/starvation/turns_test.go
+++ b/internal/starvation/turns_test.go
@@ -3,18 +3,18 @@
 import (
 	"testing"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
 // twoClasses returns a Budget with one late job in each of two classes, and a function that returns which is
 // picked first.
 func twoClasses() (f *Budget, first func() string) {
-	now := 1000 * loop.Second
+	now := 1000 * eventloop.Second
 	f = New()
 	f.Accrue(now, 100)
 	return f, func() string {
 		f.credit = 1 // the budget is not tested here
-		now += loop.Second
+		now += eventloop.Second
 		f.Accrue(now, 100)
 		waiters := []Waiter{{ID: "job-1", Class: "a", AcceptedAt: now - 2*MinWait, LastServedAt: now - 2*MinWait, Tasks: 1, CPUs: 1}, {ID: "job-2", Class: "b", AcceptedAt: now - 2*MinWait, LastServedAt: now - 2*MinWait, Tasks: 1, CPUs: 1}}
 		return waiters[f.Pick(now, waiters)[0].Index].Class
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -13,7 +13,7 @@
 	"log/slog"
 	"strconv"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/metric"
 	"cleatpick/internal/wire"
 )
@@ -59,39 +59,39 @@
 	method   string
 	path     string
 	body     []byte
-	timeout  loop.Micros
+	timeout  eventloop.Micros
 	callback func(Response)
 }
 
 // Client sends requests to the state service within this controller's share of the service's rate limits. It is
 // used on the event loop only.
 type Client struct {
-	runner        loop.Runner
+	runner        eventloop.Runner
 	do            Doer
 	log           *slog.Logger
 	rps           float64 // the service's limits of requests and changes per second
 	writeRPS      float64
-	txnOps        int         // largest number of changes in a transaction, as far as is known
-	share         float64     // this controller's share of the limits
-	pace          float64     // fraction of the share that is used; below 1 after the service has refused requests by rate
-	slowedAt      loop.Micros // monotonic time of the last slowdown
-	requestTokens bucket      // limits all requests
-	changeTokens  bucket      // limits changes
-	inquiryTokens bucket      // limits Inquiries, to inquiryShare of all requests
+	txnOps        int              // largest number of changes in a transaction, as far as is known
+	share         float64          // this controller's share of the limits
+	pace          float64          // fraction of the share that is used; below 1 after the service has refused requests by rate
+	slowedAt      eventloop.Micros // monotonic time of the last slowdown
+	requestTokens bucket           // limits all requests
+	changeTokens  bucket           // limits changes
+	inquiryTokens bucket           // limits Inquiries, to inquiryShare of all requests
 	queue         fairQueue
 	sequence      Sequence // the newest number that was drawn
 	inFlight      int
-	pumpScheduled bool        // a call of pump is scheduled
-	pausedUntil   loop.Micros // monotonic time until which only leases are sent
+	pumpScheduled bool             // a call of pump is scheduled
+	pausedUntil   eventloop.Micros // monotonic time until which only leases are sent
 
 	// Meter counts requests by outcome; it may be nil.
 	Meter *metric.Meter
 
 	unanswered int // transactions and syncs in a row that got no answer in time
 	// lastOK is the time at which the newest request was sent that the service answered successfully.
-	lastOK loop.Micros
+	lastOK eventloop.Micros
 	// lastFailure is the time of the newest failure.
-	lastFailure loop.Micros
+	lastFailure eventloop.Micros
 }
 
 const (
@@ -104,7 +104,7 @@
 var errQueue = errors.New("too many requests waiting for the state service")
 
 // NewClient makes a client that uses at most 0.9/nodes of the limits.
-func NewClient(r loop.Runner, do Doer, log *slog.Logger, rps, writeRPS float64, nodes int) *Client {
+func NewClient(r eventloop.Runner, do Doer, log *slog.Logger, rps, writeRPS float64, nodes int) *Client {
 	c := &Client{runner: r, do: do, log: log, rps: rps, writeRPS: writeRPS, txnOps: defaultTxnOps, pace: 1}
 	c.SetShare(0.9 / float64(max(nodes, 1)))
 	return c
@@ -114,10 +114,12 @@
 func (c *Client) Share() float64 { return c.share }
 
 // LastContact returns the time at which the newest successfully answered request was sent.
-func (c *Client) LastContact() loop.Micros { return c.lastOK }
+func (c *Client) LastContact() eventloop.Micros { return c.lastOK }
 
 // Healthy reports whether a request that was sent within the last d was answered successfully.
-func (c *Client) Healthy(d loop.Micros) bool { return c.lastOK != 0 && c.runner.Now()-c.lastOK < d }
+func (c *Client) Healthy(d eventloop.Micros) bool {
+	return c.lastOK != 0 && c.runner.Now()-c.lastOK < d
+}
 
 // Waiting returns the number of requests queued here.
 func (c *Client) Waiting() int { return c.queue.totalWaiting() }
@@ -141,7 +143,7 @@
 
 // Send queues a request; callback is called with the response on the event loop. Except for leases, it fails at once
 // if too many requests of the class wait.
-func (c *Client) Send(class Class, writes int, method, path string, body any, timeout loop.Micros, callback func(Response)) {
+func (c *Client) Send(class Class, writes int, method, path string, body any, timeout eventloop.Micros, callback func(Response)) {
 	if class != Leases && c.queue.waiting(class) >= maxQueue {
 		c.runner.Post(func() { callback(Response{Err: errQueue}) })
 		return
@@ -155,14 +157,14 @@
 }
 
 // refill adds to the token buckets what has accrued until now.
-func (c *Client) refill(now loop.Micros) {
+func (c *Client) refill(now eventloop.Micros) {
 	c.requestTokens.fill(now)
 	c.changeTokens.fill(now)
 	c.inquiryTokens.fill(now)
 }
 
 // maySend reports whether requests other than leases may be sent now.
-func (c *Client) maySend(now loop.Micros) bool {
+func (c *Client) maySend(now eventloop.Micros) bool {
 	return now >= c.pausedUntil && c.inFlight < maxInFlight && c.requestTokens.tokens >= 1
 }
 
@@ -184,7 +186,7 @@
 
 // next returns the class whose request is to be sent now. A request with changes waits until enough of them
 // have accrued and it is its class's turn; requests without changes overtake it meanwhile.
-func (c *Client) next(now loop.Micros) (class Class, found bool) {
+func (c *Client) next(now eventloop.Micros) (class Class, found bool) {
 	if c.queue.waiting(Leases) > 0 {
 		return Leases, true
 	}
@@ -212,7 +214,7 @@
 }
 
 // send sends the next request of a class.
-func (c *Client) send(class Class, now loop.Micros) {
+func (c *Client) send(class Class, now eventloop.Micros) {
 	req := c.queue.take(class, c.cost(c.queue.head(class)))
 	c.requestTokens.tokens--
 	if class == Inquiries {
@@ -221,7 +223,7 @@
 	c.changeTokens.tokens -= float64(req.writes)
 	c.inFlight++
 	c.runner.Go(func() {
-		resp := c.do.Do(req.method, req.path, req.body, loop.Duration(req.timeout))
+		resp := c.do.Do(req.method, req.path, req.body, eventloop.Duration(req.timeout))
 		c.runner.Post(func() { c.handleResponse(req, now, resp) })
 	})
 }
@@ -232,14 +234,14 @@
 		return
 	}
 	c.pumpScheduled = true
-	c.runner.After(15*loop.Millisecond, func() {
+	c.runner.After(15*eventloop.Millisecond, func() {
 		c.pumpScheduled = false
 		c.pump()
 	})
 }
 
 // handleResponse handles the response to a request.
-func (c *Client) handleResponse(req request, sent loop.Micros, resp Response) {
+func (c *Client) handleResponse(req request, sent eventloop.Micros, resp Response) {
 	c.inFlight--
 	c.recordContact(sent, resp)
 	took := c.runner.Now() - sent
@@ -252,12 +254,12 @@
 }
 
 // recordContact updates what is known of this controller's contact with the service.
-func (c *Client) recordContact(sent loop.Micros, resp Response) {
+func (c *Client) recordContact(sent eventloop.Micros, resp Response) {
 	switch {
 	case resp.Err == nil && resp.Status != 503 && resp.Status != 429:
 		c.lastOK = max(c.lastOK, sent)
 	case resp.Status == 429:
-		c.pausedUntil = c.runner.Now() + 100*loop.Millisecond
+		c.pausedUntil = c.runner.Now() + 100*eventloop.Millisecond
 		c.slowDown()
 		c.log.Debug("state service refused a request by rate; only leases are sent for 100 ms and requests are slowed down")
 	default:
@@ -273,13 +275,13 @@
 	// then. So a transaction does not wait much longer than answers usually take, firstTimeout. Only after
 	// lostPerDoubling missing answers in a row does the wait double, up to maxTimeout: the service is slow then,
 	// and giving up early would only repeat requests in vain.
-	firstTimeout    = 400 * loop.Millisecond
-	maxTimeout      = 1500 * loop.Millisecond
+	firstTimeout    = 400 * eventloop.Millisecond
+	maxTimeout      = 1500 * eventloop.Millisecond
 	lostPerDoubling = 3
 )
 
 // timeout returns how long to wait for the answer to a transaction.
-func (c *Client) timeout() loop.Micros {
+func (c *Client) timeout() eventloop.Micros {
 	return min(firstTimeout<<min(c.unanswered/lostPerDoubling, 4), maxTimeout)
 }
 
@@ -342,7 +344,7 @@
 // Get reads a key. callback is called with found and ok if the key exists, with ok alone if it certainly does not,
 // and with neither if there was no answer.
 func (c *Client) Get(class Class, key string, callback func(item wire.KeyValue, found, ok bool)) {
-	c.Send(class, 0, "GET", "/store/"+key, nil, 1500*loop.Millisecond, func(resp Response) {
+	c.Send(class, 0, "GET", "/store/"+key, nil, 1500*eventloop.Millisecond, func(resp Response) {
 		var it wire.KeyValue
 		switch {
 		case resp.Err == nil && resp.Status == 404:
@@ -357,7 +359,7 @@
 
 // Exists determines whether there is any key under a prefix; ok is false if there was no answer.
 func (c *Client) Exists(class Class, prefix string, callback func(exists, ok bool)) {
-	c.Send(class, 0, "GET", "/store?under="+prefix+"&limit=1", nil, 1500*loop.Millisecond, func(resp Response) {
+	c.Send(class, 0, "GET", "/store?under="+prefix+"&limit=1", nil, 1500*eventloop.Millisecond, func(resp Response) {
 		var r wire.Range
 		ok := resp.Err == nil && resp.Status == 200 && wire.Unmarshal(resp.Body, &r) == nil
 		callback(len(r.Items) > 0, ok)
@@ -374,7 +376,7 @@
 		if since != "" {
 			path += "&since=" + since
 		}
-		c.Send(class, 0, "GET", path, nil, 3*loop.Second, func(resp Response) {
+		c.Send(class, 0, "GET", path, nil, 3*eventloop.Second, func(resp Response) {
 			var r wire.Range
 			if resp.Err != nil || resp.Status != 200 || wire.Unmarshal(resp.Body, &r) != nil {
 				callback(nil, 0, false)
@@ -395,8 +397,8 @@
 }
 
 // OpenLease opens a lease; id 0 means that none was granted.
-func (c *Client) OpenLease(ttl loop.Micros, callback func(id uint64)) {
-	c.Send(Leases, 0, "POST", "/holds", wire.Lease{TTLms: ttl / 1000}, 1500*loop.Millisecond, func(resp Response) {
+func (c *Client) OpenLease(ttl eventloop.Micros, callback func(id uint64)) {
+	c.Send(Leases, 0, "POST", "/holds", wire.Lease{TTLms: ttl / 1000}, 1500*eventloop.Millisecond, func(resp Response) {
 		var l wire.Lease
 		if resp.Err != nil || resp.Status != 200 || wire.Unmarshal(resp.Body, &l) != nil {
 			callback(0)
@@ -409,7 +411,7 @@
 // RenewLease renews a lease. callback is called with alive and ok if it was renewed, with ok alone if it has ended,
 // and with neither if there was no answer.
 func (c *Client) RenewLease(id uint64, callback func(alive, ok bool)) {
-	c.Send(Leases, 0, "POST", "/holds/"+strconv.FormatUint(id, 10)+"/extend", nil, 1200*loop.Millisecond, func(resp Response) {
+	c.Send(Leases, 0, "POST", "/holds/"+strconv.FormatUint(id, 10)+"/extend", nil, 1200*eventloop.Millisecond, func(resp Response) {
 		switch {
 		case resp.Err == nil && resp.Status == 200:
 			callback(true, true)
@@ -423,5 +425,5 @@
 
 // EndLease ends a lease at once, if the service can be reached.
 func (c *Client) EndLease(id uint64) {
-	c.Send(Leases, 0, "DELETE", "/holds/"+strconv.FormatUint(id, 10), nil, 1500*loop.Millisecond, func(Response) {})
+	c.Send(Leases, 0, "DELETE", "/holds/"+strconv.FormatUint(id, 10), nil, 1500*eventloop.Millisecond, func(Response) {})
 }
--- a/internal/store/fairness_test.go
+++ b/internal/store/fairness_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
@@ -17,8 +17,8 @@
 	floodSeconds = 60
 	// Users expect the answer to a submission within 200 ms, and work within a guarantee to begin within 5 s,
 	// of which a report, a placement decision, a record and a start each take a part.
-	maxReadWait  = 200 * loop.Millisecond
-	maxWriteWait = loop.Second
+	maxReadWait  = 200 * eventloop.Millisecond
+	maxWriteWait = eventloop.Second
 )
 
 // flood keeps submissions of ten times the share of changes waiting, in full transactions.
@@ -47,13 +47,13 @@
 // waitTimes measures how long the requests of one kind wait.
 type waitTimes struct {
 	name    string
-	within  loop.Micros
+	within  eventloop.Micros
 	asked   int
 	done    int
-	longest loop.Micros
+	longest eventloop.Micros
 }
 
-func (w *waitTimes) ask(now func() loop.Micros) (answered func()) {
+func (w *waitTimes) ask(now func() eventloop.Micros) (answered func()) {
 	w.asked++
 	at := now()
 	return func() {
@@ -70,7 +70,7 @@
 // after 10 to 37 s, and reads waited 0.4 s each (docs/incidents/2026-12-02-went-back-and-forgotten.md).
 func TestSubmissionsDelayNoOtherClass(t *testing.T) {
 	const rps, writeRPS, nodes = 180, 70, 3
-	clock := standin.NewRunner(1000 * loop.Second)
+	clock := standin.NewRunner(1000 * eventloop.Second)
 	state := standin.NewStateService(clock.Now)
 	sent := &changeCounter{state: state}
 	client := store.NewClient(clock, sent, slog.New(slog.NewTextHandler(io.Discard, nil)), rps, writeRPS, nodes)
@@ -89,21 +89,21 @@
 		client.Txn(store.Placements, wire.Txn{Then: []wire.Change{{Put: "c/r/1", Value: 1}}}, func(store.Result) { order() })
 		client.Txn(store.Placements, wire.Txn{Then: []wire.Change{{Put: "x/t/1", Value: 1}, {Put: "x/t/2", Value: 1}}}, func(store.Result) { record() })
 		client.Txn(store.Background, wire.Txn{Then: []wire.Change{{Delete: "c/m/1"}}}, func(store.Result) { tidied() })
-		clock.After(loop.Second, every)
+		clock.After(eventloop.Second, every)
 	}
 	every()
-	lease := &waitTimes{name: "leases", within: 10 * loop.Millisecond}
+	lease := &waitTimes{name: "leases", within: 10 * eventloop.Millisecond}
 	var renew func()
 	renew = func() {
 		renewed := lease.ask(clock.Now)
 		client.RenewLease(1, func(bool, bool) { renewed() })
-		clock.After(700*loop.Millisecond, renew)
+		clock.After(700*eventloop.Millisecond, renew)
 	}
 	renew()
-	clock.Advance(floodSeconds * loop.Second)
+	clock.Advance(floodSeconds * eventloop.Second)
 	for _, w := range []*waitTimes{reads, orders, starts, tidying, lease} {
-		if w.asked-w.done > int(w.within/loop.Second)+1 || w.longest > w.within {
-			t.Errorf("%s: %d of %d answered, the slowest after %d ms, want at most %d ms", w.name, w.done, w.asked, w.longest/loop.Millisecond, w.within/loop.Millisecond)
+		if w.asked-w.done > int(w.within/eventloop.Second)+1 || w.longest > w.within {
+			t.Errorf("%s: %d of %d answered, the slowest after %d ms, want at most %d ms", w.name, w.done, w.asked, w.longest/eventloop.Millisecond, w.within/eventloop.Millisecond)
 		}
 	}
 	// Submissions get what the other classes leave, which need four changes per second.
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/wire"
 )
 
@@ -43,18 +43,18 @@
 	ready         []func()
 	rand          *rand.Rand
 	// WatchWait is for how long a watch stays open without changes.
-	WatchWait     loop.Micros
+	WatchWait     eventloop.Micros
 	synced        []func(Synced)
-	scanning      bool        // a scan of all keys is in flight
-	watchSlack    loop.Micros // time beyond WatchWait after which a watch counts as lost
-	watchOpenedAt loop.Micros // monotonic time at which the newest watch was opened
+	scanning      bool             // a scan of all keys is in flight
+	watchSlack    eventloop.Micros // time beyond WatchWait after which a watch counts as lost
+	watchOpenedAt eventloop.Micros // monotonic time at which the newest watch was opened
 }
 
 // Synced says that the copy holds everything that the state service held when a request was made.
 type Synced struct {
-	SentAt   loop.Micros // monotonic time at which the request was made
-	Request  Sequence    // the request's sequence number
-	Revision uint64      // the store revision up to which every change has been applied
+	SentAt   eventloop.Micros // monotonic time at which the request was made
+	Request  Sequence         // the request's sequence number
+	Revision uint64           // the store revision up to which every change has been applied
 }
 
 const (
@@ -62,22 +62,22 @@
 	// collected. watchShare is the part of this controller's requests that watches may take: each counts as a
 	// request, and with many controllers they would leave none for anything else. A watch is not delayed by
 	// more than maxWatchPause on that account, since jobs that others store and cancel must become known here.
-	minWatchPause = 60 * loop.Millisecond
-	maxWatchPause = 500 * loop.Millisecond
+	minWatchPause = 60 * eventloop.Millisecond
+	maxWatchPause = 500 * eventloop.Millisecond
 	watchShare    = 0.3
 )
 
 // watchPause returns the time from the answer of a watch until the next watch is opened.
-func (m *Mirror) watchPause() loop.Micros {
-	apart := loop.Micros(1e6 / (m.client.requestTokens.rate * watchShare))
+func (m *Mirror) watchPause() eventloop.Micros {
+	apart := eventloop.Micros(1e6 / (m.client.requestTokens.rate * watchShare))
 	return max(minWatchPause, min(m.watchOpenedAt+apart-m.client.runner.Now(), maxWatchPause))
 }
 
 const (
 	// A watch whose connection is dead is given up after WatchWait and a slack. The slack doubles with each
 	// watch that gets no answer, so that a slow service is not asked in vain over and over.
-	minWatchSlack = 3 * loop.Second
-	maxWatchSlack = 24 * loop.Second
+	minWatchSlack = 3 * eventloop.Second
+	maxWatchSlack = 24 * eventloop.Second
 )
 
 // removal is a removed key. Its revision is kept for a while, so that a late message about an earlier revision
@@ -95,7 +95,7 @@
 
 // NewMirror makes an empty mirror; Start reads the keys and follows them.
 func NewMirror(c *Client, watch Doer, prefix string) *Mirror {
-	return &Mirror{client: c, watchDoer: watch, prefix: prefix, entries: map[string]Entry{}, WatchWait: 20 * loop.Second, watchSlack: minWatchSlack}
+	return &Mirror{client: c, watchDoer: watch, prefix: prefix, entries: map[string]Entry{}, WatchWait: 20 * eventloop.Second, watchSlack: minWatchSlack}
 }
 
 // OnChange calls f for every change of a key under the prefix. The entry of a removed key has a Revision of 0.
@@ -161,7 +161,7 @@
 
 // Start reads all keys, and follows their changes from then on.
 func (m *Mirror) Start() {
-	m.rand = loop.Rand(m.client.runner)
+	m.rand = eventloop.Rand(m.client.runner)
 	m.read()
 }
 
@@ -172,7 +172,7 @@
 		if !ok {
 			// The delay is random, so that controllers that start together do not retry together.
 			m.failedReads = min(m.failedReads+1, 4)
-			wait := 200 * loop.Millisecond << m.failedReads
+			wait := 200 * eventloop.Millisecond << m.failedReads
 			m.client.log.Info("keys cannot be read from the state service; the read will be retried", "prefix", m.prefix, "again_in_us", wait)
 			m.client.runner.After(wait/2+m.rand.Int64N(wait/2), m.read)
 			return
@@ -232,8 +232,8 @@
 }
 
 // changesPath returns the path of a watch for the changes that are not known here yet.
-func (m *Mirror) changesPath(wait loop.Micros) string {
-	return "/changes?under=" + m.prefix + "&since=" + strconv.FormatUint(m.storeRevision, 10) + "&waitMs=" + strconv.FormatInt(wait/loop.Millisecond, 10)
+func (m *Mirror) changesPath(wait eventloop.Micros) string {
+	return "/changes?under=" + m.prefix + "&since=" + strconv.FormatUint(m.storeRevision, 10) + "&waitMs=" + strconv.FormatInt(wait/eventloop.Millisecond, 10)
 }
 
 // Sync brings the copy up to date with what the state service holds now, by a watch that does not wait. The
@@ -265,7 +265,7 @@
 	m.watchOpenedAt = now
 	m.client.requestTokens.tokens--
 	path, request := m.changesPath(m.WatchWait), m.client.NextSequence()
-	timeout := loop.Duration(m.WatchWait + m.watchSlack)
+	timeout := eventloop.Duration(m.WatchWait + m.watchSlack)
 	m.client.runner.Go(func() {
 		resp := m.watchDoer.Do("GET", path, nil, timeout)
 		m.client.runner.Post(func() { m.handleWatch(now, request, resp) })
@@ -273,7 +273,7 @@
 }
 
 // handleWatch handles the answer of a watch and schedules the next one.
-func (m *Mirror) handleWatch(sent loop.Micros, request Sequence, resp Response) {
+func (m *Mirror) handleWatch(sent eventloop.Micros, request Sequence, resp Response) {
 	if resp.Err == nil && resp.Status == 410 {
 		m.read()
 		return
@@ -284,7 +284,7 @@
 		if resp.Err != nil {
 			m.watchSlack = min(2*m.watchSlack, maxWatchSlack)
 		}
-		m.client.runner.After(200*loop.Millisecond, m.openWatch)
+		m.client.runner.After(200*eventloop.Millisecond, m.openWatch)
 		return
 	}
 	m.watchSlack = minWatchSlack
@@ -320,7 +320,7 @@
 }
 
 // notifySynced calls the functions set by OnSynced.
-func (m *Mirror) notifySynced(sent loop.Micros, request Sequence) {
+func (m *Mirror) notifySynced(sent eventloop.Micros, request Sequence) {
 	for _, f := range m.synced {
 		f(Synced{SentAt: sent, Request: request, Revision: m.storeRevision})
 	}
--- a/internal/store/rate.go
+++ b/internal/store/rate.go
@@ -1,15 +1,15 @@
 package store
 
-import "cleatpick/internal/loop"
+import "cleatpick/internal/eventloop"
 
 // bucket is a token bucket on the monotonic clock.
 type bucket struct {
 	rate, burst, tokens float64
-	filledAt            loop.Micros
+	filledAt            eventloop.Micros
 }
 
 // fill adds the tokens that have accrued until now; the bucket starts full.
-func (b *bucket) fill(now loop.Micros) {
+func (b *bucket) fill(now eventloop.Micros) {
 	if b.filledAt != 0 {
 		b.tokens += float64(now-b.filledAt) / 1e6 * b.rate
 	}
@@ -25,7 +25,7 @@
 	// most. The pace recovers by paceStep with each call of SetShare that comes more than a second after the last
 	// slowdown.
 	paceFactor          = 0.7
-	minSlowDownInterval = 500 * loop.Millisecond
+	minSlowDownInterval = 500 * eventloop.Millisecond
 	minPace             = 0.25
 	paceStep            = 0.05
 )
@@ -33,7 +33,7 @@
 // SetShare sets the share of the service's limits that this controller uses. It is called periodically.
 func (c *Client) SetShare(share float64) {
 	pace := c.pace
-	if pace < 1 && c.runner.Now()-c.slowedAt > loop.Second {
+	if pace < 1 && c.runner.Now()-c.slowedAt > eventloop.Second {
 		pace = min(pace+paceStep, 1)
 	}
 	c.setRates(share, pace)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/fixed"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
 
 	"pgregory.net/rapid"
@@ -21,15 +21,15 @@
 
 // manualLoop is an event loop with a clock set by the test; delayed functions are collected and run by the test.
 type manualLoop struct {
-	now   loop.Micros
+	now   eventloop.Micros
 	after []func()
 }
 
-func (s *manualLoop) Now() loop.Micros              { return s.now }
-func (s *manualLoop) Wall() loop.Micros             { return s.now }
-func (s *manualLoop) Post(f func())                 { f() }
-func (s *manualLoop) After(_ loop.Micros, f func()) { s.after = append(s.after, f) }
-func (s *manualLoop) Go(f func())                   { f() }
+func (s *manualLoop) Now() eventloop.Micros              { return s.now }
+func (s *manualLoop) Wall() eventloop.Micros             { return s.now }
+func (s *manualLoop) Post(f func())                      { f() }
+func (s *manualLoop) After(_ eventloop.Micros, f func()) { s.after = append(s.after, f) }
+func (s *manualLoop) Go(f func())                        { f() }
 
 // countingDoer counts the requests by path and answers each as an applied transaction.
 type countingDoer struct{ sent map[string]int }
@@ -78,7 +78,7 @@
 // slowService is a state service whose answers take some time.
 type slowService struct {
 	r     *manualLoop
-	takes loop.Micros
+	takes eventloop.Micros
 	resp  func(path string) Response
 	asked []time.Duration // timeouts of the requests
 }
@@ -93,10 +93,10 @@
 // may have been answered long before. A watch without an answer proves nothing, and the next one gets a longer
 // timeout, so that a slow service is not asked in vain for ever.
 func TestSyncedCountsFromRequest(t *testing.T) {
-	r := &manualLoop{now: 100 * loop.Second}
+	r := &manualLoop{now: 100 * eventloop.Second}
 	storeRevision := uint64(7)
 	lost := false
-	l := &slowService{r: r, takes: loop.Second, resp: func(path string) Response {
+	l := &slowService{r: r, takes: eventloop.Second, resp: func(path string) Response {
 		switch {
 		case lost:
 			return Response{Err: io.EOF}
@@ -106,9 +106,9 @@
 		return Response{Status: 200, Body: wire.Marshal(wire.Range{StoreRevision: storeRevision})}
 	}}
 	m := NewMirror(NewClient(r, l, slog.New(slog.NewTextHandler(io.Discard, nil)), 100, 100, 1), l, "c/")
-	m.WatchWait = 2 * loop.Second
-	var got [][2]loop.Micros
-	m.OnSynced(func(s Synced) { got = append(got, [2]loop.Micros{s.SentAt, loop.Micros(s.Revision)}) })
+	m.WatchWait = 2 * eventloop.Second
+	var got [][2]eventloop.Micros
+	m.OnSynced(func(s Synced) { got = append(got, [2]eventloop.Micros{s.SentAt, eventloop.Micros(s.Revision)}) })
 	m.Start()
 	next := func() {
 		f := r.after[len(r.after)-1]
@@ -124,8 +124,8 @@
 	lost, storeRevision = false, 12
 	next()
 	next()
-	s := loop.Second
-	want := [][2]loop.Micros{{100 * s, 7}, {101 * s, 7}, {102 * s, 9}, {109 * s, 12}, {110 * s, 12}}
+	s := eventloop.Second
+	want := [][2]eventloop.Micros{{100 * s, 7}, {101 * s, 7}, {102 * s, 9}, {109 * s, 12}, {110 * s, 12}}
 	if !slices.Equal(got, want) {
 		t.Errorf("synced as of %v, want %v", got, want)
 	}
@@ -140,11 +140,11 @@
 
 // Requests about leases are sent first and are never paced; all others keep to this controller's share.
 func TestLeasesAreNotPaced(t *testing.T) {
-	r := &manualLoop{now: loop.Second}
+	r := &manualLoop{now: eventloop.Second}
 	c := &countingDoer{sent: map[string]int{}}
 	cl := NewClient(r, c, slog.New(slog.NewTextHandler(io.Discard, nil)), 30, 30, 3)
 	for range 100 {
-		cl.Send(Results, 1, "POST", "/multi", wire.Txn{}, loop.Second, func(Response) {})
+		cl.Send(Results, 1, "POST", "/multi", wire.Txn{}, eventloop.Second, func(Response) {})
 	}
 	burst := c.sent["/multi"]
 	if burst == 0 || burst > 10 {
@@ -157,7 +157,7 @@
 		t.Fatalf("%d of 5 lease renewals were sent at once", c.sent["/holds/7/extend"])
 	}
 	for range 20 { // two seconds in steps of 100 ms
-		r.now += 100 * loop.Millisecond
+		r.now += 100 * eventloop.Millisecond
 		due := r.after
 		r.after = nil
 		for _, f := range due {
@@ -197,10 +197,10 @@
 // The caller of a transaction is blocked until its answer. So the client gives up on a lost answer soon, and
 // waits longer only while several answers in a row do not arrive, since the service is slow then.
 func TestLostAnswersTimeOutSoon(t *testing.T) {
-	r := &manualLoop{now: 100 * loop.Second}
+	r := &manualLoop{now: 100 * eventloop.Second}
 	lost := func(n int) bool { return n%3 != 0 } // two of three answers are lost
 	n := 0
-	l := &slowService{r: r, takes: 2 * loop.Second, resp: func(string) Response {
+	l := &slowService{r: r, takes: 2 * eventloop.Second, resp: func(string) Response {
 		if n++; lost(n) {
 			return Response{Err: io.EOF}
 		}
--- a/internal/store/sync_test.go
+++ b/internal/store/sync_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/wire"
 )
 
@@ -33,9 +33,9 @@
 		{"an undecodable answer", Response{Status: 200, Body: []byte{0xff}}, Response{}, Unknown, 0, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := &manualLoop{now: 100 * loop.Second}
+			r := &manualLoop{now: 100 * eventloop.Second}
 			var path string
-			l := &slowService{r: r, takes: loop.Second, resp: func(p string) Response {
+			l := &slowService{r: r, takes: eventloop.Second, resp: func(p string) Response {
 				if strings.HasPrefix(p, "/changes") {
 					path = p
 					return c.changes
@@ -73,7 +73,7 @@
 				}
 				return
 			}
-			if len(reported) != 1 || reported[0].Revision != c.storeRevision || reported[0].Request <= before || reported[0].Request >= after || reported[0].SentAt > r.now-loop.Second {
+			if len(reported) != 1 || reported[0].Revision != c.storeRevision || reported[0].Request <= before || reported[0].Request >= after || reported[0].SentAt > r.now-eventloop.Second {
 				t.Errorf("OnSynced was called with %+v, want one call with a request number between %d and %d", reported, before, after)
 			}
 		})
--- a/internal/watermark/watermark.go
+++ b/internal/watermark/watermark.go
@@ -16,7 +16,7 @@
 	"log/slog"
 	"slices"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
 // State says what advances the watermark.
@@ -39,18 +39,18 @@
 // keeps tasks running until U + lease at most, and a cancellation that is unknown here was confirmed at the
 // watermark or later. So with U < watermark + Grace, its tasks stop within cancel of the confirmation. The
 // margin covers the drift of clocks and checks that run only periodically.
-func Grace(lease, cancel loop.Micros) loop.Micros {
+func Grace(lease, cancel eventloop.Micros) eventloop.Micros {
 	budget := cancel - lease
-	return budget - min(2*loop.Second, budget/4)
+	return budget - min(2*eventloop.Second, budget/4)
 }
 
 // WatchWait returns for how long a watch of the state service may stay open without changes. An answered watch
 // advances the watermark to the time at which it was sent, so the watermark must not age while a prefix does
 // not change. It costs 1/WatchWait requests per second, at most a twentieth of the controller's share of requests.
-func WatchWait(grace loop.Micros, rps float64) loop.Micros {
-	const least = loop.Second / 4
-	want := min(max(grace/8, least), 2*loop.Second)
-	return min(max(want, loop.Seconds(20/max(rps, 0.01))), max(grace/2, least))
+func WatchWait(grace eventloop.Micros, rps float64) eventloop.Micros {
+	const least = eventloop.Second / 4
+	want := min(max(grace/8, least), 2*eventloop.Second)
+	return min(max(want, eventloop.Seconds(20/max(rps, 0.01))), max(grace/2, least))
 }
 
 // Cancellation is a cancelled job, with the revision of its record.
@@ -65,28 +65,28 @@
 // Message is the message of a controller to one peer. It is a question, and also the answer to that peer's newest
 // question.
 type Message struct {
-	Version   int         `cbor:"1,keyasint"`
-	Timestamp loop.Micros `cbor:"2,keyasint"` // the sender's monotonic clock; identifies the question
-	Revision  uint64      `cbor:"3,keyasint"` // the store revision up to which the sender knows every change
+	Version   int              `cbor:"1,keyasint"`
+	Timestamp eventloop.Micros `cbor:"2,keyasint"` // the sender's monotonic clock; identifies the question
+	Revision  uint64           `cbor:"3,keyasint"` // the store revision up to which the sender knows every change
 	// Echo is the Timestamp of the receiver's question that is answered, and Incarnation the receiver's
 	// incarnation that asked it; an Echo of 0 means that the sender cannot answer. Every cancellation that the
 	// sender confirmed to a user before it received the question has a revision of at most SinceRevision or is
 	// listed in Cancellations.
-	Echo          loop.Micros    `cbor:"4,keyasint,omitempty"`
-	Incarnation   loop.Micros    `cbor:"5,keyasint,omitempty"`
-	SinceRevision uint64         `cbor:"6,keyasint,omitempty"`
-	Cancellations []Cancellation `cbor:"7,keyasint,omitempty"`
+	Echo          eventloop.Micros `cbor:"4,keyasint,omitempty"`
+	Incarnation   eventloop.Micros `cbor:"5,keyasint,omitempty"`
+	SinceRevision uint64           `cbor:"6,keyasint,omitempty"`
+	Cancellations []Cancellation   `cbor:"7,keyasint,omitempty"`
 	// HasWatermark is set if the sender has a watermark, which was WatermarkAge old when it answered.
-	HasWatermark bool        `cbor:"8,keyasint,omitempty"`
-	WatermarkAge loop.Micros `cbor:"9,keyasint,omitempty"`
+	HasWatermark bool             `cbor:"8,keyasint,omitempty"`
+	WatermarkAge eventloop.Micros `cbor:"9,keyasint,omitempty"`
 }
 
 // peer is what is known of one peer.
 type peer struct {
-	timestamp, incarnation loop.Micros // of its newest question
-	revision               uint64      // the revision up to which it knows every change, as of that question
-	receivedAt             loop.Micros // when that question arrived
-	echoed                 loop.Micros // our newest timestamp that it has answered; 0: none
+	timestamp, incarnation eventloop.Micros // of its newest question
+	revision               uint64           // the revision up to which it knows every change, as of that question
+	receivedAt             eventloop.Micros // when that question arrived
+	echoed                 eventloop.Micros // our newest timestamp that it has answered; 0: none
 }
 
 // maxRecent bounds the cancellations that are kept for messages to peers: those of the highest revisions are.
@@ -95,25 +95,25 @@
 
 // maxQuestionAge is for how long a question is answered repeatedly. What a silent peer lacks keeps growing, and the
 // answer to an old question is of no use to it.
-const maxQuestionAge = 5 * loop.Second
+const maxQuestionAge = 5 * eventloop.Second
 
 // Tracker maintains the cancellation watermark of one controller. It is used on the event loop only.
 type Tracker struct {
-	clock       loop.Clock
+	clock       eventloop.Clock
 	log         *slog.Logger
-	incarnation loop.Micros
-	grace       loop.Micros
+	incarnation eventloop.Micros
+	grace       eventloop.Micros
 	peers       map[string]*peer
-	loaded      bool        // the job records were read in this incarnation
-	byStore     loop.Micros // the watermark by the answers of the state service
-	revision    uint64      // the store revision up to which every change is known here
-	byPeer      loop.Micros // the highest watermark that a single peer has passed on
+	loaded      bool             // the job records were read in this incarnation
+	byStore     eventloop.Micros // the watermark by the answers of the state service
+	revision    uint64           // the store revision up to which every change is known here
+	byPeer      eventloop.Micros // the highest watermark that a single peer has passed on
 	// recent holds the cancellations known here, sorted by revision, and droppedUpTo is the highest revision
 	// of those that were dropped from it.
 	recent      []Cancellation
 	droppedUpTo uint64
 	state       State
-	since       loop.Micros // monotonic time of the last change of state
+	since       eventloop.Micros // monotonic time of the last change of state
 	// RecordFromPeer accepts a cancellation that a peer sent; it returns false if the cancellation cannot be
 	// recorded.
 	RecordFromPeer func(Cancellation) bool
@@ -122,7 +122,7 @@
 }
 
 // New makes a tracker without a watermark. incarnation is that of this process.
-func New(clock loop.Clock, log *slog.Logger, incarnation, grace loop.Micros, peers []string) *Tracker {
+func New(clock eventloop.Clock, log *slog.Logger, incarnation, grace eventloop.Micros, peers []string) *Tracker {
 	t := &Tracker{clock: clock, log: log, incarnation: incarnation, grace: grace, peers: map[string]*peer{}, since: clock.Now()}
 	for _, p := range peers {
 		t.peers[p] = &peer{}
@@ -132,7 +132,7 @@
 
 // RecordSync records that an answer of the state service to a request sent at a time has been applied completely,
 // so that every change up to this revision is known here.
-func (t *Tracker) RecordSync(sent loop.Micros, revision uint64) {
+func (t *Tracker) RecordSync(sent eventloop.Micros, revision uint64) {
 	t.loaded, t.byStore, t.revision = true, max(t.byStore, sent), max(t.revision, revision)
 }
 
@@ -159,7 +159,7 @@
 }
 
 // Watermark returns the watermark; 0 if there is none.
-func (t *Tracker) Watermark() loop.Micros {
+func (t *Tracker) Watermark() eventloop.Micros {
 	if !t.loaded {
 		return 0
 	}
@@ -170,7 +170,7 @@
 // byAllPeers returns the watermark that follows from the answers of all peers together, and the peer that holds it
 // back. Without peers it is now, since the controller knows all that it, or an earlier incarnation of it, has
 // confirmed.
-func (t *Tracker) byAllPeers() (at loop.Micros, who string) {
+func (t *Tracker) byAllPeers() (at eventloop.Micros, who string) {
 	at = t.clock.Now()
 	for label, p := range t.peers { // runs for each answered report, so the peers are not sorted; a tie goes to the first name
 		if p.echoed < at || p.echoed == at && who > label {
@@ -212,7 +212,7 @@
 
 // Receive applies a message from a peer; incarnation is that of its process, as named by the frame that contained the
 // message.
-func (t *Tracker) Receive(label string, incarnation loop.Micros, w *Message) {
+func (t *Tracker) Receive(label string, incarnation eventloop.Micros, w *Message) {
 	p := t.peers[label]
 	if p == nil || w == nil {
 		return
@@ -275,7 +275,7 @@
 
 // UpdateState determines what advances the watermark now, logs a change, and returns the watermark's age. It must be
 // called periodically.
-func (t *Tracker) UpdateState() (age loop.Micros) {
+func (t *Tracker) UpdateState() (age eventloop.Micros) {
 	now := t.clock.Now()
 	at := t.Watermark()
 	age = now - at
@@ -286,9 +286,9 @@
 		return 0
 	case age >= t.grace:
 		t.setState(Expired, now, age)
-	case now-t.byStore < max(fresh, loop.Second):
+	case now-t.byStore < max(fresh, eventloop.Second):
 		t.setState(Current, now, age)
-	case age < max(fresh, loop.Second):
+	case age < max(fresh, eventloop.Second):
 		t.setState(Shared, now, age)
 	default:
 		t.setState(Aging, now, age)
@@ -297,7 +297,7 @@
 }
 
 // setState changes the state. No other function does.
-func (t *Tracker) setState(s State, now, age loop.Micros) {
+func (t *Tracker) setState(s State, now, age eventloop.Micros) {
 	if t.state == s {
 		return
 	}
--- a/internal/watermark/watermark_test.go
+++ b/internal/watermark/watermark_test.go
@@ -7,27 +7,27 @@
 	"math/rand/v2"
 	"testing"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
 // manualClock is a monotonic clock set by the test, with a zero of its own.
-type manualClock struct{ true, zero loop.Micros }
+type manualClock struct{ true, zero eventloop.Micros }
 
-func (h *manualClock) Now() loop.Micros  { return h.true - h.zero }
-func (h *manualClock) Wall() loop.Micros { return h.true }
+func (h *manualClock) Now() eventloop.Micros  { return h.true - h.zero }
+func (h *manualClock) Wall() eventloop.Micros { return h.true }
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-const grace = 18 * loop.Second
+const grace = 18 * eventloop.Second
 
 // simulation is a simulated deployment: what the state service holds, what each controller knows, and what users were
 // told when. The network loses, delays and duplicates messages.
 type simulation struct {
-	now         loop.Micros
+	now         eventloop.Micros
 	rng         *rand.Rand
 	stored      []string // cancelled jobs; the revision of the first is 1
 	controllers []*simController
-	confirmedAt map[string]loop.Micros // time at which the first user was told of each cancellation
+	confirmedAt map[string]eventloop.Micros // time at which the first user was told of each cancellation
 	inFlight    []message
 }
 
@@ -36,7 +36,7 @@
 	label        string
 	clock        *manualClock
 	tracker      *Tracker
-	incarnation  loop.Micros
+	incarnation  eventloop.Micros
 	known        map[string]uint64
 	revision     int  // the revision up to which its mirror has every change
 	disconnected bool // disconnected from the state service
@@ -44,15 +44,15 @@
 
 // message is a message in flight.
 type message struct {
-	at          loop.Micros
+	at          eventloop.Micros
 	from, to    int
-	incarnation loop.Micros
+	incarnation eventloop.Micros
 	w           *Message
 }
 
 // newSimulation makes a deployment of n controllers.
 func newSimulation(seed uint64, n int) *simulation {
-	s := &simulation{now: 1000 * loop.Second, rng: rand.New(rand.NewPCG(seed, 3)), confirmedAt: map[string]loop.Micros{}}
+	s := &simulation{now: 1000 * eventloop.Second, rng: rand.New(rand.NewPCG(seed, 3)), confirmedAt: map[string]eventloop.Micros{}}
 	for i := range n {
 		s.controllers = append(s.controllers, &simController{label: string(rune('a' + i))})
 	}
@@ -65,7 +65,7 @@
 // restart starts a new incarnation of a controller, which knows nothing of the previous one.
 func (s *simulation) restart(i int) {
 	n := s.controllers[i]
-	n.clock = &manualClock{true: s.now, zero: s.now - loop.Second - s.rng.Int64N(int64(1000*loop.Second))}
+	n.clock = &manualClock{true: s.now, zero: s.now - eventloop.Second - s.rng.Int64N(int64(1000*eventloop.Second))}
 	n.incarnation, n.known, n.revision = s.now, map[string]uint64{}, 0
 	var peers []string
 	for k, o := range s.controllers {
@@ -83,7 +83,7 @@
 }
 
 // deliverRead delivers the answer to a request that a controller sent some time ago.
-func (s *simulation) deliverRead(i int, sent loop.Micros) {
+func (s *simulation) deliverRead(i int, sent eventloop.Micros) {
 	n := s.controllers[i]
 	if n.disconnected {
 		return
@@ -122,7 +122,7 @@
 
 // step advances the time and performs one random action; lossy adds long delays, disconnections and restarts.
 func (s *simulation) step(lossy bool) {
-	s.now += s.rng.Int64N(int64(300 * loop.Millisecond))
+	s.now += s.rng.Int64N(int64(300 * eventloop.Millisecond))
 	for _, n := range s.controllers {
 		n.clock.true = s.now
 	}
@@ -130,7 +130,7 @@
 	n := s.controllers[i]
 	switch s.rng.IntN(10) {
 	case 0, 1, 2:
-		s.deliverRead(i, s.now-s.rng.Int64N(int64(2*loop.Second)))
+		s.deliverRead(i, s.now-s.rng.Int64N(int64(2*eventloop.Second)))
 	case 3:
 		s.cancel(i)
 	case 4:
@@ -146,9 +146,9 @@
 			}
 			w := n.tracker.MessageFor(s.controllers[k].label)
 			for s.rng.IntN(5) > 0 { // the message is lost, delivered once or duplicated
-				d := s.rng.Int64N(int64(200 * loop.Millisecond))
+				d := s.rng.Int64N(int64(200 * eventloop.Millisecond))
 				if lossy && s.rng.IntN(6) == 0 {
-					d = s.rng.Int64N(int64(60 * loop.Second))
+					d = s.rng.Int64N(int64(60 * eventloop.Second))
 				}
 				s.inFlight = append(s.inFlight, message{s.now + d, i, k, n.incarnation, w})
 				if s.rng.IntN(4) > 0 {
@@ -197,7 +197,7 @@
 						t.Fatalf("seed %d: %s does not know the cancellation of %s, confirmed %d us before its watermark", seed, n.label, job, at+n.clock.zero-confirmed)
 					}
 				}
-				if n.disconnected && at > n.tracker.byStore+5*loop.Second {
+				if n.disconnected && at > n.tracker.byStore+5*eventloop.Second {
 					moved++
 				}
 			}
@@ -220,7 +220,7 @@
 			s.step(false)
 		}
 		for _, x := range s.controllers {
-			if age := x.clock.Now() - x.tracker.Watermark(); age > loop.Micros(n)*8*loop.Second || !x.tracker.loaded || age > 0 && n == 1 {
+			if age := x.clock.Now() - x.tracker.Watermark(); age > eventloop.Micros(n)*8*eventloop.Second || !x.tracker.loaded || age > 0 && n == 1 {
 				t.Errorf("%d controllers: the watermark of %s is %d us old", n, x.label, age)
 			}
 		}
@@ -254,7 +254,7 @@
 		tracker.Discarded = func(string, string) { dropped++ }
 		tracker.RecordSync(100, 10)
 		tracker.Receive("b", 3, &c.w)
-		want := loop.Micros(900)
+		want := eventloop.Micros(900)
 		if c.bad || c.w.Echo == 0 {
 			want = 100
 		}
@@ -271,7 +271,7 @@
 func TestQuestionsOfANewIncarnationAreAnswered(t *testing.T) {
 	tracker := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
 	tracker.RecordSync(100, 10)
-	for _, c := range [][4]loop.Micros{{3, 800, 3, 800}, {3, 700, 3, 800}, {4, 20, 4, 20}, {4, 30, 4, 30}, {4, 25, 4, 30}} {
+	for _, c := range [][4]eventloop.Micros{{3, 800, 3, 800}, {3, 700, 3, 800}, {4, 20, 4, 20}, {4, 30, 4, 30}, {4, 25, 4, 30}} {
 		tracker.Receive("b", c[0], &Message{Version: 1, Timestamp: c[1], Revision: 10})
 		if w := tracker.MessageFor("b"); w.Incarnation != c[2] || w.Echo != c[3] {
 			t.Errorf("after question %d of incarnation %d, question %d of incarnation %d is answered", c[1], c[0], w.Echo, w.Incarnation)
@@ -289,7 +289,7 @@
 	}
 	lowest := uint64(5000 - maxRecent)
 	for _, revision := range []uint64{0, lowest - 1, lowest, lowest + 1, 4999, 5000} {
-		tracker.Receive("b", 3, &Message{Version: 1, Timestamp: 5 + loop.Micros(revision), Revision: revision})
+		tracker.Receive("b", 3, &Message{Version: 1, Timestamp: 5 + eventloop.Micros(revision), Revision: revision})
 		w := tracker.MessageFor("b")
 		if answered := w.Echo != 0; answered != (revision >= lowest) || answered && len(w.Cancellations) != int(5000-revision) {
 			t.Errorf("peer at revision %d: %d of %d cancellations are sent, as an answer to question %d", revision, len(w.Cancellations), 5000-revision, w.Echo)
@@ -300,41 +300,41 @@
 // The states follow each other as the watermark ages and advances. Grace and WatchWait return the values computed by
 // hand.
 func TestStates(t *testing.T) {
-	c := &manualClock{true: 100 * loop.Second}
+	c := &manualClock{true: 100 * eventloop.Second}
 	tracker := New(c, quiet, 7, grace, []string{"b", "c"})
 	var got []string
-	look := func(at loop.Micros) {
-		c.true = at * loop.Second
+	look := func(at eventloop.Micros) {
+		c.true = at * eventloop.Second
 		tracker.UpdateState()
 		got = append(got, fmt.Sprint(tracker.State(), tracker.MayAnswerReports()))
 	}
 	look(100)
-	tracker.RecordSync(100*loop.Second, 10)
+	tracker.RecordSync(100*eventloop.Second, 10)
 	look(101)
-	c.true = 108 * loop.Second
+	c.true = 108 * eventloop.Second
 	for _, p := range []string{"b", "c"} {
-		tracker.Receive(p, 3, &Message{Version: 1, Timestamp: 5, Echo: 108 * loop.Second, Incarnation: 7, SinceRevision: 10})
+		tracker.Receive(p, 3, &Message{Version: 1, Timestamp: 5, Echo: 108 * eventloop.Second, Incarnation: 7, SinceRevision: 10})
 	}
 	look(109)
-	tracker.Receive("b", 3, &Message{Version: 1, Timestamp: 6, Echo: 109 * loop.Second, Incarnation: 7, SinceRevision: 10}) // c holds the watermark back
+	tracker.Receive("b", 3, &Message{Version: 1, Timestamp: 6, Echo: 109 * eventloop.Second, Incarnation: 7, SinceRevision: 10}) // c holds the watermark back
 	look(120)
 	look(125)
 	look(126)
-	tracker.Receive("b", 3, &Message{Version: 1, Timestamp: 7, Echo: 126 * loop.Second, Incarnation: 7, SinceRevision: 10, HasWatermark: true, WatermarkAge: loop.Second})
+	tracker.Receive("b", 3, &Message{Version: 1, Timestamp: 7, Echo: 126 * eventloop.Second, Incarnation: 7, SinceRevision: 10, HasWatermark: true, WatermarkAge: eventloop.Second})
 	look(126)
 	if s, want := fmt.Sprint(got), "[blind false current true shared true aging true aging true lapsed false shared true]"; s != want {
 		t.Errorf("states: %s, want %s", s, want)
 	}
-	for _, x := range [][3]loop.Micros{{26500, 46500, 18000}, {17500, 47500, 28000}, {10000, 11000, 750}} {
+	for _, x := range [][3]eventloop.Micros{{26500, 46500, 18000}, {17500, 47500, 28000}, {10000, 11000, 750}} {
 		if g := Grace(x[0]*1000, x[1]*1000); g != x[2]*1000 {
 			t.Errorf("lease %d, cancellation %d: Grace is %d us, want %d", x[0], x[1], g, x[2]*1000)
 		}
 	}
 	for _, x := range []struct {
-		grace loop.Micros
+		grace eventloop.Micros
 		rps   float64
-		want  loop.Micros
-	}{{18 * loop.Second, 54, 2 * loop.Second}, {18 * loop.Second, 4, 5 * loop.Second}, {18 * loop.Second, 0.1, 9 * loop.Second}, {loop.Second, 100, loop.Second / 4}, {8 * loop.Second, 54, loop.Second}} {
+		want  eventloop.Micros
+	}{{18 * eventloop.Second, 54, 2 * eventloop.Second}, {18 * eventloop.Second, 4, 5 * eventloop.Second}, {18 * eventloop.Second, 0.1, 9 * eventloop.Second}, {eventloop.Second, 100, eventloop.Second / 4}, {8 * eventloop.Second, 54, eventloop.Second}} {
 		if got := WatchWait(x.grace, x.rps); got != x.want {
 			t.Errorf("%+v: WatchWait is %d us", x, got)
 		}
--- a/internal/workers/commands.go
+++ b/internal/workers/commands.go
@@ -4,13 +4,13 @@
 	"context"
 	"log/slog"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
 )
 
 // expireStarts removes starts that may not be carried out any more and cannot be in flight.
-func (a *Registry) expireStarts(m *machine, wall loop.Micros) {
+func (a *Registry) expireStarts(m *machine, wall eventloop.Micros) {
 	for k, p := range m.pending {
 		if wall >= p.start.Expiry && !p.direct && !m.inAnswer(k) && p.untilToken == 0 {
 			delete(m.pending, k)
--- a/internal/workers/delta.go
+++ b/internal/workers/delta.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 )
 
 // Changes are the differences between a view and the previous view of the same machine. They make the cost of a
@@ -112,21 +112,21 @@
 // applied only to exactly that view: of the same host, incarnation and session, and of the same report and
 // revision. The incarnation matters because a restarted host counts its revisions from the beginning.
 type Delta struct {
-	Name           string        `cbor:"1,keyasint"`
-	Session        uint64        `cbor:"2,keyasint"`
-	BaseSeq        uint64        `cbor:"3,keyasint"`
-	BaseRev        uint64        `cbor:"4,keyasint"`
-	Seq            uint64        `cbor:"5,keyasint"`
-	Rev            uint64        `cbor:"6,keyasint"`
-	TokenConfirmed bool          `cbor:"7,keyasint,omitempty"`
-	MadeAfter      loop.Micros   `cbor:"8,keyasint"`
-	NoticeAt       loop.Micros   `cbor:"9,keyasint,omitempty"`
-	ClosedToStarts bool          `cbor:"10,keyasint,omitempty"`
-	Removed        []int         `cbor:"11,keyasint,omitempty"` // positions in the previous list
-	Added          []IndexedTask `cbor:"12,keyasint,omitempty"` // positions in the new list
-	Pending        []Task        `cbor:"13,keyasint,omitempty"`
-	Incarnation    loop.Micros   `cbor:"14,keyasint,omitempty"`
-	ReportedAt     loop.Micros   `cbor:"15,keyasint,omitempty"`
+	Name           string           `cbor:"1,keyasint"`
+	Session        uint64           `cbor:"2,keyasint"`
+	BaseSeq        uint64           `cbor:"3,keyasint"`
+	BaseRev        uint64           `cbor:"4,keyasint"`
+	Seq            uint64           `cbor:"5,keyasint"`
+	Rev            uint64           `cbor:"6,keyasint"`
+	TokenConfirmed bool             `cbor:"7,keyasint,omitempty"`
+	MadeAfter      eventloop.Micros `cbor:"8,keyasint"`
+	NoticeAt       eventloop.Micros `cbor:"9,keyasint,omitempty"`
+	ClosedToStarts bool             `cbor:"10,keyasint,omitempty"`
+	Removed        []int            `cbor:"11,keyasint,omitempty"` // positions in the previous list
+	Added          []IndexedTask    `cbor:"12,keyasint,omitempty"` // positions in the new list
+	Pending        []Task           `cbor:"13,keyasint,omitempty"`
+	Incarnation    eventloop.Micros `cbor:"14,keyasint,omitempty"`
+	ReportedAt     eventloop.Micros `cbor:"15,keyasint,omitempty"`
 }
 
 // deltaTo returns the differences of v from base; ok is false where only the full view can be sent.
@@ -190,14 +190,14 @@
 // several steps in quick succession. The delay grows with the fleet, because the cost of publishing grows with
 // the number of machines times the number of controllers.
 const (
-	minPublishDelay        = 25 * loop.Millisecond
+	minPublishDelay        = 25 * eventloop.Millisecond
 	publishDelayPerMachine = 40 // in microseconds per machine of the fleet, if that gives more than minPublishDelay
-	maxPublishDelay        = 100 * loop.Millisecond
+	maxPublishDelay        = 100 * eventloop.Millisecond
 )
 
 // publishDelay returns the delay between the first change of a view and its publication.
-func (a *Registry) publishDelay() loop.Micros {
-	return min(max(minPublishDelay, loop.Micros(len(a.views)*publishDelayPerMachine)), maxPublishDelay)
+func (a *Registry) publishDelay() eventloop.Micros {
+	return min(max(minPublishDelay, eventloop.Micros(len(a.views)*publishDelayPerMachine)), maxPublishDelay)
 }
 
 // ViewUpdate is what a host publishes of its machines: full views, and deltas for machines whose previous view was
--- a/internal/workers/direct.go
+++ b/internal/workers/direct.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
@@ -14,7 +14,7 @@
 		return
 	}
 	m.sendScheduled = true
-	a.runner.After(4*loop.Millisecond, func() {
+	a.runner.After(4*eventloop.Millisecond, func() {
 		m.sendScheduled = false
 		a.sendCommands(m)
 	})
@@ -42,7 +42,7 @@
 }
 
 // handleDirectResponse handles the response to a direct command.
-func (a *Registry) handleDirectResponse(m *machine, token uint64, sent loop.Micros, resp store.Response) {
+func (a *Registry) handleDirectResponse(m *machine, token uint64, sent eventloop.Micros, resp store.Response) {
 	m.directInFlight = false
 	var r wire.Report
 	sure := resp.Err == nil && (resp.Status == 200 || resp.Status == 409) && wire.Unmarshal(resp.Body, &r) == nil
--- a/internal/workers/forget.go
+++ b/internal/workers/forget.go
@@ -2,7 +2,7 @@
 
 import (
 	"cleatpick/internal/delivery"
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
 // forgetVerdict says whether a worker may forget a terminated attempt, or why not yet.
@@ -66,12 +66,12 @@
 
 // firstListedTimes returns, for each task of the view, the time at which this host first saw that attempt listed.
 // before is the machine's previous view, and c the differences between the two.
-func (v *View) firstListedTimes(before *View, c *Changes, wall loop.Micros) []loop.Micros {
+func (v *View) firstListedTimes(before *View, c *Changes, wall eventloop.Micros) []eventloop.Micros {
 	known := len(before.firstListed) == len(before.Tasks) && !c.All
 	if known && c.Unchanged {
 		return before.firstListed
 	}
-	listed := make([]loop.Micros, len(v.Tasks))
+	listed := make([]eventloop.Micros, len(v.Tasks))
 	for i := range v.Tasks {
 		listed[i] = wall
 		if !known {
--- a/internal/workers/forget_test.go
+++ b/internal/workers/forget_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"cleatpick/internal/delivery"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
@@ -36,7 +36,7 @@
 func TestForgetWaitsForAnswerInFlight(t *testing.T) {
 	g := newTestRegistry()
 	token := g.report(t, 1, 0).Token
-	g.registry.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 5, Expiry: g.now + 6*loop.Second, From: "a"})
+	g.registry.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 5, Expiry: g.now + 6*eventloop.Second, From: "a"})
 	if c := g.report(t, 2, token); len(c.Commands) != 1 || c.Commands[0].Op != wire.OpStart {
 		t.Fatalf("the answer contains %v, want the start", c.Commands)
 	}
@@ -45,26 +45,26 @@
 	if len(g.sent) != 1 || len(g.sent[0].Commands) != 1 {
 		t.Fatalf("sent directly: %v, want the start as well", g.sent)
 	}
-	g.now += 45 * loop.Millisecond
+	g.now += 45 * eventloop.Millisecond
 	g.answersDirect(4, token, wire.ReportTask{Task: "job-1/0", Attempt: 5, State: wire.TaskExited, Why: wire.WhyStopped})
 	g.registry.Stop(Stop{Machine: "n-1", Task: "job-1/0", Attempt: 5})
 	g.runWork()
-	forget := func(after loop.Micros) {
+	forget := func(after eventloop.Micros) {
 		g.now += after
 		g.registry.Stop(Stop{Machine: "n-1", Task: "job-1/0", Attempt: 5, Forget: true})
 		g.registry.RequestTaskList("n-1")
 		g.runWork()
 	}
-	forget(130 * loop.Millisecond)
+	forget(130 * eventloop.Millisecond)
 	if n := forgetsOf(g.sent...); n != 0 {
 		t.Fatalf("%d forgets are sent while the answer with the start is in flight", n)
 	}
 	// Elapsed time does not prove that the answer has arrived: the process may have paused before sending it.
-	forget(60 * loop.Second)
+	forget(60 * eventloop.Second)
 	if n := forgetsOf(g.sent...); n != 0 {
 		t.Fatalf("%d forgets are sent while nothing proves that the answer has arrived", n)
 	}
-	g.now += loop.Second
+	g.now += eventloop.Second
 	g.registry.Stop(Stop{Machine: "n-1", Task: "job-1/0", Attempt: 5, Forget: true})
 	c := g.report(t, 9, token, wire.ReportTask{Task: "job-1/0", Attempt: 5, State: wire.TaskExited, Why: wire.WhyStopped})
 	if n := forgetsOf(c); n != 1 {
@@ -80,8 +80,8 @@
 // Each way in which a start of a terminated attempt can still arrive blocks its forget by itself, both when an
 // owner requests it and when the job is final; nothing else blocks it.
 func TestWhatBlocksAForget(t *testing.T) {
-	const startLifetime = 6 * loop.Second
-	long := startLifetime + delivery.AnswerLife + loop.Second
+	const startLifetime = 6 * eventloop.Second
+	long := startLifetime + delivery.AnswerLife + eventloop.Second
 	for _, c := range []struct {
 		name string
 		// messages brings the machine to the point at which the forget would be sent, and returns the messages.
@@ -163,7 +163,7 @@
 					g.registry.jobOf("job-1/0").Phase = job.Cancelled
 				} else {
 					for number := range uint64(3) {
-						g.hostedMachine().stops[delivery.Attempt{Task: "job-1/0", Number: number}] = stopRequest{Stop{Forget: true}, g.now + 100*loop.Second}
+						g.hostedMachine().stops[delivery.Attempt{Task: "job-1/0", Number: number}] = stopRequest{Stop{Forget: true}, g.now + 100*eventloop.Second}
 					}
 				}
 				want := c.want
--- a/internal/workers/machine.go
+++ b/internal/workers/machine.go
@@ -7,7 +7,7 @@
 	"strings"
 
 	"cleatpick/internal/delivery"
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 )
 
 // counterBits is the number of low bits of a token that count within an epoch. The high bits are the epoch.
@@ -47,7 +47,7 @@
 // stopRequest is a stop or a forget that an owner requested.
 type stopRequest struct {
 	stop  Stop
-	until loop.Micros // monotonic time at which the request is dropped
+	until eventloop.Micros // monotonic time at which the request is dropped
 }
 
 // machine is the state of a machine that reports to this controller.
@@ -55,8 +55,8 @@
 	view          View
 	state         HostingState
 	token         uint64
-	tokenIssuedAt loop.Micros // wall-clock time before which nobody had the token
-	wantTaskList  bool        // an owner requested a task list that is certainly new
+	tokenIssuedAt eventloop.Micros // wall-clock time before which nobody had the token
+	wantTaskList  bool             // an owner requested a task list that is certainly new
 	pending       map[delivery.Attempt]*pendingStart
 	// reportSession and reportSeq identify the newest report. startsInAnswer holds the starts in the answer to it,
 	// which may be in flight until the worker reports again.
@@ -64,24 +64,24 @@
 	startsInAnswer           map[delivery.Attempt]struct{}
 	// rejected holds rejected starts and the time until which they are remembered: no copy of one may be accepted
 	// before it has expired.
-	rejected map[delivery.Attempt]loop.Micros
+	rejected map[delivery.Attempt]eventloop.Micros
 	// reservations holds the capacity reserved for starts whose attempts owners are still recording, and until when.
-	reservations     map[delivery.Attempt]loop.Micros
+	reservations     map[delivery.Attempt]eventloop.Micros
 	stops            map[delivery.Attempt]stopRequest
-	directInFlight   bool        // a direct command is in flight
-	sendScheduled    bool        // sendCommands is scheduled
-	updateScheduled  bool        // updateView is scheduled
-	closedUntil      loop.Micros // wall-clock time until which the machine accepts no starts
-	publishedAt      loop.Micros // monotonic time at which the view was last published
-	dirty            bool        // the view has changed in a way that peers must learn soon
-	published        *View       // the view as last published, from which the next delta is computed
-	publishScheduled bool        // in Registry.toPublish
+	directInFlight   bool             // a direct command is in flight
+	sendScheduled    bool             // sendCommands is scheduled
+	updateScheduled  bool             // updateView is scheduled
+	closedUntil      eventloop.Micros // wall-clock time until which the machine accepts no starts
+	publishedAt      eventloop.Micros // monotonic time at which the view was last published
+	dirty            bool             // the view has changed in a way that peers must learn soon
+	published        *View            // the view as last published, from which the next delta is computed
+	publishScheduled bool             // in Registry.toPublish
 }
 
 // newMachine makes the entry of a machine that reports here for the first time.
 func newMachine() *machine {
-	return &machine{pending: map[delivery.Attempt]*pendingStart{}, startsInAnswer: map[delivery.Attempt]struct{}{}, rejected: map[delivery.Attempt]loop.Micros{},
-		reservations: map[delivery.Attempt]loop.Micros{}, stops: map[delivery.Attempt]stopRequest{}}
+	return &machine{pending: map[delivery.Attempt]*pendingStart{}, startsInAnswer: map[delivery.Attempt]struct{}{}, rejected: map[delivery.Attempt]eventloop.Micros{},
+		reservations: map[delivery.Attempt]eventloop.Micros{}, stops: map[delivery.Attempt]stopRequest{}}
 }
 
 // setState changes a machine's state. No other function does.
--- a/internal/workers/report.go
+++ b/internal/workers/report.go
@@ -1,7 +1,7 @@
 package workers
 
 import (
-	"cleatpick/internal/loop"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/wire"
 )
 
@@ -75,7 +75,7 @@
 
 // redirect records when a worker was last sent to another controller, and how often it was.
 type redirect struct {
-	at    loop.Micros
+	at    eventloop.Micros
 	times int
 }
 
@@ -84,7 +84,7 @@
 // A report may have been delayed for minutes, and looks new to a controller that received nothing meanwhile. It
 // was certainly made after the token that it shows was issued, and the body of a direct answer after its
 // command was sent; that time is madeAfter.
-func (a *Registry) applyReport(m *machine, r wire.Report, reported bool, madeAfter loop.Micros) {
+func (a *Registry) applyReport(m *machine, r wire.Report, reported bool, madeAfter eventloop.Micros) {
 	wall := a.runner.Wall()
 	v := &m.view
 	if v.Session != 0 && r.Session > v.Session {
@@ -123,7 +123,7 @@
 	}
 	v.NoticeAt = 0
 	if r.NoticeS != nil {
-		v.NoticeAt = wall + loop.Seconds(*r.NoticeS)
+		v.NoticeAt = wall + eventloop.Seconds(*r.NoticeS)
 	}
 	for k, p := range m.pending {
 		switch {
@@ -155,7 +155,7 @@
 	v.Rev++
 	c := *v
 	c.resolved = false
-	if m.dirty || now-m.publishedAt > 2*loop.Second {
+	if m.dirty || now-m.publishedAt > 2*eventloop.Second {
 		m.dirty = false
 		a.publishSoon(m)
 	}
--- a/internal/workers/start.go
+++ b/internal/workers/start.go
@@ -2,8 +2,8 @@
 
 import (
 	"cleatpick/internal/delivery"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 )
 
 // Reserve reserves capacity for a start while its owner records the attempt, and rejects at once what does not
@@ -22,7 +22,7 @@
 		a.config.SendRejection(s.From, Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, OnlyReservation: true, Incarnation: a.config.Incarnation})
 		return
 	}
-	m.reservations[delivery.Attempt{Task: s.Task, Number: s.Attempt}] = a.runner.Now() + 700*loop.Millisecond
+	m.reservations[delivery.Attempt{Task: s.Task, Number: s.Attempt}] = a.runner.Now() + 700*eventloop.Millisecond
 	a.listPending(m)
 	a.updateViewSoon(m)
 }
@@ -67,7 +67,7 @@
 		return
 	}
 	m.updateScheduled = true
-	a.runner.After(3*loop.Millisecond, func() {
+	a.runner.After(3*eventloop.Millisecond, func() {
 		m.updateScheduled = false
 		if a.hosted[m.view.Name] == m {
 			a.updateView(m)
@@ -104,7 +104,7 @@
 	j := a.jobOf(s.Task)
 	if j == nil && wall < s.Expiry {
 		// The job's record has not arrived here yet; the owner has only just seen the job.
-		a.runner.After(40*loop.Millisecond, func() { a.Start(s) })
+		a.runner.After(40*eventloop.Millisecond, func() { a.Start(s) })
 		return
 	}
 	if _, ok := m.reservations[k]; ok {
@@ -133,7 +133,7 @@
 		return
 	}
 	k := delivery.Attempt{Task: s.Task, Number: s.Attempt}
-	m.stops[k] = stopRequest{s, a.runner.Now() + 5*loop.Second}
+	m.stops[k] = stopRequest{s, a.runner.Now() + 5*eventloop.Second}
 	if !s.Forget {
 		a.sendCommandsSoon(m)
 	}
