--- a/internal/workers/view.go
+++ b/internal/workers/view.go
@@ -11,8 +11,8 @@
 	"strconv"
 	"strings"
 
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/wire"
 )
 
@@ -30,25 +30,25 @@
 
 // View is the state of a machine as its host controller saw it last. A published view never changes.
 type View struct {
-	Name           string      `cbor:"1,keyasint"`
-	Addr           string      `cbor:"2,keyasint"`
-	Type           string      `cbor:"3,keyasint"`
-	Zone           string      `cbor:"4,keyasint"`
-	Spot           bool        `cbor:"5,keyasint"`
-	Host           string      `cbor:"6,keyasint"`
-	Session        uint64      `cbor:"7,keyasint"`
-	Seq            uint64      `cbor:"8,keyasint"`
-	Rev            uint64      `cbor:"9,keyasint"`
-	TokenConfirmed bool        `cbor:"10,keyasint"`           // the worker has shown its host's token: no command of an earlier host or token can still be carried out
-	MadeAfter      loop.Micros `cbor:"11,keyasint"`           // wall-clock time after which the task list was certainly made; reports can arrive late
-	NoticeAt       loop.Micros `cbor:"12,keyasint,omitempty"` // wall-clock time at which the machine is reclaimed, by the notice in its reports; 0: no notice
-	ClosedToStarts bool        `cbor:"13,keyasint,omitempty"` // accepts no starts, since the machine is to be deleted
-	Tasks          []Task      `cbor:"14,keyasint,omitempty"`
-	Pending        []Task      `cbor:"15,keyasint,omitempty"` // starts that may still be carried out
-	Incarnation    loop.Micros `cbor:"16,keyasint,omitempty"` // incarnation of the host's process that published the view
+	Name           string           `cbor:"1,keyasint"`
+	Addr           string           `cbor:"2,keyasint"`
+	Type           string           `cbor:"3,keyasint"`
+	Zone           string           `cbor:"4,keyasint"`
+	Spot           bool             `cbor:"5,keyasint"`
+	Host           string           `cbor:"6,keyasint"`
+	Session        uint64           `cbor:"7,keyasint"`
+	Seq            uint64           `cbor:"8,keyasint"`
+	Rev            uint64           `cbor:"9,keyasint"`
+	TokenConfirmed bool             `cbor:"10,keyasint"`           // the worker has shown its host's token: no command of an earlier host or token can still be carried out
+	MadeAfter      eventloop.Micros `cbor:"11,keyasint"`           // wall-clock time after which the task list was certainly made; reports can arrive late
+	NoticeAt       eventloop.Micros `cbor:"12,keyasint,omitempty"` // wall-clock time at which the machine is reclaimed, by the notice in its reports; 0: no notice
+	ClosedToStarts bool             `cbor:"13,keyasint,omitempty"` // accepts no starts, since the machine is to be deleted
+	Tasks          []Task           `cbor:"14,keyasint,omitempty"`
+	Pending        []Task           `cbor:"15,keyasint,omitempty"` // starts that may still be carried out
+	Incarnation    eventloop.Micros `cbor:"16,keyasint,omitempty"` // incarnation of the host's process that published the view
 	// ReportedAt is the wall-clock time at which the host received the newest report. Only an answered report
 	// renews the machine's lease: a machine that answers commands may still be unable to report.
-	ReportedAt loop.Micros `cbor:"17,keyasint,omitempty"`
+	ReportedAt eventloop.Micros `cbor:"17,keyasint,omitempty"`
 
 	jobs     []*job.Job // of Tasks, looked up once; nil where a job is not known here yet
 	used     Capacity   // capacity taken by active tasks and pending starts
@@ -56,12 +56,12 @@
 
 	// firstListed holds, for each of Tasks, the wall-clock time at which the host first saw the attempt listed. Only
 	// the host has it; it is not published.
-	firstListed []loop.Micros
+	firstListed []eventloop.Micros
 }
 
 // Silence returns for how long at least the machine has not reported, by a wall-clock time and twice the bound
 // on clock errors. It returns 0 for the view of a host before version 0.8.0, which does not publish ReportedAt.
-func (v *View) Silence(wall, clockTo loop.Micros) loop.Micros {
+func (v *View) Silence(wall, clockTo eventloop.Micros) eventloop.Micros {
 	if v.ReportedAt == 0 {
 		return 0
 	}
@@ -163,24 +163,24 @@
 
 // Start is an owner's order to run a recorded attempt on a machine.
 type Start struct {
-	Machine string      `cbor:"1,keyasint"`
-	Session uint64      `cbor:"2,keyasint"`
-	Task    string      `cbor:"3,keyasint"`
-	Attempt uint64      `cbor:"4,keyasint"`
-	Expiry  loop.Micros `cbor:"5,keyasint"` // wall-clock time after which nobody may carry it out
-	From    string      `cbor:"6,keyasint"`
+	Machine string           `cbor:"1,keyasint"`
+	Session uint64           `cbor:"2,keyasint"`
+	Task    string           `cbor:"3,keyasint"`
+	Attempt uint64           `cbor:"4,keyasint"`
+	Expiry  eventloop.Micros `cbor:"5,keyasint"` // wall-clock time after which nobody may carry it out
+	From    string           `cbor:"6,keyasint"`
 	// Incarnation is the incarnation of the host's process for which the start is meant. A host that has restarted
 	// does not know which starts it passed on before.
-	Incarnation loop.Micros `cbor:"7,keyasint,omitempty"`
+	Incarnation eventloop.Micros `cbor:"7,keyasint,omitempty"`
 }
 
 // Stop orders a task to be stopped, with or without time to save its state, or to be forgotten.
 type Stop struct {
-	Machine string      `cbor:"1,keyasint"`
-	Task    string      `cbor:"2,keyasint"`
-	Attempt uint64      `cbor:"3,keyasint"`
-	Grace   loop.Micros `cbor:"4,keyasint,omitempty"` // time to save; 0: the task is killed at once
-	Forget  bool        `cbor:"5,keyasint,omitempty"` // forget the attempt instead: its result is recorded
+	Machine string           `cbor:"1,keyasint"`
+	Task    string           `cbor:"2,keyasint"`
+	Attempt uint64           `cbor:"3,keyasint"`
+	Grace   eventloop.Micros `cbor:"4,keyasint,omitempty"` // time to save; 0: the task is killed at once
+	Forget  bool             `cbor:"5,keyasint,omitempty"` // forget the attempt instead: its result is recorded
 }
 
 // Rejection tells an owner that this host did not and will never pass its start on. With OnlyReservation it
@@ -193,7 +193,7 @@
 	Why             string `cbor:"4,keyasint"`
 	OnlyReservation bool   `cbor:"5,keyasint,omitempty"`
 	// Incarnation is the incarnation of the host's process that will never pass the start on.
-	Incarnation loop.Micros `cbor:"6,keyasint,omitempty"`
+	Incarnation eventloop.Micros `cbor:"6,keyasint,omitempty"`
 }
 
 // SplitTask splits a task's name into its job's id and its index.
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"cleatpick/internal/delivery"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/metric"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
@@ -20,7 +20,7 @@
 type Config struct {
 	Label string // name of this controller
 	// Incarnation is the incarnation of this process; no earlier or later run has the same.
-	Incarnation loop.Micros
+	Incarnation eventloop.Micros
 	// MayAnswer reports whether reports may be answered; if not, it returns the controller to which the worker
 	// is sent.
 	MayAnswer func() (ok bool, controller string)
@@ -29,7 +29,7 @@
 	// Redirect reports whether a worker should report to another controller, because reports that arrive here do
 	// not reach the owners, and to which one. If the worker finds no other controller, it is answered here
 	// until again has passed since it was last redirected. before is how often it was redirected.
-	Redirect func(machine string, before int) (on bool, to string, again loop.Micros)
+	Redirect func(machine string, before int) (on bool, to string, again eventloop.Micros)
 	// Epoch returns the current epoch of this controller, the high part of the tokens that it issues.
 	Epoch func() uint64
 	// RaiseEpoch obtains a newer epoch from the state service and calls done, also when it fails.
@@ -49,7 +49,7 @@
 	// example a hold or a cordon; it is empty if none is. It may be nil.
 	StartBlocked func(j *job.Job, v *View) string
 	// ClockUncertainty is twice the bound on the error of a wall clock.
-	ClockUncertainty loop.Micros
+	ClockUncertainty eventloop.Micros
 	// Clock determines until when a start can still arrive.
 	Clock delivery.ClockBounds
 	// Meter counts commands and decisions about forgetting attempts; it may be nil.
@@ -58,7 +58,7 @@
 
 // Registry is the registry of workers of one controller. It is used on the event loop only.
 type Registry struct {
-	runner     loop.Runner
+	runner     eventloop.Runner
 	log        *slog.Logger
 	config     Config
 	sendDirect DirectSender
@@ -71,9 +71,9 @@
 }
 
 // New makes an empty registry.
-func New(r loop.Runner, log *slog.Logger, h Config, direct DirectSender) *Registry {
+func New(r eventloop.Runner, log *slog.Logger, h Config, direct DirectSender) *Registry {
 	a := &Registry{runner: r, log: log, config: h, sendDirect: direct, hosted: map[string]*machine{}, views: map[string]*View{}, deleted: map[string]bool{}, redirects: map[string]redirect{}}
-	loop.Every(r, 500*loop.Millisecond, a.tick)
+	eventloop.Every(r, 500*eventloop.Millisecond, a.tick)
 	return a
 }
 
@@ -91,7 +91,7 @@
 
 // Republish sends the full views of all hosted machines again, for example after a peer restarted.
 func (a *Registry) Republish() {
-	for _, m := range loop.Sorted(a.hosted) {
+	for _, m := range eventloop.Sorted(a.hosted) {
 		m.published = nil
 		a.publishSoon(m)
 	}
@@ -106,7 +106,7 @@
 }
 
 // CloseToStarts blocks starts on a hosted machine until a wall-clock time; a time in the past allows them again.
-func (a *Registry) CloseToStarts(name string, until loop.Micros) {
+func (a *Registry) CloseToStarts(name string, until eventloop.Micros) {
 	m := a.hosted[name]
 	if m == nil {
 		return
@@ -120,7 +120,7 @@
 
 func (a *Registry) tick() {
 	wall := a.runner.Wall()
-	for _, m := range loop.Sorted(a.hosted) {
+	for _, m := range eventloop.Sorted(a.hosted) {
 		a.expireStarts(m, wall)
 		if m.view.ClosedToStarts != (wall < m.closedUntil) {
 			m.dirty = true
@@ -169,7 +169,7 @@
 
 // EachView calls f for the newest view of every machine that is not deleted, in the order of names.
 func (a *Registry) EachView(f func(*View)) {
-	for _, v := range loop.Sorted(a.views) {
+	for _, v := range eventloop.Sorted(a.views) {
 		f(v)
 	}
 }
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"cleatpick/internal/delivery"
+	"cleatpick/internal/eventloop"
 	"cleatpick/internal/fixed"
 	"cleatpick/internal/job"
-	"cleatpick/internal/loop"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
@@ -19,15 +19,15 @@
 
 // manualLoop is an event loop with a clock set by the test; delayed functions run when the test calls runWork.
 type manualLoop struct {
-	now  loop.Micros
+	now  eventloop.Micros
 	work []func()
 }
 
-func (h *manualLoop) Now() loop.Micros              { return h.now }
-func (h *manualLoop) Wall() loop.Micros             { return h.now }
-func (h *manualLoop) Post(f func())                 { f() }
-func (h *manualLoop) After(d loop.Micros, f func()) { h.work = append(h.work, f) }
-func (h *manualLoop) Go(f func())                   { f() }
+func (h *manualLoop) Now() eventloop.Micros              { return h.now }
+func (h *manualLoop) Wall() eventloop.Micros             { return h.now }
+func (h *manualLoop) Post(f func())                      { f() }
+func (h *manualLoop) After(d eventloop.Micros, f func()) { h.work = append(h.work, f) }
+func (h *manualLoop) Go(f func())                        { f() }
 
 // testRegistry is a registry with one hosted machine, n-1, for whose worker the test acts.
 type testRegistry struct {
@@ -47,12 +47,12 @@
 
 // newTestRegistry makes a registry that knows one job of nine tasks and machines with 4 CPUs.
 func newTestRegistry() *testRegistry {
-	g := &testRegistry{manualLoop: &manualLoop{now: 1000 * loop.Second}, epoch: 5}
+	g := &testRegistry{manualLoop: &manualLoop{now: 1000 * eventloop.Second}, epoch: 5}
 	spec := &job.Spec{Team: "t", Tasks: 9, CPUs: 2, MemoryGB: 1, AnyType: true}
 	j := &job.Job{ID: "job-1", Phase: job.Accepted, Spec: spec, Tasks: 9}
 	g.registry = New(g, slog.New(slog.NewTextHandler(io.Discard, nil)), Config{
 		Label: "a", MayAnswer: func() (bool, string) { return true, "" }, MayStart: func() bool { return true },
-		Redirect: func(string, int) (bool, string, loop.Micros) { return false, "", 0 }, Epoch: func() uint64 { return g.epoch },
+		Redirect: func(string, int) (bool, string, eventloop.Micros) { return false, "", 0 }, Epoch: func() uint64 { return g.epoch },
 		RaiseEpoch:  func(done func()) { g.epoch += 2; done() },
 		MachineType: func(string) (wire.MachineType, bool) { return wire.MachineType{Name: "m", CPUs: 4, MemoryGB: 8}, true },
 		FindJob: func(id string) *job.Job {
@@ -62,7 +62,7 @@
 			return nil
 		},
 		Publish: func(ViewUpdate) {}, ViewChanged: func(*View, *Changes) {}, SendRejection: func(_ string, d Rejection) { g.rejections = append(g.rejections, d) },
-		Clock: delivery.NewClockBounds(0, 6*loop.Second),
+		Clock: delivery.NewClockBounds(0, 6*eventloop.Second),
 	}, func(_ string, c wire.Commands, _ time.Duration) store.Response {
 		g.sent = append(g.sent, c)
 		if g.duringDirect != nil {
@@ -101,9 +101,9 @@
 	g := newTestRegistry()
 	token := g.report(t, 1, 0).Token
 	given := g.now
-	g.now += 3 * loop.Second
+	g.now += 3 * eventloop.Second
 	g.report(t, 2, token)
-	g.now += 60 * loop.Second
+	g.now += 60 * eventloop.Second
 	g.report(t, 3, token) // may have been on its way all the time
 	if at := g.registry.View("n-1").MadeAfter; at != given {
 		t.Fatalf("the list counts as made after %d, but its token was issued at %d", at, given)
@@ -142,12 +142,12 @@
 	token := g.report(t, 1, 0).Token
 	g.report(t, 2, token)
 	g.resp = store.Response{Err: io.ErrUnexpectedEOF}
-	g.registry.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*loop.Second, From: "a"})
+	g.registry.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*eventloop.Second, From: "a"})
 	g.runWork()
 	if len(g.sent) != 1 || len(g.sent[0].Commands) != 1 {
 		t.Fatalf("the start was not sent directly: %v", g.sent)
 	}
-	g.now += 30 * loop.Second // the start has long expired
+	g.now += 30 * eventloop.Second // the start has long expired
 	c := g.report(t, 3, token)
 	if v := g.registry.View("n-1"); v.TokenConfirmed || !v.HasPending("job-1/0", 1) {
 		t.Fatalf("token confirmed: %v, start still pending: %v", v.TokenConfirmed, v.HasPending("job-1/0", 1))
@@ -166,7 +166,7 @@
 	g := newTestRegistry()
 	token := g.report(t, 1, 0).Token
 	g.report(t, 2, token, wire.ReportTask{Task: "job-1/8", Attempt: 1, State: wire.TaskRunning})
-	expiry := g.now + 6*loop.Second
+	expiry := g.now + 6*eventloop.Second
 	g.registry.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 1, Expiry: expiry, From: "a"}) // fits
 	g.registry.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/1", Attempt: 1, Expiry: expiry, From: "a"}) // full
 	g.registry.Start(Start{Machine: "n-1", Session: 2, Task: "job-1/2", Attempt: 1, Expiry: expiry, From: "a"})
@@ -187,7 +187,7 @@
 	g.registry.config.Incarnation = 2
 	token := g.report(t, 1, 0).Token
 	g.report(t, 2, token)
-	start := Start{Machine: "n-1", Session: 9, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*loop.Second, From: "a", Incarnation: 1}
+	start := Start{Machine: "n-1", Session: 9, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*eventloop.Second, From: "a", Incarnation: 1}
 	g.registry.Start(start)
 	if len(g.rejections) != 0 {
 		t.Fatalf("a start for another incarnation is rejected: %v", g.rejections)
@@ -223,7 +223,7 @@
 	g.report(t, 3, token)
 	before := *g.registry.View("n-1")
 	for _, r := range []wire.Report{report(1, 3, token), report(1, 2, token, "job-1/0"), report(1, 1, 0), report(1, 2, token, "job-1/0")} {
-		g.now += 20 * loop.Second
+		g.now += 20 * eventloop.Second
 		take(g, r)
 		if v := g.registry.View("n-1"); v.Seq != 3 || v.Session != 1 || v.MadeAfter != before.MadeAfter || len(v.Tasks) != 0 {
 			t.Fatalf("a duplicate of report %d changes the view to %+v", r.Seq, v)
@@ -281,7 +281,7 @@
 	g := newTestRegistry()
 	token := g.report(t, 1, 0).Token
 	g.report(t, 2, token)
-	g.registry.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*loop.Second, From: "a"})
+	g.registry.Start(Start{Machine: "n-1", Session: 1, Task: "job-1/0", Attempt: 1, Expiry: g.now + 6*eventloop.Second, From: "a"})
 	if !g.registry.View("n-1").HasPending("job-1/0", 1) && len(g.work) == 0 {
 		t.Fatal("the start was not accepted")
 	}
