--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -14,9 +14,9 @@
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/eventloop"
 	"cleatpick/internal/explain"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/job"
 	"cleatpick/internal/metric"
-	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 
@@ -27,8 +27,8 @@
 // testAPI is the API of one controller with a fake state service. A goroutine advances the simulated time after each
 // request, so that no test waits for a real clock.
 type testAPI struct {
-	*standin.Runner
-	state *standin.StateService
+	*fake.Runner
+	state *fake.StateService
 	keys  map[string]string
 	http  *fasthttp.Client
 	api   *API
@@ -37,14 +37,14 @@
 // postingRunner is a runner that passes functions posted by the HTTP server's goroutines to the goroutine that advances
 // the time.
 type postingRunner struct {
-	*standin.Runner
+	*fake.Runner
 	posted chan func()
 }
 
 func (p *postingRunner) Post(f func()) { p.posted <- f }
 
 func newTestAPI(t testing.TB) *testAPI {
-	g := &testAPI{Runner: standin.NewRunner(1000 * eventloop.Second), keys: map[string]string{}}
+	g := &testAPI{Runner: fake.NewRunner(1000 * eventloop.Second), keys: map[string]string{}}
 	p := &postingRunner{g.Runner, make(chan func(), 256)}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	cfg := &config.Config{Operator: config.Defaults()}
@@ -55,7 +55,7 @@
 		g.keys[role] = token
 		cfg.Operator.API.Keys = append(cfg.Operator.API.Keys, k)
 	}
-	g.state = standin.NewStateService(func() eventloop.Micros { return g.Now() })
+	g.state = fake.NewStateService(func() eventloop.Micros { return g.Now() })
 	c := store.NewClient(g.Runner, g.state, log, 1e5, 1e5, 1)
 	m := store.NewMirror(c, g.state, "c/")
 	jobs := job.NewRegistry(g.Runner, c, m, log)
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -12,10 +12,10 @@
 	"cleatpick/internal/config"
 	"cleatpick/internal/eventloop"
 	"cleatpick/internal/failuredetector"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/job"
 	"cleatpick/internal/membership"
 	"cleatpick/internal/peer"
-	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
@@ -24,10 +24,10 @@
 // rig is an autoscaler with a fake cloud, a fake state service and a hand-driven clock. It records the cloud
 // calls.
 type rig struct {
-	*standin.Runner
+	*fake.Runner
 	scaler          *Autoscaler
 	workers         *workers.Registry
-	cloud           *standin.Cloud
+	cloud           *fake.Cloud
 	calls           []string
 	entitled        bool
 	isolated        bool
@@ -47,17 +47,17 @@
 }
 
 func newRig(t *testing.T, each int) *rig {
-	g := &rig{Runner: standin.NewRunner(1000 * eventloop.Second), entitled: true, probeAnswer: failuredetector.NoConnection, probeAnswers: map[string]failuredetector.ProbeResult{}}
+	g := &rig{Runner: fake.NewRunner(1000 * eventloop.Second), entitled: true, probeAnswer: failuredetector.NoConnection, probeAnswers: map[string]failuredetector.ProbeResult{}}
 	cfg := &config.Config{Operator: config.Defaults()}
 	cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.LeaseS = 1, 10
 	cfg.Cluster.Cloud.RPS, cfg.Cluster.Cloud.ListLagS = 5, 2
 	cfg.Cluster.State.TxnOps = 16
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	state := standin.NewStateService(func() eventloop.Micros { return g.Now() })
+	state := fake.NewStateService(func() eventloop.Micros { return g.Now() })
 	state.Put("c/l", map[string]any{"n": "a", "e": 1})
 	c := store.NewClient(g, state, log, 1000, 1000, 1)
 	m := store.NewMirror(c, state, "c/")
-	g.cloud = standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.3, BootS: 4, Zones: []string{"x", "y"}}, each)
+	g.cloud = fake.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.3, BootS: 4, Zones: []string{"x", "y"}}, each)
 	g.cloud.OnRented = func(l wire.CloudMachine) { g.booted = append(g.booted, l) }
 	g.cloud.OnDeleted = func(name string) { g.deleted = append(g.deleted, name) }
 	g.workers = workers.New(g, log, workers.Config{Label: "a", FindJob: func(id string) *job.Job { return g.jobs[id] }, ViewChanged: func(v *workers.View, _ *workers.Changes) { g.scaler.UpdateView(v) }}, nil)
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	"cleatpick/internal/eventloop"
-	"cleatpick/internal/standin"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/store"
 
 	"pgregory.net/rapid"
@@ -19,15 +19,15 @@
 
 // simulation is a set of controllers' cordons over one state service, each with its own mirror.
 type simulation struct {
-	*standin.Runner
-	state      *standin.StateService
+	*fake.Runner
+	state      *fake.StateService
 	registries []*Registry
 	mirrors    []*store.Mirror
 }
 
 func newSimulation(n int) *simulation {
-	o := &simulation{Runner: standin.NewRunner(1000 * eventloop.Second)}
-	o.state = standin.NewStateService(func() eventloop.Micros { return o.Now() })
+	o := &simulation{Runner: fake.NewRunner(1000 * eventloop.Second)}
+	o.state = fake.NewStateService(func() eventloop.Micros { return o.Now() })
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	for range n {
 		c := store.NewClient(o, o.state, log, 1e4, 1e4, 1)
--- a/internal/explain/service_test.go
+++ b/internal/explain/service_test.go
@@ -7,16 +7,16 @@
 
 	"cleatpick/internal/config"
 	"cleatpick/internal/eventloop"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/job"
 	"cleatpick/internal/predicate"
-	"cleatpick/internal/standin"
 	"cleatpick/internal/wire"
 )
 
 // simulation is a service under test whose owner and leader are other controllers; the test
 // sets their answers.
 type simulation struct {
-	*standin.Runner
+	*fake.Runner
 	service       *Service
 	owner, leader string
 	topics        map[string]func(wire.Raw, func(any))
@@ -28,7 +28,7 @@
 }
 
 func newSimulation() *simulation {
-	o := &simulation{Runner: standin.NewRunner(1000 * eventloop.Second), owner: "b", leader: "c", topics: map[string]func(wire.Raw, func(any)){}, unanswered: map[string]bool{}}
+	o := &simulation{Runner: fake.NewRunner(1000 * eventloop.Second), owner: "b", leader: "c", topics: map[string]func(wire.Raw, func(any)){}, unanswered: map[string]bool{}}
 	spec := &job.Spec{Class: "k", Team: "red", Tasks: 6, CPUs: 2, MemoryGB: 1, AnyType: true}
 	j := &job.Job{ID: "job-000001", Phase: job.Accepted, Spec: spec, Tasks: 6}
 	o.facts = &Facts{Job: j, Team: config.Team{Name: "red"}, StateContact: true, AheadComplete: true, Exact: true, Now: o.Now(), Wall: o.Wall(),
--- a/internal/standin/state.go
+++ b/internal/fake/state.go
@@ -1,9 +1,9 @@
-// Package standin holds simple in-memory fakes of the state service, the cloud and the workers, and a runner whose
+// Package fake holds simple in-memory fakes of the state service, the cloud and the workers, and a runner whose
 // time the test advances. The fakes follow the wire protocols independently of the product code.
 // Faults such as outages, machine failures and rate limits are injected by method calls or fields.
 // Tests and load runs connect the fakes to controllers; the package itself opens no sockets, and the invariant
 // checkers belong to its callers.
-package standin
+package fake
 
 import (
 	"net/url"
--- a/internal/standin/worker.go
+++ b/internal/fake/worker.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"slices"
--- a/internal/fleet/reservations_test.go
+++ b/internal/fleet/reservations_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"cleatpick/internal/eventloop"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/peer"
-	"cleatpick/internal/standin"
 	"cleatpick/internal/workers"
 )
 
@@ -22,7 +22,7 @@
 // 303.169 s; n-000003 has 4 CPUs free at 304.447 s and none at 305.084 s, after four starts of that team
 // (job-000925, job-000928), and so on until the reservations expire at 321.6 s.
 func TestReservationsReachNewControllers(t *testing.T) {
-	clock := standin.NewRunner(1000 * eventloop.Second)
+	clock := fake.NewRunner(1000 * eventloop.Second)
 	newFleet := func() *Fleet { return New(clock, slog.New(slog.NewTextHandler(io.Discard, nil)), Node{Label: "a"}) }
 	machine := func(name string) *workers.View { return &workers.View{Name: name, Type: "m8"} }
 	owner := newFleet()
--- a/internal/fleet/reserve_test.go
+++ b/internal/fleet/reserve_test.go
@@ -8,9 +8,9 @@
 
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/eventloop"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/job"
 	"cleatpick/internal/predicate"
-	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
@@ -18,7 +18,7 @@
 
 // newFullFleet returns a fleet of machines of 8 CPUs with nothing free; teams names the team whose task each
 // machine runs.
-func newFullFleet(clock *standin.Runner, teams ...string) *Fleet {
+func newFullFleet(clock *fake.Runner, teams ...string) *Fleet {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	client := store.NewClient(clock, nil, log, 100, 100, 1)
 	jobs := map[string]*job.Job{}
@@ -50,7 +50,7 @@
 // Small reservations share machines up to half of each, on machines that run other teams' work; a large task
 // gets a machine without reservations.
 func TestReserveSharesMachinesAmongSmallTasks(t *testing.T) {
-	clock := standin.NewRunner(1000 * eventloop.Second)
+	clock := fake.NewRunner(1000 * eventloop.Second)
 	f := newFullFleet(clock, "own", "other", "other", "own")
 	hold := func(id string, cpus float64, tasks int) (on []string) {
 		spec := &job.Spec{Team: "own", CPUs: cpus, MemoryGB: 1, AnyType: true}
--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -8,8 +8,8 @@
 
 	"cleatpick/internal/config"
 	"cleatpick/internal/eventloop"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/job"
-	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 
@@ -64,7 +64,7 @@
 // accepted job is answered with its state and never refused, a job that cannot run or whose body is invalid is not
 // accepted, a done job stays done, and cancelling an unknown job stores nothing.
 func TestRepeatedAndInvalidRequests(t *testing.T) {
-	state := standin.NewStateService(func() eventloop.Micros { return 1 })
+	state := fake.NewStateService(func() eventloop.Micros { return 1 })
 	complete := map[string]any{"lineup": "k", "squad": "red", "play": "batch", "urgency": "low", "snaps": 3,
 		"cpus": 1.0, "cards": 0.0, "ramGb": 1.0, "kit": "i", "sizeGb": 1.0, "builds": nil, "field": nil, "oneZone": false, "scatter": false,
 		"loaners": true, "expectS": 1.0, "timeoutS": 0.0, "huddleS": 0.0, "whistleS": nil}
--- a/internal/job/read_test.go
+++ b/internal/job/read_test.go
@@ -9,16 +9,16 @@
 	"time"
 
 	"cleatpick/internal/eventloop"
-	"cleatpick/internal/standin"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
 
 // slowNet delays every request to the state service and every answer by a random time.
 type slowNet struct {
-	*standin.Runner
+	*fake.Runner
 	rng        *rand.Rand
-	state      *standin.StateService
+	state      *fake.StateService
 	sent       map[string]int // requests by path
 	answering  bool
 	lossRate   float64
@@ -64,8 +64,8 @@
 }
 
 func newSlowRegistry(seed uint64, rps float64) (*slowNet, *Registry) {
-	n := &slowNet{Runner: standin.NewRunner(100 * eventloop.Second), rng: rand.New(rand.NewPCG(seed, 3)), sent: map[string]int{}, maxDelayMs: 120}
-	n.state = standin.NewStateService(n.Now)
+	n := &slowNet{Runner: fake.NewRunner(100 * eventloop.Second), rng: rand.New(rand.NewPCG(seed, 3)), sent: map[string]int{}, maxDelayMs: 120}
+	n.state = fake.NewStateService(n.Now)
 	log := slog.New(slog.DiscardHandler)
 	c := store.NewClient(n, n, log, rps, rps, 1)
 	return n, NewRegistry(n, c, store.NewMirror(c, n, "c/"), log)
--- a/internal/membership/layout_test.go
+++ b/internal/membership/layout_test.go
@@ -7,8 +7,8 @@
 	"testing"
 
 	"cleatpick/internal/eventloop"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/partition"
-	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
@@ -23,7 +23,7 @@
 
 // startWithTeams returns a controller of a cluster with the given numbers of controllers and teams;
 // older makes it behave like a version that only knows claims of single teams.
-func startWithTeams(s *standin.Runner, state *standin.StateService, label string, controllers, teams int, older bool) *Member {
+func startWithTeams(s *fake.Runner, state *fake.StateService, label string, controllers, teams int, older bool) *Member {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	x := &stateConn{state: state}
 	c := store.NewClient(s, x, log, 1000, 1000, 1)
@@ -37,8 +37,8 @@
 // Controllers that start together must end up with about the same number of partitions each,
 // with few changes in the state service on the way.
 func TestPartitionsAreClaimedEvenly(t *testing.T) {
-	s := standin.NewRunner(100 * eventloop.Second)
-	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
+	s := fake.NewRunner(100 * eventloop.Second)
+	state := fake.NewStateService(func() eventloop.Micros { return s.Now() })
 	var all []*Member
 	for i := range 8 {
 		all = append(all, startWithTeams(s, state, fmt.Sprint("n", i), 8, 300, false))
@@ -61,8 +61,8 @@
 // that version knows nothing else. Once it is replaced the layout must become numbered on
 // all controllers, and no team may remain claimed as a single team.
 func TestLayoutWaitsForOlderVersions(t *testing.T) {
-	s := standin.NewRunner(100 * eventloop.Second)
-	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
+	s := fake.NewRunner(100 * eventloop.Second)
+	state := fake.NewStateService(func() eventloop.Micros { return s.Now() })
 	a := startWithTeams(s, state, "a", 2, 12, false)
 	old := startWithTeams(s, state, "b", 2, 12, true)
 	s.Advance(90 * eventloop.Second)
@@ -93,8 +93,8 @@
 // A team that a controller of an older version holds must not be assigned to a partition, nor
 // one whose partition is not owned under the given claim any more.
 func TestHeldTeamsAreNotAssigned(t *testing.T) {
-	s := standin.NewRunner(100 * eventloop.Second)
-	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
+	s := fake.NewRunner(100 * eventloop.Second)
+	state := fake.NewStateService(func() eventloop.Micros { return s.Now() })
 	a := startWithTeams(s, state, "a", 1, 12, false)
 	s.Advance(6 * eventloop.Second)
 	team := a.Teams[4]
@@ -134,8 +134,8 @@
 // While the stored layout is corrupt, no controller may claim a partition or a team: it would
 // have to guess the layout in force.
 func TestCorruptLayout(t *testing.T) {
-	s := standin.NewRunner(100 * eventloop.Second)
-	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
+	s := fake.NewRunner(100 * eventloop.Second)
+	state := fake.NewStateService(func() eventloop.Micros { return s.Now() })
 	state.Put(partition.LayoutKey, "nonsense")
 	a := startWithTeams(s, state, "a", 1, 12, false)
 	s.Advance(20 * eventloop.Second)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"cleatpick/internal/eventloop"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/partition"
-	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
@@ -16,7 +16,7 @@
 // stateConn is a connection to the state service that a test can turn off; it counts the leases
 // that are ended explicitly.
 type stateConn struct {
-	state     *standin.StateService
+	state     *fake.StateService
 	leaseEnds int
 	off       bool
 }
@@ -31,7 +31,7 @@
 	return x.state.Do(method, path, body, d)
 }
 
-func startMember(s *standin.Runner, x *stateConn, label string) *Member {
+func startMember(s *fake.Runner, x *stateConn, label string) *Member {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	c := store.NewClient(s, x, log, 1000, 1000, 1)
 	m := store.NewMirror(c, x, Prefix)
@@ -51,8 +51,8 @@
 // lease cannot be renewed it must not consider itself an owner, and after it has rejoined it
 // must not consider itself the owner of what another has claimed.
 func TestControllerWithoutStateServiceLosesTeams(t *testing.T) {
-	s := standin.NewRunner(100 * eventloop.Second)
-	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
+	s := fake.NewRunner(100 * eventloop.Second)
+	state := fake.NewStateService(func() eventloop.Micros { return s.Now() })
 	xa, xb := &stateConn{state: state}, &stateConn{state: state}
 	a := startMember(s, xa, "a")
 	s.Advance(3 * eventloop.Second)
@@ -80,8 +80,8 @@
 // ended the lease of the controller behind it, its teams would never have an owner; its
 // lease must be ended only once within evictInterval.
 func TestEvictionIsNotRepeated(t *testing.T) {
-	s := standin.NewRunner(100 * eventloop.Second)
-	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
+	s := fake.NewRunner(100 * eventloop.Second)
+	state := fake.NewStateService(func() eventloop.Micros { return s.Now() })
 	xa, xb := &stateConn{state: state}, &stateConn{state: state}
 	a := startMember(s, xa, "a")
 	b := startMember(s, xb, "b")
@@ -100,8 +100,8 @@
 
 // A controller that reaches no peer must hand its partitions over to one that others reach.
 func TestIsolatedControllerHandsOver(t *testing.T) {
-	s := standin.NewRunner(100 * eventloop.Second)
-	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
+	s := fake.NewRunner(100 * eventloop.Second)
+	state := fake.NewStateService(func() eventloop.Micros { return s.Now() })
 	a := startMember(s, &stateConn{state: state}, "a")
 	s.Advance(3 * eventloop.Second)
 	b := startMember(s, &stateConn{state: state}, "b")
@@ -116,8 +116,8 @@
 // Where no controller reaches another, several owners would each see a part of the machines
 // only: the leader must become the owner of all teams.
 func TestLeaderOwnsAllWhenAllAreIsolated(t *testing.T) {
-	s := standin.NewRunner(100 * eventloop.Second)
-	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
+	s := fake.NewRunner(100 * eventloop.Second)
+	state := fake.NewStateService(func() eventloop.Micros { return s.Now() })
 	var all []*Member
 	for _, label := range []string{"a", "b", "c"} {
 		all = append(all, startMember(s, &stateConn{state: state}, label))
@@ -144,8 +144,8 @@
 // A controller that joins while another owns everything must get a share, the team with less
 // work, but only once it is fit for work; after that, no team may move any more.
 func TestRebalanceAfterJoin(t *testing.T) {
-	s := standin.NewRunner(100 * eventloop.Second)
-	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
+	s := fake.NewRunner(100 * eventloop.Second)
+	state := fake.NewStateService(func() eventloop.Micros { return s.Now() })
 	a := startMember(s, &stateConn{state: state}, "a")
 	a.Weight = func(id partition.ID) int { return map[partition.ID]int{"t/red": 9, "t/blue": 2}[id] }
 	fit := false
@@ -172,8 +172,8 @@
 // A team that only another controller's settings name, as while settings are being changed
 // on one after another, must become known as foreign once that controller owns it.
 func TestForeignTeam(t *testing.T) {
-	s := standin.NewRunner(100 * eventloop.Second)
-	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
+	s := fake.NewRunner(100 * eventloop.Second)
+	state := fake.NewStateService(func() eventloop.Micros { return s.Now() })
 	a, b := startMember(s, &stateConn{state: state}, "a"), startMember(s, &stateConn{state: state}, "b")
 	b.Teams = append(b.Teams, "guest")
 	s.Advance(5 * eventloop.Second)
@@ -186,8 +186,8 @@
 // registered, and vanishes with the earlier lease. The controller must register again, or
 // the others would not count it though it runs.
 func TestLateRegistrationOfEarlierIncarnation(t *testing.T) {
-	s := standin.NewRunner(100 * eventloop.Second)
-	state := standin.NewStateService(func() eventloop.Micros { return s.Now() })
+	s := fake.NewRunner(100 * eventloop.Second)
+	state := fake.NewStateService(func() eventloop.Micros { return s.Now() })
 	b := startMember(s, &stateConn{state: state}, "b")
 	a := startMember(s, &stateConn{state: state}, "a")
 	s.Advance(3 * eventloop.Second)
--- a/internal/node/cost_bench_test.go
+++ b/internal/node/cost_bench_test.go
@@ -8,8 +8,8 @@
 
 	"cleatpick/internal/config"
 	"cleatpick/internal/eventloop"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/job"
-	"cleatpick/internal/standin"
 	"cleatpick/internal/wire"
 )
 
@@ -28,7 +28,7 @@
 		c.Cluster.Cloud.RPS = 10 + float64(machines)/50
 		c.Operator.StandbyMeanS, c.Operator.OrdinaryStandbyMeanS = 600, 600
 	})
-	w.cloud = standin.NewCloud(wire.MachineType{Name: "m16", CPUs: 16, MemoryGB: 32, CacheGB: 60, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 5, Zones: w.zones}, machines/2)
+	w.cloud = fake.NewCloud(wire.MachineType{Name: "m16", CPUs: 16, MemoryGB: 32, CacheGB: 60, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 5, Zones: w.zones}, machines/2)
 	w.cloud.OnRented = func(m wire.CloudMachine) {
 		w.after(w.between(2*eventloop.Second, 6*eventloop.Second), func() { w.boot(m) })
 	}
--- a/internal/node/explanations_loopback_test.go
+++ b/internal/node/explanations_loopback_test.go
@@ -16,7 +16,7 @@
 	"cleatpick/internal/config"
 	"cleatpick/internal/eventloop"
 	"cleatpick/internal/explain"
-	"cleatpick/internal/standin"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/wire"
 
 	"github.com/valyala/fasthttp"
@@ -34,7 +34,7 @@
 }
 
 // runs is how jobs behave on workers: run time, and whether they fail.
-var runs = map[string]standin.Job{
+var runs = map[string]fake.Job{
 	"job-000001": {CPUs: 2, MemoryGB: 1, Run: 1 << 50, Tasks: 16}, // uses all capacity
 	"job-000008": {CPUs: 2, MemoryGB: 1, Run: eventloop.Second, Tasks: 4, Broken: true},
 	"job-000009": {CPUs: 2, MemoryGB: 1, Run: 1 << 50, Tasks: 1},
@@ -44,8 +44,8 @@
 func newCluster(t *testing.T) *cluster {
 	c := &cluster{t: t, keys: map[string]string{}}
 	clock := eventloop.RealClock()
-	state := standin.NewStateService(clock.Now)
-	cloud := standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 9, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x", "y"}}, 2)
+	state := fake.NewStateService(clock.Now)
+	cloud := fake.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 9, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x", "y"}}, 2)
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	gone := sync.Map{}
@@ -98,13 +98,13 @@
 
 // report runs a machine's worker, which reports until the machine is deleted.
 func report(ctx context.Context, clock eventloop.Clock, l wire.CloudMachine, nodes []string, muted, gone func() bool) {
-	w := standin.NewWorker(clock.Now(), 10*eventloop.Second)
+	w := fake.NewWorker(clock.Now(), 10*eventloop.Second)
 	w.Name, w.Addr, w.Type, w.Zone, w.Spot, w.CPUs, w.MemoryGB = l.Name, "127.0.0.1:1", l.Type, l.Zone, l.Spot, 8, 32
-	w.Job = func(id string) (standin.Job, bool) {
+	w.Job = func(id string) (fake.Job, bool) {
 		if j, ok := runs[id]; ok {
 			return j, true
 		}
-		return standin.Job{CPUs: 2, MemoryGB: 1, Run: eventloop.Second, Tasks: 100}, true
+		return fake.Job{CPUs: 2, MemoryGB: 1, Run: eventloop.Second, Tasks: 100}, true
 	}
 	w.OnTaskStart, w.OnTaskEnd = func(string, string) {}, func(string, string) {}
 	for at := 0; ctx.Err() == nil && !gone(); {
--- a/internal/node/flood_test.go
+++ b/internal/node/flood_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"cleatpick/internal/eventloop"
-	"cleatpick/internal/standin"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/wire"
 
 	"github.com/valyala/fasthttp"
@@ -19,8 +19,8 @@
 // Retry-After; reports are still answered; and after the flood submissions are accepted as before.
 func TestSubmissionFloodIsAnswered(t *testing.T) {
 	clock := eventloop.RealClock()
-	state := standin.NewStateService(clock.Now)
-	cloud := standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x"}}, 4)
+	state := fake.NewStateService(clock.Now)
+	cloud := fake.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x"}}, 4)
 	cloud.OnRented, cloud.OnDeleted = func(wire.CloudMachine) {}, func(string) {}
 	c := onLoopback(t, "s-0", serve(t, requestsOf(state)), serve(t, requestsOf(cloud)), 1)
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -12,7 +12,7 @@
 
 	"cleatpick/internal/config"
 	"cleatpick/internal/eventloop"
-	"cleatpick/internal/standin"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 
@@ -70,8 +70,8 @@
 // and the others complete the job and report it as done.
 func TestLoopbackWithControllerKill(t *testing.T) {
 	clock := eventloop.RealClock()
-	state := standin.NewStateService(clock.Now)
-	cloud := standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 9, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x"}}, 4)
+	state := fake.NewStateService(clock.Now)
+	cloud := fake.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 9, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x"}}, 4)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	var mu sync.Mutex
@@ -182,10 +182,10 @@
 
 // worker runs a simulated worker that reports over HTTP, and goes to the next controller as the protocol says.
 func worker(ctx context.Context, t *testing.T, clock eventloop.Clock, l wire.CloudMachine, nodes []string, moved func(task, machine string)) {
-	w := standin.NewWorker(clock.Now(), 10*eventloop.Second)
+	w := fake.NewWorker(clock.Now(), 10*eventloop.Second)
 	w.Name, w.Addr, w.Type, w.Zone, w.Spot, w.CPUs, w.MemoryGB = l.Name, "127.0.0.1:1", l.Type, l.Zone, l.Spot, 8, 32
-	w.Job = func(string) (standin.Job, bool) {
-		return standin.Job{CPUs: 2, MemoryGB: 1, Run: eventloop.Second, Tasks: 6}, true
+	w.Job = func(string) (fake.Job, bool) {
+		return fake.Job{CPUs: 2, MemoryGB: 1, Run: eventloop.Second, Tasks: 6}, true
 	}
 	w.OnTaskStart = func(task, _ string) { moved(task, l.Name) }
 	w.OnTaskEnd = func(task, _ string) { moved(task, "") }
@@ -203,7 +203,7 @@
 }
 
 // beat sends one report and applies its answer; false: the worker tries the next controller.
-func beat(clock eventloop.Clock, w *standin.Worker, node string) bool {
+func beat(clock eventloop.Clock, w *fake.Worker, node string) bool {
 	sent, r := clock.Now(), w.Report()
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
--- a/internal/node/many_teams_test.go
+++ b/internal/node/many_teams_test.go
@@ -5,7 +5,7 @@
 
 	"cleatpick/internal/config"
 	"cleatpick/internal/eventloop"
-	"cleatpick/internal/standin"
+	"cleatpick/internal/fake"
 )
 
 // manyTeamsSimulation returns a simulation of eight controllers and 300 teams, whose state service accepts only the
@@ -17,7 +17,7 @@
 		s := &c.Cluster.State
 		s.RPS, s.WriteRPS, s.ValueKB, s.TxnOps = rps, writeRPS, valueKB, txnOps
 	})
-	w.state.SetLimits(&standin.Limits{RPS: rps, WriteRPS: writeRPS, ValueBytes: valueKB << 10, TxnOps: txnOps})
+	w.state.SetLimits(&fake.Limits{RPS: rps, WriteRPS: writeRPS, ValueBytes: valueKB << 10, TxnOps: txnOps})
 	w.reliable = true
 	for i := range 200 {
 		at := eventloop.Second + eventloop.Micros(i)*40*eventloop.Millisecond
@@ -38,7 +38,7 @@
 	)
 	w := manyTeamsSimulation(t)
 	first := eventloop.Micros(0)
-	var atFirst standin.Counts
+	var atFirst fake.Counts
 	w.onTaskStart = func(*simWorker, string) {
 		if first == 0 {
 			first, atFirst = w.now-3600*eventloop.Second, w.state.Counts()
@@ -90,7 +90,7 @@
 			w.simulateUser(j)
 		})
 	}
-	w.after(20*eventloop.Second, func() { w.state.SetLimits(&standin.Limits{ValueBytes: 2048, TxnOps: 5}) })
+	w.after(20*eventloop.Second, func() { w.state.SetLimits(&fake.Limits{ValueBytes: 2048, TxnOps: 5}) })
 	w.after(70*eventloop.Second, func() { w.kill(w.anyController()) })
 	w.startChecks(100 * eventloop.Second)
 	w.run(3600*eventloop.Second + 500*eventloop.Second)
--- a/internal/node/partitions_test.go
+++ b/internal/node/partitions_test.go
@@ -8,7 +8,7 @@
 
 	"cleatpick/internal/config"
 	"cleatpick/internal/eventloop"
-	"cleatpick/internal/standin"
+	"cleatpick/internal/fake"
 )
 
 // equalTeams returns n teams with equal guarantees that add up to cpus, and a limit of 24 CPUs each.
@@ -71,7 +71,7 @@
 		w.nodes[l].afterRequest("c/t/", func() { w.kill(l) })
 	}},
 	{"the state service's limit on the size of values becomes smaller", func(w *simulation) {
-		w.state.SetLimits(&standin.Limits{ValueBytes: 1800 + w.rng.IntN(2000), TxnOps: w.cfg.Cluster.State.TxnOps})
+		w.state.SetLimits(&fake.Limits{ValueBytes: 1800 + w.rng.IntN(2000), TxnOps: w.cfg.Cluster.State.TxnOps})
 	}},
 }
 
--- a/internal/node/simulation_machine_test.go
+++ b/internal/node/simulation_machine_test.go
@@ -6,7 +6,7 @@
 
 	"cleatpick/internal/eventloop"
 	"cleatpick/internal/failuredetector"
-	"cleatpick/internal/standin"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
@@ -100,15 +100,15 @@
 
 // boot starts the worker of a machine that the cloud created.
 func (w *simulation) boot(m wire.CloudMachine) {
-	x := &simWorker{w: standin.NewWorker(w.now, eventloop.Seconds(w.cfg.Cluster.Workers.LeaseS)), hostIndex: w.rng.IntN(len(w.labels)), inFlight: map[*startsInFlight]struct{}{}}
+	x := &simWorker{w: fake.NewWorker(w.now, eventloop.Seconds(w.cfg.Cluster.Workers.LeaseS)), hostIndex: w.rng.IntN(len(w.labels)), inFlight: map[*startsInFlight]struct{}{}}
 	x.w.Name, x.w.Addr, x.w.Type, x.w.Zone, x.w.Spot = m.Name, m.Addr, m.Type, m.Zone, m.Spot
 	x.w.CPUs, x.w.MemoryGB = w.cloud.Types[0].CPUs, w.cloud.Types[0].MemoryGB
-	x.w.Job = func(id string) (standin.Job, bool) {
+	x.w.Job = func(id string) (fake.Job, bool) {
 		j := w.jobs[id]
 		if j == nil {
-			return standin.Job{}, false
+			return fake.Job{}, false
 		}
-		return standin.Job{CPUs: j.spec.CPUs, MemoryGB: j.spec.MemoryGB, Run: j.run, Tasks: j.spec.Tasks, Broken: j.broken, FailsEvery: j.failEvery, FailsAfter: j.failsAfter, RunIncrement: j.runTimeStep}, true
+		return fake.Job{CPUs: j.spec.CPUs, MemoryGB: j.spec.MemoryGB, Run: j.run, Tasks: j.spec.Tasks, Broken: j.broken, FailsEvery: j.failEvery, FailsAfter: j.failsAfter, RunIncrement: j.runTimeStep}, true
 	}
 	x.w.OnTaskStart = func(task, _ string) { w.taskStarted(x, task) }
 	x.w.OnTaskEnd = func(task, why string) {
@@ -130,7 +130,7 @@
 func (w *simulation) destroy(name string) {
 	x := w.workers[name]
 	if x == nil {
-		w.workers[name] = &simWorker{deleted: true, w: standin.NewWorker(w.now, 1)}
+		w.workers[name] = &simWorker{deleted: true, w: fake.NewWorker(w.now, 1)}
 		return
 	}
 	x.deleted = true
--- a/internal/node/simulation_test.go
+++ b/internal/node/simulation_test.go
@@ -17,9 +17,9 @@
 	"cleatpick/internal/config"
 	"cleatpick/internal/eventloop"
 	"cleatpick/internal/failuredetector"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/job"
 	"cleatpick/internal/peer"
-	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
@@ -61,8 +61,8 @@
 	now            eventloop.Micros
 	seq            int
 	queue          eventQueue
-	state          *standin.StateService
-	cloud          *standin.Cloud
+	state          *fake.StateService
+	cloud          *fake.Cloud
 	labels         []string
 	nodes          map[string]*simNode
 	workers        map[string]*simWorker
@@ -161,7 +161,7 @@
 
 // simWorker is a simulated machine with its worker.
 type simWorker struct {
-	w            *standin.Worker
+	w            *fake.Worker
 	hostIndex    int // index of the controller it reports to
 	hanging      bool
 	deleted      bool
@@ -393,8 +393,8 @@
 	c.Cluster.Cloud.RPS, c.Cluster.Cloud.ListLagS = 5, 2
 	c.Cluster.Limits.RAMMB, c.Cluster.Limits.MaxSockets = 100, 500
 	settings(c)
-	w.state = standin.NewStateService(func() eventloop.Micros { return w.now })
-	w.cloud = standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 4, Zones: w.zones}, z.each)
+	w.state = fake.NewStateService(func() eventloop.Micros { return w.now })
+	w.cloud = fake.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 4, Zones: w.zones}, z.each)
 	w.cloud.Now = func() eventloop.Micros { return w.now }
 	w.cloud.OnRented = func(m wire.CloudMachine) {
 		w.after(w.between(2*eventloop.Second, 8*eventloop.Second), func() { w.boot(m) })
--- a/internal/node/sockets_test.go
+++ b/internal/node/sockets_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"cleatpick/internal/eventloop"
-	"cleatpick/internal/standin"
+	"cleatpick/internal/fake"
 )
 
 // With 3,024 machines and one controller left, idle connections used up all 3,129 sockets, and users were refused. Idle
@@ -34,7 +34,7 @@
 	if !s.above(closeOutgoingAbove) || s.above(closeReportsAbove) {
 		t.Fatal("56 of 100 sockets: outgoing connections must be closed, those of workers not yet")
 	}
-	clock := standin.NewRunner(0)
+	clock := fake.NewRunner(0)
 	var closed atomic.Int32
 	s.watch(clock, func() {
 		closed.Add(1)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -8,14 +8,14 @@
 
 	"cleatpick/internal/config"
 	"cleatpick/internal/eventloop"
-	"cleatpick/internal/standin"
+	"cleatpick/internal/fake"
 )
 
 // Frames that were delayed on their way arrive after the process that sent them has restarted. They are dropped and
 // counted. A frame of the newest incarnation is never dropped, also if the clock was behind when that started.
 func TestFramesOfEarlierIncarnationsAreDropped(t *testing.T) {
 	const s = eventloop.Second
-	n := New(standin.NewRunner(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
+	n := New(fake.NewRunner(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
 	n.ClockDifference = 200 * eventloop.Millisecond
 	var got []eventloop.Micros
 	dropped := 0
@@ -36,7 +36,7 @@
 // Each new incarnation of a peer is announced once, after its first frame has been received.
 func TestNewIncarnationsAreAnnounced(t *testing.T) {
 	const s = eventloop.Second
-	n := New(standin.NewRunner(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
+	n := New(fake.NewRunner(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
 	n.ClockDifference = 200 * eventloop.Millisecond
 	frames, announced := 0, []int{}
 	n.OnFrame = func(*Envelope) { frames++ }
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -7,13 +7,13 @@
 	"testing"
 
 	"cleatpick/internal/eventloop"
-	"cleatpick/internal/standin"
+	"cleatpick/internal/fake"
 )
 
 // network is a simulated network of controllers, which send each other the messages of the code
 // under test every 700 ms. Each direction of each connection can be open or closed.
 type network struct {
-	*standin.Runner
+	*fake.Runner
 	names    []string
 	open     map[string]bool // "a>b"
 	contact  map[string]bool
@@ -21,7 +21,7 @@
 }
 
 func newNetwork(n int) *network {
-	x := &network{Runner: standin.NewRunner(100 * eventloop.Second), open: map[string]bool{}, contact: map[string]bool{}, trackers: map[string]*Tracker{}}
+	x := &network{Runner: fake.NewRunner(100 * eventloop.Second), open: map[string]bool{}, contact: map[string]bool{}, trackers: map[string]*Tracker{}}
 	for i := range n {
 		x.names = append(x.names, string(rune('a'+i)))
 	}
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -6,14 +6,14 @@
 	"testing"
 
 	"cleatpick/internal/eventloop"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/peer"
-	"cleatpick/internal/standin"
 	"cleatpick/internal/wire"
 )
 
 // testNetwork is three endpoints with a network between them in which the test delivers, loses and repeats messages.
 type testNetwork struct {
-	*standin.Runner
+	*fake.Runner
 	endpoints map[string]*Endpoint
 	messages  []message
 }
@@ -25,7 +25,7 @@
 }
 
 func newTestNetwork() *testNetwork {
-	net := &testNetwork{Runner: standin.NewRunner(1000 * eventloop.Second), endpoints: map[string]*Endpoint{}}
+	net := &testNetwork{Runner: fake.NewRunner(1000 * eventloop.Second), endpoints: map[string]*Endpoint{}}
 	for _, self := range []string{"a", "b", "c"} {
 		net.endpoints[self] = New(net, self, 100, func(to string, f func(*peer.Envelope)) {
 			e := &peer.Envelope{From: self}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"cleatpick/internal/eventloop"
-	"cleatpick/internal/standin"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
@@ -27,8 +27,8 @@
 type run struct {
 	settings     *Settings
 	startedAt    time.Time
-	state        *standin.StateService
-	cloud        *standin.Cloud
+	state        *fake.StateService
+	cloud        *fake.Cloud
 	controllers  []*controller
 	workers      *simulatedWorkers
 	users        *users
@@ -83,13 +83,13 @@
 // controllers accept connections.
 func (r *run) start(ctx context.Context, dir string) error {
 	s, clock := r.settings, eventloop.RealClock()
-	r.state = standin.NewStateService(clock.Now)
-	r.state.SetLimits(&standin.Limits{RPS: s.State.RPS, WriteRPS: s.State.WriteRPS, ValueBytes: s.State.ValueKB << 10, TxnOps: s.State.TxnOps})
+	r.state = fake.NewStateService(clock.Now)
+	r.state.SetLimits(&fake.Limits{RPS: s.State.RPS, WriteRPS: s.State.WriteRPS, ValueBytes: s.State.ValueKB << 10, TxnOps: s.State.TxnOps})
 	var zones []string
 	for i := range s.Zones {
 		zones = append(zones, zoneName(i))
 	}
-	r.cloud = standin.NewCloud(wire.MachineType{Name: machineType, CPUs: s.MachineCPUs, MemoryGB: machineMemoryGB, CacheGB: 60, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: s.BootS, Zones: zones},
+	r.cloud = fake.NewCloud(wire.MachineType{Name: machineType, CPUs: s.MachineCPUs, MemoryGB: machineMemoryGB, CacheGB: 60, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: s.BootS, Zones: zones},
 		(s.Machines+s.Zones-1)/s.Zones)
 	r.cloud.Now, r.cloud.ListLag, r.cloud.Addr = clock.Now, eventloop.Seconds(listLagS/2), machineAddress
 	r.workers = newSimulatedWorkers(ctx, s, clock, r.checker)
--- a/internal/scale/services.go
+++ b/internal/scale/services.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"cleatpick/internal/standin"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 
@@ -45,7 +45,7 @@
 
 // answerStateRequest answers a request to the state service. A watch stays open until there is an event for it or its
 // time is over.
-func answerStateRequest(s *standin.StateService, method, path string, body []byte) store.Response {
+func answerStateRequest(s *fake.StateService, method, path string, body []byte) store.Response {
 	wait := watchTimeout(path)
 	if wait == 0 {
 		return s.Do(method, path, body, 0)
--- a/internal/scale/workers.go
+++ b/internal/scale/workers.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"cleatpick/internal/eventloop"
-	"cleatpick/internal/standin"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 
@@ -54,8 +54,8 @@
 	listener net.Listener
 
 	mu      sync.Mutex
-	fake    *standin.Worker // nil until the machine has booted
-	changed bool            // a task started or ended since the last report
+	fake    *fake.Worker // nil until the machine has booted
+	changed bool         // a task started or ended since the last report
 }
 
 // newSimulatedWorkers returns workers without any machine.
@@ -135,12 +135,12 @@
 		return ctx.Err()
 	}
 	w.listener = ln
-	worker := standin.NewWorker(s.clock.Now(), eventloop.Seconds(s.settings.Workers.LeaseS))
+	worker := fake.NewWorker(s.clock.Now(), eventloop.Seconds(s.settings.Workers.LeaseS))
 	worker.Name, worker.Addr, worker.Type, worker.Zone, worker.Spot = w.machine.Name, w.machine.Addr, w.machine.Type, w.machine.Zone, w.machine.Spot
 	worker.CPUs, worker.MemoryGB = s.settings.MachineCPUs, machineMemoryGB
-	worker.Job = func(id string) (standin.Job, bool) {
+	worker.Job = func(id string) (fake.Job, bool) {
 		spec, ok := s.checker.job(id)
-		return standin.Job{CPUs: spec.cpus, MemoryGB: spec.memoryGB, Run: eventloop.Seconds(spec.runS), Tasks: spec.tasks}, ok
+		return fake.Job{CPUs: spec.cpus, MemoryGB: spec.memoryGB, Run: eventloop.Seconds(spec.runS), Tasks: spec.tasks}, ok
 	}
 	worker.OnTaskStart = func(task, _ string) { w.changed = true; s.checker.taskStarted(task, worker.Name, time.Now()) }
 	worker.OnTaskEnd = func(task, _ string) { w.changed = true; s.checker.taskEnded(task, worker.Name) }
--- a/internal/scheduler/partition_test.go
+++ b/internal/scheduler/partition_test.go
@@ -7,10 +7,10 @@
 
 	"cleatpick/internal/config"
 	"cleatpick/internal/eventloop"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/job"
 	"cleatpick/internal/membership"
 	"cleatpick/internal/partition"
-	"cleatpick/internal/standin"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
 )
@@ -212,7 +212,7 @@
 		g.acceptJob(i, smallJob(fmt.Sprintf("team-%03d", i), 15))
 		if i == 10 {
 			g.Advance(2 * eventloop.Second)
-			g.state.SetLimits(&standin.Limits{ValueBytes: 1024, TxnOps: 5})
+			g.state.SetLimits(&fake.Limits{ValueBytes: 1024, TxnOps: 5})
 		}
 	}
 	g.Advance(8 * eventloop.Second)
--- a/internal/scheduler/place_test.go
+++ b/internal/scheduler/place_test.go
@@ -14,12 +14,12 @@
 	"cleatpick/internal/config"
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/eventloop"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/fixed"
 	"cleatpick/internal/job"
 	"cleatpick/internal/membership"
 	"cleatpick/internal/partition"
 	"cleatpick/internal/peer"
-	"cleatpick/internal/standin"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
@@ -29,12 +29,12 @@
 
 // rig is one owner on hand-driven time, with machines that exist only as views.
 type rig struct {
-	*standin.Runner
+	*fake.Runner
 	scheduler *Scheduler
 	workers   *workers.Registry
 	registry  *job.Registry
 	mirror    *store.Mirror
-	state     *standin.StateService
+	state     *fake.StateService
 	writes    int
 	txns      int
 	starts    []workers.Start
@@ -63,13 +63,13 @@
 }
 
 func newRig(writeRPS float64, teams ...config.Team) *rig {
-	g := &rig{Runner: standin.NewRunner(1000 * eventloop.Second)}
+	g := &rig{Runner: fake.NewRunner(1000 * eventloop.Second)}
 	cfg := &config.Config{Operator: config.Defaults()}
 	cfg.Cluster.Workers.ReportS, cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.CancelS = 3, 10, 30
 	cfg.Cluster.State.TxnOps, cfg.Cluster.State.ValueKB = 16, 4 // small, so that segments fill up
 	cfg.Cluster.Teams = teams
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	g.state = standin.NewStateService(func() eventloop.Micros { return g.Now() })
+	g.state = fake.NewStateService(func() eventloop.Micros { return g.Now() })
 	c := store.NewClient(g, g, log, 100, writeRPS, 1)
 	g.mirror = store.NewMirror(c, g, "c/")
 	g.registry = job.NewRegistry(g, c, g.mirror, log)
--- a/internal/store/fairness_test.go
+++ b/internal/store/fairness_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"cleatpick/internal/eventloop"
-	"cleatpick/internal/standin"
+	"cleatpick/internal/fake"
 	"cleatpick/internal/store"
 	"cleatpick/internal/wire"
 )
@@ -70,8 +70,8 @@
 // after 10 to 37 s, and reads waited 0.4 s each (docs/incidents/2026-12-02-went-back-and-forgotten.md).
 func TestSubmissionsDelayNoOtherClass(t *testing.T) {
 	const rps, writeRPS, nodes = 180, 70, 3
-	clock := standin.NewRunner(1000 * eventloop.Second)
-	state := standin.NewStateService(clock.Now)
+	clock := fake.NewRunner(1000 * eventloop.Second)
+	state := fake.NewStateService(clock.Now)
 	sent := &changeCounter{state: state}
 	client := store.NewClient(clock, sent, slog.New(slog.NewTextHandler(io.Discard, nil)), rps, writeRPS, nodes)
 	f := &flood{client: client}
@@ -118,7 +118,7 @@
 
 // changeCounter counts the changes that are sent to the state service.
 type changeCounter struct {
-	state   *standin.StateService
+	state   *fake.StateService
 	changes int
 }
 
