--- a/internal/config/quota_test.go
+++ b/internal/config/quota_test.go
@@ -4,12 +4,12 @@
 	"encoding/json"
 	"testing"
 
-	"cleatpick/internal/fixed"
+	"cleatpick/internal/testseed"
 
 	"pgregory.net/rapid"
 )
 
-func TestMain(m *testing.M) { fixed.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 // Quotas agree with a model that adds one task at a time while the limits allow it.
 func TestLimitAgainstCounting(t *testing.T) {
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -7,13 +7,13 @@
 	"testing"
 
 	"cleatpick/internal/eventloop"
-	"cleatpick/internal/fixed"
+	"cleatpick/internal/testseed"
 
 	"pgregory.net/rapid"
 )
 
 // The result must be the same in every run, so the seed of the random inputs is fixed.
-func TestMain(m *testing.M) { fixed.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 // condition is the real condition of a simulated machine.
 type condition int
--- a/internal/health/runs_test.go
+++ b/internal/health/runs_test.go
@@ -8,15 +8,15 @@
 	"testing"
 
 	"cleatpick/internal/eventloop"
-	"cleatpick/internal/fixed"
 	"cleatpick/internal/job"
+	"cleatpick/internal/testseed"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
 
 	"pgregory.net/rapid"
 )
 
-func TestMain(m *testing.M) { fixed.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 // modelRun is what the model keeps of a task, by the task's name and attempt.
 type modelRun struct {
--- a/internal/predicate/predicate_test.go
+++ b/internal/predicate/predicate_test.go
@@ -5,16 +5,16 @@
 
 	"cleatpick/internal/config"
 	"cleatpick/internal/eventloop"
-	"cleatpick/internal/fixed"
 	"cleatpick/internal/health"
 	"cleatpick/internal/job"
+	"cleatpick/internal/testseed"
 	"cleatpick/internal/workers"
 
 	"pgregory.net/rapid"
 )
 
 // The result must be the same in every run, so the generator's seed is fixed.
-func TestMain(m *testing.M) { fixed.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 // restatedAllowed restates what each predicate allows, without the helpers of the product code.
 func restatedAllowed(j *JobFacts, k Kind) int {
--- a/internal/scheduler/place_test.go
+++ b/internal/scheduler/place_test.go
@@ -15,12 +15,12 @@
 	"cleatpick/internal/cordon"
 	"cleatpick/internal/eventloop"
 	"cleatpick/internal/fake"
-	"cleatpick/internal/fixed"
 	"cleatpick/internal/job"
 	"cleatpick/internal/membership"
 	"cleatpick/internal/partition"
 	"cleatpick/internal/peer"
 	"cleatpick/internal/store"
+	"cleatpick/internal/testseed"
 	"cleatpick/internal/wire"
 	"cleatpick/internal/workers"
 
@@ -55,7 +55,7 @@
 }
 
 // The generator's seed is fixed, so that every run has the same result.
-func TestMain(m *testing.M) { fixed.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 var types = map[string]wire.MachineType{
 	"m8":  {Name: "m8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.3, BootS: 4, Zones: []string{"x", "y"}},
--- a/internal/starvation/budget_test.go
+++ b/internal/starvation/budget_test.go
@@ -5,13 +5,13 @@
 	"testing"
 
 	"cleatpick/internal/eventloop"
-	"cleatpick/internal/fixed"
+	"cleatpick/internal/testseed"
 
 	"pgregory.net/rapid"
 )
 
 // The result must be the same in every run, so the generator's seed is fixed.
-func TestMain(m *testing.M) { fixed.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 // restatedPicks restates the rule, counting up task by task: of the classes with a late job, the one that
 // received the least since it joined is next, and within the class the job that received nothing for longest.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -10,14 +10,14 @@
 	"time"
 
 	"cleatpick/internal/eventloop"
-	"cleatpick/internal/fixed"
+	"cleatpick/internal/testseed"
 	"cleatpick/internal/wire"
 
 	"pgregory.net/rapid"
 )
 
 // The results must be the same in every run, so the seed of the property tests is fixed.
-func TestMain(m *testing.M) { fixed.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 // manualLoop is an event loop with a clock set by the test; delayed functions are collected and run by the test.
 type manualLoop struct {
--- a/internal/fixed/fixed.go
+++ b/internal/testseed/testseed.go
@@ -1,6 +1,6 @@
-// Package fixed makes property tests deterministic: it fixes the seed of the generator of package rapid. Packages with
+// Package testseed makes property tests deterministic: it fixes the seed of the generator of package rapid. Packages with
 // such tests call Main from their TestMain. A test run with another seed passes the flag -rapid.seed.
-package fixed
+package testseed
 
 import (
 	"flag"
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -8,14 +8,14 @@
 
 	"cleatpick/internal/delivery"
 	"cleatpick/internal/eventloop"
-	"cleatpick/internal/fixed"
 	"cleatpick/internal/job"
 	"cleatpick/internal/store"
+	"cleatpick/internal/testseed"
 	"cleatpick/internal/wire"
 )
 
 // The results must be the same in every run, so the seed of the property tests is fixed.
-func TestMain(m *testing.M) { fixed.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 // manualLoop is an event loop with a clock set by the test; delayed functions run when the test calls runWork.
 type manualLoop struct {
