--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -108,7 +108,7 @@
 // bound on clock differences.
 func NewRegistry(r loop.Runner, c *store.Client, m *store.Mirror, log *slog.Logger, clockTo loop.Micros) *Registry {
 	b := &Registry{runner: r, client: c, mirror: m, log: log, clockBound: clockTo, version: 1}
-	m.On(Key, b.apply)
+	m.OnChange(Key, b.apply)
 	return b
 }
 
@@ -117,8 +117,8 @@
 		return
 	}
 	var rec record
-	b.revision, b.damaged = e.Mark, false
-	if e.Mark != 0 {
+	b.revision, b.damaged = e.Revision, false
+	if e.Revision != 0 {
 		if err := wire.Unmarshal(e.Value, &rec); err != nil || rec.Format != recordFormat {
 			// The cordons read last stay in force here; the next change replaces the record.
 			b.log.Error("corrupt cordon record ignored; the cordons read before stay in force", "key", key, "format", rec.Format, "err", err)
@@ -265,7 +265,7 @@
 		b.client.Txn(store.Answers, wire.Txn{If: []wire.Cond{b.Cond()}, Then: []wire.Change{{Put: Key, Value: rec}}}, func(r store.Result) {
 			switch r.Outcome {
 			case store.Applied:
-				b.mirror.Apply(Key, wire.Marshal(rec), r.Tally, false)
+				b.mirror.Apply(Key, wire.Marshal(rec), r.Revision, false)
 				done(Stored)
 			case store.Conflict:
 				b.refresh(func(_, ok bool) {
--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// confirmUnchanged confirms with the state service that a job needs no change, since the copy here may be out of date.
+// confirmUnchanged confirms with the state service that a job needs no change, since the copy here may be out of
+// date.
 func (r *Registry) confirmUnchanged(req *userRequest, edit Edit) {
 	confirm := *req
 	confirm.reply = func(a Answer) {
@@ -53,11 +54,11 @@
 }
 
 func (r *Registry) storeAmendment(req *userRequest, edit Edit, j *Job, record *Record) {
-	sequence := r.client.Next()
+	sequence := r.client.NextSequence()
 	r.client.Txn(store.Answers, wire.Txn{If: []wire.Cond{RevisionCond(j)}, Then: []wire.Change{{Put: KeyPrefix + req.id, Value: *record}}}, func(result store.Result) {
 		switch result.Outcome {
 		case store.Applied:
-			r.mirror.Apply(KeyPrefix+req.id, wire.Marshal(*record), result.Tally, false)
+			r.mirror.Apply(KeyPrefix+req.id, wire.Marshal(*record), result.Revision, false)
 			r.deliver(req, r.current(req.id, 200, SourceStored, sequence))
 		case store.Conflict:
 			r.fetchAndAmend(req, edit, 503) // a record that existed is never removed
@@ -122,9 +123,9 @@
 }
 
 // ConfirmHold marks a hold as effective, provided that the job's record still has this revision.
-func (r *Registry) ConfirmHold(id string, mark uint64, callback func(Answer)) {
+func (r *Registry) ConfirmHold(id string, revision uint64, callback func(Answer)) {
 	r.Amend(id, func(j *Job) *Record {
-		if j.Revision != mark || j.Terms.Hold.State != HoldPending {
+		if j.Revision != revision || j.Terms.Hold.State != HoldPending {
 			return nil
 		}
 		t := j.Terms
--- a/internal/job/read.go
+++ b/internal/job/read.go
@@ -40,8 +40,8 @@
 	refusals   int // number of refusals so far, by which Retry-After is spread
 }
 
-// compareRequests compares two requests by which keeps its place when not all can wait: changes come first, then polls
-// for known jobs, those unanswered longest first, then polls for jobs that are not known here.
+// compareRequests compares two requests by which keeps its place when not all can wait: changes come first, then
+// polls for known jobs, those unanswered longest first, then polls for jobs that are not known here.
 func compareRequests(a, b *userRequest) int {
 	return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.unansweredSince, b.unansweredSince), cmp.Compare(a.sequence, b.sequence))
 }
@@ -113,7 +113,7 @@
 		return
 	}
 	r.reads.syncing = true
-	before := r.client.Next()
+	before := r.client.NextSequence()
 	r.mirror.Sync(store.Inquiries, func(outcome store.Outcome) {
 		if outcome == store.Refused {
 			// The state service cannot be read now: users are told to retry at once.
@@ -142,19 +142,19 @@
 
 // finishMatching removes the requests that match from those that wait, and calls end for each.
 func (r *Registry) finishMatching(which func(*userRequest) bool, end func(*userRequest)) {
-	var settled, rest []*userRequest
+	var matched, rest []*userRequest
 	for _, req := range r.reads.waiting {
 		if which(req) {
-			settled = append(settled, req)
+			matched = append(matched, req)
 		} else {
 			rest = append(rest, req)
 		}
 	}
-	if len(settled) == 0 {
+	if len(matched) == 0 {
 		return
 	}
 	r.reads.waiting = rest
-	for _, req := range settled {
+	for _, req := range matched {
 		end(req)
 	}
 }
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -44,7 +44,7 @@
 func NewRegistry(runner loop.Runner, client *store.Client, mirror *store.Mirror, log *slog.Logger) *Registry {
 	registry := &Registry{runner: runner, client: client, mirror: mirror, log: log, jobs: map[string]*Job{}, damaged: map[string]bool{},
 		pending: map[string]*creation{}, reads: readQueue{maxWaiting: maxWaitingReads}, unanswered: unansweredJobs{}, refusals: admission.NewRefusals(log)}
-	mirror.On(KeyPrefix, registry.applyRecord)
+	mirror.OnChange(KeyPrefix, registry.applyRecord)
 	mirror.OnSynced(registry.synced)
 	registry.ConfigureAdmission(func(string) float64 { return 1 }, 40)
 	loop.Every(runner, expireInterval, registry.Expire)
@@ -54,7 +54,7 @@
 // applyRecord applies a record that the mirror received.
 func (r *Registry) applyRecord(key string, e store.Entry) {
 	id := strings.TrimPrefix(key, KeyPrefix)
-	if e.Mark == 0 {
+	if e.Revision == 0 {
 		return // job records are never removed
 	}
 	var rec Record
@@ -71,7 +71,7 @@
 		j = &Job{ID: id}
 		r.jobs[id] = j
 	}
-	j.Revision, j.Phase, j.AcceptedAt = e.Mark, rec.Phase, rec.AcceptedAt
+	j.Revision, j.Phase, j.AcceptedAt = e.Revision, rec.Phase, rec.AcceptedAt
 	r.applyPeerRevision(j)
 	if rec.Spec != nil {
 		j.Spec, j.Tasks = rec.Spec, rec.Spec.Tasks
@@ -111,7 +111,8 @@
 	})
 }
 
-// TakeQueuePositions returns the queue positions of clients deferred since the previous call, to be sent to the peers.
+// TakeQueuePositions returns the queue positions of clients deferred since the previous call, to be sent to the
+// peers.
 func (r *Registry) TakeQueuePositions() []admission.Position { return r.queue.TakeNewPositions() }
 
 // ApplyQueuePositions applies the queue positions that a peer sent.
@@ -131,7 +132,7 @@
 
 // fetch reads a job from the state service.
 func (r *Registry) fetch(id string, callback func(Answer)) {
-	sequence := r.client.Next()
+	sequence := r.client.NextSequence()
 	r.client.Get(store.Answers, KeyPrefix+id, func(it wire.Item, found, ok bool) {
 		switch {
 		case !ok:
@@ -188,8 +189,8 @@
 func RevisionCond(j *Job) wire.Cond { return wire.Cond{Key: KeyPrefix + j.ID, Mark: j.Revision} }
 
 // ApplyStored applies a record that a transaction of this controller has stored.
-func (r *Registry) ApplyStored(ch wire.Change, tally uint64) {
-	r.mirror.Apply(ch.Put, wire.Marshal(ch.Value), tally, false)
+func (r *Registry) ApplyStored(ch wire.Change, revision uint64) {
+	r.mirror.Apply(ch.Put, wire.Marshal(ch.Value), revision, false)
 }
 
 // Refresh reads a job again after a transaction showed that the copy here is out of date.
--- a/internal/job/submit.go
+++ b/internal/job/submit.go
@@ -34,8 +34,8 @@
 	r.SubmitWithTerms(id, spec, &Terms{}, callback)
 }
 
-// SubmitWithTerms is Submit for a job with a hold or dependencies. The caller must have found the jobs that it depends
-// on in the state service; records are never removed, so they continue to exist.
+// SubmitWithTerms is Submit for a job with a hold or dependencies. The caller must have found the jobs that it
+// depends on in the state service; records are never removed, so they continue to exist.
 func (r *Registry) SubmitWithTerms(id string, spec *Spec, terms *Terms, callback func(Answer)) {
 	req := r.newUserRequest(id, true, callback)
 	req.onAbsent = func() { r.enqueue(req, spec, terms) }
@@ -68,7 +68,8 @@
 	r.storeWaiting()
 }
 
-// deferSubmission tells those who submitted a job to retry later, since another submission takes its place in the queue.
+// deferSubmission tells those who submitted a job to retry later, since another submission takes its place in the
+// queue.
 func (r *Registry) deferSubmission(id string, after int) {
 	r.client.Meter.Submission("putOff")
 	r.answerSubmitters(id, Answer{Code: 429, ID: id, RetryAfter: after, source: RefusedDeferred})
@@ -100,7 +101,7 @@
 func (r *Registry) nextBatch() createBatch {
 	batch := createBatch{records: map[string]Record{}}
 	size := 0
-	for len(batch.records) < min(maxBatchRecords, r.client.MostChanges()) && size <= maxBatchBytes {
+	for len(batch.records) < min(maxBatchRecords, r.client.MaxChanges()) && size <= maxBatchBytes {
 		next := r.queue.Next(1)
 		if len(next) == 0 {
 			break
@@ -130,7 +131,7 @@
 		return
 	}
 	r.storing = true
-	sequence := r.client.Next()
+	sequence := r.client.NextSequence()
 	r.client.Txn(store.Answers, batch.txn, func(result store.Result) {
 		r.storing = false
 		r.handleStored(&batch, result, sequence)
@@ -144,11 +145,11 @@
 		r.queue.RecordAdmitted(len(batch.turns), r.runner.Now(), r.queue.Waiting() > 0)
 		for _, turn := range batch.turns {
 			r.client.Meter.Submission("taken")
-			r.mirror.Apply(KeyPrefix+turn.ID, wire.Marshal(batch.records[turn.ID]), result.Tally, false)
+			r.mirror.Apply(KeyPrefix+turn.ID, wire.Marshal(batch.records[turn.ID]), result.Revision, false)
 			r.answerSubmitters(turn.ID, r.current(turn.ID, 201, SourceStored, sequence))
 		}
 	case store.Conflict:
-		r.handleConflict(batch, result.Failed)
+		r.handleConflict(batch, result.FailedKeys)
 	case store.Refused:
 		// The state service did not store the jobs. Their users are told to retry at once, rather than held
 		// until it recovers.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -114,7 +114,7 @@
 	}
 	nodes := max(cfg.Cluster.Nodes, 1)
 	n.client = store.NewClient(l, deps.State, log, cfg.Cluster.State.RPS, cfg.Cluster.State.WriteRPS, nodes)
-	n.client.SetTxnOps(cfg.Cluster.State.TxnOps)
+	n.client.SetMaxChanges(cfg.Cluster.State.TxnOps)
 	n.client.Meter = n.meter
 	n.mirror = store.NewMirror(n.client, deps.Watch, member.Prefix)
 	n.member = member.New(l, n.client, n.mirror, log, member.Settings{Label: cfg.Label, Teams: cfg.TeamNames(), Controllers: nodes,
@@ -297,7 +297,7 @@
 	n.reach.Update()
 	n.trackIsolation()
 	if n.mirror.Ready() {
-		n.client.Use(admission.RateFraction(n.member.RegisteredCount(), n.cfg.Cluster.Nodes, n.member.LeaseValid()))
+		n.client.SetShare(admission.RateFraction(n.member.RegisteredCount(), n.cfg.Cluster.Nodes, n.member.LeaseValid()))
 	}
 	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.hasStateContact() && n.member.LeaseValid(), Hosted: n.agent.HostedCount(), Reachable: []string{}}
 	for _, label := range n.net.Peers() {
--- a/internal/node/redirect.go
+++ b/internal/node/redirect.go
@@ -36,7 +36,7 @@
 func (n *Node) redirect(machine string, before int) (on bool, to string, again loop.Micros) {
 	again = redirectInterval
 	contact := n.hasStateContact()
-	switch lost := n.loop.Now() - n.client.Contact(); {
+	switch lost := n.loop.Now() - n.client.LastContact(); {
 	case contact:
 	case lost > redirectInterval:
 		again = isolatedRedirectInterval
--- a/internal/placer/scheduler.go
+++ b/internal/placer/scheduler.go
@@ -304,7 +304,7 @@
 		switch r.Outcome {
 		case store.Applied:
 			p.log.Debug("job done", "job", t.job.ID, "class", t.job.Spec.Class, "tasks", t.job.Tasks, "took_us", p.runner.Wall()-t.job.AcceptedAt, "estimate_us", t.job.Spec.Estimate)
-			p.registry.ApplyStored(ch, r.Tally)
+			p.registry.ApplyStored(ch, r.Revision)
 			p.forgetJob(t)
 		case store.Conflict:
 			p.registry.Refresh(t.job.ID)
--- a/internal/rental/autoscaler.go
+++ b/internal/rental/autoscaler.go
@@ -149,9 +149,9 @@
 	w := cfg.Cluster.Workers
 	t.failures = loss.New(loss.Rules{ReportInterval: loop.Seconds(w.ReportS), Lease: loop.Seconds(w.LeaseS), UnreachableGrace: partitionGrace,
 		MaxSilence: loop.Seconds(cfg.Operator.SilentDeleteS), MaxProbes: max(min(64, cfg.Cluster.Limits.MaxSockets/20), 4)}, log, n.Meter, t.probe)
-	m.On(CatalogKey, func(key string, e store.Entry) {
+	m.OnChange(CatalogKey, func(key string, e store.Entry) {
 		var rec catalogRecord
-		if e.Mark == 0 {
+		if e.Revision == 0 {
 			return
 		}
 		if err := wire.Unmarshal(e.Value, &rec); err != nil {
@@ -160,9 +160,9 @@
 		}
 		t.setCatalog(rec.Types)
 	})
-	m.On(DeletionKeys, func(key string, e store.Entry) {
+	m.OnChange(DeletionKeys, func(key string, e store.Entry) {
 		var rec DeletionRecord
-		if e.Mark == 0 {
+		if e.Revision == 0 {
 			a.ForgetDeleted(t.deleted[key])
 			delete(t.deleted, key)
 			return
@@ -212,7 +212,7 @@
 	t.listAt, t.catalogAt, t.listed = 0, 0, false
 	t.seq = 0
 	t.failures.Clear()
-	for _, key := range t.mirror.Under(OrderKeys) {
+	for _, key := range t.mirror.KeysUnder(OrderKeys) {
 		e, _ := t.mirror.Get(key)
 		var o Order
 		if err := wire.Unmarshal(e.Value, &o); err != nil {
@@ -220,7 +220,7 @@
 			continue
 		}
 		name := strings.TrimPrefix(key, OrderKeys)
-		t.orders[name] = &order{name: name, record: o, revision: e.Mark, recorded: true}
+		t.orders[name] = &order{name: name, record: o, revision: e.Revision, recorded: true}
 		if o.Answered {
 			t.orders[name].finished = t.runner.Now()
 			for _, m := range o.Machines {
