--- a/cmd/cleatpick/jobs.go
+++ b/cmd/cleatpick/jobs.go
@@ -61,7 +61,7 @@
 
 // Run submits the job and prints it as accepted.
 func (s *submitCmd) Run() error {
-	var p api.Proposal
+	var p api.Submission
 	if s.File != "" {
 		in := io.Reader(os.Stdin)
 		if s.File != "-" {
@@ -87,12 +87,12 @@
 	set(&p.Image, s.Image)
 	set(&p.Priority, s.Priority)
 	set(&p.EstimateS, s.Estimate)
-	set(&p.OnWithdrawn, s.OnWithdrawn)
+	set(&p.OnCancelled, s.OnWithdrawn)
 	set(&p.HoldReason, s.Reason)
 	set(&p.Spot, s.Spot)
 	set(&p.Hold, s.Hold)
 	if len(s.After) > 0 {
-		p.After = s.After
+		p.Dependencies = s.After
 	}
 	if p.ID == "" {
 		p.ID = api.NewJobID()
--- a/cmd/cleatpick/show.go
+++ b/cmd/cleatpick/show.go
@@ -55,7 +55,7 @@
 	if h := j.Hold; h.State != "none" && h.HoldDetail != nil {
 		fmt.Fprintf(w, "  hold: %s (%s, by %s)\n", h.State, or(h.Reason, "no reason given"), or(h.By, "unknown"))
 	}
-	for _, d := range j.After {
+	for _, d := range j.Dependencies {
 		fmt.Fprintf(w, "  after %s: %s\n", d.Job, d.State)
 	}
 }
@@ -75,11 +75,11 @@
 	rows(w, "TEAM CLASS PRIORITY JOBS WAITING CAUSE JOBS TASKS LONGEST", func(row func(...any)) {
 		for _, g := range v.Queue {
 			if len(g.Causes) == 0 {
-				row(g.Team, g.Class, g.Priority, g.Jobs, g.Waiting, "-", "-", "-", "-")
+				row(g.Team, g.Class, g.Priority, g.Jobs, g.WaitingJobs, "-", "-", "-", "-")
 			}
 			for i, c := range g.Causes {
 				if i == 0 {
-					row(g.Team, g.Class, g.Priority, g.Jobs, g.Waiting, c.Kind, c.Jobs, c.Tasks, span(c.Longest))
+					row(g.Team, g.Class, g.Priority, g.Jobs, g.WaitingJobs, c.Kind, c.Jobs, c.Tasks, span(c.Longest))
 				} else {
 					row("", "", "", "", "", c.Kind, c.Jobs, c.Tasks, span(c.Longest))
 				}
@@ -98,9 +98,9 @@
 			if m.CPUsFree != nil {
 				free = fmt.Sprintf("%g", *m.CPUsFree)
 			}
-			shut := append([]string{}, m.Shut...)
-			if m.RestsSince != "" {
-				shut = append(shut, "("+m.RestsSince+")")
+			shut := append([]string{}, m.BlockedBy...)
+			if m.BackOffReason != "" {
+				shut = append(shut, "("+m.BackOffReason+")")
 			}
 			if len(m.Cordons) > 0 {
 				shut = append(shut, "["+strings.Join(m.Cordons, " ")+"]")
@@ -126,10 +126,10 @@
 func showCordon(w io.Writer, c *api.Cordon) {
 	fmt.Fprintf(w, "%s: no new starts on %s (%s)\n", c.Name, selector(c), c.Reason)
 	switch {
-	case c.Unseen == nil:
+	case c.PendingStarts == nil:
 		fmt.Fprintln(w, "  not every owner could be asked for starts recorded earlier")
-	case *c.Unseen > 0:
-		fmt.Fprintf(w, "  %d starts recorded earlier may still begin\n", *c.Unseen)
+	case *c.PendingStarts > 0:
+		fmt.Fprintf(w, "  %d starts recorded earlier may still begin\n", *c.PendingStarts)
 	default:
 		fmt.Fprintln(w, "  nothing recorded earlier is left to begin")
 	}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,6 +1,9 @@
-// Package api serves `/v1/`, the interface for people and programs beside the protocol:
-// JSON over HTTP, with keys, roles and a published schema. It decides nothing about
-// jobs: what comes in here goes the same ways as what comes in by the protocol.
+// Package api serves /v1/, the JSON interface over HTTP for users, operators and their tools, and /metrics. Requests
+// are authenticated with bearer keys, each of which has a role, and request bodies are checked against a published JSON
+// schema. Errors have the form of RFC 9457.
+//
+// The package owns the routes, the keys and the JSON types. It decides nothing about jobs: submissions, holds and
+// cancellations go through the same job registry and the same checks as requests in the CBOR protocol.
 package api
 
 import (
@@ -19,104 +22,114 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Node is what this slice needs of the node around it. All is called on the loop.
+// Node holds what the API needs from the rest of the controller. Its functions and the methods of its registries are
+// called on the event loop.
 type Node struct {
-	Ready    func() bool
-	Types    func() []wire.MachineType
-	Counts   func(*job.Job) job.Counts
+	// Ready reports whether users' requests can be decided now.
+	Ready func() bool
+	// Types returns the known machine types, none before the catalog was read.
+	Types func() []wire.MachineType
+	// Counts returns the job's numbers of running and done tasks.
+	Counts func(*job.Job) job.Counts
+	// Machines returns the reachable machines, sorted by name.
 	Machines func() []Machine
-	// Unheard names the owners of teams that were not heard lately, and teams that
-	// nobody owns: what is told of them may be old.
-	Unheard func() []string
-	Jobs    *job.Registry
-	Cordons *cordon.Registry
-	// Unseen counts starts that were recorded earlier and may still begin where a cordon
-	// bars them; ok is false where an owner could not be asked.
-	Unseen func(name string, cb func(starts int, ok bool))
-	Desk   *explain.Service
+	// StaleOwners describes the owners that are unreachable and the teams without an owner; the causes of waiting that
+	// are known of their jobs may be outdated.
+	StaleOwners func() []string
+	Jobs        *job.Registry
+	Cordons     *cordon.Registry
+	// PendingStarts counts the starts that were recorded before the named cordon and may still take effect on the machines
+	// that it blocks. ok is false if an owner did not answer.
+	PendingStarts func(name string, callback func(starts int, ok bool))
+	// Explanations explains why jobs wait.
+	Explanations *explain.Service
 }
 
 // API answers requests under /v1/ and for /metrics.
 type API struct {
-	r      loop.Runner
+	runner loop.Runner
 	log    *slog.Logger
 	cfg    *config.Config
-	n      Node
+	node   Node
 	keys   []key
 	schema *schema
 	meter  *metric.Meter
 }
 
-// New makes the interface. The meter may be nil; then /metrics is not there.
+// New returns the API. The meter may be nil; /metrics does not exist then.
 func New(r loop.Runner, log *slog.Logger, cfg *config.Config, n Node, m *metric.Meter) *API {
-	return &API{r: r, log: log, cfg: cfg, n: n, keys: readKeys(cfg.Operator.API.Keys), schema: loadSchema(), meter: m}
+	return &API{runner: r, log: log, cfg: cfg, node: n, keys: readKeys(cfg.Operator.API.Keys), schema: loadSchema(), meter: m}
 }
 
-// patience is how long a request waits for the loop and for other nodes.
-const patience = 4 * time.Second
+// requestTimeout is how long a request waits for its result from the event loop, and from other controllers if they are
+// asked.
+const requestTimeout = 4 * time.Second
 
-// route is what a path and method lead to.
+// route is the handler of a path and method, with the lowest role that may use it.
 type route struct {
-	role int
-	do   func(a *API, c *call)
+	minRank int
+	handle  func(a *API, c *request)
 }
 
-// call is one request.
-type call struct {
-	ctx *fasthttp.RequestCtx
-	by  string // the key's name
-	arg string // the variable part of the path
+// request is one authenticated request.
+type request struct {
+	ctx     *fasthttp.RequestCtx
+	keyName string // name of the key that the request carries
+	arg     string // the variable part of the path
 }
 
-// Handle answers one request, off the loop.
+// Handle answers one request. It runs outside the event loop.
 func (a *API) Handle(ctx *fasthttp.RequestCtx) {
 	defer func() { a.meter.Request(ctx.Response.StatusCode()) }()
 	if ctx.UserValue("broken") != nil {
-		fail(ctx, tooLarge)
+		writeProblem(ctx, tooLarge)
 		return
 	}
-	r, arg, known, methods := find(string(ctx.Method()), string(ctx.Path()))
+	r, arg, known, methods := findRoute(string(ctx.Method()), string(ctx.Path()))
 	k, ok := a.authenticate(ctx)
 	switch {
 	case !ok:
 		ctx.Response.Header.Set("WWW-Authenticate", "Bearer")
-		fail(ctx, badKey)
+		writeProblem(ctx, invalidKey)
 	case !known:
-		fail(ctx, noPath)
+		writeProblem(ctx, unknownPath)
 	case r == nil:
 		ctx.Response.Header.Set("Allow", strings.Join(methods, ", "))
-		fail(ctx, badMethod)
-	case k.rank < r.role:
-		fail(ctx, badRole.with("the key %q may not do this", k.name))
+		writeProblem(ctx, methodNotAllowed)
+	case k.rank < r.minRank:
+		writeProblem(ctx, forbidden.withDetail("the key %q does not have the required role", k.name))
 	default:
-		r.do(a, &call{ctx, k.name, arg})
+		r.handle(a, &request{ctx, k.name, arg})
 	}
 }
 
+// The ranks of the roles, as config.RoleRank returns them. A role includes all roles of lower rank.
 const (
-	read    = 1
-	submit  = 2
-	operate = 3
+	rankRead    = 1
+	rankSubmit  = 2
+	rankOperate = 3
 )
 
-// table holds all routes; {} stands for the variable part of a path.
-var table = map[string]map[string]route{
-	"/v1/jobs":             {"POST": {submit, (*API).propose}, "GET": {read, (*API).list}},
-	"/v1/jobs/{}":          {"GET": {read, (*API).job}},
-	"/v1/jobs/{}/hold":     {"POST": {operate, (*API).hold}},
-	"/v1/jobs/{}/release":  {"POST": {operate, (*API).release}},
-	"/v1/jobs/{}/withdraw": {"POST": {submit, (*API).withdraw}},
-	"/v1/jobs/{}/why":      {"GET": {read, (*API).why}},
-	"/v1/machines":         {"GET": {read, (*API).machines}},
-	"/v1/cordons":          {"GET": {read, (*API).cordons}},
-	"/v1/cordons/{}":       {"GET": {read, (*API).cordon}, "PUT": {operate, (*API).putCordon}, "DELETE": {operate, (*API).dropCordon}},
-	"/v1/queue":            {"GET": {read, (*API).queue}},
-	"/v1/schema":           {"GET": {read, (*API).showSchema}},
-	"/metrics":             {"GET": {read, (*API).metrics}},
+// routes maps each path and method to its route; {} stands for the variable part of a path.
+var routes = map[string]map[string]route{
+	"/v1/jobs":             {"POST": {rankSubmit, (*API).submitJob}, "GET": {rankRead, (*API).listJobs}},
+	"/v1/jobs/{}":          {"GET": {rankRead, (*API).showJob}},
+	"/v1/jobs/{}/hold":     {"POST": {rankOperate, (*API).holdJob}},
+	"/v1/jobs/{}/release":  {"POST": {rankOperate, (*API).releaseJob}},
+	"/v1/jobs/{}/withdraw": {"POST": {rankSubmit, (*API).cancelJob}},
+	"/v1/jobs/{}/why":      {"GET": {rankRead, (*API).explainJob}},
+	"/v1/machines":         {"GET": {rankRead, (*API).listMachines}},
+	"/v1/cordons":          {"GET": {rankRead, (*API).listCordons}},
+	"/v1/cordons/{}": {"GET": {rankRead, (*API).getCordon}, "PUT": {rankOperate, (*API).putCordon},
+		"DELETE": {rankOperate, (*API).removeCordon}},
+	"/v1/queue":  {"GET": {rankRead, (*API).showQueue}},
+	"/v1/schema": {"GET": {rankRead, (*API).showSchema}},
+	"/metrics":   {"GET": {rankRead, (*API).showMetrics}},
 }
 
-// find looks a path up; methods are those that the path has.
-func find(method, path string) (r *route, arg string, known bool, methods []string) {
+// findRoute looks up the route of a request. arg is the variable part of the path, known reports whether the path exists,
+// and methods are those that it allows. r is nil if the path does not allow this method.
+func findRoute(method, path string) (r *route, arg string, known bool, methods []string) {
 	key := path
 	parts := strings.Split(path, "/")
 	if len(parts) >= 4 && parts[3] != "" {
@@ -124,7 +137,7 @@
 		parts[3] = "{}"
 		key = strings.Join(parts, "/")
 	}
-	all, known := table[key]
+	all, known := routes[key]
 	for m, x := range all {
 		methods = append(methods, m)
 		if m == method {
@@ -134,17 +147,18 @@
 	return r, arg, known, methods
 }
 
-// outcome is what the loop came to: a problem, or a body with its status.
+// outcome is the result of a request: a problem, or a body with its status.
 type outcome struct {
 	problem *problem
 	status  int
 	body    any
 }
 
-// onLoop lets f decide on the loop and writes what it came to.
-func (a *API) onLoop(c *call, f func(done func(outcome))) {
-	o, ok := loop.Ask(a.r, patience, func(done func(outcome)) {
-		if !a.n.Ready() {
+// onLoop calls f on the event loop, waits for its outcome and writes it. The response is an error if this controller is
+// not ready or if there is no outcome in time.
+func (a *API) onLoop(c *request, f func(done func(outcome))) {
+	o, ok := loop.Call(a.runner, requestTimeout, func(done func(outcome)) {
+		if !a.node.Ready() {
 			done(outcome{problem: &notReady})
 			return
 		}
@@ -152,28 +166,28 @@
 	})
 	switch {
 	case !ok:
-		fail(c.ctx, noAnswer)
+		writeProblem(c.ctx, unavailable)
 	case o.problem != nil:
-		fail(c.ctx, *o.problem)
+		writeProblem(c.ctx, *o.problem)
 	default:
 		write(c.ctx, o.status, o.body)
 	}
 }
 
-func (a *API) showSchema(c *call) {
+func (a *API) showSchema(c *request) {
 	c.ctx.SetContentType("application/schema+json")
 	c.ctx.SetBody(schemaFile)
 }
 
-func (a *API) metrics(c *call) {
+func (a *API) showMetrics(c *request) {
 	if a.meter == nil {
-		fail(c.ctx, noPath)
+		writeProblem(c.ctx, unknownPath)
 		return
 	}
 	b, err := a.meter.Text()
 	if err != nil {
-		a.log.Error("metrics", "err", err)
-		fail(c.ctx, noAnswer)
+		a.log.Error("metrics could not be encoded; the request was answered with status 503", "err", err)
+		writeProblem(c.ctx, unavailable)
 		return
 	}
 	c.ctx.SetContentType(metric.ContentType)
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -24,9 +24,9 @@
 	"github.com/valyala/fasthttp/fasthttputil"
 )
 
-// rig is the interface of one node over a stand-in state service. Time moves by hand in
-// a goroutine of its own, as fast as it can, so that nothing waits for a clock.
-type rig struct {
+// testAPI is the API of one controller with a fake state service. A goroutine advances the simulated time after each
+// request, so that no test waits for a real clock.
+type testAPI struct {
 	*standin.Stepped
 	state *standin.State
 	keys  map[string]string
@@ -34,17 +34,18 @@
 	api   *API
 }
 
-// post runs what is handed to the loop from other goroutines.
-type post struct {
+// postingRunner is a runner that passes functions posted by the HTTP server's goroutines to the goroutine that advances
+// the time.
+type postingRunner struct {
 	*standin.Stepped
-	in chan func()
+	posted chan func()
 }
 
-func (p *post) Post(f func()) { p.in <- f }
+func (p *postingRunner) Post(f func()) { p.posted <- f }
 
-func newRig(t testing.TB) *rig {
-	g := &rig{Stepped: standin.NewStepped(1000 * loop.Second), keys: map[string]string{}}
-	p := &post{g.Stepped, make(chan func(), 256)}
+func newTestAPI(t testing.TB) *testAPI {
+	g := &testAPI{Stepped: standin.NewStepped(1000 * loop.Second), keys: map[string]string{}}
+	p := &postingRunner{g.Stepped, make(chan func(), 256)}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	cfg := &config.Config{Operator: config.Defaults()}
 	cfg.Cluster.Teams = []config.Team{{Name: "red", CPUs: 8, CPUsMax: 32}}
@@ -60,7 +61,7 @@
 	jobs := job.NewRegistry(g.Stepped, c, m, log)
 	cordons := cordon.NewRegistry(g.Stepped, c, m, log, 0)
 	meter := metric.New()
-	desk := explain.NewService(g.Stepped, explain.Dependencies{
+	explanations := explain.NewService(g.Stepped, explain.Dependencies{
 		Label: "a", Poll: jobs.Poll, Job: jobs.Get,
 		Owner: func(string) string { return "" }, Leader: func() string { return "" },
 		Facts:  func(string) (*explain.Facts, bool) { return nil, false },
@@ -75,11 +76,11 @@
 		Types: func() []wire.MachineType {
 			return []wire.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 32, Zones: []string{"x"}}}
 		},
-		Counts:   func(*job.Job) job.Counts { return job.Counts{} },
-		Machines: func() []Machine { return nil },
-		Unheard:  func() []string { return nil },
-		Jobs:     jobs, Cordons: cordons, Desk: desk,
-		Unseen: func(_ string, cb func(int, bool)) { cb(0, true) },
+		Counts:      func(*job.Job) job.Counts { return job.Counts{} },
+		Machines:    func() []Machine { return nil },
+		StaleOwners: func() []string { return nil },
+		Jobs:        jobs, Cordons: cordons, Explanations: explanations,
+		PendingStarts: func(_ string, cb func(int, bool)) { cb(0, true) },
 	}, meter)
 	m.Start()
 	g.Run(loop.Second)
@@ -87,7 +88,7 @@
 	go func() {
 		for {
 			select {
-			case f := <-p.in:
+			case f := <-p.posted:
 				f()
 				g.Run(200 * loop.Millisecond)
 			case <-done:
@@ -103,8 +104,9 @@
 	return g
 }
 
-// do makes one request and checks that an error has the form that is promised.
-func (g *rig) do(t testing.TB, key, method, path, body string) (int, map[string]any) {
+// do makes one request and returns its status and body. It checks that an error has the form of RFC 9457, and that 429
+// and 503 come with Retry-After.
+func (g *testAPI) do(t testing.TB, key, method, path, body string) (int, map[string]any) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	req.SetRequestURI("http://a" + path)
 	req.Header.SetMethod(method)
@@ -121,34 +123,36 @@
 	code := resp.StatusCode()
 	if path != "/metrics" || code >= 300 {
 		if err := json.Unmarshal(resp.Body(), &out); err != nil {
-			t.Fatalf("%s %s gives %d and no JSON: %.200s", method, path, code, resp.Body())
+			t.Fatalf("%s %s: status %d and a body that is not JSON: %.200s", method, path, code, resp.Body())
 		}
 	}
 	if code >= 400 {
 		kind, _ := out["type"].(string)
 		if !strings.HasPrefix(kind, "urn:cleatpick:problem:") || out["title"] == "" || int(out["status"].(float64)) != code ||
 			string(resp.Header.ContentType()) != "application/problem+json" {
-			t.Errorf("%s %s gives %d with %v", method, path, code, out)
+			t.Errorf("%s %s: status %d, malformed problem %v", method, path, code, out)
 		}
 		if (code == 503 || code == 429) && len(resp.Header.Peek("Retry-After")) == 0 {
-			t.Errorf("%s %s gives %d without Retry-After", method, path, code)
+			t.Errorf("%s %s: status %d without Retry-After", method, path, code)
 		}
 	}
 	return code, out
 }
 
-func (g *rig) keyOf(role string) string { return "Bearer " + g.keys[role] }
+func (g *testAPI) keyOf(role string) string { return "Bearer " + g.keys[role] }
 
-const good = `{"id":"job-000001","class":"k","team":"red","tasks":2,"cpus":1,"memoryGb":1,"image":"i"}`
+const validJob = `{"id":"job-000001","class":"k","team":"red","tasks":2,"cpus":1,"memoryGb":1,"image":"i"}`
 
-func with(fields string) string { return strings.TrimSuffix(good, "}") + "," + fields + "}" }
+func validJobWith(fields string) string {
+	return strings.TrimSuffix(validJob, "}") + "," + fields + "}"
+}
 
-// Bad input gets an error that names what is wrong, and nothing of it is stored.
-func TestBadInput(t *testing.T) {
-	g := newRig(t)
-	var many []string
+// An invalid request must be answered with an error that names the fault and the field, and must not store anything.
+func TestInvalidRequests(t *testing.T) {
+	g := newTestAPI(t)
+	var manyIDs []string
 	for i := range 10000 { // some 120 KB
-		many = append(many, fmt.Sprintf(`"job-%06d"`, 100+i))
+		manyIDs = append(manyIDs, fmt.Sprintf(`"job-%06d"`, 100+i))
 	}
 	for _, c := range []struct {
 		key, method, path, body string
@@ -158,7 +162,7 @@
 		{"", "GET", "/v1/jobs", "", 401, "key", ""},
 		{"Bearer nonsense", "GET", "/v1/jobs", "", 401, "key", ""},
 		{"Basic " + g.keys["operate"], "GET", "/v1/jobs", "", 401, "key", ""},
-		{g.keyOf("read"), "POST", "/v1/jobs", good, 403, "role", ""},
+		{g.keyOf("read"), "POST", "/v1/jobs", validJob, 403, "role", ""},
 		{g.keyOf("submit"), "POST", "/v1/jobs/job-000001/hold", `{"reason":"r"}`, 403, "role", ""},
 		{g.keyOf("submit"), "PUT", "/v1/cordons/c", `{"zone":"x","reason":"r"}`, 403, "role", ""},
 		{g.keyOf("read"), "GET", "/v1/nothing", "", 404, "path", ""},
@@ -173,16 +177,16 @@
 		{g.keyOf("submit"), "POST", "/v1/jobs", `{`, 400, "body", ""},
 		{g.keyOf("submit"), "POST", "/v1/jobs", `[]`, 400, "body", "/"},
 		{g.keyOf("submit"), "POST", "/v1/jobs", `{"id":"job-000001"}`, 400, "body", "/class"},
-		{g.keyOf("submit"), "POST", "/v1/jobs", with(`"cpu":3`), 400, "body", "/cpu"},
-		{g.keyOf("submit"), "POST", "/v1/jobs", strings.Replace(good, `"tasks":2`, `"tasks":0`, 1), 400, "body", "/tasks"},
-		{g.keyOf("submit"), "POST", "/v1/jobs", strings.Replace(good, `"cpus":1`, `"cpus":-1`, 1), 400, "body", "/cpus"},
-		{g.keyOf("submit"), "POST", "/v1/jobs", strings.Replace(good, `job-000001`, `work-1`, 1), 400, "body", "/id"},
-		{g.keyOf("submit"), "POST", "/v1/jobs", with(`"after":[` + strings.Join(many, ",") + `]`), 400, "body", "/after"},
-		{g.keyOf("submit"), "POST", "/v1/jobs", with(`"after":["job-000001"]`), 422, "after-itself", "/after"},
-		{g.keyOf("submit"), "POST", "/v1/jobs", with(`"after":["job-000088"]`), 422, "unknown-after", "/after"},
-		{g.keyOf("submit"), "POST", "/v1/jobs", with(`"onWithdrawn":"perhaps"`), 400, "body", "/onWithdrawn"},
-		{g.keyOf("submit"), "POST", "/v1/jobs", strings.Replace(good, `"red"`, `"nobody"`, 1), 422, "cannot-run", ""},
-		{g.keyOf("submit"), "POST", "/v1/jobs", strings.Replace(good, `"cpus":1`, `"cpus":99`, 1), 422, "cannot-run", ""},
+		{g.keyOf("submit"), "POST", "/v1/jobs", validJobWith(`"cpu":3`), 400, "body", "/cpu"},
+		{g.keyOf("submit"), "POST", "/v1/jobs", strings.Replace(validJob, `"tasks":2`, `"tasks":0`, 1), 400, "body", "/tasks"},
+		{g.keyOf("submit"), "POST", "/v1/jobs", strings.Replace(validJob, `"cpus":1`, `"cpus":-1`, 1), 400, "body", "/cpus"},
+		{g.keyOf("submit"), "POST", "/v1/jobs", strings.Replace(validJob, `job-000001`, `work-1`, 1), 400, "body", "/id"},
+		{g.keyOf("submit"), "POST", "/v1/jobs", validJobWith(`"after":[` + strings.Join(manyIDs, ",") + `]`), 400, "body", "/after"},
+		{g.keyOf("submit"), "POST", "/v1/jobs", validJobWith(`"after":["job-000001"]`), 422, "after-itself", "/after"},
+		{g.keyOf("submit"), "POST", "/v1/jobs", validJobWith(`"after":["job-000088"]`), 422, "unknown-after", "/after"},
+		{g.keyOf("submit"), "POST", "/v1/jobs", validJobWith(`"onWithdrawn":"perhaps"`), 400, "body", "/onWithdrawn"},
+		{g.keyOf("submit"), "POST", "/v1/jobs", strings.Replace(validJob, `"red"`, `"nobody"`, 1), 422, "cannot-run", ""},
+		{g.keyOf("submit"), "POST", "/v1/jobs", strings.Replace(validJob, `"cpus":1`, `"cpus":99`, 1), 422, "cannot-run", ""},
 		{g.keyOf("operate"), "PUT", "/v1/cordons/c", `{"reason":"r"}`, 400, "body", ""},
 		{g.keyOf("operate"), "PUT", "/v1/cordons/c", `{"zone":"x","reason":"r","until":"1969-01-01T00:00:00Z"}`, 422, "past", "/until"},
 		{g.keyOf("operate"), "PUT", "/v1/cordons/" + strings.Repeat("c", 65), `{"zone":"x","reason":"r"}`, 400, "query", ""},
@@ -195,32 +199,33 @@
 		code, out := g.do(t, c.key, c.method, c.path, c.body)
 		field, _ := out["field"].(string)
 		if code != c.code || out["type"] != "urn:cleatpick:problem:"+c.kind || (c.field != "" && field != c.field) {
-			t.Errorf("%s %s %.80s gives %d %v at %q, want %d %s at %q", c.method, c.path, c.body, code, out["type"], field, c.code, c.kind, c.field)
+			t.Errorf("%s %s %.80s: status %d, type %v, field %q, want %d, %s, %q", c.method, c.path, c.body, code, out["type"], field, c.code, c.kind, c.field)
 		}
 	}
-	// Above 64 KiB the server reads no further; what it then hands over is answered.
+	// The server stops reading a body above 64 KiB and passes the request on with an error.
 	var ctx fasthttp.RequestCtx
 	ctx.Request.SetRequestURI("/v1/jobs")
 	ctx.SetUserValue("broken", fasthttp.ErrBodyTooLarge)
 	g.api.Handle(&ctx)
 	if ctx.Response.StatusCode() != 413 || !strings.Contains(string(ctx.Response.Body()), "too-large") {
-		t.Errorf("an oversized body gives %d %s", ctx.Response.StatusCode(), ctx.Response.Body())
+		t.Errorf("oversized body: status %d, body %s, want 413, too-large", ctx.Response.StatusCode(), ctx.Response.Body())
 	}
 	for _, key := range []string{"c/j/job-000001", "c/j/job-000077", cordon.Key} {
 		if _, ok := g.state.Value(key); ok {
-			t.Errorf("%s was stored by what was refused", key)
+			t.Errorf("a refused request stored the key %s", key)
 		}
 	}
 }
 
-// A job's life through the interface; the same ids mean the same jobs by the protocol.
-func TestLifeOfAJob(t *testing.T) {
-	g := newRig(t)
+// Takes jobs and cordons through all their states: repeated submissions change nothing, holds, releases and cancellations
+// show up in the answers, the number of cordons is bounded, and the pages of the list of jobs are complete.
+func TestJobAndCordonLifecycle(t *testing.T) {
+	g := newTestAPI(t)
 	step := func(method, path, body string, code int, want map[string]any) {
 		t.Helper()
 		got, out := g.do(t, g.keyOf("operate"), method, path, body)
 		if got != code {
-			t.Fatalf("%s %s gives %d, want %d: %v", method, path, got, code, out)
+			t.Fatalf("%s %s: status %d, want %d: %v", method, path, got, code, out)
 		}
 		for k, v := range want {
 			x := out[k]
@@ -228,15 +233,15 @@
 				x = m["state"]
 			}
 			if fmt.Sprint(x) != fmt.Sprint(v) {
-				t.Errorf("%s %s gives %s %v, want %v", method, path, k, x, v)
+				t.Errorf("%s %s: %s is %v, want %v", method, path, k, x, v)
 			}
 		}
 	}
-	step("POST", "/v1/jobs", good, 201, map[string]any{"state": "pending", "hold": "none", "priority": "standard"})
-	step("POST", "/v1/jobs", good, 200, nil)
-	step("POST", "/v1/jobs", strings.Replace(with(`"after":["job-000001"],"hold":true,"holdReason":"r"`), "job-000001", "job-000002", 1), 201,
+	step("POST", "/v1/jobs", validJob, 201, map[string]any{"state": "pending", "hold": "none", "priority": "standard"})
+	step("POST", "/v1/jobs", validJob, 200, nil)
+	step("POST", "/v1/jobs", strings.Replace(validJobWith(`"after":["job-000001"],"hold":true,"holdReason":"r"`), "job-000001", "job-000002", 1), 201,
 		map[string]any{"hold": "held", "onWithdrawn": "hold"})
-	step("POST", "/v1/jobs", strings.Replace(good, "job-000001", "job-000002", 1), 200, map[string]any{"hold": "held"})
+	step("POST", "/v1/jobs", strings.Replace(validJob, "job-000001", "job-000002", 1), 200, map[string]any{"hold": "held"})
 	step("POST", "/v1/jobs/job-000001/hold", `{"reason":"an audit"}`, 200, map[string]any{"hold": "settling"})
 	step("POST", "/v1/jobs/job-000001/hold", `{"reason":"an audit"}`, 200, map[string]any{"hold": "settling"})
 	step("POST", "/v1/jobs/job-000001/release", "", 200, map[string]any{"hold": "none"})
@@ -254,9 +259,9 @@
 	}
 	step("PUT", "/v1/cordons/one-more", `{"machine":"n-1","reason":"r"}`, 409, nil)
 	step("PUT", "/v1/cordons/c7", `{"machine":"n-2","reason":"another"}`, 200, nil)
-	// Pages leave nothing out and repeat nothing.
+	// Each unfinished job is on exactly one page.
 	for i := range 7 {
-		step("POST", "/v1/jobs", strings.Replace(good, "job-000001", fmt.Sprintf("job-0001%02d", i), 1), 201, nil)
+		step("POST", "/v1/jobs", strings.Replace(validJob, "job-000001", fmt.Sprintf("job-0001%02d", i), 1), 201, nil)
 	}
 	seen := map[string]bool{}
 	for after := ""; ; {
@@ -264,7 +269,7 @@
 		for _, j := range out["jobs"].([]any) {
 			id := j.(map[string]any)["id"].(string)
 			if seen[id] {
-				t.Errorf("%s stands on two pages", id)
+				t.Errorf("%s is on two pages", id)
 			}
 			seen[id] = true
 		}
@@ -275,55 +280,56 @@
 		after = next
 	}
 	if len(seen) != 8 || seen["job-000001"] {
-		t.Errorf("the pages hold %v", seen)
+		t.Errorf("the pages contain %v, want 8 jobs without job-000001", seen)
 	}
 }
 
-// Whatever comes in gets an answer in the form that is promised, and never a crash.
+// Any path and body must be answered in the documented form, without a crash and without status 500 or 503.
 func FuzzPaths(f *testing.F) {
-	g := newRig(f)
+	g := newTestAPI(f)
 	for _, path := range []string{"/v1/jobs", "/v1/jobs/job-000001", "/v1/jobs/job-000001/hold", "/v1/jobs/x/why", "/v1/cordons/c", "/v1/queue", "/v1/schema", "/v1//", "/v1/machines?limit=9&after=%00"} {
 		for m := range []string{"GET", "POST", "PUT", "DELETE"} {
-			f.Add(m, path, good)
+			f.Add(m, path, validJob)
 			f.Add(m, path, `{"reason":"r","zone":"x"}`)
 		}
 	}
 	f.Fuzz(func(t *testing.T, method int, path, body string) {
-		// What no client can put into a request line does not arrive.
+		// Bytes that cannot be part of a path in a request line cannot reach the server.
 		odd := func(c rune) bool { return c <= ' ' || c > '~' || c == '#' }
 		if !strings.HasPrefix(path, "/v1/") || strings.ContainsFunc(path, odd) || len(path) > 500 {
 			return
 		}
 		m := []string{"GET", "POST", "PUT", "DELETE"}[method&3]
 		if code, out := g.do(t, g.keyOf("operate"), m, path, body); code == 500 || code == 503 {
-			t.Fatalf("%s %q gives %d %v", m, path, code, out)
+			t.Fatalf("%s %q: status %d, body %v", m, path, code, out)
 		}
 	})
 }
 
-// A list does not take back what another controller has told since, and a submission that is put
-// off is told when to come back, as under the protocol's paths.
-func TestListsAndRefusalsAreCurrent(t *testing.T) {
-	g := newRig(t)
-	g.do(t, g.keyOf("submit"), "POST", "/v1/jobs", good)
+// A list must include changes that another controller made and answered before the list was requested, even if this
+// controller's copy of the records is older; if it cannot be brought up to date, the answer is 503. And a deferred
+// submission must be answered with the registry's Retry-After, as in the CBOR protocol.
+func TestListIsCurrentAndDeferralNamesRetryAfter(t *testing.T) {
+	g := newTestAPI(t)
+	g.do(t, g.keyOf("submit"), "POST", "/v1/jobs", validJob)
 	listed := func() int {
 		_, out := g.do(t, g.keyOf("read"), "GET", "/v1/jobs", "")
 		return len(out["jobs"].([]any))
 	}
 	if n := listed(); n != 1 {
-		t.Fatalf("%d jobs are listed", n)
+		t.Fatalf("%d jobs are listed, want 1", n)
 	}
 	g.state.Put(job.KeyPrefix+"job-000001", job.Record{Phase: job.Cancelled, AcceptedAt: 1})
 	if n := listed(); n != 0 {
-		t.Errorf("%d jobs are listed as not over, after another controller's cancellation", n)
+		t.Errorf("%d unfinished jobs are listed after another controller cancelled the only one, want 0", n)
 	}
 	g.state.SetDown(true)
 	if code, _ := g.do(t, g.keyOf("read"), "GET", "/v1/jobs", ""); code != 503 {
-		t.Errorf("a list that cannot be current is given with %d", code)
+		t.Errorf("list while the state service is down: status %d, want 503", code)
 	}
-	var told outcome
-	g.api.tell(job.Answer{Code: 429, ID: "job-000001", RetryAfter: 17}, func(o outcome) { told = o })
-	if told.problem == nil || told.problem.Status != 429 || told.problem.retry != 17 {
-		t.Errorf("put off for 17 s is told as %+v", told.problem)
+	var got outcome
+	g.api.jobOutcome(job.Answer{Code: 429, ID: "job-000001", RetryAfter: 17}, func(o outcome) { got = o })
+	if got.problem == nil || got.problem.Status != 429 || got.problem.retryAfterS != 17 {
+		t.Errorf("submission deferred for 17 s is answered with %+v, want status 429 and Retry-After 17", got.problem)
 	}
 }
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -20,7 +20,7 @@
 
 // apiParts holds what a controller needs for /v1/; it exists only if the operators' settings enable /v1/.
 type apiParts struct {
-	questions    *ask.Desk
+	questions    *ask.Endpoint
 	explanations *explain.Service
 	api          *api.API
 }
@@ -53,7 +53,7 @@
 		Facts:  func(id string) (*explain.Facts, bool) { return n.placer.Facts(id, n.rental.Types(), n.mayStart()) },
 		Supply: n.rental.Supply,
 		Counts: n.counts,
-		Ask:    x.questions.Ask,
+		Ask:    x.questions.Call,
 		Handle: x.questions.Handle,
 		Meter:  n.meter,
 	})
@@ -65,15 +65,15 @@
 		reply(n.placer.UnseenStarts(name))
 	})
 	x.api = api.New(l, n.log, n.cfg, api.Node{
-		Ready:    n.ready,
-		Types:    n.rental.Types,
-		Counts:   n.counts,
-		Machines: n.machines,
-		Unheard:  n.staleOwners,
-		Jobs:     n.jobs,
-		Cordons:  n.cordons,
-		Unseen:   n.pendingStarts,
-		Desk:     x.explanations,
+		Ready:         n.ready,
+		Types:         n.rental.Types,
+		Counts:        n.counts,
+		Machines:      n.machines,
+		StaleOwners:   n.staleOwners,
+		Jobs:          n.jobs,
+		Cordons:       n.cordons,
+		PendingStarts: n.pendingStarts,
+		Explanations:  x.explanations,
 	}, n.meter)
 	n.meter.Watch(l)
 	loop.Every(l, loop.Second, n.recordUnowned)
@@ -166,7 +166,7 @@
 	now, wall := n.loop.Now(), n.loop.Wall()
 	n.placer.EachPlace(func(p *gate.MachineFacts, after loop.Micros) {
 		v := p.View
-		m := api.Machine{Name: v.Name, Type: v.Type, Zone: v.Zone, Kind: explain.MachineKind(v.Spot), ReportsTo: v.Host, Shut: []string{}}
+		m := api.Machine{Name: v.Name, Type: v.Type, Zone: v.Zone, Kind: explain.MachineKind(v.Spot), ReportsTo: v.Host, BlockedBy: []string{}}
 		for i := range v.Tasks {
 			if v.Tasks[i].Active() {
 				m.Tasks++
@@ -177,14 +177,14 @@
 			m.CPUsFree, m.MemoryFreeGB = &cpus, &memory
 		}
 		lacks := p.Blocking(after, now)
-		m.Shut = append(m.Shut, lacks.Names()...)
+		m.BlockedBy = append(m.BlockedBy, lacks.Names()...)
 		if lacks&gate.LackBackOffOver != 0 {
 			until := explain.Time(wall + p.BackOffUntil - now)
-			m.RestsUntil, m.RestsSince = &until, p.BackOffReason
+			m.BackOffUntil, m.BackOffReason = &until, p.BackOffReason
 		}
 		if v.NoticeAt != 0 {
 			at := explain.Time(v.NoticeAt)
-			m.LeavesAt = &at
+			m.ReclaimedAt = &at
 		}
 		m.Cordons = n.cordons.Blocking(fleet.CordonPlace(v))
 		out = append(out, m)
@@ -210,7 +210,7 @@
 		return
 	}
 	for label := range owners {
-		n.apiParts.questions.Ask(label, topicPendingStarts, name, pendingStartsTimeout, func(body wire.Raw, ok bool) {
+		n.apiParts.questions.Call(label, topicPendingStarts, name, pendingStartsTimeout, func(body wire.Raw, ok bool) {
 			var starts int
 			if !ok || wire.Unmarshal(body, &starts) != nil || starts < 0 {
 				complete = false
--- a/internal/node/explanations_loopback_test.go
+++ b/internal/node/explanations_loopback_test.go
@@ -179,8 +179,8 @@
 }
 
 // proposal returns a job whose tasks use 2 CPUs.
-func proposal(no int, team string, tasks int64) api.Proposal {
-	return api.Proposal{ID: fmt.Sprintf("job-%06d", no), Class: "k", Team: team, Tasks: tasks, CPUs: 2, MemoryGB: 1, Image: "i", ImageGB: 1, Spot: true, EstimateS: 1}
+func proposal(no int, team string, tasks int64) api.Submission {
+	return api.Submission{ID: fmt.Sprintf("job-%06d", no), Class: "k", Team: team, Tasks: tasks, CPUs: 2, MemoryGB: 1, Image: "i", ImageGB: 1, Spot: true, EstimateS: 1}
 }
 
 // why returns the explanation of a job by a controller that does not own it.
@@ -278,7 +278,7 @@
 	})
 	// Blocked by five causes at the same time, which are then removed one after the other.
 	p := proposal(4, "red", 5)
-	p.After, p.Hold, p.HoldReason = []string{"job-000002"}, true, "an auditor looks at it"
+	p.Dependencies, p.Hold, p.HoldReason = []string{"job-000002"}, true, "an auditor looks at it"
 	c.must(201, 2, "POST", "/v1/jobs", p, nil)
 	all := c.reason("job-000004", "hold", func(_ *explain.Answer, r *explain.Reason) bool {
 		return r.State == "held" && r.Detail.Hold.Reason == p.HoldReason && r.Detail.Hold.By == "the operate key"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -51,7 +51,7 @@
 	net           *peer.Net
 	reach         *reach.Tracker
 	watermark     *horizon.Tracker
-	front         *front.Front
+	front         *front.Server
 	deps          Dependencies
 	progress      map[string]job.Counts
 	meter         *metric.Meter // nil while /v1/ is off
@@ -98,8 +98,8 @@
 		},
 		Probe: probe,
 	})
-	socks.incoming = n.front.Open
-	n.front.Crowded = func() bool { return socks.above(closeReportsAbove) }
+	socks.incoming = n.front.OpenConnections
+	n.front.NearConnectionLimit = func() bool { return socks.above(closeReportsAbove) }
 	socks.watch(n.loop, workers.CloseIdleConnections)
 	return n
 }
@@ -159,7 +159,7 @@
 		},
 		StartBlocked:     n.startBlocked,
 		ClockUncertainty: cfg.ClockDifference(),
-		Clock:            delivery.NewClock(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifeS)),
+		Clock:            delivery.NewClockBounds(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifeS)),
 		Meter:            n.meter,
 	}, n.sendCommands)
 	n.placer = placer.New(l, n.client, log, cfg, placer.Node{
@@ -266,7 +266,7 @@
 		Types:   n.rental.Types,
 		Foreign: n.member.Foreign,
 		Jobs:    n.jobs,
-		Agent:   n.agent,
+		Workers: n.agent,
 		Counts:  n.counts,
 	})
 	return n
--- a/internal/node/simulation_test.go
+++ b/internal/node/simulation_test.go
@@ -131,7 +131,7 @@
 type simNode struct {
 	w           *simulation
 	label       string
-	stalls      *loop.StallDetector // of this incarnation
+	stalls      *loop.PauseDetector // of this incarnation
 	n           *Node
 	alive       bool
 	incarnation int         // the incarnation of the process
@@ -228,10 +228,10 @@
 	return rand.New(rand.NewPCG(uint64(r.incarnation), uint64(r.w.seed)<<16|uint64(slices.Index(r.w.labels, r.label))))
 }
 
-// Stalls returns the detector of this incarnation's process pauses.
-func (r runner) Stalls() *loop.StallDetector {
+// Pauses returns the detector of this incarnation's process pauses.
+func (r runner) Pauses() *loop.PauseDetector {
 	if r.s.stalls == nil {
-		r.s.stalls = &loop.StallDetector{}
+		r.s.stalls = &loop.PauseDetector{}
 	}
 	return r.s.stalls
 }
@@ -270,7 +270,7 @@
 	default:
 		began := time.Now()
 		if s.stalls != nil {
-			s.stalls.Turn(s.w.now)
+			s.stalls.Observe(s.w.now)
 		}
 		f()
 		s.cost.spent += time.Since(began)
