--- a/cmd/cleatpick/jobs.go
+++ b/cmd/cleatpick/jobs.go
@@ -14,8 +14,8 @@
 	"cleatpick/internal/explain"
 )
 
-// call sends one request and prints the answer, as JSON or with show.
-func call[T any](r *remote, method, path string, body any, show func(w io.Writer, v *T)) error {
+// send sends one request and prints the answer, as JSON or with show.
+func send[T any](r *remoteFlags, method, path string, body any, show func(w io.Writer, v *T)) error {
 	c, err := r.client()
 	if err != nil {
 		return err
@@ -24,11 +24,11 @@
 	if err := c.Call(method, path, body, &raw); err != nil {
 		return err
 	}
-	return print(r, raw, show)
+	return printAnswer(r, raw, show)
 }
 
-// print prints an answer, as JSON or with show.
-func print[T any](r *remote, raw json.RawMessage, show func(w io.Writer, v *T)) error {
+// printAnswer prints an answer, as JSON or with show.
+func printAnswer[T any](r *remoteFlags, raw json.RawMessage, show func(w io.Writer, v *T)) error {
 	if r.JSON {
 		fmt.Println(string(raw))
 		return nil
@@ -42,7 +42,7 @@
 }
 
 type submitCmd struct {
-	remote
+	remoteFlags
 	File        string   `arg:"" optional:"" help:"File with the job in JSON, as for POST /v1/jobs; - for standard input. Flags override its fields."`
 	ID          string   `help:"The job's id; generated if absent." placeholder:"JOB"`
 	Team        string   `help:"The job's team."`
@@ -68,7 +68,7 @@
 		if s.File != "-" {
 			f, err := os.Open(s.File)
 			if err != nil {
-				return usage{err}
+				return usageError{err}
 			}
 			defer f.Close()
 			in = f
@@ -76,41 +76,41 @@
 		d := json.NewDecoder(in)
 		d.DisallowUnknownFields()
 		if err := d.Decode(&p); err != nil {
-			return usage{fmt.Errorf("%s: %w", s.File, err)}
+			return usageError{fmt.Errorf("%s: %w", s.File, err)}
 		}
 	}
-	set(&p.ID, s.ID)
-	set(&p.Team, s.Team)
-	set(&p.Class, s.Class)
-	set(&p.Tasks, s.Tasks)
-	set(&p.CPUs, s.CPUs)
-	set(&p.MemoryGB, s.Memory)
-	set(&p.Image, s.Image)
-	set(&p.Priority, s.Priority)
-	set(&p.EstimateS, s.Estimate)
-	set(&p.OnWithdrawn, s.OnWithdrawn)
-	set(&p.HoldReason, s.Reason)
-	set(&p.Spot, s.Spot)
-	set(&p.Hold, s.Hold)
+	override(&p.ID, s.ID)
+	override(&p.Team, s.Team)
+	override(&p.Class, s.Class)
+	override(&p.Tasks, s.Tasks)
+	override(&p.CPUs, s.CPUs)
+	override(&p.MemoryGB, s.Memory)
+	override(&p.Image, s.Image)
+	override(&p.Priority, s.Priority)
+	override(&p.EstimateS, s.Estimate)
+	override(&p.OnWithdrawn, s.OnWithdrawn)
+	override(&p.HoldReason, s.Reason)
+	override(&p.Spot, s.Spot)
+	override(&p.Hold, s.Hold)
 	if len(s.After) > 0 {
 		p.After = s.After
 	}
 	if p.ID == "" {
 		p.ID = api.NewJobID()
 	}
-	return call(&s.remote, "POST", "/v1/jobs", p, showJob)
+	return send(&s.remoteFlags, "POST", "/v1/jobs", p, showJob)
 }
 
-// set replaces a value read from the file by that of a flag, if the flag is given.
-func set[T comparable](to *T, flag T) {
-	var none T
-	if flag != none {
-		*to = flag
+// override replaces a value read from the file by that of a flag, if the flag is given.
+func override[T comparable](value *T, flag T) {
+	var zero T
+	if flag != zero {
+		*value = flag
 	}
 }
 
 type jobsCmd struct {
-	remote
+	remoteFlags
 	Team       string `help:"Only jobs of this team."`
 	Class      string `help:"Only jobs of this class."`
 	State      string `help:"Only jobs in this state: pending, running, done, withdrawn, unfinished or any." default:"unfinished"`
@@ -122,11 +122,11 @@
 // Run lists jobs.
 func (s *jobsCmd) Run() error {
 	q := url.Values{"team": {s.Team}, "class": {s.Class}, "state": {s.State}, "waitingFor": {s.WaitingFor}, "after": {s.After}, "limit": {strconv.Itoa(s.Limit)}}
-	return call(&s.remote, "GET", "/v1/jobs?"+query(q), nil, showJobs)
+	return send(&s.remoteFlags, "GET", "/v1/jobs?"+encodeQuery(q), nil, showJobs)
 }
 
-// query encodes the parameters that are not empty.
-func query(q url.Values) string {
+// encodeQuery encodes the parameters that are not empty.
+func encodeQuery(q url.Values) string {
 	for k, v := range q {
 		if v[0] == "" {
 			delete(q, k)
@@ -135,24 +135,24 @@
 	return q.Encode()
 }
 
-// one holds the flags of the commands that take one job.
-type one struct {
-	remote
+// jobArgument holds the flags of the commands that take one job.
+type jobArgument struct {
+	remoteFlags
 	Job string `arg:"" help:"The job's id."`
 }
 
 // path returns the path of the job under /v1/, followed by rest.
-func (o *one) path(rest string) string { return "/v1/jobs/" + url.PathEscape(o.Job) + rest }
+func (o *jobArgument) path(rest string) string { return "/v1/jobs/" + url.PathEscape(o.Job) + rest }
 
 type holdCmd struct {
-	one
+	jobArgument
 	Reason string `help:"Reason, shown to users who ask." required:""`
 	Until  string `help:"When the hold ends by itself: a time (RFC 3339) or a duration such as 90m." placeholder:"TIME"`
 	Wait   bool   `help:"Wait until the hold is in force: until no further task of the job can start."`
 }
 
-// until parses a time, or a duration from now.
-func until(s string) (*explain.Time, error) {
+// parseUntil parses a time, or a duration from now.
+func parseUntil(s string) (*explain.Time, error) {
 	if s == "" {
 		return nil, nil
 	}
@@ -161,7 +161,7 @@
 		t, err = time.Now().Add(d), nil
 	}
 	if err != nil {
-		return nil, usage{fmt.Errorf("--until: must be a time (RFC 3339) or a duration, got %q", s)}
+		return nil, usageError{fmt.Errorf("--until: must be a time (RFC 3339) or a duration, got %q", s)}
 	}
 	x := explain.Time(t.UnixMicro())
 	return &x, nil
@@ -169,7 +169,7 @@
 
 // Run holds the job.
 func (s *holdCmd) Run() error {
-	end, err := until(s.Until)
+	end, err := parseUntil(s.Until)
 	if err != nil {
 		return err
 	}
@@ -177,7 +177,7 @@
 	if end != nil {
 		body["until"] = end
 	}
-	if err := call(&s.remote, "POST", s.path("/hold"), body, showJob); err != nil || !s.Wait {
+	if err := send(&s.remoteFlags, "POST", s.path("/hold"), body, showJob); err != nil || !s.Wait {
 		return err
 	}
 	c, err := s.client()
@@ -197,25 +197,25 @@
 	}
 }
 
-type releaseCmd struct{ one }
+type releaseCmd struct{ jobArgument }
 
 // Run releases the job.
-func (s *releaseCmd) Run() error { return call(&s.remote, "POST", s.path("/release"), nil, showJob) }
+func (s *releaseCmd) Run() error { return send(&s.remoteFlags, "POST", s.path("/release"), nil, showJob) }
 
-type withdrawCmd struct{ one }
+type withdrawCmd struct{ jobArgument }
 
 // Run cancels the job.
-func (s *withdrawCmd) Run() error { return call(&s.remote, "POST", s.path("/withdraw"), nil, showJob) }
+func (s *withdrawCmd) Run() error { return send(&s.remoteFlags, "POST", s.path("/withdraw"), nil, showJob) }
 
 type explainCmd struct {
-	one
+	jobArgument
 	Watch bool `help:"Keep running and print each change of the reasons."`
 }
 
 // Run explains the job.
 func (s *explainCmd) Run() error {
 	if !s.Watch {
-		return call(&s.remote, "GET", s.path("/why"), nil, showWhy)
+		return send(&s.remoteFlags, "GET", s.path("/why"), nil, showWhy)
 	}
 	c, err := s.client()
 	if err != nil {
@@ -238,7 +238,7 @@
 		}
 		if now.String() != last {
 			last = now.String()
-			if err := print(&s.remote, raw, showWhy); err != nil {
+			if err := printAnswer(&s.remoteFlags, raw, showWhy); err != nil {
 				return err
 			}
 		}
@@ -249,7 +249,7 @@
 	}
 }
 
-type queueCmd struct{ remote }
+type queueCmd struct{ remoteFlags }
 
 // Run shows why tasks wait.
-func (s *queueCmd) Run() error { return call(&s.remote, "GET", "/v1/queue", nil, showQueue) }
+func (s *queueCmd) Run() error { return send(&s.remoteFlags, "GET", "/v1/queue", nil, showQueue) }
--- a/cmd/cleatpick/machines.go
+++ b/cmd/cleatpick/machines.go
@@ -12,7 +12,7 @@
 )
 
 type machinesCmd struct {
-	remote
+	remoteFlags
 	Zone  string `help:"Only machines in this zone."`
 	Type  string `help:"Only machines of this type."`
 	Kind  string `help:"Only machines of this kind: spot or ordinary."`
@@ -24,11 +24,11 @@
 // Run lists machines.
 func (s *machinesCmd) Run() error {
 	q := url.Values{"zone": {s.Zone}, "type": {s.Type}, "kind": {s.Kind}, "shut": {s.Shut}, "after": {s.After}, "limit": {strconv.Itoa(s.Limit)}}
-	return call(&s.remote, "GET", "/v1/machines?"+query(q), nil, showMachines)
+	return send(&s.remoteFlags, "GET", "/v1/machines?"+encodeQuery(q), nil, showMachines)
 }
 
 type cordonCmd struct {
-	remote
+	remoteFlags
 	Name    string `arg:"" help:"The cordon's name."`
 	Machine string `help:"Cordon this machine."`
 	Type    string `help:"Cordon machines of this type."`
@@ -40,28 +40,28 @@
 
 // Run stores the cordon.
 func (s *cordonCmd) Run() error {
-	end, err := until(s.Until)
+	end, err := parseUntil(s.Until)
 	if err != nil {
 		return err
 	}
 	c := api.Cordon{Machine: s.Machine, Type: s.Type, Zone: s.Zone, Kind: s.Kind, Reason: s.Reason, Until: end}
-	return call(&s.remote, "PUT", "/v1/cordons/"+url.PathEscape(s.Name), c, showCordon)
+	return send(&s.remoteFlags, "PUT", "/v1/cordons/"+url.PathEscape(s.Name), c, showCordon)
 }
 
 type uncordonCmd struct {
-	remote
+	remoteFlags
 	Name string `arg:"" help:"The cordon's name."`
 }
 
 // Run removes the cordon.
 func (s *uncordonCmd) Run() error {
-	return call(&s.remote, "DELETE", "/v1/cordons/"+url.PathEscape(s.Name), nil, showLifted)
+	return send(&s.remoteFlags, "DELETE", "/v1/cordons/"+url.PathEscape(s.Name), nil, showUncordoned)
 }
 
-type cordonsCmd struct{ remote }
+type cordonsCmd struct{ remoteFlags }
 
 // Run lists the cordons.
-func (s *cordonsCmd) Run() error { return call(&s.remote, "GET", "/v1/cordons", nil, showCordons) }
+func (s *cordonsCmd) Run() error { return send(&s.remoteFlags, "GET", "/v1/cordons", nil, showCordons) }
 
 type keyCmd struct {
 	Name string `arg:"" help:"Name of the key's holder."`
--- a/cmd/cleatpick/main.go
+++ b/cmd/cleatpick/main.go
@@ -34,28 +34,28 @@
 	Version  kong.VersionFlag `help:"Print the version and exit."`
 }
 
-// remote holds the flags of all commands that send requests to a controller.
-type remote struct {
+// remoteFlags holds the flags of all commands that send requests to a controller.
+type remoteFlags struct {
 	Endpoint string `help:"Controllers, tried in turn: HOST:PORT,..." env:"CLEATPICK_ENDPOINT" placeholder:"LIST"`
 	KeyFile  string `help:"File that holds the API key." env:"CLEATPICK_KEY_FILE" placeholder:"FILE"`
 	JSON     bool   `name:"json" help:"Print the answer as JSON."`
 }
 
-// usage is an error in the arguments, the environment or a file given by the caller. The exit code is then 2.
-type usage struct{ error }
+// usageError is an error in the arguments, the environment or a file given by the caller. The exit code is then 2.
+type usageError struct{ error }
 
 // client returns a client for the given endpoints and key.
-func (r *remote) client() (*client.Client, error) {
+func (r *remoteFlags) client() (*client.Client, error) {
 	key := os.Getenv("CLEATPICK_KEY")
 	if r.KeyFile != "" {
 		var err error
 		if key, err = client.ReadKey(r.KeyFile); err != nil {
-			return nil, usage{err}
+			return nil, usageError{err}
 		}
 	}
 	c, err := client.New(r.Endpoint, key)
 	if err != nil {
-		return nil, usage{err}
+		return nil, usageError{err}
 	}
 	return c, nil
 }
@@ -72,7 +72,7 @@
 	if err == nil {
 		err = ctx.Run()
 	} else {
-		err = usage{err}
+		err = usageError{err}
 	}
 	if err == nil {
 		return 0
@@ -80,7 +80,7 @@
 	for _, line := range strings.Split(err.Error(), "\n") {
 		fmt.Fprintln(os.Stderr, "cleatpick:", line)
 	}
-	if errors.As(err, &usage{}) {
+	if errors.As(err, &usageError{}) {
 		return 2
 	}
 	return 1
--- a/cmd/cleatpick/serve.go
+++ b/cmd/cleatpick/serve.go
@@ -23,11 +23,11 @@
 func (s *serveCmd) Run() error {
 	cfg, err := config.Load(s.Config, s.Operator)
 	if err != nil {
-		return usage{err}
+		return usageError{err}
 	}
 	level, err := logLevel(os.Getenv("LOG_LEVEL"))
 	if err != nil {
-		return usage{err}
+		return usageError{err}
 	}
 	if s.Check {
 		fmt.Println("settings are valid")
--- a/cmd/cleatpick/show.go
+++ b/cmd/cleatpick/show.go
@@ -13,11 +13,12 @@
 	"cleatpick/internal/explain"
 )
 
-// rows prints a table. head holds the titles of the columns, separated by spaces; print calls row for each row.
-func rows(w io.Writer, head string, print func(row func(cells ...any))) {
+// printTable prints a table. titles holds the titles of the columns, separated by spaces; printRows calls row for each
+// row.
+func printTable(w io.Writer, titles string, printRows func(row func(cells ...any))) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, strings.ReplaceAll(head, " ", "\t"))
-	print(func(cells ...any) {
+	fmt.Fprintln(t, strings.ReplaceAll(titles, " ", "\t"))
+	printRows(func(cells ...any) {
 		for i, c := range cells {
 			if i > 0 {
 				fmt.Fprint(t, "\t")
@@ -29,33 +30,33 @@
 	t.Flush()
 }
 
-func clock(t explain.Time) string { return time.UnixMicro(int64(t)).UTC().Format("15:04:05") }
+func formatTime(t explain.Time) string { return time.UnixMicro(int64(t)).UTC().Format("15:04:05") }
 
-func span(s explain.Duration) string {
+func formatDuration(s explain.Duration) string {
 	return (time.Duration(s) * time.Microsecond).Round(100 * time.Millisecond).String()
 }
 
-// or returns s, or none if s is empty.
-func or(s, none string) string {
+// orDefault returns s, or fallback if s is empty.
+func orDefault(s, fallback string) string {
 	if s == "" {
-		return none
+		return fallback
 	}
 	return s
 }
 
-// sums lists causes with the number of tasks that wait for each.
-func sums(all []explain.CauseCount) string {
+// formatCauses lists causes with the number of tasks that wait for each.
+func formatCauses(all []explain.CauseCount) string {
 	var out []string
 	for _, s := range all {
 		out = append(out, fmt.Sprintf("%s %d", s.Kind, s.Tasks))
 	}
-	return or(strings.Join(out, ", "), "-")
+	return orDefault(strings.Join(out, ", "), "-")
 }
 
 func showJob(w io.Writer, j *api.Job) {
 	fmt.Fprintf(w, "%s: %s, %d of %d tasks done, %d running\n", j.ID, j.State, j.Done, j.Tasks, j.Running)
 	if h := j.Hold; h.State != "none" && h.HoldDetail != nil {
-		fmt.Fprintf(w, "  hold: %s (%s, by %s)\n", h.State, or(h.Reason, "no reason given"), or(h.By, "unknown"))
+		fmt.Fprintf(w, "  hold: %s (%s, by %s)\n", h.State, orDefault(h.Reason, "no reason given"), orDefault(h.By, "unknown"))
 	}
 	for _, d := range j.After {
 		fmt.Fprintf(w, "  after %s: %s\n", d.Job, d.State)
@@ -63,9 +64,9 @@
 }
 
 func showJobs(w io.Writer, v *api.Jobs) {
-	rows(w, "JOB STATE TEAM CLASS PRIORITY TASKS RUNNING DONE WAITING-FOR", func(row func(...any)) {
+	printTable(w, "JOB STATE TEAM CLASS PRIORITY TASKS RUNNING DONE WAITING-FOR", func(row func(...any)) {
 		for _, j := range v.Jobs {
-			row(j.ID, j.State, or(j.Team, "-"), or(j.Class, "-"), or(j.Priority, "-"), j.Tasks, j.Running, j.Done, sums(j.WaitingFor))
+			row(j.ID, j.State, orDefault(j.Team, "-"), orDefault(j.Class, "-"), orDefault(j.Priority, "-"), j.Tasks, j.Running, j.Done, formatCauses(j.WaitingFor))
 		}
 	})
 	if v.Next != "" {
@@ -74,16 +75,16 @@
 }
 
 func showQueue(w io.Writer, v *api.Queue) {
-	rows(w, "TEAM CLASS PRIORITY JOBS WAITING CAUSE JOBS TASKS LONGEST", func(row func(...any)) {
+	printTable(w, "TEAM CLASS PRIORITY JOBS WAITING CAUSE JOBS TASKS LONGEST", func(row func(...any)) {
 		for _, g := range v.Queue {
 			if len(g.Causes) == 0 {
 				row(g.Team, g.Class, g.Priority, g.Jobs, g.Waiting, "-", "-", "-", "-")
 			}
 			for i, c := range g.Causes {
 				if i == 0 {
-					row(g.Team, g.Class, g.Priority, g.Jobs, g.Waiting, c.Kind, c.Jobs, c.Tasks, span(c.Longest))
+					row(g.Team, g.Class, g.Priority, g.Jobs, g.Waiting, c.Kind, c.Jobs, c.Tasks, formatDuration(c.Longest))
 				} else {
-					row("", "", "", "", "", c.Kind, c.Jobs, c.Tasks, span(c.Longest))
+					row("", "", "", "", "", c.Kind, c.Jobs, c.Tasks, formatDuration(c.Longest))
 				}
 			}
 		}
@@ -94,7 +95,7 @@
 }
 
 func showMachines(w io.Writer, v *api.Machines) {
-	rows(w, "MACHINE TYPE ZONE KIND TASKS CPUS-FREE SHUT-BY", func(row func(...any)) {
+	printTable(w, "MACHINE TYPE ZONE KIND TASKS CPUS-FREE SHUT-BY", func(row func(...any)) {
 		for _, m := range v.Machines {
 			free := "?"
 			if m.CPUsFree != nil {
@@ -107,7 +108,7 @@
 			if len(m.Cordons) > 0 {
 				shut = append(shut, "["+strings.Join(m.Cordons, " ")+"]")
 			}
-			row(m.Name, m.Type, m.Zone, m.Kind, m.Tasks, free, or(strings.Join(shut, " "), "-"))
+			row(m.Name, m.Type, m.Zone, m.Kind, m.Tasks, free, orDefault(strings.Join(shut, " "), "-"))
 		}
 	})
 	if v.Next != "" {
@@ -115,8 +116,8 @@
 	}
 }
 
-// selector describes the machines that a cordon covers.
-func selector(c *api.Cordon) string {
+// formatSelector describes the machines that a cordon covers.
+func formatSelector(c *api.Cordon) string {
 	var out []string
 	for _, x := range [][2]string{{"machine", c.Machine}, {"type", c.Type}, {"zone", c.Zone}, {"kind", c.Kind}} {
 		if x[1] != "" {
@@ -127,7 +128,7 @@
 }
 
 func showCordon(w io.Writer, c *api.Cordon) {
-	fmt.Fprintf(w, "%s: no new starts on %s (%s)\n", c.Name, selector(c), c.Reason)
+	fmt.Fprintf(w, "%s: no new starts on %s (%s)\n", c.Name, formatSelector(c), c.Reason)
 	switch {
 	case c.Unseen == nil:
 		fmt.Fprintln(w, "  starts recorded earlier are unknown, since not every owner could be asked")
@@ -139,14 +140,14 @@
 }
 
 func showCordons(w io.Writer, v *api.Cordons) {
-	rows(w, "CORDON MACHINES UNTIL BY REASON", func(row func(...any)) {
+	printTable(w, "CORDON MACHINES UNTIL BY REASON", func(row func(...any)) {
 		for i := range v.Cordons {
 			c := &v.Cordons[i]
 			until := "-"
 			if c.Until != nil {
-				until = clock(*c.Until)
+				until = formatTime(*c.Until)
 			}
-			row(c.Name, selector(c), until, or(c.By, "-"), c.Reason)
+			row(c.Name, formatSelector(c), until, orDefault(c.By, "-"), c.Reason)
 		}
 	})
 	if v.Damaged {
@@ -154,10 +155,10 @@
 	}
 }
 
-func showLifted(w io.Writer, v *map[string]string) { fmt.Fprintf(w, "%s: removed\n", (*v)["name"]) }
+func showUncordoned(w io.Writer, v *map[string]string) { fmt.Fprintf(w, "%s: removed\n", (*v)["name"]) }
 
 func showWhy(w io.Writer, a *explain.Answer) {
-	fmt.Fprintf(w, "%s  %s: %s, %d of %d tasks done, %d running, %d waiting\n", clock(a.AsOf), a.Job, a.Status, a.Done, a.Tasks, a.Running, a.Waiting)
+	fmt.Fprintf(w, "%s  %s: %s, %d of %d tasks done, %d running, %d waiting\n", formatTime(a.AsOf), a.Job, a.Status, a.Done, a.Tasks, a.Running, a.Waiting)
 	for i := range a.Reasons {
 		showReason(w, &a.Reasons[i])
 	}
@@ -169,9 +170,9 @@
 		for _, s := range a.Timeline {
 			end := "now"
 			if s.To != nil {
-				end = clock(*s.To)
+				end = formatTime(*s.To)
 			}
-			fmt.Fprintf(w, "    %s to %-8s  %s, up to %d tasks\n", clock(s.From), end, s.Kind, s.Tasks)
+			fmt.Fprintf(w, "    %s to %-8s  %s, up to %d tasks\n", formatTime(s.From), end, s.Kind, s.Tasks)
 		}
 	}
 	for _, m := range a.Missing {
@@ -179,8 +180,8 @@
 	}
 }
 
-// needs describes what a task requires of its machine.
-func needs(n *explain.Needs) string {
+// formatNeeds describes what a task requires of its machine.
+func formatNeeds(n *explain.Needs) string {
 	out := fmt.Sprintf("%g CPUs, %g GB", n.CPUs, n.MemoryGB)
 	if n.GPUs > 0 {
 		out += fmt.Sprintf(", %g GPUs", n.GPUs)
@@ -200,7 +201,7 @@
 func showReason(w io.Writer, r *explain.Reason) {
 	fmt.Fprintf(w, "  %s (%s): %d tasks", r.Kind, r.State, r.Tasks)
 	if r.Since != nil {
-		fmt.Fprintf(w, ", since %s", clock(*r.Since))
+		fmt.Fprintf(w, ", since %s", formatTime(*r.Since))
 	}
 	if len(r.BlockedBy) > 0 {
 		fmt.Fprintf(w, ", by %s", strings.Join(r.BlockedBy, ", "))
@@ -208,7 +209,7 @@
 	fmt.Fprintln(w)
 	d := &r.Detail
 	if d.Hold != nil {
-		fmt.Fprintf(w, "    %s, by %s at %s\n", or(d.Hold.Reason, "no reason given"), or(d.Hold.By, "unknown"), clock(d.Hold.At))
+		fmt.Fprintf(w, "    %s, by %s at %s\n", orDefault(d.Hold.Reason, "no reason given"), orDefault(d.Hold.By, "unknown"), formatTime(d.Hold.At))
 	}
 	for _, b := range d.After {
 		fmt.Fprintf(w, "    %s is %s\n", b.Job, b.State)
@@ -217,7 +218,7 @@
 		fmt.Fprintf(w, "    team %s uses %g CPUs, %s, %g guaranteed\n", d.Team.Team, d.Team.CPUs, d.Team.CPUsMax, d.Team.CPUsGuaranteed)
 	}
 	if d.Needs != nil {
-		fmt.Fprintf(w, "    each task needs %s\n", needs(d.Needs))
+		fmt.Fprintf(w, "    each task needs %s\n", formatNeeds(d.Needs))
 	}
 	if m := d.Machines; m != nil {
 		fmt.Fprintf(w, "    %d machines examined\n", m.Examined)
@@ -226,16 +227,16 @@
 			for _, k := range slices.Sorted(maps.Keys(g.Lacks)) {
 				lacks = append(lacks, fmt.Sprintf("%s %d", k, g.Lacks[k]))
 			}
-			fmt.Fprintf(w, "      %d x %s %s %s lack: %s\n", g.Machines, g.Type, g.Zone, g.Kind, or(strings.Join(lacks, ", "), "nothing"))
+			fmt.Fprintf(w, "      %d x %s %s %s lack: %s\n", g.Machines, g.Type, g.Zone, g.Kind, orDefault(strings.Join(lacks, ", "), "nothing"))
 		}
 	}
 	if s := d.Renting; s != nil {
 		fmt.Fprintf(w, "    renting: %s\n", s.State)
 		for _, b := range s.Booting {
-			fmt.Fprintf(w, "      %d x %s %s %s booting, the oldest for %s (nominal boot time %s)\n", b.Count, b.Type, b.Zone, b.Kind, span(b.Age), span(b.Nominal))
+			fmt.Fprintf(w, "      %d x %s %s %s booting, the oldest for %s (nominal boot time %s)\n", b.Count, b.Type, b.Zone, b.Kind, formatDuration(b.Age), formatDuration(b.Nominal))
 		}
 		for _, o := range s.Refused {
-			fmt.Fprintf(w, "      %s %s %s refused until %s\n", o.Type, o.Zone, o.Kind, clock(*o.Until))
+			fmt.Fprintf(w, "      %s %s %s refused until %s\n", o.Type, o.Zone, o.Kind, formatTime(*o.Until))
 		}
 	}
 	for _, o := range d.On {
@@ -250,6 +251,6 @@
 	}
 	fmt.Fprintf(w, "    released when: %s\n", r.Release)
 	if e := r.Estimate; e != nil {
-		fmt.Fprintf(w, "    expected in about %s, probably between %s and %s\n", span(e.Likely), span(e.Low), span(e.High))
+		fmt.Fprintf(w, "    expected in about %s, probably between %s and %s\n", formatDuration(e.Likely), formatDuration(e.Low), formatDuration(e.High))
 	}
 }
