--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const sound = `
+const validSettings = `
 label = "s-0"
 site = "x"
 client_listen = "10.0.0.1:8080"
@@ -46,7 +46,7 @@
 max_sockets = 1800
 `
 
-func write(t *testing.T, text string) string {
+func writeSettings(t *testing.T, text string) string {
 	t.Helper()
 	f := filepath.Join(t.TempDir(), "settings.toml")
 	if err := os.WriteFile(f, []byte(text), 0o600); err != nil {
@@ -56,37 +56,38 @@
 }
 
 func TestLoad(t *testing.T) {
-	c, err := Load(write(t, sound), write(t, "standby_mean_s = 120.0\n"))
+	c, err := Load(writeSettings(t, validSettings), writeSettings(t, "standby_mean_s = 120.0\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Label != "s-0" || c.Operator.StandbyMeanS != 120 || c.Operator.NodeLeaseS != Defaults().NodeLeaseS {
-		t.Fatalf("got %+v", c)
+		t.Fatalf("the settings are loaded as %+v", c)
 	}
 	for _, x := range []struct{ old, new, names string }{
 		{`label = "s-0"`, ``, "label: is missing"},
-		{`label = "s-1"`, `label = "s-0"`, "known[0].label: names a node twice"},
+		{`label = "s-1"`, `label = "s-0"`, "known[0].label: duplicate node label"},
 		{`cancel_s = 39.0`, `cancel_s = 9.0`, "cluster.workers.cancel_s"},
 		{`rps = 2.0`, `rps = -2.0`, "cluster.cloud.rps"},
 		{`rps = 2.0`, `rps = "two"`, "rps"},
-		{`state = "10.2.0.1:2379"`, `state = "10.2.0.1"`, "outside.state: is no address"},
+		{`state = "10.2.0.1:2379"`, `state = "10.2.0.1"`, "outside.state: must be HOST:PORT"},
 		{`cpus = 8.0`, `cpus = nan`, "cluster.teams[0].cpus"},
 		{`[outside]`, `[outside`, "settings.toml"},
 	} {
-		_, err := Load(write(t, strings.Replace(sound, x.old, x.new, 1)), "")
+		_, err := Load(writeSettings(t, strings.Replace(validSettings, x.old, x.new, 1)), "")
 		if err == nil || !strings.Contains(err.Error(), x.names) {
-			t.Errorf("%q for %q gives %v, want it to name %q", x.new, x.old, err, x.names)
+			t.Errorf("%q instead of %q: error %v, want it to contain %q", x.new, x.old, err, x.names)
 		}
 	}
-	if _, err := Load(write(t, sound), write(t, "node_lease_s = 0.1\n")); err == nil || !strings.Contains(err.Error(), "node_lease_s") {
-		t.Errorf("a lease of 0.1 s gives %v", err)
+	if _, err := Load(writeSettings(t, validSettings), writeSettings(t, "node_lease_s = 0.1\n")); err == nil || !strings.Contains(err.Error(), "node_lease_s") {
+		t.Errorf("node_lease_s = 0.1: error %v, want it to name node_lease_s", err)
 	}
 }
 
-// The files that the repository ships are sound, and a key's fault is named by its place.
+// The operators' files in the repository are valid and enable the API, and an invalid API key is reported with its
+// index and field.
 func TestAPISection(t *testing.T) {
 	for _, file := range []string{"operator.toml", "service-operator.toml"} {
-		c, err := Load(write(t, sound), filepath.Join("..", "..", "deploy", file))
+		c, err := Load(writeSettings(t, validSettings), filepath.Join("..", "..", "deploy", file))
 		if err != nil || !c.Operator.API.Enabled {
 			t.Errorf("%s: %v, enabled %v", file, err, c != nil && c.Operator.API.Enabled)
 		}
@@ -102,8 +103,8 @@
 		{key("a", "read", hash[1:]), "api.keys[0].sha256"},
 		{key("a", "read", "zz"+hash[2:]), "api.keys[0].sha256"},
 	} {
-		if _, err := Load(write(t, sound), write(t, x.file)); err == nil || !strings.Contains(err.Error(), x.names) {
-			t.Errorf("%q gives %v, want it to name %q", x.file, err, x.names)
+		if _, err := Load(writeSettings(t, validSettings), writeSettings(t, x.file)); err == nil || !strings.Contains(err.Error(), x.names) {
+			t.Errorf("%q: error %v, want it to contain %q", x.file, err, x.names)
 		}
 	}
 }
--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -165,7 +165,7 @@
 func (b *Registry) Any() bool { return len(b.cordons) > 0 }
 
 // Cond returns the condition that the stored cordons are still those known here.
-func (b *Registry) Cond() wire.Cond { return wire.Cond{Key: Key, Mark: b.revision} }
+func (b *Registry) Cond() wire.Cond { return wire.Cond{Key: Key, Revision: b.revision} }
 
 // Damaged reports whether the stored record is corrupt.
 func (b *Registry) Damaged() bool { return b.damaged }
@@ -290,10 +290,10 @@
 func (b *Registry) Refresh() { b.refresh(func(bool, bool) {}) }
 
 func (b *Registry) refresh(done func(moved, ok bool)) {
-	b.client.Get(store.Answers, Key, func(it wire.Item, found, ok bool) {
+	b.client.Get(store.Answers, Key, func(it wire.KeyValue, found, ok bool) {
 		before := b.revision
 		if ok && found {
-			b.mirror.Apply(it.Key, it.Value, it.Mark, false)
+			b.mirror.Apply(it.Key, it.Value, it.Revision, false)
 		}
 		done(b.revision != before, ok)
 	})
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -106,7 +106,7 @@
 func (r *Registry) ConfigureAdmission(weight func(team string) float64, rate float64) {
 	r.queue = admission.NewQueue(weight, rate)
 	r.queue.OnStateChange(func(from, to admission.State) {
-		r.client.Meter.Admission(to.String())
+		r.client.Meter.QueueState(to.String())
 		r.log.Info("load state of the submission queue changed", "from", from.String(), "to", to.String(), "waiting", r.queue.Waiting())
 	})
 }
@@ -133,14 +133,14 @@
 // fetch reads a job from the state service.
 func (r *Registry) fetch(id string, callback func(Answer)) {
 	sequence := r.client.NextSequence()
-	r.client.Get(store.Answers, KeyPrefix+id, func(it wire.Item, found, ok bool) {
+	r.client.Get(store.Answers, KeyPrefix+id, func(it wire.KeyValue, found, ok bool) {
 		switch {
 		case !ok:
 			callback(newRefusal(id, 503, RefusedState))
 		case !found:
 			callback(Answer{Code: 404, ID: id, source: SourceRead, basedOn: sequence})
 		default:
-			r.mirror.Apply(it.Key, it.Value, it.Mark, false)
+			r.mirror.Apply(it.Key, it.Value, it.Revision, false)
 			callback(r.current(id, 200, SourceRead, sequence))
 		}
 	})
@@ -170,7 +170,7 @@
 // reason is one of a fixed list.
 func (r *Registry) RecordRefusal(id, reason string) {
 	now := r.runner.Now()
-	r.client.Meter.TurnedAway(reason)
+	r.client.Meter.Deferred(reason)
 	r.refusals.Record(reason, now)
 	since := r.unanswered.since(id, now)
 	if j := r.jobs[id]; j != nil && !j.Final() {
@@ -186,7 +186,7 @@
 }
 
 // RevisionCond returns the condition that the job's record still has the revision known here.
-func RevisionCond(j *Job) wire.Cond { return wire.Cond{Key: KeyPrefix + j.ID, Mark: j.Revision} }
+func RevisionCond(j *Job) wire.Cond { return wire.Cond{Key: KeyPrefix + j.ID, Revision: j.Revision} }
 
 // ApplyStored applies a record that a transaction of this controller has stored.
 func (r *Registry) ApplyStored(ch wire.Change, revision uint64) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -121,7 +121,7 @@
 		LeaseTTL: loop.Seconds(cfg.Operator.NodeLeaseS), TeamsOnly: !cfg.Operator.NumberedPartitions})
 	n.jobs = job.NewRegistry(l, n.client, n.mirror, log)
 	n.jobs.ConfigureAdmission(func(team string) float64 {
-		t, _ := cfg.TeamNamed(team)
+		t, _ := cfg.FindTeam(team)
 		return cfg.Quota(t).Weight
 	}, cfg.Cluster.State.WriteRPS*0.45/float64(nodes))
 	n.jobs.SetMaxWaitingReads(cfg.Cluster.Limits.MaxSockets / 5)
@@ -129,9 +129,9 @@
 	n.net = peer.New(l, log, cfg.Label, cfg.Known)
 	n.reach = reach.New(l, log, cfg.Label, n.net.Peers(), cfg.ClockDifference())
 	n.reach.StateContact = n.hasStateContact
-	n.reach.OnChange = func(_ string, to reach.State, damped bool) { n.meter.Peer(to.String(), damped) }
+	n.reach.OnChange = func(_ string, to reach.State, damped bool) { n.meter.PeerState(to.String(), damped) }
 	n.net.Incarnation, n.net.ClockDifference = l.Wall(), cfg.ClockDifference()
-	n.net.OnEarlierFrame = func(string) { n.meter.EarlierFrame() }
+	n.net.OnEarlierFrame = func(string) { n.meter.StaleFrame() }
 	n.setUpWatermark()
 	n.watchPauses()
 	n.agent = agent.New(l, log, agent.Config{
@@ -159,7 +159,7 @@
 		},
 		StartBlocked:     n.startBlocked,
 		ClockUncertainty: cfg.ClockDifference(),
-		Clock:            delivery.NewClockBounds(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifeS)),
+		Clock:            delivery.NewClockBounds(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifetimeS)),
 		Meter:            n.meter,
 	}, n.sendCommands)
 	n.placer = placer.New(l, n.client, log, cfg, placer.Node{
@@ -307,7 +307,7 @@
 	}
 	places := n.jobs.TakeQueuePositions()
 	n.net.SendAll(func(e *peer.Envelope) { e.Status, e.Places = s, places })
-	n.meter.Horizon(n.watermark.UpdateState())
+	n.meter.WatermarkAge(n.watermark.UpdateState())
 	for _, label := range n.net.Peers() {
 		n.net.Send(label, func(e *peer.Envelope) { e.Watermark = n.watermark.MessageFor(label) })
 	}
--- a/internal/placer/load.go
+++ b/internal/placer/load.go
@@ -30,7 +30,7 @@
 	if !p.ownsPartition(part) {
 		return
 	}
-	p.client.Scan(store.Placements, part.log.prefix, func(items []wire.Item, _ uint64, ok bool) {
+	p.client.Scan(store.Placements, part.log.prefix, func(items []wire.KeyValue, _ uint64, ok bool) {
 		if !p.ownsPartition(part) {
 			return
 		}
@@ -95,7 +95,7 @@
 	retry := func() { p.runner.After(loadRetryDelay, func() { p.loadNextTeamLog(part, teams, left, segments) }) }
 	name := left[0].cfg.Name
 	prefix := partition.ForTeam(name).LogPrefix()
-	p.client.Scan(store.Placements, prefix, func(items []wire.Item, _ uint64, ok bool) {
+	p.client.Scan(store.Placements, prefix, func(items []wire.KeyValue, _ uint64, ok bool) {
 		if !p.ownsPartition(part) {
 			return
 		}
@@ -109,7 +109,7 @@
 }
 
 // decode decodes segment records. One that cannot be decoded is logged with its key and kept with a nil record.
-func (p *Scheduler) decode(items []wire.Item, prefix, team string) []storedSegment {
+func (p *Scheduler) decode(items []wire.KeyValue, prefix, team string) []storedSegment {
 	segments := make([]storedSegment, 0, len(items))
 	for _, it := range items {
 		rec := new(segmentRecord)
@@ -117,7 +117,7 @@
 			p.log.Error("corrupt task log record ignored; jobs accepted by its teams are not started", "key", it.Key)
 			rec = nil
 		}
-		segments = append(segments, storedSegment{it.Key, it.Mark, rec, team})
+		segments = append(segments, storedSegment{it.Key, it.Revision, rec, team})
 	}
 	return segments
 }
@@ -159,7 +159,7 @@
 			if j == nil || j.Spec == nil || in[j.Spec.Team] {
 				continue
 			}
-			if _, ok := p.cfg.TeamNamed(j.Spec.Team); ok {
+			if _, ok := p.cfg.FindTeam(j.Spec.Team); ok {
 				return false
 			}
 		}
@@ -280,7 +280,7 @@
 	}
 	tm := part.teams[j.Spec.Team]
 	if tm == nil {
-		if _, named := p.cfg.TeamNamed(j.Spec.Team); !named {
+		if _, named := p.cfg.FindTeam(j.Spec.Team); !named {
 			seg.live++ // only other settings name its team: its record must be kept
 		}
 		return
@@ -327,7 +327,7 @@
 		x.machine, x.session, x.expiry = b.machine.Name, b.Session, b.Expiry
 		// Derived from the record. Left at 0, a failure seen now would count as one after an extremely long run, and
 		// no task would count as having survived that long.
-		x.chosenAt = p.runner.Now() - max(p.runner.Wall()+loop.Seconds(p.cfg.Operator.StartLifeS)-x.expiry, 0)
+		x.chosenAt = p.runner.Now() - max(p.runner.Wall()+loop.Seconds(p.cfg.Operator.StartLifetimeS)-x.expiry, 0)
 		p.setTask(r.table, r.index, Placed)
 	case storedDone:
 		p.setTask(r.table, r.index, Completed)
--- a/internal/placer/logwrite.go
+++ b/internal/placer/logwrite.go
@@ -20,7 +20,7 @@
 	}
 	part.log.writing = true
 	key := w.segment.key
-	txn := wire.Txn{If: []wire.Cond{member.ClaimCond(part.id, part.claim), {Key: key, Mark: w.segment.revision}},
+	txn := wire.Txn{If: []wire.Cond{member.ClaimCond(part.id, part.claim), {Key: key, Revision: w.segment.revision}},
 		Then: []wire.Change{{Put: key, Value: w.rec}}}
 	txn.If = append(txn.If, w.conditions...)
 	for _, s := range w.emptied {
@@ -97,7 +97,7 @@
 
 // checkStored finds out whether an unanswered write of this record was applied.
 func (p *Scheduler) checkStored(part *ownedPartition, w *write) {
-	p.client.Get(store.Placements, w.segment.key, func(it wire.Item, found, ok bool) {
+	p.client.Get(store.Placements, w.segment.key, func(it wire.KeyValue, found, ok bool) {
 		if !p.ownsPartition(part) {
 			return
 		}
@@ -106,10 +106,10 @@
 		case !ok || (found && wire.Unmarshal(it.Value, &have) != nil):
 			p.runner.After(200*loop.Millisecond, func() { p.checkStored(part, w) })
 		case found && have.Nonce == w.rec.Nonce:
-			w.segment.revision = it.Mark
+			w.segment.revision = it.Revision
 			p.writeStored(part, w)
 		default:
-			w.segment.revision = it.Mark // 0 if absent
+			w.segment.revision = it.Revision // 0 if absent
 			p.storeWrite(part, w)
 		}
 	})
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -18,7 +18,7 @@
 	Types    []wire.MachineType
 	Left     map[string]int // by zone
 	requests map[string][]string
-	machines map[string]wire.Listed
+	machines map[string]wire.CloudMachine
 	next     int
 	// Now, if it is set, lets lists lag by Lag, and machines that died stay listed as
 	// running for half a minute.
@@ -28,7 +28,7 @@
 	died map[string]loop.Micros
 	left map[string]leftover // machines that are gone, as a list that lags still shows them
 	// Up and Gone tell the test to bring a machine up, or that it is deleted.
-	Up func(wire.Listed)
+	Up func(wire.CloudMachine)
 	// Addr gives a machine's address; nil: one that nobody answers at.
 	Addr func(name string) string
 	Gone func(name string)
@@ -36,7 +36,7 @@
 
 // NewCloud makes a cloud with so many machines of one type in each zone.
 func NewCloud(t wire.MachineType, each int) *Cloud {
-	c := &Cloud{born: map[string]loop.Micros{}, died: map[string]loop.Micros{}, left: map[string]leftover{}, Types: []wire.MachineType{t}, Left: map[string]int{}, requests: map[string][]string{}, machines: map[string]wire.Listed{}}
+	c := &Cloud{born: map[string]loop.Micros{}, died: map[string]loop.Micros{}, left: map[string]leftover{}, Types: []wire.MachineType{t}, Left: map[string]int{}, requests: map[string][]string{}, machines: map[string]wire.CloudMachine{}}
 	for _, z := range t.Zones {
 		c.Left[z] = each
 	}
@@ -62,7 +62,7 @@
 }
 
 type leftover struct {
-	m  wire.Listed
+	m  wire.CloudMachine
 	at loop.Micros
 }
 
@@ -96,8 +96,8 @@
 func (c *Cloud) Fill(each int) (names []string) {
 	for _, z := range c.Types[0].Zones {
 		for n := each; n > 0; n -= 50 {
-			body := wire.Marshal(wire.Rent{Request: fmt.Sprint("fill-", z, n), Type: c.Types[0].Name, Zone: z, Count: min(n, 50)})
-			var got wire.Names
+			body := wire.Marshal(wire.RentRequest{Request: fmt.Sprint("fill-", z, n), Type: c.Types[0].Name, Zone: z, Count: min(n, 50)})
+			var got wire.MachineNames
 			if r := c.Do("POST", "/machines", body, 0); wire.Unmarshal(r.Body, &got) == nil {
 				names = append(names, got.Machines...)
 			}
@@ -117,10 +117,10 @@
 const deadListed = 30 * loop.Second
 
 // list describes the machines as they were a while ago.
-func (c *Cloud) list() wire.Listing {
+func (c *Cloud) list() wire.MachinePage {
 	at := c.now() - c.Lag
-	l := wire.Listing{Machines: []wire.Listed{}}
-	add := func(m wire.Listed) {
+	l := wire.MachinePage{Machines: []wire.CloudMachine{}}
+	add := func(m wire.CloudMachine) {
 		if c.born[m.Name] > at {
 			return
 		}
@@ -153,21 +153,21 @@
 	case method == "GET" && strings.HasPrefix(path, "/machines"):
 		return reply(200, c.list())
 	case path == "/machines/delete":
-		var n wire.Names
+		var n wire.MachineNames
 		if wire.Unmarshal(body, &n) != nil {
 			return reply(400, wire.Error{Error: "malformed"})
 		}
 		for _, name := range n.Machines {
 			c.drop(name)
 		}
-		return reply(200, wire.Names{Machines: []string{}})
+		return reply(200, wire.MachineNames{Machines: []string{}})
 	case path == "/machines":
-		var r wire.Rent
+		var r wire.RentRequest
 		if wire.Unmarshal(body, &r) != nil || r.Count < 1 {
 			return reply(400, wire.Error{Error: "malformed"})
 		}
 		if got, ok := c.requests[r.Request]; ok {
-			return reply(200, wire.Names{Machines: got})
+			return reply(200, wire.MachineNames{Machines: got})
 		}
 		n := min(r.Count, c.Left[r.Zone])
 		if n <= 0 {
@@ -176,7 +176,7 @@
 		var got []string
 		for range n {
 			c.next++
-			m := wire.Listed{Name: fmt.Sprintf("n-%06d", c.next), Type: r.Type, Zone: r.Zone, Spot: r.Spot, State: "running"}
+			m := wire.CloudMachine{Name: fmt.Sprintf("n-%06d", c.next), Type: r.Type, Zone: r.Zone, Spot: r.Spot, State: "running"}
 			m.Addr = "worker:" + m.Name
 			if c.Addr != nil {
 				m.Addr = c.Addr(m.Name)
@@ -188,7 +188,7 @@
 			c.Up(m)
 		}
 		c.requests[r.Request] = got
-		return reply(200, wire.Names{Machines: got})
+		return reply(200, wire.MachineNames{Machines: got})
 	}
 	return reply(400, wire.Error{Error: "unknown request"})
 }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -106,7 +106,7 @@
 func (s *State) record(e wire.Event) {
 	s.events = append(s.events, e)
 	if n := len(s.events) - keptChanges; n >= keptChanges {
-		s.lost = s.events[n-1].Mark
+		s.lost = s.events[n-1].Revision
 		s.events = append([]wire.Event(nil), s.events[n:]...)
 	}
 	if s.change != nil {
@@ -127,7 +127,7 @@
 
 func (s *State) put(key string, v wire.Raw, lease uint64) {
 	s.keys[key] = stateKey{v, s.tally, lease}
-	s.record(wire.Event{Put: key, Value: v, Mark: s.tally})
+	s.record(wire.Event{Put: key, Value: v, Revision: s.tally})
 	if s.Stored != nil {
 		s.Stored(key, v)
 	}
@@ -136,7 +136,7 @@
 func (s *State) remove(key string) {
 	if _, ok := s.keys[key]; ok {
 		delete(s.keys, key)
-		s.record(wire.Event{Delete: key, Mark: s.tally})
+		s.record(wire.Event{Delete: key, Revision: s.tally})
 	}
 }
 
@@ -230,7 +230,7 @@
 		if !ok {
 			return reply(404, map[string]uint64{"tally": s.tally})
 		}
-		return reply(200, wire.Item{Key: key, Value: k.value, Mark: k.mark})
+		return reply(200, wire.KeyValue{Key: key, Value: k.value, Revision: k.mark})
 	case method == "GET" && u.Path == "/store":
 		var keys []string
 		for k := range s.keys {
@@ -240,13 +240,13 @@
 		}
 		sort.Strings(keys)
 		limit, _ := strconv.Atoi(q.Get("limit"))
-		r := wire.Range{Items: []wire.Item{}, Tally: s.tally}
+		r := wire.Range{Items: []wire.KeyValue{}, StoreRevision: s.tally}
 		for _, k := range keys {
 			if len(r.Items) == limit {
 				r.More = true
 				break
 			}
-			r.Items = append(r.Items, wire.Item{Key: k, Value: s.keys[k].value, Mark: s.keys[k].mark})
+			r.Items = append(r.Items, wire.KeyValue{Key: k, Value: s.keys[k].value, Revision: s.keys[k].mark})
 		}
 		return reply(200, r)
 	case method == "GET" && u.Path == "/changes":
@@ -254,8 +254,8 @@
 		if since < s.lost {
 			return reply(410, wire.Error{Error: "too old"})
 		}
-		ev := wire.Events{Tally: s.tally, Events: []wire.Event{}}
-		from := sort.Search(len(s.events), func(i int) bool { return s.events[i].Mark > since })
+		ev := wire.Events{StoreRevision: s.tally, Events: []wire.Event{}}
+		from := sort.Search(len(s.events), func(i int) bool { return s.events[i].Revision > since })
 		for _, e := range s.events[from:] {
 			if strings.HasPrefix(e.Put+e.Delete, q.Get("under")) {
 				ev.Events = append(ev.Events, e)
@@ -302,12 +302,12 @@
 	}
 	failed := []string{}
 	for _, c := range t.If {
-		if s.keys[c.Key].mark != c.Mark {
+		if s.keys[c.Key].mark != c.Revision {
 			failed = append(failed, c.Key)
 		}
 	}
 	if len(failed) > 0 {
-		return reply(409, wire.TxnResult{Failed: failed, Tally: s.tally})
+		return reply(409, wire.TxnResult{Failed: failed, StoreRevision: s.tally})
 	}
 	if len(t.Then) > 0 {
 		s.tally++
@@ -319,5 +319,5 @@
 			s.remove(c.Delete)
 		}
 	}
-	return reply(200, wire.TxnResult{Tally: s.tally})
+	return reply(200, wire.TxnResult{StoreRevision: s.tally})
 }
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -243,7 +243,7 @@
 	c.inFlight--
 	c.recordContact(sent, resp)
 	took := c.runner.Now() - sent
-	c.Meter.State(metric.Outcome(resp.Status, resp.Err), took)
+	c.Meter.StateRequest(metric.Outcome(resp.Status, resp.Err), took)
 	if c.log.Enabled(context.Background(), slog.LevelDebug) {
 		c.log.Debug("state service answered a request or the request failed", "method", req.method, "path", req.path, "sent_us", sent, "took_us", took, "status", resp.Status, "err", resp.Err)
 	}
@@ -329,9 +329,9 @@
 	}
 	switch {
 	case resp.Status == 200:
-		return Result{Outcome: Applied, Revision: r.Tally}
+		return Result{Outcome: Applied, Revision: r.StoreRevision}
 	case resp.Status == 409:
-		return Result{Outcome: Conflict, FailedKeys: r.Failed, Revision: r.Tally}
+		return Result{Outcome: Conflict, FailedKeys: r.Failed, Revision: r.StoreRevision}
 	case r.Error == "no such lease":
 		return Result{Outcome: NoLease}
 	}
@@ -341,9 +341,9 @@
 
 // Get reads a key. callback is called with found and ok if the key exists, with ok alone if it certainly does not,
 // and with neither if there was no answer.
-func (c *Client) Get(class Class, key string, callback func(item wire.Item, found, ok bool)) {
+func (c *Client) Get(class Class, key string, callback func(item wire.KeyValue, found, ok bool)) {
 	c.Send(class, 0, "GET", "/store/"+key, nil, 1500*loop.Millisecond, func(resp Response) {
-		var it wire.Item
+		var it wire.KeyValue
 		switch {
 		case resp.Err == nil && resp.Status == 404:
 			callback(it, false, true)
@@ -365,8 +365,8 @@
 }
 
 // Scan reads all keys under a prefix, page by page; storeRevision is that of the first page.
-func (c *Client) Scan(class Class, prefix string, callback func(items []wire.Item, storeRevision uint64, ok bool)) {
-	var all []wire.Item
+func (c *Client) Scan(class Class, prefix string, callback func(items []wire.KeyValue, storeRevision uint64, ok bool)) {
+	var all []wire.KeyValue
 	var first uint64
 	var page func(since string)
 	page = func(since string) {
@@ -381,7 +381,7 @@
 				return
 			}
 			if since == "" {
-				first = r.Tally
+				first = r.StoreRevision
 			}
 			all = append(all, r.Items...)
 			if r.More && len(r.Items) > 0 {
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -191,7 +191,7 @@
 	}
 	m.scanning = true
 	sent, request := m.client.runner.Now(), m.client.NextSequence()
-	m.client.Scan(Answers, m.prefix, func(items []wire.Item, storeRevision uint64, ok bool) {
+	m.client.Scan(Answers, m.prefix, func(items []wire.KeyValue, storeRevision uint64, ok bool) {
 		m.scanning = false
 		if !ok {
 			done(false)
@@ -213,11 +213,11 @@
 }
 
 // replace applies the state of all keys at a revision or later; keys that are missing were removed.
-func (m *Mirror) replace(items []wire.Item, storeRevision uint64) {
+func (m *Mirror) replace(items []wire.KeyValue, storeRevision uint64) {
 	have := map[string]bool{}
 	for _, it := range items {
 		have[it.Key] = true
-		m.Apply(it.Key, it.Value, it.Mark, false)
+		m.Apply(it.Key, it.Value, it.Revision, false)
 	}
 	var missing []string // usually few, so sorting these is cheaper than sorting all keys
 	for k, e := range m.entries {
@@ -298,12 +298,12 @@
 func (m *Mirror) applyEvents(events *wire.Events) {
 	for _, e := range events.Events {
 		if e.Put != "" {
-			m.Apply(e.Put, e.Value, e.Mark, false)
+			m.Apply(e.Put, e.Value, e.Revision, false)
 		} else if e.Delete != "" {
-			m.Apply(e.Delete, nil, e.Mark, true)
+			m.Apply(e.Delete, nil, e.Revision, true)
 		}
 	}
-	m.storeRevision = max(m.storeRevision, events.Tally)
+	m.storeRevision = max(m.storeRevision, events.StoreRevision)
 }
 
 // keptRemovalRevisions is the number of store revisions for which the revision of a removed key is kept.
