--- a/internal/ask/ask_test.go
+++ b/internal/ask/ask_test.go
@@ -13,7 +13,7 @@
 
 // testNetwork is three endpoints with a network between them in which the test delivers, loses and repeats messages.
 type testNetwork struct {
-	*standin.Stepped
+	*standin.Runner
 	endpoints map[string]*Endpoint
 	messages  []message
 }
@@ -25,7 +25,7 @@
 }
 
 func newTestNetwork() *testNetwork {
-	net := &testNetwork{Stepped: standin.NewStepped(1000 * loop.Second), endpoints: map[string]*Endpoint{}}
+	net := &testNetwork{Runner: standin.NewRunner(1000 * loop.Second), endpoints: map[string]*Endpoint{}}
 	for _, self := range []string{"a", "b", "c"} {
 		net.endpoints[self] = New(net, self, 100, func(to string, f func(*peer.Envelope)) {
 			e := &peer.Envelope{From: self}
@@ -77,7 +77,7 @@
 		{"lost", func(net *testNetwork, results *[]string) { net.call("b", "double", 4, results); net.messages = nil }, "[0 false]"},
 		{"late reply", func(net *testNetwork, results *[]string) {
 			net.call("b", "double", 4, results)
-			net.Run(2 * loop.Second)
+			net.Advance(2 * loop.Second)
 			net.deliver(1)
 		}, "[0 false]"},
 		{"no handler for the topic", func(net *testNetwork, results *[]string) { net.call("c", "double", 4, results); net.deliver(1) }, "[0 false]"},
@@ -96,7 +96,7 @@
 		net := newTestNetwork()
 		var results []string
 		c.run(net, &results)
-		net.Run(3 * loop.Second)
+		net.Advance(3 * loop.Second)
 		if fmt.Sprint(results) != c.want || net.endpoints["a"].Pending() != 0 {
 			t.Errorf("%s: results %v with %d requests pending, want %s with 0", c.name, results, net.endpoints["a"].Pending(), c.want)
 		}
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -70,7 +70,7 @@
 // and the others complete the job and report it as done.
 func TestLoopbackWithControllerKill(t *testing.T) {
 	clock := loop.RealClock()
-	state := standin.NewState(clock.Now)
+	state := standin.NewStateService(clock.Now)
 	cloud := standin.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 9, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x"}}, 4)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -78,8 +78,8 @@
 	on := map[string]string{}
 	var nodes []string
 	var wg sync.WaitGroup
-	cloud.Gone = func(string) {}
-	cloud.Up = func(l wire.CloudMachine) {
+	cloud.OnDeleted = func(string) {}
+	cloud.OnRented = func(l wire.CloudMachine) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -187,8 +187,8 @@
 	w.Job = func(string) (standin.Job, bool) {
 		return standin.Job{CPUs: 2, MemoryGB: 1, Run: loop.Second, Tasks: 6}, true
 	}
-	w.Began = func(task, _ string) { moved(task, l.Name) }
-	w.Left = func(task, _ string) { moved(task, "") }
+	w.OnTaskStart = func(task, _ string) { moved(task, l.Name) }
+	w.OnTaskEnd = func(task, _ string) { moved(task, "") }
 	at := 0
 	for ctx.Err() == nil {
 		w.Tick(clock.Now())
@@ -215,6 +215,6 @@
 	if fasthttp.DoTimeout(req, resp, 4*time.Second) != nil || resp.StatusCode() != 200 || wire.Unmarshal(resp.Body(), &c) != nil {
 		return false
 	}
-	w.Answered(clock.Now(), sent, r.Session, c)
+	w.HandleAnswer(clock.Now(), sent, r.Session, c)
 	return true
 }
--- a/internal/node/simulation_machine_test.go
+++ b/internal/node/simulation_machine_test.go
@@ -66,7 +66,7 @@
 }
 
 // hungPastLease reports whether a machine hangs and its lease has expired.
-func (x *simWorker) hungPastLease(now loop.Micros) bool { return x.hanging && x.w.LeaseOver(now) }
+func (x *simWorker) hungPastLease(now loop.Micros) bool { return x.hanging && x.w.LeaseExpired(now) }
 
 // whenResumed calls f as soon as a machine does not hang, unless it is deleted before.
 func (w *simulation) whenResumed(x *simWorker, f func()) {
@@ -92,7 +92,7 @@
 	if err := wire.Unmarshal(body, &c); err != nil {
 		w.fail("a direct command cannot be decoded: %v", err)
 	}
-	status, r := x.w.Command(w.now, c)
+	status, r := x.w.HandleCommands(w.now, c)
 	return store.Response{Status: status, Body: wire.Marshal(r)}
 }
 
@@ -106,16 +106,16 @@
 		if j == nil {
 			return standin.Job{}, false
 		}
-		return standin.Job{CPUs: j.spec.CPUs, MemoryGB: j.spec.MemoryGB, Run: j.run, Tasks: j.spec.Tasks, Broken: j.broken, Every: j.failEvery, FailsAfter: j.failsAfter, Later: j.runTimeStep}, true
+		return standin.Job{CPUs: j.spec.CPUs, MemoryGB: j.spec.MemoryGB, Run: j.run, Tasks: j.spec.Tasks, Broken: j.broken, FailsEvery: j.failEvery, FailsAfter: j.failsAfter, RunIncrement: j.runTimeStep}, true
 	}
-	x.w.Began = func(task, _ string) { w.taskStarted(x, task) }
-	x.w.Left = func(task, why string) {
+	x.w.OnTaskStart = func(task, _ string) { w.taskStarted(x, task) }
+	x.w.OnTaskEnd = func(task, why string) {
 		if why == "lease" && w.onLeaseExpired != nil {
 			w.onLeaseExpired(x, task)
 		}
 		w.taskEnded(task, why)
 	}
-	x.w.Revived = func(task string, attempt uint64) { w.startedAfterForget(x, task, attempt) }
+	x.w.OnForgottenStart = func(task string, attempt uint64) { w.startedAfterForget(x, task, attempt) }
 	x.w.Faulty = w.rng.Float64() < 0.05
 	if _, gone := w.workers[m.Name]; gone {
 		return
@@ -178,7 +178,7 @@
 						}
 						w.whenResumed(x, func() { // what arrived while it hung is read when it resumes
 							x.w.Tick(w.now)
-							x.w.Answered(w.now, sent, r.Session, c)
+							x.w.HandleAnswer(w.now, sent, r.Session, c)
 							x.commandsArrived(starts)
 						})
 						each := loop.Seconds(w.cfg.Cluster.Workers.ReportS)
--- a/internal/node/sockets_test.go
+++ b/internal/node/sockets_test.go
@@ -34,7 +34,7 @@
 	if !s.above(closeOutgoingAbove) || s.above(closeReportsAbove) {
 		t.Fatal("56 of 100 sockets: outgoing connections must be closed, those of workers not yet")
 	}
-	clock := standin.NewStepped(0)
+	clock := standin.NewRunner(0)
 	var closed atomic.Int32
 	s.watch(clock, func() {
 		closed.Add(1)
@@ -43,7 +43,7 @@
 			c.Close() // twice, as a connection pool may
 		}
 	})
-	clock.Run(3 * loop.Second)
+	clock.Advance(3 * loop.Second)
 	if closed.Load() != 1 || s.outgoing.Load() != 0 {
 		t.Fatalf("idle connections were closed %d times, %d count as open, want 1 and 0", closed.Load(), s.outgoing.Load())
 	}
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -15,39 +15,41 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Latency is the distribution of times, in milliseconds.
+// Latency summarizes a distribution of times in milliseconds.
 type Latency struct {
 	Count         int64
 	P50, P95, P99 int64
 	Max           int64
 }
 
-func latency(h *hdrhistogram.Histogram) Latency {
+// summarizeLatency summarizes a histogram.
+func summarizeLatency(h *hdrhistogram.Histogram) Latency {
 	return Latency{h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(95), h.ValueAtQuantile(99), h.Max()}
 }
 
-// Role is what a role was sent and answered.
-type Role struct {
+// TrafficSummary summarizes the requests to one service and its answers, with the bytes of
+// the bodies of requests (BytesIn) and answers (BytesOut).
+type TrafficSummary struct {
 	Requests  int64
 	PerSecond float64
 	BytesIn   int64
 	BytesOut  int64
 }
 
-// ControllerUsage is what one controller has used.
+// ControllerUsage is the resources that one controller used.
 type ControllerUsage struct {
 	Label string
 	Usage
 	Cores float64 // on average
-	Ends  int     // ends that nobody asked for
+	Ends  int     // exits that the load run did not cause
 }
 
-// Report is what a run measured.
+// Report is the measurements of a load run.
 type Report struct {
 	Seconds                                     float64
 	Starts                                      int
 	StartsPerSecond                             float64
-	PeakStarts10s                               float64 // a second, over the best ten seconds
+	PeakStarts10s                               float64 // per second, over the busiest ten seconds
 	MostRunning                                 int
 	Urgent, Other                               Latency
 	Jobs, Accepted                              int
@@ -55,23 +57,24 @@
 	UserStatuses                                map[string]int
 	BrokenRules                                 int
 	Broken                                      []string
-	State, Cloud, Reports, Commands, UserRole   Role
+	State, Cloud, Reports, Commands, UserRole   TrafficSummary
 	StateWrites, StateRefused, StateInvalid     int
 	ChangesPerStart, RequestsPerStart           float64
-	Partitions                                  int     // of the stored layout; 0: each team is one
-	PartitionSegments, TeamSegments             int     // of task logs, at the end
-	ReportBytesPerWorkerS, AnswerBytesPerWorker float64 // a second
+	Partitions                                  int     // of the stored layout; 0: each team is a partition
+	PartitionSegments, TeamSegments             int     // segments of task logs at the end
+	ReportBytesPerWorkerS, AnswerBytesPerWorker float64 // per second
 	Workers                                     int64
 	Controllers                                 []ControllerUsage
 	OwnCPUSeconds, OwnMB                        float64
 }
 
-func role(t *Traffic, seconds float64) Role {
-	return Role{t.Requests.Load(), float64(t.Requests.Load()) / seconds, t.BytesIn.Load(), t.BytesOut.Load()}
+// summarizeTraffic summarizes the traffic of a service over the given number of seconds.
+func summarizeTraffic(t *Traffic, seconds float64) TrafficSummary {
+	return TrafficSummary{t.Requests.Load(), float64(t.Requests.Load()) / seconds, t.BytesIn.Load(), t.BytesOut.Load()}
 }
 
-// peakOver is how many starts a second there were in the best seconds in a row.
-func peakOver(starts map[int64]int, seconds int64) float64 {
+// peakRate returns the highest average of starts per second over the given number of consecutive seconds.
+func peakRate(starts map[int64]int, seconds int64) float64 {
 	best := 0
 	for at := range starts {
 		n := 0
@@ -83,13 +86,13 @@
 	return float64(best) / float64(seconds)
 }
 
-// report gathers what was measured; everything still runs.
+// report collects the measurements while the services still run. It stops the controllers.
 func (r *run) report() *Report {
-	seconds := time.Since(r.began).Seconds()
+	seconds := time.Since(r.startedAt).Seconds()
 	counts := r.state.Counts()
 	out := &Report{Seconds: seconds, StateWrites: counts.Writes, StateRefused: counts.Refused, StateInvalid: counts.Invalid, UserStatuses: map[string]int{},
-		State: role(&r.stateT, seconds), Cloud: role(&r.cloudT, seconds), Reports: role(&r.workers.reports, seconds),
-		Commands: role(&r.workers.commands, seconds), UserRole: role(&r.users.traffic, seconds), Workers: r.mostWorkers}
+		State: summarizeTraffic(&r.stateTraffic, seconds), Cloud: summarizeTraffic(&r.cloudTraffic, seconds), Reports: summarizeTraffic(&r.workers.reports, seconds),
+		Commands: summarizeTraffic(&r.workers.commands, seconds), UserRole: summarizeTraffic(&r.users.traffic, seconds), Workers: r.maxWorkers}
 	var layout partition.Layout
 	if raw, ok := r.state.Value(partition.LayoutKey); ok {
 		wire.Unmarshal(raw, &layout)
@@ -103,31 +106,31 @@
 		out.UserStatuses[fmt.Sprint(status)] = n
 	}
 	r.users.mu.Unlock()
-	f := r.referee
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	out.Starts, out.StartsPerSecond, out.MostRunning = f.total, float64(f.total)/seconds, f.most
-	out.PeakStarts10s = peakOver(f.starts, 10)
-	out.Urgent, out.Other = latency(f.urgent), latency(f.other)
-	out.Jobs, out.Accepted, out.Polls, out.PollsUnanswered = len(f.jobs), f.accepted, f.polls, f.unknown
-	out.BrokenRules, out.Broken = f.breaks, slices.Clone(f.broken)
-	if f.total > 0 {
-		out.ChangesPerStart = float64(counts.Writes) / float64(f.total)
-		out.RequestsPerStart = float64(counts.Requests) / float64(f.total)
+	checker := r.checker
+	checker.mu.Lock()
+	defer checker.mu.Unlock()
+	out.Starts, out.StartsPerSecond, out.MostRunning = checker.starts, float64(checker.starts)/seconds, checker.maxRunning
+	out.PeakStarts10s = peakRate(checker.startsBySecond, 10)
+	out.Urgent, out.Other = summarizeLatency(checker.urgent), summarizeLatency(checker.other)
+	out.Jobs, out.Accepted, out.Polls, out.PollsUnanswered = len(checker.jobs), checker.accepted, checker.polls, checker.failedPolls
+	out.BrokenRules, out.Broken = checker.violations, slices.Clone(checker.violationTexts)
+	if checker.starts > 0 {
+		out.ChangesPerStart = float64(counts.Writes) / float64(checker.starts)
+		out.RequestsPerStart = float64(counts.Requests) / float64(checker.starts)
 	}
 	if n := r.workerSeconds; n > 0 {
 		out.ReportBytesPerWorkerS = float64(out.Reports.BytesIn) / n
 		out.AnswerBytesPerWorker = float64(out.Reports.BytesOut) / n
 	}
-	out.usage(r.controllers, seconds)
+	out.stopAndAddUsage(r.controllers, seconds)
 	return out
 }
 
-// usage ends the controllers and takes in what they used.
-func (out *Report) usage(all []*controller, seconds float64) {
+// stopAndAddUsage stops the controllers and adds their usage and that of this process to the report.
+func (out *Report) stopAndAddUsage(all []*controller, seconds float64) {
 	for _, c := range all {
 		c.kill()
-		out.Controllers = append(out.Controllers, ControllerUsage{Label: c.label, Usage: c.used, Cores: c.used.CPUSeconds / seconds, Ends: c.ends})
+		out.Controllers = append(out.Controllers, ControllerUsage{Label: c.label, Usage: c.usage, Cores: c.usage.CPUSeconds / seconds, Ends: c.unexpectedExits})
 	}
 	var own syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &own) == nil {
@@ -138,7 +141,7 @@
 	out.OwnMB = float64(mem.Sys) / (1 << 20)
 }
 
-// Print writes the report for people.
+// Print writes the report as text.
 func (out *Report) Print(w io.Writer) {
 	line := func(format string, args ...any) { fmt.Fprintf(w, format+"\n", args...) }
 	line("%.0f s, %d workers at the most, %d jobs, %d accepted", out.Seconds, out.Workers, out.Jobs, out.Accepted)
@@ -151,7 +154,7 @@
 	}
 	for _, x := range []struct {
 		name string
-		r    Role
+		r    TrafficSummary
 	}{{"state service", out.State}, {"cloud", out.Cloud}, {"reports", out.Reports}, {"direct commands", out.Commands}, {"users", out.UserRole}} {
 		line("%s: %d requests, %.1f a second, %d bytes in, %d out", x.name, x.r.Requests, x.r.PerSecond, x.r.BytesIn, x.r.BytesOut)
 	}
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -12,58 +12,62 @@
 	"cleatpick/internal/wire"
 )
 
-// Cloud rents machines out of a fixed number for each zone.
+// Cloud is a fake of the cloud provider's API. It rents out a fixed number of machines per zone and answers
+// requests synchronously.
 type Cloud struct {
-	mu       sync.Mutex
-	Types    []wire.MachineType
-	Left     map[string]int // by zone
-	requests map[string][]string
-	machines map[string]wire.CloudMachine
-	next     int
-	// Now, if it is set, lets lists lag by Lag, and machines that died stay listed as
-	// running for half a minute.
-	Now  func() loop.Micros
-	Lag  loop.Micros
-	born map[string]loop.Micros
-	died map[string]loop.Micros
-	left map[string]leftover // machines that are gone, as a list that lags still shows them
-	// Up and Gone tell the test to bring a machine up, or that it is deleted.
-	Up func(wire.CloudMachine)
-	// Addr gives a machine's address; nil: one that nobody answers at.
+	mu           sync.Mutex
+	Types        []wire.MachineType
+	Available    map[string]int // machines that can still be rented, by zone
+	requests     map[string][]string
+	machines     map[string]wire.CloudMachine
+	machineCount int // machines ever rented; numbers their names
+	// Now is the clock. If it is set, machine lists show the state of ListLag ago, and failed machines stay listed
+	// as running for a while.
+	Now       func() loop.Micros
+	ListLag   loop.Micros
+	createdAt map[string]loop.Micros
+	failedAt  map[string]loop.Micros
+	deleted   map[string]deletedMachine // deleted machines that a lagging list still shows
+	// OnRented is called for each machine that is rented; the test boots it.
+	OnRented func(wire.CloudMachine)
+	// Addr returns a machine's address. If it is nil, machines get an address at which nothing answers.
 	Addr func(name string) string
-	Gone func(name string)
+	// OnDeleted is called for each machine that is deleted.
+	OnDeleted func(name string)
 }
 
-// NewCloud makes a cloud with so many machines of one type in each zone.
-func NewCloud(t wire.MachineType, each int) *Cloud {
-	c := &Cloud{born: map[string]loop.Micros{}, died: map[string]loop.Micros{}, left: map[string]leftover{}, Types: []wire.MachineType{t}, Left: map[string]int{}, requests: map[string][]string{}, machines: map[string]wire.CloudMachine{}}
+// NewCloud returns a cloud that offers one machine type, with the given number of machines in each zone.
+func NewCloud(t wire.MachineType, perZone int) *Cloud {
+	c := &Cloud{createdAt: map[string]loop.Micros{}, failedAt: map[string]loop.Micros{}, deleted: map[string]deletedMachine{}, Types: []wire.MachineType{t}, Available: map[string]int{}, requests: map[string][]string{}, machines: map[string]wire.CloudMachine{}}
 	for _, z := range t.Zones {
-		c.Left[z] = each
+		c.Available[z] = perZone
 	}
 	return c
 }
 
-// Lose takes a machine back with no notice.
-func (c *Cloud) Lose(name string) {
+// Reclaim deletes a machine without notice, as a cloud does that reclaims it.
+func (c *Cloud) Reclaim(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.drop(name)
+	c.remove(name)
 }
 
-func (c *Cloud) drop(name string) {
+// remove deletes a machine and makes its capacity available again. The caller holds the lock.
+func (c *Cloud) remove(name string) {
 	m, ok := c.machines[name]
 	if !ok {
 		return
 	}
 	delete(c.machines, name)
-	c.Left[m.Zone]++
-	c.left[name] = leftover{m, c.now()}
-	c.Gone(name)
+	c.Available[m.Zone]++
+	c.deleted[name] = deletedMachine{m, c.now()}
+	c.OnDeleted(name)
 }
 
-type leftover struct {
-	m  wire.CloudMachine
-	at loop.Micros
+// deletedMachine is a deleted machine and the time of its deletion.
+type deletedMachine struct {
+	machine wire.CloudMachine
+	at      loop.Micros
 }
 
 func (c *Cloud) now() loop.Micros {
@@ -73,29 +77,29 @@
 	return c.Now()
 }
 
-// Take takes all that is left to rent away and tells what it was; Give brings it back.
-func (c *Cloud) Take() map[string]int {
+// TakeCapacity removes all capacity that is not rented, as in a shortage, and returns it by zone, for AddCapacity.
+func (c *Cloud) TakeCapacity() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	kept := c.Left
-	c.Left = map[string]int{}
+	kept := c.Available
+	c.Available = map[string]int{}
 	return kept
 }
 
-// Give adds to what is left to rent.
-func (c *Cloud) Give(more map[string]int) {
+// AddCapacity adds capacity that can be rented, by zone.
+func (c *Cloud) AddCapacity(capacity map[string]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for z, n := range more {
-		c.Left[z] += n
+	for z, n := range capacity {
+		c.Available[z] += n
 	}
 }
 
-// Fill rents so many machines in each zone at once, as if orders had been placed before,
-// and tells their names.
-func (c *Cloud) Fill(each int) (names []string) {
+// Fill rents the given number of machines in each zone, as if orders had been placed earlier, and returns
+// their names.
+func (c *Cloud) Fill(perZone int) (names []string) {
 	for _, z := range c.Types[0].Zones {
-		for n := each; n > 0; n -= 50 {
+		for n := perZone; n > 0; n -= 50 {
 			body := wire.Marshal(wire.RentRequest{Request: fmt.Sprint("fill-", z, n), Type: c.Types[0].Name, Zone: z, Count: min(n, 50)})
 			var got wire.MachineNames
 			if r := c.Do("POST", "/machines", body, 0); wire.Unmarshal(r.Body, &got) == nil {
@@ -106,25 +110,25 @@
 	return names
 }
 
-// Die lets a machine stop by itself: it stays listed, and nobody is told.
-func (c *Cloud) Die(name string) {
+// Fail makes a machine fail. It stays listed, first as running and later as failed, and no callback is called.
+func (c *Cloud) Fail(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.died[name] = c.now()
+	c.failedAt[name] = c.now()
 }
 
-// deadListed is how long a dead machine is still listed as running.
-const deadListed = 30 * loop.Second
+// failureListLag is how long a failed machine is still listed as running.
+const failureListLag = 30 * loop.Second
 
-// list describes the machines as they were a while ago.
+// list returns the machines as they were one list lag ago.
 func (c *Cloud) list() wire.MachinePage {
-	at := c.now() - c.Lag
+	at := c.now() - c.ListLag
 	l := wire.MachinePage{Machines: []wire.CloudMachine{}}
 	add := func(m wire.CloudMachine) {
-		if c.born[m.Name] > at {
+		if c.createdAt[m.Name] > at {
 			return
 		}
-		if d, ok := c.died[m.Name]; ok && at > d+deadListed {
+		if d, ok := c.failedAt[m.Name]; ok && at > d+failureListLag {
 			m.State = "failed"
 		}
 		l.Machines = append(l.Machines, m)
@@ -132,18 +136,18 @@
 	for _, m := range c.machines {
 		add(m)
 	}
-	for name, x := range c.left {
+	for name, x := range c.deleted {
 		if x.at <= at {
-			delete(c.left, name)
+			delete(c.deleted, name)
 		} else {
-			add(x.m)
+			add(x.machine)
 		}
 	}
 	sort.Slice(l.Machines, func(i, j int) bool { return l.Machines[i].Name < l.Machines[j].Name })
 	return l
 }
 
-// Do answers one request.
+// Do answers one request. It ignores the timeout.
 func (c *Cloud) Do(method, path string, body []byte, _ time.Duration) store.Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,7 +162,7 @@
 			return reply(400, wire.Error{Error: "malformed"})
 		}
 		for _, name := range n.Machines {
-			c.drop(name)
+			c.remove(name)
 		}
 		return reply(200, wire.MachineNames{Machines: []string{}})
 	case path == "/machines":
@@ -169,23 +173,23 @@
 		if got, ok := c.requests[r.Request]; ok {
 			return reply(200, wire.MachineNames{Machines: got})
 		}
-		n := min(r.Count, c.Left[r.Zone])
+		n := min(r.Count, c.Available[r.Zone])
 		if n <= 0 {
 			return reply(503, wire.Error{Error: "no capacity"})
 		}
 		var got []string
 		for range n {
-			c.next++
-			m := wire.CloudMachine{Name: fmt.Sprintf("n-%06d", c.next), Type: r.Type, Zone: r.Zone, Spot: r.Spot, State: "running"}
+			c.machineCount++
+			m := wire.CloudMachine{Name: fmt.Sprintf("n-%06d", c.machineCount), Type: r.Type, Zone: r.Zone, Spot: r.Spot, State: "running"}
 			m.Addr = "worker:" + m.Name
 			if c.Addr != nil {
 				m.Addr = c.Addr(m.Name)
 			}
 			c.machines[m.Name] = m
-			c.born[m.Name] = c.now()
-			c.Left[r.Zone]--
+			c.createdAt[m.Name] = c.now()
+			c.Available[r.Zone]--
 			got = append(got, m.Name)
-			c.Up(m)
+			c.OnRented(m)
 		}
 		c.requests[r.Request] = got
 		return reply(200, wire.MachineNames{Machines: got})
--- a/internal/store/fairness_test.go
+++ b/internal/store/fairness_test.go
@@ -70,8 +70,8 @@
 // after 10 to 37 s, and reads waited 0.4 s each (docs/incidents/2026-12-02-went-back-and-forgotten.md).
 func TestSubmissionsDelayNoOtherClass(t *testing.T) {
 	const rps, writeRPS, nodes = 180, 70, 3
-	clock := standin.NewStepped(1000 * loop.Second)
-	state := standin.NewState(clock.Now)
+	clock := standin.NewRunner(1000 * loop.Second)
+	state := standin.NewStateService(clock.Now)
 	sent := &changeCounter{state: state}
 	client := store.NewClient(clock, sent, slog.New(slog.NewTextHandler(io.Discard, nil)), rps, writeRPS, nodes)
 	f := &flood{client: client}
@@ -100,7 +100,7 @@
 		clock.After(700*loop.Millisecond, renew)
 	}
 	renew()
-	clock.Run(floodSeconds * loop.Second)
+	clock.Advance(floodSeconds * loop.Second)
 	for _, w := range []*waitTimes{reads, orders, starts, tidying, lease} {
 		if w.asked-w.done > int(w.within/loop.Second)+1 || w.longest > w.within {
 			t.Errorf("%s: %d of %d answered, the slowest after %d ms, want at most %d ms", w.name, w.done, w.asked, w.longest/loop.Millisecond, w.within/loop.Millisecond)
@@ -118,7 +118,7 @@
 
 // changeCounter counts the changes that are sent to the state service.
 type changeCounter struct {
-	state   *standin.State
+	state   *standin.StateService
 	changes int
 }
 
