--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -48,8 +48,8 @@
 	// StartBlocked returns why no start of the job may reach the machine now, apart from the job being final, for
 	// example a hold or a cordon; it is empty if none is. It may be nil.
 	StartBlocked func(j *job.Job, v *View) string
-	// ClockUncertainty is twice the bound on the error of a wall clock.
-	ClockUncertainty loop.Micros
+	// ClockDifference is the largest difference between two wall clocks.
+	ClockDifference loop.Micros
 	// Clock determines until when a start can still arrive.
 	Clock delivery.ClockBounds
 	// Meter counts commands and decisions about forgetting attempts; it may be nil.
--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -82,7 +82,7 @@
 	wall := a.runner.Wall()
 	reject := func(why string) {
 		if m != nil {
-			m.rejected[k] = s.Expiry + a.config.ClockUncertainty
+			m.rejected[k] = s.Expiry + a.config.ClockDifference
 		}
 		a.config.SendRejection(s.From, Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, Incarnation: a.config.Incarnation})
 	}
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -59,13 +59,13 @@
 	firstListed []loop.Micros
 }
 
-// Silence returns for how long at least the machine has not reported, by a wall-clock time and twice the bound
-// on clock errors. It returns 0 for the view of a host before version 0.8.0, which does not publish ReportedAt.
-func (v *View) Silence(wall, clockTo loop.Micros) loop.Micros {
+// Silence returns for how long at least the machine has not reported, by a wall-clock time and the largest
+// difference between two wall clocks. It returns 0 for the view of a host before version 0.8.0, which does not publish ReportedAt.
+func (v *View) Silence(wall, clockDifference loop.Micros) loop.Micros {
 	if v.ReportedAt == 0 {
 		return 0
 	}
-	return max(wall-v.ReportedAt-clockTo, 0)
+	return max(wall-v.ReportedAt-clockDifference, 0)
 }
 
 // resolve computes the capacity in use and reports whether all jobs that it needs were known here. It is called
--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -93,21 +93,21 @@
 
 // Registry holds the cordons as far as this controller knows them.
 type Registry struct {
-	runner     loop.Runner
-	client     *store.Client
-	mirror     *store.Mirror
-	log        *slog.Logger
-	clockBound loop.Micros // twice the bound on clock differences
-	revision   uint64
-	cordons    []Cordon
-	damaged    bool
-	version    uint64
+	runner          loop.Runner
+	client          *store.Client
+	mirror          *store.Mirror
+	log             *slog.Logger
+	clockDifference loop.Micros // the largest difference between two wall clocks
+	revision        uint64
+	cordons         []Cordon
+	damaged         bool
+	version         uint64
 }
 
-// NewRegistry returns the cordons that the mirror m holds and will receive; clockTo is twice the
-// bound on clock differences.
-func NewRegistry(r loop.Runner, c *store.Client, m *store.Mirror, log *slog.Logger, clockTo loop.Micros) *Registry {
-	b := &Registry{runner: r, client: c, mirror: m, log: log, clockBound: clockTo, version: 1}
+// NewRegistry returns the cordons that the mirror m holds and will receive; clockDifference is the
+// largest difference between two wall clocks.
+func NewRegistry(r loop.Runner, c *store.Client, m *store.Mirror, log *slog.Logger, clockDifference loop.Micros) *Registry {
+	b := &Registry{runner: r, client: c, mirror: m, log: log, clockDifference: clockDifference, version: 1}
 	m.OnChange(Key, b.apply)
 	return b
 }
@@ -135,7 +135,7 @@
 	b.version++
 	version := b.version
 	if next := b.nextExpiry(); next != 0 {
-		b.runner.After(max(next+b.clockBound-b.runner.Wall(), 0)+loop.Millisecond, func() {
+		b.runner.After(max(next+b.clockDifference-b.runner.Wall(), 0)+loop.Millisecond, func() {
 			if version == b.version {
 				b.setCordons(b.cordons)
 			}
@@ -145,7 +145,7 @@
 
 // expired reports whether a cordon has expired by the clock of every controller.
 func (b *Registry) expired(c *Cordon) bool {
-	return c.Until != 0 && b.runner.Wall() >= c.Until+b.clockBound
+	return c.Until != 0 && b.runner.Wall() >= c.Until+b.clockDifference
 }
 
 // nextExpiry returns the earliest time at which a cordon in force expires, or 0 if none does.
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-const clockTo = 200 * loop.Millisecond
+const clockDifference = 200 * loop.Millisecond
 
 // simulation is a set of controllers' cordons over one state service, each with its own mirror.
 type simulation struct {
@@ -32,7 +32,7 @@
 	for range n {
 		c := store.NewClient(o, o.state, log, 1e4, 1e4, 1)
 		m := store.NewMirror(c, o.state, "c/")
-		o.registries = append(o.registries, NewRegistry(o, c, m, log, clockTo))
+		o.registries = append(o.registries, NewRegistry(o, c, m, log, clockDifference))
 		o.mirrors = append(o.mirrors, m)
 		m.Start()
 	}
@@ -122,7 +122,7 @@
 	b.Put(Cordon{Name: "c", Zone: "x", Reason: "r", Until: until}, func(Outcome) {})
 	o.Advance(loop.Second)
 	before := b.Version()
-	o.Advance(until - o.Wall() + clockTo - loop.Millisecond)
+	o.Advance(until - o.Wall() + clockDifference - loop.Millisecond)
 	if !b.Blocked(at) {
 		t.Fatal("the cordon has expired before every clock was past its end")
 	}
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -92,7 +92,7 @@
 		if h.Until != 0 {
 			until := Time(h.Until)
 			d.Until, r.Until = &until, &until
-			left := Duration(max(h.Until+f.Gate.ClockMargin-f.Wall, 0))
+			left := Duration(max(h.Until+f.Gate.ClockDifference-f.Wall, 0))
 			r.Estimate = &Estimate{Low: left, Likely: left, High: left + Duration(loop.Second)}
 			r.Release = "the hold ends by itself, or an operator releases the job"
 		}
--- a/internal/gate/job.go
+++ b/internal/gate/job.go
@@ -95,18 +95,18 @@
 
 // JobFacts holds the facts that the job predicates evaluate. Machines are not part of them.
 type JobFacts struct {
-	Spec        *job.Spec
-	Hold        *job.Hold
-	After       []Dep
-	OnWithdrawn job.Policy
-	Damaged     bool
-	Waiting     int
-	InUse       int // tasks that may be on machines
-	Failing     FailureState
-	TeamUsage   agent.Capacity // memory has no limit
-	Quota       config.Quota
-	Now, Wall   loop.Micros
-	ClockMargin loop.Micros // twice the bound on the error of the wall clock
+	Spec            *job.Spec
+	Hold            *job.Hold
+	After           []Dep
+	OnWithdrawn     job.Policy
+	Damaged         bool
+	Waiting         int
+	InUse           int // tasks that may be on machines
+	Failing         FailureState
+	TeamUsage       agent.Capacity // memory has no limit
+	Quota           config.Quota
+	Now, Wall       loop.Micros
+	ClockDifference loop.Micros // the largest difference between two wall clocks
 }
 
 // FailureState describes a job's recent failures.
@@ -160,7 +160,7 @@
 	case Hold:
 		// Each host controller uses its own wall clock, so the owner waits until the hold has ended by all of
 		// them.
-		blocked = j.Hold.Blocks(j.Wall - j.ClockMargin)
+		blocked = j.Hold.Blocks(j.Wall - j.ClockDifference)
 	case Dependency:
 		blocked = j.dependencyUnmet()
 	case BackOff:
--- a/internal/gate/predicate_test.go
+++ b/internal/gate/predicate_test.go
@@ -24,7 +24,7 @@
 			return 0
 		}
 	case Hold:
-		wall := j.Wall - j.ClockMargin
+		wall := j.Wall - j.ClockDifference
 		if j.Hold.State != job.HoldNone && (j.Hold.Until == 0 || wall < j.Hold.Until) {
 			return 0
 		}
@@ -74,7 +74,7 @@
 		yes := func(name string) bool { return rapid.Bool().Draw(t, name) }
 		j := &JobFacts{Spec: &job.Spec{CPUs: float64(num("cpus", 1, 4)), GPUs: float64(num("gpus", 0, 1)), Gang: num("gang", 0, 3) == 0},
 			Hold: &job.Hold{}, Damaged: num("damaged", 0, 5) == 0, Waiting: num("waiting", 0, 9), InUse: num("in use", 0, 3),
-			Now: 100, Wall: 200, ClockMargin: loop.Micros(num("clock", 0, 3)),
+			Now: 100, Wall: 200, ClockDifference: loop.Micros(num("clock", 0, 3)),
 			TeamUsage:   agent.Capacity{CPUs: float64(num("used", 0, 20)), GPUs: float64(num("used gpus", 0, 3))},
 			Quota:       config.Quota{CPUsMax: config.NewLimit(float64(num("max", 0, 24))), GPUsMax: config.NewLimit(float64(num("max gpus", 0, 4)))},
 			OnWithdrawn: []job.Policy{job.PolicyHold, job.PolicyRelease, job.PolicyCancel}[num("policy", 0, 2)]}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -157,10 +157,10 @@
 		SendRejection: func(to string, d agent.Rejection) {
 			n.dispatch(to, func() { l.Post(func() { n.placer.StartDropped(cfg.Label, d) }) }, func(e *peer.Envelope) { e.Drops = append(e.Drops, d) })
 		},
-		StartBlocked:     n.startBlocked,
-		ClockUncertainty: cfg.ClockDifference(),
-		Clock:            delivery.NewClockBounds(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifetimeS)),
-		Meter:            n.meter,
+		StartBlocked:    n.startBlocked,
+		ClockDifference: cfg.ClockDifference(),
+		Clock:           delivery.NewClockBounds(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifetimeS)),
+		Meter:           n.meter,
 	}, n.sendCommands)
 	n.placer = placer.New(l, n.client, log, cfg, placer.Node{
 		Label: cfg.Label,
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -14,7 +14,7 @@
 	f := gate.JobFacts{Spec: t.job.Spec, Hold: &t.job.Terms.Hold, After: p.dependencies(t.job), OnWithdrawn: t.job.Terms.OnCancelled, Damaged: t.damaged,
 		Waiting: t.waiting(), InUse: t.inUse,
 		TeamUsage: agent.Capacity{CPUs: tm.cpus, GPUs: tm.gpus}, Quota: tm.quota,
-		ClockMargin: p.cfg.ClockDifference()}
+		ClockDifference: p.cfg.ClockDifference()}
 	// The clocks are read only for the few jobs that need them, since a pass calls this for all jobs.
 	if t.probation.Bursts != 0 || t.probation.RestUntil != 0 {
 		f.Now = p.runner.Now()
--- a/internal/placer/views.go
+++ b/internal/placer/views.go
@@ -32,7 +32,7 @@
 	}
 	// Most views only confirm that the machine is alive: no capacity became free.
 	unchanged := old != nil && c.Unchanged && len(v.Pending)+len(old.View.Pending) == 0 && v.ClosedToStarts == old.View.ClosedToStarts && v.NoticeAt == old.View.NoticeAt && !startsUnknown
-	sl := p.fleet.UpdateView(v, now-v.Silence(p.runner.Wall(), p.clockBound()), unchanged)
+	sl := p.fleet.UpdateView(v, now-v.Silence(p.runner.Wall(), p.maxClockDifference()), unchanged)
 	p.attribution.Observe(now, v, c)
 	if !c.Unchanged {
 		sl.BackOff(p.attribution.RestUntil(v.Name), "tasks fail on it")
@@ -186,8 +186,8 @@
 	p.forgetIfTerminated(t)
 }
 
-// clockBound returns the bound on the difference of two wall clocks, plus a margin.
-func (p *Scheduler) clockBound() loop.Micros { return p.clock.MaxDifference }
+// maxClockDifference returns the bound on the difference of two wall clocks, plus a margin.
+func (p *Scheduler) maxClockDifference() loop.Micros { return p.clock.MaxDifference }
 
 // startCanArrive reports whether a start of an attempt can still reach a worker, by the expiry recorded for that very
 // attempt. Attempts that this owner did not record were recorded by others before it read their team's records.
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -68,12 +68,12 @@
 
 // Tracker tracks the reachability of all peers of one controller.
 type Tracker struct {
-	runner     loop.Runner
-	log        *slog.Logger
-	self       string
-	clockBound loop.Micros // twice the bound on clock differences
-	began      loop.Micros
-	peers      map[string]*peer
+	runner          loop.Runner
+	log             *slog.Logger
+	self            string
+	clockDifference loop.Micros // the largest difference between two wall clocks
+	began           loop.Micros
+	peers           map[string]*peer
 	// isolatedSince is since when messages pass both ways with no peer, and disconnectedSince
 	// since when they do not pass both ways with some peer that others reach. 0: not so.
 	isolatedSince, disconnectedSince loop.Micros
@@ -85,8 +85,8 @@
 }
 
 // New returns a tracker that has received no messages.
-func New(r loop.Runner, log *slog.Logger, self string, peers []string, clockBound loop.Micros) *Tracker {
-	j := &Tracker{runner: r, log: log, self: self, clockBound: clockBound, began: r.Now(), peers: map[string]*peer{}}
+func New(r loop.Runner, log *slog.Logger, self string, peers []string, clockDifference loop.Micros) *Tracker {
+	j := &Tracker{runner: r, log: log, self: self, clockDifference: clockDifference, began: r.Now(), peers: map[string]*peer{}}
 	for _, p := range peers {
 		j.peers[p] = &peer{}
 	}
@@ -202,7 +202,7 @@
 }
 
 func (j *Tracker) fresh(p *peer, now loop.Micros) bool {
-	return p.receivedAt != 0 && now-p.receivedAt < MaxAge && j.runner.Wall()-p.message.Wall < maxWallAge+j.clockBound
+	return p.receivedAt != 0 && now-p.receivedAt < MaxAge && j.runner.Wall()-p.message.Wall < maxWallAge+j.clockDifference
 }
 
 // State returns the reachability of a peer.
