--- a/internal/explain/service.go
+++ b/internal/explain/service.go
@@ -68,10 +68,10 @@
 }
 
 // NewService returns the service and registers the handlers of other controllers' requests.
-func NewService(r loop.Runner, n Dependencies) *Service {
-	d := &Service{runner: r, deps: n, Timelines: NewTimelines(), waits: NewWaits()}
+func NewService(r loop.Runner, deps Dependencies) *Service {
+	d := &Service{runner: r, deps: deps, Timelines: NewTimelines(), waits: NewWaits()}
 	d.Timelines.OnIntervalEnd = d.recordWait
-	n.Handle(topicWhy, func(body wire.Raw, reply func(any)) {
+	deps.Handle(topicWhy, func(body wire.Raw, reply func(any)) {
 		var q whyRequest
 		if wire.Unmarshal(body, &q) != nil {
 			reply(whyReply{})
@@ -79,13 +79,13 @@
 		}
 		reply(d.explainOwned(q.Job))
 	})
-	n.Handle(topicSupply, func(body wire.Raw, reply func(any)) {
+	deps.Handle(topicSupply, func(body wire.Raw, reply func(any)) {
 		var s job.Spec
 		if wire.Unmarshal(body, &s) != nil {
 			reply(Supply{State: "unknown"})
 			return
 		}
-		reply(n.Supply(&s))
+		reply(deps.Supply(&s))
 	})
 	return d
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -22,8 +22,8 @@
 	"cleatpick/internal/wire"
 )
 
-// Node holds what the fleet needs of the controller that runs it.
-type Node struct {
+// Dependencies holds what the fleet needs from the controller in which it runs.
+type Dependencies struct {
 	Label string
 	Type  func(string) (wire.MachineType, bool)
 	// Room returns the capacity that a machine's view leaves free, Jobs the jobs of the tasks in it, by
@@ -58,7 +58,7 @@
 type Fleet struct {
 	runner              loop.Runner
 	log                 *slog.Logger
-	node                Node
+	deps                Dependencies
 	machines            map[string]*Machine
 	order               []*Machine // by name
 	sorted              bool
@@ -75,8 +75,8 @@
 }
 
 // New returns an empty fleet.
-func New(r loop.Runner, log *slog.Logger, n Node) *Fleet {
-	return &Fleet{runner: r, log: log, node: n, machines: map[string]*Machine{}, reserved: map[*Machine]struct{}{}, reservationCounts: map[string]int{}}
+func New(r loop.Runner, log *slog.Logger, deps Dependencies) *Fleet {
+	return &Fleet{runner: r, log: log, deps: deps, machines: map[string]*Machine{}, reserved: map[*Machine]struct{}{}, reservationCounts: map[string]int{}}
 }
 
 // Machine returns the record of a machine, or nil if no report of it has arrived.
@@ -89,7 +89,7 @@
 // once: in a full cluster these are a small part of all machines, and each job is ranked on them alone.
 func (f *Fleet) Free() []*Machine {
 	now := f.runner.Now()
-	after := now - f.node.StaleAfter
+	after := now - f.deps.StaleAfter
 	f.free = f.free[:0]
 	for _, m := range f.order {
 		if m.Free.CPUs > 0 && m.AcceptsStarts(after, now) {
@@ -174,10 +174,10 @@
 		slices.SortFunc(f.order, func(a, b *Machine) int { return strings.Compare(a.View.Name, b.View.Name) })
 		f.sorted = true
 	}
-	if v := f.node.Cordons.Version(); v != f.cordonVersion {
+	if v := f.deps.Cordons.Version(); v != f.cordonVersion {
 		f.cordonVersion = v
 		for _, m := range f.order {
-			m.Cordoned = f.node.Cordons.Blocked(CordonPlace(m.View))
+			m.Cordoned = f.deps.Cordons.Blocked(CordonPlace(m.View))
 		}
 	}
 	due := f.stale
@@ -196,19 +196,19 @@
 
 func (f *Fleet) refresh(m *Machine) {
 	v := m.View
-	typ, ok := f.node.Type(v.Type)
+	typ, ok := f.deps.Type(v.Type)
 	var free agent.Capacity
 	if ok {
-		free, ok = f.node.Room(v, typ)
+		free, ok = f.deps.Room(v, typ)
 	}
 	if !ok {
 		m.Known = false
 		f.MarkStale(m) // retried until its type and the jobs of its tasks are known here
 		return
 	}
-	f.node.Unshown(v, free.Subtract)
+	f.deps.Unshown(v, free.Subtract)
 	m.typ, m.Free, m.usedCPUs = typ, free, typ.CPUs-free.CPUs
-	m.Jobs = f.node.Jobs(v)
+	m.Jobs = f.deps.Jobs(v)
 	m.lowestPriority = job.Production
 	for i, j := range m.Jobs {
 		if j != nil && j.Spec != nil && v.Tasks[i].Active() {
@@ -217,14 +217,14 @@
 	}
 	f.dropConsumedReservations(m)
 	m.Known = true
-	m.Cordoned = f.node.Cordons.Blocked(CordonPlace(v))
+	m.Cordoned = f.deps.Cordons.Blocked(CordonPlace(v))
 }
 
 // updatePrices compares the machines' prices per CPU with the cheapest.
 func (f *Fleet) updatePrices() {
 	least := math.Inf(1)
 	for _, m := range f.order {
-		if typ, ok := f.node.Type(m.View.Type); ok {
+		if typ, ok := f.deps.Type(m.View.Type); ok {
 			m.cpuPrice = typ.Price / typ.CPUs
 			if m.View.Spot {
 				m.cpuPrice = typ.SpotPrice / typ.CPUs
@@ -285,7 +285,7 @@
 // every task.
 func (f *Fleet) Ranked(need *gate.Need, machines []*Machine) []*Machine {
 	now := f.runner.Now()
-	after := now - f.node.StaleAfter
+	after := now - f.deps.StaleAfter
 	type scored struct {
 		m     *Machine
 		score float64
@@ -293,7 +293,7 @@
 	var all []scored
 	for _, m := range machines {
 		if m.AcceptsStarts(after, now) && m.Fits(need) {
-			score := m.score(need.Spec, f.node.Label)
+			score := m.score(need.Spec, f.deps.Label)
 			if _, failed := need.Avoid[m.View.Name]; failed {
 				score -= avoidPenalty
 			}
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -131,7 +131,7 @@
 func (f *Fleet) preempt(need *gate.Need, want int, rights *PreemptionRights, maxCost float64, life loop.Micros, eligible func(*Machine) bool) (reservations []peer.Reservation) {
 	s := need.Spec
 	now := f.runner.Now()
-	after := now - f.node.StaleAfter
+	after := now - f.deps.StaleAfter
 	var all candidateHeap
 	borrowed := rights.WithinGuarantee && !rights.LowerPriorityOnly && rights.anyOtherExcess(s.Team)
 	// With many machines, any few of them are about as good as the best of all: the search starts where the
@@ -169,7 +169,7 @@
 			o.m.Free.Add(y.spec)
 			o.m.preempted = append(o.m.preempted, pendingPreemption{delivery.Attempt{Task: y.task.Task, Number: y.task.Attempt}, now + y.grace + 5*loop.Second})
 			f.log.Debug("preempting task to make capacity for another job", "task", y.task.Task, "machine", o.m.View.Name, "for", need.ID, "grace_us", y.grace)
-			f.node.Stop(o.m.View.Host, agent.Stop{Machine: o.m.View.Name, Task: y.task.Task, Attempt: y.task.Attempt, Grace: y.grace})
+			f.deps.Stop(o.m.View.Host, agent.Stop{Machine: o.m.View.Name, Task: y.task.Task, Attempt: y.task.Attempt, Grace: y.grace})
 		}
 		o.m.Free.Subtract(s)
 		f.MarkStale(o.m)
--- a/internal/fleet/reserve.go
+++ b/internal/fleet/reserve.go
@@ -27,7 +27,7 @@
 		n.Zones = map[string]int{}
 	}
 	now := f.runner.Now()
-	after := now - f.node.StaleAfter
+	after := now - f.deps.StaleAfter
 	type place struct {
 		m    *Machine
 		left agent.Capacity // of the empty machine, less its reservations
--- a/internal/fleet/reserve_test.go
+++ b/internal/fleet/reserve_test.go
@@ -22,7 +22,7 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	client := store.NewClient(clock, nil, log, 100, 100, 1)
 	jobs := map[string]*job.Job{}
-	f := New(clock, log, Node{Label: "a", StaleAfter: 10 * loop.Second,
+	f := New(clock, log, Dependencies{Label: "a", StaleAfter: 10 * loop.Second,
 		Type: func(string) (wire.MachineType, bool) {
 			return wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32}, true
 		},
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -162,7 +162,7 @@
 		Clock:           delivery.NewClockBounds(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifetimeS)),
 		Meter:           n.meter,
 	}, n.sendCommands)
-	n.placer = placer.New(l, n.client, log, cfg, placer.Node{
+	n.placer = placer.New(l, n.client, log, cfg, placer.Dependencies{
 		Label: cfg.Label,
 		Type:  func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
 		Start: func(host string, s agent.Start) {
@@ -199,7 +199,7 @@
 			n.net.SendAll(func(e *peer.Envelope) { e.Reservations = append(e.Reservations, c...) })
 		},
 	}, n.jobs, n.agent, n.cordons)
-	n.rental = rental.New(l, log, cfg, n.client, n.mirror, deps.Cloud, n.agent, rental.Node{
+	n.rental = rental.New(l, log, cfg, n.client, n.mirror, deps.Cloud, n.agent, rental.Dependencies{
 		Close: func(host string, c peer.StartBlock) {
 			n.dispatch(host, func() { n.agent.CloseToStarts(c.Machine, c.Until) }, func(e *peer.Envelope) { e.StartBlocks = append(e.StartBlocks, c) })
 		},
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -240,7 +240,7 @@
 
 // setUnplacedCause records which machine predicate left a job's tasks unplaced in a pass.
 func (p *Scheduler) setUnplacedCause(t *jobTable, unplaced bool) {
-	if !p.node.ReportCauses {
+	if !p.deps.ReportCauses {
 		return
 	}
 	now := p.runner.Now()
--- a/internal/placer/explain_test.go
+++ b/internal/placer/explain_test.go
@@ -537,10 +537,10 @@
 // newCausesScenario returns a scenario with one team that publishes causes, and the causes published last.
 func newCausesScenario() (*scenario, *[]gate.Cause) {
 	g := &scenario{rig: newRig(100, config.Team{Name: "red", CPUs: 50, CPUsMax: 90})}
-	g.scheduler.node.ReportCauses = true
+	g.scheduler.deps.ReportCauses = true
 	g.scheduler.preemption.nextRun = 1 << 62 // preemption is not checked here
 	var told []gate.Cause
-	g.scheduler.node.SendProgress = func(all []peer.Progress) {
+	g.scheduler.deps.SendProgress = func(all []peer.Progress) {
 		for _, p := range all {
 			if p.HasCauses {
 				told = p.Causes
--- a/internal/placer/failures.go
+++ b/internal/placer/failures.go
@@ -10,7 +10,7 @@
 // owner, so that a job known to be broken does not get a fresh start from each new one.
 func (p *Scheduler) trackFailures(t *jobTable) {
 	t.probation.OnChange = func(from, to health.ProbationState) {
-		p.node.Meter.AttributionState(to.String())
+		p.deps.Meter.AttributionState(to.String())
 		if from == health.Untried && to == health.Sound {
 			return // the outcome for nearly all jobs
 		}
--- a/internal/placer/forget_test.go
+++ b/internal/placer/forget_test.go
@@ -95,7 +95,7 @@
 // exists but not when its start expires, only that it was recorded before the records were read.
 func forgetAsTheNextOwner(t *testing.T) {
 	g := newForgetRig()
-	g.scheduler.node.Reserve = func(host string, s agent.Start) {
+	g.scheduler.deps.Reserve = func(host string, s agent.Start) {
 		g.scheduler.StartDropped(host, agent.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", OnlyReservation: true})
 	}
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
--- a/internal/placer/groupcommit.go
+++ b/internal/placer/groupcommit.go
@@ -23,7 +23,7 @@
 	}
 	now := p.runner.Now()
 	if len(part.log.closed) > 0 {
-		p.node.Meter.Takeover(now - part.ownedAt)
+		p.deps.Meter.Takeover(now - part.ownedAt)
 		p.log.Info("first placement under a new partition owner", "partition", part.id, "claim", part.claim.Revision, "since_owned_us", now-part.ownedAt, "since_loaded_us", now-part.loadedAt)
 	}
 	part.ownedAt = 0
--- a/internal/placer/guarantee.go
+++ b/internal/placer/guarantee.go
@@ -100,7 +100,7 @@
 	need := t.need()
 	reservations := p.fleet.Reserve(&need, tasks, reservationLife)
 	p.recordReservations(reservations)
-	p.node.Meter.Reserved(len(reservations))
+	p.deps.Meter.Reserved(len(reservations))
 	p.starvation.RecordOrdinary(t.reserveClass(), float64(len(reservations))*t.job.Spec.CPUs)
 	return len(reservations)
 }
--- a/internal/placer/image_test.go
+++ b/internal/placer/image_test.go
@@ -34,7 +34,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(100, config.Team{Name: "red", CPUs: 64, CPUsMax: 64}, config.Team{Name: "blue", CPUs: 64, CPUsMax: 64})
 			var claims []peer.Reservation
-			g.scheduler.node.SendReservations = func(cs []peer.Reservation) { claims = append(claims, cs...) }
+			g.scheduler.deps.SendReservations = func(cs []peer.Reservation) { claims = append(claims, cs...) }
 			low := g.acceptJob(1, job.Spec{Class: "k", Team: "blue", Priority: job.Low, Tasks: 8, CPUs: 2, MemoryGB: 2, Image: "i", AnyType: true, Estimate: 60 * s})
 			earlier := g.acceptJob(2, job.Spec{Class: "k", Team: "red", Priority: job.High, Tasks: 1, CPUs: 2, MemoryGB: 2, Image: "u", ImageGB: c.image, AnyType: true, Estimate: 60 * s})
 			g.deliverView("n-1", "m16", "x", false, agent.Task{Task: agent.TaskName(earlier, 0), Attempt: 1, State: wire.TaskRunning}) // the machine therefore has the image
--- a/internal/placer/load.go
+++ b/internal/placer/load.go
@@ -87,7 +87,7 @@
 	}
 	if len(left) == 0 {
 		p.finishLoad(part, teams, segments)
-		for _, name := range p.node.Membership.Layout().Teams(part.id, p.cfg.TeamNames()) {
+		for _, name := range p.deps.Membership.Layout().Teams(part.id, p.cfg.TeamNames()) {
 			p.scheduleAssignment(name) // some have logs of their own
 		}
 		return
--- a/internal/placer/outages.go
+++ b/internal/placer/outages.go
@@ -32,7 +32,7 @@
 	}
 	o := &p.reruns
 	if took := p.runner.Now() - x.lostSince; runs {
-		p.node.Meter.Rerun(took)
+		p.deps.Meter.Rerun(took)
 		o.count++
 		o.longest = max(o.longest, took)
 	}
--- a/internal/placer/partition.go
+++ b/internal/placer/partition.go
@@ -89,17 +89,17 @@
 	if team, ok := id.Team(); ok {
 		return []string{team}
 	}
-	return slices.DeleteFunc(p.node.Membership.Layout().Teams(id, p.cfg.TeamNames()), func(team string) bool {
-		return !p.node.Membership.Assigned(team)
+	return slices.DeleteFunc(p.deps.Membership.Layout().Teams(id, p.cfg.TeamNames()), func(team string) bool {
+		return !p.deps.Membership.Assigned(team)
 	})
 }
 
 // numberedPartition returns the numbered partition of a team if it is owned and loaded here, else nil.
 func (p *Scheduler) numberedPartition(name string) *ownedPartition {
-	if p.node.Membership == nil || !p.node.Membership.Layout().Numbered() {
+	if p.deps.Membership == nil || !p.deps.Membership.Layout().Numbered() {
 		return nil
 	}
-	part := p.partitions[p.node.Membership.Layout().Of(name)]
+	part := p.partitions[p.deps.Membership.Layout().Of(name)]
 	if part == nil || !part.loaded {
 		return nil
 	}
@@ -144,7 +144,7 @@
 		switch {
 		case p.teams[name] != nil:
 			delete(part.unassigned, name)
-		case p.node.Membership.Assigned(name):
+		case p.deps.Membership.Assigned(name):
 			p.TeamAssigned(name)
 		case len(names) < p.client.MaxChanges():
 			names = append(names, name)
@@ -154,7 +154,7 @@
 		return
 	}
 	part.assigning = true
-	p.node.Membership.Assign(part.id, part.claim, names, func(ok bool) {
+	p.deps.Membership.Assign(part.id, part.claim, names, func(ok bool) {
 		part.assigning = false
 		if !p.ownsPartition(part) {
 			return
--- a/internal/placer/partition_test.go
+++ b/internal/placer/partition_test.go
@@ -48,7 +48,7 @@
 	}
 	g := newRig(writeRPS)
 	g.scheduler.cfg.Cluster.Teams = all
-	g.scheduler.node.Membership = &onePartition{g: g, known: map[string]bool{}}
+	g.scheduler.deps.Membership = &onePartition{g: g, known: map[string]bool{}}
 	g.acquirePartition()
 	for i := range machines {
 		g.deliverView(fmt.Sprintf("n-%03d", i), "m8", "x", false)
@@ -150,7 +150,7 @@
 		if n := len(g.state.Keys(onlyID.LogPrefix())); n < 3 {
 			t.Fatalf("got %d segments, want at least 3 for the test to be meaningful", n)
 		}
-		m := g.scheduler.node.Membership.(*onePartition)
+		m := g.scheduler.deps.Membership.(*onePartition)
 		if lags {
 			for _, team := range []string{"team-003", "team-020"} {
 				m.known[team] = false
@@ -188,7 +188,7 @@
 	}
 	g.state.Put(own.ClaimKey(), map[string]any{"n": "", "e": 0, "p": string(onlyID)})
 	g.scheduler.OwnershipChanged(own, false, member.Owner{})
-	g.scheduler.node.Membership = &onePartition{g: g, known: map[string]bool{"team-000": true}}
+	g.scheduler.deps.Membership = &onePartition{g: g, known: map[string]bool{"team-000": true}}
 	g.starts = nil
 	for _, owner := range []string{"the first owner", "the next one"} {
 		g.acquirePartition()
--- a/internal/placer/place.go
+++ b/internal/placer/place.go
@@ -129,7 +129,7 @@
 		}
 		if t.unplacedSince == 0 {
 			t.unplacedSince = now
-			p.node.Meter.Unplaced()
+			p.deps.Meter.Unplaced()
 		}
 		if mayPreempt {
 			p.preemptFor(&e, unplaced, &b)
@@ -148,22 +148,22 @@
 		}
 	}
 	for _, c := range chosen {
-		p.node.Reserve(c.host, c.start) // last, since a host controller in this process answers with a new view
+		p.deps.Reserve(c.host, c.start) // last, since a host controller in this process answers with a new view
 	}
 	if len(p.preemption.newReservations) > 0 {
-		p.node.SendReservations(p.preemption.newReservations)
+		p.deps.SendReservations(p.preemption.newReservations)
 		p.preemption.newReservations = nil
 	}
 	p.lastPassTook = p.runner.Now() - began
-	p.node.Meter.PlacementPass(p.lastPassTook, len(chosen))
+	p.deps.Meter.PlacementPass(p.lastPassTook, len(chosen))
 	p.log.Debug("placement pass finished", "tasks", len(chosen), "jobs", len(q), "missed", len(p.unplacedRequests), "took_us", p.lastPassTook)
 }
 
 // expectedShare returns the fraction of newly freed capacity that this owner may expect.
 func (p *Scheduler) expectedShare() float64 {
 	all := len(p.cfg.Cluster.Teams)
-	if p.node.Membership != nil && p.node.Membership.Layout().Numbered() {
-		all = p.node.Membership.Layout().Count
+	if p.deps.Membership != nil && p.deps.Membership.Layout().Numbered() {
+		all = p.deps.Membership.Layout().Count
 	}
 	return float64(len(p.partitions)) / float64(max(all, 1))
 }
@@ -270,7 +270,7 @@
 			sl.Allocate(s)
 			p.fleet.ConsumeReservation(sl, t.job.ID)
 			p.setTask(t, i, Recording)
-			*chosen = append(*chosen, hostStart{sl.View.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.taskName(i), Attempt: x.attempt, From: p.node.Label}})
+			*chosen = append(*chosen, hostStart{sl.View.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.taskName(i), Attempt: x.attempt, From: p.deps.Label}})
 			p.queueStart(t, i)
 			got++
 		}
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -74,7 +74,7 @@
 	g.mirror = store.NewMirror(c, g, "c/")
 	g.registry = job.NewRegistry(g, c, g.mirror, log)
 	g.workers = agent.New(g, log, agent.Config{Label: "a", FindJob: g.registry.Get, ViewChanged: func(v *agent.View, c *agent.Changes) { g.scheduler.ViewChanged(v, c) }}, nil)
-	g.scheduler = New(g, c, log, cfg, Node{
+	g.scheduler = New(g, c, log, cfg, Dependencies{
 		Label: "a",
 		Type:  func(name string) (wire.MachineType, bool) { t, ok := types[name]; return t, ok },
 		Start: func(_ string, s agent.Start) { g.starts = append(g.starts, s) },
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -47,8 +47,8 @@
 // recordReservations records new reservations and queues them to be sent to the other owners.
 func (p *Scheduler) recordReservations(cs []peer.Reservation) {
 	for i := range cs {
-		p.node.Meter.Preempted(len(cs[i].Victims))
-		if p.node.ReportCauses {
+		p.deps.Meter.Preempted(len(cs[i].Victims))
+		if p.deps.ReportCauses {
 			p.recordPreempted(cs[i])
 		} else {
 			cs[i].Victims = nil
--- a/internal/placer/preempt_test.go
+++ b/internal/placer/preempt_test.go
@@ -31,8 +31,8 @@
 func newPreemptionFleet(t rapid.TB, teams []config.Team, machines int) *preemptionFleet {
 	f := &preemptionFleet{rig: newRig(1000, teams...), t: t, teams: teams, specs: map[string]*job.Spec{}, machines: map[string][]agent.Task{},
 		stopped: map[string]int{}, alternations: map[[2]string][]string{}}
-	f.scheduler.node.ReportCauses = true
-	f.scheduler.node.SendReservations = func(claims []peer.Reservation) {
+	f.scheduler.deps.ReportCauses = true
+	f.scheduler.deps.SendReservations = func(claims []peer.Reservation) {
 		for i := range claims {
 			f.checkRules(&claims[i])
 		}
--- a/internal/placer/quota_test.go
+++ b/internal/placer/quota_test.go
@@ -75,7 +75,7 @@
 
 			g = newRig(100, red, blue)
 			var claims []peer.Reservation
-			g.scheduler.node.SendReservations = func(cs []peer.Reservation) { claims = append(claims, cs...) }
+			g.scheduler.deps.SendReservations = func(cs []peer.Reservation) { claims = append(claims, cs...) }
 			g.showRunning(machines...)
 			other := spec
 			other.Team, other.Tasks = "blue", 48
--- a/internal/placer/scheduler.go
+++ b/internal/placer/scheduler.go
@@ -20,9 +20,9 @@
 	"cleatpick/internal/wire"
 )
 
-// Node holds what the scheduler needs of the controller around it. Host parameters name a host controller, which may
+// Dependencies holds what the scheduler needs from the controller in which it runs. Host parameters name a host controller, which may
 // be this one.
-type Node struct {
+type Dependencies struct {
 	Label string
 	Type  func(string) (wire.MachineType, bool)
 	// Start and Stop send a command to the named host controller.
@@ -63,7 +63,7 @@
 	client   *store.Client
 	log      *slog.Logger
 	cfg      *config.Config
-	node     Node
+	deps     Dependencies
 	registry *job.Registry
 	cordons  *cordon.Registry
 	agent    *agent.Registry
@@ -94,8 +94,8 @@
 }
 
 // New returns a scheduler that owns no partition yet and schedules its periodic work on r.
-func New(r loop.Runner, c *store.Client, log *slog.Logger, cfg *config.Config, n Node, registry *job.Registry, a *agent.Registry, cordons *cordon.Registry) *Scheduler {
-	p := &Scheduler{runner: r, cordons: cordons, client: c, log: log, cfg: cfg, node: n, registry: registry, agent: a, partitions: map[partition.ID]*ownedPartition{}, teams: map[string]*team{},
+func New(r loop.Runner, c *store.Client, log *slog.Logger, cfg *config.Config, deps Dependencies, registry *job.Registry, a *agent.Registry, cordons *cordon.Registry) *Scheduler {
+	p := &Scheduler{runner: r, cordons: cordons, client: c, log: log, cfg: cfg, deps: deps, registry: registry, agent: a, partitions: map[partition.ID]*ownedPartition{}, teams: map[string]*team{},
 		valueLimit:     int(cfg.Cluster.State.ValueKB * 1024 * valueFraction),
 		tasksByMachine: map[string]*machineTasks{},
 		attribution:    health.NewAttribution(func(id string) bool { j := registry.Get(id); return j != nil && !j.Final() }), zoneByMachine: map[string]string{}, nonce: loop.Rand(r).Uint64() >> 1, usage: map[string]peer.Usage{},
@@ -103,7 +103,7 @@
 		checkRequestedAt: map[string]loop.Micros{}, paces: health.Paces{}, starvation: starvation.New()}
 	p.clock = delivery.NewClockBounds(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifetimeS))
 	p.expiries = delivery.NewExpiries(p.clock)
-	p.fleet = fleet.New(r, log, fleet.Node{Label: n.Label, Type: n.Type, Room: a.FreeCapacity, Jobs: a.Jobs, Unshown: p.eachUnlisted, Stop: n.Stop,
+	p.fleet = fleet.New(r, log, fleet.Dependencies{Label: deps.Label, Type: deps.Type, Room: a.FreeCapacity, Jobs: a.Jobs, Unshown: p.eachUnlisted, Stop: deps.Stop,
 		Cordons: cordons, StaleAfter: p.staleAfter()})
 	loop.Every(r, 400*loop.Millisecond, p.tick)
 	loop.Every(r, 60*loop.Second, func() {
@@ -205,7 +205,7 @@
 	}
 	if v := p.agent.View(x.machine); v != nil {
 		x.stopSentAt = now
-		p.node.Stop(v.Host, agent.Stop{Machine: x.machine, Task: t.taskName(i), Attempt: x.attempt, Grace: grace})
+		p.deps.Stop(v.Host, agent.Stop{Machine: x.machine, Task: t.taskName(i), Attempt: x.attempt, Grace: grace})
 	}
 }
 
@@ -233,7 +233,7 @@
 		// attempted. Afterwards it is no evidence: the start may be in flight, and freeing the task then would let it
 		// run twice.
 		if x.state == Recording && x.expiry == 0 {
-			p.node.Meter.Rejection()
+			p.deps.Meter.Rejection()
 			p.excludeBriefly(d.Machine)
 			p.confirmTerminated(t, i, "reservation refused: "+d.Why)
 			p.RequestPass()
@@ -274,10 +274,10 @@
 		x.sentToSeveral = true
 	}
 	if x.sentTo == "" {
-		p.node.Meter.Start()
+		p.deps.Meter.Start()
 	}
 	x.sentTo, x.sentToIncarnation, x.sentAt = v.Host, v.Incarnation, p.runner.Now()
-	p.node.Start(v.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.taskName(i), Attempt: x.attempt, Expiry: x.expiry, From: p.node.Label, Incarnation: v.Incarnation})
+	p.deps.Start(v.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.taskName(i), Attempt: x.attempt, Expiry: x.expiry, From: p.deps.Label, Incarnation: v.Incarnation})
 }
 
 // completeIfDone stores a job's completion once all its tasks have completed.
--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -89,7 +89,7 @@
 	}
 	reservations := p.fleet.Reserve(&need, n, reservationLife)
 	p.recordReservations(reservations)
-	p.node.Meter.Reserved(len(reservations))
+	p.deps.Meter.Reserved(len(reservations))
 	t.reservedCPUs, t.reservedClass = float64(len(reservations))*w.CPUs, w.Class
 	p.log.Debug("capacity reserved for a job that waited long and fits nowhere", "job", w.ID, "tasks", len(reservations), "waits_us", p.runner.Now()-w.AcceptedAt)
 	return len(reservations)
--- a/internal/placer/terms_test.go
+++ b/internal/placer/terms_test.go
@@ -144,7 +144,7 @@
 // The owner of preempted tasks records for which job they were preempted, whichever controller preempted them.
 func TestPreemptingJobIsRecorded(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 50}, config.Team{Name: "blue", CPUs: 8, CPUsMax: 50})
-	g.scheduler.node.ReportCauses = true
+	g.scheduler.deps.ReportCauses = true
 	g.deliverView("n-001", "m8", "x", false)
 	spec := job.Spec{Class: "k", Team: "red", Priority: job.Low, Tasks: 2, CPUs: 4, MemoryGB: 1, Image: "i", AnyType: true, Estimate: loop.Second, Checkpoint: loop.Second, Save: 5 * loop.Second}
 	low := g.acceptJob(1, spec)
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -34,13 +34,13 @@
 			anyUnplaced = anyUnplaced || t.unplacedSince != 0
 			d, run := int64(t.completed), int64(t.running)
 			changed := d != t.sentDone || run != t.sentRunning
-			if p.node.ReportCauses && !t.job.Final() && p.updateCauses(t, now-p.staleAfter(), wall) {
+			if p.deps.ReportCauses && !t.job.Final() && p.updateCauses(t, now-p.staleAfter(), wall) {
 				changed = true
 			}
 			if changed {
 				t.sentDone, t.sentRunning = d, run
 				update := peer.Progress{Job: t.job.ID, Done: d, Running: run}
-				if p.node.ReportCauses {
+				if p.deps.ReportCauses {
 					update.Causes, update.HasCauses, update.At = t.causes, true, wall
 				}
 				progress = append(progress, update)
@@ -49,10 +49,10 @@
 		p.trackGuarantee(tm, anyUnplaced, now)
 	}
 	if len(progress) > 0 {
-		p.node.SendProgress(progress)
+		p.deps.SendProgress(progress)
 	}
 	if len(usage) > 0 {
-		p.node.SendUsage(usage)
+		p.deps.SendUsage(usage)
 	}
 	p.RequestPass()
 	p.sendDemand()
@@ -156,5 +156,5 @@
 		}
 	}
 	sort.Strings(t.Suspect)
-	p.node.SendDemand(t)
+	p.deps.SendDemand(t)
 }
--- a/internal/placer/views.go
+++ b/internal/placer/views.go
@@ -21,7 +21,7 @@
 	var lastReport loop.Micros // time of the previous report; 0: none
 	if old == nil {
 		c = &agent.Changes{All: true}
-		if typ, ok := p.node.Type(v.Type); ok && len(v.Tasks) == 0 {
+		if typ, ok := p.deps.Type(v.Type); ok && len(v.Tasks) == 0 {
 			p.turnover.AddFreed(typ.CPUs) // a machine that has just booted adds capacity
 		}
 	} else {
@@ -135,7 +135,7 @@
 		}
 		if now := p.runner.Now(); p.runner.Wall() > latestArrival && now-p.checkRequestedAt[v.Name] > loop.Second {
 			p.checkRequestedAt[v.Name] = now
-			p.node.RequestTaskList(v.Host, v.Name)
+			p.deps.RequestTaskList(v.Host, v.Name)
 		}
 		return
 	}
@@ -174,7 +174,7 @@
 		// Another attempt of the task is active there. Until that one has ended, the task counts as on this machine.
 		for k := range v.Tasks {
 			if o := &v.Tasks[k]; o.Task == name && o.Active() {
-				p.node.Stop(v.Host, agent.Stop{Machine: v.Name, Task: name, Attempt: o.Attempt})
+				p.deps.Stop(v.Host, agent.Stop{Machine: v.Name, Task: name, Attempt: o.Attempt})
 				p.setListed(t, i, true, true) // the stop may be lost, and the attempt that ends is the other one
 				return
 			}
@@ -229,7 +229,7 @@
 		// knows; controllers before 0.9.1 rely on this check.
 		superseded := e.Attempt < x.attempt || (e.Attempt == x.attempt && (x.state == Completed || x.state == Waiting))
 		if superseded && !p.startCanArrive(tm, delivery.Attempt{Task: e.Task, Number: e.Attempt}) {
-			p.node.Stop(v.Host, agent.Stop{Machine: v.Name, Task: e.Task, Attempt: e.Attempt, Forget: true})
+			p.deps.Stop(v.Host, agent.Stop{Machine: v.Name, Task: e.Task, Attempt: e.Attempt, Forget: true})
 		}
 	}
 }
--- a/internal/rental/autoscaler.go
+++ b/internal/rental/autoscaler.go
@@ -77,8 +77,8 @@
 	wait  loop.Micros
 }
 
-// Node holds what the autoscaler needs of the controller that runs it.
-type Node struct {
+// Dependencies holds what the autoscaler needs from the controller in which it runs.
+type Dependencies struct {
 	// Close asks a machine's host controller to start nothing on it.
 	Close func(host string, c peer.StartBlock)
 	// PeerUnreachable reports whether messages of a peer in this zone have stopped arriving: the peer may
@@ -106,7 +106,7 @@
 	mirror         *store.Mirror
 	cloud          store.Doer
 	workers        *agent.Registry
-	node           Node
+	deps           Dependencies
 	leads          bool
 	claim          member.Owner
 	started        loop.Micros
@@ -143,12 +143,12 @@
 
 // New returns the autoscaler, which keeps its copy of the catalog and the deletions up to date on every
 // controller.
-func New(r loop.Runner, log *slog.Logger, cfg *config.Config, c *store.Client, m *store.Mirror, cloud store.Doer, a *agent.Registry, n Node) *Autoscaler {
-	t := &Autoscaler{runner: r, log: log, cfg: cfg, client: c, mirror: m, cloud: cloud, workers: a, node: n, byName: map[string]wire.MachineType{}, rand: loop.Rand(r),
+func New(r loop.Runner, log *slog.Logger, cfg *config.Config, c *store.Client, m *store.Mirror, cloud store.Doer, a *agent.Registry, deps Dependencies) *Autoscaler {
+	t := &Autoscaler{runner: r, log: log, cfg: cfg, client: c, mirror: m, cloud: cloud, workers: a, deps: deps, byName: map[string]wire.MachineType{}, rand: loop.Rand(r),
 		demands: map[string]peer.Demand{}, unreachableAt: map[string]loop.Micros{}, demandAt: map[string]loop.Micros{}, deleted: map[string][]string{}, bootTimes: explain.NewDistribution()}
 	w := cfg.Cluster.Workers
 	t.failures = loss.New(loss.Rules{ReportInterval: loop.Seconds(w.ReportS), Lease: loop.Seconds(w.LeaseS), UnreachableGrace: partitionGrace,
-		MaxSilence: loop.Seconds(cfg.Operator.SilentDeleteAfterS), MaxProbes: max(min(64, cfg.Cluster.Limits.MaxSockets/20), 4)}, log, n.Meter, t.probe)
+		MaxSilence: loop.Seconds(cfg.Operator.SilentDeleteAfterS), MaxProbes: max(min(64, cfg.Cluster.Limits.MaxSockets/20), 4)}, log, deps.Meter, t.probe)
 	m.OnChange(CatalogKey, func(key string, e store.Entry) {
 		var rec catalogRecord
 		if e.Revision == 0 {
@@ -255,7 +255,7 @@
 
 // tick checks the machines and makes the next cloud call when each is due.
 func (t *Autoscaler) tick() {
-	if !t.leads || !t.node.LeaseValid() {
+	if !t.leads || !t.deps.LeaseValid() {
 		// A leader that cannot renew its lease has been replaced, or soon will be: to it all machines look
 		// silent, and a delayed deletion request would take effect long afterwards.
 		return
--- a/internal/rental/autoscaler_test.go
+++ b/internal/rental/autoscaler_test.go
@@ -61,7 +61,7 @@
 	g.cloud.OnRented = func(l wire.CloudMachine) { g.booted = append(g.booted, l) }
 	g.cloud.OnDeleted = func(name string) { g.deleted = append(g.deleted, name) }
 	g.workers = agent.New(g, log, agent.Config{Label: "a", FindJob: func(id string) *job.Job { return g.jobs[id] }, ViewChanged: func(v *agent.View, _ *agent.Changes) { g.scaler.UpdateView(v) }}, nil)
-	g.scaler = New(g, log, cfg, c, m, g, g.workers, Node{Close: func(string, peer.StartBlock) {},
+	g.scaler = New(g, log, cfg, c, m, g, g.workers, Dependencies{Close: func(string, peer.StartBlock) {},
 		PeerUnreachable: func(z string) bool { return g.peerUnreachable || z == g.partitionedZone }, LeaseValid: func() bool { return g.entitled }, Isolated: func() bool { return g.isolated },
 		Faulty: func(string) bool { return false }, Probe: func(addr string) loss.ProbeResult { return cmp.Or(g.probeAnswers[addr], g.probeAnswer) }})
 	m.Start()
@@ -164,7 +164,7 @@
 func TestIdleMachineIsClosedThenDeleted(t *testing.T) {
 	g := newRig(t, 4)
 	var closed []peer.StartBlock
-	g.scaler.node.Close = func(_ string, c peer.StartBlock) { closed = append(closed, c) }
+	g.scaler.deps.Close = func(_ string, c peer.StartBlock) { closed = append(closed, c) }
 	g.Advance(3 * loop.Second)
 	seen := false
 	for range 4000 {
--- a/internal/rental/cloud.go
+++ b/internal/rental/cloud.go
@@ -44,7 +44,7 @@
 			if resp.Err != nil || resp.Status == 429 || (resp.Status == 503 && !strings.Contains(string(resp.Body), "capacity")) {
 				t.pausedUntil = t.runner.Now() + 600*loop.Millisecond
 			}
-			t.node.Meter.CloudRequest(metric.Outcome(resp.Status, resp.Err))
+			t.deps.Meter.CloudRequest(metric.Outcome(resp.Status, resp.Err))
 			done(resp)
 		})
 	})
--- a/internal/rental/deletion.go
+++ b/internal/rental/deletion.go
@@ -78,7 +78,7 @@
 
 // removeOldDeletions removes records of deletions that are older than deletionRetention.
 func (t *Autoscaler) removeOldDeletions() {
-	if !t.leads || !t.node.LeaseValid() {
+	if !t.leads || !t.deps.LeaseValid() {
 		return
 	}
 	txn := wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}}
--- a/internal/rental/drain.go
+++ b/internal/rental/drain.go
@@ -76,7 +76,7 @@
 			free += x.free + x.used
 			x.m.drainAt = 0
 			t.setState(x.m, Up, "needed again")
-			t.node.Close(x.v.Host, peer.StartBlock{Machine: x.m.name})
+			t.deps.Close(x.v.Host, peer.StartBlock{Machine: x.m.name})
 		}
 	}
 	for _, x := range all {
--- a/internal/rental/machine.go
+++ b/internal/rental/machine.go
@@ -168,7 +168,7 @@
 			t.checkBoot(m, now, suspects[m.name], retention)
 		case Up:
 			switch v := t.workers.View(m.name); {
-			case t.node.Faulty(m.name):
+			case t.deps.Faulty(m.name):
 				t.setState(m, Closing, "fails tasks")
 			case m.standbyUntil != 0 && now > m.standbyUntil && v != nil && empty(v):
 				t.setState(m, Closing, "idle")
@@ -198,7 +198,7 @@
 // detectFailures runs failure detection over all machines that have reported before, and queues the failed ones
 // for deletion.
 func (t *Autoscaler) detectFailures(now loop.Micros, retention func(*machine) loop.Micros) {
-	scene := loss.ClusterFacts{Now: now, Isolated: t.node.Isolated() || now-t.started < 2*loop.Second, PeerUnreachable: t.node.PeerUnreachable}
+	scene := loss.ClusterFacts{Now: now, Isolated: t.deps.Isolated() || now-t.started < 2*loop.Second, PeerUnreachable: t.deps.PeerUnreachable}
 	for _, x := range t.failures.Evaluate(scene, func(yield func(*loss.Facts)) {
 		for _, m := range t.sorted() {
 			if m.state != Up && m.state != Draining && m.state != Closing {
@@ -238,7 +238,7 @@
 		// long as a machine that reported before: a leader that started during a network partition deleted
 		// half of the machines two seconds before the partition ended.
 		limit := max(lease, 2*report+8*loop.Second) + 3*loop.Second
-		if t.node.PeerUnreachable(m.zone) {
+		if t.deps.PeerUnreachable(m.zone) {
 			limit += partitionGrace + retention(m)
 		}
 		if now-m.firstSeen > limit {
@@ -257,7 +257,7 @@
 	}
 	if now-m.closeAskedAt > loop.Second {
 		m.closeAskedAt = now
-		t.node.Close(v.Host, peer.StartBlock{Machine: m.name, Until: t.runner.Wall() + 12*loop.Second})
+		t.deps.Close(v.Host, peer.StartBlock{Machine: m.name, Until: t.runner.Wall() + 12*loop.Second})
 	}
 	if v.ClosedToStarts && empty(v) && now-m.confirmedAt < 2*loop.Seconds(t.cfg.Cluster.Workers.ReportS)+2*loop.Second {
 		t.setState(m, Deleting, m.why)
@@ -267,7 +267,7 @@
 // probe asks a machine's worker directly, and calls done on the event loop.
 func (t *Autoscaler) probe(addr string, done func(loss.ProbeResult)) {
 	t.runner.Go(func() {
-		w := t.node.Probe(addr)
+		w := t.deps.Probe(addr)
 		t.runner.Post(func() { done(w) })
 	})
 }
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -115,7 +115,7 @@
 
 // cordoned reports whether a machine of the offer would accept no starts.
 func (t *Autoscaler) cordoned(o offer) bool {
-	return t.node.Cordoned != nil && t.node.Cordoned(o.typ, o.zone, o.spot)
+	return t.deps.Cordoned != nil && t.deps.Cordoned(o.typ, o.zone, o.spot)
 }
 
 // planInterval is the time until the next plan after one that found all requests served by expected machines.
--- a/internal/rental/retention.go
+++ b/internal/rental/retention.go
@@ -22,7 +22,7 @@
 	unreachable := map[string]bool{}
 	for _, m := range t.machines {
 		if _, known := unreachable[m.zone]; !known {
-			if unreachable[m.zone] = t.node.PeerUnreachable(m.zone); unreachable[m.zone] {
+			if unreachable[m.zone] = t.deps.PeerUnreachable(m.zone); unreachable[m.zone] {
 				t.unreachableAt[m.zone] = now
 			}
 		}
