--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -139,10 +139,10 @@
 // FailureSummary describes a job whose tasks fail. Failures close together in time count as one,
 // and machines on which other jobs' tasks fail as well do not count.
 type FailureSummary struct {
-	Consecutive int    `json:"inARow"` // consecutive failures, those close together in time counted once
-	Machines    int    `json:"machines"`
-	Verdict     string `json:"judged"` // untried, sound, doubted or broken
-	Tasks       int    `json:"tasks"`  // waiting tasks that have failed at least once
+	ConsecutiveFailures int    `json:"inARow"` // consecutive failures, those close together in time counted once
+	Machines            int    `json:"machines"`
+	Verdict             string `json:"judged"` // untried, sound, doubted or broken
+	Tasks               int    `json:"tasks"`  // waiting tasks that have failed at least once
 }
 
 // Needs holds what each task requires of its machine.
@@ -164,12 +164,12 @@
 
 // MachineGroup describes the machines of one type, zone and kind. A machine may lack several things.
 type MachineGroup struct {
-	Type     string         `json:"type"`
-	Zone     string         `json:"zone"`
-	Kind     string         `json:"kind"`
-	Machines int            `json:"machines"`
-	Lacks    map[string]int `json:"lacks"`
-	Resting  map[string]int `json:"resting,omitempty"` // machines that take no new tasks for a while, by cause
+	Type      string         `json:"type"`
+	Zone      string         `json:"zone"`
+	Kind      string         `json:"kind"`
+	Machines  int            `json:"machines"`
+	Lacks     map[string]int `json:"lacks"`
+	InBackOff map[string]int `json:"resting,omitempty"` // machines that take no new tasks for a while, by cause
 }
 
 // JobAhead is a job that precedes this one in the order of service.
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -142,7 +142,7 @@
 
 func (f *Facts) failures() *FailureSummary {
 	x := &f.Gate.Failing
-	return &FailureSummary{Consecutive: x.ConsecutiveFailures, Machines: x.Machines, Verdict: x.State.String(), Tasks: x.FailedWaiting}
+	return &FailureSummary{ConsecutiveFailures: x.ConsecutiveFailures, Machines: x.Machines, Verdict: x.State.String(), Tasks: x.FailedWaiting}
 }
 
 func (f *Facts) teamUse() *TeamUse {
@@ -251,10 +251,10 @@
 		l := p.Lacks(&f.Need, f.ReportedAfter, f.Now)
 		l.Each(func(name string) { g.Lacks[name]++ })
 		if l&gate.LackBackOffOver != 0 {
-			if g.Resting == nil {
-				g.Resting = map[string]int{}
+			if g.InBackOff == nil {
+				g.InBackOff = map[string]int{}
 			}
-			g.Resting[p.BackOffReason]++
+			g.InBackOff[p.BackOffReason]++
 		}
 	}
 	return m
--- a/internal/gate/job.go
+++ b/internal/gate/job.go
@@ -112,12 +112,12 @@
 // FailureState describes a job's recent failures.
 type FailureState struct {
 	State               health.ProbationState
-	ConsecutiveFailures int // attempts placed before the newest counted failure do not count again
+	ConsecutiveFailures int // a burst of failures counts as one: attempts placed before the newest counted failure do not count again
 	Machines            int // machines, not faulty themselves, on which it failed since a task last completed
 	BackOffUntil        loop.Micros
 	MaxInUse            int // tasks that may run at once while the job is on probation
 	FailedWaiting       int // waiting tasks that failed before
-	RetryNow            int // how many of these may be retried at once after the back-off
+	ConcurrentRetries   int // how many of these may be retried at once after the back-off
 }
 
 // trusted reports whether only the tasks that failed are held back, as opposed to all tasks of the job.
@@ -142,7 +142,7 @@
 	if fresh > 0 && j.inBackOff() {
 		return fresh
 	}
-	return fresh + f.RetryNow
+	return fresh + f.ConcurrentRetries
 }
 
 // jobWide lists the predicates that allow all of a job's tasks or none.
--- a/internal/gate/predicate_test.go
+++ b/internal/gate/predicate_test.go
@@ -51,7 +51,7 @@
 		if never := j.Waiting - f.FailedWaiting; never > 0 && f.BackOffUntil > j.Now {
 			return never
 		}
-		return j.Waiting - f.FailedWaiting + f.RetryNow
+		return j.Waiting - f.FailedWaiting + f.ConcurrentRetries
 	case Limit:
 		within := func(used, each float64, most config.Limit) bool {
 			m, bounded := most.Max()
@@ -84,7 +84,7 @@
 		if yes("fails") {
 			j.Failing.State, j.Failing.ConsecutiveFailures, j.Failing.MaxInUse = health.ProbationState(num("state", 0, 3)), num("moments", 0, 3), 1+2*num("survivors", 0, 2)
 			j.Failing.FailedWaiting = num("late", 0, j.Waiting)
-			j.Failing.RetryNow = num("late now", 0, j.Failing.FailedWaiting)
+			j.Failing.ConcurrentRetries = num("late now", 0, j.Failing.FailedWaiting)
 		}
 		if yes("held") {
 			j.Hold.State = job.HoldEffective
--- a/internal/health/attribution.go
+++ b/internal/health/attribution.go
@@ -15,7 +15,7 @@
 // machine is at fault when tasks of several jobs fail on it that do not fail elsewhere. A job
 // is at fault when its tasks fail on several machines against which no other job's failures
 // are evidence. A mere count of consecutive failures on a machine is not enough: a broken job
-// would make every machine rest on which it was tried.
+// would put every machine in back-off on which it was tried.
 type Attribution struct {
 	machines   map[string]*machineEvidence
 	jobs       map[string]*jobEvidence
@@ -46,10 +46,10 @@
 
 // machineEvidence is the evidence against a machine.
 type machineEvidence struct {
-	counted   map[string]uint64   // ended attempts that were counted
-	byJob     map[string]evidence // by job, since the last success on the machine
-	restUntil loop.Micros         // nothing is placed before this time
-	rests     int                 // consecutive rests
+	counted      map[string]uint64   // ended attempts that were counted
+	byJob        map[string]evidence // by job, since the last success on the machine
+	backOffUntil loop.Micros         // nothing is placed before this time
+	backOffs     int                 // consecutive back-offs
 	// weight is the cached weight of the evidence as of weightVersion: a scheduling
 	// pass asks for it many times.
 	weight        int
@@ -144,7 +144,7 @@
 			b.version++
 			clear(m.byJob)
 		}
-		m.rests = 0
+		m.backOffs = 0
 	}
 	if !b.unfinished(id) {
 		return
@@ -169,7 +169,7 @@
 // severalMachines replaces the machine's name for a task that has failed on several machines.
 const severalMachines = "*"
 
-// failed records that a task has failed. A machine at fault rests after it, even if this
+// failed records that a task has failed. A machine at fault is in back-off after it, even if this
 // task is no evidence against the machine: otherwise a task that has failed elsewhere, too,
 // would be started on the faulty machine again and again (166 times in one case).
 func (b *Attribution) failed(now loop.Micros, machine, id, task string) {
@@ -178,9 +178,9 @@
 	}
 	m := b.machines[machine]
 	b.addEvidence(m, machine, id, task)
-	if now >= m.restUntil && b.AtFault(machine) {
-		m.restUntil = now + min(120*loop.Second, 15*loop.Second<<min(m.rests, 3))
-		m.rests++
+	if now >= m.backOffUntil && b.AtFault(machine) {
+		m.backOffUntil = now + min(120*loop.Second, 15*loop.Second<<min(m.backOffs, 3))
+		m.backOffs++
 	}
 }
 
@@ -307,10 +307,10 @@
 	b.version++
 }
 
-// RestUntil returns the time from which tasks may be placed on the machine again.
-func (b *Attribution) RestUntil(machine string) loop.Micros {
+// BackOffUntil returns the time from which tasks may be placed on the machine again.
+func (b *Attribution) BackOffUntil(machine string) loop.Micros {
 	if m := b.machines[machine]; m != nil {
-		return m.restUntil
+		return m.backOffUntil
 	}
 	return 0
 }
--- a/internal/health/attribution_test.go
+++ b/internal/health/attribution_test.go
@@ -149,8 +149,8 @@
 				if got, want := b.FailedOnHealthy(j), p.failedOnHealthy(j); got != want {
 					t.Fatalf("%d machines not at fault failed %s, want %d by its history; ends so far: %v", got, j, want, p)
 				}
-				if b.RestUntil(m) > now && !want && b.RestUntil(m) > now+120*loop.Second {
-					t.Fatalf("machine %s rests until %d, for longer than the bound of 120 s", m, b.RestUntil(m))
+				if b.BackOffUntil(m) > now && !want && b.BackOffUntil(m) > now+120*loop.Second {
+					t.Fatalf("machine %s is in back-off until %d, for longer than the bound of 120 s", m, b.BackOffUntil(m))
 				}
 			}
 		}
@@ -161,7 +161,7 @@
 }
 
 // Each case is a typical pattern of failures with the expected attribution: a healthy machine
-// must never rest because of broken jobs, and a job that can succeed must not be counted as
+// must never be in back-off because of broken jobs, and a job that can succeed must not be counted as
 // failing on machines that are at fault.
 func TestAttributionByFailurePattern(t *testing.T) {
 	const s = loop.Second
@@ -187,7 +187,7 @@
 	for _, c := range []struct {
 		name    string
 		ends    [][]ending
-		faulty  []string       // machines that rest
+		faulty  []string       // machines in back-off
 		against map[string]int // machines not at fault on which each job has failed
 	}{
 		{"all tasks of a broken job fail at once", [][]ending{fails(s, "a", "job-1", 0, 8), fails(s, "b", "job-1", 8, 8), fails(s, "c", "job-1", 16, 8), fails(s, "d", "job-1", 24, 8)},
@@ -216,8 +216,8 @@
 	} {
 		b := run(slices.Concat(c.ends...)...)
 		for _, m := range []string{"a", "b", "c", "d", "x"} {
-			if rests := b.RestUntil(m) > 0; rests != slices.Contains(c.faulty, m) {
-				t.Errorf("%s: machine %s rests: %v, want the opposite", c.name, m, rests)
+			if rests := b.BackOffUntil(m) > 0; rests != slices.Contains(c.faulty, m) {
+				t.Errorf("%s: machine %s is in back-off: %v, want the opposite", c.name, m, rests)
 			}
 		}
 		for job, want := range c.against {
@@ -240,33 +240,33 @@
 	for i := range 33 { // one burst
 		tr.Fail(now+loop.Micros(i), 95*s, min(1+i/8, BrokenOn))
 	}
-	if tr.Bursts != 1 || tr.RestUntil != now+s || tr.State != Broken {
-		t.Fatalf("after one burst: %d bursts are counted, back-off %d us, state %v; want 1, 1 s, broken", tr.Bursts, tr.RestUntil-now, tr.State)
+	if tr.ConsecutiveFailures != 1 || tr.BackOffUntil != now+s || tr.State != Broken {
+		t.Fatalf("after one burst: %d bursts are counted, back-off %d us, state %v; want 1, 1 s, broken", tr.ConsecutiveFailures, tr.BackOffUntil-now, tr.State)
 	}
 	for k, want := range []loop.Micros{2 * s, 4 * s, 8 * s, 16 * s, 32 * s, 32 * s, 32 * s} {
 		now += 60 * s
 		tr.Fail(now, now-50*s, 4) // a minute to fail
-		if got := tr.RestUntil - now; got != want || tr.Bursts != k+2 {
-			t.Errorf("burst %d: the back-off is %d us, want %d", tr.Bursts, got, want)
+		if got := tr.BackOffUntil - now; got != want || tr.ConsecutiveFailures != k+2 {
+			t.Errorf("burst %d: the back-off is %d us, want %d", tr.ConsecutiveFailures, got, want)
 		}
 	}
-	if tr.Survives(now, now-52*s) || !tr.Survives(now, now-52*s-1) || Width(0) != 1 || Width(3) != 7 {
+	if tr.Survives(now, now-52*s) || !tr.Survives(now, now-52*s-1) || MaxInUse(0) != 1 || MaxInUse(3) != 7 {
 		t.Error("a task must survive a failure that took 50 s exactly when it has run for more than 52 s")
 	}
 	tr.Complete(false)
-	if tr.Bursts != 0 || tr.RestUntil != 0 || !tr.Trusted() {
-		t.Errorf("after a success: %d bursts, state %v; want none and a trusted job", tr.Bursts, tr.State)
+	if tr.ConsecutiveFailures != 0 || tr.BackOffUntil != 0 || !tr.Trusted() {
+		t.Errorf("after a success: %d bursts, state %v; want none and a trusted job", tr.ConsecutiveFailures, tr.State)
 	}
 	now += 60 * s
 	tr.Fail(now, now-s, 1)
 	tr.Fail(now+3*s, now+2*s, 1)
 	tr.Complete(false) // of a task that never failed
-	if tr.Bursts != 2 || tr.State != Sound || tr.RetryWidth(8) != 2 || tr.RetryWidth(1) != 1 || tr.RetryWidth(0) != 0 {
-		t.Errorf("a sound job with failures: %d bursts, state %v, %d of 8 tasks are retried; want 2, sound, 2", tr.Bursts, tr.State, tr.RetryWidth(8))
+	if tr.ConsecutiveFailures != 2 || tr.State != Sound || tr.ConcurrentRetries(8) != 2 || tr.ConcurrentRetries(1) != 1 || tr.ConcurrentRetries(0) != 0 {
+		t.Errorf("a sound job with failures: %d bursts, state %v, %d of 8 tasks are retried; want 2, sound, 2", tr.ConsecutiveFailures, tr.State, tr.ConcurrentRetries(8))
 	}
 	tr.Complete(true)
-	if tr.Bursts != 0 || fmt.Sprint(states) != "[doubted broken sound]" {
-		t.Errorf("in the end %d bursts are counted and the states were %v, want none and [doubted broken sound]", tr.Bursts, states)
+	if tr.ConsecutiveFailures != 0 || fmt.Sprint(states) != "[doubted broken sound]" {
+		t.Errorf("in the end %d bursts are counted and the states were %v, want none and [doubted broken sound]", tr.ConsecutiveFailures, states)
 	}
 }
 
--- a/internal/health/pace.go
+++ b/internal/health/pace.go
@@ -16,8 +16,8 @@
 	minPaceTasks     = 4    // tasks of a job that must have completed before others are compared with it
 	paceWeight       = 0.15 // least weight of the newest task in a machine's mean
 	minComparedTasks = 6    // tasks that must have been compared before a machine is called slow
-	// SlowRest is how long a slow machine takes no starts.
-	SlowRest = 20 * loop.Second
+	// SlowBackOff is for how long a slow machine takes no starts.
+	SlowBackOff = 20 * loop.Second
 )
 
 // Pace is the usual run time of a job's tasks: the mean logarithm of their run times.
--- a/internal/health/probation.go
+++ b/internal/health/probation.go
@@ -21,11 +21,11 @@
 // burst of failures counts once, however many tasks fail in it. If each failure doubled the
 // back-off, the simultaneous failure of many tasks would cause a back-off of half a minute.
 type Probation struct {
-	State          ProbationState
-	Bursts         int         // consecutive bursts of failures
-	RestUntil      loop.Micros // tasks that failed, or all of a job that is not trusted, wait until then
-	longestFailure loop.Micros // the longest time from the choice of a machine to a failure
-	burstAt        loop.Micros // when the newest burst was counted
+	State               ProbationState
+	ConsecutiveFailures int         // a burst of failures counts as one
+	BackOffUntil        loop.Micros // tasks that failed, or all of a job that is not trusted, wait until then
+	longestFailure      loop.Micros // the longest time from the choice of a machine to a failure
+	burstAt             loop.Micros // when the newest burst was counted
 	// OnChange is called for every change of the state. It may be nil.
 	OnChange func(from, to ProbationState)
 }
@@ -49,17 +49,17 @@
 	}
 }
 
-// BackOff returns the back-off of a job after a number of consecutive bursts of failures.
-func BackOff(bursts int) loop.Micros { return initialBackOff << min(max(bursts-1, 0), 5) }
+// BackOff returns the back-off of a job after a number of consecutive failures, a burst counted as one.
+func BackOff(failures int) loop.Micros { return initialBackOff << min(max(failures-1, 0), 5) }
 
 // Fail records a failure that is attributed to the job. chosen is when the attempt's machine
 // was chosen, healthyMachines the number of machines not at fault on which the job has failed. An
 // attempt whose machine was chosen before the newest burst was counted belongs to that burst.
 func (t *Probation) Fail(now, chosen loop.Micros, healthyMachines int) {
-	if t.Bursts == 0 || chosen >= t.burstAt {
-		t.Bursts++
+	if t.ConsecutiveFailures == 0 || chosen >= t.burstAt {
+		t.ConsecutiveFailures++
 		t.burstAt = now
-		t.RestUntil = now + BackOff(t.Bursts)
+		t.BackOffUntil = now + BackOff(t.ConsecutiveFailures)
 		t.longestFailure = 0
 	}
 	t.longestFailure = max(t.longestFailure, now-chosen)
@@ -76,7 +76,7 @@
 // those that fail can succeed.
 func (t *Probation) Complete(failedBefore bool) {
 	if failedBefore || t.State != Sound {
-		t.Bursts, t.RestUntil, t.longestFailure = 0, 0, 0
+		t.ConsecutiveFailures, t.BackOffUntil, t.longestFailure = 0, 0, 0
 	}
 	t.setState(Sound)
 }
@@ -90,12 +90,12 @@
 // Trusted reports whether the number of the job's running tasks is not limited.
 func (t *Probation) Trusted() bool { return t.State == Untried || t.State == Sound }
 
-// Width returns how many tasks of a job that is not trusted may run at once, given how many
+// MaxInUse returns how many tasks of a job that is not trusted may run at once, given how many
 // of them have survived: it starts with a single canary task.
-func Width(survivors int) int { return 1 + 2*survivors }
+func MaxInUse(survivors int) int { return 1 + 2*survivors }
 
-// RetryWidth returns how many of a trusted job's waiting tasks that failed before may be retried at
+// ConcurrentRetries returns how many of a trusted job's waiting tasks that failed before may be retried at
 // once after the back-off: half as many after each burst of failures, but at least one.
-func (t *Probation) RetryWidth(waiting int) int {
-	return max(min(waiting, 1), waiting>>min(t.Bursts, 30))
+func (t *Probation) ConcurrentRetries(waiting int) int {
+	return max(min(waiting, 1), waiting>>min(t.ConsecutiveFailures, 30))
 }
--- a/internal/node/explanations_loopback_test.go
+++ b/internal/node/explanations_loopback_test.go
@@ -340,7 +340,7 @@
 					t.Errorf("after failures on %d machines the job is judged %s", x.Machines, x.Verdict)
 				}
 				if r.Kind == "backOff" {
-					return x.Consecutive >= 2 && r.Until != nil && r.Estimate != nil
+					return x.ConsecutiveFailures >= 2 && r.Until != nil && r.Estimate != nil
 				}
 			}
 		}
--- a/internal/placer/explain_test.go
+++ b/internal/placer/explain_test.go
@@ -68,14 +68,14 @@
 		case 0:
 			g.amend(id, func(r *job.Record) { r.Terms = &job.Terms{Hold: job.Hold{State: job.HoldEffective, Reason: "r"}} })
 		case 1:
-			g.table(id).probation = health.Probation{State: health.Suspected, Bursts: 1, RestUntil: g.Now() + 40*loop.Second}
+			g.table(id).probation = health.Probation{State: health.Suspected, ConsecutiveFailures: 1, BackOffUntil: g.Now() + 40*loop.Second}
 		case 2:
-			g.table(id).probation = health.Probation{State: health.Broken, Bursts: 4}
+			g.table(id).probation = health.Probation{State: health.Broken, ConsecutiveFailures: 4}
 		case 3: // some of its tasks failed, others completed
 			t := g.table(id)
-			t.probation = health.Probation{State: health.Sound, Bursts: 1 + g.rng.IntN(3)}
+			t.probation = health.Probation{State: health.Sound, ConsecutiveFailures: 1 + g.rng.IntN(3)}
 			if g.rng.IntN(2) == 0 {
-				t.probation.RestUntil = g.Now() + 40*loop.Second
+				t.probation.BackOffUntil = g.Now() + 40*loop.Second
 			}
 			g.markFailed(t, g.rng.IntN(t.waiting()+1))
 		}
@@ -286,15 +286,15 @@
 	}
 	x := &t.probation
 	trusted, late := x.State == health.Untried || x.State == health.Sound, len(t.failedTasks)
-	if x.RestUntil > g.Now() && (!trusted || s.Gang || late >= n) {
+	if x.BackOffUntil > g.Now() && (!trusted || s.Gang || late >= n) {
 		out["backOff"] = n
 	}
 	inUse := t.job.Tasks - n - t.completed
-	if x.Bursts > 0 && !s.Gang {
+	if x.ConsecutiveFailures > 0 && !s.Gang {
 		var k int
 		if trusted {
-			k = late - min(late, max(1, late>>x.Bursts))
-			if x.RestUntil > g.Now() && late < n {
+			k = late - min(late, max(1, late>>x.ConsecutiveFailures))
+			if x.BackOffUntil > g.Now() && late < n {
 				k = late
 			}
 		} else {
@@ -363,13 +363,13 @@
 			}
 		}
 	case "backOff":
-		t.probation.RestUntil = 0
+		t.probation.BackOffUntil = 0
 	case "probe":
 		// A task completes; while the back-off lasts, all others count as failed.
-		if t.probation.State != health.Sound && t.probation.RestUntil > g.Now() {
+		if t.probation.State != health.Sound && t.probation.BackOffUntil > g.Now() {
 			g.markFailed(t, t.waiting())
 		}
-		t.probation.State, t.probation.Bursts = health.Sound, 0
+		t.probation.State, t.probation.ConsecutiveFailures = health.Sound, 0
 	case "teamLimit":
 		t.team.cfg.CPUsMax, t.team.quota.CPUsMax = 0, config.NewLimit(0)
 	case "cordon":
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -16,7 +16,7 @@
 		TeamUsage: agent.Capacity{CPUs: tm.cpus, GPUs: tm.gpus}, Quota: tm.quota,
 		ClockDifference: p.cfg.ClockDifference()}
 	// The clocks are read only for the few jobs that need them, since a pass calls this for all jobs.
-	if t.probation.Bursts != 0 || t.probation.RestUntil != 0 {
+	if t.probation.ConsecutiveFailures != 0 || t.probation.BackOffUntil != 0 {
 		f.Now = p.runner.Now()
 		f.Failing = p.failureFacts(t, f.Now)
 	}
--- a/internal/placer/failures.go
+++ b/internal/placer/failures.go
@@ -14,7 +14,7 @@
 		if from == health.Untried && to == health.Sound {
 			return // the outcome for nearly all jobs
 		}
-		p.log.Info("failure state of a job changed", "job", t.job.ID, "from", from.String(), "to", to.String(), "moments", t.probation.Bursts, "machines", p.attribution.FailedOnHealthy(t.job.ID))
+		p.log.Info("failure state of a job changed", "job", t.job.ID, "from", from.String(), "to", to.String(), "moments", t.probation.ConsecutiveFailures, "machines", p.attribution.FailedOnHealthy(t.job.ID))
 	}
 	if n := p.attribution.FailedOnHealthy(t.job.ID); n >= health.BrokenOn {
 		now := p.runner.Now()
@@ -41,8 +41,8 @@
 
 // failureFacts returns what the predicates need to know of a job's failures.
 func (p *Scheduler) failureFacts(t *jobTable, now loop.Micros) gate.FailureState {
-	f := gate.FailureState{State: t.probation.State, ConsecutiveFailures: t.probation.Bursts, Machines: p.attribution.FailedOnHealthy(t.job.ID), BackOffUntil: t.probation.RestUntil,
-		FailedWaiting: len(t.failedTasks), RetryNow: t.probation.RetryWidth(len(t.failedTasks))}
+	f := gate.FailureState{State: t.probation.State, ConsecutiveFailures: t.probation.ConsecutiveFailures, Machines: p.attribution.FailedOnHealthy(t.job.ID), BackOffUntil: t.probation.BackOffUntil,
+		FailedWaiting: len(t.failedTasks), ConcurrentRetries: t.probation.ConcurrentRetries(len(t.failedTasks))}
 	if !t.probation.Trusted() {
 		survivors := 0
 		t.each(func(_ int, x *task) {
@@ -50,7 +50,7 @@
 				survivors++
 			}
 		})
-		f.MaxInUse = health.Width(survivors)
+		f.MaxInUse = health.MaxInUse(survivors)
 	}
 	return f
 }
--- a/internal/placer/views.go
+++ b/internal/placer/views.go
@@ -35,14 +35,14 @@
 	sl := p.fleet.UpdateView(v, now-v.Silence(p.runner.Wall(), p.maxClockDifference()), unchanged)
 	p.attribution.Observe(now, v, c)
 	if !c.Unchanged {
-		sl.BackOff(p.attribution.RestUntil(v.Name), "tasks fail on it")
+		sl.BackOff(p.attribution.BackOffUntil(v.Name), "tasks fail on it")
 	}
 	sl.Jobs = p.agent.Jobs(v)
 	observed := sl.Runs.Update(v, c, before, sl.Jobs, p.paces, now, startsUnknown)
 	p.turnover.AddFreed(observed.Freed)
 	if observed.Slow && now >= sl.BackOffUntil {
 		p.log.Debug("tasks run slowly on a machine; it receives no starts for a while", "machine", v.Name, "times", observed.Factor)
-		sl.BackOff(now+health.SlowRest, "its tasks run slowly")
+		sl.BackOff(now+health.SlowBackOff, "its tasks run slowly")
 		sl.Runs.ResetSlowness()
 	}
 	p.updateTasks(v, c, before, sl.Jobs, lastReport)
