--- a/cmd/cleatpick/show.go
+++ b/cmd/cleatpick/show.go
@@ -211,7 +211,7 @@
 	if d.Hold != nil {
 		fmt.Fprintf(w, "    %s, by %s at %s\n", orDefault(d.Hold.Reason, "no reason given"), orDefault(d.Hold.By, "unknown"), formatTime(d.Hold.At))
 	}
-	for _, b := range d.After {
+	for _, b := range d.Dependencies {
 		fmt.Fprintf(w, "    %s is %s\n", b.Job, b.State)
 	}
 	if d.Team != nil {
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -162,23 +162,23 @@
 
 // Job is a job in answers.
 type Job struct {
-	ID           string                 `json:"id"`
-	State        string                 `json:"state"` // pending, running, done or withdrawn
-	Class        string                 `json:"class,omitempty"`
-	Team         string                 `json:"team,omitempty"`
-	Priority     string                 `json:"priority,omitempty"`
-	Tasks        int                    `json:"tasks"`
-	Running      int                    `json:"running"`
-	Done         int                    `json:"done"`
-	CPUs         float64                `json:"cpus,omitempty"`
-	MemoryGB     float64                `json:"memoryGb,omitempty"`
-	Image        string                 `json:"image,omitempty"`
-	SubmittedAt  *explain.Time          `json:"submittedAt,omitempty"`
-	DeadlineAt   *explain.Time          `json:"deadlineAt,omitempty"`
-	Hold         Hold                   `json:"hold"`
-	Dependencies []explain.Prerequisite `json:"after,omitempty"`
-	OnCancelled  string                 `json:"onWithdrawn,omitempty"`
-	WaitingFor   []explain.CauseCount   `json:"waitingFor,omitempty"`
+	ID           string                  `json:"id"`
+	State        string                  `json:"state"` // pending, running, done or withdrawn
+	Class        string                  `json:"class,omitempty"`
+	Team         string                  `json:"team,omitempty"`
+	Priority     string                  `json:"priority,omitempty"`
+	Tasks        int                     `json:"tasks"`
+	Running      int                     `json:"running"`
+	Done         int                     `json:"done"`
+	CPUs         float64                 `json:"cpus,omitempty"`
+	MemoryGB     float64                 `json:"memoryGb,omitempty"`
+	Image        string                  `json:"image,omitempty"`
+	SubmittedAt  *explain.Time           `json:"submittedAt,omitempty"`
+	DeadlineAt   *explain.Time           `json:"deadlineAt,omitempty"`
+	Hold         Hold                    `json:"hold"`
+	Dependencies []explain.JobDependency `json:"after,omitempty"`
+	OnCancelled  string                  `json:"onWithdrawn,omitempty"`
+	WaitingFor   []explain.CauseCount    `json:"waitingFor,omitempty"`
 }
 
 // Hold is a job's hold in answers. While the state is settling, tasks whose starts were recorded earlier may still start;
@@ -235,7 +235,7 @@
 		if o := a.node.Jobs.Get(id); o != nil {
 			phase = o.Phase
 		}
-		out.Dependencies = append(out.Dependencies, explain.Prerequisite{Job: id, State: explain.PhaseName(phase)})
+		out.Dependencies = append(out.Dependencies, explain.JobDependency{Job: id, State: explain.PhaseName(phase)})
 	}
 	if len(out.Dependencies) > 0 {
 		out.OnCancelled = explain.PolicyName(j.Terms.OnCancelled)
--- a/internal/explain/answer.go
+++ b/internal/explain/answer.go
@@ -93,16 +93,16 @@
 
 // Detail holds the particulars of a reason; which fields are set depends on its kind.
 type Detail struct {
-	Team     *TeamUse        `json:"team,omitempty"`
-	Hold     *HoldDetail     `json:"hold,omitempty"`
-	After    []Prerequisite  `json:"after,omitempty"`
-	Failures *FailureSummary `json:"failures,omitempty"`
-	Needs    *Needs          `json:"needs,omitempty"`
-	Machines *Machines       `json:"machines,omitempty"`
-	Renting  *Supply         `json:"renting,omitempty"`
-	Ahead    []JobAhead      `json:"ahead,omitempty"`
-	On       []MachineTasks  `json:"on,omitempty"`
-	Cordons  []string        `json:"cordons,omitempty"`
+	Team         *TeamUse        `json:"team,omitempty"`
+	Hold         *HoldDetail     `json:"hold,omitempty"`
+	Dependencies []JobDependency `json:"after,omitempty"`
+	Failures     *FailureSummary `json:"failures,omitempty"`
+	Needs        *Needs          `json:"needs,omitempty"`
+	Machines     *Machines       `json:"machines,omitempty"`
+	Renting      *Supply         `json:"renting,omitempty"`
+	Ahead        []JobAhead      `json:"ahead,omitempty"`
+	On           []MachineTasks  `json:"on,omitempty"`
+	Cordons      []string        `json:"cordons,omitempty"`
 	// PreemptedFor names the jobs for which tasks of this one were recently preempted.
 	PreemptedFor []string `json:"stoppedFor,omitempty"`
 	// Reserved is the number of its tasks for which capacity is reserved on machines that do not
@@ -129,8 +129,8 @@
 	Until  *Time  `json:"until,omitempty"`
 }
 
-// Prerequisite is a job that must be done before this one may start.
-type Prerequisite struct {
+// JobDependency is a job that must be done before this one may start.
+type JobDependency struct {
 	Job    string `json:"job"`
 	State  string `json:"state"`
 	Policy string `json:"onWithdrawn,omitempty"`
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -14,12 +14,12 @@
 // gathers them; they contain no decision that it does not make itself.
 type Facts struct {
 	Job             *job.Job
-	Gate            gate.JobFacts
+	JobFacts        gate.JobFacts
 	Need            gate.Need
 	Team            config.Team
 	WithinGuarantee bool // the job is within its team's guarantee
 	StateContact    bool // the owner has contact with the state service
-	Places          []*gate.MachineFacts
+	Machines        []*gate.MachineFacts
 	ReportedAfter   loop.Micros // a machine's last report must be newer than this
 	Now             loop.Micros // monotonic clock
 	Wall            loop.Micros
@@ -64,12 +64,12 @@
 		out = append(out, Reason{Kind: k.String(), Tasks: tasks, BlockedBy: []string{}})
 		return &out[len(out)-1]
 	}
-	n := f.Gate.Waiting
+	n := f.JobFacts.Waiting
 	if n > 0 && !f.StateContact {
 		r := add(gate.StateContact, n)
 		r.State, r.Release = "lost", "the owner regains contact with the state service, or another controller takes the team over"
 	}
-	for _, c := range f.Gate.Causes(nil) {
+	for _, c := range f.JobFacts.Causes(nil) {
 		f.addPredicateDetail(c.Kind, add(c.Kind, c.Tasks))
 	}
 	if n > 0 {
@@ -85,49 +85,49 @@
 	case gate.Damaged:
 		r.State, r.Release = "setAside", "the damaged record of the job's tasks is repaired; the owner's log names its key"
 	case gate.Hold:
-		h := f.Gate.Hold
+		h := f.JobFacts.Hold
 		d := &HoldDetail{Reason: h.Reason, By: h.By, At: Time(h.RequestedAt)}
 		r.Detail.Hold, r.State = d, HoldName(h.State)
 		r.Release = "an operator releases the job"
 		if h.Until != 0 {
 			until := Time(h.Until)
 			d.Until, r.Until = &until, &until
-			left := Duration(max(h.Until+f.Gate.ClockDifference-f.Wall, 0))
+			left := Duration(max(h.Until+f.JobFacts.ClockDifference-f.Wall, 0))
 			r.Estimate = &Estimate{Low: left, Likely: left, High: left + Duration(loop.Second)}
 			r.Release = "the hold ends by itself, or an operator releases the job"
 		}
 	case gate.Dependency:
 		r.State, r.Release = "waiting", "every job named is done"
 		withdrawn := false
-		for i := range f.Gate.After {
-			d := &f.Gate.After[i]
-			if f.Gate.DependencyMet(d) {
+		for i := range f.JobFacts.Dependencies {
+			d := &f.JobFacts.Dependencies[i]
+			if f.JobFacts.DependencyMet(d) {
 				continue
 			}
-			b := Prerequisite{Job: d.ID, State: PhaseName(d.Phase)}
+			b := JobDependency{Job: d.ID, State: PhaseName(d.Phase)}
 			if d.Phase == job.Cancelled {
 				withdrawn = true
-				b.Policy = PolicyName(f.Gate.OnWithdrawn)
+				b.Policy = PolicyName(f.JobFacts.OnCancelled)
 			}
-			r.Detail.After = append(r.Detail.After, b)
+			r.Detail.Dependencies = append(r.Detail.Dependencies, b)
 			r.BlockedBy = append(r.BlockedBy, d.ID)
 		}
 		if withdrawn {
 			r.State, r.Release = "withdrawn", "an operator releases the job from its dependency on the withdrawn jobs, and the other jobs named are done"
-			if f.Gate.OnWithdrawn == job.PolicyCancel {
+			if f.JobFacts.OnCancelled == job.PolicyCancel {
 				r.State, r.Release = "withdrawing", "nothing: the job is being withdrawn, as its onWithdrawn policy says"
 			}
 		}
 	case gate.BackOff:
-		until := Time(f.Wall + f.Gate.Failing.BackOffUntil - f.Now)
-		left := Duration(f.Gate.Failing.BackOffUntil - f.Now)
+		until := Time(f.Wall + f.JobFacts.Failing.BackOffUntil - f.Now)
+		left := Duration(f.JobFacts.Failing.BackOffUntil - f.Now)
 		r.State, r.Until = "resting", &until
 		r.Estimate = &Estimate{Low: left, Likely: left, High: left + Duration(loop.Second)}
 		r.Detail.Failures = f.failures()
 		r.Release = "its back-off ends; then a few of its tasks are tried again"
 	case gate.Probation:
 		r.State, r.Release = "oneAtATime", "a task of the job completes; others follow once it has run for longer than those that failed"
-		switch x := &f.Gate.Failing; {
+		switch x := &f.JobFacts.Failing; {
 		case x.State == health.Sound || x.State == health.Untried:
 			r.State, r.Release = "failedBefore", "the tasks that failed before complete; the job's other tasks are not held back"
 		case x.MaxInUse > 1:
@@ -141,19 +141,19 @@
 }
 
 func (f *Facts) failures() *FailureSummary {
-	x := &f.Gate.Failing
+	x := &f.JobFacts.Failing
 	return &FailureSummary{ConsecutiveFailures: x.ConsecutiveFailures, Machines: x.Machines, Verdict: x.State.String(), Tasks: x.FailedWaiting}
 }
 
 func (f *Facts) teamUse() *TeamUse {
-	return &TeamUse{Team: f.Team.Name, CPUs: f.Gate.TeamUsage.CPUs, CPUsMax: f.Gate.Quota.CPUsMax, CPUsGuaranteed: f.Gate.Quota.CPUs,
-		GPUs: f.Gate.TeamUsage.GPUs, GPUsMax: f.Gate.Quota.GPUsMax, WithinGuarantee: f.WithinGuarantee}
+	return &TeamUse{Team: f.Team.Name, CPUs: f.JobFacts.TeamUsage.CPUs, CPUsMax: f.JobFacts.Quota.CPUsMax, CPUsGuaranteed: f.JobFacts.Quota.CPUs,
+		GPUs: f.JobFacts.TeamUsage.GPUs, GPUsMax: f.JobFacts.Quota.GPUsMax, WithinGuarantee: f.WithinGuarantee}
 }
 
 // addMachineReasons adds the reasons why the machines do not take the waiting tasks that the
 // job's own predicates allow.
 func (f *Facts) addMachineReasons(add func(gate.Kind, int) *Reason) {
-	n, s := f.Gate.Waiting, f.Need.Spec
+	n, s := f.JobFacts.Waiting, f.Need.Spec
 	needs := &Needs{CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, Zone: s.Zone, Spot: s.Spot}
 	cordoned := f.FitsAll - f.Fits
 	if f.AllCordoned {
@@ -174,7 +174,7 @@
 	short, kind := n-f.FitsAll, gate.Capacity
 	if s.Gang {
 		kind = gate.Gang
-		if short > 0 || f.Gate.InUse > 0 {
+		if short > 0 || f.JobFacts.InUse > 0 {
 			short = n
 		}
 	}
@@ -184,14 +184,14 @@
 		if !f.WithinGuarantee {
 			// Only work within its team's guarantee may preempt what others run beyond theirs.
 			r.State = "nothingToBorrow"
-			if !f.Gate.Quota.Guaranteed() {
+			if !f.JobFacts.Quota.Guaranteed() {
 				r.State = "behindGuarantees" // nothing is preempted for a team without a guarantee
 				r.Release = "tasks end, or a machine that allows the job comes up, beyond what is guaranteed to others"
 			}
 		}
 		if kind == gate.Gang {
 			r.State, r.Release = "notAllAtOnce", "there is free capacity for all of its tasks at once"
-			if f.Gate.InUse > 0 {
+			if f.JobFacts.InUse > 0 {
 				r.State, r.Release = "leftOver", "the tasks of its earlier start have terminated"
 			}
 		}
@@ -218,8 +218,8 @@
 		for _, a := range r.Detail.Ahead {
 			r.BlockedBy = append(r.BlockedBy, a.Job)
 		}
-	} else if cordoned <= 0 && short <= 0 && f.StateContact && f.Gate.Unblocked() && f.Gate.MinAllowedTasks() > 0 {
-		r := add(gate.NextPass, min(n, f.Gate.MinAllowedTasks()))
+	} else if cordoned <= 0 && short <= 0 && f.StateContact && f.JobFacts.Unblocked() && f.JobFacts.MinAllowedTasks() > 0 {
+		r := add(gate.NextPass, min(n, f.JobFacts.MinAllowedTasks()))
 		r.State, r.Release = "due", "nothing: the next scheduling pass places it"
 		r.Estimate = &Estimate{Low: 0, Likely: Duration(50 * loop.Millisecond), High: Duration(loop.Second)}
 	}
@@ -233,7 +233,7 @@
 	}
 	at := map[key]int{}
 	m := &Machines{Groups: []MachineGroup{}}
-	for _, p := range f.Places {
+	for _, p := range f.Machines {
 		m.Examined++
 		k := key{p.View.Type, p.View.Zone, p.View.Spot}
 		i, ok := at[k]
--- a/internal/explain/service.go
+++ b/internal/explain/service.go
@@ -109,7 +109,7 @@
 	if !ok {
 		return whyReply{Timeline: d.Timelines.Get(id)}
 	}
-	out := whyReply{Loaded: true, Waiting: f.Gate.Waiting, Running: f.Running, Done: f.Done, Reasons: Reasons(f), AheadComplete: f.AheadComplete}
+	out := whyReply{Loaded: true, Waiting: f.JobFacts.Waiting, Running: f.Running, Done: f.Done, Reasons: Reasons(f), AheadComplete: f.AheadComplete}
 	for i := range out.Reasons {
 		r := &out.Reasons[i]
 		k := gate.KindByName(r.Kind)
--- a/internal/explain/service_test.go
+++ b/internal/explain/service_test.go
@@ -32,8 +32,8 @@
 	spec := &job.Spec{Class: "k", Team: "red", Tasks: 6, CPUs: 2, MemoryGB: 1, AnyType: true}
 	j := &job.Job{ID: "job-000001", Phase: job.Accepted, Spec: spec, Tasks: 6}
 	o.facts = &Facts{Job: j, Team: config.Team{Name: "red"}, StateContact: true, AheadComplete: true, Exact: true, Now: o.Now(), Wall: o.Wall(),
-		Gate: gate.JobFacts{Spec: spec, Hold: &j.Terms.Hold, Waiting: 3, InUse: 3, Quota: config.Quota{CPUs: 4, CPUsMax: config.NewLimit(99)}},
-		Need: gate.Need{ID: j.ID, Spec: spec, Tasks: 6}, Fits: 0, FitsAll: 0, Running: 1, Done: 0}
+		JobFacts: gate.JobFacts{Spec: spec, Hold: &j.Terms.Hold, Waiting: 3, InUse: 3, Quota: config.Quota{CPUs: 4, CPUsMax: config.NewLimit(99)}},
+		Need:     gate.Need{ID: j.ID, Spec: spec, Tasks: 6}, Fits: 0, FitsAll: 0, Running: 1, Done: 0}
 	o.supply = Supply{State: "booting", Booting: []Booting{{Offer: Offer{Type: "m", Count: 2}}}}
 	o.service = NewService(o, Dependencies{
 		Label: "a",
@@ -105,10 +105,10 @@
 		{"no leader", func(o *simulation) { o.leader = "" }, "room/nothingToBorrow:3 true 0"},
 		{"the leader does not answer", func(o *simulation) { o.unanswered[topicSupply] = true }, "room/nothingToBorrow:3 false 1"},
 		{"within the guarantee", func(o *simulation) { o.facts.WithinGuarantee = true }, "room/noRoom:3 true 0"},
-		{"a damaged record", func(o *simulation) { o.facts.Gate.Damaged = true }, "damagedRecord/setAside:3 room/nothingToBorrow:3 true 0"},
+		{"a damaged record", func(o *simulation) { o.facts.JobFacts.Damaged = true }, "damagedRecord/setAside:3 room/nothingToBorrow:3 true 0"},
 		{"free capacity for all", func(o *simulation) { o.facts.Fits, o.facts.FitsAll = 3, 3 }, "nextPass/due:3 true 0"},
 		{"in flight", func(o *simulation) {
-			o.facts.Gate.Waiting = 0
+			o.facts.JobFacts.Waiting = 0
 			o.facts.InFlight = []InFlight{{Kind: gate.Recording, State: "recording", Machine: "n-1", Tasks: 1}, {Kind: gate.Saving, State: "saving", Machine: "n-2", Tasks: 2, PreemptedFor: "job-000009"},
 				{Kind: gate.Unconfirmed, State: "absent", Machine: "n-3", Tasks: 1, ConfirmedBy: "a list"}, {Kind: gate.Unconfirmed, State: "silent", Machine: "n-4", Tasks: 1}}
 		}, "recording/recording:1 saving/saving:2 unproven/several:2 true 0"},
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -30,11 +30,11 @@
 	// index; both are false or nil for what is not known here yet.
 	Room func(*agent.View, wire.MachineType) (agent.Capacity, bool)
 	Jobs func(*agent.View) []*job.Job
-	// Unshown calls f for every task that was chosen for the machine or started on it and that its view does
+	// EachUnlisted calls f for every task that was chosen for the machine or started on it and that its view does
 	// not include yet.
-	Unshown func(v *agent.View, f func(*job.Spec))
-	Stop    func(host string, s agent.Stop)
-	Cordons *cordon.Registry
+	EachUnlisted func(v *agent.View, f func(*job.Spec))
+	Stop         func(host string, s agent.Stop)
+	Cordons      *cordon.Registry
 	// StaleAfter is the age of a machine's newest report from which on no tasks are started on it.
 	StaleAfter loop.Micros
 }
@@ -206,7 +206,7 @@
 		f.MarkStale(m) // retried until its type and the jobs of its tasks are known here
 		return
 	}
-	f.deps.Unshown(v, free.Subtract)
+	f.deps.EachUnlisted(v, free.Subtract)
 	m.typ, m.Free, m.usedCPUs = typ, free, typ.CPUs-free.CPUs
 	m.Jobs = f.deps.Jobs(v)
 	m.lowestPriority = job.Production
--- a/internal/fleet/reservations_test.go
+++ b/internal/fleet/reservations_test.go
@@ -23,7 +23,9 @@
 // (job-000925, job-000928), and so on until the reservations expire at 321.6 s.
 func TestReservationsReachNewControllers(t *testing.T) {
 	clock := standin.NewRunner(1000 * loop.Second)
-	newFleet := func() *Fleet { return New(clock, slog.New(slog.NewTextHandler(io.Discard, nil)), Dependencies{Label: "a"}) }
+	newFleet := func() *Fleet {
+		return New(clock, slog.New(slog.NewTextHandler(io.Discard, nil)), Dependencies{Label: "a"})
+	}
 	machine := func(name string) *agent.View { return &agent.View{Name: name, Type: "m8"} }
 	owner := newFleet()
 	owner.UpdateView(machine("n-1"), clock.Now(), false)
--- a/internal/fleet/reserve_test.go
+++ b/internal/fleet/reserve_test.go
@@ -34,8 +34,8 @@
 			}
 			return of
 		},
-		Unshown: func(*agent.View, func(*job.Spec)) {},
-		Cordons: cordon.NewRegistry(clock, client, store.NewMirror(client, nil, "c/"), log, 0)})
+		EachUnlisted: func(*agent.View, func(*job.Spec)) {},
+		Cordons:      cordon.NewRegistry(clock, client, store.NewMirror(client, nil, "c/"), log, 0)})
 	for i, team := range teams {
 		id := fmt.Sprintf("job-%06d", 100+i)
 		jobs[id] = &job.Job{ID: id, Spec: &job.Spec{Team: team, CPUs: 8}}
--- a/internal/gate/job.go
+++ b/internal/gate/job.go
@@ -97,8 +97,8 @@
 type JobFacts struct {
 	Spec            *job.Spec
 	Hold            *job.Hold
-	After           []Dep
-	OnWithdrawn     job.Policy
+	Dependencies    []Dep
+	OnCancelled     job.Policy
 	Damaged         bool
 	Waiting         int
 	InUse           int // tasks that may be on machines
@@ -204,8 +204,8 @@
 // dependencyUnmet reports whether a dependency is not met. Done and cancelled are final phases, so a start
 // needs no condition on the record of the other job.
 func (j *JobFacts) dependencyUnmet() bool {
-	for i := range j.After {
-		if !j.DependencyMet(&j.After[i]) {
+	for i := range j.Dependencies {
+		if !j.DependencyMet(&j.Dependencies[i]) {
 			return true
 		}
 	}
@@ -218,18 +218,18 @@
 	case job.Done:
 		return true
 	case job.Cancelled:
-		return j.OnWithdrawn == job.PolicyRelease || d.Waived
+		return j.OnCancelled == job.PolicyRelease || d.Waived
 	}
 	return false
 }
 
 // MustCancel reports whether the job is to be cancelled because a job that it depends on was.
 func (j *JobFacts) MustCancel() bool {
-	if j.OnWithdrawn != job.PolicyCancel {
+	if j.OnCancelled != job.PolicyCancel {
 		return false
 	}
-	for i := range j.After {
-		if j.After[i].Phase == job.Cancelled {
+	for i := range j.Dependencies {
+		if j.Dependencies[i].Phase == job.Cancelled {
 			return true
 		}
 	}
--- a/internal/gate/predicate_test.go
+++ b/internal/gate/predicate_test.go
@@ -29,8 +29,8 @@
 			return 0
 		}
 	case Dependency:
-		for _, d := range j.After {
-			over := d.Phase == job.Done || (d.Phase == job.Cancelled && (d.Waived || j.OnWithdrawn == job.PolicyRelease))
+		for _, d := range j.Dependencies {
+			over := d.Phase == job.Done || (d.Phase == job.Cancelled && (d.Waived || j.OnCancelled == job.PolicyRelease))
 			if !over {
 				return 0
 			}
@@ -77,7 +77,7 @@
 			Now: 100, Wall: 200, ClockDifference: loop.Micros(num("clock", 0, 3)),
 			TeamUsage:   agent.Capacity{CPUs: float64(num("used", 0, 20)), GPUs: float64(num("used gpus", 0, 3))},
 			Quota:       config.Quota{CPUsMax: config.NewLimit(float64(num("max", 0, 24))), GPUsMax: config.NewLimit(float64(num("max gpus", 0, 4)))},
-			OnWithdrawn: []job.Policy{job.PolicyHold, job.PolicyRelease, job.PolicyCancel}[num("policy", 0, 2)]}
+			OnCancelled: []job.Policy{job.PolicyHold, job.PolicyRelease, job.PolicyCancel}[num("policy", 0, 2)]}
 		if yes("rests") {
 			j.Failing.BackOffUntil = 100 + loop.Micros(num("rest", -1, 1))
 		}
@@ -93,7 +93,7 @@
 			}
 		}
 		for range num("after", 0, 2) {
-			j.After = append(j.After, Dep{ID: "job-1", Phase: []job.Phase{"", job.Accepted, job.Done, job.Cancelled}[num("phase", 0, 3)], Waived: yes("waived")})
+			j.Dependencies = append(j.Dependencies, Dep{ID: "job-1", Phase: []job.Phase{"", job.Accepted, job.Done, job.Cancelled}[num("phase", 0, 3)], Waived: yes("waived")})
 		}
 		unblocked := true
 		var want []Cause
--- a/internal/member/claims.go
+++ b/internal/member/claims.go
@@ -52,8 +52,8 @@
 // maxForeignTeams bounds the set of teams that only other controllers know.
 const maxForeignTeams = 1000
 
-// LearnTeams records the names of teams that other controllers know.
-func (b *Member) LearnTeams(teams []string) {
+// RecordTeams records the names of teams that other controllers know.
+func (b *Member) RecordTeams(teams []string) {
 	for _, team := range teams {
 		if !slices.Contains(b.Teams, team) && len(b.foreignTeams) < maxForeignTeams {
 			b.foreignTeams[team] = true
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -148,7 +148,7 @@
 		b.nodes[name] = rec
 	})
 	b.mirror.OnChange(teamKeys, func(key string, _ store.Entry) {
-		b.LearnTeams([]string{strings.TrimPrefix(key, teamKeys)})
+		b.RecordTeams([]string{strings.TrimPrefix(key, teamKeys)})
 		b.reviewClaim(key)
 		b.reviewAssignment(key)
 	})
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -62,7 +62,7 @@
 		if wire.Unmarshal(body, &name) != nil {
 			name = ""
 		}
-		reply(n.placer.UnseenStarts(name))
+		reply(n.placer.PendingStarts(name))
 	})
 	x.api = api.New(l, n.log, n.cfg, api.Node{
 		Ready:         n.ready,
@@ -164,7 +164,7 @@
 func (n *Node) machines() []api.Machine {
 	var out []api.Machine
 	now, wall := n.loop.Now(), n.loop.Wall()
-	n.placer.EachPlace(func(p *gate.MachineFacts, after loop.Micros) {
+	n.placer.EachMachine(func(p *gate.MachineFacts, after loop.Micros) {
 		v := p.View
 		m := api.Machine{Name: v.Name, Type: v.Type, Zone: v.Zone, Kind: explain.MachineKind(v.Spot), ReportsTo: v.Host, BlockedBy: []string{}}
 		for i := range v.Tasks {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -155,7 +155,7 @@
 			n.rental.UpdateView(v)
 		},
 		SendRejection: func(to string, d agent.Rejection) {
-			n.dispatch(to, func() { l.Post(func() { n.placer.StartDropped(cfg.Label, d) }) }, func(e *peer.Envelope) { e.Drops = append(e.Drops, d) })
+			n.dispatch(to, func() { l.Post(func() { n.placer.StartRejected(cfg.Label, d) }) }, func(e *peer.Envelope) { e.Drops = append(e.Drops, d) })
 		},
 		StartBlocked:    n.startBlocked,
 		ClockDifference: cfg.ClockDifference(),
--- a/internal/node/operator_faults_test.go
+++ b/internal/node/operator_faults_test.go
@@ -161,7 +161,7 @@
 		if !s.alive || s.paused {
 			continue
 		}
-		s.n.placer.EachPlace(func(p *gate.MachineFacts, _ loop.Micros) {
+		s.n.placer.EachMachine(func(p *gate.MachineFacts, _ loop.Micros) {
 			if x := w.workers[p.View.Name]; p.BackOffUntil > w.now && p.BackOffReason == "tasks fail on it" && x != nil && !x.w.Faulty {
 				w.fail("%s takes no starts because tasks failed on it, but it is healthy", p.View.Name)
 			}
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -12,7 +12,7 @@
 		n.reach.Receive(e.From, reach.Message{Wall: s.Wall, StateContact: s.Contact, ReceivesFrom: s.Reachable})
 	}
 	n.watermark.Receive(e.From, e.Incarnation, e.Watermark)
-	n.member.LearnTeams(e.Teams)
+	n.member.RecordTeams(e.Teams)
 	for _, v := range e.Views {
 		if v != nil && v.Name != "" {
 			n.agent.ApplyView(v)
@@ -35,7 +35,7 @@
 		n.agent.Start(s)
 	}
 	for _, d := range e.Drops {
-		n.placer.StartDropped(e.From, d)
+		n.placer.StartRejected(e.From, d)
 	}
 	if e.Demand != nil {
 		n.rental.UpdateDemand(e.From, *e.Demand)
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -29,17 +29,17 @@
 	now := p.runner.Now()
 	t := tm.jobs[id]
 	if t == nil { // it is over, or was received only just now
-		return &explain.Facts{Job: j, Gate: gate.JobFacts{Spec: j.Spec, Hold: &j.Terms.Hold}, Need: gate.Need{ID: id, Spec: j.Spec, Tasks: j.Tasks}, Team: tm.cfg, StateContact: contact, AheadComplete: true,
+		return &explain.Facts{Job: j, JobFacts: gate.JobFacts{Spec: j.Spec, Hold: &j.Terms.Hold}, Need: gate.Need{ID: id, Spec: j.Spec, Tasks: j.Tasks}, Team: tm.cfg, StateContact: contact, AheadComplete: true,
 			Now: now, Wall: p.runner.Wall()}, true
 	}
 	p.fleet.Refresh()
-	f = &explain.Facts{Job: j, Gate: p.facts(t), Need: t.need(), Team: tm.cfg, StateContact: contact, AheadComplete: true, Now: now, Wall: p.runner.Wall(),
+	f = &explain.Facts{Job: j, JobFacts: p.facts(t), Need: t.need(), Team: tm.cfg, StateContact: contact, AheadComplete: true, Now: now, Wall: p.runner.Wall(),
 		ReportedAfter: now - p.staleAfter(), Running: t.running, Done: t.completed}
-	f.Gate.Now, f.Gate.Wall = f.Now, f.Wall
-	if n := f.Gate.Waiting; n > 0 && !j.Final() {
-		f.Places = make([]*gate.MachineFacts, len(p.fleet.All()))
+	f.JobFacts.Now, f.JobFacts.Wall = f.Now, f.Wall
+	if n := f.JobFacts.Waiting; n > 0 && !j.Final() {
+		f.Machines = make([]*gate.MachineFacts, len(p.fleet.All()))
 		for i, sl := range p.fleet.All() {
-			f.Places[i] = &sl.MachineFacts
+			f.Machines[i] = &sl.MachineFacts
 		}
 		f.Fits = p.fleet.CountFitting(t.need(), n, p.fleet.All())
 		f.FitsAll = p.fitsUncordoned(t, n)
@@ -265,8 +265,8 @@
 // OwnsTeam reports whether the team is owned and loaded here.
 func (p *Scheduler) OwnsTeam(team string) bool { return p.teams[team] != nil && p.teams[team].loaded }
 
-// EachPlace calls f for every known machine. Machines whose last report is older than after receive no starts.
-func (p *Scheduler) EachPlace(f func(pl *gate.MachineFacts, after loop.Micros)) {
+// EachMachine calls f for every known machine. Machines whose last report is older than after receive no starts.
+func (p *Scheduler) EachMachine(f func(pl *gate.MachineFacts, after loop.Micros)) {
 	p.fleet.Refresh()
 	after := p.runner.Now() - p.staleAfter()
 	for _, sl := range p.fleet.All() {
@@ -274,9 +274,9 @@
 	}
 }
 
-// UnseenStarts returns the number of tasks of owned teams that were chosen or recorded for machines under the named
+// PendingStarts returns the number of tasks of owned teams that were chosen or recorded for machines under the named
 // cordon and have not been seen running. They may still begin.
-func (p *Scheduler) UnseenStarts(name string) int {
+func (p *Scheduler) PendingStarts(name string) int {
 	n := 0
 	for machine, on := range p.tasksByMachine {
 		sl := p.fleet.Machine(machine)
--- a/internal/placer/explain_rank.go
+++ b/internal/placer/explain_rank.go
@@ -88,8 +88,8 @@
 // jobsAhead determines which jobs would take the capacity that this job lacks, or that it has and cannot use because of
 // other predicates, and how many of its tasks would wait for that reason alone.
 func (p *Scheduler) jobsAhead(f *explain.Facts, t *jobTable, types []wire.MachineType) {
-	n := f.Gate.Waiting
-	limited := f.Gate.AllowedTasks(gate.Limit) < n
+	n := f.JobFacts.Waiting
+	limited := f.JobFacts.AllowedTasks(gate.Limit) < n
 	lacking := n - f.FitsAll                                             // single-task units of capacity that must become free
 	ignoreCordons := f.FitsAll > f.Fits || (f.AllCordoned && f.Fits < n) // one of its reasons is a cordon
 	q, within := p.competitors(t)
@@ -143,7 +143,7 @@
 // simulateBehind simulates how many of the job's tasks lack capacity once its rivals are placed: a if they use the free
 // capacity first, b if they use the future capacity first.
 func (p *Scheduler) simulateBehind(f *explain.Facts, t *jobTable, all []rival, limited, ignoreCordons bool, lacking int) (a, b int) {
-	n := f.Gate.Waiting
+	n := f.JobFacts.Waiting
 	freeFirst, futureFirst, untouched := p.fleet.Copies(ignoreCordons), p.fleet.Copies(ignoreCordons), p.fleet.All()
 	if ignoreCordons {
 		untouched = p.fleet.Copies(true)
@@ -176,10 +176,10 @@
 			}
 		}
 	}
-	g := f.Gate
+	g := f.JobFacts
 	var most [2]int
 	for i := range most {
-		g.TeamUsage = agent.Capacity{CPUs: f.Gate.TeamUsage.CPUs + by[i].CPUs, GPUs: f.Gate.TeamUsage.GPUs + by[i].GPUs}
+		g.TeamUsage = agent.Capacity{CPUs: f.JobFacts.TeamUsage.CPUs + by[i].CPUs, GPUs: f.JobFacts.TeamUsage.GPUs + by[i].GPUs}
 		if most[i] = n; !limited {
 			most[i] = g.AllowedTasks(gate.Limit)
 		}
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -11,7 +11,7 @@
 // facts collects the state of a job that its own predicates evaluate.
 func (p *Scheduler) facts(t *jobTable) gate.JobFacts {
 	tm := t.team
-	f := gate.JobFacts{Spec: t.job.Spec, Hold: &t.job.Terms.Hold, After: p.dependencies(t.job), OnWithdrawn: t.job.Terms.OnCancelled, Damaged: t.damaged,
+	f := gate.JobFacts{Spec: t.job.Spec, Hold: &t.job.Terms.Hold, Dependencies: p.dependencies(t.job), OnCancelled: t.job.Terms.OnCancelled, Damaged: t.damaged,
 		Waiting: t.waiting(), InUse: t.inUse,
 		TeamUsage: agent.Capacity{CPUs: tm.cpus, GPUs: tm.gpus}, Quota: tm.quota,
 		ClockDifference: p.cfg.ClockDifference()}
--- a/internal/placer/forget_test.go
+++ b/internal/placer/forget_test.go
@@ -65,7 +65,7 @@
 		{"the next attempt is being recorded", func(*forgetRig) {}},
 		{"the next attempt's reservation is refused", func(g *forgetRig) {
 			g.Advance(90 * loop.Millisecond) // its machine is chosen, and it is not recorded yet
-			g.scheduler.StartDropped("b", agent.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: 2, Why: "full", OnlyReservation: true})
+			g.scheduler.StartRejected("b", agent.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: 2, Why: "full", OnlyReservation: true})
 		}},
 		{"the next attempt's record is withdrawn", func(g *forgetRig) {
 			g.Advance(90 * loop.Millisecond)
@@ -96,7 +96,7 @@
 func forgetAsTheNextOwner(t *testing.T) {
 	g := newForgetRig()
 	g.scheduler.deps.Reserve = func(host string, s agent.Start) {
-		g.scheduler.StartDropped(host, agent.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", OnlyReservation: true})
+		g.scheduler.StartRejected(host, agent.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", OnlyReservation: true})
 	}
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
 	g.scheduler.OwnershipChanged(partition.ForTeam("red"), false, member.Owner{})
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -390,7 +390,7 @@
 		g.Advance(loop.Millisecond)
 	}
 	refuse := func() {
-		g.scheduler.StartDropped("b", agent.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: x().attempt, Why: "full", OnlyReservation: true})
+		g.scheduler.StartRejected("b", agent.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: x().attempt, Why: "full", OnlyReservation: true})
 	}
 	refuse()
 	if x().state != Waiting {
--- a/internal/placer/scheduler.go
+++ b/internal/placer/scheduler.go
@@ -103,7 +103,7 @@
 		checkRequestedAt: map[string]loop.Micros{}, paces: health.Paces{}, starvation: starvation.New()}
 	p.clock = delivery.NewClockBounds(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifetimeS))
 	p.expiries = delivery.NewExpiries(p.clock)
-	p.fleet = fleet.New(r, log, fleet.Dependencies{Label: deps.Label, Type: deps.Type, Room: a.FreeCapacity, Jobs: a.Jobs, Unshown: p.eachUnlisted, Stop: deps.Stop,
+	p.fleet = fleet.New(r, log, fleet.Dependencies{Label: deps.Label, Type: deps.Type, Room: a.FreeCapacity, Jobs: a.Jobs, EachUnlisted: p.eachUnlisted, Stop: deps.Stop,
 		Cordons: cordons, StaleAfter: p.staleAfter()})
 	loop.Every(r, 400*loop.Millisecond, p.tick)
 	loop.Every(r, 60*loop.Second, func() {
@@ -209,8 +209,8 @@
 	}
 }
 
-// StartDropped handles a host controller's message that it will never pass a start on to the worker.
-func (p *Scheduler) StartDropped(from string, d agent.Rejection) {
+// StartRejected handles a host controller's message that it will never pass a start on to the worker.
+func (p *Scheduler) StartRejected(from string, d agent.Rejection) {
 	id, i, ok := agent.SplitTask(d.Task)
 	if !ok {
 		return
--- a/internal/placer/views_test.go
+++ b/internal/placer/views_test.go
@@ -47,7 +47,7 @@
 		}
 		s := g.starts[0]
 		before := len(g.starts)
-		g.scheduler.StartDropped("b", agent.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Incarnation: c.refusedBy})
+		g.scheduler.StartRejected("b", agent.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Incarnation: c.refusedBy})
 		g.Advance(2 * loop.Second)
 		freed := len(g.starts) > before && g.starts[len(g.starts)-1].Attempt > s.Attempt
 		if freed != c.frees {
@@ -97,7 +97,7 @@
 
 // A delayed report lists a task from before an earlier owner had it forgotten, and no later report lists it. The
 // present owner never sees the task end and must not count it as running for ever.
-func TestTaskThatVanishesUnseen(t *testing.T) {
+func TestTaskThatVanishesBeforeAnyReport(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * loop.Second})
 	other := agent.Task{Task: agent.TaskName(g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Tasks: 1, CPUs: 1, AnyType: true}), 0), Attempt: 1, State: wire.TaskRunning}
