--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -34,7 +34,7 @@
 	Queued     bool
 	RetryAfter int // seconds after which the client should retry, if the request was deferred
 	// Evicted is the ID of another waiting request that is evicted in favour of this one, because its team
-	// holds more than its part of the queue. Its client is to be told RetryAfter. Empty: none is evicted.
+	// holds more than its part of the queue. Its client is answered with RetryAfter, too. Empty: none is evicted.
 	Evicted string
 }
 
@@ -318,7 +318,7 @@
 	return newest.ID
 }
 
-// rememberPosition remembers a position. own says that it was given here, so that the peers are told.
+// rememberPosition remembers a position. own says that it was assigned by this controller, which then sends it to the peers.
 func (q *Queue) rememberPosition(p Position, own bool) {
 	if old, ok := q.positions[p.ID]; ok {
 		q.positions[p.ID] = min(old, p.FirstTry)
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -55,7 +55,7 @@
 	view          View
 	state         HostingState
 	token         uint64
-	tokenIssuedAt loop.Micros // wall-clock time before which nobody had the token
+	tokenIssuedAt loop.Micros // wall-clock time before which the token did not exist
 	wantTaskList  bool        // an owner requested a task list that is certainly new
 	pending       map[delivery.Attempt]*pendingStart
 	// reportSession and reportSeq identify the newest report. startsInAnswer holds the starts in the answer to it,
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -81,7 +81,7 @@
 
 // applyReport updates the machine's view from a report, or from the body of the answer to a direct command.
 //
-// A report may have been delayed for minutes, and looks new to a controller that received nothing meanwhile. It
+// A report may have been delayed for minutes, and looks new to a controller that received nothing in that time. It
 // was certainly made after the token that it shows was issued, and the body of a direct answer after its
 // command was sent; that time is madeAfter.
 func (a *Registry) applyReport(m *machine, r wire.Report, reported bool, madeAfter loop.Micros) {
--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -45,7 +45,7 @@
 	if why := a.startBlocked(j, &m.view); why != "" {
 		return why
 	}
-	m.view.resolved = false // this is not a published view and changes, so its capacity is computed anew
+	m.view.resolved = false // this is not a published view and changes, so its capacity is recomputed
 	if free, ok := a.FreeCapacity(&m.view, typ); !ok || !free.Fits(j.Spec) {
 		return "full"
 	}
@@ -88,7 +88,7 @@
 	}
 	if m == nil || s.Incarnation != 0 && s.Incarnation != a.config.Incarnation {
 		// The machine reports elsewhere, or the start is meant for an earlier incarnation of this process. The start
-		// is ignored: the owner learns of the new host or incarnation and sends it there until the start expires.
+		// is ignored: the owner receives the new host or incarnation in a view and sends it there until the start expires.
 		// It must not be rejected, because the earlier incarnation may have passed it on, and the owner takes a
 		// rejection as proof that the start will never be carried out. Owners before version 0.6.0 name no
 		// incarnation.
--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -167,7 +167,7 @@
 	Session uint64      `cbor:"2,keyasint"`
 	Task    string      `cbor:"3,keyasint"`
 	Attempt uint64      `cbor:"4,keyasint"`
-	Expiry  loop.Micros `cbor:"5,keyasint"` // wall-clock time after which nobody may carry it out
+	Expiry  loop.Micros `cbor:"5,keyasint"` // wall-clock time after which the worker may not carry it out
 	From    string      `cbor:"6,keyasint"`
 	// Incarnation is the incarnation of the host's process for which the start is meant. A host that has restarted
 	// does not know which starts it passed on before.
--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -87,7 +87,7 @@
 const (
 	Stored    Outcome = iota
 	NotStored         // not stored in time, or refused by the state service: try again
-	TooMany           // Most cordons are in force already
+	TooMany           // MaxCordons cordons are in force already
 	NotFound          // there is no cordon of that name
 )
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -281,7 +281,7 @@
 const avoidPenalty = 100
 
 // Ranked lists those of the given machines that may take a task of the job, the best first. A machine that
-// takes a task becomes fuller and so stays the best until it is full: the list need not be computed anew for
+// takes a task becomes fuller and so stays the best until it is full: the list need not be recomputed for
 // every task.
 func (f *Fleet) Ranked(need *gate.Need, machines []*Machine) []*Machine {
 	now := f.runner.Now()
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -80,7 +80,7 @@
 const reservationPriority = job.Production
 
 // reservationLife is how long a reservation lasts after its victims' grace periods; imageReservationLife is
-// the same where the job's tasks fit elsewhere meanwhile.
+// the same where the job's tasks also fit on other machines now.
 const (
 	reservationLife      = 4 * loop.Second
 	imageReservationLife = 1500 * loop.Millisecond
--- a/internal/fleet/preemption_rights.go
+++ b/internal/fleet/preemption_rights.go
@@ -8,7 +8,7 @@
 // lower-priority work within another guarantee, whose team then reclaims the capacity. The guarantee
 // therefore takes precedence here, which orders all preemptions: first by guarantee, then by priority.
 type PreemptionRights struct {
-	// WithinGuarantee: the task's job fits into its team's guarantee, and the task still fits beside
+	// WithinGuarantee: the task's job fits into its team's guarantee, and the task still fits together with
 	// everything the team runs. It may preempt what other teams run beyond their guarantee, at any priority.
 	WithinGuarantee bool
 	// InTeamShare: taking the team's work by priority up to its guarantee, the task is part of it, even where the
--- a/internal/fleet/reservations.go
+++ b/internal/fleet/reservations.go
@@ -15,7 +15,7 @@
 const maxPendingReservations = 1000
 
 // AddReservation records a reservation of capacity on a machine for a job. While no report of the machine has
-// arrived, nothing is placed on it; the reservation is kept aside and takes effect with the first report.
+// arrived, nothing is placed on it; the reservation is stored and takes effect with the first report.
 func (f *Fleet) AddReservation(c peer.Reservation) {
 	m := f.machines[c.Machine]
 	if m == nil {
@@ -103,7 +103,7 @@
 }
 
 // TrimReservations drops the reservations of a job beyond the given number: its tasks were placed elsewhere,
-// or it is over.
+// or the job is finished.
 func (f *Fleet) TrimReservations(id string, most int) {
 	if f.reservationCounts[id] <= most {
 		return
--- a/internal/fleet/reserve.go
+++ b/internal/fleet/reserve.go
@@ -19,7 +19,7 @@
 // Reserve reserves capacity for up to want tasks of a job on machines that have none free now, and returns the
 // reservations. It preempts nothing: capacity is freed as tasks there end, and meanwhile no other job's tasks
 // take it. Capacity that is reserved already is subtracted first, and small reservations share a machine:
-// when each had a machine of its own, none was left for gangs or for tasks as large as a machine. For a gang
+// when each had a separate machine, none was left for gangs or for tasks as large as a machine. For a gang
 // it reserves everything or nothing, since a part of a gang cannot run.
 func (f *Fleet) Reserve(need *gate.Need, want int, life loop.Micros) (reservations []peer.Reservation) {
 	n := *need
@@ -47,9 +47,9 @@
 		}
 	}
 	// A large task goes where nothing is reserved. A small one goes where most is reserved already, up to
-	// half of a machine and not beside a reservation for a large task: each must wait for the capacity
-	// reserved beside it, too. Next come machines with the fewest tasks of the job's own team, which could
-	// use the freed capacity anyway, and then those with the most free CPUs, where the rest is freed soonest.
+	// half of a machine, but not on a machine with a reservation for a large task: each of them must wait until
+	// the capacity reserved for the others there is free, too. Next come machines with the fewest tasks of the
+	// job's own team, which could use the freed capacity anyway, and then those with the most free CPUs, where the rest is freed soonest.
 	rank := func(x *place) int {
 		reservations := x.m.Reservations
 		switch {
--- a/internal/gate/job.go
+++ b/internal/gate/job.go
@@ -35,7 +35,7 @@
 	Recording    Kind = 14 // a machine is chosen, and the attempt is being recorded
 	Starting     Kind = 15 // recorded; its machine has not reported it yet
 	Fetching     Kind = 16 // its machine is fetching the image
-	Saving       Kind = 17 // told to stop, and saving its state
+	Saving       Kind = 17 // being stopped, and saving its state
 	Unconfirmed  Kind = 18 // an earlier attempt is not confirmed terminated
 	NextPass     Kind = 19 // capacity is free: the next pass places it
 	kindCount    Kind = 20
--- a/internal/health/runs_test.go
+++ b/internal/health/runs_test.go
@@ -182,7 +182,7 @@
 	}
 }
 
-// When no reports of a machine arrive for a while, the tasks that ended meanwhile seem to have
+// When no reports of a machine arrive for a while, the tasks that ended in that time seem to have
 // run for the whole time. They must not make the machine slow.
 func TestMissingReportsAreNoSlowness(t *testing.T) {
 	const tasks = 12
--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -312,5 +312,5 @@
 	t.log.Info("what advances the cancellation watermark changed", "from", from.String(), "to", s.String(), "age_us", age, "held_back_by", who)
 }
 
-// State returns the state as of the last call of Look.
+// State returns the state as of the last call of UpdateState.
 func (t *Tracker) State() State { return t.state }
--- a/internal/horizon/horizon_test.go
+++ b/internal/horizon/horizon_test.go
@@ -10,7 +10,7 @@
 	"cleatpick/internal/loop"
 )
 
-// manualClock is a monotonic clock set by the test, with a zero of its own.
+// manualClock is a monotonic clock set by the test; every controller's clock has a different zero.
 type manualClock struct{ true, zero loop.Micros }
 
 func (h *manualClock) Now() loop.Micros  { return h.true - h.zero }
@@ -20,8 +20,8 @@
 
 const grace = 18 * loop.Second
 
-// simulation is a simulated deployment: what the state service holds, what each controller knows, and what users were
-// told when. The network loses, delays and duplicates messages.
+// simulation is a simulated deployment: what the state service holds, what each controller knows, and when each
+// user was answered. The network loses, delays and duplicates messages.
 type simulation struct {
 	now         loop.Micros
 	rng         *rand.Rand
@@ -266,7 +266,7 @@
 	}
 }
 
-// A restarted process counts its monotonic time anew. Its questions are answered although their timestamps are
+// A restarted process starts its monotonic clock at a new zero. Its questions are answered although their timestamps are
 // lower than those of its previous incarnation; within one incarnation only the newest question is answered.
 func TestQuestionsOfANewIncarnationAreAnswered(t *testing.T) {
 	tracker := New(&manualClock{true: 1000}, quiet, 7, grace, []string{"b"})
--- a/internal/job/registry.go
+++ b/internal/job/registry.go
@@ -60,7 +60,7 @@
 	var rec Record
 	if err := wire.Unmarshal(e.Value, &rec); err != nil || !rec.valid() {
 		// A corrupt record is set aside and none of its tasks is started. The job was certainly accepted, and
-		// users are still told so; see current.
+		// users are still answered so; see current.
 		r.log.Error("job record is corrupt and set aside; none of its tasks will be started", "key", key, "err", err)
 		r.damaged[id] = true
 		return
--- a/internal/job/stale_answer_test.go
+++ b/internal/job/stale_answer_test.go
@@ -9,8 +9,8 @@
 )
 
 // A submission that is repeated while the record of the first one is being stored is never answered with a
-// state older than the one that the state service held when it was repeated: what another controller stored and
-// told users meanwhile is not taken back. Answers of the state service are delayed.
+// state older than the one that the state service held when it was repeated: an answer that another
+// controller stored and sent to users in that time is not contradicted. Answers of the state service are delayed.
 func TestRepeatedSubmissionIsNotAnsweredWithOldState(t *testing.T) {
 	for seed := range uint64(100) {
 		net, registry := newSlowRegistry(seed, 200)
--- a/internal/loss/detector.go
+++ b/internal/loss/detector.go
@@ -48,7 +48,7 @@
 
 func (w ProbeResult) String() string { return [...]string{"none", "answered", "mute", "noWay"}[w] }
 
-// maxStray is how long a machine may answer probes while its reports reach nobody, or report
+// maxStray is how long a machine may answer probes while its reports reach no controller, or report
 // while it is unresponsive to commands: as long as an unreachable one is left alone. By then
 // a worker that gets no answers has found another controller or ended its tasks. One that
 // does get answers has a host controller that is cut off from the others, and its tasks can
@@ -70,7 +70,7 @@
 func (r *Rules) lateAfter() loop.Micros { return 3*r.ReportInterval/2 + 2*loop.Second }
 
 // leaseEnd is the silence after which the machine's worker has certainly ended its tasks,
-// or does so before anything else, if nobody answered it meanwhile.
+// or does so before anything else, if no controller has answered it since then.
 func (r *Rules) leaseEnd() loop.Micros { return r.Lease + r.Lease/1000 + loop.Second }
 
 // Facts holds what is known of a machine at the time of an evaluation.
--- a/internal/loss/detector_test.go
+++ b/internal/loss/detector_test.go
@@ -34,7 +34,7 @@
 	failedAt                  loop.Micros
 	why                       string
 	inPartition               bool        // its zone was disconnected when it was declared failed
-	unheardUntil              loop.Micros // until when its reports reach nobody
+	unheardUntil              loop.Micros // until when its reports reach no controller
 }
 
 type answer struct {
@@ -212,7 +212,7 @@
 
 // The detector is checked against the real condition of simulated machines: any number of
 // them, in several zones, stop, hang, become unresponsive or are disconnected, alone and
-// together, and some come back. Each that is gone for good must be declared failed, and none
+// together, and some come back. Each that does not come back must be declared failed, and none
 // before the time that its condition allows.
 func TestDetectorAgainstSimulation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -268,7 +268,7 @@
 	})
 }
 
-// Machines that answer probes while their reports reach nobody must not alternate between
+// Machines that answer probes while their reports reach no controller must not alternate between
 // suspected and available: the correlated failure must start at most once and end when each
 // has answered. None whose reports arrive again in time may be declared failed, and the
 // others must be at the time that maxStray states.
@@ -318,7 +318,7 @@
 // Machines that report while no answer or command reaches them must not be declared dead
 // because connections to them fail, but must be declared failed after the time that maxStray
 // states, even if a whole zone of them looks like a network partition. Those that recover
-// earlier must not be declared failed, and meanwhile all count as likely to come back.
+// earlier must not be declared failed, and until then all count as likely to come back.
 func TestUnresponsiveMachines(t *testing.T) {
 	for _, report := range []loop.Micros{loop.Second, 3 * loop.Second, 5 * loop.Second} {
 		y := newSimulation(2, 40)
--- a/internal/member/claims.go
+++ b/internal/member/claims.go
@@ -108,7 +108,7 @@
 	if isolated && !leaderOwnsAll && len(b.owned) > 0 && (b.handedOverAt == 0 || now-b.handedOverAt > 30*loop.Second) {
 		// The lease is valid, but nothing decided here reaches a machine that reports to
 		// another controller: controllers that reach each other should own it instead.
-		// What nobody else claims is claimed again below and kept for a while.
+		// What no other controller claims is claimed again below and kept for a while.
 		b.handedOverAt = now
 		b.handOver("no peer is reachable")
 	}
@@ -172,7 +172,7 @@
 	}
 }
 
-// freeKeys lists, in order, the keys that nobody holds and that this controller is not claiming.
+// freeKeys lists, in order, the keys that no controller claims and that this controller is not claiming.
 func (b *Member) freeKeys(now loop.Micros) []string {
 	var free []string
 	for _, key := range b.claimKeys() {
@@ -229,7 +229,7 @@
 func (b *Member) claimWait(owned int, preferred string) loop.Micros {
 	mine := !b.layout.Numbered() || preferred == b.Label
 	if b.layout.Numbered() && mine && len(b.nodes) >= b.Controllers {
-		return 0 // all controllers are registered, so nobody else should get the key
+		return 0 // all controllers are registered, so no other one should get the key
 	}
 	fair := (len(b.claimKeys()) - 1 + len(b.nodes)) / max(len(b.nodes), 1)
 	wait := loop.Micros(owned) * claimDelayStep
--- a/internal/member/layout.go
+++ b/internal/member/layout.go
@@ -18,7 +18,7 @@
 // The states of the layout. It becomes numbered at most once and never changes after that.
 const (
 	layoutUndecided layoutState = iota // only the leadership is claimed
-	layoutByTeam                       // each team has a claim of its own
+	layoutByTeam                       // each team has a separate claim
 	layoutNumbered                     // stored in the state service
 )
 
@@ -133,8 +133,8 @@
 	return wire.Change{Put: teamKeys + team, Value: ownerRecord{Partition: l.Of(team)}}
 }
 
-// Assign assigns teams that nobody holds to a partition that this controller owns. done gets
-// whether that was stored.
+// Assign assigns teams that no controller claims to a partition that this controller owns. done is
+// called with whether that was stored.
 func (b *Member) Assign(id partition.ID, claim Owner, teams []string, done func(ok bool)) {
 	txn := wire.Txn{If: []wire.Cond{ClaimCond(id, claim)}}
 	for _, team := range teams {
@@ -184,7 +184,7 @@
 }
 
 // reviewAssignment calls OnAssigned for a team that has been assigned to its partition, and
-// OnReleased for one that nobody holds any more.
+// OnReleased for one that no controller claims any more.
 func (b *Member) reviewAssignment(key string) {
 	if !b.layout.Numbered() {
 		return
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -3,7 +3,7 @@
 // Every claim is bound to the controller's lease, so that it is released when the
 // controller fails. The package decides, together with the other controllers, which layout
 // of partitions is in force and which of them owns which partition. It places no work;
-// who is reachable and fit for work it learns from callbacks.
+// callbacks report which controllers are reachable and fit for work.
 package member
 
 import (
--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -2,7 +2,7 @@
 // controller owns it by a claim in the state service, hands it over as a whole and recovers
 // it from one task log.
 //
-// There are two layouts. In the team layout every team is a partition of its own. In the
+// There are two layouts. In the team layout every team is a separate partition. In the
 // numbered layout all teams are distributed by a stable hash over a fixed number of
 // partitions, which is stored once for the lifetime of the cluster. The package decides the
 // mapping and the keys in the state service; it holds no state and does no I/O.
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -28,7 +28,7 @@
 	}
 	now := p.runner.Now()
 	t := tm.jobs[id]
-	if t == nil { // it is over, or was received only just now
+	if t == nil { // it is finished, or was received only just now
 		return &explain.Facts{Job: j, JobFacts: gate.JobFacts{Spec: j.Spec, Hold: &j.Terms.Hold}, Need: gate.Need{ID: id, Spec: j.Spec, Tasks: j.Tasks}, Team: tm.cfg, StateContact: contact, AheadComplete: true,
 			Now: now, Wall: p.runner.Wall()}, true
 	}
--- a/internal/placer/explain_rank.go
+++ b/internal/placer/explain_rank.go
@@ -24,8 +24,8 @@
 	uncertain   bool // undecidable in advance whether it takes any capacity that the explained job needs
 }
 
-// competitors lists the jobs that wait beside t, unordered, as they would rank if no predicate blocked t itself: t then
-// comes before later jobs within its team's guarantee.
+// competitors lists the jobs that compete with t for capacity, unordered, as they would rank if no predicate blocked
+// t itself: t then comes before later jobs within its team's guarantee.
 func (p *Scheduler) competitors(t *jobTable) (q []queueEntry, within bool) {
 	q = p.waitingJobs()
 	mine := p.jobsWithinGuarantee(t.team, t)
--- a/internal/placer/groupcommit.go
+++ b/internal/placer/groupcommit.go
@@ -177,7 +177,7 @@
 	return w
 }
 
-// maxJobs is the number of jobs whose revisions one transaction can check beside those of the claim, the segment and
+// maxJobs is the number of jobs whose revisions one transaction can check in addition to those of the claim, the segment and
 // the cordons.
 func (p *Scheduler) maxJobs() int { return p.client.MaxConditions() - 3 }
 
--- a/internal/placer/guarantee_test.go
+++ b/internal/placer/guarantee_test.go
@@ -15,7 +15,7 @@
 // The test guards against a team that runs a small part of its guarantee for minutes while another team runs far more
 // than its own.
 //
-// Work counts as within a guarantee only if it fits into it beside all earlier work of its team. Behind one job of
+// Work counts as within a guarantee only if it fits into it together with all earlier work of its team. Behind one job of
 // thousands of tasks nothing does, so no work of the team had a right to capacity, and what became free went to
 // whichever owner saw it first.
 //
--- a/internal/placer/image_test.go
+++ b/internal/placer/image_test.go
@@ -14,7 +14,7 @@
 
 // Urgent tasks go to the machine that holds their image even if another machine has free capacity. Tasks that have
 // just begun there are preempted for them, but none that would lose more than the fetch takes. The urgent tasks wait
-// for that capacity, use no other and do not count as unplaced meanwhile. If the capacity does not become free, they
+// for that capacity, use no other and do not count as unplaced while they wait. If the capacity does not become free, they
 // go to the other machine.
 func TestUrgentWorkGoesToItsImage(t *testing.T) {
 	const s = loop.Second
--- a/internal/placer/jobtable.go
+++ b/internal/placer/jobtable.go
@@ -92,7 +92,7 @@
 	acceptedAt      loop.Micros       // when it was accepted, by the monotonic clock
 	servedEarlyAt   loop.Micros       // when it was last served out of order; acceptedAt if never
 	reservedCPUs    float64           // CPUs reserved for it out of order and not used yet
-	reservedClass   string            // class in the starvation reserve that was charged for them
+	reservedClass   string            // class in the starvation budget that was charged for them
 	unplacedSince   loop.Micros       // since when tasks of it are unplaced; 0: none is
 	sentDone        int64
 	sentRunning     int64
--- a/internal/placer/load.go
+++ b/internal/placer/load.go
@@ -317,7 +317,7 @@
 	x := r.table.task(r.index)
 	x.attempt, x.segment = b.Attempt, b.segment
 	b.segment.live++
-	// The records tell that the job was served but not when; jobs that were never served come before it. Without
+	// The records say that the job was served but not when; jobs that were never served come before it. Without
 	// this, each new owner would treat the oldest job of a class as never served and give it everything that is
 	// served out of order.
 	r.table.servedEarlyAt = p.runner.Now()
--- a/internal/placer/machinetasks.go
+++ b/internal/placer/machinetasks.go
@@ -55,7 +55,7 @@
 }
 
 // isUnresolved reports whether every view of the machine must be checked for the task. It was not listed there yet; or
-// it is not listed any more, so that its absence may confirm its termination; or it was refused beside another
+// it is not listed any more, so that its absence may confirm its termination; or it was refused because of another
 // attempt, whose end it waits for. If such a task were checked only when its own entry changes, it could wait for
 // ever.
 func (t *task) isUnresolved() bool { return !t.listed || t.recheck }
--- a/internal/placer/outages.go
+++ b/internal/placer/outages.go
@@ -25,7 +25,7 @@
 	o.pending++
 }
 
-// recordRerun records that a task runs again, or that it is over and need not run.
+// recordRerun records that a task runs again, or that it is finished and need not run.
 func (p *Scheduler) recordRerun(x *task, runs bool) {
 	if x.lostSince == 0 {
 		return
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -329,7 +329,7 @@
 			for _, sl := range g.scheduler.fleet.All() {
 				name := sl.View.Name
 				if room := g.plainCapacity(name); sl.Known && room != sl.Free {
-					t.Fatalf("%s: free capacity %v in its slot, %v computed from its view", name, sl.Free, room)
+					t.Fatalf("%s: free capacity %v in its record, %v computed from its view", name, sl.Free, room)
 				}
 			}
 		}
--- a/internal/placer/scheduler.go
+++ b/internal/placer/scheduler.go
@@ -20,8 +20,8 @@
 	"cleatpick/internal/wire"
 )
 
-// Dependencies holds what the scheduler needs from the controller in which it runs. Host parameters name a host controller, which may
-// be this one.
+// Dependencies holds what the scheduler needs from the controller in which it runs. Host parameters
+// name a host controller, which may be this one.
 type Dependencies struct {
 	Label string
 	Type  func(string) (wire.MachineType, bool)
@@ -44,7 +44,7 @@
 	// may be nil.
 	ReportCauses bool
 	Meter        *metric.Meter
-	// Membership maps teams to partitions. It is nil where every team is a partition of its own.
+	// Membership maps teams to partitions. It is nil where every team is a separate partition.
 	Membership Membership
 }
 
--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -98,7 +98,8 @@
 // begun reports whether tasks of the job run, may run or are done.
 func (t *jobTable) begun() bool { return t.inUse+t.completed > 0 }
 
-// reserveClass returns the class by which the reserve shares out what is served out of order: each class of a team for
+// reserveClass returns the class by which the starvation budget shares out what is served out of order: each class of
+// a team for
 // its jobs that have not begun, and one for all jobs of the team that have. A job that has begun must not keep others
 // of its class from beginning for as long as it has tasks left.
 func (t *jobTable) reserveClass() string {
@@ -111,7 +112,7 @@
 // unbegunClass returns the class of a job that has not begun.
 func unbegunClass(s *job.Spec) string { return s.Team + "\x00" + s.Class }
 
-// placeInOrder places tasks in the order of service and reports them to the reserve.
+// placeInOrder places tasks in the order of service and records them in the starvation budget.
 func (p *Scheduler) placeInOrder(t *jobTable, n int, slots []*fleet.Machine, chosen *[]hostStart) int {
 	held, class := p.fleet.ReservationCount(t.job.ID), t.reserveClass()
 	got := p.placeTasks(t, n, slots, chosen)
@@ -129,7 +130,7 @@
 }
 
 // refundReserved returns a class its charge if capacity reserved out of order was not used before the reservation
-// expired, because the tasks beside it ran for too long.
+// expired, because the tasks on the same machines ran for too long.
 func (p *Scheduler) refundReserved(t *jobTable) {
 	if t.reservedCPUs > 0 && p.fleet.ReservationCount(t.job.ID) == 0 {
 		p.starvation.Refund(t.reservedClass, t.reservedCPUs)
--- a/internal/placer/starvation_accounting_test.go
+++ b/internal/placer/starvation_accounting_test.go
@@ -12,7 +12,7 @@
 	"cleatpick/internal/wire"
 )
 
-// firstClass returns which of two classes the reserve serves first, if a job of each has waited equally long.
+// firstClass returns which of two classes the starvation budget serves first, if a job of each has waited equally long.
 func firstClass(g *rig, a, b string) string {
 	now := g.Now()
 	g.scheduler.starvation.Accrue(now, 1000)
@@ -32,7 +32,7 @@
 	g.deliverView(name, "m8", "x", false, on...)
 }
 
-// A new owner continues the accounting of the reserve: class a has been served, class b has not.
+// A new owner continues the accounting of the starvation budget: class a has been served, class b has not.
 func TestAccountingSurvivesOwnerChange(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
 	g.acceptJob(1, job.Spec{Class: "a", Team: "red", Tasks: 10, CPUs: 2, MemoryGB: 1, AnyType: true, Estimate: loop.Second})
@@ -48,7 +48,7 @@
 	}
 }
 
-// What a class gets in the order of service counts in the reserve's accounting.
+// What a class gets in the order of service counts in the accounting of the starvation budget.
 func TestOrderedStartsCountInAccounting(t *testing.T) {
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16})
 	if got := firstClass(g, "red\x00a", "red\x00b"); got != "red\x00a" {
--- a/internal/placer/tasklog.go
+++ b/internal/placer/tasklog.go
@@ -106,7 +106,7 @@
 	bytes int // upper bound on the size of the record
 }
 
-// move tells which segment held a task's newest record before a write; from is nil if none did.
+// move records which segment held a task's newest record before a write; from is nil if none did.
 type move struct {
 	taskRef
 	from *segment
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -35,7 +35,7 @@
 	// the bound on clock differences: messages that were delayed on their way arrive as new.
 	maxWallAge = 3 * loop.Second
 	// isolationDelay is how long this controller must appear isolated before it acts on that: a
-	// peer that has just restarted receives nobody's messages for a short time.
+	// peer that has just restarted receives no messages for a short time.
 	isolationDelay = 3 * loop.Second
 	// detectionSkew is how much later than this controller a peer may notice that a third one
 	// became silent or reachable. Without it, one silent controller makes all others flap.
@@ -100,7 +100,7 @@
 	}
 	if p.state == Full && now-p.flappedAt >= detectionSkew && (s != Partial || j.StateContact == nil || j.StateContact()) {
 		// Flaps within detectionSkew count once: after a pause of this process, the messages that
-		// queued up meanwhile show each peer leave and return several times.
+		// queued up during the pause show each peer leave and return several times.
 		p.flaps++
 		p.flappedAt = now
 	}
@@ -236,7 +236,7 @@
 }
 
 // Isolated reports whether this controller exchanges messages with no peer, so that its
-// decisions reach nobody. The loss of either direction is enough.
+// decisions reach no other controller. The loss of either direction is enough.
 func (j *Tracker) Isolated() bool {
 	now := j.runner.Now()
 	if now-j.began < 5*loop.Second || len(j.peers) == 0 {
--- a/internal/rental/autoscaler_test.go
+++ b/internal/rental/autoscaler_test.go
@@ -255,7 +255,7 @@
 			}
 		}
 		reportAll(0, 20)
-		for range 12 { // ten of them fall silent
+		for range 12 { // ten of them become silent
 			reportAll(10, 20)
 			g.Advance(500 * loop.Millisecond)
 		}
@@ -308,7 +308,7 @@
 	g.booted = nil
 	for k := range 1000 {
 		if k < 600 {
-			g.report(name, "x") // for 60 s; until then there is no capacity beside it
+			g.report(name, "x") // for 60 s; until then no other capacity is expected
 		}
 		g.scaler.UpdateDemand("b", peer.Demand{Wall: g.Now(), Requests: []peer.Request{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 1}}})
 		g.Advance(100 * loop.Millisecond)
--- a/internal/rental/deletion.go
+++ b/internal/rental/deletion.go
@@ -47,7 +47,7 @@
 			return // retried later: deleting a deleted machine has no effect
 		}
 		// The answer confirms that the machines and all tasks on them are terminated. It is recorded, so that
-		// every owner learns of it.
+		// every owner receives it.
 		t.seq++
 		ch := wire.Change{Put: fmt.Sprintf("%s%d-%d", DeletionKeys, t.claim.Epoch, t.seq), Value: DeletionRecord{names, t.runner.Wall()}}
 		for _, name := range names {
--- a/internal/rental/drain.go
+++ b/internal/rental/drain.go
@@ -22,7 +22,7 @@
 }
 
 // drainUnneeded drains machines whose tasks would fit into free capacity elsewhere. Such a machine would
-// become empty only when the last of its tasks ends, which takes long. After a standby time of its own it
+// become empty only when the last of its tasks ends, which takes long. After a separate standby time it
 // takes no more starts, and tasks that can save their state move away. Unplaced requests return as many
 // draining machines to use as they need, and no more: with many jobs there are always some new requests, and
 // returning all draining machines for them kept a third of the machines idle.
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -152,7 +152,7 @@
 	}
 }
 
-// plan returns how many machines of each offer are missing beside the expected ones.
+// plan returns how many machines of each offer are missing in addition to the expected ones.
 func (t *Autoscaler) plan(now loop.Micros) map[offer]int {
 	expected := expectedCapacity{machines: t.expectedMachines(), exhausted: map[fleet.Shape]int{}}
 	need := map[offer]int{}
--- a/internal/rental/retention.go
+++ b/internal/rental/retention.go
@@ -14,7 +14,7 @@
 // retention returns a function for how much longer than usual a machine of an unreachable zone is retained.
 // Deleting it confirms that its tasks are terminated, and has another machine rented, which must boot and
 // fetch images. While the work that waits already would use all capacity available elsewhere, the deletion
-// helps nobody before the network partition ends, and costs a boot afterwards. How long the partition lasts
+// starts no task earlier before the network partition ends, and costs a boot afterwards. How long the partition lasts
 // is not known: waiting for as long as the deletion would cost loses at most twice what knowing it would
 // lose.
 func (t *Autoscaler) retention() func(*machine) loop.Micros {
@@ -91,7 +91,7 @@
 }
 
 // demandExceedsMachine reports whether the unplaced requests that could run in reachable zones exceed the
-// largest machine. Tasks that a deletion confirms terminated would only queue beside them.
+// largest machine. Tasks that a deletion confirms terminated would only wait together with them.
 func (t *Autoscaler) demandExceedsMachine(unreachable map[string]bool) bool {
 	most := 0.0
 	for _, x := range t.types {
--- a/internal/rental/retention_test.go
+++ b/internal/rental/retention_test.go
@@ -18,7 +18,7 @@
 // rented elsewhere and more work waits than one machine holds. A leader once deleted 408 machines of a zone
 // two seconds before its partition ended, while all other cloud capacity was rented and thousands of tasks
 // waited: the tasks that this confirmed terminated only joined the queue, and the zone's machines had to boot
-// anew.
+// again.
 func TestMachinesInUnreachableZoneAreRetained(t *testing.T) {
 	boot := 4 * loop.Second
 	for _, c := range []struct {
@@ -93,8 +93,8 @@
 	}
 }
 
-// Machines that were retained during a network partition have the time of two reports to show themselves once
-// it is over; those that do not report by then are deleted as any others.
+// Machines that were retained during a network partition have the time of two report intervals to report once the
+// partition has ended; those that do not report by then are deleted as any others.
 func TestZoneReachableAgain(t *testing.T) {
 	g := newRig(t, 6)
 	g.scaler.cfg.Operator.StandbyMeanS, g.scaler.cfg.Operator.OrdinaryStandbyMeanS = 1e11, 1e11
--- a/internal/starvation/budget.go
+++ b/internal/starvation/budget.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// MinWait is the time since its acceptance from which a job with waiting tasks is served ahead of the
+	// MinWait is the time since its acceptance from which a job with waiting tasks is served out of
 	// order.
 	MinWait = 75 * loop.Second
 	// Fraction is the fraction of the freed CPUs that is given out by this rule.
@@ -44,13 +44,13 @@
 	CPUs         float64     // of each task
 }
 
-// Pick is a job to serve ahead of the order, and the number of its tasks.
+// Pick is a job to serve out of order, and the number of its tasks.
 type Pick struct {
 	Index int // index in the list of waiters
 	Tasks int
 }
 
-// Budget keeps the number of CPUs that may be used for serving jobs ahead of the order, and what each class
+// Budget keeps the number of CPUs that may be used for serving jobs out of order, and what each class
 // received.
 type Budget struct {
 	credit      float64
@@ -74,10 +74,10 @@
 	r.credit = min(r.credit, float64(maxSavedTime)/1e6*rate*Fraction+1)
 }
 
-// Available reports whether the budget allows serving a job ahead of the order now.
+// Available reports whether the budget allows serving a job out of order now.
 func (r *Budget) Available() bool { return r.credit > 0 }
 
-// Spend records CPUs that were given to a class ahead of the order, or reserved for it.
+// Spend records CPUs that were given to a class out of order, or reserved for it.
 func (r *Budget) Spend(class string, cpus float64) {
 	r.credit -= cpus
 	r.turns[class] += cpus
@@ -121,7 +121,7 @@
 // maxLead returns how many CPUs a class's turn may be ahead because of the ordinary order.
 func (r *Budget) maxLead() float64 { return float64(maxLeadTime)/1e6*r.rate*Fraction + 1 }
 
-// Pick returns the jobs to serve ahead of the order now, in order. The last one may overdraw the budget, so
+// Pick returns the jobs to serve out of order now, sorted. The last one may overdraw the budget, so
 // that a task of any size gets its turn; the overdraft must be earned back before the next pick.
 func (r *Budget) Pick(now loop.Micros, all []Waiter) (picks []Pick) {
 	left := r.credit
--- a/internal/starvation/budget_test.go
+++ b/internal/starvation/budget_test.go
@@ -93,7 +93,7 @@
 
 // While other work takes all freed CPUs in the ordinary order, three kinds of waiting jobs must all start: a
 // stream of single-task jobs that keep arriving, most of them within four minutes, a job of 25,000 tasks and a
-// job whose tasks take a whole machine each, both within two minutes. The CPUs given out ahead of the order must
+// job whose tasks take a whole machine each, both within two minutes. The CPUs given to jobs out of order must
 // stay within the stated fraction.
 func TestEveryClassStarts(t *testing.T) {
 	const rate = 100.0 // CPUs freed per second, all of which other work takes in the ordinary order
@@ -128,7 +128,7 @@
 		}
 	}
 	if most := float64(now-start)/1e6*rate*Fraction + 65; given > most {
-		t.Errorf("%.0f CPUs are given out ahead of the order, want at most %.0f", given, most)
+		t.Errorf("%.0f CPUs are given to jobs out of order, want at most %.0f", given, most)
 	}
 	smallStarted := 0
 	for id, at := range started {
@@ -141,7 +141,7 @@
 	}
 }
 
-// A job that was accepted less than MinWait ago is not served ahead of the order.
+// A job that was accepted less than MinWait ago is not served out of order.
 func TestRecentJobsAreNotPicked(t *testing.T) {
 	f := New()
 	f.Accrue(1000*loop.Second, 100)
--- a/internal/starvation/turns_test.go
+++ b/internal/starvation/turns_test.go
@@ -29,9 +29,9 @@
 		first string
 	}{
 		{"nothing", func(*Budget) {}, "a"},
-		{"a was served ahead of the order", func(f *Budget) { f.Spend("a", 2) }, "b"},
+		{"a was served out of order", func(f *Budget) { f.Spend("a", 2) }, "b"},
 		{"a was served in the ordinary order", func(f *Budget) { f.RecordOrdinary("a", 2) }, "b"},
-		{"a was served ahead of the order, then refunded", func(f *Budget) { f.Spend("a", 2); f.Refund("a", 2) }, "a"},
+		{"a was served out of order, then refunded", func(f *Budget) { f.Spend("a", 2); f.Refund("a", 2) }, "a"},
 		{"no capacity could be reserved for a", func(f *Budget) { f.Defer("a") }, "b"},
 		{"no capacity for a, and then twice for b", func(f *Budget) { f.Defer("a"); f.Defer("b"); f.Defer("b") }, "a"},
 		{"a was served much in the ordinary order, b ahead of it by more than counts of that", func(f *Budget) { f.RecordOrdinary("a", 1e6); f.Spend("b", 20*100*Fraction+2) }, "a"},
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -135,7 +135,7 @@
 	return keys
 }
 
-// Apply applies a revision of a key learnt from any source; revisions not newer than the known one are ignored.
+// Apply applies a revision of a key, received from any source; revisions not newer than the known one are ignored.
 func (m *Mirror) Apply(key string, value wire.Raw, revision uint64, removed bool) {
 	old, known := m.entries[key]
 	if known && old.Revision >= revision {
@@ -183,7 +183,7 @@
 	})
 }
 
-// scan reads all keys once; done is told whether they were all applied. Only one scan is in flight at a time.
+// scan reads all keys once; done is called with whether they were all applied. Only one scan is in flight at a time.
 func (m *Mirror) scan(done func(ok bool)) {
 	if m.scanning {
 		m.client.runner.Post(func() { done(false) })
