--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -318,7 +318,8 @@
 	return newest.ID
 }
 
-// rememberPosition remembers a position. own says that it was assigned by this controller, which then sends it to the peers.
+// rememberPosition remembers a position. own says that it was assigned by this controller, which then
+// sends it to the peers.
 func (q *Queue) rememberPosition(p Position, own bool) {
 	if old, ok := q.positions[p.ID]; ok {
 		q.positions[p.ID] = min(old, p.FirstTry)
--- a/internal/agent/forget.go
+++ b/internal/agent/forget.go
@@ -10,12 +10,12 @@
 
 // The verdicts, as named in metrics.
 const (
-	forgetAllowed   forgetVerdict = "allowed"
-	forgetUnsettled forgetVerdict = "unsettled" // commands or answers under an older token may be in flight
-	forgetDirect    forgetVerdict = "direct"    // a direct command is in flight
-	forgetPending   forgetVerdict = "pending"   // this host may still pass a start of the attempt on
-	forgetAnswer    forgetVerdict = "answer"    // a start of the attempt is in an answer in flight
-	forgetUnexpired forgetVerdict = "unexpired" // another host may still pass a start of the attempt on
+	forgetAllowed     forgetVerdict = "allowed"
+	forgetUnconfirmed forgetVerdict = "unsettled" // commands or answers under an older token may be in flight
+	forgetDirect      forgetVerdict = "direct"    // a direct command is in flight
+	forgetPending     forgetVerdict = "pending"   // this host may still pass a start of the attempt on
+	forgetAnswer      forgetVerdict = "answer"    // a start of the attempt is in an answer in flight
+	forgetUnexpired   forgetVerdict = "unexpired" // another host may still pass a start of the attempt on
 )
 
 // judgeForget returns the verdict for the terminated attempt at a position of the task list.
@@ -24,7 +24,7 @@
 	attempt := delivery.Attempt{Task: t.Task, Number: t.Attempt}
 	switch {
 	case m.state != TokenShown:
-		return forgetUnsettled
+		return forgetUnconfirmed
 	case m.directInFlight:
 		return forgetDirect
 	case m.pending[attempt] != nil:
--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -112,46 +112,46 @@
 	return b
 }
 
-func (b *Registry) apply(key string, e store.Entry) {
+func (r *Registry) apply(key string, e store.Entry) {
 	if key != Key {
 		return
 	}
 	var rec record
-	b.revision, b.damaged = e.Revision, false
+	r.revision, r.damaged = e.Revision, false
 	if e.Revision != 0 {
 		if err := wire.Unmarshal(e.Value, &rec); err != nil || rec.Format != recordFormat {
 			// The cordons read last stay in force here; the next change replaces the record.
-			b.log.Error("corrupt cordon record ignored; the cordons read before stay in force", "key", key, "format", rec.Format, "err", err)
-			b.damaged = true
+			r.log.Error("corrupt cordon record ignored; the cordons read before stay in force", "key", key, "format", rec.Format, "err", err)
+			r.damaged = true
 			return
 		}
 	}
-	b.setCordons(rec.Cordons)
+	r.setCordons(rec.Cordons)
 }
 
 // setCordons is the only place where the cordons in force change.
-func (b *Registry) setCordons(all []Cordon) {
-	b.cordons = all
-	b.version++
-	version := b.version
-	if next := b.nextExpiry(); next != 0 {
-		b.runner.After(max(next+b.clockDifference-b.runner.Wall(), 0)+loop.Millisecond, func() {
-			if version == b.version {
-				b.setCordons(b.cordons)
+func (r *Registry) setCordons(all []Cordon) {
+	r.cordons = all
+	r.version++
+	version := r.version
+	if next := r.nextExpiry(); next != 0 {
+		r.runner.After(max(next+r.clockDifference-r.runner.Wall(), 0)+loop.Millisecond, func() {
+			if version == r.version {
+				r.setCordons(r.cordons)
 			}
 		})
 	}
 }
 
 // expired reports whether a cordon has expired by the clock of every controller.
-func (b *Registry) expired(c *Cordon) bool {
-	return c.Until != 0 && b.runner.Wall() >= c.Until+b.clockDifference
+func (r *Registry) expired(c *Cordon) bool {
+	return c.Until != 0 && r.runner.Wall() >= c.Until+r.clockDifference
 }
 
 // nextExpiry returns the earliest time at which a cordon in force expires, or 0 if none does.
-func (b *Registry) nextExpiry() (next int64) {
-	for i := range b.cordons {
-		if c := &b.cordons[i]; c.Until != 0 && !b.expired(c) && (next == 0 || c.Until < next) {
+func (r *Registry) nextExpiry() (next int64) {
+	for i := range r.cordons {
+		if c := &r.cordons[i]; c.Until != 0 && !r.expired(c) && (next == 0 || c.Until < next) {
 			next = c.Until
 		}
 	}
@@ -159,21 +159,21 @@
 }
 
 // Version returns a number that grows whenever the cordons in force may have changed.
-func (b *Registry) Version() uint64 { return b.version }
+func (r *Registry) Version() uint64 { return r.version }
 
 // Any reports whether any cordon may be in force.
-func (b *Registry) Any() bool { return len(b.cordons) > 0 }
+func (r *Registry) Any() bool { return len(r.cordons) > 0 }
 
 // Cond returns the condition that the stored cordons are still those known here.
-func (b *Registry) Cond() wire.Cond { return wire.Cond{Key: Key, Revision: b.revision} }
+func (r *Registry) Cond() wire.Cond { return wire.Cond{Key: Key, Revision: r.revision} }
 
 // Damaged reports whether the stored record is corrupt.
-func (b *Registry) Damaged() bool { return b.damaged }
+func (r *Registry) Damaged() bool { return r.damaged }
 
 // Blocked reports whether any cordon excludes the place from new starts.
-func (b *Registry) Blocked(p Place) bool {
-	for i := range b.cordons {
-		if c := &b.cordons[i]; c.Matches(p) && !b.expired(c) {
+func (r *Registry) Blocked(p Place) bool {
+	for i := range r.cordons {
+		if c := &r.cordons[i]; c.Matches(p) && !r.expired(c) {
 			return true
 		}
 	}
@@ -181,9 +181,9 @@
 }
 
 // Blocking returns the names of the cordons that exclude the place from new starts.
-func (b *Registry) Blocking(p Place) (names []string) {
-	for i := range b.cordons {
-		if c := &b.cordons[i]; c.Matches(p) && !b.expired(c) {
+func (r *Registry) Blocking(p Place) (names []string) {
+	for i := range r.cordons {
+		if c := &r.cordons[i]; c.Matches(p) && !r.expired(c) {
 			names = append(names, c.Name)
 		}
 	}
@@ -191,11 +191,11 @@
 }
 
 // All returns the cordons in force, ordered by name.
-func (b *Registry) All() []Cordon {
+func (r *Registry) All() []Cordon {
 	var out []Cordon
-	for i := range b.cordons {
-		if !b.expired(&b.cordons[i]) {
-			out = append(out, b.cordons[i])
+	for i := range r.cordons {
+		if !r.expired(&r.cordons[i]) {
+			out = append(out, r.cordons[i])
 		}
 	}
 	slices.SortFunc(out, func(x, y Cordon) int { return strings.Compare(x.Name, y.Name) })
@@ -203,9 +203,9 @@
 }
 
 // Put stores a cordon under its name and replaces an earlier one of that name.
-func (b *Registry) Put(c Cordon, done func(Outcome)) {
-	c.At = b.runner.Wall()
-	b.change(func(all []Cordon) ([]Cordon, Outcome) {
+func (r *Registry) Put(c Cordon, done func(Outcome)) {
+	c.At = r.runner.Wall()
+	r.change(func(all []Cordon) ([]Cordon, Outcome) {
 		if len(all) >= MaxCordons {
 			return nil, TooMany
 		}
@@ -214,10 +214,10 @@
 }
 
 // Remove removes a cordon.
-func (b *Registry) Remove(name string, done func(Outcome)) {
-	b.change(func(all []Cordon) ([]Cordon, Outcome) {
-		for i := range b.cordons {
-			if b.cordons[i].Name == name {
+func (r *Registry) Remove(name string, done func(Outcome)) {
+	r.change(func(all []Cordon) ([]Cordon, Outcome) {
+		for i := range r.cordons {
+			if r.cordons[i].Name == name {
 				return all, Stored
 			}
 		}
@@ -287,14 +287,14 @@
 
 // Refresh reads the record again, after a transaction has shown that the copy here is
 // outdated.
-func (b *Registry) Refresh() { b.refresh(func(bool, bool) {}) }
+func (r *Registry) Refresh() { r.refresh(func(bool, bool) {}) }
 
-func (b *Registry) refresh(done func(moved, ok bool)) {
-	b.client.Get(store.Answers, Key, func(it wire.KeyValue, found, ok bool) {
-		before := b.revision
+func (r *Registry) refresh(done func(moved, ok bool)) {
+	r.client.Get(store.Answers, Key, func(it wire.KeyValue, found, ok bool) {
+		before := r.revision
 		if ok && found {
-			b.mirror.Apply(it.Key, it.Value, it.Revision, false)
+			r.mirror.Apply(it.Key, it.Value, it.Revision, false)
 		}
-		done(b.revision != before, ok)
+		done(r.revision != before, ok)
 	})
 }
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -58,17 +58,17 @@
 			drop bool
 		}
 		expected := map[string]string{}
-		var unsettled []change
+		var unresolved []change
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			b := o.registries[rapid.IntRange(0, 2).Draw(t, "node")]
 			c := Cordon{Name: fmt.Sprint("c", rapid.IntRange(0, 4).Draw(t, "name")), Zone: "x", Reason: fmt.Sprint("r", rapid.IntRange(0, 99).Draw(t, "reason"))}
 			// Two concurrent changes of one name may be applied in either order, so they are made one after the other.
-			if slices.ContainsFunc(unsettled, func(x change) bool { return x.c.Name == c.Name }) {
+			if slices.ContainsFunc(unresolved, func(x change) bool { return x.c.Name == c.Name }) {
 				o.Advance(2 * loop.Second)
-				unsettled = nil
+				unresolved = nil
 			}
 			x := change{c, rapid.IntRange(0, 2).Draw(t, "drop") == 0}
-			unsettled = append(unsettled, x)
+			unresolved = append(unresolved, x)
 			record := func(out Outcome) {
 				switch {
 				case out == Stored && x.drop:
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -26,10 +26,10 @@
 type Dependencies struct {
 	Label string
 	Type  func(string) (wire.MachineType, bool)
-	// Room returns the capacity that a machine's view leaves free, Jobs the jobs of the tasks in it, by
+	// FreeCapacity returns the capacity that a machine's view leaves free, Jobs the jobs of the tasks in it, by
 	// index; both are false or nil for what is not known here yet.
-	Room func(*agent.View, wire.MachineType) (agent.Capacity, bool)
-	Jobs func(*agent.View) []*job.Job
+	FreeCapacity func(*agent.View, wire.MachineType) (agent.Capacity, bool)
+	Jobs         func(*agent.View) []*job.Job
 	// EachUnlisted calls f for every task that was chosen for the machine or started on it and that its view does
 	// not include yet.
 	EachUnlisted func(v *agent.View, f func(*job.Spec))
@@ -199,7 +199,7 @@
 	typ, ok := f.deps.Type(v.Type)
 	var free agent.Capacity
 	if ok {
-		free, ok = f.deps.Room(v, typ)
+		free, ok = f.deps.FreeCapacity(v, typ)
 	}
 	if !ok {
 		m.Known = false
--- a/internal/fleet/reserve_test.go
+++ b/internal/fleet/reserve_test.go
@@ -26,7 +26,7 @@
 		Type: func(string) (wire.MachineType, bool) {
 			return wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32}, true
 		},
-		Room: func(*agent.View, wire.MachineType) (agent.Capacity, bool) { return agent.Capacity{MemoryGB: 32}, true },
+		FreeCapacity: func(*agent.View, wire.MachineType) (agent.Capacity, bool) { return agent.Capacity{MemoryGB: 32}, true },
 		Jobs: func(v *agent.View) (of []*job.Job) {
 			for _, x := range v.Tasks {
 				id, _, _ := agent.SplitTask(x.Task)
--- a/internal/gate/machine.go
+++ b/internal/gate/machine.go
@@ -158,15 +158,15 @@
 }
 
 // missingResources returns which resources the capacity lacks for a task.
-func missingResources(room *agent.Capacity, s *job.Spec) (l Lack) {
-	if room.Fits(s) {
+func missingResources(free *agent.Capacity, s *job.Spec) (l Lack) {
+	if free.Fits(s) {
 		return 0
 	}
 	for _, x := range [...]struct {
 		l    Lack
 		task job.Spec
 	}{{LackCPUs, job.Spec{CPUs: s.CPUs}}, {LackGPUs, job.Spec{GPUs: s.GPUs}}, {LackMemory, job.Spec{MemoryGB: s.MemoryGB}}} {
-		r := agent.Capacity{CPUs: max(room.CPUs, 0), GPUs: max(room.GPUs, 0), MemoryGB: max(room.MemoryGB, 0)}
+		r := agent.Capacity{CPUs: max(free.CPUs, 0), GPUs: max(free.GPUs, 0), MemoryGB: max(free.MemoryGB, 0)}
 		if !r.Fits(&x.task) {
 			l |= x.l
 		}
--- a/internal/loss/detector_test.go
+++ b/internal/loss/detector_test.go
@@ -34,7 +34,7 @@
 	failedAt                  loop.Micros
 	why                       string
 	inPartition               bool        // its zone was disconnected when it was declared failed
-	unheardUntil              loop.Micros // until when its reports reach no controller
+	noReportsUntil            loop.Micros // until when its reports reach no controller
 }
 
 type answer struct {
@@ -112,7 +112,7 @@
 			if r.back != 0 && y.now >= r.back && r.failedAt == 0 {
 				r.condition, r.back, r.wellAt = well, 0, y.now
 			}
-			if r.condition == well && r.failedAt == 0 && y.now >= y.disconnectedUntil[r.zone] && y.now >= r.unheardUntil && (y.now/step+loop.Micros(i))%(y.rules.ReportInterval/step) == 0 {
+			if r.condition == well && r.failedAt == 0 && y.now >= y.disconnectedUntil[r.zone] && y.now >= r.noReportsUntil && (y.now/step+loop.Micros(i))%(y.rules.ReportInterval/step) == 0 {
 				r.lastConfirmed, r.lastReport = y.now, y.now
 			}
 			// The first report that gets no answer still shows its host controller's token. The
@@ -277,13 +277,13 @@
 	y.run(10 * loop.Second)
 	began := y.now
 	for _, r := range y.all[:20] {
-		r.unheardUntil = began + y.rules.maxStray() - 2*y.rules.ReportInterval - loop.Second
+		r.noReportsUntil = began + y.rules.maxStray() - 2*y.rules.ReportInterval - loop.Second
 	}
 	for _, r := range y.all[20:30] {
-		r.unheardUntil = began + 500*loop.Second
+		r.noReportsUntil = began + 500*loop.Second
 	}
 	for _, r := range y.all[30:35] { // their host controller still answers them; they hang for less than a lease
-		r.unheardUntil = began + 22*loop.Second
+		r.noReportsUntil = began + 22*loop.Second
 	}
 	begun, was := 0, Calm
 	for k := range 300 {
--- a/internal/member/layout.go
+++ b/internal/member/layout.go
@@ -52,8 +52,8 @@
 	return layoutGeneration
 }
 
-// learnLayout applies the stored layout. A corrupt record changes nothing.
-func (b *Member) learnLayout(key string, e store.Entry) {
+// applyLayout applies the stored layout. A corrupt record changes nothing.
+func (b *Member) applyLayout(key string, e store.Entry) {
 	if e.Revision == 0 || key != partition.LayoutKey || b.TeamsOnly {
 		return
 	}
@@ -177,9 +177,9 @@
 	})
 }
 
-func (b *Member) applyAssignments(changes []wire.Change, tally uint64) {
+func (b *Member) applyAssignments(changes []wire.Change, storeRevision uint64) {
 	for _, ch := range changes {
-		b.mirror.Apply(ch.Put, wire.Marshal(ch.Value), tally, false)
+		b.mirror.Apply(ch.Put, wire.Marshal(ch.Value), storeRevision, false)
 	}
 }
 
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -153,7 +153,7 @@
 		b.reviewAssignment(key)
 	})
 	b.mirror.OnChange(partition.ClaimPrefix, func(key string, _ store.Entry) { b.reviewClaim(key) })
-	b.mirror.OnChange(partition.LayoutKey, b.learnLayout)
+	b.mirror.OnChange(partition.LayoutKey, b.applyLayout)
 	b.mirror.OnChange(leaderKey, func(key string, _ store.Entry) { b.reviewClaim(key) })
 	b.mirror.OnReady(func() {
 		if old, ok := b.nodes[b.Label]; ok {
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -80,17 +80,17 @@
 		if t.job.Terms.Hold.State != job.HoldPending {
 			continue
 		}
-		settled := true
+		effective := true
 		t.each(func(i int, x *task) {
 			if !x.inUse() || x.runningSince != 0 {
 				return // it is already running and continues
 			}
-			settled = false
+			effective = false
 			if x.state == Placed {
 				p.stop(t, i, 0)
 			}
 		})
-		if settled {
+		if effective {
 			t.nextAmendAt = now + 2*loop.Second
 			p.registry.ConfirmHold(t.job.ID, t.job.Revision, func(job.Answer) {})
 		}
--- a/internal/placer/guarantee.go
+++ b/internal/placer/guarantee.go
@@ -101,6 +101,6 @@
 	reservations := p.fleet.Reserve(&need, tasks, reservationLife)
 	p.recordReservations(reservations)
 	p.deps.Meter.Reserved(len(reservations))
-	p.starvation.RecordOrdinary(t.reserveClass(), float64(len(reservations))*t.job.Spec.CPUs)
+	p.starvation.RecordOrdinary(t.budgetClass(), float64(len(reservations))*t.job.Spec.CPUs)
 	return len(reservations)
 }
--- a/internal/placer/guarantee_test.go
+++ b/internal/placer/guarantee_test.go
@@ -135,10 +135,10 @@
 	if n := tm.jobs[begun].inUse; n != 4 {
 		t.Fatalf("%d tasks are in use, want 4", n)
 	}
-	if got := tm.jobs[begun].reserveClass(); got != "red" {
+	if got := tm.jobs[begun].budgetClass(); got != "red" {
 		t.Errorf("a job that has begun is in class %q", got)
 	}
-	if got := tm.jobs[waiting].reserveClass(); got != "red\x00w" {
+	if got := tm.jobs[waiting].budgetClass(); got != "red\x00w" {
 		t.Errorf("a job that has not begun is in class %q", got)
 	}
 	restored := map[string]float64{}
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -119,13 +119,13 @@
 func (g *rig) plainCapacity(name string) agent.Capacity {
 	v := g.workers.View(name)
 	typ := types[v.Type]
-	room := agent.Capacity{CPUs: typ.CPUs, GPUs: typ.GPUs, MemoryGB: typ.MemoryGB}
+	free := agent.Capacity{CPUs: typ.CPUs, GPUs: typ.GPUs, MemoryGB: typ.MemoryGB}
 	shown := map[string]bool{}
 	for _, x := range v.Tasks {
 		id, _, _ := agent.SplitTask(x.Task)
 		shown[fmt.Sprint(x.Task, x.Attempt)] = true
 		if x.State != wire.TaskExited {
-			room.Subtract(g.registry.Get(id).Spec)
+			free.Subtract(g.registry.Get(id).Spec)
 		}
 	}
 	for _, tm := range g.scheduler.teams {
@@ -134,12 +134,12 @@
 				x := t.task(i)
 				if (x.state == Recording || x.state == Placed) && x.machine == name && x.session >= v.Session &&
 					!shown[fmt.Sprint(t.taskName(i), x.attempt)] {
-					room.Subtract(t.job.Spec)
+					free.Subtract(t.job.Spec)
 				}
 			}
 		}
 	}
-	return room
+	return free
 }
 
 // plainPass is a plain model of a placement pass: it places each task separately and looks at every machine for it.
--- a/internal/placer/scheduler.go
+++ b/internal/placer/scheduler.go
@@ -103,7 +103,7 @@
 		checkRequestedAt: map[string]loop.Micros{}, paces: health.Paces{}, starvation: starvation.New()}
 	p.clock = delivery.NewClockBounds(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifetimeS))
 	p.expiries = delivery.NewExpiries(p.clock)
-	p.fleet = fleet.New(r, log, fleet.Dependencies{Label: deps.Label, Type: deps.Type, Room: a.FreeCapacity, Jobs: a.Jobs, EachUnlisted: p.eachUnlisted, Stop: deps.Stop,
+	p.fleet = fleet.New(r, log, fleet.Dependencies{Label: deps.Label, Type: deps.Type, FreeCapacity: a.FreeCapacity, Jobs: a.Jobs, EachUnlisted: p.eachUnlisted, Stop: deps.Stop,
 		Cordons: cordons, StaleAfter: p.staleAfter()})
 	loop.Every(r, 400*loop.Millisecond, p.tick)
 	loop.Every(r, 60*loop.Second, func() {
--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -44,7 +44,7 @@
 		f := p.facts(t)
 		if n := min(f.AllowedTasks(gate.Probation), f.AllowedTasks(gate.Limit), t.waiting()); n > 0 {
 			tables = append(tables, t)
-			waiters = append(waiters, starvation.Waiter{ID: t.job.ID, Class: t.reserveClass(), AcceptedAt: t.acceptedAt, LastServedAt: t.servedEarlyAt, Tasks: n, CPUs: t.job.Spec.CPUs})
+			waiters = append(waiters, starvation.Waiter{ID: t.job.ID, Class: t.budgetClass(), AcceptedAt: t.acceptedAt, LastServedAt: t.servedEarlyAt, Tasks: n, CPUs: t.job.Spec.CPUs})
 		}
 	}
 	return tables, waiters
@@ -98,11 +98,10 @@
 // begun reports whether tasks of the job run, may run or are done.
 func (t *jobTable) begun() bool { return t.inUse+t.completed > 0 }
 
-// reserveClass returns the class by which the starvation budget shares out what is served out of order: each class of
-// a team for
-// its jobs that have not begun, and one for all jobs of the team that have. A job that has begun must not keep others
-// of its class from beginning for as long as it has tasks left.
-func (t *jobTable) reserveClass() string {
+// budgetClass returns the class by which the starvation budget shares out what is served out of order: each class of
+// a team for its jobs that have not begun, and one for all jobs of the team that have. A job that has begun must not
+// keep others of its class from beginning for as long as it has tasks left.
+func (t *jobTable) budgetClass() string {
 	if t.begun() {
 		return t.job.Spec.Team
 	}
@@ -114,7 +113,7 @@
 
 // placeInOrder places tasks in the order of service and records them in the starvation budget.
 func (p *Scheduler) placeInOrder(t *jobTable, n int, slots []*fleet.Machine, chosen *[]hostStart) int {
-	held, class := p.fleet.ReservationCount(t.job.ID), t.reserveClass()
+	held, class := p.fleet.ReservationCount(t.job.ID), t.budgetClass()
 	got := p.placeTasks(t, n, slots, chosen)
 	used := held - p.fleet.ReservationCount(t.job.ID)
 	t.useReserved(used)
@@ -159,7 +158,7 @@
 			first = t.job.Tasks
 		}
 		got[unbegunClass(t.job.Spec)] += float64(first) * t.job.Spec.CPUs
-		got[t.reserveClass()] += float64(t.inUse+t.completed) * t.job.Spec.CPUs
+		got[t.budgetClass()] += float64(t.inUse+t.completed) * t.job.Spec.CPUs
 	}
 	return got
 }
--- a/internal/placer/views_test.go
+++ b/internal/placer/views_test.go
@@ -12,11 +12,11 @@
 	"cleatpick/internal/wire"
 )
 
-// deliverViewOf delivers a view from one incarnation of the host controller. If settled, the machine shows the effect
+// deliverViewOf delivers a view from one incarnation of the host controller. If confirmed, the machine shows the effect
 // of all commands to it.
-func (g *rig) deliverViewOf(life loop.Micros, session uint64, settled bool, tasks ...agent.Task) {
+func (g *rig) deliverViewOf(incarnation loop.Micros, session uint64, confirmed bool, tasks ...agent.Task) {
 	g.seq++
-	g.workers.ApplyView(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Incarnation: life, Session: session, Seq: g.seq, TokenConfirmed: settled, MadeAfter: g.Now(), Tasks: tasks})
+	g.workers.ApplyView(&agent.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Incarnation: incarnation, Session: session, Seq: g.seq, TokenConfirmed: confirmed, MadeAfter: g.Now(), Tasks: tasks})
 }
 
 // A refusal confirms that a start will not run only if the incarnation that refuses is the only one that ever
--- a/internal/rental/retention.go
+++ b/internal/rental/retention.go
@@ -14,7 +14,7 @@
 // retention returns a function for how much longer than usual a machine of an unreachable zone is retained.
 // Deleting it confirms that its tasks are terminated, and has another machine rented, which must boot and
 // fetch images. While the work that waits already would use all capacity available elsewhere, the deletion
-// starts no task earlier before the network partition ends, and costs a boot afterwards. How long the partition lasts
+// starts no task before the network partition ends, and costs a boot afterwards. How long the partition lasts
 // is not known: waiting for as long as the deletion would cost loses at most twice what knowing it would
 // lose.
 func (t *Autoscaler) retention() func(*machine) loop.Micros {
