--- a/internal/agent/view.go
+++ b/internal/agent/view.go
@@ -219,25 +219,25 @@
 const tolerance = 1e-6
 
 // Fits reports whether a task of the job fits into the capacity.
-func (r *Capacity) Fits(s *job.Spec) bool {
-	return s.CPUs <= r.CPUs+tolerance && s.GPUs <= r.GPUs+tolerance && s.MemoryGB <= r.MemoryGB+tolerance
+func (c *Capacity) Fits(s *job.Spec) bool {
+	return s.CPUs <= c.CPUs+tolerance && s.GPUs <= c.GPUs+tolerance && s.MemoryGB <= c.MemoryGB+tolerance
 }
 
 // Subtract subtracts the capacity that a task of the job needs.
-func (r *Capacity) Subtract(s *job.Spec) {
-	r.CPUs -= s.CPUs
-	r.GPUs -= s.GPUs
-	r.MemoryGB -= s.MemoryGB
+func (c *Capacity) Subtract(s *job.Spec) {
+	c.CPUs -= s.CPUs
+	c.GPUs -= s.GPUs
+	c.MemoryGB -= s.MemoryGB
 }
 
 // Minus returns the capacity that remains when used is subtracted.
-func (r Capacity) Minus(used Capacity) Capacity {
-	return Capacity{r.CPUs - used.CPUs, r.GPUs - used.GPUs, r.MemoryGB - used.MemoryGB}
+func (c Capacity) Minus(used Capacity) Capacity {
+	return Capacity{c.CPUs - used.CPUs, c.GPUs - used.GPUs, c.MemoryGB - used.MemoryGB}
 }
 
 // Add adds the capacity that a task of the job needs.
-func (r *Capacity) Add(s *job.Spec) {
-	r.CPUs += s.CPUs
-	r.GPUs += s.GPUs
-	r.MemoryGB += s.MemoryGB
+func (c *Capacity) Add(s *job.Spec) {
+	c.CPUs += s.CPUs
+	c.GPUs += s.GPUs
+	c.MemoryGB += s.MemoryGB
 }
--- a/internal/explain/service.go
+++ b/internal/explain/service.go
@@ -95,52 +95,52 @@
 // recordWait records a wait that is over. Every controller records the waits of all owners, so
 // that one that takes a team over can estimate at once; only the owner counts the wait in
 // its metrics.
-func (d *Service) recordWait(id string, k gate.Kind, took loop.Micros, own bool) {
+func (s *Service) recordWait(id string, k gate.Kind, took loop.Micros, own bool) {
 	if own {
-		d.deps.Meter.WaitCause(k.String(), took)
+		s.deps.Meter.WaitCause(k.String(), took)
 	}
-	d.waits.Add(k, urgent(d.deps.Job(id)), took)
+	s.waits.Add(k, urgent(s.deps.Job(id)), took)
 }
 
 // explainOwned explains a job whose team this controller owns.
-func (d *Service) explainOwned(id string) whyReply {
-	began := d.runner.Now()
-	f, ok := d.deps.Facts(id)
+func (s *Service) explainOwned(id string) whyReply {
+	began := s.runner.Now()
+	f, ok := s.deps.Facts(id)
 	if !ok {
-		return whyReply{Timeline: d.Timelines.Get(id)}
+		return whyReply{Timeline: s.Timelines.Get(id)}
 	}
 	out := whyReply{Loaded: true, Waiting: f.JobFacts.Waiting, Running: f.Running, Done: f.Done, Reasons: Reasons(f), AheadComplete: f.AheadComplete}
 	for i := range out.Reasons {
 		r := &out.Reasons[i]
 		k := gate.KindByName(r.Kind)
-		since := d.Timelines.Since(id, k)
+		since := s.Timelines.Since(id, k)
 		if since != 0 {
 			t := Time(since)
 			r.Since = &t
 		}
 		if r.Estimate == nil && since != 0 {
-			r.Estimate = d.waits.Remaining(k, urgent(f.Job), f.Wall-since)
+			r.Estimate = s.waits.Remaining(k, urgent(f.Job), f.Wall-since)
 		}
 	}
-	out.Timeline = d.Timelines.Get(id)
-	d.deps.Meter.Explanation(d.runner.Now() - began)
+	out.Timeline = s.Timelines.Get(id)
+	s.deps.Meter.Explanation(s.runner.Now() - began)
 	return out
 }
 
 // Why explains a job. The callback gets 200 with the answer; 404 for an unknown job; 429
 // when too many explanations are in progress; 503 when the job's status cannot be read.
-func (d *Service) Why(id string, callback func(*Answer, int)) {
-	if d.openRequests >= MaxOpenRequests {
+func (s *Service) Why(id string, callback func(*Answer, int)) {
+	if s.openRequests >= MaxOpenRequests {
 		callback(nil, 429)
 		return
 	}
-	d.openRequests++
+	s.openRequests++
 	done := func(a *Answer, code int) {
-		d.openRequests--
+		s.openRequests--
 		callback(a, code)
 	}
-	d.deps.Poll(id, func(p job.Answer) {
-		j := d.deps.Job(id)
+	s.deps.Poll(id, func(p job.Answer) {
+		j := s.deps.Job(id)
 		if p.Code != 200 || j == nil {
 			code := p.Code
 			if code == 200 {
@@ -149,33 +149,33 @@
 			done(nil, code)
 			return
 		}
-		a := &Answer{Job: id, AsOf: Time(d.runner.Wall()), Tasks: j.Tasks, Reasons: []Reason{}, Complete: true, Timeline: []Interval{}}
+		a := &Answer{Job: id, AsOf: Time(s.runner.Wall()), Tasks: j.Tasks, Reasons: []Reason{}, Complete: true, Timeline: []Interval{}}
 		if j.Final() || j.Spec == nil {
 			a.Status = PhaseName(j.Phase)
-			a.setTimeline(d.Timelines.Get(id))
+			a.setTimeline(s.Timelines.Get(id))
 			if j.Phase == job.Done {
 				a.Done = j.Tasks
 			}
 			done(a, 200)
 			return
 		}
-		d.askOwner(a, j, func() { done(a, 200) })
+		s.askOwner(a, j, func() { done(a, 200) })
 	})
 }
 
 // askOwner adds what the job's owner knows to the answer.
-func (d *Service) askOwner(a *Answer, j *job.Job, done func()) {
-	a.Owner = d.deps.Owner(j.Spec.Team)
+func (s *Service) askOwner(a *Answer, j *job.Job, done func()) {
+	a.Owner = s.deps.Owner(j.Spec.Team)
 	// Without an answer from the owner, only the counts that it sent last are known.
 	fillFromCounts := func(k gate.Kind, state, release string) {
-		c := d.deps.Counts(j)
+		c := s.deps.Counts(j)
 		a.Done, a.Running = int(c.Done), int(c.Running)
 		a.Waiting = max(a.Tasks-a.Done-a.Running, 0)
 		a.Status = jobStatus(a)
-		a.setTimeline(d.Timelines.Get(j.ID))
+		a.setTimeline(s.Timelines.Get(j.ID))
 		if k != 0 {
 			r := Reason{Kind: k.String(), Tasks: a.Waiting, State: state, Release: release, BlockedBy: []string{}}
-			if since := d.Timelines.Since(j.ID, k); since != 0 {
+			if since := s.Timelines.Since(j.ID, k); since != 0 {
 				t := Time(since)
 				r.Since = &t
 			}
@@ -189,7 +189,7 @@
 		done()
 		return
 	}
-	d.deps.Ask(a.Owner, topicWhy, whyRequest{j.ID}, ownerTimeout, func(body wire.Raw, ok bool) {
+	s.deps.Ask(a.Owner, topicWhy, whyRequest{j.ID}, ownerTimeout, func(body wire.Raw, ok bool) {
 		var w whyReply
 		if !ok || wire.Unmarshal(body, &w) != nil {
 			fillFromCounts(0, "", "")
@@ -213,12 +213,12 @@
 		if w.Reasons != nil {
 			a.Reasons = w.Reasons
 		}
-		d.askLeader(a, j, done)
+		s.askLeader(a, j, done)
 	})
 }
 
 // askLeader adds what is being rented to the reasons that are a lack of free capacity.
-func (d *Service) askLeader(a *Answer, j *job.Job, done func()) {
+func (s *Service) askLeader(a *Answer, j *job.Job, done func()) {
 	var short []*Reason
 	for i := range a.Reasons {
 		if k := gate.KindByName(a.Reasons[i].Kind); k == gate.Capacity || k == gate.Gang {
@@ -229,7 +229,7 @@
 		done()
 		return
 	}
-	leader := d.deps.Leader()
+	leader := s.deps.Leader()
 	fill := func(s Supply) {
 		s.Leader = leader
 		for _, r := range short {
@@ -247,7 +247,7 @@
 		fill(Supply{State: "noLeader"})
 		return
 	}
-	d.deps.Ask(leader, topicSupply, j.Spec, leaderTimeout, func(body wire.Raw, ok bool) {
+	s.deps.Ask(leader, topicSupply, j.Spec, leaderTimeout, func(body wire.Raw, ok bool) {
 		var s Supply
 		if !ok || wire.Unmarshal(body, &s) != nil {
 			a.Complete = false
--- a/internal/fleet/turnover.go
+++ b/internal/fleet/turnover.go
@@ -12,12 +12,12 @@
 }
 
 // AddFreed counts CPUs that a completed task freed.
-func (o *Turnover) AddFreed(cpus float64) { o.freed += cpus }
+func (t *Turnover) AddFreed(cpus float64) { t.freed += cpus }
 
 // Tick updates the rate; it is to be called a few times per second.
-func (o *Turnover) Tick(now loop.Micros) {
-	if dt := float64(now-o.at) / 1e6; o.at != 0 && dt > 0 {
-		o.Rate += (o.freed/dt - o.Rate) * min(dt/5, 1)
+func (t *Turnover) Tick(now loop.Micros) {
+	if dt := float64(now-t.at) / 1e6; t.at != 0 && dt > 0 {
+		t.Rate += (t.freed/dt - t.Rate) * min(dt/5, 1)
 	}
-	o.freed, o.at = 0, now
+	t.freed, t.at = 0, now
 }
--- a/internal/gate/machine.go
+++ b/internal/gate/machine.go
@@ -81,47 +81,47 @@
 
 // Blocking returns the conditions that keep every task off the machine. after is the time since which a report
 // must have arrived.
-func (p *MachineFacts) Blocking(after, now loop.Micros) Lack { return p.blocking(after, now, true) }
+func (m *MachineFacts) Blocking(after, now loop.Micros) Lack { return m.blocking(after, now, true) }
 
 // blocking computes Blocking; with all false it may stop at the first conditions found, as AcceptsStarts
 // needs only to know if there are any.
-func (p *MachineFacts) blocking(after, now loop.Micros, all bool) (l Lack) {
+func (m *MachineFacts) blocking(after, now loop.Micros, all bool) (l Lack) {
 	add := func(x Lack, is bool) {
 		if is {
 			l |= x
 		}
 	}
-	add(LackKnown, !p.Known)
-	add(LackRecentReport, p.LastReport < after || !p.View.TokenConfirmed)
-	add(LackBackOffOver, now < p.BackOffUntil)
+	add(LackKnown, !m.Known)
+	add(LackRecentReport, m.LastReport < after || !m.View.TokenConfirmed)
+	add(LackBackOffOver, now < m.BackOffUntil)
 	if l != 0 && !all {
 		return l
 	}
-	add(LackNotice, p.View.NoticeAt != 0)
-	add(LackDraining, p.View.ClosedToStarts)
-	add(LackCordon, p.Cordoned)
+	add(LackNotice, m.View.NoticeAt != 0)
+	add(LackDraining, m.View.ClosedToStarts)
+	add(LackCordon, m.Cordoned)
 	return l
 }
 
 // AcceptsStarts reports whether tasks may be placed on the machine now, if they fit.
-func (p *MachineFacts) AcceptsStarts(after, now loop.Micros) bool {
-	return p.blocking(after, now, false) == 0
+func (m *MachineFacts) AcceptsStarts(after, now loop.Micros) bool {
+	return m.blocking(after, now, false) == 0
 }
 
 // Allowed reports whether the job's rules on types and zones let a task of it run on this machine. All of its
 // tasks that may be on machines count.
-func (p *MachineFacts) Allowed(n *Need) bool { return p.unmetRules(n) == 0 }
+func (m *MachineFacts) Allowed(n *Need) bool { return m.unmetRules(n) == 0 }
 
 // unmetRules returns the rules of the job that the machine does not meet.
-func (p *MachineFacts) unmetRules(n *Need) (l Lack) {
+func (m *MachineFacts) unmetRules(n *Need) (l Lack) {
 	s := n.Spec
-	if !s.AllowsPlace(p.View.Type, p.View.Zone, p.View.Spot) {
+	if !s.AllowsPlace(m.View.Type, m.View.Zone, m.View.Spot) {
 		l |= LackPlace
 	}
-	if n.boundElsewhere(p.View.Zone) {
+	if n.boundElsewhere(m.View.Zone) {
 		l |= LackOneZone
 	}
-	if n.allowedBySpread(p.View.Zone, 1) == 0 {
+	if n.allowedBySpread(m.View.Zone, 1) == 0 {
 		l |= LackSpread
 	}
 	return l
@@ -178,23 +178,23 @@
 }
 
 // Fits reports whether a machine that accepts starts may take a task of the job now.
-func (p *MachineFacts) Fits(n *Need) bool {
-	if !p.Free.Fits(n.Spec) || !p.Allowed(n) {
+func (m *MachineFacts) Fits(n *Need) bool {
+	if !m.Free.Fits(n.Spec) || !m.Allowed(n) {
 		return false
 	}
-	if len(p.Reservations) == 0 {
+	if len(m.Reservations) == 0 {
 		return true
 	}
-	room := p.Unreserved(n)
+	room := m.Unreserved(n)
 	return room.Fits(n.Spec)
 }
 
 // Unreserved returns the machine's free capacity less what is reserved for other jobs at the job's priority or
 // higher.
-func (p *MachineFacts) Unreserved(n *Need) agent.Capacity {
-	r := p.Free
-	for i := range p.Reservations {
-		if c := &p.Reservations[i]; c.Job != n.ID && c.Priority >= int(n.Spec.Priority) {
+func (m *MachineFacts) Unreserved(n *Need) agent.Capacity {
+	r := m.Free
+	for i := range m.Reservations {
+		if c := &m.Reservations[i]; c.Job != n.ID && c.Priority >= int(n.Spec.Priority) {
 			r = r.Minus(c.Capacity)
 		}
 	}
@@ -202,12 +202,12 @@
 }
 
 // Lacks returns every condition that keeps a task of the job off the machine; 0 if it may take one.
-func (p *MachineFacts) Lacks(n *Need, after, now loop.Micros) Lack {
-	l := p.Blocking(after, now) | p.unmetRules(n)
-	if x := missingResources(&p.Free, n.Spec); x != 0 {
+func (m *MachineFacts) Lacks(n *Need, after, now loop.Micros) Lack {
+	l := m.Blocking(after, now) | m.unmetRules(n)
+	if x := missingResources(&m.Free, n.Spec); x != 0 {
 		return l | x
 	}
-	if room := p.Unreserved(n); !room.Fits(n.Spec) {
+	if room := m.Unreserved(n); !room.Fits(n.Spec) {
 		l |= LackUnreserved
 	}
 	return l
--- a/internal/health/attribution.go
+++ b/internal/health/attribution.go
@@ -87,7 +87,7 @@
 }
 
 // Observe records the changes in a machine's newest view.
-func (b *Attribution) Observe(now loop.Micros, v *agent.View, c *agent.Changes) {
+func (a *Attribution) Observe(now loop.Micros, v *agent.View, c *agent.Changes) {
 	if c.Unchanged {
 		return
 	}
@@ -96,10 +96,10 @@
 		if c.Kept(i) || t.Active() || (t.Why != wire.WhyDone && t.Why != wire.WhyError) {
 			continue // counted before, or not an end that says anything about its run
 		}
-		m := b.machines[v.Name]
+		m := a.machines[v.Name]
 		if m == nil {
 			m = &machineEvidence{counted: map[string]uint64{}, byJob: map[string]evidence{}}
-			b.machines[v.Name] = m
+			a.machines[v.Name] = m
 		}
 		if m.counted[t.Task] >= t.Attempt {
 			continue
@@ -109,9 +109,9 @@
 		}
 		m.counted[t.Task] = t.Attempt
 		if id, _, ok := agent.SplitTask(t.Task); ok && t.Why == wire.WhyDone {
-			b.completed(v.Name, id, t.Task)
+			a.completed(v.Name, id, t.Task)
 		} else if ok {
-			b.failed(now, v.Name, id, t.Task)
+			a.failed(now, v.Name, id, t.Task)
 		}
 	}
 }
@@ -127,38 +127,38 @@
 	m.counted = kept
 }
 
-func (b *Attribution) job(id string) *jobEvidence {
-	j := b.jobs[id]
+func (a *Attribution) job(id string) *jobEvidence {
+	j := a.jobs[id]
 	if j == nil {
 		j = &jobEvidence{failedOn: map[string]struct{}{}, failedTasks: map[string]string{}}
-		b.jobs[id] = j
+		a.jobs[id] = j
 	}
 	return j
 }
 
 // completed records that a task has completed: neither its machine nor its job fails every
 // task. If it failed on another machine before, that stays as evidence against that machine.
-func (b *Attribution) completed(machine, id, task string) {
-	if m := b.machines[machine]; m != nil {
+func (a *Attribution) completed(machine, id, task string) {
+	if m := a.machines[machine]; m != nil {
 		if len(m.byJob) > 0 {
-			b.version++
+			a.version++
 			clear(m.byJob)
 		}
 		m.backOffs = 0
 	}
-	if !b.unfinished(id) {
+	if !a.unfinished(id) {
 		return
 	}
-	j := b.job(id)
+	j := a.job(id)
 	if !j.sound || len(j.failedOn) > 0 {
-		b.version++
+		a.version++
 		j.sound = true
 		clear(j.failedOn)
 	}
 	if was, ok := j.failedTasks[task]; ok && was != machine {
-		if m := b.machines[was]; m != nil && m.byJob[id] != nil {
+		if m := a.machines[was]; m != nil && m.byJob[id] != nil {
 			if _, stands := m.byJob[id][task]; stands {
-				b.version++
+				a.version++
 				m.byJob[id][task] = true
 			}
 		}
@@ -172,22 +172,22 @@
 // failed records that a task has failed. A machine at fault is in back-off after it, even if this
 // task is no evidence against the machine: otherwise a task that has failed elsewhere, too,
 // would be started on the faulty machine again and again (166 times in one case).
-func (b *Attribution) failed(now loop.Micros, machine, id, task string) {
-	if !b.unfinished(id) {
+func (a *Attribution) failed(now loop.Micros, machine, id, task string) {
+	if !a.unfinished(id) {
 		return
 	}
-	m := b.machines[machine]
-	b.addEvidence(m, machine, id, task)
-	if now >= m.backOffUntil && b.AtFault(machine) {
+	m := a.machines[machine]
+	a.addEvidence(m, machine, id, task)
+	if now >= m.backOffUntil && a.AtFault(machine) {
 		m.backOffUntil = now + min(120*loop.Second, 15*loop.Second<<min(m.backOffs, 3))
 		m.backOffs++
 	}
 }
 
 // addEvidence records a failure as evidence against its machine if it is any.
-func (b *Attribution) addEvidence(m *machineEvidence, machine, id, task string) {
-	b.version++
-	j := b.job(id)
+func (a *Attribution) addEvidence(m *machineEvidence, machine, id, task string) {
+	a.version++
+	j := a.job(id)
 	if len(j.failedOn) < maxFailures {
 		j.failedOn[machine] = struct{}{}
 	}
@@ -195,7 +195,7 @@
 	if before && was != machine {
 		// The task fails on every machine and is evidence against none of them.
 		j.failedTasks[task], j.failsAnywhere = severalMachines, true
-		b.removeEvidence(was, id, task)
+		a.removeEvidence(was, id, task)
 		return
 	}
 	if len(j.failedTasks) < maxFailures {
@@ -210,8 +210,8 @@
 }
 
 // removeEvidence removes a task's failure from the evidence against a machine.
-func (b *Attribution) removeEvidence(machine, id, task string) {
-	m := b.machines[machine]
+func (a *Attribution) removeEvidence(machine, id, task string) {
+	m := a.machines[machine]
 	if m == nil {
 		return
 	}
@@ -222,21 +222,21 @@
 }
 
 // AtFault reports whether a machine fails tasks that other machines would not.
-func (b *Attribution) AtFault(machine string) bool {
-	m := b.machines[machine]
+func (a *Attribution) AtFault(machine string) bool {
+	m := a.machines[machine]
 	if m == nil {
 		return false
 	}
-	if m.weightVersion != b.version {
-		m.weight, m.weightVersion = b.weigh(machine, m), b.version
+	if m.weightVersion != a.version {
+		m.weight, m.weightVersion = a.weigh(machine, m), a.version
 	}
 	return m.weight >= faultThreshold
 }
 
 // weigh returns the weight of the evidence against a machine.
-func (b *Attribution) weigh(machine string, m *machineEvidence) (weight int) {
+func (a *Attribution) weigh(machine string, m *machineEvidence) (weight int) {
 	for id, w := range m.byJob {
-		j := b.jobs[id]
+		j := a.jobs[id]
 		if j == nil {
 			weight += freshWeight
 			continue
@@ -260,14 +260,14 @@
 
 // FailedOnHealthy returns the number of machines, not at fault themselves, on which the job has
 // failed since a task of it last completed.
-func (b *Attribution) FailedOnHealthy(id string) int {
-	j := b.jobs[id]
+func (a *Attribution) FailedOnHealthy(id string) int {
+	j := a.jobs[id]
 	if j == nil {
 		return 0
 	}
 	n := 0
 	for machine := range j.failedOn {
-		if !b.AtFault(machine) {
+		if !a.AtFault(machine) {
 			n++
 		}
 	}
@@ -276,40 +276,40 @@
 
 // AvoidedMachines returns the machines on which the job has failed since a task of it last completed;
 // its next task should run elsewhere. The caller must not change the map.
-func (b *Attribution) AvoidedMachines(id string) map[string]struct{} {
-	if j := b.jobs[id]; j != nil {
+func (a *Attribution) AvoidedMachines(id string) map[string]struct{} {
+	if j := a.jobs[id]; j != nil {
 		return j.failedOn
 	}
 	return nil
 }
 
 // MachineDeleted removes a deleted machine.
-func (b *Attribution) MachineDeleted(machine string) {
-	b.version++
-	delete(b.machines, machine)
-	for _, j := range b.jobs {
+func (a *Attribution) MachineDeleted(machine string) {
+	a.version++
+	delete(a.machines, machine)
+	for _, j := range a.jobs {
 		delete(j.failedOn, machine)
 	}
 }
 
 // JobFinished removes a finished job.
-func (b *Attribution) JobFinished(id string) {
-	j := b.jobs[id]
+func (a *Attribution) JobFinished(id string) {
+	j := a.jobs[id]
 	if j == nil {
 		return
 	}
 	for machine := range j.failedOn {
-		if m := b.machines[machine]; m != nil {
+		if m := a.machines[machine]; m != nil {
 			delete(m.byJob, id)
 		}
 	}
-	delete(b.jobs, id)
-	b.version++
+	delete(a.jobs, id)
+	a.version++
 }
 
 // BackOffUntil returns the time from which tasks may be placed on the machine again.
-func (b *Attribution) BackOffUntil(machine string) loop.Micros {
-	if m := b.machines[machine]; m != nil {
+func (a *Attribution) BackOffUntil(machine string) loop.Micros {
+	if m := a.machines[machine]; m != nil {
 		return m.backOffUntil
 	}
 	return 0
@@ -317,9 +317,9 @@
 
 // ShouldReplace reports whether a machine should be replaced: it is at fault, by at least three
 // tasks of at least two jobs.
-func (b *Attribution) ShouldReplace(machine string) bool {
-	m := b.machines[machine]
-	if m == nil || len(m.byJob) < 2 || !b.AtFault(machine) {
+func (a *Attribution) ShouldReplace(machine string) bool {
+	m := a.machines[machine]
+	if m == nil || len(m.byJob) < 2 || !a.AtFault(machine) {
 		return false
 	}
 	tasks := 0
--- a/internal/loss/correlated.go
+++ b/internal/loss/correlated.go
@@ -33,12 +33,12 @@
 // minCorrelated their least number.
 const correlatedShare = 0.02
 
-func (j *Detector) setCorrelated(s CorrelationState, now loop.Micros) {
-	o := &j.correlated
+func (d *Detector) setCorrelated(s CorrelationState, now loop.Micros) {
+	o := &d.correlated
 	if o.state == s {
 		return
 	}
-	j.log.Info("correlated machine failure changed state; no capacity is rented for suspected machines while it is falling", "from", o.state.String(), "to", s.String(), "most", o.mostSuspected, "hung", o.hung, "out_of_way", o.unreachable, "dead", o.dead, "lost", o.declaredFailed, "back", o.returned, "longest_us", o.longestSilence, "since_us", now-o.began)
+	d.log.Info("correlated machine failure changed state; no capacity is rented for suspected machines while it is falling", "from", o.state.String(), "to", s.String(), "most", o.mostSuspected, "hung", o.hung, "out_of_way", o.unreachable, "dead", o.dead, "lost", o.declaredFailed, "back", o.returned, "longest_us", o.longestSilence, "since_us", now-o.began)
 	o.state = s
 }
 
@@ -63,31 +63,31 @@
 }
 
 // trackCorrelated starts and ends the tracking of a correlated failure.
-func (j *Detector) trackCorrelated(now loop.Micros, fleet int) {
+func (d *Detector) trackCorrelated(now loop.Micros, fleet int) {
 	n := 0
-	for _, m := range j.machines {
+	for _, m := range d.machines {
 		if m.suspected() {
 			n++
 		}
 	}
 	many := max(minCorrelated, int(correlatedShare*float64(fleet)))
-	o := &j.correlated
+	o := &d.correlated
 	switch {
 	case o.state == Calm && n >= many:
 		*o = correlatedFailure{began: now, mostSuspected: n}
-		j.setCorrelated(Unresolved, now)
+		d.setCorrelated(Unresolved, now)
 	case o.state == Unresolved && n > 0:
 		o.mostSuspected = max(o.mostSuspected, n)
 		if n < minCorrelated && o.mostSuspected >= 4*minCorrelated {
-			j.setCorrelated(Resolved, now) // a few machines still suspected do not prolong it
+			d.setCorrelated(Resolved, now) // a few machines still suspected do not prolong it
 		}
 	case o.state == Unresolved:
-		j.setCorrelated(Resolved, now)
+		d.setCorrelated(Resolved, now)
 	case o.state == Resolved && n < many:
-		j.meter.CorrelatedFailure(o.mostSuspected, o.declaredFailed)
-		j.setCorrelated(Calm, now)
+		d.meter.CorrelatedFailure(o.mostSuspected, o.declaredFailed)
+		d.setCorrelated(Calm, now)
 	}
-	j.meter.Suspected(n)
+	d.meter.Suspected(n)
 }
 
 func (m *machine) suspected() bool {
@@ -96,12 +96,12 @@
 
 // EachSuspected calls f, during a correlated failure, for each suspected machine that may come
 // back with its tasks and its capacity, for no longer than the machine's lease.
-func (j *Detector) EachSuspected(now loop.Micros, f func(name string)) {
-	if j.correlated.state != Unresolved {
+func (d *Detector) EachSuspected(now loop.Micros, f func(name string)) {
+	if d.correlated.state != Unresolved {
 		return
 	}
-	for name, m := range loop.Sorted(j.machines) {
-		if m.suspected() && m.state != Dead && now-m.lastAlive() <= j.rules.Lease {
+	for name, m := range loop.Sorted(d.machines) {
+		if m.suspected() && m.state != Dead && now-m.lastAlive() <= d.rules.Lease {
 			f(name)
 		}
 	}
--- a/internal/loss/detector.go
+++ b/internal/loss/detector.go
@@ -150,58 +150,58 @@
 }
 
 // setState is the only place where a machine's state changes.
-func (j *Detector) setState(m *machine, s State, why string) {
+func (d *Detector) setState(m *machine, s State, why string) {
 	if m.state == s {
 		return
 	}
-	j.log.Debug("state of a silent machine changed", "machine", m.Name, "zone", m.Zone, "from", m.state.String(), "to", s.String(), "why", why)
+	d.log.Debug("state of a silent machine changed", "machine", m.Name, "zone", m.Zone, "from", m.state.String(), "to", s.String(), "why", why)
 	m.state = s
 }
 
 // Forget removes a deleted machine.
-func (j *Detector) Forget(name string) { delete(j.machines, name) }
+func (d *Detector) Forget(name string) { delete(d.machines, name) }
 
 // Clear resets the detector, as when this controller becomes the leader.
-func (j *Detector) Clear() {
-	clear(j.machines)
-	clear(j.zones)
-	j.correlated = correlatedFailure{}
+func (d *Detector) Clear() {
+	clear(d.machines)
+	clear(d.zones)
+	d.correlated = correlatedFailure{}
 }
 
 // Evaluate evaluates all machines that each yields and returns those that are declared failed.
-func (j *Detector) Evaluate(s ClusterFacts, each func(func(*Facts))) []Verdict {
-	for _, z := range j.zones {
+func (d *Detector) Evaluate(s ClusterFacts, each func(func(*Facts))) []Verdict {
+	for _, z := range d.zones {
 		z.reporting, z.noConnection, z.neighbours = 0, 0, z.neighbours[:0]
 	}
 	fleet := 0
 	var silent []*machine
 	each(func(f *Facts) {
 		fleet++
-		z := j.zones[f.Zone]
+		z := d.zones[f.Zone]
 		if z == nil {
 			z = &zone{}
-			j.zones[f.Zone] = z
+			d.zones[f.Zone] = z
 		}
-		m := j.machines[f.Name]
-		if s.Now-f.LastConfirmed <= j.rules.lateAfter() && !f.Failed {
+		m := d.machines[f.Name]
+		if s.Now-f.LastConfirmed <= d.rules.lateAfter() && !f.Failed {
 			z.reporting++
 			if len(z.neighbours) < maxNeighbours {
 				z.neighbours = append(z.neighbours, f.Addr)
 			}
 			if m != nil {
-				j.setState(m, Reporting, "its reports arrive again")
-				j.correlated.addReturned()
-				delete(j.machines, f.Name)
+				d.setState(m, Reporting, "its reports arrive again")
+				d.correlated.addReturned()
+				delete(d.machines, f.Name)
 			}
 			return
 		}
 		if m == nil {
 			m = &machine{state: Reporting}
-			j.machines[f.Name] = m
+			d.machines[f.Name] = m
 		}
 		m.Facts = *f
 		if m.state == Reporting {
-			j.setState(m, Late, "no report")
+			d.setState(m, Late, "no report")
 		}
 		if m.result == NoConnection && z.reachableSince != 0 && m.probedAt >= z.reachableSince && !m.probing {
 			z.noConnection++
@@ -210,7 +210,7 @@
 			silent = append(silent, m)
 		}
 	})
-	for name, z := range j.zones {
+	for name, z := range d.zones {
 		z.peerUnreachable = s.PeerUnreachable != nil && s.PeerUnreachable(name)
 	}
 	// The machines that have been silent longest come first, since they were probed first;
@@ -220,19 +220,19 @@
 	})
 	var out []Verdict
 	for _, m := range silent {
-		if why := j.evaluate(s, m); why != "" {
-			j.setState(m, DeclaredFailed, why)
-			j.correlated.addFailed(m, s.Now, why)
+		if why := d.evaluate(s, m); why != "" {
+			d.setState(m, DeclaredFailed, why)
+			d.correlated.addFailed(m, s.Now, why)
 			out = append(out, Verdict{m.Name, why})
 		}
 	}
-	j.sendProbes(s, silent)
-	j.trackCorrelated(s.Now, fleet)
+	d.sendProbes(s, silent)
+	d.trackCorrelated(s.Now, fleet)
 	return out
 }
 
 // evaluate returns the reason why a machine is declared failed, or "" if it is not.
-func (j *Detector) evaluate(s ClusterFacts, m *machine) string {
+func (d *Detector) evaluate(s ClusterFacts, m *machine) string {
 	if m.Failed {
 		return "failed" // the cloud's statement suffices, whether or not it is silent
 	}
@@ -241,46 +241,46 @@
 	}
 	silence := s.Now - m.lastAlive()
 	// A last probe after the lease finds a machine that resumed just before its lease ended.
-	last := m.Addr == "" || (!m.probing && m.probedAt >= m.lastAlive()+j.rules.Lease)
-	if j.rules.MaxSilence > 0 && silence > j.rules.MaxSilence {
+	last := m.Addr == "" || (!m.probing && m.probedAt >= m.lastAlive()+d.rules.Lease)
+	if d.rules.MaxSilence > 0 && silence > d.rules.MaxSilence {
 		return "silent"
 	}
-	if m.LastReport > m.LastConfirmed && s.Now-m.LastReport <= max(j.rules.lateAfter(), maxReportGap) {
+	if m.LastReport > m.LastConfirmed && s.Now-m.LastReport <= max(d.rules.lateAfter(), maxReportGap) {
 		// Its worker's lease expires, which ends its tasks, time and again. If answers reach
 		// it again before the limit it is available as before. A probe would show nothing new.
-		j.setState(m, Unresponsive, "it reports, but no answer or command reaches it")
-		if s.Now-m.LastConfirmed > j.rules.maxStray()+m.RetainFor {
+		d.setState(m, Unresponsive, "it reports, but no answer or command reaches it")
+		if s.Now-m.LastConfirmed > d.rules.maxStray()+m.RetainFor {
 			return "hears nobody"
 		}
 		return ""
 	}
 	if m.state == Unresponsive {
-		j.setState(m, Late, "no report")
+		d.setState(m, Late, "no report")
 	}
-	z := j.zones[m.Zone]
-	over := j.rules.leaseEnd()
+	z := d.zones[m.Zone]
+	over := d.rules.leaseEnd()
 	switch m.result {
 	case Answered:
-		if s.Now-m.LastConfirmed > j.rules.maxStray()+m.RetainFor {
+		if s.Now-m.LastConfirmed > d.rules.maxStray()+m.RetainFor {
 			return "its reports reach nobody"
 		}
 		return ""
 	case NoAnswer:
 		// It is not powered off. If it resumes within its lease, its tasks have lost nothing.
-		j.setState(m, Hung, "it accepts or refuses connections without an answer")
+		d.setState(m, Hung, "it accepts or refuses connections without an answer")
 		if silence > over && last {
 			return "hung beyond its lease"
 		}
 		return ""
 	case NoConnection:
-		if j.dead(s.Now, m, z) {
-			j.setState(m, Dead, "connections fail while its neighbours answer")
+		if d.dead(s.Now, m, z) {
+			d.setState(m, Dead, "connections fail while its neighbours answer")
 			return "dead"
 		}
-		j.setState(m, Unreachable, "connections fail")
+		d.setState(m, Unreachable, "connections fail")
 	}
 	if z.reporting == 0 || z.peerUnreachable || m.result == NoConnection {
-		over += j.rules.UnreachableGrace
+		over += d.rules.UnreachableGrace
 	}
 	over += m.RetainFor
 	if silence > over && last {
@@ -308,7 +308,7 @@
 // must be reachable, as shown by the reports of other machines there and by a neighbour that
 // has just answered a probe, and the machine must have been probed since the zone became
 // reachable: a connection that failed during a network partition is no evidence after it.
-func (j *Detector) dead(now loop.Micros, m *machine, z *zone) bool {
+func (d *Detector) dead(now loop.Micros, m *machine, z *zone) bool {
 	if z.reporting == 0 || z.peerUnreachable || z.reachableSince == 0 || now-z.neighbourProbedAt > neighbourEvidenceFor || m.probedAt < z.reachableSince || m.probing || now-m.LastConfirmed < maxReportGap || m.LastReport > m.LastConfirmed {
 		return false
 	}
@@ -317,7 +317,7 @@
 
 // sendProbes sends probes: to silent machines, with a bound on those in flight, and to a neighbour
 // wherever a connection failed.
-func (j *Detector) sendProbes(s ClusterFacts, silent []*machine) {
+func (d *Detector) sendProbes(s ClusterFacts, silent []*machine) {
 	if s.Isolated {
 		return
 	}
@@ -326,45 +326,45 @@
 			continue
 		}
 		if m.result == NoConnection {
-			j.probeNeighbour(s.Now, m.Zone)
+			d.probeNeighbour(s.Now, m.Zone)
 		}
-		if m.result == NoAnswer && m.repeats >= 2 && (s.Now-m.lastAlive() <= j.rules.Lease || m.probedAt > m.lastAlive()+j.rules.Lease) && s.Now-m.probedAt < 5*loop.Second {
+		if m.result == NoAnswer && m.repeats >= 2 && (s.Now-m.lastAlive() <= d.rules.Lease || m.probedAt > m.lastAlive()+d.rules.Lease) && s.Now-m.probedAt < 5*loop.Second {
 			continue // it hangs, and reports on its own once it resumes
 		}
-		if m.result == Answered && s.Now-m.probedAt < j.rules.ReportInterval {
+		if m.result == Answered && s.Now-m.probedAt < d.rules.ReportInterval {
 			continue // it is probed as often as it would report
 		}
-		if j.inFlight >= j.rules.MaxProbes {
+		if d.inFlight >= d.rules.MaxProbes {
 			return
 		}
-		j.inFlight++
+		d.inFlight++
 		m.probing, m.prevProbedAt, m.probedAt = true, m.probedAt, s.Now
-		j.probe(m.Addr, func(w ProbeResult) {
-			j.inFlight--
+		d.probe(m.Addr, func(w ProbeResult) {
+			d.inFlight--
 			m.probing = false
-			j.recordResult(m, w)
+			d.recordResult(m, w)
 		})
 	}
 }
 
 // recordResult records the result of a probe.
-func (j *Detector) recordResult(m *machine, w ProbeResult) {
-	if z := j.zones[m.Zone]; m.result == w && !(w == NoConnection && z != nil && m.prevProbedAt < z.reachableSince) {
+func (d *Detector) recordResult(m *machine, w ProbeResult) {
+	if z := d.zones[m.Zone]; m.result == w && !(w == NoConnection && z != nil && m.prevProbedAt < z.reachableSince) {
 		m.repeats++
 	} else {
 		m.result, m.repeats = w, 1
 	}
-	j.meter.Probe(w.String())
+	d.meter.Probe(w.String())
 	if w == Answered {
 		m.answeredAt = m.probedAt
-		j.setState(m, Alive, "it answers probes")
+		d.setState(m, Alive, "it answers probes")
 	}
 }
 
 // probeNeighbour probes one of a zone's machines whose reports arrive, to learn whether the zone is
 // reachable from this controller.
-func (j *Detector) probeNeighbour(now loop.Micros, name string) {
-	z := j.zones[name]
+func (d *Detector) probeNeighbour(now loop.Micros, name string) {
+	z := d.zones[name]
 	if z.probing || len(z.neighbours) == 0 || now-z.neighbourProbedAt < probeInterval {
 		return
 	}
@@ -373,7 +373,7 @@
 	}
 	z.probing = true
 	addr := z.neighbours[int(now/probeInterval)%len(z.neighbours)]
-	j.probe(addr, func(w ProbeResult) {
+	d.probe(addr, func(w ProbeResult) {
 		z.probing = false
 		z.neighbourProbedAt = now
 		switch {
--- a/internal/member/layout.go
+++ b/internal/member/layout.go
@@ -34,63 +34,63 @@
 )
 
 // Layout returns the layout in force as far as this controller knows.
-func (b *Member) Layout() partition.Layout { return b.layout }
+func (m *Member) Layout() partition.Layout { return m.layout }
 
-func (b *Member) setLayout(s layoutState, l partition.Layout) {
-	if s == b.layoutState && l == b.layout {
+func (m *Member) setLayout(s layoutState, l partition.Layout) {
+	if s == m.layoutState && l == m.layout {
 		return
 	}
-	b.log.Info("partition layout changed", "from", b.layoutState.String(), "to", s.String(), "partitions", l.Count)
-	b.layoutState, b.layout = s, l
+	m.log.Info("partition layout changed", "from", m.layoutState.String(), "to", s.String(), "partitions", l.Count)
+	m.layoutState, m.layout = s, l
 }
 
 // generation is the generation of layouts that this controller registers.
-func (b *Member) generation() int {
-	if b.TeamsOnly {
+func (m *Member) generation() int {
+	if m.TeamsOnly {
 		return 0
 	}
 	return layoutGeneration
 }
 
 // applyLayout applies the stored layout. A corrupt record changes nothing.
-func (b *Member) applyLayout(key string, e store.Entry) {
-	if e.Revision == 0 || key != partition.LayoutKey || b.TeamsOnly {
+func (m *Member) applyLayout(key string, e store.Entry) {
+	if e.Revision == 0 || key != partition.LayoutKey || m.TeamsOnly {
 		return
 	}
 	var l partition.Layout
 	if err := wire.Unmarshal(e.Value, &l); err != nil || !l.Numbered() {
-		b.log.Error("corrupt partition layout record ignored; the layout known so far stays in force", "key", key, "err", err)
+		m.log.Error("corrupt partition layout record ignored; the layout known so far stays in force", "key", key, "err", err)
 		return
 	}
-	b.setLayout(layoutNumbered, l)
+	m.setLayout(layoutNumbered, l)
 }
 
 // decideLayout stores the numbered layout once there are enough teams for it and every
 // controller supports it. Until then single teams are claimed, as older versions do.
-func (b *Member) decideLayout(now loop.Micros) {
-	if b.layoutState == layoutNumbered || b.storingLayout {
+func (m *Member) decideLayout(now loop.Micros) {
+	if m.layoutState == layoutNumbered || m.storingLayout {
 		return
 	}
-	if b.TeamsOnly || !partition.Needed(len(b.Teams), b.Controllers) {
-		b.setLayout(layoutByTeam, partition.Layout{})
+	if m.TeamsOnly || !partition.Needed(len(m.Teams), m.Controllers) {
+		m.setLayout(layoutByTeam, partition.Layout{})
 		return
 	}
-	if b.olderVersionRegistered() {
-		b.olderSeen = now
-		b.setLayout(layoutByTeam, partition.Layout{})
+	if m.olderVersionRegistered() {
+		m.olderSeen = now
+		m.setLayout(layoutByTeam, partition.Layout{})
 		return
 	}
 	wait := layoutWait
-	if b.olderSeen != 0 || b.teamClaimed() {
+	if m.olderSeen != 0 || m.teamClaimed() {
 		wait = upgradeWait
 	}
-	if len(b.nodes) >= b.Controllers || now-max(b.olderSeen, b.leaseSince) >= wait {
-		b.storeLayout()
+	if len(m.nodes) >= m.Controllers || now-max(m.olderSeen, m.leaseSince) >= wait {
+		m.storeLayout()
 	}
 }
 
-func (b *Member) olderVersionRegistered() bool {
-	for _, rec := range b.nodes {
+func (m *Member) olderVersionRegistered() bool {
+	for _, rec := range m.nodes {
 		if rec.Layouts < layoutGeneration {
 			return true
 		}
@@ -99,33 +99,33 @@
 }
 
 // teamClaimed reports whether any controller holds the claim of a single team.
-func (b *Member) teamClaimed() bool {
-	return slices.ContainsFunc(b.Teams, func(team string) bool {
-		rec, _, ok := b.claimRecord(teamKeys + team)
+func (m *Member) teamClaimed() bool {
+	return slices.ContainsFunc(m.Teams, func(team string) bool {
+		rec, _, ok := m.claimRecord(teamKeys + team)
 		return ok && rec.Partition == ""
 	})
 }
 
 // storeLayout stores the layout unless one is stored already. The first one stored is final.
-func (b *Member) storeLayout() {
-	b.storingLayout = true
-	l := partition.Layout{Count: partition.CountFor(b.Controllers)}
-	b.client.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: partition.LayoutKey, Revision: 0}},
+func (m *Member) storeLayout() {
+	m.storingLayout = true
+	l := partition.Layout{Count: partition.CountFor(m.Controllers)}
+	m.client.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: partition.LayoutKey, Revision: 0}},
 		Then: []wire.Change{{Put: partition.LayoutKey, Value: l}}}, func(r store.Result) {
-		retry := func() { b.storingLayout = false }
+		retry := func() { m.storingLayout = false }
 		if r.Outcome == store.Applied {
-			b.mirror.Apply(partition.LayoutKey, wire.Marshal(l), r.Revision, false)
+			m.mirror.Apply(partition.LayoutKey, wire.Marshal(l), r.Revision, false)
 			retry()
 			return
 		}
-		b.runner.After(claimRetry, retry) // a layout stored by another controller arrives through the mirror
+		m.runner.After(claimRetry, retry) // a layout stored by another controller arrives through the mirror
 	})
 }
 
 // Assigned reports whether a team permanently belongs to its numbered partition. Until then
 // a controller of an older version may claim it.
-func (b *Member) Assigned(team string) bool {
-	rec, _, ok := b.claimRecord(teamKeys + team)
+func (m *Member) Assigned(team string) bool {
+	rec, _, ok := m.claimRecord(teamKeys + team)
 	return ok && rec.Partition != ""
 }
 
@@ -135,15 +135,15 @@
 
 // Assign assigns teams that no controller claims to a partition that this controller owns. done is
 // called with whether that was stored.
-func (b *Member) Assign(id partition.ID, claim Owner, teams []string, done func(ok bool)) {
+func (m *Member) Assign(id partition.ID, claim Owner, teams []string, done func(ok bool)) {
 	txn := wire.Txn{If: []wire.Cond{ClaimCond(id, claim)}}
 	for _, team := range teams {
 		txn.If = append(txn.If, wire.Cond{Key: teamKeys + team, Revision: 0})
-		txn.Then = append(txn.Then, assignment(b.layout, team))
+		txn.Then = append(txn.Then, assignment(m.layout, team))
 	}
-	b.client.Txn(store.Answers, txn, func(r store.Result) {
+	m.client.Txn(store.Answers, txn, func(r store.Result) {
 		if r.Outcome == store.Applied {
-			b.applyAssignments(txn.Then, r.Revision)
+			m.applyAssignments(txn.Then, r.Revision)
 		}
 		done(r.Outcome == store.Applied)
 	})
@@ -151,50 +151,50 @@
 
 // convertTeams replaces this controller's claims of single teams by assignments once the
 // layout is numbered. Transactions conditioned on such a claim fail from then on.
-func (b *Member) convertTeams() {
-	if !b.layout.Numbered() || b.converting {
+func (m *Member) convertTeams() {
+	if !m.layout.Numbered() || m.converting {
 		return
 	}
 	var txn wire.Txn
-	for _, team := range b.Teams {
-		o, ok := b.owned[teamKeys+team]
-		if !ok || len(txn.Then) >= b.client.MaxChanges() {
+	for _, team := range m.Teams {
+		o, ok := m.owned[teamKeys+team]
+		if !ok || len(txn.Then) >= m.client.MaxChanges() {
 			continue
 		}
 		txn.If = append(txn.If, wire.Cond{Key: teamKeys + team, Revision: o.Revision})
-		txn.Then = append(txn.Then, assignment(b.layout, team))
+		txn.Then = append(txn.Then, assignment(m.layout, team))
 	}
 	if len(txn.Then) == 0 {
 		return
 	}
-	b.converting = true
-	b.client.Txn(store.Leases, txn, func(r store.Result) {
-		b.converting = false
+	m.converting = true
+	m.client.Txn(store.Leases, txn, func(r store.Result) {
+		m.converting = false
 		if r.Outcome == store.Applied {
-			b.applyAssignments(txn.Then, r.Revision)
-			b.convertTeams()
+			m.applyAssignments(txn.Then, r.Revision)
+			m.convertTeams()
 		}
 	})
 }
 
-func (b *Member) applyAssignments(changes []wire.Change, storeRevision uint64) {
+func (m *Member) applyAssignments(changes []wire.Change, storeRevision uint64) {
 	for _, ch := range changes {
-		b.mirror.Apply(ch.Put, wire.Marshal(ch.Value), storeRevision, false)
+		m.mirror.Apply(ch.Put, wire.Marshal(ch.Value), storeRevision, false)
 	}
 }
 
 // reviewAssignment calls OnAssigned for a team that has been assigned to its partition, and
 // OnReleased for one that no controller claims any more.
-func (b *Member) reviewAssignment(key string) {
-	if !b.layout.Numbered() {
+func (m *Member) reviewAssignment(key string) {
+	if !m.layout.Numbered() {
 		return
 	}
 	team := key[len(teamKeys):]
-	rec, _, held := b.claimRecord(key)
+	rec, _, held := m.claimRecord(key)
 	switch {
-	case !held && b.OnReleased != nil:
-		b.OnReleased(team)
-	case rec.Partition != "" && b.OnAssigned != nil:
-		b.OnAssigned(team)
+	case !held && m.OnReleased != nil:
+		m.OnReleased(team)
+	case rec.Partition != "" && m.OnAssigned != nil:
+		m.OnAssigned(team)
 	}
 }
--- a/internal/member/lease.go
+++ b/internal/member/lease.go
@@ -15,47 +15,47 @@
 )
 
 // epochRetry returns the delay before this controller tries again to get an epoch.
-func (b *Member) epochRetry() loop.Micros {
-	spread := minEpochRetry * loop.Micros(b.Controllers/controllersPerSpread)
+func (m *Member) epochRetry() loop.Micros {
+	spread := minEpochRetry * loop.Micros(m.Controllers/controllersPerSpread)
 	if spread == 0 {
 		return minEpochRetry
 	}
-	return minEpochRetry + b.rand.Int64N(spread)
+	return minEpochRetry + m.rand.Int64N(spread)
 }
 
-func (b *Member) join() {
-	if b.state != Joining {
+func (m *Member) join() {
+	if m.state != Joining {
 		return
 	}
-	sent := b.runner.Now()
-	b.client.OpenLease(b.LeaseTTL, func(id uint64) {
+	sent := m.runner.Now()
+	m.client.OpenLease(m.LeaseTTL, func(id uint64) {
 		if id == 0 {
-			b.runner.After(400*loop.Millisecond, b.join)
+			m.runner.After(400*loop.Millisecond, m.join)
 			return
 		}
-		b.lease, b.leaseUntil, b.leaseSince = id, sent+b.LeaseTTL, b.runner.Now()
-		b.setState(AwaitingEpoch)
-		b.joinWithEpoch(id)
-		b.runner.After(b.LeaseTTL/4, func() { b.renew(id) })
+		m.lease, m.leaseUntil, m.leaseSince = id, sent+m.LeaseTTL, m.runner.Now()
+		m.setState(AwaitingEpoch)
+		m.joinWithEpoch(id)
+		m.runner.After(m.LeaseTTL/4, func() { m.renew(id) })
 	})
 }
 
 // joinWithEpoch takes the next epoch and registers the controller under it.
-func (b *Member) joinWithEpoch(lease uint64) {
-	retry := func() { b.runner.After(b.epochRetry(), func() { b.joinWithEpoch(lease) }) }
-	if b.lease != lease {
+func (m *Member) joinWithEpoch(lease uint64) {
+	retry := func() { m.runner.After(m.epochRetry(), func() { m.joinWithEpoch(lease) }) }
+	if m.lease != lease {
 		return
 	}
-	b.takeEpoch(func(epoch uint64) {
-		if b.lease != lease {
+	m.takeEpoch(func(epoch uint64) {
+		if m.lease != lease {
 			return
 		}
 		if epoch == 0 {
 			retry()
 			return
 		}
-		b.incarnation = epoch
-		b.register(lease, false)
+		m.incarnation = epoch
+		m.register(lease, false)
 	})
 }
 
@@ -63,47 +63,47 @@
 // again when the stored record is not this incarnation's: a registration sent by an earlier
 // incarnation may be applied late, replace this one and vanish with the earlier lease, which
 // would leave a running controller unregistered.
-func (b *Member) register(lease uint64, alone bool) {
-	if b.lease != lease || b.registering {
+func (m *Member) register(lease uint64, alone bool) {
+	if m.lease != lease || m.registering {
 		return
 	}
-	b.registering = true
-	rec := nodeRecord{Epoch: b.incarnation, Lease: lease, Isolated: alone, Layouts: b.generation()}
-	b.client.Txn(store.Leases, wire.Txn{Then: []wire.Change{{Put: nodeKeys + b.Label, Value: rec, Lease: lease}}}, func(r store.Result) {
-		b.registering = false
+	m.registering = true
+	rec := nodeRecord{Epoch: m.incarnation, Lease: lease, Isolated: alone, Layouts: m.generation()}
+	m.client.Txn(store.Leases, wire.Txn{Then: []wire.Change{{Put: nodeKeys + m.Label, Value: rec, Lease: lease}}}, func(r store.Result) {
+		m.registering = false
 		switch {
-		case b.lease != lease:
+		case m.lease != lease:
 		case r.Outcome == store.NoLease:
-			b.leaseLost()
+			m.leaseLost()
 		case r.Outcome == store.Applied:
-			b.registeredIsolated = alone
-			b.mirror.Apply(nodeKeys+b.Label, wire.Marshal(rec), r.Revision, false)
-			if b.state == AwaitingEpoch {
-				b.setState(Active)
-				b.tick()
+			m.registeredIsolated = alone
+			m.mirror.Apply(nodeKeys+m.Label, wire.Marshal(rec), r.Revision, false)
+			if m.state == AwaitingEpoch {
+				m.setState(Active)
+				m.tick()
 			}
-		case b.state == AwaitingEpoch:
-			b.runner.After(300*loop.Millisecond, func() { b.register(lease, alone) })
+		case m.state == AwaitingEpoch:
+			m.runner.After(300*loop.Millisecond, func() { m.register(lease, alone) })
 		}
 	})
 }
 
 // takeEpoch increments the shared epoch counter. The callback gets the new epoch, or 0 if
 // none was obtained.
-func (b *Member) takeEpoch(callback func(uint64)) {
-	b.client.Get(store.Leases, epochKey, func(it wire.KeyValue, found, ok bool) {
+func (m *Member) takeEpoch(callback func(uint64)) {
+	m.client.Get(store.Leases, epochKey, func(it wire.KeyValue, found, ok bool) {
 		if !ok {
 			callback(0)
 			return
 		}
 		var rec epochRecord
 		if found && wire.Unmarshal(it.Value, &rec) != nil {
-			b.log.Error("corrupt epoch record; this controller cannot get an epoch", "key", epochKey)
+			m.log.Error("corrupt epoch record; this controller cannot get an epoch", "key", epochKey)
 			callback(0)
 			return
 		}
 		next := rec.Epoch + 1
-		b.client.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: epochKey, Revision: it.Revision}},
+		m.client.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: epochKey, Revision: it.Revision}},
 			Then: []wire.Change{{Put: epochKey, Value: epochRecord{next}}}}, func(r store.Result) {
 			if r.Outcome != store.Applied {
 				// Without an answer the epoch may have been taken or not. It is never
@@ -111,7 +111,7 @@
 				callback(0)
 				return
 			}
-			b.epoch = max(b.epoch, next)
+			m.epoch = max(m.epoch, next)
 			callback(next)
 		})
 	})
@@ -119,33 +119,33 @@
 
 // RaiseEpoch takes a newer epoch, so that a machine that has seen a higher token accepts
 // this controller's commands again. done runs whether or not it succeeds.
-func (b *Member) RaiseEpoch(done func()) {
-	b.epochWaiters = append(b.epochWaiters, done)
-	if len(b.epochWaiters) > 1 {
+func (m *Member) RaiseEpoch(done func()) {
+	m.epochWaiters = append(m.epochWaiters, done)
+	if len(m.epochWaiters) > 1 {
 		return
 	}
-	b.takeEpoch(func(uint64) {
-		all := b.epochWaiters
-		b.epochWaiters = nil
+	m.takeEpoch(func(uint64) {
+		all := m.epochWaiters
+		m.epochWaiters = nil
 		for _, f := range all {
 			f()
 		}
 	})
 }
 
-func (b *Member) renew(id uint64) {
-	if b.lease != id {
+func (m *Member) renew(id uint64) {
+	if m.lease != id {
 		return
 	}
-	sent := b.runner.Now()
-	next := func() { b.runner.After(b.LeaseTTL/4, func() { b.renew(id) }) }
-	b.client.RenewLease(id, func(alive, ok bool) {
+	sent := m.runner.Now()
+	next := func() { m.runner.After(m.LeaseTTL/4, func() { m.renew(id) }) }
+	m.client.RenewLease(id, func(alive, ok bool) {
 		switch {
-		case b.lease != id:
+		case m.lease != id:
 		case ok && !alive:
-			b.leaseLost()
+			m.leaseLost()
 		case ok:
-			b.leaseUntil = sent + b.LeaseTTL
+			m.leaseUntil = sent + m.LeaseTTL
 			next()
 		default:
 			next()
@@ -154,16 +154,16 @@
 }
 
 // leaseLost drops all claims, because the lease has ended and the claims with it, and joins again.
-func (b *Member) leaseLost() {
-	b.log.Info("controller lease ended; all claims are lost and the controller joins again", "lease", b.lease)
-	if b.runner.Now()-b.leaseSince >= stableAfter {
-		b.leaseLosses = 0
+func (m *Member) leaseLost() {
+	m.log.Info("controller lease ended; all claims are lost and the controller joins again", "lease", m.lease)
+	if m.runner.Now()-m.leaseSince >= stableAfter {
+		m.leaseLosses = 0
 	}
-	b.leaseLosses++
-	b.lease, b.leaseUntil, b.registeredIsolated = 0, 0, false
-	for key := range loop.Sorted(b.owned) {
-		b.drop(key)
+	m.leaseLosses++
+	m.lease, m.leaseUntil, m.registeredIsolated = 0, 0, false
+	for key := range loop.Sorted(m.owned) {
+		m.drop(key)
 	}
-	b.setState(Joining)
-	b.join()
+	m.setState(Joining)
+	m.join()
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -137,64 +137,64 @@
 }
 
 // Start registers for changes of the mirror and joins the cluster once the mirror is loaded.
-func (b *Member) Start() {
-	b.mirror.OnChange(nodeKeys, func(key string, e store.Entry) {
+func (m *Member) Start() {
+	m.mirror.OnChange(nodeKeys, func(key string, e store.Entry) {
 		var rec nodeRecord
 		name := strings.TrimPrefix(key, nodeKeys)
 		if e.Revision == 0 || wire.Unmarshal(e.Value, &rec) != nil {
-			delete(b.nodes, name)
+			delete(m.nodes, name)
 			return
 		}
-		b.nodes[name] = rec
+		m.nodes[name] = rec
 	})
-	b.mirror.OnChange(teamKeys, func(key string, _ store.Entry) {
-		b.RecordTeams([]string{strings.TrimPrefix(key, teamKeys)})
-		b.reviewClaim(key)
-		b.reviewAssignment(key)
+	m.mirror.OnChange(teamKeys, func(key string, _ store.Entry) {
+		m.RecordTeams([]string{strings.TrimPrefix(key, teamKeys)})
+		m.reviewClaim(key)
+		m.reviewAssignment(key)
 	})
-	b.mirror.OnChange(partition.ClaimPrefix, func(key string, _ store.Entry) { b.reviewClaim(key) })
-	b.mirror.OnChange(partition.LayoutKey, b.applyLayout)
-	b.mirror.OnChange(leaderKey, func(key string, _ store.Entry) { b.reviewClaim(key) })
-	b.mirror.OnReady(func() {
-		if old, ok := b.nodes[b.Label]; ok {
+	m.mirror.OnChange(partition.ClaimPrefix, func(key string, _ store.Entry) { m.reviewClaim(key) })
+	m.mirror.OnChange(partition.LayoutKey, m.applyLayout)
+	m.mirror.OnChange(leaderKey, func(key string, _ store.Entry) { m.reviewClaim(key) })
+	m.mirror.OnReady(func() {
+		if old, ok := m.nodes[m.Label]; ok {
 			// An earlier incarnation of this controller crashed. Its lease only delays
 			// others that would take over what it owned.
-			b.client.EndLease(old.Lease)
+			m.client.EndLease(old.Lease)
 		}
-		b.setState(Joining)
-		b.join()
+		m.setState(Joining)
+		m.join()
 	})
-	loop.Every(b.runner, 300*loop.Millisecond, b.tick)
+	loop.Every(m.runner, 300*loop.Millisecond, m.tick)
 }
 
-func (b *Member) setState(s State) {
-	if s != b.state {
-		b.log.Info("membership state changed", "from", b.state.String(), "to", s.String(), "epoch", b.epoch)
+func (m *Member) setState(s State) {
+	if s != m.state {
+		m.log.Info("membership state changed", "from", m.state.String(), "to", s.String(), "epoch", m.epoch)
 	}
-	b.state = s
+	m.state = s
 }
 
 // LeaseValid reports whether this controller's lease is certainly valid.
-func (b *Member) LeaseValid() bool { return b.state == Active && b.runner.Now() < b.leaseUntil }
+func (m *Member) LeaseValid() bool { return m.state == Active && m.runner.Now() < m.leaseUntil }
 
 // Lease returns the lease that this controller holds as far as it knows, or 0.
-func (b *Member) Lease() uint64 { return b.lease }
+func (m *Member) Lease() uint64 { return m.lease }
 
 // Epoch returns the newest epoch, for tokens, or 0 while there is none.
-func (b *Member) Epoch() uint64 {
-	if b.incarnation == 0 {
+func (m *Member) Epoch() uint64 {
+	if m.incarnation == 0 {
 		return 0
 	}
-	return b.epoch
+	return m.epoch
 }
 
 // Active reports whether the controller has joined.
-func (b *Member) Active() bool { return b.state == Active }
+func (m *Member) Active() bool { return m.state == Active }
 
 // Registered reports whether a controller holds its lease as far as this one knows.
-func (b *Member) Registered(node string) bool { _, ok := b.nodes[node]; return ok }
+func (m *Member) Registered(node string) bool { _, ok := m.nodes[node]; return ok }
 
 // RegisteredCount returns the number of registered controllers.
-func (b *Member) RegisteredCount() int { return len(b.nodes) }
+func (m *Member) RegisteredCount() int { return len(m.nodes) }
 
-func (b *Member) String() string { return fmt.Sprintf("%s/%s/%d", b.Label, b.state, b.incarnation) }
+func (m *Member) String() string { return fmt.Sprintf("%s/%s/%d", m.Label, m.state, m.incarnation) }
--- a/internal/member/rebalance.go
+++ b/internal/member/rebalance.go
@@ -7,9 +7,9 @@
 )
 
 // anyFit reports whether another controller that may be given work is registered.
-func (b *Member) anyFit() bool {
-	for node := range b.nodes {
-		if node != b.Label && b.Fit != nil && b.Fit(node) {
+func (m *Member) anyFit() bool {
+	for node := range m.nodes {
+		if node != m.Label && m.Fit != nil && m.Fit(node) {
 			return true
 		}
 	}
@@ -27,11 +27,11 @@
 
 // claimDamping returns how much later than others this controller claims free keys because of
 // lost leases.
-func (b *Member) claimDamping(now loop.Micros) loop.Micros {
-	if b.leaseLosses < 2 || now-b.leaseSince >= stableAfter {
+func (m *Member) claimDamping(now loop.Micros) loop.Micros {
+	if m.leaseLosses < 2 || now-m.leaseSince >= stableAfter {
 		return 0
 	}
-	return min(claimBackoff<<min(b.leaseLosses-2, 10), maxClaimBackoff)
+	return min(claimBackoff<<min(m.leaseLosses-2, 10), maxClaimBackoff)
 }
 
 // rebalanceAfter is how long an uneven distribution of partitions must last before one is moved.
@@ -40,64 +40,64 @@
 // rebalance releases a partition if another fit controller owns at least two keys fewer, as
 // after that one has restarted. Each controller has a limited share of a core and of the state
 // service's request rate, so the partitions should be spread evenly.
-func (b *Member) rebalance(now loop.Micros) {
+func (m *Member) rebalance(now loop.Micros) {
 	counts := map[string]int{}
-	for _, key := range b.claimKeys() {
-		if o, ok := b.claimOwner(key); ok {
+	for _, key := range m.claimKeys() {
+		if o, ok := m.claimOwner(key); ok {
 			counts[o.Node]++
 		} else {
-			b.unevenSince = 0 // a free key may even out the distribution when it is claimed
+			m.unevenSince = 0 // a free key may even out the distribution when it is claimed
 			return
 		}
 	}
-	mine, poorer := len(b.owned), false
-	for node := range b.nodes {
-		if counts[node] > mine || (counts[node] == mine && node < b.Label) {
-			b.unevenSince = 0 // a controller that owns more releases first
+	mine, poorer := len(m.owned), false
+	for node := range m.nodes {
+		if counts[node] > mine || (counts[node] == mine && node < m.Label) {
+			m.unevenSince = 0 // a controller that owns more releases first
 			return
 		}
-		poorer = poorer || (counts[node]+2 <= mine && b.Fit != nil && b.Fit(node))
+		poorer = poorer || (counts[node]+2 <= mine && m.Fit != nil && m.Fit(node))
 	}
 	switch {
 	case !poorer:
-		b.unevenSince = 0
-	case b.unevenSince == 0:
-		b.unevenSince = now
-	case now-b.unevenSince >= rebalanceAfter:
-		b.unevenSince = 0
+		m.unevenSince = 0
+	case m.unevenSince == 0:
+		m.unevenSince = now
+	case now-m.unevenSince >= rebalanceAfter:
+		m.unevenSince = 0
 		best, least := "", 0
-		for _, id := range b.layout.All(b.Teams) {
+		for _, id := range m.layout.All(m.Teams) {
 			key := id.ClaimKey()
-			if _, ok := b.owned[key]; !ok {
+			if _, ok := m.owned[key]; !ok {
 				continue
 			}
 			w := 0
-			if b.Weight != nil {
-				w = b.Weight(id)
+			if m.Weight != nil {
+				w = m.Weight(id)
 			}
 			if best == "" || w < least {
 				best, least = key, w
 			}
 		}
 		if best != "" {
-			b.release(best, "another controller owns fewer partitions")
+			m.release(best, "another controller owns fewer partitions")
 		}
 	}
 }
 
 // handOver releases all claims, so that other controllers may take them.
-func (b *Member) handOver(why string) {
-	for key := range loop.Sorted(b.owned) {
-		b.release(key, why)
+func (m *Member) handOver(why string) {
+	for key := range loop.Sorted(m.owned) {
+		m.release(key, why)
 	}
 }
 
 // release releases a claim of this controller.
-func (b *Member) release(key, why string) {
-	b.log.Info("releasing ownership claim so that another controller can take it", "key", key, "why", why)
-	b.client.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: key, Revision: b.owned[key].Revision}}, Then: []wire.Change{{Delete: key}}}, func(r store.Result) {
+func (m *Member) release(key, why string) {
+	m.log.Info("releasing ownership claim so that another controller can take it", "key", key, "why", why)
+	m.client.Txn(store.Leases, wire.Txn{If: []wire.Cond{{Key: key, Revision: m.owned[key].Revision}}, Then: []wire.Change{{Delete: key}}}, func(r store.Result) {
 		if r.Outcome == store.Applied {
-			b.mirror.Apply(key, nil, r.Revision, true)
+			m.mirror.Apply(key, nil, r.Revision, true)
 		}
 	})
 }
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -17,56 +17,56 @@
 )
 
 // Facts collects why the tasks of a job do not run. ok is false if the job's team is not owned and loaded here.
-func (p *Scheduler) Facts(id string, types []wire.MachineType, contact bool) (f *explain.Facts, ok bool) {
-	j := p.registry.Get(id)
+func (sched *Scheduler) Facts(id string, types []wire.MachineType, contact bool) (f *explain.Facts, ok bool) {
+	j := sched.registry.Get(id)
 	if j == nil || j.Spec == nil {
 		return nil, false
 	}
-	tm := p.teams[j.Spec.Team]
+	tm := sched.teams[j.Spec.Team]
 	if tm == nil || !tm.loaded {
 		return nil, false
 	}
-	now := p.runner.Now()
+	now := sched.runner.Now()
 	t := tm.jobs[id]
 	if t == nil { // it is finished, or was received only just now
 		return &explain.Facts{Job: j, JobFacts: gate.JobFacts{Spec: j.Spec, Hold: &j.Terms.Hold}, Need: gate.Need{ID: id, Spec: j.Spec, Tasks: j.Tasks}, Team: tm.cfg, StateContact: contact, AheadComplete: true,
-			Now: now, Wall: p.runner.Wall()}, true
+			Now: now, Wall: sched.runner.Wall()}, true
 	}
-	p.fleet.Refresh()
-	f = &explain.Facts{Job: j, JobFacts: p.facts(t), Need: t.need(), Team: tm.cfg, StateContact: contact, AheadComplete: true, Now: now, Wall: p.runner.Wall(),
-		ReportedAfter: now - p.staleAfter(), Running: t.running, Done: t.completed}
+	sched.fleet.Refresh()
+	f = &explain.Facts{Job: j, JobFacts: sched.facts(t), Need: t.need(), Team: tm.cfg, StateContact: contact, AheadComplete: true, Now: now, Wall: sched.runner.Wall(),
+		ReportedAfter: now - sched.staleAfter(), Running: t.running, Done: t.completed}
 	f.JobFacts.Now, f.JobFacts.Wall = f.Now, f.Wall
 	if n := f.JobFacts.Waiting; n > 0 && !j.Final() {
-		f.Machines = make([]*gate.MachineFacts, len(p.fleet.All()))
-		for i, sl := range p.fleet.All() {
-			f.Machines[i] = &sl.MachineFacts
+		f.Machines = make([]*gate.MachineFacts, len(sched.fleet.All()))
+		for i, m := range sched.fleet.All() {
+			f.Machines[i] = &m.MachineFacts
 		}
-		f.Fits = p.fleet.CountFitting(t.need(), n, p.fleet.All())
-		f.FitsAll = p.fitsUncordoned(t, n)
-		f.AllCordoned, f.Cordons = p.blockingCordons(j.Spec, types)
-		p.jobsAhead(f, t, types)
+		f.Fits = sched.fleet.CountFitting(t.need(), n, sched.fleet.All())
+		f.FitsAll = sched.fitsUncordoned(t, n)
+		f.AllCordoned, f.Cordons = sched.blockingCordons(j.Spec, types)
+		sched.jobsAhead(f, t, types)
 	}
-	f.InFlight = p.tasksInFlight(t, f.ReportedAfter)
-	f.PreemptedFor, f.Reserved = t.preemptedFor, p.fleet.ReservationCount(t.job.ID)
+	f.InFlight = sched.tasksInFlight(t, f.ReportedAfter)
+	f.PreemptedFor, f.Reserved = t.preemptedFor, sched.fleet.ReservationCount(t.job.ID)
 	return f, true
 }
 
 // fitsUncordoned returns how many of n tasks would fit if there were no cordons.
-func (p *Scheduler) fitsUncordoned(t *jobTable, n int) int {
-	if !p.cordons.Any() {
-		return p.fleet.CountFitting(t.need(), n, p.fleet.All())
+func (sched *Scheduler) fitsUncordoned(t *jobTable, n int) int {
+	if !sched.cordons.Any() {
+		return sched.fleet.CountFitting(t.need(), n, sched.fleet.All())
 	}
-	return p.fleet.PlaceOnCopies(t.need(), n, p.fleet.Copies(true))
+	return sched.fleet.PlaceOnCopies(t.need(), n, sched.fleet.Copies(true))
 }
 
 // blockingCordons reports whether cordons block every place that the job allows, and names the cordons that block any.
-func (p *Scheduler) blockingCordons(s *job.Spec, types []wire.MachineType) (all bool, names []string) {
-	if len(p.cordons.All()) == 0 {
+func (sched *Scheduler) blockingCordons(s *job.Spec, types []wire.MachineType) (all bool, names []string) {
+	if len(sched.cordons.All()) == 0 {
 		return false, nil
 	}
 	seen := map[string]bool{}
 	addBlocking := func(at cordon.Place) bool {
-		by := p.cordons.Blocking(at)
+		by := sched.cordons.Blocking(at)
 		for _, n := range by {
 			seen[n] = true
 		}
@@ -82,9 +82,9 @@
 			}
 		}
 	}
-	for _, sl := range p.fleet.All() {
-		if sl.Cordoned && s.AllowsPlace(sl.View.Type, sl.View.Zone, sl.View.Spot) {
-			addBlocking(fleet.CordonPlace(sl.View))
+	for _, m := range sched.fleet.All() {
+		if m.Cordoned && s.AllowsPlace(m.View.Type, m.View.Zone, m.View.Spot) {
+			addBlocking(fleet.CordonPlace(m.View))
 		}
 	}
 	for n := range seen {
@@ -100,19 +100,19 @@
 }
 
 // tasksInFlight groups the tasks that are neither waiting nor running by machine and state.
-func (p *Scheduler) tasksInFlight(t *jobTable, after loop.Micros) []explain.InFlight {
+func (sched *Scheduler) tasksInFlight(t *jobTable, after loop.Micros) []explain.InFlight {
 	type key struct {
 		kind    gate.Kind
 		state   string
 		machine string
 	}
 	groups := map[key]*explain.InFlight{}
-	now, wall := p.runner.Now(), p.runner.Wall()
+	now, wall := sched.runner.Now(), sched.runner.Wall()
 	t.each(func(i int, x *task) {
 		if !x.inUse() {
 			return
 		}
-		k, state, since := p.taskInFlight(t, i, x, after, wall)
+		k, state, since := sched.taskInFlight(t, i, x, after, wall)
 		if k == 0 {
 			return
 		}
@@ -124,7 +124,7 @@
 			case k == gate.Saving:
 				g.PreemptedFor = t.preemptedFor[x.machine]
 			case state == "absent":
-				left := loop.Duration(max(p.clock.LatestArrival(x.expiry)-wall, 0))
+				left := loop.Duration(max(sched.clock.LatestArrival(x.expiry)-wall, 0))
 				g.ConfirmedBy = fmt.Sprintf("a new session of its worker, the machine's deletion, or a task list made more than %v from now that its host controller confirms", left)
 			case k == gate.Unconfirmed:
 				g.ConfirmedBy = "a report of the machine, or its deletion by the cloud"
@@ -149,16 +149,16 @@
 }
 
 // taskInFlight returns what a task in use is doing; kind 0 means that it runs.
-func (p *Scheduler) taskInFlight(t *jobTable, i int, x *task, after, wall loop.Micros) (k gate.Kind, state string, since loop.Micros) {
+func (sched *Scheduler) taskInFlight(t *jobTable, i int, x *task, after, wall loop.Micros) (k gate.Kind, state string, since loop.Micros) {
 	if x.state == Recording {
 		return gate.Recording, "recording", x.chosenAt
 	}
-	v, sl := p.agent.View(x.machine), p.fleet.Machine(x.machine)
+	v, m := sched.agent.View(x.machine), sched.fleet.Machine(x.machine)
 	switch {
-	case v == nil || sl == nil:
+	case v == nil || m == nil:
 		return gate.Unconfirmed, "neverHeard", 0
-	case sl.LastReport < after:
-		return gate.Unconfirmed, "silent", sl.LastReport
+	case m.LastReport < after:
+		return gate.Unconfirmed, "silent", m.LastReport
 	case x.running:
 		return 0, "", 0
 	}
@@ -166,7 +166,7 @@
 	switch {
 	case e == nil && v.HasPending(t.taskName(i), x.attempt):
 		return gate.Starting, "atItsHost", x.sentAt
-	case e == nil && !x.listed && wall < p.clock.LatestArrival(x.expiry):
+	case e == nil && !x.listed && wall < sched.clock.LatestArrival(x.expiry):
 		return gate.Starting, "sent", x.sentAt
 	case e == nil:
 		return gate.Unconfirmed, "absent", x.sentAt
@@ -180,8 +180,8 @@
 
 // causes appends the causes that hold for a job now. It relies on the newest pass and the views and does not scan the
 // machines.
-func (p *Scheduler) causes(t *jobTable, out []gate.Cause, after, wall loop.Micros) []gate.Cause {
-	f := p.facts(t)
+func (sched *Scheduler) causes(t *jobTable, out []gate.Cause, after, wall loop.Micros) []gate.Cause {
+	f := sched.facts(t)
 	out = f.Causes(out)
 	if f.Waiting > 0 && t.unplacedCause != 0 && f.Unblocked() {
 		out = append(out, gate.Cause{Kind: t.unplacedCause, Tasks: f.Waiting})
@@ -192,7 +192,7 @@
 	var n [gate.NextPass]int
 	t.each(func(i int, x *task) {
 		if x.inUse() && !x.running {
-			k, _, _ := p.taskInFlight(t, i, x, after, wall)
+			k, _, _ := sched.taskInFlight(t, i, x, after, wall)
 			n[k]++
 		}
 	})
@@ -214,9 +214,9 @@
 
 // updateCauses updates a job's causes. It reports whether to send them: they differ in kind or by half in number from
 // those last sent, or a repeat is due.
-func (p *Scheduler) updateCauses(t *jobTable, after, wall loop.Micros) bool {
+func (sched *Scheduler) updateCauses(t *jobTable, after, wall loop.Micros) bool {
 	var buffer [gate.NextPass]gate.Cause
-	now := p.causes(t, buffer[:0], after, wall)
+	now := sched.causes(t, buffer[:0], after, wall)
 	same := len(now) == len(t.causes)
 	for i := 0; same && i < len(now); i++ {
 		a, b := now[i], t.causes[i]
@@ -239,21 +239,21 @@
 }
 
 // setUnplacedCause records which machine predicate left a job's tasks unplaced in a pass.
-func (p *Scheduler) setUnplacedCause(t *jobTable, unplaced bool) {
-	if !p.deps.ReportCauses {
+func (sched *Scheduler) setUnplacedCause(t *jobTable, unplaced bool) {
+	if !sched.deps.ReportCauses {
 		return
 	}
-	now := p.runner.Now()
+	now := sched.runner.Now()
 	switch {
 	case !unplaced:
 		t.unplacedCause = 0
 	case t.job.Spec.Gang:
 		t.unplacedCause = gate.Gang
-	case p.cordons.Any():
+	case sched.cordons.Any():
 		// Another scan of the fleet for each job is expensive, so it is done at most once per second.
 		if t.unplacedCause == 0 || now-t.unplacedCauseAt > loop.Second {
 			t.unplacedCause, t.unplacedCauseAt = gate.Capacity, now
-			if p.fitsUncordoned(t, 1) > 0 {
+			if sched.fitsUncordoned(t, 1) > 0 {
 				t.unplacedCause = gate.Cordon
 			}
 		}
@@ -263,24 +263,26 @@
 }
 
 // OwnsTeam reports whether the team is owned and loaded here.
-func (p *Scheduler) OwnsTeam(team string) bool { return p.teams[team] != nil && p.teams[team].loaded }
+func (sched *Scheduler) OwnsTeam(team string) bool {
+	return sched.teams[team] != nil && sched.teams[team].loaded
+}
 
 // EachMachine calls f for every known machine. Machines whose last report is older than after receive no starts.
-func (p *Scheduler) EachMachine(f func(pl *gate.MachineFacts, after loop.Micros)) {
-	p.fleet.Refresh()
-	after := p.runner.Now() - p.staleAfter()
-	for _, sl := range p.fleet.All() {
-		f(&sl.MachineFacts, after)
+func (sched *Scheduler) EachMachine(f func(pl *gate.MachineFacts, after loop.Micros)) {
+	sched.fleet.Refresh()
+	after := sched.runner.Now() - sched.staleAfter()
+	for _, m := range sched.fleet.All() {
+		f(&m.MachineFacts, after)
 	}
 }
 
 // PendingStarts returns the number of tasks of owned teams that were chosen or recorded for machines under the named
 // cordon and have not been seen running. They may still begin.
-func (p *Scheduler) PendingStarts(name string) int {
+func (sched *Scheduler) PendingStarts(name string) int {
 	n := 0
-	for machine, on := range p.tasksByMachine {
-		sl := p.fleet.Machine(machine)
-		if sl == nil || !slices.Contains(p.cordons.Blocking(fleet.CordonPlace(sl.View)), name) {
+	for machine, on := range sched.tasksByMachine {
+		m := sched.fleet.Machine(machine)
+		if m == nil || !slices.Contains(sched.cordons.Blocking(fleet.CordonPlace(m.View)), name) {
 			continue
 		}
 		for r := range on.all {
@@ -296,14 +298,14 @@
 const maxPreemptedFor = 64
 
 // recordPreempted records for which job tasks of this owner were preempted.
-func (p *Scheduler) recordPreempted(c peer.Reservation) {
+func (sched *Scheduler) recordPreempted(c peer.Reservation) {
 	for _, name := range c.Victims {
 		id, _, ok := agent.SplitTask(name)
-		j := p.registry.Get(id)
+		j := sched.registry.Get(id)
 		if !ok || j == nil || j.Spec == nil {
 			continue
 		}
-		if tm := p.teams[j.Spec.Team]; tm != nil && tm.jobs[id] != nil {
+		if tm := sched.teams[j.Spec.Team]; tm != nil && tm.jobs[id] != nil {
 			t := tm.jobs[id]
 			if t.preemptedFor == nil || len(t.preemptedFor) >= maxPreemptedFor {
 				t.preemptedFor = map[string]string{}
--- a/internal/placer/explain_rank.go
+++ b/internal/placer/explain_rank.go
@@ -26,9 +26,9 @@
 
 // competitors lists the jobs that compete with t for capacity, unordered, as they would rank if no predicate blocked
 // t itself: t then comes before later jobs within its team's guarantee.
-func (p *Scheduler) competitors(t *jobTable) (q []queueEntry, within bool) {
-	q = p.waitingJobs()
-	mine := p.jobsWithinGuarantee(t.team, t)
+func (sched *Scheduler) competitors(t *jobTable) (q []queueEntry, within bool) {
+	q = sched.waitingJobs()
+	mine := sched.jobsWithinGuarantee(t.team, t)
 	for i := range q {
 		if q[i].table.team == t.team {
 			q[i].withinGuarantee = mine[q[i].table]
@@ -39,22 +39,22 @@
 
 // rivals lists the jobs that are served before self, or would be if no predicate blocked self, and how many tasks
 // each would place if there were capacity.
-func (p *Scheduler) rivals(q []queueEntry, self *queueEntry, limited, ignoreCordons bool, lacking int, types []wire.MachineType) (out []rival) {
+func (sched *Scheduler) rivals(q []queueEntry, self *queueEntry, limited, ignoreCordons bool, lacking int, types []wire.MachineType) (out []rival) {
 	t := self.table
 	usedByTeam := map[*team]agent.Capacity{}
 	q = slices.DeleteFunc(slices.Clone(q), func(e queueEntry) bool {
-		return !e.precedes(self) || !p.sharePlace(e.table.job.Spec, t.job.Spec, types, ignoreCordons)
+		return !e.precedes(self) || !sched.sharePlace(e.table.job.Spec, t.job.Spec, types, ignoreCordons)
 	})
 	slices.SortFunc(q, compareEntries)
 	for i := range q {
 		o := q[i].table
-		n := p.waitingForCapacity(o)
+		n := sched.waitingForCapacity(o)
 		if limited && o.team == t.team {
 			n = o.waiting() // it waits for the same limit
 		}
-		r := rival{table: o, maxTasks: min(n, p.probeLimit(o)), takesFuture: fitsWherever(o.job.Spec, t.job.Spec)}
+		r := rival{table: o, maxTasks: min(n, sched.probeLimit(o)), takesFuture: fitsWherever(o.job.Spec, t.job.Spec)}
 		if r.tasks = r.maxTasks; !limited || o.team != t.team {
-			g := p.facts(o)
+			g := sched.facts(o)
 			g.TeamUsage.CPUs += usedByTeam[o.team].CPUs
 			g.TeamUsage.GPUs += usedByTeam[o.team].GPUs
 			r.tasks = min(r.tasks, g.AllowedTasks(gate.Limit))
@@ -87,17 +87,17 @@
 
 // jobsAhead determines which jobs would take the capacity that this job lacks, or that it has and cannot use because of
 // other predicates, and how many of its tasks would wait for that reason alone.
-func (p *Scheduler) jobsAhead(f *explain.Facts, t *jobTable, types []wire.MachineType) {
+func (sched *Scheduler) jobsAhead(f *explain.Facts, t *jobTable, types []wire.MachineType) {
 	n := f.JobFacts.Waiting
 	limited := f.JobFacts.AllowedTasks(gate.Limit) < n
 	lacking := n - f.FitsAll                                             // single-task units of capacity that must become free
 	ignoreCordons := f.FitsAll > f.Fits || (f.AllCordoned && f.Fits < n) // one of its reasons is a cordon
-	q, within := p.competitors(t)
+	q, within := sched.competitors(t)
 	self := queueEntry{t, within, t.queuedAt()}
 	if f.WithinGuarantee = within; lacking == 0 && !limited && !ignoreCordons {
 		return // there is capacity that the jobs before it cannot use
 	}
-	all := p.rivals(q, &self, limited, ignoreCordons, lacking, types)
+	all := sched.rivals(q, &self, limited, ignoreCordons, lacking, types)
 	future := 0
 	for _, r := range all {
 		if r.takesFuture {
@@ -109,7 +109,7 @@
 	// served first from the capacity that is free now.
 	if limited || ignoreCordons {
 		f.AheadComplete = len(all) <= maxSimulated
-		a, b := p.simulateBehind(f, t, all[:min(len(all), maxSimulated)], limited, ignoreCordons, lacking)
+		a, b := sched.simulateBehind(f, t, all[:min(len(all), maxSimulated)], limited, ignoreCordons, lacking)
 		// The result then depends on which machine takes which task, so it is not certain.
 		f.Behind, f.Exact = min(a, b), false
 		if f.Behind == 0 {
@@ -132,7 +132,7 @@
 	if f.Behind == 0 {
 		return
 	}
-	for _, r := range append(all, p.promoted(q, &self, all, types)...) {
+	for _, r := range append(all, sched.promoted(q, &self, all, types)...) {
 		if r.takesFuture || r.uncertain || r.tasks < r.maxTasks {
 			f.Ahead = append(f.Ahead, explain.JobAhead{Job: r.table.job.ID, Team: r.table.team.cfg.Name, Priority: explain.PriorityName(r.table.job.Spec.Priority),
 				Tasks: r.maxTasks, CPUs: float64(r.maxTasks) * r.table.job.Spec.CPUs})
@@ -142,11 +142,11 @@
 
 // simulateBehind simulates how many of the job's tasks lack capacity once its rivals are placed: a if they use the free
 // capacity first, b if they use the future capacity first.
-func (p *Scheduler) simulateBehind(f *explain.Facts, t *jobTable, all []rival, limited, ignoreCordons bool, lacking int) (a, b int) {
+func (sched *Scheduler) simulateBehind(f *explain.Facts, t *jobTable, all []rival, limited, ignoreCordons bool, lacking int) (a, b int) {
 	n := f.JobFacts.Waiting
-	freeFirst, futureFirst, untouched := p.fleet.Copies(ignoreCordons), p.fleet.Copies(ignoreCordons), p.fleet.All()
+	freeFirst, futureFirst, untouched := sched.fleet.Copies(ignoreCordons), sched.fleet.Copies(ignoreCordons), sched.fleet.All()
 	if ignoreCordons {
-		untouched = p.fleet.Copies(true)
+		untouched = sched.fleet.Copies(true)
 	}
 	futureLeft, futureRest := 0, lacking // future capacity, if rivals use the free capacity first, or last
 	var by [2]agent.Capacity             // what this team's other jobs use of its limit in each case
@@ -159,16 +159,16 @@
 			}
 			continue
 		}
-		got := p.takeAll(*r, r.tasks, freeFirst)
+		got := sched.takeAll(*r, r.tasks, freeFirst)
 		use := [2]int{got, 0}
 		if r.takesFuture {
 			futureLeft += r.tasks - got
 			use[1] = min(futureRest, r.tasks)
 			futureRest -= use[1]
 		}
-		use[1] += p.takeAll(*r, r.tasks-use[1], futureFirst)
+		use[1] += sched.takeAll(*r, r.tasks-use[1], futureFirst)
 		// It may also use what earlier jobs leave.
-		r.uncertain = r.uncertain || got > 0 || use[1] > 0 || p.fleet.CountFitting(r.table.need(), r.maxTasks, untouched) > 0
+		r.uncertain = r.uncertain || got > 0 || use[1] > 0 || sched.fleet.CountFitting(r.table.need(), r.maxTasks, untouched) > 0
 		if r.table.team == t.team && !limited {
 			for i, k := range use {
 				by[i].CPUs += float64(k) * r.table.job.Spec.CPUs
@@ -184,14 +184,14 @@
 			most[i] = g.AllowedTasks(gate.Limit)
 		}
 	}
-	a = n - min(p.fleet.CountFitting(t.need(), n, freeFirst)+max(lacking-futureLeft, 0), most[0])
-	b = n - min(p.fleet.CountFitting(t.need(), n, futureFirst)+futureRest, most[1])
+	a = n - min(sched.fleet.CountFitting(t.need(), n, freeFirst)+max(lacking-futureLeft, 0), most[0])
+	b = n - min(sched.fleet.CountFitting(t.need(), n, futureFirst)+futureRest, most[1])
 	return max(a, 0), max(b, 0)
 }
 
 // promoted lists the later jobs that would move into their team's guarantee, and so before this job, once the earlier
 // work is done.
-func (p *Scheduler) promoted(q []queueEntry, self *queueEntry, ahead []rival, types []wire.MachineType) (out []rival) {
+func (sched *Scheduler) promoted(q []queueEntry, self *queueEntry, ahead []rival, types []wire.MachineType) (out []rival) {
 	teams := map[*team]bool{}
 	for _, r := range ahead {
 		teams[r.table.team] = true
@@ -201,24 +201,24 @@
 			continue
 		}
 		o.withinGuarantee = true
-		if o.precedes(self) && p.sharePlace(o.table.job.Spec, self.table.job.Spec, types, true) {
+		if o.precedes(self) && sched.sharePlace(o.table.job.Spec, self.table.job.Spec, types, true) {
 			out = append(out, rival{table: o.table, maxTasks: o.table.waiting(), uncertain: true})
 		}
 	}
 	return out
 }
 
-// takeAll places a rival's tasks on copies of the slots; a gang places all or none.
-func (p *Scheduler) takeAll(r rival, n int, slots []*fleet.Machine) int {
-	if n <= 0 || (r.table.job.Spec.Gang && p.fleet.CountFitting(r.table.need(), n, slots) < n) {
+// takeAll places a rival's tasks on copies of the machines; a gang places all or none.
+func (sched *Scheduler) takeAll(r rival, n int, machines []*fleet.Machine) int {
+	if n <= 0 || (r.table.job.Spec.Gang && sched.fleet.CountFitting(r.table.need(), n, machines) < n) {
 		return 0
 	}
-	return p.fleet.PlaceOnCopies(r.table.need(), n, slots)
+	return sched.fleet.PlaceOnCopies(r.table.need(), n, machines)
 }
 
 // probeLimit returns how many waiting tasks the job's failures allow to start.
-func (p *Scheduler) probeLimit(t *jobTable) int {
-	f := p.facts(t)
+func (sched *Scheduler) probeLimit(t *jobTable) int {
+	f := sched.facts(t)
 	return f.AllowedTasks(gate.Probation)
 }
 
@@ -229,13 +229,13 @@
 
 // sharePlace reports whether both jobs allow some common place that is open to starts, or any place if ignoreCordons
 // is set. It is true while no machine types are known.
-func (p *Scheduler) sharePlace(o, s *job.Spec, types []wire.MachineType, ignoreCordons bool) bool {
+func (sched *Scheduler) sharePlace(o, s *job.Spec, types []wire.MachineType, ignoreCordons bool) bool {
 	for i := range types {
 		typ := &types[i]
 		for _, zone := range typ.Zones {
 			for _, spot := range []bool{false, true} {
 				if o.AllowsPlace(typ.Name, zone, spot) && s.AllowsPlace(typ.Name, zone, spot) && fitsType(s, typ) &&
-					(ignoreCordons || !p.cordons.Blocked(cordon.Place{Type: typ.Name, Zone: zone, Spot: spot})) {
+					(ignoreCordons || !sched.cordons.Blocked(cordon.Place{Type: typ.Name, Zone: zone, Spot: spot})) {
 					return true
 				}
 			}
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -9,32 +9,32 @@
 )
 
 // facts collects the state of a job that its own predicates evaluate.
-func (p *Scheduler) facts(t *jobTable) gate.JobFacts {
+func (sched *Scheduler) facts(t *jobTable) gate.JobFacts {
 	tm := t.team
-	f := gate.JobFacts{Spec: t.job.Spec, Hold: &t.job.Terms.Hold, Dependencies: p.dependencies(t.job), OnCancelled: t.job.Terms.OnCancelled, Damaged: t.damaged,
+	f := gate.JobFacts{Spec: t.job.Spec, Hold: &t.job.Terms.Hold, Dependencies: sched.dependencies(t.job), OnCancelled: t.job.Terms.OnCancelled, Damaged: t.damaged,
 		Waiting: t.waiting(), InUse: t.inUse,
 		TeamUsage: agent.Capacity{CPUs: tm.cpus, GPUs: tm.gpus}, Quota: tm.quota,
-		ClockDifference: p.cfg.ClockDifference()}
+		ClockDifference: sched.cfg.ClockDifference()}
 	// The clocks are read only for the few jobs that need them, since a pass calls this for all jobs.
 	if t.probation.ConsecutiveFailures != 0 || t.probation.BackOffUntil != 0 {
-		f.Now = p.runner.Now()
-		f.Failing = p.failureFacts(t, f.Now)
+		f.Now = sched.runner.Now()
+		f.Failing = sched.failureFacts(t, f.Now)
 	}
 	if f.Hold.State != job.HoldNone {
-		f.Wall = p.runner.Wall()
+		f.Wall = sched.runner.Wall()
 	}
 	return f
 }
 
 // dependencies lists the jobs that this job waits for, each with its phase.
-func (p *Scheduler) dependencies(j *job.Job) []gate.Dep {
+func (sched *Scheduler) dependencies(j *job.Job) []gate.Dep {
 	if len(j.Terms.Dependencies) == 0 {
 		return nil
 	}
 	out := make([]gate.Dep, len(j.Terms.Dependencies))
 	for i, id := range j.Terms.Dependencies {
 		out[i] = gate.Dep{ID: id, Waived: j.Terms.WaivedFrom(id)}
-		if o := p.registry.Get(id); o != nil {
+		if o := sched.registry.Get(id); o != nil {
 			out[i].Phase = o.Phase
 		}
 	}
@@ -42,22 +42,22 @@
 }
 
 // blocked reports whether the job uses no capacity and is blocked by a hold or by a dependency.
-func (p *Scheduler) blocked(t *jobTable) bool {
+func (sched *Scheduler) blocked(t *jobTable) bool {
 	if t.inUse > 0 || (t.job.Terms.Hold.State == job.HoldNone && len(t.job.Terms.Dependencies) == 0) {
 		return false
 	}
-	f := p.facts(t)
+	f := sched.facts(t)
 	return f.AllowedTasks(gate.Hold) == 0 || f.AllowedTasks(gate.Dependency) == 0
 }
 
 // startBlockedBy returns why no start of the job on this machine may be recorded or sent, or "" if it may: a hold or
 // a cordon was stored after the machine was chosen. Both are stored records, and every record of a start is
 // conditional on the revisions that were known when it was composed.
-func (p *Scheduler) startBlockedBy(t *jobTable, machine string) string {
-	if t.job.Terms.Hold.State != job.HoldNone && t.job.Terms.Hold.Blocks(p.runner.Wall()) {
+func (sched *Scheduler) startBlockedBy(t *jobTable, machine string) string {
+	if t.job.Terms.Hold.State != job.HoldNone && t.job.Terms.Hold.Blocks(sched.runner.Wall()) {
 		return "held"
 	}
-	if sl := p.fleet.Machine(machine); sl != nil && p.cordons.Blocked(fleet.CordonPlace(sl.View)) {
+	if m := sched.fleet.Machine(machine); m != nil && sched.cordons.Blocked(fleet.CordonPlace(m.View)) {
 		return "cordoned"
 	}
 	return ""
@@ -65,16 +65,16 @@
 
 // applyTerms completes the pending holds of a team's jobs once no start recorded before the hold can still run. It also
 // cancels jobs whose user asked for that when a job that they depend on was cancelled.
-func (p *Scheduler) applyTerms(tm *team) {
-	now := p.runner.Now()
+func (sched *Scheduler) applyTerms(tm *team) {
+	now := sched.runner.Now()
 	for _, t := range tm.inOrder() {
 		if t.job.Final() || now < t.nextAmendAt {
 			continue
 		}
-		if f := p.facts(t); f.MustCancel() {
+		if f := sched.facts(t); f.MustCancel() {
 			t.nextAmendAt = now + 2*loop.Second
-			p.log.Info("cancelling a job because a job that it depends on was cancelled", "job", t.job.ID)
-			p.registry.Cancel(t.job.ID, func(job.Answer) {})
+			sched.log.Info("cancelling a job because a job that it depends on was cancelled", "job", t.job.ID)
+			sched.registry.Cancel(t.job.ID, func(job.Answer) {})
 			continue
 		}
 		if t.job.Terms.Hold.State != job.HoldPending {
@@ -87,19 +87,19 @@
 			}
 			effective = false
 			if x.state == Placed {
-				p.stop(t, i, 0)
+				sched.stop(t, i, 0)
 			}
 		})
 		if effective {
 			t.nextAmendAt = now + 2*loop.Second
-			p.registry.ConfirmHold(t.job.ID, t.job.Revision, func(job.Answer) {})
+			sched.registry.ConfirmHold(t.job.ID, t.job.Revision, func(job.Answer) {})
 		}
 	}
 }
 
 // eligible reports whether no predicate blocks the whole job.
-func (p *Scheduler) eligible(t *jobTable) bool {
-	f := p.facts(t)
+func (sched *Scheduler) eligible(t *jobTable) bool {
+	f := sched.facts(t)
 	return f.Unblocked()
 }
 
@@ -109,14 +109,14 @@
 }
 
 // staleAfter is how long after its last report a machine still receives starts.
-func (p *Scheduler) staleAfter() loop.Micros {
-	return 2*loop.Seconds(p.cfg.Cluster.Workers.ReportS) + 3*loop.Second
+func (sched *Scheduler) staleAfter() loop.Micros {
+	return 2*loop.Seconds(sched.cfg.Cluster.Workers.ReportS) + 3*loop.Second
 }
 
 // eachUnlisted calls f for every task that was chosen for or started on the machine and that its view does not list
 // yet.
-func (p *Scheduler) eachUnlisted(v *agent.View, f func(*job.Spec)) {
-	p.eachUnresolved(v.Name, func(r taskRef) {
+func (sched *Scheduler) eachUnlisted(v *agent.View, f func(*job.Spec)) {
+	sched.eachUnresolved(v.Name, func(r taskRef) {
 		x := r.table.task(r.index)
 		if x.listed {
 			return // it is listed, or was listed and is not any more
--- a/internal/placer/groupcommit.go
+++ b/internal/placer/groupcommit.go
@@ -8,57 +8,57 @@
 )
 
 // queueStart queues the record of a task whose machine was chosen.
-func (p *Scheduler) queueStart(t *jobTable, i int) {
-	p.reportTakeover(t.team.partition)
+func (sched *Scheduler) queueStart(t *jobTable, i int) {
+	sched.reportTakeover(t.team.partition)
 	l := &t.team.partition.log
 	l.starts = append(l.starts, taskRef{t, i})
-	p.scheduleCommit(gatherTime)
+	sched.scheduleCommit(gatherTime)
 }
 
 // reportTakeover reports the time from the change of owner to the first placement, if the partition's records showed
 // earlier work.
-func (p *Scheduler) reportTakeover(part *ownedPartition) {
+func (sched *Scheduler) reportTakeover(part *ownedPartition) {
 	if part.ownedAt == 0 {
 		return
 	}
-	now := p.runner.Now()
+	now := sched.runner.Now()
 	if len(part.log.closed) > 0 {
-		p.deps.Meter.Takeover(now - part.ownedAt)
-		p.log.Info("first placement under a new partition owner", "partition", part.id, "claim", part.claim.Revision, "since_owned_us", now-part.ownedAt, "since_loaded_us", now-part.loadedAt)
+		sched.deps.Meter.Takeover(now - part.ownedAt)
+		sched.log.Info("first placement under a new partition owner", "partition", part.id, "claim", part.claim.Revision, "since_owned_us", now-part.ownedAt, "since_loaded_us", now-part.loadedAt)
 	}
 	part.ownedAt = 0
 }
 
 // queueOutcome queues the record of a completed task. It is not urgent, since the machine keeps the result.
-func (p *Scheduler) queueOutcome(t *jobTable, i int) {
+func (sched *Scheduler) queueOutcome(t *jobTable, i int) {
 	l := &t.team.partition.log
 	if len(l.outcomes) == 0 {
-		l.outcomesSince = p.runner.Now()
+		l.outcomesSince = sched.runner.Now()
 	}
 	l.outcomes = append(l.outcomes, taskRef{t, i})
-	p.scheduleCommit(outcomeMinDelay)
+	sched.scheduleCommit(outcomeMinDelay)
 }
 
 // scheduleCommit schedules a commit of all owned partitions after d, or keeps an earlier one.
-func (p *Scheduler) scheduleCommit(d loop.Micros) {
-	due := p.runner.Now() + d
-	if p.commitAt != 0 && p.commitAt <= due {
+func (sched *Scheduler) scheduleCommit(d loop.Micros) {
+	due := sched.runner.Now() + d
+	if sched.commitAt != 0 && sched.commitAt <= due {
 		return
 	}
-	p.commitAt = due
-	p.runner.After(d, func() {
-		if p.commitAt != due {
+	sched.commitAt = due
+	sched.runner.After(d, func() {
+		if sched.commitAt != due {
 			return
 		}
-		p.commitAt = 0
+		sched.commitAt = 0
 		retryIn := loop.Micros(0)
-		for _, part := range loop.Sorted(p.partitions) {
-			if wait := p.commit(part); wait > 0 && (retryIn == 0 || wait < retryIn) {
+		for _, part := range loop.Sorted(sched.partitions) {
+			if wait := sched.commit(part); wait > 0 && (retryIn == 0 || wait < retryIn) {
 				retryIn = wait
 			}
 		}
 		if retryIn > 0 {
-			p.scheduleCommit(retryIn)
+			sched.scheduleCommit(retryIn)
 		}
 	})
 }
@@ -68,46 +68,46 @@
 
 // commit stores the due records of a partition's teams, as far as the write limit allows. It returns the delay until
 // the next attempt, or 0 if there is nothing to do.
-func (p *Scheduler) commit(part *ownedPartition) loop.Micros {
+func (sched *Scheduler) commit(part *ownedPartition) loop.Micros {
 	l := &part.log
 	if l.writing || !part.loaded {
 		return 0 // the end of the write schedules the next commit
 	}
-	n := p.client.AvailableChanges(store.Placements)
+	n := sched.client.AvailableChanges(store.Placements)
 	if n < 1 && len(l.starts)+len(l.outcomes) > 0 {
 		return writableCheckInterval // before the queues are scanned, which may be long at this point
 	}
-	l.starts = p.stillInState(l.starts, Recording)
-	l.starts = p.dropBlockedStarts(l.starts)
-	l.outcomes = p.stillInState(l.outcomes, Ended)
+	l.starts = sched.stillInState(l.starts, Recording)
+	l.starts = sched.dropBlockedStarts(l.starts)
+	l.outcomes = sched.stillInState(l.outcomes, Ended)
 	if len(l.starts)+len(l.outcomes) == 0 {
-		if l.hasInherited() && 2*n > p.client.MaxAvailableChanges() {
-			p.storeWrite(part, p.compose(part, n, 0))
+		if l.hasInherited() && 2*n > sched.client.MaxAvailableChanges() {
+			sched.storeWrite(part, sched.compose(part, n, 0))
 		}
 		return 0 // the sweep schedules what remains of inherited segments
 	}
 	ready := 0 // the queue is in the order in which machines were chosen
-	for ready < len(l.starts) && p.runner.Now()-l.starts[ready].table.task(l.starts[ready].index).chosenAt >= gatherTime {
+	for ready < len(l.starts) && sched.runner.Now()-l.starts[ready].table.task(l.starts[ready].index).chosenAt >= gatherTime {
 		ready++
 	}
 	if ready == 0 {
-		age := p.runner.Now() - l.outcomesSince
-		if len(l.outcomes) == 0 || (!(2*n > p.client.MaxAvailableChanges() && age >= outcomeMinDelay) && age < outcomeMaxDelay) {
+		age := sched.runner.Now() - l.outcomesSince
+		if len(l.outcomes) == 0 || (!(2*n > sched.client.MaxAvailableChanges() && age >= outcomeMinDelay) && age < outcomeMaxDelay) {
 			if len(l.starts) > 0 {
 				return 8 * loop.Millisecond
 			}
 			return 200 * loop.Millisecond
 		}
 	}
-	p.storeWrite(part, p.compose(part, n, ready))
+	sched.storeWrite(part, sched.compose(part, n, ready))
 	return 0
 }
 
 // stillInState drops the tasks whose state changed while they were queued.
-func (p *Scheduler) stillInState(queue []taskRef, s TaskState) []taskRef {
+func (sched *Scheduler) stillInState(queue []taskRef, s TaskState) []taskRef {
 	kept := queue[:0]
 	for _, r := range queue {
-		if p.ownsUnfinished(r.table) && !r.table.completing && r.table.task(r.index).state == s {
+		if sched.ownsUnfinished(r.table) && !r.table.completing && r.table.task(r.index).state == s {
 			kept = append(kept, r)
 		}
 	}
@@ -116,35 +116,35 @@
 }
 
 // dropBlockedStarts drops the starts that a hold or a cordon has forbidden since their machine was chosen.
-func (p *Scheduler) dropBlockedStarts(queue []taskRef) []taskRef {
+func (sched *Scheduler) dropBlockedStarts(queue []taskRef) []taskRef {
 	kept := queue[:0]
 	for _, r := range queue {
-		if p.startBlockedBy(r.table, r.table.task(r.index).machine) == "" {
+		if sched.startBlockedBy(r.table, r.table.task(r.index).machine) == "" {
 			kept = append(kept, r)
 			continue
 		}
-		p.setTask(r.table, r.index, Waiting)
+		sched.setTask(r.table, r.index, Waiting)
 	}
 	clear(queue[len(kept):])
 	return kept
 }
 
 // ownsUnfinished reports whether the table belongs to an owned team and its job is not final.
-func (p *Scheduler) ownsUnfinished(t *jobTable) bool {
+func (sched *Scheduler) ownsUnfinished(t *jobTable) bool {
 	tm := t.team
-	return p.teams[tm.cfg.Name] == tm && tm.jobs[t.job.ID] == t && !t.job.Final()
+	return sched.teams[tm.cfg.Name] == tm && tm.jobs[t.job.ID] == t && !t.job.Final()
 }
 
 // compose adds queued entries to the open segment and builds its record.
-func (p *Scheduler) compose(part *ownedPartition, writable, ready int) *write {
+func (sched *Scheduler) compose(part *ownedPartition, writable, ready int) *write {
 	l := &part.log
-	limit := p.valueLimit
+	limit := sched.valueLimit
 	if l.open == nil || l.open.size+4*(entrySize+namesSize) > limit {
 		l.openSegment()
 	}
 	w := &write{segment: l.open}
 	jobs := map[*jobTable]bool{}
-	jobLimit := p.maxJobs() / 2
+	jobLimit := sched.maxJobs() / 2
 	put := func(queue []taskRef, starts bool) []taskRef {
 		for k, r := range queue {
 			if (starts && k >= ready) || w.segment.size+entrySize+2*namesSize > limit || (starts && !jobs[r.table] && len(jobs) >= jobLimit) {
@@ -162,7 +162,7 @@
 	// Live entries of nearly empty segments, and of teams' own logs, move to this segment so that the old ones can be
 	// deleted.
 	for _, s := range loop.Sorted(l.closed) {
-		if len(w.emptied) >= min(writable-1, p.client.MaxChanges()-1) {
+		if len(w.emptied) >= min(writable-1, sched.client.MaxChanges()-1) {
 			break
 		}
 		fits := w.segment.size+s.live*(entrySize+namesSize) < limit
@@ -173,13 +173,13 @@
 			w.emptied = append(w.emptied, s)
 		}
 	}
-	p.buildRecord(w)
+	sched.buildRecord(w)
 	return w
 }
 
 // maxJobs is the number of jobs whose revisions one transaction can check in addition to those of the claim, the segment and
 // the cordons.
-func (p *Scheduler) maxJobs() int { return p.client.MaxConditions() - 3 }
+func (sched *Scheduler) maxJobs() int { return sched.client.MaxConditions() - 3 }
 
 // move makes the written segment hold a task's newest record.
 func (w *write) move(r taskRef) {
@@ -213,10 +213,10 @@
 
 // buildRecord builds the record of a write's segment. Its starts may be sent until they expire, a fixed time
 // from now.
-func (p *Scheduler) buildRecord(w *write) {
-	p.nonce++
-	expiry := p.runner.Wall() + loop.Seconds(p.cfg.Operator.StartLifetimeS)
-	w.rec = segmentRecord{Nonce: p.nonce, Machines: []machineEntry{}, Jobs: []jobEntry{}}
+func (sched *Scheduler) buildRecord(w *write) {
+	sched.nonce++
+	expiry := sched.runner.Wall() + loop.Seconds(sched.cfg.Operator.StartLifetimeS)
+	w.rec = segmentRecord{Nonce: sched.nonce, Machines: []machineEntry{}, Jobs: []jobEntry{}}
 	machines, jobs := map[string]int{}, map[*jobTable]int{}
 	kept := w.segment.refs[:0]
 	size := 0
@@ -232,7 +232,7 @@
 		kept = append(kept, r)
 		size += entrySize
 		e := taskEntry{Index: r.index, Attempt: x.attempt}
-		if x.state == Recording && !starts[r.table] && len(w.jobs) < p.maxJobs() {
+		if x.state == Recording && !starts[r.table] && len(w.jobs) < sched.maxJobs() {
 			starts[r.table] = true
 			w.jobs = append(w.jobs, r.table)
 		}
@@ -244,11 +244,11 @@
 		case x.state == Recording || x.state == Placed:
 			if x.state == Recording {
 				x.expiry = expiry
-				p.expiries.Record(delivery.Attempt{Task: r.table.taskName(r.index), Number: x.attempt}, expiry)
+				sched.expiries.Record(delivery.Attempt{Task: r.table.taskName(r.index), Number: x.attempt}, expiry)
 			}
 			no, ok := machines[x.machine]
 			if !ok {
-				w.rec.Machines = append(w.rec.Machines, machineEntry{Name: x.machine, Zone: p.zoneOf(x.machine)})
+				w.rec.Machines = append(w.rec.Machines, machineEntry{Name: x.machine, Zone: sched.zoneOf(x.machine)})
 				no = len(w.rec.Machines)
 				machines[x.machine] = no
 				size += len(x.machine) + 12
@@ -276,6 +276,6 @@
 		w.conditions = append(w.conditions, job.RevisionCond(t.job))
 	}
 	if len(w.jobs) > 0 {
-		w.conditions = append(w.conditions, p.cordons.Cond())
+		w.conditions = append(w.conditions, sched.cordons.Cond())
 	}
 }
--- a/internal/placer/guarantee.go
+++ b/internal/placer/guarantee.go
@@ -35,7 +35,7 @@
 }
 
 // trackGuarantee updates whether a team lacks its guarantee; anyUnplaced reports whether it has unplaced tasks now.
-func (p *Scheduler) trackGuarantee(tm *team, anyUnplaced bool, now loop.Micros) {
+func (sched *Scheduler) trackGuarantee(tm *team, anyUnplaced bool, now loop.Micros) {
 	lacks := anyUnplaced && tm.cpus < shortfallFraction*tm.quota.CPUs
 	if !tm.shortfall.observe(lacks, now) {
 		return
@@ -44,12 +44,12 @@
 	if lacks {
 		text = "team runs less than its guarantee while work waits"
 	}
-	p.log.Info(text, "team", tm.cfg.Name, "cpus", tm.cpus, "guarantee", tm.quota.CPUs, "borrowed_by_others", p.borrowed(tm))
+	sched.log.Info(text, "team", tm.cfg.Name, "cpus", tm.cpus, "guarantee", tm.quota.CPUs, "borrowed_by_others", sched.borrowed(tm))
 }
 
 // borrowed returns how many CPUs other teams run beyond their guarantees.
-func (p *Scheduler) borrowed(tm *team) (cpus float64) {
-	for name, excess := range loop.Sorted(p.teamExcess()) {
+func (sched *Scheduler) borrowed(tm *team) (cpus float64) {
+	for name, excess := range loop.Sorted(sched.teamExcess()) {
 		if name != tm.cfg.Name {
 			cpus += max(excess, 0)
 		}
@@ -61,46 +61,46 @@
 // other teams run more than theirs. Nothing is preempted: capacity that becomes free on the machine is kept from
 // other teams. All waiting work of the team counts, including jobs that are not within the guarantee because earlier
 // jobs of the team alone exceed it.
-func (p *Scheduler) reserveGuarantee(e *queueEntry, unplaced int, b *budget) {
+func (sched *Scheduler) reserveGuarantee(e *queueEntry, unplaced int, b *budget) {
 	t := e.table
-	now, cpus := p.runner.Now(), t.job.Spec.CPUs
+	now, cpus := sched.runner.Now(), t.job.Spec.CPUs
 	if e.withinGuarantee || cpus <= 0 || now-t.acceptedAt < starvation.MinWait || !t.team.shortfall.lacks {
 		return
 	}
 	unmet, known := b.unmetByTeam[t.team]
 	if !known {
-		unmet = p.unmetGuarantee(t.team)
+		unmet = sched.unmetGuarantee(t.team)
 	}
-	n := min(unplaced-p.fleet.ReservationCount(t.job.ID), int(unmet/cpus))
+	n := min(unplaced-sched.fleet.ReservationCount(t.job.ID), int(unmet/cpus))
 	if !t.job.Spec.Gang {
 		n = min(n, maxReserved)
 	} else if n < t.waiting() {
 		n = 0 // reserving for a part of a gang is useless
 	}
 	if n > 0 {
-		unmet -= float64(p.reserveCapacity(t, n)) * cpus
+		unmet -= float64(sched.reserveCapacity(t, n)) * cpus
 	}
 	b.unmetByTeam[t.team] = unmet
 }
 
 // unmetGuarantee returns how much of a team's guarantee is neither in use nor reserved for it, limited to what other
 // teams have borrowed.
-func (p *Scheduler) unmetGuarantee(tm *team) float64 {
+func (sched *Scheduler) unmetGuarantee(tm *team) float64 {
 	reserved := 0.0
-	for id, n := range loop.Sorted(p.fleet.ReservationCounts()) {
+	for id, n := range loop.Sorted(sched.fleet.ReservationCounts()) {
 		if t := tm.jobs[id]; t != nil {
 			reserved += float64(n) * t.job.Spec.CPUs
 		}
 	}
-	return min(tm.quota.CPUs-tm.cpus, p.borrowed(tm)) - reserved
+	return min(tm.quota.CPUs-tm.cpus, sched.borrowed(tm)) - reserved
 }
 
 // reserveCapacity reserves capacity for unplaced tasks of a job and returns for how many.
-func (p *Scheduler) reserveCapacity(t *jobTable, tasks int) int {
+func (sched *Scheduler) reserveCapacity(t *jobTable, tasks int) int {
 	need := t.need()
-	reservations := p.fleet.Reserve(&need, tasks, reservationLife)
-	p.recordReservations(reservations)
-	p.deps.Meter.Reserved(len(reservations))
-	p.starvation.RecordOrdinary(t.budgetClass(), float64(len(reservations))*t.job.Spec.CPUs)
+	reservations := sched.fleet.Reserve(&need, tasks, reservationLife)
+	sched.recordReservations(reservations)
+	sched.deps.Meter.Reserved(len(reservations))
+	sched.starvation.RecordOrdinary(t.budgetClass(), float64(len(reservations))*t.job.Spec.CPUs)
 	return len(reservations)
 }
--- a/internal/placer/jobtable.go
+++ b/internal/placer/jobtable.go
@@ -207,12 +207,12 @@
 
 // setTask is the only function that changes a task's state. It keeps the team's use, the job's counts and the list of
 // tasks on each machine up to date.
-func (p *Scheduler) setTask(t *jobTable, i int, s TaskState) {
+func (sched *Scheduler) setTask(t *jobTable, i int, s TaskState) {
 	x := t.task(i)
 	was, wasIn := x.state, x.inUse()
 	x.state = s
 	spec := t.job.Spec
-	zone := p.zoneOf(x.machine)
+	zone := sched.zoneOf(x.machine)
 	if in := x.inUse(); in != wasIn {
 		sign := 1
 		if wasIn {
@@ -222,12 +222,12 @@
 		t.team.cpus += float64(sign) * spec.CPUs
 		t.team.gpus += float64(sign) * spec.GPUs
 		t.zones[zone] += sign
-		p.fleet.MarkStale(p.fleet.Machine(x.machine))
+		sched.fleet.MarkStale(sched.fleet.Machine(x.machine))
 		r := taskRef{t, i}
 		if in {
-			p.addInUse(r)
+			sched.addInUse(r)
 		} else {
-			p.removeInUse(r)
+			sched.removeInUse(r)
 		}
 	}
 	if x.running && s != Placed {
@@ -255,4 +255,4 @@
 
 // zoneOf returns the zone of a machine. It is kept after the machine's deletion, because the counts by zone must not
 // change while a task is in use.
-func (p *Scheduler) zoneOf(machine string) string { return p.zoneByMachine[machine] }
+func (sched *Scheduler) zoneOf(machine string) string { return sched.zoneByMachine[machine] }
--- a/internal/placer/load.go
+++ b/internal/placer/load.go
@@ -26,95 +26,97 @@
 
 // loadLog reads what earlier owners recorded. This owner's claim is already stored, and every record is conditional
 // on its writer's claim, so no earlier owner can add to the log after this read.
-func (p *Scheduler) loadLog(part *ownedPartition) {
-	if !p.ownsPartition(part) {
+func (sched *Scheduler) loadLog(part *ownedPartition) {
+	if !sched.ownsPartition(part) {
 		return
 	}
-	p.client.Scan(store.Placements, part.log.prefix, func(items []wire.KeyValue, _ uint64, ok bool) {
-		if !p.ownsPartition(part) {
+	sched.client.Scan(store.Placements, part.log.prefix, func(items []wire.KeyValue, _ uint64, ok bool) {
+		if !sched.ownsPartition(part) {
 			return
 		}
-		retry := func() { p.runner.After(loadRetryDelay, func() { p.loadLog(part) }) }
+		retry := func() { sched.runner.After(loadRetryDelay, func() { sched.loadLog(part) }) }
 		if !ok {
 			retry()
 			return
 		}
-		segments := p.decode(items, part.log.prefix, "")
-		names := p.partitionTeams(part.id)
-		if !p.jobsKnown(segments) || !p.coversTeams(segments, part.id, names) {
+		segments := sched.decode(items, part.log.prefix, "")
+		names := sched.partitionTeams(part.id)
+		if !sched.jobsKnown(segments) || !sched.coversTeams(segments, part.id, names) {
 			retry()
 			return
 		}
 		var teams []*team
 		for _, name := range names {
-			if tm := p.addTeam(part, name); tm != nil {
+			if tm := sched.addTeam(part, name); tm != nil {
 				teams = append(teams, tm)
 			}
 		}
 		if _, byTeam := part.id.Team(); byTeam {
-			p.finishLoad(part, teams, segments)
+			sched.finishLoad(part, teams, segments)
 			return
 		}
-		p.loadTeamLogs(part, teams, segments)
+		sched.loadTeamLogs(part, teams, segments)
 	})
 }
 
 // loadTeamLogs reads what was recorded of teams before their assignment to the numbered partition, then restores them
 // from that and from the segments read before. The teams are assigned, so nothing can be added to their own logs
 // after this read.
-func (p *Scheduler) loadTeamLogs(part *ownedPartition, teams []*team, segments []storedSegment) {
-	if !p.ownsPartition(part) {
+func (sched *Scheduler) loadTeamLogs(part *ownedPartition, teams []*team, segments []storedSegment) {
+	if !sched.ownsPartition(part) {
 		return
 	}
-	retry := func() { p.runner.After(loadRetryDelay, func() { p.loadTeamLogs(part, teams, segments) }) }
-	p.client.Exists(store.Placements, partition.TeamLogPrefix, func(exists, ok bool) {
+	retry := func() { sched.runner.After(loadRetryDelay, func() { sched.loadTeamLogs(part, teams, segments) }) }
+	sched.client.Exists(store.Placements, partition.TeamLogPrefix, func(exists, ok bool) {
 		switch {
-		case !p.ownsPartition(part):
+		case !sched.ownsPartition(part):
 		case !ok:
 			retry()
 		case !exists:
-			p.finishLoad(part, teams, segments)
+			sched.finishLoad(part, teams, segments)
 		default:
-			p.loadNextTeamLog(part, teams, teams, segments)
+			sched.loadNextTeamLog(part, teams, teams, segments)
 		}
 	})
 }
 
 // loadNextTeamLog reads the own logs of the remaining teams, one after the other.
-func (p *Scheduler) loadNextTeamLog(part *ownedPartition, teams, left []*team, segments []storedSegment) {
-	if !p.ownsPartition(part) {
+func (sched *Scheduler) loadNextTeamLog(part *ownedPartition, teams, left []*team, segments []storedSegment) {
+	if !sched.ownsPartition(part) {
 		return
 	}
 	if len(left) == 0 {
-		p.finishLoad(part, teams, segments)
-		for _, name := range p.deps.Membership.Layout().Teams(part.id, p.cfg.TeamNames()) {
-			p.scheduleAssignment(name) // some have logs of their own
+		sched.finishLoad(part, teams, segments)
+		for _, name := range sched.deps.Membership.Layout().Teams(part.id, sched.cfg.TeamNames()) {
+			sched.scheduleAssignment(name) // some have logs of their own
 		}
 		return
 	}
-	retry := func() { p.runner.After(loadRetryDelay, func() { p.loadNextTeamLog(part, teams, left, segments) }) }
+	retry := func() {
+		sched.runner.After(loadRetryDelay, func() { sched.loadNextTeamLog(part, teams, left, segments) })
+	}
 	name := left[0].cfg.Name
 	prefix := partition.ForTeam(name).LogPrefix()
-	p.client.Scan(store.Placements, prefix, func(items []wire.KeyValue, _ uint64, ok bool) {
-		if !p.ownsPartition(part) {
+	sched.client.Scan(store.Placements, prefix, func(items []wire.KeyValue, _ uint64, ok bool) {
+		if !sched.ownsPartition(part) {
 			return
 		}
-		read := p.decode(items, prefix, name)
-		if !ok || !p.jobsKnown(read) {
+		read := sched.decode(items, prefix, name)
+		if !ok || !sched.jobsKnown(read) {
 			retry()
 			return
 		}
-		p.loadNextTeamLog(part, teams, left[1:], append(segments, read...))
+		sched.loadNextTeamLog(part, teams, left[1:], append(segments, read...))
 	})
 }
 
 // decode decodes segment records. One that cannot be decoded is logged with its key and kept with a nil record.
-func (p *Scheduler) decode(items []wire.KeyValue, prefix, team string) []storedSegment {
+func (sched *Scheduler) decode(items []wire.KeyValue, prefix, team string) []storedSegment {
 	segments := make([]storedSegment, 0, len(items))
 	for _, it := range items {
 		rec := new(segmentRecord)
 		if _, err := strconv.Atoi(strings.TrimPrefix(it.Key, prefix)); err != nil || wire.Unmarshal(it.Value, rec) != nil {
-			p.log.Error("corrupt task log record ignored; jobs accepted by its teams are not started", "key", it.Key)
+			sched.log.Error("corrupt task log record ignored; jobs accepted by its teams are not started", "key", it.Key)
 			rec = nil
 		}
 		segments = append(segments, storedSegment{it.Key, it.Revision, rec, team})
@@ -124,16 +126,16 @@
 
 // jobsKnown reports whether all jobs that the records name are known here. A job is stored before its tasks are, so an
 // unknown one only means that the local copy is behind.
-func (p *Scheduler) jobsKnown(segments []storedSegment) bool {
+func (sched *Scheduler) jobsKnown(segments []storedSegment) bool {
 	known := true
 	for _, s := range segments {
 		if s.rec == nil {
 			continue
 		}
 		for _, e := range s.rec.Jobs {
-			if p.registry.Get(e.ID) == nil {
+			if sched.registry.Get(e.ID) == nil {
 				known = false
-				p.registry.Refresh(e.ID)
+				sched.registry.Refresh(e.ID)
 			}
 		}
 	}
@@ -142,7 +144,7 @@
 
 // coversTeams reports whether the teams include all that a numbered partition's records name. A team with records was
 // assigned before, so a missing one only means that the local copy is behind.
-func (p *Scheduler) coversTeams(segments []storedSegment, id partition.ID, names []string) bool {
+func (sched *Scheduler) coversTeams(segments []storedSegment, id partition.ID, names []string) bool {
 	if _, byTeam := id.Team(); byTeam {
 		return true
 	}
@@ -155,11 +157,11 @@
 			continue
 		}
 		for _, e := range s.rec.Jobs {
-			j := p.registry.Get(e.ID)
+			j := sched.registry.Get(e.ID)
 			if j == nil || j.Spec == nil || in[j.Spec.Team] {
 				continue
 			}
-			if _, ok := p.cfg.FindTeam(j.Spec.Team); ok {
+			if _, ok := sched.cfg.FindTeam(j.Spec.Team); ok {
 				return false
 			}
 		}
@@ -168,43 +170,43 @@
 }
 
 // finishLoad puts teams whose records have been read into service.
-func (p *Scheduler) finishLoad(part *ownedPartition, teams []*team, segments []storedSegment) {
-	p.restore(part, segments)
-	part.loaded, part.loadedAt = true, p.runner.Now()
+func (sched *Scheduler) finishLoad(part *ownedPartition, teams []*team, segments []storedSegment) {
+	sched.restore(part, segments)
+	part.loaded, part.loadedAt = true, sched.runner.Now()
 	jobs, tasks := 0, 0
 	for _, tm := range teams {
-		tm.loaded, tm.loadedAt = true, p.runner.Wall()
+		tm.loaded, tm.loadedAt = true, sched.runner.Wall()
 		for _, t := range tm.inOrder() {
-			p.JobChanged(t.job) // stops what is over, in a deterministic order
+			sched.JobChanged(t.job) // stops what is over, in a deterministic order
 		}
 	}
-	p.registry.Each(p.JobChanged)
+	sched.registry.Each(sched.JobChanged)
 	for _, tm := range teams {
 		if part.unreadable {
-			p.markDamaged(tm)
+			sched.markDamaged(tm)
 		}
-		p.restoreAccounting(tm)
+		sched.restoreAccounting(tm)
 		jobs += len(tm.jobs)
 		tasks += tm.inUse()
 	}
-	p.log.Info("partition loaded", "partition", part.id, "claim", part.claim.Revision, "epoch", part.claim.Epoch, "teams", len(teams), "jobs", jobs, "tasks", tasks, "segments", len(segments))
+	sched.log.Info("partition loaded", "partition", part.id, "claim", part.claim.Revision, "epoch", part.claim.Epoch, "teams", len(teams), "jobs", jobs, "tasks", tasks, "segments", len(segments))
 	for _, tm := range teams {
 		for _, t := range tm.inOrder() {
-			p.completeIfDone(t)
+			sched.completeIfDone(t)
 		}
 	}
 	if len(segments) > 0 { // without records no task of these teams is on any machine
-		p.agent.EachView(func(v *agent.View) { p.ViewChanged(v, &agent.Changes{All: true}) })
+		sched.agent.EachView(func(v *agent.View) { sched.ViewChanged(v, &agent.Changes{All: true}) })
 	}
-	p.RequestPass()
+	sched.RequestPass()
 }
 
 // markDamaged marks the unfinished jobs of a team as damaged. They are not started, since it is unknown which of their
 // tasks are on machines.
-func (p *Scheduler) markDamaged(tm *team) {
-	p.registry.Each(func(j *job.Job) {
+func (sched *Scheduler) markDamaged(tm *team) {
+	sched.registry.Each(func(j *job.Job) {
 		if j.Spec != nil && j.Spec.Team == tm.cfg.Name && !j.Final() {
-			p.tableOf(tm, j).damaged = true
+			sched.tableOf(tm, j).damaged = true
 		}
 	})
 }
@@ -222,7 +224,7 @@
 }
 
 // restore builds the tables of a partition's teams from their records.
-func (p *Scheduler) restore(part *ownedPartition, segments []storedSegment) {
+func (sched *Scheduler) restore(part *ownedPartition, segments []storedSegment) {
 	newest := map[taskRef]newestEntry{}
 	l := &part.log
 	for _, s := range segments {
@@ -230,17 +232,17 @@
 			l.next = max(l.next, no+1)
 		}
 		if s.rec == nil {
-			p.handleUnreadable(part, s)
+			sched.handleUnreadable(part, s)
 			continue
 		}
 		seg := &segment{key: s.key, revision: s.revision}
 		l.closed[seg.key] = seg
 		for _, je := range s.rec.Jobs {
-			p.restoreJob(part, s, seg, je, newest)
+			sched.restoreJob(part, s, seg, je, newest)
 		}
 	}
 	for _, r := range sortedRefs(newest) {
-		p.restoreTask(r, newest[r])
+		sched.restoreTask(r, newest[r])
 	}
 	// Tasks are not recorded in the order of their indexes, so the gaps between recorded tasks are waiting tasks,
 	// too. They are counted here and not with the tasks above the highest index; otherwise a job would start tasks
@@ -261,31 +263,31 @@
 
 // handleUnreadable handles a record that cannot be decoded. It is unknown which tasks of its teams are on which
 // machine, so jobs that were accepted before are not started.
-func (p *Scheduler) handleUnreadable(part *ownedPartition, s storedSegment) {
+func (sched *Scheduler) handleUnreadable(part *ownedPartition, s storedSegment) {
 	if s.team != "" {
-		p.markDamaged(part.teams[s.team])
+		sched.markDamaged(part.teams[s.team])
 		return
 	}
 	part.unreadable = true
 	for _, tm := range loop.Sorted(part.teams) {
-		p.markDamaged(tm)
+		sched.markDamaged(tm)
 	}
 }
 
 // restoreJob collects the newest entries of a job from a record.
-func (p *Scheduler) restoreJob(part *ownedPartition, s storedSegment, seg *segment, je jobEntry, newest map[taskRef]newestEntry) {
-	j := p.registry.Get(je.ID)
+func (sched *Scheduler) restoreJob(part *ownedPartition, s storedSegment, seg *segment, je jobEntry, newest map[taskRef]newestEntry) {
+	j := sched.registry.Get(je.ID)
 	if j.Phase == job.Done || j.Spec == nil {
 		return
 	}
 	tm := part.teams[j.Spec.Team]
 	if tm == nil {
-		if _, named := p.cfg.FindTeam(j.Spec.Team); !named {
+		if _, named := sched.cfg.FindTeam(j.Spec.Team); !named {
 			seg.live++ // only other settings name its team: its record must be kept
 		}
 		return
 	}
-	t := p.tableOf(tm, j)
+	t := sched.tableOf(tm, j)
 	invalid := 0
 	for _, e := range je.Tasks {
 		if e.Index < 0 || e.Index >= j.Tasks || e.Machine < 0 || e.Machine > len(s.rec.Machines) || (e.State == storedPlaced && e.Machine == 0) {
@@ -307,30 +309,30 @@
 		newest[r] = b
 	}
 	if invalid > 0 {
-		p.log.Error("corrupt task log entries ignored; the job is not started", "key", s.key, "job", je.ID, "entries", invalid)
+		sched.log.Error("corrupt task log entries ignored; the job is not started", "key", s.key, "job", je.ID, "entries", invalid)
 		t.damaged = true
 	}
 }
 
 // restoreTask sets a task to the state of its newest entry.
-func (p *Scheduler) restoreTask(r taskRef, b newestEntry) {
+func (sched *Scheduler) restoreTask(r taskRef, b newestEntry) {
 	x := r.table.task(r.index)
 	x.attempt, x.segment = b.Attempt, b.segment
 	b.segment.live++
 	// The records say that the job was served but not when; jobs that were never served come before it. Without
 	// this, each new owner would treat the oldest job of a class as never served and give it everything that is
 	// served out of order.
-	r.table.servedEarlyAt = p.runner.Now()
+	r.table.servedEarlyAt = sched.runner.Now()
 	switch b.State {
 	case storedPlaced:
-		p.zoneByMachine[b.machine.Name] = b.machine.Zone
+		sched.zoneByMachine[b.machine.Name] = b.machine.Zone
 		x.machine, x.session, x.expiry = b.machine.Name, b.Session, b.Expiry
 		// Derived from the record. Left at 0, a failure seen now would count as one after an extremely long run, and
 		// no task would count as having survived that long.
-		x.chosenAt = p.runner.Now() - max(p.runner.Wall()+loop.Seconds(p.cfg.Operator.StartLifetimeS)-x.expiry, 0)
-		p.setTask(r.table, r.index, Placed)
+		x.chosenAt = sched.runner.Now() - max(sched.runner.Wall()+loop.Seconds(sched.cfg.Operator.StartLifetimeS)-x.expiry, 0)
+		sched.setTask(r.table, r.index, Placed)
 	case storedDone:
-		p.setTask(r.table, r.index, Completed)
+		sched.setTask(r.table, r.index, Completed)
 	default:
 		r.table.requeued = append(r.table.requeued, r.index)
 	}
--- a/internal/placer/machinetasks.go
+++ b/internal/placer/machinetasks.go
@@ -16,12 +16,12 @@
 }
 
 // addInUse adds a task in use to its machine's list.
-func (p *Scheduler) addInUse(r taskRef) {
+func (sched *Scheduler) addInUse(r taskRef) {
 	x := r.table.task(r.index)
-	on := p.tasksByMachine[x.machine]
+	on := sched.tasksByMachine[x.machine]
 	if on == nil {
 		on = &machineTasks{all: map[taskRef]struct{}{}, unresolved: map[taskRef]struct{}{}}
-		p.tasksByMachine[x.machine] = on
+		sched.tasksByMachine[x.machine] = on
 	}
 	on.all[r] = struct{}{}
 	if x.isUnresolved() {
@@ -41,16 +41,16 @@
 }
 
 // removeInUse removes a task from its machine's list.
-func (p *Scheduler) removeInUse(r taskRef) {
+func (sched *Scheduler) removeInUse(r taskRef) {
 	machine := r.table.task(r.index).machine
-	on := p.tasksByMachine[machine]
+	on := sched.tasksByMachine[machine]
 	if on == nil {
 		return
 	}
 	delete(on.all, r)
 	delete(on.unresolved, r)
 	if len(on.all) == 0 {
-		delete(p.tasksByMachine, machine)
+		delete(sched.tasksByMachine, machine)
 	}
 }
 
@@ -61,13 +61,13 @@
 func (t *task) isUnresolved() bool { return !t.listed || t.recheck }
 
 // setListed is the only function that changes what a machine has shown of a task in use.
-func (p *Scheduler) setListed(t *jobTable, i int, listed, recheck bool) {
+func (sched *Scheduler) setListed(t *jobTable, i int, listed, recheck bool) {
 	x := t.task(i)
 	if x.listed == listed && x.recheck == recheck {
 		return
 	}
 	x.listed, x.recheck = listed, recheck
-	on := p.tasksByMachine[x.machine]
+	on := sched.tasksByMachine[x.machine]
 	if on == nil {
 		return
 	}
@@ -80,8 +80,8 @@
 }
 
 // eachInUse calls f for every task in use on a machine.
-func (p *Scheduler) eachInUse(machine string, f func(r taskRef)) {
-	if on := p.tasksByMachine[machine]; on != nil {
+func (sched *Scheduler) eachInUse(machine string, f func(r taskRef)) {
+	if on := sched.tasksByMachine[machine]; on != nil {
 		for _, r := range sortedRefs(on.all) {
 			f(r)
 		}
@@ -89,8 +89,8 @@
 }
 
 // eachUnresolved calls f for every task in use on a machine that is not resolved yet.
-func (p *Scheduler) eachUnresolved(machine string, f func(r taskRef)) {
-	if on := p.tasksByMachine[machine]; on != nil {
+func (sched *Scheduler) eachUnresolved(machine string, f func(r taskRef)) {
+	if on := sched.tasksByMachine[machine]; on != nil {
 		for _, r := range sortedRefs(on.unresolved) {
 			f(r)
 		}
--- a/internal/placer/outages.go
+++ b/internal/placer/outages.go
@@ -12,13 +12,13 @@
 }
 
 // recordLost records that a task failed with its machine; lastReport is the time of the machine's last report.
-func (p *Scheduler) recordLost(t *jobTable, i int, lastReport loop.Micros) {
+func (sched *Scheduler) recordLost(t *jobTable, i int, lastReport loop.Micros) {
 	x := t.task(i)
 	if t.job.Final() || x.lostSince != 0 || lastReport == 0 {
 		return
 	}
 	x.lostSince = lastReport
-	o := &p.reruns
+	o := &sched.reruns
 	if o.pending == 0 {
 		*o = reruns{since: lastReport}
 	}
@@ -26,18 +26,18 @@
 }
 
 // recordRerun records that a task runs again, or that it is finished and need not run.
-func (p *Scheduler) recordRerun(x *task, runs bool) {
+func (sched *Scheduler) recordRerun(x *task, runs bool) {
 	if x.lostSince == 0 {
 		return
 	}
-	o := &p.reruns
-	if took := p.runner.Now() - x.lostSince; runs {
-		p.deps.Meter.Rerun(took)
+	o := &sched.reruns
+	if took := sched.runner.Now() - x.lostSince; runs {
+		sched.deps.Meter.Rerun(took)
 		o.count++
 		o.longest = max(o.longest, took)
 	}
 	x.lostSince = 0
 	if o.pending--; o.pending == 0 {
-		p.log.Info("all tasks of failed machines run again or are over", "tasks", o.count, "longest_us", o.longest, "since_us", p.runner.Now()-o.since)
+		sched.log.Info("all tasks of failed machines run again or are over", "tasks", o.count, "longest_us", o.longest, "since_us", sched.runner.Now()-o.since)
 	}
 }
--- a/internal/placer/partition.go
+++ b/internal/placer/partition.go
@@ -37,69 +37,71 @@
 )
 
 // ownsPartition reports whether this controller still owns the partition, under the same claim.
-func (p *Scheduler) ownsPartition(part *ownedPartition) bool { return p.partitions[part.id] == part }
+func (sched *Scheduler) ownsPartition(part *ownedPartition) bool {
+	return sched.partitions[part.id] == part
+}
 
 // ownsJob reports whether the table belongs to a team that is owned now and to a job that is still known.
-func (p *Scheduler) ownsJob(t *jobTable) bool {
-	return p.teams[t.team.cfg.Name] == t.team && t.team.jobs[t.job.ID] == t
+func (sched *Scheduler) ownsJob(t *jobTable) bool {
+	return sched.teams[t.team.cfg.Name] == t.team && t.team.jobs[t.job.ID] == t
 }
 
 // OwnershipChanged handles the gain or loss of a partition.
-func (p *Scheduler) OwnershipChanged(id partition.ID, owned bool, claim member.Owner) {
+func (sched *Scheduler) OwnershipChanged(id partition.ID, owned bool, claim member.Owner) {
 	if !owned {
-		p.removePartition(id)
+		sched.removePartition(id)
 		return
 	}
-	part := &ownedPartition{id: id, claim: claim, ownedAt: p.runner.Now(), teams: map[string]*team{}, unassigned: map[string]bool{},
+	part := &ownedPartition{id: id, claim: claim, ownedAt: sched.runner.Now(), teams: map[string]*team{}, unassigned: map[string]bool{},
 		log: taskLog{prefix: id.LogPrefix(), closed: map[string]*segment{}}}
-	p.partitions[id] = part
-	p.loadLog(part)
+	sched.partitions[id] = part
+	sched.loadLog(part)
 }
 
 // removePartition forgets a partition that was lost, with its teams.
-func (p *Scheduler) removePartition(id partition.ID) {
-	part := p.partitions[id]
+func (sched *Scheduler) removePartition(id partition.ID) {
+	part := sched.partitions[id]
 	if part == nil {
 		return
 	}
-	delete(p.partitions, id)
+	delete(sched.partitions, id)
 	for name, tm := range loop.Sorted(part.teams) {
 		for _, t := range tm.inOrder() {
-			p.forgetJob(t)
+			sched.forgetJob(t)
 		}
-		if p.teams[name] == tm {
-			delete(p.teams, name)
+		if sched.teams[name] == tm {
+			delete(sched.teams, name)
 		}
 	}
 }
 
 // addTeam adds a team to a partition. The team counts as loaded only after its records have been read.
-func (p *Scheduler) addTeam(part *ownedPartition, name string) *team {
-	cfg, ok := p.cfg.FindTeam(name)
+func (sched *Scheduler) addTeam(part *ownedPartition, name string) *team {
+	cfg, ok := sched.cfg.FindTeam(name)
 	if !ok {
 		return nil
 	}
-	tm := &team{cfg: cfg, quota: p.cfg.Quota(cfg), partition: part, jobs: map[string]*jobTable{}}
-	part.teams[name], p.teams[name] = tm, tm
+	tm := &team{cfg: cfg, quota: sched.cfg.Quota(cfg), partition: part, jobs: map[string]*jobTable{}}
+	part.teams[name], sched.teams[name] = tm, tm
 	return tm
 }
 
 // partitionTeams lists the teams that currently belong to a partition.
-func (p *Scheduler) partitionTeams(id partition.ID) []string {
+func (sched *Scheduler) partitionTeams(id partition.ID) []string {
 	if team, ok := id.Team(); ok {
 		return []string{team}
 	}
-	return slices.DeleteFunc(p.deps.Membership.Layout().Teams(id, p.cfg.TeamNames()), func(team string) bool {
-		return !p.deps.Membership.Assigned(team)
+	return slices.DeleteFunc(sched.deps.Membership.Layout().Teams(id, sched.cfg.TeamNames()), func(team string) bool {
+		return !sched.deps.Membership.Assigned(team)
 	})
 }
 
 // numberedPartition returns the numbered partition of a team if it is owned and loaded here, else nil.
-func (p *Scheduler) numberedPartition(name string) *ownedPartition {
-	if p.deps.Membership == nil || !p.deps.Membership.Layout().Numbered() {
+func (sched *Scheduler) numberedPartition(name string) *ownedPartition {
+	if sched.deps.Membership == nil || !sched.deps.Membership.Layout().Numbered() {
 		return nil
 	}
-	part := p.partitions[p.deps.Membership.Layout().Of(name)]
+	part := sched.partitions[sched.deps.Membership.Layout().Of(name)]
 	if part == nil || !part.loaded {
 		return nil
 	}
@@ -108,45 +110,45 @@
 
 // TeamReleased handles the message that no controller owns a team which is not assigned to a partition yet. Its
 // recorded tasks are to be taken over even if none of its jobs waits.
-func (p *Scheduler) TeamReleased(name string) { p.scheduleAssignment(name) }
+func (sched *Scheduler) TeamReleased(name string) { sched.scheduleAssignment(name) }
 
 // scheduleAssignment schedules the assignment of a team to its partition, if that is owned here.
-func (p *Scheduler) scheduleAssignment(name string) {
-	part := p.numberedPartition(name)
-	if part == nil || part.unassigned[name] || p.teams[name] != nil {
+func (sched *Scheduler) scheduleAssignment(name string) {
+	part := sched.numberedPartition(name)
+	if part == nil || part.unassigned[name] || sched.teams[name] != nil {
 		return
 	}
-	if _, ok := p.cfg.FindTeam(name); !ok {
+	if _, ok := sched.cfg.FindTeam(name); !ok {
 		return
 	}
 	part.unassigned[name] = true
-	p.assignAfter(part, assignDelay)
+	sched.assignAfter(part, assignDelay)
 }
 
 // assignAfter schedules assign, unless it is scheduled or running already.
-func (p *Scheduler) assignAfter(part *ownedPartition, d loop.Micros) {
+func (sched *Scheduler) assignAfter(part *ownedPartition, d loop.Micros) {
 	if part.assigning {
 		return
 	}
 	part.assigning = true
-	p.runner.After(d, func() {
+	sched.runner.After(d, func() {
 		part.assigning = false
-		if p.ownsPartition(part) {
-			p.assign(part)
+		if sched.ownsPartition(part) {
+			sched.assign(part)
 		}
 	})
 }
 
 // assign requests the assignment of waiting teams, several in one transaction.
-func (p *Scheduler) assign(part *ownedPartition) {
+func (sched *Scheduler) assign(part *ownedPartition) {
 	var names []string
 	for name := range loop.Sorted(part.unassigned) {
 		switch {
-		case p.teams[name] != nil:
+		case sched.teams[name] != nil:
 			delete(part.unassigned, name)
-		case p.deps.Membership.Assigned(name):
-			p.TeamAssigned(name)
-		case len(names) < p.client.MaxChanges():
+		case sched.deps.Membership.Assigned(name):
+			sched.TeamAssigned(name)
+		case len(names) < sched.client.MaxChanges():
 			names = append(names, name)
 		}
 	}
@@ -154,9 +156,9 @@
 		return
 	}
 	part.assigning = true
-	p.deps.Membership.Assign(part.id, part.claim, names, func(ok bool) {
+	sched.deps.Membership.Assign(part.id, part.claim, names, func(ok bool) {
 		part.assigning = false
-		if !p.ownsPartition(part) {
+		if !sched.ownsPartition(part) {
 			return
 		}
 		pause := assignDelay
@@ -164,16 +166,16 @@
 			pause = assignRetryDelay
 		}
 		if len(part.unassigned) > 0 {
-			p.assignAfter(part, pause)
+			sched.assignAfter(part, pause)
 		}
 	})
 }
 
 // TeamAssigned handles the assignment of a team to its numbered partition. Teams that are assigned within a short time
 // are loaded together.
-func (p *Scheduler) TeamAssigned(name string) {
-	part := p.numberedPartition(name)
-	if part == nil || p.teams[name] != nil || slices.Contains(part.toLoad, name) {
+func (sched *Scheduler) TeamAssigned(name string) {
+	part := sched.numberedPartition(name)
+	if part == nil || sched.teams[name] != nil || slices.Contains(part.toLoad, name) {
 		return
 	}
 	delete(part.unassigned, name)
@@ -181,26 +183,26 @@
 	if len(part.toLoad) > 1 {
 		return
 	}
-	p.runner.After(assignDelay, func() {
-		if p.ownsPartition(part) {
-			p.loadAssignedTeams(part)
+	sched.runner.After(assignDelay, func() {
+		if sched.ownsPartition(part) {
+			sched.loadAssignedTeams(part)
 		}
 	})
 }
 
 // loadAssignedTeams loads the teams that were assigned since the last call.
-func (p *Scheduler) loadAssignedTeams(part *ownedPartition) {
+func (sched *Scheduler) loadAssignedTeams(part *ownedPartition) {
 	var teams []*team
 	for _, name := range part.toLoad {
-		if p.teams[name] != nil {
+		if sched.teams[name] != nil {
 			continue
 		}
-		if tm := p.addTeam(part, name); tm != nil {
+		if tm := sched.addTeam(part, name); tm != nil {
 			teams = append(teams, tm)
 		}
 	}
 	part.toLoad = nil
 	if len(teams) > 0 {
-		p.loadTeamLogs(part, teams, nil)
+		sched.loadTeamLogs(part, teams, nil)
 	}
 }
--- a/internal/placer/place_test.go
+++ b/internal/placer/place_test.go
@@ -326,10 +326,10 @@
 				t.Fatal(why)
 			}
 			g.scheduler.fleet.Refresh()
-			for _, sl := range g.scheduler.fleet.All() {
-				name := sl.View.Name
-				if room := g.plainCapacity(name); sl.Known && room != sl.Free {
-					t.Fatalf("%s: free capacity %v in its record, %v computed from its view", name, sl.Free, room)
+			for _, m := range g.scheduler.fleet.All() {
+				name := m.View.Name
+				if room := g.plainCapacity(name); m.Known && room != m.Free {
+					t.Fatalf("%s: free capacity %v in its record, %v computed from its view", name, m.Free, room)
 				}
 			}
 		}
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -25,47 +25,47 @@
 const turnoverSeconds = 1.0
 
 // ReservationsReceived adds reservations that other owners made, and records which tasks of this owner they preempted.
-func (p *Scheduler) ReservationsReceived(cs []peer.Reservation) {
+func (sched *Scheduler) ReservationsReceived(cs []peer.Reservation) {
 	for _, c := range cs {
-		p.fleet.AddReservation(c)
-		p.recordPreempted(c)
+		sched.fleet.AddReservation(c)
+		sched.recordPreempted(c)
 	}
 }
 
 // OwnReservations returns the reservations of the jobs owned here, for a peer that does not know them.
-func (p *Scheduler) OwnReservations() []peer.Reservation {
-	return p.fleet.ReservationsOf(func(id string) bool {
-		j := p.registry.Get(id)
+func (sched *Scheduler) OwnReservations() []peer.Reservation {
+	return sched.fleet.ReservationsOf(func(id string) bool {
+		j := sched.registry.Get(id)
 		if j == nil || j.Spec == nil {
 			return false
 		}
-		tm := p.teams[j.Spec.Team]
+		tm := sched.teams[j.Spec.Team]
 		return tm != nil && tm.loaded
 	})
 }
 
 // recordReservations records new reservations and queues them to be sent to the other owners.
-func (p *Scheduler) recordReservations(cs []peer.Reservation) {
+func (sched *Scheduler) recordReservations(cs []peer.Reservation) {
 	for i := range cs {
-		p.deps.Meter.Preempted(len(cs[i].Victims))
-		if p.deps.ReportCauses {
-			p.recordPreempted(cs[i])
+		sched.deps.Meter.Preempted(len(cs[i].Victims))
+		if sched.deps.ReportCauses {
+			sched.recordPreempted(cs[i])
 		} else {
 			cs[i].Victims = nil
 		}
 	}
-	p.preemption.newReservations = append(p.preemption.newReservations, cs...)
+	sched.preemption.newReservations = append(sched.preemption.newReservations, cs...)
 }
 
 // maxPreemptions bounds the preemptions of one pass, since each causes commands, reports and views.
 const maxPreemptions = 64
 
 // teamExcess returns how many CPUs each team runs beyond its guarantee; negative if it runs less.
-func (p *Scheduler) teamExcess() map[string]float64 {
+func (sched *Scheduler) teamExcess() map[string]float64 {
 	out := map[string]float64{}
-	for _, c := range p.cfg.Cluster.Teams {
-		u := p.usage[c.Name].CPUs
-		if tm := p.teams[c.Name]; tm != nil {
+	for _, c := range sched.cfg.Cluster.Teams {
+		u := sched.usage[c.Name].CPUs
+		if tm := sched.teams[c.Name]; tm != nil {
 			u = tm.cpus
 		}
 		out[c.Name] = u - c.CPUs
@@ -74,18 +74,18 @@
 }
 
 // preemptionRight returns what may be preempted for a task of the job.
-func (p *Scheduler) preemptionRight(e *queueEntry, b *budget) fleet.PreemptionRights {
+func (sched *Scheduler) preemptionRight(e *queueEntry, b *budget) fleet.PreemptionRights {
 	t := e.table
 	if b.excess == nil {
-		b.excess, b.shares = p.teamExcess(), map[*team]map[*jobTable]float64{}
+		b.excess, b.shares = sched.teamExcess(), map[*team]map[*jobTable]float64{}
 	}
 	shares := b.shares[t.team]
 	if shares == nil {
-		shares = p.guaranteeShares(t.team)
+		shares = sched.guaranteeShares(t.team)
 		b.shares[t.team] = shares
 	}
 	cpus := t.job.Spec.CPUs
-	reserved := p.fleet.ReservationCount(t.job.ID) // capacity for these is already reserved
+	reserved := sched.fleet.ReservationCount(t.job.ID) // capacity for these is already reserved
 	share := tasksWithin(shares[t]-float64(t.inUse)*cpus, cpus) - reserved
 	// Two teams that both run beyond their guarantees must not preempt each other's work alternately: only a team
 	// that uses less than its guarantee may claim capacity by it.
@@ -107,7 +107,7 @@
 
 // guaranteeShares divides the guarantee of an owned team among its unfinished jobs, by priority and then by
 // acceptance. Jobs blocked by a hold or a dependency have no share.
-func (p *Scheduler) guaranteeShares(tm *team) map[*jobTable]float64 {
+func (sched *Scheduler) guaranteeShares(tm *team) map[*jobTable]float64 {
 	order := slices.Clone(tm.inOrder())
 	slices.SortStableFunc(order, func(a, b *jobTable) int { return cmp.Compare(b.job.Spec.Priority, a.job.Spec.Priority) })
 	shares := map[*jobTable]float64{}
@@ -116,7 +116,7 @@
 		if remaining <= 0 {
 			break
 		}
-		if t.job.Final() || p.blocked(t) {
+		if t.job.Final() || sched.blocked(t) {
 			continue
 		}
 		shares[t] = min(float64(t.job.Tasks-t.completed)*t.job.Spec.CPUs, remaining)
@@ -127,11 +127,11 @@
 
 // jobsWithinGuarantee returns the jobs of an owned team that fit into its guarantee together with the team's earlier
 // unfinished jobs. Blocked jobs do not count, except also.
-func (p *Scheduler) jobsWithinGuarantee(tm *team, also *jobTable) map[*jobTable]bool {
+func (sched *Scheduler) jobsWithinGuarantee(tm *team, also *jobTable) map[*jobTable]bool {
 	out := map[*jobTable]bool{}
 	cpus, gpus := 0.0, 0.0
 	for _, t := range tm.inOrder() {
-		if t.job.Final() || (t != also && p.blocked(t)) {
+		if t.job.Final() || (t != also && sched.blocked(t)) {
 			continue
 		}
 		n := float64(t.job.Tasks - t.completed)
--- a/internal/placer/scheduler.go
+++ b/internal/placer/scheduler.go
@@ -117,11 +117,11 @@
 }
 
 // forgetJob removes a job's table and everything that refers to its tasks.
-func (p *Scheduler) forgetJob(t *jobTable) {
+func (sched *Scheduler) forgetJob(t *jobTable) {
 	t.each(func(i int, x *task) {
-		p.recordRerun(x, false)
+		sched.recordRerun(x, false)
 		if x.inUse() {
-			p.removeInUse(taskRef{t, i})
+			sched.removeInUse(taskRef{t, i})
 		}
 		if x.segment != nil {
 			x.segment.live--
@@ -132,31 +132,31 @@
 }
 
 // tableOf returns the table of a job, which it creates if necessary.
-func (p *Scheduler) tableOf(tm *team, j *job.Job) *jobTable {
+func (sched *Scheduler) tableOf(tm *team, j *job.Job) *jobTable {
 	t := tm.jobs[j.ID]
 	if t == nil {
 		t = &jobTable{job: j, team: tm, blocks: make([]*[blockSize]task, (j.Tasks+blockSize-1)/blockSize), zones: map[string]int{}}
-		t.acceptedAt = p.runner.Now() - max(p.runner.Wall()-j.AcceptedAt, 0)
+		t.acceptedAt = sched.runner.Now() - max(sched.runner.Wall()-j.AcceptedAt, 0)
 		t.servedEarlyAt = t.acceptedAt
-		p.trackFailures(t)
+		sched.trackFailures(t)
 		tm.addJob(t)
 	}
 	return t
 }
 
 // JobChanged applies a new or changed job record.
-func (p *Scheduler) JobChanged(j *job.Job) {
+func (sched *Scheduler) JobChanged(j *job.Job) {
 	if j.Final() {
-		delete(p.paces, j.ID)
-		p.fleet.TrimReservations(j.ID, 0)
-		p.attribution.JobFinished(j.ID)
+		delete(sched.paces, j.ID)
+		sched.fleet.TrimReservations(j.ID, 0)
+		sched.attribution.JobFinished(j.ID)
 	}
 	if j.Spec == nil {
 		return
 	}
-	tm := p.teams[j.Spec.Team]
+	tm := sched.teams[j.Spec.Team]
 	if tm == nil && !j.Final() {
-		p.scheduleAssignment(j.Spec.Team)
+		sched.scheduleAssignment(j.Spec.Team)
 	}
 	if tm == nil || !tm.loaded {
 		return
@@ -166,60 +166,60 @@
 		if j.Final() {
 			return
 		}
-		p.tableOf(tm, j)
-		p.RequestPass()
+		sched.tableOf(tm, j)
+		sched.RequestPass()
 		return
 	}
 	if j.Final() {
-		p.cleanUpFinal(t)
+		sched.cleanUpFinal(t)
 	}
 }
 
 // cleanUpFinal cleans up after a job in a final phase. Tasks that may still be on a machine are stopped, and
 // count as in use until they are confirmed terminated.
-func (p *Scheduler) cleanUpFinal(t *jobTable) {
+func (sched *Scheduler) cleanUpFinal(t *jobTable) {
 	t.each(func(i int, x *task) {
 		if x.state == Recording || (x.state == Placed && x.recordedHere && x.sentTo == "") {
-			p.setTask(t, i, Waiting) // no start was sent
+			sched.setTask(t, i, Waiting) // no start was sent
 		} else if x.state == Placed {
-			p.stop(t, i, 0)
+			sched.stop(t, i, 0)
 		}
 	})
-	p.forgetIfTerminated(t)
-	p.RequestPass()
+	sched.forgetIfTerminated(t)
+	sched.RequestPass()
 }
 
 // forgetIfTerminated forgets the table of a job in a final phase once none of its tasks can be on a machine.
-func (p *Scheduler) forgetIfTerminated(t *jobTable) {
+func (sched *Scheduler) forgetIfTerminated(t *jobTable) {
 	if t.job.Final() && t.inUse == 0 {
-		p.forgetJob(t)
+		sched.forgetJob(t)
 	}
 }
 
 // stop sends a stop for a task's attempt, at most once per second. With a grace period the task may save first.
-func (p *Scheduler) stop(t *jobTable, i int, grace loop.Micros) {
+func (sched *Scheduler) stop(t *jobTable, i int, grace loop.Micros) {
 	x := t.task(i)
-	now := p.runner.Now()
+	now := sched.runner.Now()
 	if x.stopSentAt != 0 && now-x.stopSentAt < loop.Second {
 		return
 	}
-	if v := p.agent.View(x.machine); v != nil {
+	if v := sched.agent.View(x.machine); v != nil {
 		x.stopSentAt = now
-		p.deps.Stop(v.Host, agent.Stop{Machine: x.machine, Task: t.taskName(i), Attempt: x.attempt, Grace: grace})
+		sched.deps.Stop(v.Host, agent.Stop{Machine: x.machine, Task: t.taskName(i), Attempt: x.attempt, Grace: grace})
 	}
 }
 
 // StartRejected handles a host controller's message that it will never pass a start on to the worker.
-func (p *Scheduler) StartRejected(from string, d agent.Rejection) {
+func (sched *Scheduler) StartRejected(from string, d agent.Rejection) {
 	id, i, ok := agent.SplitTask(d.Task)
 	if !ok {
 		return
 	}
-	j := p.registry.Get(id)
+	j := sched.registry.Get(id)
 	if j == nil || j.Spec == nil {
 		return
 	}
-	tm := p.teams[j.Spec.Team]
+	tm := sched.teams[j.Spec.Team]
 	if tm == nil || tm.jobs[id] == nil || i >= j.Tasks {
 		return
 	}
@@ -233,10 +233,10 @@
 		// attempted. Afterwards it is no evidence: the start may be in flight, and freeing the task then would let it
 		// run twice.
 		if x.state == Recording && x.expiry == 0 {
-			p.deps.Meter.Rejection()
-			p.excludeBriefly(d.Machine)
-			p.confirmTerminated(t, i, "reservation refused: "+d.Why)
-			p.RequestPass()
+			sched.deps.Meter.Rejection()
+			sched.excludeBriefly(d.Machine)
+			sched.confirmTerminated(t, i, "reservation refused: "+d.Why)
+			sched.RequestPass()
 		}
 		return
 	}
@@ -246,27 +246,27 @@
 	// The refusal is evidence only if the start was sent to no other host controller and to no other incarnation of
 	// this one.
 	if x.recordedHere && !x.sentToSeveral && x.sentTo == from && x.sentToIncarnation == d.Incarnation && !x.listed {
-		p.excludeBriefly(d.Machine)
-		p.confirmTerminated(t, i, "dropped: "+d.Why)
-		p.RequestPass()
+		sched.excludeBriefly(d.Machine)
+		sched.confirmTerminated(t, i, "dropped: "+d.Why)
+		sched.RequestPass()
 	}
 }
 
 // sendStart sends the start of a recorded task, or takes the task back if the start cannot be sent any more.
-func (p *Scheduler) sendStart(t *jobTable, i int) {
+func (sched *Scheduler) sendStart(t *jobTable, i int) {
 	x := t.task(i)
-	v := p.agent.View(x.machine)
-	if v == nil || p.runner.Wall() >= x.expiry {
+	v := sched.agent.View(x.machine)
+	if v == nil || sched.runner.Wall() >= x.expiry {
 		if x.sentTo == "" && x.recordedHere {
-			p.confirmTerminated(t, i, "not sent in time")
-			p.RequestPass()
+			sched.confirmTerminated(t, i, "not sent in time")
+			sched.RequestPass()
 		}
 		return
 	}
-	if why := p.startBlockedBy(t, x.machine); why != "" {
+	if why := sched.startBlockedBy(t, x.machine); why != "" {
 		// A start that was already sent may still run. One that was never sent can be taken back.
 		if x.sentTo == "" && x.recordedHere {
-			p.confirmTerminated(t, i, why)
+			sched.confirmTerminated(t, i, why)
 		}
 		return
 	}
@@ -274,60 +274,60 @@
 		x.sentToSeveral = true
 	}
 	if x.sentTo == "" {
-		p.deps.Meter.Start()
+		sched.deps.Meter.Start()
 	}
-	x.sentTo, x.sentToIncarnation, x.sentAt = v.Host, v.Incarnation, p.runner.Now()
-	p.deps.Start(v.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.taskName(i), Attempt: x.attempt, Expiry: x.expiry, From: p.deps.Label, Incarnation: v.Incarnation})
+	x.sentTo, x.sentToIncarnation, x.sentAt = v.Host, v.Incarnation, sched.runner.Now()
+	sched.deps.Start(v.Host, agent.Start{Machine: x.machine, Session: x.session, Task: t.taskName(i), Attempt: x.attempt, Expiry: x.expiry, From: sched.deps.Label, Incarnation: v.Incarnation})
 }
 
 // completeIfDone stores a job's completion once all its tasks have completed.
-func (p *Scheduler) completeIfDone(t *jobTable) {
+func (sched *Scheduler) completeIfDone(t *jobTable) {
 	if t.completing || t.job.Final() || t.job.Spec.Service || t.completed < t.job.Tasks || !t.team.loaded {
 		return
 	}
 	t.completing = true
-	p.storeCompletion(t)
+	sched.storeCompletion(t)
 }
 
 // storeCompletion stores that a job is done, and retries until the answer is certain.
-func (p *Scheduler) storeCompletion(t *jobTable) {
-	if p.teams[t.team.cfg.Name] != t.team || t.job.Final() {
+func (sched *Scheduler) storeCompletion(t *jobTable) {
+	if sched.teams[t.team.cfg.Name] != t.team || t.job.Final() {
 		return
 	}
 	ch := job.DoneChange(t.job)
 	part := t.team.partition
 	txn := wire.Txn{If: []wire.Cond{member.ClaimCond(part.id, part.claim), job.RevisionCond(t.job)}, Then: []wire.Change{ch}}
-	p.client.Txn(store.Answers, txn, func(r store.Result) {
-		if p.teams[t.team.cfg.Name] != t.team {
+	sched.client.Txn(store.Answers, txn, func(r store.Result) {
+		if sched.teams[t.team.cfg.Name] != t.team {
 			return
 		}
 		switch r.Outcome {
 		case store.Applied:
-			p.log.Debug("job done", "job", t.job.ID, "class", t.job.Spec.Class, "tasks", t.job.Tasks, "took_us", p.runner.Wall()-t.job.AcceptedAt, "estimate_us", t.job.Spec.Estimate)
-			p.registry.ApplyStored(ch, r.Revision)
-			p.forgetJob(t)
+			sched.log.Debug("job done", "job", t.job.ID, "class", t.job.Spec.Class, "tasks", t.job.Tasks, "took_us", sched.runner.Wall()-t.job.AcceptedAt, "estimate_us", t.job.Spec.Estimate)
+			sched.registry.ApplyStored(ch, r.Revision)
+			sched.forgetJob(t)
 		case store.Conflict:
-			p.registry.Refresh(t.job.ID)
-			p.runner.After(250*loop.Millisecond, func() { p.storeCompletion(t) })
+			sched.registry.Refresh(t.job.ID)
+			sched.runner.After(250*loop.Millisecond, func() { sched.storeCompletion(t) })
 		default:
-			p.runner.After(150*loop.Millisecond, func() { p.storeCompletion(t) })
+			sched.runner.After(150*loop.Millisecond, func() { sched.storeCompletion(t) })
 		}
 	})
 }
 
 // excludeBriefly excludes a machine from placement for 300 ms, until a newer view of it has arrived.
-func (p *Scheduler) excludeBriefly(machine string) {
-	if sl := p.fleet.Machine(machine); sl != nil {
-		sl.BackOff(p.runner.Now()+300*loop.Millisecond, "its host controller refused a start")
+func (sched *Scheduler) excludeBriefly(machine string) {
+	if m := sched.fleet.Machine(machine); m != nil {
+		m.BackOff(sched.runner.Now()+300*loop.Millisecond, "its host controller refused a start")
 	}
 }
 
 // JobCounts returns the task counts of a job whose team is owned here. ok is false for other jobs.
-func (p *Scheduler) JobCounts(j *job.Job) (job.Counts, bool) {
+func (sched *Scheduler) JobCounts(j *job.Job) (job.Counts, bool) {
 	if j.Spec == nil {
 		return job.Counts{}, false
 	}
-	tm := p.teams[j.Spec.Team]
+	tm := sched.teams[j.Spec.Team]
 	if tm == nil || tm.jobs[j.ID] == nil {
 		return job.Counts{}, false
 	}
@@ -336,9 +336,9 @@
 }
 
 // TasksInUse returns the number of tasks of an owned partition that may be on machines.
-func (p *Scheduler) TasksInUse(id partition.ID) int {
+func (sched *Scheduler) TasksInUse(id partition.ID) int {
 	n := 0
-	if part := p.partitions[id]; part != nil {
+	if part := sched.partitions[id]; part != nil {
 		for _, tm := range part.teams {
 			n += tm.inUse()
 		}
@@ -347,9 +347,9 @@
 }
 
 // UsageReceived records the resource use of teams that other controllers own.
-func (p *Scheduler) UsageReceived(u []peer.Usage) {
+func (sched *Scheduler) UsageReceived(u []peer.Usage) {
 	for _, x := range u {
-		p.usage[x.Team] = x
+		sched.usage[x.Team] = x
 	}
 }
 
@@ -359,13 +359,13 @@
 
 // RequestPass schedules a placement pass. Calls that arrive before the pass starts share it. The delay grows with the
 // duration of the newest pass, so that passes leave most of the controller's time to other work.
-func (p *Scheduler) RequestPass() {
-	if p.passScheduled {
+func (sched *Scheduler) RequestPass() {
+	if sched.passScheduled {
 		return
 	}
-	p.passScheduled = true
-	p.runner.After(min(minPassInterval+10*p.lastPassTook, 400*loop.Millisecond), func() {
-		p.passScheduled = false
-		p.place()
+	sched.passScheduled = true
+	sched.runner.After(min(minPassInterval+10*sched.lastPassTook, 400*loop.Millisecond), func() {
+		sched.passScheduled = false
+		sched.place()
 	})
 }
--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -19,29 +19,29 @@
 // serveLongestWaiting gives a fraction of the freed capacity to the jobs that have waited longest, out of the order
 // of service. If such a task fits nowhere, capacity is reserved for it; otherwise small tasks would take whatever
 // becomes free before a large one fits. Nothing is preempted for it.
-func (p *Scheduler) serveLongestWaiting(q []queueEntry, freeSlots []*fleet.Machine, chosen *[]hostStart) {
-	now := p.runner.Now()
-	if p.starvation.Accrue(now, p.turnover.Rate*p.expectedShare()); !p.starvation.Available() {
+func (sched *Scheduler) serveLongestWaiting(q []queueEntry, freeSlots []*fleet.Machine, chosen *[]hostStart) {
+	now := sched.runner.Now()
+	if sched.starvation.Accrue(now, sched.turnover.Rate*sched.expectedShare()); !sched.starvation.Available() {
 		return // the usual case, and cheap where scanning a long queue would not be
 	}
-	tables, waiters := p.longWaiting(q, now)
+	tables, waiters := sched.longWaiting(q, now)
 	if len(waiters) == 0 {
 		return
 	}
-	for _, pick := range p.starvation.Pick(now, waiters) {
-		p.serveOutOfOrder(tables[pick.Index], &waiters[pick.Index], pick.Tasks, freeSlots, chosen)
+	for _, pick := range sched.starvation.Pick(now, waiters) {
+		sched.serveOutOfOrder(tables[pick.Index], &waiters[pick.Index], pick.Tasks, freeSlots, chosen)
 	}
 }
 
 // longWaiting lists the jobs that have waited long enough to be served out of order.
-func (p *Scheduler) longWaiting(q []queueEntry, now loop.Micros) (tables []*jobTable, waiters []starvation.Waiter) {
+func (sched *Scheduler) longWaiting(q []queueEntry, now loop.Micros) (tables []*jobTable, waiters []starvation.Waiter) {
 	for _, e := range q {
 		t := e.table
 		if now-t.acceptedAt < starvation.MinWait {
 			continue
 		}
-		p.refundReserved(t)
-		f := p.facts(t)
+		sched.refundReserved(t)
+		f := sched.facts(t)
 		if n := min(f.AllowedTasks(gate.Probation), f.AllowedTasks(gate.Limit), t.waiting()); n > 0 {
 			tables = append(tables, t)
 			waiters = append(waiters, starvation.Waiter{ID: t.job.ID, Class: t.budgetClass(), AcceptedAt: t.acceptedAt, LastServedAt: t.servedEarlyAt, Tasks: n, CPUs: t.job.Spec.CPUs})
@@ -51,9 +51,9 @@
 }
 
 // serveOutOfOrder places tasks of a job out of order, or reserves capacity for them.
-func (p *Scheduler) serveOutOfOrder(t *jobTable, w *starvation.Waiter, tasks int, freeSlots []*fleet.Machine, chosen *[]hostStart) {
+func (sched *Scheduler) serveOutOfOrder(t *jobTable, w *starvation.Waiter, tasks int, freeSlots []*fleet.Machine, chosen *[]hostStart) {
 	// A job served before it may have used the rest of their team's limit.
-	f := p.facts(t)
+	f := sched.facts(t)
 	n := min(tasks, f.AllowedTasks(gate.Limit))
 	if t.job.Spec.Gang {
 		n = min(t.waiting(), f.AllowedTasks(gate.Limit))
@@ -61,37 +61,37 @@
 	if n <= 0 {
 		return
 	}
-	got, held := 0, p.fleet.ReservationCount(w.ID)
-	if !t.job.Spec.Gang || p.gangFits(t) {
-		got = p.placeTasks(t, n, freeSlots, chosen)
+	got, held := 0, sched.fleet.ReservationCount(w.ID)
+	if !t.job.Spec.Gang || sched.gangFits(t) {
+		got = sched.placeTasks(t, n, freeSlots, chosen)
 	}
-	used := held - p.fleet.ReservationCount(w.ID)
+	used := held - sched.fleet.ReservationCount(w.ID)
 	t.useReserved(used)
 	given := got - used // reserved capacity is already paid for
 	if got == 0 && held == 0 {
-		given = p.reserveOutOfOrder(t, w, n)
+		given = sched.reserveOutOfOrder(t, w, n)
 	}
 	if given > 0 {
-		p.log.Debug("job served out of order because it waited long", "job", w.ID, "class", t.job.Spec.Class, "team", t.job.Spec.Team, "begun", w.Class == t.job.Spec.Team, "tasks", given, "of_cpus", w.CPUs, "waits_us", p.runner.Now()-w.AcceptedAt)
-		p.starvation.Spend(w.Class, float64(given)*w.CPUs)
+		sched.log.Debug("job served out of order because it waited long", "job", w.ID, "class", t.job.Spec.Class, "team", t.job.Spec.Team, "begun", w.Class == t.job.Spec.Team, "tasks", given, "of_cpus", w.CPUs, "waits_us", sched.runner.Now()-w.AcceptedAt)
+		sched.starvation.Spend(w.Class, float64(given)*w.CPUs)
 	} else if got == 0 && held == 0 {
-		p.starvation.Defer(w.Class)
+		sched.starvation.Defer(w.Class)
 		return
 	}
-	t.servedEarlyAt = p.runner.Now()
+	t.servedEarlyAt = sched.runner.Now()
 }
 
 // reserveOutOfOrder reserves capacity for up to n unplaced tasks of a job and returns for how many.
-func (p *Scheduler) reserveOutOfOrder(t *jobTable, w *starvation.Waiter, n int) int {
+func (sched *Scheduler) reserveOutOfOrder(t *jobTable, w *starvation.Waiter, n int) int {
 	need := t.need()
 	if !t.job.Spec.Gang {
 		n = min(n, maxReserved)
 	}
-	reservations := p.fleet.Reserve(&need, n, reservationLife)
-	p.recordReservations(reservations)
-	p.deps.Meter.Reserved(len(reservations))
+	reservations := sched.fleet.Reserve(&need, n, reservationLife)
+	sched.recordReservations(reservations)
+	sched.deps.Meter.Reserved(len(reservations))
 	t.reservedCPUs, t.reservedClass = float64(len(reservations))*w.CPUs, w.Class
-	p.log.Debug("capacity reserved for a job that waited long and fits nowhere", "job", w.ID, "tasks", len(reservations), "waits_us", p.runner.Now()-w.AcceptedAt)
+	sched.log.Debug("capacity reserved for a job that waited long and fits nowhere", "job", w.ID, "tasks", len(reservations), "waits_us", sched.runner.Now()-w.AcceptedAt)
 	return len(reservations)
 }
 
@@ -112,13 +112,13 @@
 func unbegunClass(s *job.Spec) string { return s.Team + "\x00" + s.Class }
 
 // placeInOrder places tasks in the order of service and records them in the starvation budget.
-func (p *Scheduler) placeInOrder(t *jobTable, n int, slots []*fleet.Machine, chosen *[]hostStart) int {
-	held, class := p.fleet.ReservationCount(t.job.ID), t.budgetClass()
-	got := p.placeTasks(t, n, slots, chosen)
-	used := held - p.fleet.ReservationCount(t.job.ID)
+func (sched *Scheduler) placeInOrder(t *jobTable, n int, machines []*fleet.Machine, chosen *[]hostStart) int {
+	held, class := sched.fleet.ReservationCount(t.job.ID), t.budgetClass()
+	got := sched.placeTasks(t, n, machines, chosen)
+	used := held - sched.fleet.ReservationCount(t.job.ID)
 	t.useReserved(used)
 	if new := got - used; new > 0 { // reserved capacity is already counted
-		p.starvation.RecordOrdinary(class, float64(new)*t.job.Spec.CPUs)
+		sched.starvation.RecordOrdinary(class, float64(new)*t.job.Spec.CPUs)
 	}
 	return got
 }
@@ -130,24 +130,24 @@
 
 // refundReserved returns a class its charge if capacity reserved out of order was not used before the reservation
 // expired, because the tasks on the same machines ran for too long.
-func (p *Scheduler) refundReserved(t *jobTable) {
-	if t.reservedCPUs > 0 && p.fleet.ReservationCount(t.job.ID) == 0 {
-		p.starvation.Refund(t.reservedClass, t.reservedCPUs)
+func (sched *Scheduler) refundReserved(t *jobTable) {
+	if t.reservedCPUs > 0 && sched.fleet.ReservationCount(t.job.ID) == 0 {
+		sched.starvation.Refund(t.reservedClass, t.reservedCPUs)
 		t.reservedCPUs = 0
 	}
 }
 
 // restoreAccounting continues the accounting of earlier owners for a team's classes. Otherwise a class that got nothing
 // yet would fall behind the others again with each new owner.
-func (p *Scheduler) restoreAccounting(tm *team) {
-	for class, cpus := range p.accountingOf(tm) {
-		p.starvation.Restore(class, cpus)
+func (sched *Scheduler) restoreAccounting(tm *team) {
+	for class, cpus := range sched.accountingOf(tm) {
+		sched.starvation.Restore(class, cpus)
 	}
 }
 
 // accountingOf derives from a team's records how many CPUs its classes got: the first task of each unfinished job
 // that has begun, all of them for a gang, and for the class of begun jobs all their tasks together.
-func (p *Scheduler) accountingOf(tm *team) map[string]float64 {
+func (sched *Scheduler) accountingOf(tm *team) map[string]float64 {
 	got := map[string]float64{}
 	for _, t := range tm.inOrder() {
 		if t.job.Final() || !t.begun() {
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -10,73 +10,73 @@
 )
 
 // tick repeats messages that may have been lost, and publishes usage, progress and demand.
-func (p *Scheduler) tick() {
-	now, wall := p.runner.Now(), p.runner.Wall()
-	p.turnover.Tick(now)
-	p.resendStarts(now, wall)
-	if now >= p.nextSweepAt {
-		p.nextSweepAt = now + sweepInterval
-		p.sweep()
-		p.moveInheritedLogs()
-		p.expiries.Prune(wall)
+func (sched *Scheduler) tick() {
+	now, wall := sched.runner.Now(), sched.runner.Wall()
+	sched.turnover.Tick(now)
+	sched.resendStarts(now, wall)
+	if now >= sched.nextSweepAt {
+		sched.nextSweepAt = now + sweepInterval
+		sched.sweep()
+		sched.moveInheritedLogs()
+		sched.expiries.Prune(wall)
 	}
-	p.evict(now, wall)
+	sched.evict(now, wall)
 	var progress []peer.Progress
 	var usage []peer.Usage
-	for _, tm := range loop.Sorted(p.teams) {
+	for _, tm := range loop.Sorted(sched.teams) {
 		if !tm.loaded {
 			continue
 		}
-		p.applyTerms(tm)
+		sched.applyTerms(tm)
 		usage = append(usage, peer.Usage{Team: tm.cfg.Name, CPUs: tm.cpus, GPUs: tm.gpus})
 		anyUnplaced := false
 		for _, t := range tm.inOrder() {
 			anyUnplaced = anyUnplaced || t.unplacedSince != 0
 			d, run := int64(t.completed), int64(t.running)
 			changed := d != t.sentDone || run != t.sentRunning
-			if p.deps.ReportCauses && !t.job.Final() && p.updateCauses(t, now-p.staleAfter(), wall) {
+			if sched.deps.ReportCauses && !t.job.Final() && sched.updateCauses(t, now-sched.staleAfter(), wall) {
 				changed = true
 			}
 			if changed {
 				t.sentDone, t.sentRunning = d, run
 				update := peer.Progress{Job: t.job.ID, Done: d, Running: run}
-				if p.deps.ReportCauses {
+				if sched.deps.ReportCauses {
 					update.Causes, update.HasCauses, update.At = t.causes, true, wall
 				}
 				progress = append(progress, update)
 			}
 		}
-		p.trackGuarantee(tm, anyUnplaced, now)
+		sched.trackGuarantee(tm, anyUnplaced, now)
 	}
 	if len(progress) > 0 {
-		p.deps.SendProgress(progress)
+		sched.deps.SendProgress(progress)
 	}
 	if len(usage) > 0 {
-		p.deps.SendUsage(usage)
+		sched.deps.SendUsage(usage)
 	}
-	p.RequestPass()
-	p.sendDemand()
+	sched.RequestPass()
+	sched.sendDemand()
 }
 
 // resendStarts sends a start again if 800 ms later no view of its machine shows it.
-func (p *Scheduler) resendStarts(now, wall loop.Micros) {
+func (sched *Scheduler) resendStarts(now, wall loop.Micros) {
 	var machines []string
-	for m, on := range p.tasksByMachine {
+	for m, on := range sched.tasksByMachine {
 		if len(on.unresolved) > 0 {
 			machines = append(machines, m)
 		}
 	}
 	slices.Sort(machines)
 	for _, m := range machines {
-		v := p.agent.View(m)
+		v := sched.agent.View(m)
 		if v == nil {
 			continue
 		}
-		for _, r := range sortedRefs(p.tasksByMachine[m].unresolved) {
+		for _, r := range sortedRefs(sched.tasksByMachine[m].unresolved) {
 			x := r.table.task(r.index)
 			if x.state == Placed && x.recordedHere && !x.listed && !r.table.job.Final() && wall < x.expiry && now-x.sentAt > 800*loop.Millisecond &&
 				!v.HasPending(r.table.taskName(r.index), x.attempt) && v.Find(r.table.taskName(r.index), x.attempt) == nil {
-				p.sendStart(r.table, r.index)
+				sched.sendStart(r.table, r.index)
 			}
 		}
 	}
@@ -87,9 +87,9 @@
 const sweepInterval = 2 * loop.Second
 
 // sweep repeats the stops of tasks whose job is final, and frees tasks on deleted machines.
-func (p *Scheduler) sweep() {
-	for m, on := range loop.Sorted(p.tasksByMachine) {
-		gone := p.agent.IsDeleted(m)
+func (sched *Scheduler) sweep() {
+	for m, on := range loop.Sorted(sched.tasksByMachine) {
+		gone := sched.agent.IsDeleted(m)
 		due := map[taskRef]struct{}{} // usually few of the tasks in use
 		for r := range on.all {
 			if gone || r.table.job.Final() {
@@ -101,9 +101,9 @@
 				continue
 			}
 			if gone {
-				p.confirmTerminated(r.table, r.index, "machine gone")
+				sched.confirmTerminated(r.table, r.index, "machine gone")
 			} else {
-				p.stop(r.table, r.index, 0)
+				sched.stop(r.table, r.index, 0)
 			}
 		}
 	}
@@ -111,10 +111,10 @@
 
 // moveInheritedLogs schedules moving the logs that teams brought into a partition into the log of the partition, even
 // if nothing else is to be recorded. Until that is done every load of the partition reads them as well.
-func (p *Scheduler) moveInheritedLogs() {
-	for _, part := range p.partitions {
+func (sched *Scheduler) moveInheritedLogs() {
+	for _, part := range sched.partitions {
 		if part.log.hasInherited() {
-			p.scheduleCommit(0)
+			sched.scheduleCommit(0)
 			return
 		}
 	}
@@ -122,12 +122,12 @@
 
 // evict stops tasks in time to save a checkpoint before a spot machine is reclaimed, or before a machine that is not
 // needed is returned.
-func (p *Scheduler) evict(now, wall loop.Micros) {
-	p.agent.EachView(func(v *agent.View) {
+func (sched *Scheduler) evict(now, wall loop.Micros) {
+	sched.agent.EachView(func(v *agent.View) {
 		if v.NoticeAt == 0 && !v.ClosedToStarts {
 			return
 		}
-		p.eachInUse(v.Name, func(r taskRef) {
+		sched.eachInUse(v.Name, func(r taskRef) {
 			s := r.table.job.Spec
 			x := r.table.task(r.index)
 			if v.NoticeAt == 0 {
@@ -135,26 +135,26 @@
 				// began recently, whose start would have been wasted, and tasks that end soon anyway.
 				ran := now - x.runningSince
 				if s.Checkpoint > 0 && x.running && ran > 30*loop.Second && s.Estimate-ran > 20*loop.Second {
-					p.stop(r.table, r.index, s.Save+loop.Second)
+					sched.stop(r.table, r.index, s.Save+loop.Second)
 				}
 				return
 			}
 			if s.Checkpoint > 0 && x.listed && v.NoticeAt-wall < s.Save+3*loop.Second {
-				p.stop(r.table, r.index, s.Save+loop.Second)
+				sched.stop(r.table, r.index, s.Save+loop.Second)
 			}
 		})
 	})
 }
 
 // sendDemand sends the unplaced requests, and the machines with tasks whose reports are overdue, to the leader.
-func (p *Scheduler) sendDemand() {
-	t := peer.Demand{Wall: p.runner.Wall(), Requests: p.unplacedRequests}
-	now := p.runner.Now()
-	for m := range p.tasksByMachine {
-		if sl := p.fleet.Machine(m); sl == nil || now-sl.LastReport > p.staleAfter() {
+func (sched *Scheduler) sendDemand() {
+	t := peer.Demand{Wall: sched.runner.Wall(), Requests: sched.unplacedRequests}
+	now := sched.runner.Now()
+	for m := range sched.tasksByMachine {
+		if record := sched.fleet.Machine(m); record == nil || now-record.LastReport > sched.staleAfter() {
 			t.Suspect = append(t.Suspect, m)
 		}
 	}
 	sort.Strings(t.Suspect)
-	p.deps.SendDemand(t)
+	sched.deps.SendDemand(t)
 }
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -94,11 +94,11 @@
 }
 
 // setState is the only place where a peer's state changes.
-func (j *Tracker) setState(label string, p *peer, s State, now loop.Micros) {
+func (t *Tracker) setState(label string, p *peer, s State, now loop.Micros) {
 	if p.state == s {
 		return
 	}
-	if p.state == Full && now-p.flappedAt >= detectionSkew && (s != Partial || j.StateContact == nil || j.StateContact()) {
+	if p.state == Full && now-p.flappedAt >= detectionSkew && (s != Partial || t.StateContact == nil || t.StateContact()) {
 		// Flaps within detectionSkew count once: after a pause of this process, the messages that
 		// queued up during the pause show each peer leave and return several times.
 		p.flaps++
@@ -106,9 +106,9 @@
 	}
 	from := p.state
 	p.state, p.since = s, now
-	j.log.Info("reachability of a peer changed", "node", label, "from", from.String(), "to", s.String(), "flaps", p.flaps)
-	if j.OnChange != nil {
-		j.OnChange(label, s, p.dampingTime() > 0)
+	t.log.Info("reachability of a peer changed", "node", label, "from", from.String(), "to", s.String(), "flaps", p.flaps)
+	if t.OnChange != nil {
+		t.OnChange(label, s, p.dampingTime() > 0)
 	}
 }
 
@@ -121,29 +121,29 @@
 }
 
 // Receive records a peer's message.
-func (j *Tracker) Receive(label string, w Message) {
-	p := j.peers[label]
+func (t *Tracker) Receive(label string, w Message) {
+	p := t.peers[label]
 	if p == nil || p.receivedAt != 0 && w.Wall <= p.message.Wall {
 		return // a duplicate, or older than one that has arrived already
 	}
-	p.message, p.receivedAt = w, j.runner.Now()
-	j.Update()
+	p.message, p.receivedAt = w, t.runner.Now()
+	t.Update()
 }
 
 // Update evaluates all peers by the messages received so far. It must be called periodically,
 // since a peer that becomes silent triggers no call of Receive.
-func (j *Tracker) Update() {
-	now := j.runner.Now()
+func (t *Tracker) Update() {
+	now := t.runner.Now()
 	isolated, disconnected := true, false
-	for label, p := range loop.Sorted(j.peers) {
-		j.updateMisses(label, p, now)
-		s := j.evaluate(label, p, now)
-		j.setState(label, p, s, now)
+	for label, p := range loop.Sorted(t.peers) {
+		t.updateMisses(label, p, now)
+		s := t.evaluate(label, p, now)
+		t.setState(label, p, s, now)
 		if p.state == Full && now-p.since >= stableAfter {
 			p.flaps = 0
 		}
 		isolated = isolated && s <= OneWay
-		disconnected = disconnected || s <= OneWay && j.reachedByOthers(label, now)
+		disconnected = disconnected || s <= OneWay && t.reachedByOthers(label, now)
 	}
 	set := func(at *loop.Micros, is bool) {
 		if !is {
@@ -152,20 +152,20 @@
 			*at = now
 		}
 	}
-	set(&j.isolatedSince, isolated && len(j.peers) > 0)
-	set(&j.disconnectedSince, disconnected)
+	set(&t.isolatedSince, isolated && len(t.peers) > 0)
+	set(&t.disconnectedSince, disconnected)
 }
 
-func (j *Tracker) evaluate(label string, p *peer, now loop.Micros) State {
+func (t *Tracker) evaluate(label string, p *peer, now loop.Micros) State {
 	switch {
-	case !j.fresh(p, now):
+	case !t.fresh(p, now):
 		return Silent
 	case p.message.ReceivesFrom == nil:
 		if !p.message.StateContact {
 			return Partial
 		}
 		return Full
-	case !slices.Contains(p.message.ReceivesFrom, j.self):
+	case !slices.Contains(p.message.ReceivesFrom, t.self):
 		return OneWay
 	case !p.message.StateContact:
 		return Partial
@@ -177,10 +177,10 @@
 }
 
 // updateMisses records since when a peer does not receive a controller that this one receives.
-func (j *Tracker) updateMisses(label string, p *peer, now loop.Micros) {
+func (t *Tracker) updateMisses(label string, p *peer, now loop.Micros) {
 	misses := false
-	for other, o := range j.peers {
-		misses = misses || other != label && j.fresh(o, now) && p.message.ReceivesFrom != nil && !slices.Contains(p.message.ReceivesFrom, other)
+	for other, o := range t.peers {
+		misses = misses || other != label && t.fresh(o, now) && p.message.ReceivesFrom != nil && !slices.Contains(p.message.ReceivesFrom, other)
 	}
 	if !misses {
 		p.missesSince = 0
@@ -192,67 +192,67 @@
 // reachedByOthers reports whether some peer receives messages both of this controller and of
 // the one named: then that one runs, and the connection between it and this controller is
 // broken.
-func (j *Tracker) reachedByOthers(label string, now loop.Micros) bool {
-	for other, o := range j.peers {
-		if other != label && j.fresh(o, now) && slices.Contains(o.message.ReceivesFrom, label) && slices.Contains(o.message.ReceivesFrom, j.self) {
+func (t *Tracker) reachedByOthers(label string, now loop.Micros) bool {
+	for other, o := range t.peers {
+		if other != label && t.fresh(o, now) && slices.Contains(o.message.ReceivesFrom, label) && slices.Contains(o.message.ReceivesFrom, t.self) {
 			return true
 		}
 	}
 	return false
 }
 
-func (j *Tracker) fresh(p *peer, now loop.Micros) bool {
-	return p.receivedAt != 0 && now-p.receivedAt < MaxAge && j.runner.Wall()-p.message.Wall < maxWallAge+j.clockDifference
+func (t *Tracker) fresh(p *peer, now loop.Micros) bool {
+	return p.receivedAt != 0 && now-p.receivedAt < MaxAge && t.runner.Wall()-p.message.Wall < maxWallAge+t.clockDifference
 }
 
 // State returns the reachability of a peer.
-func (j *Tracker) State(label string) State {
-	if p := j.peers[label]; p != nil {
-		return j.evaluate(label, p, j.runner.Now())
+func (t *Tracker) State(label string) State {
+	if p := t.peers[label]; p != nil {
+		return t.evaluate(label, p, t.runner.Now())
 	}
 	return Silent
 }
 
 // ReceivedWithin reports whether a message of the peer has arrived within a time, whatever it says.
-func (j *Tracker) ReceivedWithin(label string, within loop.Micros) bool {
-	p := j.peers[label]
-	return p != nil && p.receivedAt != 0 && j.runner.Now()-p.receivedAt < within
+func (t *Tracker) ReceivedWithin(label string, within loop.Micros) bool {
+	p := t.peers[label]
+	return p != nil && p.receivedAt != 0 && t.runner.Now()-p.receivedAt < within
 }
 
 // Fit reports whether the peer may be given work: it is in state Full, and has been for as
 // long as its earlier flaps require.
-func (j *Tracker) Fit(label string) bool {
-	p := j.peers[label]
-	return p != nil && j.State(label) == Full && p.state == Full && j.runner.Now()-p.since >= p.dampingTime()
+func (t *Tracker) Fit(label string) bool {
+	p := t.peers[label]
+	return p != nil && t.State(label) == Full && p.state == Full && t.runner.Now()-p.since >= p.dampingTime()
 }
 
 // DampedFor returns for how much longer the peer is not fit for work although it is in state
 // Full, or 0 if it is fit or in another state.
-func (j *Tracker) DampedFor(label string) loop.Micros {
-	if p := j.peers[label]; p != nil && p.state == Full {
-		return max(p.since+p.dampingTime()-j.runner.Now(), 0)
+func (t *Tracker) DampedFor(label string) loop.Micros {
+	if p := t.peers[label]; p != nil && p.state == Full {
+		return max(p.since+p.dampingTime()-t.runner.Now(), 0)
 	}
 	return 0
 }
 
 // Isolated reports whether this controller exchanges messages with no peer, so that its
 // decisions reach no other controller. The loss of either direction is enough.
-func (j *Tracker) Isolated() bool {
-	now := j.runner.Now()
-	if now-j.began < 5*loop.Second || len(j.peers) == 0 {
+func (t *Tracker) Isolated() bool {
+	now := t.runner.Now()
+	if now-t.began < 5*loop.Second || len(t.peers) == 0 {
 		return false
 	}
 	silent := true
-	for _, p := range j.peers {
+	for _, p := range t.peers {
 		silent = silent && (p.receivedAt == 0 || now-p.receivedAt >= MaxAge)
 	}
-	return silent || j.isolatedSince != 0 && now-j.isolatedSince >= isolationDelay
+	return silent || t.isolatedSince != 0 && now-t.isolatedSince >= isolationDelay
 }
 
 // PartlyDisconnected reports whether the connection between this controller and one that
 // others reach has been broken for a while: an owner then neither gets the reports of the
 // machines at that controller nor sends them commands.
-func (j *Tracker) PartlyDisconnected() bool {
-	now := j.runner.Now()
-	return j.disconnectedSince != 0 && now-j.disconnectedSince >= 2*isolationDelay && now-j.began >= 5*loop.Second
+func (t *Tracker) PartlyDisconnected() bool {
+	now := t.runner.Now()
+	return t.disconnectedSince != 0 && now-t.disconnectedSince >= 2*isolationDelay && now-t.began >= 5*loop.Second
 }
--- a/internal/rental/autoscaler.go
+++ b/internal/rental/autoscaler.go
@@ -182,68 +182,68 @@
 }
 
 // setCatalog replaces the known machine types.
-func (t *Autoscaler) setCatalog(types []wire.MachineType) {
-	t.types = types
-	clear(t.byName)
+func (a *Autoscaler) setCatalog(types []wire.MachineType) {
+	a.types = types
+	clear(a.byName)
 	for _, x := range types {
-		t.byName[x.Name] = x
+		a.byName[x.Name] = x
 	}
 }
 
 // Types lists the machine types; empty while the catalog is not known.
-func (t *Autoscaler) Types() []wire.MachineType { return t.types }
+func (a *Autoscaler) Types() []wire.MachineType { return a.types }
 
 // Type returns a machine type by name.
-func (t *Autoscaler) Type(name string) (wire.MachineType, bool) {
-	x, ok := t.byName[name]
+func (a *Autoscaler) Type(name string) (wire.MachineType, bool) {
+	x, ok := a.byName[name]
 	return x, ok
 }
 
 // SetLeader records that this controller has become or ceased to be the leader.
-func (t *Autoscaler) SetLeader(leads bool, claim member.Owner) {
-	t.leads, t.claim = leads, claim
+func (a *Autoscaler) SetLeader(leads bool, claim member.Owner) {
+	a.leads, a.claim = leads, claim
 	if !leads {
 		return
 	}
 	// A new leader rebuilds its state from the recorded orders, the machines' reports and the cloud's list.
-	t.started = t.runner.Now()
-	t.sortedMachines = nil
-	t.machines, t.orders, t.offers, t.deleting = map[string]*machine{}, map[string]*order{}, map[offer]*backoff{}, map[string]*machine{}
-	t.listAt, t.catalogAt, t.listed = 0, 0, false
-	t.seq = 0
-	t.failures.Clear()
-	for _, key := range t.mirror.KeysUnder(OrderKeys) {
-		e, _ := t.mirror.Get(key)
+	a.started = a.runner.Now()
+	a.sortedMachines = nil
+	a.machines, a.orders, a.offers, a.deleting = map[string]*machine{}, map[string]*order{}, map[offer]*backoff{}, map[string]*machine{}
+	a.listAt, a.catalogAt, a.listed = 0, 0, false
+	a.seq = 0
+	a.failures.Clear()
+	for _, key := range a.mirror.KeysUnder(OrderKeys) {
+		e, _ := a.mirror.Get(key)
 		var o Order
 		if err := wire.Unmarshal(e.Value, &o); err != nil {
-			t.log.Error("corrupt order record ignored", "key", key, "err", err)
+			a.log.Error("corrupt order record ignored", "key", key, "err", err)
 			continue
 		}
 		name := strings.TrimPrefix(key, OrderKeys)
-		t.orders[name] = &order{name: name, record: o, revision: e.Revision, recorded: true}
+		a.orders[name] = &order{name: name, record: o, revision: e.Revision, recorded: true}
 		if o.Answered {
-			t.orders[name].finished = t.runner.Now()
+			a.orders[name].finished = a.runner.Now()
 			for _, m := range o.Machines {
-				t.adopt(m, o.Type, o.Zone, o.Spot)
+				a.adopt(m, o.Type, o.Zone, o.Spot)
 			}
 		}
 	}
-	t.workers.EachView(t.UpdateView)
-	t.log.Info("autoscaler started as leader; state rebuilt from records and reports", "orders", len(t.orders), "machines", len(t.machines))
+	a.workers.EachView(a.UpdateView)
+	a.log.Info("autoscaler started as leader; state rebuilt from records and reports", "orders", len(a.orders), "machines", len(a.machines))
 }
 
 // UpdateDemand records an owner's unplaced requests and suspect machines.
-func (t *Autoscaler) UpdateDemand(from string, demand peer.Demand) {
-	old := t.demands[from]
-	maxAge := t.cfg.ClockDifference() + 5*loop.Second
-	if demand.Wall <= old.Wall || t.runner.Wall()-demand.Wall > maxAge {
+func (a *Autoscaler) UpdateDemand(from string, demand peer.Demand) {
+	old := a.demands[from]
+	maxAge := a.cfg.ClockDifference() + 5*loop.Second
+	if demand.Wall <= old.Wall || a.runner.Wall()-demand.Wall > maxAge {
 		return // a repeated or delayed message
 	}
-	t.demands[from], t.demandAt[from] = demand, t.runner.Now()
+	a.demands[from], a.demandAt[from] = demand, a.runner.Now()
 }
 
 // CatalogKnown reports whether the machine types are known, so that submissions can be validated.
-func (t *Autoscaler) CatalogKnown() bool { return len(t.types) > 0 }
+func (a *Autoscaler) CatalogKnown() bool { return len(a.types) > 0 }
 
 // partitionGrace is how much longer than its lease an unreachable machine is retained while it may be alive
 // behind a network partition.
@@ -254,18 +254,18 @@
 const checkIntervalPerMachine = 200
 
 // tick checks the machines and makes the next cloud call when each is due.
-func (t *Autoscaler) tick() {
-	if !t.leads || !t.deps.LeaseValid() {
+func (a *Autoscaler) tick() {
+	if !a.leads || !a.deps.LeaseValid() {
 		// A leader that cannot renew its lease has been replaced, or soon will be: to it all machines look
 		// silent, and a delayed deletion request would take effect long afterwards.
 		return
 	}
-	now := t.runner.Now()
-	if now-t.checkedAt >= max(200*loop.Millisecond, loop.Micros(len(t.machines))*checkIntervalPerMachine) {
-		t.checkedAt = now
-		t.checkMachines()
+	now := a.runner.Now()
+	if now-a.checkedAt >= max(200*loop.Millisecond, loop.Micros(len(a.machines))*checkIntervalPerMachine) {
+		a.checkedAt = now
+		a.checkMachines()
 	}
-	if t.mayCall(now) {
-		t.perform(t.nextCall(now))
+	if a.mayCall(now) {
+		a.perform(a.nextCall(now))
 	}
 }
--- a/internal/rental/call_purpose.go
+++ b/internal/rental/call_purpose.go
@@ -69,36 +69,36 @@
 }
 
 // nextCall collects the work that waits, and returns what comes first, with the order that is ready.
-func (t *Autoscaler) nextCall(now loop.Micros) (callPurpose, *order) {
-	o := t.nextOrder()
-	a := pendingCalls{now: now, listed: t.listed, listAt: t.listAt, catalogAt: t.catalogAt, ordersInARow: t.ordersInARow, order: o != nil,
-		listEvery: max(5*loop.Second, loop.Seconds(t.cfg.Cluster.Cloud.ListLagS))}
-	for _, m := range t.deleting {
+func (a *Autoscaler) nextCall(now loop.Micros) (callPurpose, *order) {
+	o := a.nextOrder()
+	calls := pendingCalls{now: now, listed: a.listed, listAt: a.listAt, catalogAt: a.catalogAt, ordersInARow: a.ordersInARow, order: o != nil,
+		listEvery: max(5*loop.Second, loop.Seconds(a.cfg.Cluster.Cloud.ListLagS))}
+	for _, m := range a.deleting {
 		if m.failed {
-			a.failed++
+			calls.failed++
 			continue
 		}
-		if a.idle++; a.idleSince == 0 || m.deleteAt < a.idleSince {
-			a.idleSince = m.deleteAt
+		if calls.idle++; calls.idleSince == 0 || m.deleteAt < calls.idleSince {
+			calls.idleSince = m.deleteAt
 		}
 	}
-	return a.next(), o
+	return calls.next(), o
 }
 
 // perform makes one call or plan; o is the order that is ready.
-func (t *Autoscaler) perform(d callPurpose, o *order) {
+func (a *Autoscaler) perform(d callPurpose, o *order) {
 	switch d {
 	case readCatalog:
-		t.fetchCatalog()
+		a.fetchCatalog()
 	case readList:
-		t.list("", nil)
+		a.list("", nil)
 	case deleteFailed, deleteIdle:
-		t.ordersInARow = 0
-		t.deleteNext()
+		a.ordersInARow = 0
+		a.deleteNext()
 	case sendOrder:
-		t.ordersInARow++
-		t.send(o)
+		a.ordersInARow++
+		a.send(o)
 	case plan:
-		t.recordOrders()
+		a.recordOrders()
 	}
 }
--- a/internal/rental/deletion.go
+++ b/internal/rental/deletion.go
@@ -16,14 +16,14 @@
 const maxDeletionsPerCall = 100
 
 // deleteNext requests the deletion of the machines that have waited longest, failed ones first.
-func (t *Autoscaler) deleteNext() {
+func (a *Autoscaler) deleteNext() {
 	first := func(m *machine) int {
 		if m.failed {
 			return 0
 		}
 		return 1
 	}
-	all := slices.SortedFunc(maps.Values(t.deleting), func(a, b *machine) int {
+	all := slices.SortedFunc(maps.Values(a.deleting), func(a, b *machine) int {
 		return cmp.Or(cmp.Compare(first(a), first(b)), cmp.Compare(a.deleteAt, b.deleteAt), cmp.Compare(a.name, b.name))
 	})
 	var names []string
@@ -31,43 +31,43 @@
 		names = append(names, m.name)
 	}
 	// Only the current leader may delete, which the cloud cannot check: the transaction confirms it first.
-	t.calling = true
-	t.client.Txn(store.Placements, wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}}, func(r store.Result) {
-		t.calling = false
-		if r.Outcome == store.Applied && t.leads {
-			t.delete(names)
+	a.calling = true
+	a.client.Txn(store.Placements, wire.Txn{If: []wire.Cond{member.LeaderCond(a.claim)}}, func(r store.Result) {
+		a.calling = false
+		if r.Outcome == store.Applied && a.leads {
+			a.delete(names)
 		}
 	})
 }
 
 // delete asks the cloud to delete machines, and records the confirmed deletion.
-func (t *Autoscaler) delete(names []string) {
-	t.call("POST", "/machines/delete", wire.MachineNames{Machines: names}, 4*loop.Second, func(resp store.Response) {
+func (a *Autoscaler) delete(names []string) {
+	a.call("POST", "/machines/delete", wire.MachineNames{Machines: names}, 4*loop.Second, func(resp store.Response) {
 		if resp.Err != nil || resp.Status != 200 {
 			return // retried later: deleting a deleted machine has no effect
 		}
 		// The answer confirms that the machines and all tasks on them are terminated. It is recorded, so that
 		// every owner receives it.
-		t.seq++
-		ch := wire.Change{Put: fmt.Sprintf("%s%d-%d", DeletionKeys, t.claim.Epoch, t.seq), Value: DeletionRecord{names, t.runner.Wall()}}
+		a.seq++
+		ch := wire.Change{Put: fmt.Sprintf("%s%d-%d", DeletionKeys, a.claim.Epoch, a.seq), Value: DeletionRecord{names, a.runner.Wall()}}
 		for _, name := range names {
 			// Its capacity is available in the cloud again, so an earlier refusal no longer holds.
-			if m := t.machines[name]; m != nil {
-				if b := t.offers[offer{m.typ, m.zone, m.spot}]; b != nil {
+			if m := a.machines[name]; m != nil {
+				if b := a.offers[offer{m.typ, m.zone, m.spot}]; b != nil {
 					b.until = 0
 				}
 			}
-			t.markDeleted(name)
+			a.markDeleted(name)
 		}
-		t.recordDeletion(ch, 0)
+		a.recordDeletion(ch, 0)
 	})
 }
 
 // recordDeletion stores the record of a deletion, retrying until the state service has applied it.
-func (t *Autoscaler) recordDeletion(ch wire.Change, tries int) {
-	t.client.Txn(store.Placements, wire.Txn{Then: []wire.Change{ch}}, func(r store.Result) {
+func (a *Autoscaler) recordDeletion(ch wire.Change, tries int) {
+	a.client.Txn(store.Placements, wire.Txn{Then: []wire.Change{ch}}, func(r store.Result) {
 		if r.Outcome != store.Applied && r.Outcome != store.Invalid && tries < 200 {
-			t.runner.After(300*loop.Millisecond, func() { t.recordDeletion(ch, tries+1) })
+			a.runner.After(300*loop.Millisecond, func() { a.recordDeletion(ch, tries+1) })
 		}
 	})
 }
@@ -77,25 +77,25 @@
 const deletionRetention = 30 * 60 * loop.Second
 
 // removeOldDeletions removes records of deletions that are older than deletionRetention.
-func (t *Autoscaler) removeOldDeletions() {
-	if !t.leads || !t.deps.LeaseValid() {
+func (a *Autoscaler) removeOldDeletions() {
+	if !a.leads || !a.deps.LeaseValid() {
 		return
 	}
-	txn := wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}}
-	for _, key := range t.mirror.KeysUnder(DeletionKeys) {
+	txn := wire.Txn{If: []wire.Cond{member.LeaderCond(a.claim)}}
+	for _, key := range a.mirror.KeysUnder(DeletionKeys) {
 		var rec DeletionRecord
-		if e, ok := t.mirror.Get(key); ok && wire.Unmarshal(e.Value, &rec) == nil && t.runner.Wall()-rec.At > deletionRetention &&
-			len(txn.Then) < t.client.MaxChanges() {
+		if e, ok := a.mirror.Get(key); ok && wire.Unmarshal(e.Value, &rec) == nil && a.runner.Wall()-rec.At > deletionRetention &&
+			len(txn.Then) < a.client.MaxChanges() {
 			txn.Then = append(txn.Then, wire.Change{Delete: key})
 		}
 	}
 	if len(txn.Then) == 0 {
 		return
 	}
-	t.client.Txn(store.Background, txn, func(r store.Result) {
+	a.client.Txn(store.Background, txn, func(r store.Result) {
 		if r.Outcome == store.Applied {
 			for _, ch := range txn.Then {
-				t.mirror.Apply(ch.Delete, nil, r.Revision, true)
+				a.mirror.Apply(ch.Delete, nil, r.Revision, true)
 			}
 		}
 	})
@@ -103,17 +103,17 @@
 
 // markDeleted forgets a machine that is known to be deleted, and notifies the workers' registry and OnDeleted
 // once.
-func (t *Autoscaler) markDeleted(name string) {
-	if m := t.machines[name]; m != nil {
-		t.setState(m, Deleted, m.why)
-		delete(t.machines, name)
-		t.sortedMachines = nil
-		t.failures.Forget(name)
+func (a *Autoscaler) markDeleted(name string) {
+	if m := a.machines[name]; m != nil {
+		a.setState(m, Deleted, m.why)
+		delete(a.machines, name)
+		a.sortedMachines = nil
+		a.failures.Forget(name)
 	}
-	if !t.workers.IsDeleted(name) {
-		t.workers.MarkDeleted(name)
-		if t.OnDeleted != nil {
-			t.OnDeleted(name)
+	if !a.workers.IsDeleted(name) {
+		a.workers.MarkDeleted(name)
+		if a.OnDeleted != nil {
+			a.OnDeleted(name)
 		}
 	}
 }
--- a/internal/rental/drain.go
+++ b/internal/rental/drain.go
@@ -26,24 +26,24 @@
 // takes no more starts, and tasks that can save their state move away. Unplaced requests return as many
 // draining machines to use as they need, and no more: with many jobs there are always some new requests, and
 // returning all draining machines for them kept a third of the machines idle.
-func (t *Autoscaler) drainUnneeded(now loop.Micros) {
-	if now-t.drainCheckedAt < loop.Second {
+func (a *Autoscaler) drainUnneeded(now loop.Micros) {
+	if now-a.drainCheckedAt < loop.Second {
 		return
 	}
-	t.drainCheckedAt = now
+	a.drainCheckedAt = now
 	wanted := 0.0
-	for _, w := range t.requests() {
+	for _, w := range a.requests() {
 		wanted += w.CPUs * float64(w.Count)
 	}
 	var all []drainCandidate
 	free, used := 0.0, 0.0
-	for _, m := range t.sorted() {
-		typ, ok := t.byName[m.typ]
-		v := t.workers.View(m.name)
+	for _, m := range a.sorted() {
+		typ, ok := a.byName[m.typ]
+		v := a.workers.View(m.name)
 		if !ok || v == nil || v.NoticeAt != 0 || (m.state != Up && m.state != Draining) {
 			continue
 		}
-		left, ok := t.workers.FreeCapacity(v, typ)
+		left, ok := a.workers.FreeCapacity(v, typ)
 		if !ok {
 			continue
 		}
@@ -75,8 +75,8 @@
 		if x := all[i]; x.m.state == Draining {
 			free += x.free + x.used
 			x.m.drainAt = 0
-			t.setState(x.m, Up, "needed again")
-			t.deps.Close(x.v.Host, peer.StartBlock{Machine: x.m.name})
+			a.setState(x.m, Up, "needed again")
+			a.deps.Close(x.v.Host, peer.StartBlock{Machine: x.m.name})
 		}
 	}
 	for _, x := range all {
@@ -89,9 +89,9 @@
 		}
 		free -= x.free + x.used
 		if x.m.drainAt == 0 {
-			x.m.drainAt = now + t.standby(x.m)
+			x.m.drainAt = now + a.standby(x.m)
 		} else if now > x.m.drainAt {
-			t.setState(x.m, Draining, "not needed")
+			a.setState(x.m, Draining, "not needed")
 		}
 	}
 }
--- a/internal/rental/machine.go
+++ b/internal/rental/machine.go
@@ -48,16 +48,16 @@
 }
 
 // adopt returns the record of a machine, creating it if needed; nil if the machine is known to be deleted.
-func (t *Autoscaler) adopt(name, typ, zone string, spot bool) *machine {
-	if t.workers.IsDeleted(name) {
+func (a *Autoscaler) adopt(name, typ, zone string, spot bool) *machine {
+	if a.workers.IsDeleted(name) {
 		return nil
 	}
-	m := t.machines[name]
+	m := a.machines[name]
 	if m == nil {
-		now := t.runner.Now()
+		now := a.runner.Now()
 		m = &machine{name: name, typ: typ, zone: zone, spot: spot, since: now, firstSeen: now}
-		t.machines[name] = m
-		t.sortedMachines = nil
+		a.machines[name] = m
+		a.sortedMachines = nil
 	}
 	if m.typ == "" {
 		// An owner named the machine as suspect before anything else was known of it. While these fields
@@ -69,65 +69,65 @@
 }
 
 // sorted lists the machines by name. The list is cached until a machine joins or leaves.
-func (t *Autoscaler) sorted() []*machine {
-	if t.sortedMachines == nil {
-		t.sortedMachines = slices.SortedFunc(maps.Values(t.machines), func(a, b *machine) int { return strings.Compare(a.name, b.name) })
+func (a *Autoscaler) sorted() []*machine {
+	if a.sortedMachines == nil {
+		a.sortedMachines = slices.SortedFunc(maps.Values(a.machines), func(a, b *machine) int { return strings.Compare(a.name, b.name) })
 	}
-	return t.sortedMachines
+	return a.sortedMachines
 }
 
 // setState changes a machine's state and logs it; no other function changes the state.
-func (t *Autoscaler) setState(m *machine, s MachineState, why string) {
+func (a *Autoscaler) setState(m *machine, s MachineState, why string) {
 	if m.state == s {
 		return
 	}
-	t.log.Info("machine changed state", "name", m.name, "type", m.typ, "zone", m.zone, "spot", m.spot, "from", m.state.String(), "to", s.String(), "why", why)
+	a.log.Info("machine changed state", "name", m.name, "type", m.typ, "zone", m.zone, "spot", m.spot, "from", m.state.String(), "to", s.String(), "why", why)
 	m.state, m.why = s, why
-	delete(t.deleting, m.name)
+	delete(a.deleting, m.name)
 	if s == Deleting {
-		m.deleteAt = t.runner.Now()
-		t.deleting[m.name] = m
+		m.deleteAt = a.runner.Now()
+		a.deleting[m.name] = m
 	}
 }
 
 // markFailed queues a failed machine for deletion.
-func (t *Autoscaler) markFailed(m *machine, why string) {
+func (a *Autoscaler) markFailed(m *machine, why string) {
 	m.failed = true
-	t.setState(m, Deleting, why)
+	a.setState(m, Deleting, why)
 }
 
 // UpdateView records a machine's view, with the time of its newest report. For a new leader the first view of a
 // machine counts like a report that proves that the machine receives messages, since this leader was sent none
 // before. No report counts as older than the leadership.
-func (t *Autoscaler) UpdateView(v *agent.View) {
-	if !t.leads {
+func (a *Autoscaler) UpdateView(v *agent.View) {
+	if !a.leads {
 		return
 	}
-	m := t.adopt(v.Name, v.Type, v.Zone, v.Spot)
+	m := a.adopt(v.Name, v.Type, v.Zone, v.Spot)
 	if m == nil {
 		return
 	}
-	at := max(t.runner.Now()-v.Silence(t.runner.Wall(), t.cfg.ClockDifference()), t.started)
+	at := max(a.runner.Now()-v.Silence(a.runner.Wall(), a.cfg.ClockDifference()), a.started)
 	m.reportedAt = max(m.reportedAt, at)
 	if v.TokenConfirmed || m.confirmedAt == 0 {
 		m.confirmedAt = max(m.confirmedAt, at)
 	}
 	if m.state == Booting {
-		if typ, ok := t.byName[m.typ]; ok && typ.BootS > 0 && m.rented {
+		if typ, ok := a.byName[m.typ]; ok && typ.BootS > 0 && m.rented {
 			// In units of the nominal boot time, so that types share one distribution: one boot time counts
 			// as a second.
-			t.bootTimes.Add(loop.Micros(float64(t.runner.Now()-m.since) / typ.BootS))
+			a.bootTimes.Add(loop.Micros(float64(a.runner.Now()-m.since) / typ.BootS))
 		}
-		t.setState(m, Up, "heard")
+		a.setState(m, Up, "heard")
 	}
 	if empty(v) {
 		if m.standbyUntil == 0 {
-			m.standbyUntil = t.runner.Now() + t.standby(m)
+			m.standbyUntil = a.runner.Now() + a.standby(m)
 		}
 	} else {
 		m.standbyUntil = 0
 		if m.state == Closing && m.why == "idle" && !v.ClosedToStarts {
-			t.setState(m, Up, "in use again")
+			a.setState(m, Up, "in use again")
 		}
 	}
 }
@@ -146,91 +146,91 @@
 }
 
 // standby draws the time for which an empty machine is kept, at random around the operator's mean.
-func (t *Autoscaler) standby(m *machine) loop.Micros {
-	mean := t.cfg.Operator.StandbyMeanS
+func (a *Autoscaler) standby(m *machine) loop.Micros {
+	mean := a.cfg.Operator.StandbyMeanS
 	if !m.spot {
-		mean = t.cfg.Operator.OrdinaryStandbyMeanS
+		mean = a.cfg.Operator.OrdinaryStandbyMeanS
 	}
-	return loop.Seconds(t.rand.ExpFloat64() * mean)
+	return loop.Seconds(a.rand.ExpFloat64() * mean)
 }
 
 // checkMachines checks all machines: for boots that take too long, failures, faulty machines, and empty machines
 // whose standby time is over.
-func (t *Autoscaler) checkMachines() {
-	now := t.runner.Now()
-	suspects := t.suspects(now)
-	t.drainUnneeded(now)
-	retention := t.retention()
-	t.detectFailures(now, retention)
-	for _, m := range t.sorted() {
+func (a *Autoscaler) checkMachines() {
+	now := a.runner.Now()
+	suspects := a.suspects(now)
+	a.drainUnneeded(now)
+	retention := a.retention()
+	a.detectFailures(now, retention)
+	for _, m := range a.sorted() {
 		switch m.state {
 		case Booting:
-			t.checkBoot(m, now, suspects[m.name], retention)
+			a.checkBoot(m, now, suspects[m.name], retention)
 		case Up:
-			switch v := t.workers.View(m.name); {
-			case t.deps.Faulty(m.name):
-				t.setState(m, Closing, "fails tasks")
+			switch v := a.workers.View(m.name); {
+			case a.deps.Faulty(m.name):
+				a.setState(m, Closing, "fails tasks")
 			case m.standbyUntil != 0 && now > m.standbyUntil && v != nil && empty(v):
-				t.setState(m, Closing, "idle")
+				a.setState(m, Closing, "idle")
 			}
 		case Draining, Closing:
-			t.checkClosing(m, now)
+			a.checkClosing(m, now)
 		}
 	}
 }
 
 // suspects lists the machines that hold tasks and whose reports do not reach the owners of those tasks.
-func (t *Autoscaler) suspects(now loop.Micros) map[string]bool {
+func (a *Autoscaler) suspects(now loop.Micros) map[string]bool {
 	out := map[string]bool{}
-	for from, y := range t.demands {
-		if now-t.demandAt[from] < 5*loop.Second {
+	for from, y := range a.demands {
+		if now-a.demandAt[from] < 5*loop.Second {
 			for _, name := range y.Suspect {
 				out[name] = true
 			}
 		}
 	}
 	for name := range out {
-		t.adopt(name, "", "", false)
+		a.adopt(name, "", "", false)
 	}
 	return out
 }
 
 // detectFailures runs failure detection over all machines that have reported before, and queues the failed ones
 // for deletion.
-func (t *Autoscaler) detectFailures(now loop.Micros, retention func(*machine) loop.Micros) {
-	scene := loss.ClusterFacts{Now: now, Isolated: t.deps.Isolated() || now-t.started < 2*loop.Second, PeerUnreachable: t.deps.PeerUnreachable}
-	for _, x := range t.failures.Evaluate(scene, func(yield func(*loss.Facts)) {
-		for _, m := range t.sorted() {
+func (a *Autoscaler) detectFailures(now loop.Micros, retention func(*machine) loop.Micros) {
+	scene := loss.ClusterFacts{Now: now, Isolated: a.deps.Isolated() || now-a.started < 2*loop.Second, PeerUnreachable: a.deps.PeerUnreachable}
+	for _, x := range a.failures.Evaluate(scene, func(yield func(*loss.Facts)) {
+		for _, m := range a.sorted() {
 			if m.state != Up && m.state != Draining && m.state != Closing {
 				continue
 			}
 			f := loss.Facts{Name: m.name, Zone: m.zone, LastConfirmed: m.confirmedAt, LastReport: m.reportedAt, Failed: m.listed == "failed", RetainFor: retention(m)}
-			if v := t.workers.View(m.name); v != nil {
+			if v := a.workers.View(m.name); v != nil {
 				f.Addr = v.Addr
 			}
 			yield(&f)
 		}
 	}) {
-		t.markFailed(t.machines[x.Name], x.Why)
+		a.markFailed(a.machines[x.Name], x.Why)
 	}
 }
 
 // checkBoot checks a machine that has not reported to this leader: whether it failed, or takes too long to
 // boot.
-func (t *Autoscaler) checkBoot(m *machine, now loop.Micros, suspect bool, retention func(*machine) loop.Micros) {
-	report, lease := loop.Seconds(t.cfg.Cluster.Workers.ReportS), loop.Seconds(t.cfg.Cluster.Workers.LeaseS)
-	typ, known := t.byName[m.typ]
+func (a *Autoscaler) checkBoot(m *machine, now loop.Micros, suspect bool, retention func(*machine) loop.Micros) {
+	report, lease := loop.Seconds(a.cfg.Cluster.Workers.ReportS), loop.Seconds(a.cfg.Cluster.Workers.LeaseS)
+	typ, known := a.byName[m.typ]
 	boot := loop.Seconds(typ.BootS)
 	if !known {
 		boot = 60 * loop.Second
 	}
-	limit := loop.Micros(float64(boot)*t.cfg.Operator.BootTimeoutFactor) + 5*loop.Second
+	limit := loop.Micros(float64(boot)*a.cfg.Operator.BootTimeoutFactor) + 5*loop.Second
 	switch {
 	case m.listed == "failed":
-		t.markFailed(m, "failed")
+		a.markFailed(m, "failed")
 	case m.listed == "booting" || (m.listed == "" && !suspect):
-		if now-m.since > limit && now-t.started > 5*loop.Second {
-			t.setState(m, Deleting, "never came up")
+		if now-m.since > limit && now-a.started > 5*loop.Second {
+			a.setState(m, Deleting, "never came up")
 		}
 	default:
 		// The cloud lists it as running, or it holds tasks, but it has not reported to this leader: its
@@ -238,36 +238,36 @@
 		// long as a machine that reported before: a leader that started during a network partition deleted
 		// half of the machines two seconds before the partition ended.
 		limit := max(lease, 2*report+8*loop.Second) + 3*loop.Second
-		if t.deps.PeerUnreachable(m.zone) {
+		if a.deps.PeerUnreachable(m.zone) {
 			limit += partitionGrace + retention(m)
 		}
 		if now-m.firstSeen > limit {
-			t.markFailed(m, "not heard")
+			a.markFailed(m, "not heard")
 		}
 	}
 }
 
 // checkClosing asks the machine's host controller to start nothing on it, and has it deleted once a recent
 // report shows that it is closed and empty.
-func (t *Autoscaler) checkClosing(m *machine, now loop.Micros) {
-	v := t.workers.View(m.name)
+func (a *Autoscaler) checkClosing(m *machine, now loop.Micros) {
+	v := a.workers.View(m.name)
 	if v == nil {
-		t.setState(m, Deleting, m.why)
+		a.setState(m, Deleting, m.why)
 		return
 	}
 	if now-m.closeAskedAt > loop.Second {
 		m.closeAskedAt = now
-		t.deps.Close(v.Host, peer.StartBlock{Machine: m.name, Until: t.runner.Wall() + 12*loop.Second})
+		a.deps.Close(v.Host, peer.StartBlock{Machine: m.name, Until: a.runner.Wall() + 12*loop.Second})
 	}
-	if v.ClosedToStarts && empty(v) && now-m.confirmedAt < 2*loop.Seconds(t.cfg.Cluster.Workers.ReportS)+2*loop.Second {
-		t.setState(m, Deleting, m.why)
+	if v.ClosedToStarts && empty(v) && now-m.confirmedAt < 2*loop.Seconds(a.cfg.Cluster.Workers.ReportS)+2*loop.Second {
+		a.setState(m, Deleting, m.why)
 	}
 }
 
 // probe asks a machine's worker directly, and calls done on the event loop.
-func (t *Autoscaler) probe(addr string, done func(loss.ProbeResult)) {
-	t.runner.Go(func() {
-		w := t.deps.Probe(addr)
-		t.runner.Post(func() { done(w) })
+func (a *Autoscaler) probe(addr string, done func(loss.ProbeResult)) {
+	a.runner.Go(func() {
+		w := a.deps.Probe(addr)
+		a.runner.Post(func() { done(w) })
 	})
 }
