--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -20,11 +20,11 @@
 )
 
 // requests collects the unplaced requests of all owners whose demand arrived recently, highest priority first.
-func (t *Autoscaler) requests() []peer.Request {
+func (a *Autoscaler) requests() []peer.Request {
 	var all []peer.Request
-	now := t.runner.Now()
-	for from, y := range loop.Sorted(t.demands) {
-		if now-t.demandAt[from] < 4*loop.Second {
+	now := a.runner.Now()
+	for from, y := range loop.Sorted(a.demands) {
+		if now-a.demandAt[from] < 4*loop.Second {
 			all = append(all, y.Requests...)
 		}
 	}
@@ -57,9 +57,9 @@
 }
 
 // allOffers lists every offer of the catalog: each type in each of its zones, as spot and as standard.
-func (t *Autoscaler) allOffers() iter.Seq[offer] {
+func (a *Autoscaler) allOffers() iter.Seq[offer] {
 	return func(yield func(offer) bool) {
-		for _, x := range t.types {
+		for _, x := range a.types {
 			for _, z := range x.Zones {
 				if !yield(offer{x.Name, z, true}) || !yield(offer{x.Name, z, false}) {
 					return
@@ -70,23 +70,23 @@
 }
 
 // fitsOffer reports whether a machine of the offer is allowed and large enough for a task with this spec.
-func (t *Autoscaler) fitsOffer(o offer, s *job.Spec) bool {
-	x, ok := t.byName[o.typ]
+func (a *Autoscaler) fitsOffer(o offer, s *job.Spec) bool {
+	x, ok := a.byName[o.typ]
 	free := capacityOf(x)
 	return ok && free.Fits(s) && s.AllowsPlace(o.typ, o.zone, o.spot)
 }
 
 // expectedMachines lists the machines that will have capacity soon, which count for unplaced requests already.
-func (t *Autoscaler) expectedMachines() []*expectedMachine {
+func (a *Autoscaler) expectedMachines() []*expectedMachine {
 	var out []*expectedMachine
 	add := func(typ, zone string, spot bool) {
-		if x, ok := t.byName[typ]; ok && !t.cordoned(offer{typ, zone, spot}) {
+		if x, ok := a.byName[typ]; ok && !a.cordoned(offer{typ, zone, spot}) {
 			out = append(out, &expectedMachine{offer{typ, zone, spot}, capacityOf(x)})
 		}
 	}
-	now := t.runner.Now()
-	for _, m := range t.sorted() {
-		x := t.byName[m.typ]
+	now := a.runner.Now()
+	for _, m := range a.sorted() {
+		x := a.byName[m.typ]
 		// A machine whose boot takes far longer than usual is not counted on.
 		if m.state == Booting && now-m.since < 2*loop.Seconds(x.BootS)+5*loop.Second {
 			add(m.typ, m.zone, m.spot)
@@ -94,16 +94,16 @@
 	}
 	// The free capacity of many silent machines comes back with them, or they have failed and their tasks are
 	// unplaced: renting for it before that is known would rent the capacity twice.
-	t.failures.EachSuspected(now, func(name string) {
-		m, v := t.machines[name], t.workers.View(name)
+	a.failures.EachSuspected(now, func(name string) {
+		m, v := a.machines[name], a.workers.View(name)
 		if m == nil || v == nil || m.state != Up {
 			return
 		}
-		if free, ok := t.workers.FreeCapacity(v, t.byName[m.typ]); ok {
+		if free, ok := a.workers.FreeCapacity(v, a.byName[m.typ]); ok {
 			out = append(out, &expectedMachine{offer{m.typ, m.zone, m.spot}, free})
 		}
 	})
-	for _, o := range loop.Sorted(t.orders) {
+	for _, o := range loop.Sorted(a.orders) {
 		if !o.record.Answered && !o.refused {
 			for range o.record.Count {
 				add(o.record.Type, o.record.Zone, o.record.Spot)
@@ -114,8 +114,8 @@
 }
 
 // cordoned reports whether a machine of the offer would accept no starts.
-func (t *Autoscaler) cordoned(o offer) bool {
-	return t.deps.Cordoned != nil && t.deps.Cordoned(o.typ, o.zone, o.spot)
+func (a *Autoscaler) cordoned(o offer) bool {
+	return a.deps.Cordoned != nil && a.deps.Cordoned(o.typ, o.zone, o.spot)
 }
 
 // planInterval is the time until the next plan after one that found all requests served by expected machines.
@@ -123,22 +123,22 @@
 const planInterval = 150 * loop.Millisecond
 
 // recordOrders turns requests that no expected machine will serve into recorded orders.
-func (t *Autoscaler) recordOrders() {
-	if !t.listed || len(t.types) == 0 {
+func (a *Autoscaler) recordOrders() {
+	if !a.listed || len(a.types) == 0 {
 		return
 	}
-	now := t.runner.Now()
-	for _, o := range t.orders {
+	now := a.runner.Now()
+	for _, o := range a.orders {
 		if !o.record.Answered && !o.refused {
 			// One at a time: an order that is recorded early waits for its call while demand and refusals
 			// change.
 			return
 		}
 	}
-	if !t.mayCall(now) || now < t.planAt {
+	if !a.mayCall(now) || now < a.planAt {
 		return
 	}
-	need := t.plan(now)
+	need := a.plan(now)
 	var keys []offer
 	for o := range need {
 		keys = append(keys, o)
@@ -146,26 +146,26 @@
 	sort.Slice(keys, func(i, j int) bool { return fmt.Sprint(keys[i]) < fmt.Sprint(keys[j]) })
 	if len(keys) > 0 {
 		most := slices.MaxFunc(keys, func(a, b offer) int { return need[a] - need[b] })
-		t.newOrder(most, min(need[most], 50))
+		a.newOrder(most, min(need[most], 50))
 	} else {
-		t.planAt = now + planInterval
+		a.planAt = now + planInterval
 	}
 }
 
 // plan returns how many machines of each offer are missing in addition to the expected ones.
-func (t *Autoscaler) plan(now loop.Micros) map[offer]int {
-	expected := expectedCapacity{machines: t.expectedMachines(), exhausted: map[fleet.Shape]int{}}
+func (a *Autoscaler) plan(now loop.Micros) map[offer]int {
+	expected := expectedCapacity{machines: a.expectedMachines(), exhausted: map[fleet.Shape]int{}}
 	need := map[offer]int{}
-	for _, w := range t.requests() {
+	for _, w := range a.requests() {
 		n := needOf(&w)
 		left := expected.place(n, w.Count)
 		for left > 0 {
-			o, per, ok := t.cheapestOffer(n, left, now, need)
+			o, per, ok := a.cheapestOffer(n, left, now, need)
 			if !ok {
 				break
 			}
 			need[o]++
-			c := &expectedMachine{o, capacityOf(t.byName[o.typ])}
+			c := &expectedMachine{o, capacityOf(a.byName[o.typ])}
 			got := c.place(n, left)
 			if got == 0 || per == 0 {
 				break
@@ -179,11 +179,11 @@
 
 // cheapestOffer chooses the offer to rent for tasks of this shape: the lowest current price for each task served,
 // leaving out offers that were refused recently, that are cordoned, or that the job's rules forbid.
-func (t *Autoscaler) cheapestOffer(n *gate.Need, left int, now loop.Micros, need map[offer]int) (offer, int, bool) {
+func (a *Autoscaler) cheapestOffer(n *gate.Need, left int, now loop.Micros, need map[offer]int) (offer, int, bool) {
 	s := n.Spec
 	var best offer
 	bestCost, bestPer := math.Inf(1), 0
-	for _, x := range t.types {
+	for _, x := range a.types {
 		per := 1 << 30
 		if s.CPUs > 0 {
 			per = min(per, int(x.CPUs/s.CPUs+1e-9))
@@ -207,7 +207,7 @@
 				if !s.AllowsPlace(x.Name, z, spot) {
 					continue
 				}
-				if rest := t.offers[o]; (rest != nil && now < rest.until) || t.cordoned(o) {
+				if rest := a.offers[o]; (rest != nil && now < rest.until) || a.cordoned(o) {
 					continue
 				}
 				price := x.Price
@@ -226,26 +226,26 @@
 }
 
 // newOrder records an order under a name that is never reused. The cloud is asked only after that.
-func (t *Autoscaler) newOrder(of offer, count int) {
-	t.seq++
-	name := fmt.Sprintf("r-%d-%d", t.claim.Epoch, t.seq)
-	o := &order{name: name, record: Order{Type: of.typ, Zone: of.zone, Spot: of.spot, Count: count, At: t.runner.Wall()}}
-	t.orders[name] = o
-	t.storeOrder(o, []wire.Cond{member.LeaderCond(t.claim), {Key: OrderKeys + name, Revision: 0}}, func(ok bool) {
+func (a *Autoscaler) newOrder(of offer, count int) {
+	a.seq++
+	name := fmt.Sprintf("r-%d-%d", a.claim.Epoch, a.seq)
+	o := &order{name: name, record: Order{Type: of.typ, Zone: of.zone, Spot: of.spot, Count: count, At: a.runner.Wall()}}
+	a.orders[name] = o
+	a.storeOrder(o, []wire.Cond{member.LeaderCond(a.claim), {Key: OrderKeys + name, Revision: 0}}, func(ok bool) {
 		if ok {
 			o.recorded = true
-			if t.leads && t.orders[name] == o && t.mayCall(t.runner.Now()) {
-				t.send(o)
+			if a.leads && a.orders[name] == o && a.mayCall(a.runner.Now()) {
+				a.send(o)
 			}
 			return
 		}
-		delete(t.orders, name) // its name is not reused; if the record is stored late after all, a new leader sends the order once
+		delete(a.orders, name) // its name is not reused; if the record is stored late after all, a new leader sends the order once
 	})
 }
 
 // storeOrder writes an order's record under the given conditions, and passes on whether it was applied.
-func (t *Autoscaler) storeOrder(o *order, cond []wire.Cond, done func(ok bool)) {
-	t.client.Txn(store.Placements, wire.Txn{If: cond, Then: []wire.Change{{Put: OrderKeys + o.name, Value: o.record}}}, func(r store.Result) {
+func (a *Autoscaler) storeOrder(o *order, cond []wire.Cond, done func(ok bool)) {
+	a.client.Txn(store.Placements, wire.Txn{If: cond, Then: []wire.Change{{Put: OrderKeys + o.name, Value: o.record}}}, func(r store.Result) {
 		if r.Outcome == store.Applied {
 			o.revision = r.Revision
 		}
@@ -255,12 +255,12 @@
 
 // nextOrder returns the recorded order to send next, or nil if there is none. It drops orders that were answered
 // more than a minute ago.
-func (t *Autoscaler) nextOrder() *order {
-	now := t.runner.Now()
+func (a *Autoscaler) nextOrder() *order {
+	now := a.runner.Now()
 	var first *order
-	for _, o := range loop.Sorted(t.orders) {
+	for _, o := range loop.Sorted(a.orders) {
 		if o.finished != 0 && now-o.finished > 60*loop.Second {
-			t.dropOrder(o)
+			a.dropOrder(o)
 			continue
 		}
 		if o.recorded && !o.record.Answered && !o.busy && !o.refused && now >= o.nextTry && (first == nil || o.name < first.name) {
@@ -271,66 +271,66 @@
 }
 
 // send asks the cloud for an order's machines and handles the answer.
-func (t *Autoscaler) send(o *order) {
+func (a *Autoscaler) send(o *order) {
 	o.busy = true
 	o.tries++
 	of := offer{o.record.Type, o.record.Zone, o.record.Spot}
-	t.call("POST", "/machines", wire.RentRequest{Request: o.name, Type: of.typ, Zone: of.zone, Spot: of.spot, Count: o.record.Count}, 5*loop.Second, func(resp store.Response) {
+	a.call("POST", "/machines", wire.RentRequest{Request: o.name, Type: of.typ, Zone: of.zone, Spot: of.spot, Count: o.record.Count}, 5*loop.Second, func(resp store.Response) {
 		o.busy = false
-		if !t.leads || t.orders[o.name] != o {
+		if !a.leads || a.orders[o.name] != o {
 			return
 		}
 		var got wire.MachineNames
 		switch {
 		case resp.Err == nil && resp.Status == 200 && wire.Unmarshal(resp.Body, &got) == nil:
-			t.log.Info("machines rented", "order", o.name, "type", of.typ, "zone", of.zone, "spot", of.spot, "asked", o.record.Count, "got", len(got.Machines))
-			o.record.Answered, o.record.Machines, o.finished = true, got.Machines, t.runner.Now()
+			a.log.Info("machines rented", "order", o.name, "type", of.typ, "zone", of.zone, "spot", of.spot, "asked", o.record.Count, "got", len(got.Machines))
+			o.record.Answered, o.record.Machines, o.finished = true, got.Machines, a.runner.Now()
 			for _, name := range got.Machines {
-				if m := t.adopt(name, of.typ, of.zone, of.spot); m != nil && m.state == Booting {
+				if m := a.adopt(name, of.typ, of.zone, of.spot); m != nil && m.state == Booting {
 					m.rented = true
 				}
 			}
 			if len(got.Machines) < o.record.Count {
-				t.backOffOffer(of)
+				a.backOffOffer(of)
 			} else {
-				delete(t.offers, of)
+				delete(a.offers, of)
 			}
-			t.storeOrder(o, []wire.Cond{{Key: OrderKeys + o.name, Revision: o.revision}}, func(bool) {})
+			a.storeOrder(o, []wire.Cond{{Key: OrderKeys + o.name, Revision: o.revision}}, func(bool) {})
 		case resp.Err == nil && resp.Status == 503 && strings.Contains(string(resp.Body), "capacity"):
-			t.log.Info("cloud has no capacity for the order; the offer is left out for a while", "order", o.name, "type", of.typ, "zone", of.zone, "spot", of.spot)
-			t.backOffOffer(of)
+			a.log.Info("cloud has no capacity for the order; the offer is left out for a while", "order", o.name, "type", of.typ, "zone", of.zone, "spot", of.spot)
+			a.backOffOffer(of)
 			o.refused = true
-			t.dropOrder(o)
+			a.dropOrder(o)
 		case resp.Err == nil && resp.Status == 400:
-			t.log.Error("cloud rejected the order as malformed; the order is dropped", "order", o.name)
-			t.backOffOffer(of)
+			a.log.Error("cloud rejected the order as malformed; the order is dropped", "order", o.name)
+			a.backOffOffer(of)
 			o.refused = true
-			t.dropOrder(o)
+			a.dropOrder(o)
 		default:
 			// No answer: machines may have been rented, or may be later. Repeating the same name is safe.
-			o.nextTry = t.runner.Now() + loop.Second
+			o.nextTry = a.runner.Now() + loop.Second
 		}
 	})
 }
 
 // backOffOffer leaves an offer out of the choice for a while, longer with each refusal.
-func (t *Autoscaler) backOffOffer(of offer) {
-	b := t.offers[of]
+func (a *Autoscaler) backOffOffer(of offer) {
+	b := a.offers[of]
 	if b == nil {
 		b = &backoff{wait: 5 * loop.Second}
-		t.offers[of] = b
+		a.offers[of] = b
 	} else {
 		b.wait = min(b.wait*2, 40*loop.Second)
 	}
-	b.until = t.runner.Now() + b.wait
+	b.until = a.runner.Now() + b.wait
 }
 
 // dropOrder forgets an order and deletes its record.
-func (t *Autoscaler) dropOrder(o *order) {
-	delete(t.orders, o.name)
-	t.client.Txn(store.Background, wire.Txn{If: []wire.Cond{member.LeaderCond(t.claim)}, Then: []wire.Change{{Delete: OrderKeys + o.name}}}, func(r store.Result) {
+func (a *Autoscaler) dropOrder(o *order) {
+	delete(a.orders, o.name)
+	a.client.Txn(store.Background, wire.Txn{If: []wire.Cond{member.LeaderCond(a.claim)}, Then: []wire.Change{{Delete: OrderKeys + o.name}}}, func(r store.Result) {
 		if r.Outcome == store.Applied {
-			t.mirror.Apply(OrderKeys+o.name, nil, r.Revision, true)
+			a.mirror.Apply(OrderKeys+o.name, nil, r.Revision, true)
 		}
 	})
 }
--- a/internal/rental/retention.go
+++ b/internal/rental/retention.go
@@ -17,37 +17,37 @@
 // starts no task before the network partition ends, and costs a boot afterwards. How long the partition lasts
 // is not known: waiting for as long as the deletion would cost loses at most twice what knowing it would
 // lose.
-func (t *Autoscaler) retention() func(*machine) loop.Micros {
-	now := t.runner.Now()
+func (a *Autoscaler) retention() func(*machine) loop.Micros {
+	now := a.runner.Now()
 	unreachable := map[string]bool{}
-	for _, m := range t.machines {
+	for _, m := range a.machines {
 		if _, known := unreachable[m.zone]; !known {
-			if unreachable[m.zone] = t.deps.PeerUnreachable(m.zone); unreachable[m.zone] {
-				t.unreachableAt[m.zone] = now
+			if unreachable[m.zone] = a.deps.PeerUnreachable(m.zone); unreachable[m.zone] {
+				a.unreachableAt[m.zone] = now
 			}
 		}
 	}
-	back := 2*loop.Seconds(t.cfg.Cluster.Workers.ReportS) + 3*loop.Second
-	for zone, at := range t.unreachableAt {
+	back := 2*loop.Seconds(a.cfg.Cluster.Workers.ReportS) + 3*loop.Second
+	for zone, at := range a.unreachableAt {
 		if now-at > back {
-			delete(t.unreachableAt, zone)
+			delete(a.unreachableAt, zone)
 		}
 	}
-	if len(t.unreachableAt) == 0 {
-		t.setRetaining(false)
+	if len(a.unreachableAt) == 0 {
+		a.setRetaining(false)
 		return func(*machine) loop.Micros { return 0 }
 	}
-	full := !t.offerElsewhere(unreachable) && t.demandExceedsMachine(unreachable)
-	t.setRetaining(full)
+	full := !a.offerElsewhere(unreachable) && a.demandExceedsMachine(unreachable)
+	a.setRetaining(full)
 	return func(m *machine) loop.Micros {
-		switch _, was := t.unreachableAt[m.zone]; {
+		switch _, was := a.unreachableAt[m.zone]; {
 		case was && !unreachable[m.zone]:
 			// After its zone is reachable again, a machine has the time of two reports to show which tasks
 			// run on it: what was retained must not be deleted just when its partition ends. A machine that
 			// never reported to this leader does not get this time: see checkBoot.
 			return unbounded
-		case was && full && !t.runsUrgentTasks(m):
-			return loop.Seconds(t.byName[m.typ].BootS)
+		case was && full && !a.runsUrgentTasks(m):
+			return loop.Seconds(a.byName[m.typ].BootS)
 		}
 		return 0
 	}
@@ -55,22 +55,22 @@
 
 // setRetaining records whether machines in unreachable zones are retained for longer, and logs each change: it
 // tells operators why nothing is deleted.
-func (t *Autoscaler) setRetaining(on bool) {
-	if t.retaining == on {
+func (a *Autoscaler) setRetaining(on bool) {
+	if a.retaining == on {
 		return
 	}
-	t.retaining = on
-	t.log.Info("retention of machines in unreachable zones changed", "spared", on, "zones", slices.Sorted(maps.Keys(t.unreachableAt)))
+	a.retaining = on
+	a.log.Info("retention of machines in unreachable zones changed", "spared", on, "zones", slices.Sorted(maps.Keys(a.unreachableAt)))
 }
 
 // runsUrgentTasks reports whether urgent tasks were active on a machine in its newest report. Urgent work need
 // not queue: once it is confirmed terminated, other work is preempted for it.
-func (t *Autoscaler) runsUrgentTasks(m *machine) bool {
-	v := t.workers.View(m.name)
+func (a *Autoscaler) runsUrgentTasks(m *machine) bool {
+	v := a.workers.View(m.name)
 	if v == nil {
 		return false
 	}
-	jobs := t.workers.Jobs(v)
+	jobs := a.workers.Jobs(v)
 	for i := range v.Tasks {
 		if j := jobs[i]; v.Tasks[i].Active() && j != nil && !j.Final() && j.Spec != nil && j.Spec.Priority >= job.High {
 			return true
@@ -81,9 +81,9 @@
 
 // offerElsewhere reports whether anything can be rented in a reachable zone, by the cloud's newest answers: an
 // offer that was refused counts as refused until it is granted.
-func (t *Autoscaler) offerElsewhere(unreachable map[string]bool) bool {
-	for o := range t.allOffers() {
-		if !unreachable[o.zone] && t.offers[o] == nil && !t.cordoned(o) {
+func (a *Autoscaler) offerElsewhere(unreachable map[string]bool) bool {
+	for o := range a.allOffers() {
+		if !unreachable[o.zone] && a.offers[o] == nil && !a.cordoned(o) {
 			return true
 		}
 	}
@@ -92,14 +92,14 @@
 
 // demandExceedsMachine reports whether the unplaced requests that could run in reachable zones exceed the
 // largest machine. Tasks that a deletion confirms terminated would only wait together with them.
-func (t *Autoscaler) demandExceedsMachine(unreachable map[string]bool) bool {
+func (a *Autoscaler) demandExceedsMachine(unreachable map[string]bool) bool {
 	most := 0.0
-	for _, x := range t.types {
+	for _, x := range a.types {
 		most = max(most, x.CPUs)
 	}
 	unplaced := 0.0
-	for _, w := range t.requests() {
-		if s := specOf(&w); t.fitsReachableZone(s, unreachable) {
+	for _, w := range a.requests() {
+		if s := specOf(&w); a.fitsReachableZone(s, unreachable) {
 			unplaced += w.CPUs * float64(w.Count)
 		}
 	}
@@ -107,9 +107,9 @@
 }
 
 // fitsReachableZone reports whether a task may run on some type of machine in a reachable zone.
-func (t *Autoscaler) fitsReachableZone(s *job.Spec, unreachable map[string]bool) bool {
-	for o := range t.allOffers() {
-		if !unreachable[o.zone] && t.fitsOffer(o, s) {
+func (a *Autoscaler) fitsReachableZone(s *job.Spec, unreachable map[string]bool) bool {
+	for o := range a.allOffers() {
+		if !unreachable[o.zone] && a.fitsOffer(o, s) {
 			return true
 		}
 	}
--- a/internal/rental/supply.go
+++ b/internal/rental/supply.go
@@ -14,35 +14,35 @@
 
 // Supply describes what this leader has rented or requested from the cloud that could take a task with spec
 // s.
-func (t *Autoscaler) Supply(s *job.Spec) explain.Supply {
+func (a *Autoscaler) Supply(s *job.Spec) explain.Supply {
 	out := explain.Supply{State: "nothing"}
-	if !t.leads {
+	if !a.leads {
 		out.State = "noLeader"
 		return out
 	}
-	now, wall := t.runner.Now(), t.runner.Wall()
-	serves := func(o offer) bool { return t.fitsOffer(o, s) && !t.cordoned(o) }
-	for _, w := range t.requests() {
+	now, wall := a.runner.Now(), a.runner.Wall()
+	serves := func(o offer) bool { return a.fitsOffer(o, s) && !a.cordoned(o) }
+	for _, w := range a.requests() {
 		if w.CPUs == s.CPUs && w.GPUs == s.GPUs && w.MemoryGB == s.MemoryGB && w.Zone == s.Zone && w.Spot == s.Spot && slices.Equal(w.Types, s.Types) {
 			out.Unplaced += w.Count
 		}
 	}
-	for of := range t.allOffers() {
+	for of := range a.allOffers() {
 		if !serves(of) {
 			continue
 		}
 		out.Offers++
-		if b := t.offers[of]; b != nil && now < b.until && len(out.Refused) < maxOffers {
+		if b := a.offers[of]; b != nil && now < b.until && len(out.Refused) < maxOffers {
 			until := explain.Time(wall + b.until - now)
 			out.Refused = append(out.Refused, explain.Offer{Type: of.typ, Zone: of.zone, Kind: explain.MachineKind(of.spot), Until: &until})
 		}
 	}
-	for _, o := range t.orders {
+	for _, o := range a.orders {
 		if !o.record.Answered && !o.refused && serves(offer{o.record.Type, o.record.Zone, o.record.Spot}) && len(out.Ordered) < maxOffers {
 			out.Ordered = append(out.Ordered, explain.Offer{Type: o.record.Type, Zone: o.record.Zone, Kind: explain.MachineKind(o.record.Spot), Count: o.record.Count})
 		}
 	}
-	t.addBooting(&out, serves)
+	a.addBooting(&out, serves)
 	switch {
 	case len(out.Booting) > 0:
 		out.State = "booting"
@@ -59,10 +59,10 @@
 }
 
 // addBooting counts the booting machines by offer, and estimates when the next of them is up.
-func (t *Autoscaler) addBooting(out *explain.Supply, serves func(offer) bool) {
-	now := t.runner.Now()
+func (a *Autoscaler) addBooting(out *explain.Supply, serves func(offer) bool) {
+	now := a.runner.Now()
 	by := map[offer]*explain.Booting{}
-	for _, m := range t.machines {
+	for _, m := range a.machines {
 		of := offer{m.typ, m.zone, m.spot}
 		if m.state != Booting || !serves(of) {
 			continue
@@ -72,7 +72,7 @@
 			if len(by) >= maxOffers {
 				continue
 			}
-			b = &explain.Booting{Offer: explain.Offer{Type: m.typ, Zone: m.zone, Kind: explain.MachineKind(m.spot)}, Nominal: explain.Duration(loop.Seconds(t.byName[m.typ].BootS))}
+			b = &explain.Booting{Offer: explain.Offer{Type: m.typ, Zone: m.zone, Kind: explain.MachineKind(m.spot)}, Nominal: explain.Duration(loop.Seconds(a.byName[m.typ].BootS))}
 			by[of] = b
 		}
 		b.Count++
@@ -80,8 +80,8 @@
 	}
 	for _, b := range by {
 		out.Booting = append(out.Booting, *b)
-		nominal := t.byName[b.Type].BootS
-		if e := t.bootTimes.Remaining(loop.Micros(float64(b.Age) / max(nominal, 0.001))); e != nil {
+		nominal := a.byName[b.Type].BootS
+		if e := a.bootTimes.Remaining(loop.Micros(float64(b.Age) / max(nominal, 0.001))); e != nil {
 			e.Low, e.Likely, e.High = scale(e.Low, nominal), scale(e.Likely, nominal), scale(e.High, nominal)
 			if out.Estimate == nil || e.Likely < out.Estimate.Likely {
 				out.Estimate = e
--- a/internal/starvation/budget.go
+++ b/internal/starvation/budget.go
@@ -65,67 +65,67 @@
 
 // Accrue adds to the budget for the time since the last call. rate is the number of CPUs per second that are
 // freed for this controller's jobs.
-func (r *Budget) Accrue(now loop.Micros, rate float64) {
-	r.rate = rate
-	if r.earnedAt != 0 {
-		r.credit += float64(now-r.earnedAt) / 1e6 * rate * Fraction
+func (b *Budget) Accrue(now loop.Micros, rate float64) {
+	b.rate = rate
+	if b.earnedAt != 0 {
+		b.credit += float64(now-b.earnedAt) / 1e6 * rate * Fraction
 	}
-	r.earnedAt = now
-	r.credit = min(r.credit, float64(maxSavedTime)/1e6*rate*Fraction+1)
+	b.earnedAt = now
+	b.credit = min(b.credit, float64(maxSavedTime)/1e6*rate*Fraction+1)
 }
 
 // Available reports whether the budget allows serving a job out of order now.
-func (r *Budget) Available() bool { return r.credit > 0 }
+func (b *Budget) Available() bool { return b.credit > 0 }
 
 // Spend records CPUs that were given to a class out of order, or reserved for it.
-func (r *Budget) Spend(class string, cpus float64) {
-	r.credit -= cpus
-	r.turns[class] += cpus
-	r.currentTurn = max(r.currentTurn, r.turns[class]-cpus)
+func (b *Budget) Spend(class string, cpus float64) {
+	b.credit -= cpus
+	b.turns[class] += cpus
+	b.currentTurn = max(b.currentTurn, b.turns[class]-cpus)
 }
 
 // RecordOrdinary records CPUs that a class received in the ordinary order, which delays its turn. The delay is
 // bounded: an exceptional job in a class that is served well, such as one far larger than the others, must
 // not wait for ever.
-func (r *Budget) RecordOrdinary(class string, cpus float64) {
-	if turn, waits := r.turns[class]; waits {
-		r.turns[class] = max(turn, min(turn+cpus, r.currentTurn+r.maxLead()))
+func (b *Budget) RecordOrdinary(class string, cpus float64) {
+	if turn, waits := b.turns[class]; waits {
+		b.turns[class] = max(turn, min(turn+cpus, b.currentTurn+b.maxLead()))
 	}
 }
 
 // Restore records what a class received under an earlier owner, so that the fair queueing continues from
 // there.
-func (r *Budget) Restore(class string, cpus float64) {
-	if _, known := r.turns[class]; !known {
-		r.turns[class] = r.currentTurn + min(cpus, r.maxLead())
+func (b *Budget) Restore(class string, cpus float64) {
+	if _, known := b.turns[class]; !known {
+		b.turns[class] = b.currentTurn + min(cpus, b.maxLead())
 	}
 }
 
 // Defer records that no capacity could be given to the class whose turn it was, or reserved for it, and moves
 // its turn back by one second's budget. Otherwise a job for which there is never capacity would block all
 // other classes.
-func (r *Budget) Defer(class string) {
-	if _, waits := r.turns[class]; waits {
-		r.turns[class] += r.rate*Fraction + 1e-3
+func (b *Budget) Defer(class string) {
+	if _, waits := b.turns[class]; waits {
+		b.turns[class] += b.rate*Fraction + 1e-3
 	}
 }
 
 // Refund records that capacity reserved for a class was not used: the class gets its turn back. The budget is
 // not refunded.
-func (r *Budget) Refund(class string, cpus float64) {
-	if _, waits := r.turns[class]; waits {
-		r.turns[class] -= cpus
+func (b *Budget) Refund(class string, cpus float64) {
+	if _, waits := b.turns[class]; waits {
+		b.turns[class] -= cpus
 	}
 }
 
 // maxLead returns how many CPUs a class's turn may be ahead because of the ordinary order.
-func (r *Budget) maxLead() float64 { return float64(maxLeadTime)/1e6*r.rate*Fraction + 1 }
+func (b *Budget) maxLead() float64 { return float64(maxLeadTime)/1e6*b.rate*Fraction + 1 }
 
 // Pick returns the jobs to serve out of order now, sorted. The last one may overdraw the budget, so
 // that a task of any size gets its turn; the overdraft must be earned back before the next pick.
-func (r *Budget) Pick(now loop.Micros, all []Waiter) (picks []Pick) {
-	left := r.credit
-	if !r.Available() {
+func (b *Budget) Pick(now loop.Micros, all []Waiter) (picks []Pick) {
+	left := b.credit
+	if !b.Available() {
 		return nil
 	}
 	late := map[string][]int{} // by class, the job first that received nothing for longest
@@ -140,10 +140,10 @@
 		slices.SortFunc(waiting, func(a, b int) int {
 			return cmp.Or(cmp.Compare(all[a].LastServedAt, all[b].LastServedAt), cmp.Compare(all[a].ID, all[b].ID))
 		})
-		if t, ok := r.turns[class]; !ok || t < r.currentTurn {
-			r.turns[class] = r.currentTurn // a class does not make up for CPUs that it did not need while it was absent
+		if t, ok := b.turns[class]; !ok || t < b.currentTurn {
+			b.turns[class] = b.currentTurn // a class does not make up for CPUs that it did not need while it was absent
 		}
-		turns[class] = r.turns[class]
+		turns[class] = b.turns[class]
 	}
 	for left > 0 && len(picks) < maxPicks && len(late) > 0 {
 		class := ""
@@ -165,15 +165,15 @@
 		left -= float64(n) * w.CPUs
 		picks = append(picks, Pick{Index: i, Tasks: n})
 	}
-	r.forget(turns)
+	b.forget(turns)
 	return picks
 }
 
 // forget drops the classes that have no late job and whose turn is not ahead of the others.
-func (r *Budget) forget(kept map[string]float64) {
-	for class, t := range r.turns {
-		if _, ok := kept[class]; !ok && t <= r.currentTurn {
-			delete(r.turns, class)
+func (b *Budget) forget(kept map[string]float64) {
+	for class, t := range b.turns {
+		if _, ok := kept[class]; !ok && t <= b.currentTurn {
+			delete(b.turns, class)
 		}
 	}
 }
