--- a/internal/explain/service.go
+++ b/internal/explain/service.go
@@ -69,15 +69,15 @@
 
 // NewService returns the service and registers the handlers of other controllers' requests.
 func NewService(r loop.Runner, deps Dependencies) *Service {
-	d := &Service{runner: r, deps: deps, Timelines: NewTimelines(), waits: NewWaits()}
-	d.Timelines.OnIntervalEnd = d.recordWait
+	s := &Service{runner: r, deps: deps, Timelines: NewTimelines(), waits: NewWaits()}
+	s.Timelines.OnIntervalEnd = s.recordWait
 	deps.Handle(topicWhy, func(body wire.Raw, reply func(any)) {
 		var q whyRequest
 		if wire.Unmarshal(body, &q) != nil {
 			reply(whyReply{})
 			return
 		}
-		reply(d.explainOwned(q.Job))
+		reply(s.explainOwned(q.Job))
 	})
 	deps.Handle(topicSupply, func(body wire.Raw, reply func(any)) {
 		var s job.Spec
@@ -87,7 +87,7 @@
 		}
 		reply(deps.Supply(&s))
 	})
-	return d
+	return s
 }
 
 func urgent(j *job.Job) bool { return j != nil && j.Spec != nil && j.Spec.Priority >= job.High }
@@ -230,14 +230,14 @@
 		return
 	}
 	leader := s.deps.Leader()
-	fill := func(s Supply) {
-		s.Leader = leader
+	fill := func(supply Supply) {
+		supply.Leader = leader
 		for _, r := range short {
-			r.Detail.Renting = &s
-			if r.Estimate == nil && s.Estimate != nil {
-				r.Estimate = s.Estimate
+			r.Detail.Renting = &supply
+			if r.Estimate == nil && supply.Estimate != nil {
+				r.Estimate = supply.Estimate
 			}
-			if more := supplyRelease[s.State]; more != "" {
+			if more := supplyRelease[supply.State]; more != "" {
 				r.Release += "; " + more
 			}
 		}
--- a/internal/placer/explain.go
+++ b/internal/placer/explain.go
@@ -153,7 +153,7 @@
 	if x.state == Recording {
 		return gate.Recording, "recording", x.chosenAt
 	}
-	v, m := sched.agent.View(x.machine), sched.fleet.Machine(x.machine)
+	v, m := sched.workers.View(x.machine), sched.fleet.Machine(x.machine)
 	switch {
 	case v == nil || m == nil:
 		return gate.Unconfirmed, "neverHeard", 0
--- a/internal/placer/load.go
+++ b/internal/placer/load.go
@@ -196,7 +196,7 @@
 		}
 	}
 	if len(segments) > 0 { // without records no task of these teams is on any machine
-		sched.agent.EachView(func(v *agent.View) { sched.ViewChanged(v, &agent.Changes{All: true}) })
+		sched.workers.EachView(func(v *agent.View) { sched.ViewChanged(v, &agent.Changes{All: true}) })
 	}
 	sched.RequestPass()
 }
--- a/internal/placer/scheduler.go
+++ b/internal/placer/scheduler.go
@@ -66,7 +66,7 @@
 	deps     Dependencies
 	registry *job.Registry
 	cordons  *cordon.Registry
-	agent    *agent.Registry
+	workers  *agent.Registry
 	// partitions holds the partitions that this controller owns; teams holds the teams assigned to them, by name.
 	partitions     map[partition.ID]*ownedPartition
 	teams          map[string]*team
@@ -95,25 +95,25 @@
 
 // New returns a scheduler that owns no partition yet and schedules its periodic work on r.
 func New(r loop.Runner, c *store.Client, log *slog.Logger, cfg *config.Config, deps Dependencies, registry *job.Registry, a *agent.Registry, cordons *cordon.Registry) *Scheduler {
-	p := &Scheduler{runner: r, cordons: cordons, client: c, log: log, cfg: cfg, deps: deps, registry: registry, agent: a, partitions: map[partition.ID]*ownedPartition{}, teams: map[string]*team{},
+	sched := &Scheduler{runner: r, cordons: cordons, client: c, log: log, cfg: cfg, deps: deps, registry: registry, workers: a, partitions: map[partition.ID]*ownedPartition{}, teams: map[string]*team{},
 		valueLimit:     int(cfg.Cluster.State.ValueKB * 1024 * valueFraction),
 		tasksByMachine: map[string]*machineTasks{},
 		attribution:    health.NewAttribution(func(id string) bool { j := registry.Get(id); return j != nil && !j.Final() }), zoneByMachine: map[string]string{}, nonce: loop.Rand(r).Uint64() >> 1, usage: map[string]peer.Usage{},
 
 		checkRequestedAt: map[string]loop.Micros{}, paces: health.Paces{}, starvation: starvation.New()}
-	p.clock = delivery.NewClockBounds(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifetimeS))
-	p.expiries = delivery.NewExpiries(p.clock)
-	p.fleet = fleet.New(r, log, fleet.Dependencies{Label: deps.Label, Type: deps.Type, FreeCapacity: a.FreeCapacity, Jobs: a.Jobs, EachUnlisted: p.eachUnlisted, Stop: deps.Stop,
-		Cordons: cordons, StaleAfter: p.staleAfter()})
-	loop.Every(r, 400*loop.Millisecond, p.tick)
+	sched.clock = delivery.NewClockBounds(cfg.ClockDifference(), loop.Seconds(cfg.Operator.StartLifetimeS))
+	sched.expiries = delivery.NewExpiries(sched.clock)
+	sched.fleet = fleet.New(r, log, fleet.Dependencies{Label: deps.Label, Type: deps.Type, FreeCapacity: a.FreeCapacity, Jobs: a.Jobs, EachUnlisted: sched.eachUnlisted, Stop: deps.Stop,
+		Cordons: cordons, StaleAfter: sched.staleAfter()})
+	loop.Every(r, 400*loop.Millisecond, sched.tick)
 	loop.Every(r, 60*loop.Second, func() {
-		for m := range p.zoneByMachine { // of deleted machines, once no task is counted there
-			if p.tasksByMachine[m] == nil && p.fleet.Machine(m) == nil {
-				delete(p.zoneByMachine, m)
+		for m := range sched.zoneByMachine { // of deleted machines, once no task is counted there
+			if sched.tasksByMachine[m] == nil && sched.fleet.Machine(m) == nil {
+				delete(sched.zoneByMachine, m)
 			}
 		}
 	})
-	return p
+	return sched
 }
 
 // forgetJob removes a job's table and everything that refers to its tasks.
@@ -203,7 +203,7 @@
 	if x.stopSentAt != 0 && now-x.stopSentAt < loop.Second {
 		return
 	}
-	if v := sched.agent.View(x.machine); v != nil {
+	if v := sched.workers.View(x.machine); v != nil {
 		x.stopSentAt = now
 		sched.deps.Stop(v.Host, agent.Stop{Machine: x.machine, Task: t.taskName(i), Attempt: x.attempt, Grace: grace})
 	}
@@ -255,7 +255,7 @@
 // sendStart sends the start of a recorded task, or takes the task back if the start cannot be sent any more.
 func (sched *Scheduler) sendStart(t *jobTable, i int) {
 	x := t.task(i)
-	v := sched.agent.View(x.machine)
+	v := sched.workers.View(x.machine)
 	if v == nil || sched.runner.Wall() >= x.expiry {
 		if x.sentTo == "" && x.recordedHere {
 			sched.confirmTerminated(t, i, "not sent in time")
--- a/internal/placer/tick.go
+++ b/internal/placer/tick.go
@@ -68,7 +68,7 @@
 	}
 	slices.Sort(machines)
 	for _, m := range machines {
-		v := sched.agent.View(m)
+		v := sched.workers.View(m)
 		if v == nil {
 			continue
 		}
@@ -89,7 +89,7 @@
 // sweep repeats the stops of tasks whose job is final, and frees tasks on deleted machines.
 func (sched *Scheduler) sweep() {
 	for m, on := range loop.Sorted(sched.tasksByMachine) {
-		gone := sched.agent.IsDeleted(m)
+		gone := sched.workers.IsDeleted(m)
 		due := map[taskRef]struct{}{} // usually few of the tasks in use
 		for r := range on.all {
 			if gone || r.table.job.Final() {
@@ -123,7 +123,7 @@
 // evict stops tasks in time to save a checkpoint before a spot machine is reclaimed, or before a machine that is not
 // needed is returned.
 func (sched *Scheduler) evict(now, wall loop.Micros) {
-	sched.agent.EachView(func(v *agent.View) {
+	sched.workers.EachView(func(v *agent.View) {
 		if v.NoticeAt == 0 && !v.ClosedToStarts {
 			return
 		}
--- a/internal/placer/views.go
+++ b/internal/placer/views.go
@@ -37,7 +37,7 @@
 	if !c.Unchanged {
 		m.BackOff(sched.attribution.BackOffUntil(v.Name), "tasks fail on it")
 	}
-	m.Jobs = sched.agent.Jobs(v)
+	m.Jobs = sched.workers.Jobs(v)
 	observed := m.Runs.Update(v, c, before, m.Jobs, sched.paces, now, startsUnknown)
 	sched.turnover.AddFreed(observed.Freed)
 	if observed.Slow && now >= m.BackOffUntil {
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -86,11 +86,11 @@
 
 // New returns a tracker that has received no messages.
 func New(r loop.Runner, log *slog.Logger, self string, peers []string, clockDifference loop.Micros) *Tracker {
-	j := &Tracker{runner: r, log: log, self: self, clockDifference: clockDifference, began: r.Now(), peers: map[string]*peer{}}
+	t := &Tracker{runner: r, log: log, self: self, clockDifference: clockDifference, began: r.Now(), peers: map[string]*peer{}}
 	for _, p := range peers {
-		j.peers[p] = &peer{}
+		t.peers[p] = &peer{}
 	}
-	return j
+	return t
 }
 
 // setState is the only place where a peer's state changes.
--- a/internal/rental/autoscaler.go
+++ b/internal/rental/autoscaler.go
@@ -144,11 +144,11 @@
 // New returns the autoscaler, which keeps its copy of the catalog and the deletions up to date on every
 // controller.
 func New(r loop.Runner, log *slog.Logger, cfg *config.Config, c *store.Client, m *store.Mirror, cloud store.Doer, a *agent.Registry, deps Dependencies) *Autoscaler {
-	t := &Autoscaler{runner: r, log: log, cfg: cfg, client: c, mirror: m, cloud: cloud, workers: a, deps: deps, byName: map[string]wire.MachineType{}, rand: loop.Rand(r),
+	scaler := &Autoscaler{runner: r, log: log, cfg: cfg, client: c, mirror: m, cloud: cloud, workers: a, deps: deps, byName: map[string]wire.MachineType{}, rand: loop.Rand(r),
 		demands: map[string]peer.Demand{}, unreachableAt: map[string]loop.Micros{}, demandAt: map[string]loop.Micros{}, deleted: map[string][]string{}, bootTimes: explain.NewDistribution()}
 	w := cfg.Cluster.Workers
-	t.failures = loss.New(loss.Rules{ReportInterval: loop.Seconds(w.ReportS), Lease: loop.Seconds(w.LeaseS), UnreachableGrace: partitionGrace,
-		MaxSilence: loop.Seconds(cfg.Operator.SilentDeleteAfterS), MaxProbes: max(min(64, cfg.Cluster.Limits.MaxSockets/20), 4)}, log, deps.Meter, t.probe)
+	scaler.failures = loss.New(loss.Rules{ReportInterval: loop.Seconds(w.ReportS), Lease: loop.Seconds(w.LeaseS), UnreachableGrace: partitionGrace,
+		MaxSilence: loop.Seconds(cfg.Operator.SilentDeleteAfterS), MaxProbes: max(min(64, cfg.Cluster.Limits.MaxSockets/20), 4)}, log, deps.Meter, scaler.probe)
 	m.OnChange(CatalogKey, func(key string, e store.Entry) {
 		var rec catalogRecord
 		if e.Revision == 0 {
@@ -158,27 +158,27 @@
 			log.Error("corrupt catalog record ignored", "key", key, "err", err)
 			return
 		}
-		t.setCatalog(rec.Types)
+		scaler.setCatalog(rec.Types)
 	})
 	m.OnChange(DeletionKeys, func(key string, e store.Entry) {
 		var rec DeletionRecord
 		if e.Revision == 0 {
-			a.ForgetDeleted(t.deleted[key])
-			delete(t.deleted, key)
+			a.ForgetDeleted(scaler.deleted[key])
+			delete(scaler.deleted, key)
 			return
 		}
 		if err := wire.Unmarshal(e.Value, &rec); err != nil {
 			log.Error("corrupt deletion record ignored", "key", key, "err", err)
 			return
 		}
-		t.deleted[key] = rec.Machines
+		scaler.deleted[key] = rec.Machines
 		for _, name := range rec.Machines {
-			t.markDeleted(name)
+			scaler.markDeleted(name)
 		}
 	})
-	loop.Every(r, 60*loop.Second, t.removeOldDeletions)
-	loop.Every(r, 50*loop.Millisecond, t.tick)
-	return t
+	loop.Every(r, 60*loop.Second, scaler.removeOldDeletions)
+	loop.Every(r, 50*loop.Millisecond, scaler.tick)
+	return scaler
 }
 
 // setCatalog replaces the known machine types.
--- a/internal/rental/deletion.go
+++ b/internal/rental/deletion.go
@@ -23,8 +23,8 @@
 		}
 		return 1
 	}
-	all := slices.SortedFunc(maps.Values(a.deleting), func(a, b *machine) int {
-		return cmp.Or(cmp.Compare(first(a), first(b)), cmp.Compare(a.deleteAt, b.deleteAt), cmp.Compare(a.name, b.name))
+	all := slices.SortedFunc(maps.Values(a.deleting), func(x, y *machine) int {
+		return cmp.Or(cmp.Compare(first(x), first(y)), cmp.Compare(x.deleteAt, y.deleteAt), cmp.Compare(x.name, y.name))
 	})
 	var names []string
 	for _, m := range all[:min(len(all), maxDeletionsPerCall)] {
--- a/internal/rental/machine.go
+++ b/internal/rental/machine.go
@@ -71,7 +71,7 @@
 // sorted lists the machines by name. The list is cached until a machine joins or leaves.
 func (a *Autoscaler) sorted() []*machine {
 	if a.sortedMachines == nil {
-		a.sortedMachines = slices.SortedFunc(maps.Values(a.machines), func(a, b *machine) int { return strings.Compare(a.name, b.name) })
+		a.sortedMachines = slices.SortedFunc(maps.Values(a.machines), func(x, y *machine) int { return strings.Compare(x.name, y.name) })
 	}
 	return a.sortedMachines
 }
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -145,7 +145,7 @@
 	}
 	sort.Slice(keys, func(i, j int) bool { return fmt.Sprint(keys[i]) < fmt.Sprint(keys[j]) })
 	if len(keys) > 0 {
-		most := slices.MaxFunc(keys, func(a, b offer) int { return need[a] - need[b] })
+		most := slices.MaxFunc(keys, func(x, y offer) int { return need[x] - need[y] })
 		a.newOrder(most, min(need[most], 50))
 	} else {
 		a.planAt = now + planInterval
--- a/internal/rental/supply.go
+++ b/internal/rental/supply.go
@@ -88,8 +88,8 @@
 			}
 		}
 	}
-	slices.SortFunc(out.Booting, func(a, b explain.Booting) int {
-		return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Kind, b.Kind))
+	slices.SortFunc(out.Booting, func(x, y explain.Booting) int {
+		return cmp.Or(cmp.Compare(x.Type, y.Type), cmp.Compare(x.Zone, y.Zone), cmp.Compare(x.Kind, y.Kind))
 	})
 }
 
