--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// A start that does not fit, has expired or is meant for another session is rejected, and its owner is told so.
+// A start that does not fit, has expired or is meant for another session is rejected, and the rejection is sent to its owner.
 func TestRejectedStarts(t *testing.T) {
 	g := newTestRegistry()
 	token := g.report(t, 1, 0).Token
@@ -276,7 +276,7 @@
 }
 
 // An accepted start is checked again for every message that could carry it: its job may have been cancelled
-// since, and the user told so.
+// since, and the cancellation confirmed to its user.
 func TestPendingStartOfACancelledJob(t *testing.T) {
 	g := newTestRegistry()
 	token := g.report(t, 1, 0).Token
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -138,7 +138,7 @@
 	a.expireStarts(m, wall)
 }
 
-// updateView updates the machine's newest view, and publishes it if peers must learn of the change.
+// updateView updates the machine's newest view, and publishes it if peers must receive the change.
 func (a *Registry) updateView(m *machine) {
 	now := a.runner.Now()
 	v := &m.view
--- a/internal/job/answer.go
+++ b/internal/job/answer.go
@@ -40,7 +40,7 @@
 	RefusedState    Source = "state"   // the state service refused the request or did not answer
 )
 
-// refused reports whether the user is told to retry.
+// refused reports whether the user is asked to retry.
 func (a Answer) refused() bool { return a.Code == 429 || a.Code == 503 }
 
 // final reports whether the answer says that the job is final, which can't become outdated.
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -143,7 +143,7 @@
 	return store.Response{Status: 503}
 }
 
-// A user whose request cannot be served because the state service refuses requests is told so at once, and does
+// A user whose request cannot be served because the state service refuses requests is answered so at once, and does
 // not wait until it recovers.
 func TestRefusalIsAnsweredAtOnce(t *testing.T) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
--- a/internal/placer/explain_rank.go
+++ b/internal/placer/explain_rank.go
@@ -52,7 +52,7 @@
 		if limited && o.team == t.team {
 			n = o.waiting() // it waits for the same limit
 		}
-		r := rival{table: o, maxTasks: min(n, sched.probeLimit(o)), takesFuture: fitsWherever(o.job.Spec, t.job.Spec)}
+		r := rival{table: o, maxTasks: min(n, sched.probationTasks(o)), takesFuture: fitsWherever(o.job.Spec, t.job.Spec)}
 		if r.tasks = r.maxTasks; !limited || o.team != t.team {
 			g := sched.facts(o)
 			g.TeamUsage.CPUs += usedByTeam[o.team].CPUs
@@ -216,8 +216,8 @@
 	return sched.fleet.PlaceOnCopies(r.table.need(), n, machines)
 }
 
-// probeLimit returns how many waiting tasks the job's failures allow to start.
-func (sched *Scheduler) probeLimit(t *jobTable) int {
+// probationTasks returns how many waiting tasks the job's failures allow to start.
+func (sched *Scheduler) probationTasks(t *jobTable) int {
 	f := sched.facts(t)
 	return f.AllowedTasks(gate.Probation)
 }
--- a/internal/placer/groupcommit.go
+++ b/internal/placer/groupcommit.go
@@ -177,8 +177,8 @@
 	return w
 }
 
-// maxJobs is the number of jobs whose revisions one transaction can check in addition to those of the claim, the segment and
-// the cordons.
+// maxJobs is the number of jobs whose revisions one transaction can check in addition to those of the claim, the
+// segment and the cordons.
 func (sched *Scheduler) maxJobs() int { return sched.client.MaxConditions() - 3 }
 
 // move makes the written segment hold a task's newest record.
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -126,7 +126,7 @@
 }
 
 // jobsWithinGuarantee returns the jobs of an owned team that fit into its guarantee together with the team's earlier
-// unfinished jobs. Blocked jobs do not count, except also.
+// unfinished jobs. Blocked jobs do not count, except for the job also.
 func (sched *Scheduler) jobsWithinGuarantee(tm *team, also *jobTable) map[*jobTable]bool {
 	out := map[*jobTable]bool{}
 	cpus, gpus := 0.0, 0.0
--- a/internal/placer/starvation.go
+++ b/internal/placer/starvation.go
@@ -10,7 +10,7 @@
 
 const (
 	// reservationLife is how long capacity stays reserved for a task that is served out of order. Even on a machine
-	// that is always full some task ends within that time. Afterwards a new place is sought.
+	// that is always full some task ends within that time. After that, capacity is searched for on all machines again.
 	reservationLife = 20 * loop.Second
 	// maxReserved bounds the tasks of one job for which capacity is reserved at once.
 	maxReserved = 8
--- a/internal/placer/tasklog.go
+++ b/internal/placer/tasklog.go
@@ -11,13 +11,13 @@
 // The state service accepts far fewer changes per second than tasks start and end. A partition's records therefore
 // form a log: one write stores everything that happened to any task of any of its teams since the previous write. The
 // log is a sequence of segments. The open one is rewritten with its new entries until it is full. A segment is
-// deleted, along with a write, once all its tasks are recorded later or belong to jobs that are over.
+// deleted, along with a write, once all its tasks are recorded later or belong to final jobs.
 //
 // An entry with a higher attempt supersedes one with a lower attempt, and of entries with the same attempt one that
 // records the end supersedes the others. The order in which segments are read therefore does not matter.
 
 const (
-	// outcomeMinDelay is how long outcomes wait at least for a write of their own, while the write limit is mostly
+	// outcomeMinDelay is how long outcomes wait at least before they cause a separate write, while the write limit is mostly
 	// unused; after outcomeMaxDelay they are written in any case.
 	outcomeMinDelay = 500 * loop.Millisecond
 	outcomeMaxDelay = 3 * loop.Second
--- a/internal/rental/autoscaler.go
+++ b/internal/rental/autoscaler.go
@@ -65,7 +65,7 @@
 	Types []wire.MachineType `cbor:"t"`
 }
 
-// offer is what one order can ask for: a machine type in a zone, spot or standard.
+// offer is what one order can ask for: a machine type in a zone, spot or ordinary.
 type offer struct {
 	typ, zone string
 	spot      bool
--- a/internal/rental/order.go
+++ b/internal/rental/order.go
@@ -56,7 +56,7 @@
 	return agent.Capacity{CPUs: x.CPUs, GPUs: x.GPUs, MemoryGB: x.MemoryGB}
 }
 
-// allOffers lists every offer of the catalog: each type in each of its zones, as spot and as standard.
+// allOffers lists every offer of the catalog: each type in each of its zones, as spot and as ordinary machines.
 func (a *Autoscaler) allOffers() iter.Seq[offer] {
 	return func(yield func(offer) bool) {
 		for _, x := range a.types {
