--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -161,7 +161,8 @@
 	}
 }
 
-// A start that does not fit, has expired or is meant for another session is rejected, and the rejection is sent to its owner.
+// A start that does not fit, has expired or is meant for another session is rejected, and the rejection is sent to
+// its owner.
 func TestRejectedStarts(t *testing.T) {
 	g := newTestRegistry()
 	token := g.report(t, 1, 0).Token
--- a/internal/agent/start.go
+++ b/internal/agent/start.go
@@ -7,8 +7,8 @@
 )
 
 // Reserve reserves capacity for a start while its owner records the attempt, and rejects at once what does not
-// fit. When many owners compete for the same capacity, every choice that is rejected later would otherwise cost a record in
-// the state service. Whether the start is accepted is decided by Start alone.
+// fit. When many owners compete for the same capacity, every choice that is rejected later would otherwise cost a
+// record in the state service. Whether the start is accepted is decided by Start alone.
 func (a *Registry) Reserve(s Start) {
 	m := a.hosted[s.Machine]
 	if m == nil {
@@ -88,7 +88,8 @@
 	}
 	if m == nil || s.Incarnation != 0 && s.Incarnation != a.config.Incarnation {
 		// The machine reports elsewhere, or the start is meant for an earlier incarnation of this process. The start
-		// is ignored: the owner receives the new host or incarnation in a view and sends the start there until it expires.
+		// is ignored: the owner receives the new host or incarnation in a view and sends the start there until it
+		// expires.
 		// It must not be rejected, because the earlier incarnation may have passed it on, and the owner takes a
 		// rejection as proof that the start will never be carried out. Owners before version 0.6.0 name no
 		// incarnation.
--- a/internal/explain/service.go
+++ b/internal/explain/service.go
@@ -92,7 +92,7 @@
 
 func urgent(j *job.Job) bool { return j != nil && j.Spec != nil && j.Spec.Priority >= job.High }
 
-// recordWait records a wait that is over. Every controller records the waits of all owners, so
+// recordWait records a wait that has ended. Every controller records the waits of all owners, so
 // that one that takes a team over can estimate at once; only the owner counts the wait in
 // its metrics.
 func (s *Service) recordWait(id string, k gate.Kind, took loop.Micros, own bool) {
--- a/internal/placer/tasklog.go
+++ b/internal/placer/tasklog.go
@@ -17,8 +17,8 @@
 // records the end supersedes the others. The order in which segments are read therefore does not matter.
 
 const (
-	// outcomeMinDelay is how long outcomes wait at least before they cause a separate write, while the write limit is mostly
-	// unused; after outcomeMaxDelay they are written in any case.
+	// outcomeMinDelay is how long outcomes wait at least before they cause a separate write, while the write limit is
+	// mostly unused; after outcomeMaxDelay they are written in any case.
 	outcomeMinDelay = 500 * loop.Millisecond
 	outcomeMaxDelay = 3 * loop.Second
 	// gatherTime is the minimum time that a start waits for its write. In that time its host controller can report that
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -183,7 +183,7 @@
 }
 
 // next returns the class whose request is to be sent now. A request with changes waits until enough of them
-// have accrued and it is its class's turn; requests without changes overtake it meanwhile.
+// have accrued and it is its class's turn; requests without changes overtake it until then.
 func (c *Client) next(now loop.Micros) (class Class, found bool) {
 	if c.queue.waiting(Leases) > 0 {
 		return Leases, true
