--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -65,7 +65,7 @@
 	Types []wire.MachineType `cbor:"t"`
 }
 
-// offer is what one order can ask for: a machine type in a zone, spot or standard.
+// offer is what one order can ask for: a machine type in a zone, spot or ordinary.
 type offer struct {
 	typ, zone string
 	spot      bool
@@ -77,8 +77,8 @@
 	wait  eventloop.Micros
 }
 
-// Node holds what the autoscaler needs of the controller that runs it.
-type Node struct {
+// Dependencies holds what the autoscaler needs from the controller in which it runs.
+type Dependencies struct {
 	// Close asks a machine's host controller to start nothing on it.
 	Close func(host string, c peer.StartBlock)
 	// PeerUnreachable reports whether messages of a peer in this zone have stopped arriving: the peer may
@@ -106,7 +106,7 @@
 	mirror         *store.Mirror
 	cloud          store.Doer
 	workers        *workers.Registry
-	node           Node
+	deps           Dependencies
 	leads          bool
 	claim          membership.Owner
 	started        eventloop.Micros
@@ -143,12 +143,12 @@
 
 // New returns the autoscaler, which keeps its copy of the catalog and the deletions up to date on every
 // controller.
-func New(r eventloop.Runner, log *slog.Logger, cfg *config.Config, c *store.Client, m *store.Mirror, cloud store.Doer, a *workers.Registry, n Node) *Autoscaler {
-	t := &Autoscaler{runner: r, log: log, cfg: cfg, client: c, mirror: m, cloud: cloud, workers: a, node: n, byName: map[string]wire.MachineType{}, rand: eventloop.Rand(r),
+func New(r eventloop.Runner, log *slog.Logger, cfg *config.Config, c *store.Client, m *store.Mirror, cloud store.Doer, a *workers.Registry, deps Dependencies) *Autoscaler {
+	scaler := &Autoscaler{runner: r, log: log, cfg: cfg, client: c, mirror: m, cloud: cloud, workers: a, deps: deps, byName: map[string]wire.MachineType{}, rand: eventloop.Rand(r),
 		demands: map[string]peer.Demand{}, unreachableAt: map[string]eventloop.Micros{}, demandAt: map[string]eventloop.Micros{}, deleted: map[string][]string{}, bootTimes: explain.NewDistribution()}
 	w := cfg.Cluster.Workers
-	t.failures = failuredetector.New(failuredetector.Rules{ReportInterval: eventloop.Seconds(w.ReportS), Lease: eventloop.Seconds(w.LeaseS), UnreachableGrace: partitionGrace,
-		MaxSilence: eventloop.Seconds(cfg.Operator.SilentDeleteAfterS), MaxProbes: max(min(64, cfg.Cluster.Limits.MaxSockets/20), 4)}, log, n.Meter, t.probe)
+	scaler.failures = failuredetector.New(failuredetector.Rules{ReportInterval: eventloop.Seconds(w.ReportS), Lease: eventloop.Seconds(w.LeaseS), UnreachableGrace: partitionGrace,
+		MaxSilence: eventloop.Seconds(cfg.Operator.SilentDeleteAfterS), MaxProbes: max(min(64, cfg.Cluster.Limits.MaxSockets/20), 4)}, log, deps.Meter, scaler.probe)
 	m.OnChange(CatalogKey, func(key string, e store.Entry) {
 		var rec catalogRecord
 		if e.Revision == 0 {
@@ -158,92 +158,92 @@
 			log.Error("corrupt catalog record ignored", "key", key, "err", err)
 			return
 		}
-		t.setCatalog(rec.Types)
+		scaler.setCatalog(rec.Types)
 	})
 	m.OnChange(DeletionKeys, func(key string, e store.Entry) {
 		var rec DeletionRecord
 		if e.Revision == 0 {
-			a.ForgetDeleted(t.deleted[key])
-			delete(t.deleted, key)
+			a.ForgetDeleted(scaler.deleted[key])
+			delete(scaler.deleted, key)
 			return
 		}
 		if err := wire.Unmarshal(e.Value, &rec); err != nil {
 			log.Error("corrupt deletion record ignored", "key", key, "err", err)
 			return
 		}
-		t.deleted[key] = rec.Machines
+		scaler.deleted[key] = rec.Machines
 		for _, name := range rec.Machines {
-			t.markDeleted(name)
+			scaler.markDeleted(name)
 		}
 	})
-	eventloop.Every(r, 60*eventloop.Second, t.removeOldDeletions)
-	eventloop.Every(r, 50*eventloop.Millisecond, t.tick)
-	return t
+	eventloop.Every(r, 60*eventloop.Second, scaler.removeOldDeletions)
+	eventloop.Every(r, 50*eventloop.Millisecond, scaler.tick)
+	return scaler
 }
 
 // setCatalog replaces the known machine types.
-func (t *Autoscaler) setCatalog(types []wire.MachineType) {
-	t.types = types
-	clear(t.byName)
+func (a *Autoscaler) setCatalog(types []wire.MachineType) {
+	a.types = types
+	clear(a.byName)
 	for _, x := range types {
-		t.byName[x.Name] = x
+		a.byName[x.Name] = x
 	}
 }
 
 // Types lists the machine types; empty while the catalog is not known.
-func (t *Autoscaler) Types() []wire.MachineType { return t.types }
+func (a *Autoscaler) Types() []wire.MachineType { return a.types }
 
 // Type returns a machine type by name.
-func (t *Autoscaler) Type(name string) (wire.MachineType, bool) {
-	x, ok := t.byName[name]
+func (a *Autoscaler) Type(name string) (wire.MachineType, bool) {
+	x, ok := a.byName[name]
 	return x, ok
 }
 
 // SetLeader records that this controller has become or ceased to be the leader.
-func (t *Autoscaler) SetLeader(leads bool, claim membership.Owner) {
-	t.leads, t.claim = leads, claim
+func (a *Autoscaler) SetLeader(leads bool, claim membership.Owner) {
+	a.leads, a.claim = leads, claim
 	if !leads {
 		return
 	}
 	// A new leader rebuilds its state from the recorded orders, the machines' reports and the cloud's list.
-	t.started = t.runner.Now()
-	t.sortedMachines = nil
-	t.machines, t.orders, t.offers, t.deleting = map[string]*machine{}, map[string]*order{}, map[offer]*backoff{}, map[string]*machine{}
-	t.listAt, t.catalogAt, t.listed = 0, 0, false
-	t.seq = 0
-	t.failures.Clear()
-	for _, key := range t.mirror.KeysUnder(OrderKeys) {
-		e, _ := t.mirror.Get(key)
+	a.started = a.runner.Now()
+	a.sortedMachines = nil
+	a.machines, a.orders, a.offers, a.deleting = map[string]*machine{}, map[string]*order{}, map[offer]*backoff{}, map[string]*machine{}
+	a.listAt, a.catalogAt, a.listed = 0, 0, false
+	a.seq = 0
+	a.failures.Clear()
+	for _, key := range a.mirror.KeysUnder(OrderKeys) {
+		e, _ := a.mirror.Get(key)
 		var o Order
 		if err := wire.Unmarshal(e.Value, &o); err != nil {
-			t.log.Error("corrupt order record ignored", "key", key, "err", err)
+			a.log.Error("corrupt order record ignored", "key", key, "err", err)
 			continue
 		}
 		name := strings.TrimPrefix(key, OrderKeys)
-		t.orders[name] = &order{name: name, record: o, revision: e.Revision, recorded: true}
+		a.orders[name] = &order{name: name, record: o, revision: e.Revision, recorded: true}
 		if o.Answered {
-			t.orders[name].finished = t.runner.Now()
+			a.orders[name].finished = a.runner.Now()
 			for _, m := range o.Machines {
-				t.adopt(m, o.Type, o.Zone, o.Spot)
+				a.adopt(m, o.Type, o.Zone, o.Spot)
 			}
 		}
 	}
-	t.workers.EachView(t.UpdateView)
-	t.log.Info("autoscaler started as leader; state rebuilt from records and reports", "orders", len(t.orders), "machines", len(t.machines))
+	a.workers.EachView(a.UpdateView)
+	a.log.Info("autoscaler started as leader; state rebuilt from records and reports", "orders", len(a.orders), "machines", len(a.machines))
 }
 
 // UpdateDemand records an owner's unplaced requests and suspect machines.
-func (t *Autoscaler) UpdateDemand(from string, demand peer.Demand) {
-	old := t.demands[from]
-	maxAge := t.cfg.ClockDifference() + 5*eventloop.Second
-	if demand.Wall <= old.Wall || t.runner.Wall()-demand.Wall > maxAge {
+func (a *Autoscaler) UpdateDemand(from string, demand peer.Demand) {
+	old := a.demands[from]
+	maxAge := a.cfg.ClockDifference() + 5*eventloop.Second
+	if demand.Wall <= old.Wall || a.runner.Wall()-demand.Wall > maxAge {
 		return // a repeated or delayed message
 	}
-	t.demands[from], t.demandAt[from] = demand, t.runner.Now()
+	a.demands[from], a.demandAt[from] = demand, a.runner.Now()
 }
 
 // CatalogKnown reports whether the machine types are known, so that submissions can be validated.
-func (t *Autoscaler) CatalogKnown() bool { return len(t.types) > 0 }
+func (a *Autoscaler) CatalogKnown() bool { return len(a.types) > 0 }
 
 // partitionGrace is how much longer than its lease an unreachable machine is retained while it may be alive
 // behind a network partition.
@@ -254,18 +254,18 @@
 const checkIntervalPerMachine = 200
 
 // tick checks the machines and makes the next cloud call when each is due.
-func (t *Autoscaler) tick() {
-	if !t.leads || !t.node.LeaseValid() {
+func (a *Autoscaler) tick() {
+	if !a.leads || !a.deps.LeaseValid() {
 		// A leader that cannot renew its lease has been replaced, or soon will be: to it all machines look
 		// silent, and a delayed deletion request would take effect long afterwards.
 		return
 	}
-	now := t.runner.Now()
-	if now-t.checkedAt >= max(200*eventloop.Millisecond, eventloop.Micros(len(t.machines))*checkIntervalPerMachine) {
-		t.checkedAt = now
-		t.checkMachines()
+	now := a.runner.Now()
+	if now-a.checkedAt >= max(200*eventloop.Millisecond, eventloop.Micros(len(a.machines))*checkIntervalPerMachine) {
+		a.checkedAt = now
+		a.checkMachines()
 	}
-	if t.mayCall(now) {
-		t.perform(t.nextCall(now))
+	if a.mayCall(now) {
+		a.perform(a.nextCall(now))
 	}
 }
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -61,7 +61,7 @@
 	g.cloud.OnRented = func(l wire.CloudMachine) { g.booted = append(g.booted, l) }
 	g.cloud.OnDeleted = func(name string) { g.deleted = append(g.deleted, name) }
 	g.workers = workers.New(g, log, workers.Config{Label: "a", FindJob: func(id string) *job.Job { return g.jobs[id] }, ViewChanged: func(v *workers.View, _ *workers.Changes) { g.scaler.UpdateView(v) }}, nil)
-	g.scaler = New(g, log, cfg, c, m, g, g.workers, Node{Close: func(string, peer.StartBlock) {},
+	g.scaler = New(g, log, cfg, c, m, g, g.workers, Dependencies{Close: func(string, peer.StartBlock) {},
 		PeerUnreachable: func(z string) bool { return g.peerUnreachable || z == g.partitionedZone }, LeaseValid: func() bool { return g.entitled }, Isolated: func() bool { return g.isolated },
 		Faulty: func(string) bool { return false }, Probe: func(addr string) failuredetector.ProbeResult { return cmp.Or(g.probeAnswers[addr], g.probeAnswer) }})
 	m.Start()
@@ -164,7 +164,7 @@
 func TestIdleMachineIsClosedThenDeleted(t *testing.T) {
 	g := newRig(t, 4)
 	var closed []peer.StartBlock
-	g.scaler.node.Close = func(_ string, c peer.StartBlock) { closed = append(closed, c) }
+	g.scaler.deps.Close = func(_ string, c peer.StartBlock) { closed = append(closed, c) }
 	g.Advance(3 * eventloop.Second)
 	seen := false
 	for range 4000 {
@@ -255,7 +255,7 @@
 			}
 		}
 		reportAll(0, 20)
-		for range 12 { // ten of them fall silent
+		for range 12 { // ten of them become silent
 			reportAll(10, 20)
 			g.Advance(500 * eventloop.Millisecond)
 		}
@@ -308,7 +308,7 @@
 	g.booted = nil
 	for k := range 1000 {
 		if k < 600 {
-			g.report(name, "x") // for 60 s; until then there is no capacity beside it
+			g.report(name, "x") // for 60 s; until then no other capacity is expected
 		}
 		g.scaler.UpdateDemand("b", peer.Demand{Wall: g.Now(), Requests: []peer.Request{{CPUs: 8, MemoryGB: 1, AnyType: true, Count: 1}}})
 		g.Advance(100 * eventloop.Millisecond)
--- a/internal/cordon/cordon_test.go
+++ b/internal/cordon/cordon_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-const clockTo = 200 * eventloop.Millisecond
+const clockDifference = 200 * eventloop.Millisecond
 
 // simulation is a set of controllers' cordons over one state service, each with its own mirror.
 type simulation struct {
@@ -32,7 +32,7 @@
 	for range n {
 		c := store.NewClient(o, o.state, log, 1e4, 1e4, 1)
 		m := store.NewMirror(c, o.state, "c/")
-		o.registries = append(o.registries, NewRegistry(o, c, m, log, clockTo))
+		o.registries = append(o.registries, NewRegistry(o, c, m, log, clockDifference))
 		o.mirrors = append(o.mirrors, m)
 		m.Start()
 	}
@@ -58,17 +58,17 @@
 			drop bool
 		}
 		expected := map[string]string{}
-		var unsettled []change
+		var unresolved []change
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			b := o.registries[rapid.IntRange(0, 2).Draw(t, "node")]
 			c := Cordon{Name: fmt.Sprint("c", rapid.IntRange(0, 4).Draw(t, "name")), Zone: "x", Reason: fmt.Sprint("r", rapid.IntRange(0, 99).Draw(t, "reason"))}
 			// Two concurrent changes of one name may be applied in either order, so they are made one after the other.
-			if slices.ContainsFunc(unsettled, func(x change) bool { return x.c.Name == c.Name }) {
+			if slices.ContainsFunc(unresolved, func(x change) bool { return x.c.Name == c.Name }) {
 				o.Advance(2 * eventloop.Second)
-				unsettled = nil
+				unresolved = nil
 			}
 			x := change{c, rapid.IntRange(0, 2).Draw(t, "drop") == 0}
-			unsettled = append(unsettled, x)
+			unresolved = append(unresolved, x)
 			record := func(out Outcome) {
 				switch {
 				case out == Stored && x.drop:
@@ -122,7 +122,7 @@
 	b.Put(Cordon{Name: "c", Zone: "x", Reason: "r", Until: until}, func(Outcome) {})
 	o.Advance(eventloop.Second)
 	before := b.Version()
-	o.Advance(until - o.Wall() + clockTo - eventloop.Millisecond)
+	o.Advance(until - o.Wall() + clockDifference - eventloop.Millisecond)
 	if !b.Blocked(at) {
 		t.Fatal("the cordon has expired before every clock was past its end")
 	}
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -34,7 +34,7 @@
 	failedAt                  eventloop.Micros
 	why                       string
 	inPartition               bool             // its zone was disconnected when it was declared failed
-	unheardUntil              eventloop.Micros // until when its reports reach nobody
+	noReportsUntil            eventloop.Micros // until when its reports reach no controller
 }
 
 type answer struct {
@@ -112,7 +112,7 @@
 			if r.back != 0 && y.now >= r.back && r.failedAt == 0 {
 				r.condition, r.back, r.wellAt = well, 0, y.now
 			}
-			if r.condition == well && r.failedAt == 0 && y.now >= y.disconnectedUntil[r.zone] && y.now >= r.unheardUntil && (y.now/step+eventloop.Micros(i))%(y.rules.ReportInterval/step) == 0 {
+			if r.condition == well && r.failedAt == 0 && y.now >= y.disconnectedUntil[r.zone] && y.now >= r.noReportsUntil && (y.now/step+eventloop.Micros(i))%(y.rules.ReportInterval/step) == 0 {
 				r.lastConfirmed, r.lastReport = y.now, y.now
 			}
 			// The first report that gets no answer still shows its host controller's token. The
@@ -212,7 +212,7 @@
 
 // The detector is checked against the real condition of simulated machines: any number of
 // them, in several zones, stop, hang, become unresponsive or are disconnected, alone and
-// together, and some come back. Each that is gone for good must be declared failed, and none
+// together, and some come back. Each that does not come back must be declared failed, and none
 // before the time that its condition allows.
 func TestDetectorAgainstSimulation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -268,7 +268,7 @@
 	})
 }
 
-// Machines that answer probes while their reports reach nobody must not alternate between
+// Machines that answer probes while their reports reach no controller must not alternate between
 // suspected and available: the correlated failure must start at most once and end when each
 // has answered. None whose reports arrive again in time may be declared failed, and the
 // others must be at the time that maxStray states.
@@ -277,13 +277,13 @@
 	y.run(10 * eventloop.Second)
 	began := y.now
 	for _, r := range y.all[:20] {
-		r.unheardUntil = began + y.rules.maxStray() - 2*y.rules.ReportInterval - eventloop.Second
+		r.noReportsUntil = began + y.rules.maxStray() - 2*y.rules.ReportInterval - eventloop.Second
 	}
 	for _, r := range y.all[20:30] {
-		r.unheardUntil = began + 500*eventloop.Second
+		r.noReportsUntil = began + 500*eventloop.Second
 	}
 	for _, r := range y.all[30:35] { // their host controller still answers them; they hang for less than a lease
-		r.unheardUntil = began + 22*eventloop.Second
+		r.noReportsUntil = began + 22*eventloop.Second
 	}
 	begun, was := 0, Calm
 	for k := range 300 {
@@ -318,7 +318,7 @@
 // Machines that report while no answer or command reaches them must not be declared dead
 // because connections to them fail, but must be declared failed after the time that maxStray
 // states, even if a whole zone of them looks like a network partition. Those that recover
-// earlier must not be declared failed, and meanwhile all count as likely to come back.
+// earlier must not be declared failed, and until then all count as likely to come back.
 func TestUnresponsiveMachines(t *testing.T) {
 	for _, report := range []eventloop.Micros{eventloop.Second, 3 * eventloop.Second, 5 * eventloop.Second} {
 		y := newSimulation(2, 40)
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -80,7 +80,7 @@
 const reservationPriority = job.Production
 
 // reservationLife is how long a reservation lasts after its victims' grace periods; imageReservationLife is
-// the same where the job's tasks fit elsewhere meanwhile.
+// the same where the job's tasks also fit on other machines now.
 const (
 	reservationLife      = 4 * eventloop.Second
 	imageReservationLife = 1500 * eventloop.Millisecond
@@ -131,7 +131,7 @@
 func (f *Fleet) preempt(need *predicate.Need, want int, rights *PreemptionRights, maxCost float64, life eventloop.Micros, eligible func(*Machine) bool) (reservations []peer.Reservation) {
 	s := need.Spec
 	now := f.runner.Now()
-	after := now - f.node.StaleAfter
+	after := now - f.deps.StaleAfter
 	var all candidateHeap
 	borrowed := rights.WithinGuarantee && !rights.LowerPriorityOnly && rights.anyOtherExcess(s.Team)
 	// With many machines, any few of them are about as good as the best of all: the search starts where the
@@ -169,7 +169,7 @@
 			o.m.Free.Add(y.spec)
 			o.m.preempted = append(o.m.preempted, pendingPreemption{delivery.Attempt{Task: y.task.Task, Number: y.task.Attempt}, now + y.grace + 5*eventloop.Second})
 			f.log.Debug("preempting task to make capacity for another job", "task", y.task.Task, "machine", o.m.View.Name, "for", need.ID, "grace_us", y.grace)
-			f.node.Stop(o.m.View.Host, workers.Stop{Machine: o.m.View.Name, Task: y.task.Task, Attempt: y.task.Attempt, Grace: y.grace})
+			f.deps.Stop(o.m.View.Host, workers.Stop{Machine: o.m.View.Name, Task: y.task.Task, Attempt: y.task.Attempt, Grace: y.grace})
 		}
 		o.m.Free.Subtract(s)
 		f.MarkStale(o.m)
--- a/internal/fleet/reserve_test.go
+++ b/internal/fleet/reserve_test.go
@@ -22,11 +22,11 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	client := store.NewClient(clock, nil, log, 100, 100, 1)
 	jobs := map[string]*job.Job{}
-	f := New(clock, log, Node{Label: "a", StaleAfter: 10 * eventloop.Second,
+	f := New(clock, log, Dependencies{Label: "a", StaleAfter: 10 * eventloop.Second,
 		Type: func(string) (wire.MachineType, bool) {
 			return wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32}, true
 		},
-		Room: func(*workers.View, wire.MachineType) (workers.Capacity, bool) {
+		FreeCapacity: func(*workers.View, wire.MachineType) (workers.Capacity, bool) {
 			return workers.Capacity{MemoryGB: 32}, true
 		},
 		Jobs: func(v *workers.View) (of []*job.Job) {
@@ -36,8 +36,8 @@
 			}
 			return of
 		},
-		Unshown: func(*workers.View, func(*job.Spec)) {},
-		Cordons: cordon.NewRegistry(clock, client, store.NewMirror(client, nil, "c/"), log, 0)})
+		EachUnlisted: func(*workers.View, func(*job.Spec)) {},
+		Cordons:      cordon.NewRegistry(clock, client, store.NewMirror(client, nil, "c/"), log, 0)})
 	for i, team := range teams {
 		id := fmt.Sprintf("job-%06d", 100+i)
 		jobs[id] = &job.Job{ID: id, Spec: &job.Spec{Team: team, CPUs: 8}}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -155,14 +155,14 @@
 			n.rental.UpdateView(v)
 		},
 		SendRejection: func(to string, d workers.Rejection) {
-			n.dispatch(to, func() { l.Post(func() { n.placer.StartDropped(cfg.Label, d) }) }, func(e *peer.Envelope) { e.Drops = append(e.Drops, d) })
+			n.dispatch(to, func() { l.Post(func() { n.placer.StartRejected(cfg.Label, d) }) }, func(e *peer.Envelope) { e.Drops = append(e.Drops, d) })
 		},
-		StartBlocked:     n.startBlocked,
-		ClockUncertainty: cfg.ClockDifference(),
-		Clock:            delivery.NewClockBounds(cfg.ClockDifference(), eventloop.Seconds(cfg.Operator.StartLifetimeS)),
-		Meter:            n.meter,
+		StartBlocked:    n.startBlocked,
+		ClockDifference: cfg.ClockDifference(),
+		Clock:           delivery.NewClockBounds(cfg.ClockDifference(), eventloop.Seconds(cfg.Operator.StartLifetimeS)),
+		Meter:           n.meter,
 	}, n.sendCommands)
-	n.placer = scheduler.New(l, n.client, log, cfg, scheduler.Node{
+	n.placer = scheduler.New(l, n.client, log, cfg, scheduler.Dependencies{
 		Label: cfg.Label,
 		Type:  func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
 		Start: func(host string, s workers.Start) {
@@ -199,7 +199,7 @@
 			n.net.SendAll(func(e *peer.Envelope) { e.Reservations = append(e.Reservations, c...) })
 		},
 	}, n.jobs, n.agent, n.cordons)
-	n.rental = autoscaler.New(l, log, cfg, n.client, n.mirror, deps.Cloud, n.agent, autoscaler.Node{
+	n.rental = autoscaler.New(l, log, cfg, n.client, n.mirror, deps.Cloud, n.agent, autoscaler.Dependencies{
 		Close: func(host string, c peer.StartBlock) {
 			n.dispatch(host, func() { n.agent.CloseToStarts(c.Machine, c.Until) }, func(e *peer.Envelope) { e.StartBlocks = append(e.StartBlocks, c) })
 		},
--- a/internal/predicate/job.go
+++ b/internal/predicate/job.go
@@ -35,7 +35,7 @@
 	Recording    Kind = 14 // a machine is chosen, and the attempt is being recorded
 	Starting     Kind = 15 // recorded; its machine has not reported it yet
 	Fetching     Kind = 16 // its machine is fetching the image
-	Saving       Kind = 17 // told to stop, and saving its state
+	Saving       Kind = 17 // being stopped, and saving its state
 	Unconfirmed  Kind = 18 // an earlier attempt is not confirmed terminated
 	NextPass     Kind = 19 // capacity is free: the next pass places it
 	kindCount    Kind = 20
@@ -95,29 +95,29 @@
 
 // JobFacts holds the facts that the job predicates evaluate. Machines are not part of them.
 type JobFacts struct {
-	Spec        *job.Spec
-	Hold        *job.Hold
-	After       []Dep
-	OnWithdrawn job.Policy
-	Damaged     bool
-	Waiting     int
-	InUse       int // tasks that may be on machines
-	Failing     FailureState
-	TeamUsage   workers.Capacity // memory has no limit
-	Quota       config.Quota
-	Now, Wall   eventloop.Micros
-	ClockMargin eventloop.Micros // twice the bound on the error of the wall clock
+	Spec            *job.Spec
+	Hold            *job.Hold
+	Dependencies    []Dep
+	OnCancelled     job.Policy
+	Damaged         bool
+	Waiting         int
+	InUse           int // tasks that may be on machines
+	Failing         FailureState
+	TeamUsage       workers.Capacity // memory has no limit
+	Quota           config.Quota
+	Now, Wall       eventloop.Micros
+	ClockDifference eventloop.Micros // the largest difference between two wall clocks
 }
 
 // FailureState describes a job's recent failures.
 type FailureState struct {
 	State               health.ProbationState
-	ConsecutiveFailures int // attempts placed before the newest counted failure do not count again
+	ConsecutiveFailures int // a burst of failures counts as one: attempts placed before the newest counted failure do not count again
 	Machines            int // machines, not faulty themselves, on which it failed since a task last completed
 	BackOffUntil        eventloop.Micros
 	MaxInUse            int // tasks that may run at once while the job is on probation
 	FailedWaiting       int // waiting tasks that failed before
-	RetryNow            int // how many of these may be retried at once after the back-off
+	ConcurrentRetries   int // how many of these may be retried at once after the back-off
 }
 
 // trusted reports whether only the tasks that failed are held back, as opposed to all tasks of the job.
@@ -142,7 +142,7 @@
 	if fresh > 0 && j.inBackOff() {
 		return fresh
 	}
-	return fresh + f.RetryNow
+	return fresh + f.ConcurrentRetries
 }
 
 // jobWide lists the predicates that allow all of a job's tasks or none.
@@ -160,7 +160,7 @@
 	case Hold:
 		// Each host controller uses its own wall clock, so the owner waits until the hold has ended by all of
 		// them.
-		blocked = j.Hold.Blocks(j.Wall - j.ClockMargin)
+		blocked = j.Hold.Blocks(j.Wall - j.ClockDifference)
 	case Dependency:
 		blocked = j.dependencyUnmet()
 	case BackOff:
@@ -204,8 +204,8 @@
 // dependencyUnmet reports whether a dependency is not met. Done and cancelled are final phases, so a start
 // needs no condition on the record of the other job.
 func (j *JobFacts) dependencyUnmet() bool {
-	for i := range j.After {
-		if !j.DependencyMet(&j.After[i]) {
+	for i := range j.Dependencies {
+		if !j.DependencyMet(&j.Dependencies[i]) {
 			return true
 		}
 	}
@@ -218,18 +218,18 @@
 	case job.Done:
 		return true
 	case job.Cancelled:
-		return j.OnWithdrawn == job.PolicyRelease || d.Waived
+		return j.OnCancelled == job.PolicyRelease || d.Waived
 	}
 	return false
 }
 
 // MustCancel reports whether the job is to be cancelled because a job that it depends on was.
 func (j *JobFacts) MustCancel() bool {
-	if j.OnWithdrawn != job.PolicyCancel {
+	if j.OnCancelled != job.PolicyCancel {
 		return false
 	}
-	for i := range j.After {
-		if j.After[i].Phase == job.Cancelled {
+	for i := range j.Dependencies {
+		if j.Dependencies[i].Phase == job.Cancelled {
 			return true
 		}
 	}
--- a/internal/predicate/predicate_test.go
+++ b/internal/predicate/predicate_test.go
@@ -24,13 +24,13 @@
 			return 0
 		}
 	case Hold:
-		wall := j.Wall - j.ClockMargin
+		wall := j.Wall - j.ClockDifference
 		if j.Hold.State != job.HoldNone && (j.Hold.Until == 0 || wall < j.Hold.Until) {
 			return 0
 		}
 	case Dependency:
-		for _, d := range j.After {
-			over := d.Phase == job.Done || (d.Phase == job.Cancelled && (d.Waived || j.OnWithdrawn == job.PolicyRelease))
+		for _, d := range j.Dependencies {
+			over := d.Phase == job.Done || (d.Phase == job.Cancelled && (d.Waived || j.OnCancelled == job.PolicyRelease))
 			if !over {
 				return 0
 			}
@@ -51,7 +51,7 @@
 		if never := j.Waiting - f.FailedWaiting; never > 0 && f.BackOffUntil > j.Now {
 			return never
 		}
-		return j.Waiting - f.FailedWaiting + f.RetryNow
+		return j.Waiting - f.FailedWaiting + f.ConcurrentRetries
 	case Limit:
 		within := func(used, each float64, most config.Limit) bool {
 			m, bounded := most.Max()
@@ -74,17 +74,17 @@
 		yes := func(name string) bool { return rapid.Bool().Draw(t, name) }
 		j := &JobFacts{Spec: &job.Spec{CPUs: float64(num("cpus", 1, 4)), GPUs: float64(num("gpus", 0, 1)), Gang: num("gang", 0, 3) == 0},
 			Hold: &job.Hold{}, Damaged: num("damaged", 0, 5) == 0, Waiting: num("waiting", 0, 9), InUse: num("in use", 0, 3),
-			Now: 100, Wall: 200, ClockMargin: eventloop.Micros(num("clock", 0, 3)),
+			Now: 100, Wall: 200, ClockDifference: eventloop.Micros(num("clock", 0, 3)),
 			TeamUsage:   workers.Capacity{CPUs: float64(num("used", 0, 20)), GPUs: float64(num("used gpus", 0, 3))},
 			Quota:       config.Quota{CPUsMax: config.NewLimit(float64(num("max", 0, 24))), GPUsMax: config.NewLimit(float64(num("max gpus", 0, 4)))},
-			OnWithdrawn: []job.Policy{job.PolicyHold, job.PolicyRelease, job.PolicyCancel}[num("policy", 0, 2)]}
+			OnCancelled: []job.Policy{job.PolicyHold, job.PolicyRelease, job.PolicyCancel}[num("policy", 0, 2)]}
 		if yes("rests") {
 			j.Failing.BackOffUntil = 100 + eventloop.Micros(num("rest", -1, 1))
 		}
 		if yes("fails") {
 			j.Failing.State, j.Failing.ConsecutiveFailures, j.Failing.MaxInUse = health.ProbationState(num("state", 0, 3)), num("moments", 0, 3), 1+2*num("survivors", 0, 2)
 			j.Failing.FailedWaiting = num("late", 0, j.Waiting)
-			j.Failing.RetryNow = num("late now", 0, j.Failing.FailedWaiting)
+			j.Failing.ConcurrentRetries = num("late now", 0, j.Failing.FailedWaiting)
 		}
 		if yes("held") {
 			j.Hold.State = job.HoldEffective
@@ -93,7 +93,7 @@
 			}
 		}
 		for range num("after", 0, 2) {
-			j.After = append(j.After, Dep{ID: "job-1", Phase: []job.Phase{"", job.Accepted, job.Done, job.Cancelled}[num("phase", 0, 3)], Waived: yes("waived")})
+			j.Dependencies = append(j.Dependencies, Dep{ID: "job-1", Phase: []job.Phase{"", job.Accepted, job.Done, job.Cancelled}[num("phase", 0, 3)], Waived: yes("waived")})
 		}
 		unblocked := true
 		var want []Cause
--- a/internal/scheduler/forget_test.go
+++ b/internal/scheduler/forget_test.go
@@ -65,7 +65,7 @@
 		{"the next attempt is being recorded", func(*forgetRig) {}},
 		{"the next attempt's reservation is refused", func(g *forgetRig) {
 			g.Advance(90 * eventloop.Millisecond) // its machine is chosen, and it is not recorded yet
-			g.scheduler.StartDropped("b", workers.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: 2, Why: "full", OnlyReservation: true})
+			g.scheduler.StartRejected("b", workers.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: 2, Why: "full", OnlyReservation: true})
 		}},
 		{"the next attempt's record is withdrawn", func(g *forgetRig) {
 			g.Advance(90 * eventloop.Millisecond)
@@ -95,8 +95,8 @@
 // exists but not when its start expires, only that it was recorded before the records were read.
 func forgetAsTheNextOwner(t *testing.T) {
 	g := newForgetRig()
-	g.scheduler.node.Reserve = func(host string, s workers.Start) {
-		g.scheduler.StartDropped(host, workers.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", OnlyReservation: true})
+	g.scheduler.deps.Reserve = func(host string, s workers.Start) {
+		g.scheduler.StartRejected(host, workers.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", OnlyReservation: true})
 	}
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * eventloop.Second})
 	g.scheduler.OwnershipChanged(partition.ForTeam("red"), false, membership.Owner{})
--- a/internal/scheduler/guarantee_test.go
+++ b/internal/scheduler/guarantee_test.go
@@ -15,7 +15,7 @@
 // The test guards against a team that runs a small part of its guarantee for minutes while another team runs far more
 // than its own.
 //
-// Work counts as within a guarantee only if it fits into it beside all earlier work of its team. Behind one job of
+// Work counts as within a guarantee only if it fits into it together with all earlier work of its team. Behind one job of
 // thousands of tasks nothing does, so no work of the team had a right to capacity, and what became free went to
 // whichever owner saw it first.
 //
@@ -135,10 +135,10 @@
 	if n := tm.jobs[begun].inUse; n != 4 {
 		t.Fatalf("%d tasks are in use, want 4", n)
 	}
-	if got := tm.jobs[begun].reserveClass(); got != "red" {
+	if got := tm.jobs[begun].budgetClass(); got != "red" {
 		t.Errorf("a job that has begun is in class %q", got)
 	}
-	if got := tm.jobs[waiting].reserveClass(); got != "red\x00w" {
+	if got := tm.jobs[waiting].budgetClass(); got != "red\x00w" {
 		t.Errorf("a job that has not begun is in class %q", got)
 	}
 	restored := map[string]float64{}
--- a/internal/scheduler/place_test.go
+++ b/internal/scheduler/place_test.go
@@ -74,7 +74,7 @@
 	g.mirror = store.NewMirror(c, g, "c/")
 	g.registry = job.NewRegistry(g, c, g.mirror, log)
 	g.workers = workers.New(g, log, workers.Config{Label: "a", FindJob: g.registry.Get, ViewChanged: func(v *workers.View, c *workers.Changes) { g.scheduler.ViewChanged(v, c) }}, nil)
-	g.scheduler = New(g, c, log, cfg, Node{
+	g.scheduler = New(g, c, log, cfg, Dependencies{
 		Label: "a",
 		Type:  func(name string) (wire.MachineType, bool) { t, ok := types[name]; return t, ok },
 		Start: func(_ string, s workers.Start) { g.starts = append(g.starts, s) },
@@ -119,13 +119,13 @@
 func (g *rig) plainCapacity(name string) workers.Capacity {
 	v := g.workers.View(name)
 	typ := types[v.Type]
-	room := workers.Capacity{CPUs: typ.CPUs, GPUs: typ.GPUs, MemoryGB: typ.MemoryGB}
+	free := workers.Capacity{CPUs: typ.CPUs, GPUs: typ.GPUs, MemoryGB: typ.MemoryGB}
 	shown := map[string]bool{}
 	for _, x := range v.Tasks {
 		id, _, _ := workers.SplitTask(x.Task)
 		shown[fmt.Sprint(x.Task, x.Attempt)] = true
 		if x.State != wire.TaskExited {
-			room.Subtract(g.registry.Get(id).Spec)
+			free.Subtract(g.registry.Get(id).Spec)
 		}
 	}
 	for _, tm := range g.scheduler.teams {
@@ -134,12 +134,12 @@
 				x := t.task(i)
 				if (x.state == Recording || x.state == Placed) && x.machine == name && x.session >= v.Session &&
 					!shown[fmt.Sprint(t.taskName(i), x.attempt)] {
-					room.Subtract(t.job.Spec)
+					free.Subtract(t.job.Spec)
 				}
 			}
 		}
 	}
-	return room
+	return free
 }
 
 // plainPass is a plain model of a placement pass: it places each task separately and looks at every machine for it.
@@ -326,10 +326,10 @@
 				t.Fatal(why)
 			}
 			g.scheduler.fleet.Refresh()
-			for _, sl := range g.scheduler.fleet.All() {
-				name := sl.View.Name
-				if room := g.plainCapacity(name); sl.Known && room != sl.Free {
-					t.Fatalf("%s: free capacity %v in its slot, %v computed from its view", name, sl.Free, room)
+			for _, m := range g.scheduler.fleet.All() {
+				name := m.View.Name
+				if room := g.plainCapacity(name); m.Known && room != m.Free {
+					t.Fatalf("%s: free capacity %v in its record, %v computed from its view", name, m.Free, room)
 				}
 			}
 		}
@@ -390,7 +390,7 @@
 		g.Advance(eventloop.Millisecond)
 	}
 	refuse := func() {
-		g.scheduler.StartDropped("b", workers.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: x().attempt, Why: "full", OnlyReservation: true})
+		g.scheduler.StartRejected("b", workers.Rejection{Machine: "n-001", Task: "job-000001/0", Attempt: x().attempt, Why: "full", OnlyReservation: true})
 	}
 	refuse()
 	if x().state != Waiting {
--- a/internal/scheduler/tasklog.go
+++ b/internal/scheduler/tasklog.go
@@ -11,14 +11,14 @@
 // The state service accepts far fewer changes per second than tasks start and end. A partition's records therefore
 // form a log: one write stores everything that happened to any task of any of its teams since the previous write. The
 // log is a sequence of segments. The open one is rewritten with its new entries until it is full. A segment is
-// deleted, along with a write, once all its tasks are recorded later or belong to jobs that are over.
+// deleted, along with a write, once all its tasks are recorded later or belong to final jobs.
 //
 // An entry with a higher attempt supersedes one with a lower attempt, and of entries with the same attempt one that
 // records the end supersedes the others. The order in which segments are read therefore does not matter.
 
 const (
-	// outcomeMinDelay is how long outcomes wait at least for a write of their own, while the write limit is mostly
-	// unused; after outcomeMaxDelay they are written in any case.
+	// outcomeMinDelay is how long outcomes wait at least before they cause a separate write, while the write limit is
+	// mostly unused; after outcomeMaxDelay they are written in any case.
 	outcomeMinDelay = 500 * eventloop.Millisecond
 	outcomeMaxDelay = 3 * eventloop.Second
 	// gatherTime is the minimum time that a start waits for its write. In that time its host controller can report that
@@ -106,7 +106,7 @@
 	bytes int // upper bound on the size of the record
 }
 
-// move tells which segment held a task's newest record before a write; from is nil if none did.
+// move records which segment held a task's newest record before a write; from is nil if none did.
 type move struct {
 	taskRef
 	from *segment
--- a/internal/scheduler/views_test.go
+++ b/internal/scheduler/views_test.go
@@ -12,11 +12,11 @@
 	"cleatpick/internal/workers"
 )
 
-// deliverViewOf delivers a view from one incarnation of the host controller. If settled, the machine shows the effect
+// deliverViewOf delivers a view from one incarnation of the host controller. If confirmed, the machine shows the effect
 // of all commands to it.
-func (g *rig) deliverViewOf(life eventloop.Micros, session uint64, settled bool, tasks ...workers.Task) {
+func (g *rig) deliverViewOf(incarnation eventloop.Micros, session uint64, confirmed bool, tasks ...workers.Task) {
 	g.seq++
-	g.workers.ApplyView(&workers.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Incarnation: life, Session: session, Seq: g.seq, TokenConfirmed: settled, MadeAfter: g.Now(), Tasks: tasks})
+	g.workers.ApplyView(&workers.View{Name: "n-001", Type: "m8", Zone: "x", Host: "b", Incarnation: incarnation, Session: session, Seq: g.seq, TokenConfirmed: confirmed, MadeAfter: g.Now(), Tasks: tasks})
 }
 
 // A refusal confirms that a start will not run only if the incarnation that refuses is the only one that ever
@@ -47,7 +47,7 @@
 		}
 		s := g.starts[0]
 		before := len(g.starts)
-		g.scheduler.StartDropped("b", workers.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Incarnation: c.refusedBy})
+		g.scheduler.StartRejected("b", workers.Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: "full", Incarnation: c.refusedBy})
 		g.Advance(2 * eventloop.Second)
 		freed := len(g.starts) > before && g.starts[len(g.starts)-1].Attempt > s.Attempt
 		if freed != c.frees {
@@ -97,7 +97,7 @@
 
 // A delayed report lists a task from before an earlier owner had it forgotten, and no later report lists it. The
 // present owner never sees the task end and must not count it as running for ever.
-func TestTaskThatVanishesUnseen(t *testing.T) {
+func TestTaskThatVanishesBeforeAnyReport(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * eventloop.Second})
 	other := workers.Task{Task: workers.TaskName(g.acceptJob(2, job.Spec{Class: "k", Team: "blue", Tasks: 1, CPUs: 1, AnyType: true}), 0), Attempt: 1, State: wire.TaskRunning}
--- a/internal/workers/report.go
+++ b/internal/workers/report.go
@@ -81,7 +81,7 @@
 
 // applyReport updates the machine's view from a report, or from the body of the answer to a direct command.
 //
-// A report may have been delayed for minutes, and looks new to a controller that received nothing meanwhile. It
+// A report may have been delayed for minutes, and looks new to a controller that received nothing in that time. It
 // was certainly made after the token that it shows was issued, and the body of a direct answer after its
 // command was sent; that time is madeAfter.
 func (a *Registry) applyReport(m *machine, r wire.Report, reported bool, madeAfter eventloop.Micros) {
@@ -138,7 +138,7 @@
 	a.expireStarts(m, wall)
 }
 
-// updateView updates the machine's newest view, and publishes it if peers must learn of the change.
+// updateView updates the machine's newest view, and publishes it if peers must receive the change.
 func (a *Registry) updateView(m *machine) {
 	now := a.runner.Now()
 	v := &m.view
--- a/internal/workers/start.go
+++ b/internal/workers/start.go
@@ -7,8 +7,8 @@
 )
 
 // Reserve reserves capacity for a start while its owner records the attempt, and rejects at once what does not
-// fit. When many owners compete for the same capacity, every choice in vain would otherwise cost a record in
-// the state service. Whether the start is accepted is decided by Start alone.
+// fit. When many owners compete for the same capacity, every choice that is rejected later would otherwise cost a
+// record in the state service. Whether the start is accepted is decided by Start alone.
 func (a *Registry) Reserve(s Start) {
 	m := a.hosted[s.Machine]
 	if m == nil {
@@ -45,7 +45,7 @@
 	if why := a.startBlocked(j, &m.view); why != "" {
 		return why
 	}
-	m.view.resolved = false // this is not a published view and changes, so its capacity is computed anew
+	m.view.resolved = false // this is not a published view and changes, so its capacity is recomputed
 	if free, ok := a.FreeCapacity(&m.view, typ); !ok || !free.Fits(j.Spec) {
 		return "full"
 	}
@@ -75,20 +75,21 @@
 	})
 }
 
-// Start accepts an owner's start, or rejects it and tells the owner.
+// Start accepts an owner's start, or rejects it and sends the rejection to the owner.
 func (a *Registry) Start(s Start) {
 	m := a.hosted[s.Machine]
 	k := delivery.Attempt{Task: s.Task, Number: s.Attempt}
 	wall := a.runner.Wall()
 	reject := func(why string) {
 		if m != nil {
-			m.rejected[k] = s.Expiry + a.config.ClockUncertainty
+			m.rejected[k] = s.Expiry + a.config.ClockDifference
 		}
 		a.config.SendRejection(s.From, Rejection{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt, Why: why, Incarnation: a.config.Incarnation})
 	}
 	if m == nil || s.Incarnation != 0 && s.Incarnation != a.config.Incarnation {
 		// The machine reports elsewhere, or the start is meant for an earlier incarnation of this process. The start
-		// is ignored: the owner learns of the new host or incarnation and sends it there until the start expires.
+		// is ignored: the owner receives the new host or incarnation in a view and sends the start there until it
+		// expires.
 		// It must not be rejected, because the earlier incarnation may have passed it on, and the owner takes a
 		// rejection as proof that the start will never be carried out. Owners before version 0.6.0 name no
 		// incarnation.
--- a/internal/workers/view.go
+++ b/internal/workers/view.go
@@ -59,13 +59,13 @@
 	firstListed []eventloop.Micros
 }
 
-// Silence returns for how long at least the machine has not reported, by a wall-clock time and twice the bound
-// on clock errors. It returns 0 for the view of a host before version 0.8.0, which does not publish ReportedAt.
-func (v *View) Silence(wall, clockTo eventloop.Micros) eventloop.Micros {
+// Silence returns for how long at least the machine has not reported, by a wall-clock time and the largest
+// difference between two wall clocks. It returns 0 for the view of a host before version 0.8.0, which does not publish ReportedAt.
+func (v *View) Silence(wall, clockDifference eventloop.Micros) eventloop.Micros {
 	if v.ReportedAt == 0 {
 		return 0
 	}
-	return max(wall-v.ReportedAt-clockTo, 0)
+	return max(wall-v.ReportedAt-clockDifference, 0)
 }
 
 // resolve computes the capacity in use and reports whether all jobs that it needs were known here. It is called
@@ -167,7 +167,7 @@
 	Session uint64           `cbor:"2,keyasint"`
 	Task    string           `cbor:"3,keyasint"`
 	Attempt uint64           `cbor:"4,keyasint"`
-	Expiry  eventloop.Micros `cbor:"5,keyasint"` // wall-clock time after which nobody may carry it out
+	Expiry  eventloop.Micros `cbor:"5,keyasint"` // wall-clock time after which the worker may not carry it out
 	From    string           `cbor:"6,keyasint"`
 	// Incarnation is the incarnation of the host's process for which the start is meant. A host that has restarted
 	// does not know which starts it passed on before.
@@ -219,25 +219,25 @@
 const tolerance = 1e-6
 
 // Fits reports whether a task of the job fits into the capacity.
-func (r *Capacity) Fits(s *job.Spec) bool {
-	return s.CPUs <= r.CPUs+tolerance && s.GPUs <= r.GPUs+tolerance && s.MemoryGB <= r.MemoryGB+tolerance
+func (c *Capacity) Fits(s *job.Spec) bool {
+	return s.CPUs <= c.CPUs+tolerance && s.GPUs <= c.GPUs+tolerance && s.MemoryGB <= c.MemoryGB+tolerance
 }
 
 // Subtract subtracts the capacity that a task of the job needs.
-func (r *Capacity) Subtract(s *job.Spec) {
-	r.CPUs -= s.CPUs
-	r.GPUs -= s.GPUs
-	r.MemoryGB -= s.MemoryGB
+func (c *Capacity) Subtract(s *job.Spec) {
+	c.CPUs -= s.CPUs
+	c.GPUs -= s.GPUs
+	c.MemoryGB -= s.MemoryGB
 }
 
 // Minus returns the capacity that remains when used is subtracted.
-func (r Capacity) Minus(used Capacity) Capacity {
-	return Capacity{r.CPUs - used.CPUs, r.GPUs - used.GPUs, r.MemoryGB - used.MemoryGB}
+func (c Capacity) Minus(used Capacity) Capacity {
+	return Capacity{c.CPUs - used.CPUs, c.GPUs - used.GPUs, c.MemoryGB - used.MemoryGB}
 }
 
 // Add adds the capacity that a task of the job needs.
-func (r *Capacity) Add(s *job.Spec) {
-	r.CPUs += s.CPUs
-	r.GPUs += s.GPUs
-	r.MemoryGB += s.MemoryGB
+func (c *Capacity) Add(s *job.Spec) {
+	c.CPUs += s.CPUs
+	c.GPUs += s.GPUs
+	c.MemoryGB += s.MemoryGB
 }
