--- a/internal/node/availability.go
+++ b/internal/node/availability.go
@@ -67,7 +67,7 @@
 		if !fresh || !s.Contact {
 			continue
 		}
-		if fit := n.reach.Fit(label); best == "" || fit && !trusted || fit == trusted && s.Hosted < least {
+		if fit := n.reachability.Fit(label); best == "" || fit && !trusted || fit == trusted && s.Hosted < least {
 			best, least, trusted = label, s.Hosted, fit
 		}
 	}
@@ -82,7 +82,7 @@
 // healthy reports whether users should be routed to this controller. One that alone has lost the state service is
 // unhealthy, so that its users go to the others. If no controller has contact, users stay and are deferred.
 func (n *Node) healthy() bool {
-	if !n.mirror.Ready() || !n.rental.CatalogKnown() {
+	if !n.mirror.Ready() || !n.autoscaler.CatalogKnown() {
 		return false
 	}
 	return n.hasStateContact() || n.redirectTarget() == ""
--- a/internal/node/correlated_faults_test.go
+++ b/internal/node/correlated_faults_test.go
@@ -321,7 +321,7 @@
 	w.run(3680 * eventloop.Second)
 	hosted := 0
 	for _, l := range w.labels {
-		hosted += w.nodes[l].n.agent.HostedCount()
+		hosted += w.nodes[l].n.workers.HostedCount()
 	}
 	if hosted != len(names) || len(w.runningMachines()) != len(names) {
 		t.Errorf("%d machines have a host controller and %d run, want %d", hosted, len(w.runningMachines()), len(names))
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -50,8 +50,10 @@
 			o, _ := n.member.Leader()
 			return o.Node
 		},
-		Facts:  func(id string) (*explain.Facts, bool) { return n.placer.Facts(id, n.rental.Types(), n.mayStart()) },
-		Supply: n.rental.Supply,
+		Facts: func(id string) (*explain.Facts, bool) {
+			return n.scheduler.Facts(id, n.autoscaler.Types(), n.mayStart())
+		},
+		Supply: n.autoscaler.Supply,
 		Counts: n.counts,
 		Ask:    x.questions.Call,
 		Handle: x.questions.Handle,
@@ -62,11 +64,11 @@
 		if wire.Unmarshal(body, &name) != nil {
 			name = ""
 		}
-		reply(n.placer.UnseenStarts(name))
+		reply(n.scheduler.UnseenStarts(name))
 	})
 	x.api = api.New(l, n.log, n.cfg, api.Node{
 		Ready:         n.ready,
-		Types:         n.rental.Types,
+		Types:         n.autoscaler.Types,
 		Counts:        n.counts,
 		Machines:      n.machines,
 		StaleOwners:   n.staleOwners,
@@ -82,7 +84,7 @@
 // counts returns a job's task counts: its own for a job that this controller owns, and otherwise those that the
 // owner sent last.
 func (n *Node) counts(j *job.Job) job.Counts {
-	if c, ok := n.placer.JobCounts(j); ok {
+	if c, ok := n.scheduler.JobCounts(j); ok {
 		return c
 	}
 	return n.progress[j.ID]
@@ -134,7 +136,7 @@
 		if !ok {
 			out = append(out, "the team "+t.Name+" has no owner"+n.dampedPeers())
 		} else if o.Node != n.cfg.Label {
-			switch n.reach.State(o.Node) {
+			switch n.reachability.State(o.Node) {
 			case reachability.Silent:
 				out = append(out, "the owner "+o.Node+" of the team "+t.Name+" is unreachable; other controllers take the team over when its lease expires")
 			case reachability.OneWay:
@@ -149,7 +151,7 @@
 func (n *Node) dampedPeers() string {
 	var out []string
 	for _, label := range n.net.Peers() {
-		if d := n.reach.DampedFor(label); d > 0 {
+		if d := n.reachability.DampedFor(label); d > 0 {
 			out = append(out, fmt.Sprintf("%s gets no work for another %d s, because its connection flapped", label, (d+eventloop.Second-1)/eventloop.Second))
 		}
 	}
@@ -164,7 +166,7 @@
 func (n *Node) machines() []api.Machine {
 	var out []api.Machine
 	now, wall := n.loop.Now(), n.loop.Wall()
-	n.placer.EachPlace(func(p *predicate.MachineFacts, after eventloop.Micros) {
+	n.scheduler.EachPlace(func(p *predicate.MachineFacts, after eventloop.Micros) {
 		v := p.View
 		m := api.Machine{Name: v.Name, Type: v.Type, Zone: v.Zone, Kind: explain.MachineKind(v.Spot), ReportsTo: v.Host, BlockedBy: []string{}}
 		for i := range v.Tasks {
--- a/internal/node/isolation_cases_test.go
+++ b/internal/node/isolation_cases_test.go
@@ -90,7 +90,7 @@
 				w.run(w.now + 16*eventloop.Second)
 				for _, name := range w.runningMachines() {
 					for _, l := range w.labels {
-						v := w.nodes[l].n.agent.View(name)
+						v := w.nodes[l].n.workers.View(name)
 						if len(disconnected) < len(w.labels) && !slices.Contains(disconnected, l) && (v == nil || slices.Contains(disconnected, v.Host) || w.now-w.workers[name].w.LastAnswered() > 3*eventloop.Second) {
 							t.Errorf("to %s, %s still reports to a controller that reaches only its workers, or has no recent answer: %v", l, name, v)
 						}
@@ -133,10 +133,10 @@
 func TestLastControllerKeepsItsWorkers(t *testing.T) {
 	for _, nodes := range []int{3, 5} {
 		w := busySimulation(t, nodes)
-		left := slices.MaxFunc(w.labels, func(a, b string) int { return w.nodes[a].n.agent.HostedCount() - w.nodes[b].n.agent.HostedCount() })
+		left := slices.MaxFunc(w.labels, func(a, b string) int { return w.nodes[a].n.workers.HostedCount() - w.nodes[b].n.workers.HostedCount() })
 		var mine []string
 		for _, name := range w.runningMachines() {
-			if v := w.nodes[left].n.agent.View(name); v != nil && v.Host == left {
+			if v := w.nodes[left].n.workers.View(name); v != nil && v.Host == left {
 				mine = append(mine, name)
 			}
 		}
@@ -169,7 +169,7 @@
 			leads = true
 		}
 		for _, t := range w.cfg.Cluster.Teams {
-			teams[t.Name] = teams[t.Name] || s.n.placer.OwnsTeam(t.Name)
+			teams[t.Name] = teams[t.Name] || s.n.scheduler.OwnsTeam(t.Name)
 		}
 	}
 	return leads && len(teams) == len(w.cfg.Cluster.Teams) && !slices.Contains([]bool{teams["red"], teams["blue"]}, false)
--- a/internal/node/leader_change_test.go
+++ b/internal/node/leader_change_test.go
@@ -189,7 +189,7 @@
 					for k := range held {
 						r := held[k]
 						s := w.nodes[w.anyController()]
-						s.execute(s.incarnation, func() { s.n.agent.Report(r, func(workers.Answer) {}) })
+						s.execute(s.incarnation, func() { s.n.workers.Report(r, func(workers.Answer) {}) })
 					}
 				}
 				hold()
@@ -215,7 +215,7 @@
 				w.run(w.now + 50*second)
 				for _, l := range w.labels {
 					for _, n := range w.runningMachines() {
-						v := w.nodes[l].n.agent.View(n)
+						v := w.nodes[l].n.workers.View(n)
 						if x := w.workers[n]; v != nil && v.Session < x.w.Report().Session {
 							t.Errorf("%s has an outdated view of %s, of session %d", l, n, v.Session)
 						}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -45,13 +45,13 @@
 	member        *membership.Member
 	jobs          *job.Registry
 	cordons       *cordon.Registry
-	agent         *workers.Registry
-	placer        *scheduler.Scheduler
-	rental        *autoscaler.Autoscaler
+	workers       *workers.Registry
+	scheduler     *scheduler.Scheduler
+	autoscaler    *autoscaler.Autoscaler
 	net           *peer.Net
-	reach         *reachability.Tracker
+	reachability  *reachability.Tracker
 	watermark     *watermark.Tracker
-	front         *httpapi.Server
+	httpServer    *httpapi.Server
 	deps          Dependencies
 	progress      map[string]job.Counts
 	meter         *metric.Meter // nil while /v1/ is off
@@ -75,7 +75,7 @@
 // New returns a controller connected to the real services; Run runs it.
 func New(cfg *config.Config, log *slog.Logger) *Node {
 	socks := &sockets{limit: cfg.Cluster.Limits.MaxSockets}
-	workers := &fasthttp.Client{
+	workerClient := &fasthttp.Client{
 		MaxConnsPerHost:               2,
 		MaxIdleConnDuration:           20 * time.Second,
 		NoDefaultUserAgentHeader:      true,
@@ -94,13 +94,13 @@
 		Watch: store.NewDoer(cfg.Outside.State, 4),
 		Cloud: store.NewDoer(cfg.Outside.Cloud, 4),
 		Workers: func(addr, method, path string, body []byte, timeout time.Duration) store.Response {
-			return store.Exchange(workers, addr, method, path, body, timeout)
+			return store.Exchange(workerClient, addr, method, path, body, timeout)
 		},
 		Probe: probe,
 	})
-	socks.incoming = n.front.OpenConnections
-	n.front.NearConnectionLimit = func() bool { return socks.above(closeReportsAbove) }
-	socks.watch(n.loop, workers.CloseIdleConnections)
+	socks.incoming = n.httpServer.OpenConnections
+	n.httpServer.NearConnectionLimit = func() bool { return socks.above(closeReportsAbove) }
+	socks.watch(n.loop, workerClient.CloseIdleConnections)
 	return n
 }
 
@@ -127,14 +127,14 @@
 	n.jobs.SetMaxWaitingReads(cfg.Cluster.Limits.MaxSockets / 5)
 	n.cordons = cordon.NewRegistry(l, n.client, n.mirror, log, cfg.ClockDifference())
 	n.net = peer.New(l, log, cfg.Label, cfg.Known)
-	n.reach = reachability.New(l, log, cfg.Label, n.net.Peers(), cfg.ClockDifference())
-	n.reach.StateContact = n.hasStateContact
-	n.reach.OnChange = func(_ string, to reachability.State, damped bool) { n.meter.PeerState(to.String(), damped) }
+	n.reachability = reachability.New(l, log, cfg.Label, n.net.Peers(), cfg.ClockDifference())
+	n.reachability.StateContact = n.hasStateContact
+	n.reachability.OnChange = func(_ string, to reachability.State, damped bool) { n.meter.PeerState(to.String(), damped) }
 	n.net.Incarnation, n.net.ClockDifference = l.Wall(), cfg.ClockDifference()
 	n.net.OnEarlierFrame = func(string) { n.meter.StaleFrame() }
 	n.setUpWatermark()
 	n.watchPauses()
-	n.agent = workers.New(l, log, workers.Config{
+	n.workers = workers.New(l, log, workers.Config{
 		Label:       cfg.Label,
 		Incarnation: n.net.Incarnation,
 		MayAnswer:   n.mayAnswer,
@@ -142,7 +142,7 @@
 		Redirect:    n.redirect,
 		Epoch:       n.member.Epoch,
 		RaiseEpoch:  n.member.RaiseEpoch,
-		MachineType: func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
+		MachineType: func(name string) (wire.MachineType, bool) { return n.autoscaler.Type(name) },
 		FindJob:     n.jobs.Get,
 		Publish: func(news workers.ViewUpdate) {
 			n.net.SendAll(func(e *peer.Envelope) {
@@ -151,38 +151,38 @@
 			})
 		},
 		ViewChanged: func(v *workers.View, c *workers.Changes) {
-			n.placer.ViewChanged(v, c)
-			n.rental.UpdateView(v)
+			n.scheduler.ViewChanged(v, c)
+			n.autoscaler.UpdateView(v)
 		},
 		SendRejection: func(to string, d workers.Rejection) {
-			n.dispatch(to, func() { l.Post(func() { n.placer.StartDropped(cfg.Label, d) }) }, func(e *peer.Envelope) { e.Drops = append(e.Drops, d) })
+			n.dispatch(to, func() { l.Post(func() { n.scheduler.StartDropped(cfg.Label, d) }) }, func(e *peer.Envelope) { e.Drops = append(e.Drops, d) })
 		},
 		StartBlocked:     n.startBlocked,
 		ClockUncertainty: cfg.ClockDifference(),
 		Clock:            delivery.NewClockBounds(cfg.ClockDifference(), eventloop.Seconds(cfg.Operator.StartLifetimeS)),
 		Meter:            n.meter,
 	}, n.sendCommands)
-	n.placer = scheduler.New(l, n.client, log, cfg, scheduler.Node{
+	n.scheduler = scheduler.New(l, n.client, log, cfg, scheduler.Node{
 		Label: cfg.Label,
-		Type:  func(name string) (wire.MachineType, bool) { return n.rental.Type(name) },
+		Type:  func(name string) (wire.MachineType, bool) { return n.autoscaler.Type(name) },
 		Start: func(host string, s workers.Start) {
-			n.dispatch(host, func() { n.agent.Start(s) }, func(e *peer.Envelope) { e.Starts = append(e.Starts, s) })
+			n.dispatch(host, func() { n.workers.Start(s) }, func(e *peer.Envelope) { e.Starts = append(e.Starts, s) })
 		},
 		RequestTaskList: func(host, machine string) {
-			n.dispatch(host, func() { n.agent.RequestTaskList(machine) }, func(e *peer.Envelope) { e.Checks = append(e.Checks, machine) })
+			n.dispatch(host, func() { n.workers.RequestTaskList(machine) }, func(e *peer.Envelope) { e.Checks = append(e.Checks, machine) })
 		},
 		Reserve: func(host string, s workers.Start) {
-			n.dispatch(host, func() { n.agent.Reserve(s) }, func(e *peer.Envelope) { e.Reserves = append(e.Reserves, s) })
+			n.dispatch(host, func() { n.workers.Reserve(s) }, func(e *peer.Envelope) { e.Reserves = append(e.Reserves, s) })
 		},
 		Stop: func(host string, s workers.Stop) {
-			n.dispatch(host, func() { n.agent.Stop(s) }, func(e *peer.Envelope) { e.Stops = append(e.Stops, s) })
+			n.dispatch(host, func() { n.workers.Stop(s) }, func(e *peer.Envelope) { e.Stops = append(e.Stops, s) })
 		},
 		SendDemand: func(t peer.Demand) {
 			o, ok := n.member.Leader()
 			if !ok {
 				return
 			}
-			n.dispatch(o.Node, func() { n.rental.UpdateDemand(cfg.Label, t) }, func(e *peer.Envelope) { e.Demand = &t })
+			n.dispatch(o.Node, func() { n.autoscaler.UpdateDemand(cfg.Label, t) }, func(e *peer.Envelope) { e.Demand = &t })
 		},
 		ReportCauses: cfg.Operator.API.Enabled,
 		Meter:        n.meter,
@@ -192,35 +192,35 @@
 			n.net.SendAll(func(e *peer.Envelope) { e.Progress = append(e.Progress, p...) })
 		},
 		SendUsage: func(u []peer.Usage) {
-			n.placer.UsageReceived(u)
+			n.scheduler.UsageReceived(u)
 			n.net.SendAll(func(e *peer.Envelope) { e.Usage = u })
 		},
 		SendReservations: func(c []peer.Reservation) {
 			n.net.SendAll(func(e *peer.Envelope) { e.Reservations = append(e.Reservations, c...) })
 		},
-	}, n.jobs, n.agent, n.cordons)
-	n.rental = autoscaler.New(l, log, cfg, n.client, n.mirror, deps.Cloud, n.agent, autoscaler.Node{
+	}, n.jobs, n.workers, n.cordons)
+	n.autoscaler = autoscaler.New(l, log, cfg, n.client, n.mirror, deps.Cloud, n.workers, autoscaler.Node{
 		Close: func(host string, c peer.StartBlock) {
-			n.dispatch(host, func() { n.agent.CloseToStarts(c.Machine, c.Until) }, func(e *peer.Envelope) { e.StartBlocks = append(e.StartBlocks, c) })
+			n.dispatch(host, func() { n.workers.CloseToStarts(c.Machine, c.Until) }, func(e *peer.Envelope) { e.StartBlocks = append(e.StartBlocks, c) })
 		},
 		PeerUnreachable: func(zone string) bool {
 			for _, p := range cfg.Known {
-				if p.Site == zone && !n.reach.ReceivedWithin(p.Label, 3*eventloop.Second) {
+				if p.Site == zone && !n.reachability.ReceivedWithin(p.Label, 3*eventloop.Second) {
 					return true
 				}
 			}
 			return false
 		},
 		LeaseValid: n.member.LeaseValid,
-		Isolated:   func() bool { return n.reach.Isolated() && !n.member.AllIsolated() },
-		Faulty:     n.placer.Faulty,
+		Isolated:   func() bool { return n.reachability.Isolated() && !n.member.AllIsolated() },
+		Faulty:     n.scheduler.Faulty,
 		Meter:      n.meter,
 		Cordoned: func(typ, zone string, spot bool) bool {
 			return n.cordons.Blocked(cordon.Place{Type: typ, Zone: zone, Spot: spot})
 		},
 		Probe: deps.Probe,
 	})
-	n.rental.OnDeleted = n.placer.MachineDeleted
+	n.autoscaler.OnDeleted = n.scheduler.MachineDeleted
 	n.jobs.OnJob = func(j *job.Job) {
 		if j.Phase == job.Cancelled {
 			n.watermark.RecordCancellation(watermark.Cancellation{Job: j.ID, Revision: j.CancelledRevision()})
@@ -228,27 +228,27 @@
 		if j.Final() {
 			delete(n.progress, j.ID)
 			if n.apiParts != nil {
-				own := j.Spec != nil && n.placer.OwnsTeam(j.Spec.Team)
+				own := j.Spec != nil && n.scheduler.OwnsTeam(j.Spec.Team)
 				n.apiParts.explanations.Timelines.Finish(j.ID, l.Wall(), own)
 			}
 		}
-		n.placer.JobChanged(j)
+		n.scheduler.JobChanged(j)
 	}
-	n.member.Isolated = n.reach.Isolated
-	n.member.Fit, n.member.PartlyDisconnected = n.reach.Fit, n.reach.PartlyDisconnected
-	n.member.Weight = n.placer.TasksInUse
-	n.member.OnOwned = n.placer.OwnershipChanged
-	n.member.OnAssigned = n.placer.TeamAssigned
-	n.member.OnReleased = n.placer.TeamReleased
-	n.member.OnLeader = n.rental.SetLeader
+	n.member.Isolated = n.reachability.Isolated
+	n.member.Fit, n.member.PartlyDisconnected = n.reachability.Fit, n.reachability.PartlyDisconnected
+	n.member.Weight = n.scheduler.TasksInUse
+	n.member.OnOwned = n.scheduler.OwnershipChanged
+	n.member.OnAssigned = n.scheduler.TeamAssigned
+	n.member.OnReleased = n.scheduler.TeamReleased
+	n.member.OnLeader = n.autoscaler.SetLeader
 	n.net.OnFrame = n.receive
 	n.net.OnNewIncarnation = func(label string) {
-		if claims := n.placer.OwnReservations(); len(claims) > 0 {
+		if claims := n.scheduler.OwnReservations(); len(claims) > 0 {
 			n.net.Send(label, func(e *peer.Envelope) { e.Reservations = append(e.Reservations, claims...) })
 		}
 	}
 	n.net.OnConnected = func(label string) {
-		n.agent.Republish()
+		n.workers.Republish()
 		n.net.Send(label, func(e *peer.Envelope) { e.Teams = cfg.TeamNames() })
 	}
 	n.net.OnRefused = func(label string) {
@@ -259,14 +259,14 @@
 	if cfg.Operator.API.Enabled {
 		n.setUpAPI()
 	}
-	n.front = httpapi.New(l, log, cfg, httpapi.Node{
+	n.httpServer = httpapi.New(l, log, cfg, httpapi.Node{
 		API:     n.apiHandler(),
 		Healthy: n.healthy,
 		Ready:   n.ready,
-		Types:   n.rental.Types,
+		Types:   n.autoscaler.Types,
 		Foreign: n.member.Foreign,
 		Jobs:    n.jobs,
-		Workers: n.agent,
+		Workers: n.workers,
 		Counts:  n.counts,
 	})
 	return n
@@ -294,14 +294,14 @@
 }
 
 func (n *Node) sendStatus() {
-	n.reach.Update()
+	n.reachability.Update()
 	n.trackIsolation()
 	if n.mirror.Ready() {
 		n.client.SetShare(admission.RateFraction(n.member.RegisteredCount(), n.cfg.Cluster.Nodes, n.member.LeaseValid()))
 	}
-	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.hasStateContact() && n.member.LeaseValid(), Hosted: n.agent.HostedCount(), Reachable: []string{}}
+	s := &peer.Status{Wall: n.loop.Wall(), Contact: n.hasStateContact() && n.member.LeaseValid(), Hosted: n.workers.HostedCount(), Reachable: []string{}}
 	for _, label := range n.net.Peers() {
-		if n.reach.ReceivedWithin(label, reachability.MaxAge) {
+		if n.reachability.ReceivedWithin(label, reachability.MaxAge) {
 			s.Reachable = append(s.Reachable, label)
 		}
 	}
@@ -336,7 +336,7 @@
 		g.Go(func() error { return l.Run(ctx) })
 	}
 	g.Go(func() error { return n.net.Run(ctx, peers) })
-	g.Go(func() error { return n.front.Serve(users) })
+	g.Go(func() error { return n.httpServer.Serve(users) })
 	g.Go(func() error {
 		<-ctx.Done()
 		users.Close()
--- a/internal/node/operator_faults_test.go
+++ b/internal/node/operator_faults_test.go
@@ -165,7 +165,7 @@
 		if !s.alive || s.paused {
 			continue
 		}
-		s.n.placer.EachPlace(func(p *predicate.MachineFacts, _ eventloop.Micros) {
+		s.n.scheduler.EachPlace(func(p *predicate.MachineFacts, _ eventloop.Micros) {
 			if x := w.workers[p.View.Name]; p.BackOffUntil > w.now && p.BackOffReason == "tasks fail on it" && x != nil && !x.w.Faulty {
 				w.fail("%s takes no starts because tasks failed on it, but it is healthy", p.View.Name)
 			}
--- a/internal/node/outage_gap_test.go
+++ b/internal/node/outage_gap_test.go
@@ -26,7 +26,7 @@
 // owner returns the controller that owns a team, or the first one if none does.
 func (w *simulation) owner(team string) string {
 	for _, l := range w.labels {
-		if s := w.nodes[l]; s.alive && !s.paused && s.n.placer.OwnsTeam(team) {
+		if s := w.nodes[l]; s.alive && !s.paused && s.n.scheduler.OwnsTeam(team) {
 			return l
 		}
 	}
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -9,36 +9,36 @@
 // receive applies a message of a peer.
 func (n *Node) receive(e *peer.Envelope) {
 	if s := e.Status; s != nil {
-		n.reach.Receive(e.From, reachability.Message{Wall: s.Wall, StateContact: s.Contact, ReceivesFrom: s.Reachable})
+		n.reachability.Receive(e.From, reachability.Message{Wall: s.Wall, StateContact: s.Contact, ReceivesFrom: s.Reachable})
 	}
 	n.watermark.Receive(e.From, e.Incarnation, e.Watermark)
 	n.member.LearnTeams(e.Teams)
 	for _, v := range e.Views {
 		if v != nil && v.Name != "" {
-			n.agent.ApplyView(v)
+			n.workers.ApplyView(v)
 		}
 	}
 	n.applyDeltas(e)
 	for _, c := range e.StartBlocks {
-		n.agent.CloseToStarts(c.Machine, c.Until)
+		n.workers.CloseToStarts(c.Machine, c.Until)
 	}
 	for _, s := range e.Stops {
-		n.agent.Stop(s)
+		n.workers.Stop(s)
 	}
 	for _, name := range e.Checks {
-		n.agent.RequestTaskList(name)
+		n.workers.RequestTaskList(name)
 	}
 	for _, s := range e.Reserves {
-		n.agent.Reserve(s)
+		n.workers.Reserve(s)
 	}
 	for _, s := range e.Starts {
-		n.agent.Start(s)
+		n.workers.Start(s)
 	}
 	for _, d := range e.Drops {
-		n.placer.StartDropped(e.From, d)
+		n.scheduler.StartDropped(e.From, d)
 	}
 	if e.Demand != nil {
-		n.rental.UpdateDemand(e.From, *e.Demand)
+		n.autoscaler.UpdateDemand(e.From, *e.Demand)
 	}
 	for _, p := range e.Progress {
 		if j := n.jobs.Get(p.Job); j == nil || !j.Final() {
@@ -50,8 +50,8 @@
 		n.apiParts.questions.Receive(e)
 	}
 	n.jobs.ApplyQueuePositions(e.Places)
-	n.placer.UsageReceived(e.Usage)
-	n.placer.ReservationsReceived(e.Reservations)
+	n.scheduler.UsageReceived(e.Usage)
+	n.scheduler.ReservationsReceived(e.Reservations)
 }
 
 // applyDeltas applies the incremental changes of machines that a peer sent, and requests the full view of each
@@ -59,14 +59,14 @@
 func (n *Node) applyDeltas(e *peer.Envelope) {
 	var lost []string
 	for _, d := range e.Deltas {
-		if d != nil && d.Name != "" && n.agent.ApplyDelta(e.From, d) {
+		if d != nil && d.Name != "" && n.workers.ApplyDelta(e.From, d) {
 			lost = append(lost, d.Name)
 		}
 	}
 	if len(lost) > 0 {
 		n.net.Send(e.From, func(o *peer.Envelope) { o.MissingViews = append(o.MissingViews, lost...) })
 	}
-	if views := n.agent.FullViews(e.MissingViews); len(views) > 0 {
+	if views := n.workers.FullViews(e.MissingViews); len(views) > 0 {
 		n.net.Send(e.From, func(o *peer.Envelope) { o.Views = append(o.Views, views...) })
 	}
 }
--- a/internal/node/redirect.go
+++ b/internal/node/redirect.go
@@ -20,7 +20,7 @@
 
 // trackIsolation records since when no peer is reachable.
 func (n *Node) trackIsolation() {
-	if !n.reach.Isolated() {
+	if !n.reachability.Isolated() {
 		n.isolatedSince = 0
 	} else if n.isolatedSince == 0 {
 		n.isolatedSince = n.loop.Now()
@@ -43,7 +43,7 @@
 	default:
 		again = earlyRedirectInterval
 	}
-	if !n.reach.Isolated() {
+	if !n.reachability.Isolated() {
 		return false, "", again
 	}
 	others := n.net.Peers()
--- a/internal/node/simulation_machine_test.go
+++ b/internal/node/simulation_machine_test.go
@@ -164,7 +164,7 @@
 	incarnation := s.incarnation
 	deliver := func() {
 		s.execute(incarnation, func() {
-			s.n.agent.Report(r, func(a workers.Answer) {
+			s.n.workers.Report(r, func(a workers.Answer) {
 				c, _ := a.Body.(wire.Commands)
 				starts := w.commandsSent(x, answerRoute(label), c, r.Session, sent+reportTimeout)
 				w.after(w.answerDelay(), func() {
@@ -225,7 +225,7 @@
 	lease := eventloop.Seconds(w.cfg.Cluster.Workers.LeaseS)
 	w.after(w.between(eventloop.Second, [...]eventloop.Micros{5 * eventloop.Second, lease, 4 * lease}[w.rng.IntN(3)]), func() {
 		s := w.nodes[w.anyController()]
-		s.execute(s.incarnation, func() { s.n.agent.Report(r, func(workers.Answer) {}) })
+		s.execute(s.incarnation, func() { s.n.workers.Report(r, func(workers.Answer) {}) })
 		w.deliverCopies(r)
 	})
 }
--- a/internal/node/simulation_test.go
+++ b/internal/node/simulation_test.go
@@ -131,7 +131,7 @@
 type simNode struct {
 	w           *simulation
 	label       string
-	stalls      *eventloop.PauseDetector // of this incarnation
+	pauses      *eventloop.PauseDetector // of this incarnation
 	n           *Node
 	alive       bool
 	incarnation int              // the incarnation of the process
@@ -230,10 +230,10 @@
 
 // Pauses returns the detector of this incarnation's process pauses.
 func (r runner) Pauses() *eventloop.PauseDetector {
-	if r.s.stalls == nil {
-		r.s.stalls = &eventloop.PauseDetector{}
+	if r.s.pauses == nil {
+		r.s.pauses = &eventloop.PauseDetector{}
 	}
-	return r.s.stalls
+	return r.s.pauses
 }
 
 func (r runner) Now() eventloop.Micros  { return r.w.now }
@@ -269,8 +269,8 @@
 		s.queued = append(s.queued, func() { s.execute(incarnation, f) })
 	default:
 		began := time.Now()
-		if s.stalls != nil {
-			s.stalls.Observe(s.w.now)
+		if s.pauses != nil {
+			s.pauses.Observe(s.w.now)
 		}
 		f()
 		s.cost.spent += time.Since(began)
@@ -437,7 +437,7 @@
 	s.alive = true
 	s.incarnation++
 	s.paused, s.queued, s.trigger = false, nil, nil
-	s.stalls = nil
+	s.pauses = nil
 	cfg := w.cfg
 	cfg.Label = label
 	for _, p := range w.labels {
--- a/internal/node/unreachable_test.go
+++ b/internal/node/unreachable_test.go
@@ -159,7 +159,7 @@
 					other = w.labels[1]
 				}
 				for _, name := range had { // a machine that boots now has not found a host controller yet
-					if v := w.nodes[other].n.agent.View(name); !w.workers[name].deleted && (v == nil || v.Host == silent) {
+					if v := w.nodes[other].n.workers.View(name); !w.workers[name].deleted && (v == nil || v.Host == silent) {
 						t.Errorf("%s still reports to %s, according to %s", name, silent, other)
 					}
 				}
