--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -155,7 +155,7 @@
 			n.autoscaler.UpdateView(v)
 		},
 		SendRejection: func(to string, d workers.Rejection) {
-			n.dispatch(to, func() { l.Post(func() { n.scheduler.StartDropped(cfg.Label, d) }) }, func(e *peer.Envelope) { e.Drops = append(e.Drops, d) })
+			n.dispatch(to, func() { l.Post(func() { n.scheduler.StartDropped(cfg.Label, d) }) }, func(e *peer.Envelope) { e.Rejections = append(e.Rejections, d) })
 		},
 		StartBlocked:     n.startBlocked,
 		ClockUncertainty: cfg.ClockDifference(),
@@ -169,10 +169,10 @@
 			n.dispatch(host, func() { n.workers.Start(s) }, func(e *peer.Envelope) { e.Starts = append(e.Starts, s) })
 		},
 		RequestTaskList: func(host, machine string) {
-			n.dispatch(host, func() { n.workers.RequestTaskList(machine) }, func(e *peer.Envelope) { e.Checks = append(e.Checks, machine) })
+			n.dispatch(host, func() { n.workers.RequestTaskList(machine) }, func(e *peer.Envelope) { e.TaskListRequests = append(e.TaskListRequests, machine) })
 		},
 		Reserve: func(host string, s workers.Start) {
-			n.dispatch(host, func() { n.workers.Reserve(s) }, func(e *peer.Envelope) { e.Reserves = append(e.Reserves, s) })
+			n.dispatch(host, func() { n.workers.Reserve(s) }, func(e *peer.Envelope) { e.StartReservations = append(e.StartReservations, s) })
 		},
 		Stop: func(host string, s workers.Stop) {
 			n.dispatch(host, func() { n.workers.Stop(s) }, func(e *peer.Envelope) { e.Stops = append(e.Stops, s) })
@@ -306,7 +306,7 @@
 		}
 	}
 	places := n.jobs.TakeQueuePositions()
-	n.net.SendAll(func(e *peer.Envelope) { e.Status, e.Places = s, places })
+	n.net.SendAll(func(e *peer.Envelope) { e.Status, e.QueuePositions = s, places })
 	n.meter.WatermarkAge(n.watermark.UpdateState())
 	for _, label := range n.net.Peers() {
 		n.net.Send(label, func(e *peer.Envelope) { e.Watermark = n.watermark.MessageFor(label) })
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -25,16 +25,16 @@
 	for _, s := range e.Stops {
 		n.workers.Stop(s)
 	}
-	for _, name := range e.Checks {
+	for _, name := range e.TaskListRequests {
 		n.workers.RequestTaskList(name)
 	}
-	for _, s := range e.Reserves {
+	for _, s := range e.StartReservations {
 		n.workers.Reserve(s)
 	}
 	for _, s := range e.Starts {
 		n.workers.Start(s)
 	}
-	for _, d := range e.Drops {
+	for _, d := range e.Rejections {
 		n.scheduler.StartDropped(e.From, d)
 	}
 	if e.Demand != nil {
@@ -49,7 +49,7 @@
 	if n.apiParts != nil {
 		n.apiParts.questions.Receive(e)
 	}
-	n.jobs.ApplyQueuePositions(e.Places)
+	n.jobs.ApplyQueuePositions(e.QueuePositions)
 	n.scheduler.UsageReceived(e.Usage)
 	n.scheduler.ReservationsReceived(e.Reservations)
 }
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -109,28 +109,27 @@
 
 // Envelope is one message between controllers, sent as one frame. It combines everything that is due for a peer.
 type Envelope struct {
-	From         string              `cbor:"1,keyasint"`
-	Status       *Status             `cbor:"2,keyasint,omitempty"`
-	Views        []*workers.View     `cbor:"3,keyasint,omitempty"`
-	Starts       []workers.Start     `cbor:"4,keyasint,omitempty"`
-	Stops        []workers.Stop      `cbor:"5,keyasint,omitempty"`
-	Drops        []workers.Rejection `cbor:"6,keyasint,omitempty"`
-	Demand       *Demand             `cbor:"7,keyasint,omitempty"`
-	StartBlocks  []StartBlock        `cbor:"8,keyasint,omitempty"`
-	Progress     []Progress          `cbor:"9,keyasint,omitempty"`
-	Usage        []Usage             `cbor:"10,keyasint,omitempty"`
-	Reservations []Reservation       `cbor:"11,keyasint,omitempty"`
-	Reserves     []workers.Start     `cbor:"12,keyasint,omitempty"`
-	Checks       []string            `cbor:"13,keyasint,omitempty"`
-	Questions    []Question          `cbor:"14,keyasint,omitempty"`
-	Replies      []Reply             `cbor:"15,keyasint,omitempty"`
+	From              string              `cbor:"1,keyasint"`
+	Status            *Status             `cbor:"2,keyasint,omitempty"`
+	Views             []*workers.View     `cbor:"3,keyasint,omitempty"`
+	Starts            []workers.Start     `cbor:"4,keyasint,omitempty"`
+	Stops             []workers.Stop      `cbor:"5,keyasint,omitempty"`
+	Rejections        []workers.Rejection `cbor:"6,keyasint,omitempty"`
+	Demand            *Demand             `cbor:"7,keyasint,omitempty"`
+	StartBlocks       []StartBlock        `cbor:"8,keyasint,omitempty"`
+	Progress          []Progress          `cbor:"9,keyasint,omitempty"`
+	Usage             []Usage             `cbor:"10,keyasint,omitempty"`
+	Reservations      []Reservation       `cbor:"11,keyasint,omitempty"`
+	StartReservations []workers.Start     `cbor:"12,keyasint,omitempty"`
+	TaskListRequests  []string            `cbor:"13,keyasint,omitempty"`
+	Questions         []Question          `cbor:"14,keyasint,omitempty"`
+	Replies           []Reply             `cbor:"15,keyasint,omitempty"`
 	// Deltas are views of machines as differences from views that were sent before. MissingViews names machines of
 	// the receiver whose full views the sender needs because it cannot apply a delta.
 	Deltas       []*workers.Delta `cbor:"16,keyasint,omitempty"`
 	MissingViews []string         `cbor:"17,keyasint,omitempty"`
-	// Places are the queue positions of users who were deferred, so that they keep them when they retry with any
-	// controller.
-	Places []admission.Position `cbor:"18,keyasint,omitempty"`
+	// QueuePositions are those of users who were deferred, so that they keep them when they retry with any controller.
+	QueuePositions []admission.Position `cbor:"18,keyasint,omitempty"`
 	// Incarnation identifies the incarnation of the sender: the wall clock time at which its process started.
 	Incarnation eventloop.Micros `cbor:"19,keyasint,omitempty"`
 	// Watermark is what the sender asks and answers about cancellations, for the cancellation watermark.
