--- a/internal/fleet/reservations_test.go
+++ b/internal/fleet/reservations_test.go
@@ -17,10 +17,10 @@
 // yet received a report of the machine dropped them. Owners now send them to peers that do not know them, and
 // a controller keeps those for machines that have not reported yet.
 //
-// TestNothingStarvesWhereNodesEnd showed it with seed 100: capacity for four tasks of 4 CPUs is reserved on
-// n-000002 and n-000003 for job-003055 at 301.587 s; a controller that has just started owns the team red at
-// 303.169 s; n-000003 has 4 CPUs free at 304.447 s and none at 305.084 s, after four starts of that team
-// (job-000925, job-000928), and so on until the reservations expire at 321.6 s.
+// TestNothingStarvesUnderControllerCrashes showed it with seed 100: capacity for four tasks of 4 CPUs is reserved on
+// n-000002 and n-000003 for job-003055 at 301.587 s; a controller that has just started owns the team red at 303.169 s;
+// n-000003 has 4 CPUs free at 304.447 s and none at 305.084 s, after four starts of that team (job-000925, job-000928),
+// and so on until the reservations expire at 321.6 s.
 func TestReservationsReachNewControllers(t *testing.T) {
 	clock := fake.NewRunner(1000 * eventloop.Second)
 	newFleet := func() *Fleet { return New(clock, slog.New(slog.NewTextHandler(io.Discard, nil)), Node{Label: "a"}) }
--- a/internal/node/availability.go
+++ b/internal/node/availability.go
@@ -14,8 +14,8 @@
 // hasStateContact reports whether the state service answers this controller.
 func (n *Node) hasStateContact() bool { return n.client.Healthy(maxContactAge) }
 
-// freshStatus returns the newest status of a peer, and whether it is recent. A message that was delayed on its way is
-// detected by the wall clock time it carries.
+// freshStatus returns the newest status of a peer, and whether it is recent. A message that was delayed in the network
+// is detected by the wall clock time it carries.
 func (n *Node) freshStatus(label string) (peer.Status, bool) {
 	k := n.net.State(label)
 	age := n.loop.Now() - k.ReceivedAt
--- a/internal/node/cannot_report_test.go
+++ b/internal/node/cannot_report_test.go
@@ -30,10 +30,10 @@
 }
 
 // A machine that cannot report answers commands and probes, and its lease expires all the same. The fault: it counted
-// as serving, was given tasks until its lease expired, lost them, and was given more in its next session, again and
-// again. It must get starts for no longer than any machine whose reports stopped; cancelled tasks on it are stopped
-// at once; tasks that its lease ends run again elsewhere; a machine that reports again in time has lost nothing; and
-// the autoscaler does not replace the whole fleet.
+// as serving, was given tasks until its lease expired, lost them, and was given more in its next session, repeatedly.
+// It must get starts for no longer than any machine whose reports stopped; cancelled tasks on it are stopped at once;
+// tasks that its lease ends run again elsewhere; a machine that reports again in time has lost nothing; and the
+// autoscaler does not replace the whole fleet.
 func TestMachinesThatCannotReport(t *testing.T) {
 	const second = eventloop.Second
 	for _, c := range []struct {
@@ -77,11 +77,11 @@
 						Priority: job.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 2 * eventloop.Second}})
 				})
 			}
-			gone := w.jobs["job-000003"]
-			w.after(second, func() { w.cancel(gone) })
+			cancelledJob := w.jobs["job-000003"]
+			w.after(second, func() { w.cancel(cancelledJob) })
 			w.run(began + 6*second)
 			for task, m := range w.running {
-				if task[:len(gone.id)] == gone.id && c.more == nil {
+				if task[:len(cancelledJob.id)] == cancelledJob.id && c.more == nil {
 					t.Errorf("%s of a cancelled job still runs on %s, which commands reach", task, m)
 				}
 			}
--- a/internal/node/coinciding_cases_test.go
+++ b/internal/node/coinciding_cases_test.go
@@ -122,9 +122,9 @@
 		do   func(w *simulation, names []string)
 		back bool
 	}{
-		{"deaf for less than a lease", func(w *simulation, names []string) { w.ignoreCommands(names, 10*eventloop.Second) }, true},
+		{"unresponsive for less than a lease", func(w *simulation, names []string) { w.ignoreCommands(names, 10*eventloop.Second) }, true},
 		{"hung for less than a lease", func(w *simulation, names []string) { w.hangMachines(names, 10*eventloop.Second) }, true},
-		{"deaf for more", func(w *simulation, names []string) { w.ignoreCommands(names, 50*eventloop.Second) }, false},
+		{"unresponsive for more", func(w *simulation, names []string) { w.ignoreCommands(names, 50*eventloop.Second) }, false},
 		{"hung for more", func(w *simulation, names []string) { w.hangMachines(names, 50*eventloop.Second) }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -135,7 +135,7 @@
 			w.killFor(w.leader(), 40*eventloop.Second)
 			began := w.now
 			w.after(2*eventloop.Second, func() {
-				for i := range 4 { // jobs that wait meanwhile
+				for i := range 4 { // jobs that wait during the fault
 					w.simulateUser(shortJob(i, []string{"red", "blue"}[i%2], 3, 5*eventloop.Second))
 				}
 			})
@@ -195,10 +195,10 @@
 }
 
 // Every kind of transaction gets no answer and is executed 2 to 12 s later, after newer ones of the same controller,
-// while owners and leaders change. A transaction's kind is that of the first key that it changes; the test fails if a
-// kind never was late.
+// while owners and leaders change. A transaction's kind is that of the first key that it changes; the test fails if no
+// transaction of a kind was late.
 func TestEveryKindOfWriteExecutedLate(t *testing.T) {
-	late, taken := map[string]int{}, map[string]int{}
+	late, tookEffect := map[string]int{}, map[string]int{}
 	for seed := range uint64(6) {
 		w := newSimulationOf(t, seed+50, clusterSize{nodes: 3, zones: 2, each: 6}, func(*config.Config) {})
 		for i := range 60 {
@@ -216,7 +216,7 @@
 			})
 		}
 		w.after(130*eventloop.Second, func() { w.stateFaults.lateWrites = 0 })
-		w.after(140*eventloop.Second, func() { // whatever is still held
+		w.after(140*eventloop.Second, func() { // releases every job that is still held
 			for _, j := range eventloop.Sorted(w.jobs) {
 				w.nodes["a"].n.jobs.Release(j.id, func(job.Answer) {})
 			}
@@ -228,10 +228,10 @@
 		w.checkCompleted(60)
 		for kind, n := range w.stateFaults.kinds {
 			late[kind] += n
-			taken[kind] += w.stateFaults.tookEffect[kind]
+			tookEffect[kind] += w.stateFaults.tookEffect[kind]
 		}
 	}
-	t.Logf("late transactions by kind: %v, of which took effect: %v", late, taken)
+	t.Logf("late transactions by kind: %v, of which took effect: %v", late, tookEffect)
 	for _, kind := range []string{"c/j", "x/red", "x/blue", "c/t", "c/l", "c/n", "c/e", "c/o", "c/g", "c/k", "c/cordons", "delete c/t", "delete c/l", "delete c/o"} {
 		if late[kind] == 0 {
 			t.Errorf("no transaction of the kind %s was late", kind)
--- a/internal/node/completion_race_test.go
+++ b/internal/node/completion_race_test.go
@@ -17,34 +17,34 @@
 // cancellation wins, all users are told the same from then on, and "done" is told within the protocol's time.
 func TestRequestsRacingWithCompletion(t *testing.T) {
 	const ms = eventloop.Millisecond
-	type ask struct {
+	type request struct {
 		name string
 		do   func(w *simulation, label string, j *simJob)
 	}
-	ask1 := func(f func(n *Node, w *simulation, j *simJob)) func(w *simulation, label string, j *simJob) {
+	atController := func(f func(n *Node, w *simulation, j *simJob)) func(w *simulation, label string, j *simJob) {
 		return func(w *simulation, label string, j *simJob) {
 			s := w.nodes[label]
 			s.execute(s.incarnation, func() { f(s.n, w, j) })
 		}
 	}
-	cancel := ask{"cancels", ask1(func(n *Node, w *simulation, j *simJob) {
+	cancel := request{"cancels", atController(func(n *Node, w *simulation, j *simJob) {
 		j.cancelRequested = true
 		n.jobs.Cancel(j.id, w.answerChecker(j))
 	})}
-	poll := ask{"polls", ask1(func(n *Node, w *simulation, j *simJob) { n.jobs.Poll(j.id, w.answerChecker(j)) })}
-	repeat := ask{"repeats", ask1(func(n *Node, w *simulation, j *simJob) { n.jobs.Submit(j.id, j.spec, w.answerChecker(j)) })}
-	wins, mu := map[string]int{}, sync.Mutex{}
+	poll := request{"polls", atController(func(n *Node, w *simulation, j *simJob) { n.jobs.Poll(j.id, w.answerChecker(j)) })}
+	repeat := request{"repeats", atController(func(n *Node, w *simulation, j *simJob) { n.jobs.Submit(j.id, j.spec, w.answerChecker(j)) })}
+	finalPhases, mu := map[string]int{}, sync.Mutex{}
 	t.Cleanup(func() {
-		if !t.Failed() && (wins["d"] < 50 || wins["w"] < 50) {
-			t.Errorf("final phases %v: want 50 or more jobs done and 50 or more cancelled", wins)
+		if !t.Failed() && (finalPhases["d"] < 50 || finalPhases["w"] < 50) {
+			t.Errorf("final phases %v: want 50 or more jobs done and 50 or more cancelled", finalPhases)
 		}
 	})
-	for _, moment := range []string{"the task ends", "its end is recorded", "the job's end is stored"} {
+	for _, when := range []string{"the task ends", "its end is recorded", "the job's end is stored"} {
 		for _, after := range []eventloop.Micros{0, ms, 4 * ms, 9 * ms, 30 * ms, 300 * ms, 700 * ms, 1500 * ms} {
-			t.Run(fmt.Sprint(moment, ", ", after/ms, " ms later"), func(t *testing.T) {
+			t.Run(fmt.Sprint(when, ", ", after/ms, " ms later"), func(t *testing.T) {
 				t.Parallel()
 				for at := range 3 { // which controller: the owner, another, both
-					for k, asks := range [][]ask{{cancel}, {poll}, {repeat}, {cancel, poll}, {poll, cancel}, {repeat, cancel}, {cancel, cancel, repeat}} {
+					for k, requests := range [][]request{{cancel}, {poll}, {repeat}, {cancel, poll}, {poll, cancel}, {repeat, cancel}, {cancel, cancel, repeat}} {
 						w := newSimulationOf(t, uint64(7+k+int(after/ms)), clusterSize{nodes: 3, zones: 2, each: 4}, defaultSettings)
 						j := &simJob{id: "job-000001", run: 6 * eventloop.Second, spec: &job.Spec{Class: "k", Team: "red", Priority: job.Normal, Tasks: 2, CPUs: 1,
 							MemoryGB: 1, Image: "i", AnyType: true, Estimate: 6 * eventloop.Second}}
@@ -52,34 +52,34 @@
 						w.after(10*eventloop.Second, func() { w.submit(j) })
 						w.after(0, w.tickWorkers)
 						w.after(0, w.checkCancelled)
-						strike := func() {
+						sendRequests := func() {
 							w.after(after, func() {
 								owner := w.owner("red")
 								other := w.labels[(slices.Index(w.labels, owner)+1)%3]
 								third := w.labels[(slices.Index(w.labels, owner)+2)%3]
-								for k, a := range asks {
+								for k, a := range requests {
 									label := [][]string{{owner, owner}, {other, third}, {owner, other}}[at][k%2]
 									w.after(eventloop.Micros(k)*200, func() { a.do(w, label, j) })
 								}
 							})
 						}
 						w.onTaskStart = func(x *simWorker, _ string) { x.w.Faulty = false }
-						last := 0
+						completedTasks := 0
 						w.onTaskEnd = func(task, why string) {
 							if why == wire.WhyDone {
-								last++
+								completedTasks++
 							}
-							if last != 2 {
+							if completedTasks != 2 {
 								return
 							}
 							s := w.nodes[w.owner("red")]
-							switch moment {
+							switch when {
 							case "the task ends":
-								strike()
+								sendRequests()
 							case "its end is recorded":
-								s.afterRequest("x/red", strike)
+								s.afterRequest("x/red", sendRequests)
 							default:
-								s.afterRequest(job.KeyPrefix+j.id, strike)
+								s.afterRequest(job.KeyPrefix+j.id, sendRequests)
 							}
 						}
 						w.run(3600*eventloop.Second + 35*eventloop.Second)
@@ -89,16 +89,16 @@
 							}
 							w.run(w.now + 2*eventloop.Second)
 						}
-						name := moment + ", " + fmt.Sprint(after/ms, " ms later ", at)
-						for _, a := range asks {
+						name := when + ", " + fmt.Sprint(after/ms, " ms later ", at)
+						for _, a := range requests {
 							name += " " + a.name
 						}
 						stored := w.storedPhase(j.id)
-						if last != 2 || j.done == (j.cancelledAt != 0) || j.done != (stored == job.Done) || len(w.running) != 0 || len(w.startsAfterCancel) != 0 {
-							t.Errorf("%s: %d tasks completed; user told done %v, told cancelled %v, stored phase %q, %d tasks run, started after the cancellation %v", name, last, j.done, j.cancelledAt != 0, stored, len(w.running), w.startsAfterCancel)
+						if completedTasks != 2 || j.done == (j.cancelledAt != 0) || j.done != (stored == job.Done) || len(w.running) != 0 || len(w.startsAfterCancel) != 0 {
+							t.Errorf("%s: %d tasks completed; user told done %v, told cancelled %v, stored phase %q, %d tasks run, started after the cancellation %v", name, completedTasks, j.done, j.cancelledAt != 0, stored, len(w.running), w.startsAfterCancel)
 						}
 						mu.Lock()
-						wins[string(stored)]++
+						finalPhases[string(stored)]++
 						mu.Unlock()
 					}
 				}
--- a/internal/node/correlated_faults_test.go
+++ b/internal/node/correlated_faults_test.go
@@ -10,8 +10,8 @@
 	"cleatpick/internal/eventloop"
 )
 
-// pause pauses a controller's process for a while. Its clocks go on; everything that arrives meanwhile waits and is
-// handled in random order when the process resumes.
+// pause pauses a controller's process for a while. Its clocks advance; everything that arrives during the pause is
+// queued, and handled in random order when the process resumes.
 func (w *simulation) pause(label string, d eventloop.Micros) {
 	s := w.nodes[label]
 	if !s.alive || s.paused {
@@ -68,7 +68,7 @@
 	}
 }
 
-// failMachines stops machines without notice; the cloud goes on listing them for a while.
+// failMachines stops machines without notice; the cloud continues to list them for a while.
 func (w *simulation) failMachines(names []string) {
 	for _, name := range names {
 		if x := w.workers[name]; !x.deleted {
@@ -120,8 +120,8 @@
 		}
 		// The worst time for a pause: the renewal of its lease, its record or its order has been executed, and the
 		// answer arrives during the pause.
-		words := []string{"/extend", "x/red", "x/blue", "/machines"}[w.rng.IntN(4)]
-		w.nodes[label].afterRequest(words, func() { w.pause(label, long) })
+		text := []string{"/extend", "x/red", "x/blue", "/machines"}[w.rng.IntN(4)]
+		w.nodes[label].afterRequest(text, func() { w.pause(label, long) })
 	}},
 	{"machines hang for less than a lease", func(w *simulation) {
 		w.hangMachines(w.someMachines(0.1+0.3*w.rng.Float64()), w.between(3*eventloop.Second, 9*eventloop.Second))
@@ -184,7 +184,7 @@
 }
 
 // Many machines fail at the same time, controllers are paused and resume with everything that queued, and a zone is
-// disconnected meanwhile: no invariant may be violated, and after the last fault all jobs complete.
+// disconnected at the same time: no invariant may be violated, and after the last fault all jobs complete.
 func TestInvariantsUnderCorrelatedFaults(t *testing.T) {
 	from, to := seedRange(t, 1, 12)
 	for seed := from; seed <= to; seed++ {
@@ -223,7 +223,7 @@
 	return w.labels[0]
 }
 
-// Each known hard case of larger fleets, by itself and at a fixed size.
+// Each known hard case of larger fleets, alone and at a fixed size.
 func TestCorrelatedFaultCases(t *testing.T) {
 	const second = eventloop.Second
 	usual := clusterSize{nodes: 3, zones: 2, each: 60}
@@ -242,7 +242,7 @@
 			l := w.leader()
 			w.nodes[l].afterRequest("/machines", func() { w.pause(l, 15*second) })
 		}},
-		{"a host controller is paused, and its workers go elsewhere", usual, 0, func(w *simulation) { w.pause(w.labels[1], 25*second) }},
+		{"a host controller is paused, and its workers report to others", usual, 0, func(w *simulation) { w.pause(w.labels[1], 25*second) }},
 		{"half of a zone hangs and resumes after its lease", usual, 0, func(w *simulation) {
 			var names []string
 			for i, name := range w.runningMachines() {
--- a/internal/node/cost_bench_test.go
+++ b/internal/node/cost_bench_test.go
@@ -60,11 +60,11 @@
 	return w
 }
 
-// BenchmarkCrowd measures what a machine costs all controllers together per second, at several sizes. It must not grow
-// with the fleet.
+// BenchmarkCostPerMachine measures the processing time per machine and second of all controllers together, at several
+// sizes of the fleet. It must not grow with the fleet.
 //
-//	go test -run - -bench Crowd -benchtime 1x ./internal/node
-func BenchmarkCrowd(b *testing.B) {
+//	go test -run - -bench CostPerMachine -benchtime 1x ./internal/node
+func BenchmarkCostPerMachine(b *testing.B) {
 	for _, c := range []struct{ nodes, machines int }{{3, 200}, {3, 1000}, {3, 2000}, {3, 5000}, {5, 1000}, {15, 1000}} {
 		b.Run(fmt.Sprintf("nodes=%d/machines=%d", c.nodes, c.machines), func(b *testing.B) {
 			for range b.N {
--- a/internal/node/explanations_loopback_test.go
+++ b/internal/node/explanations_loopback_test.go
@@ -48,15 +48,18 @@
 	cloud := fake.NewCloud(wire.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32, CacheGB: 9, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 1, Zones: []string{"x", "y"}}, 2)
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	gone := sync.Map{}
-	cloud.OnDeleted = func(name string) { gone.Store(name, true) }
+	deleted := sync.Map{}
+	cloud.OnDeleted = func(name string) { deleted.Store(name, true) }
 	c.bootBlocked.Store(true)
 	cloud.OnRented = func(l wire.CloudMachine) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			report(ctx, clock, l, c.nodes, func() bool { _, muted := c.notReporting.Load(l.Name); return muted || c.bootBlocked.Load() },
-				func() bool { _, g := gone.Load(l.Name); return g })
+			report(ctx, clock, l, c.nodes, func() bool {
+				_, notReporting := c.notReporting.Load(l.Name)
+				return notReporting || c.bootBlocked.Load()
+			},
+				func() bool { _, g := deleted.Load(l.Name); return g })
 		}()
 	}
 	stateAddr, cloudAddr := serve(t, requestsOf(state)), serve(t, requestsOf(cloud))
@@ -97,7 +100,7 @@
 }
 
 // report runs a machine's worker, which reports until the machine is deleted.
-func report(ctx context.Context, clock eventloop.Clock, l wire.CloudMachine, nodes []string, muted, gone func() bool) {
+func report(ctx context.Context, clock eventloop.Clock, l wire.CloudMachine, nodes []string, notReporting, deleted func() bool) {
 	w := fake.NewWorker(clock.Now(), 10*eventloop.Second)
 	w.Name, w.Addr, w.Type, w.Zone, w.Spot, w.CPUs, w.MemoryGB = l.Name, "127.0.0.1:1", l.Type, l.Zone, l.Spot, 8, 32
 	w.Job = func(id string) (fake.Job, bool) {
@@ -107,8 +110,8 @@
 		return fake.Job{CPUs: 2, MemoryGB: 1, Run: eventloop.Second, Tasks: 100}, true
 	}
 	w.OnTaskStart, w.OnTaskEnd = func(string, string) {}, func(string, string) {}
-	for at := 0; ctx.Err() == nil && !gone(); {
-		if !muted() {
+	for at := 0; ctx.Err() == nil && !deleted(); {
+		if !notReporting() {
 			w.Tick(clock.Now())
 			if !beat(clock, w, nodes[at%len(nodes)]) {
 				at++
@@ -364,8 +367,8 @@
 		p := proposal(10, "red", 1)
 		p.Hold, p.HoldReason = true, "kept"
 		c.must(201, 2, "POST", "/v1/jobs", p, nil)
-		told := c.reason("job-000010", "hold", func(a *explain.Answer, _ *explain.Reason) bool { return len(a.Timeline) > 0 })
-		owner, before := told.Owner, told.Timeline
+		explanation := c.reason("job-000010", "hold", func(a *explain.Answer, _ *explain.Reason) bool { return len(a.Timeline) > 0 })
+		owner, before := explanation.Owner, explanation.Timeline
 		c.until("the peers know the timeline", func() bool {
 			var q api.Jobs
 			n := 0
--- a/internal/node/explanations_test.go
+++ b/internal/node/explanations_test.go
@@ -26,7 +26,7 @@
 	estimates []estimate
 }
 
-// estimate is an estimate of when a wait ends, as told at a time.
+// estimate is an estimate of when a wait ends, as given in an answer at a time.
 type estimate struct {
 	id, kind  string
 	since, at eventloop.Micros
@@ -39,9 +39,9 @@
 	return rec, ok && wire.Unmarshal(raw, &rec) == nil
 }
 
-// recordsSettled reports whether the records that a job's waits depend on are old enough for every owner to have
+// recordsPropagated reports whether the records that a job's waits depend on are old enough for every owner to have
 // received them.
-func (a *explanationChecker) recordsSettled(id string) bool {
+func (a *explanationChecker) recordsPropagated(id string) bool {
 	rec, ok := a.w.storedRecord(id)
 	last := a.changed[id]
 	if ok && rec.Terms != nil {
@@ -120,7 +120,7 @@
 			a.estimates = append(a.estimates, estimate{id, r.Kind, eventloop.Micros(*r.Since), eventloop.Micros(x.AsOf), *r.Estimate})
 		}
 	}
-	if !a.recordsSettled(id) || x.Waiting == 0 {
+	if !a.recordsPropagated(id) || x.Waiting == 0 {
 		return
 	}
 	// What was the same before and after the question must be explained accordingly.
--- a/internal/node/holds_cordons_test.go
+++ b/internal/node/holds_cordons_test.go
@@ -21,7 +21,7 @@
 	attempts   map[string]uint64
 	cordons    map[string]cordon.Cordon
 	cordonedAt map[string]eventloop.Micros // when its user was told that the cordon is stored
-	checked    struct{ holds, deps, cordons, settled int }
+	checked    struct{ holds, deps, cordons, holdsSet int }
 }
 
 func newTermsChecker(w *simulation) *termsChecker {
@@ -86,7 +86,7 @@
 	}
 }
 
-// hold requests a hold, asks until its user is told that it is set, and releases the job a while later.
+// hold requests a hold, polls until its user is told that it is set, and releases the job a while later.
 func (r *termsChecker) hold(id string) {
 	w := r.w
 	if n := w.any(); n != nil {
@@ -100,7 +100,7 @@
 	}
 }
 
-// untilSet asks about a job every second until its hold is set.
+// untilSet polls a job every second until its hold is set.
 func (r *termsChecker) untilSet(id string) {
 	w := r.w
 	if r.released[id] {
@@ -110,7 +110,7 @@
 		n.jobs.Poll(id, func(a job.Answer) {
 			if j := n.jobs.Get(id); a.Code == 200 && a.Phase == job.Accepted && !r.released[id] && j.Terms.Hold.State == job.HoldEffective {
 				r.held[id] = true
-				r.checked.settled++
+				r.checked.holdsSet++
 			}
 		})
 	}
@@ -139,7 +139,7 @@
 	})
 	w.after(5*eventloop.Second, func() {
 		if !answered {
-			r.release(id) // the controller crashed meanwhile
+			r.release(id) // the controller crashed before it answered
 		}
 	})
 }
@@ -186,7 +186,7 @@
 // its start was recorded after the cordon. After the last fault all jobs complete.
 func TestHoldsDependenciesAndCordonsUnderFaults(t *testing.T) {
 	from, to := seedRange(t, 1, 8)
-	var holds, settled, deps, cordons int
+	var holds, holdsSet, deps, cordons int
 	for seed := from; seed <= to; seed++ {
 		w := newSimulation(t, seed)
 		r := newTermsChecker(w)
@@ -234,10 +234,10 @@
 				t.Errorf("seed %d: %s is not done at the end of the simulation (terms %v)", seed, j.id, j.terms)
 			}
 		}
-		holds, settled, deps, cordons = holds+r.checked.holds, settled+r.checked.settled, deps+r.checked.deps, cordons+r.checked.cordons
+		holds, holdsSet, deps, cordons = holds+r.checked.holds, holdsSet+r.checked.holdsSet, deps+r.checked.deps, cordons+r.checked.cordons
 	}
-	t.Logf("%d holds stored, %d told as set; %d starts of jobs with a dependency, %d on machines that a cordon covers", holds, settled, deps, cordons)
-	if holds == 0 || settled < holds/2 || deps == 0 {
-		t.Errorf("too few samples: %d holds stored, %d told as set, %d starts of jobs with a dependency", holds, settled, deps)
+	t.Logf("%d holds stored, %d told as set; %d starts of jobs with a dependency, %d on machines that a cordon covers", holds, holdsSet, deps, cordons)
+	if holds == 0 || holdsSet < holds/2 || deps == 0 {
+		t.Errorf("too few samples: %d holds stored, %d told as set, %d starts of jobs with a dependency", holds, holdsSet, deps)
 	}
 }
--- a/internal/node/isolation_cases_test.go
+++ b/internal/node/isolation_cases_test.go
@@ -57,7 +57,7 @@
 }
 
 // A controller that reaches only its workers can neither record nor report what it receives, and each of its answers
-// renews a lease. It redirects its workers, all of them within the stated time, and their tasks go on under a
+// renews a lease. It redirects its workers, all of them within the stated time, and their tasks keep running under a
 // controller that has contact to the state service. If no controller has contact, no task is lost for as long as
 // cancellations allow.
 func TestControllerReachingOnlyItsWorkers(t *testing.T) {
@@ -108,8 +108,8 @@
 }
 
 // Workers reach only a controller that reaches nothing else. It stops answering them early enough that their leases
-// expire in time for cancellations that other controllers have confirmed meanwhile; the invariant checkers check every
-// second.
+// expire in time for cancellations that other controllers have confirmed in the meantime; the invariant checkers check
+// every second.
 func TestCancelledAtControllerReachingOnlyItsWorkers(t *testing.T) {
 	w := busySimulation(t, 3)
 	w.disconnectFor(90*eventloop.Second, dropping, slices.Concat(w.allButWorkers("a"), []string{"b>workers", "c>workers"})...)
@@ -117,19 +117,20 @@
 		w.after(5*eventloop.Second, func() { w.cancel(j) })
 	}
 	w.run(w.now + 80*eventloop.Second)
-	told := 0
+	cancelled := 0
 	for _, j := range w.jobs {
 		if j.cancelledAt != 0 {
-			told++
+			cancelled++
 		}
 	}
-	if told < len(w.jobs)-2 || w.endReasons["lease"] == 0 || len(w.running) != 0 {
-		t.Errorf("%d of %d jobs are cancelled; ended tasks by reason: %v; %d tasks still run", told, len(w.jobs), w.endReasons, len(w.running))
+	if cancelled < len(w.jobs)-2 || w.endReasons["lease"] == 0 || len(w.running) != 0 {
+		t.Errorf("%d of %d jobs are cancelled; ended tasks by reason: %v; %d tasks still run", cancelled, len(w.jobs), w.endReasons, len(w.running))
 	}
 }
 
-// All other controllers are unreachable for everybody. To the one that is left this looks as if it were disconnected
-// itself; if it redirected its workers, they would wait for each of the others in vain and lose their leases.
+// All other controllers are unreachable for workers and users, too. To the one that is left this looks as if it were
+// disconnected itself; if it redirected its workers, they would wait for each of the others in vain, and their leases
+// would expire.
 func TestLastControllerKeepsItsWorkers(t *testing.T) {
 	for _, nodes := range []int{3, 5} {
 		w := busySimulation(t, nodes)
--- a/internal/node/isolation_faults_test.go
+++ b/internal/node/isolation_faults_test.go
@@ -11,9 +11,9 @@
 	"cleatpick/internal/eventloop"
 )
 
-// This file injects faults that isolate a part of the cluster or repeat the past: machines that are unresponsive to
-// commands, copies of reports that arrive late, controllers that reach only their workers, and processes and machines
-// that restart within a fraction of a second.
+// This file injects faults that isolate a part of the cluster or repeat earlier events: machines that are unresponsive
+// to commands, copies of reports that arrive late, controllers that reach only their workers, and processes and
+// machines that restart within a fraction of a second.
 
 // ignoreCommands makes machines unresponsive to commands: their reports arrive, answers and commands are lost.
 func (w *simulation) ignoreCommands(names []string, d eventloop.Micros) {
@@ -34,7 +34,7 @@
 	return slices.DeleteFunc(w.connections(label), func(way string) bool { return way == label+">workers" })
 }
 
-// restartQuickly crashes controllers that are back before their peers notice, so many times.
+// restartQuickly crashes controllers the given number of times; they restart each time before their peers notice.
 func (w *simulation) restartQuickly(labels []string, times int) {
 	for _, l := range labels {
 		for k := range times {
@@ -53,7 +53,7 @@
 	return out
 }
 
-// isolationFaults is the faults that isolate a part of the cluster or repeat the past.
+// isolationFaults is the faults that isolate a part of the cluster or repeat earlier events.
 var isolationFaults = []namedFault{
 	{"machines unresponsive to commands", func(w *simulation) {
 		w.ignoreCommands(w.someMachines(0.05+0.4*w.rng.Float64()), w.between(2*eventloop.Second, 40*eventloop.Second))
--- a/internal/node/leader_change_test.go
+++ b/internal/node/leader_change_test.go
@@ -20,9 +20,9 @@
 func TestLeadersChangeTenTimes(t *testing.T) {
 	const second = eventloop.Second
 	for _, c := range []struct {
-		name string
-		do   func(w *simulation, l string)
-		out  bool
+		name   string
+		do     func(w *simulation, l string)
+		outage bool
 	}{
 		{"they crash", func(w *simulation, l string) { w.killFor(l, 5*second) }, false},
 		{"they restart at once", func(w *simulation, l string) { w.killFor(l, 200*eventloop.Millisecond) }, false},
@@ -43,20 +43,20 @@
 					claims++
 				}
 			}
-			had, tally := len(w.workers), 0
+			had, mostOrders := len(w.workers), 0
 			for k := range 10 {
 				w.after(eventloop.Micros(k)*12*second, func() {
 					last = w.leader()
 					c.do(w, last)
 				})
 			}
-			if c.out {
+			if c.outage {
 				w.outage(50*second, 15*second)
 			}
 			for k := range 24 {
 				w.after(eventloop.Micros(k)*5*second, func() {
 					w.simulateUser(shortJob(k, []string{"red", "blue"}[k%2], 3, 2*second))
-					tally = max(tally, len(w.nodes[w.labels[0]].n.mirror.KeysUnder(autoscaler.OrderKeys)))
+					mostOrders = max(mostOrders, len(w.nodes[w.labels[0]].n.mirror.KeysUnder(autoscaler.OrderKeys)))
 				})
 			}
 			w.run(began + 120*second)
@@ -70,15 +70,15 @@
 			// A start that is lost with its host controller expires after 6 s, and is given up after another 4.4 s. Its
 			// machine finds a new host controller in 5 s and shows that one's token with its second report, 12 s later.
 			for k := range 24 {
-				if j := w.jobs[fmt.Sprintf("job-%06d", 100+k)]; !j.cancelRequested && (j.firstStartAt == 0 || j.firstStartAt > j.acceptedAt+map[bool]eventloop.Micros{false: 30, true: 45}[c.out]*second) {
+				if j := w.jobs[fmt.Sprintf("job-%06d", 100+k)]; !j.cancelRequested && (j.firstStartAt == 0 || j.firstStartAt > j.acceptedAt+map[bool]eventloop.Micros{false: 30, true: 45}[c.outage]*second) {
 					t.Errorf("%s started %d us after it was accepted", j.id, j.firstStartAt-j.acceptedAt)
 				}
 			}
 			if w.endReasons["lease"] != 0 || w.endReasons["gone"] != 0 || claims < 5 {
 				t.Errorf("ended tasks by reason: %v; the leadership was claimed %d times", w.endReasons, claims)
 			}
-			if n := len(w.workers) - had; n > 8 || tally > 12 {
-				t.Errorf("%d machines were created, and %d orders recorded at the same time", n, tally)
+			if n := len(w.workers) - had; n > 8 || mostOrders > 12 {
+				t.Errorf("%d machines were created, and %d orders recorded at the same time", n, mostOrders)
 			}
 			w.run(w.now + 400*second)
 			w.checkCompleted(100)
@@ -193,7 +193,7 @@
 					}
 				}
 				hold()
-				for k := range 8 { // so that tasks start and end meanwhile
+				for k := range 8 { // so that tasks start and end in the meantime
 					w.after(eventloop.Micros(k)*700*eventloop.Millisecond, func() {
 						w.simulateUser(shortJob(k, "red", 6, 2*second))
 					})
@@ -237,9 +237,9 @@
 func TestAllControllersDownLongerThanALease(t *testing.T) {
 	const second = eventloop.Second
 	for _, c := range []struct {
-		name string
-		away [3]eventloop.Micros
-		out  bool
+		name   string
+		away   [3]eventloop.Micros
+		outage bool
 	}{
 		{"they return together", [3]eventloop.Micros{40 * second, 40 * second, 40 * second}, false},
 		{"they return one by one", [3]eventloop.Micros{35 * second, 45 * second, 60 * second}, false},
@@ -255,7 +255,7 @@
 				w.killFor(l, c.away[k])
 				first = min(first, c.away[k])
 			}
-			if c.out {
+			if c.outage {
 				w.outage(20*second, 50*second)
 				first = 70 * second
 			}
@@ -356,7 +356,7 @@
 
 // Jobs that are bound to one zone, by name or by their other tasks, and jobs that may have only half of their tasks
 // in one zone, lose machines. Tasks that may still run bind the others as before; after they are confirmed
-// terminated, the job goes wherever there is capacity. Machines are created where its tasks may run.
+// terminated, the job's tasks are placed wherever there is capacity. Machines are created where its tasks may run.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
 	const second = eventloop.Second
 	for _, c := range []struct {
--- a/internal/node/many_teams_test.go
+++ b/internal/node/many_teams_test.go
@@ -61,7 +61,7 @@
 // Without any jobs, the number of requests to the state service depends on the number of controllers and not on that of
 // teams.
 func TestRequestsWithoutJobs(t *testing.T) {
-	rest := func(nodes, teams int) int {
+	requestsPerMinute := func(nodes, teams int) int {
 		w := newSimulationOf(t, 5, clusterSize{nodes: nodes, zones: 1, each: 1}, func(c *config.Config) {
 			c.Cluster.Teams = equalTeams(teams, 8)
 		})
@@ -71,15 +71,15 @@
 		w.run(3600*eventloop.Second + 90*eventloop.Second)
 		return w.state.Counts().Requests - before
 	}
-	few, many := rest(4, 20), rest(4, 300)
+	few, many := requestsPerMinute(4, 20), requestsPerMinute(4, 300)
 	t.Logf("a minute without jobs: 4 controllers with 20 teams make %d requests, with 300 teams %d", few, many)
 	if float64(many) > 1.02*float64(few) {
 		t.Errorf("%d requests a minute with 300 teams, %d with 20 teams", many, few)
 	}
 }
 
-// A partition whose log is refused because a value is too large goes on in smaller segments and loses none of its
-// tasks. So does the next owner, which still assumes the larger limit.
+// A partition whose log is refused because a value is too large is continued in smaller segments and loses none of its
+// tasks. The same holds for the next owner, which still assumes the larger limit.
 func TestStateValueLimitShrinks(t *testing.T) {
 	w := newSimulationOf(t, 7, clusterSize{nodes: 3, zones: 2, each: 12}, func(c *config.Config) { c.Cluster.Teams = equalTeams(12, 96) })
 	for i := range 30 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -144,10 +144,10 @@
 		RaiseEpoch:  n.member.RaiseEpoch,
 		MachineType: func(name string) (wire.MachineType, bool) { return n.autoscaler.Type(name) },
 		FindJob:     n.jobs.Get,
-		Publish: func(news workers.ViewUpdate) {
+		Publish: func(update workers.ViewUpdate) {
 			n.net.SendAll(func(e *peer.Envelope) {
-				e.Views = append(e.Views, news.Views...)
-				e.Deltas = append(e.Deltas, news.Deltas...)
+				e.Views = append(e.Views, update.Views...)
+				e.Deltas = append(e.Deltas, update.Deltas...)
 			})
 		},
 		ViewChanged: func(v *workers.View, c *workers.Changes) {
@@ -243,8 +243,8 @@
 	n.member.OnLeader = n.autoscaler.SetLeader
 	n.net.OnFrame = n.receive
 	n.net.OnNewIncarnation = func(label string) {
-		if claims := n.scheduler.OwnReservations(); len(claims) > 0 {
-			n.net.Send(label, func(e *peer.Envelope) { e.Reservations = append(e.Reservations, claims...) })
+		if reservations := n.scheduler.OwnReservations(); len(reservations) > 0 {
+			n.net.Send(label, func(e *peer.Envelope) { e.Reservations = append(e.Reservations, reservations...) })
 		}
 	}
 	n.net.OnConnected = func(label string) {
@@ -272,7 +272,7 @@
 	return n
 }
 
-// apiHandler returns the handler of /apiHandler/; nil if /apiHandler/ is disabled.
+// apiHandler returns the handler of /v1/; nil if /v1/ is disabled.
 func (n *Node) apiHandler() fasthttp.RequestHandler {
 	if n.apiParts == nil {
 		return nil
@@ -280,7 +280,7 @@
 	return n.apiParts.api.Handle
 }
 
-// dispatch calls here if label names this controller, and otherwise adds to the next message to that peer.
+// dispatch calls local if label names this controller, and otherwise lets remote add to the next message to that peer.
 func (n *Node) dispatch(label string, local func(), remote func(*peer.Envelope)) {
 	if label == n.cfg.Label {
 		local()
--- a/internal/node/outage_gap_test.go
+++ b/internal/node/outage_gap_test.go
@@ -14,7 +14,7 @@
 )
 
 // The gap: first the state service refuses one controller alone, while another one confirms cancellations to users;
-// then it is down for all for longer than cancel_s, while workers go on reporting to the controller that was refused.
+// then it is down for all for longer than cancel_s, while workers keep reporting to the controller that was refused.
 // Cancelled tasks must end in time all the same.
 
 // slowReportSimulation returns a simulation full of long tasks. Its workers report so rarely that some have not been
@@ -39,7 +39,7 @@
 	w.after(after+d, func() { w.state.SetDown(false) })
 }
 
-// cancelTeam lets users cancel the jobs of a team one after the other within a time.
+// cancelTeam lets users cancel the jobs of a team one after the other, spread over a time.
 func (w *simulation) cancelTeam(team string, d eventloop.Micros) {
 	n := eventloop.Micros(0)
 	for _, j := range eventloop.Sorted(w.jobs) {
@@ -124,7 +124,7 @@
 	}
 }
 
-// The gap where no peer can tell the refused controller of the cancellations, because the one that confirmed them has
+// The gap where no peer can notify the refused controller of the cancellations, because the one that confirmed them has
 // crashed, is unreachable, or cannot read what its earlier incarnation confirmed. The refused controller stops
 // answering its workers early enough that their leases expire in time. The invariant checkers check every second that
 // no cancelled task runs for too long.
@@ -152,7 +152,7 @@
 		{"messages to it are delayed", 3, func(w *simulation, a string) {
 			w.disconnectFor(100*second, delaying, w.labels[0]+">"+a, w.labels[1]+">"+a, w.labels[2]+">"+a)
 		}, "perhaps"},
-		{"one of the others is unreachable, and a third one tells it", 3, func(w *simulation, a string) {
+		{"one of the others is unreachable, and a third one notifies it", 3, func(w *simulation, a string) {
 			o := w.labels[(slices.Index(w.labels, a)+1)%3]
 			w.disconnectFor(100*second, dropping, o+">"+a)
 		}, "no"},
@@ -169,18 +169,18 @@
 			w.cancelTeamElsewhere(a, "red", 2*second)
 			c.do(w, a)
 			w.run(w.now + 2*second)
-			told := w.cancelledJobs()
+			cancelled := w.cancelledJobs()
 			w.run(w.now + down)
-			if told < 7 || c.lost != "perhaps" && (w.endReasons["lease"] != 0) != (c.lost == "yes") {
-				t.Errorf("%d jobs are cancelled; ended tasks by reason: %v", told, w.endReasons)
+			if cancelled < 7 || c.lost != "perhaps" && (w.endReasons["lease"] != 0) != (c.lost == "yes") {
+				t.Errorf("%d jobs are cancelled; ended tasks by reason: %v", cancelled, w.endReasons)
 			}
 		})
 	}
 }
 
 // A watch that delivers nothing while transactions are answered hides cancellations although the controller has contact
-// to the state service. Peers tell it of them; if it receives no messages from peers, it redirects its workers or lets
-// their leases expire.
+// to the state service. Peers notify it of them; if it receives no messages from peers, it redirects its workers or
+// lets their leases expire.
 func TestWatchDeliversNothing(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/internal/node/partitions_test.go
+++ b/internal/node/partitions_test.go
@@ -160,11 +160,11 @@
 		replace(back+w.between(5*eventloop.Second, 30*eventloop.Second), l, false)
 	}
 	for range 2 + r.IntN(4) {
-		trouble := partitionFaults[r.IntN(len(partitionFaults)-1)]
+		fault := partitionFaults[r.IntN(len(partitionFaults)-1)]
 		if r.IntN(3) == 0 {
-			trouble.do = isolationFaults[r.IntN(len(isolationFaults))].do
+			fault.do = isolationFaults[r.IntN(len(isolationFaults))].do
 		}
-		w.after(w.between(20*eventloop.Second, 200*eventloop.Second), func() { trouble.do(w) })
+		w.after(w.between(20*eventloop.Second, 200*eventloop.Second), func() { fault.do(w) })
 	}
 	for _, l := range w.labels {
 		replace(230*eventloop.Second, l, false) // all are of the new version in the end
--- a/internal/node/pause_test.go
+++ b/internal/node/pause_test.go
@@ -14,12 +14,12 @@
 		w := newSimulation(t, seed)
 		w.run(3620 * eventloop.Second)
 		s := w.nodes["a"]
-		var told []string
+		var answered []string
 		refused := 0
 		ask := func(name, id string) {
 			s.execute(s.incarnation, func() {
 				s.n.jobs.Poll(id, func(a job.Answer) {
-					told = append(told, name)
+					answered = append(answered, name)
 					if name == "before" {
 						refused = a.Code
 					}
@@ -32,8 +32,8 @@
 			w.after(w.between(eventloop.Second, 4*eventloop.Second), func() { ask("meanwhile", "job-000002") })
 		}
 		w.run(w.now + 8*eventloop.Second)
-		if len(told) != 21 || told[0] != "before" || refused != 503 {
-			t.Fatalf("seed %d: answered in the order %v, the earliest request with %d", seed, told, refused)
+		if len(answered) != 21 || answered[0] != "before" || refused != 503 {
+			t.Fatalf("seed %d: answered in the order %v, the earliest request with %d", seed, answered, refused)
 		}
 	}
 }
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -18,8 +18,8 @@
 	probeAnswer  = time.Second
 )
 
-// probe asks a machine whether it is alive, over a new connection: an existing one cannot tell a machine without
-// power from one that hangs.
+// probe asks a machine whether it is alive, over a new connection: with an existing one, a machine without power
+// cannot be distinguished from one that hangs.
 func probe(addr string) failuredetector.ProbeResult {
 	conn, err := fasthttp.DialTimeout(addr, probeConnect)
 	switch {
--- a/internal/node/random_faults_test.go
+++ b/internal/node/random_faults_test.go
@@ -14,7 +14,7 @@
 	do   func(w *simulation)
 }
 
-// randomFault injects one random fault, ends it some time later, and goes on with another one.
+// randomFault injects one random fault, ends it some time later, and continues with another one.
 func (w *simulation) randomFault() {
 	r := w.rng
 	label := w.labels[r.IntN(3)]
--- a/internal/node/receive.go
+++ b/internal/node/receive.go
@@ -57,14 +57,14 @@
 // applyDeltas applies the incremental changes of machines that a peer sent, and requests the full view of each
 // machine for which this controller lacks the base. It also sends the full views that the peer requests.
 func (n *Node) applyDeltas(e *peer.Envelope) {
-	var lost []string
+	var missing []string
 	for _, d := range e.Deltas {
 		if d != nil && d.Name != "" && n.workers.ApplyDelta(e.From, d) {
-			lost = append(lost, d.Name)
+			missing = append(missing, d.Name)
 		}
 	}
-	if len(lost) > 0 {
-		n.net.Send(e.From, func(o *peer.Envelope) { o.MissingViews = append(o.MissingViews, lost...) })
+	if len(missing) > 0 {
+		n.net.Send(e.From, func(o *peer.Envelope) { o.MissingViews = append(o.MissingViews, missing...) })
 	}
 	if views := n.workers.FullViews(e.MissingViews); len(views) > 0 {
 		n.net.Send(e.From, func(o *peer.Envelope) { o.Views = append(o.Views, views...) })
--- a/internal/node/redirect.go
+++ b/internal/node/redirect.go
@@ -29,16 +29,16 @@
 
 // redirect reports whether a worker should report to another controller, to which one, and after how long it is
 // redirected again. Only a controller that reaches no peer redirects its workers: to the leader if no two controllers
-// reach each other, and otherwise to each of the others in turn. If the state service answers, only peers that are
+// reach each other, and otherwise to the others in turn. If the state service answers, only peers that are
 // registered there are used, and only after enough time that crashed ones have lost their leases. The answer names a
 // peer, because a worker that searches by itself waits 4 s for each one that does not answer; where the others had
-// crashed, that took so long that all running tasks lost their leases.
-func (n *Node) redirect(machine string, before int) (on bool, to string, again eventloop.Micros) {
+// crashed, that took so long that all leases expired and all running tasks were lost.
+func (n *Node) redirect(machine string, before int) (redirected bool, to string, again eventloop.Micros) {
 	again = redirectInterval
 	contact := n.hasStateContact()
-	switch lost := n.loop.Now() - n.client.LastContact(); {
+	switch sinceContact := n.loop.Now() - n.client.LastContact(); {
 	case contact:
-	case lost > redirectInterval:
+	case sinceContact > redirectInterval:
 		again = isolatedRedirectInterval
 	default:
 		again = earlyRedirectInterval
@@ -48,8 +48,8 @@
 	}
 	others := n.net.Peers()
 	if contact {
-		proof := eventloop.Seconds(n.cfg.Operator.NodeLeaseS) + eventloop.Second - reachability.MaxAge
-		if n.isolatedSince == 0 || n.loop.Now()-n.isolatedSince < proof {
+		leasesExpiredAfter := eventloop.Seconds(n.cfg.Operator.NodeLeaseS) + eventloop.Second - reachability.MaxAge
+		if n.isolatedSince == 0 || n.loop.Now()-n.isolatedSince < leasesExpiredAfter {
 			return false, "", again
 		}
 		others = slices.DeleteFunc(others, func(l string) bool { return !n.member.Registered(l) })
--- a/internal/node/simulation_answers_test.go
+++ b/internal/node/simulation_answers_test.go
@@ -44,7 +44,7 @@
 
 // overdue reports whether the controller has had enough time to answer: it left a question without any reply, or the
 // newest question came more than answerWithin after the first and was deferred, too. If all questions came within a
-// short time, were deferred, and nobody asked again, no answer is due: seed 22 of TestInvariantsUnderIntensePolling
+// short time, were deferred, and no user asked again, no answer is due: seed 22 of TestInvariantsUnderIntensePolling
 // has four questions within half a second of the end of a process pause of 17 s, each answered 429 with Retry-After
 // of one to three seconds, and no other for fifteen seconds.
 func (o *openQuestion) overdue(now eventloop.Micros) bool {
@@ -105,8 +105,8 @@
 	w.after(eventloop.Second/5, w.checkOpenQuestions)
 }
 
-// pollIntensely lets users poll intensely for a while: as soon as one is told that a job is accepted or final, it
-// asks all controllers again and again within milliseconds, repeats the submission there, and some users cancel at
+// pollIntensely lets users poll intensely for a while: as soon as a user is told that a job is accepted or final, all
+// controllers are polled repeatedly within milliseconds, the submission is repeated there, and some users cancel at
 // once.
 func (w *simulation) pollIntensely(d eventloop.Micros) { w.intensePollUntil = w.now + d }
 
--- a/internal/node/simulation_invariants_test.go
+++ b/internal/node/simulation_invariants_test.go
@@ -7,8 +7,8 @@
 	"cleatpick/internal/workers"
 )
 
-// taskStarted checks the invariants of a task that starts, and records it. Together with left it keeps the checkers'
-// own view of what runs on the machines.
+// taskStarted checks the invariants of a task that starts, and records it. Together with taskEnded it keeps the
+// checkers' own view of what runs on the machines.
 func (w *simulation) taskStarted(x *simWorker, task string) {
 	w.starts++
 	id, i, _ := workers.SplitTask(task)
@@ -87,7 +87,8 @@
 
 // checkAnswer checks a user's answer against everything that the user had been told before asking. Of two
 // requests in flight at the same time, either may be answered first, so the answer is compared with the time of its
-// question: compared with the time of its arrival, it would have to know what had been told while it was on its way.
+// question: compared with the time of its arrival, it would have to reflect what users were told while it was in
+// flight.
 func (w *simulation) checkAnswer(j *simJob, asked eventloop.Micros, a job.Answer) {
 	before := func(at eventloop.Micros) bool { return at != 0 && at < asked }
 	switch a.Code {
@@ -123,11 +124,11 @@
 		}
 	case job.Cancelled:
 		if j.terms != nil && j.terms.OnCancelled == job.PolicyCancel && !j.cancelRequested {
-			gone := false
+			dependencyCancelled := false
 			for _, d := range j.terms.Dependencies {
-				gone = gone || w.storedPhase(d) == job.Cancelled
+				dependencyCancelled = dependencyCancelled || w.storedPhase(d) == job.Cancelled
 			}
-			j.cancelRequested = gone // its user requested that with the submission
+			j.cancelRequested = dependencyCancelled // its user requested that with the submission
 		}
 		if !j.cancelRequested || j.done {
 			w.fail("went_back: %s is called cancelled (cancellation requested %v, called done before %v)", j.id, j.cancelRequested, j.done)
--- a/internal/node/simulation_machine_test.go
+++ b/internal/node/simulation_machine_test.go
@@ -12,7 +12,7 @@
 	"cleatpick/internal/workers"
 )
 
-// probe returns what a controller finds that probes a worker. A machine that hangs accepts connections.
+// probe returns the result of a controller's probe of a worker. A machine that hangs accepts connections.
 func (w *simulation) probe(from, addr string) failuredetector.ProbeResult {
 	x := w.workers[addr[len("worker:"):]]
 	switch {
@@ -119,7 +119,7 @@
 	}
 	x.w.OnForgottenStart = func(task string, attempt uint64) { w.startedAfterForget(x, task, attempt) }
 	x.w.Faulty = w.rng.Float64() < 0.05
-	if _, gone := w.workers[m.Name]; gone {
+	if _, exists := w.workers[m.Name]; exists {
 		return
 	}
 	w.workers[m.Name] = x
@@ -231,7 +231,7 @@
 }
 
 // restartMachines restarts machines at once under the same names, which ends all tasks on them. Their session numbers
-// go on from where they were: by the protocol, the larger of two is the newer.
+// continue from the last one: by the protocol, the larger of two is the newer.
 func (w *simulation) restartMachines(names []string) {
 	for _, name := range names {
 		if x := w.workers[name]; !x.deleted {
--- a/internal/node/simulation_state_service_test.go
+++ b/internal/node/simulation_state_service_test.go
@@ -28,7 +28,7 @@
 func (l stateLink) Do(method, path string, body []byte, limit time.Duration) store.Response {
 	w := l.w
 	if path == "/multi" && w.stateFaults.lateWrites > 0 && w.linkModes[l.name] == connected && w.rng.Float64() < w.stateFaults.lateWrites {
-		w.after(w.between(2*eventloop.Second, 12*eventloop.Second), func() { w.cameLate(body, l.do(method, path, body)) })
+		w.after(w.between(2*eventloop.Second, 12*eventloop.Second), func() { w.recordLateTransaction(body, l.do(method, path, body)) })
 		return store.Response{Err: errNoAnswer}
 	}
 	resp := l.link.Do(method, path, body, limit)
@@ -54,8 +54,8 @@
 	return key
 }
 
-// cameLate counts a transaction that was executed late.
-func (w *simulation) cameLate(body []byte, resp store.Response) {
+// recordLateTransaction counts a transaction that was executed late.
+func (w *simulation) recordLateTransaction(body []byte, resp store.Response) {
 	var t struct {
 		Then []struct {
 			Put    string `cbor:"put"`
--- a/internal/node/simulation_test.go
+++ b/internal/node/simulation_test.go
@@ -24,7 +24,7 @@
 	"cleatpick/internal/wire"
 )
 
-// A simulation is a whole cluster under hand-driven time: real controllers connected to fakes of the state service,
+// A simulation is a whole cluster under simulated time: real controllers connected to fakes of the state service,
 // the cloud and the workers, with injected faults. Invariant checkers that are independent of the product code
 // watch what happens. One event queue orders everything, and every random number comes from the seed, so that a
 // simulation runs the same each time.
@@ -137,7 +137,7 @@
 	incarnation int              // the incarnation of the process
 	clockOffset eventloop.Micros // of its wall clock
 	zone        string
-	// paused: the process is paused while its clocks go on; queued is what arrived meanwhile.
+	// paused: the process does not run although its clocks advance; queued holds what arrived during the pause.
 	paused bool
 	queued []func()
 	cost   *cost // of all controllers
@@ -147,9 +147,9 @@
 	answerLag   eventloop.Micros // delay of the answer to the request being made
 }
 
-// afterRequest calls f when the controller's next request that contains words has been executed and before the
+// afterRequest calls f when the controller's next request that contains text has been executed and before the
 // controller gets the answer: the worst time for a fault.
-func (s *simNode) afterRequest(words string, f func()) { s.triggerText, s.trigger = words, f }
+func (s *simNode) afterRequest(text string, f func()) { s.triggerText, s.trigger = text, f }
 
 // requestExecuted calls the trigger if the request contains its text.
 func (s *simNode) requestExecuted(path string, body []byte) {
@@ -295,7 +295,7 @@
 	})
 }
 
-// watch is the link for the watch of the state service. It may fail by itself, as a watch that delivers nothing.
+// watch is the link for the watch of the state service. It may fail alone, as a watch that delivers nothing.
 type watch struct {
 	stateLink
 	by string
@@ -335,7 +335,7 @@
 	case refusing:
 		return store.Response{Status: 503}
 	case delaying:
-		w.after(w.between(eventloop.Second, 40*eventloop.Second), func() { f() }) // executed late, when nobody waits for the answer
+		w.after(w.between(eventloop.Second, 40*eventloop.Second), func() { f() }) // executed late, when no caller waits for the answer
 		return store.Response{Err: errNoAnswer}
 	}
 	if w.reliable {
@@ -428,7 +428,7 @@
 	return slog.NewTextHandler(timedWriter{w, label}, &slog.HandlerOptions{Level: slog.LevelDebug})
 }
 
-// startNode starts a new incarnation of a controller, unless it runs.
+// startNode starts a new incarnation of a controller, unless one is running.
 func (w *simulation) startNode(label string) {
 	s := w.nodes[label]
 	if s.alive {
@@ -494,12 +494,12 @@
 	})
 }
 
-// kill crashes a controller, which is back after 2 to 8 s.
+// kill crashes a controller, which restarts after 2 to 8 s.
 func (w *simulation) kill(label string) {
 	w.killFor(label, w.between(2*eventloop.Second, 8*eventloop.Second))
 }
 
-// killFor crashes a controller, which is back after a delay.
+// killFor crashes a controller, which restarts after a delay.
 func (w *simulation) killFor(label string, d eventloop.Micros) {
 	s := w.nodes[label]
 	s.alive = false
@@ -530,7 +530,7 @@
 	return s
 }
 
-// submit submits a job, again and again until it is accepted.
+// submit submits a job repeatedly until it is accepted.
 func (w *simulation) submit(j *simJob) {
 	if j.submittedAt == 0 {
 		j.submittedAt = w.now
@@ -581,7 +581,7 @@
 	w.after(w.between(2*eventloop.Second, 5*eventloop.Second), func() { w.poll(j) })
 }
 
-// cancel cancels a job, again and again until its user is told that it is cancelled or done.
+// cancel requests a job's cancellation repeatedly until its user is told that it is cancelled or done.
 func (w *simulation) cancel(j *simJob) {
 	j.cancelRequested = true
 	if j.cancelledAt != 0 || j.done {
--- a/internal/node/soak_test.go
+++ b/internal/node/soak_test.go
@@ -42,19 +42,19 @@
 	if r.IntN(3) > 0 {
 		w.after(5*eventloop.Second, func() { w.pollIntensely(w.between(20*eventloop.Second, 130*eventloop.Second)) })
 	}
-	troubles := slices.Concat(coincidingFaults, isolationFaults, correlatedFaults, operatorFaults, answerFaults)
+	faults := slices.Concat(coincidingFaults, isolationFaults, correlatedFaults, operatorFaults, answerFaults)
 	w.repeatFaults(12*eventloop.Second, 10*eventloop.Second, 35*eventloop.Second, func() {
 		for range 2 + r.IntN(2) {
-			trouble := troubles[r.IntN(len(troubles))]
-			w.after(w.between(0, 5*eventloop.Second), func() { trouble.do(w) })
+			fault := faults[r.IntN(len(faults))]
+			w.after(w.between(0, 5*eventloop.Second), func() { fault.do(w) })
 		}
 	})
 	w.startChecks(260 * eventloop.Second)
 	return w
 }
 
-// TestSoak runs simulations from a given seed on until its time is over. A simulation is the same whenever it runs;
-// how many run depends on the machine, and is logged.
+// TestSoak runs simulations of consecutive seeds, beginning with a given one, until its time is over. The simulation
+// of a seed is the same in each run; how many are run depends on the machine, and is logged.
 func TestSoak(t *testing.T) {
 	if *soakFor == 0 {
 		t.Skip("started by -soak DURATION")
--- a/internal/node/starvation_crashes_test.go
+++ b/internal/node/starvation_crashes_test.go
@@ -52,7 +52,7 @@
 
 // The simulations of TestNothingStarves with crashes of controllers, for seeds that it does not run.
 // CLEATPICK_SEEDS="FROM TO" selects others.
-func TestNothingStarvesWhereNodesEnd(t *testing.T) {
+func TestNothingStarvesUnderControllerCrashes(t *testing.T) {
 	from, to := seedRange(t, 49, 64)
 	for seed := from; seed <= to; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/node/starvation_test.go
+++ b/internal/node/starvation_test.go
@@ -15,8 +15,9 @@
 const startWithin = 240 * eventloop.Second
 
 // checkLargestStarted checks that the largest tenth of the jobs of each class, at least one job, has started in time,
-// of those that were submitted that long ago and that their users did not cancel. It also checks that half of the
-// jobs of each class and each team have, except for the groups in beyond, whose demand alone exceeds the fleet.
+// of those that were submitted that long ago and that their users did not cancel. It also checks that half of the jobs
+// of each class and each team have started in time, except for the groups in beyond, whose demand alone exceeds the
+// fleet.
 func (w *simulation) checkLargestStarted(beyond ...string) {
 	w.t.Helper()
 	groups := map[string][]*simJob{}
@@ -54,10 +55,10 @@
 // time.
 func TestNothingStarves(t *testing.T) {
 	type load struct {
-		name     string
-		load     float64 // demand of the small jobs alone, relative to the capacity
-		troubles bool
-		seed     uint64
+		name    string
+		load    float64 // demand of the small jobs alone, relative to the capacity
+		crashes bool
+		seed    uint64
 	}
 	cases := []load{{"demand equals capacity", 1, false, 41}, {"demand is five times the capacity", 5, false, 41}}
 	for seed := uint64(41); seed <= 48; seed++ {
@@ -95,7 +96,7 @@
 				add(at, "spread", "guest", job.Normal, 9, 2, 5*eventloop.Second, func(s *job.Spec) { s.Spread = true })
 				add(at, "gang", "blue", job.Low, 4, 4, 5*eventloop.Second, func(s *job.Spec) { s.Gang = true })
 			}
-			if c.troubles {
+			if c.crashes {
 				for at := 30 * eventloop.Second; at < span*eventloop.Second; at += 45 * eventloop.Second {
 					w.after(at, func() { w.kill(w.anyController()) })
 				}
--- a/internal/node/unreachable_test.go
+++ b/internal/node/unreachable_test.go
@@ -9,7 +9,7 @@
 	"cleatpick/internal/eventloop"
 )
 
-// Each known hard case that operators have met, by itself and at a fixed size.
+// Each known hard case that operators have met, alone and at a fixed size.
 func TestOperatorFaultCases(t *testing.T) {
 	const second = eventloop.Second
 	usual := clusterSize{nodes: 3, zones: 2, each: 8}
@@ -83,7 +83,7 @@
 }
 
 // A guest's job of 25,000 tasks, whose owner crashes again and again while it records them: each task runs, none twice
-// at the same time, and the jobs of the other teams complete meanwhile.
+// at the same time, and the jobs of the other teams complete in the meantime.
 func TestLargestJobWithCrashingOwners(t *testing.T) {
 	const second = eventloop.Second
 	w := operatorSimulation(t, 19, clusterSize{nodes: 3, zones: 2, each: 50}, 0)
@@ -112,12 +112,12 @@
 	const second = eventloop.Second
 	for _, c := range []struct {
 		name         string
-		out          bool             // only its messages to peers are lost; everything else arrives
+		onlyMessages bool             // only its messages to peers are lost; everything else arrives
 		teams, hosts eventloop.Micros // within which teams and workers move to others, beyond the lease
 	}{
 		{"off the network", false, 100*eventloop.Millisecond + 1200*eventloop.Millisecond + 600*eventloop.Millisecond, 5 * second},
-		// 2.5 s until its messages count as old, 0.7 s until it is told so, 3 s until it acts on that, one check
-		// interval, and a claim; then one report interval for its workers.
+		// 2.5 s until its messages count as old, 0.7 s until it is notified of that, 3 s until it acts on that, one
+		// check interval, and a claim; then one report interval for its workers.
 		{"its messages reach no peer", true, 4500 * eventloop.Millisecond, 3 * second},
 	} {
 		for seed := uint64(11); seed < 15; seed++ {
@@ -136,7 +136,7 @@
 					}
 				}
 				ways := w.connections(silent)
-				if c.out {
+				if c.onlyMessages {
 					ways = slices.DeleteFunc(ways, func(x string) bool {
 						return !strings.HasPrefix(x, silent+">") || strings.HasSuffix(x, ">workers") || strings.HasSuffix(x, ">state") || strings.HasSuffix(x, ">cloud")
 					})
@@ -163,7 +163,7 @@
 						t.Errorf("%s still reports to %s, according to %s", name, silent, other)
 					}
 				}
-				if !c.out && w.nodes[silent].n.member.LeaseValid() {
+				if !c.onlyMessages && w.nodes[silent].n.member.LeaseValid() {
 					t.Error("the unreachable controller still acts under its lease, which has expired")
 				}
 			})
@@ -171,9 +171,9 @@
 	}
 }
 
-// A controller whose connections flap does not take its teams back each time, and does so after it has been reachable
-// for a while.
-func TestFlappingNodeDoesNotTakeItsTeamsEachTime(t *testing.T) {
+// A controller whose connections flap does not take its teams back after each interruption, but only after it has been
+// reachable for a while.
+func TestFlappingControllerDoesNotReclaimTeamsEachTime(t *testing.T) {
 	const second = eventloop.Second
 	w := operatorSimulation(t, 13, clusterSize{nodes: 3, zones: 2, each: 6}, 3)
 	owns := func() (n int) {
@@ -203,8 +203,8 @@
 	const second = eventloop.Second
 	w := operatorSimulation(t, 17, clusterSize{nodes: 3, zones: 2, each: 4}, 0)
 	w.run(3620 * second)
-	if told := w.nodes["a"].n.staleOwners(); len(told) > 0 {
-		t.Errorf("without a fault, owners are described as outdated: %q", told)
+	if descriptions := w.nodes["a"].n.staleOwners(); len(descriptions) > 0 {
+		t.Errorf("without a fault, owners are described as outdated: %q", descriptions)
 	}
 	var team string
 	for _, x := range w.cfg.Cluster.Teams {
@@ -212,8 +212,8 @@
 			team = x.Name
 			w.disconnectFor(40*second, dropping, w.connections(o.Node)...)
 			w.run(w.now + 3*second)
-			if told, want := w.nodes["a"].n.staleOwners(), "the owner "+o.Node+" of the team "+team+" is unreachable; other controllers take the team over when its lease expires"; !slices.Contains(told, want) {
-				t.Errorf("3 s later the descriptions are %q, want %q", told, want)
+			if descriptions, want := w.nodes["a"].n.staleOwners(), "the owner "+o.Node+" of the team "+team+" is unreachable; other controllers take the team over when its lease expires"; !slices.Contains(descriptions, want) {
+				t.Errorf("3 s later the descriptions are %q, want %q", descriptions, want)
 			}
 			w.run(w.now + 50*second)
 			w.disconnectFor(6*second, dropping, w.connections(o.Node)...)
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -132,7 +132,7 @@
 	QueuePositions []admission.Position `cbor:"18,keyasint,omitempty"`
 	// Incarnation identifies the incarnation of the sender: the wall clock time at which its process started.
 	Incarnation eventloop.Micros `cbor:"19,keyasint,omitempty"`
-	// Watermark is what the sender asks and answers about cancellations, for the cancellation watermark.
+	// Watermark holds the sender's questions and answers about cancellations, for the cancellation watermark.
 	Watermark *watermark.Message `cbor:"20,keyasint,omitempty"`
 	// Teams are the teams in the sender's settings, sent to a peer after each new connection.
 	Teams []string `cbor:"21,keyasint,omitempty"`
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,7 +1,7 @@
 // Package peer carries the messages between controllers: CBOR frames over plain TCP, one connection for each direction.
 // It owns the connections, combines messages that are due at nearly the same time into one frame, and drops frames of
 // earlier incarnations of a peer. Every message may be lost, repeated or late; there are no acknowledgements here, and
-// senders repeat what they have to say for as long as it matters. What a message means is left to the package that it
+// senders repeat a message's content for as long as it matters. What a message means is left to the package that it
 // is for; whether a peer counts as reachable is decided elsewhere.
 package peer
 
@@ -163,7 +163,7 @@
 		return
 	}
 	if e.Incarnation+n.ClockDifference < k.incarnation {
-		// The frame was delayed on its way. What that incarnation knew and requested ended with it.
+		// The frame was delayed in the network. The state and the requests of that incarnation ended with it.
 		if n.OnEarlierFrame != nil {
 			n.OnEarlierFrame(e.From)
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -11,8 +11,9 @@
 	"cleatpick/internal/fake"
 )
 
-// Frames that were delayed on their way arrive after the process that sent them has restarted. They are dropped and
-// counted. A frame of the newest incarnation is never dropped, also if the clock was behind when that started.
+// Frames that were delayed in the network arrive after the process that sent them has restarted. They are dropped and
+// counted. A frame of the newest incarnation is never dropped, even if the clock was behind when that incarnation
+// started.
 func TestFramesOfEarlierIncarnationsAreDropped(t *testing.T) {
 	const s = eventloop.Second
 	n := New(fake.NewRunner(100*s), slog.New(slog.NewTextHandler(io.Discard, nil)), "a", []config.Peer{{Label: "b"}})
--- a/internal/scheduler/guarantee_test.go
+++ b/internal/scheduler/guarantee_test.go
@@ -19,8 +19,8 @@
 // thousands of tasks nothing does, so no work of the team had a right to capacity, and what became free went to
 // whichever owner saw it first.
 //
-// The fault was seen in TestNothingStarvesWhereNodesEnd with seed 54, from 200 to 220 s: blue ran 1.7 of its 38.4
-// CPUs, red 111.6 of 76.8, and 300 jobs of blue waited, with machines 92% busy throughout.
+// The fault was seen in TestNothingStarvesUnderControllerCrashes with seed 54, from 200 to 220 s: blue ran 1.7 of its
+// 38.4 CPUs, red 111.6 of 76.8, and 300 jobs of blue waited, with machines 92% busy throughout.
 func TestGuaranteeIsMetBehindALargeJob(t *testing.T) {
 	const machines = 4
 	g := newRig(1000, config.Team{Name: "red", CPUs: 16}, config.Team{Name: "blue", CPUs: 16})
