--- a/internal/node/cannot_report_test.go
+++ b/internal/node/cannot_report_test.go
@@ -30,7 +30,7 @@
 }
 
 // A machine that cannot report answers commands and probes, and its lease expires all the same. The fault: it counted
-// as serving, was given tasks until its lease expired, lost them, and was given more in its next session, repeatedly.
+// as available, was given tasks until its lease expired, lost them, and was given more in its next session, repeatedly.
 // It must get starts for no longer than any machine whose reports stopped; cancelled tasks on it are stopped at once;
 // tasks that its lease ends run again elsewhere; a machine that reports again in time has lost nothing; and the
 // autoscaler does not replace the whole fleet.
--- a/internal/node/coinciding_cases_test.go
+++ b/internal/node/coinciding_cases_test.go
@@ -24,7 +24,7 @@
 		{"nothing", func(*simulation) {}, 8 * second},
 		{"the leader crashes", func(w *simulation) { w.killFor(w.leader(), 8*second) }, 16 * second},
 		{"all restart at once", func(w *simulation) { w.restartQuickly(w.labels, 2) }, 16 * second},
-		{"the owner restarts at once, again and again", func(w *simulation) { w.restartQuickly([]string{w.owner("red")}, 3) }, 16 * second},
+		{"the owner restarts at once, three times", func(w *simulation) { w.restartQuickly([]string{w.owner("red")}, 3) }, 16 * second},
 		{"the owner is paused", func(w *simulation) { w.pause(w.owner("red"), 9*second) }, 16 * second},
 		{"the state service refuses the owner while tasks end", func(w *simulation) { w.disconnectFor(8*second, refusing, w.owner("red")+">state") }, 20 * second},
 		{"the owner reaches only its workers", func(w *simulation) { w.disconnectFor(20*second, dropping, w.allButWorkers(w.owner("red"))...) }, 20 * second},
@@ -77,8 +77,8 @@
 			t.Parallel()
 			w := slowReportSimulation(t, 3)
 			a := w.leader()
-			ways := slices.DeleteFunc(w.allButWorkers(a), func(way string) bool { return way == a+">cloud" || way == a+">state" })
-			w.disconnectFor(60*eventloop.Second, map[bool]linkMode{true: dropping, false: mode}[mode == refusing], ways...)
+			connections := slices.DeleteFunc(w.allButWorkers(a), func(connection string) bool { return connection == a+">cloud" || connection == a+">state" })
+			w.disconnectFor(60*eventloop.Second, map[bool]linkMode{true: dropping, false: mode}[mode == refusing], connections...)
 			w.disconnectFor(60*eventloop.Second, mode, a+">state")
 			for k := range 400 {
 				w.after(eventloop.Micros(k)*200*eventloop.Millisecond, func() {
@@ -118,9 +118,9 @@
 // waiting jobs start.
 func TestLeaderCrashesWhileMachinesAreUnresponsive(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		do   func(w *simulation, names []string)
-		back bool
+		name     string
+		do       func(w *simulation, names []string)
+		recovers bool
 	}{
 		{"unresponsive for less than a lease", func(w *simulation, names []string) { w.ignoreCommands(names, 10*eventloop.Second) }, true},
 		{"hung for less than a lease", func(w *simulation, names []string) { w.hangMachines(names, 10*eventloop.Second) }, true},
@@ -140,7 +140,7 @@
 				}
 			})
 			w.run(w.now + 70*eventloop.Second)
-			if lost := w.endReasons["lease"] + w.endReasons["gone"]; (lost == 0) != c.back {
+			if lost := w.endReasons["lease"] + w.endReasons["gone"]; (lost == 0) != c.recovers {
 				t.Errorf("ended tasks by reason: %v", w.endReasons)
 			}
 			for i := range 4 {
--- a/internal/node/coinciding_faults_test.go
+++ b/internal/node/coinciding_faults_test.go
@@ -12,7 +12,7 @@
 	"cleatpick/internal/workers"
 )
 
-// coincidingFaults is faults, and combinations of two faults, that are drawn in pairs. Most violations that users
+// coincidingFaults lists faults, and combinations of two faults, that are drawn in pairs. Most violations that users
 // have seen happened when two faults coincided; docs/notes/meetings.md describes the analysis and the tests
 // of each.
 var coincidingFaults = []namedFault{
@@ -73,13 +73,13 @@
 		l := w.leader()
 		for k := range 1 + w.rng.IntN(3) {
 			w.after(eventloop.Micros(k)*w.between(5*eventloop.Second, 9*eventloop.Second), func() {
-				var ways []string
+				var connections []string
 				for _, o := range w.labels {
 					if o != l {
-						ways = append(ways, l+">"+o, o+">"+l)
+						connections = append(connections, l+">"+o, o+">"+l)
 					}
 				}
-				w.disconnectFor(w.between(2500*eventloop.Millisecond, 7*eventloop.Second), dropping, ways...)
+				w.disconnectFor(w.between(2500*eventloop.Millisecond, 7*eventloop.Second), dropping, connections...)
 			})
 		}
 		w.cancelSome(0.2, 8*eventloop.Second)
@@ -113,7 +113,7 @@
 			}
 		}
 	}},
-	{"leaders change again and again", func(w *simulation) {
+	{"leaders change repeatedly", func(w *simulation) {
 		d := w.between(5*eventloop.Second, 12*eventloop.Second)
 		for k := range 4 + w.rng.IntN(7) {
 			w.after(eventloop.Micros(k)*d, func() { w.killFor(w.leader(), w.between(100*eventloop.Millisecond, 6*eventloop.Second)) })
--- a/internal/node/correlated_faults_test.go
+++ b/internal/node/correlated_faults_test.go
@@ -106,7 +106,7 @@
 	})
 }
 
-// correlatedFaults is the faults of larger fleets: those that hit many machines at the same time, or a controller
+// correlatedFaults lists the faults of larger fleets: those that hit many machines at the same time, or a controller
 // between two steps of its work.
 var correlatedFaults = []namedFault{
 	{"a controller is paused", func(w *simulation) {
--- a/internal/node/intense_polling_test.go
+++ b/internal/node/intense_polling_test.go
@@ -9,7 +9,7 @@
 	"cleatpick/internal/eventloop"
 )
 
-// answerFaults is the faults that delay answers or lose them.
+// answerFaults lists the faults that delay answers or lose them.
 var answerFaults = []namedFault{
 	{"a controller is paused after it has stored a job", func(w *simulation) {
 		// The user asks elsewhere after 2 to 4 s, and is answered there.
--- a/internal/node/isolation_faults_test.go
+++ b/internal/node/isolation_faults_test.go
@@ -31,7 +31,7 @@
 
 // allButWorkers lists all connections of a controller but the one to its workers.
 func (w *simulation) allButWorkers(label string) []string {
-	return slices.DeleteFunc(w.connections(label), func(way string) bool { return way == label+">workers" })
+	return slices.DeleteFunc(w.connections(label), func(connection string) bool { return connection == label+">workers" })
 }
 
 // restartQuickly crashes controllers the given number of times; they restart each time before their peers notice.
@@ -53,7 +53,7 @@
 	return out
 }
 
-// isolationFaults is the faults that isolate a part of the cluster or repeat earlier events.
+// isolationFaults lists the faults that isolate a part of the cluster or repeat earlier events.
 var isolationFaults = []namedFault{
 	{"machines unresponsive to commands", func(w *simulation) {
 		w.ignoreCommands(w.someMachines(0.05+0.4*w.rng.Float64()), w.between(2*eventloop.Second, 40*eventloop.Second))
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -180,7 +180,7 @@
 	wg.Wait()
 }
 
-// worker runs a simulated worker that reports over HTTP, and goes to the next controller as the protocol says.
+// worker runs a simulated worker that reports over HTTP, and moves to the next controller as the protocol specifies.
 func worker(ctx context.Context, t *testing.T, clock eventloop.Clock, l wire.CloudMachine, nodes []string, moved func(task, machine string)) {
 	w := fake.NewWorker(clock.Now(), 10*eventloop.Second)
 	w.Name, w.Addr, w.Type, w.Zone, w.Spot, w.CPUs, w.MemoryGB = l.Name, "127.0.0.1:1", l.Type, l.Zone, l.Spot, 8, 32
--- a/internal/node/operator_faults_test.go
+++ b/internal/node/operator_faults_test.go
@@ -27,12 +27,12 @@
 }
 
 // disconnectFor puts connections into a fault mode for a while.
-func (w *simulation) disconnectFor(d eventloop.Micros, mode linkMode, ways ...string) {
-	for _, x := range ways {
+func (w *simulation) disconnectFor(d eventloop.Micros, mode linkMode, connections ...string) {
+	for _, x := range connections {
 		w.linkModes[x] = mode
 	}
 	w.after(d, func() {
-		for _, x := range ways {
+		for _, x := range connections {
 			delete(w.linkModes, x)
 		}
 	})
@@ -43,7 +43,7 @@
 // randomLossMode draws whether a disconnected connection drops or delays messages.
 func (w *simulation) randomLossMode() linkMode { return []linkMode{dropping, delaying}[w.rng.IntN(2)] }
 
-// flap disconnects a controller for some seconds again and again.
+// flap disconnects a controller repeatedly, for some seconds each time.
 func (w *simulation) flap(label string, until eventloop.Micros) {
 	if w.now >= until {
 		return
@@ -114,7 +114,7 @@
 	}
 }
 
-// operatorFaults is the faults that operators have met.
+// operatorFaults lists the faults that operators have met.
 var operatorFaults = []namedFault{
 	{"controllers unreachable for a minute", func(w *simulation) {
 		n := 1 + w.rng.IntN(max(len(w.labels)-1, 1))
@@ -137,13 +137,13 @@
 		w.disconnectFor(w.between(10*eventloop.Second, 50*eventloop.Second), refusing, w.anyController()+">state")
 	}},
 	{"connections fail in one direction", func(w *simulation) {
-		l, ways := w.anyController(), []string{}
+		l, connections := w.anyController(), []string{}
 		for _, p := range w.labels {
 			if p != l && w.rng.IntN(3) > 0 {
-				ways = append(ways, []string{l + ">" + p, p + ">" + l}[w.rng.IntN(2)])
+				connections = append(connections, []string{l + ">" + p, p + ">" + l}[w.rng.IntN(2)])
 			}
 		}
-		w.disconnectFor(w.between(10*eventloop.Second, 60*eventloop.Second), w.randomLossMode(), ways...)
+		w.disconnectFor(w.between(10*eventloop.Second, 60*eventloop.Second), w.randomLossMode(), connections...)
 	}},
 	{"many polls", func(w *simulation) {
 		w.pollStorm(40+w.rng.IntN(160), w.between(10*eventloop.Second, 30*eventloop.Second))
--- a/internal/node/outage_gap_test.go
+++ b/internal/node/outage_gap_test.go
@@ -268,7 +268,7 @@
 	}
 }
 
-// gapSimulation returns a simulation in which the gap occurs again and again, together with another fault.
+// gapSimulation returns a simulation in which the gap occurs repeatedly, together with another fault.
 func gapSimulation(t testing.TB, seed uint64) *simulation {
 	r := rand.New(rand.NewPCG(seed, 31))
 	w := newSimulationOf(t, seed, clusterSize{nodes: []int{1, 2, 3, 3, 5, 15}[r.IntN(6)], zones: 2, each: 4 + r.IntN(6)}, func(*config.Config) {})
@@ -280,8 +280,8 @@
 		})
 	}
 	troubles := slices.Concat(isolationFaults, correlatedFaults, operatorFaults)
-	var strike func()
-	strike = func() {
+	var inject func()
+	inject = func() {
 		a := w.owner([]string{"red", "blue"}[r.IntN(2)])
 		gap := w.between(0, 6*eventloop.Second)
 		down := w.between(20*eventloop.Second, 60*eventloop.Second)
@@ -303,10 +303,10 @@
 			w.after(w.between(0, gap+5*eventloop.Second), func() { x.do(w) })
 		}
 		if w.now < 3600*eventloop.Second+100*eventloop.Second {
-			w.after(gap+down+w.between(2*eventloop.Second, 20*eventloop.Second), strike)
+			w.after(gap+down+w.between(2*eventloop.Second, 20*eventloop.Second), inject)
 		}
 	}
-	w.after(15*eventloop.Second, strike)
+	w.after(15*eventloop.Second, inject)
 	w.startChecks(300 * eventloop.Second)
 	return w
 }
--- a/internal/node/partitions_test.go
+++ b/internal/node/partitions_test.go
@@ -39,7 +39,7 @@
 	w.simulateUser(j)
 }
 
-// partitionFaults is the faults that affect a partition that many teams share.
+// partitionFaults lists the faults that affect a partition that many teams share.
 var partitionFaults = []namedFault{
 	{"an owner crashes while it records", func(w *simulation) {
 		l := w.anyController()
--- a/internal/node/random_faults_test.go
+++ b/internal/node/random_faults_test.go
@@ -56,7 +56,7 @@
 	case 6:
 		w.state.SetDown(true)
 		w.after(d, func() { w.state.SetDown(false) })
-	case 7: // the cloud takes many spot machines back at once, without notice
+	case 7: // the cloud reclaims many spot machines at once, without notice
 		for name, x := range eventloop.Sorted(w.workers) {
 			if !x.deleted && x.w.Spot && name[len(name)-1]%2 == 0 {
 				w.cloud.Reclaim(name)
@@ -87,12 +87,12 @@
 // lastFaultStart is when the last fault of a simulation may begin.
 const lastFaultStart = 3600*eventloop.Second + 130*eventloop.Second
 
-// repeatFaults calls strike after a delay and then repeatedly, with intervals that are drawn from a range, until
+// repeatFaults calls inject after a delay and then repeatedly, with intervals that are drawn from a range, until
 // lastFaultStart.
-func (w *simulation) repeatFaults(first, least, most eventloop.Micros, strike func()) {
+func (w *simulation) repeatFaults(first, least, most eventloop.Micros, inject func()) {
 	var again func()
 	again = func() {
-		strike()
+		inject()
 		w.after(w.between(least, most), func() {
 			if w.now < lastFaultStart {
 				again()
--- a/internal/node/simulation_answers_test.go
+++ b/internal/node/simulation_answers_test.go
@@ -115,10 +115,10 @@
 	if w.now >= w.intensePollUntil {
 		return
 	}
-	const looks, within = 8, 600 * eventloop.Millisecond
+	const polls, within = 8, 600 * eventloop.Millisecond
 	for _, label := range w.labels {
 		s := w.nodes[label]
-		for range looks {
+		for range polls {
 			w.after(w.between(0, within), func() {
 				switch {
 				case !s.alive || !s.n.ready():
--- a/internal/node/simulation_delivery_test.go
+++ b/internal/node/simulation_delivery_test.go
@@ -28,19 +28,19 @@
 // of a task that runs twice and not the second run itself, which is thousands of times rarer: no forget may be sent
 // while a start of the same attempt can still reach the worker. It returns nil if there are no starts among the
 // commands.
-func (w *simulation) commandsSent(x *simWorker, way string, c wire.Commands, session uint64, until eventloop.Micros) *startsInFlight {
+func (w *simulation) commandsSent(x *simWorker, route string, c wire.Commands, session uint64, until eventloop.Micros) *startsInFlight {
 	for old := range x.inFlight {
 		if !old.canArrive(w.now, x) {
 			delete(x.inFlight, old)
 		}
 	}
-	sent := &startsInFlight{route: way, token: c.Token, session: session, until: until}
+	sent := &startsInFlight{route: route, token: c.Token, session: session, until: until}
 	for _, command := range c.Commands {
 		switch {
 		case command.Op == wire.OpStart:
 			sent.starts = append(sent.starts, command)
 		case command.Op == wire.OpForget && sent.canArrive(w.now, x):
-			w.checkForget(x, way, command)
+			w.checkForget(x, route, command)
 		}
 	}
 	if len(sent.starts) == 0 {
@@ -51,13 +51,13 @@
 }
 
 // checkForget fails if a start of the attempt can still reach the worker.
-func (w *simulation) checkForget(x *simWorker, way string, forget wire.Command) {
+func (w *simulation) checkForget(x *simWorker, route string, forget wire.Command) {
 	w.forgetsSent++
 	for d := range x.inFlight {
 		for _, start := range d.starts {
 			if start.Task == forget.Task && start.Attempt == forget.Attempt {
 				w.fail("forget of %s attempt %d is sent to %s in %s, while a start of it is in flight in %s",
-					forget.Task, forget.Attempt, x.w.Name, way, d.route)
+					forget.Task, forget.Attempt, x.w.Name, route, d.route)
 			}
 		}
 	}
--- a/internal/node/simulation_state_service_test.go
+++ b/internal/node/simulation_state_service_test.go
@@ -9,7 +9,7 @@
 	"cleatpick/internal/wire"
 )
 
-// stateServiceFaults is the injected delays of the state service.
+// stateServiceFaults holds the injected delays of the state service.
 type stateServiceFaults struct {
 	lateWrites  float64             // the share of transactions that get no answer and are executed late
 	lostAnswers float64             // the share of requests that are executed at once and get no answer
--- a/internal/node/simulation_waiting_test.go
+++ b/internal/node/simulation_waiting_test.go
@@ -12,7 +12,7 @@
 // for one of its tasks all the time and its team is under its limit.
 const maxWaitWithCapacity = 90 * eventloop.Second
 
-// unusedCapacity is the machines on which a job could have started a task all the time since a given one.
+// unusedCapacity holds the machines on which a job could have started a task all the time since a given one.
 type unusedCapacity struct {
 	since    eventloop.Micros
 	starts   int // of the job, at that time
--- a/internal/node/unreachable_test.go
+++ b/internal/node/unreachable_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// A guest's job of 25,000 tasks, whose owner crashes again and again while it records them: each task runs, none twice
+// A guest's job of 25,000 tasks, whose owner crashes repeatedly while it records them: each task runs, none twice
 // at the same time, and the jobs of the other teams complete in the meantime.
 func TestLargestJobWithCrashingOwners(t *testing.T) {
 	const second = eventloop.Second
@@ -135,13 +135,13 @@
 						mine = append(mine, x.Name)
 					}
 				}
-				ways := w.connections(silent)
+				connections := w.connections(silent)
 				if c.onlyMessages {
-					ways = slices.DeleteFunc(ways, func(x string) bool {
+					connections = slices.DeleteFunc(connections, func(x string) bool {
 						return !strings.HasPrefix(x, silent+">") || strings.HasSuffix(x, ">workers") || strings.HasSuffix(x, ">state") || strings.HasSuffix(x, ">cloud")
 					})
 				}
-				w.disconnectFor(70*second, dropping, ways...)
+				w.disconnectFor(70*second, dropping, connections...)
 				w.run(w.now + eventloop.Seconds(w.cfg.Operator.NodeLeaseS) + c.teams)
 				for _, l := range w.labels {
 					if l == silent {
--- a/internal/node/zone_bound_test.go
+++ b/internal/node/zone_bound_test.go
@@ -11,7 +11,7 @@
 
 // Jobs whose own running tasks bind them to zones find no free capacity there, while the cloud has more machines in
 // each zone than they need. Machines must be created where these tasks may run. The fault: they were created wherever
-// it was cheapest, in the wrong zone, again and again, and the job waited.
+// it was cheapest, repeatedly in the wrong zone, and the job waited.
 func TestMachinesCreatedWhereBoundTasksMayRun(t *testing.T) {
 	const second = eventloop.Second
 	for _, c := range []struct {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -59,8 +59,8 @@
 	links  map[string]*link
 	states map[string]*PeerState
 	// Incarnation is the wall clock time at which this process started, which identifies its incarnation.
-	// ClockDifference is the largest difference between two wall clocks: incarnations of a peer that are closer
-	// together than that are not ordered.
+	// ClockDifference is the largest difference between two wall clocks, twice the largest error of one: incarnations
+	// of a peer that are closer together than that are not ordered.
 	Incarnation, ClockDifference eventloop.Micros
 	// OnEarlierFrame is called for each dropped frame of an earlier incarnation of a peer; it may be nil.
 	OnEarlierFrame func(label string)
