--- a/internal/node/availability.go
+++ b/internal/node/availability.go
@@ -14,8 +14,8 @@
 // hasStateContact reports whether the state service answers this controller.
 func (n *Node) hasStateContact() bool { return n.client.Healthy(maxContactAge) }
 
-// freshStatus returns the newest status of a peer, and whether it is recent. A message that was delayed on its way is
-// detected by the wall clock time it carries.
+// freshStatus returns the newest status of a peer, and whether it is recent. A message that was delayed in the network
+// is detected by the wall clock time it carries.
 func (n *Node) freshStatus(label string) (peer.Status, bool) {
 	k := n.net.State(label)
 	age := n.loop.Now() - k.ReceivedAt
@@ -67,7 +67,7 @@
 		if !fresh || !s.Contact {
 			continue
 		}
-		if fit := n.reach.Fit(label); best == "" || fit && !trusted || fit == trusted && s.Hosted < least {
+		if fit := n.reachability.Fit(label); best == "" || fit && !trusted || fit == trusted && s.Hosted < least {
 			best, least, trusted = label, s.Hosted, fit
 		}
 	}
@@ -82,7 +82,7 @@
 // healthy reports whether users should be routed to this controller. One that alone has lost the state service is
 // unhealthy, so that its users go to the others. If no controller has contact, users stay and are deferred.
 func (n *Node) healthy() bool {
-	if !n.mirror.Ready() || !n.rental.CatalogKnown() {
+	if !n.mirror.Ready() || !n.autoscaler.CatalogKnown() {
 		return false
 	}
 	return n.hasStateContact() || n.redirectTarget() == ""
