--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -61,8 +61,7 @@
 	return &API{runner: r, log: log, cfg: cfg, node: n, keys: readKeys(cfg.Operator.API.Keys), schema: loadSchema(), meter: m}
 }
 
-// requestTimeout is how long a request waits for its result from the event loop, and from other controllers if they are
-// asked.
+// requestTimeout is how long a request waits for its result, including the time for requests to other controllers.
 const requestTimeout = 4 * time.Second
 
 // route is the handler of a path and method, with the lowest role that may use it.
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -105,6 +105,7 @@
 	}
 }
 
+// A list without a valid endpoint and a missing key file are errors. White space around a key is not part of the key.
 func TestInvalidArguments(t *testing.T) {
 	for _, list := range []string{"", " , ", "nowhere", "10.0.0.1"} {
 		if _, err := New(list, ""); err == nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -104,9 +104,9 @@
 	BootTimeoutFactor float64 `toml:"boot_stuck_times"`
 	// NumberedPartitions allows the layout of numbered partitions, each of which many teams share. The cluster
 	// changes to it once all controllers allow it, and cannot change back. While one controller does not
-	// allow it, each team is a partition of its own, as in versions before 0.9.0.
+	// allow it, each team is a separate partition, as in versions before 0.9.0.
 	NumberedPartitions bool `toml:"numbered_partitions"`
-	// API configures the HTTP interface under /v1/, which exists beside the protocol of users and workers.
+	// API configures the HTTP interface under /v1/, which exists in addition to the CBOR protocol of users and workers.
 	API API `toml:"api"`
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -55,6 +55,8 @@
 	return f
 }
 
+// Guards against invalid settings that are accepted or reported without their field: valid files are loaded with the
+// defaults of the operators' settings, and each invalid setting is named in the error.
 func TestLoad(t *testing.T) {
 	c, err := Load(writeSettings(t, validSettings), writeSettings(t, "standby_mean_s = 120.0\n"))
 	if err != nil {
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// Each attempt must be judged by its own expiry, even if a later attempt of the same task has a later one. An attempt
+// Each attempt must be evaluated by its own expiry, even if a later attempt of the same task has a later one. An attempt
 // recorded again with an earlier expiry keeps the later one, and Prune removes attempts only after their latest arrival.
 func TestExpiriesOfAttempts(t *testing.T) {
 	bounds := ClockBounds{MaxDifference: eventloop.Second, StartLife: 6 * eventloop.Second}
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -2,7 +2,7 @@
 // it one after another, so that the state needs no locks.
 //
 // The package owns the queue of functions to run, the timers, the clocks and the detection of process pauses. Blocking
-// input and output run in goroutines of their own, which post their results to the loop. Tests replace the loop by a
+// input and output run in separate goroutines, which post their results to the loop. Tests replace the loop by a
 // Runner whose time they advance themselves.
 package eventloop
 
@@ -88,7 +88,7 @@
 // New returns a loop that uses the process's clocks.
 func New() *Loop { return &Loop{Clock: RealClock(), wake: make(chan struct{}, 1)} }
 
-// Post adds a function to the loop's queue; it never blocks. The queue has no limit of its own: it is bounded by the
+// Post adds a function to the loop's queue; it never blocks. The queue itself has no limit: it is bounded by the
 // callers' limits on connections and requests in flight.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
@@ -103,7 +103,7 @@
 // After posts f after d.
 func (l *Loop) After(d Micros, f func()) { time.AfterFunc(Duration(d), func() { l.Post(f) }) }
 
-// Go runs a blocking function outside the loop, in a goroutine of its own.
+// Go runs a blocking function outside the loop, in a new goroutine.
 func (l *Loop) Go(f func()) { go f() }
 
 // Pauses returns the detector of this process's pauses.
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -45,7 +45,7 @@
 	return c
 }
 
-// Reclaim deletes a machine without notice, as a cloud does that reclaims it.
+// Reclaim deletes a machine without notice, as a cloud may do.
 func (c *Cloud) Reclaim(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fake/runner.go
+++ b/internal/fake/runner.go
@@ -2,7 +2,7 @@
 
 import "cleatpick/internal/eventloop"
 
-// Runner is a loop.Runner whose time only moves when the test advances it. Functions that are due run during
+// Runner is an eventloop.Runner whose time only moves when the test advances it. Functions that are due run during
 // the advance, on the test's goroutine, in order of time and then of registration.
 type Runner struct {
 	now    eventloop.Micros
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -260,7 +260,7 @@
 		return
 	}
 	// A repeated submission of an accepted job is never refused, whatever its body says now. This holds even if this
-	// controller has not read the job's record yet, so the registry is asked before the refusal is sent.
+	// controller has not read the job's record yet, so the registry is queried before the refusal is sent.
 	refuseUnlessKnown := func(done func(result), refusal result) {
 		s.node.Jobs.Poll(id, func(a job.Answer) {
 			if a.Code == 404 {
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -18,7 +18,7 @@
 	messages  []message
 }
 
-// message is a message on its way to a controller.
+// message is a message in flight to a controller.
 type message struct {
 	to       string
 	envelope *peer.Envelope
@@ -43,7 +43,7 @@
 	return net
 }
 
-// deliver delivers all messages on their way, and those sent meanwhile, each the given number of times.
+// deliver delivers all messages in flight, and those that are sent during the delivery, each the given number of times.
 func (net *testNetwork) deliver(times int) {
 	for len(net.messages) > 0 {
 		f := net.messages[0]
--- a/internal/scale/invariant_checker.go
+++ b/internal/scale/invariant_checker.go
@@ -21,7 +21,7 @@
 	spec      jobSpec
 	submitted time.Time
 	accepted  time.Time
-	cancelled time.Time // when its user was first told that it is cancelled
+	cancelled time.Time // when its user first received the answer that it is cancelled
 	done      bool
 	started   map[int]bool // by index of the task
 }
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -144,29 +144,29 @@
 // Print writes the report as text.
 func (out *Report) Print(w io.Writer) {
 	line := func(format string, args ...any) { fmt.Fprintf(w, format+"\n", args...) }
-	line("%.0f s, %d workers at the most, %d jobs, %d accepted", out.Seconds, out.Workers, out.Jobs, out.Accepted)
-	line("starts: %d, %.1f a second, %.1f in the best ten seconds; %d running at the most", out.Starts, out.StartsPerSecond, out.PeakStarts10s, out.MostRunning)
+	line("%.0f s, at most %d workers, %d jobs, %d accepted", out.Seconds, out.Workers, out.Jobs, out.Accepted)
+	line("starts: %d, %.1f per second, %.1f per second over the busiest 10 s; at most %d tasks running", out.Starts, out.StartsPerSecond, out.PeakStarts10s, out.MostRunning)
 	for _, x := range []struct {
 		name string
 		l    Latency
 	}{{"urgent", out.Urgent}, {"other", out.Other}} {
-		line("time to start, %s work: %d tasks, p50 %d, p95 %d, p99 %d, most %d ms", x.name, x.l.Count, x.l.P50, x.l.P95, x.l.P99, x.l.Max)
+		line("time to start, %s jobs: %d tasks, p50 %d, p95 %d, p99 %d, max %d ms", x.name, x.l.Count, x.l.P50, x.l.P95, x.l.P99, x.l.Max)
 	}
 	for _, x := range []struct {
 		name string
 		r    TrafficSummary
 	}{{"state service", out.State}, {"cloud", out.Cloud}, {"reports", out.Reports}, {"direct commands", out.Commands}, {"users", out.UserRole}} {
-		line("%s: %d requests, %.1f a second, %d bytes in, %d out", x.name, x.r.Requests, x.r.PerSecond, x.r.BytesIn, x.r.BytesOut)
+		line("%s: %d requests, %.1f per second, %d bytes in, %d out", x.name, x.r.Requests, x.r.PerSecond, x.r.BytesIn, x.r.BytesOut)
 	}
-	line("state service: %d changes, %.3f a start; %.3f requests a start; %d refused, %d malformed", out.StateWrites, out.ChangesPerStart, out.RequestsPerStart, out.StateRefused, out.StateInvalid)
+	line("state service: %d changes, %.3f per start; %.3f requests per start; %d refused, %d malformed", out.StateWrites, out.ChangesPerStart, out.RequestsPerStart, out.StateRefused, out.StateInvalid)
 	line("task logs: %d partitions with %d segments, %d segments of teams' own logs", out.Partitions, out.PartitionSegments, out.TeamSegments)
-	line("a worker: %.0f bytes a second up, %.0f down", out.ReportBytesPerWorkerS, out.AnswerBytesPerWorker)
-	line("polls: %d, %d unanswered; users were answered %v", out.Polls, out.PollsUnanswered, out.UserStatuses)
+	line("per worker: %.0f bytes per second sent, %.0f received", out.ReportBytesPerWorkerS, out.AnswerBytesPerWorker)
+	line("polls: %d, of which %d were not answered with status 200; answers to users by status: %v", out.Polls, out.PollsUnanswered, out.UserStatuses)
 	for _, c := range out.Controllers {
-		line("%s: %.3f of a core, %.1f MB at the most, %d bytes read, %d written, %d ends by itself", c.Label, c.Cores, c.PeakMB, c.ReadBytes, c.WroteBytes, c.Ends)
+		line("%s: %.3f cores, at most %.1f MB, %d bytes read, %d written, %d unexpected exits", c.Label, c.Cores, c.PeakMB, c.ReadBytes, c.WroteBytes, c.Ends)
 	}
-	line("the run itself: %.0f s of processor time, %.0f MB", out.OwnCPUSeconds, out.OwnMB)
-	line("broken rules: %d", out.BrokenRules)
+	line("load run itself: %.0f s of CPU time, %.0f MB", out.OwnCPUSeconds, out.OwnMB)
+	line("invariant violations: %d", out.BrokenRules)
 	if len(out.Broken) > 0 {
 		line("%s", strings.Join(out.Broken, "\n"))
 	}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -45,8 +45,8 @@
 }
 
 // Run executes a load run for the duration in the settings, or until the context ends, and returns its measurements.
-// It returns an error, possibly beside the report, if the run could not start, stopped early for lack of memory, could
-// not restart a controller or found broken rules.
+// It returns an error, possibly together with the report, if the run could not start, stopped early for lack of memory, could
+// not restart a controller or found invariant violations.
 func Run(ctx context.Context, s *Settings) (*Report, error) {
 	dir, err := os.MkdirTemp("", "scalerun-")
 	if err != nil {
@@ -74,7 +74,7 @@
 		return report, r.err
 	}
 	if report.BrokenRules > 0 {
-		return report, fmt.Errorf("load run found %d broken rules", report.BrokenRules)
+		return report, fmt.Errorf("load run found %d invariant violations", report.BrokenRules)
 	}
 	return report, nil
 }
--- a/internal/scale/services.go
+++ b/internal/scale/services.go
@@ -43,8 +43,8 @@
 // listen opens a listener on a free loopback port.
 func listen() (net.Listener, error) { return net.Listen("tcp4", "127.0.0.1:0") }
 
-// answerStateRequest answers a request to the state service. A watch stays open until there is an event for it or its
-// time is over.
+// answerStateRequest answers a request to the state service. A watch stays open until there is an event for it or it
+// times out.
 func answerStateRequest(s *fake.StateService, method, path string, body []byte) store.Response {
 	wait := watchTimeout(path)
 	if wait == 0 {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,8 +1,8 @@
 // Package wire defines the messages that a controller exchanges with users, workers, the cloud and the state
 // service, and their CBOR encoding. The struct tags and the constants hold the names of the protocol (a machine is
-// a "stall", a revision a "mark"), which differ from the terms of this code base; other packages do not use
-// them. The package also validates the reports of workers. Validation of submissions, and the transport of
-// messages, are left to the packages that receive and send them.
+// a "stall", a revision a "mark"), which differ from the terms of this code base; the controller's other
+// packages do not use them. The package also validates the reports of workers. Validation of submissions, and the
+// transport of messages, are left to the packages that receive and send them.
 package wire
 
 import (
