--- a/cmd/cleatpick/jobs.go
+++ b/cmd/cleatpick/jobs.go
@@ -15,8 +15,8 @@
 )
 
 // send sends one request and prints the answer, as JSON or with show.
-func send[T any](r *apiFlags, method, path string, body any, show func(w io.Writer, v *T)) error {
-	c, err := r.client()
+func send[T any](flags *apiFlags, method, path string, body any, show func(w io.Writer, v *T)) error {
+	c, err := flags.client()
 	if err != nil {
 		return err
 	}
@@ -24,12 +24,12 @@
 	if err := c.Call(method, path, body, &raw); err != nil {
 		return err
 	}
-	return print(r, raw, show)
+	return print(flags, raw, show)
 }
 
 // print prints an answer, as JSON or with show.
-func print[T any](r *apiFlags, raw json.RawMessage, show func(w io.Writer, v *T)) error {
-	if r.JSON {
+func print[T any](flags *apiFlags, raw json.RawMessage, show func(w io.Writer, v *T)) error {
+	if flags.JSON {
 		fmt.Println(string(raw))
 		return nil
 	}
@@ -142,7 +142,7 @@
 }
 
 // path returns the path of the job under /v1/, followed by rest.
-func (o *jobArgument) path(rest string) string { return "/v1/jobs/" + url.PathEscape(o.Job) + rest }
+func (a *jobArgument) path(rest string) string { return "/v1/jobs/" + url.PathEscape(a.Job) + rest }
 
 type holdCmd struct {
 	jobArgument
--- a/cmd/cleatpick/main.go
+++ b/cmd/cleatpick/main.go
@@ -45,15 +45,15 @@
 type usageError struct{ error }
 
 // client returns a client for the given endpoints and key.
-func (r *apiFlags) client() (*client.Client, error) {
+func (f *apiFlags) client() (*client.Client, error) {
 	key := os.Getenv("CLEATPICK_KEY")
-	if r.KeyFile != "" {
+	if f.KeyFile != "" {
 		var err error
-		if key, err = client.ReadKey(r.KeyFile); err != nil {
+		if key, err = client.ReadKey(f.KeyFile); err != nil {
 			return nil, usageError{err}
 		}
 	}
-	c, err := client.New(r.Endpoint, key)
+	c, err := client.New(f.Endpoint, key)
 	if err != nil {
 		return nil, usageError{err}
 	}
--- a/cmd/cleatpick/show.go
+++ b/cmd/cleatpick/show.go
@@ -32,8 +32,8 @@
 
 func formatTime(t explain.Time) string { return time.UnixMicro(int64(t)).UTC().Format("15:04:05") }
 
-func formatDuration(s explain.Duration) string {
-	return (time.Duration(s) * time.Microsecond).Round(100 * time.Millisecond).String()
+func formatDuration(d explain.Duration) string {
+	return (time.Duration(d) * time.Microsecond).Round(100 * time.Millisecond).String()
 }
 
 // orDefault returns s, or fallback if s is empty.
@@ -101,14 +101,14 @@
 			if m.CPUsFree != nil {
 				free = fmt.Sprintf("%g", *m.CPUsFree)
 			}
-			shut := append([]string{}, m.BlockedBy...)
+			blockedBy := append([]string{}, m.BlockedBy...)
 			if m.BackOffReason != "" {
-				shut = append(shut, "("+m.BackOffReason+")")
+				blockedBy = append(blockedBy, "("+m.BackOffReason+")")
 			}
 			if len(m.Cordons) > 0 {
-				shut = append(shut, "["+strings.Join(m.Cordons, " ")+"]")
+				blockedBy = append(blockedBy, "["+strings.Join(m.Cordons, " ")+"]")
 			}
-			row(m.Name, m.Type, m.Zone, m.Kind, m.Tasks, free, orDefault(strings.Join(shut, " "), "-"))
+			row(m.Name, m.Type, m.Zone, m.Kind, m.Tasks, free, orDefault(strings.Join(blockedBy, " "), "-"))
 		}
 	})
 	if v.Next != "" {
@@ -230,12 +230,12 @@
 			fmt.Fprintf(w, "      %d x %s %s %s lack: %s\n", g.Machines, g.Type, g.Zone, g.Kind, orDefault(strings.Join(lacks, ", "), "nothing"))
 		}
 	}
-	if s := d.Renting; s != nil {
-		fmt.Fprintf(w, "    renting: %s\n", s.State)
-		for _, b := range s.Booting {
+	if renting := d.Renting; renting != nil {
+		fmt.Fprintf(w, "    renting: %s\n", renting.State)
+		for _, b := range renting.Booting {
 			fmt.Fprintf(w, "      %d x %s %s %s booting, the oldest for %s (nominal boot time %s)\n", b.Count, b.Type, b.Zone, b.Kind, formatDuration(b.Age), formatDuration(b.Nominal))
 		}
-		for _, o := range s.Refused {
+		for _, o := range renting.Refused {
 			fmt.Fprintf(w, "      %s %s %s refused until %s\n", o.Type, o.Zone, o.Kind, formatTime(*o.Until))
 		}
 	}
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -67,7 +67,7 @@
 		Facts:  func(string) (*explain.Facts, bool) { return nil, false },
 		Supply: func(*job.Spec) explain.Supply { return explain.Supply{} },
 		Counts: func(*job.Job) job.Counts { return job.Counts{} },
-		Ask:    func(_, _ string, _ any, _ eventloop.Micros, cb func(wire.Raw, bool)) { cb(nil, false) },
+		Ask:    func(_, _ string, _ any, _ eventloop.Micros, done func(wire.Raw, bool)) { done(nil, false) },
 		Handle: func(string, func(wire.Raw, func(any))) {},
 		Meter:  meter,
 	})
@@ -80,7 +80,7 @@
 		Machines:    func() []Machine { return nil },
 		StaleOwners: func() []string { return nil },
 		Jobs:        jobs, Cordons: cordons, Explanations: explanations,
-		PendingStarts: func(_ string, cb func(int, bool)) { cb(0, true) },
+		PendingStarts: func(_ string, done func(int, bool)) { done(0, true) },
 	}, meter)
 	m.Start()
 	g.Advance(eventloop.Second)
--- a/internal/eventloop/pause_test.go
+++ b/internal/eventloop/pause_test.go
@@ -10,7 +10,7 @@
 func TestPauseDetector(t *testing.T) {
 	var d PauseDetector
 	var got []Pause
-	d.OnPause(func(s Pause) { got = append(got, s) })
+	d.OnPause(func(pause Pause) { got = append(got, pause) })
 	at := 3600 * Second
 	d.Observe(at)
 	for range 20 {
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -97,7 +97,7 @@
 }
 
 // Put writes a key and returns its revision. It bypasses the protocol, for example to write a damaged record.
-func (s *StateService) Put(key string, value any) (mark uint64) {
+func (s *StateService) Put(key string, value any) (revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.storeRevision++
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -206,8 +206,8 @@
 }
 
 // run carries out commands in order.
-func (w *Worker) run(now eventloop.Micros, cs []wire.Command) {
-	for _, c := range cs {
+func (w *Worker) run(now eventloop.Micros, commands []wire.Command) {
+	for _, c := range commands {
 		t := w.find(c.Task, c.Attempt)
 		switch c.Op {
 		case wire.OpStart:
--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -35,7 +35,7 @@
 	c := store.NewClient(immediate{}, immediate{}, slog.New(slog.DiscardHandler), 100, 100, 1)
 	cfg := &config.Config{}
 	cfg.Cluster.Teams = []config.Team{{Name: "red"}}
-	f := New(immediate{}, slog.New(slog.DiscardHandler), cfg, Node{
+	server := New(immediate{}, slog.New(slog.DiscardHandler), cfg, Node{
 		Ready:   func() bool { return true },
 		Types:   func() []wire.MachineType { return []wire.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 32}} },
 		Foreign: func(team string) bool { return team == "guest" },
@@ -53,7 +53,7 @@
 		ctx.Request.SetBody(wire.Marshal(map[string]any{"nameId": x.id, "lineup": "k", "squad": x.team, "play": "batch", "urgency": "low", "snaps": 3,
 			"cpus": 1.0, "cards": 0.0, "ramGb": 1.0, "kit": "i", "sizeGb": 1.0, "builds": nil, "field": nil, "oneZone": false, "scatter": false,
 			"loaners": true, "expectS": 1.0, "timeoutS": 0.0, "huddleS": 0.0, "whistleS": nil}))
-		f.handle(&ctx)
+		server.handle(&ctx)
 		if got, after := ctx.Response.StatusCode(), string(ctx.Response.Header.Peek("Retry-After")); got != x.status || after != x.after {
 			t.Errorf("submission for team %s: status %d, Retry-After %q, want %d, %q", x.team, got, after, x.status, x.after)
 		}
@@ -105,7 +105,7 @@
 		c := store.NewClient(immediate{}, state, slog.New(slog.DiscardHandler), 100, 100, 1)
 		cfg := &config.Config{}
 		cfg.Cluster.Teams = []config.Team{{Name: "red"}}
-		f := New(immediate{}, slog.New(slog.DiscardHandler), cfg, Node{
+		server := New(immediate{}, slog.New(slog.DiscardHandler), cfg, Node{
 			Ready:   func() bool { return true },
 			Types:   func() []wire.MachineType { return []wire.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 32}} },
 			Foreign: func(string) bool { return false },
@@ -122,7 +122,7 @@
 			}
 			ctx.Request.SetBody(wire.Marshal(body))
 		}
-		f.handle(&ctx)
+		server.handle(&ctx)
 		var got wire.JobStatus
 		wire.Unmarshal(ctx.Response.Body(), &got)
 		if s := ctx.Response.StatusCode(); s != x.status || got.State != x.wantState {
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -277,9 +277,9 @@
 }
 
 // Probe counts a direct probe of a silent machine; the result is one of a fixed list.
-func (m *Meter) Probe(word string) {
+func (m *Meter) Probe(result string) {
 	if m != nil {
-		m.probes.WithLabelValues(word).Inc()
+		m.probes.WithLabelValues(result).Inc()
 	}
 }
 
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -77,12 +77,12 @@
 
 // complete completes a request with its reply, or with ok false.
 func (e *Endpoint) complete(from string, id uint64, body wire.Raw, ok bool) {
-	w, found := e.pending[id]
-	if !found || w.to != from {
+	call, found := e.pending[id]
+	if !found || call.to != from {
 		return // a late or repeated reply, or one by another peer
 	}
 	delete(e.pending, id)
-	w.done(body, ok)
+	call.done(body, ok)
 }
 
 // serve calls the handler of a topic. done receives the encoded reply, or ok false if there is no handler or the reply is
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -46,10 +46,10 @@
 // deliver delivers all messages in flight, and those that are sent during the delivery, each the given number of times.
 func (net *testNetwork) deliver(times int) {
 	for len(net.messages) > 0 {
-		f := net.messages[0]
+		next := net.messages[0]
 		net.messages = net.messages[1:]
 		for range times {
-			net.endpoints[f.to].Receive(f.envelope)
+			net.endpoints[next.to].Receive(next.envelope)
 		}
 	}
 }
