--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -10,9 +10,9 @@
 
 import "cleatpick/internal/eventloop"
 
-// AnswerLife is how long a worker waits for the answer to its report, and thus the longest time for which a start command
-// in such an answer can be in flight.
-const AnswerLife = 4200 * eventloop.Millisecond
+// AnswerLifetime is how long a worker waits for the answer to its report, and thus the longest time for which a start
+// command in such an answer can be in flight.
+const AnswerLifetime = 4200 * eventloop.Millisecond
 
 // Attempt identifies one attempt of a task.
 type Attempt struct {
@@ -24,9 +24,9 @@
 type ClockBounds struct {
 	// MaxDifference is the upper bound on the difference between the wall clocks of two controllers.
 	MaxDifference eventloop.Micros
-	// StartLife is how long after the owner begins to record a start a host controller may pass it on to the worker.
+	// StartLifetime is how long after the owner begins to record a start a host controller may pass it on to the worker.
 	// It is the same at all controllers.
-	StartLife eventloop.Micros
+	StartLifetime eventloop.Micros
 }
 
 // slack is added to the bound on the clocks' difference, because a time may be read slightly after the event that it
@@ -35,15 +35,15 @@
 
 // NewClockBounds returns the bounds for the given maximal difference between two wall clocks and the given lifetime of
 // a start.
-func NewClockBounds(difference, startLife eventloop.Micros) ClockBounds {
-	return ClockBounds{MaxDifference: difference + slack, StartLife: startLife}
+func NewClockBounds(difference, startLifetime eventloop.Micros) ClockBounds {
+	return ClockBounds{MaxDifference: difference + slack, StartLifetime: startLifetime}
 }
 
 // LatestArrival returns the wall clock time, by the clock of any controller, after which a start with the given expiry
 // cannot arrive at a worker. The expiry was determined by the clock of any controller. A host controller passes the start
-// on until the expiry by its own clock, and the answer that carries it can be in flight for AnswerLife.
+// on until the expiry by its own clock, and the answer that carries it can be in flight for AnswerLifetime.
 func (b ClockBounds) LatestArrival(expiry eventloop.Micros) eventloop.Micros {
-	return expiry + b.MaxDifference + AnswerLife
+	return expiry + b.MaxDifference + AnswerLifetime
 }
 
 // LatestArrivalOfRecorded returns the same for an attempt whose expiry is unknown, given a time by the caller's clock at
@@ -51,5 +51,5 @@
 // controller's clock, which are both different from the caller's; but only those two have to be compared, by
 // MaxDifference, and the time since recorded is measured by the caller's clock alone.
 func (b ClockBounds) LatestArrivalOfRecorded(recorded eventloop.Micros) eventloop.Micros {
-	return b.LatestArrival(recorded + b.StartLife)
+	return b.LatestArrival(recorded + b.StartLifetime)
 }
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -20,7 +20,7 @@
 func TestNoStartArrivesAfterLatestArrival(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	const maxOffset = 300 * eventloop.Millisecond
-	bounds := ClockBounds{MaxDifference: 2 * maxOffset, StartLife: 6 * eventloop.Second}
+	bounds := ClockBounds{MaxDifference: 2 * maxOffset, StartLifetime: 6 * eventloop.Second}
 	draw := func(most eventloop.Micros) eventloop.Micros { return rng.Int64N(most + 1) }
 	smallestMargin := eventloop.Micros(1 << 62)
 	for range 20_000 {
@@ -32,8 +32,8 @@
 		}
 		owner, host, otherHost := controller{drawOffset()}, controller{drawOffset()}, controller{drawOffset()}
 		recorded := 1000*eventloop.Second + draw(eventloop.Second)
-		expiry := owner.wall(recorded) + bounds.StartLife
-		listed := recorded + draw(bounds.StartLife)*rng.Int64N(2)
+		expiry := owner.wall(recorded) + bounds.StartLifetime
+		listed := recorded + draw(bounds.StartLifetime)*rng.Int64N(2)
 		passedOn := expiry - otherHost.offset - 1 // the last time at which the other host controller passes it on
 		arrives := passedOn + 4*eventloop.Second
 		expiries := NewExpiries(bounds)
@@ -55,7 +55,7 @@
 // Each attempt must be evaluated by its own expiry, even if a later attempt of the same task has a later one. An attempt
 // recorded again with an earlier expiry keeps the later one, and Prune removes attempts only after their latest arrival.
 func TestExpiriesOfAttempts(t *testing.T) {
-	bounds := ClockBounds{MaxDifference: eventloop.Second, StartLife: 6 * eventloop.Second}
+	bounds := ClockBounds{MaxDifference: eventloop.Second, StartLifetime: 6 * eventloop.Second}
 	e := NewExpiries(bounds)
 	first, second := Attempt{"job-1/0", 1}, Attempt{"job-1/0", 2}
 	e.Record(first, 10*eventloop.Second)
--- a/internal/scheduler/forget_test.go
+++ b/internal/scheduler/forget_test.go
@@ -49,8 +49,8 @@
 	switch {
 	case g.askedAt == 0:
 		t.Fatal("the machine is never asked to forget the attempt")
-	case g.askedAt <= expiry+delivery.AnswerLife:
-		t.Fatalf("the machine is asked to forget the attempt %d ms before a start of it can no longer arrive", (expiry+delivery.AnswerLife-g.askedAt)/1000)
+	case g.askedAt <= expiry+delivery.AnswerLifetime:
+		t.Fatalf("the machine is asked to forget the attempt %d ms before a start of it can no longer arrive", (expiry+delivery.AnswerLifetime-g.askedAt)/1000)
 	}
 }
 
--- a/internal/workers/forget_test.go
+++ b/internal/workers/forget_test.go
@@ -81,7 +81,7 @@
 // owner requests it and when the job is final; nothing else blocks it.
 func TestWhatBlocksAForget(t *testing.T) {
 	const startLifetime = 6 * eventloop.Second
-	long := startLifetime + delivery.AnswerLife + eventloop.Second
+	long := startLifetime + delivery.AnswerLifetime + eventloop.Second
 	for _, c := range []struct {
 		name string
 		// messages brings the machine to the point at which the forget would be sent, and returns the messages.
@@ -93,7 +93,7 @@
 			return []wire.Commands{g.report(t, 3, token, terminated(1))}
 		}, 1},
 		{"another host may pass its start on", func(g *testRegistry, token uint64) []wire.Commands {
-			g.now += startLifetime + delivery.AnswerLife
+			g.now += startLifetime + delivery.AnswerLifetime
 			return []wire.Commands{g.report(t, 3, token, terminated(1))}
 		}, 0},
 		{"listed in another state before", func(g *testRegistry, token uint64) []wire.Commands {
