--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -174,8 +174,9 @@
 	return r
 }
 
-// HandleAnswer applies the 200 answer to a report that was sent at the given time in the given session. An answer from
-// an earlier session, with a lower token than the highest seen, or more than 4 s after the report, is dropped.
+// HandleAnswer applies an answer with status 200 to a report that was sent at the given time in the given session. An
+// answer from an earlier session, with a lower token than the highest seen, or more than 4 s after the report, is
+// dropped.
 func (w *Worker) HandleAnswer(now, sent eventloop.Micros, session uint64, c wire.Commands) {
 	if session != w.session || c.Token < w.token || now-sent > 4*eventloop.Second {
 		return
