--- a/internal/scheduler/explain.go
+++ b/internal/scheduler/explain.go
@@ -16,7 +16,8 @@
 	"cleatpick/internal/workers"
 )
 
-// Facts collects why the tasks of a job do not run. ok is false if the job's team is not owned and loaded here.
+// Facts collects why the tasks of a job do not run. ok is false if the job's team is not owned and loaded here. A job
+// that is finished, or was received only just now, has no table; its facts come from its record alone.
 func (sched *Scheduler) Facts(id string, types []wire.MachineType, contact bool) (f *explain.Facts, ok bool) {
 	j := sched.registry.Get(id)
 	if j == nil || j.Spec == nil {
--- a/internal/scheduler/guarantee_test.go
+++ b/internal/scheduler/guarantee_test.go
@@ -55,7 +55,7 @@
 		step()
 		used += g.scheduler.teams["blue"].cpus
 	}
-	if used /= float64(steps); used < 16/2 { // the test asks for half of the guarantee
+	if used /= float64(steps); used < 16/2 { // at least half of the guarantee must be in use on average
 		t.Errorf("blue runs %.1f of its guaranteed 16 CPUs", used)
 	} else {
 		t.Logf("blue runs %.1f of its guaranteed 16 CPUs", used)
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -283,7 +283,7 @@
 	tm := part.teams[j.Spec.Team]
 	if tm == nil {
 		if _, named := sched.cfg.FindTeam(j.Spec.Team); !named {
-			seg.live++ // only other settings name its team: its record must be kept
+			seg.live++ // its team is not in these settings but may be in other ones: its record must be kept
 		}
 		return
 	}
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -25,7 +25,8 @@
 	queuedAt        eventloop.Micros
 }
 
-// rank orders by priority; urgent jobs come first, then those within their team's guarantee.
+// rank returns the job's rank in the order of service, the highest first. Urgent jobs (priority High and above) precede
+// all others; in each of the two groups, jobs within their team's guarantee come first, and then priority decides.
 func (e *queueEntry) rank() int {
 	p := int(e.table.job.Spec.Priority)
 	if p >= int(job.High) {
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -22,7 +22,7 @@
 func (sched *Scheduler) serveLongestWaiting(q []queueEntry, freeSlots []*fleet.Machine, chosen *[]hostStart) {
 	now := sched.runner.Now()
 	if sched.starvation.Accrue(now, sched.turnover.Rate*sched.expectedShare()); !sched.starvation.Available() {
-		return // the usual case, and cheap where scanning a long queue would not be
+		return // the usual case, checked first because scanning a long queue is expensive
 	}
 	tables, waiters := sched.longWaiting(q, now)
 	if len(waiters) == 0 {
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -11,10 +11,10 @@
 	"cleatpick/internal/workers"
 )
 
-// A task as large as a machine waits beside small tasks that take all capacity as it becomes free. After a fixed
-// waiting time capacity is reserved for it, no small task takes that, and the task starts. The reservation ends with
-// the start, or when its job is over. Another owner that received the reservation drops it once the machine lists the
-// task.
+// A task as large as a machine waits beside small tasks that take all capacity as it becomes free. Once it has waited
+// for starvation.MinWait, capacity is reserved for it, no small task takes that, and the task starts. The reservation
+// ends with the start, or when its job is over. Another owner that received the reservation drops it once the machine
+// lists the task.
 func TestCapacityIsReservedForATaskThatFitsNowhere(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8}, config.Team{Name: "blue"})
 	small := g.acceptJob(1, job.Spec{Team: "red", Priority: job.Normal, Tasks: 9000, CPUs: 2, AnyType: true, Estimate: eventloop.Second})
--- a/internal/scheduler/views_test.go
+++ b/internal/scheduler/views_test.go
@@ -96,7 +96,7 @@
 }
 
 // A delayed report lists a task from before an earlier owner had it forgotten, and no later report lists it. The
-// present owner never sees the task end and must not count it as running for ever.
+// present owner never sees the task end; it once counted the task as running for ever.
 func TestTaskThatVanishesBeforeAnyReport(t *testing.T) {
 	g := newRig(100, config.Team{Name: "red", CPUs: 8, CPUsMax: 8})
 	id := g.acceptJob(1, job.Spec{Class: "k", Team: "red", Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "i", AnyType: true, Estimate: 60 * eventloop.Second})
