--- a/internal/predicate/job.go
+++ b/internal/predicate/job.go
@@ -106,7 +106,7 @@
 	TeamUsage       workers.Capacity // memory has no limit
 	Quota           config.Quota
 	Now, Wall       eventloop.Micros
-	ClockDifference eventloop.Micros // the largest difference between two wall clocks
+	ClockDifference eventloop.Micros // the largest difference between two wall clocks: twice the bound on the error of one
 }
 
 // FailureState describes a job's recent failures.
