--- a/internal/starvation/budget_test.go
+++ b/internal/starvation/budget_test.go
@@ -91,10 +91,10 @@
 	})
 }
 
-// While other work takes all freed CPUs in the ordinary order, three kinds of waiting jobs must all start: a
-// stream of single-task jobs that keep arriving, most of them within four minutes, a job of 25,000 tasks and a
-// job whose tasks take a whole machine each, both within two minutes. The CPUs given to jobs out of order must
-// stay within the stated fraction.
+// While other work takes all freed CPUs in the ordinary order, three kinds of waiting jobs must all start: of 3,000
+// single-task jobs that keep arriving for ten minutes, at least 500 within four minutes of their arrival; a job of
+// 25,000 tasks and a job whose tasks take a whole machine each, both within two minutes. The CPUs given to jobs out
+// of order must stay within Fraction of the freed ones, plus 65 CPUs for an overdraft by one task.
 func TestEveryClassStarts(t *testing.T) {
 	const rate = 100.0 // CPUs freed per second, all of which other work takes in the ordinary order
 	f := New()
