--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// client submits a request and retries as newPositions, until it is admitted or gives up after a
+// client submits a request and retries at the times that it is told, until it is admitted or gives up after a
 // minute.
 type client struct {
 	Request
