--- a/internal/workers/forget_test.go
+++ b/internal/workers/forget_test.go
@@ -29,10 +29,10 @@
 	return n
 }
 
-// A start is sent in the answer to a report and, at the same time, in a direct command. The direct command
-// arrives first, and the attempt is started and stopped while the answer is delayed by a lost packet. Its owner
-// then requests that the attempt is forgotten. Until the worker has reported again, the answer can still
-// arrive; after a forget it would start the attempt again.
+// The messages are those of an incident. A start is sent in the answer to a report and, at the same time, in a
+// direct command. The direct command arrives first, and the attempt is started and stopped while the answer is
+// delayed by a lost packet. Its owner then requests that the attempt is forgotten. Until the worker has reported
+// again, the answer can still arrive; after a forget it would start the attempt again.
 func TestForgetWaitsForAnswerInFlight(t *testing.T) {
 	g := newTestRegistry()
 	token := g.report(t, 1, 0).Token
--- a/internal/workers/view.go
+++ b/internal/workers/view.go
@@ -59,8 +59,9 @@
 	firstListed []eventloop.Micros
 }
 
-// Silence returns for how long at least the machine has not reported, by a wall-clock time and the largest
-// difference between two wall clocks. It returns 0 for the view of a host before version 0.8.0, which does not publish ReportedAt.
+// Silence returns for how long at least the machine has not reported. wall is the wall-clock time here, and
+// clockDifference the largest difference between two wall clocks, which is twice the bound on the error of one.
+// Silence returns 0 for the view of a host before version 0.8.0, which does not publish ReportedAt.
 func (v *View) Silence(wall, clockDifference eventloop.Micros) eventloop.Micros {
 	if v.ReportedAt == 0 {
 		return 0
--- a/internal/workers/view_test.go
+++ b/internal/workers/view_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// A stopped attempt stays in the reports beside the next attempt of the same task. Confusing the two would make
-// a running task look absent, and it would be started on another machine as well.
+// A stopped attempt stays in the reports beside the next attempt of the same task. Confusing the two once made
+// a running task look absent, and it was started on another machine as well.
 func TestFindDistinguishesAttempts(t *testing.T) {
 	v := &View{Tasks: []Task{{Task: "job-1/4", Attempt: 1, State: "ended", Why: "stopped"}, {Task: "job-1/4", Attempt: 2, State: "running"}}}
 	if e := v.Find("job-1/4", 2); e == nil || !e.Active() {
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -48,7 +48,7 @@
 	// StartBlocked returns why no start of the job may reach the machine now, apart from the job being final, for
 	// example a hold or a cordon; it is empty if none is. It may be nil.
 	StartBlocked func(j *job.Job, v *View) string
-	// ClockDifference is the largest difference between two wall clocks.
+	// ClockDifference is the largest difference between two wall clocks: twice the bound on the error of one.
 	ClockDifference eventloop.Micros
 	// Clock determines until when a start can still arrive.
 	Clock delivery.ClockBounds
