--- a/internal/watermark/watermark.go
+++ b/internal/watermark/watermark.go
@@ -1,6 +1,7 @@
-// Package watermark decides how recent a controller's knowledge of cancellations is, and so whether it may answer
-// the reports of workers. A controller's cancellation watermark is the latest time on its own monotonic clock
-// such that it knows every cancellation that any controller confirmed to a user before that time.
+// Package watermark decides, in one place for the whole process, how recent a controller's knowledge of
+// cancellations is, and so whether it may answer the reports of workers. A controller's cancellation watermark
+// is the latest time on its own monotonic clock such that it knows every cancellation that any controller
+// confirmed to a user before that time.
 //
 // An answered report renews a worker's lease, and so keeps tasks running that may have been cancelled through
 // another controller. Therefore reports are answered only while now < watermark + Grace, whether or not the
