--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -32,9 +32,10 @@
 // Decision is the decision on a request.
 type Decision struct {
 	Queued     bool
-	RetryAfter int // seconds after which the client should retry, if the request was deferred
+	RetryAfter int // seconds after which the client should retry, if the request was deferred; see also Evicted
 	// Evicted is the ID of another waiting request that is evicted in favour of this one, because its team
-	// holds more than its part of the queue. Its client is answered with RetryAfter, too. Empty: none is evicted.
+	// holds more than its part of the queue. RetryAfter is then for the client of the evicted request. Empty: none
+	// is evicted.
 	Evicted string
 }
 
