--- a/internal/fleet/reserve.go
+++ b/internal/fleet/reserve.go
@@ -49,7 +49,8 @@
 	// A large task goes where nothing is reserved. A small one goes where most is reserved already, up to
 	// half of a machine, but not on a machine with a reservation for a large task: each of them must wait until
 	// the capacity reserved for the others there is free, too. Next come machines with the fewest tasks of the
-	// job's own team, which could use the freed capacity anyway, and then those with the most free CPUs, where the rest is freed soonest.
+	// job's own team, since what those free is left to the team anyway, and then those with the most free CPUs, where
+	// the rest is freed soonest.
 	rank := func(x *place) int {
 		reservations := x.m.Reservations
 		switch {
