--- a/internal/membership/claims.go
+++ b/internal/membership/claims.go
@@ -85,7 +85,8 @@
 }
 
 // tick claims free keys and hands over what others serve better. A controller that owns
-// much waits a little before it claims more, so that work spreads over the controllers.
+// much waits a little before it claims more, so that work spreads over the controllers; the
+// wait is bounded by maxClaimDelay, so that no key stays free for long because of it.
 func (m *Member) tick() {
 	if m.state != Active || !m.LeaseValid() {
 		return
