--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -71,7 +71,7 @@
 	runner          eventloop.Runner
 	log             *slog.Logger
 	self            string
-	clockDifference eventloop.Micros // the largest difference between two wall clocks
+	clockDifference eventloop.Micros // the largest difference between two wall clocks: twice the largest error of one
 	began           eventloop.Micros
 	peers           map[string]*peer
 	// isolatedSince is since when messages pass both ways with no peer, and disconnectedSince
