--- a/internal/health/attribution.go
+++ b/internal/health/attribution.go
@@ -14,8 +14,8 @@
 // Attribution attributes failures of tasks either to machines or to jobs that cannot succeed. A
 // machine is at fault when tasks of several jobs fail on it that do not fail elsewhere. A job
 // is at fault when its tasks fail on several machines against which no other job's failures
-// are evidence. A mere count of consecutive failures on a machine is not enough: a broken job
-// would put every machine in back-off on which it was tried.
+// are evidence. A mere count of consecutive failures on a machine is not enough: when two in
+// a row put a machine in back-off, a broken job did so with every machine on which it was tried.
 type Attribution struct {
 	machines   map[string]*machineEvidence
 	jobs       map[string]*jobEvidence
