--- a/internal/cordon/cordon.go
+++ b/internal/cordon/cordon.go
@@ -97,7 +97,7 @@
 	client          *store.Client
 	mirror          *store.Mirror
 	log             *slog.Logger
-	clockDifference eventloop.Micros // the largest difference between two wall clocks
+	clockDifference eventloop.Micros // the largest difference between two wall clocks: twice the largest error of one
 	revision        uint64
 	cordons         []Cordon
 	damaged         bool
@@ -105,7 +105,7 @@
 }
 
 // NewRegistry returns the cordons that the mirror m holds and will receive; clockDifference is the
-// largest difference between two wall clocks.
+// largest difference between two wall clocks, twice the largest error of one.
 func NewRegistry(r eventloop.Runner, c *store.Client, m *store.Mirror, log *slog.Logger, clockDifference eventloop.Micros) *Registry {
 	b := &Registry{runner: r, client: c, mirror: m, log: log, clockDifference: clockDifference, version: 1}
 	m.OnChange(Key, b.apply)
