--- a/internal/node/cannot_report_test.go
+++ b/internal/node/cannot_report_test.go
@@ -33,7 +33,7 @@
 // as available, was given tasks until its lease expired, lost them, and was given more in its next session, repeatedly.
 // It must get starts for no longer than any machine whose reports stopped; cancelled tasks on it are stopped at once;
 // tasks that its lease ends run again elsewhere; a machine that reports again in time has lost nothing; and the
-// autoscaler does not replace the whole fleet.
+// autoscaler does not create a second fleet, but at most one machine for each that cannot report and a few more.
 func TestMachinesThatCannotReport(t *testing.T) {
 	const second = eventloop.Second
 	for _, c := range []struct {
--- a/internal/node/coinciding_cases_test.go
+++ b/internal/node/coinciding_cases_test.go
@@ -12,8 +12,8 @@
 )
 
 // Jobs of two or three tasks that end 20 s apart, with faults of their owner in between: one end is recorded, one is
-// only reported, one is reported to an owner that has crashed. No job is called done too early, no task that has
-// completed runs again, and users are told in time.
+// only reported, one is reported to an owner that has crashed. No job is called done too early, no task runs twice
+// at the same time or again after it has completed, and users are told in time.
 func TestTasksEndingFarApart(t *testing.T) {
 	const second = eventloop.Second
 	for _, c := range []struct {
