--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -21,7 +21,8 @@
 	endpoints []string
 	key       string
 	http      *fasthttp.Client
-	// Timeout limits the total time of a call with all its retries: no further retry begins after it.
+	// Timeout limits the total time of a call with all its retries: no further round over the
+	// endpoints begins after it.
 	Timeout time.Duration
 	sleep   func(time.Duration)
 	now     func() time.Time
