--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -269,7 +269,7 @@
 	}
 }
 
-// AttributionState counts a change of a job's state in failure attribution; the state is one of a fixed list.
+// AttributionState counts a change of a job's probation state; the state is one of a fixed list.
 func (m *Meter) AttributionState(state string) {
 	if m != nil {
 		m.attributionStates.WithLabelValues(state).Inc()
