--- a/internal/scale/invariant_checker.go
+++ b/internal/scale/invariant_checker.go
@@ -116,7 +116,8 @@
 	c.jobs[spec.id] = &jobState{spec: spec, submitted: now, started: map[int]bool{}}
 }
 
-// job returns the description of a submitted job, which simulated workers need to run its tasks.
+// job returns the description of a submitted job, which simulated workers need to run its tasks
+// and get on their own, since start commands don't carry it.
 func (c *invariantChecker) job(id string) (jobSpec, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
