--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -22,7 +22,7 @@
 	machines     map[string]wire.CloudMachine
 	machineCount int // machines ever rented; numbers their names
 	// Now is the clock. If it is set, machine lists show the state of ListLag ago, and failed machines stay listed
-	// as running for a while.
+	// as running for half a minute.
 	Now       func() eventloop.Micros
 	ListLag   eventloop.Micros
 	createdAt map[string]eventloop.Micros
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -8,7 +8,8 @@
 	"cleatpick/internal/wire"
 )
 
-// Job is the part of a job's description that a worker needs to simulate its tasks.
+// Job is the part of a job's description that a worker needs to simulate its tasks. Start commands
+// don't carry it: workers fetch it on their own, here by Worker.Job.
 type Job struct {
 	CPUs, MemoryGB float64
 	Run            eventloop.Micros // how long the first task runs
