--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -17,7 +17,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Peer is another controller node.
+// Peer is another controller.
 type Peer struct {
 	Label    string `toml:"label"`
 	Site     string `toml:"site"`
