--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -286,7 +286,7 @@
 func (a *API) withdraw(c *call) {
 	if c.named() {
 		a.onLoop(c, func(done func(outcome)) {
-			a.n.Jobs.Withdraw(c.arg, func(x job.Answer) { a.tell(x, done) })
+			a.n.Jobs.Cancel(c.arg, func(x job.Answer) { a.tell(x, done) })
 		})
 	}
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -125,7 +125,7 @@
 	case strings.HasPrefix(path, "/work/"):
 		id := strings.TrimPrefix(path, "/work/")
 		if base, ok := strings.CutSuffix(id, "/withdraw"); ok && post {
-			f.named(ctx, base, f.n.Jobs.Withdraw)
+			f.named(ctx, base, f.n.Jobs.Cancel)
 		} else if get {
 			f.named(ctx, id, f.n.Jobs.Poll)
 		} else {
--- a/internal/job/amend.go
+++ b/internal/job/amend.go
@@ -90,8 +90,8 @@
 	return &Record{Phase: j.Phase, At: j.At, Spec: j.Spec, Terms: t.stored()}
 }
 
-// Withdraw stores a cancellation unless the job is done. cb receives the final state, or 404 or 503.
-func (r *Registry) Withdraw(id string, callback func(Answer)) {
+// Cancel stores a cancellation unless the job is done. cb receives the final state, or 404 or 503.
+func (r *Registry) Cancel(id string, callback func(Answer)) {
 	r.Amend(id, func(j *Job) *Record {
 		rec := j.recordWith(j.Terms)
 		rec.Phase = Cancelled
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -74,7 +74,7 @@
 		if f := p.facts(t); f.MustWithdraw() {
 			t.amendAt = now + 2*loop.Second
 			p.log.Info("withdraws a job with one that it waits for", "job", t.j.ID)
-			p.registry.Withdraw(t.j.ID, func(job.Answer) {})
+			p.registry.Cancel(t.j.ID, func(job.Answer) {})
 			continue
 		}
 		if t.j.Terms.Hold.State != job.HoldSettling {
