--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -40,7 +40,7 @@
 
 var kinds = map[string]string{"": wire.KindArray, "array": wire.KindArray, "service": wire.KindService, "gang": wire.KindGang}
 
-var policies = map[string]job.Policy{"": job.PolicyHold, "hold": job.PolicyHold, "release": job.PolicyRelease, "withdraw": job.PolicyWithdraw}
+var policies = map[string]job.Policy{"": job.PolicyHold, "hold": job.PolicyHold, "release": job.PolicyRelease, "withdraw": job.PolicyCancel}
 
 // spec is the proposal as the protocol would have brought it: the same checks apply.
 func (p *Proposal) spec() (*job.Spec, bool) {
@@ -56,10 +56,10 @@
 }
 
 func (p *Proposal) terms(by string, wall loop.Micros) *job.Terms {
-	t := &job.Terms{After: p.After, OnWithdrawn: policies[p.OnWithdrawn]}
+	t := &job.Terms{Dependencies: p.After, OnCancelled: policies[p.OnWithdrawn]}
 	if p.Hold || p.HoldUntil != nil {
 		// Nothing of a job that is not stored yet can have begun.
-		t.Hold = job.Hold{State: job.HoldSet, Reason: p.HoldReason, By: by, At: wall}
+		t.Hold = job.Hold{State: job.HoldEffective, Reason: p.HoldReason, By: by, At: wall}
 		if p.HoldUntil != nil {
 			t.Hold.Until = int64(*p.HoldUntil)
 		}
@@ -112,9 +112,9 @@
 				done(noAnswer.outcome())
 				return
 			}
-			a.n.Jobs.Propose(p.ID, spec, terms, func(x job.Answer) {
+			a.n.Jobs.SubmitWithTerms(p.ID, spec, terms, func(x job.Answer) {
 				j := a.n.Jobs.Get(p.ID)
-				if x.Code == 200 && j != nil && !j.Final() && len(p.After) > 0 && !slices.Equal(j.Terms.After, p.After) {
+				if x.Code == 200 && j != nil && !j.Final() && len(p.After) > 0 && !slices.Equal(j.Terms.Dependencies, p.After) {
 					done(otherwise.at("/after").outcome())
 					return
 				}
@@ -146,11 +146,11 @@
 	case x.Code == 404:
 		done(unknownJob.with("%s", x.ID).outcome())
 	case x.Code == 429:
-		done(tooMany.after(max(x.After, 1)).outcome())
+		done(tooMany.after(max(x.RetryAfter, 1)).outcome())
 	case (x.Code == 200 || x.Code == 201) && j != nil:
 		done(outcome{status: x.Code, body: a.show(j)})
 	default:
-		done(noAnswer.after(max(x.After, 1)).outcome())
+		done(noAnswer.after(max(x.RetryAfter, 1)).outcome())
 	}
 }
 
@@ -188,7 +188,7 @@
 	switch j.Phase {
 	case job.Done:
 		out.State, out.Done, out.Running = "done", j.Tasks, 0
-	case job.Withdrawn:
+	case job.Cancelled:
 		out.State, out.Running = "withdrawn", 0
 	default:
 		out.State = "pending"
@@ -215,7 +215,7 @@
 	if j.Final() {
 		return out
 	}
-	if h := j.Terms.Hold; h.Shut(a.r.Wall()) {
+	if h := j.Terms.Hold; h.Blocks(a.r.Wall()) {
 		d := explain.HoldDetail{Reason: h.Reason, By: h.By, At: explain.Time(h.At)}
 		if h.Until != 0 {
 			until := explain.Time(h.Until)
@@ -223,7 +223,7 @@
 		}
 		out.Hold = Hold{explain.HoldName(h.State), &d}
 	}
-	for _, id := range j.Terms.After {
+	for _, id := range j.Terms.Dependencies {
 		phase := job.Phase("")
 		if o := a.n.Jobs.Get(id); o != nil {
 			phase = o.Phase
@@ -231,7 +231,7 @@
 		out.After = append(out.After, explain.Before{Job: id, State: explain.PhaseName(phase)})
 	}
 	if len(out.After) > 0 {
-		out.OnWithdrawn = explain.PolicyName(j.Terms.OnWithdrawn)
+		out.OnWithdrawn = explain.PolicyName(j.Terms.OnCancelled)
 	}
 	return out
 }
@@ -286,7 +286,7 @@
 func (a *API) withdraw(c *call) {
 	if c.named() {
 		a.onLoop(c, func(done func(outcome)) {
-			a.n.Jobs.Withdraw(c.arg, func(x job.Answer) { a.tell(x, done) })
+			a.n.Jobs.Cancel(c.arg, func(x job.Answer) { a.tell(x, done) })
 		})
 	}
 }
--- a/internal/explain/facts.go
+++ b/internal/explain/facts.go
@@ -104,7 +104,7 @@
 				continue
 			}
 			b := Before{Job: d.ID, State: PhaseName(d.Phase)}
-			if d.Phase == job.Withdrawn {
+			if d.Phase == job.Cancelled {
 				withdrawn = true
 				b.Policy = PolicyName(f.Gate.OnWithdrawn)
 			}
@@ -113,7 +113,7 @@
 		}
 		if withdrawn {
 			r.State, r.Release = "withdrawn", "an operator releases the job from what was withdrawn, and the others named are done"
-			if f.Gate.OnWithdrawn == job.PolicyWithdraw {
+			if f.Gate.OnWithdrawn == job.PolicyCancel {
 				r.State, r.Release = "withdrawing", "nothing: the job is being withdrawn, as its user asked"
 			}
 		}
@@ -296,9 +296,9 @@
 // HoldName is the printed form of a hold's state.
 func HoldName(s job.HoldState) string {
 	switch s {
-	case job.HoldSettling:
+	case job.HoldPending:
 		return "settling"
-	case job.HoldSet:
+	case job.HoldEffective:
 		return "held"
 	}
 	return "none"
@@ -309,7 +309,7 @@
 	switch p {
 	case job.Done:
 		return "done"
-	case job.Withdrawn:
+	case job.Cancelled:
 		return "withdrawn"
 	case job.Accepted:
 		return "unfinished"
@@ -322,7 +322,7 @@
 	switch p {
 	case job.PolicyRelease:
 		return "release"
-	case job.PolicyWithdraw:
+	case job.PolicyCancel:
 		return "withdraw"
 	}
 	return "hold"
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -125,7 +125,7 @@
 	case strings.HasPrefix(path, "/work/"):
 		id := strings.TrimPrefix(path, "/work/")
 		if base, ok := strings.CutSuffix(id, "/withdraw"); ok && post {
-			f.named(ctx, base, f.n.Jobs.Withdraw)
+			f.named(ctx, base, f.n.Jobs.Cancel)
 		} else if get {
 			f.named(ctx, id, f.n.Jobs.Poll)
 		} else {
@@ -181,7 +181,7 @@
 
 // turnAway tells the user of a job to come back, before anything is known of the request.
 func (f *Front) turnAway(done func(verdict), id, why string) {
-	f.n.Jobs.TurnAway(id, why)
+	f.n.Jobs.RecordRefusal(id, why)
 	done(verdict{status: 503, why: why})
 }
 
@@ -199,7 +199,7 @@
 	case v.status == 503 || v.status == 429:
 		later(ctx, v.status, 1, v.why)
 	case v.a.Code == 429:
-		later(ctx, 429, max(v.a.After, 1), "too many requests at once")
+		later(ctx, 429, max(v.a.RetryAfter, 1), "too many requests at once")
 	case v.status != 0:
 		write(ctx, v.status, wire.Error{Error: v.why})
 	case v.a.Code == 200 || v.a.Code == 201:
@@ -207,7 +207,7 @@
 	case v.a.Code == 404:
 		write(ctx, 404, wire.Error{Error: "no such job"})
 	default:
-		later(ctx, v.a.Code, max(v.a.After, 1), "state service does not answer")
+		later(ctx, v.a.Code, max(v.a.RetryAfter, 1), "state service does not answer")
 	}
 }
 
@@ -216,7 +216,7 @@
 	switch a.Phase {
 	case job.Done:
 		s.State, s.Done, s.Running = wire.JobDone, int64(a.Tasks), 0
-	case job.Withdrawn:
+	case job.Cancelled:
 		s.State, s.Running = wire.JobCancelled, 0
 	default:
 		s.State = wire.JobQueued
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -158,7 +158,7 @@
 		shut = j.Damaged
 	case Hold:
 		// Hosts go by their own clocks, so the owner waits until all of them agree.
-		shut = j.Hold.Shut(j.Wall - j.ClockTo)
+		shut = j.Hold.Blocks(j.Wall - j.ClockTo)
 	case Dependency:
 		shut = j.unmet()
 	case BackOff:
@@ -215,7 +215,7 @@
 	switch d.Phase {
 	case job.Done:
 		return true
-	case job.Withdrawn:
+	case job.Cancelled:
 		return j.OnWithdrawn == job.PolicyRelease || d.Waived
 	}
 	return false
@@ -223,11 +223,11 @@
 
 // MustWithdraw tells whether the job is to be withdrawn since one before it was.
 func (j *Job) MustWithdraw() bool {
-	if j.OnWithdrawn != job.PolicyWithdraw {
+	if j.OnWithdrawn != job.PolicyCancel {
 		return false
 	}
 	for i := range j.After {
-		if j.After[i].Phase == job.Withdrawn {
+		if j.After[i].Phase == job.Cancelled {
 			return true
 		}
 	}
--- a/internal/job/peers.go
+++ b/internal/job/peers.go
@@ -1,52 +1,51 @@
 package job
 
-// mostFromPeers bounds the jobs that only a peer's word calls withdrawn.
-const mostFromPeers = 20000
+// maxPeerOnly bounds the number of jobs that are known to be cancelled only from a peer's message.
+const maxPeerOnly = 20000
 
-// LearnWithdrawn takes in that a job was withdrawn, from a peer that knows the record's version in
-// which it was, and whose word is taken for what the state service would say. The job is over
-// here from now on; its record follows once the state service is heard again. It tells whether
-// that is known here now.
-func (r *Registry) LearnWithdrawn(id string, revision uint64) bool {
+// ApplyPeerCancellation applies a peer's message that a job was cancelled at a revision of its record. The peer is
+// trusted like the state service itself. The job is final here from now on; its record follows once the state
+// service can be reached. ApplyPeerCancellation reports whether the job is now known here as cancelled.
+func (r *Registry) ApplyPeerCancellation(id string, revision uint64) bool {
 	if !ValidID(id) || revision == 0 {
 		return false
 	}
 	j := r.jobs[id]
 	switch {
 	case j != nil && j.Final():
-		return j.Phase == Withdrawn
+		return j.Phase == Cancelled
 	case j != nil && j.Revision >= revision:
-		r.log.Error("a peer calls a job withdrawn that is known here as later", "job", id, "revision", revision, "known", j.Revision)
+		r.log.Error("cancellation reported by a peer ignored: the job's record known here is newer and not cancelled", "job", id, "revision", revision, "known", j.Revision)
 		return false
-	case r.fromPeers >= mostFromPeers:
+	case r.peerOnly >= maxPeerOnly:
 		return false
 	}
 	if j == nil {
-		// Nothing else is known of it, and no place is ever given to it.
+		// Nothing else is known of the job, so none of its tasks can be placed.
 		j = &Job{ID: id}
 		r.jobs[id] = j
 	}
-	r.fromPeers++
-	j.PeerRevision, j.Phase = revision, Withdrawn
-	r.overdue.answered(id)
+	r.peerOnly++
+	j.PeerRevision, j.Phase = revision, Cancelled
+	r.unanswered.recordAnswer(id)
 	if r.OnJob != nil {
 		r.OnJob(j)
 	}
 	return true
 }
 
-// applyPeerRevision keeps what a peer told until the record is as new: older versions of it may still
-// be on their way here.
+// applyPeerRevision keeps a cancellation that a peer reported until the record of that revision has arrived:
+// older revisions of the record may arrive first.
 func (r *Registry) applyPeerRevision(j *Job) {
 	switch {
 	case j.PeerRevision == 0:
 	case j.Revision >= j.PeerRevision:
 		j.PeerRevision = 0
-		r.fromPeers--
+		r.peerOnly--
 	default:
-		j.Phase = Withdrawn
+		j.Phase = Cancelled
 	}
 }
 
-// WithdrawnRevision is the version in which a withdrawn job was withdrawn, as far as is known here.
-func (j *Job) WithdrawnRevision() uint64 { return max(j.Revision, j.PeerRevision) }
+// CancelledRevision returns the highest revision at which a cancelled job is known here as cancelled.
+func (j *Job) CancelledRevision() uint64 { return max(j.Revision, j.PeerRevision) }
--- a/internal/job/read.go
+++ b/internal/job/read.go
@@ -8,44 +8,45 @@
 	"cleatpick/internal/store"
 )
 
-// Questions about jobs that are not over are linearizable reads. They wait until the copy of the
-// records holds whatever the state service held after they came: until any answer of the state
-// service has been taken in whose request was made later (a watch, a reading of all keys, or a
-// Sync, which is sent where questions wait). One request answers all that waited before it,
-// however many they are, so that no estimate of how many can be answered is needed: nothing here
-// could shut out the very questions that would correct it.
+// Requests about jobs that are not final are answered with linearizable reads. A request waits until the copy
+// of the records holds everything that the state service held when the request came, that is, until any answer
+// of the state service has been applied whose request was made later: a watch, a scan of all keys, or a Sync,
+// which is sent while requests wait. One Sync answers all requests that came before it, however many they are.
+// So the number that can be answered need not be estimated, and no wrong estimate can shut out the requests
+// that would correct it.
 //
-// What bounds the questions is the connections that they hold. With room for P of them and J jobs
-// that are asked about, each again within r, a known job is answered within ceil(J/P) intervals
-// of at most readInterval and an answer of the state service, and r, of its first question here:
-// where there is no room, whoever has waited longest takes the place of who has waited least.
+// The number of waiting requests is bounded by the connections that they hold. With P connections for them and
+// J jobs that are polled, each at an interval of r, a known job is answered within ceil(J/P) periods, each of
+// at most readInterval and an answer of the state service, plus r, after its first request here: when all
+// places are taken, the job that has gone unanswered longest takes the place of the one that has gone
+// unanswered shortest.
 
 const (
-	// mostWaiting bounds the users that wait to be told of a job, unless MostAsking says less.
-	mostWaiting = 2000
-	// patience is how long a user waits here before being told to come back.
-	patience = 1500 * loop.Millisecond
-	// readInterval is the time from the answer to a Sync until the next one.
+	// maxWaitingReads bounds the number of users that wait for a job's state, unless MostAsking sets less.
+	maxWaitingReads = 2000
+	// answerTimeout is how long a user waits here before being told to retry.
+	answerTimeout = 1500 * loop.Millisecond
+	// readInterval is the time from the answer to a Sync until the next Sync.
 	readInterval = 60 * loop.Millisecond
-	// spreadSeconds is over how many seconds those come back who are refused together.
-	spreadSeconds = 3
+	// retrySpreadSeconds is the number of seconds over which the retries of users refused together are spread.
+	retrySpreadSeconds = 3
 )
 
-// reads are the questions that wait for the copy of the records to be brought up to date.
-type reads struct {
-	waiting []*question // by order
-	most    int         // bounds waiting, but for changes
-	syncing bool
-	refused int // so far, to spread when users come back
+// readQueue holds the requests that wait for the copy of the records to be synchronized.
+type readQueue struct {
+	waiting    []*userRequest // sorted by compareRequests
+	maxWaiting int            // bound on len(waiting), except for changes
+	syncing    bool
+	refusals   int // number of refusals so far, by which Retry-After is spread
 }
 
-// order is who keeps its place where there is none for all: changes, then polls for known jobs
-// by who has waited longest, then polls for jobs that are not known here.
-func order(p, q *question) int {
-	return cmp.Or(cmp.Compare(p.rank, q.rank), cmp.Compare(p.since, q.since), cmp.Compare(p.number, q.number))
+// compareRequests compares two requests by which keeps its place when not all can wait: changes come first, then polls
+// for known jobs, those unanswered longest first, then polls for jobs that are not known here.
+func compareRequests(a, b *userRequest) int {
+	return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.unansweredSince, b.unansweredSince), cmp.Compare(a.sequence, b.sequence))
 }
 
-// rank is the first thing in the order of questions.
+// rank is the first criterion of compareRequests.
 type rank int
 
 const (
@@ -54,57 +55,59 @@
 	rankUnknown
 )
 
-func (r *Registry) rankOf(q *question) rank {
+// rankOf returns a request's rank.
+func (r *Registry) rankOf(req *userRequest) rank {
 	switch {
-	case q.change:
+	case req.change:
 		return rankChange
-	case r.jobs[q.id] != nil || r.damaged[q.id]:
+	case r.jobs[req.id] != nil || r.damaged[req.id]:
 		return rankKnown
 	}
 	return rankUnknown
 }
 
-// Asking is the number of users that wait to be told of a job's state.
-func (r *Registry) Asking() int { return len(r.reads.waiting) }
+// WaitingReads returns the number of users that wait for a job's state.
+func (r *Registry) WaitingReads() int { return len(r.reads.waiting) }
 
-// MostAsking bounds the users that may wait to be told of a job's state: each holds a connection,
-// and some must be left to submissions.
-func (r *Registry) MostAsking(n int) { r.reads.most = min(max(n, 1), mostWaiting) }
+// SetMaxWaitingReads bounds the number of users that may wait for a job's state. Each holds a connection, and some
+// connections must be left for submissions.
+func (r *Registry) SetMaxWaitingReads(n int) { r.reads.maxWaiting = min(max(n, 1), maxWaitingReads) }
 
-// read answers a question once the copy of the records is certain to be as new as it needs.
-func (r *Registry) read(q *question) {
+// answerWhenCurrent answers a request once the copy of the records is certainly as new as the request.
+func (r *Registry) answerWhenCurrent(req *userRequest) {
 	w := &r.reads
-	q.rank = r.rankOf(q)
-	if n := len(w.waiting); !q.change && n >= w.most {
+	req.rank = r.rankOf(req)
+	if n := len(w.waiting); !req.change && n >= w.maxWaiting {
 		last := w.waiting[n-1]
-		if last.change || order(last, q) < 0 {
-			r.refuseFull(q)
+		if last.change || compareRequests(last, req) < 0 {
+			r.refuseFull(req)
 			return
 		}
 		w.waiting = w.waiting[:n-1]
 		r.refuseFull(last)
 	}
-	i, _ := slices.BinarySearchFunc(w.waiting, q, order)
-	w.waiting = slices.Insert(w.waiting, i, q)
+	i, _ := slices.BinarySearchFunc(w.waiting, req, compareRequests)
+	w.waiting = slices.Insert(w.waiting, i, req)
 	r.sync()
 }
 
-// Sync calls cb once the copy of the records holds whatever the state service held when it was
-// called, for answers about many jobs; ok is false where that cannot be had in time.
-func (r *Registry) Sync(cb func(ok bool)) {
-	q := r.ask("", true, func(a Answer) { cb(!a.refuses()) })
-	r.read(q)
+// Sync calls cb once the copy of the records holds everything that the state service held when Sync was called.
+// It serves answers about many jobs. ok is false if that was not possible in time.
+func (r *Registry) Sync(callback func(ok bool)) {
+	req := r.newUserRequest("", true, func(a Answer) { callback(!a.refused()) })
+	r.answerWhenCurrent(req)
 }
 
-// refuseFull tells a user to come back; the room is free again after the next answer.
-func (r *Registry) refuseFull(q *question) {
-	r.reads.refused++
-	a := refusal(q.id, 429, RefusedFull)
-	a.After = 1 + r.reads.refused%spreadSeconds
-	r.deliver(q, a)
+// refuseFull tells a user to retry because too many requests wait; places become free with the next answer of
+// the state service.
+func (r *Registry) refuseFull(req *userRequest) {
+	r.reads.refusals++
+	a := newRefusal(req.id, 429, RefusedFull)
+	a.RetryAfter = 1 + r.reads.refusals%retrySpreadSeconds
+	r.deliver(req, a)
 }
 
-// sync brings the copy up to date while questions wait, one request at a time.
+// sync synchronizes the copy of the records while requests wait, with one Sync at a time.
 func (r *Registry) sync() {
 	if r.reads.syncing || len(r.reads.waiting) == 0 {
 		return
@@ -113,9 +116,9 @@
 	before := r.client.Next()
 	r.mirror.Sync(store.Inquiries, func(outcome store.Outcome) {
 		if outcome == store.Refused {
-			// Nothing can be told now: users are told at once when to come back.
-			r.settle(func(q *question) bool { return q.number < before }, func(q *question) {
-				r.deliver(q, refusal(q.id, 503, RefusedState))
+			// The state service cannot be read now: users are told to retry at once.
+			r.finishMatching(func(req *userRequest) bool { return req.sequence < before }, func(req *userRequest) {
+				r.deliver(req, newRefusal(req.id, 503, RefusedState))
 			})
 		}
 		r.runner.After(readInterval, func() {
@@ -125,40 +128,40 @@
 	})
 }
 
-// synced answers the questions that came before a request whose answer has been taken in.
+// synced answers the requests that came before a request to the state service whose answer has been applied.
 func (r *Registry) synced(s store.Synced) {
-	r.settle(func(q *question) bool { return q.number < s.Request }, func(q *question) {
-		a := r.current(q.id, 200, WayRead, s.Request)
-		if a.Code == 404 && q.absent != nil {
-			q.absent()
+	r.finishMatching(func(req *userRequest) bool { return req.sequence < s.Request }, func(req *userRequest) {
+		a := r.current(req.id, 200, SourceRead, s.Request)
+		if a.Code == 404 && req.onAbsent != nil {
+			req.onAbsent()
 			return
 		}
-		r.deliver(q, a)
+		r.deliver(req, a)
 	})
 }
 
-// settle takes questions out of those that wait, and ends each.
-func (r *Registry) settle(which func(*question) bool, end func(*question)) {
-	var settled, rest []*question
-	for _, q := range r.reads.waiting {
-		if which(q) {
-			settled = append(settled, q)
+// finishMatching removes the requests that match from those that wait, and calls end for each.
+func (r *Registry) finishMatching(which func(*userRequest) bool, end func(*userRequest)) {
+	var settled, rest []*userRequest
+	for _, req := range r.reads.waiting {
+		if which(req) {
+			settled = append(settled, req)
 		} else {
-			rest = append(rest, q)
+			rest = append(rest, req)
 		}
 	}
 	if len(settled) == 0 {
 		return
 	}
 	r.reads.waiting = rest
-	for _, q := range settled {
-		end(q)
+	for _, req := range settled {
+		end(req)
 	}
 }
 
-// expireReads gives up what has waited too long.
+// expireReads gives up requests that have waited too long.
 func (r *Registry) expireReads(now loop.Micros) {
-	r.settle(func(q *question) bool { return now >= q.deadline }, func(q *question) {
-		r.deliver(q, refusal(q.id, 503, RefusedExpired))
+	r.finishMatching(func(req *userRequest) bool { return now >= req.deadline }, func(req *userRequest) {
+		r.deliver(req, newRefusal(req.id, 503, RefusedExpired))
 	})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -115,11 +115,11 @@
 	n.member = member.New(l, n.client, n.mirror, log, member.Settings{Label: cfg.Label, Teams: cfg.TeamNames(), Controllers: nodes,
 		LeaseTTL: loop.Seconds(cfg.Operator.NodeLeaseS), TeamsOnly: !cfg.Operator.NumberedPartitions})
 	n.jobs = job.NewRegistry(l, n.client, n.mirror, log)
-	n.jobs.Admit(func(team string) float64 {
+	n.jobs.ConfigureAdmission(func(team string) float64 {
 		t, _ := cfg.TeamNamed(team)
 		return cfg.Quota(t).Weight
 	}, cfg.Cluster.State.WriteRPS*0.45/float64(nodes))
-	n.jobs.MostAsking(cfg.Cluster.Limits.MaxSockets / 5)
+	n.jobs.SetMaxWaitingReads(cfg.Cluster.Limits.MaxSockets / 5)
 	n.cordons = cordon.NewBook(l, n.client, n.mirror, log, cfg.ClockDifference())
 	n.net = peer.New(l, log, cfg.Label, cfg.Known)
 	n.reach = reach.New(l, log, cfg.Label, n.net.Peers(), cfg.ClockDifference())
@@ -217,8 +217,8 @@
 	})
 	n.rental.OnGone = n.placer.Gone
 	n.jobs.OnJob = func(j *job.Job) {
-		if j.Phase == job.Withdrawn {
-			n.horizon.Learn(horizon.Over{Job: j.ID, Mark: j.WithdrawnRevision()})
+		if j.Phase == job.Cancelled {
+			n.horizon.Learn(horizon.Over{Job: j.ID, Mark: j.CancelledRevision()})
 		}
 		if j.Final() {
 			delete(n.progress, j.ID)
@@ -300,7 +300,7 @@
 			s.Hears = append(s.Hears, label)
 		}
 	}
-	places := n.jobs.Places()
+	places := n.jobs.TakeQueuePositions()
 	n.net.All(func(e *peer.Envelope) { e.Status, e.Places = s, places })
 	n.meter.Horizon(n.horizon.Look())
 	for _, label := range n.net.Peers() {
--- a/internal/placer/facts.go
+++ b/internal/placer/facts.go
@@ -11,7 +11,7 @@
 // facts collects the state of a job that its own predicates evaluate.
 func (p *Placer) facts(t *table) gate.Job {
 	tm := t.team
-	f := gate.Job{Spec: t.j.Spec, Hold: &t.j.Terms.Hold, After: p.deps(t.j), OnWithdrawn: t.j.Terms.OnWithdrawn, Damaged: t.damaged,
+	f := gate.Job{Spec: t.j.Spec, Hold: &t.j.Terms.Hold, After: p.deps(t.j), OnWithdrawn: t.j.Terms.OnCancelled, Damaged: t.damaged,
 		Waiting: t.waiting(), InUse: t.inUse,
 		Used: agent.Room{CPUs: tm.cpus, GPUs: tm.gpus}, Quota: tm.quota,
 		ClockTo: p.cfg.ClockDifference()}
@@ -28,11 +28,11 @@
 
 // deps lists the jobs that this job waits for, each with its phase.
 func (p *Placer) deps(j *job.Job) []gate.Dep {
-	if len(j.Terms.After) == 0 {
+	if len(j.Terms.Dependencies) == 0 {
 		return nil
 	}
-	out := make([]gate.Dep, len(j.Terms.After))
-	for i, id := range j.Terms.After {
+	out := make([]gate.Dep, len(j.Terms.Dependencies))
+	for i, id := range j.Terms.Dependencies {
 		out[i] = gate.Dep{ID: id, Waived: j.Terms.WaivedFrom(id)}
 		if o := p.registry.Get(id); o != nil {
 			out[i].Phase = o.Phase
@@ -43,7 +43,7 @@
 
 // resting reports whether the job uses no capacity and is blocked by a hold or by a dependency.
 func (p *Placer) resting(t *table) bool {
-	if t.inUse > 0 || (t.j.Terms.Hold.State == job.HoldNone && len(t.j.Terms.After) == 0) {
+	if t.inUse > 0 || (t.j.Terms.Hold.State == job.HoldNone && len(t.j.Terms.Dependencies) == 0) {
 		return false
 	}
 	f := p.facts(t)
@@ -54,7 +54,7 @@
 // was stored after the machine was chosen. Both are stored records, and every record of a start is conditional on the
 // revisions that were known when it was composed.
 func (p *Placer) barred(t *table, machine string) string {
-	if t.j.Terms.Hold.State != job.HoldNone && t.j.Terms.Hold.Shut(p.r.Wall()) {
+	if t.j.Terms.Hold.State != job.HoldNone && t.j.Terms.Hold.Blocks(p.r.Wall()) {
 		return "held"
 	}
 	if sl := p.fleet.Machine(machine); sl != nil && p.cordons.Barred(fleet.CordonPlace(sl.V)) {
@@ -74,10 +74,10 @@
 		if f := p.facts(t); f.MustWithdraw() {
 			t.amendAt = now + 2*loop.Second
 			p.log.Info("cancelling a job because a job that it depends on was cancelled", "job", t.j.ID)
-			p.registry.Withdraw(t.j.ID, func(job.Answer) {})
+			p.registry.Cancel(t.j.ID, func(job.Answer) {})
 			continue
 		}
-		if t.j.Terms.Hold.State != job.HoldSettling {
+		if t.j.Terms.Hold.State != job.HoldPending {
 			continue
 		}
 		sure := true
@@ -92,7 +92,7 @@
 		})
 		if sure {
 			t.amendAt = now + 2*loop.Second
-			p.registry.Settle(t.j.ID, t.j.Revision, func(job.Answer) {})
+			p.registry.ConfirmHold(t.j.ID, t.j.Revision, func(job.Answer) {})
 		}
 	}
 }
