--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -197,10 +197,10 @@
 // calls callback with the sum; ok is false if a team has no owner or an owner did not answer.
 func (n *Node) pendingStarts(name string, callback func(starts int, ok bool)) {
 	owners := map[string]bool{}
-	sure := true
+	complete := true
 	for _, t := range n.cfg.Cluster.Teams {
 		o, ok := n.member.TeamOwner(t.Name)
-		if sure = sure && ok; ok {
+		if complete = complete && ok; ok {
 			owners[o.Node] = true
 		}
 	}
@@ -213,12 +213,12 @@
 		n.apiParts.questions.Ask(label, topicPendingStarts, name, pendingStartsTimeout, func(body wire.Raw, ok bool) {
 			var starts int
 			if !ok || wire.Unmarshal(body, &starts) != nil || starts < 0 {
-				sure = false
+				complete = false
 			} else {
 				sum += starts
 			}
 			if left--; left == 0 {
-				callback(sum, sure)
+				callback(sum, complete)
 			}
 		})
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -105,18 +105,18 @@
 }
 
 // NewWith returns a controller connected to the given services.
-func NewWith(cfg *config.Config, log *slog.Logger, out Dependencies) *Node {
-	n := &Node{cfg: cfg, log: log, loop: out.Loop, deps: out, progress: map[string]job.Counts{}}
+func NewWith(cfg *config.Config, log *slog.Logger, deps Dependencies) *Node {
+	n := &Node{cfg: cfg, log: log, loop: deps.Loop, deps: deps, progress: map[string]job.Counts{}}
 	l := n.loop
 	n.startedAt = l.Now()
 	if cfg.Operator.API.Enabled {
 		n.meter = metric.New()
 	}
 	nodes := max(cfg.Cluster.Nodes, 1)
-	n.client = store.NewClient(l, out.State, log, cfg.Cluster.State.RPS, cfg.Cluster.State.WriteRPS, nodes)
+	n.client = store.NewClient(l, deps.State, log, cfg.Cluster.State.RPS, cfg.Cluster.State.WriteRPS, nodes)
 	n.client.SetTxnOps(cfg.Cluster.State.TxnOps)
 	n.client.Meter = n.meter
-	n.mirror = store.NewMirror(n.client, out.Watch, member.Prefix)
+	n.mirror = store.NewMirror(n.client, deps.Watch, member.Prefix)
 	n.member = member.New(l, n.client, n.mirror, log, member.Settings{Label: cfg.Label, Teams: cfg.TeamNames(), Controllers: nodes,
 		LeaseTTL: loop.Seconds(cfg.Operator.NodeLeaseS), TeamsOnly: !cfg.Operator.NumberedPartitions})
 	n.jobs = job.NewRegistry(l, n.client, n.mirror, log)
@@ -199,7 +199,7 @@
 			n.net.SendAll(func(e *peer.Envelope) { e.Reservations = append(e.Reservations, c...) })
 		},
 	}, n.jobs, n.agent, n.cordons)
-	n.rental = rental.New(l, log, cfg, n.client, n.mirror, out.Cloud, n.agent, rental.Node{
+	n.rental = rental.New(l, log, cfg, n.client, n.mirror, deps.Cloud, n.agent, rental.Node{
 		Close: func(host string, c peer.StartBlock) {
 			n.dispatch(host, func() { n.agent.Close(c.Machine, c.Until) }, func(e *peer.Envelope) { e.StartBlocks = append(e.StartBlocks, c) })
 		},
@@ -218,7 +218,7 @@
 		Cordoned: func(typ, zone string, spot bool) bool {
 			return n.cordons.Barred(cordon.Place{Type: typ, Zone: zone, Spot: spot})
 		},
-		Probe: out.Probe,
+		Probe: deps.Probe,
 	})
 	n.rental.OnGone = n.placer.Gone
 	n.jobs.OnJob = func(j *job.Job) {
