--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,5 +1,9 @@
-// Package front is the adapter between HTTP and the slices: users, workers and
-// health checks come in here.
+// Package front is the HTTP server of a controller. It serves users' job requests and workers' reports in the CBOR
+// protocol, and the health check.
+//
+// It owns the HTTP routes, the limits of connections and body sizes, and the translation of results into status codes
+// and Retry-After headers. It decides nothing about jobs or machines: requests are passed to the job registry and the
+// workers' registry on the event loop. Requests under /v1/ and for /metrics are passed on to the JSON API.
 package front
 
 import (
@@ -18,39 +22,44 @@
 	"github.com/valyala/fasthttp"
 )
 
+// maxBody is the largest request body in bytes.
 const maxBody = 64 << 10
 
-// Node is what this slice needs of the node around it.
+// Node holds what the server needs from the rest of the controller. Its functions, except API, are called on the event
+// loop.
 type Node struct {
+	// Healthy reports whether the health check passes.
 	Healthy func() bool
-	// Ready tells whether users' requests can be decided now.
+	// Ready reports whether users' requests can be decided now.
 	Ready func() bool
+	// Types returns the known machine types, none before the catalog was read.
 	Types func() []wire.MachineType
-	// Foreign tells whether a team that these settings do not name is served by others.
+	// Foreign reports whether a team that is missing from this controller's settings is served by other controllers.
 	Foreign func(team string) bool
-	Counts  func(*job.Job) job.Counts
-	Jobs    *job.Registry
-	Agent   *agent.Registry
-	// API serves what stands beside the protocol: /v1/ and /metrics; nil: nothing does.
+	// Counts returns the job's numbers of running and done tasks.
+	Counts func(*job.Job) job.Counts
+	Jobs   *job.Registry
+	Agent  *agent.Registry
+	// API serves the paths under /v1/ and /metrics; if nil, these paths do not exist.
 	API fasthttp.RequestHandler
 }
 
-// Front serves HTTP.
+// Front is the HTTP server of a controller.
 type Front struct {
 	r   loop.Runner
 	log *slog.Logger
 	cfg *config.Config
 	n   Node
 	srv *fasthttp.Server
-	// Crowded tells whether so many connections are open that workers' are not kept; it
-	// may be nil.
+	// Crowded reports whether so many connections are open that a worker's connection is closed after its report is
+	// answered. It may be nil.
 	Crowded func() bool
-	// bad counts the malformed reports since badAt, when one was last told of.
+	// bad counts the malformed reports since badAt, the time at which one was last logged.
 	bad   int
 	badAt loop.Micros
 }
 
-// New makes the server.
+// New returns a server; Serve starts it.
 func New(r loop.Runner, log *slog.Logger, cfg *config.Config, n Node) *Front {
 	f := &Front{r: r, log: log, cfg: cfg, n: n}
 	f.srv = &fasthttp.Server{
@@ -70,7 +79,7 @@
 		CloseOnShutdown:               true,
 		Logger:                        quiet{log},
 		ErrorHandler: func(ctx *fasthttp.RequestCtx, err error) {
-			// Oversized or broken: the rest of the stream cannot be trusted.
+			// The request is malformed or too large, so the start of the next request on this connection is unknown.
 			ctx.SetConnectionClose()
 			if f.n.API != nil && isAPI(string(ctx.Path())) {
 				ctx.SetUserValue("broken", err)
@@ -83,14 +92,15 @@
 	return f
 }
 
+// quiet passes the messages of the HTTP library to the log at debug level.
 type quiet struct{ log *slog.Logger }
 
-func (q quiet) Printf(format string, args ...any) { q.log.Debug("http", "what", format, "args", args) }
+func (q quiet) Printf(format string, args ...any) { q.log.Debug("HTTP server", "what", format, "args", args) }
 
-// Open is the number of connections that others have opened.
+// Open returns the number of open incoming connections.
 func (f *Front) Open() int { return int(f.srv.GetOpenConnectionsCount()) }
 
-// Serve works until the listener is closed.
+// Serve accepts and serves connections until the listener is closed.
 func (f *Front) Serve(ln net.Listener) error { return f.srv.Serve(ln) }
 
 func write(ctx *fasthttp.RequestCtx, status int, body any) {
@@ -101,7 +111,7 @@
 	}
 }
 
-// later tells a client at once when to come back.
+// later answers with an error status and a Retry-After header.
 func later(ctx *fasthttp.RequestCtx, status, seconds int, why string) {
 	ctx.Response.Header.Set("Retry-After", strconv.Itoa(seconds))
 	write(ctx, status, wire.Error{Error: why})
@@ -140,10 +150,10 @@
 
 func isAPI(path string) bool { return strings.HasPrefix(path, "/v1/") || path == "/metrics" }
 
-// patience is how long a request waits for the loop.
+// patience is how long a request waits for its result from the event loop.
 const patience = 3 * time.Second
 
-// ask runs f on the loop and waits for its answer; nil when none came in time.
+// ask calls run on the event loop and waits for its result. It returns nil if there is none in time.
 func ask[T any](f *Front, run func(done func(T))) *T {
 	if v, ok := loop.Ask(f.r, patience, run); ok {
 		return &v
@@ -163,30 +173,33 @@
 	}
 	a := ask(f, func(done func(agent.Answer)) { f.n.Agent.Report(r, done) })
 	if a == nil {
-		later(ctx, 503, 1, "no answer")
+		later(ctx, 503, 1, "the controller did not answer in time")
 		return
 	}
 	write(ctx, a.Status, a.Body)
 }
 
-// malformed tells the operators of a report that makes no sense, at most once a second: the
-// worker sends it again and again.
+// malformed logs a report that cannot be decoded, at most once per second because the worker sends its report again
+// and again.
 func (f *Front) malformed(machine string, err error) {
 	f.bad++
 	if now := f.r.Now(); f.badAt == 0 || now-f.badAt >= loop.Second {
-		f.log.Error("malformed report", "machine", machine, "fault", err.Error(), "since_last", f.bad)
+		f.log.Error("worker's report is malformed; it was not applied and answered with status 400",
+			"machine", machine, "fault", err.Error(), "since_last", f.bad)
 		f.badAt, f.bad = now, 0
 	}
 }
 
-// turnAway tells the user of a job to come back, before anything is known of the request.
+// turnAway answers a request about a job with Retry-After before the job registry has seen it, and has the registry
+// count the refusal. why is also a metric label.
 func (f *Front) turnAway(done func(verdict), id, why string) {
 	f.n.Jobs.RecordRefusal(id, why)
 	done(verdict{status: 503, why: why})
 }
 
+// verdict is the result of a request about a job: a status with an error text, or the registry's answer.
 type verdict struct {
-	status int // 0: see answer
+	status int // 0 if a holds the result
 	why    string
 	a      job.Answer
 	counts job.Counts
@@ -195,7 +208,7 @@
 func (f *Front) reply(ctx *fasthttp.RequestCtx, v *verdict) {
 	switch {
 	case v == nil:
-		later(ctx, 503, 1, "no answer")
+		later(ctx, 503, 1, "the controller did not answer in time")
 	case v.status == 503 || v.status == 429:
 		later(ctx, v.status, 1, v.why)
 	case v.a.Code == 429:
@@ -227,7 +240,7 @@
 	return s
 }
 
-// settle adds the counts for display to an answer.
+// settle returns a callback for the job registry that adds the numbers of tasks to the answer.
 func (f *Front) settle(done func(verdict)) func(job.Answer) {
 	return func(a job.Answer) {
 		v := verdict{a: a}
@@ -244,8 +257,8 @@
 		write(ctx, 400, wire.Error{Error: "malformed submission"})
 		return
 	}
-	// A job that was accepted is never refused, whatever is asked for now, also where this node
-	// has not read of it yet.
+	// A repeated submission of an accepted job is never refused, whatever its body says now. This holds even if this
+	// controller has not read the job's record yet, so the registry is asked before the refusal is sent.
 	unless := func(done func(verdict), no verdict) {
 		f.n.Jobs.Poll(id, func(a job.Answer) {
 			if a.Code == 404 {
@@ -271,12 +284,13 @@
 				return
 			}
 			if f.n.Foreign(spec.Team) {
-				// The settings are being changed node by node. A no would be for good.
+				// The settings are being changed one controller after another. A client does not repeat a submission
+				// that was answered with 422, so the submission is deferred instead.
 				f.turnAway(done, id, "the team is not known here yet")
 				return
 			}
 			if !job.Runnable(spec, f.cfg, types) {
-				unless(done, verdict{status: 422, why: "can never run"})
+				unless(done, verdict{status: 422, why: "the job can never run"})
 				return
 			}
 		}
@@ -284,7 +298,7 @@
 	}))
 }
 
-// named answers a request about one job by way of the registry.
+// named passes a request about one job to the job registry and answers with its result.
 func (f *Front) named(ctx *fasthttp.RequestCtx, id string, request func(id string, cb func(job.Answer))) {
 	if !job.ValidID(id) {
 		write(ctx, 404, wire.Error{Error: "no such job"})
