--- a/internal/api/schema.go
+++ b/internal/api/schema.go
@@ -10,27 +10,29 @@
 	"github.com/santhosh-tekuri/jsonschema/v6/kind"
 )
 
+// schemaFile is the published schema, which GET /v1/schema returns.
+//
 //go:embed schema.json
 var schemaFile []byte
 
-// schema checks bodies.
+// schema checks request bodies; its map holds the compiled schema of each type of body.
 type schema struct {
-	by map[string]*jsonschema.Schema
+	byName map[string]*jsonschema.Schema
 }
 
 func loadSchema() *schema {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaFile))
 	if err != nil {
-		panic(err) // it is part of the program
+		panic(err) // the schema is part of the program, and the tests load it
 	}
 	c := jsonschema.NewCompiler()
 	c.AssertFormat()
 	if err := c.AddResource("urn:cleatpick:v1", doc); err != nil {
 		panic(err)
 	}
-	s := &schema{by: map[string]*jsonschema.Schema{}}
+	s := &schema{byName: map[string]*jsonschema.Schema{}}
 	for _, name := range []string{"job", "hold", "cordon"} {
-		s.by[name] = c.MustCompile("urn:cleatpick:v1#/$defs/" + name)
+		s.byName[name] = c.MustCompile("urn:cleatpick:v1#/$defs/" + name)
 	}
 	return s
 }
@@ -40,20 +42,21 @@
 	bad := func(p problem) *problem { return &p }
 	v, err := jsonschema.UnmarshalJSON(bytes.NewReader(body))
 	if err != nil {
-		return bad(badBody.with("it is no JSON: %v", err))
+		return bad(invalidBody.withDetail("the body is not JSON: %v", err))
 	}
-	if err := s.by[name].Validate(v); err != nil {
-		field, why := deepest(err)
-		return bad(badBody.with("%s", why).at(field))
+	if err := s.byName[name].Validate(v); err != nil {
+		field, why := innermostFault(err)
+		return bad(invalidBody.withDetail("%s", why).inField(field))
 	}
 	if err := json.Unmarshal(body, into); err != nil {
-		return bad(badBody.with("%v", err))
+		return bad(invalidBody.withDetail("%v", err))
 	}
 	return nil
 }
 
-// deepest finds the innermost fault, which names the field best.
-func deepest(err error) (field, why string) {
+// innermostFault returns the field and the text of the innermost validation error, which names the field at fault most
+// precisely.
+func innermostFault(err error) (field, why string) {
 	e, ok := err.(*jsonschema.ValidationError)
 	if !ok {
 		return "", err.Error()
@@ -65,7 +68,7 @@
 	switch k := e.ErrorKind.(type) {
 	case *kind.AdditionalProperties:
 		at = append(at[:len(at):len(at)], k.Properties[0])
-		why = "there is no such field"
+		why = "unknown field"
 	case *kind.Required:
 		at = append(at[:len(at):len(at)], k.Missing[0])
 		why = "the field is missing"
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -65,15 +65,15 @@
 		reply(n.placer.UnseenStarts(name))
 	})
 	x.api = api.New(l, n.log, n.cfg, api.Node{
-		Ready:    n.ready,
-		Types:    n.rental.Types,
-		Counts:   n.counts,
-		Machines: n.machines,
-		Unheard:  n.staleOwners,
-		Jobs:     n.jobs,
-		Cordons:  n.cordons,
-		Unseen:   n.pendingStarts,
-		Desk:     x.explanations,
+		Ready:         n.ready,
+		Types:         n.rental.Types,
+		Counts:        n.counts,
+		Machines:      n.machines,
+		StaleOwners:   n.staleOwners,
+		Jobs:          n.jobs,
+		Cordons:       n.cordons,
+		PendingStarts: n.pendingStarts,
+		Explanations:  x.explanations,
 	}, n.meter)
 	n.meter.Watch(l)
 	loop.Every(l, loop.Second, n.recordUnowned)
@@ -166,7 +166,7 @@
 	now, wall := n.loop.Now(), n.loop.Wall()
 	n.placer.EachPlace(func(p *gate.MachineFacts, after loop.Micros) {
 		v := p.View
-		m := api.Machine{Name: v.Name, Type: v.Type, Zone: v.Zone, Kind: explain.MachineKind(v.Spot), ReportsTo: v.Host, Shut: []string{}}
+		m := api.Machine{Name: v.Name, Type: v.Type, Zone: v.Zone, Kind: explain.MachineKind(v.Spot), ReportsTo: v.Host, BlockedBy: []string{}}
 		for i := range v.Tasks {
 			if v.Tasks[i].Active() {
 				m.Tasks++
@@ -177,14 +177,14 @@
 			m.CPUsFree, m.MemoryFreeGB = &cpus, &memory
 		}
 		lacks := p.Blocking(after, now)
-		m.Shut = append(m.Shut, lacks.Names()...)
+		m.BlockedBy = append(m.BlockedBy, lacks.Names()...)
 		if lacks&gate.LackBackOffOver != 0 {
 			until := explain.Time(wall + p.BackOffUntil - now)
-			m.RestsUntil, m.RestsSince = &until, p.BackOffReason
+			m.BackOffUntil, m.BackOffReason = &until, p.BackOffReason
 		}
 		if v.NoticeAt != 0 {
 			at := explain.Time(v.NoticeAt)
-			m.LeavesAt = &at
+			m.ReclaimedAt = &at
 		}
 		m.Cordons = n.cordons.Blocking(fleet.CordonPlace(v))
 		out = append(out, m)
